--- /dev/null
+++ b/export_test.go
@@ -0,0 +1,30 @@
+package foxlift
+
+import (
+	"slices"
+	"testing"
+)
+
+// What the tests of package foxlift_test use of the fuzz tests' random host.
+
+// RandomHostConfigs are the configurations that the random host plays.
+func RandomHostConfigs() []Config { return fuzzConfigs() }
+
+// PlayRandomHost plays the random host for some steps, and tells of each.
+func PlayRandomHost(t *testing.T, seed uint64, cfg Config, steps int, each func(int64, []Event, []Action)) {
+	host := newFuzz(t, seed, cfg)
+	each(host.now, []Event{{Kind: EventList, List: ListSaved, Workers: slices.Clone(host.workers)}}, host.log)
+	step := func(events []Event) {
+		before := len(host.log)
+		host.step(events)
+		each(host.now, events, host.log[before:])
+	}
+	for range steps {
+		host.now += 1 + host.rng.Int64N(6*ms)
+		step(host.events())
+	}
+	for len(host.out) > 0 || len(host.open) > 0 {
+		host.now += 2 * ms
+		step(host.due())
+	}
+}
--- /dev/null
+++ b/record_plans_test.go
@@ -0,0 +1,198 @@
+package foxlift_test
+
+import "github.com/vatu-meals/foxlift"
+
+// baseConfig is a deployment of a few dispatchers with three classes, one of each effect.
+func baseConfig() foxlift.Config {
+	return foxlift.Config{
+		Classes: []foxlift.Class{
+			{Name: "read", Aim: 200 * millisecond, Stretch: 2, Deadline: 2 * second, Kind: -1, Worth: 1},
+			{Name: "order", Aim: 250 * millisecond, Stretch: 2, Deadline: 3 * second, Effect: foxlift.AtMostOnce,
+				Kind: -1, Worth: 2},
+			{Name: "keyed", Aim: 300 * millisecond, Stretch: 1, Deadline: 2 * second, Effect: foxlift.Deduplicated,
+				Scope: foxlift.ScopeCell, KeyTTL: 800 * millisecond, Kind: -1, Worth: 1},
+		},
+		Tenants:     []foxlift.Tenant{{Name: "a", Quota: 40}, {Name: "b", Quota: 20}, {Name: "c", Quota: 10}},
+		Dispatchers: 1, MayCancel: true, MayCopy: true, MayRetryAfter: true, MaxRetryAfter: second, MaxAttempts: 4,
+		StartNotes: true, Gauges: []foxlift.Gauge{foxlift.GaugeFreeSlots}, StartCapacity: 0.2, WarmAfter: 10 * second,
+		FallMultiple: 3, FallWindow: 2 * second, AnswerGrace: 50 * millisecond, JobsPerConn: 1, MustAskIn: 5 * second,
+		Prices: foxlift.Prices{CrossZone: 0.1, Handshake: 0.02, Fetch: 0.1},
+	}
+}
+
+// basePlan is a small fleet with a configuration, under all faults.
+func basePlan(name string, cfg foxlift.Config, seed uint64) fleetPlan {
+	return fleetPlan{
+		name: name, config: cfg, seed: seed, played: cfg.Dispatchers, workers: 8, slots: 2, length: 45 * second,
+		load: 0.9, work: []int64{90 * millisecond, 140 * millisecond, 110 * millisecond}, weights: []float64{6, 3, 1, 0.1},
+		keys: 30, strange: 0.02, every: 3 * second,
+		faults: []fault{
+			faultDrain, faultCrash, faultZoneRestart, faultHang, faultErrors, faultSaturation, faultFlood, faultFlood, faultQuotas,
+			faultResync, faultExternalUsage, faultTakeover, faultProcessRestart, faultBrokenContract, faultDiscovery,
+		},
+	}
+}
+
+// fleetPlans are the fleets that are recorded.
+func fleetPlans() []fleetPlan {
+	return []fleetPlan{
+		lonePlan(), overloadPlan(), peersPlan(), unawarePlan(), bandsPlan(), throttledPlan(), leasePlan(), outagesPlan(), plainPlan(),
+		manyPlan(), manySlowStartPlan(), manyKeysPlan(), manyWorkersPlan(),
+	}
+}
+
+// lonePlan is one dispatcher. One of its classes has clients that leave before its jobs are late.
+func lonePlan() fleetPlan {
+	cfg := baseConfig()
+	cfg.Classes[2].Aim, cfg.Classes[2].Deadline = 900*millisecond, 500*millisecond
+	return basePlan("lone", cfg, 1)
+}
+
+// overloadPlan gets more than its workers can do for most of the time.
+func overloadPlan() fleetPlan {
+	p := basePlan("overload", baseConfig(), 2)
+	p.load, p.length = 1.4, 30*second
+	p.config.Tenants = []foxlift.Tenant{{Name: "a", Quota: 90}, {Name: "b", Quota: 50}, {Name: "c", Quota: 40}}
+	p.faults = []fault{faultFlood, faultTakeover, faultZoneRestart, faultCrash}
+	return p
+}
+
+// peersPlan is three dispatchers that tell each other what their jobs hold.
+func peersPlan() fleetPlan {
+	cfg := baseConfig()
+	cfg.Dispatchers, cfg.MayMessage, cfg.SlotMemory = 3, true, 1
+	cfg.Gauges = []foxlift.Gauge{foxlift.GaugeQueue, foxlift.GaugeHeld, foxlift.GaugeFreeSlots}
+	cfg.Classes[2].Scope = foxlift.ScopeZone
+	p := basePlan("peers", cfg, 3)
+	p.varied, p.length = true, 20*second
+	return p
+}
+
+// unawarePlan is three dispatchers that know nothing of each other, and ask workers for their load.
+func unawarePlan() fleetPlan {
+	cfg := baseConfig()
+	cfg.Dispatchers, cfg.MayProbe, cfg.ListOnRequest = 3, true, true
+	cfg.Gauges = []foxlift.Gauge{foxlift.GaugeBusy, foxlift.GaugeThroughput, foxlift.GaugeQueue}
+	cfg.Classes[2].Scope, cfg.Classes[0].Stream = foxlift.ScopeAll, true
+	p := basePlan("unaware", cfg, 4)
+	p.workers, p.length, p.varied = 12, 20*second, true
+	return p
+}
+
+// bandsPlan shares by bands, under floods.
+func bandsPlan() fleetPlan {
+	cfg := baseConfig()
+	cfg.Dispatchers = 2
+	cfg.Bands = []foxlift.Band{
+		{Width: 60, Ratio: []float64{1, 1, 1}},
+		{Width: 100, Ratio: []float64{3, 0, 1}},
+		{Width: 50, Ratio: []float64{0, 2, 0}},
+	}
+	p := basePlan("bands", cfg, 5)
+	p.load, p.length = 1.2, 25*second
+	p.faults = []fault{faultFlood, faultFlood, faultCrash, faultTakeover, faultQuotas}
+	return p
+}
+
+// throttledPlan wants answers in less time than the workers take, so that the regulators admit less
+// than comes: what a tenant leaves of its share goes to the others.
+func throttledPlan() fleetPlan {
+	cfg := baseConfig()
+	for i := range cfg.Classes {
+		cfg.Classes[i].Aim, cfg.Classes[i].Stretch = 130*millisecond, 0
+	}
+	p := basePlan("throttled", cfg, 12)
+	p.load, p.length, p.weights = 0.8, 40*second, []float64{8, 3, 0.1, 0}
+	p.faults = []fault{faultFlood, faultQuotas, faultTakeover, faultErrors}
+	return p
+}
+
+// leasePlan has a discovery that often fails, and a list that may not be old.
+func leasePlan() fleetPlan {
+	cfg := baseConfig()
+	cfg.ListLease, cfg.ListOnRequest, cfg.MustAskIn, cfg.ConnIdle = 6*second, true, 3*second, second
+	p := basePlan("lease", cfg, 6)
+	p.load, p.length, p.every = 0.5, 60*second, 2*second
+	p.faults = []fault{
+		faultDiscovery, faultDiscovery, faultDiscovery, faultDiscoveryChange, faultProcessRestart, faultDrain, faultSaturation,
+	}
+	return p
+}
+
+// outagesPlan has each kind of outage of discovery for as long as the list's age matters.
+func outagesPlan() fleetPlan {
+	p := leasePlan()
+	p.name, p.seed, p.load, p.length, p.faults = "outages", 13, 0.3, 70*second, nil
+	p.config.Dispatchers, p.played = 2, 2
+	p.script = []scheduledFault{
+		{second, faultRetirement},
+		{3 * second, faultOutage(foxlift.FailureBusy, 15*second)},
+		{11 * second, faultFleetSaturation},
+		{20 * second, faultOutage(foxlift.FailureSpoilt, 5*second)},
+		{26 * second, faultOutage(foxlift.FailureUnanswered, 11*second)},
+		{27 * second, faultFirstRestart},
+		{40 * second, faultOutage(foxlift.FailureBusy, 9*second)},
+		{40 * second, faultDiscoveryChange},
+		{51 * second, faultOutage(foxlift.FailureDown, 8*second)},
+		{61 * second, faultOutage(foxlift.FailureSpoilt, 8*second)},
+	}
+	return p
+}
+
+// plainPlan allows and tells a dispatcher as little as can be.
+func plainPlan() fleetPlan {
+	cfg := baseConfig()
+	cfg.Dispatchers, cfg.MayCancel, cfg.MayCopy, cfg.MayRetryAfter, cfg.StartNotes = 2, false, false, false, false
+	cfg.Gauges, cfg.Tenants, cfg.Prices, cfg.MaxAttempts = nil, nil, foxlift.Prices{}, 0
+	p := basePlan("plain", cfg, 7)
+	p.weights, p.length = nil, 40*second
+	return p
+}
+
+// manyConfig is a deployment of many dispatchers with workers of several kinds.
+func manyConfig() foxlift.Config {
+	cfg := baseConfig()
+	cfg.Dispatchers, cfg.Gauges, cfg.MaxAttempts = 80, nil, 3
+	one := cfg.Classes[0]
+	one.Name, one.Kind, one.Aim = "other kind", 1, 300*millisecond
+	cfg.Classes = append(cfg.Classes, one)
+	return cfg
+}
+
+// manyPlan is some of many dispatchers, which have few jobs each.
+func manyPlan() fleetPlan {
+	p := basePlan("many", manyConfig(), 8)
+	p.played, p.workers, p.kinds, p.load, p.length, p.externalUsage, p.keys = 4, 40, 3, 0.12, 30*second, 0.3, 0
+	p.work = []int64{60 * millisecond, 90 * millisecond, 80 * millisecond, 200 * millisecond}
+	p.broken = true
+	return p
+}
+
+// manySlowStartPlan is some of twenty dispatchers that began together with all their workers.
+func manySlowStartPlan() fleetPlan {
+	cfg := manyConfig()
+	cfg.Dispatchers, cfg.MayMessage, cfg.WarmAfter = 20, true, 20*second
+	cfg.Classes[3].Effect = foxlift.AtMostOnce
+	p := basePlan("many-slow-start", cfg, 9)
+	p.played, p.workers, p.kinds, p.load, p.length, p.slowStart, p.externalUsage = 5, 20, 2, 0.4, 25*second, true, 0.5
+	p.work = []int64{60 * millisecond, 90 * millisecond, 80 * millisecond, 200 * millisecond}
+	p.faults = []fault{faultZoneRestart, faultCrash, faultTakeover, faultProcessRestart, faultDrain}
+	return p
+}
+
+// manyKeysPlan is some of many dispatchers whose jobs have keys.
+func manyKeysPlan() fleetPlan {
+	p := manyPlan()
+	p.name, p.seed, p.keys, p.varied = "many-keys", 10, 40, true
+	return p
+}
+
+// manyWorkersPlan is one of many dispatchers with more workers than it looks at for one job.
+func manyWorkersPlan() fleetPlan {
+	p := manyPlan()
+	p.name, p.seed, p.played, p.workers, p.load, p.length, p.keys = "many-workers", 11, 1, 2035, 0.0025, 20*second, 500
+	p.config.Prices.CrossZone = 0 // all workers may be homes of keys: half of them are about as many as are compared
+	p.faults = []fault{faultDrain, faultResync, faultErrors, faultZoneRestart, faultTakeover}
+	p.every = 5 * second
+	return p
+}
--- /dev/null
+++ b/record_test.go
@@ -0,0 +1,140 @@
+package foxlift_test
+
+import (
+	"bytes"
+	"compress/gzip"
+	"encoding/json"
+	"flag"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/vatu-meals/foxlift"
+)
+
+var record = flag.Bool("record", false, "write the recordings anew from what the program decides now")
+
+// TestRecord writes the recordings that TestReplay plays. They are written only when decisions are
+// meant to change: go test -run TestRecord -record .
+func TestRecord(t *testing.T) {
+	if !*record {
+		t.Skip("writes files; asked for by -record")
+	}
+	for _, plan := range fleetPlans() {
+		writeRecording(t, plan.name, func(r *recorder) { playFleet(r, plan) })
+	}
+	for i, cfg := range foxlift.RandomHostConfigs() {
+		if i%2 == 0 { // each file has two, of different numbers of dispatchers
+			continue
+		}
+		other := foxlift.RandomHostConfigs()[i-1]
+		writeRecording(t, "random-"+string(rune('a'+i/2)), func(r *recorder) {
+			playRandomHost(t, r, uint64(i), cfg)
+			playRandomHost(t, r, uint64(i+100), other)
+		})
+	}
+}
+
+func writeRecording(t *testing.T, name string, play func(*recorder)) {
+	t.Helper()
+	r := &recorder{t: t, archive: newWriter()}
+	play(r)
+	r.write(&operation{kind: operationEOF})
+	var packed bytes.Buffer
+	w, err := gzip.NewWriterLevel(&packed, gzip.BestCompression)
+	if err != nil {
+		t.Fatal(err)
+	}
+	w.Write(r.archive.data)
+	if err := w.Close(); err != nil {
+		t.Fatal(err)
+	}
+	path := filepath.Join(filepath.Dir(recordings), name+".gz")
+	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path, packed.Bytes(), 0o644); err != nil {
+		t.Fatal(err)
+	}
+	t.Logf("%s: %d steps, %d events, %d actions, %d bytes of %d", name, r.steps, r.events, r.actions, packed.Len(),
+		len(r.archive.data))
+}
+
+// A recorder starts dispatchers, steps them and writes down all of it.
+type recorder struct {
+	t           *testing.T
+	archive     *archive
+	dispatchers int
+
+	steps, events, actions int
+}
+
+func (r *recorder) write(o *operation) { r.archive.operation(o) }
+
+// nextIndex returns the index of one more dispatcher of the recording.
+func (r *recorder) nextIndex() int {
+	r.dispatchers++
+	return r.dispatchers - 1
+}
+
+// start begins a dispatcher at an index, new or used before.
+func (r *recorder) start(index int, cfg foxlift.Config, seed uint64) *foxlift.Dispatcher {
+	d, err := foxlift.New(cfg, seed)
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	r.write(&operation{kind: operationStart, dispatcher: index, config: cfg, seed: seed})
+	return d
+}
+
+// step returns a dispatcher's actions, which are valid until its next step.
+func (r *recorder) step(index int, d *foxlift.Dispatcher, now int64, events []foxlift.Event) []foxlift.Action {
+	actions := d.Step(now, events)
+	r.log(index, now, events, actions)
+	return actions
+}
+
+// log writes a step that has been made.
+func (r *recorder) log(index int, now int64, events []foxlift.Event, actions []foxlift.Action) {
+	r.write(&operation{kind: operationStep, dispatcher: index, now: now, events: events, actions: actions})
+	r.steps++
+	r.events += len(events)
+	r.actions += len(actions)
+}
+
+func (r *recorder) inspect(index int, d *foxlift.Dispatcher) {
+	o, err := inspect(d)
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	o.dispatcher = index
+	r.write(&o)
+}
+
+// snapshot writes a dispatcher's snapshot and returns it as JSON.
+func (r *recorder) snapshot(index int, d *foxlift.Dispatcher) []byte {
+	text, err := json.Marshal(d.Snapshot())
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	r.write(&operation{kind: operationSnapshot, dispatcher: index, snapshot: text})
+	return text
+}
+
+// restore lets a dispatcher go on from the snapshot that was written last.
+func (r *recorder) restore(index int, d *foxlift.Dispatcher, text []byte) {
+	if err := restore(d, text); err != nil {
+		r.t.Fatal(err)
+	}
+	r.write(&operation{kind: operationRestore, dispatcher: index})
+}
+
+// playRandomHost records the random host of the fuzz tests.
+func playRandomHost(t *testing.T, r *recorder, seed uint64, cfg foxlift.Config) {
+	const steps = 700
+	index := r.nextIndex()
+	r.start(index, cfg, seed)
+	foxlift.PlayRandomHost(t, seed, cfg, steps, func(now int64, events []foxlift.Event, actions []foxlift.Action) {
+		r.log(index, now, events, actions)
+	})
+}
--- /dev/null
+++ b/record_worker_test.go
@@ -0,0 +1,234 @@
+package foxlift_test
+
+import (
+	"fmt"
+	"slices"
+
+	"github.com/vatu-meals/foxlift"
+)
+
+// A simWorker serves jobs with a few slots and a queue.
+type simWorker struct {
+	host    *fleetHost
+	index   int
+	entry   foxlift.Worker // as the list has it
+	running []*simAttempt
+	queue   []*simAttempt
+	keys    []uint64 // what the last jobs needed is there
+	served  int
+
+	hangs, errs, saturated bool
+	slowness               float64
+}
+
+// A simAttempt is an attempt of a job at a worker.
+type simAttempt struct {
+	member      *member
+	incarnation int
+	job         *simJob
+	number      int
+	worker      *simWorker
+	sent        int64
+	started     int64
+	done        bool // its outcome was reported
+}
+
+const (
+	maxQueue      = 6 // past this a worker turns jobs away
+	maxCachedKeys = 5 // keys whose data a worker keeps
+)
+
+func newSimWorker(h *fleetHost, index int) *simWorker {
+	w := &simWorker{host: h, index: index, slowness: 0.8 + 0.5*h.rng.Float64()}
+	id := fmt.Sprintf("10.0.%d.%d", index/200, index%200)
+	w.entry = foxlift.Worker{ID: id, Zone: index % 2, Kind: -1, Cell: index / 3}
+	if h.plan.kinds > 0 {
+		w.entry.Kind = index % h.plan.kinds
+	}
+	if h.plan.slowStart {
+		w.entry.Started = h.now - h.rng.Int64N(second)
+	}
+	return w
+}
+
+func (h *fleetHost) find(id string) *simWorker {
+	return h.workers[slices.IndexFunc(h.workers, func(w *simWorker) bool { return w.entry.ID == id })]
+}
+
+// distance is how long a message takes between a dispatcher and a worker.
+func (w *simWorker) distance(m *member) int64 {
+	if w.entry.Zone != m.config.Zone {
+		return 3 * millisecond
+	}
+	return millisecond / 2
+}
+
+// capacity is the share of its full speed that a worker has.
+func (w *simWorker) capacity() float64 {
+	c := &w.host.plan.config
+	if w.entry.Started == 0 || c.WarmAfter == 0 {
+		return 1
+	}
+	age := float64(w.host.now-w.entry.Started) / float64(c.WarmAfter)
+	return min(1, c.StartCapacity+(1-c.StartCapacity)*age)
+}
+
+// load is a load report.
+func (w *simWorker) load() (values [foxlift.MaxGauges]float64) {
+	held := float64(len(w.running) + len(w.queue))
+	for i, g := range w.host.plan.config.Gauges {
+		switch g {
+		case foxlift.GaugeHeld:
+			values[i] = held
+		case foxlift.GaugeQueue:
+			values[i] = float64(len(w.queue))
+		case foxlift.GaugeBusy:
+			values[i] = float64(len(w.running)) / float64(w.host.plan.slots)
+		case foxlift.GaugeThroughput:
+			values[i] = float64(w.served)
+		case foxlift.GaugeFreeSlots:
+			values[i] = float64(w.host.plan.slots - len(w.running))
+		}
+	}
+	return values
+}
+
+// send begins an attempt. Some never reach their worker.
+func (m *member) send(j *simJob, id string) {
+	w := m.host.find(id)
+	a := &simAttempt{member: m, incarnation: m.incarnation, job: j, number: len(j.attempts), worker: w, sent: m.host.now}
+	j.attempts = append(j.attempts, a)
+	m.inFlight = append(m.inFlight, a)
+	if m.host.chance(m.host.plan.strange) {
+		codes := []foxlift.Code{foxlift.NotSent, foxlift.Reset, foxlift.Blamed, foxlift.Erred, foxlift.Full}
+		code := codes[m.host.rng.IntN(len(codes))]
+		m.host.after(w.distance(m), func() { a.report(code) })
+		return
+	}
+	m.host.after(w.distance(m), func() { w.arrive(a) })
+}
+
+func (w *simWorker) arrive(a *simAttempt) {
+	switch {
+	case a.done:
+	case w.entry.State == foxlift.Gone || w.host.plan.broken && w.index == 0:
+		a.report(foxlift.Unreachable)
+	case w.saturated || len(w.queue) >= maxQueue || w.entry.State == foxlift.Draining && w.index%2 == 0:
+		a.report(foxlift.Full)
+	case w.host.chance(w.host.plan.externalUsage):
+		w.host.after(w.host.exponential(60*millisecond), func() { w.enqueue(a) })
+	default:
+		w.enqueue(a)
+	}
+}
+
+func (w *simWorker) enqueue(a *simAttempt) {
+	if !a.done {
+		w.queue = append(w.queue, a)
+		w.startNext()
+	}
+}
+
+// startNext starts what waits while there are slots.
+func (w *simWorker) startNext() {
+	for len(w.running) < w.host.plan.slots && len(w.queue) > 0 && !w.hangs {
+		a := w.queue[0]
+		w.queue = w.queue[1:]
+		w.running = append(w.running, a)
+		w.start(a)
+	}
+}
+
+func (w *simWorker) start(a *simAttempt) {
+	h, r := w.host, &a.job.request
+	a.started = h.now
+	if h.plan.config.StartNotes {
+		stream := h.plan.config.Classes[r.Class].Stream
+		a.notify(foxlift.Event{Kind: foxlift.EventStarted, ID: r.ID, Attempt: a.number, Worker: w.entry.ID, Stream: stream})
+	}
+	work := h.plan.work[r.Class]
+	if r.Size > 0 {
+		work = r.Size
+	}
+	took := float64(work) * (0.4 + 0.6*h.rng.ExpFloat64()) * w.slowness / w.capacity()
+	if w.errs {
+		took /= 10
+	}
+	if r.Key != 0 && !slices.Contains(w.keys, r.Key) {
+		took += float64(work) / 2
+		w.keys = append([]uint64{r.Key}, w.keys[:min(len(w.keys), maxCachedKeys-1)]...)
+	}
+	h.after(int64(took), func() { w.finish(a) })
+	if took > float64(second) {
+		h.after(second/2, func() {
+			a.notify(foxlift.Event{Kind: foxlift.EventProgress, ID: r.ID, Attempt: a.number, Worker: w.entry.ID})
+		})
+	}
+}
+
+// finish ends a run; that of an attempt that is over only frees its slot.
+func (w *simWorker) finish(a *simAttempt) {
+	i := slices.Index(w.running, a)
+	if i < 0 {
+		return
+	}
+	w.running = slices.Delete(w.running, i, i+1)
+	w.served++
+	switch {
+	case w.hangs:
+	case w.errs && w.host.chance(0.8):
+		a.report(foxlift.Erred)
+	default:
+		a.report(foxlift.Served)
+	}
+	w.startNext()
+}
+
+// drop takes an attempt from the worker.
+func (w *simWorker) drop(a *simAttempt) {
+	if i := slices.Index(w.queue, a); i >= 0 {
+		w.queue = slices.Delete(w.queue, i, i+1)
+	}
+	if i := slices.Index(w.running, a); i >= 0 {
+		w.running = slices.Delete(w.running, i, i+1)
+	}
+}
+
+// cancel is called off by the dispatcher; every other worker lets what runs run on.
+func (a *simAttempt) cancel() {
+	if a.done {
+		return
+	}
+	if a.started == 0 || a.worker.index%2 == 0 {
+		a.worker.drop(a)
+		a.worker.startNext()
+	}
+	a.report(foxlift.Cancelled)
+}
+
+// notify passes an event to the attempt's dispatcher, unless the attempt is over or another dispatcher
+// has taken that one's place.
+func (a *simAttempt) notify(e foxlift.Event) {
+	if !a.done && a.incarnation == a.member.incarnation {
+		a.member.receive(e)
+	}
+}
+
+// report tells the dispatcher of the attempt's one outcome.
+func (a *simAttempt) report(code foxlift.Code) {
+	if a.done {
+		return
+	}
+	m, h, j := a.member, a.worker.host, a.job
+	j.answered = j.answered || code == foxlift.Served
+	e := foxlift.Event{
+		Kind: foxlift.EventOutcome, ID: j.request.ID, Attempt: a.number, Worker: a.worker.entry.ID, Code: code,
+		Took: h.now - max(a.started, a.sent), Ended: j.answered,
+	}
+	if code == foxlift.Served || code == foxlift.Erred {
+		e.HasLoad, e.Load = len(m.config.Gauges) > 0, a.worker.load()
+	}
+	a.notify(e)
+	a.done = true
+	m.inFlight = slices.DeleteFunc(m.inFlight, func(o *simAttempt) bool { return o == a })
+}
--- /dev/null
+++ b/replay_archive_test.go
@@ -0,0 +1,190 @@
+package foxlift_test
+
+import (
+	"encoding/binary"
+	"errors"
+	"math"
+	"math/bits"
+	"slices"
+)
+
+// errCorrupt says that the stored bytes are not what an archive wrote.
+var errCorrupt = errors.New("the recording is cut short or corrupt")
+
+// An archive writes values to bytes, or reads them back, in the order in which its methods are
+// called: one function for each type says that order for both directions. Nothing in the bytes
+// depends on names in the program, so recordings stay readable when these change.
+type archive struct {
+	writing bool
+	data    []byte // written so far, or not yet read
+	err     error  // the first fault of reading
+
+	now       int64          // what times are stored against
+	newestID  uint64         // what the ids of requests are stored against
+	strings   []string       // seen so far: each is stored once
+	positions map[string]int // of strings, when writing
+}
+
+func newWriter() *archive { return &archive{writing: true, positions: map[string]int{}} }
+
+func newReader(data []byte) *archive { return &archive{data: data} }
+
+func (a *archive) fail() {
+	a.err = errCorrupt
+	a.data = nil
+}
+
+func (a *archive) uint64(v *uint64) {
+	if a.writing {
+		a.data = binary.AppendUvarint(a.data, *v)
+		return
+	}
+	x, size := binary.Uvarint(a.data)
+	if size <= 0 {
+		a.fail()
+		return
+	}
+	*v, a.data = x, a.data[size:]
+}
+
+// int64 stores small numbers of either sign in few bytes.
+func (a *archive) int64(v *int64) {
+	zigzag := uint64(*v<<1) ^ uint64(*v>>63)
+	a.uint64(&zigzag)
+	*v = int64(zigzag>>1) ^ -int64(zigzag&1)
+}
+
+func (a *archive) int(v *int) {
+	wide := int64(*v)
+	a.int64(&wide)
+	*v = int(wide)
+}
+
+// float stores all bits; round numbers take few bytes, since their last bits are zero.
+func (a *archive) float(v *float64) {
+	reversed := bits.ReverseBytes64(math.Float64bits(*v))
+	a.uint64(&reversed)
+	*v = math.Float64frombits(bits.ReverseBytes64(reversed))
+}
+
+func (a *archive) bool(v *bool) {
+	number := uint64(0)
+	if *v {
+		number = 1
+	}
+	a.uint64(&number)
+	*v = number == 1
+}
+
+// storedGrid is a time that most durations of the recordings are multiples of.
+const storedGrid = int64(5e5)
+
+// duration stores multiples of the grid in few bytes.
+func (a *archive) duration(v *int64) {
+	onGrid, number := *v%storedGrid == 0, *v
+	if a.bool(&onGrid); !onGrid {
+		a.int64(v)
+		return
+	}
+	number /= storedGrid
+	a.int64(&number)
+	*v = number * storedGrid
+}
+
+// time stores a time as its distance from now. Zero stays zero: it mostly means that there is none.
+func (a *archive) time(v *int64) {
+	none := *v == 0
+	if a.bool(&none); none {
+		*v = 0
+		return
+	}
+	distance := *v - a.now
+	a.duration(&distance)
+	*v = a.now + distance
+}
+
+// id stores the id of a request as its distance from that of the newest.
+func (a *archive) id(v *uint64) {
+	distance := int64(*v - a.newestID)
+	a.int64(&distance)
+	*v = a.newestID + uint64(distance)
+}
+
+// optional stores whether some fields are there, and the fields if so.
+func (a *archive) optional(there bool, fields func()) {
+	if a.bool(&there); there {
+		fields()
+	}
+}
+
+func (a *archive) bytes(v *[]byte) {
+	size := uint64(len(*v))
+	a.uint64(&size)
+	switch {
+	case a.writing:
+		a.data = append(a.data, *v...)
+	case size > uint64(len(a.data)):
+		a.fail()
+	case size > 0:
+		*v, a.data = slices.Clone(a.data[:size]), a.data[size:]
+	}
+}
+
+// string stores a string at its first use, and its position among all strings after that.
+func (a *archive) string(v *string) {
+	position, seen := a.positions[*v]
+	if !seen {
+		position = len(a.strings)
+	}
+	a.int(&position)
+	switch {
+	case position < 0 || position > len(a.strings):
+		a.fail()
+	case position < len(a.strings):
+		*v = a.strings[position]
+	default:
+		text := []byte(*v)
+		a.bytes(&text)
+		*v = string(text)
+		a.strings = append(a.strings, *v)
+		if a.writing {
+			a.positions[*v] = position
+		}
+	}
+}
+
+// slice stores a slice; nil and empty ones differ.
+func slice[T any](a *archive, v *[]T, element func(*T)) {
+	size := uint64(0)
+	if *v != nil {
+		size = uint64(len(*v)) + 1
+	}
+	a.uint64(&size)
+	if !a.writing {
+		*v = nil
+		if size > uint64(len(a.data))+1 { // each element takes a byte at least
+			a.fail()
+			return
+		}
+		if size > 0 {
+			*v = make([]T, size-1)
+		}
+	}
+	for i := range *v {
+		element(&(*v)[i])
+	}
+}
+
+// enum stores a constant as its position in a table, which never changes.
+func enum[T comparable](a *archive, v *T, table []T) {
+	position := slices.Index(table, *v)
+	if a.writing && position < 0 {
+		panic("a constant that the recordings' tables do not have")
+	}
+	a.int(&position)
+	if position < 0 || position >= len(table) {
+		a.fail()
+		return
+	}
+	*v = table[position]
+}
--- /dev/null
+++ b/replay_format_test.go
@@ -0,0 +1,233 @@
+package foxlift_test
+
+import "github.com/vatu-meals/foxlift"
+
+// The constants of the recordings' format. A constant is stored as its position here: new ones go
+// to the end of their table.
+var (
+	storedEffects = []foxlift.Effect{foxlift.Idempotent, foxlift.Deduplicated, foxlift.AtMostOnce}
+	storedScopes  = []foxlift.Scope{foxlift.ScopeAll, foxlift.ScopeZone, foxlift.ScopeCell}
+	storedGauges  = []foxlift.Gauge{
+		foxlift.GaugeUnknown, foxlift.GaugeHeld, foxlift.GaugeQueue, foxlift.GaugeBusy, foxlift.GaugeLatency,
+		foxlift.GaugeThroughput, foxlift.GaugeErrors, foxlift.GaugeFreeSlots, foxlift.GaugeFreeMemory,
+	}
+	storedStates = []foxlift.WorkerState{foxlift.Live, foxlift.Draining, foxlift.Gone}
+	storedLists  = []foxlift.ListKind{
+		foxlift.ListChanges, foxlift.ListFull, foxlift.ListSaved, foxlift.ListFailed, foxlift.ListConfirmed,
+		foxlift.ListMoved,
+	}
+	storedFailures = []foxlift.ListFailure{
+		foxlift.FailureBusy, foxlift.FailureUnanswered, foxlift.FailureDown, foxlift.FailureSpoilt,
+	}
+	storedCodes = []foxlift.Code{
+		foxlift.Served, foxlift.Erred, foxlift.Full, foxlift.TimedOut, foxlift.Unreachable, foxlift.Reset,
+		foxlift.Cancelled, foxlift.NotSent, foxlift.Blamed,
+	}
+	storedEvents = []foxlift.EventKind{
+		foxlift.EventRequest, foxlift.EventList, foxlift.EventStarted, foxlift.EventProgress, foxlift.EventOutcome,
+		foxlift.EventClientLeft, foxlift.EventTimer, foxlift.EventProbed, foxlift.EventMessage, foxlift.EventQuotas,
+	}
+	storedActions = []foxlift.ActionKind{
+		foxlift.ActionSend, foxlift.ActionRefuse, foxlift.ActionFail, foxlift.ActionCancel, foxlift.ActionTimer,
+		foxlift.ActionProbe, foxlift.ActionClose, foxlift.ActionMessage, foxlift.ActionSubscribe,
+	}
+)
+
+func (a *archive) floats(v *[]float64) { slice(a, v, a.float) }
+
+func (a *archive) class(c *foxlift.Class) {
+	a.string(&c.Name)
+	a.duration(&c.Aim)
+	a.float(&c.Stretch)
+	a.duration(&c.Deadline)
+	enum(a, &c.Effect, storedEffects)
+	enum(a, &c.Scope, storedScopes)
+	a.duration(&c.KeyTTL)
+	a.int(&c.Kind)
+	a.int(&c.Priority)
+	a.float(&c.Worth)
+	a.bool(&c.Stream)
+}
+
+func (a *archive) config(c *foxlift.Config) {
+	slice(a, &c.Classes, a.class)
+	slice(a, &c.Tenants, func(t *foxlift.Tenant) {
+		a.string(&t.Name)
+		a.float(&t.Quota)
+	})
+	slice(a, &c.Bands, func(b *foxlift.Band) {
+		a.float(&b.Width)
+		a.floats(&b.Ratio)
+	})
+	a.int(&c.Zone)
+	a.int(&c.Dispatchers)
+	a.int(&c.Index)
+	a.bool(&c.ListOnRequest)
+	a.duration(&c.MustAskIn)
+	a.duration(&c.ListLease)
+	a.bool(&c.MayCancel)
+	a.bool(&c.MayProbe)
+	a.bool(&c.MayCopy)
+	a.bool(&c.MayMessage)
+	a.bool(&c.MayRetryAfter)
+	a.duration(&c.MaxRetryAfter)
+	a.int(&c.MaxAttempts)
+	a.duration(&c.ConnIdle)
+	a.int(&c.JobsPerConn)
+	slice(a, &c.Gauges, func(g *foxlift.Gauge) { enum(a, g, storedGauges) })
+	a.bool(&c.StartNotes)
+	a.duration(&c.AnswerGrace)
+	a.float(&c.StartCapacity)
+	a.float(&c.SlotMemory)
+	a.duration(&c.WarmAfter)
+	a.float(&c.FallMultiple)
+	a.duration(&c.FallWindow)
+	a.float(&c.Prices.CrossZone)
+	a.float(&c.Prices.Handshake)
+	a.float(&c.Prices.Fetch)
+}
+
+func (a *archive) request(r *foxlift.Request) {
+	a.id(&r.ID)
+	a.newestID = r.ID
+	a.int(&r.Class)
+	a.int(&r.Tenant)
+	a.time(&r.Deadline)
+	a.uint64(&r.Key)
+	a.duration(&r.Size)
+	a.float(&r.Slots)
+	a.float(&r.Memory)
+	a.bool(&r.Repeat)
+	a.duration(&r.Waited)
+	a.int(&r.Tried)
+	slice(a, &r.Among, a.string)
+}
+
+func (a *archive) worker(w *foxlift.Worker) {
+	a.string(&w.ID)
+	a.int(&w.Zone)
+	a.int(&w.Kind)
+	a.int(&w.Cell)
+	enum(a, &w.State, storedStates)
+	a.time(&w.Started)
+	a.float(&w.Others)
+}
+
+// event stores the fields that an event of its kind has, as api.go says.
+func (a *archive) event(e *foxlift.Event) {
+	enum(a, &e.Kind, storedEvents)
+	switch e.Kind {
+	case foxlift.EventRequest:
+		a.request(&e.Request)
+	case foxlift.EventList:
+		enum(a, &e.List, storedLists)
+		enum(a, &e.Failure, storedFailures)
+		slice(a, &e.Workers, a.worker)
+	case foxlift.EventStarted, foxlift.EventProgress:
+		a.id(&e.ID)
+		a.int(&e.Attempt)
+		a.bool(&e.Stream)
+	case foxlift.EventOutcome:
+		a.id(&e.ID)
+		a.int(&e.Attempt)
+		a.bool(&e.Ended)
+		a.answer(e)
+	case foxlift.EventClientLeft:
+		a.id(&e.ID)
+	case foxlift.EventTimer:
+		a.uint64(&e.Token)
+	case foxlift.EventProbed:
+		a.answer(e)
+	case foxlift.EventMessage:
+		a.int(&e.From)
+		a.bytes(&e.Data)
+	case foxlift.EventQuotas:
+		a.floats(&e.Quotas)
+	}
+}
+
+// answer stores what a worker answered to an attempt or a probe.
+func (a *archive) answer(e *foxlift.Event) {
+	a.string(&e.Worker)
+	enum(a, &e.Code, storedCodes)
+	a.duration(&e.Took)
+	a.bool(&e.HasLoad)
+	if e.HasLoad {
+		for i := range e.Load {
+			a.float(&e.Load[i])
+		}
+	}
+}
+
+// action stores all fields: a decision must not differ in any.
+func (a *archive) action(x *foxlift.Action) {
+	enum(a, &x.Kind, storedActions)
+	a.optional(x.ID != 0, func() { a.id(&x.ID) })
+	a.optional(x.Worker != "", func() { a.string(&x.Worker) })
+	a.optional(x.Attempt != 0 || x.Timeout != 0 || x.RetryAfter != 0 || x.At != 0 || x.Token != 0, func() {
+		a.int(&x.Attempt)
+		a.duration(&x.Timeout)
+		a.duration(&x.RetryAfter)
+		a.time(&x.At)
+		a.uint64(&x.Token)
+	})
+	a.optional(x.To != 0 || len(x.Data) > 0, func() {
+		a.int(&x.To)
+		a.bytes(&x.Data)
+	})
+}
+
+// An operation is what a recording does to one of its dispatchers, and what came of it.
+type operation struct {
+	kind       operationKind
+	dispatcher int // which of the recording's
+
+	now     int64 // operationStep
+	events  []foxlift.Event
+	actions []foxlift.Action
+
+	idle, trusted bool // operationInspect
+	ejected       int
+	digest        uint64 // of the snapshot as JSON
+
+	snapshot []byte         // operationSnapshot: as JSON
+	config   foxlift.Config // operationStart: a dispatcher begins in this place
+	seed     uint64
+}
+
+type operationKind uint8
+
+const (
+	operationEOF      operationKind = iota // the recording ends here
+	operationStart                         // a new dispatcher begins in a place, new or used before
+	operationStep                          // it takes events and returns actions
+	operationInspect                       // what its other methods return is compared
+	operationSnapshot                      // its snapshot is compared and kept
+	operationRestore                       // it goes on from the snapshot that was kept last
+)
+
+var storedOperations = []operationKind{
+	operationEOF, operationStart, operationStep, operationInspect, operationSnapshot, operationRestore,
+}
+
+func (a *archive) operation(o *operation) {
+	enum(a, &o.kind, storedOperations)
+	a.int(&o.dispatcher)
+	switch o.kind {
+	case operationStart:
+		a.config(&o.config)
+		a.uint64(&o.seed)
+	case operationStep:
+		a.time(&o.now)
+		a.now = o.now
+		slice(a, &o.events, a.event)
+		slice(a, &o.actions, a.action)
+	case operationInspect:
+		a.bool(&o.idle)
+		a.bool(&o.trusted)
+		a.int(&o.ejected)
+		a.uint64(&o.digest)
+	case operationSnapshot:
+		a.bytes(&o.snapshot)
+	}
+}
--- /dev/null
+++ b/replay_test.go
@@ -0,0 +1,196 @@
+package foxlift_test
+
+import (
+	"bytes"
+	"compress/gzip"
+	"encoding/json"
+	"fmt"
+	"hash/fnv"
+	"io"
+	"os"
+	"path/filepath"
+	"reflect"
+	"runtime"
+	"strings"
+	"testing"
+
+	"github.com/vatu-meals/foxlift"
+)
+
+// recordings are the files that TestRecord has written, each a number of dispatchers with all that
+// they were told and all that they answered.
+const recordings = "testdata/decisions/*.gz"
+
+// fewestRecordings guards against an empty directory, with which nothing would be compared.
+const fewestRecordings = 10
+
+// TestReplay plays the recordings to new dispatchers: every step must return the recorded actions,
+// and every snapshot the recorded bytes. The recordings are of amd64: other processors may round a
+// product and a sum as one.
+func TestReplay(t *testing.T) {
+	if runtime.GOARCH != "amd64" {
+		t.Skip("the recordings' floating-point numbers are those of amd64")
+	}
+	paths, err := filepath.Glob(recordings)
+	if err != nil || len(paths) < fewestRecordings {
+		t.Fatalf("%d recordings, want %d at least; %v", len(paths), fewestRecordings, err)
+	}
+	for _, path := range paths {
+		t.Run(strings.TrimSuffix(filepath.Base(path), ".gz"), func(t *testing.T) {
+			t.Parallel()
+			data, err := readRecording(path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			r := replayer{archive: newReader(data)}
+			if err := r.play(); err != nil {
+				t.Errorf("after %d operations: %v", r.played, err)
+			}
+			t.Logf("%d operations, %d events, %d actions", r.played, r.events, r.actions)
+		})
+	}
+}
+
+func readRecording(path string) ([]byte, error) {
+	file, err := os.Open(path)
+	if err != nil {
+		return nil, err
+	}
+	defer file.Close()
+	unpacked, err := gzip.NewReader(file)
+	if err != nil {
+		return nil, err
+	}
+	return io.ReadAll(unpacked)
+}
+
+// A replayer plays one recording.
+type replayer struct {
+	archive     *archive
+	dispatchers []*foxlift.Dispatcher
+	snapshot    []byte // the last that was compared, as JSON
+
+	played, events, actions int
+}
+
+// play returns the first difference.
+func (r *replayer) play() error {
+	for {
+		var o operation
+		r.archive.operation(&o)
+		if r.archive.err != nil {
+			return r.archive.err
+		}
+		if o.kind == operationEOF {
+			return nil
+		}
+		if err := r.apply(&o); err != nil {
+			return fmt.Errorf("dispatcher %d: %w", o.dispatcher, err)
+		}
+		r.played++
+	}
+}
+
+func (r *replayer) apply(o *operation) error {
+	if o.kind == operationStart {
+		return r.start(o)
+	}
+	if o.dispatcher < 0 || o.dispatcher >= len(r.dispatchers) {
+		return errCorrupt
+	}
+	d := r.dispatchers[o.dispatcher]
+	switch o.kind {
+	case operationStep:
+		return r.step(d, o)
+	case operationInspect:
+		return compareInspection(d, o)
+	case operationSnapshot:
+		got, err := json.Marshal(d.Snapshot())
+		if err != nil {
+			return err
+		}
+		if !bytes.Equal(got, o.snapshot) {
+			return fmt.Errorf("snapshot\n%s\nwant\n%s", got, o.snapshot)
+		}
+		r.snapshot = got
+	case operationRestore:
+		return restore(d, r.snapshot)
+	}
+	return nil
+}
+
+func (r *replayer) start(o *operation) error {
+	d, err := foxlift.New(o.config, o.seed)
+	if err != nil {
+		return err
+	}
+	switch {
+	case o.dispatcher == len(r.dispatchers):
+		r.dispatchers = append(r.dispatchers, d)
+	case o.dispatcher >= 0 && o.dispatcher < len(r.dispatchers):
+		r.dispatchers[o.dispatcher] = d
+	default:
+		return errCorrupt
+	}
+	return nil
+}
+
+func (r *replayer) step(d *foxlift.Dispatcher, o *operation) error {
+	got := d.Step(o.now, o.events)
+	r.events += len(o.events)
+	r.actions += len(o.actions)
+	for i := range max(len(got), len(o.actions)) {
+		if i >= len(got) || i >= len(o.actions) || !reflect.DeepEqual(got[i], o.actions[i]) {
+			return fmt.Errorf("step at %d, action %d\nevents:\n%sgot:\n%swant:\n%s",
+				o.now, i, lines(o.events), lines(got), lines(o.actions))
+		}
+	}
+	return nil
+}
+
+// compareInspection compares what the methods that decide nothing return.
+func compareInspection(d *foxlift.Dispatcher, want *operation) error {
+	got, err := inspect(d)
+	if err != nil {
+		return err
+	}
+	got.kind, got.dispatcher = want.kind, want.dispatcher
+	if !reflect.DeepEqual(got, *want) {
+		text, err := json.Marshal(d.Snapshot())
+		return fmt.Errorf("idle %v, list trusted %v, ejected %d, digest of the snapshot %x, want %v, %v, %d and %x: "+
+			"snapshot %s, %v", got.idle, got.trusted, got.ejected, got.digest,
+			want.idle, want.trusted, want.ejected, want.digest, text, err)
+	}
+	return nil
+}
+
+// inspect returns the operation that a dispatcher passes as it is.
+func inspect(d *foxlift.Dispatcher) (operation, error) {
+	text, err := json.Marshal(d.Snapshot())
+	if err != nil {
+		return operation{}, err
+	}
+	digest := fnv.New64a()
+	digest.Write(text)
+	return operation{
+		kind: operationInspect, idle: d.Idle(), trusted: d.ListTrusted(), ejected: d.Ejected(), digest: digest.Sum64(),
+	}, nil
+}
+
+func restore(d *foxlift.Dispatcher, text []byte) error {
+	snapshot := &foxlift.Snapshot{}
+	if err := json.Unmarshal(text, snapshot); err != nil {
+		return err
+	}
+	d.Restore(snapshot)
+	return nil
+}
+
+// lines prints each value on a line of its own.
+func lines[T any](values []T) string {
+	var b strings.Builder
+	for i := range values {
+		fmt.Fprintf(&b, "\t%+v\n", values[i])
+	}
+	return b.String()
+}
