--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -10,15 +10,15 @@
 // learned, and what must not be done twice. It can be written as JSON.
 type State struct {
 	Progress
-	Modules map[string]*foxlift.Snapshot // by the cell's name, "" without cells
-	IDs     []string                     // of jobs that must not run twice, open or answered not long ago
+	Modules map[string]*foxlift.Snapshot `json:"Modules"` // by the cell's name, "" without cells
+	IDs     []string                     `json:"IDs"`     // of jobs that must not run twice, open or answered not long ago
 }
 
 // A Progress is the part of a State that the next process looks at again and again.
 type Progress struct {
-	At   int64              // when it was so, in Unix nanoseconds
-	Open int                // jobs taken and not yet answered
-	Out  map[string]float64 // slots of claims that have not ended, by node
+	At   int64              `json:"At"`   // when it was so, in Unix nanoseconds
+	Open int                `json:"Open"` // jobs taken and not yet answered
+	Out  map[string]float64 `json:"Out"`  // slots of claims that have not ended, by node
 }
 
 // State returns what another process would have to know to go on from here.
--- a/internal/platform/saved_list.go
+++ b/internal/platform/saved_list.go
@@ -12,10 +12,10 @@
 // A SavedList is a scheduler's machine list at a moment, in the form in which a configuration has the
 // list as last known. The changes since its version can be asked for.
 type SavedList struct {
-	At        time.Time       // when it was so
-	Discovery string          // whose versions the list has
-	Version   int64           // of the list
-	List      json.RawMessage // in discovery's form
+	At        time.Time       `json:"At"`        // when it was so
+	Discovery string          `json:"Discovery"` // whose versions the list has
+	Version   int64           `json:"Version"`   // of the list
+	List      json.RawMessage `json:"List"`      // in discovery's form
 }
 
 var healthWords = map[foxlift.WorkerState]string{
--- a/snapshot.go
+++ b/snapshot.go
@@ -5,76 +5,89 @@
 
 import "slices"
 
-// A Snapshot is what a Dispatcher has learned, without its jobs. Times are on its clock. It can be
-// written as JSON.
+// A Snapshot is what a Dispatcher has learned, without its jobs. Times are on its clock, in
+// nanoseconds. It is stored and sent as JSON: the tags keep the names of its first form.
 type Snapshot struct {
-	Now     int64 // when it was taken
-	Period  int64 // of the regulator
-	U       float64
-	Open    bool
-	Offered float64 // jobs a second
-	Share   float64
-	Spare   float64
-	Window  float64
-	Copies  float64
-	Usual   MeanSnapshot
-	Starts  MeanSnapshot
-	Least   [4]int64
-	Fade    int64
-	Rate    float64 // slots that each warm worker has at work, the held peak
-	RateNow float64 // and the same lately
-	Keys    []uint64
-	Classes []ClassSnapshot
-	Tenants []TenantSnapshot
-	Workers []WorkerSnapshot
+	Now     int64            `json:"Now"`    // when it was taken
+	Period  int64            `json:"Period"` // of the regulator
+	U       float64          `json:"U"`
+	Open    bool             `json:"Open"`
+	Offered float64          `json:"Offered"` // jobs a second
+	Share   float64          `json:"Share"`
+	Spare   float64          `json:"Spare"`
+	Window  float64          `json:"Window"`
+	Copies  float64          `json:"Copies"`
+	Usual   MeanSnapshot     `json:"Usual"`
+	Starts  MeanSnapshot     `json:"Starts"`
+	Least   [4]int64         `json:"Least"`
+	Fade    int64            `json:"Fade"`
+	Rate    float64          `json:"Rate"`    // slots that each warm worker has at work, the held peak
+	RateNow float64          `json:"RateNow"` // and the same lately
+	Keys    []uint64         `json:"Keys"`
+	Classes []ClassSnapshot  `json:"Classes"`
+	Tenants []TenantSnapshot `json:"Tenants"`
+	Workers []WorkerSnapshot `json:"Workers"`
 }
 
 // A MeanSnapshot is a followed average with its mean deviation.
-type MeanSnapshot struct{ Average, Deviation float64 }
+type MeanSnapshot struct {
+	Average   float64 `json:"Average"`
+	Deviation float64 `json:"Deviation"`
+}
 
 // A ClassSnapshot is the state of a class's regulator.
 type ClassSnapshot struct {
-	Name             string
-	Patience         int64
-	Median, Quick    int64
-	Runs             []int64
-	Ratios           []float64
-	Parameters       [3]float64
-	Covariance       [3][3]float64
-	Input, LastInput float64 // u(k-1) and u(k-2), as shares of the most
-	Output           float64 // w(k-1)
+	Name       string        `json:"Name"`
+	Patience   int64         `json:"Patience"`
+	Median     int64         `json:"Median"`
+	Quick      int64         `json:"Quick"`
+	Runs       []int64       `json:"Runs"`
+	Ratios     []float64     `json:"Ratios"`
+	Parameters [3]float64    `json:"Parameters"`
+	Covariance [3][3]float64 `json:"Covariance"`
+	Input      float64       `json:"Input"`     // u(k-1), as a share of the most
+	LastInput  float64       `json:"LastInput"` // u(k-2), as a share of the most
+	Output     float64       `json:"Output"`    // w(k-1)
 }
 
 // A TenantSnapshot is the state of a tenant's admission.
 type TenantSnapshot struct {
-	Name                                string
-	Rate, Tokens, Offered, Margin, Past float64
-	Came, Sent                          []float64 // by class
+	Name    string    `json:"Name"`
+	Rate    float64   `json:"Rate"`
+	Tokens  float64   `json:"Tokens"`
+	Offered float64   `json:"Offered"`
+	Margin  float64   `json:"Margin"`
+	Past    float64   `json:"Past"`
+	Came    []float64 `json:"Came"` // by class
+	Sent    []float64 `json:"Sent"` // by class
 }
 
 // A WorkerSnapshot is what is known of one run of a worker.
 type WorkerSnapshot struct {
-	ID            string
-	Started       int64 // the start of its process; what is learned holds for no other
-	Cap           float64
-	Capped        bool
-	Most          float64
-	Shut, Backoff int64
-	Trial         bool
-	Fulls         int
-	Good, Bad     int64
-	Failing, Slow float64
-	ColdFrom      int64
-	ColdWork      float64
-	Keys          []uint64
+	ID       string   `json:"ID"`
+	Started  int64    `json:"Started"` // the start of its process; what is learned holds for no other
+	Cap      float64  `json:"Cap"`
+	Capped   bool     `json:"Capped"`
+	Most     float64  `json:"Most"`
+	Shut     int64    `json:"Shut"`
+	Backoff  int64    `json:"Backoff"`
+	Trial    bool     `json:"Trial"`
+	Fulls    int      `json:"Fulls"`
+	Good     int64    `json:"Good"`
+	Bad      int64    `json:"Bad"`
+	Failing  float64  `json:"Failing"`
+	Slow     float64  `json:"Slow"`
+	ColdFrom int64    `json:"ColdFrom"`
+	ColdWork float64  `json:"ColdWork"`
+	Keys     []uint64 `json:"Keys"`
 }
 
 // Snapshot returns what the dispatcher has learned.
 func (d *Dispatcher) Snapshot() *Snapshot {
 	s := &Snapshot{
 		Now: d.now, Period: d.period, U: d.u, Open: d.open, Offered: d.offered, Share: d.share, Spare: d.burstTokens,
-		Window: d.window, Copies: d.copies, Usual: MeanSnapshot{d.usual.avg, d.usual.dev},
-		Starts: MeanSnapshot{d.starts.avg, d.starts.dev}, Least: d.least, Fade: d.fade, Rate: d.warmRate, RateNow: d.warmNow,
+		Window: d.window, Copies: d.copies, Usual: MeanSnapshot{Average: d.usual.avg, Deviation: d.usual.dev},
+		Starts: MeanSnapshot{Average: d.starts.avg, Deviation: d.starts.dev}, Least: d.least, Fade: d.fade, Rate: d.warmRate, RateNow: d.warmNow,
 		Keys: d.keys.newest(),
 	}
 	for i := range d.classes {
