--- a/api.go
+++ b/api.go
@@ -43,17 +43,17 @@
 
 // A Class is a kind of request.
 type Class struct {
-	Name     string
-	Aim      int64   // an answer within this, plus Stretch times the job's own work, has full worth
-	Stretch  float64 // see Aim
-	Deadline int64   // how long a client waits in all
-	Effect   Effect
-	Scope    Scope // for Deduplicated
-	KeyTTL   int64 // for Deduplicated: how long repeats are dropped
-	Kind     int   // the machine kind it needs, or -1 for any
-	Priority int
-	Worth    float64
-	Stream   bool
+	Name             string
+	LatencyObjective int64   // an answer within this, plus ObjectiveStretch times the job's own work, has full worth
+	ObjectiveStretch float64 // see Aim
+	Deadline         int64   // how long a client waits in all
+	Effect           Effect
+	Scope            Scope // for Deduplicated
+	KeyTTL           int64 // for Deduplicated: how long repeats are dropped
+	Kind             int   // the machine kind it needs, or -1 for any
+	Priority         int
+	PriorityWeight   float64
+	Stream           bool
 }
 
 // A Tenant is one of the parties that share the fleet.
@@ -74,8 +74,8 @@
 
 const (
 	GaugeUnknown    Gauge = iota
-	GaugeHeld             // requests the worker holds
-	GaugeQueue            // requests waiting there
+	GaugeInFlight         // requests the worker holds
+	GaugeQueued           // requests waiting there
 	GaugeBusy             // share of its cores busy
 	GaugeLatency          // recent service time in milliseconds
 	GaugeThroughput       // requests served a second
@@ -108,30 +108,30 @@
 	Dispatchers int      // how many dispatchers share the fleet; at least 1
 	Index       int      // which of them this is, from 0
 
-	ListOnRequest bool // the list of workers comes only when asked for
-	MustAskIn     int64
-	ListLease     int64 // how old the list may be where discovery is seen to answer others; 0: of any age
+	PollEndpoints   bool // the list of workers comes only when asked for
+	MaxPollInterval int64
+	EndpointLease   int64 // how old the list may be where discovery is seen to answer others; 0: of any age
 
-	MayCancel     bool
-	MayProbe      bool
-	MayCopy       bool // two attempts of a request may be out at once
-	MayMessage    bool // peers can be sent messages
-	MayRetryAfter bool // clients can be told when to come back
-	MaxRetryAfter int64
-	MaxAttempts   int // attempts for each request; 0 means no limit
-	ConnIdle      int64
-	JobsPerConn   int // attempts that one connection carries at once
+	MayCancel      bool
+	MayHealthCheck bool
+	MayHedge       bool // two attempts of a request may be out at once
+	MayGossip      bool // peers can be sent messages
+	MayRetryAfter  bool // clients can be told when to come back
+	MaxRetryAfter  int64
+	MaxAttempts    int // attempts for each request; 0 means no limit
+	ConnIdle       int64
+	JobsPerConn    int // attempts that one connection carries at once
 
 	Gauges     []Gauge // what a load report holds, at most MaxGauges
 	StartNotes bool    // workers say when a job starts
 
-	AnswerGrace   int64
-	StartCapacity float64 // share of its capacity that a worker starts with
-	SlotMemory    float64 // units of memory that a worker has for each slot; 0: not known
-	WarmAfter     int64   // a worker is warm after this
-	FallMultiple  float64
-	FallWindow    int64
-	Prices        Prices
+	AnswerGrace       int64
+	SlowStartCapacity float64 // share of its capacity that a worker starts with
+	SlotMemory        float64 // units of memory that a worker has for each slot; 0: not known
+	SlowStartDuration int64   // a worker is warm after this
+	OverloadMultiple  float64
+	OverloadWindow    int64
+	Prices            Prices
 }
 
 // quotaBand is the band made of the tenants' quotas.
@@ -172,7 +172,7 @@
 	for i := range c.Classes {
 		k := &c.Classes[i]
 		switch {
-		case k.Aim < 0 || k.Deadline < 0 || k.KeyTTL < 0 || k.Stretch < 0:
+		case k.LatencyObjective < 0 || k.Deadline < 0 || k.KeyTTL < 0 || k.ObjectiveStretch < 0:
 			return fmt.Errorf("foxlift: Classes[%d] has a negative time", i)
 		case k.Effect > AtMostOnce:
 			return fmt.Errorf("foxlift: Classes[%d].Effect is unknown", i)
@@ -196,7 +196,7 @@
 		name string
 		time int64
 	}{
-		{"MustAskIn", c.MustAskIn}, {"ListLease", c.ListLease}, {"WarmAfter", c.WarmAfter}, {"FallWindow", c.FallWindow},
+		{"MustAskIn", c.MaxPollInterval}, {"ListLease", c.EndpointLease}, {"WarmAfter", c.SlowStartDuration}, {"FallWindow", c.OverloadWindow},
 		{"MaxRetryAfter", c.MaxRetryAfter}, {"ConnIdle", c.ConnIdle}, {"AnswerGrace", c.AnswerGrace},
 	} {
 		if f.time < 0 {
@@ -212,46 +212,46 @@
 const (
 	Live WorkerState = iota
 	Draining
-	Gone
+	Removed
 )
 
 // A Worker is an entry of the list of workers.
 type Worker struct {
-	ID      string
-	Zone    int // -1 if unknown
-	Kind    int // -1 if unknown
-	Cell    int
-	State   WorkerState
-	Started int64   // when it last started; 0 means long ago
-	Others  float64 // slots of jobs there that the host sent past this dispatcher and that are still out
+	ID            string
+	Zone          int // -1 if unknown
+	Kind          int // -1 if unknown
+	Cell          int
+	State         WorkerState
+	StartedAt     int64   // when it last started; 0 means long ago
+	ExternalSlots float64 // slots of jobs there that the host sent past this dispatcher and that are still out
 }
 
-// A ListKind says how a list event is to be read.
-type ListKind uint8
+// A EndpointUpdate says how a list event is to be read.
+type EndpointUpdate uint8
 
 const (
-	ListChanges   ListKind = iota // only changed entries
-	ListFull                      // the whole list
-	ListSaved                     // the whole list as last known before a restart
-	ListFailed                    // an ask failed or the subscription broke; no entries; see Event.Failure
-	ListConfirmed                 // discovery has answered: the list is up to date; no entries
-	ListMoved                     // another discovery is to be asked; no entries
+	EndpointsDelta      EndpointUpdate = iota // only changed entries
+	EndpointsComplete                         // the whole list
+	EndpointsCached                           // the whole list as last known before a restart
+	EndpointsPollFailed                       // an ask failed or the subscription broke; no entries; see Event.PollFailure
+	EndpointsConfirmed                        // discovery has answered: the list is up to date; no entries
+	DiscoveryChanged                          // another discovery is to be asked; no entries
 )
 
 // A Request is a job that a client asks for.
 type Request struct {
-	ID       uint64
-	Class    int // index into Config.Classes
-	Tenant   int // index into Config.Tenants, or -1
-	Deadline int64
-	Key      uint64  // what the job is about; 0 if nothing
-	Size     int64   // a guess of its work; 0 if there is none
-	Slots    float64 // slots it needs; 0 counts as 1
-	Memory   float64
-	Repeat   bool     // the client says that it tried before
-	Waited   int64    // how long it has waited with another dispatcher of the host
-	Tried    int      // attempts that another made: none may have run, unless the class is Idempotent
-	Among    []string // the only workers that it may go to; nil: any
+	ID             uint64
+	Class          int // index into Config.Classes
+	Tenant         int // index into Config.Tenants, or -1
+	Deadline       int64
+	Key            uint64  // what the job is about; 0 if nothing
+	Size           int64   // a guess of its work; 0 if there is none
+	Slots          float64 // slots it needs; 0 counts as 1
+	Memory         float64
+	ClientRetry    bool     // the client says that it tried before
+	Waited         int64    // how long it has waited with another dispatcher of the host
+	PriorAttempts  int      // attempts that another made: none may have run, unless the class is Idempotent
+	AllowedWorkers []string // the only workers that it may go to; nil: any
 }
 
 // A Code says how an attempt or a probe ended.
@@ -259,70 +259,70 @@
 
 const (
 	Served Code = iota
-	Erred
-	Full // turned away unseen
-	TimedOut
+	WorkerError
+	Saturated // turned away unseen
+	DeadlineExceeded
 	Unreachable // no connection could be made
 	Reset
 	Cancelled
 	NotSent
-	Blamed // the worker says that the request is at fault; it may have run all the same
+	InvalidRequest // the worker says that the request is at fault; it may have run all the same
 )
 
 // NeverRan reports whether the code proves that the job did not run.
-func (c Code) NeverRan() bool { return c == Full || c == Unreachable || c == NotSent }
+func (c Code) NeverRan() bool { return c == Saturated || c == Unreachable || c == NotSent }
 
 // An EventKind says which fields of an Event hold.
 type EventKind uint8
 
 const (
-	EventRequest    EventKind = iota // Request
-	EventList                        // List, Workers
-	EventStarted                     // ID, Attempt: the job runs, or its stream flows (Stream)
-	EventProgress                    // ID, Attempt: the job makes progress
-	EventOutcome                     // ID, Attempt, Worker, Code, Took, Ended, Load
-	EventClientLeft                  // ID
-	EventTimer                       // Token
-	EventProbed                      // Worker, Code, Took, Load
-	EventMessage                     // From, Data
-	EventQuotas                      // Quotas: the tenants' shares have changed
+	EventRequest            EventKind = iota // Request
+	EventEndpoints                           // List, Workers
+	EventStarted                             // ID, Attempt: the job runs, or its stream flows (Stream)
+	EventProgress                            // ID, Attempt: the job makes progress
+	EventOutcome                             // ID, Attempt, Worker, Code, Took, Ended, Load
+	EventClientDisconnected                  // ID
+	EventTimer                               // Token
+	EventHealthChecked                       // Worker, Code, Took, Load
+	EventMessage                             // From, Data
+	EventQuotas                              // Quotas: the tenants' shares have changed
 )
 
 // An Event is something that the dispatcher learns of.
 type Event struct {
-	Kind    EventKind
-	Request Request
-	ID      uint64
-	Attempt int
-	Worker  string
-	Code    Code
-	Took    int64
-	Ended   bool // the request has its final answer
-	Stream  bool
-	HasLoad bool
-	Load    [MaxGauges]float64
-	Token   uint64
-	List    ListKind
-	Failure ListFailure // where List is ListFailed
-	Workers []Worker
-	From    int
-	Data    []byte
-	Quotas  []float64 // one for each tenant
+	Kind           EventKind
+	Request        Request
+	ID             uint64
+	Attempt        int
+	Worker         string
+	Code           Code
+	Took           int64
+	Ended          bool // the request has its final answer
+	Stream         bool
+	HasLoad        bool
+	Load           [MaxGauges]float64
+	Token          uint64
+	EndpointUpdate EndpointUpdate
+	PollFailure    PollFailure // where List is EndpointsPollFailed
+	Workers        []Worker
+	From           int
+	Data           []byte
+	Quotas         []float64 // one for each tenant
 }
 
 // An ActionKind says which fields of an Action hold.
 type ActionKind uint8
 
 const (
-	ActionSend      ActionKind = iota // ID, Worker, Timeout: attempts of a request count from 0
-	ActionRefuse                      // ID, RetryAfter: a final answer; the client may safely try again
-	ActionFail                        // ID: a final answer without any promise
-	ActionCancel                      // ID, Attempt
-	ActionTimer                       // At, Token
-	ActionProbe                       // Worker
-	ActionClose                       // Worker: give back its idle connections
-	ActionMessage                     // To (-1 for all), Data
-	ActionSubscribe                   // ask for the list's changes from now on
+	ActionSend           ActionKind = iota // ID, Worker, Timeout: attempts of a request count from 0
+	ActionShed                             // ID, RetryAfter: a final answer; the client may safely try again
+	ActionFail                             // ID: a final answer without any promise
+	ActionCancel                           // ID, Attempt
+	ActionTimer                            // At, Token
+	ActionHealthCheck                      // Worker
+	ActionClose                            // Worker: give back its idle connections
+	ActionMessage                          // To (-1 for all), Data
+	ActionWatchEndpoints                   // ask for the list's changes from now on
 )
 
 // An Action is something that the host is to do.
--- a/api_names.go
+++ b/api_names.go
@@ -5,14 +5,14 @@
 // Names of the module's values, for logs. Nothing is decided here.
 
 var codeNames = [...]string{
-	Served: "served", Erred: "error", Full: "turned away", TimedOut: "timed out", Unreachable: "unreachable",
-	Reset: "reset", Cancelled: "cancelled", NotSent: "not sent", Blamed: "blamed",
+	Served: "served", WorkerError: "error", Saturated: "turned away", DeadlineExceeded: "timed out", Unreachable: "unreachable",
+	Reset: "reset", Cancelled: "cancelled", NotSent: "not sent", InvalidRequest: "blamed",
 }
 
 // String implements fmt.Stringer.
 func (c Code) String() string { return nameOf(codeNames[:], int(c)) }
 
-var workerStateNames = [...]string{Live: "live", Draining: "draining", Gone: "gone"}
+var workerStateNames = [...]string{Live: "live", Draining: "draining", Removed: "gone"}
 
 // String implements fmt.Stringer.
 func (s WorkerState) String() string { return nameOf(workerStateNames[:], int(s)) }
--- a/attempts.go
+++ b/attempts.go
@@ -9,21 +9,21 @@
 	if j.ended || j.stream || d.now >= j.req.Deadline || w.state != Live {
 		return false
 	}
-	if d.attemptsLeft(j) <= 0 {
+	if d.remainingAttempts(j) <= 0 {
 		return false
 	}
-	if j.out > 0 && !d.cfg.MayCopy {
+	if j.inFlight > 0 && !d.cfg.MayHedge {
 		return false
 	}
 	switch j.class.Effect {
 	case AtMostOnce:
-		return j.out == 0 && j.mayRan == nil
+		return j.inFlight == 0 && j.mayHaveRun == nil
 	case Deduplicated:
-		first := j.mayRan
+		first := j.mayHaveRun
 		if first == nil {
 			return true
 		}
-		if d.now-first.sent >= j.class.KeyTTL {
+		if d.now-first.sentAt >= j.class.KeyTTL {
 			return false
 		}
 		return j.class.Scope == ScopeAll ||
@@ -33,39 +33,39 @@
 	return true
 }
 
-// mayRefuse says whether the client may be told that another try is harmless.
-func (d *Dispatcher) mayRefuse(j *job) bool {
-	return j.mayRan == nil || j.class.Effect == Idempotent ||
+// mayShed says whether the client may be told that another try is harmless.
+func (d *Dispatcher) mayShed(j *job) bool {
+	return j.mayHaveRun == nil || j.class.Effect == Idempotent ||
 		j.class.Effect == Deduplicated && j.class.Scope == ScopeAll
 }
 
-// giveUp gives the final answer of a job that will not be served.
-func (d *Dispatcher) giveUp(j *job, retryAfter int64) {
+// abandon gives the final answer of a job that will not be served.
+func (d *Dispatcher) abandon(j *job, retryAfter int64) {
 	if j.ended {
 		return
 	}
-	if !d.mayRefuse(j) {
+	if !d.mayShed(j) {
 		d.actions = append(d.actions, Action{Kind: ActionFail, ID: j.id})
 	} else {
 		retryAfter = min(retryAfter, d.cfg.MaxRetryAfter)
-		d.actions = append(d.actions, Action{Kind: ActionRefuse, ID: j.id, RetryAfter: retryAfter})
+		d.actions = append(d.actions, Action{Kind: ActionShed, ID: j.id, RetryAfter: retryAfter})
 	}
-	d.end(j)
+	d.finish(j)
 }
 
 // end marks a job as finally answered. Attempts still out are called off, and
 // the job is kept until they have reported.
-func (d *Dispatcher) end(j *job) {
+func (d *Dispatcher) finish(j *job) {
 	j.ended = true
 	if j.queued {
-		j.tenant.drop(j)
+		j.tenant.dequeue(j)
 	}
-	d.callOff(j)
+	d.cancelAttempts(j)
 	d.forget(j)
 }
 
-// callOff cancels the attempts of a job that are still out.
-func (d *Dispatcher) callOff(j *job) {
+// cancelAttempts cancels the attempts of a job that are still out.
+func (d *Dispatcher) cancelAttempts(j *job) {
 	if !d.cfg.MayCancel || j.stream {
 		return
 	}
@@ -77,38 +77,41 @@
 }
 
 func (d *Dispatcher) send(j *job, w *worker) {
-	a := &attempt{job: j, worker: w, number: len(j.attempts), sent: d.now, slots: j.req.Slots, index: len(d.out)}
+	a := &attempt{
+		job: j, worker: w, number: len(j.attempts),
+		sentAt: d.now, slots: j.req.Slots, index: len(d.inFlight),
+	}
 	a.path = d.pathTo(w)
 	j.attempts = append(j.attempts, a)
-	d.out = append(d.out, a)
-	j.out++
-	if j.mayRan == nil {
-		j.mayRan = a // until its outcome proves otherwise
+	d.inFlight = append(d.inFlight, a)
+	j.inFlight++
+	if j.mayHaveRun == nil {
+		j.mayHaveRun = a // until its outcome proves otherwise
 	}
 	if d.largeFleet() && d.cfg.StartNotes {
-		if a.waits = j.class.Effect == AtMostOnce; a.waits {
-			d.waits++
+		if a.unstarted = j.class.Effect == AtMostOnce; a.unstarted {
+			d.unstarted++
 		}
-		if at := d.now + d.startLimit(a); at < d.tickAt {
-			d.tickAt = at
+		if at := d.now + d.startLimit(a); at < d.nextTickAt {
+			d.nextTickAt = at
 			d.actions = append(d.actions, Action{Kind: ActionTimer, At: at, Token: 1})
 		}
 	}
-	d.copies = min(d.copies+copyShare, maxCopies)
+	d.hedgeBudget = min(d.hedgeBudget+hedgeFraction, maxHedgeBudget)
 	d.actions = append(d.actions, Action{Kind: ActionSend, ID: j.id, Worker: w.id})
-	d.took(w, a)
+	d.recordSend(w, a)
 }
 
 func (d *Dispatcher) onStarted(e *Event) {
 	a := d.attemptOf(e)
-	if a == nil || a.done || a.started != 0 {
+	if a == nil || a.done || a.startedAt != 0 {
 		return
 	}
-	a.started = d.now
-	d.accepts(a)
-	d.waited(a)
+	a.startedAt = d.now
+	d.recordAccepted(a)
+	d.recordStarted(a)
 	a.job.stream = a.job.stream || e.Stream
-	d.learnStart(a)
+	d.recordStart(a)
 }
 
 func (d *Dispatcher) onOutcome(e *Event) {
@@ -118,18 +121,18 @@
 	}
 	j := a.job
 	a.done = true
-	d.waited(a)
-	j.out--
-	last := len(d.out) - 1
-	d.out[a.index] = d.out[last]
-	d.out[a.index].index = a.index
-	d.out = d.out[:last]
-	if e.Code.NeverRan() && j.mayRan == a {
-		d.clearRan(j)
-	}
-	d.release(a, e)
+	d.recordStarted(a)
+	j.inFlight--
+	last := len(d.inFlight) - 1
+	d.inFlight[a.index] = d.inFlight[last]
+	d.inFlight[a.index].index = a.index
+	d.inFlight = d.inFlight[:last]
+	if e.Code.NeverRan() && j.mayHaveRun == a {
+		d.updateMayHaveRun(j)
+	}
+	d.recordOutcome(a, e)
 	if e.Ended && !j.ended {
-		d.end(j)
+		d.finish(j)
 	}
 	if j.ended {
 		d.forget(j)
@@ -143,17 +146,17 @@
 
 // retry decides on a job whose attempt has failed.
 func (d *Dispatcher) retry(j *job, c Code) {
-	if j.out > 0 {
+	if j.inFlight > 0 {
 		return // another attempt may still serve it
 	}
-	closed := j.class.Effect == AtMostOnce && j.mayRan != nil
-	if d.attemptsLeft(j) <= 0 || closed || c == Blamed || d.now+d.tick >= j.req.Deadline {
-		d.giveUp(j, 0)
+	closed := j.class.Effect == AtMostOnce && j.mayHaveRun != nil
+	if d.remainingAttempts(j) <= 0 || closed || c == InvalidRequest || d.now+d.tickInterval >= j.req.Deadline {
+		d.abandon(j, 0)
 		return
 	}
-	if !j.again {
-		j.again = true
-		d.resend = append(d.resend, j)
+	if !j.retryQueued {
+		j.retryQueued = true
+		d.retryQueue = append(d.retryQueue, j)
 	}
 }
 
@@ -161,48 +164,48 @@
 // worker gets nothing new until it is heard of (a hung worker answers nothing
 // and would look free), and the job goes elsewhere where its class allows it.
 func (d *Dispatcher) checkOverdue() {
-	for i := len(d.out) - 1; i >= 0; i-- {
-		a := d.out[i]
-		j, age := a.job, d.now-a.sent
-		if !a.late && age > 2*j.wanted {
+	for i := len(d.inFlight) - 1; i >= 0; i-- {
+		a := d.inFlight[i]
+		j, age := a.job, d.now-a.sentAt
+		if !a.late && age > 2*j.objective {
 			a.late = true
 			j.class.sample(lateRatio)
 		}
-		if d.largeFleet() && a.started == 0 && !j.ended && j.class.Effect == Idempotent &&
-			d.now-j.born >= d.timely(j)-j.class.median {
+		if d.largeFleet() && a.startedAt == 0 && !j.ended && j.class.Effect == Idempotent &&
+			d.now-j.firstAttemptAt >= d.timelyLimit(j)-j.class.median {
 			// It can no more be in time: started late, it would make the next ones late.
-			d.giveUp(j, d.comeBack())
+			d.abandon(j, d.retryAfter())
 			continue
 		}
-		if age > j.wanted/2 {
-			d.waited(a) // the worker may hang: others need not wait for that
+		if age > j.objective/2 {
+			d.recordStarted(a) // the worker may hang: others need not wait for that
 		}
-		if a.overdue || a.started != 0 || age < d.startLimit(a) {
+		if a.overdue || a.startedAt != 0 || age < d.startLimit(a) {
 			continue
 		}
 		a.overdue = true
 		a.worker.overdue++
-		d.place(a.worker)
-		if !j.ended && j.class.Effect != AtMostOnce && d.cfg.MayCopy && d.copies >= 1 && !j.again {
+		d.updateLevel(a.worker)
+		if !j.ended && j.class.Effect != AtMostOnce && d.cfg.MayHedge && d.hedgeBudget >= 1 && !j.retryQueued {
 			// Where cancelled work runs on, and nobody says where, copies feed the very queues that made
 			// starts late; few sends may be copies.
-			d.copies = max(0, d.copies-1)
-			j.again = true
-			d.resend = append(d.resend, j)
+			d.hedgeBudget = max(0, d.hedgeBudget-1)
+			j.retryQueued = true
+			d.retryQueue = append(d.retryQueue, j)
 		}
 	}
 }
 
 const (
-	copyShare = 0.05 // copies of overdue jobs, as a share of sends
-	maxCopies = 5.0  // that may be saved up, for the moment when workers hang
+	hedgeFraction  = 0.05 // copies of overdue jobs, as a share of sends
+	maxHedgeBudget = 5.0  // that may be saved up, for the moment when workers hang
 )
 
 // startLimit is how long an attempt may go without word of its start.
 func (d *Dispatcher) startLimit(a *attempt) int64 {
-	limit := a.job.wanted / 4
+	limit := a.job.objective / 4
 	if !d.cfg.StartNotes {
-		limit = 2 * a.job.wanted
+		limit = 2 * a.job.objective
 	}
-	return max(limit, int64(d.starts.avg+4*d.starts.dev))
+	return max(limit, int64(d.startDelay.avg+4*d.startDelay.dev))
 }
--- a/bench_scale_test.go
+++ b/bench_scale_test.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	d.Step(second, []Event{{Kind: EventList, List: ListFull, Workers: scaleWorkers(workers)}})
+	d.Step(second, []Event{{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: scaleWorkers(workers)}})
 	d.Step(2*second, nil)
 	return d
 }
@@ -101,7 +101,7 @@
 			d, _ := New(cfg, 1)
 			b.StartTimer()
 			now += ms
-			d.Step(now, []Event{{Kind: EventList, List: ListFull, Workers: ws}})
+			d.Step(now, []Event{{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: ws}})
 		}
 	})
 }
@@ -112,7 +112,7 @@
 		d, ws, now := scaleRig(b, n), scaleWorkers(n), 3*second
 		return func() {
 			now += ms
-			d.Step(now, []Event{{Kind: EventList, List: ListFull, Workers: ws}})
+			d.Step(now, []Event{{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: ws}})
 		}
 	})
 }
@@ -127,7 +127,7 @@
 			w := ws[i/2%n]
 			w.State = [2]WorkerState{Draining, Live}[i%2]
 			i++
-			d.Step(now, []Event{{Kind: EventList, List: ListChanges, Workers: []Worker{w}}})
+			d.Step(now, []Event{{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: []Worker{w}}})
 		}
 	})
 }
@@ -137,7 +137,7 @@
 	bySize(b, func(b *testing.B, n int) func() {
 		d, now := scaleRig(b, n), 3*second
 		return func() {
-			now += d.tick
+			now += d.tickInterval
 			d.Step(now, nil)
 		}
 	})
--- a/bench_test.go
+++ b/bench_test.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	d.Step(second, []Event{{Kind: EventList, List: ListFull, Workers: fleet(workers)}})
+	d.Step(second, []Event{{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: fleet(workers)}})
 	return d
 }
 
@@ -49,19 +49,19 @@
 		b.Run(fmt.Sprintf("workers=%d/held=%d", size.workers, size.held), func(b *testing.B) {
 			d := benchRig(b, size.workers, 8)
 			now := 2 * second
-			for _, w := range d.list {
+			for _, w := range d.workerOrder {
 				w.ejectedUntil = 1 << 62
-				d.place(w)
+				d.updateLevel(w)
 			}
 			var news []Event
 			for id := range size.held {
 				news = append(news, Event{Kind: EventRequest, Request: Request{
 					ID: uint64(id) + 1, Tenant: id % 8, Deadline: 1 << 62}})
 			}
-			d.classes[0].Aim = 1 << 60 // they may wait for ever
+			d.classes[0].LatencyObjective = 1 << 60 // they may wait for ever
 			d.Step(now, news)
 			for b.Loop() {
-				now += d.tick
+				now += d.tickInterval
 				d.Step(now, nil)
 			}
 			if len(d.jobs) != size.held {
--- a/cmd/foxlift-sim/main.go
+++ b/cmd/foxlift-sim/main.go
@@ -146,7 +146,7 @@
 	if len(inst.events) == 0 {
 		h.touched = append(h.touched, inst)
 	}
-	if ev.Kind == foxlift.EventList {
+	if ev.Kind == foxlift.EventEndpoints {
 		ev.Workers = append([]foxlift.Worker(nil), ev.Workers...)
 	}
 	inst.events = append(inst.events, *ev)
--- a/coldfleet_test.go
+++ b/coldfleet_test.go
@@ -49,10 +49,10 @@
 	rng := rand.New(rand.NewPCG(seed, uint64(n)))
 	f := &coldFleet{rng: rng, cfg: testConfig(), work: (100 + rng.Int64N(250)) * ms, byID: map[string]*coldNode{}}
 	f.cfg.Gauges, f.cfg.MaxAttempts, f.cfg.Dispatchers = nil, 3, n
-	f.cfg.StartCapacity = 0.14 + 0.3*rng.Float64()
-	f.cfg.FallWindow = second + rng.Int64N(second)
+	f.cfg.SlowStartCapacity = 0.14 + 0.3*rng.Float64()
+	f.cfg.OverloadWindow = second + rng.Int64N(second)
 	for i := range f.cfg.Classes {
-		f.cfg.Classes[i].Aim, f.cfg.Classes[i].Deadline = f.work, 20*second
+		f.cfg.Classes[i].LatencyObjective, f.cfg.Classes[i].Deadline = f.work, 20*second
 	}
 	workers := 6 + rng.IntN(8) + n/3
 	total, weights := 0.0, 0.0
@@ -114,7 +114,7 @@
 				for _, n := range f.nodes {
 					ws = append(ws, n.Worker)
 				}
-				heard[i] = append(heard[i], Event{Kind: EventList, List: ListFull, Workers: ws})
+				heard[i] = append(heard[i], Event{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: ws})
 				f.tellAt[i] = 0
 			}
 			for p := f.rate[i] * float64(coldStep) / 1e9; p > 0; p-- {
@@ -167,10 +167,10 @@
 
 // able is the share of its capacity that a worker has.
 func (f *coldFleet) able(n *coldNode, now int64) float64 {
-	if n.Started == 0 {
+	if n.StartedAt == 0 {
 		return 1
 	}
-	return min(1, f.cfg.StartCapacity+(1-f.cfg.StartCapacity)*float64(now-n.Started)/float64(f.cfg.WarmAfter))
+	return min(1, f.cfg.SlowStartCapacity+(1-f.cfg.SlowStartCapacity)*float64(now-n.StartedAt)/float64(f.cfg.SlowStartDuration))
 }
 
 // worst returns by how much the calls that a cold worker was sent in a window were over its budget
@@ -178,22 +178,22 @@
 func (f *coldFleet) worst() (over float64, where string) {
 	over = math.Inf(-1)
 	for _, n := range f.nodes {
-		if n.Started == 0 {
+		if n.StartedAt == 0 {
 			continue
 		}
 		sum, first := 0.0, 0
 		for _, s := range n.sent {
-			if s.at < n.Started {
+			if s.at < n.StartedAt {
 				first++
 				continue
 			}
 			sum += float64(s.work) / float64(f.work)
-			for ; n.sent[first].at <= s.at-f.cfg.FallWindow; first++ {
+			for ; n.sent[first].at <= s.at-f.cfg.OverloadWindow; first++ {
 				sum -= float64(n.sent[first].work) / float64(f.work)
 			}
-			budget := f.cfg.FallMultiple * f.able(n, n.sent[first].at) * float64(n.slots) * float64(f.cfg.FallWindow) / float64(f.work)
+			budget := f.cfg.OverloadMultiple * f.able(n, n.sent[first].at) * float64(n.slots) * float64(f.cfg.OverloadWindow) / float64(f.work)
 			if o := sum - budget - 2*math.Sqrt(budget) - 2; o > over {
-				over, where = o, fmt.Sprintf("%s: %.1f calls of %.1f, %.2f s after its start", n.ID, sum, budget, float64(s.at-n.Started)/1e9)
+				over, where = o, fmt.Sprintf("%s: %.1f calls of %.1f, %.2f s after its start", n.ID, sum, budget, float64(s.at-n.StartedAt)/1e9)
 			}
 		}
 	}
@@ -237,7 +237,7 @@
 				f.play(min(down, release), release, false)
 				for i, n := range f.nodes {
 					if kind := seed % 3; kind == 0 || kind == 1 && i%4 < 2 || kind == 2 && n.Zone == 0 {
-						n.Started, n.sent = release, nil
+						n.StartedAt, n.sent = release, nil
 					}
 				}
 				for i := range f.tellAt {
--- a/dispatch_order.go
+++ b/dispatch_order.go
@@ -7,44 +7,44 @@
 // dispatch sends what is waiting while there is room: first jobs that go again,
 // then tenants within their bands, then the rest evenly.
 func (d *Dispatcher) dispatch() {
-	d.round++
-	d.refill()
-	d.sendAgain()
-	if !d.ListTrusted() {
+	d.dispatchRound++
+	d.refillTokens()
+	d.sendRetries()
+	if !d.EndpointsUsable() {
 		return
 	}
 	for d.sendNext(true) {
 	}
-	for (d.open || d.burstTokens >= 1) && d.busy() < d.window && d.sendNext(false) {
+	for (d.unthrottled || d.burstTokens >= 1) && d.occupiedSlots() < d.startWindow && d.sendNext(false) {
 		d.burstTokens = max(0, d.burstTokens-1)
 	}
 }
 
-// queueRoom is how many of our jobs that cannot be moved may wait at the workers, so
+// maxUnstarted is how many of our jobs that cannot be moved may wait at the workers, so
 // that all dispatchers together keep the queues there short: about one at each.
-func (d *Dispatcher) queueRoom() int { return max(2, len(d.live)/d.cfg.Dispatchers) }
+func (d *Dispatcher) maxUnstarted() int { return max(2, len(d.liveWorkers)/d.cfg.Dispatchers) }
 
-func (d *Dispatcher) sendAgain() {
-	kept := d.resend[:0]
-	for _, j := range d.resend {
+func (d *Dispatcher) sendRetries() {
+	kept := d.retryQueue[:0]
+	for _, j := range d.retryQueue {
 		if j.ended {
 			continue
 		}
-		w := d.pick(j)
+		w := d.pickWorker(j)
 		if w == nil {
-			if j.out == 0 && d.now+2*d.tick >= j.req.Deadline {
-				d.giveUp(j, 0)
+			if j.inFlight == 0 && d.now+2*d.tickInterval >= j.req.Deadline {
+				d.abandon(j, 0)
 			} else {
 				kept = append(kept, j)
 			}
 			continue
 		}
-		j.again = false
-		d.callOff(j)
+		j.retryQueued = false
+		d.cancelAttempts(j)
 		d.send(j, w)
 	}
-	clear(d.resend[len(kept):])
-	d.resend = kept
+	clear(d.retryQueue[len(kept):])
+	d.retryQueue = kept
 }
 
 // sendNext sends one job: within the bands, of the tenant furthest under them;
@@ -55,11 +55,11 @@
 		most := math.Inf(-1)
 		for i := range d.tenants {
 			t := &d.tenants[i]
-			rank := -t.overQuotaSends
+			rank := -t.excessSends
 			if within {
 				rank = t.tokens / t.burst()
 			}
-			if t.blocked != d.round && !(within && t.tokens < 1) && rank > most && t.waiting() {
+			if t.blockedRound != d.dispatchRound && !(within && t.tokens < 1) && rank > most && t.hasQueued() {
 				best, most = t, rank
 			}
 		}
@@ -70,11 +70,11 @@
 			if within {
 				best.tokens--
 			} else {
-				best.overQuotaSends++
+				best.excessSends++
 			}
 			return true
 		}
-		best.blocked = d.round
+		best.blockedRound = d.dispatchRound
 	}
 }
 
@@ -82,12 +82,12 @@
 // spent, over the share of its class lately sent. A tenant's share is a share of
 // each class: one class must not eat it because its jobs may wait longest.
 func (t *tenant) urgency(d *Dispatcher, j *job) float64 {
-	c := &t.classes[j.req.Class]
-	got := (c.sent + 1) / (c.came + 1)
-	if t.over() {
+	c := &t.flows[j.req.Class]
+	got := (c.sends + 1) / (c.arrivals + 1)
+	if t.exceedsQuota() {
 		return 1 / got
 	}
-	return float64(d.now-j.born+1) / float64(d.holdLimit(j)) / (got * got)
+	return float64(d.now-j.firstAttemptAt+1) / float64(d.maxQueueTime(j)) / (got * got)
 }
 
 // sendFrom sends the tenant's most urgent job that a worker has room for: of each
@@ -98,10 +98,10 @@
 		var best *job
 		most := -1.0
 		for k, q := range t.queues {
-			if len(q) == 0 || t.classes[k].blocked == d.round {
+			if len(q) == 0 || t.flows[k].blockedRound == d.dispatchRound {
 				continue
 			}
-			j := next(q, d.newestFirst(t, q), d.round)
+			j := nextInQueue(q, d.newestFirst(t, q), d.dispatchRound)
 			if j == nil {
 				continue
 			}
@@ -112,15 +112,15 @@
 		if best == nil {
 			return false
 		}
-		c := &t.classes[best.req.Class]
-		if w := d.pick(best); w != nil {
-			t.drop(best)
-			c.sent++
+		c := &t.flows[best.req.Class]
+		if w := d.pickWorker(best); w != nil {
+			t.dequeue(best)
+			c.sends++
 			d.send(best, w)
 			return true
 		}
-		if best.blocked = d.round; best.req.Among == nil {
-			c.blocked = d.round
+		if best.blockedRound = d.dispatchRound; best.req.AllowedWorkers == nil {
+			c.blockedRound = d.dispatchRound
 		} // others of its class may go to other workers
 	}
 }
--- a/dispatcher.go
+++ b/dispatcher.go
@@ -8,7 +8,7 @@
 
 // few is the most dispatchers that learn enough from their own jobs. What each of many
 // does alone is harmful where all do it, and each sees little: see docs/design/fleet.md.
-const few = 4.0
+const smallFleetMax = 4.0
 
 // largeFleet says that more dispatchers share the fleet than learn enough from their own jobs.
 func (d *Dispatcher) largeFleet() bool { return d.fleetScale > 1 }
@@ -19,40 +19,40 @@
 func (d *Dispatcher) Step(now int64, events []Event) []Action {
 	d.actions = d.actions[:0]
 	d.now = max(d.now, now)
-	if d.began < 0 {
+	if d.startedAt < 0 {
 		d.now = now
 		d.start()
 	}
 	for i := range events {
 		d.handle(&events[i])
 	}
-	if d.now >= d.tickAt {
+	if d.now >= d.nextTickAt {
 		d.onTick()
 	}
-	d.askForList()
+	d.pollEndpoints()
 	d.dispatch()
-	d.answerUrgent()
-	d.tellChanges()
+	d.shedUrgent()
+	d.gossipChanges()
 	return d.actions
 }
 
 func (d *Dispatcher) start() {
-	d.began, d.refilled, d.regulAt = d.now, d.now, d.now+second
+	d.startedAt, d.refilledAt, d.nextControlAt = d.now, d.now, d.now+second
 	d.lease.confirmedAt = d.now
 	// Dispatchers that start together must not ask together.
-	d.listCall.next = d.now + d.rng.Int64N(max(1, min(d.cfg.MustAskIn/4, second)))
+	d.poll.nextAt = d.now + d.rng.Int64N(max(1, min(d.cfg.MaxPollInterval/4, second)))
 }
 
 // onTick looks after all that depends on time alone, and sets the next timer.
 func (d *Dispatcher) onTick() {
-	if d.now >= d.regulAt {
-		d.regulate()
-		d.regulAt = max(d.regulAt+second, d.now+second/2)
+	if d.now >= d.nextControlAt {
+		d.runControlLoops()
+		d.nextControlAt = max(d.nextControlAt+second, d.now+second/2)
 	}
 	d.checkOverdue()
-	d.endScouting(func(j *job) bool { return d.now-j.came >= d.tick })
-	d.expireHeld()
-	d.placePending()
-	d.tickAt = d.now + d.tick
-	d.actions = append(d.actions, Action{Kind: ActionTimer, At: d.tickAt, Token: 1})
+	d.finishHealthChecks(func(j *job) bool { return d.now-j.arrivedAt >= d.tickInterval })
+	d.expireQueued()
+	d.updatePending()
+	d.nextTickAt = d.now + d.tickInterval
+	d.actions = append(d.actions, Action{Kind: ActionTimer, At: d.nextTickAt, Token: 1})
 }
--- a/dispatcher_test.go
+++ b/dispatcher_test.go
@@ -18,14 +18,14 @@
 func testConfig() Config {
 	return Config{
 		Classes: []Class{
-			{Name: "read", Aim: 100 * ms, Stretch: 2, Deadline: 2000 * ms, Effect: Idempotent, Kind: -1, Worth: 1},
-			{Name: "order", Aim: 100 * ms, Stretch: 2, Deadline: 2000 * ms, Effect: AtMostOnce, Kind: -1, Worth: 1},
-			{Name: "keyed", Aim: 100 * ms, Stretch: 2, Deadline: 2000 * ms, Effect: Deduplicated, KeyTTL: 1000 * ms,
-				Scope: ScopeCell, Kind: -1, Worth: 1},
+			{Name: "read", LatencyObjective: 100 * ms, ObjectiveStretch: 2, Deadline: 2000 * ms, Effect: Idempotent, Kind: -1, PriorityWeight: 1},
+			{Name: "order", LatencyObjective: 100 * ms, ObjectiveStretch: 2, Deadline: 2000 * ms, Effect: AtMostOnce, Kind: -1, PriorityWeight: 1},
+			{Name: "keyed", LatencyObjective: 100 * ms, ObjectiveStretch: 2, Deadline: 2000 * ms, Effect: Deduplicated, KeyTTL: 1000 * ms,
+				Scope: ScopeCell, Kind: -1, PriorityWeight: 1},
 		},
 		Tenants:     []Tenant{{"a", 100}, {"b", 100}},
-		Dispatchers: 1, MayCancel: true, MayCopy: true, MaxAttempts: 4, StartNotes: true,
-		StartCapacity: 0.2, WarmAfter: 20 * second, FallMultiple: 3, FallWindow: 2 * second,
+		Dispatchers: 1, MayCancel: true, MayHedge: true, MaxAttempts: 4, StartNotes: true,
+		SlowStartCapacity: 0.2, SlowStartDuration: 20 * second, OverloadMultiple: 3, OverloadWindow: 2 * second,
 		Gauges: []Gauge{GaugeFreeSlots}, MaxRetryAfter: 1000 * ms,
 	}
 }
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	r := &rig{t: t, d: d, now: 5 * second}
-	r.step(Event{Kind: EventList, List: ListSaved, Workers: workers}, Event{Kind: EventList, List: ListChanges})
+	r.step(Event{Kind: EventEndpoints, EndpointUpdate: EndpointsCached, Workers: workers}, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta})
 	return r
 }
 
@@ -166,7 +166,7 @@
 func TestConfigErrorsNameTheField(t *testing.T) {
 	for want, spoil := range map[string]func(*Config){
 		"Classes is empty":      func(c *Config) { c.Classes = nil },
-		"negative time":         func(c *Config) { c.Classes[1].Aim = -1 },
+		"negative time":         func(c *Config) { c.Classes[1].LatencyObjective = -1 },
 		"Effect is unknown":     func(c *Config) { c.Classes[0].Effect = 9 },
 		"Scope is unknown":      func(c *Config) { c.Classes[2].Scope = 9 },
 		"Kind is under -1":      func(c *Config) { c.Classes[0].Kind = -2 },
@@ -175,7 +175,7 @@
 		"Quota is negative":     func(c *Config) { c.Tenants[0].Quota = -1 },
 		"Bands[0]":              func(c *Config) { c.Bands = []Band{{Width: 1, Ratio: []float64{1}}} },
 		"Gauges":                func(c *Config) { c.Gauges = make([]Gauge, MaxGauges+1) },
-		"WarmAfter is negative": func(c *Config) { c.WarmAfter = -1 },
+		"WarmAfter is negative": func(c *Config) { c.SlowStartDuration = -1 },
 	} {
 		cfg := testConfig()
 		spoil(&cfg)
@@ -203,54 +203,54 @@
 // P x = (0, 10, 10), the denominator 20.9, and with w = 1.5 the error 0.5: r1
 // and r2 move by 10/20.9*0.5, s1 stays.
 func TestModelUpdate(t *testing.T) {
-	m := newModel().update([3]float64{0, 1, 1}, 1.5, forgetting, covMax)
+	m := newModel().update([3]float64{0, 1, 1}, 1.5, forgettingFactor, covMax)
 	r := 0.5 + 10/20.9*0.5
-	if m.p[0] != 0 || math.Abs(m.p[1]-r) > 1e-12 || math.Abs(m.p[2]-r) > 1e-12 {
-		t.Errorf("parameters %v, want 0 %v %v", m.p, r, r)
+	if m.parameters[0] != 0 || math.Abs(m.parameters[1]-r) > 1e-12 || math.Abs(m.parameters[2]-r) > 1e-12 {
+		t.Errorf("parameters %v, want 0 %v %v", m.parameters, r, r)
 	}
-	if want := (10 - 100/20.9) / 0.9; math.Abs(m.cov[1][1]-want) > 1e-12 {
-		t.Errorf("covariance %v, want %v", m.cov[1][1], want)
+	if want := (10 - 100/20.9) / 0.9; math.Abs(m.covariance[1][1]-want) > 1e-12 {
+		t.Errorf("covariance %v, want %v", m.covariance[1][1], want)
 	}
 }
 
 func TestRegulatorControlLaw(t *testing.T) {
 	// With s1 0.2, r1 0.5, r2 0.3 and w 1.2 after u 0.8 the next u is
 	// (1 - 0.2*1.2 - 0.3*0.8) / 0.5 = 1.04: clamped to 1. With w 2 it is 0.72.
-	c := classLoop{Class: &Class{}, fit: model{p: [3]float64{0.2, 0.5, 0.3}}, v: 0.8}
+	c := latencyLoop{Class: &Class{}, fit: model{parameters: [3]float64{0.2, 0.5, 0.3}}, input: 0.8}
 	if v := c.step(1.2); v != 1 {
 		t.Errorf("u %v, want 1", v)
 	}
-	c = classLoop{Class: &Class{}, fit: model{p: [3]float64{0.2, 0.5, 0.3}}, v: 0.8}
+	c = latencyLoop{Class: &Class{}, fit: model{parameters: [3]float64{0.2, 0.5, 0.3}}, input: 0.8}
 	if v := c.step(2); math.Abs(v-0.72) > 1e-12 {
 		t.Errorf("u %v, want 0.72", v)
 	}
 }
 
 func TestRegulatorReset(t *testing.T) {
-	c := classLoop{Class: &Class{}, fit: newModel(), v: 0.5, v1: 0.5}
-	c.fit.p = [3]float64{0, 0.2, 0.2}
-	if v := c.step(2); v != 1 || c.fit.p != newModel().p {
-		t.Errorf("u %v and model %v after a jump, want a reset", v, c.fit.p)
+	c := latencyLoop{Class: &Class{}, fit: newModel(), input: 0.5, previousInput: 0.5}
+	c.fit.parameters = [3]float64{0, 0.2, 0.2}
+	if v := c.step(2); v != 1 || c.fit.parameters != newModel().parameters {
+		t.Errorf("u %v and model %v after a jump, want a reset", v, c.fit.parameters)
 	}
 }
 
 func TestRegulatorDropsNegativeR1(t *testing.T) {
-	c := classLoop{Class: &Class{}, fit: newModel(), v: 1, v1: 0}
-	c.fit.p = [3]float64{0, 0.05, 0.5}
+	c := latencyLoop{Class: &Class{}, fit: newModel(), input: 1, previousInput: 0}
+	c.fit.parameters = [3]float64{0, 0.05, 0.5}
 	before := c.fit
 	c.step(0) // drives r1 under 0, by less than the reset share
-	if next := before.update([3]float64{0, 1, 0}, 0, forgetting, covMax); next.p[1] <= 0 && c.fit != before {
-		t.Errorf("model %v kept", c.fit.p)
+	if next := before.update([3]float64{0, 1, 0}, 0, forgettingFactor, covMax); next.parameters[1] <= 0 && c.fit != before {
+		t.Errorf("model %v kept", c.fit.parameters)
 	}
-	c.fit.cov[1][1] = 100
-	c.fit.p[1] = 0.01
+	c.fit.covariance[1][1] = 100
+	c.fit.parameters[1] = 0.01
 	kept := c.fit
-	c.w1, c.v, c.v1 = 0.1, 0.1, 1
-	if next := kept.update([3]float64{0.1, 0.1, 1}, 0.3, forgetting, covMax); next.p[1] > 0 || next.moved(kept) {
-		t.Fatalf("the case does not drive r1 under 0: %v", next.p)
+	c.previousOutput, c.input, c.previousInput = 0.1, 0.1, 1
+	if next := kept.update([3]float64{0.1, 0.1, 1}, 0.3, forgettingFactor, covMax); next.parameters[1] > 0 || next.differsFrom(kept) {
+		t.Fatalf("the case does not drive r1 under 0: %v", next.parameters)
 	}
 	if c.step(0.3); c.fit != kept {
-		t.Errorf("a model with r1 <= 0 was taken: %v", c.fit.p)
+		t.Errorf("a model with r1 <= 0 was taken: %v", c.fit.parameters)
 	}
 }
 
@@ -259,19 +259,19 @@
 	cfg.Dispatchers, cfg.Index = 4, 1
 	r := newRig(t, cfg, fleet(4)...)
 	c := &r.d.classes[0]
-	c.fit.p = [3]float64{0.1, 0.4, 0.4}
-	c.v = 0.5
+	c.fit.parameters = [3]float64{0.1, 0.4, 0.4}
+	c.input = 0.5
 	for range 5 {
 		c.ratios = append(c.ratios, 1.5)
 	}
 	kept := c.fit
-	r.d.period = 1 // the next is not this dispatcher's turn
-	r.d.regulate()
-	if c.fit != kept || c.v != 0.5 {
+	r.d.controlPeriods = 1 // the next is not this dispatcher's turn
+	r.d.runControlLoops()
+	if c.fit != kept || c.input != 0.5 {
 		t.Error("fewer than 6 jobs changed the loop")
 	}
-	r.d.period = 4
-	r.d.regulate()
+	r.d.controlPeriods = 4
+	r.d.runControlLoops()
 	if c.fit == kept {
 		t.Error("the rotating dispatcher did not run its loop")
 	}
@@ -292,7 +292,7 @@
 
 func TestLateBindingHoldsWithoutRoom(t *testing.T) {
 	r := newRig(t, testConfig(), fleet(1)...)
-	r.d.list[0].cap = 2
+	r.d.workerOrder[0].concurrencyLimit = 2
 	r.step(r.request(1, 1), r.request(2, 1), r.request(3, 1))
 	r.want(ActionSend, 2)
 	r.after(3 * ms)
@@ -317,14 +317,14 @@
 
 func TestCapLearnedFromFull(t *testing.T) {
 	r := newRig(t, testConfig(), fleet(2)...)
-	w := r.d.list[0]
-	w.own = 3
-	r.d.learnRoom(w, true)
-	if w.cap >= 3 {
-		t.Errorf("cap %v after a refusal at 3", w.cap)
+	w := r.d.workerOrder[0]
+	w.usedSlots = 3
+	r.d.adjustCapacity(w, true)
+	if w.concurrencyLimit >= 3 {
+		t.Errorf("cap %v after a refusal at 3", w.concurrencyLimit)
 	}
-	if m := r.d.meanCap(); m != w.cap {
-		t.Errorf("a new worker counts at %v, want %v", m, w.cap)
+	if m := r.d.meanLimit(); m != w.concurrencyLimit {
+		t.Errorf("a new worker counts at %v, want %v", m, w.concurrencyLimit)
 	}
 }
 
@@ -343,26 +343,26 @@
 }
 
 func TestUnsafeIsFailedAfterItMayHaveRun(t *testing.T) {
-	for _, c := range []Code{Erred, TimedOut, Reset, Cancelled} {
+	for _, c := range []Code{WorkerError, DeadlineExceeded, Reset, Cancelled} {
 		r := newRig(t, testConfig(), fleet(3)...)
 		r.step(r.request(1, 1))
 		w := r.want(ActionSend, 1)[0].Worker
 		r.after(10*ms, outcome(1, 0, w, c))
 		r.want(ActionFail, 1)
 		r.want(ActionSend, 0)
-		r.want(ActionRefuse, 0)
+		r.want(ActionShed, 0)
 	}
 }
 
 func TestUnsafeGoesAgainWhenItNeverRan(t *testing.T) {
-	for _, c := range []Code{Full, Unreachable, NotSent} {
+	for _, c := range []Code{Saturated, Unreachable, NotSent} {
 		r := newRig(t, testConfig(), fleet(6)...)
 		r.step(r.request(1, 1))
 		for attempt := range 4 {
 			w := r.want(ActionSend, 1)[0].Worker
 			r.after(10*ms, outcome(1, attempt, w, c))
 		}
-		r.want(ActionRefuse, 1) // attempts are spent
+		r.want(ActionShed, 1) // attempts are spent
 	}
 }
 
@@ -370,19 +370,19 @@
 	r := newRig(t, testConfig(), fleet(8)...)
 	r.step(r.request(1, 2))
 	first := r.want(ActionSend, 1)[0].Worker
-	r.after(10*ms, outcome(1, 0, first, Erred))
+	r.after(10*ms, outcome(1, 0, first, WorkerError))
 	again := r.want(ActionSend, 1)[0].Worker
 	if again == first || r.d.workers[again].cell != r.d.workers[first].cell {
 		t.Errorf("first to %s, then to %s", first, again)
 	}
-	r.after(1100*ms, outcome(1, 1, again, Erred))
+	r.after(1100*ms, outcome(1, 1, again, WorkerError))
 	r.after(200*ms, Event{Kind: EventTimer, Token: 1})
 	r.want(ActionSend, 0) // the group may have forgotten it
 	for range 10 {
 		if r.after(100*ms, Event{Kind: EventTimer, Token: 1}); len(r.only(ActionFail)) == 1 {
 			return
 		}
-		r.want(ActionRefuse, 0)
+		r.want(ActionShed, 0)
 	}
 	t.Error("no final answer")
 }
@@ -393,12 +393,12 @@
 	r := newRig(t, cfg, fleet(1)...)
 	r.step(r.request(1, 2))
 	w := r.want(ActionSend, 1)[0].Worker
-	r.after(1900*ms, outcome(1, 0, w, Erred))
+	r.after(1900*ms, outcome(1, 0, w, WorkerError))
 	r.after(40 * ms)
-	if len(r.only(ActionRefuse)) == 0 {
+	if len(r.only(ActionShed)) == 0 {
 		r.after(40 * ms)
 	}
-	r.want(ActionRefuse, 1)
+	r.want(ActionShed, 1)
 }
 
 func TestTimeoutAtDeadlineIsAnswered(t *testing.T) {
@@ -406,8 +406,8 @@
 		r := newRig(t, testConfig(), fleet(1)...)
 		r.step(r.request(1, class))
 		w := r.want(ActionSend, 1)[0].Worker
-		r.after(2*second, outcome(1, 0, w, TimedOut))
-		if len(r.only(ActionFail))+len(r.only(ActionRefuse)) != 1 {
+		r.after(2*second, outcome(1, 0, w, DeadlineExceeded))
+		if len(r.only(ActionFail))+len(r.only(ActionShed)) != 1 {
 			t.Errorf("class %d: no answer at the deadline: %+v", class, r.out)
 		}
 	}
@@ -417,16 +417,16 @@
 func TestUrgentJobIsAnsweredAtOnce(t *testing.T) {
 	r := newRig(t, testConfig())
 	e := r.request(1, 0)
-	e.Request.Deadline = r.now + r.d.tick
+	e.Request.Deadline = r.now + r.d.tickInterval
 	r.step(e)
-	r.want(ActionRefuse, 1)
+	r.want(ActionShed, 1)
 }
 
 func TestHeldJobIsRefusedInTime(t *testing.T) {
 	r := newRig(t, testConfig())
 	r.step(r.request(1, 1))
 	for r.now < 7*second {
-		if r.after(5*ms, Event{Kind: EventTimer, Token: 1}); len(r.only(ActionRefuse)) == 1 {
+		if r.after(5*ms, Event{Kind: EventTimer, Token: 1}); len(r.only(ActionShed)) == 1 {
 			return
 		}
 	}
@@ -436,8 +436,8 @@
 func TestNothingIsSentForAClientThatLeft(t *testing.T) {
 	r := newRig(t, testConfig())
 	r.step(r.request(1, 0))
-	r.after(ms, Event{Kind: EventClientLeft, ID: 1})
-	r.after(ms, Event{Kind: EventList, List: ListFull, Workers: fleet(2)})
+	r.after(ms, Event{Kind: EventClientDisconnected, ID: 1})
+	r.after(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: fleet(2)})
 	r.want(ActionSend, 0)
 	if len(r.d.jobs) != 0 {
 		t.Error("the job is kept")
@@ -445,15 +445,15 @@
 }
 
 func TestDrainStopsAtOnce(t *testing.T) {
-	for _, state := range []WorkerState{Draining, Gone} {
+	for _, state := range []WorkerState{Draining, Removed} {
 		r := newRig(t, testConfig(), fleet(1)...)
 		w := fleet(1)[0]
 		w.State = state
-		r.after(ms, Event{Kind: EventList, List: ListChanges, Workers: []Worker{w}}, r.request(1, 0))
+		r.after(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: []Worker{w}}, r.request(1, 0))
 		r.want(ActionSend, 0)
 	}
 	r := newRig(t, testConfig(), fleet(2)...)
-	r.after(ms, Event{Kind: EventList, List: ListFull, Workers: fleet(1)}, r.request(1, 0), r.request(2, 0))
+	r.after(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: fleet(1)}, r.request(1, 0), r.request(2, 0))
 	for _, a := range r.only(ActionSend) {
 		if a.Worker != "w0" {
 			t.Errorf("sent to %s, which the whole list lacks", a.Worker)
@@ -508,7 +508,7 @@
 			r.after(ms, started(a.ID, 0, a.Worker))
 			if a.Worker == "w0" {
 				bad++
-				r.after(ms, outcome(a.ID, 0, a.Worker, Erred))
+				r.after(ms, outcome(a.ID, 0, a.Worker, WorkerError))
 			} else {
 				r.after(ms, outcome(a.ID, 0, a.Worker, Served))
 			}
@@ -525,13 +525,13 @@
 	cfg := testConfig()
 	cfg.Dispatchers = 10
 	ws := fleet(2)
-	ws[1].Started = 5 * second
+	ws[1].StartedAt = 5 * second
 	r := newRig(t, cfg, ws[0])
 	for i := range cfg.Tenants {
 		r.d.tenants[i].tokens, r.d.tenants[i].rate = 1000, 100
 	}
-	r.d.warmRate = 0.2 // slots at work, here, of each warm worker: 2 jobs of 100 ms a second
-	r.step(Event{Kind: EventList, List: ListChanges, Workers: ws[1:]})
+	r.d.peakWorkerRate = 0.2 // slots at work, here, of each warm worker: 2 jobs of 100 ms a second
+	r.step(Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: ws[1:]})
 	cold := 0
 	for id := uint64(1); r.now < 15*second; id++ {
 		r.after(5*ms, r.request(id, 1))
@@ -541,11 +541,11 @@
 				if a.Worker == "w1" {
 					cold++
 				}
-				full = append(full, outcome(a.ID, len(r.d.jobs[a.ID].attempts)-1, a.Worker, Full))
+				full = append(full, outcome(a.ID, len(r.d.jobs[a.ID].attempts)-1, a.Worker, Saturated))
 			}
 			r.after(0, full...)
 		}
-		r.d.warmRate = 0.2
+		r.d.peakWorkerRate = 0.2
 	}
 	// Ten seconds at a ramp from 0.2 to 0.6 of 2 a second are 8 jobs.
 	if cold < 3 || cold > 14 {
@@ -563,7 +563,7 @@
 	id := uint64(0)
 	for round := range 400 {
 		var events []Event
-		r.d.list[0].cap = 2
+		r.d.workerOrder[0].concurrencyLimit = 2
 		for n := range 4 { // three of tenant 0 in each round, one of tenant 1 in every other
 			if tenant := n / 3; tenant == 0 || round%2 == 0 {
 				id++
@@ -579,16 +579,16 @@
 		r.after(49*ms, events...)
 		running = r.only(ActionSend)
 		events = nil
-		for _, a := range r.only(ActionRefuse) {
+		for _, a := range r.only(ActionShed) {
 			refused[tenantOf[a.ID]]++
 		}
 		for _, a := range running {
 			events = append(events, started(a.ID, a.Attempt, a.Worker))
 		}
-		r.d.list[0].cap = 2
+		r.d.workerOrder[0].concurrencyLimit = 2
 		r.after(ms, events...)
 		running = append(running, r.only(ActionSend)...)
-		for _, a := range r.only(ActionRefuse) {
+		for _, a := range r.only(ActionShed) {
 			refused[tenantOf[a.ID]]++
 		}
 	}
@@ -599,29 +599,29 @@
 
 func TestListAsksBackOffButNotPastTheLimit(t *testing.T) {
 	cfg := testConfig()
-	cfg.ListOnRequest, cfg.MustAskIn = true, 8*second
+	cfg.PollEndpoints, cfg.MaxPollInterval = true, 8*second
 	r := newRig(t, cfg, fleet(1)...)
 	last, asks := r.now, 0
 	for r.now < 120*second {
 		r.after(50*ms, Event{Kind: EventTimer, Token: 1})
-		if len(r.only(ActionSubscribe)) == 0 {
+		if len(r.only(ActionWatchEndpoints)) == 0 {
 			continue
 		}
 		asks++
-		if gap := r.now - last; gap > cfg.MustAskIn {
-			t.Fatalf("%d ns between asks, at most %d", gap, cfg.MustAskIn)
+		if gap := r.now - last; gap > cfg.MaxPollInterval {
+			t.Fatalf("%d ns between asks, at most %d", gap, cfg.MaxPollInterval)
 		}
 		last = r.now
-		r.after(ms, Event{Kind: EventList, List: ListFailed})
+		r.after(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsPollFailed})
 	}
 	if asks < 15 || asks > 100 {
 		t.Errorf("%d asks in two minutes of failures", asks)
 	}
 	r.after(8*second, Event{Kind: EventTimer, Token: 1})
-	r.after(ms, Event{Kind: EventList, List: ListChanges})
+	r.after(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta})
 	for range 100 {
 		r.after(100*ms, Event{Kind: EventTimer, Token: 1})
-		r.want(ActionSubscribe, 0)
+		r.want(ActionWatchEndpoints, 0)
 	}
 }
 
@@ -629,8 +629,8 @@
 func TestBrokenContractIsHarmless(t *testing.T) {
 	r := newRig(t, testConfig(), fleet(2)...)
 	r.step(
-		outcome(99, 0, "w0", Served), started(99, 3, "nowhere"), Event{Kind: EventClientLeft, ID: 99},
-		Event{Kind: EventTimer, Token: 12345}, Event{Kind: EventProbed, Worker: "nowhere"},
+		outcome(99, 0, "w0", Served), started(99, 3, "nowhere"), Event{Kind: EventClientDisconnected, ID: 99},
+		Event{Kind: EventTimer, Token: 12345}, Event{Kind: EventHealthChecked, Worker: "nowhere"},
 		Event{Kind: EventMessage, From: -4, Data: []byte("x")}, Event{Kind: EventProgress, Worker: "nowhere"},
 		Event{Kind: EventRequest, Request: Request{ID: 5, Class: 77, Deadline: r.now + second}},
 	)
@@ -642,17 +642,17 @@
 	r.step(outcome(1, 7, w, Served), outcome(1, -1, w, Served))
 	r.now += second
 	r.step(outcome(1, 0, w, Served), outcome(1, 0, w, Served))
-	if len(r.d.jobs) != 0 || r.d.inflight != 0 {
-		t.Errorf("%d jobs and %v slots left", len(r.d.jobs), r.d.inflight)
+	if len(r.d.jobs) != 0 || r.d.inFlightSlots != 0 {
+		t.Errorf("%d jobs and %v slots left", len(r.d.jobs), r.d.inFlightSlots)
 	}
 }
 
 func TestNoTenantsOneDispatcherEmptyList(t *testing.T) {
-	cfg := Config{Classes: []Class{{Aim: 100 * ms, Deadline: second, Kind: -1}}, Dispatchers: 1}
+	cfg := Config{Classes: []Class{{LatencyObjective: 100 * ms, Deadline: second, Kind: -1}}, Dispatchers: 1}
 	r := newRig(t, cfg)
 	r.step(Event{Kind: EventRequest, Request: Request{ID: 1, Tenant: -1, Deadline: r.now + second}})
 	r.want(ActionSend, 0)
-	r.after(10*ms, Event{Kind: EventList, List: ListFull, Workers: fleet(1)})
+	r.after(10*ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: fleet(1)})
 	r.want(ActionSend, 1)
 }
 
@@ -680,12 +680,12 @@
 				copies++
 			}
 		}
-		for _, w := range r.d.list {
+		for _, w := range r.d.workerOrder {
 			w.overdue = 0
-			r.d.revisit(w)
+			r.d.markPending(w)
 		}
 	}
-	if first < 100 || float64(copies) > maxCopies+copyShare*float64(first+copies)+1 {
+	if first < 100 || float64(copies) > maxHedgeBudget+hedgeFraction*float64(first+copies)+1 {
 		t.Errorf("%d copies of %d jobs", copies, first)
 	}
 }
@@ -697,19 +697,19 @@
 	r := newRig(t, cfg)
 	set := func(offered ...float64) {
 		for i, o := range offered {
-			r.d.tenants[i].offered = o
+			r.d.tenants[i].offeredRate = o
 		}
 	}
 	set(20, 5, 5, 5, 5)
-	if p := r.d.part(); p != 0.1 {
+	if p := r.d.measuredFraction(); p != 0.1 {
 		t.Errorf("part %v of a quiet dispatcher, want an even 0.1", p)
 	}
 	set(180, 20, 20, 20, 20) // twice an even part of the traffic; big sends three times its share
-	if p := r.d.part(); p != 0.2 {
+	if p := r.d.measuredFraction(); p != 0.2 {
 		t.Errorf("part %v of a busy dispatcher, want 0.2", p)
 	}
 	set(180, 20, 20, 20, 120) // one more tenant bursts: it must not count as traffic of all
-	if p := r.d.part(); p != 0.2 {
+	if p := r.d.measuredFraction(); p != 0.2 {
 		t.Errorf("part %v while a tenant bursts, want 0.2", p)
 	}
 }
@@ -720,24 +720,24 @@
 	r := newRig(t, testConfig(), fleet(4)...)
 	ws := fleet(4)
 	ws[0].State = Draining
-	r.after(ms, Event{Kind: EventList, List: ListChanges, Workers: ws[:1]})
-	ws[0].State = Gone
-	r.after(ms, Event{Kind: EventList, List: ListChanges, Workers: ws[:1]})
-	if s := r.d.standing(); s != 1 {
+	r.after(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: ws[:1]})
+	ws[0].State = Removed
+	r.after(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: ws[:1]})
+	if s := r.d.remainingCapacity(); s != 1 {
 		t.Errorf("%v stand after a drain, want all", s)
 	}
-	ws[1].State = Gone
-	r.after(ms, Event{Kind: EventList, List: ListChanges, Workers: ws[1:2]})
-	if s := r.d.standing(); math.Abs(s-2.0/3) > 1e-9 {
+	ws[1].State = Removed
+	r.after(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: ws[1:2]})
+	if s := r.d.remainingCapacity(); math.Abs(s-2.0/3) > 1e-9 {
 		t.Errorf("%v stand after a loss, want 2/3", s)
 	}
-	ws[1].State, ws[1].Started = Live, r.now
-	r.after(ms, Event{Kind: EventList, List: ListChanges, Workers: ws[1:2]})
-	if s := r.d.standing(); s < 0.7 || s > 0.75 {
+	ws[1].State, ws[1].StartedAt = Live, r.now
+	r.after(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: ws[1:2]})
+	if s := r.d.remainingCapacity(); s < 0.7 || s > 0.75 {
 		t.Errorf("%v stand with the third back at a fifth, want 2.2/3", s)
 	}
 	r.after(21*second, Event{Kind: EventTimer, Token: 1})
-	if s := r.d.standing(); s != 1 {
+	if s := r.d.remainingCapacity(); s != 1 {
 		t.Errorf("%v stand when it is warm, want all", s)
 	}
 }
@@ -745,27 +745,27 @@
 // Incident if1a1e4: the warm rate fell with the service, and starved the young.
 func TestWarmRateHoldsItsPeak(t *testing.T) {
 	r := newRig(t, testConfig(), fleet(2)...)
-	r.d.served = 200
-	r.d.regulate()
-	peak := r.d.warmRate
+	r.d.servedSlots = 200
+	r.d.runControlLoops()
+	peak := r.d.peakWorkerRate
 	for range 5 {
-		r.d.regulate()
+		r.d.runControlLoops()
 	}
-	if peak == 0 || r.d.warmRate < peak*0.9 {
-		t.Errorf("warm rate %v five idle seconds after %v", r.d.warmRate, peak)
+	if peak == 0 || r.d.peakWorkerRate < peak*0.9 {
+		t.Errorf("warm rate %v five idle seconds after %v", r.d.peakWorkerRate, peak)
 	}
 }
 
 // At two jobs a second nothing is known of a large fleet: the job waits for a probe.
 func TestQuietDispatcherScouts(t *testing.T) {
 	cfg := testConfig()
-	cfg.MayProbe, cfg.Dispatchers = true, 2
+	cfg.MayHealthCheck, cfg.Dispatchers = true, 2
 	r := newRig(t, cfg, fleet(20)...)
-	r.d.usual.avg = 0.5
+	r.d.fleetPressure.avg = 0.5
 	r.step(r.request(1, 0))
 	r.want(ActionSend, 0)
-	probes := r.want(ActionProbe, 2)
-	e := Event{Kind: EventProbed, Worker: probes[1].Worker, Code: Served, HasLoad: true}
+	probes := r.want(ActionHealthCheck, 2)
+	e := Event{Kind: EventHealthChecked, Worker: probes[1].Worker, Code: Served, HasLoad: true}
 	e.Load[0] = 6
 	r.after(2*ms, e)
 	if a := r.want(ActionSend, 1)[0]; a.Worker != probes[1].Worker {
@@ -775,7 +775,7 @@
 	r.step(r.request(2, 0))
 	r.want(ActionSend, 0)
 	for range 4 { // no probe answers: the wait is short all the same
-		if r.after(r.d.tick, Event{Kind: EventTimer, Token: 1}); len(r.only(ActionSend)) == 1 {
+		if r.after(r.d.tickInterval, Event{Kind: EventTimer, Token: 1}); len(r.only(ActionSend)) == 1 {
 			return
 		}
 	}
@@ -786,9 +786,9 @@
 func TestClassesOfATenantAreServedEvenly(t *testing.T) {
 	r := newRig(t, testConfig())
 	tn := &r.d.tenants[0]
-	tn.offered, tn.rate = 50, 5
-	tn.classes[0] = flow{came: 100, sent: 60}
-	tn.classes[1] = flow{came: 100, sent: 20}
+	tn.offeredRate, tn.rate = 50, 5
+	tn.flows[0] = flow{arrivals: 100, sends: 60}
+	tn.flows[1] = flow{arrivals: 100, sends: 20}
 	jobs := []*job{{class: &r.d.classes[0]}, {class: &r.d.classes[1], req: Request{Class: 1}}}
 	if tn.urgency(r.d, jobs[1]) <= tn.urgency(r.d, jobs[0]) {
 		t.Error("the class that got less is not the more urgent")
@@ -798,10 +798,10 @@
 // Old reports were believed for ever, and workers once seen busy stayed unused.
 func TestReportsFade(t *testing.T) {
 	r := newRig(t, testConfig(), fleet(1)...)
-	w := r.d.list[0]
-	e := Event{Kind: EventProbed, Worker: "w0", Code: Served, HasLoad: true}
+	w := r.d.workerOrder[0]
+	e := Event{Kind: EventHealthChecked, Worker: "w0", Code: Served, HasLoad: true}
 	r.step(e) // no free slots
-	r.d.usual.avg = 0.3
+	r.d.fleetPressure.avg = 0.3
 	fresh := r.d.pressure(w, 1)
 	r.now += 20 * second
 	r.step()
@@ -819,7 +819,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Step(second, []Event{{Kind: EventList, List: ListFull, Workers: fleet(60)}})
+		d.Step(second, []Event{{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: fleet(60)}})
 		as := d.Step(second, []Event{{Kind: EventRequest, Request: Request{ID: 1, Deadline: 3 * second, Key: 99}}})
 		for _, a := range as {
 			if a.Kind == ActionSend {
@@ -835,32 +835,32 @@
 // A worker with a start overdue is in none of the room lists.
 func TestOverdueWorkerHasNoRoom(t *testing.T) {
 	r := newRig(t, testConfig(), fleet(1)...)
-	w := r.d.list[0]
+	w := r.d.workerOrder[0]
 	w.overdue = 1
-	if r.d.place(w); w.level >= 0 {
+	if r.d.updateLevel(w); w.level >= 0 {
 		t.Error("a worker with an overdue job may get more")
 	}
 	w.overdue = 0
-	if r.d.place(w); w.level < 0 {
+	if r.d.updateLevel(w); w.level < 0 {
 		t.Error("a worker heard of again gets nothing")
 	}
 }
 
 func TestErringWorkerIsShutAtOnceWhenOnTrial(t *testing.T) {
 	r := newRig(t, testConfig(), fleet(1)...)
-	w := r.d.list[0]
+	w := r.d.workerOrder[0]
 	w.trial = true
 	r.step(r.request(1, 0))
 	r.want(ActionSend, 1)
-	r.after(ms, outcome(1, 0, "w0", Erred))
+	r.after(ms, outcome(1, 0, "w0", WorkerError))
 	if w.ejectedUntil <= r.now {
 		t.Error("not shut")
 	}
 	w.ejectedUntil, w.trial = 0, false
 	for i := range 8 {
-		w.failing = 0.1 * float64(i)
+		w.failureRate = 0.1 * float64(i)
 		a := &attempt{job: &job{class: &r.d.classes[0]}, worker: w, slots: 1}
-		r.d.release(a, &Event{Code: Erred})
+		r.d.recordOutcome(a, &Event{Code: WorkerError})
 	}
 	if w.ejectedUntil <= r.now {
 		t.Error("a run of errors does not shut it")
@@ -871,36 +871,36 @@
 func TestRefusingWorkerIsLeftAlone(t *testing.T) {
 	r := newRig(t, testConfig(), fleet(1)...)
 	r.step(r.request(1, 1))
-	r.after(ms, outcome(1, 0, "w0", Full))
-	first := r.d.list[0].ejectedUntil - r.now
+	r.after(ms, outcome(1, 0, "w0", Saturated))
+	first := r.d.workerOrder[0].ejectedUntil - r.now
 	r.step(r.request(2, 1))
 	r.want(ActionSend, 0)
 	for range 3 {
-		a := &attempt{job: &job{class: &r.d.classes[1]}, worker: r.d.list[0], slots: 1}
-		r.d.release(a, &Event{Code: Full})
+		a := &attempt{job: &job{class: &r.d.classes[1]}, worker: r.d.workerOrder[0], slots: 1}
+		r.d.recordOutcome(a, &Event{Code: Saturated})
 	}
-	if again := r.d.list[0].ejectedUntil - r.now; first <= 0 || again <= first {
+	if again := r.d.workerOrder[0].ejectedUntil - r.now; first <= 0 || again <= first {
 		t.Errorf("left alone for %d, after more refusals for %d", first, again)
 	}
 }
 
-// Refused jobs are no measure of capacity (incident if801ee), nor are those of the young.
+// Shed jobs are no measure of capacity (incident if801ee), nor are those of the young.
 func TestServedCountsOnlyWarmSuccess(t *testing.T) {
 	r := newRig(t, testConfig(), fleet(2)...)
-	w := r.d.list[0]
+	w := r.d.workerOrder[0]
 	end := func(c Code) {
-		r.d.release(&attempt{job: &job{class: &r.d.classes[0], wanted: 1}, worker: w, slots: 1}, &Event{Code: c, Took: second})
+		r.d.recordOutcome(&attempt{job: &job{class: &r.d.classes[0], objective: 1}, worker: w, slots: 1}, &Event{Code: c, Took: second})
 	}
-	end(Full)
-	if r.d.served != 0 {
+	end(Saturated)
+	if r.d.servedSlots != 0 {
 		t.Error("a refusal counts as served")
 	}
 	end(Served)
-	if r.d.served != 1 {
+	if r.d.servedSlots != 1 {
 		t.Error("a served job does not count")
 	}
-	w.up = r.now
-	if end(Served); r.d.served != 1 {
+	w.startedAt = r.now
+	if end(Served); r.d.servedSlots != 1 {
 		t.Error("a cold worker's job counts")
 	}
 }
@@ -908,12 +908,12 @@
 func TestDrainedWorkerIsNotLost(t *testing.T) {
 	r := newRig(t, testConfig(), fleet(2)...)
 	ws := fleet(2)
-	for _, s := range []WorkerState{Gone, Draining, Gone} { // lost, back only to drain, gone
+	for _, s := range []WorkerState{Removed, Draining, Removed} { // lost, back only to drain, gone
 		ws[0].State = s
-		r.after(ms, Event{Kind: EventList, List: ListChanges, Workers: ws[:1]})
-		r.d.standing()
+		r.after(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: ws[:1]})
+		r.d.remainingCapacity()
 	}
-	if s := r.d.standing(); s != 1 {
+	if s := r.d.remainingCapacity(); s != 1 {
 		t.Errorf("%v stand, want all", s)
 	}
 }
@@ -926,14 +926,14 @@
 	r.after(10*ms, r.request(2, 1))
 	tn := r.d.tenantOf(0)
 	j := r.d.jobs[1]
-	long := r.d.holdLimit(j)
-	tn.offered, tn.rate = 50, 5
-	if short := r.d.holdLimit(j); short >= long || short != 50*ms {
+	long := r.d.maxQueueTime(j)
+	tn.offeredRate, tn.rate = 50, 5
+	if short := r.d.maxQueueTime(j); short >= long || short != 50*ms {
 		t.Errorf("held for %d when over the share, %d when not", short, long)
 	}
-	r.d.onList(&Event{List: ListFull, Workers: fleet(1)})
-	r.d.round++
-	if r.d.sendFrom(tn); r.d.jobs[1].out != 0 || r.d.jobs[2].out != 1 {
+	r.d.onEndpoints(&Event{EndpointUpdate: EndpointsComplete, Workers: fleet(1)})
+	r.d.dispatchRound++
+	if r.d.sendFrom(tn); r.d.jobs[1].inFlight != 0 || r.d.jobs[2].inFlight != 1 {
 		t.Error("the older job went first")
 	}
 }
@@ -947,8 +947,8 @@
 	for i := range 4 {
 		c.sample(1.5)
 		c.sample(1.5)
-		r.d.regulate()
-		if ran := c.w1 != 0; ran != (i >= 2) {
+		r.d.runControlLoops()
+		if ran := c.previousOutput != 0; ran != (i >= 2) {
 			t.Fatalf("after %d jobs the loop ran: %v", 2*i+2, ran)
 		}
 		if i == 2 {
@@ -963,12 +963,12 @@
 	cfg := testConfig()
 	cfg.Dispatchers = 10
 	r := newRig(t, cfg)
-	r.d.period = 100
-	r.d.share = 0.1
+	r.d.controlPeriods = 100
+	r.d.trafficFraction = 0.1
 	for i := range cfg.Tenants {
-		r.d.tenants[i].offered, r.d.tenants[i].arrived = 30, 30
+		r.d.tenants[i].offeredRate, r.d.tenants[i].arrivals = 30, 30
 	}
-	r.d.refillRates()
+	r.d.updateRates()
 	if rate := r.d.tenants[0].rate; rate > 100*0.12 {
 		t.Errorf("rate %v in the first second of a burst, want about 10", rate)
 	}
@@ -976,21 +976,21 @@
 
 func TestScoutsRestInAFullFleet(t *testing.T) {
 	cfg := testConfig()
-	cfg.MayProbe = true
+	cfg.MayHealthCheck = true
 	r := newRig(t, cfg, fleet(20)...)
-	r.d.usual.avg = 0.95
+	r.d.fleetPressure.avg = 0.95
 	r.step(r.request(1, 0))
-	r.want(ActionProbe, 0)
+	r.want(ActionHealthCheck, 0)
 	r.want(ActionSend, 1)
 }
 
 func TestOpenLoopNeedsNoTokens(t *testing.T) {
 	r := newRig(t, testConfig(), fleet(5)...)
 	r.d.tenants[0].tokens, r.d.tenants[0].rate, r.d.burstTokens = 0, 0, 0
-	r.d.open = true
+	r.d.unthrottled = true
 	r.step(r.request(1, 0))
 	r.want(ActionSend, 1)
-	r.d.tenants[0].tokens, r.d.burstTokens, r.d.burstRate, r.d.open = 0, 0, 0, false
+	r.d.tenants[0].tokens, r.d.burstTokens, r.d.burstRate, r.d.unthrottled = 0, 0, 0, false
 	r.step(r.request(2, 0))
 	r.want(ActionSend, 0)
 }
@@ -999,9 +999,9 @@
 func TestCovarianceStaysBounded(t *testing.T) {
 	m := newModel()
 	for range 500 {
-		m = m.update([3]float64{0.4, 1, 1}, 0.4, forgetting, covMax)
+		m = m.update([3]float64{0.4, 1, 1}, 0.4, forgettingFactor, covMax)
 	}
-	trace := m.cov[0][0] + m.cov[1][1] + m.cov[2][2]
+	trace := m.covariance[0][0] + m.covariance[1][1] + m.covariance[2][2]
 	if trace > covMax*1.2 || math.IsNaN(trace) {
 		t.Errorf("trace %v after 500 seconds alike", trace)
 	}
@@ -1010,17 +1010,17 @@
 // maySend alone keeps the rules, whatever asks it.
 func TestMaySendAlone(t *testing.T) {
 	r := newRig(t, testConfig(), fleet(2)...)
-	w := r.d.list[0]
+	w := r.d.workerOrder[0]
 	j := &job{class: &r.d.classes[1], req: Request{Deadline: r.now + second}}
 	if !r.d.maySend(j, w) {
 		t.Fatal("a new job may not be sent")
 	}
-	j.mayRan = &attempt{worker: w, sent: r.now, done: true, mayRun: true}
+	j.mayHaveRun = &attempt{worker: w, sentAt: r.now, done: true, mayHaveRun: true}
 	if r.d.maySend(j, w) {
 		t.Error("an unsafe job that may have run may be sent")
 	}
-	j.mayRan = nil
-	for _, s := range []WorkerState{Draining, Gone} {
+	j.mayHaveRun = nil
+	for _, s := range []WorkerState{Draining, Removed} {
 		if w.state = s; r.d.maySend(j, w) {
 			t.Errorf("a job may be sent to a worker in state %d", s)
 		}
@@ -1041,12 +1041,12 @@
 // The rates of tenants shrink with a fleet that lost workers.
 func TestRatesFollowTheStandingFleet(t *testing.T) {
 	r := newRig(t, testConfig(), fleet(4)...)
-	r.d.refillRates()
+	r.d.updateRates()
 	whole := r.d.tenants[0].rate
 	ws := fleet(4)[:2]
-	ws[0].State, ws[1].State = Gone, Gone
-	r.after(ms, Event{Kind: EventList, List: ListChanges, Workers: ws})
-	r.d.refillRates()
+	ws[0].State, ws[1].State = Removed, Removed
+	r.after(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: ws})
+	r.d.updateRates()
 	if half := r.d.tenants[0].rate; math.Abs(half-whole/2) > 1e-9 {
 		t.Errorf("rate %v with half the fleet lost, %v before", half, whole)
 	}
@@ -1067,12 +1067,12 @@
 		r.step(r.request(id, 0))
 	}
 	r.step(next(100, 1000*ms))
-	if a := r.want(ActionRefuse, 1)[0]; a.ID != 100 || a.RetryAfter != 0 {
+	if a := r.want(ActionShed, 1)[0]; a.ID != 100 || a.RetryAfter != 0 {
 		t.Errorf("%+v", a) // these settings allow no advice
 	}
 	r.step(next(101, 1980*ms))
-	r.want(ActionRefuse, 0) // it may still be in time
-	hold := r.d.holdLimit(r.d.jobs[101])
+	r.want(ActionShed, 0) // it may still be in time
+	hold := r.d.maxQueueTime(r.d.jobs[101])
 	for r.after(20 * ms); r.d.jobs[101] != nil; r.after(10 * ms) {
 		if r.now-5*second > hold+40*ms {
 			t.Fatal("held past its time")
@@ -1099,8 +1099,8 @@
 	cfg := testConfig()
 	cfg.Prices.CrossZone = 0.1
 	r := newRig(t, cfg, fleet(2)...) // w0 in this zone
-	for _, w := range r.d.list {
-		w.cap = 9
+	for _, w := range r.d.workerOrder {
+		w.concurrencyLimit = 9
 	}
 	got := map[string]int{}
 	for id := uint64(1); id <= 6; id++ {
@@ -1134,13 +1134,13 @@
 	}
 	w := r.d.workers[home]
 	for key := uint64(20); key < 20+keptKeys; key++ {
-		w.keep(key)
+		w.recordKey(key)
 	}
-	if w.holds(7) || !w.holds(20) || len(w.keys) != keptKeys {
-		t.Errorf("keys kept: %v", w.keys)
+	if w.likelyCaches(7) || !w.likelyCaches(20) || len(w.cachedKeys) != keptKeys {
+		t.Errorf("keys kept: %v", w.cachedKeys)
 	}
-	r.d.restarted(w, 1)
-	if w.holds(20) {
+	r.d.resetWorker(w, 1)
+	if w.likelyCaches(20) {
 		t.Error("a new process holds what the former one had")
 	}
 }
@@ -1158,20 +1158,20 @@
 		cfg := testConfig()
 		cfg.Dispatchers = c.dispatchers
 		r := newRig(t, cfg)
-		r.d.classes[0].Stretch, r.d.classes[0].median, r.d.classes[0].quick = 3, 80*ms, 80*ms
+		r.d.classes[0].ObjectiveStretch, r.d.classes[0].median, r.d.classes[0].lowerQuartile = 3, 80*ms, 80*ms
 		r.step(r.request(1, 0), r.request(2, 0), r.request(3, 0))
 		tn := r.d.tenantOf(0)
-		if got, want := r.d.holdLimit(r.d.jobs[1]), 100*ms+(3-c.runs)*80*ms; got != want {
+		if got, want := r.d.maxQueueTime(r.d.jobs[1]), 100*ms+(3-c.runs)*80*ms; got != want {
 			t.Errorf("%d dispatchers: held for %d, want %d", c.dispatchers, got, want)
 		}
-		if j := next(tn.queues[0], r.d.newestFirst(tn, tn.queues[0]), r.d.round+1); j.id != c.first {
+		if j := nextInQueue(tn.queues[0], r.d.newestFirst(tn, tn.queues[0]), r.d.dispatchRound+1); j.id != c.first {
 			t.Errorf("%d dispatchers: job %d goes first, want %d", c.dispatchers, j.id, c.first)
 		}
-		if j := next(tn.queues[0][:2], r.d.newestFirst(tn, tn.queues[0][:2]), r.d.round+1); j.id != 1 {
+		if j := nextInQueue(tn.queues[0][:2], r.d.newestFirst(tn, tn.queues[0][:2]), r.d.dispatchRound+1); j.id != 1 {
 			t.Errorf("%d dispatchers: of two held job %d goes first", c.dispatchers, j.id)
 		}
-		tn.offered, tn.rate = 500, 5
-		if got := r.d.holdLimit(r.d.jobs[1]); got != c.over {
+		tn.offeredRate, tn.rate = 500, 5
+		if got := r.d.maxQueueTime(r.d.jobs[1]); got != c.over {
 			t.Errorf("%d dispatchers: held for %d when over the share, want %d", c.dispatchers, got, c.over)
 		}
 	}
--- a/example_test.go
+++ b/example_test.go
@@ -11,7 +11,7 @@
 func Example() {
 	const ms = int64(1e6)
 	gate, err := foxlift.New(foxlift.Config{
-		Classes:     []foxlift.Class{{Name: "read", Aim: 100 * ms, Stretch: 2, Deadline: 2000 * ms, Kind: -1}},
+		Classes:     []foxlift.Class{{Name: "read", LatencyObjective: 100 * ms, ObjectiveStretch: 2, Deadline: 2000 * ms, Kind: -1}},
 		Tenants:     []foxlift.Tenant{{Name: "shop", Quota: 100}},
 		Dispatchers: 1,
 		StartNotes:  true,
@@ -25,7 +25,7 @@
 		event foxlift.Event
 	}
 	queue := []due{
-		{0, foxlift.Event{Kind: foxlift.EventList, List: foxlift.ListFull,
+		{0, foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsComplete,
 			Workers: []foxlift.Worker{{ID: "w1", Kind: -1}}}},
 		{1 * ms, foxlift.Event{Kind: foxlift.EventRequest,
 			Request: foxlift.Request{ID: 7, Deadline: 2000 * ms}}},
@@ -54,7 +54,7 @@
 				end := foxlift.Event{Kind: foxlift.EventOutcome, ID: a.ID, Worker: a.Worker,
 					Code: foxlift.Served, Took: 30 * ms, Ended: true}
 				queue = append(queue, due{now + ms, start}, due{now + 30*ms, end})
-			case foxlift.ActionRefuse, foxlift.ActionFail:
+			case foxlift.ActionShed, foxlift.ActionFail:
 				fmt.Printf("%d ms: no answer for %d\n", now/ms, a.ID)
 			}
 		}
--- a/export_test.go
+++ b/export_test.go
@@ -13,7 +13,7 @@
 // PlayRandomHost plays the random host for some steps, and tells of each.
 func PlayRandomHost(t *testing.T, seed uint64, cfg Config, steps int, each func(int64, []Event, []Action)) {
 	host := newFuzz(t, seed, cfg)
-	each(host.now, []Event{{Kind: EventList, List: ListSaved, Workers: slices.Clone(host.workers)}}, host.log)
+	each(host.now, []Event{{Kind: EventEndpoints, EndpointUpdate: EndpointsCached, Workers: slices.Clone(host.workers)}}, host.log)
 	step := func(events []Event) {
 		before := len(host.log)
 		host.step(events)
--- a/fair_share.go
+++ b/fair_share.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	rateGain = 0.3  // weight of the newest second in rates that are followed
-	peakKept = 0.98 // of a held peak, each second; less for many: their peaks add up to more than that of all
-	partGain = 0.05 // weight of the newest second in this dispatcher's part of the traffic
+	rateGain     = 0.3  // weight of the newest second in rates that are followed
+	peakDecay    = 0.98 // of a peak, each second; less for many: their peaks add up to more than that of all
+	fractionGain = 0.05 // weight of the newest second in this dispatcher's part of the traffic
 )
 
 // split divides u among n tenants: whole bands first, then a part of the next by
@@ -34,26 +34,27 @@
 	return rates, u
 }
 
-// refillRates sets the tenants' rates from u and this dispatcher's part of the
+// updateRates sets the tenants' rates from u and this dispatcher's part of the
 // traffic. While the loop is open the bands are full.
-func (d *Dispatcher) refillRates() {
-	u := d.u
-	if d.open {
+func (d *Dispatcher) updateRates() {
+	u := d.admissionRate
+	if d.unthrottled {
 		u = math.MaxFloat64
 	}
 	for i := range d.tenants {
 		t := &d.tenants[i]
-		t.offered += (float64(t.arrived) - t.offered) * rateGain
-		t.arrived = 0
-		t.overQuotaSends *= 1 - rateGain
-		for k := range t.classes {
-			t.classes[k].came *= 1 - rateGain/3
-			t.classes[k].sent *= 1 - rateGain/3
+		t.offeredRate += (float64(t.arrivals) - t.offeredRate) * rateGain
+		t.arrivals = 0
+		t.excessSends *= 1 - rateGain
+		for k := range t.flows {
+			t.flows[k].arrivals *= 1 - rateGain/3
+			t.flows[k].sends *= 1 - rateGain/3
 		}
 	}
 	// Slowly: a part lasts, while a burst of all tenants looks like one and passes.
-	d.share += (d.part() - d.share) * max(partGain, 1/float64(d.period+1))
-	part, standing := max(d.share, 1/float64(d.cfg.Dispatchers)), d.standing()
+	gain := max(fractionGain, 1/float64(d.controlPeriods+1))
+	d.trafficFraction += (d.measuredFraction() - d.trafficFraction) * gain
+	part, standing := max(d.trafficFraction, 1/float64(d.cfg.Dispatchers)), d.remainingCapacity()
 	rates, past := split(u, d.bands, len(d.tenants))
 	for i := range d.tenants {
 		t := &d.tenants[i]
@@ -71,9 +72,9 @@
 // without a drain, or back and still cold. Tenants' rates are shares of what the
 // whole fleet can do, and would admit more than the rest can bear. Workers that
 // drain are taken out on purpose, as traffic falls, and count for nothing.
-func (d *Dispatcher) standing() float64 {
-	young, able := d.youngLive()
-	warm := len(d.live) - young
+func (d *Dispatcher) remainingCapacity() float64 {
+	young, able := d.slowStartTotals()
+	warm := len(d.liveWorkers) - young
 	whole := warm + d.countLost()
 	if whole == 0 {
 		return 1 // nothing is known yet
@@ -85,14 +86,14 @@
 // or more where more of the traffic comes here (an uneven front, a heavy client,
 // dead peers). Then the tenant in the middle, by quota, is taken to be within its
 // share; what tenants send against that one tells which of them are over theirs.
-func (d *Dispatcher) part() float64 {
+func (d *Dispatcher) measuredFraction() float64 {
 	even := 1 / float64(d.cfg.Dispatchers)
 	full, _ := split(math.MaxFloat64, d.bands, len(d.tenants))
 	var ratios [][2]float64 // what is offered here over the full rate, and that rate
 	sum := 0.0
 	for i, f := range full {
 		if f > 0 {
-			ratios = append(ratios, [2]float64{d.tenants[i].offered / f, f})
+			ratios = append(ratios, [2]float64{d.tenants[i].offeredRate / f, f})
 			sum += f
 		}
 	}
@@ -108,13 +109,13 @@
 func (t *tenant) burst() float64 { return max(2, t.rate) }
 
 // over reports whether the tenant sends more here than its bands give it.
-func (t *tenant) over() bool { return t.offered > t.rate+t.margin }
+func (t *tenant) exceedsQuota() bool { return t.offeredRate > t.rate+t.margin }
 
 // refill adds the tokens of the time gone by. What a tenant does not use passes
 // to those that wait.
-func (d *Dispatcher) refill() {
-	dt := float64(d.now-d.refilled) / float64(second)
-	d.refilled = d.now
+func (d *Dispatcher) refillTokens() {
+	dt := float64(d.now-d.refilledAt) / float64(second)
+	d.refilledAt = d.now
 	for i := range d.tenants {
 		t := &d.tenants[i]
 		t.tokens += t.rate * dt
@@ -124,5 +125,5 @@
 		}
 	}
 	d.burstTokens += d.burstRate * dt
-	d.burstTokens = min(d.burstTokens, max(1, d.offered/4))
+	d.burstTokens = min(d.burstTokens, max(1, d.offeredRate/4))
 }
--- a/fleet_index.go
+++ b/fleet_index.go
@@ -13,54 +13,54 @@
 
 // A fleetIndex holds the workers by what is asked of them. Each slice holds a worker once.
 type fleetIndex struct {
-	numbered int64       // workers ever heard of
-	pending  []*worker   // to be placed anew at the next tick or list event
-	unsorted bool        // pending is not in the order of the list
-	turned   []*worker   // those that became live, or are so no more, by the list event in hand
-	gone     []*worker   // with some that have come back since the last look
-	lost     []*worker   // the same
-	caps     capSum      // of the live workers whose caps were learned
-	homes    []homeIndex // of all kinds, then of each
-	looked   int         // workers that any step but one of a whole list has looked at, for tests of its cost
+	workersSeen        int64           // workers ever heard of
+	pending            []*worker       // to be placed anew at the next tick or list event
+	unsorted           bool            // pending is not in the order of the list
+	livenessChanged    []*worker       // those that became live, or are so no more, by the list event in hand
+	removed            []*worker       // with some that have come back since the last look
+	lost               []*worker       // the same
+	learnedLimits      limitSum        // of the live workers whose caps were learned
+	affinityIndexes    []affinityIndex // of all kinds, then of each
+	candidatesExamined int             // workers that any step but one of a whole list has looked at, for tests of its cost
 }
 
-// fewTurned is the most workers that are put into the live ones one by one.
-const fewTurned = 64
+// maxIncremental is the most workers that are put into the live ones one by one.
+const maxIncremental = 64
 
-// A capSum is an exact sum of caps, so that it depends on no order and never drifts: a cap is
-// counted in parts of capUnit, to which every cap that was learned from whole slots is exact.
-type capSum struct {
+// A limitSum is an exact sum of caps, so that it depends on no order and never drifts: a cap is
+// counted in parts of limitUnit, to which every cap that was learned from whole slots is exact.
+type limitSum struct {
 	parts int64
 	count int
 }
 
 const (
-	capUnit = 1 << 30 // parts of a slot
-	capMost = 1 << 14 // slots that a cap counts for at most: half a million such workers fit the sum
+	limitUnit       = 1 << 30 // parts of a slot
+	maxCountedLimit = 1 << 14 // slots that a cap counts for at most: half a million such workers fit the sum
 )
 
 // add takes a cap into the sum (1) or out of it (-1).
-func (s *capSum) add(parts int64, by int) {
+func (s *limitSum) add(parts int64, by int) {
 	s.parts += int64(by) * parts
 	s.count += by
 }
 
 // mean returns the mean of the caps, or other if there are none.
-func (s *capSum) mean(other float64) float64 {
+func (s *limitSum) mean(other float64) float64 {
 	if s.count == 0 {
 		return other
 	}
-	return float64(s.parts) / float64(s.count) / capUnit
+	return float64(s.parts) / float64(s.count) / limitUnit
 }
 
-// newWorker takes a worker that is heard of for the first time into the list.
-func (d *Dispatcher) newWorker(id string) *worker {
+// addWorker takes a worker that is heard of for the first time into the list.
+func (d *Dispatcher) addWorker(id string) *worker {
 	h := fnv.New64a()
 	h.Write([]byte(id))
-	d.numbered++
-	w := &worker{id: id, number: d.numbered, state: Gone, level: -1, hash: h.Sum64() * 0xff51afd7ed558ccd, up: -1}
+	d.workersSeen++
+	w := &worker{id: id, number: d.workersSeen, state: Removed, level: -1, hash: h.Sum64() * 0xff51afd7ed558ccd, startedAt: -1}
 	d.workers[id] = w
-	d.list = append(d.list, w)
+	d.workerOrder = append(d.workerOrder, w)
 	return w
 }
 
@@ -68,7 +68,7 @@
 func byNumber(a, b *worker) int { return cmp.Compare(a.number, b.number) }
 
 // revisit has a worker placed anew at the next tick or list event.
-func (d *Dispatcher) revisit(w *worker) {
+func (d *Dispatcher) markPending(w *worker) {
 	if w.pending {
 		return
 	}
@@ -80,8 +80,8 @@
 }
 
 // timed reports whether time alone may move a worker.
-func (d *Dispatcher) timed(w *worker) bool {
-	return w.state == Live && (d.now < w.ejectedUntil || d.young(w))
+func (d *Dispatcher) timeDependent(w *worker) bool {
+	return w.state == Live && (d.now < w.ejectedUntil || d.inSlowStart(w))
 }
 
 // sortPending puts the pending workers into the order of the list.
@@ -92,15 +92,15 @@
 	}
 }
 
-// placePending places the workers that are pending, in the order of the list. Those that time alone
+// updatePending places the workers that are pending, in the order of the list. Those that time alone
 // may move stay pending.
-func (d *Dispatcher) placePending() {
+func (d *Dispatcher) updatePending() {
 	d.sortPending()
-	d.looked += len(d.pending)
+	d.candidatesExamined += len(d.pending)
 	kept := d.pending[:0]
 	for _, w := range d.pending {
-		d.place(w)
-		if w.pending = d.timed(w); w.pending {
+		d.updateLevel(w)
+		if w.pending = d.timeDependent(w); w.pending {
 			kept = append(kept, w)
 		}
 	}
@@ -108,29 +108,29 @@
 	d.pending = kept
 }
 
-// recountCap brings the sum of caps up to date with a worker.
-func (d *Dispatcher) recountCap(w *worker) {
-	if w.counted {
-		d.caps.add(w.countedCap, -1)
+// recountLimit brings the sum of caps up to date with a worker.
+func (d *Dispatcher) recountLimit(w *worker) {
+	if w.limitCounted {
+		d.learnedLimits.add(w.countedLimit, -1)
 	}
-	if w.counted = w.capped && w.state == Live; w.counted {
-		w.countedCap = int64(min(w.cap, capMost) * capUnit)
-		d.caps.add(w.countedCap, 1)
+	if w.limitCounted = w.limitLearned && w.state == Live; w.limitCounted {
+		w.countedLimit = int64(min(w.concurrencyLimit, maxCountedLimit) * limitUnit)
+		d.learnedLimits.add(w.countedLimit, 1)
 	}
 }
 
-// noteWorker brings the index up to date with what a list event says of a worker.
-func (d *Dispatcher) noteWorker(w *worker) {
-	d.revisit(w)
-	d.recountCap(w)
-	d.noteHome(w)
+// indexWorker brings the index up to date with what a list event says of a worker.
+func (d *Dispatcher) indexWorker(w *worker) {
+	d.markPending(w)
+	d.recountLimit(w)
+	d.indexAffinity(w)
 	if (w.state == Live) != w.live {
 		w.live = !w.live
-		d.turned = append(d.turned, w)
+		d.livenessChanged = append(d.livenessChanged, w)
 	}
-	if w.state == Gone && !w.inGone {
-		w.inGone = true
-		d.gone = append(d.gone, w)
+	if w.state == Removed && !w.inRemoved {
+		w.inRemoved = true
+		d.removed = append(d.removed, w)
 	}
 	if w.lost && !w.inLost {
 		w.inLost = true
@@ -138,74 +138,74 @@
 	}
 }
 
-// dropUnlisted lets the workers that a whole list does not name be gone.
-func (d *Dispatcher) dropUnlisted() {
-	for _, w := range d.list {
-		if w.listed != d.lists && w.state != Gone {
-			w.setState(Gone, d.now)
-			d.noteWorker(w)
+// removeUnlisted lets the workers that a whole list does not name be gone.
+func (d *Dispatcher) removeUnlisted() {
+	for _, w := range d.workerOrder {
+		if w.lastSeenEvent != d.endpointEvents && w.state != Removed {
+			w.setState(Removed, d.now)
+			d.indexWorker(w)
 		}
 	}
 }
 
-// collectLive brings the live workers up to date at the end of a list event.
-func (d *Dispatcher) collectLive() {
-	if len(d.turned) > fewTurned {
-		d.live = d.live[:0]
-		for _, w := range d.list {
+// updateLive brings the live workers up to date at the end of a list event.
+func (d *Dispatcher) updateLive() {
+	if len(d.livenessChanged) > maxIncremental {
+		d.liveWorkers = d.liveWorkers[:0]
+		for _, w := range d.workerOrder {
 			if w.live {
-				d.live = append(d.live, w)
+				d.liveWorkers = append(d.liveWorkers, w)
 			}
 		}
 	} else {
-		for _, w := range d.turned {
-			switch i, there := slices.BinarySearchFunc(d.live, w, byNumber); {
+		for _, w := range d.livenessChanged {
+			switch i, there := slices.BinarySearchFunc(d.liveWorkers, w, byNumber); {
 			case w.live && !there:
-				d.live = slices.Insert(d.live, i, w)
+				d.liveWorkers = slices.Insert(d.liveWorkers, i, w)
 			case !w.live && there:
-				d.live = slices.Delete(d.live, i, i+1)
+				d.liveWorkers = slices.Delete(d.liveWorkers, i, i+1)
 			}
 		}
 	}
-	d.looked += len(d.turned)
-	clear(d.turned)
-	d.turned = d.turned[:0]
+	d.candidatesExamined += len(d.livenessChanged)
+	clear(d.livenessChanged)
+	d.livenessChanged = d.livenessChanged[:0]
 }
 
-// youngLive returns how many live workers are young, and the sum of their warmth.
-func (d *Dispatcher) youngLive() (young int, warmth float64) {
+// slowStartTotals returns how many live workers are young, and the sum of their warmth.
+func (d *Dispatcher) slowStartTotals() (young int, warmth float64) {
 	d.sortPending()
 	for _, w := range d.pending { // a live worker that is young is timed
-		if w.state == Live && d.young(w) {
+		if w.state == Live && d.inSlowStart(w) {
 			young++
-			warmth += d.warmth(w)
+			warmth += d.slowStartWeight(w)
 		}
 	}
-	d.looked += len(d.pending)
+	d.candidatesExamined += len(d.pending)
 	return young, warmth
 }
 
 // countLost returns how many workers are lost, and forgets those that are back and warm.
 func (d *Dispatcher) countLost() int {
-	d.looked += len(d.lost)
+	d.candidatesExamined += len(d.lost)
 	d.lost = slices.DeleteFunc(d.lost, func(w *worker) bool {
-		w.lost = w.lost && (w.state == Gone || d.young(w))
+		w.lost = w.lost && (w.state == Removed || d.inSlowStart(w))
 		w.inLost = w.lost
 		return !w.lost
 	})
 	return len(d.lost)
 }
 
-// forgetGone drops the workers that have been gone since before a time, once nothing is
+// forgetRemoved drops the workers that have been gone since before a time, once nothing is
 // counted there: a fleet that replaces its workers for months must not cost more by the day.
-func (d *Dispatcher) forgetGone(before int64) {
-	d.looked += len(d.gone)
+func (d *Dispatcher) forgetRemoved(before int64) {
+	d.candidatesExamined += len(d.removed)
 	var old []*worker
-	d.gone = slices.DeleteFunc(d.gone, func(w *worker) bool {
-		if w.inGone = w.state == Gone; !w.inGone {
+	d.removed = slices.DeleteFunc(d.removed, func(w *worker) bool {
+		if w.inRemoved = w.state == Removed; !w.inRemoved {
 			return true
 		}
-		if w.went >= before || w.jobs > 0 || w.others != 0 {
+		if w.removedAt >= before || w.inFlightJobs > 0 || w.externalSlots != 0 {
 			return false
 		}
 		old = append(old, w)
@@ -214,13 +214,13 @@
 	for _, w := range old {
 		d.forgetWorker(w)
 	}
-	if len(old) > fewTurned {
-		d.list = slices.DeleteFunc(d.list, func(w *worker) bool { return w.forgotten })
+	if len(old) > maxIncremental {
+		d.workerOrder = slices.DeleteFunc(d.workerOrder, func(w *worker) bool { return w.forgotten })
 		return
 	}
 	for _, w := range old {
-		if i, there := slices.BinarySearchFunc(d.list, w, byNumber); there {
-			d.list = slices.Delete(d.list, i, i+1)
+		if i, there := slices.BinarySearchFunc(d.workerOrder, w, byNumber); there {
+			d.workerOrder = slices.Delete(d.workerOrder, i, i+1)
 		}
 	}
 }
@@ -229,80 +229,80 @@
 func (d *Dispatcher) forgetWorker(w *worker) {
 	w.forgotten, w.lost = true, false
 	delete(d.workers, w.id)
-	for i, f := range d.fresh {
+	for i, f := range d.recentlyReported {
 		if f == w {
-			d.fresh[i] = nil
+			d.recentlyReported[i] = nil
 		}
 	}
 }
 
-// A homeIndex holds the live workers that may be homes of keys, of one kind or of all, by the first
+// A affinityIndex holds the live workers that may be homes of keys, of one kind or of all, by the first
 // bits of their hashes.
-type homeIndex [homeBuckets][]homeEntry
+type affinityIndex [affinityBuckets][]affinityEntry
 
-// A homeEntry is a worker in a homeIndex; what the search for homes asks of it stands beside it.
-type homeEntry struct {
-	hash   uint64
-	warmAt int64
-	worker *worker
+// A affinityEntry is a worker in a affinityIndex; what the search for homes asks of it stands beside it.
+type affinityEntry struct {
+	hash    uint64
+	readyAt int64
+	worker  *worker
 }
 
 const (
-	homeBits     = 6
-	homeBuckets  = 1 << homeBits
-	mostCompared = 1024 // workers that a key's homes are searched among
+	affinityBits    = 6
+	affinityBuckets = 1 << affinityBits
+	maxCompared     = 1024 // workers that a key's homes are searched among
 )
 
-func bucketOf(hash uint64) int { return int(hash >> (64 - homeBits)) }
+func bucketOf(hash uint64) int { return int(hash >> (64 - affinityBits)) }
 
-// noteHome brings the index of homes up to date with a worker.
-func (d *Dispatcher) noteHome(w *worker) {
+// indexAffinity brings the index of homes up to date with a worker.
+func (d *Dispatcher) indexAffinity(w *worker) {
 	in := w.state == Live && (w.zone == d.cfg.Zone || d.cfg.Prices.CrossZone <= 0)
-	warmAt := d.warmAt(w)
-	if in == w.home && (!in || warmAt == w.homeWarm && w.kind == w.homeKind) {
+	warmAt := d.slowStartUntil(w)
+	if in == w.inAffinity && (!in || warmAt == w.affinityReadyAt && w.kind == w.affinityKind) {
 		return
 	}
-	if w.home {
-		d.homes[0].remove(w)
-		if w.homeKind >= 0 {
-			d.homes[w.homeKind+1].remove(w)
+	if w.inAffinity {
+		d.affinityIndexes[0].remove(w)
+		if w.affinityKind >= 0 {
+			d.affinityIndexes[w.affinityKind+1].remove(w)
 		}
 	}
-	if w.home, w.homeWarm, w.homeKind = in, warmAt, w.kind; in {
-		d.homes[0].add(w)
+	if w.inAffinity, w.affinityReadyAt, w.affinityKind = in, warmAt, w.kind; in {
+		d.affinityIndexes[0].add(w)
 		if w.kind >= 0 {
-			d.homes[w.kind+1].add(w)
+			d.affinityIndexes[w.kind+1].add(w)
 		}
 	}
 }
 
-// warmAt returns from when on a worker is not young.
-func (d *Dispatcher) warmAt(w *worker) int64 {
+// slowStartUntil returns from when on a worker is not young.
+func (d *Dispatcher) slowStartUntil(w *worker) int64 {
 	switch {
-	case w.up == 0:
+	case w.startedAt == 0:
 		return math.MinInt64
-	case w.up > math.MaxInt64-d.cfg.WarmAfter:
+	case w.startedAt > math.MaxInt64-d.cfg.SlowStartDuration:
 		return math.MaxInt64
 	}
-	return w.up + d.cfg.WarmAfter
+	return w.startedAt + d.cfg.SlowStartDuration
 }
 
-func (x *homeIndex) add(w *worker) {
+func (x *affinityIndex) add(w *worker) {
 	b := &x[bucketOf(w.hash)]
-	*b = append(*b, homeEntry{w.hash, w.homeWarm, w})
+	*b = append(*b, affinityEntry{w.hash, w.affinityReadyAt, w})
 }
 
-func (x *homeIndex) remove(w *worker) {
+func (x *affinityIndex) remove(w *worker) {
 	b := &x[bucketOf(w.hash)]
-	i := slices.IndexFunc(*b, func(e homeEntry) bool { return e.worker == w })
+	i := slices.IndexFunc(*b, func(e affinityEntry) bool { return e.worker == w })
 	last := len(*b) - 1
 	(*b)[i] = (*b)[last]
-	(*b)[last] = homeEntry{}
+	(*b)[last] = affinityEntry{}
 	*b = (*b)[:last]
 }
 
 // size returns how many workers some buckets hold.
-func (x *homeIndex) size(from, to int) (n int) {
+func (x *affinityIndex) size(from, to int) (n int) {
 	for i := from; i < to; i++ {
 		n += len(x[i])
 	}
@@ -310,11 +310,11 @@
 }
 
 // search returns the buckets that a key's homes are searched in: all, or while these hold more than
-// mostCompared workers the half that the key draws by the next bit of its hash. That is hierarchical
+// maxCompared workers the half that the key draws by the next bit of its hash. That is hierarchical
 // rendezvous hashing: where a half is divided, the keys that have drawn it keep half of their homes.
-func (x *homeIndex) search(key uint64) (from, to int) {
-	from, to = 0, homeBuckets
-	for draw := mix(key); to-from > 1 && x.size(from, to) > mostCompared; draw >>= 1 {
+func (x *affinityIndex) search(key uint64) (from, to int) {
+	from, to = 0, affinityBuckets
+	for draw := mixBits(key); to-from > 1 && x.size(from, to) > maxCompared; draw >>= 1 {
 		middle := (from + to) / 2
 		if draw&1 == 0 {
 			to = middle
--- a/fleet_index_test.go
+++ b/fleet_index_test.go
@@ -13,32 +13,32 @@
 	var changed []Worker
 	for range f.rng.IntN(1 + len(f.workers)/4) {
 		w := &f.workers[f.rng.IntN(len(f.workers))]
-		w.State = []WorkerState{Live, Live, Draining, Gone}[f.rng.IntN(4)]
+		w.State = []WorkerState{Live, Live, Draining, Removed}[f.rng.IntN(4)]
 		if f.rng.IntN(3) == 0 {
-			w.Started = f.now - f.rng.Int64N(second)
+			w.StartedAt = f.now - f.rng.Int64N(second)
 		}
 		if f.rng.IntN(6) == 0 {
 			w.Kind = f.rng.IntN(4) - 1
 		}
 		changed = append(changed, *w)
 	}
-	return Event{Kind: EventList, List: ListChanges, Workers: changed}
+	return Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: changed}
 }
 
 // Over random histories what the index keeps is what a look at all workers would find, and those
 // that it leaves alone at a tick are those that would not move.
 func TestIndexAgreesWithALookAtAll(t *testing.T) {
 	for i, cfg := range fuzzConfigs() {
-		cfg.Dispatchers, cfg.MayMessage = []int{1, 5, 80}[i%3], false
+		cfg.Dispatchers, cfg.MayGossip = []int{1, 5, 80}[i%3], false
 		cfg.Prices.CrossZone = float64(i%2) / 20
-		cfg.WarmAfter = []int64{20 * second, second, second / 3}[i%3]
-		cfg.Gauges = []Gauge{GaugeHeld, GaugeQueue, GaugeFreeSlots}
+		cfg.SlowStartDuration = []int64{20 * second, second, second / 3}[i%3]
+		cfg.Gauges = []Gauge{GaugeInFlight, GaugeQueued, GaugeFreeSlots}
 		one := cfg.Classes[0]
 		one.Kind = 1
 		cfg.Classes = append(cfg.Classes, one)
 		f := newFuzz(t, uint64(i), cfg)
 		f.workers = fleet(40)
-		f.step([]Event{{Kind: EventList, List: ListFull, Workers: slices.Clone(f.workers)}})
+		f.step([]Event{{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: slices.Clone(f.workers)}})
 		for range 1500 {
 			f.now += 1 + f.rng.Int64N(6*ms)
 			events := f.events()
@@ -59,49 +59,49 @@
 func checkIndex(t *testing.T, d *Dispatcher) {
 	t.Helper()
 	var live, gone []*worker
-	var caps capSum
+	var caps limitSum
 	able, whole := 0.0, 0.0
-	for i, w := range d.list {
-		if i > 0 && d.list[i-1].number >= w.number || d.workers[w.id] != w {
+	for i, w := range d.workerOrder {
+		if i > 0 && d.workerOrder[i-1].number >= w.number || d.workers[w.id] != w {
 			t.Fatalf("%s is out of order in the list, or not known by its id", w.id)
 		}
 		if !w.pending {
 			level := w.level
-			if d.place(w); w.level != level || w.pending {
+			if d.updateLevel(w); w.level != level || w.pending {
 				t.Fatalf("%s is not pending at level %d, and belongs to %d", w.id, level, w.level)
 			}
 		}
-		if w.state == Gone {
+		if w.state == Removed {
 			gone = append(gone, w)
 		}
-		if w.capped && w.state == Live {
-			caps.add(int64(w.cap*capUnit), 1)
+		if w.limitLearned && w.state == Live {
+			caps.add(int64(w.concurrencyLimit*limitUnit), 1)
 		}
 		if w.state == Live {
 			live = append(live, w)
-			able += d.warmth(w)
+			able += d.slowStartWeight(w)
 		}
-		if w.lost && (w.state == Gone || d.young(w)) || w.state == Live && !d.young(w) {
+		if w.lost && (w.state == Removed || d.inSlowStart(w)) || w.state == Live && !d.inSlowStart(w) {
 			whole++
 		}
 	}
-	if !slices.Equal(live, d.live) || len(d.workers) != len(d.list) {
-		t.Fatalf("%d live workers of %d, want %d", len(d.live), len(d.list), len(live))
+	if !slices.Equal(live, d.liveWorkers) || len(d.workers) != len(d.workerOrder) {
+		t.Fatalf("%d live workers of %d, want %d", len(d.liveWorkers), len(d.workerOrder), len(live))
 	}
 	for _, w := range gone {
-		if !slices.Contains(d.gone, w) {
+		if !slices.Contains(d.removed, w) {
 			t.Fatalf("%s is gone and would be kept for ever", w.id)
 		}
 	}
-	if caps != d.caps {
-		t.Fatalf("caps %+v, want %+v", d.caps, caps)
+	if caps != d.learnedLimits {
+		t.Fatalf("caps %+v, want %+v", d.learnedLimits, caps)
 	}
-	if want := min(1, able/max(1, whole)); whole > 0 && math.Abs(d.standing()-want) > 1e-12 {
-		t.Fatalf("standing %v, want %v", d.standing(), want)
+	if want := min(1, able/max(1, whole)); whole > 0 && math.Abs(d.remainingCapacity()-want) > 1e-12 {
+		t.Fatalf("standing %v, want %v", d.remainingCapacity(), want)
 	}
 	for k := range d.classes {
 		j := &job{class: &d.classes[k], req: Request{Key: uint64(d.now)}}
-		homes, of := d.nearest(j)
+		homes, of := d.rankAffinity(j)
 		want, wantOf := nearestOfAll(d, j)
 		if of != wantOf || !slices.Equal(homes, want) {
 			t.Fatalf("homes of a key: %d of %d, want %d of %d", len(homes), of, len(want), wantOf)
@@ -111,42 +111,42 @@
 
 // nearestOfAll is what nearest returns, by a look at all workers.
 func nearestOfAll(d *Dispatcher, j *job) (homes []*worker, of int) {
-	for _, w := range d.live {
-		if !d.young(w) && (j.class.Kind < 0 || w.kind == j.class.Kind) &&
+	for _, w := range d.liveWorkers {
+		if !d.inSlowStart(w) && (j.class.Kind < 0 || w.kind == j.class.Kind) &&
 			(w.zone == d.cfg.Zone || d.cfg.Prices.CrossZone <= 0) {
 			homes = append(homes, w)
 		}
 	}
-	rank := func(w *worker) uint64 { return mix(w.hash ^ j.req.Key*0x9e3779b97f4a7c15) }
+	rank := func(w *worker) uint64 { return mixBits(w.hash ^ j.req.Key*0x9e3779b97f4a7c15) }
 	slices.SortFunc(homes, func(a, b *worker) int {
 		if rank(a) > rank(b) {
 			return -1
 		}
 		return 1
 	})
-	return homes[:min(mostHomes, len(homes))], len(homes)
+	return homes[:min(maxAffinity, len(homes))], len(homes)
 }
 
 // What a step looks at does not grow with the fleet: a tick without a job looks at no worker, a
 // change at those that it names, a job at a sample. A loop over all of them would meet a worker that
 // is not there.
 func TestStepsLookAtFewWorkers(t *testing.T) {
-	const keyed = mostCompared + 4*sampled
+	const keyed = maxCompared + 4*sampleSize
 	for _, n := range []int{600, 19000} {
 		d := scaleRig(t, n)
-		d.list[1], d.live[1] = nil, nil
+		d.workerOrder[1], d.liveWorkers[1] = nil, nil
 		now := 3 * second
 		step := func(what string, most int, events ...Event) []Action {
 			t.Helper()
-			d.looked = 0
+			d.candidatesExamined = 0
 			as := d.Step(now, events)
-			if d.looked > most {
-				t.Errorf("%d workers: %s looks at %d, want %d at most", n, what, d.looked, most)
+			if d.candidatesExamined > most {
+				t.Errorf("%d workers: %s looks at %d, want %d at most", n, what, d.candidatesExamined, most)
 			}
 			return as
 		}
 		for range 200 { // with some runs of the regulator
-			now += d.tick
+			now += d.tickInterval
 			step("an idle tick", 0)
 		}
 		id := uint64(0)
@@ -154,20 +154,20 @@
 			now += ms
 			id++
 			r.ID, r.Deadline = id, now+2*second
-			most := 2 * sampled
+			most := 2 * sampleSize
 			if r.Key != 0 {
 				most = keyed
 			}
 			for _, a := range step(fmt.Sprint("job ", i), most, Event{Kind: EventRequest, Request: r}) {
 				if a.Kind == ActionSend {
-					step("an outcome", 2*sampled, started(id, a.Attempt, a.Worker), outcome(id, a.Attempt, a.Worker, Served))
+					step("an outcome", 2*sampleSize, started(id, a.Attempt, a.Worker), outcome(id, a.Attempt, a.Worker, Served))
 				}
 			}
 		}
-		for i, state := range []WorkerState{Draining, Gone, Live, Draining, Live} {
+		for i, state := range []WorkerState{Draining, Removed, Live, Draining, Live} {
 			now += ms
 			w := Worker{ID: fmt.Sprintf("worker-%05d", n/2), State: state}
-			step(fmt.Sprint("change ", i), 4, Event{Kind: EventList, List: ListChanges, Workers: []Worker{w}})
+			step(fmt.Sprint("change ", i), 4, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: []Worker{w}})
 		}
 		for range 70 { // until one that is gone is forgotten
 			now += second
@@ -182,8 +182,8 @@
 	const workers, keys = 6000, 60000
 	d := scaleRig(t, workers)
 	home := func(key uint64) *worker {
-		ws, of := d.nearest(&job{class: &d.classes[0], req: Request{Key: key}})
-		if len(ws) != mostHomes || of < workers*4/5 || of > workers*5/4 {
+		ws, of := d.rankAffinity(&job{class: &d.classes[0], req: Request{Key: key}})
+		if len(ws) != maxAffinity || of < workers*4/5 || of > workers*5/4 {
 			t.Fatalf("%d homes of %d workers", len(ws), of)
 		}
 		return ws[0]
@@ -203,8 +203,8 @@
 			t.Errorf("%s is the home of %d keys of %d", w.id, n, keys)
 		}
 	}
-	lost := d.live[7]
-	d.Step(3*second, []Event{{Kind: EventList, List: ListChanges, Workers: []Worker{{ID: lost.id, State: Gone}}}})
+	lost := d.liveWorkers[7]
+	d.Step(3*second, []Event{{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: []Worker{{ID: lost.id, State: Removed}}}})
 	for key, w := range before {
 		if now := home(key); (now != w) != (w == lost) {
 			t.Errorf("key %d moved from %s to %s when %s went", key, w.id, now.id, lost.id)
@@ -214,16 +214,16 @@
 
 // Where a fleet grows so far that its part is divided, a key keeps about half of its homes.
 func TestHomesWhereAPartIsDivided(t *testing.T) {
-	d := scaleRig(t, mostCompared)
+	d := scaleRig(t, maxCompared)
 	homes := func(key uint64) []*worker {
-		ws, _ := d.nearest(&job{class: &d.classes[0], req: Request{Key: key}})
+		ws, _ := d.rankAffinity(&job{class: &d.classes[0], req: Request{Key: key}})
 		return ws
 	}
 	before := map[uint64][]*worker{}
 	for key := uint64(1); key <= 500; key++ {
 		before[key] = homes(key)
 	}
-	d.Step(3*second, []Event{{Kind: EventList, List: ListChanges, Workers: []Worker{{ID: "one more"}}}})
+	d.Step(3*second, []Event{{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: []Worker{{ID: "one more"}}}})
 	kept := 0
 	for key, ws := range before {
 		now := homes(key)
@@ -233,7 +233,7 @@
 			}
 		}
 	}
-	if part := float64(kept) / float64(500*mostHomes); part < 0.45 || part > 0.55 {
+	if part := float64(kept) / float64(500*maxAffinity); part < 0.45 || part > 0.55 {
 		t.Errorf("%.2f of the homes are kept", part)
 	}
 }
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -23,17 +23,17 @@
 			cfg.Dispatchers = dispatchers
 			ws := fleet(8)
 			for i := range ws {
-				ws[i].Started = cold
+				ws[i].StartedAt = cold
 			}
 			r := newRig(t, cfg, ws...)
-			r.d.warmRate = 1
-			for _, w := range r.d.list {
-				w.coldWork = 0 // its first job may come
+			r.d.peakWorkerRate = 1
+			for _, w := range r.d.workerOrder {
+				w.slowStartWork = 0 // its first job may come
 			}
-			r.after(r.d.tick)
+			r.after(r.d.tickInterval)
 			r.step(r.request(1, 0))
 			r.want(ActionSend, 1)
-			for limit := r.now + r.d.jobs[1].wanted/4; r.now < limit-ms; {
+			for limit := r.now + r.d.jobs[1].objective/4; r.now < limit-ms; {
 				r.after(ms)
 				r.want(ActionSend, 0)
 				r.want(ActionCancel, 0)
@@ -55,19 +55,19 @@
 		r.step(r.request(id, 0))
 		sent := r.want(ActionSend, 1)[0]
 		r.after(40*ms, started(id, 0, sent.Worker)) // 3 ticks
-		if got := r.d.least[r.d.jobs[id].attempts[0].path]; got != 40*ms {
+		if got := r.d.minDelay[r.d.jobs[id].attempts[0].path]; got != 40*ms {
 			t.Errorf("the way takes %d", got)
 		}
-		if w := r.d.workers[sent.Worker]; w.good == 0 || w.bad != 0 || r.d.window < 1 {
+		if w := r.d.workers[sent.Worker]; w.promptStartAt == 0 || w.lastFaultAt != 0 || r.d.startWindow < 1 {
 			t.Error("the worker counts as full for its distance")
 		}
 		r.after(ms, outcome(id, 0, sent.Worker, Served))
 	}
-	r.d.least = [4]int64{40 * ms, 40 * ms, 40 * ms, 40 * ms}
+	r.d.minDelay = [4]int64{40 * ms, 40 * ms, 40 * ms, 40 * ms}
 	r.step(r.request(3, 0))
 	sent := r.want(ActionSend, 1)[0]
 	r.after(70*ms, started(3, 0, sent.Worker))
-	if w := r.d.workers[sent.Worker]; w.bad != r.now {
+	if w := r.d.workers[sent.Worker]; w.lastFaultAt != r.now {
 		t.Error("a start 30 ms past its way counts as prompt")
 	}
 }
@@ -82,13 +82,13 @@
 		r.step(r.request(1, class))
 		r.want(ActionSend, 1)
 		j := r.d.jobs[1]
-		for r.now < j.born+j.wanted-j.class.median {
-			if r.after(ms); r.now < j.born+j.wanted-j.class.median {
-				r.want(ActionRefuse, 0)
+		for r.now < j.firstAttemptAt+j.objective-j.class.median {
+			if r.after(ms); r.now < j.firstAttemptAt+j.objective-j.class.median {
+				r.want(ActionShed, 0)
 			}
 		}
-		r.after(r.d.tick)
-		r.want(ActionRefuse, want)
+		r.after(r.d.tickInterval)
+		r.want(ActionShed, want)
 		r.want(ActionCancel, want)
 	}
 }
@@ -118,7 +118,7 @@
 		r.step(r.request(1, 0))
 		a := r.want(ActionSend, 1)[0]
 		r.after(ms, started(1, 0, a.Worker))
-		r.after(ms, outcome(1, 0, a.Worker, Erred))
+		r.after(ms, outcome(1, 0, a.Worker, WorkerError))
 		if w := r.d.workers[a.Worker]; (w.ejectedUntil > r.now) != shut {
 			t.Errorf("%d dispatchers: left alone %v", dispatchers, !shut)
 		}
@@ -128,14 +128,14 @@
 // A start is no sign of health where what started fails: the pause goes on growing.
 func TestStartsDoNotClearAnErringWorker(t *testing.T) {
 	r := newRig(t, manyConfig(), fleet(1)...)
-	w := r.d.list[0]
+	w := r.d.workerOrder[0]
 	before := int64(0)
 	for id := uint64(1); id <= 4; id++ {
-		r.now = max(r.now, w.ejectedUntil) + r.d.tick
+		r.now = max(r.now, w.ejectedUntil) + r.d.tickInterval
 		r.step(r.request(id, 0))
 		r.want(ActionSend, 1)
 		r.after(ms, started(id, 0, w.id))
-		r.after(ms, outcome(id, 0, w.id, Erred))
+		r.after(ms, outcome(id, 0, w.id, WorkerError))
 		if pause := w.ejectedUntil - r.now; pause < second || w.backoff < 2*before {
 			t.Errorf("error %d: left alone for %d, backoff %d after %d", id, pause, w.backoff, before)
 		}
@@ -168,11 +168,11 @@
 		cfg.Dispatchers = dispatchers
 		r := newRig(t, cfg, fleet(2)...)
 		for run := range int64(40) {
-			r.d.classes[0].ran((run/10*30 + 20) * ms) // 20, 50, 80 and 110 ms
+			r.d.classes[0].recordRuntime((run/10*30 + 20) * ms) // 20, 50, 80 and 110 ms
 		}
 		r.after(2 * second)
 		r.step(r.request(1, 0))
-		if got := r.d.timely(r.d.jobs[1]); got != want*ms {
+		if got := r.d.timelyLimit(r.d.jobs[1]); got != want*ms {
 			t.Errorf("%d dispatchers: timely is %d ms, want %d", dispatchers, got/ms, want)
 		}
 	}
@@ -185,12 +185,12 @@
 	r := newRig(t, cfg, fleet(8)...)
 	tn := &r.d.tenants[0]
 	for n, want := range []bool{false, false, true, true} {
-		tn.arrived = n
+		tn.arrivals = n
 		if n > 1 {
-			tn.arrived = 10
+			tn.arrivals = 10
 		}
-		r.d.refillRates()
-		if tn.over() != want {
+		r.d.updateRates()
+		if tn.exceedsQuota() != want {
 			t.Errorf("second %d: over its share %v", n, !want)
 		}
 	}
@@ -205,7 +205,7 @@
 	for i := range ws {
 		ws[i].Zone = 0
 	}
-	ws[0].Started = 6 * second
+	ws[0].StartedAt = 6 * second
 	var rigs []*rig
 	for i := range cfg.Dispatchers {
 		cfg.Index = i
@@ -218,8 +218,8 @@
 		for i, r := range rigs {
 			r.now = 6*second + now
 			if now == 0 {
-				r.d.warmRate = warm / float64(cfg.Dispatchers)
-				r.step(Event{Kind: EventList, List: ListChanges, Workers: ws[:1]})
+				r.d.peakWorkerRate = warm / float64(cfg.Dispatchers)
+				r.step(Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: ws[:1]})
 			}
 			if (now/(20*ms)+int64(i))%5 != 0 {
 				continue
@@ -237,8 +237,8 @@
 		}
 	}
 	for s, w := range work {
-		able := warm * (cfg.StartCapacity + (1-cfg.StartCapacity)*(float64(s)+0.5)/20)
-		if w > cfg.FallMultiple*able || s > 2 && w < able/2 {
+		able := warm * (cfg.SlowStartCapacity + (1-cfg.SlowStartCapacity)*(float64(s)+0.5)/20)
+		if w > cfg.OverloadMultiple*able || s > 2 && w < able/2 {
 			t.Errorf("second %d: %.1f slots of work sent, it can do %.1f", s, w, able)
 		}
 	}
@@ -249,22 +249,22 @@
 	r := newRig(t, manyConfig(), fleet(3)...)
 	r.step(r.request(1, 1))
 	busy := r.want(ActionSend, 1)[0].Worker
-	r.step(Event{Kind: EventList, List: ListFull, Workers: []Worker{{ID: "new"}}})
+	r.step(Event{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: []Worker{{ID: "new"}}})
 	for _, c := range []struct {
 		after int64
 		left  int
-	}{{keepGone - 2*second, 4}, {4 * second, 2}} {
+	}{{removedRetention - 2*second, 4}, {4 * second, 2}} {
 		for end := r.now + c.after; r.now < end; {
 			r.after(second)
 		}
-		if len(r.d.list) != c.left || len(r.d.workers) != c.left {
-			t.Errorf("after %d s %d workers, want %d", (r.now-5*second)/second, len(r.d.list), c.left)
+		if len(r.d.workerOrder) != c.left || len(r.d.workers) != c.left {
+			t.Errorf("after %d s %d workers, want %d", (r.now-5*second)/second, len(r.d.workerOrder), c.left)
 		}
 	}
 	r.step(outcome(1, 0, busy, Reset))
 	r.after(2 * second)
-	if r.d.workers[busy] != nil || len(r.d.list) != 1 {
-		t.Errorf("%d workers, want the new one", len(r.d.list))
+	if r.d.workers[busy] != nil || len(r.d.workerOrder) != 1 {
+		t.Errorf("%d workers, want the new one", len(r.d.workerOrder))
 	}
 }
 
@@ -276,7 +276,7 @@
 		cfg.Dispatchers = dispatchers
 		ws := fleet(20)
 		for i := range ws {
-			ws[i].Started = 5 * second
+			ws[i].StartedAt = 5 * second
 		}
 		type sent struct {
 			at   int64
@@ -286,11 +286,11 @@
 		for i := range dispatchers {
 			cfg.Index = i
 			r := newSeededRig(t, cfg, uint64(i), ws...)
-			for id := uint64(1); r.now < 5*second+8*cfg.FallWindow; id++ {
+			for id := uint64(1); r.now < 5*second+8*cfg.OverloadWindow; id++ {
 				r.after(50*ms, r.request(id, int(id%2)))
 				for _, a := range r.only(ActionSend) {
 					class := &cfg.Classes[a.ID%2]
-					at[a.Worker] = append(at[a.Worker], sent{r.now, float64(class.Aim)})
+					at[a.Worker] = append(at[a.Worker], sent{r.now, float64(class.LatencyObjective)})
 					r.step(started(a.ID, a.Attempt, a.Worker))
 				}
 			}
@@ -301,17 +301,17 @@
 			for i := range list {
 				sum, most := 0.0, 0.0
 				for _, s := range list[i:] {
-					if s.at-list[i].at < cfg.FallWindow {
+					if s.at-list[i].at < cfg.OverloadWindow {
 						sum, most = sum+s.work, max(most, s.work)
 					}
 				}
-				if sum -= most; sum > cfg.FallMultiple*cfg.StartCapacity*1.4*4*float64(cfg.FallWindow) {
+				if sum -= most; sum > cfg.OverloadMultiple*cfg.SlowStartCapacity*1.4*4*float64(cfg.OverloadWindow) {
 					t.Errorf("%d dispatchers sent %s %.1f s of work in a window", dispatchers, worker, sum/1e9)
 				}
 				total += list[i].work
 			}
 		}
-		if able := 20 * 8 * cfg.StartCapacity * 4 * float64(cfg.FallWindow); total < able/10 {
+		if able := 20 * 8 * cfg.SlowStartCapacity * 4 * float64(cfg.OverloadWindow); total < able/10 {
 			t.Errorf("%d dispatchers sent %.1f s of work, cold workers can do %.1f", dispatchers, total/1e9, able/1e9)
 		}
 	}
@@ -352,7 +352,7 @@
 // makeRare lets jobs with other keys have come, so that one more is a rare one's.
 func makeRare(r *rig) {
 	for key := uint64(1000); key < 1100; key++ {
-		r.d.keys.add(key)
+		r.d.recentKeys.add(key)
 	}
 }
 
@@ -373,8 +373,8 @@
 		makeRare(r)
 		r.step(keyed(r, 1, 0, 7))
 		seen[0][r.want(ActionSend, 1)[0].Worker] = true
-		for r.after(r.d.tick); len(r.only(ActionSend)) == 0; { // no word of a start
-			r.after(r.d.tick)
+		for r.after(r.d.tickInterval); len(r.only(ActionSend)) == 0; { // no word of a start
+			r.after(r.d.tickInterval)
 		}
 		seen[1][r.want(ActionSend, 1)[0].Worker] = true
 	}
@@ -393,7 +393,7 @@
 			r.d.rng.Uint64()
 		}
 		for id := uint64(1); id <= 200; id++ {
-			r.d.keys.add(7 + id%4*1000) // one in four
+			r.d.recentKeys.add(7 + id%4*1000) // one in four
 		}
 		r.step(keyed(r, 1, 0, 7))
 		w := r.want(ActionSend, 1)[0].Worker
@@ -405,7 +405,7 @@
 			t.Errorf("it had room at %s and goes to %s", w, a.Worker)
 		}
 	}
-	if len(seen) < 10 || len(seen) > mostHomes {
+	if len(seen) < 10 || len(seen) > maxAffinity {
 		t.Errorf("a key of a quarter of the jobs on 60 workers has %d homes", len(seen))
 	}
 }
@@ -414,16 +414,16 @@
 // not met yet, that to one that had none, and more so the newer the word of room.
 func TestManyRememberWhereThereWasRoom(t *testing.T) {
 	r := newRig(t, manyConfig(), fleet(4)...)
-	good, unmet, bad, old := r.d.list[0], r.d.list[1], r.d.list[2], r.d.list[3]
-	good.good, bad.bad, old.good = r.now, r.now, r.now
+	good, unmet, bad, old := r.d.workerOrder[0], r.d.workerOrder[1], r.d.workerOrder[2], r.d.workerOrder[3]
+	good.promptStartAt, bad.lastFaultAt, old.promptStartAt = r.now, r.now, r.now
 	r.now += 20 * second
 	r.step()
-	good.good = r.now
-	bad.good = r.now - 30*second
+	good.promptStartAt = r.now
+	bad.promptStartAt = r.now - 30*second
 	order := []*worker{good, old, unmet, bad}
 	for i, w := range order[1:] {
-		if d := r.d.doubt(order[i]); d >= r.d.doubt(w) {
-			t.Errorf("%s is doubted by %.2f, %s by %.2f", order[i].id, d, w.id, r.d.doubt(w))
+		if d := r.d.failureLikelihood(order[i]); d >= r.d.failureLikelihood(w) {
+			t.Errorf("%s is doubted by %.2f, %s by %.2f", order[i].id, d, w.id, r.d.failureLikelihood(w))
 		}
 	}
 	for id, w := range order {
@@ -431,7 +431,7 @@
 		if a := r.only(ActionSend); len(a) == 1 && a[0].Worker != w.id {
 			t.Errorf("job %d goes to %s, want %s", id+1, a[0].Worker, w.id)
 		}
-		r.step(outcome(uint64(id+1), 0, w.id, Full))
+		r.step(outcome(uint64(id+1), 0, w.id, Saturated))
 	}
 }
 
@@ -441,10 +441,10 @@
 	makeRare(r)
 	r.now += 60 * second
 	r.step()
-	homes, _ := r.d.nearest(&job{class: &r.d.classes[1], req: Request{Key: 7}})
-	proven := r.d.list[slices.IndexFunc(r.d.list, func(w *worker) bool { return !slices.Contains(homes, w) })]
-	proven.good = r.now
-	r.d.heard(proven)
+	homes, _ := r.d.rankAffinity(&job{class: &r.d.classes[1], req: Request{Key: 7}})
+	proven := r.d.workerOrder[slices.IndexFunc(r.d.workerOrder, func(w *worker) bool { return !slices.Contains(homes, w) })]
+	proven.promptStartAt = r.now
+	r.d.markReported(proven)
 	for class, want := range []string{homes[0].id, proven.id} {
 		r.step(keyed(r, uint64(1+class), class, 7))
 		if a := r.want(ActionSend, 1)[0]; a.Worker != want {
@@ -458,8 +458,8 @@
 	r := newRig(t, manyConfig(), fleet(60)...)
 	d := r.d
 	home := func(key uint64) *worker {
-		ws, of := d.nearest(&job{class: &d.classes[0], req: Request{Key: key}})
-		if of != len(d.live) {
+		ws, of := d.rankAffinity(&job{class: &d.classes[0], req: Request{Key: key}})
+		if of != len(d.liveWorkers) {
 			t.Fatalf("of %d workers", of)
 		}
 		return ws[0]
@@ -475,8 +475,8 @@
 			t.Errorf("%s is the home of %d keys in 6000", w.id, n)
 		}
 	}
-	lost := d.live[7]
-	r.step(Event{Kind: EventList, List: ListChanges, Workers: []Worker{{ID: lost.id, State: Gone}}})
+	lost := d.liveWorkers[7]
+	r.step(Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: []Worker{{ID: lost.id, State: Removed}}})
 	for key, w := range before {
 		if now := home(key); (now != w) != (w == lost) {
 			t.Errorf("key %d moved from %s to %s when %s went", key, w.id, now.id, lost.id)
@@ -494,10 +494,10 @@
 		r.step()
 		c := &r.d.classes[1]
 		c.median = median * r.d.classes[0].median
-		homes, _ := r.d.nearest(&job{class: c, req: Request{Key: 7}})
-		met := r.d.list[slices.IndexFunc(r.d.list, func(w *worker) bool { return !slices.Contains(homes, w) })]
-		met.good = r.now - 3*second
-		r.d.heard(met)
+		homes, _ := r.d.rankAffinity(&job{class: c, req: Request{Key: 7}})
+		met := r.d.workerOrder[slices.IndexFunc(r.d.workerOrder, func(w *worker) bool { return !slices.Contains(homes, w) })]
+		met.promptStartAt = r.now - 3*second
+		r.d.markReported(met)
 		r.step(keyed(r, 1, 1, 7))
 		if a := r.want(ActionSend, 1)[0]; (a.Worker == homes[0].id) != wantHome {
 			t.Errorf("a job %d times as long goes to %s; home is %s, met is %s", median, a.Worker, homes[0].id, met.id)
--- a/fuzz_test.go
+++ b/fuzz_test.go
@@ -48,7 +48,7 @@
 	}
 	f := &fuzzed{t: t, cfg: cfg, d: d, rng: rand.New(rand.NewPCG(seed, 7)), now: 3 * second, reqs: map[uint64]*fuzzReq{}}
 	f.workers = fleet(10)
-	f.step([]Event{{Kind: EventList, List: ListSaved, Workers: slices.Clone(f.workers)}})
+	f.step([]Event{{Kind: EventEndpoints, EndpointUpdate: EndpointsCached, Workers: slices.Clone(f.workers)}})
 	return f
 }
 
@@ -66,8 +66,8 @@
 			f.t.Fatalf("request %d got no answer", id)
 		}
 	}
-	if len(f.d.jobs) != 0 || f.d.inflight != 0 {
-		f.t.Fatalf("%d jobs and %v slots left at the end", len(f.d.jobs), f.d.inflight)
+	if len(f.d.jobs) != 0 || f.d.inFlightSlots != 0 {
+		f.t.Fatalf("%d jobs and %v slots left at the end", len(f.d.jobs), f.d.inFlightSlots)
 	}
 }
 
@@ -87,19 +87,19 @@
 		w := &f.workers[f.rng.IntN(len(f.workers))]
 		w.State = WorkerState(f.rng.IntN(3))
 		if w.State == Live && f.rng.IntN(2) == 0 {
-			w.Started = f.now
+			w.StartedAt = f.now
 		}
-		events = append(events, Event{Kind: EventList, List: ListChanges, Workers: []Worker{*w}})
+		events = append(events, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: []Worker{*w}})
 	case 1:
-		events = append(events, Event{Kind: EventList, List: ListFull, Workers: slices.Clone(f.workers)})
+		events = append(events, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: slices.Clone(f.workers)})
 	case 2:
-		events = append(events, Event{Kind: EventList, List: ListFailed})
+		events = append(events, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsPollFailed})
 	case 3:
 		if len(f.open) > 0 {
 			id := f.open[f.rng.IntN(len(f.open))]
 			if r := f.reqs[id]; !r.answered {
 				r.answered, r.told = true, f.now
-				events = append(events, Event{Kind: EventClientLeft, ID: id})
+				events = append(events, Event{Kind: EventClientDisconnected, ID: id})
 			}
 		}
 	}
@@ -116,7 +116,7 @@
 		return true
 	})
 	for len(f.probes) > 0 && f.rng.IntN(3) > 0 {
-		e := Event{Kind: EventProbed, Worker: f.probes[0], Code: []Code{Served, TimedOut}[f.rng.IntN(2)]}
+		e := Event{Kind: EventHealthChecked, Worker: f.probes[0], Code: []Code{Served, DeadlineExceeded}[f.rng.IntN(2)]}
 		e.HasLoad = e.Code == Served
 		events, f.probes = append(events, e), f.probes[1:]
 	}
@@ -132,7 +132,7 @@
 		}
 		code := try.code
 		if r.deadline <= f.now && try.due > f.now {
-			code = TimedOut
+			code = DeadlineExceeded
 		}
 		e := outcome(try.id, try.n, try.worker, code)
 		if code == Served && !r.answered {
@@ -155,10 +155,10 @@
 			f.timers = append(f.timers, a)
 		case ActionSend:
 			f.checkSend(a)
-		case ActionRefuse, ActionFail:
+		case ActionShed, ActionFail:
 			f.checkAnswer(a)
-		case ActionProbe:
-			if !f.cfg.MayProbe {
+		case ActionHealthCheck:
+			if !f.cfg.MayHealthCheck {
 				f.t.Fatal("a probe where none is allowed")
 			}
 			f.probes = append(f.probes, a.Worker)
@@ -219,7 +219,7 @@
 		}
 	}
 	// Heavy on failures: the rules are broken there, if anywhere.
-	code := []Code{Served, Served, Served, Erred, Full, Unreachable, Reset, NotSent, TimedOut}[f.rng.IntN(9)]
+	code := []Code{Served, Served, Served, WorkerError, Saturated, Unreachable, Reset, NotSent, DeadlineExceeded}[f.rng.IntN(9)]
 	try := fuzzTry{id: a.ID, n: len(r.tries), worker: a.Worker, at: f.now, code: code}
 	try.due = f.now + f.rng.Int64N(400*ms)
 	if f.rng.IntN(10) == 0 {
@@ -253,11 +253,11 @@
 		cfg := testConfig()
 		cfg.Classes[2].Scope = Scope(i % 3)
 		cfg.Classes[2].KeyTTL = []int64{100 * ms, 5 * second}[i%2]
-		cfg.MayCopy, cfg.MayCancel, cfg.StartNotes = i%2 == 0, i%3 != 0, i%5 != 0
+		cfg.MayHedge, cfg.MayCancel, cfg.StartNotes = i%2 == 0, i%3 != 0, i%5 != 0
 		cfg.Dispatchers = 1 + i%4
-		cfg.ListOnRequest, cfg.MustAskIn = i%2 == 1, 5*second
-		cfg.MayMessage = i%4 == 3
-		cfg.MayProbe = i%2 == 1
+		cfg.PollEndpoints, cfg.MaxPollInterval = i%2 == 1, 5*second
+		cfg.MayGossip = i%4 == 3
+		cfg.MayHealthCheck = i%2 == 1
 		cfg.MayRetryAfter = i%3 == 0
 		cfg.Prices.Fetch = float64(i % 2)
 		if i%6 == 0 {
--- a/handover_test.go
+++ b/handover_test.go
@@ -12,7 +12,7 @@
 		cfg := testConfig()
 		cfg.Tenants = []Tenant{{"lone", 2}, {"away", 100}}
 		r := newRig(t, cfg, first...)
-		r.step(Event{Kind: EventList, List: ListFull, Workers: fleet(8)})
+		r.step(Event{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: fleet(8)})
 		type claim struct {
 			id uint64
 			w  string
@@ -55,7 +55,7 @@
 	gone := map[uint64]int64{}
 	for range 100 {
 		r.after(10 * ms)
-		for _, a := range r.only(ActionRefuse) {
+		for _, a := range r.only(ActionShed) {
 			gone[a.ID] = r.now
 		}
 	}
@@ -68,14 +68,14 @@
 func TestHandoverCountsAttempts(t *testing.T) {
 	r := newRig(t, testConfig(), fleet(4)...)
 	e := r.request(1, 0)
-	e.Request.Tried = 3 // of 4
+	e.Request.PriorAttempts = 3 // of 4
 	r.step(e)
 	a := r.want(ActionSend, 1)[0]
 	r.after(ms, outcome(1, 0, a.Worker, Unreachable))
 	r.want(ActionSend, 0)
-	r.want(ActionRefuse, 1)
+	r.want(ActionShed, 1)
 	e = r.request(2, 0)
-	e.Request.Tried = 4
+	e.Request.PriorAttempts = 4
 	r.step(e)
 	r.want(ActionSend, 0)
 }
@@ -88,7 +88,7 @@
 	for !full && id < 40 {
 		id++
 		e := r.request(id, 0)
-		e.Request.Among = []string{"w2"}
+		e.Request.AllowedWorkers = []string{"w2"}
 		r.step(e)
 		for _, a := range r.only(ActionSend) {
 			if a.Worker != "w2" {
@@ -113,7 +113,7 @@
 // Slots that others hold on a worker count until they are told to be free.
 func TestOthersSlotsCount(t *testing.T) {
 	ws := fleet(2)
-	ws[0].Others = 3
+	ws[0].ExternalSlots = 3
 	r := newRig(t, testConfig(), ws...)
 	for id := range uint64(3) {
 		r.step(r.request(id+1, 1))
@@ -121,14 +121,14 @@
 			t.Errorf("job %d goes to %s, which has 3 of others", id+1, a.Worker)
 		}
 	}
-	ws[0].Others = 0
-	r.step(Event{Kind: EventList, List: ListChanges, Workers: ws[:1]})
+	ws[0].ExternalSlots = 0
+	r.step(Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: ws[:1]})
 	r.step(r.request(9, 1))
 	if a := r.want(ActionSend, 1)[0]; a.Worker != "w0" {
 		t.Errorf("then to %s", a.Worker)
 	}
-	if w := r.d.workers["w0"]; w.own != 1 || w.others != 0 {
-		t.Errorf("%v slots, %v of others", w.own, w.others)
+	if w := r.d.workers["w0"]; w.usedSlots != 1 || w.externalSlots != 0 {
+		t.Errorf("%v slots, %v of others", w.usedSlots, w.externalSlots)
 	}
 }
 
@@ -150,21 +150,21 @@
 func TestWindowCountsOthersJobs(t *testing.T) {
 	ws := fleet(12)
 	for i := range ws {
-		ws[i].Others = 2
+		ws[i].ExternalSlots = 2
 	}
 	r := newRig(t, testConfig(), ws...)
-	window := r.d.window
+	window := r.d.startWindow
 	r.step(r.request(1, 0))
 	w := r.want(ActionSend, 1)[0].Worker
 	r.after(50*ms, started(1, 0, w)) // late
-	if got := r.d.window; got < window*0.98 {
+	if got := r.d.startWindow; got < window*0.98 {
 		t.Errorf("a window of %v becomes %v with 25 jobs in flight", window, got)
 	}
 	for i := range ws {
-		ws[i].Others = 0
+		ws[i].ExternalSlots = 0
 	}
-	r.step(Event{Kind: EventList, List: ListChanges, Workers: ws})
-	if got := r.d.busy(); got != 1 {
+	r.step(Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: ws})
+	if got := r.d.occupiedSlots(); got != 1 {
 		t.Errorf("%v slots in flight once the other has none, want 1", got)
 	}
 }
--- a/health.go
+++ b/health.go
@@ -4,185 +4,189 @@
 // the slow start of young workers.
 
 // took counts a job just sent.
-func (d *Dispatcher) took(w *worker, a *attempt) {
-	d.count(a, 1)
-	w.conns = max(w.conns, w.jobs)
-	w.idleAt = d.now
-	w.keep(a.job.req.Key)
-	if d.young(w) {
-		w.coldFrom, w.coldWork = d.now, d.coldAfter(w, a)
+func (d *Dispatcher) recordSend(w *worker, a *attempt) {
+	d.countAttempt(a, 1)
+	w.connections = max(w.connections, w.inFlightJobs)
+	w.connectionUsedAt = d.now
+	w.recordKey(a.job.req.Key)
+	if d.inSlowStart(w) {
+		w.slowStartSentAt, w.slowStartWork = d.now, d.slowStartAfter(w, a)
 	}
-	d.place(w)
+	d.updateLevel(w)
 }
 
-// learnStart learns from the delay before a job started. A late start is a soft
+// recordStart learns from the delay before a job started. A late start is a soft
 // 'full': the worker had no room for it.
-func (d *Dispatcher) learnStart(a *attempt) {
-	w, delay := a.worker, d.now-a.sent
-	d.starts.add(float64(delay))
-	if delay = d.beyondLeastDelay(a, delay); delay < d.tick {
-		w.good = d.now
+func (d *Dispatcher) recordStart(a *attempt) {
+	w, delay := a.worker, d.now-a.sentAt
+	d.startDelay.add(float64(delay))
+	if delay = d.excessDelay(a, delay); delay < d.tickInterval {
+		w.promptStartAt = d.now
 	} else {
-		w.bad = d.now
+		w.lastFaultAt = d.now
 	}
-	late := delay > 2*d.tick
-	a.heardOf()
-	d.learnRoom(w, late)
+	late := delay > 2*d.tickInterval
+	a.clearOverdue()
+	d.adjustCapacity(w, late)
 	if !late {
-		w.refusalsInARow = 0
-		if w.failing <= failingMost {
+		w.consecutiveRejections = 0
+		if w.failureRate <= maxFailureRate {
 			w.trial, w.backoff = false, 0 // one that fails what it starts shows its health at the end
 		}
 	}
-	d.place(w)
+	d.updateLevel(w)
 }
 
 const (
-	lateStarts = 0.25 // share of late starts at which the window stays
-	windowGain = 0.01 // share of the window that one start moves it by, at most
+	lateStartFraction = 0.25 // share of late starts at which the window stays
+	windowGain        = 0.01 // share of the window that one start moves it by, at most
 
-	failingMost = 0.4 // share of failures among a worker's late attempts that is no chance
+	maxFailureRate = 0.4 // share of failures among a worker's late attempts that is no chance
 )
 
-// learnRoom moves the worker's cap and the fleet's window after an answer.
-func (d *Dispatcher) learnRoom(w *worker, late bool) {
-	defer d.recountCap(w)
+// adjustCapacity moves the worker's cap and the fleet's window after an answer.
+func (d *Dispatcher) adjustCapacity(w *worker, late bool) {
+	defer d.recountLimit(w)
 	gain := windowGain * min(d.fleetScale, 8) // each of many sees fewer starts
 	if late {
-		w.cap, w.capped = max(1, min(w.cap, w.own)-0.5), true
-		d.window = max(1, min(d.window, 2*d.busy())*(1-gain))
+		w.concurrencyLimit, w.limitLearned = max(1, min(w.concurrencyLimit, w.usedSlots)-0.5), true
+		d.startWindow = max(1, min(d.startWindow, 2*d.occupiedSlots())*(1-gain))
 		return
 	}
-	if w.own >= w.cap-1 {
-		w.cap, w.capped = w.cap+0.25, true
+	if w.usedSlots >= w.concurrencyLimit-1 {
+		w.concurrencyLimit, w.limitLearned = w.concurrencyLimit+0.25, true
 	}
-	if d.busy() >= d.window/2 {
-		d.window += d.window * gain * lateStarts / (1 - lateStarts)
+	if d.occupiedSlots() >= d.startWindow/2 {
+		d.startWindow += d.startWindow * gain * lateStartFraction / (1 - lateStartFraction)
 	}
 }
 
 // release takes the end of an attempt into the counts and judges its worker.
-func (d *Dispatcher) release(a *attempt, e *Event) {
+func (d *Dispatcher) recordOutcome(a *attempt, e *Event) {
 	w, j := a.worker, a.job
-	a.mayRun = !e.Code.NeverRan()
-	d.count(a, -1)
-	w.idleAt = d.now
+	a.mayHaveRun = !e.Code.NeverRan()
+	d.countAttempt(a, -1)
+	w.connectionUsedAt = d.now
 	if e.HasLoad {
-		d.report(w, e)
+		d.recordLoad(w, e)
 	}
-	a.heardOf()
+	a.clearOverdue()
 	switch e.Code {
 	case Served:
-		d.accepts(a)
+		d.recordAccepted(a)
 		run := e.Took
-		if a.started != 0 {
-			run = max(1, d.now-a.started)
+		if a.startedAt != 0 {
+			run = max(1, d.now-a.startedAt)
 		}
-		j.class.ran(run)
+		j.class.recordRuntime(run)
 		if !a.late {
-			j.class.sample(float64(d.now-j.came) / float64(j.wanted))
+			j.class.sample(float64(d.now-j.arrivedAt) / float64(j.objective))
 		}
-		w.slow += (min(float64(run)/float64(max(1, j.class.median)), 4) - w.slow) / 16
-		w.failing *= 0.8
-		if !d.young(w) {
+		w.latencyRatio += (min(float64(run)/float64(max(1, j.class.median)), 4) - w.latencyRatio) / 16
+		w.failureRate *= 0.8
+		if !d.inSlowStart(w) {
 			// Not what was sent: refused jobs are no measure of capacity.
-			d.served += a.slots * float64(run) / float64(second)
+			d.servedSlots += a.slots * float64(run) / float64(second)
 		}
 		w.trial, w.backoff = false, 0
 		if d.largeFleet() {
-			d.heard(w) // a slot has just come free there, on a connection that stays open
+			d.markReported(w) // a slot has just come free there, on a connection that stays open
 		}
 		if !d.cfg.StartNotes {
-			d.learnRoom(w, d.now-j.came > j.wanted)
+			d.adjustCapacity(w, d.now-j.arrivedAt > j.objective)
 		}
-	case Full:
+	case Saturated:
 		w.acceptedAt = 0 // it may be draining
-		d.learnRoom(w, true)
-		d.pause(w, j)
+		d.adjustCapacity(w, true)
+		d.backoffWorker(w, j)
 	case Unreachable:
-		w.conns = w.jobs
+		w.connections = w.inFlightJobs
 		d.eject(w)
-	case Erred, Reset:
+	case WorkerError, Reset:
 		// One error is chance; a run of them is a worker that empties its count
 		// fast and so would draw every job. Of many dispatchers each meets a worker
 		// seldom: it cannot wait for a run.
-		w.failing += (1 - w.failing) * min(0.2*d.fleetScale, 0.5)
-		if w.failing > failingMost || w.trial {
+		w.failureRate += (1 - w.failureRate) * min(0.2*d.fleetScale, 0.5)
+		if w.failureRate > maxFailureRate || w.trial {
 			d.eject(w)
 		}
-		if w.failing < failingMost && !a.late {
+		if w.failureRate < maxFailureRate && !a.late {
 			j.class.sample(lateRatio)
 		}
-	case TimedOut, Cancelled:
-		if a.started == 0 && d.largeFleet() && w.refusalsInARow < 2 && d.now-a.sent < j.wanted/4 {
-			d.pause(w, j) // it was moved early: the worker has a queue, or hangs
-		} else if a.started == 0 {
+	case DeadlineExceeded, Cancelled:
+		if a.startedAt == 0 && d.largeFleet() && w.consecutiveRejections < 2 && d.now-a.sentAt < j.objective/4 {
+			d.backoffWorker(w, j) // it was moved early: the worker has a queue, or hangs
+		} else if a.startedAt == 0 {
 			d.eject(w)
 		}
 	}
-	d.place(w)
+	d.updateLevel(w)
 }
 
 // pause keeps jobs from a worker that has no room now: by our count it looks free, and
 // would draw the next one.
-func (d *Dispatcher) pause(w *worker, j *job) {
-	w.refusalsInARow = min(w.refusalsInARow+1, 3)
-	pause := j.class.median / 8 << w.refusalsInARow
-	w.bad = d.now
+func (d *Dispatcher) backoffWorker(w *worker, j *job) {
+	w.consecutiveRejections = min(w.consecutiveRejections+1, 3)
+	pause := j.class.median / 8 << w.consecutiveRejections
+	w.lastFaultAt = d.now
 	w.ejectedUntil = d.now + pause/2 + d.rng.Int64N(pause/2+1)
 }
 
 // eject keeps jobs from a worker for a while that doubles each time, then lets
 // one job try it.
 func (d *Dispatcher) eject(w *worker) {
-	least := int64(d.starts.avg + 4*d.starts.dev)
+	least := int64(d.startDelay.avg + 4*d.startDelay.dev)
 	if d.largeFleet() {
 		least = max(least, second)
 	}
 	// Trials add up over the dispatchers.
-	w.backoff = min(max(2*w.backoff, least, d.tick), 4*int64(min(d.fleetScale, 4))*second)
+	w.backoff = min(max(2*w.backoff, least, d.tickInterval), 4*int64(min(d.fleetScale, 4))*second)
 	w.ejectedUntil = d.now + w.backoff + d.rng.Int64N(w.backoff/2+1)
-	w.trial, w.bad = true, d.now
+	w.trial, w.lastFaultAt = true, d.now
 }
 
 // young reports whether a worker is still warming up.
-func (d *Dispatcher) young(w *worker) bool { return w.up != 0 && d.now-w.up < d.cfg.WarmAfter }
+func (d *Dispatcher) inSlowStart(w *worker) bool {
+	return w.startedAt != 0 && d.now-w.startedAt < d.cfg.SlowStartDuration
+}
 
 // warmth is the share of its capacity that a worker is sure to have.
-func (d *Dispatcher) warmth(w *worker) float64 {
-	if !d.young(w) {
+func (d *Dispatcher) slowStartWeight(w *worker) float64 {
+	if !d.inSlowStart(w) {
 		return 1
 	}
-	age := float64(d.now-w.up) / float64(d.cfg.WarmAfter)
-	return d.cfg.StartCapacity + (1-d.cfg.StartCapacity)*min(max(age, 0), 1)
+	age := float64(d.now-w.startedAt) / float64(d.cfg.SlowStartDuration)
+	return d.cfg.SlowStartCapacity + (1-d.cfg.SlowStartCapacity)*min(max(age, 0), 1)
 }
 
 // thawed reports whether a young worker may get our next job: it has had time, since our last,
 // for our part of what it can do while it warms up, and more: all send about what it bears.
-func (d *Dispatcher) thawed(w *worker) bool {
-	if d.byTurns(w) {
-		return d.bears(w, d.lightestAim)
+func (d *Dispatcher) slowStartReady(w *worker) bool {
+	if d.needsSlowStartSlot(w) {
+		return d.slowStartAdmits(w, d.minObjective)
 	}
-	from, to := float64(max(w.coldFrom-w.up, 0)), float64(max(d.now-w.up, 0))
-	first, grown := d.cfg.StartCapacity, (to+from)/(2*float64(d.cfg.WarmAfter))
+	from, to := float64(max(w.slowStartSentAt-w.startedAt, 0)), float64(max(d.now-w.startedAt, 0))
+	first, grown := d.cfg.SlowStartCapacity, (to+from)/(2*float64(d.cfg.SlowStartDuration))
 	done := (to - from) * (first + (1-first)*grown)
-	return d.warmRate*max(1, d.cfg.FallMultiple/2)*done >= w.coldWork
+	return d.peakWorkerRate*max(1, d.cfg.OverloadMultiple/2)*done >= w.slowStartWork
 }
 
-// byTurns reports whether a worker is still warming up and no rate is known for it.
-func (d *Dispatcher) byTurns(w *worker) bool { return d.warmRate <= 0 && d.young(w) }
+// needsSlowStartSlot reports whether a worker is still warming up and no rate is known for it.
+func (d *Dispatcher) needsSlowStartSlot(w *worker) bool {
+	return d.peakWorkerRate <= 0 && d.inSlowStart(w)
+}
 
 // bears reports whether a young worker may get so much work where no rate is known: in its
 // turn one light job, as it warms up more, in some turns a heavier one.
-func (d *Dispatcher) bears(w *worker, work float64) bool {
-	sent, turn := d.coldSent(w), d.turns.At(d.now)
-	most := d.lightestAim * d.warmth(w) / d.cfg.StartCapacity // in a turn
-	return d.turns.Mine(turn, w.hash) &&
-		(sent+work <= most || sent == 0 && d.turns.Heavy(turn, w.hash, work/most))
+func (d *Dispatcher) slowStartAdmits(w *worker, work float64) bool {
+	sent, turn := d.slowStartSent(w), d.slowStartSlots.At(d.now)
+	most := d.minObjective * d.slowStartWeight(w) / d.cfg.SlowStartCapacity // in a turn
+	return d.slowStartSlots.Mine(turn, w.hash) &&
+		(sent+work <= most || sent == 0 && d.slowStartSlots.Heavy(turn, w.hash, work/most))
 }
 
 // lightest is the median running time of the class that has the least.
-func (d *Dispatcher) lightest() int64 {
+func (d *Dispatcher) minMedianRuntime() int64 {
 	run := d.classes[0].median
 	for i := range d.classes {
 		run = min(run, d.classes[i].median)
@@ -191,16 +195,17 @@
 }
 
 // place moves a worker to where it belongs in the room lists.
-func (d *Dispatcher) place(w *worker) {
+func (d *Dispatcher) updateLevel(w *worker) {
 	level := -1
-	if w.state == Live && w.overdue == 0 && d.now >= w.ejectedUntil && w.own < max(1, min(w.cap, w.slots())) &&
-		!(w.trial && w.jobs > 0) && !(d.young(w) && !d.thawed(w)) {
-		level = int(w.own)
+	if w.state == Live && w.overdue == 0 && d.now >= w.ejectedUntil &&
+		w.usedSlots < max(1, min(w.concurrencyLimit, w.maxSlots())) &&
+		!(w.trial && w.inFlightJobs > 0) && !(d.inSlowStart(w) && !d.slowStartReady(w)) {
+		level = int(w.usedSlots)
 	}
 	if level != w.level {
-		d.moveTo(w, level)
+		d.setLevel(w, level)
 	}
-	if !w.pending && d.timed(w) {
-		d.revisit(w)
+	if !w.pending && d.timeDependent(w) {
+		d.markPending(w)
 	}
 }
--- a/internal/cells/cells_test.go
+++ b/internal/cells/cells_test.go
@@ -73,7 +73,7 @@
 	for what, c := range map[string]struct {
 		tenant, to int
 		want       error
-	}{"no tenant": {-1, 0, ErrNoTenant}, "jobs of no tenant": {4, 0, ErrNoTenant}, "no cell": {0, -1, ErrNoCell}, "same": {0, 0, ErrSame}, "empty": {0, 1, ErrEmpty}} {
+	}{"no tenant": {-1, 0, ErrUnknownTenant}, "jobs of no tenant": {4, 0, ErrUnknownTenant}, "no cell": {0, -1, ErrUnknownCell}, "same": {0, 0, ErrSameCell}, "empty": {0, 1, ErrEmpty}} {
 		if err := l.MayMove(c.tenant, c.to); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", what, err)
 		}
@@ -86,15 +86,15 @@
 	for what, c := range map[string]struct {
 		conditions [3]Condition
 		room       bool
-		want       Way
+		want       Route
 	}{
-		"able":                 {[3]Condition{Able, Able, Able}, true, Way{Cell: 0}},
-		"empty, spills":        {[3]Condition{Empty, Able, Able}, true, Way{Cell: 1, Spilled: true}},
-		"cold, spills":         {[3]Condition{Cold, Able, Able}, true, Way{Cell: 1, Spilled: true}},
-		"empty, no room":       {[3]Condition{Empty, Able, Able}, false, Way{Cell: 0, Refuse: true}},
-		"cold, no room":        {[3]Condition{Cold, Able, Able}, false, Way{Cell: 0}},
-		"both empty: no round": {[3]Condition{Empty, Empty, Able}, true, Way{Cell: 0, Refuse: true}},
-		"the other one cold":   {[3]Condition{Empty, Cold, Able}, true, Way{Cell: 0, Refuse: true}},
+		"able":                 {[3]Condition{Healthy, Healthy, Healthy}, true, Route{Cell: 0}},
+		"empty, spills":        {[3]Condition{Unavailable, Healthy, Healthy}, true, Route{Cell: 1, Spilled: true}},
+		"cold, spills":         {[3]Condition{SlowStart, Healthy, Healthy}, true, Route{Cell: 1, Spilled: true}},
+		"empty, no room":       {[3]Condition{Unavailable, Healthy, Healthy}, false, Route{Cell: 0, Shed: true}},
+		"cold, no room":        {[3]Condition{SlowStart, Healthy, Healthy}, false, Route{Cell: 0}},
+		"both empty: no round": {[3]Condition{Unavailable, Unavailable, Healthy}, true, Route{Cell: 0, Shed: true}},
+		"the other one cold":   {[3]Condition{Unavailable, SlowStart, Healthy}, true, Route{Cell: 0, Shed: true}},
 	} {
 		got := l.Route(0, 7, func(cell int) Condition { return c.conditions[cell] }, func(int) bool { return c.room })
 		if got != c.want {
@@ -149,7 +149,7 @@
 	l := NewLayout(p)
 	all := func(int) bool { return true }
 	got, err := l.Evacuation(0, all)
-	if err != nil || !slices.Contains(got, Rescue{0, 1}) || !slices.Contains(got, Rescue{2, 2}) {
+	if err != nil || !slices.Contains(got, Evacuee{0, 1}) || !slices.Contains(got, Evacuee{2, 2}) {
 		t.Errorf("%v, %v", got, err)
 	}
 	got, _ = l.Evacuation(0, func(c int) bool { return c == 2 })
@@ -158,7 +158,7 @@
 			t.Errorf("%v: into a cell that may take none", r)
 		}
 	}
-	if _, err := l.Evacuation(0, func(int) bool { return false }); !errors.Is(err, ErrNowhere) {
+	if _, err := l.Evacuation(0, func(int) bool { return false }); !errors.Is(err, ErrNoTargetCell) {
 		t.Errorf("nowhere to go: %v", err)
 	}
 }
@@ -166,7 +166,7 @@
 // Hard case 6: ten times a tenant's share takes no place of another cell's, and within
 // its own cell leaves room for the others.
 func TestGate(t *testing.T) {
-	g := NewGate([]int{10, 10}, 2)
+	g := NewAdmission([]int{10, 10}, 2)
 	flood := 0
 	for range 100 {
 		if g.Enter(0, 0) {
--- a/internal/cells/gate.go
+++ b/internal/cells/gate.go
@@ -7,7 +7,7 @@
 // Within a cell the first half of the room goes to whoever comes; past it each
 // tenant with jobs open may have an even part, so that one cannot shut out the
 // others. Any goroutine may use a Gate.
-type Gate struct {
+type Admission struct {
 	mu      sync.Mutex
 	bounds  []int   // by cell
 	open    []int   // by cell
@@ -16,17 +16,17 @@
 	refused []int64 // by cell
 }
 
-// NewGate returns a gate with a bound for each cell, for n tenants (and one more for
+// NewAdmission returns a gate with a bound for each cell, for n tenants (and one more for
 // those of none).
-func NewGate(bounds []int, n int) *Gate {
-	g := &Gate{bounds: bounds, open: make([]int, len(bounds)), active: make([]int, len(bounds)), refused: make([]int64, len(bounds))}
+func NewAdmission(bounds []int, n int) *Admission {
+	g := &Admission{bounds: bounds, open: make([]int, len(bounds)), active: make([]int, len(bounds)), refused: make([]int64, len(bounds))}
 	for range bounds {
 		g.tenants = append(g.tenants, make([]int, n+1))
 	}
 	return g
 }
 
-func (g *Gate) slot(tenant int) int {
+func (g *Admission) slot(tenant int) int {
 	if n := len(g.tenants[0]) - 1; tenant < 0 || tenant > n {
 		return n
 	}
@@ -34,7 +34,7 @@
 }
 
 // Enter takes a place in a cell for a tenant, if there is one.
-func (g *Gate) Enter(cell, tenant int) bool {
+func (g *Admission) Enter(cell, tenant int) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	t := g.slot(tenant)
@@ -53,14 +53,14 @@
 }
 
 // Take takes a place whether there is room or not: for what is open already.
-func (g *Gate) Take(cell, tenant int) {
+func (g *Admission) Take(cell, tenant int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.add(cell, g.slot(tenant), 1)
 }
 
 // Leave gives a place back.
-func (g *Gate) Leave(cell, tenant int) {
+func (g *Admission) Leave(cell, tenant int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.add(cell, g.slot(tenant), -1)
@@ -68,7 +68,7 @@
 
 // Move takes a place from one cell to another, past its bound if need be: what was
 // taken in stays.
-func (g *Gate) Move(from, to, tenant int) {
+func (g *Admission) Move(from, to, tenant int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	t := g.slot(tenant)
@@ -76,7 +76,7 @@
 	g.add(to, t, 1)
 }
 
-func (g *Gate) add(cell, t, n int) {
+func (g *Admission) add(cell, t, n int) {
 	if g.tenants[cell][t] == 0 {
 		g.active[cell]++
 	}
@@ -88,7 +88,7 @@
 }
 
 // Open returns what is open of a cell, its bound, and how often it was refused.
-func (g *Gate) Open(cell int) (open, bound int, refused int64) {
+func (g *Admission) Open(cell int) (open, bound int, refused int64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.open[cell], g.bounds[cell], g.refused[cell]
--- a/internal/cells/layout.go
+++ b/internal/cells/layout.go
@@ -234,12 +234,12 @@
 }
 
 // A Rescue is where a tenant of an evacuated cell goes.
-type Rescue struct{ Tenant, To int }
+type Evacuee struct{ Tenant, To int }
 
 // Evacuation says where the tenants of a cell go while it is emptied: to the cell
 // that it spills into, or spread over the others by hash, of those that may take
-// them. Where there is none it is ErrNowhere.
-func (l *Layout) Evacuation(cell int, may func(cell int) bool) ([]Rescue, error) {
+// them. Where there is none it is ErrNoTargetCell.
+func (l *Layout) Evacuation(cell int, may func(cell int) bool) ([]Evacuee, error) {
 	var others place
 	for c := range l.members {
 		if c != cell && may(c) {
@@ -247,12 +247,12 @@
 		}
 	}
 	if len(others) == 0 {
-		return nil, ErrNowhere
+		return nil, ErrNoTargetCell
 	}
 	if s := l.plan.spill[cell]; s >= 0 && may(s) {
 		others = place{int32(s)}
 	}
-	var rescues []Rescue
+	var rescues []Evacuee
 	for t := range l.tenants {
 		if !l.Lives(t, cell) {
 			continue
@@ -265,7 +265,7 @@
 		if t < len(l.plan.names) {
 			name = l.plan.names[t]
 		}
-		rescues = append(rescues, Rescue{t, l.plan.choose(xxhash.Sum64String("tenant "+name), rest)})
+		rescues = append(rescues, Evacuee{t, l.plan.choose(xxhash.Sum64String("tenant "+name), rest)})
 	}
 	return rescues, nil
 }
--- a/internal/cells/route.go
+++ b/internal/cells/route.go
@@ -4,44 +4,44 @@
 
 // Errors of moves, in the operators' words.
 var (
-	ErrNoTenant  = errors.New("there is no such tenant")
-	ErrNoCell    = errors.New("there is no such cell")
-	ErrSame      = errors.New("the tenant is in that cell already")
-	ErrEmpty     = errors.New("that cell has no live node")
-	ErrEvacuated = errors.New("that cell is evacuated: restore it first")
-	ErrNowhere   = errors.New("no other cell has a live node")
+	ErrUnknownTenant = errors.New("there is no such tenant")
+	ErrUnknownCell   = errors.New("there is no such cell")
+	ErrSameCell      = errors.New("the tenant is in that cell already")
+	ErrEmpty         = errors.New("that cell has no live node")
+	ErrEvacuated     = errors.New("that cell is evacuated: restore it first")
+	ErrNoTargetCell  = errors.New("no other cell has a live node")
 )
 
 // A Condition is what a cell can do now.
 type Condition uint8
 
 const (
-	Able  Condition = iota // it has a warm node
-	Cold                   // all its nodes are still warming up
-	Empty                  // it has no node
+	Healthy     Condition = iota // it has a warm node
+	SlowStart                    // all its nodes are still warming up
+	Unavailable                  // it has no node
 )
 
 // A Way is where a job goes.
-type Way struct {
+type Route struct {
 	Cell    int
 	Spilled bool // out of its own cell, which cannot take it
-	Refuse  bool // nowhere
+	Shed    bool // nowhere
 }
 
 // Route says where a job goes: to its cell; while that is empty or cold, to the one
 // it spills into, if that one is able: never further, so that spills cannot go round
 // or on. A cold cell without such a way takes its jobs itself, paced; an empty one
 // refuses them. room says whether the other cell has room for one more spilled job.
-func (l *Layout) Route(tenant int, key uint64, condition func(cell int) Condition, room func(cell int) bool) Way {
+func (l *Layout) Route(tenant int, key uint64, condition func(cell int) Condition, room func(cell int) bool) Route {
 	home := l.Cell(tenant, key)
 	state := condition(home)
-	if state == Able {
-		return Way{Cell: home}
+	if state == Healthy {
+		return Route{Cell: home}
 	}
-	if to := l.plan.spill[home]; to >= 0 && condition(to) == Able && room(to) {
-		return Way{Cell: to, Spilled: true}
+	if to := l.plan.spill[home]; to >= 0 && condition(to) == Healthy && room(to) {
+		return Route{Cell: to, Spilled: true}
 	}
-	return Way{Cell: home, Refuse: state == Empty}
+	return Route{Cell: home, Shed: state == Unavailable}
 }
 
 // SpillBound returns how many jobs that a cell spills may be open in the cell that
@@ -54,11 +54,11 @@
 func (l *Layout) MayMove(tenant, to int) error {
 	switch {
 	case tenant < 0 || tenant >= len(l.plan.names):
-		return ErrNoTenant
+		return ErrUnknownTenant
 	case to < 0 || to >= len(l.plan.cells):
-		return ErrNoCell
+		return ErrUnknownCell
 	case len(l.tenants[tenant]) == 1 && int(l.tenants[tenant][0]) == to:
-		return ErrSame
+		return ErrSameCell
 	case len(l.members[to]) == 0:
 		return ErrEmpty
 	}
--- a/internal/checkpoint/checkpoint.go
+++ b/internal/checkpoint/checkpoint.go
@@ -50,7 +50,7 @@
 }
 
 // A Keeper keeps the list of one scheduler. It is not safe for concurrent use.
-type Keeper struct {
+type Writer struct {
 	file    statefile.File
 	kept    bool      // there is a list in the file that was written or can be used
 	version int64     // of that list,
@@ -68,11 +68,11 @@
 }
 
 // New returns a keeper with its file.
-func New(path string, count Counter) *Keeper { return &Keeper{file: File(path), count: count} }
+func New(path string, count Counter) *Writer { return &Writer{file: File(path), count: count} }
 
 // Load returns the list that was kept, in discovery's form, if it can be used now with a discovery. The
 // error is os.ErrNotExist where there is none.
-func (k *Keeper) Load(discovery string, now time.Time) ([]byte, error) {
+func (k *Writer) Load(discovery string, now time.Time) ([]byte, error) {
 	var saved platform.SavedList
 	if err := k.file.Read(&saved); err != nil {
 		return nil, err
@@ -92,7 +92,7 @@
 
 // Keep looks at the list's version, and writes the list if that is due. A list that cannot be written is
 // counted and tried again.
-func (k *Keeper) Keep(source Source, now time.Time) error {
+func (k *Writer) Keep(source Source, now time.Time) error {
 	version, told := source.ListVersion()
 	if !told {
 		return nil
@@ -111,7 +111,7 @@
 }
 
 // due reports whether a list of a version is to be written.
-func (k *Keeper) due(version int64, now time.Time) bool {
+func (k *Writer) due(version int64, now time.Time) bool {
 	switch age := now.Sub(k.at); {
 	case !k.kept:
 		return true
@@ -123,14 +123,14 @@
 }
 
 // Flush writes the list as it is at the scheduler's end, if it has changed.
-func (k *Keeper) Flush(source Source, now time.Time) error {
+func (k *Writer) Flush(source Source, now time.Time) error {
 	if version, told := source.ListVersion(); !told || k.kept && version == k.version {
 		return nil
 	}
 	return k.write(source, now)
 }
 
-func (k *Keeper) write(source Source, now time.Time) error {
+func (k *Writer) write(source Source, now time.Time) error {
 	saved, told := source.SaveList()
 	if !told {
 		return nil
--- a/internal/coldstart/asker.go
+++ b/internal/coldstart/asker.go
@@ -85,7 +85,7 @@
 )
 
 // An Asker says how long to wait before each call. It is not safe for concurrent use.
-type Asker struct {
+type PollPacer struct {
 	schedulers int
 	longest    time.Duration
 	rng        *rand.Rand
@@ -97,18 +97,20 @@
 	agent      bool
 }
 
-// NewAsker makes one of so many schedulers' askers. A pause is never longer than longest: what
+// NewPollPacer makes one of so many schedulers' askers. A pause is never longer than longest: what
 // may go by without a call until the list counts as known; 0 for no bound.
-func NewAsker(schedulers int, longest time.Duration, rng *rand.Rand) *Asker {
-	return &Asker{schedulers: min(max(1, schedulers), schedulersMost), longest: longest, rng: rng}
+func NewPollPacer(schedulers int, longest time.Duration, rng *rand.Rand) *PollPacer {
+	return &PollPacer{schedulers: min(max(1, schedulers), schedulersMost), longest: longest, rng: rng}
 }
 
-// NewAgentAsker makes the asker of a scheduler to which lists are pushed: to an agent that
+// NewAgentPollPacer makes the asker of a scheduler to which lists are pushed: to an agent that
 // serves no other.
-func NewAgentAsker(rng *rand.Rand) *Asker { return &Asker{schedulers: 1, rng: rng, agent: true} }
+func NewAgentPollPacer(rng *rand.Rand) *PollPacer {
+	return &PollPacer{schedulers: 1, rng: rng, agent: true}
+}
 
 // Wait returns how long discovery may hold the next watch.
-func (a *Asker) Wait() time.Duration {
+func (a *PollPacer) Wait() time.Duration {
 	wait := waitMost
 	if a.agent {
 		wait = agentWait
@@ -118,7 +120,7 @@
 
 // Limit returns how long a call may take that discovery may hold for wait; 0 for one that
 // asks for the whole list. A call that is silent for longer is broken.
-func (a *Asker) Limit(wait time.Duration) time.Duration {
+func (a *PollPacer) Limit(wait time.Duration) time.Duration {
 	switch {
 	case a.agent:
 		return wait + agentLimit
@@ -129,7 +131,7 @@
 }
 
 // DialLimit returns how long a connection to discovery may take.
-func (a *Asker) DialLimit() time.Duration {
+func (a *PollPacer) DialLimit() time.Duration {
 	if a.agent {
 		return agentLimit
 	}
@@ -138,7 +140,7 @@
 
 // First returns the pause before the first call after a start. No call has failed yet: it is
 // shorter than those that follow may be.
-func (a *Asker) First() time.Duration {
+func (a *PollPacer) First() time.Duration {
 	if a.agent {
 		return 0
 	}
@@ -152,12 +154,12 @@
 
 // Moved notes that another discovery is to be asked, at once: what the last one did tells
 // nothing of it.
-func (a *Asker) Moved() {
+func (a *PollPacer) Moved() {
 	a.waited, a.failed, a.shed, a.oversized, a.moved = 0, 0, 0, 0, movedTries
 }
 
 // After notes what came of a call that took so long and returns the pause before the next.
-func (a *Asker) After(o Outcome, took time.Duration) time.Duration {
+func (a *PollPacer) After(o Outcome, took time.Duration) time.Duration {
 	fleet := seconds(float64(a.schedulers) / mostFailing)
 	window, least := fleet, leastPause
 	switch {
@@ -208,7 +210,7 @@
 }
 
 // jitter draws a pause up to a window: full jitter, since the schedulers fail together.
-func (a *Asker) jitter(window, least time.Duration) time.Duration {
+func (a *PollPacer) jitter(window, least time.Duration) time.Duration {
 	pause := least
 	if window > least {
 		pause += time.Duration(a.rng.Int64N(int64(window - least)))
--- a/internal/coldstart/asker_test.go
+++ b/internal/coldstart/asker_test.go
@@ -64,7 +64,7 @@
 		}
 	}
 	for range f.n {
-		a := NewAsker(f.n, 20*time.Second, rand.New(rand.NewPCG(seed, rng.Uint64())))
+		a := NewPollPacer(f.n, 20*time.Second, rand.New(rand.NewPCG(seed, rng.Uint64())))
 		backoff := 250 * time.Millisecond
 		var ask func(now time.Duration)
 		failed := func(now, took time.Duration, o Outcome) {
@@ -161,7 +161,7 @@
 	mean := func(times int) (sum time.Duration) {
 		rng := rand.New(rand.NewPCG(1, 2))
 		for range 2000 {
-			a := NewAsker(300, 0, rng)
+			a := NewPollPacer(300, 0, rng)
 			for range times - 1 {
 				a.After(Busy, 2*time.Second)
 			}
@@ -201,7 +201,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			var low, high time.Duration = time.Hour, 0
 			for seed := range uint64(500) {
-				a := NewAsker(c.n, 20*time.Second, rand.New(rand.NewPCG(seed, 1)))
+				a := NewPollPacer(c.n, 20*time.Second, rand.New(rand.NewPCG(seed, 1)))
 				for _, o := range c.before {
 					a.After(o, time.Second)
 				}
@@ -220,7 +220,7 @@
 
 // After a move that is never answered the fleet's bound holds again.
 func TestMovedEnds(t *testing.T) {
-	a := NewAsker(300, 0, rand.New(rand.NewPCG(1, 1)))
+	a := NewPollPacer(300, 0, rand.New(rand.NewPCG(1, 1)))
 	a.Moved()
 	for range movedTries {
 		a.After(Unreachable, 0)
@@ -248,8 +248,8 @@
 		{Busy, 0, true}, {Busy, time.Second, true}, {Busy, 3 * time.Second, true}, {Faulty, 0, true},
 	}
 	for _, n := range []int{1, 2, 5, 20, 80, 300, 1000} {
-		var play func(a *Asker, depth int)
-		play = func(a *Asker, depth int) {
+		var play func(a *PollPacer, depth int)
+		play = func(a *PollPacer, depth int) {
 			for _, k := range kinds {
 				took, pause := k.took, time.Duration(0)
 				if k.o == Silent && took == 0 {
@@ -272,14 +272,14 @@
 				}
 			}
 		}
-		play(NewAsker(n, 0, rand.New(rand.NewPCG(uint64(n), 1))), 1)
+		play(NewPollPacer(n, 0, rand.New(rand.NewPCG(uint64(n), 1))), 1)
 	}
 }
 
 // An agent serves one scheduler: what it has at the end of an outage is had well within the least
 // grace for drains, however many schedulers there are and however often it failed.
 func TestAgentIsAskedAgainAtOnce(t *testing.T) {
-	a := NewAgentAsker(rand.New(rand.NewPCG(1, 1)))
+	a := NewAgentPollPacer(rand.New(rand.NewPCG(1, 1)))
 	for range 200 {
 		for _, o := range []Outcome{Unreachable, Silent, Busy, Faulty} {
 			if pause := a.After(o, time.Second); pause > 100*time.Millisecond {
@@ -297,7 +297,7 @@
 func TestOversizedPausesGrow(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for _, n := range []int{1, 300, 1000} {
-		for _, a := range []*Asker{NewAsker(n, time.Second, rng), NewAgentAsker(rng)} {
+		for _, a := range []*PollPacer{NewPollPacer(n, time.Second, rng), NewAgentPollPacer(rng)} {
 			for range 100 {
 				last := time.Duration(0)
 				for i := range 12 {
--- a/internal/coldstart/turns_test.go
+++ b/internal/coldstart/turns_test.go
@@ -14,7 +14,7 @@
 		n := rapid.IntRange(1, 400).Draw(t, "schedulers")
 		node, from := rapid.Uint64().Draw(t, "node"), rapid.Int64Range(0, 1<<61).Draw(t, "now")
 		jobs := rapid.Float64Range(0, 20).Draw(t, "jobs")
-		turns := NewTurns(int64(time.Second), n, 0, jobs)
+		turns := NewTimeSlots(int64(time.Second), n, 0, jobs)
 		if most := max(1, jobs); float64(time.Second)/float64(turns.length) > most*1.001 {
 			t.Fatalf("turns of %d ns for %g jobs a second", turns.length, jobs)
 		}
@@ -45,7 +45,7 @@
 		node := rapid.Uint64().Draw(t, "node")
 		one, other := rapid.Float64Range(1.0001, 1e6).Draw(t, "times"), rapid.Float64Range(1.0001, 1e6).Draw(t, "other")
 		w := rapid.Int64Range(0, 1<<33).Draw(t, "window")
-		var turns Turns
+		var turns TimeSlots
 		if turns.Heavy(w, node, one) && turns.Heavy(w+1, node, other) {
 			t.Fatal("two heavy turns side by side")
 		}
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -30,8 +30,8 @@
 		}
 	}
 	c := &s.Module
-	c.ListOnRequest = true // the protocol has no other way, whatever the simulator's has
-	c.ListLease = int64(coldstart.ToldWithin + listLeaseGrace)
+	c.PollEndpoints = true // the protocol has no other way, whatever the simulator's has
+	c.EndpointLease = int64(coldstart.ToldWithin + listLeaseGrace)
 	for i := range c.Classes {
 		if k := &c.Classes[i]; k.Effect == foxlift.Deduplicated {
 			k.KeyTTL = max(0, k.KeyTTL-keyMargin)
@@ -59,7 +59,7 @@
 	case s.Zone != "" && len(s.Zones) > 0 && c.Zone < 0:
 		return fmt.Errorf("zone: %q is not one of dcs", s.Zone)
 	}
-	if c.StartCapacity > 1 {
+	if c.SlowStartCapacity > 1 {
 		return errors.New("obligations.startCapacity: over 1")
 	}
 	return nil
@@ -74,15 +74,15 @@
 			return fmt.Errorf("grades[%d].name: empty", i)
 		case s.Classes[k.Name] != i:
 			return fmt.Errorf("grades[%d].name: %q is there twice", i, k.Name)
-		case k.Aim <= 0:
+		case k.LatencyObjective <= 0:
 			return fmt.Errorf("grades[%d].aim: must be over 0", i)
 		case k.Deadline <= 0:
 			return fmt.Errorf("grades[%d].deadline: must be over 0", i)
-		case k.Stretch < 0:
+		case k.ObjectiveStretch < 0:
 			return fmt.Errorf("grades[%d].aimStretch, familyInfo.classStretch[%d]: negative", i, i)
 		case k.KeyTTL < 0:
 			return fmt.Errorf("grades[%d].keyTtl: negative", i)
-		case max(k.Aim, k.Deadline, k.KeyTTL) > maxTime:
+		case max(k.LatencyObjective, k.Deadline, k.KeyTTL) > maxTime:
 			return fmt.Errorf("grades[%d]: a time of over %v", i, time.Duration(maxTime))
 		case k.Kind < -1 || k.Kind >= max(1, len(s.Kinds)):
 			return fmt.Errorf("familyInfo.classKind[%d]: no such kind", i)
@@ -114,8 +114,8 @@
 	}{
 		{"bounds.connectTimeout", s.ConnectTimeout}, {"bounds.connIdle", c.ConnIdle},
 		{"bounds.maxRetryAfter", c.MaxRetryAfter}, {"obligations.graceToAnswer", c.AnswerGrace},
-		{"obligations.mustAskIn", c.MustAskIn}, {"obligations.warmAfter", c.WarmAfter},
-		{"obligations.fall", c.FallWindow}, {"bounds.maxOpen", int64(s.MaxOpen)},
+		{"obligations.mustAskIn", c.MaxPollInterval}, {"obligations.warmAfter", c.SlowStartDuration},
+		{"obligations.fall", c.OverloadWindow}, {"bounds.maxOpen", int64(s.MaxOpen)},
 		{"bounds.maxAttempts", int64(c.MaxAttempts)},
 	} {
 		if f.time < 0 {
@@ -135,7 +135,7 @@
 		key    string
 		figure float64
 	}{
-		{"obligations.startCapacity", c.StartCapacity}, {"obligations.fallMultiple", c.FallMultiple},
+		{"obligations.startCapacity", c.SlowStartCapacity}, {"obligations.fallMultiple", c.OverloadMultiple},
 		{"prices.crossZone", c.Prices.CrossZone}, {"prices.handshake", c.Prices.Handshake}, {"prices.origin", c.Prices.Fetch},
 	} {
 		if f.figure < 0 {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -129,8 +129,8 @@
 // somebody to send them to. Elsewhere nothing is opened for them.
 func (s *Scheduler) setPeers(listen string, each []string, all string) error {
 	c := &s.Settings.Module
-	c.MayMessage = c.MayMessage && listen != "" && c.Dispatchers > 1
-	if !c.MayMessage {
+	c.MayGossip = c.MayGossip && listen != "" && c.Dispatchers > 1
+	if !c.MayGossip {
 		return nil
 	}
 	if err := checkAddress("peer_listen", listen, 0); err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -68,10 +68,10 @@
 	}
 	c := s.Settings
 	if c.Module.Zone != 1 || c.Classes["ratify"] != 1 || c.Tenants["islands"] != 0 || c.ConnectTimeout != 5 ||
-		c.Module.Classes[0].Stretch != 2.5 || c.Module.Classes[1].Effect != foxlift.AtMostOnce {
+		c.Module.Classes[0].ObjectiveStretch != 2.5 || c.Module.Classes[1].Effect != foxlift.AtMostOnce {
 		t.Errorf("settings: %+v", c)
 	}
-	if c.Module.MayMessage {
+	if c.Module.MayGossip {
 		t.Error("messages to peers, without an address to receive them at")
 	}
 	if s.Admin != "" {
@@ -87,7 +87,7 @@
 		strings.Replace(strings.Replace(good, `"novel":true`, peers, 1), `"balancers":2,"slotNo":1`, `"balancers":1`, 1): false,
 	} {
 		s, err := load(t, text, nil)
-		if err != nil || s.Settings.Module.MayMessage != want || (s.Peers.Listen != "") != want {
+		if err != nil || s.Settings.Module.MayGossip != want || (s.Peers.Listen != "") != want {
 			t.Errorf("%v, %v, want messages %v", s, err, want)
 		}
 	}
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -128,15 +128,15 @@
 		}
 	}
 	for i, c := range s.Module.Classes {
-		if c.Aim <= 0 || c.Deadline <= 0 || c.Kind < -1 || c.Stretch < 0 || c.KeyTTL < 0 {
+		if c.LatencyObjective <= 0 || c.Deadline <= 0 || c.Kind < -1 || c.ObjectiveStretch < 0 || c.KeyTTL < 0 {
 			t.Fatalf("%q: class %d is %+v", data, i, c)
 		}
 	}
 	c := s.Module
-	if c.Dispatchers < 1 || c.Dispatchers > foxlift.MaxDispatchers || c.Index >= c.Dispatchers || c.WarmAfter < 0 || c.MaxAttempts < 0 {
+	if c.Dispatchers < 1 || c.Dispatchers > foxlift.MaxDispatchers || c.Index >= c.Dispatchers || c.SlowStartDuration < 0 || c.MaxAttempts < 0 {
 		t.Fatalf("%q: %+v", data, c)
 	}
-	for _, share := range []float64{c.StartCapacity, c.FallMultiple, c.Prices.CrossZone, c.Prices.Handshake, c.Prices.Fetch} {
+	for _, share := range []float64{c.SlowStartCapacity, c.OverloadMultiple, c.Prices.CrossZone, c.Prices.Handshake, c.Prices.Fetch} {
 		if !(share >= 0) {
 			t.Fatalf("%q: a negative figure in %+v", data, c)
 		}
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -114,7 +114,7 @@
 		switch {
 		case c.want != "" && (err == nil || !strings.HasPrefix(err.Error(), c.want)):
 			t.Errorf("%s: %v", c.with, err)
-		case c.want == "" && (err != nil || !s.Settings.Module.ListOnRequest):
+		case c.want == "" && (err != nil || !s.Settings.Module.PollEndpoints):
 			t.Errorf("%s: %v, or the list is never asked for", c.with, err)
 		}
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -110,7 +110,7 @@
 var discoveries = []string{"automatic", "subscribe"}
 
 var gauges = map[string]foxlift.Gauge{
-	"outstanding": foxlift.GaugeHeld, "backlog": foxlift.GaugeQueue,
+	"outstanding": foxlift.GaugeInFlight, "backlog": foxlift.GaugeQueued,
 	"utilization": foxlift.GaugeBusy, "recent_ms": foxlift.GaugeLatency,
 	"throughput": foxlift.GaugeThroughput, "errors_per_s": foxlift.GaugeErrors,
 }
@@ -162,26 +162,26 @@
 func (f *settingsFile) module() foxlift.Config {
 	b, r := &f.Bounds, &f.Rules
 	return foxlift.Config{
-		Zone:          -1,
-		Dispatchers:   f.Balancers,
-		Index:         f.SlotNo,
-		ListOnRequest: f.Discovery == "subscribe",
-		MustAskIn:     r.MustAskIn,
-		MayCancel:     b.Cancel,
-		MayProbe:      b.Probes,
-		MayCopy:       b.SecondCopies,
-		MayMessage:    b.PeerMessages,
-		MayRetryAfter: b.RetryAfter,
-		MaxRetryAfter: b.MaxRetryAfter,
-		MaxAttempts:   b.MaxAttempts,
-		ConnIdle:      b.ConnIdle,
-		JobsPerConn:   b.StreamsPerConn,
-		StartNotes:    f.Info.TellsStart,
-		AnswerGrace:   r.AnswerGrace,
-		StartCapacity: r.StartCapacity,
-		WarmAfter:     r.WarmAfter,
-		FallMultiple:  r.FallMultiple,
-		FallWindow:    r.Fall,
+		Zone:              -1,
+		Dispatchers:       f.Balancers,
+		Index:             f.SlotNo,
+		PollEndpoints:     f.Discovery == "subscribe",
+		MaxPollInterval:   r.MustAskIn,
+		MayCancel:         b.Cancel,
+		MayHealthCheck:    b.Probes,
+		MayHedge:          b.SecondCopies,
+		MayGossip:         b.PeerMessages,
+		MayRetryAfter:     b.RetryAfter,
+		MaxRetryAfter:     b.MaxRetryAfter,
+		MaxAttempts:       b.MaxAttempts,
+		ConnIdle:          b.ConnIdle,
+		JobsPerConn:       b.StreamsPerConn,
+		StartNotes:        f.Info.TellsStart,
+		AnswerGrace:       r.AnswerGrace,
+		SlowStartCapacity: r.StartCapacity,
+		SlowStartDuration: r.WarmAfter,
+		OverloadMultiple:  r.FallMultiple,
+		OverloadWindow:    r.Fall,
 		Prices: foxlift.Prices{
 			CrossZone: f.Prices.CrossZone, Handshake: f.Prices.Handshake, Fetch: f.Prices.Origin,
 		},
@@ -202,8 +202,8 @@
 		}
 		s.Classes[g.Name] = i
 		c.Classes = append(c.Classes, foxlift.Class{
-			Name: g.Name, Aim: g.Aim, Stretch: g.Stretch + at(f.Info.ClassStretch, i, 0), Deadline: g.Deadline,
-			Effect: effect, Scope: scope, KeyTTL: g.KeyTTL, Worth: g.Worth, Stream: g.Stream,
+			Name: g.Name, LatencyObjective: g.Aim, ObjectiveStretch: g.Stretch + at(f.Info.ClassStretch, i, 0), Deadline: g.Deadline,
+			Effect: effect, Scope: scope, KeyTTL: g.KeyTTL, PriorityWeight: g.Worth, Stream: g.Stream,
 			Kind: at(f.Info.ClassKind, i, -1), Priority: at(f.Info.ClassPriority, i, 0),
 		})
 	}
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -24,10 +24,12 @@
 
 type nothing struct{}
 
-func (nothing) Send(string, *core.Job, core.Limits, func(core.Report)) func() { return func() {} }
-func (nothing) CloseIdle(string)                                              {}
-func (nothing) Probe(string, func(core.Report))                               {}
-func (nothing) Watch()                                                        {}
+func (nothing) Send(string, *core.Job, core.AttemptLimits, func(core.Report)) func() {
+	return func() {}
+}
+func (nothing) CloseIdle(string)                      {}
+func (nothing) HealthCheck(string, func(core.Report)) {}
+func (nothing) Watch()                                {}
 
 // newServer returns a server, which does not listen yet, of a core with two cells and
 // eight nodes.
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -104,7 +104,7 @@
 	switch {
 	case err == nil:
 		return nil
-	case errors.Is(err, cells.ErrNoTenant), errors.Is(err, cells.ErrNoCell):
+	case errors.Is(err, cells.ErrUnknownTenant), errors.Is(err, cells.ErrUnknownCell):
 		return status.Error(codes.NotFound, err.Error())
 	case errors.Is(err, context.DeadlineExceeded), errors.Is(err, context.Canceled):
 		return status.FromContextError(err).Err()
@@ -135,33 +135,33 @@
 
 func (s *Server) cell(x *core.CellState) *controlpb.Cell {
 	c := &controlpb.Cell{
-		Name: x.Name, Share: x.Share, Retired: x.Retired, Evacuated: x.Evacuated,
+		Name: x.Name, Share: x.Fraction, Retired: x.Retired, Evacuated: x.Evacuated,
 		Condition: controlpb.Condition(x.Condition), Open: int64(x.Open), Bound: int64(x.Bound),
-		Out: int64(x.Out), Held: int64(x.Held), SpillsOut: int64(x.SpillsOut),
-		Served: x.Served, Refused: x.Refused, Failed: x.Failed, Shut: x.Shut,
+		Out: int64(x.InFlight), Held: int64(x.Queued), SpillsOut: int64(x.SpillsOut),
+		Served: x.Served, Refused: x.Shed, Failed: x.Failed, Shut: x.Rejected,
 	}
-	for _, n := range x.Nodes {
+	for _, n := range x.Workers {
 		c.Nodes = append(c.Nodes, &controlpb.Node{
 			Id: n.ID, Kind: config.NameOf(s.Settings.Kinds, n.Kind), Zone: config.NameOf(s.Settings.Zones, n.Zone),
-			State: controlpb.NodeState(n.State), Cold: n.Young, Out: n.Out, Others: n.Others,
+			State: controlpb.NodeState(n.State), Cold: n.InSlowStart, Out: n.InFlight, Others: n.ExternalSlots,
 		})
 	}
 	for _, t := range x.Tenants {
-		c.Tenants = append(c.Tenants, &controlpb.Tenant{Name: t.Name, Moved: t.Moved, Quota: t.Quota})
+		c.Tenants = append(c.Tenants, &controlpb.Tenant{Name: t.Name, Moved: t.Migrated, Quota: t.Quota})
 	}
 	return c
 }
 
-func moved(m core.Moved, err error) (*controlpb.Moved, error) {
+func moved(m core.Migration, err error) (*controlpb.Moved, error) {
 	if err != nil {
 		return nil, err
 	}
-	return &controlpb.Moved{Tenants: int64(m.Tenants), Held: int64(m.Held), Out: int64(m.Out)}, nil
+	return &controlpb.Moved{Tenants: int64(m.Tenants), Held: int64(m.Queued), Out: int64(m.InFlight)}, nil
 }
 
 // Move implements the API.
 func (s *Server) Move(ctx context.Context, r *controlpb.MoveRequest) (*controlpb.Moved, error) {
-	return moved(s.Core.Move(ctx, r.Tenant, r.Cell))
+	return moved(s.Core.MigrateTenant(ctx, r.Tenant, r.Cell))
 }
 
 // Evacuate implements the API.
@@ -169,7 +169,7 @@
 	return moved(s.Core.Evacuate(ctx, r.Cell))
 }
 
-// Restore implements the API.
+// RestorePlacement implements the API.
 func (s *Server) Restore(ctx context.Context, r *controlpb.RestoreRequest) (*controlpb.Moved, error) {
-	return moved(s.Core.Restore(ctx, r.Tenant, r.Cell))
+	return moved(s.Core.RestorePlacement(ctx, r.Tenant, r.Cell))
 }
--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -19,13 +19,13 @@
 func (c *Core) admit(j *job) {
 	if len(c.open) > c.most {
 		c.counters.Add("jobs.too_many")
-		c.answer(j, Answer{Verdict: Refused, RetryAfter: c.fullRetry()})
+		c.answer(j, Answer{Verdict: Shed, RetryAfter: c.fullRetry()})
 		return
 	}
-	if class := &c.settings.Module.Classes[j.class]; c.endBy > 0 && c.clock.Now()+class.Aim > c.endBy {
+	if class := &c.settings.Module.Classes[j.class]; c.endBy > 0 && c.clock.Now()+class.LatencyObjective > c.endBy {
 		// It would hardly be done before the end: another scheduler has more time.
 		c.counters.Add("jobs.at_end")
-		c.answer(j, Answer{Verdict: Refused, RetryAfter: time.Duration(c.settings.Module.MaxRetryAfter)})
+		c.answer(j, Answer{Verdict: Shed, RetryAfter: time.Duration(c.settings.Module.MaxRetryAfter)})
 		return
 	}
 	c.place(j)
@@ -36,16 +36,16 @@
 	j.base = len(j.claims)
 	j.cell.tell(foxlift.Event{Kind: foxlift.EventRequest, Request: foxlift.Request{
 		ID: j.number, Class: j.class, Tenant: j.tenant, Deadline: j.deadline, Key: j.Key,
-		Slots: j.Slots, Memory: j.Memory, Repeat: j.Repeat,
-		Waited: max(0, c.clock.Now()-j.Arrived), Tried: j.base, Among: j.among,
+		Slots: j.Slots, Memory: j.Memory, ClientRetry: j.ClientRetry,
+		Waited: max(0, c.clock.Now()-j.ArrivedAt), PriorAttempts: j.base, AllowedWorkers: j.among,
 	}})
 }
 
 // countRefused counts the refusal of a job that has not been checked: its class may be unknown.
 func (c *Core) countRefused(j *Job) {
 	if _, known := c.settings.Classes[j.Class]; known {
-		c.counters.AddPart(VerdictCounters[Refused], j.Class)
+		c.counters.AddPart(VerdictCounters[Shed], j.Class)
 		return
 	}
-	c.counters.Add(VerdictCounters[Refused])
+	c.counters.Add(VerdictCounters[Shed])
 }
--- a/internal/core/book.go
+++ b/internal/core/book.go
@@ -8,12 +8,12 @@
 // VerdictCounters names the counter of each verdict. Those of jobs that were taken are also kept
 // for each class.
 var VerdictCounters = [...]string{
-	Served: "jobs.served", Refused: "jobs.refused", Failed: "jobs.failed", Rejected: "jobs.rejected",
+	Served: "jobs.served", Shed: "jobs.refused", Failed: "jobs.failed", Rejected: "jobs.rejected",
 }
 
 var codeCounters = [...]string{
-	foxlift.Served: "claims.served", foxlift.Erred: "claims.erred", foxlift.Full: "claims.turned_away",
-	foxlift.Blamed: "claims.blamed", foxlift.TimedOut: "claims.timed_out", foxlift.Unreachable: "claims.unreachable",
+	foxlift.Served: "claims.served", foxlift.WorkerError: "claims.erred", foxlift.Saturated: "claims.turned_away",
+	foxlift.InvalidRequest: "claims.blamed", foxlift.DeadlineExceeded: "claims.timed_out", foxlift.Unreachable: "claims.unreachable",
 	foxlift.Reset: "claims.reset", foxlift.Cancelled: "claims.cancelled", foxlift.NotSent: "claims.not_sent",
 }
 
@@ -26,18 +26,18 @@
 	j.overdue.Stop()
 	delete(c.open, j.ID)
 	c.active.Store(int64(len(c.open)))
-	j.place.leave()
+	j.reservation.leave()
 	c.leaveKey(j)
 	j.cell.book(j, a.Verdict)
 	c.remember(j.ID, c.settings.Module.Classes[j.class].Effect != foxlift.Idempotent)
 	c.counters.AddPart(VerdictCounters[a.Verdict], j.Class)
-	j.Submitter.Answer(a)
+	j.Client.Answer(a)
 	c.forget(j)
 }
 
 // abandon answers a job that the module has not ended, and tells the module.
 func (c *Core) abandon(j *job, a Answer) {
-	j.cell.tell(foxlift.Event{Kind: foxlift.EventClientLeft, ID: j.number})
+	j.cell.tell(foxlift.Event{Kind: foxlift.EventClientDisconnected, ID: j.number})
 	c.answer(j, a)
 }
 
--- a/internal/core/cell.go
+++ b/internal/core/cell.go
@@ -50,7 +50,7 @@
 func (c *Core) newCell(name string, tenants []foxlift.Tenant) (*cell, error) {
 	cfg := c.settings.Module
 	cfg.Tenants = tenants
-	cfg.MayMessage = cfg.MayMessage && name == "" // what one cell admits says nothing to another's peers
+	cfg.MayGossip = cfg.MayGossip && name == "" // what one cell admits says nothing to another's peers
 	seed := c.seed
 	for _, b := range []byte(name) {
 		seed = (seed ^ uint64(b)) * 0x100000001b3 // FNV-1a, so that cells do not move in step
@@ -58,7 +58,7 @@
 	module, err := foxlift.New(cfg, seed)
 	cl := &cell{name: name, module: module}
 	if c.confirmed {
-		cl.tell(foxlift.Event{Kind: foxlift.EventList, List: foxlift.ListConfirmed})
+		cl.tell(foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsConfirmed})
 	}
 	return cl, err
 }
@@ -94,15 +94,15 @@
 func (c *Core) condition(i int) cells.Condition {
 	s := c.scheme.Load()
 	if c.cells[i].evacuated {
-		return cells.Empty
+		return cells.Unavailable
 	}
-	state, now, warm := cells.Empty, c.clock.Now(), c.settings.Module.WarmAfter
+	state, now, warm := cells.Unavailable, c.clock.Now(), c.settings.Module.SlowStartDuration
 	s.layout.Each(i, func(id string) bool {
-		if n := c.known[id]; n.Started != 0 && now-n.Started < warm {
-			state = cells.Cold
+		if n := c.known[id]; n.StartedAt != 0 && now-n.StartedAt < warm {
+			state = cells.SlowStart
 			return true
 		}
-		state = cells.Able
+		state = cells.Healthy
 		return false
 	})
 	return state
--- a/internal/core/cell_jobs.go
+++ b/internal/core/cell_jobs.go
@@ -19,7 +19,7 @@
 }
 
 // way is where a job belongs now.
-func (c *Core) way(j *job) cells.Way {
+func (c *Core) way(j *job) cells.Route {
 	s := c.scheme.Load()
 	home := c.home(j.tenant, j.Key)
 	return s.layout.Route(j.tenant, j.Key, c.condition, func(to int) bool {
@@ -40,7 +40,7 @@
 	way, home := c.way(j), c.home(j.tenant, j.Key)
 	j.unspill()
 	j.cell = c.cells[way.Cell]
-	if way.Refuse {
+	if way.Shed {
 		c.counters.Add("jobs.cell_unable")
 		c.refuse(j)
 		return
@@ -50,9 +50,9 @@
 		home.spillsOut++
 		c.counters.Add("jobs.spilled")
 	}
-	if j.Job.place.gate != nil && j.Job.place.cell != way.Cell {
-		j.Job.place.gate.Move(j.Job.place.cell, way.Cell, j.Job.place.tenant)
-		j.Job.place.cell = way.Cell
+	if j.Job.reservation.gate != nil && j.Job.reservation.cell != way.Cell {
+		j.Job.reservation.gate.Move(j.Job.reservation.cell, way.Cell, j.Job.reservation.tenant)
+		j.Job.reservation.cell = way.Cell
 	}
 	if most := s.layout.Plan().KeyJobs(); most > 0 && j.Key != 0 && !c.enterKey(j, most) {
 		c.counters.Add("jobs.key_full")
@@ -70,7 +70,7 @@
 		c.answer(j, Answer{Verdict: Failed, Reason: "given up"})
 		return
 	}
-	c.answer(j, Answer{Verdict: Refused, RetryAfter: c.fullRetry()})
+	c.answer(j, Answer{Verdict: Shed, RetryAfter: c.fullRetry()})
 }
 
 // repeatHarms reports whether the job may have run and its class minds another run.
@@ -119,12 +119,12 @@
 		return
 	}
 	way := c.way(j)
-	if !way.Refuse && c.cells[way.Cell] == j.cell && slices.Equal(j.among, s.layout.KeyNodes(way.Cell, j.Key)) {
+	if !way.Shed && c.cells[way.Cell] == j.cell && slices.Equal(j.among, s.layout.KeyNodes(way.Cell, j.Key)) {
 		return
 	}
 	j.leaving = true
 	j.cell.leaving = append(j.cell.leaving, j)
-	j.cell.tell(foxlift.Event{Kind: foxlift.EventClientLeft, ID: j.number})
+	j.cell.tell(foxlift.Event{Kind: foxlift.EventClientDisconnected, ID: j.number})
 }
 
 // rehomeAll looks at every open job, in the order they came.
--- a/internal/core/cell_nodes.go
+++ b/internal/core/cell_nodes.go
@@ -12,7 +12,7 @@
 // spread tells each cell's module of the nodes that are its own. A node that goes to
 // another cell looks to the module that had it like one that drains; the module that
 // gets it hears how much of others is still out there, and counts it.
-func (c *Core) spread(kind foxlift.ListKind, told []foxlift.Worker) {
+func (c *Core) spread(kind foxlift.EndpointUpdate, told []foxlift.Worker) {
 	var live []cells.Node
 	for _, n := range c.order {
 		if n.State == foxlift.Live {
@@ -42,23 +42,23 @@
 			at := slices.Index(c.cells, old)
 			lists[at] = append(lists[at], w)
 		}
-		if whole := kind != foxlift.ListChanges && n.State != foxlift.Gone; whole || touched[n.ID] || old != n.cell {
+		if whole := kind != foxlift.EndpointsDelta && n.State != foxlift.Removed; whole || touched[n.ID] || old != n.cell {
 			at := slices.Index(c.cells, n.cell)
 			lists[at] = append(lists[at], n.seenBy(n.cell))
 		}
 	}
 	for i, cl := range c.cells {
-		cl.tell(foxlift.Event{Kind: foxlift.EventList, List: kind, Workers: lists[i]})
+		cl.tell(foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: kind, Workers: lists[i]})
 	}
 }
 
 // seenBy returns a node's entry for a cell's module.
 func (n *entry) seenBy(cl *cell) foxlift.Worker {
 	w := n.Worker
-	w.Others = n.foreign
+	w.ExternalSlots = n.foreign
 	for other, slots := range n.out {
 		if other != cl {
-			w.Others += slots
+			w.ExternalSlots += slots
 		}
 	}
 	return w
@@ -76,6 +76,6 @@
 		delete(n.out, cl.cell)
 	}
 	if n.cell != nil && n.cell != cl.cell {
-		n.cell.tell(foxlift.Event{Kind: foxlift.EventList, List: foxlift.ListChanges, Workers: []foxlift.Worker{n.seenBy(n.cell)}})
+		n.cell.tell(foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsDelta, Workers: []foxlift.Worker{n.seenBy(n.cell)}})
 	}
 }
--- a/internal/core/cell_scheme.go
+++ b/internal/core/cell_scheme.go
@@ -7,7 +7,7 @@
 // A scheme is what any goroutine may read of the cells: it is replaced whole.
 type scheme struct {
 	layout      *cells.Layout
-	gate        *cells.Gate
+	gate        *cells.Admission
 	jobs        []int // bound by cell
 	connections []int
 }
@@ -21,7 +21,7 @@
 		s.jobs = append(s.jobs, p.JobBound(i, total))
 		s.connections = append(s.connections, p.ConnectionBound(i, total))
 	}
-	s.gate = cells.NewGate(s.jobs, p.Tenants())
+	s.gate = cells.NewAdmission(s.jobs, p.Tenants())
 	return s
 }
 
@@ -34,7 +34,7 @@
 
 // A place is a job's in a gate.
 type place struct {
-	gate         *cells.Gate
+	gate         *cells.Admission
 	cell, tenant int
 }
 
@@ -52,7 +52,7 @@
 	if !s.gate.Enter(cell, tenant) {
 		return false
 	}
-	j.place = place{s.gate, cell, tenant}
+	j.reservation = place{s.gate, cell, tenant}
 	return true
 }
 
--- a/internal/core/cell_test.go
+++ b/internal/core/cell_test.go
@@ -48,13 +48,13 @@
 	t.Cleanup(c.Stop)
 	r := &rig{Core: c}
 	c.Connect(r, r, 60)
-	r.do(machinesTold{kind: foxlift.ListSaved, entries: r.list(12, 0)})
+	r.do(machinesTold{kind: foxlift.EndpointsCached, entries: r.list(12, 0)})
 	return r
 }
 
 func (r *rig) list(n int, started int64) (list []foxlift.Worker) {
 	for i := range n {
-		list = append(list, foxlift.Worker{ID: fmt.Sprint("n", i), Kind: 0, Zone: 0, Started: started})
+		list = append(list, foxlift.Worker{ID: fmt.Sprint("n", i), Kind: 0, Zone: 0, StartedAt: started})
 	}
 	return list
 }
@@ -62,9 +62,9 @@
 // ask takes a job in as a front does.
 func (r *rig) ask(id, class, tenant string, key uint64) *asked {
 	a := &asked{}
-	j := &Job{ID: id, Class: class, Tenant: tenant, Key: key, Arrived: r.clock.Now(), Remaining: 10 * time.Second, Submitter: a}
+	j := &Job{ID: id, Class: class, Tenant: tenant, Key: key, ArrivedAt: r.clock.Now(), Remaining: 10 * time.Second, Client: a}
 	if s := r.scheme.Load(); !s.enter(r.Core, j) {
-		a.Answer(Answer{Verdict: Refused, RetryAfter: r.fullRetry()})
+		a.Answer(Answer{Verdict: Shed, RetryAfter: r.fullRetry()})
 		return a
 	}
 	r.do(jobArrived{j})
@@ -72,18 +72,18 @@
 }
 
 // change does what an operator asks, on the test's goroutine.
-func (r *rig) change(do func(*cells.Layout) (*cells.Layout, error)) (Moved, error) {
+func (r *rig) change(do func(*cells.Layout) (*cells.Layout, error)) (Migration, error) {
 	s := r.scheme.Load()
 	l, err := do(s.layout)
 	if err != nil {
-		return Moved{}, err
+		return Migration{}, err
 	}
 	m := r.adopt(s.layout, s.with(l))
 	r.route()
 	return m, nil
 }
 
-func (r *rig) move(t *testing.T, tenant string, to int) Moved {
+func (r *rig) move(t *testing.T, tenant string, to int) Migration {
 	t.Helper()
 	m, err := r.change(func(l *cells.Layout) (*cells.Layout, error) {
 		return l.WithTenant(l.Plan().Tenant(tenant), to), nil
@@ -142,7 +142,7 @@
 	held := r.open[fmt.Sprint("t-fill-", n)]
 	<-time.After(30 * time.Millisecond) // it has an age to take along
 	m := r.move(t, "t", 1)
-	if m.Tenants != 1 || m.Held != 1 || m.Out != n {
+	if m.Tenants != 1 || m.Queued != 1 || m.InFlight != n {
 		t.Errorf("%+v, want 1 held and %d out", m, n)
 	}
 	if held.cell != r.cells[1] || held.out != 1 || r.cellOf(held.claims[0].node) != 1 {
@@ -173,9 +173,9 @@
 		sent int
 		want Verdict
 	}{
-		"may have run": {foxlift.Reset, 1, Failed}, "timed out": {foxlift.TimedOut, 1, Failed},
-		"erred": {foxlift.Erred, 1, Failed}, "served": {foxlift.Served, 1, Served},
-		"never ran, goes to the new cell": {foxlift.Full, 2, Served},
+		"may have run": {foxlift.Reset, 1, Failed}, "timed out": {foxlift.DeadlineExceeded, 1, Failed},
+		"erred": {foxlift.WorkerError, 1, Failed}, "served": {foxlift.Served, 1, Served},
+		"never ran, goes to the new cell": {foxlift.Saturated, 2, Served},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newCellRig(t, twoCells())
@@ -230,7 +230,7 @@
 		r.sent[i](ended(foxlift.Unreachable))
 		r.settle()
 	}
-	if len(r.sent) != 3 || len(a.got) != 1 || a.got[0].Verdict != Refused {
+	if len(r.sent) != 3 || len(a.got) != 1 || a.got[0].Verdict != Shed {
 		t.Errorf("%d claims, answers %+v", len(r.sent), a.got)
 	}
 }
@@ -254,7 +254,7 @@
 	ids := []string{}
 	r.onSend = func(j *Job) { ids = append(ids, j.ID) }
 	codes := slices.Repeat([]foxlift.Code{foxlift.Served}, 60) // else all nodes would soon be shut for failing
-	codes = append(codes, foxlift.Full, foxlift.Reset, foxlift.Unreachable, foxlift.Erred, foxlift.NotSent)
+	codes = append(codes, foxlift.Saturated, foxlift.Reset, foxlift.Unreachable, foxlift.WorkerError, foxlift.NotSent)
 	for i := range 1000 {
 		for range rng.IntN(3) {
 			id := fmt.Sprint("j", len(jobs))
@@ -272,7 +272,7 @@
 		case i%100 == 50:
 			list := r.list(12, 0)
 			list[rng.IntN(12)].State = foxlift.Draining
-			r.do(machinesTold{kind: foxlift.ListChanges, entries: list})
+			r.do(machinesTold{kind: foxlift.EndpointsDelta, entries: list})
 		case i == 333 || i == 666:
 			next := twoCells()
 			if i == 333 {
@@ -356,14 +356,14 @@
 			out++
 		}
 	}
-	if got := n.seenBy(n.cell).Others; got != out || out == 0 {
+	if got := n.seenBy(n.cell).ExternalSlots; got != out || out == 0 {
 		t.Errorf("its new cell counts %v slots of others, want %v", got, out)
 	}
 	for i := range 8 {
 		r.sent[i](ended(foxlift.Served))
 	}
 	r.settle()
-	if got := n.seenBy(n.cell).Others; got != 0 {
+	if got := n.seenBy(n.cell).ExternalSlots; got != 0 {
 		t.Errorf("%v slots stay counted", got)
 	}
 	if !r.cells[1].retired || !r.empty(r.cells[1]) {
@@ -386,7 +386,7 @@
 	}
 	refused := 0
 	for _, a := range got {
-		if len(a.got) == 1 && a.got[0].Verdict == Refused && a.got[0].RetryAfter > 0 {
+		if len(a.got) == 1 && a.got[0].Verdict == Shed && a.got[0].RetryAfter > 0 {
 			refused++
 		}
 	}
@@ -399,7 +399,7 @@
 		}
 	}
 	r.evacuate(1) // both: nowhere to spill, and no round
-	if a := r.ask("k", "reading", "t", 0); len(a.got) != 1 || a.got[0].Verdict != Refused {
+	if a := r.ask("k", "reading", "t", 0); len(a.got) != 1 || a.got[0].Verdict != Shed {
 		t.Errorf("%+v", a.got)
 	}
 	for _, report := range r.sent {
@@ -417,7 +417,7 @@
 // one module alone sends there.
 func TestColdNodesHaveOneModule(t *testing.T) {
 	r := newCellRig(t, twoCells())
-	r.do(machinesTold{kind: foxlift.ListFull, entries: r.list(12, r.clock.Now())}) // all start anew
+	r.do(machinesTold{kind: foxlift.EndpointsComplete, entries: r.list(12, r.clock.Now())}) // all start anew
 	by := map[string]map[*cell]bool{}
 	r.onSend = func(j *Job) {
 		id := r.lastNode
@@ -426,7 +426,7 @@
 		}
 		by[id][r.open[j.ID].cell] = true
 	}
-	if c := r.condition(0); c != cells.Cold {
+	if c := r.condition(0); c != cells.SlowStart {
 		t.Errorf("condition %v of a cell of cold nodes", c)
 	}
 	for i := range 50 {
@@ -465,8 +465,8 @@
 	refused := 0
 	for i := range 300 {
 		a := &asked{}
-		r.TakeIn(&Job{ID: fmt.Sprint("f", i), Class: "reading", Tenant: "t", Arrived: r.clock.Now(), Remaining: time.Second, Submitter: a})
-		if len(a.got) == 1 && a.got[0].Verdict == Refused && a.got[0].RetryAfter > 0 {
+		r.Accept(&Job{ID: fmt.Sprint("f", i), Class: "reading", Tenant: "t", ArrivedAt: r.clock.Now(), Remaining: time.Second, Client: a})
+		if len(a.got) == 1 && a.got[0].Verdict == Shed && a.got[0].RetryAfter > 0 {
 			refused++
 		}
 	}
@@ -485,7 +485,7 @@
 	r := newCellRig(t, twoCells())
 	take := func(id string) *asked {
 		a := &asked{}
-		r.TakeIn(&Job{ID: id, Class: "ratify", Tenant: "t", Arrived: r.clock.Now(), Remaining: time.Second, Submitter: a})
+		r.Accept(&Job{ID: id, Class: "ratify", Tenant: "t", ArrivedAt: r.clock.Now(), Remaining: time.Second, Client: a})
 		r.settle()
 		return a
 	}
@@ -545,14 +545,14 @@
 		for k := before; k < len(r.sent); k++ {
 			code := foxlift.Served
 			if r.cellOf(r.nodes[k]) == 0 {
-				code = foxlift.Erred
+				code = foxlift.WorkerError
 			}
 			r.sent[k](Report{})
 			r.sent[k](ended(code))
 			r.settle()
 		}
 	}
-	if b := r.cells[1].booked; b[Served] != 100 || b[Refused]+b[Failed] != 0 {
+	if b := r.cells[1].booked; b[Served] != 100 || b[Shed]+b[Failed] != 0 {
 		t.Errorf("the other cell's answers: %v", b)
 	}
 	if a := r.cells[0].booked; a[Served] != 0 {
@@ -569,30 +569,30 @@
 		tenant, cell string
 		want         error
 	}{
-		"unknown tenant": {"x", "a", cells.ErrNoTenant}, "unknown cell": {"t", "x", cells.ErrNoCell}, "same cell": {"t", "a", cells.ErrSame},
+		"unknown tenant": {"x", "a", cells.ErrUnknownTenant}, "unknown cell": {"t", "x", cells.ErrUnknownCell}, "same cell": {"t", "a", cells.ErrSameCell},
 	} {
-		if _, err := r.Core.Move(ctx, c.tenant, c.cell); !errors.Is(err, c.want) {
+		if _, err := r.Core.MigrateTenant(ctx, c.tenant, c.cell); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
 	if m, err := r.Core.Evacuate(ctx, "b"); err != nil || m.Tenants != 2 {
 		t.Errorf("evacuate: %+v, %v", m, err)
 	}
-	if _, err := r.Core.Move(ctx, "u", "b"); !errors.Is(err, cells.ErrEvacuated) {
+	if _, err := r.Core.MigrateTenant(ctx, "u", "b"); !errors.Is(err, cells.ErrEvacuated) {
 		t.Errorf("into an evacuated cell: %v", err)
 	}
-	if _, err := r.Core.Evacuate(ctx, "a"); !errors.Is(err, cells.ErrNowhere) {
+	if _, err := r.Core.Evacuate(ctx, "a"); !errors.Is(err, cells.ErrNoTargetCell) {
 		t.Errorf("the last cell is evacuated: %v", err)
 	}
 	states, err := r.Core.Cells(ctx)
-	if err != nil || len(states) != 2 || !states[1].Evacuated || len(states[0].Tenants) != 3 || len(states[0].Nodes)+len(states[1].Nodes) != 12 {
+	if err != nil || len(states) != 2 || !states[1].Evacuated || len(states[0].Tenants) != 3 || len(states[0].Workers)+len(states[1].Workers) != 12 {
 		t.Errorf("%+v, %v", states, err)
 	}
-	if m, err := r.Core.Restore(ctx, "", "b"); err != nil || m.Tenants != 2 {
+	if m, err := r.Core.RestorePlacement(ctx, "", "b"); err != nil || m.Tenants != 2 {
 		t.Errorf("restore: %+v, %v", m, err)
 	}
-	r.Core.End(time.Second)
-	if _, err := r.Core.Move(ctx, "t", "b"); !errors.Is(err, errEnding) {
+	r.Core.BeginShutdown(time.Second)
+	if _, err := r.Core.MigrateTenant(ctx, "t", "b"); !errors.Is(err, errEnding) {
 		t.Errorf("while it ends: %v", err)
 	}
 	r.Core.Stop()
@@ -607,8 +607,8 @@
 func TestListsOfDifferentAge(t *testing.T) {
 	young, old := newCellRig(t, twoCells()), newCellRig(t, twoCells())
 	news := append(young.list(12, 0)[10:], foxlift.Worker{ID: "late", Kind: 0, Zone: 0})
-	news[0].State, news[1].State = foxlift.Draining, foxlift.Gone
-	young.do(machinesTold{kind: foxlift.ListChanges, entries: news})
+	news[0].State, news[1].State = foxlift.Draining, foxlift.Removed
+	young.do(machinesTold{kind: foxlift.EndpointsDelta, entries: news})
 	differ := 0
 	for i := range 10 {
 		if id := fmt.Sprint("n", i); young.cellOf(id) != old.cellOf(id) {
@@ -633,7 +633,7 @@
 			}
 		}
 	}
-	old.do(machinesTold{kind: foxlift.ListChanges, entries: news})
+	old.do(machinesTold{kind: foxlift.EndpointsDelta, entries: news})
 	for id := range young.known {
 		a, aok := young.scheme.Load().layout.NodeCell(id)
 		b, bok := old.scheme.Load().layout.NodeCell(id)
@@ -642,10 +642,10 @@
 		}
 	}
 	// One returns with a new id, another restarts: the same map at both again.
-	back := []foxlift.Worker{{ID: "n11b", Kind: 0, Zone: 0}, {ID: "n3", Kind: 0, Zone: 0, Started: young.clock.Now()}}
-	young.do(machinesTold{kind: foxlift.ListChanges, entries: back})
-	old.do(machinesTold{kind: foxlift.ListChanges, entries: back[:1]})
-	old.do(machinesTold{kind: foxlift.ListChanges, entries: back[1:]})
+	back := []foxlift.Worker{{ID: "n11b", Kind: 0, Zone: 0}, {ID: "n3", Kind: 0, Zone: 0, StartedAt: young.clock.Now()}}
+	young.do(machinesTold{kind: foxlift.EndpointsDelta, entries: back})
+	old.do(machinesTold{kind: foxlift.EndpointsDelta, entries: back[:1]})
+	old.do(machinesTold{kind: foxlift.EndpointsDelta, entries: back[1:]})
 	if young.cellOf("n11b") != old.cellOf("n11b") || young.cellOf("n3") != old.cellOf("n3") {
 		t.Error("the order of news decides")
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -2,8 +2,8 @@
 // the Dispatcher (or one for each cell, see cell.go), the table of jobs and claims, and the chain of stages that a
 // job passes: take in, admit, route, send, relay, book (a file each). Everything
 // else talks to it by events. It knows no protocol: a front brings jobs as Job
-// values and is answered through Submitter; execute nodes are reached through
-// Nodes, the machine list through MachineList. It decides nothing either: it
+// values and is answered through Client; execute nodes are reached through
+// Nodes, the machine list through EndpointWatch. It decides nothing either: it
 // reports what happens to the module and carries out the actions it returns.
 package core
 
@@ -21,28 +21,28 @@
 )
 
 // Limits are the times that a claim has.
-type Limits struct {
-	Remaining time.Duration // the submitter waits so long
-	Within    time.Duration // the last byte must be written by then, or never; 0: no such limit
+type AttemptLimits struct {
+	Remaining   time.Duration // the submitter waits so long
+	WriteWithin time.Duration // the last byte must be written by then, or never; 0: no such limit
 }
 
 // Nodes reaches the execute nodes. Its methods are called on the core's
 // goroutine and must not block.
-type Nodes interface {
+type Workers interface {
 	// Send starts a claim. It calls report with what happens, from any
 	// goroutine, the last time with Ended set. withdraw ends the claim early
 	// by closing its connection.
-	Send(node string, job *Job, limits Limits, report func(Report)) (withdraw func())
+	Send(node string, job *Job, limits AttemptLimits, report func(Report)) (withdraw func())
 	// CloseIdle closes the idle connections to a node.
 	CloseIdle(node string)
 	// Probe asks a node for a sign of life and calls report once.
-	Probe(node string, report func(Report))
+	HealthCheck(node string, report func(Report))
 }
 
-// MachineList is the watch on discovery's list.
-type MachineList interface {
+// EndpointWatch is the watch on discovery's list.
+type EndpointWatch interface {
 	// Watch starts the watch, or does nothing where there is one. What it learns comes
-	// back through Core.Machines, each failure as ListFailed; it goes on by itself.
+	// back through Core.UpdateEndpoints, each failure as EndpointsPollFailed; it goes on by itself.
 	Watch()
 }
 
@@ -50,7 +50,7 @@
 type Peers interface {
 	// Tell sends a message to one of them by its number, or to all with -1. It is called
 	// on the core's goroutine and must not block; the message may be lost.
-	Tell(to int, data []byte)
+	Send(to int, data []byte)
 }
 
 // A Report is what a claim or a probe has to tell.
@@ -71,8 +71,8 @@
 	settings *config.Settings
 	clock    Clock
 	counters *counters.Set
-	nodes    Nodes
-	machines MachineList
+	nodes    Workers
+	machines EndpointWatch
 	peers    Peers // nil where there are no messages
 	seed     uint64
 
@@ -98,7 +98,7 @@
 	keys     map[keyIn]int // open jobs by key and cell, where the plan bounds them
 
 	scheme atomic.Pointer[scheme]       // nil without cells; any goroutine may read it
-	ids    *xsync.Map[string, struct{}] // in use or in recent, with cells: what TakeIn knows before the core does
+	ids    *xsync.Map[string, struct{}] // in use or in recent, with cells: what Accept knows before the core does
 }
 
 // New returns a Core, with cells where there is a plan of them. Its parts are set by
@@ -130,15 +130,15 @@
 
 // Connect sets what the core acts through, and how many jobs a front can hold
 // open; more are refused at once.
-func (c *Core) Connect(n Nodes, m MachineList, most int) {
+func (c *Core) Connect(n Workers, m EndpointWatch, most int) {
 	c.nodes, c.machines, c.most = n, m, c.boundOpen(most)
 	if s := c.scheme.Load(); s != nil {
 		c.scheme.Store(newScheme(s.layout, c.most))
 	}
 }
 
-// SetMost changes how many jobs a front can hold open.
-func (c *Core) SetMost(most int) { c.post(mostChanged{most}) }
+// SetMaxOpen changes how many jobs a front can hold open.
+func (c *Core) SetMaxOpen(most int) { c.post(mostChanged{most}) }
 
 type mostChanged struct{ most int }
 
@@ -161,7 +161,7 @@
 // Start begins with the machine list as last known and starts the core's
 // goroutine, which ends after Stop.
 func (c *Core) Start(known []foxlift.Worker) {
-	machinesTold{kind: foxlift.ListSaved, entries: known}.apply(c)
+	machinesTold{kind: foxlift.EndpointsCached, entries: known}.apply(c)
 	c.route()
 	c.updateReady()
 	go c.run()
@@ -200,16 +200,16 @@
 	return time.AfterFunc(time.Duration(wait), func() { c.post(e) })
 }
 
-// TakeIn brings a job. It is answered once, through its Submitter: where its cell
+// Accept brings a job. It is answered once, through its Client: where its cell
 // has no room, at once and on the caller's goroutine, so that a flood of one cell
 // does not even stand in the way of the others' events.
-func (c *Core) TakeIn(j *Job) {
+func (c *Core) Accept(j *Job) {
 	if s := c.scheme.Load(); s != nil {
 		// An id that is in use first: to refuse it would promise that another try is
 		// harmless, while the job that has it runs.
 		if _, there := c.ids.LoadOrStore(j.ID, struct{}{}); there {
 			c.counters.Add("jobs.rejected")
-			j.Submitter.Answer(Answer{Verdict: Rejected, Reason: repeatedID})
+			j.Client.Answer(Answer{Verdict: Rejected, Reason: repeatedID})
 			return
 		}
 		if !s.enter(c, j) {
@@ -217,7 +217,7 @@
 			c.counters.Add("jobs.taken")
 			c.countRefused(j)
 			c.counters.Add("jobs.cell_full")
-			j.Submitter.Answer(Answer{Verdict: Refused, RetryAfter: c.fullRetry()})
+			j.Client.Answer(Answer{Verdict: Shed, RetryAfter: c.fullRetry()})
 			return
 		}
 	}
@@ -225,17 +225,17 @@
 }
 
 // Left says that a job's submitter has gone away. The answer still comes.
-func (c *Core) Left(j *Job) { c.post(submitterLeft{j}) }
+func (c *Core) ClientDisconnected(j *Job) { c.post(submitterLeft{j}) }
 
 // End says that the scheduler ends, and how long it has for what still comes in.
-func (c *Core) End(left time.Duration) { c.post(ending{c.clock.Now() + int64(left)}) }
+func (c *Core) BeginShutdown(left time.Duration) { c.post(ending{c.clock.Now() + int64(left)}) }
 
 type ending struct{ by int64 }
 
 func (e ending) apply(c *Core) { c.endBy = e.by }
 
 // Heard brings a message from another scheduler.
-func (c *Core) Heard(from int, data []byte) { c.post(peerTold{from, data}) }
+func (c *Core) ReceiveGossip(from int, data []byte) { c.post(peerTold{from, data}) }
 
 type peerTold struct {
 	from int
@@ -248,55 +248,55 @@
 	}
 }
 
-// Machines brings news of the machine list, as discovery has answered it.
-func (c *Core) Machines(kind foxlift.ListKind, entries []foxlift.Worker) {
+// UpdateEndpoints brings news of the machine list, as discovery has answered it.
+func (c *Core) UpdateEndpoints(kind foxlift.EndpointUpdate, entries []foxlift.Worker) {
 	c.post(machinesTold{kind: kind, entries: entries})
 }
 
-// MachinesConfirmed says that discovery has answered and that nothing has changed.
-func (c *Core) MachinesConfirmed() { c.post(machinesTold{kind: foxlift.ListConfirmed}) }
+// ConfirmEndpoints says that discovery has answered and that nothing has changed.
+func (c *Core) ConfirmEndpoints() { c.post(machinesTold{kind: foxlift.EndpointsConfirmed}) }
 
-// MachinesMoved says that another discovery is to be asked from now on.
-func (c *Core) MachinesMoved() { c.post(machinesTold{kind: foxlift.ListMoved}) }
+// ChangeDiscovery says that another discovery is to be asked from now on.
+func (c *Core) ChangeDiscovery() { c.post(machinesTold{kind: foxlift.DiscoveryChanged}) }
 
-// MachinesFailed says that a call to discovery has failed, and what that tells of it.
-func (c *Core) MachinesFailed(failure foxlift.ListFailure) {
-	c.post(machinesTold{kind: foxlift.ListFailed, failure: failure})
+// RecordPollFailure says that a call to discovery has failed, and what that tells of it.
+func (c *Core) RecordPollFailure(failure foxlift.PollFailure) {
+	c.post(machinesTold{kind: foxlift.EndpointsPollFailed, failure: failure})
 }
 
 // Ready reports whether jobs can be taken: the list has an active machine and can be trusted.
 func (c *Core) Ready() bool { return c.ready.Load() }
 
 // Listed reports whether the list has an active machine, however old it is.
-func (c *Core) Listed() bool { return c.listed.Load() }
+func (c *Core) HasWorkers() bool { return c.listed.Load() }
 
 // machinesTold is news of the machine list.
 type machinesTold struct {
-	kind    foxlift.ListKind
-	failure foxlift.ListFailure
+	kind    foxlift.EndpointUpdate
+	failure foxlift.PollFailure
 	entries []foxlift.Worker
 }
 
 func (e machinesTold) apply(c *Core) {
 	switch e.kind {
-	case foxlift.ListFailed:
+	case foxlift.EndpointsPollFailed:
 		c.counters.Add("machines.failed")
-		c.tellAll(foxlift.Event{Kind: foxlift.EventList, List: e.kind, Failure: e.failure})
+		c.tellAll(foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: e.kind, PollFailure: e.failure})
 		return // the old list remains
-	case foxlift.ListConfirmed:
+	case foxlift.EndpointsConfirmed:
 		c.confirmList()
 		return
-	case foxlift.ListMoved:
-		c.tellAll(foxlift.Event{Kind: foxlift.EventList, List: e.kind})
+	case foxlift.DiscoveryChanged:
+		c.tellAll(foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: e.kind})
 		return
 	}
 	c.counters.Add("machines.told")
-	if e.kind != foxlift.ListSaved {
+	if e.kind != foxlift.EndpointsCached {
 		c.confirmList()
 	}
 	c.note(e.kind, e.entries)
 	if c.scheme.Load() == nil {
-		c.cells[0].tell(foxlift.Event{Kind: foxlift.EventList, List: e.kind, Workers: c.withOthers(e.entries)})
+		c.cells[0].tell(foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: e.kind, Workers: c.withOthers(e.entries)})
 	} else {
 		c.spread(e.kind, e.entries)
 		c.rehomeAll()
@@ -307,7 +307,7 @@
 // confirmList tells each module that the list is up to date.
 func (c *Core) confirmList() {
 	c.confirmed = true
-	c.tellAll(foxlift.Event{Kind: foxlift.EventList, List: foxlift.ListConfirmed})
+	c.tellAll(foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsConfirmed})
 }
 
 // tellAll keeps an event for the next step of each cell's module.
@@ -320,5 +320,5 @@
 // updateReady notes whether jobs can be taken: there is a live machine, and the list that says so holds.
 func (c *Core) updateReady() {
 	c.listed.Store(c.live > 0)
-	c.ready.Store(c.live > 0 && (c.confirmed || c.cells[0].module.ListTrusted()))
+	c.ready.Store(c.live > 0 && (c.confirmed || c.cells[0].module.EndpointsUsable()))
 }
