--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -27,7 +27,7 @@
 	onSend   func(*Job)
 }
 
-func (r *rig) Send(node string, j *Job, _ Limits, report func(Report)) func() {
+func (r *rig) Send(node string, j *Job, _ AttemptLimits, report func(Report)) func() {
 	r.sent, r.nodes, r.lastNode = append(r.sent, report), append(r.nodes, node), node
 	if j.Class == "ratify" {
 		r.ratify = append(r.ratify, j.ID)
@@ -37,14 +37,14 @@
 	}
 	return func() { r.withdrew++ }
 }
-func (r *rig) CloseIdle(string)           {}
-func (r *rig) Probe(string, func(Report)) {}
-func (r *rig) Watch()                     { r.watched++ }
+func (r *rig) CloseIdle(string)                 {}
+func (r *rig) HealthCheck(string, func(Report)) {}
+func (r *rig) Watch()                           { r.watched++ }
 
 type asked struct{ got []Answer }
 
-func (a *asked) Answer(x Answer) { a.got = append(a.got, x) }
-func (a *asked) Gone() bool      { return false }
+func (a *asked) Answer(x Answer)    { a.got = append(a.got, x) }
+func (a *asked) Disconnected() bool { return false }
 
 func newRig(t *testing.T) *rig {
 	s, err := config.ParseSettings([]byte(settings))
@@ -58,7 +58,7 @@
 	t.Cleanup(c.Stop)
 	r := &rig{Core: c}
 	c.Connect(r, r, 9)
-	r.do(machinesTold{kind: foxlift.ListFull, entries: []foxlift.Worker{{ID: "n1", Kind: -1}, {ID: "n2", Kind: -1}, {ID: "n3", Kind: -1}}})
+	r.do(machinesTold{kind: foxlift.EndpointsComplete, entries: []foxlift.Worker{{ID: "n1", Kind: -1}, {ID: "n2", Kind: -1}, {ID: "n3", Kind: -1}}})
 	return r
 }
 
@@ -76,7 +76,7 @@
 
 func (r *rig) take(id, class, tenant string) *asked {
 	a := &asked{}
-	r.do(jobArrived{&Job{ID: id, Class: class, Tenant: tenant, Arrived: r.clock.Now(), Remaining: 10 * time.Second, Submitter: a}})
+	r.do(jobArrived{&Job{ID: id, Class: class, Tenant: tenant, ArrivedAt: r.clock.Now(), Remaining: 10 * time.Second, Client: a}})
 	return a
 }
 
@@ -90,23 +90,23 @@
 	}{
 		"served":             {"ratify", func(r *rig, _ *Job) { r.sent[0](over(foxlift.Served)) }, Served},
 		"served twice":       {"ratify", func(r *rig, _ *Job) { r.sent[0](over(foxlift.Served)); r.sent[0](over(foxlift.Served)) }, Served},
-		"erred, then served": {"ratify", func(r *rig, _ *Job) { r.sent[0](over(foxlift.Erred)); r.sent[0](over(foxlift.Served)) }, Failed},
-		"left":               {"ratify", func(r *rig, j *Job) { r.Left(j) }, Failed},
-		"left, then served":  {"ratify", func(r *rig, j *Job) { r.Left(j); r.sent[0](over(foxlift.Served)) }, Failed},
-		"served, then left":  {"ratify", func(r *rig, j *Job) { r.sent[0](over(foxlift.Served)); r.Left(j) }, Served},
+		"erred, then served": {"ratify", func(r *rig, _ *Job) { r.sent[0](over(foxlift.WorkerError)); r.sent[0](over(foxlift.Served)) }, Failed},
+		"left":               {"ratify", func(r *rig, j *Job) { r.ClientDisconnected(j) }, Failed},
+		"left, then served":  {"ratify", func(r *rig, j *Job) { r.ClientDisconnected(j); r.sent[0](over(foxlift.Served)) }, Failed},
+		"served, then left":  {"ratify", func(r *rig, j *Job) { r.sent[0](over(foxlift.Served)); r.ClientDisconnected(j) }, Served},
 		"two copies served": {"reading", func(r *rig, _ *Job) {
 			r.send(r.jobs[1], "n2", 0)
 			r.sent[0](over(foxlift.Served))
 			r.sent[1](over(foxlift.Served))
 		}, Served},
-		"timed out":           {"ratify", func(r *rig, _ *Job) { r.post(claimReported{r.jobs[1].claims[0], over(foxlift.TimedOut)}) }, Failed},
+		"timed out":           {"ratify", func(r *rig, _ *Job) { r.post(claimReported{r.jobs[1].claims[0], over(foxlift.DeadlineExceeded)}) }, Failed},
 		"module says nothing": {"ratify", func(r *rig, _ *Job) { r.post(jobOverdue{r.jobs[1]}) }, Failed},
 		"turned away thrice": {"ratify", func(r *rig, _ *Job) {
 			for i := range 3 {
 				r.sent[i](over(foxlift.Unreachable))
 				r.settle()
 			}
-		}, Refused},
+		}, Shed},
 		"started, then reset, then served elsewhere": {"reading", func(r *rig, _ *Job) {
 			r.sent[0](Report{})
 			r.sent[0](Report{Progress: true})
@@ -149,7 +149,7 @@
 		t.Errorf("%d claims, %d answers for the first job", len(r.sent), len(first.got))
 	}
 	r.take("k", "ratify", "t")
-	if a := r.take("l", "ratify", "t"); len(a.got) != 1 || a.got[0].Verdict != Refused || a.got[0].RetryAfter == 0 {
+	if a := r.take("l", "ratify", "t"); len(a.got) != 1 || a.got[0].Verdict != Shed || a.got[0].RetryAfter == 0 {
 		t.Errorf("past the limit of open jobs: %+v", a.got)
 	}
 	r.sent[0](Report{Ended: true, Code: foxlift.Served})
@@ -167,7 +167,7 @@
 func TestRemainingIsBounded(t *testing.T) {
 	r := newRig(t)
 	now := r.clock.Now()
-	r.do(jobArrived{&Job{ID: "j", Class: "reading", Tenant: "t", Arrived: now, Remaining: 1 << 62, Submitter: &asked{}}})
+	r.do(jobArrived{&Job{ID: "j", Class: "reading", Tenant: "t", ArrivedAt: now, Remaining: 1 << 62, Client: &asked{}}})
 	if d := r.jobs[1].deadline - now; d != 20e9 {
 		t.Errorf("deadline in %d", d)
 	}
@@ -196,7 +196,7 @@
 	}
 	r.do(ending{r.clock.Now() + int64(400*time.Millisecond)})
 	late := r.take("late", "reading", "t")
-	if len(late.got) != 1 || late.got[0].Verdict != Refused || late.got[0].RetryAfter == 0 || r.counters.Get("jobs.at_end") != 1 {
+	if len(late.got) != 1 || late.got[0].Verdict != Shed || late.got[0].RetryAfter == 0 || r.counters.Get("jobs.at_end") != 1 {
 		t.Errorf("too late: %+v", late.got)
 	}
 	for len(first.got) == 0 {
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -16,9 +16,9 @@
 
 // A Progress is the part of a State that the next process looks at again and again.
 type Progress struct {
-	At   int64              `json:"At"`   // when it was so, in Unix nanoseconds
-	Open int                `json:"Open"` // jobs taken and not yet answered
-	Out  map[string]float64 `json:"Out"`  // slots of claims that have not ended, by node
+	TakenAt  int64              `json:"At"`   // when it was so, in Unix nanoseconds
+	Open     int                `json:"Open"` // jobs taken and not yet answered
+	InFlight map[string]float64 `json:"Out"`  // slots of claims that have not ended, by node
 }
 
 // State returns what another process would have to know to go on from here.
@@ -29,7 +29,7 @@
 
 func (c *Core) state() *State {
 	s := &State{
-		Progress: Progress{At: c.clock.Now(), Open: len(c.open), Out: map[string]float64{}},
+		Progress: Progress{TakenAt: c.clock.Now(), Open: len(c.open), InFlight: map[string]float64{}},
 		Modules:  map[string]*foxlift.Snapshot{},
 	}
 	for _, cl := range c.cells {
@@ -40,7 +40,7 @@
 	for _, j := range c.jobs {
 		for _, cl := range j.claims {
 			if !cl.done {
-				s.Out[cl.node] += slotsOf(j)
+				s.InFlight[cl.node] += slotsOf(j)
 			}
 		}
 	}
@@ -57,8 +57,8 @@
 	return s
 }
 
-// TakeOver goes on from what another process handed over. It is called while no job has come yet.
-func (c *Core) TakeOver(ctx context.Context, s *State) error {
+// RestoreState goes on from what another process handed over. It is called while no job has come yet.
+func (c *Core) RestoreState(ctx context.Context, s *State) error {
 	return c.operate(ctx, func(c *Core) { c.goOnFrom(s) })
 }
 
@@ -72,12 +72,12 @@
 		c.remember(id, true)
 		c.ids.Store(id, struct{}{})
 	}
-	c.setOthers(s.Out)
+	c.setOthers(s.InFlight)
 }
 
-// SetOthers tells how many slots another process of the scheduler has out at the nodes. The modules
+// SetExternalSlots tells how many slots another process of the scheduler has out at the nodes. The modules
 // count them as they count those of another cell.
-func (c *Core) SetOthers(out map[string]float64) { c.post(othersTold{out}) }
+func (c *Core) SetExternalSlots(out map[string]float64) { c.post(othersTold{out}) }
 
 type othersTold struct{ out map[string]float64 }
 
@@ -95,7 +95,7 @@
 		}
 	}
 	for cl, workers := range told {
-		cl.tell(foxlift.Event{Kind: foxlift.EventList, List: foxlift.ListChanges, Workers: workers})
+		cl.tell(foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsDelta, Workers: workers})
 	}
 }
 
@@ -118,7 +118,7 @@
 		if &told[0] == &entries[0] {
 			told = append([]foxlift.Worker(nil), entries...)
 		}
-		told[i].Others = n.foreign
+		told[i].ExternalSlots = n.foreign
 	}
 	return told
 }
--- a/internal/core/handover_test.go
+++ b/internal/core/handover_test.go
@@ -35,8 +35,8 @@
 	older.take("answered", "ratify", "t")
 	older.do(claimReported{older.open["answered"].claims[0], Report{Ended: true, Code: foxlift.Served}})
 	s := older.handedOver(t)
-	if s.Open != 1 || len(s.Out) != 1 {
-		t.Errorf("open %d, out %v; want one job at one node", s.Open, s.Out)
+	if s.Open != 1 || len(s.InFlight) != 1 {
+		t.Errorf("open %d, out %v; want one job at one node", s.Open, s.InFlight)
 	}
 	newer.takeOver(t, s)
 	for id, rejected := range map[string]bool{"open": true, "answered": true, "fresh": false} {
@@ -58,7 +58,7 @@
 func TestOthersCount(t *testing.T) {
 	r := newRig(t)
 	r.do(othersTold{map[string]float64{"n1": 50, "n2": 50, "gone": 1}})
-	r.do(machinesTold{kind: foxlift.ListFull, entries: []foxlift.Worker{{ID: "n1", Kind: -1}, {ID: "n2", Kind: -1}, {ID: "n3", Kind: -1}}})
+	r.do(machinesTold{kind: foxlift.EndpointsComplete, entries: []foxlift.Worker{{ID: "n1", Kind: -1}, {ID: "n2", Kind: -1}, {ID: "n3", Kind: -1}}})
 	for _, id := range []string{"a", "b"} {
 		r.take(id, "reading", "t")
 		if r.lastNode != "n3" {
@@ -66,8 +66,8 @@
 		}
 	}
 	r.do(othersTold{nil})
-	if a := r.known["n1"].seenBy(r.cells[0]); a.Others != 0 {
-		t.Errorf("%v slots of others are left", a.Others)
+	if a := r.known["n1"].seenBy(r.cells[0]); a.ExternalSlots != 0 {
+		t.Errorf("%v slots of others are left", a.ExternalSlots)
 	}
 }
 
@@ -76,7 +76,7 @@
 	r := newRig(t)
 	r.do(mostChanged{1})
 	r.take("a", "ratify", "t")
-	if a := r.take("b", "ratify", "t"); len(a.got) != 1 || a.got[0].Verdict != Refused {
+	if a := r.take("b", "ratify", "t"); len(a.got) != 1 || a.got[0].Verdict != Shed {
 		t.Errorf("answers %v past the budget, want a refusal", a.got)
 	}
 	r.do(mostChanged{9})
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -9,51 +9,51 @@
 
 // A Job is a request that a front has read in full.
 type Job struct {
-	ID        string // given by the submitter; no two open jobs have the same
-	Class     string
-	Tenant    string
-	Arrived   int64         // on the core's clock
-	Remaining time.Duration // how long the submitter waits from then on
-	Key       uint64        // what it is about; 0 if nothing
-	Slots     float64
-	Memory    float64
-	Repeat    bool // the submitter says that it tried before
-	Keyed     bool // it carries the key by which nodes know a repeat
-	Payload   any  // for Nodes; the core does not look at it
-	Submitter Submitter
-
-	answered atomic.Bool
-	left     atomic.Pointer[time.Time] // when its submitter was seen to have left
-	place    place                     // in a gate, where there are cells
+	ID                string // given by the submitter; no two open jobs have the same
+	Class             string
+	Tenant            string
+	ArrivedAt         int64         // on the core's clock
+	Remaining         time.Duration // how long the submitter waits from then on
+	Key               uint64        // what it is about; 0 if nothing
+	Slots             float64
+	Memory            float64
+	ClientRetry       bool // the submitter says that it tried before
+	HasIdempotencyKey bool // it carries the key by which nodes know a repeat
+	Payload           any  // for Nodes; the core does not look at it
+	Client            Client
+
+	answered       atomic.Bool
+	disconnectedAt atomic.Pointer[time.Time] // when its submitter was seen to have left
+	reservation    place                     // in a gate, where there are cells
 }
 
 // Over reports whether nothing more is to be begun for the job: it is answered, or its
 // submitter has gone, which the core need not have heard yet. Any goroutine may ask.
-func (j *Job) Over() bool {
-	return j.answered.Load() || j.Submitter != nil && j.Submitter.Gone()
+func (j *Job) Finished() bool {
+	return j.answered.Load() || j.Client != nil && j.Client.Disconnected()
 }
 
-// NoteLeft notes that the job's submitter has left. Any goroutine may call it.
-func (j *Job) NoteLeft() {
+// MarkDisconnected notes that the job's submitter has left. Any goroutine may call it.
+func (j *Job) MarkDisconnected() {
 	now := time.Now()
-	j.left.CompareAndSwap(nil, &now)
+	j.disconnectedAt.CompareAndSwap(nil, &now)
 }
 
-// LeftAgo returns how long ago the job's submitter was seen to have left; 0 if it was not.
-func (j *Job) LeftAgo() time.Duration {
-	if at := j.left.Load(); at != nil {
+// SinceDisconnect returns how long ago the job's submitter was seen to have left; 0 if it was not.
+func (j *Job) SinceDisconnect() time.Duration {
+	if at := j.disconnectedAt.Load(); at != nil {
 		return time.Since(*at)
 	}
 	return 0
 }
 
-// A Submitter waits for a job's answer.
-type Submitter interface {
+// A Client waits for a job's answer.
+type Client interface {
 	// Answer brings the one answer. It is called on the core's goroutine and
 	// must not block.
 	Answer(Answer)
-	// Gone reports whether the submitter has gone away, as far as can be told at once.
-	Gone() bool
+	// Disconnected reports whether the client has gone away, as far as can be told at once.
+	Disconnected() bool
 }
 
 // A Verdict is the kind of an answer.
@@ -61,7 +61,7 @@
 
 const (
 	Served   Verdict = iota
-	Refused          // another try is harmless
+	Shed             // another try is harmless
 	Failed           // no promise is made
 	Rejected         // bad input, never taken: see Reason
 )
@@ -70,7 +70,7 @@
 type Answer struct {
 	Verdict    Verdict
 	Result     []byte        // if Served
-	RetryAfter time.Duration // if Refused; 0 means no advice
+	RetryAfter time.Duration // if Shed; 0 means no advice
 	Reason     string        // if Rejected or Failed
 }
 
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -19,7 +19,7 @@
 )
 
 // A model of the whole scheduler: core, module and cells, driven from outside through
-// Nodes, MachineList and Submitter by fakes, on virtual time (testing/synctest: a
+// Nodes, EndpointWatch and Client by fakes, on virtual time (testing/synctest: a
 // bubble whose clock moves when all goroutines wait, and which does not end while one
 // is left). A script of random actions is played; what must always hold is checked as
 // it happens and at the end, and the histories are held against a register that may
@@ -111,7 +111,7 @@
 
 // provesNothingRan is the protocol's table of endings, written again: the model must
 // not believe what it judges.
-var provesNothingRan = map[foxlift.Code]bool{foxlift.Full: true, foxlift.Unreachable: true, foxlift.NotSent: true}
+var provesNothingRan = map[foxlift.Code]bool{foxlift.Saturated: true, foxlift.Unreachable: true, foxlift.NotSent: true}
 
 // sameAs reports whether two submissions count as one job: an id is remembered while it
 // is in use and for the longest deadline after its answer, no longer.
@@ -138,8 +138,8 @@
 	return nil
 }
 
-// Answer implements Submitter.
-func (j *modelJob) Gone() bool { return false }
+// Answer implements Client.
+func (j *modelJob) Disconnected() bool { return false }
 
 func (j *modelJob) Answer(a Answer) {
 	w := j.world
@@ -149,10 +149,10 @@
 		j.at = w.now()
 	}
 	j.answers = append(j.answers, a)
-	if a.Verdict == Refused && j.Class == "ratify" && w.mayHaveRun(j) {
+	if a.Verdict == Shed && j.Class == "ratify" && w.mayHaveRun(j) {
 		w.breaks("%s is told that another try is harmless, and may have run", j.ID)
 	}
-	if a.Verdict == Refused && a.RetryAfter > 2*time.Second {
+	if a.Verdict == Shed && a.RetryAfter > 2*time.Second {
 		w.breaks("%s is told to wait %v", j.ID, a.RetryAfter)
 	}
 }
@@ -160,10 +160,10 @@
 const sealWindow = 2 * time.Second
 
 // Send implements Nodes.
-func (w *world) Send(node string, job *Job, limits Limits, report func(Report)) func() {
+func (w *world) Send(node string, job *Job, limits AttemptLimits, report func(Report)) func() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	j := job.Submitter.(*modelJob)
+	j := job.Client.(*modelJob)
 	sent := 0
 	for _, c := range w.claims {
 		if c.job == j {
@@ -186,8 +186,8 @@
 		if zone := func(node string) int { return int(node[1]) % 2 }; zone(node) != zone(first.node) {
 			w.breaks("%s is sent to %s, and may have run on %s in the other zone", j.ID, node, first.node)
 		}
-		if age := w.now() - first.sent; age > sealWindow || limits.Within <= 0 || age+limits.Within > sealWindow+time.Millisecond {
-			w.breaks("%s is sent within %v, and may have run %v ago", j.ID, limits.Within, age)
+		if age := w.now() - first.sent; age > sealWindow || limits.WriteWithin <= 0 || age+limits.WriteWithin > sealWindow+time.Millisecond {
+			w.breaks("%s is sent within %v, and may have run %v ago", j.ID, limits.WriteWithin, age)
 		}
 	}
 	if limits.Remaining <= 0 {
@@ -210,7 +210,7 @@
 }
 
 func (w *world) CloseIdle(string) {}
-func (w *world) Probe(_ string, report func(Report)) {
+func (w *world) HealthCheck(_ string, report func(Report)) {
 	report(Report{Ended: true, Code: foxlift.Served})
 }
 func (w *world) Watch() {}
@@ -251,7 +251,7 @@
 }
 
 func (w *world) worker(i int, started int64) foxlift.Worker {
-	return foxlift.Worker{ID: fmt.Sprint("n", i), Zone: i % 2, Kind: i % 2, Cell: i / 2, Started: started}
+	return foxlift.Worker{ID: fmt.Sprint("n", i), Zone: i % 2, Kind: i % 2, Cell: i / 2, StartedAt: started}
 }
 
 func (w *world) act(a act) {
@@ -264,15 +264,15 @@
 		}
 		j := &modelJob{world: w, asked: w.now()}
 		j.Job = &Job{
-			ID: id, Class: modelClasses[a.a%3], Keyed: a.a%3 != 2 || a.c%8 != 7, Tenant: modelTenants[a.b%3], Arrived: c.clock.Now(), Key: uint64(a.c % 4),
-			Remaining: []time.Duration{5 * time.Second, 20 * time.Millisecond, time.Second, 0}[a.c%4], Submitter: j,
-			Slots: float64(a.b % 3), Repeat: a.c%5 == 0,
+			ID: id, Class: modelClasses[a.a%3], HasIdempotencyKey: a.a%3 != 2 || a.c%8 != 7, Tenant: modelTenants[a.b%3], ArrivedAt: c.clock.Now(), Key: uint64(a.c % 4),
+			Remaining: []time.Duration{5 * time.Second, 20 * time.Millisecond, time.Second, 0}[a.c%4], Client: j,
+			Slots: float64(a.b % 3), ClientRetry: a.c%5 == 0,
 		}
 		w.jobs = append(w.jobs, j)
-		c.TakeIn(j.Job)
+		c.Accept(j.Job)
 	case actLeave:
 		if len(w.jobs) > 0 {
-			c.Left(w.jobs[a.a%len(w.jobs)].Job)
+			c.ClientDisconnected(w.jobs[a.a%len(w.jobs)].Job)
 		}
 	case actEnd, actNote, actEndAgain:
 		w.report(a)
@@ -281,23 +281,23 @@
 	case actWait:
 		time.Sleep([]time.Duration{time.Millisecond, 30 * time.Millisecond, 200 * time.Millisecond, 800 * time.Millisecond, 3 * time.Second}[a.a%5])
 	case actMove:
-		c.Move(context.Background(), modelTenants[a.a%3], []string{"a", "b", "c", "nowhere"}[a.b%4])
+		c.MigrateTenant(context.Background(), modelTenants[a.a%3], []string{"a", "b", "c", "nowhere"}[a.b%4])
 	case actEvacuate:
 		c.Evacuate(context.Background(), []string{"a", "b", "c"}[a.a%3])
 	case actRestore:
-		c.Restore(context.Background(), "", "")
+		c.RestorePlacement(context.Background(), "", "")
 	case actReplan:
 		if p, faults := c.settings.PlanCells(modelPlans()[a.a%3]); faults == nil {
 			c.Replan(context.Background(), p)
 		}
 	case actFinish:
 		if a.a%4 == 0 { // else nearly every script would end soon
-			c.End(time.Duration(a.b%4) * time.Second)
+			c.BeginShutdown(time.Duration(a.b%4) * time.Second)
 		}
 	}
 }
 
-var modelCodes = []foxlift.Code{foxlift.Served, foxlift.Served, foxlift.Served, foxlift.Erred, foxlift.Full, foxlift.TimedOut,
+var modelCodes = []foxlift.Code{foxlift.Served, foxlift.Served, foxlift.Served, foxlift.WorkerError, foxlift.Saturated, foxlift.DeadlineExceeded,
 	foxlift.Unreachable, foxlift.Reset, foxlift.NotSent}
 
 func (w *world) report(a act) {
@@ -348,12 +348,12 @@
 			x.State = foxlift.Live
 		}
 		if cell, ok := w.cellOf(x.ID); a.a%7 == i || a.a%7 == 6 && ok && cell == 0 {
-			x.Started = w.core.clock.Now() // it has started anew; or all of a cell have
+			x.StartedAt = w.core.clock.Now() // it has started anew; or all of a cell have
 		}
 		list = append(list, x)
 	}
-	kind := []foxlift.ListKind{foxlift.ListChanges, foxlift.ListFull, foxlift.ListFailed}[a.a%3]
-	if kind == foxlift.ListFailed {
+	kind := []foxlift.EndpointUpdate{foxlift.EndpointsDelta, foxlift.EndpointsComplete, foxlift.EndpointsPollFailed}[a.a%3]
+	if kind == foxlift.EndpointsPollFailed {
 		list = nil
 	}
 	live := map[string]bool{}
@@ -363,7 +363,7 @@
 	for i := range modelNodes {
 		id := fmt.Sprint("n", i)
 		told, named := live[id]
-		if !named && kind != foxlift.ListFull {
+		if !named && kind != foxlift.EndpointsComplete {
 			continue
 		}
 		if told {
@@ -373,7 +373,7 @@
 		}
 	}
 	w.mu.Unlock()
-	w.core.Machines(kind, list)
+	w.core.UpdateEndpoints(kind, list)
 }
 
 // finish lets all that is open come to its end.
@@ -455,7 +455,7 @@
 			return !r.ran && !r.refused, register{true, r.refused}
 		case x.verdict == Served:
 			return r.ran, r
-		case x.verdict == Refused:
+		case x.verdict == Shed:
 			return !r.ran, register{r.ran, true}
 		}
 		return true, r
@@ -470,7 +470,7 @@
 	}
 	for i, c := range w.claims {
 		// An id that was refused may come again, and run then.
-		later := c.job != j && len(j.answers) > 0 && j.answers[0].Verdict == Refused && c.sent >= j.at
+		later := c.job != j && len(j.answers) > 0 && j.answers[0].Verdict == Shed && c.sent >= j.at
 		if c.job.sameAs(j) && c.job.Class == "ratify" && c.ran && !later {
 			ops = append(ops, porcupine.Operation{ClientId: i + 1, Input: touch{run: true}, Call: int64(c.sent), Return: int64(c.end)})
 		}
@@ -533,9 +533,9 @@
 		"served":               {Served, 9, [][2]time.Duration{{1, 5}}, true},
 		"served, never run":    {Served, 9, nil, false},
 		"twice":                {Served, 9, [][2]time.Duration{{1, 3}, {4, 5}}, false},
-		"refused, never run":   {Refused, 9, nil, true},
-		"refused, then run":    {Refused, 3, [][2]time.Duration{{4, 5}}, false},
-		"run, then refused":    {Refused, 9, [][2]time.Duration{{1, 2}}, false},
+		"refused, never run":   {Shed, 9, nil, true},
+		"refused, then run":    {Shed, 3, [][2]time.Duration{{4, 5}}, false},
+		"run, then refused":    {Shed, 9, [][2]time.Duration{{1, 2}}, false},
 		"failed, ran or not":   {Failed, 9, [][2]time.Duration{{1, 2}}, true},
 		"served before it ran": {Served, 3, [][2]time.Duration{{4, 5}}, false},
 	} {
--- a/internal/core/node_table.go
+++ b/internal/core/node_table.go
@@ -31,17 +31,17 @@
 func newNodeTable() nodeTable { return nodeTable{known: map[string]*entry{}} }
 
 // note takes in news of the list.
-func (t *nodeTable) note(kind foxlift.ListKind, workers []foxlift.Worker) {
-	if kind != foxlift.ListChanges {
+func (t *nodeTable) note(kind foxlift.EndpointUpdate, workers []foxlift.Worker) {
+	if kind != foxlift.EndpointsDelta {
 		for _, n := range t.order {
-			t.setState(n, foxlift.Gone)
+			t.setState(n, foxlift.Removed)
 		}
 	}
 	for _, w := range workers {
 		n := t.known[w.ID]
 		if n == nil {
 			t.everTold++
-			n = &entry{Worker: foxlift.Worker{ID: w.ID, State: foxlift.Gone}, number: t.everTold, out: map[*cell]float64{}}
+			n = &entry{Worker: foxlift.Worker{ID: w.ID, State: foxlift.Removed}, number: t.everTold, out: map[*cell]float64{}}
 			t.known[w.ID] = n
 			t.order = append(t.order, n)
 		}
@@ -61,7 +61,7 @@
 		t.live++
 	}
 	n.State = state
-	if state == foxlift.Gone && !n.isGone {
+	if state == foxlift.Removed && !n.isGone {
 		n.isGone = true
 		t.gone = append(t.gone, n)
 	}
@@ -74,7 +74,7 @@
 func (t *nodeTable) prune() {
 	var old []*entry
 	t.gone = slices.DeleteFunc(t.gone, func(n *entry) bool {
-		if n.isGone = n.State == foxlift.Gone; !n.isGone {
+		if n.isGone = n.State == foxlift.Removed; !n.isGone {
 			return true // it is back
 		}
 		if len(n.out) > 0 {
--- a/internal/core/node_table_test.go
+++ b/internal/core/node_table_test.go
@@ -16,10 +16,10 @@
 	order  []string
 }
 
-func (p *plainTable) note(kind foxlift.ListKind, workers []foxlift.Worker, busy map[string]bool) {
-	if kind != foxlift.ListChanges {
+func (p *plainTable) note(kind foxlift.EndpointUpdate, workers []foxlift.Worker, busy map[string]bool) {
+	if kind != foxlift.EndpointsDelta {
 		for id := range p.states {
-			p.states[id] = foxlift.Gone
+			p.states[id] = foxlift.Removed
 		}
 	}
 	for _, w := range workers {
@@ -29,7 +29,7 @@
 		p.states[w.ID] = w.State
 	}
 	p.order = slices.DeleteFunc(p.order, func(id string) bool {
-		drop := p.states[id] == foxlift.Gone && !busy[id]
+		drop := p.states[id] == foxlift.Removed && !busy[id]
 		if drop {
 			delete(p.states, id)
 		}
@@ -44,10 +44,10 @@
 		table, plain := newNodeTable(), plainTable{states: map[string]foxlift.WorkerState{}}
 		busy, holder := map[string]bool{}, &cell{}
 		for range rapid.IntRange(1, 30).Draw(t, "events") {
-			kind := rapid.SampledFrom([]foxlift.ListKind{foxlift.ListChanges, foxlift.ListFull, foxlift.ListSaved}).Draw(t, "kind")
+			kind := rapid.SampledFrom([]foxlift.EndpointUpdate{foxlift.EndpointsDelta, foxlift.EndpointsComplete, foxlift.EndpointsCached}).Draw(t, "kind")
 			var workers []foxlift.Worker
 			for _, i := range rapid.SliceOfN(rapid.IntRange(0, 150), 0, 100).Draw(t, "nodes") {
-				state := rapid.SampledFrom([]foxlift.WorkerState{foxlift.Live, foxlift.Draining, foxlift.Gone}).Draw(t, "state")
+				state := rapid.SampledFrom([]foxlift.WorkerState{foxlift.Live, foxlift.Draining, foxlift.Removed}).Draw(t, "state")
 				workers = append(workers, foxlift.Worker{ID: fmt.Sprint("n", i), State: state})
 			}
 			table.note(kind, workers)
--- a/internal/core/operate.go
+++ b/internal/core/operate.go
@@ -17,48 +17,48 @@
 var ErrNoCells = errors.New("this scheduler has no cells: its operator's file names none")
 
 // A Moved says what a change of the map did.
-type Moved struct {
-	Tenants int // that go to another cell
-	Held    int // jobs that went over with their age
-	Out     int // jobs that finish where their claims are
+type Migration struct {
+	Tenants  int // that go to another cell
+	Queued   int // jobs that went over with their age
+	InFlight int // jobs that finish where their claims are
 }
 
 // A CellState is what a cell is and has at one moment.
 type CellState struct {
 	Name      string
-	Share     float64
+	Fraction  float64
 	Retired   bool
 	Evacuated bool
 	Condition cells.Condition
-	Nodes     []NodeState
+	Workers   []WorkerState
 	Tenants   []TenantState
 	Open      int // jobs not yet answered
 	Bound     int // on those
-	Out       int // claims that have not ended
-	Held      int // jobs that wait in the module
+	InFlight  int // claims that have not ended
+	Queued    int // jobs that wait in the module
 	SpillsOut int // of its jobs, in the cell that it spills into
 	Served    int64
-	Refused   int64 // by the module or for want of a node
+	Shed      int64 // by the module or for want of a node
 	Failed    int64
-	Shut      int64 // refused at the front: the cell had no room
+	Rejected  int64 // refused at the front: the cell had no room
 }
 
-// A NodeState is a node as its cell sees it.
-type NodeState struct {
-	ID     string
-	Kind   int
-	Zone   int
-	State  foxlift.WorkerState
-	Young  bool
-	Out    float64 // slots of claims that this cell has out there
-	Others float64 // the same of other cells
+// A WorkerState is a node as its cell sees it.
+type WorkerState struct {
+	ID            string
+	Kind          int
+	Zone          int
+	State         foxlift.WorkerState
+	InSlowStart   bool
+	InFlight      float64 // slots of claims that this cell has out there
+	ExternalSlots float64 // the same of other cells
 }
 
 // A TenantState is a tenant that lives in a cell.
 type TenantState struct {
-	Name  string
-	Moved bool // the file has it elsewhere
-	Quota float64
+	Name     string
+	Migrated bool // the file has it elsewhere
+	Quota    float64
 }
 
 // operation is an operator's request: done on the core's goroutine.
@@ -111,19 +111,19 @@
 	p := s.layout.Plan()
 	states := make([]CellState, len(c.cells))
 	at := map[*cell]*CellState{}
-	now, warm := c.clock.Now(), c.settings.Module.WarmAfter
+	now, warm := c.clock.Now(), c.settings.Module.SlowStartDuration
 	for i, cl := range c.cells {
 		states[i] = CellState{
 			Name: cl.name, Retired: cl.retired, Evacuated: cl.evacuated, SpillsOut: cl.spillsOut,
-			Served: cl.booked[Served], Refused: cl.booked[Refused], Failed: cl.booked[Failed],
+			Served: cl.booked[Served], Shed: cl.booked[Shed], Failed: cl.booked[Failed],
 		}
 		x := &states[i]
 		at[cl] = x
 		if cl.retired {
 			continue
 		}
-		x.Share, x.Condition = p.Share(i), c.condition(i)
-		_, x.Bound, x.Shut = s.gate.Open(i)
+		x.Fraction, x.Condition = p.Share(i), c.condition(i)
+		_, x.Bound, x.Rejected = s.gate.Open(i)
 		for t, name := range p.TenantNames() {
 			if s.layout.Lives(t, i) {
 				x.Tenants = append(x.Tenants, TenantState{name, s.layout.Moved(t), cl.quotas[t]})
@@ -131,21 +131,21 @@
 		}
 	}
 	for _, n := range c.order {
-		if x := at[n.cell]; x != nil && n.State != foxlift.Gone {
+		if x := at[n.cell]; x != nil && n.State != foxlift.Removed {
 			out := n.out[n.cell]
-			x.Nodes = append(x.Nodes, NodeState{
-				ID: n.ID, Kind: n.Kind, Zone: n.Zone, State: n.State, Out: out,
-				Young: n.Started != 0 && now-n.Started < warm, Others: n.seenBy(n.cell).Others,
+			x.Workers = append(x.Workers, WorkerState{
+				ID: n.ID, Kind: n.Kind, Zone: n.Zone, State: n.State, InFlight: out,
+				InSlowStart: n.StartedAt != 0 && now-n.StartedAt < warm, ExternalSlots: n.seenBy(n.cell).ExternalSlots,
 			})
 		}
 	}
 	for _, j := range c.jobs {
 		x := at[j.cell]
-		x.Out += j.out
+		x.InFlight += j.out
 		if !j.answered.Load() {
 			x.Open++
 			if j.out == 0 {
-				x.Held++
+				x.Queued++
 			}
 		}
 	}
@@ -154,7 +154,7 @@
 
 // change runs one change of the map on the core's goroutine. do returns the new
 // layout; nothing is done if it returns an error.
-func (c *Core) change(ctx context.Context, do func(*cells.Layout) (*cells.Layout, error)) (m Moved, err error) {
+func (c *Core) change(ctx context.Context, do func(*cells.Layout) (*cells.Layout, error)) (m Migration, err error) {
 	if err := c.operate(ctx, func(c *Core) {
 		s := c.scheme.Load()
 		switch {
@@ -169,14 +169,14 @@
 			}
 		}
 	}); err != nil {
-		return Moved{}, err
+		return Migration{}, err
 	}
 	return m, err
 }
 
 // adopt makes a scheme the one that holds: modules hear of their new shares, and
 // jobs that wait go over. old is the layout that held before.
-func (c *Core) adopt(old *cells.Layout, s *scheme) (m Moved) {
+func (c *Core) adopt(old *cells.Layout, s *scheme) (m Migration) {
 	for t := range old.Plan().TenantNames() {
 		if !old.SamePlace(s.layout, t) {
 			m.Tenants++
@@ -192,10 +192,10 @@
 			cl.tell(foxlift.Event{Kind: foxlift.EventQuotas, Quotas: q})
 		}
 	}
-	m.Held = c.rehomeAll()
+	m.Queued = c.rehomeAll()
 	for _, j := range c.open {
 		if j.out > 0 && c.home(j.tenant, j.Key) != j.cell {
-			m.Out++
+			m.InFlight++
 		}
 	}
 	c.counters.Add("cells.map_changed")
@@ -204,7 +204,7 @@
 
 // Move makes a cell the one of a tenant. Its new jobs go there from now on, and so
 // do those that wait; claims that are out finish where they are.
-func (c *Core) Move(ctx context.Context, tenant, to string) (Moved, error) {
+func (c *Core) MigrateTenant(ctx context.Context, tenant, to string) (Migration, error) {
 	return c.change(ctx, func(l *cells.Layout) (*cells.Layout, error) {
 		t, i := l.Plan().Tenant(tenant), l.Plan().Find(to)
 		if err := l.MayMove(t, i); err != nil {
@@ -218,14 +218,14 @@
 }
 
 // Evacuate moves all tenants out of a cell and keeps spilled jobs from it, until
-// Restore.
-func (c *Core) Evacuate(ctx context.Context, name string) (Moved, error) {
+// RestorePlacement.
+func (c *Core) Evacuate(ctx context.Context, name string) (Migration, error) {
 	return c.change(ctx, func(l *cells.Layout) (*cells.Layout, error) {
 		i := l.Plan().Find(name)
 		if i < 0 {
-			return nil, cells.ErrNoCell
+			return nil, cells.ErrUnknownCell
 		}
-		rescues, err := l.Evacuation(i, func(other int) bool { return c.condition(other) != cells.Empty })
+		rescues, err := l.Evacuation(i, func(other int) bool { return c.condition(other) != cells.Unavailable })
 		if err != nil {
 			return nil, err
 		}
@@ -237,16 +237,16 @@
 	})
 }
 
-// Restore puts back to where the file has it what Move and Evacuate changed: one
+// RestorePlacement puts back to where the file has it what Move and Evacuate changed: one
 // tenant, the tenants of one cell, or all where both names are empty.
-func (c *Core) Restore(ctx context.Context, tenant, name string) (Moved, error) {
+func (c *Core) RestorePlacement(ctx context.Context, tenant, name string) (Migration, error) {
 	return c.change(ctx, func(l *cells.Layout) (*cells.Layout, error) {
 		p := l.Plan()
 		if tenant != "" && p.Tenant(tenant) < 0 {
-			return nil, cells.ErrNoTenant
+			return nil, cells.ErrUnknownTenant
 		}
 		if name != "" && p.Find(name) < 0 {
-			return nil, cells.ErrNoCell
+			return nil, cells.ErrUnknownCell
 		}
 		for t := range p.Slots() {
 			one := tenant != "" && t == p.Tenant(tenant)
@@ -267,7 +267,7 @@
 // Replan carries out another plan as moves: cells of the same name keep what they
 // have, others begin, and those that the plan lacks finish what they have out. What
 // Move and Evacuate changed before is over: the file says where tenants are.
-func (c *Core) Replan(ctx context.Context, p *cells.Plan) (m Moved, err error) {
+func (c *Core) Replan(ctx context.Context, p *cells.Plan) (m Migration, err error) {
 	if err := c.operate(ctx, func(c *Core) {
 		switch {
 		case c.scheme.Load() == nil:
@@ -278,12 +278,12 @@
 			m, err = c.replan(p)
 		}
 	}); err != nil {
-		return Moved{}, err
+		return Migration{}, err
 	}
 	return m, err
 }
 
-func (c *Core) replan(p *cells.Plan) (Moved, error) {
+func (c *Core) replan(p *cells.Plan) (Migration, error) {
 	old := map[string]*cell{}
 	for _, cl := range c.cells {
 		old[cl.name] = cl // of two with one name the one that is retired comes last, and lives again
@@ -295,7 +295,7 @@
 		if cl == nil {
 			var err error
 			if cl, err = c.planned(l, i); err != nil {
-				return Moved{}, err // nothing has changed yet
+				return Migration{}, err // nothing has changed yet
 			}
 		}
 		now = append(now, cl)
@@ -315,11 +315,11 @@
 	s := newScheme(l, c.most)
 	c.scheme.Store(s)
 	for _, j := range c.open {
-		j.Job.place.leave()
+		j.Job.reservation.leave()
 		i := l.Cell(j.tenant, j.Key)
 		s.gate.Take(i, j.tenant)
-		j.Job.place = place{s.gate, i, j.tenant}
+		j.Job.reservation = place{s.gate, i, j.tenant}
 	}
-	c.spread(foxlift.ListChanges, nil)
+	c.spread(foxlift.EndpointsDelta, nil)
 	return c.adopt(before, c.scheme.Load()), nil
 }
--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -7,17 +7,17 @@
 )
 
 // A Pool is what the scheduler knows of its execute nodes at one moment.
-type Pool struct {
+type WorkerPool struct {
 	Size    int // nodes in the machine list, draining ones included
 	Ejected int // of these, the live ones that the decision module avoids for their faults
 }
 
 // Pool returns the state of the pool. It fails when ctx ends before the core's goroutine has come
 // to it, or when the core has stopped.
-func (c *Core) Pool(ctx context.Context) (p Pool, err error) {
+func (c *Core) WorkerPool(ctx context.Context) (p WorkerPool, err error) {
 	err = c.operate(ctx, func(c *Core) {
 		for _, n := range c.known {
-			if n.State != foxlift.Gone {
+			if n.State != foxlift.Removed {
 				p.Size++
 			}
 		}
@@ -26,7 +26,7 @@
 		}
 	})
 	if err != nil {
-		return Pool{}, err
+		return WorkerPool{}, err
 	}
 	return p, nil
 }
--- a/internal/core/route.go
+++ b/internal/core/route.go
@@ -58,9 +58,9 @@
 		if j := c.jobOf(cl, a.ID); j != nil && j.base+a.Attempt < len(j.claims) {
 			c.endClaim(j.claims[j.base+a.Attempt], Report{Ended: true, Code: foxlift.Cancelled})
 		}
-	case foxlift.ActionRefuse:
+	case foxlift.ActionShed:
 		if j := c.jobOf(cl, a.ID); j != nil {
-			c.answer(j, Answer{Verdict: Refused, RetryAfter: time.Duration(a.RetryAfter)})
+			c.answer(j, Answer{Verdict: Shed, RetryAfter: time.Duration(a.RetryAfter)})
 		}
 	case foxlift.ActionFail:
 		if j := c.jobOf(cl, a.ID); j != nil {
@@ -68,17 +68,17 @@
 		}
 	case foxlift.ActionTimer:
 		c.after(a.At-c.clock.Now(), timerDue{cl, a.Token})
-	case foxlift.ActionProbe:
+	case foxlift.ActionHealthCheck:
 		c.counters.Add("probes.sent")
 		node, sent := a.Worker, c.clock.Now()
-		c.nodes.Probe(node, func(r Report) { c.post(nodeProbed{cl, node, sent, r}) })
+		c.nodes.HealthCheck(node, func(r Report) { c.post(nodeProbed{cl, node, sent, r}) })
 	case foxlift.ActionClose:
 		c.nodes.CloseIdle(a.Worker)
 	case foxlift.ActionMessage:
 		if c.peers != nil {
-			c.peers.Tell(a.To, a.Data)
+			c.peers.Send(a.To, a.Data)
 		}
-	case foxlift.ActionSubscribe:
+	case foxlift.ActionWatchEndpoints:
 		c.machines.Watch()
 	}
 }
@@ -105,7 +105,7 @@
 
 func (e nodeProbed) apply(c *Core) {
 	e.cell.tell(foxlift.Event{
-		Kind: foxlift.EventProbed, Worker: e.node, Code: e.report.Code, Took: c.clock.Now() - e.sent,
+		Kind: foxlift.EventHealthChecked, Worker: e.node, Code: e.report.Code, Took: c.clock.Now() - e.sent,
 		HasLoad: e.report.HasLoad, Load: e.report.Load,
 	})
 }
--- a/internal/core/send.go
+++ b/internal/core/send.go
@@ -36,8 +36,8 @@
 	if timeout <= 0 || timeout > left {
 		timeout = left
 	}
-	cl.limit = c.after(timeout, claimReported{cl, Report{Ended: true, Code: foxlift.TimedOut}})
-	cl.withdraw = c.nodes.Send(node, j.Job, Limits{j.remaining(now), within}, func(r Report) { c.post(claimReported{cl, r}) })
+	cl.limit = c.after(timeout, claimReported{cl, Report{Ended: true, Code: foxlift.DeadlineExceeded}})
+	cl.withdraw = c.nodes.Send(node, j.Job, AttemptLimits{j.remaining(now), within}, func(r Report) { c.post(claimReported{cl, r}) })
 }
 
 // mayRepeat returns the rule that a claim would break, because its job may have run, and within what
@@ -45,7 +45,7 @@
 // keyed job for a time; it counts from the first claim that may have run.
 func (c *Core) mayRepeat(cl *claim) (within time.Duration, rule guard.Rule) {
 	class := &c.settings.Module.Classes[cl.job.class]
-	r := guard.Repeat{ListTrusted: cl.cell.module.ListTrusted(), Effect: class.Effect}
+	r := guard.Repeat{ListTrusted: cl.cell.module.EndpointsUsable(), Effect: class.Effect}
 	if first := cl.job.mayHaveRun(); first != nil {
 		r.MayHaveRun = true
 		r.SameGroup = cl.sameGroup(first, class.Scope)
--- a/internal/core/takein.go
+++ b/internal/core/takein.go
@@ -15,12 +15,12 @@
 func (e jobArrived) apply(c *Core) {
 	class, tenant, reason := c.check(e.job)
 	if reason != "" {
-		e.job.place.leave()
+		e.job.reservation.leave()
 		if reason != repeatedID {
 			c.ids.Delete(e.job.ID)
 		}
 		c.counters.Add("jobs.rejected")
-		e.job.Submitter.Answer(Answer{Verdict: Rejected, Reason: reason})
+		e.job.Client.Answer(Answer{Verdict: Rejected, Reason: reason})
 		return
 	}
 	c.counters.Add("jobs.taken")
@@ -28,7 +28,7 @@
 	longest := c.settings.Module.Classes[class].Deadline
 	wait := min(max(int64(e.job.Remaining), 0), longest)
 	c.numbered++
-	j := &job{Job: e.job, number: c.numbered, class: class, tenant: tenant, deadline: e.job.Arrived + wait, cell: c.home(tenant, e.job.Key)}
+	j := &job{Job: e.job, number: c.numbered, class: class, tenant: tenant, deadline: e.job.ArrivedAt + wait, cell: c.home(tenant, e.job.Key)}
 	c.jobs[j.number], c.open[j.ID] = j, j
 	c.active.Store(int64(len(c.open)))
 	// The module answers every job in time. Should it ever not, the submitter
@@ -52,7 +52,7 @@
 	if !ok {
 		return 0, 0, "unknown class"
 	}
-	if c.settings.Module.Classes[class].Effect == foxlift.Deduplicated && !j.Keyed {
+	if c.settings.Module.Classes[class].Effect == foxlift.Deduplicated && !j.HasIdempotencyKey {
 		return 0, 0, "no key, which its class needs"
 	}
 	tenant = -1
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -52,19 +52,19 @@
 	admin    *admin.Server
 	log      *zap.Logger
 
-	keeper   *checkpoint.Keeper // nil where the machine list is not kept
-	listKept chan struct{}      // closed once the list was kept for the last time
-	place    *upgrade.Place     // nil where no other process can take over
-	serving  atomic.Bool        // submitters are served,
-	settled  atomic.Bool        // and no other process has jobs that its end would cost
-	started  time.Time          // when this process was,
-	listened time.Time          // and when it began to listen
-	failed   chan error         // holds one: why the scheduler cannot serve, after the start
-	ending   chan struct{}      // closed at the end,
-	end      sync.Once          // once
-	gone     chan struct{}      // closed when all is answered,
-	over     sync.Once          // once
-	mu       sync.Mutex         // of the steps from starting to serving, and to the end
+	keeper   *checkpoint.Writer    // nil where the machine list is not kept
+	listKept chan struct{}         // closed once the list was kept for the last time
+	place    *upgrade.TakeoverLock // nil where no other process can take over
+	serving  atomic.Bool           // submitters are served,
+	settled  atomic.Bool           // and no other process has jobs that its end would cost
+	started  time.Time             // when this process was,
+	listened time.Time             // and when it began to listen
+	failed   chan error            // holds one: why the scheduler cannot serve, after the start
+	ending   chan struct{}         // closed at the end,
+	end      sync.Once             // once
+	gone     chan struct{}         // closed when all is answered,
+	over     sync.Once             // once
+	mu       sync.Mutex            // of the steps from starting to serving, and to the end
 }
 
 // Read reads and checks all of the configuration, and starts nothing.
@@ -243,7 +243,7 @@
 		if err != nil {
 			return fmt.Errorf("cells: %w", err)
 		}
-		d.options.Log.Info("the map of cells has changed", zap.Int("tenants", m.Tenants), zap.Int("held", m.Held), zap.Int("out", m.Out))
+		d.options.Log.Info("the map of cells has changed", zap.Int("tenants", m.Tenants), zap.Int("held", m.Queued), zap.Int("out", m.InFlight))
 	}
 	if err := d.platform.Reload(cfg); err != nil {
 		return err
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -115,7 +115,7 @@
 	}
 	cells := map[string]string{}
 	for _, c := range states {
-		for _, n := range c.Nodes {
+		for _, n := range c.Workers {
 			cells[n.ID] = c.Name
 		}
 	}
@@ -148,8 +148,8 @@
 	answer := make(chan int)
 	go func() { answer <- ratify.Send() }()
 	w.await(t, "the ratify runs", func() bool { return w.ran(t, "islands")["isles"] == 21 })
-	m, err := w.Core.Move(t.Context(), "islands", "mainland")
-	if err != nil || m.Out != 1 || m.Held != 0 {
+	m, err := w.Core.MigrateTenant(t.Context(), "islands", "mainland")
+	if err != nil || m.InFlight != 1 || m.Queued != 0 {
 		t.Errorf("%+v, %v", m, err)
 	}
 	if a := islands.Send(); a != 200 {
@@ -168,7 +168,7 @@
 // nothing and say why.
 func TestReloadOfCells(t *testing.T) {
 	w := begin(t, twoCells)
-	if _, err := w.Core.Move(t.Context(), "islands", "mainland"); err != nil {
+	if _, err := w.Core.MigrateTenant(t.Context(), "islands", "mainland"); err != nil {
 		t.Fatal(err)
 	}
 	if err := w.Reload(); err != nil {
@@ -259,7 +259,7 @@
 		close(done)
 	}()
 	for i := range 30 {
-		if _, err := w.Core.Move(t.Context(), "islands", []string{"mainland", "isles"}[i%2]); err != nil {
+		if _, err := w.Core.MigrateTenant(t.Context(), "islands", []string{"mainland", "isles"}[i%2]); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -289,7 +289,7 @@
 	}
 	defer again.Kill()
 	states, err := again.Core.Cells(t.Context())
-	if err != nil || states[1].Name != "isles" || len(states[1].Tenants) != 1 || states[1].Tenants[0].Moved {
+	if err != nil || states[1].Name != "isles" || len(states[1].Tenants) != 1 || states[1].Tenants[0].Migrated {
 		t.Errorf("after a restart: %+v, %v", states, err)
 	}
 }
--- a/internal/daemon/upgrade.go
+++ b/internal/daemon/upgrade.go
@@ -40,9 +40,9 @@
 	if directory == "" {
 		directory = os.TempDir()
 	}
-	place, err := upgrade.Take(directory, d.Config.Listen, placeLimit, placePause)
+	place, err := upgrade.AcquireTakeover(directory, d.Config.Listen, placeLimit, placePause)
 	switch {
-	case errors.Is(err, upgrade.ErrTaken):
+	case errors.Is(err, upgrade.ErrTakeoverInProgress):
 		return fmt.Errorf("listen (LB_LISTEN): %w", err)
 	case err != nil:
 		d.log.Warn("another process cannot take over without a break", zap.Error(err))
@@ -107,7 +107,7 @@
 		select {
 		case <-look.C:
 		case <-limit:
-			ready = d.Core.Listed
+			ready = d.Core.HasWorkers
 		case <-d.ending:
 			return false
 		}
@@ -142,7 +142,7 @@
 	if err == nil {
 		ctx, cancel := context.WithTimeout(context.Background(), stateLimit)
 		defer cancel()
-		err = d.Core.TakeOver(ctx, state)
+		err = d.Core.RestoreState(ctx, state)
 	}
 	if err != nil {
 		d.Counters.Add("upgrades.without_state")
@@ -158,7 +158,7 @@
 	if err := d.place.Load(state); err != nil {
 		return err
 	}
-	if age := time.Since(time.Unix(0, progress.At)); age < -stateAge || age > stateAge {
+	if age := time.Since(time.Unix(0, progress.TakenAt)); age < -stateAge || age > stateAge {
 		return errOld
 	}
 	return nil
@@ -217,7 +217,7 @@
 		d.followOlder()
 	case first:
 		d.log.Info("the older process has ended")
-		d.Core.SetOthers(nil)
+		d.Core.SetExternalSlots(nil)
 		d.place.Discard()
 		d.settled.Store(true)
 		if err := d.startControl(); err != nil {
@@ -237,8 +237,8 @@
 	if err := d.loadFresh(&older, &older); err != nil {
 		return
 	}
-	d.Core.SetOthers(older.Out)
-	if relieved := time.Unix(0, older.At).Sub(d.listened); relieved > settleLeast && older.Open == 0 {
+	d.Core.SetExternalSlots(older.InFlight)
+	if relieved := time.Unix(0, older.TakenAt).Sub(d.listened); relieved > settleLeast && older.Open == 0 {
 		d.settled.Store(true)
 	}
 }
--- a/internal/lab/capacity/hollow.go
+++ b/internal/lab/capacity/hollow.go
@@ -92,7 +92,7 @@
 		return nil, err
 	}
 	h := &hollowModule{Dispatcher: m, now: int64(time.Second)}
-	h.step(foxlift.Event{Kind: foxlift.EventList, List: foxlift.ListFull, Workers: d.list()})
+	h.step(foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsComplete, Workers: d.list()})
 	return h, nil
 }
 
@@ -140,7 +140,7 @@
 func (h *hollowModule) change(i int, state foxlift.WorkerState) {
 	w := worker(i)
 	w.State = state
-	h.step(foxlift.Event{Kind: foxlift.EventList, List: foxlift.ListChanges, Workers: []foxlift.Worker{w}})
+	h.step(foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsDelta, Workers: []foxlift.Worker{w}})
 }
 
 // A hollowCore is a core without sockets: jobs that it sends stay out until they are ended.
@@ -171,7 +171,7 @@
 // events of a step are taken in, the second in the next step.
 func (h *hollowCore) await() {
 	for range 2 {
-		h.TakeIn(&core.Job{ID: "barrier", Class: "unknown", Submitter: barrier(h.barrier)})
+		h.Accept(&core.Job{ID: "barrier", Class: "unknown", Client: barrier(h.barrier)})
 		<-h.barrier
 	}
 }
@@ -180,18 +180,18 @@
 type barrier chan struct{}
 
 func (b barrier) Answer(core.Answer) { b <- struct{}{} }
-func (b barrier) Gone() bool         { return false }
+func (b barrier) Disconnected() bool { return false }
 
 // change brings a change of the list and waits until it is in force.
 func (h *hollowCore) change(i int, state foxlift.WorkerState) {
 	w := worker(i)
 	w.State = state
-	h.Machines(foxlift.ListChanges, []foxlift.Worker{w})
+	h.UpdateEndpoints(foxlift.EndpointsDelta, []foxlift.Worker{w})
 	h.await()
 }
 
 // Send implements core.Nodes: the job starts and goes on running.
-func (h *hollowCore) Send(_ string, _ *core.Job, _ core.Limits, report func(core.Report)) func() {
+func (h *hollowCore) Send(_ string, _ *core.Job, _ core.AttemptLimits, report func(core.Report)) func() {
 	h.reports = append(h.reports, report)
 	return func() {}
 }
@@ -200,9 +200,9 @@
 func (h *hollowCore) CloseIdle(string) {}
 
 // Probe implements core.Nodes.
-func (h *hollowCore) Probe(string, func(core.Report)) {}
+func (h *hollowCore) HealthCheck(string, func(core.Report)) {}
 
-// Watch implements core.MachineList.
+// Watch implements core.EndpointWatch.
 func (h *hollowCore) Watch() {}
 
 // heapInUse returns the bytes that are in use.
--- a/internal/lab/capacity/tasks.go
+++ b/internal/lab/capacity/tasks.go
@@ -44,8 +44,8 @@
 	}
 	before := heapInUse()
 	for i := range tasks {
-		h.TakeIn(&core.Job{ID: fmt.Sprintf("%016x", i), Class: "heavy", Tenant: fmt.Sprintf("team-%02d", i%TargetTeams),
-			Remaining: 20 * time.Second, Arrived: time.Now().UnixNano(), Submitter: patient{}})
+		h.Accept(&core.Job{ID: fmt.Sprintf("%016x", i), Class: "heavy", Tenant: fmt.Sprintf("team-%02d", i%TargetTeams),
+			Remaining: 20 * time.Second, ArrivedAt: time.Now().UnixNano(), Client: patient{}})
 	}
 	h.await()
 	if len(h.reports) < tasks {
@@ -63,7 +63,7 @@
 type patient struct{}
 
 func (patient) Answer(core.Answer) {}
-func (patient) Gone() bool         { return false }
+func (patient) Disconnected() bool { return false }
 
 // tickWithTasks times an idle tick of a module that has so many tasks out.
 func tickWithTasks(tasks, runs int) ([]float64, error) {
--- a/internal/lab/capacity/workers.go
+++ b/internal/lab/capacity/workers.go
@@ -76,7 +76,7 @@
 		}
 		runtime.GC() // none falls into what is timed
 		began := time.Now()
-		m.Step(int64(time.Second), []foxlift.Event{{Kind: foxlift.EventList, List: foxlift.ListFull, Workers: list}})
+		m.Step(int64(time.Second), []foxlift.Event{{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsComplete, Workers: list}})
 		if i > 0 { // the first one warms the caches
 			took = append(took, float64(time.Since(began).Nanoseconds()))
 		}
--- a/internal/lab/fleet/load.go
+++ b/internal/lab/fleet/load.go
@@ -25,7 +25,7 @@
 // A Leniency is what submitters allow for.
 type Leniency struct {
 	Grace  time.Duration                               // how late an answer may come
-	Excuse func(process int) func(sent time.Time) bool // see standin.Submitter; nil: nothing is excused
+	Excuse func(process int) func(sent time.Time) bool // see standin.Client; nil: nothing is excused
 }
 
 // StartLoadWith does so with submitters that allow for some things.
--- a/internal/lab/loops.go
+++ b/internal/lab/loops.go
@@ -66,8 +66,8 @@
 	slots := max(2, int(rate/load*mean/float64(second)+0.5))
 	d, err := foxlift.New(foxlift.Config{
 		Classes: []foxlift.Class{
-			{Name: "reading", Aim: second / 2, Stretch: 2.5, Deadline: 5 * second, Kind: -1},
-			{Name: "ratify", Aim: 2 * second, Stretch: 2, Deadline: 25 * second, Kind: -1, Effect: foxlift.AtMostOnce},
+			{Name: "reading", LatencyObjective: second / 2, ObjectiveStretch: 2.5, Deadline: 5 * second, Kind: -1},
+			{Name: "ratify", LatencyObjective: 2 * second, ObjectiveStretch: 2, Deadline: 25 * second, Kind: -1, Effect: foxlift.AtMostOnce},
 		},
 		Tenants: []foxlift.Tenant{{Name: "t", Quota: rate}}, Dispatchers: 2, MayCancel: true, MaxRetryAfter: 2 * second,
 		MayRetryAfter: true, MaxAttempts: 3, StartNotes: true,
@@ -91,7 +91,7 @@
 		nodes[id] = &node{free: min(2, slots-2*i)}
 		list = append(list, foxlift.Worker{ID: id, Kind: -1})
 	}
-	news = append(news, foxlift.Event{Kind: foxlift.EventList, List: foxlift.ListSaved, Workers: list})
+	news = append(news, foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsCached, Workers: list})
 	type job struct {
 		class    int
 		came     int64
@@ -133,7 +133,7 @@
 			news = append(news, foxlift.Event{Kind: kind, ID: id, Attempt: number, Worker: node, Code: code, Ended: over})
 		}
 		if x.free == 0 && x.queued >= 4 {
-			at(now, func() { report(foxlift.EventOutcome, foxlift.Full, j.over) })
+			at(now, func() { report(foxlift.EventOutcome, foxlift.Saturated, j.over) })
 			return
 		}
 		var run func()
@@ -171,7 +171,7 @@
 				switch a.Kind {
 				case foxlift.ActionSend:
 					send(a)
-				case foxlift.ActionRefuse, foxlift.ActionFail:
+				case foxlift.ActionShed, foxlift.ActionFail:
 					jobs[a.ID].over = true
 				case foxlift.ActionTimer:
 					at(max(a.At, now), func() {})
--- a/internal/lab/mutants.go
+++ b/internal/lab/mutants.go
@@ -34,23 +34,23 @@
 // Mutants are the faults by which the fuzzers' oracles are proved.
 var Mutants = []Mutant{
 	{"a job is answered twice", "internal/core/book.go", "if j.answered.Load() {\n\t\treturn\n\t}", "", "./internal/core", modelFuzz},
-	{"an answer is forgotten", "internal/core/book.go", "\tj.Submitter.Answer(a)\n", "\tif j.number%5 != 0 {\n\t\tj.Submitter.Answer(a)\n\t}\n", "./internal/core", modelFuzz},
+	{"an answer is forgotten", "internal/core/book.go", "\tj.Client.Answer(a)\n", "\tif j.number%5 != 0 {\n\t\tj.Client.Answer(a)\n\t}\n", "./internal/core", modelFuzz},
 	{"a reset counts as never run", "api.go", "c == Unreachable || c == NotSent", "c == Unreachable || c == NotSent || c == Reset", "./internal/core", modelFuzz},
-	{"a timed-out claim counts as never run", "api.go", "c == Unreachable || c == NotSent", "c == Unreachable || c == NotSent || c == TimedOut", "./internal/core", modelFuzz},
+	{"a timed-out claim counts as never run", "api.go", "c == Unreachable || c == NotSent", "c == Unreachable || c == NotSent || c == DeadlineExceeded", "./internal/core", modelFuzz},
 	{"drains are not heard", "machine_list.go", "\tw.setState(e.State, d.now)\n", "\tif e.State != Draining {\n\t\tw.setState(e.State, d.now)\n\t}\n", "./internal/core", modelFuzz},
-	{"a refusal is promised after it may have run", "attempts.go", "\treturn j.mayRan == nil || j.class.Effect", "\treturn j.class.Effect == AtMostOnce || j.class.Effect", "./internal/core", modelFuzz},
+	{"a refusal is promised after it may have run", "attempts.go", "\treturn j.mayHaveRun == nil || j.class.Effect", "\treturn j.class.Effect == AtMostOnce || j.class.Effect", "./internal/core", modelFuzz},
 	{"a claim is counted twice", "internal/core/send.go", "c.count(cl, 1)", "c.count(cl, 2)", "./internal/core", modelFuzz},
 	{"a claim's end is not counted", "internal/core/relay.go", "\tc.count(cl, -1)\n", "", "./internal/core", modelFuzz},
-	{"attempts before a move are forgotten", "internal/core/admit.go", "Tried: j.base,", "", "./internal/core", modelFuzz},
+	{"attempts before a move are forgotten", "internal/core/admit.go", "PriorAttempts: j.base,", "", "./internal/core", modelFuzz},
 	{"a moved job is lost between modules", "internal/core/route.go", "\t\t\tc.place(j)\n", "", "./internal/core", modelFuzz},
-	{"a moved job stays with its old module", "internal/core/cell_jobs.go", "\tj.cell.tell(foxlift.Event{Kind: foxlift.EventClientLeft, ID: j.number})\n}", "}", "./internal/core", modelFuzz},
+	{"a moved job stays with its old module", "internal/core/cell_jobs.go", "\tj.cell.tell(foxlift.Event{Kind: foxlift.EventClientDisconnected, ID: j.number})\n}", "}", "./internal/core", modelFuzz},
 	{"an answered id may come again", "internal/core/book.go", "\tc.remember(j.ID, c.settings.Module.Classes[j.class].Effect != foxlift.Idempotent)\n", "", "./internal/core", modelFuzz},
 	{"an id in use may come again", "internal/core/takein.go", "answered || c.open[j.ID] != nil", "answered", "./internal/core", modelFuzz},
 	{"a place at the gate is never left", "internal/core/cell_scheme.go", "p.gate.Leave(p.cell, p.tenant)", "", "./internal/core", modelFuzz},
 	{"a refused spill is not counted down", "internal/core/cell_jobs.go", "\tj.unspill()\n\tj.cell = c.cells[way.Cell]", "\tj.cell = c.cells[way.Cell]", "./internal/core", modelFuzz},
 	{"a spilled job is never counted down", "internal/core/cell.go", "j.spilled.spillsOut--", "", "./internal/core", modelFuzz},
 	{"a key's job is never counted down", "internal/core/book.go", "\tc.leaveKey(j)\n", "", "./internal/core", modelFuzz},
-	{"an ended claim's place is not freed in the module", "peers.go", "\tw.own += by * a.slots\n", "\tif by > 0 {\n\t\tw.own += by * a.slots\n\t}\n", "./internal/core", modelFuzz},
+	{"an ended claim's place is not freed in the module", "peers.go", "\tw.usedSlots += by * a.slots\n", "\tif by > 0 {\n\t\tw.usedSlots += by * a.slots\n\t}\n", "./internal/core", modelFuzz},
 	{"Content-Length beside Transfer-Encoding", "internal/platform/parse.go", "case lengths > 0 && codings > 0:", "case false:", "./internal/platform", platformFuzz},
 	{"a repeated length", "internal/platform/parse.go", "case lengths > 1 || codings > 1:", "case false:", "./internal/platform", platformFuzz},
 	{"a header name with a space", "internal/platform/parse.go", "if !isName(name) {", "if false {", "./internal/platform", platformFuzz},
@@ -65,7 +65,7 @@
 	{"a start in the future is believed", "internal/platform/machine.go", "age := max(0, wall.Sub(time.UnixMilli(bornMilli)))", "age := wall.Sub(time.UnixMilli(bornMilli))", "./internal/platform", platformFuzz},
 	{"NaN is a number", "internal/config/sexp.go", "err == nil && n >= least && n <= most {\n\t\t\treturn n\n\t\t}\n\t}\n\tr.fault(v, f.key, \"%s is not a number", "err == nil && !(n < least) && !(n > most) {\n\t\t\treturn n\n\t\t}\n\t}\n\tr.fault(v, f.key, \"%s is not a number", "./internal/config", "^TestFuzz"},
 	{"faults are out of order", "internal/config/operator.go", "\t\treturn nil, r.sorted()", "\t\treturn nil, r.faults", "./internal/config", "^TestFuzz"},
-	{"a negative stretch is taken", "internal/config/check.go", "case k.Stretch < 0:", "case false:", "./internal/config", "^TestFuzz"},
+	{"a negative stretch is taken", "internal/config/check.go", "case k.ObjectiveStretch < 0:", "case false:", "./internal/config", "^TestFuzz"},
 }
 
 // CheckMutants applies each mutant to a copy of the module in the current folder and
--- a/internal/lab/service/handover.go
+++ b/internal/lab/service/handover.go
@@ -28,7 +28,7 @@
 	return next, next.Start()
 }
 
-// TakeOver makes a process that has said yes the current one, and tells the old one to end.
+// RestoreState makes a process that has said yes the current one, and tells the old one to end.
 func (d *Deployment) TakeOver(next *fleet.Process) (*Leaving, error) {
 	old := d.Current
 	d.Current = next
--- a/internal/lab/soak/mutants.go
+++ b/internal/lab/soak/mutants.go
@@ -27,19 +27,19 @@
 
 // Mutants are the faults by which the soak is proved, two for each rule.
 var Mutants = []Mutant{
-	{lab.Mutant{Name: "a saved list is trusted at once", File: "list_lease.go", Old: "d.now-l.confirmedAt >= savedListHold", New: "d.now >= l.confirmedAt"}, drain},
+	{lab.Mutant{Name: "a saved list is trusted at once", File: "list_lease.go", Old: "d.now-l.confirmedAt >= cachedListGrace", New: "d.now >= l.confirmedAt"}, drain},
 	{lab.Mutant{Name: "drains are not heard", File: "internal/platform/machines.go", Old: "state := healths[h.Health]", New: "state := healths[h.Health]\n\t\tif state == foxlift.Draining {\n\t\t\tstate = foxlift.Live\n\t\t}"}, drain},
 	{lab.Mutant{Name: "unanswered attempts go on at nodes that are gone", File: "internal/platform/outstanding.go", Old: "if state == foxlift.Live {", New: "if true {"}, drain},
 	{lab.Mutant{Name: "some answers are never written", File: "internal/platform/submitter.go", Old: "\t_, err := s.conn.Write(b)\n", New: "\tif len(b)%7 == 0 {\n\t\treturn false\n\t}\n\t_, err := s.conn.Write(b)\n"}, lost},
 	{lab.Mutant{Name: "the end waits for no job", File: "internal/platform/platform.go", Old: "\tp.front.shutDown(moments, stay)\n\tp.core.Stop()", New: "\tgo p.front.shutDown(moments, stay)\n\ttime.Sleep(moments / 4)\n\tp.core.Stop()"}, lost},
 	{lab.Mutant{Name: "a reset counts as never run", File: "api.go", Old: "c == Unreachable || c == NotSent }", New: "c == Unreachable || c == NotSent || c == Reset }"}, duplicate},
-	{lab.Mutant{Name: "a timed-out claim counts as never run", File: "api.go", Old: "c == Unreachable || c == NotSent }", New: "c == Unreachable || c == NotSent || c == TimedOut || c == Cancelled || c == Reset }"}, duplicate},
-	{lab.Mutant{Name: "a submitter that leaves is not noticed", File: "internal/platform/submitter.go", Old: "\t\t\ts.front.core.Left(job)\n", New: "\t\t\tjob.Submitter = nil\n"}, gone},
-	{lab.Mutant{Name: "a submitter's leaving is noticed late", File: "internal/platform/submitter.go", Old: "\t\t\tjob.NoteLeft()\n\t\t\ts.front.core.Left(job)\n", New: "\t\t\tjob.Submitter = nil\n\t\t\ttime.Sleep(400 * time.Millisecond)\n\t\t\ts.front.core.Left(job)\n"}, gone},
+	{lab.Mutant{Name: "a timed-out claim counts as never run", File: "api.go", Old: "c == Unreachable || c == NotSent }", New: "c == Unreachable || c == NotSent || c == DeadlineExceeded || c == Cancelled || c == Reset }"}, duplicate},
+	{lab.Mutant{Name: "a submitter that leaves is not noticed", File: "internal/platform/submitter.go", Old: "\t\t\ts.front.core.ClientDisconnected(job)\n", New: "\t\t\tjob.Client = nil\n"}, gone},
+	{lab.Mutant{Name: "a submitter's leaving is noticed late", File: "internal/platform/submitter.go", Old: "\t\t\tjob.MarkDisconnected()\n\t\t\ts.front.core.ClientDisconnected(job)\n", New: "\t\t\tjob.Client = nil\n\t\t\ttime.Sleep(400 * time.Millisecond)\n\t\t\ts.front.core.ClientDisconnected(job)\n"}, gone},
 	{lab.Mutant{Name: "nodes are told of a second more", File: "internal/platform/attempt.go", Old: "formatRemaining(told)", New: "formatRemaining(told+time.Second)"}, deadline},
-	{lab.Mutant{Name: "the time in the queue is not taken off", File: "internal/core/send.go", Old: "Limits{j.remaining(now), within}", New: "Limits{j.Remaining, within}"}, deadline},
-	{lab.Mutant{Name: "cold nodes count as warm", File: "health.go", Old: "return w.up != 0 && d.now-w.up < d.cfg.WarmAfter", New: "return false"}, slowStart},
-	{lab.Mutant{Name: "starts are not heard", File: "machine_list.go", Old: "if w.up != e.Started {", New: "if false {"}, slowStart},
+	{lab.Mutant{Name: "the time in the queue is not taken off", File: "internal/core/send.go", Old: "AttemptLimits{j.remaining(now), within}", New: "AttemptLimits{j.Remaining, within}"}, deadline},
+	{lab.Mutant{Name: "cold nodes count as warm", File: "health.go", Old: "return w.startedAt != 0 && d.now-w.startedAt < d.cfg.SlowStartDuration", New: "return false"}, slowStart},
+	{lab.Mutant{Name: "starts are not heard", File: "machine_list.go", Old: "if w.startedAt != e.StartedAt {", New: "if false {"}, slowStart},
 }
 
 const (
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -23,7 +23,7 @@
 const poolLimit = 250 * time.Millisecond
 
 // results are the values of the label result, by the verdict that they count.
-var results = map[core.Verdict]string{core.Served: "ok", core.Refused: "shed", core.Failed: "errors"}
+var results = map[core.Verdict]string{core.Served: "ok", core.Shed: "shed", core.Failed: "errors"}
 
 // A Source tells what the counters do not hold.
 type Source interface {
@@ -31,7 +31,7 @@
 	Active() int
 	// Pool returns what is known of the execute nodes, or an error if that cannot be told by the
 	// end of the context.
-	Pool(context.Context) (core.Pool, error)
+	WorkerPool(context.Context) (core.WorkerPool, error)
 }
 
 // collector implements prometheus.Collector.
@@ -59,7 +59,7 @@
 
 		violations: describe("invariant_violations_total", "Actions given up since they would have broken a rule.", "rule"),
 	}
-	c.pool.Store(core.Pool{})
+	c.pool.Store(core.WorkerPool{})
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(c)
 	return promhttp.HandlerFor(registry, promhttp.HandlerOpts{DisableCompression: true})
@@ -92,11 +92,11 @@
 }
 
 // lookAtPool returns the state of the pool, the last known one where the core is too busy.
-func (c *collector) lookAtPool() core.Pool {
+func (c *collector) lookAtPool() core.WorkerPool {
 	ctx, cancel := context.WithTimeout(context.Background(), poolLimit)
 	defer cancel()
-	if pool, err := c.source.Pool(ctx); err == nil {
+	if pool, err := c.source.WorkerPool(ctx); err == nil {
 		c.pool.Store(pool)
 	}
-	return c.pool.Load().(core.Pool)
+	return c.pool.Load().(core.WorkerPool)
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -12,12 +12,12 @@
 )
 
 type source struct {
-	pool core.Pool
+	pool core.WorkerPool
 	err  error
 }
 
-func (s *source) Active() int                             { return 14 }
-func (s *source) Pool(context.Context) (core.Pool, error) { return s.pool, s.err }
+func (s *source) Active() int                                         { return 14 }
+func (s *source) WorkerPool(context.Context) (core.WorkerPool, error) { return s.pool, s.err }
 
 func TestFigures(t *testing.T) {
 	set := &counters.Set{}
@@ -27,7 +27,7 @@
 	set.AddPart("jobs.refused", `odd"name`)
 	set.AddPart("jobs.failed", "C")
 	set.Add(counters.ClaimsWritten)
-	s := &source{pool: core.Pool{Size: 12, Ejected: 2}}
+	s := &source{pool: core.WorkerPool{Size: 12, Ejected: 2}}
 	handler := Handler([]string{"C", `odd"name`}, set, s)
 	read := func() string {
 		w := httptest.NewRecorder()
@@ -50,7 +50,7 @@
 		t.Errorf("the log's counter says %d", set.Get("jobs.served"))
 	}
 	// A core that is too busy to tell leaves the pool's last figures.
-	s.pool, s.err = core.Pool{}, errors.New("busy")
+	s.pool, s.err = core.WorkerPool{}, errors.New("busy")
 	if text := read(); !strings.Contains(text, "scheduler_pool_size 12\n") {
 		t.Errorf("the pool's last size is not there:\n%s", text)
 	}
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -125,7 +125,7 @@
 // the submitter is there. Settings may forbid to cancel what has begun; this has not.
 func (a *attempt) stands(to machine) bool {
 	now, ok := a.nodes.find(a.node)
-	return ok && now == to && a.ctx.Err() == nil && !a.job.Over()
+	return ok && now == to && a.ctx.Err() == nil && !a.job.Finished()
 }
 
 // exchange writes the job and reads the node's answer. reusable says that the
@@ -150,7 +150,7 @@
 		return true
 	}
 	send := guard.Send{
-		Grace: a.nodes.grace, LeftAgo: a.job.LeftAgo(),
+		Grace: a.nodes.grace, LeftAgo: a.job.SinceDisconnect(),
 		Told: told, Remains: time.Until(a.until), LastByte: lastByte,
 	}
 	var since time.Time
@@ -286,9 +286,9 @@
 	turned := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout
 	switch {
 	case turned && resp.Header.Get(headerTurnedAway) == "1":
-		return foxlift.Full
+		return foxlift.Saturated
 	case resp.StatusCode >= 400 && resp.StatusCode < 500:
-		return foxlift.Blamed
+		return foxlift.InvalidRequest
 	}
-	return foxlift.Erred
+	return foxlift.WorkerError
 }
--- a/internal/platform/caller.go
+++ b/internal/platform/caller.go
@@ -47,10 +47,10 @@
 
 // listFailure says what a failed call that took so long tells of the list's age. A refusal after a wait may
 // mean that discovery is down or has too many callers.
-func listFailure(err error, took time.Duration) foxlift.ListFailure {
+func listFailure(err error, took time.Duration) foxlift.PollFailure {
 	switch {
 	case errors.As(err, new(answerError)):
-		return foxlift.FailureSpoilt
+		return foxlift.FailureInvalid
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return foxlift.FailureDown
 	case outcome(err) == coldstart.Busy && took >= coldstart.QueuedLeast:
--- a/internal/platform/clockstep_test.go
+++ b/internal/platform/clockstep_test.go
@@ -37,12 +37,12 @@
 					return m.takeLocked(l)[0]
 				}
 				first := tell(1)
-				if got := time.Duration(clock.Now() - first.Started); got < age-tolerance || got > age+tolerance {
+				if got := time.Duration(clock.Now() - first.StartedAt); got < age-tolerance || got > age+tolerance {
 					t.Errorf("its age is %v, want %v", got, age)
 				}
 				offset = step
-				if again := tell(2); again.Started != first.Started {
-					t.Errorf("told again, its start moves by %v", time.Duration(again.Started-first.Started))
+				if again := tell(2); again.StartedAt != first.StartedAt {
+					t.Errorf("told again, its start moves by %v", time.Duration(again.StartedAt-first.StartedAt))
 				}
 				to, _ := m.find("n")
 				if old := time.Now().Add(-age - time.Second); !old.Before(to.born) {
--- a/internal/platform/deployments_test.go
+++ b/internal/platform/deployments_test.go
@@ -108,7 +108,7 @@
 	p.machines.mu.Lock()
 	workers := p.machines.takeLocked(l)
 	p.machines.mu.Unlock()
-	p.core.Machines(0, workers)
+	p.core.UpdateEndpoints(0, workers)
 	s := connect(t, p)
 	for i := range 30 {
 		id := fmt.Sprint("j", i)
@@ -128,7 +128,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Module.MustAskIn = int64(time.Minute)
+		s.Module.MaxPollInterval = int64(time.Minute)
 		longest := time.Duration(0)
 		for range 20 {
 			longest = max(longest, newMachines("", s, nil, zap.NewNop()).asker.First())
@@ -223,10 +223,10 @@
 	if passed > peerRate/50 {
 		t.Errorf("%d of a flood of 10,000 pass", passed)
 	}
-	if p.Tell(1, make([]byte, peerMost)); set.Get("peers.too_long") != 1 {
+	if p.Send(1, make([]byte, peerMost)); set.Get("peers.too_long") != 1 {
 		t.Error("a message that is too long is sent")
 	}
-	p.Tell(-1, []byte("to all"))
+	p.Send(-1, []byte("to all"))
 	b := make([]byte, 2*peerMost)
 	peer.SetReadDeadline(time.Now().Add(patience))
 	if n, err := peer.Read(b); err != nil || n != len("to all")+peerFrame {
--- a/internal/platform/fuzz_test.go
+++ b/internal/platform/fuzz_test.go
@@ -103,7 +103,7 @@
 			r.jobs = append(r.jobs, fmt.Sprint(input.status, " ", input.counter))
 		} else {
 			p := job.Payload.(*payload)
-			r.jobs = append(r.jobs, fmt.Sprint(job.ID, job.Class, job.Tenant, job.Remaining, job.Key, job.Slots, job.Memory, job.Repeat, p.method, p.target))
+			r.jobs = append(r.jobs, fmt.Sprint(job.ID, job.Class, job.Tenant, job.Remaining, job.Key, job.Slots, job.Memory, job.ClientRetry, p.method, p.target))
 		}
 		if req.Close {
 			r.end = "closed"
@@ -338,14 +338,14 @@
 	}
 	latest := time.Now().Add(time.Minute).UnixNano()
 	for i, w := range workers {
-		if w.ID == "" || w.Zone < -1 || w.Kind < -1 || w.Started < 0 || w.Started > latest {
+		if w.ID == "" || w.Zone < -1 || w.Kind < -1 || w.StartedAt < 0 || w.StartedAt > latest {
 			t.Fatalf("%q: host %d is %+v", data, i, w)
 		}
 	}
 	// The same told again is no news: a start in the future must not look new each time.
 	for i, w := range m.takeLocked(l) {
-		if w.Started != workers[i].Started && countHost(l, w.ID) == 1 {
-			t.Fatalf("%q: host %d started at %d, told again at %d", data, i, workers[i].Started, w.Started)
+		if w.StartedAt != workers[i].StartedAt && countHost(l, w.ID) == 1 {
+			t.Fatalf("%q: host %d started at %d, told again at %d", data, i, workers[i].StartedAt, w.StartedAt)
 		}
 	}
 	printed, err := json.Marshal(l)
--- a/internal/platform/listing.go
+++ b/internal/platform/listing.go
@@ -67,7 +67,7 @@
 }
 
 var healths = map[string]foxlift.WorkerState{
-	healthActive: foxlift.Live, healthLeaving: foxlift.Draining, healthLeft: foxlift.Gone,
+	healthActive: foxlift.Live, healthLeaving: foxlift.Draining, healthLeft: foxlift.Removed,
 }
 
 // check returns what is wrong with an entry.
--- a/internal/platform/machines.go
+++ b/internal/platform/machines.go
@@ -37,15 +37,15 @@
 // they send, so that they see a change before the core has heard of it.
 type machines struct {
 	settings *config.Settings
-	tell     func(foxlift.ListKind, []foxlift.Worker)
+	tell     func(foxlift.EndpointUpdate, []foxlift.Worker)
 	confirm  func()                                       // discovery has answered, with no news
 	noteMove func()                                       // another discovery is to be asked
-	fail     func(foxlift.ListFailure)                    // a call has failed
+	fail     func(foxlift.PollFailure)                    // a call has failed
 	wall     func() time.Time                             // the wall clock, for what other machines' clocks tell
 	clock    func() int64                                 // the core's clock
 	changed  func(node string, state foxlift.WorkerState) // of each node that an answer names or leaves out
 	log      *zap.Logger
-	asker    *coldstart.Asker // the watch's alone
+	asker    *coldstart.PollPacer // the watch's alone
 
 	lastWords time.Duration
 
@@ -65,17 +65,17 @@
 	stopped  bool
 }
 
-func newMachines(addr string, s *config.Settings, tell func(foxlift.ListKind, []foxlift.Worker), log *zap.Logger) *machines {
+func newMachines(addr string, s *config.Settings, tell func(foxlift.EndpointUpdate, []foxlift.Worker), log *zap.Logger) *machines {
 	// After a failed call four times as long may go by as without any: half of that is kept.
-	longest := 2 * time.Duration(s.Module.MustAskIn)
+	longest := 2 * time.Duration(s.Module.MaxPollInterval)
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	m := &machines{
 		addr: addr, settings: s, tell: tell, log: log, entries: map[string]machine{}, whole: true,
-		asker: coldstart.NewAsker(s.Module.Dispatchers, longest, rng), lastWords: lastWords,
-		wall: wallClock, clock: core.NewClock().Now, changed: func(string, foxlift.WorkerState) {}, confirm: func() {}, noteMove: func() {}, fail: func(foxlift.ListFailure) {},
+		asker: coldstart.NewPollPacer(s.Module.Dispatchers, longest, rng), lastWords: lastWords,
+		wall: wallClock, clock: core.NewClock().Now, changed: func(string, foxlift.WorkerState) {}, confirm: func() {}, noteMove: func() {}, fail: func(foxlift.PollFailure) {},
 	}
 	if s.Pushed() {
-		m.asker = coldstart.NewAgentAsker(rng)
+		m.asker = coldstart.NewAgentPollPacer(rng)
 	}
 	return m
 }
@@ -119,7 +119,7 @@
 		m.changed(h.Host, state)
 		workers = append(workers, foxlift.Worker{
 			ID: h.Host, Zone: config.Find(m.settings.Zones, h.Zone), Kind: config.Find(m.settings.Kinds, h.Kind),
-			Cell: h.Cell, State: state, Started: start.started,
+			Cell: h.Cell, State: state, StartedAt: start.started,
 		})
 	}
 	return workers
@@ -129,7 +129,7 @@
 func (m *machines) noteMissing(before map[string]machine) {
 	for node := range before {
 		if _, there := m.entries[node]; !there {
-			m.changed(node, foxlift.Gone)
+			m.changed(node, foxlift.Removed)
 		}
 	}
 }
@@ -179,7 +179,7 @@
 	if e, ok := m.entries[node]; ok {
 		return e.state, e.off
 	}
-	return foxlift.Gone, time.Time{}
+	return foxlift.Removed, time.Time{}
 }
 
 // waitEndLocked returns until when a claim that has waited since began waits for an answer to be
@@ -195,7 +195,7 @@
 // unreadLocked reports whether something has arrived on the watch that is not in the list.
 func (m *machines) unreadLocked() bool { return m.reading || m.conn != nil && arrived(m.conn) }
 
-// Watch implements core.MachineList.
+// Watch implements core.EndpointWatch.
 func (m *machines) Watch() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -289,7 +289,7 @@
 	m.mu.Lock()
 	whole := m.whole
 	m.mu.Unlock()
-	var kind foxlift.ListKind
+	var kind foxlift.EndpointUpdate
 	var news []foxlift.Worker
 	told, failing := false, true
 	for began = time.Now(); ; began = time.Now() {
@@ -335,9 +335,9 @@
 		if news, err = m.takeFrom(ctx, l); err != nil {
 			return began, err
 		}
-		kind = foxlift.ListChanges
+		kind = foxlift.EndpointsDelta
 		if l.Whole {
-			kind = foxlift.ListFull
+			kind = foxlift.EndpointsComplete
 		}
 		whole = false
 		m.asker.After(coldstart.Answered, time.Since(began))
--- a/internal/platform/moments_test.go
+++ b/internal/platform/moments_test.go
@@ -84,7 +84,7 @@
 	}
 	node := newNode(t, done)
 	free = make(chan bool)
-	m = newMachines(addr, settings, func(foxlift.ListKind, []foxlift.Worker) { <-free }, zap.NewNop())
+	m = newMachines(addr, settings, func(foxlift.EndpointUpdate, []foxlift.Worker) { <-free }, zap.NewNop())
 	m.lastWords = patience
 	t.Cleanup(m.stop)
 	m.Watch()
@@ -178,9 +178,9 @@
 			}
 			n := &nodes{find: find, counters: &counters.Set{}, connect: patience, idleLimit: time.Hour, budget: 9, idle: map[string][]*nodeConn{}}
 			job := &core.Job{ID: "j", Payload: &payload{method: "POST", target: "/reading"},
-				Submitter: &waiting{s: &submitter{conn: near}}}
+				Client: &waiting{s: &submitter{conn: near}}}
 			reports := make(chan core.Report, 9)
-			n.Send("n", job, core.Limits{Remaining: patience}, func(r core.Report) { reports <- r })
+			n.Send("n", job, core.AttemptLimits{Remaining: patience}, func(r core.Report) { reports <- r })
 			check(t, what+": code", (<-reports).Code, foxlift.NotSent)
 			check(t, what+": looks", looks, look)
 			check(t, what+": whole requests at the node", node.Got.Load(), int64(0))
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -251,17 +251,17 @@
 }
 
 // Send implements core.Nodes.
-func (n *nodes) Send(node string, job *core.Job, limits core.Limits, report func(core.Report)) func() {
+func (n *nodes) Send(node string, job *core.Job, limits core.AttemptLimits, report func(core.Report)) func() {
 	ctx, withdraw := context.WithCancel(context.Background())
 	now := time.Now()
 	a := &attempt{nodes: n, ctx: ctx, node: node, job: job, until: now.Add(limits.Remaining), report: report}
-	if limits.Within > 0 {
-		a.writeBy = now.Add(limits.Within)
+	if limits.WriteWithin > 0 {
+		a.writeBy = now.Add(limits.WriteWithin)
 	}
 	go a.run()
 	return withdraw
 }
 
-var _ core.Nodes = (*nodes)(nil)
+var _ core.Workers = (*nodes)(nil)
 
 func ended(c foxlift.Code) core.Report { return core.Report{Ended: true, Code: c} }
--- a/internal/platform/parse.go
+++ b/internal/platform/parse.go
@@ -127,7 +127,7 @@
 	return &core.Job{
 		ID: req.Header.Get(headerID), Class: class, Tenant: req.Header.Get(headerTenant), Remaining: remaining,
 		Key: config.ParseKey([]byte(req.URL.Query().Get(queryKey))), Slots: slots, Memory: memory,
-		Repeat: req.Header.Get(headerRepeat) == "1", Keyed: len(keys) > 0,
+		ClientRetry: req.Header.Get(headerRepeat) == "1", HasIdempotencyKey: len(keys) > 0,
 		Payload: &payload{method: req.Method, target: req.RequestURI, header: req.Header, body: body},
 	}, nil
 }
--- a/internal/platform/parse_test.go
+++ b/internal/platform/parse_test.go
@@ -95,16 +95,16 @@
 		"done after a provision":  {"HTTP/1.1 100 Continue\r\n\r\n" + ok + line(`"done","result":"rA"`) + end, foxlift.Served},
 		"done in two chunks":      {ok + say1(`{"id":"j1","state":"do`) + say1(`ne","result":"rA"}`) + end, foxlift.Served},
 		"done, a later protocol":  {ok + line(`"paused"`) + line(`"done","result":"rA","new":{}`) + end, foxlift.Served},
-		"failed":                  {ok + line(`"started"`) + line(`"failed"`) + end, foxlift.Erred},
+		"failed":                  {ok + line(`"started"`) + line(`"failed"`) + end, foxlift.WorkerError},
 		"lost":                    {ok + line(`"started"`) + line(`"lost"`) + end, foxlift.Reset},
-		"returned":                {ok + line(`"returned"`) + end, foxlift.Full},
-		"500":                     {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", foxlift.Erred},
-		"503 turned away":         {"HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n", foxlift.Full},
-		"504 turned away":         {"HTTP/1.1 504 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n", foxlift.Full},
-		"503 without the word":    {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", foxlift.Erred},
-		"500 with the word":       {"HTTP/1.1 500 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n", foxlift.Erred},
-		"400":                     {"HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n", foxlift.Blamed},
-		"429 is no turning away":  {"HTTP/1.1 429 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n", foxlift.Blamed},
+		"returned":                {ok + line(`"returned"`) + end, foxlift.Saturated},
+		"500":                     {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", foxlift.WorkerError},
+		"503 turned away":         {"HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n", foxlift.Saturated},
+		"504 turned away":         {"HTTP/1.1 504 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n", foxlift.Saturated},
+		"503 without the word":    {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", foxlift.WorkerError},
+		"500 with the word":       {"HTTP/1.1 500 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n", foxlift.WorkerError},
+		"400":                     {"HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n", foxlift.InvalidRequest},
+		"429 is no turning away":  {"HTTP/1.1 429 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n", foxlift.InvalidRequest},
 		"a spoilt load":           {ok + line(`"done","result":"rA","load":[1]`) + end, foxlift.Served},
 		"load twice":              {ok + line(`"done","result":"rA","load":{},"load":{}`) + end, foxlift.Reset},
 		"nothing":                 {"", foxlift.Reset},
@@ -147,7 +147,7 @@
 		return r
 	}
 	j, bad := parseJob(good(), []byte("b"))
-	if bad != nil || j.ID != "j1" || j.Key != 255 || j.Slots != 2 || j.Memory != 3 || !j.Repeat ||
+	if bad != nil || j.ID != "j1" || j.Key != 255 || j.Slots != 2 || j.Memory != 3 || !j.ClientRetry ||
 		j.Remaining != 480*time.Millisecond || j.Tenant != "islands" {
 		t.Errorf("%+v, %v", j, bad)
 	}
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -150,7 +150,7 @@
 }
 
 // Tell implements core.Peers.
-func (p *peers) Tell(to int, data []byte) {
+func (p *peers) Send(to int, data []byte) {
 	p.sent = max(p.sent+1, p.clock.Now()/1000)
 	b := sealPeer(p.sent, data)
 	switch {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -96,7 +96,7 @@
 // checked here.
 func New(cfg *config.Scheduler, c *core.Core, clock core.Clock, set *counters.Set, log *zap.Logger) (*Platform, error) {
 	log = logging.Limited(log) // whatever is logged from here on, others can cause
-	list := newMachines(cfg.Discovery, cfg.Settings, c.Machines, log)
+	list := newMachines(cfg.Discovery, cfg.Settings, c.UpdateEndpoints, log)
 	list.clock = clock.Now
 	workers, err := list.load(cfg.Known)
 	if err != nil {
@@ -106,14 +106,14 @@
 	front := newFront(c, clock, set, log, nil, half)
 	nodes := newNodes(list, cfg.Settings, set, log, half)
 	list.changed = nodes.out.nodeChanged
-	list.confirm, list.noteMove, list.fail = c.MachinesConfirmed, c.MachinesMoved, c.MachinesFailed
+	list.confirm, list.noteMove, list.fail = c.ConfirmEndpoints, c.ChangeDiscovery, c.RecordPollFailure
 	c.Connect(nodes, list, mostJobs(half))
 	p := &Platform{
 		front: front, machines: list, nodes: nodes, core: c, settings: cfg.Settings,
 		half: half, listen: cfg.Listen, shared: cfg.Admin != "", known: workers, log: log,
 	}
 	if cfg.Peers.Listen != "" {
-		if p.peers, err = newPeers(cfg.Peers, cfg.Settings.Module.Index, clock, set, c.Heard); err != nil {
+		if p.peers, err = newPeers(cfg.Peers, cfg.Settings.Module.Index, clock, set, c.ReceiveGossip); err != nil {
 			return nil, err
 		}
 		c.ConnectPeers(p.peers)
@@ -173,10 +173,10 @@
 func (p *Platform) Share(processes int) {
 	p.front.setBudget(p.half / processes)
 	p.nodes.setBudget(p.half / processes)
-	p.core.SetMost(mostJobs(p.half / processes))
+	p.core.SetMaxOpen(mostJobs(p.half / processes))
 }
 
-// TakeOver directs what comes to the submitters' and the peers' address to this process, from the
+// RestoreState directs what comes to the submitters' and the peers' address to this process, from the
 // older one that listens there too.
 func (p *Platform) TakeOver() {
 	sockets := []syscall.Conn{p.front.listener.(syscall.Conn)}
@@ -220,7 +220,7 @@
 func (p *Platform) ShutDown() {
 	stay, end := endTimes(p.settings)
 	// What comes in the first moments is no loss whatever becomes of it.
-	first := time.AfterFunc(moments, func() { p.core.End(end - moments) })
+	first := time.AfterFunc(moments, func() { p.core.BeginShutdown(end - moments) })
 	defer first.Stop()
 	p.front.ending.Store(true)
 	p.front.shutDown(moments, stay)
@@ -234,7 +234,7 @@
 // carry is answered. It returns when everything taken is answered.
 func (p *Platform) HandOver() {
 	_, end := endTimes(p.settings)
-	p.core.End(end)
+	p.core.BeginShutdown(end)
 	if p.peers != nil {
 		p.peers.stop() // the others hear the new process, and would take both for one
 	}
--- a/internal/platform/probe.go
+++ b/internal/platform/probe.go
@@ -14,7 +14,7 @@
 const probeLimit = 500 * time.Millisecond // for a probe's answer
 
 // Probe implements core.Nodes.
-func (n *nodes) Probe(node string, report func(core.Report)) {
+func (n *nodes) HealthCheck(node string, report func(core.Report)) {
 	go func() { report(n.probe(node)) }()
 }
 
@@ -50,7 +50,7 @@
 	defer m.end()
 	resp, err := m.response()
 	if err != nil {
-		return ended(foxlift.TimedOut), false
+		return ended(foxlift.DeadlineExceeded), false
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
@@ -58,7 +58,7 @@
 	}
 	reusable := !resp.Close && m.Buffered() == 0
 	if resp.StatusCode != http.StatusOK {
-		return ended(foxlift.Erred), reusable
+		return ended(foxlift.WorkerError), reusable
 	}
 	r := ended(foxlift.Served)
 	if len(n.loads.names) > 0 {
--- a/internal/platform/rules_test.go
+++ b/internal/platform/rules_test.go
@@ -284,7 +284,7 @@
 	job := &core.Job{ID: "j", Payload: &payload{method: "POST", target: "/reading"}}
 	reports := make(chan core.Report, 9)
 	for range 2 { // then before it
-		n.Send("n", job, core.Limits{Remaining: patience}, func(r core.Report) { reports <- r })
+		n.Send("n", job, core.AttemptLimits{Remaining: patience}, func(r core.Report) { reports <- r })
 		check(t, "code", (<-reports).Code, foxlift.NotSent)
 	}
 	await(t, "dialed", func() bool { return node.Conns.Load() == 1 }) // the first time only
--- a/internal/platform/saved_list.go
+++ b/internal/platform/saved_list.go
@@ -19,7 +19,7 @@
 }
 
 var healthWords = map[foxlift.WorkerState]string{
-	foxlift.Live: healthActive, foxlift.Draining: healthLeaving, foxlift.Gone: healthLeft,
+	foxlift.Live: healthActive, foxlift.Draining: healthLeaving, foxlift.Removed: healthLeft,
 }
 
 // ListVersion returns the version of the list that is followed, and whether there is one that was
@@ -43,7 +43,7 @@
 	version, addr := m.version, m.addr
 	l := listing{Version: &version, Whole: true, Hosts: make([]listEntry, 0, len(m.entries))}
 	for host, e := range m.entries {
-		if e.state != foxlift.Gone {
+		if e.state != foxlift.Removed {
 			l.Hosts = append(l.Hosts, listEntry{
 				Host: host, Dial: e.dial, Zone: e.zone.Value(), Kind: e.kind.Value(), Cell: e.cell, Health: healthWords[e.state], Born: e.told,
 			})
--- a/internal/platform/states.go
+++ b/internal/platform/states.go
@@ -87,8 +87,8 @@
 const earlyAnswer = 20 * time.Millisecond
 
 var lastStates = map[string]foxlift.Code{
-	stateDone: foxlift.Served, stateFailed: foxlift.Erred,
-	stateReturned: foxlift.Full, stateLost: foxlift.Reset,
+	stateDone: foxlift.Served, stateFailed: foxlift.WorkerError,
+	stateReturned: foxlift.Saturated, stateLost: foxlift.Reset,
 }
 
 // readStates reads the lines of a node's answer, up to the body's proper end: a
--- a/internal/platform/submitter.go
+++ b/internal/platform/submitter.go
@@ -57,7 +57,7 @@
 	answer chan core.Answer // holds one
 }
 
-// Answer implements core.Submitter.
+// Answer implements core.Client.
 func (w *waiting) Answer(a core.Answer) {
 	select {
 	case w.answer <- a:
@@ -66,9 +66,9 @@
 	}
 }
 
-// Gone implements core.Submitter: the other side has ended the connection, or its sending on it,
+// Disconnected implements core.Client: the other side has ended the connection, or its sending on it,
 // and serve may not have come to read that yet.
-func (w *waiting) Gone() bool { return hungUp(w.s.conn) }
+func (w *waiting) Disconnected() bool { return hungUp(w.s.conn) }
 
 // serve runs until the connection ends.
 func (s *submitter) serve() {
@@ -206,7 +206,7 @@
 	switch a.Verdict {
 	case core.Served:
 		return reply{status: http.StatusOK, body: a.Result}
-	case core.Refused:
+	case core.Shed:
 		r := say(http.StatusServiceUnavailable, "refused")
 		r.retryAfter = a.RetryAfter
 		return r
@@ -221,8 +221,8 @@
 func (s *submitter) run(job *core.Job) (answer core.Answer, ends bool) {
 	left, over := false, false
 	w := &waiting{s, make(chan core.Answer, 1)}
-	job.Submitter, job.Arrived = w, s.front.clock.Now()
-	s.front.core.TakeIn(job)
+	job.Client, job.ArrivedAt = w, s.front.clock.Now()
+	s.front.core.Accept(job)
 	for {
 		// In this order: an answer between the two ends the read below.
 		s.conn.SetReadDeadline(time.Time{})
@@ -247,8 +247,8 @@
 		}
 		if err := s.buf.fill(); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			left = true
-			job.NoteLeft()
-			s.front.core.Left(job)
+			job.MarkDisconnected()
+			s.front.core.ClientDisconnected(job)
 		}
 	}
 }
--- a/internal/standin/submitter.go
+++ b/internal/standin/submitter.go
@@ -23,7 +23,7 @@
 	Failed  int // an answer that is neither
 	Blamed  int // of those: the submitter is said to be at fault
 	Lost    int // no whole answer, or none in time
-	Cut     int // the same, where Submitter.Excuse says that no answer was owed
+	Cut     int // the same, where Client.Excuse says that no answer was owed
 }
 
 // Service is the share of the jobs that was served in time, in percent.
@@ -40,7 +40,7 @@
 	t.Cut += o.Cut
 }
 
-// A Submitter sends jobs of one tenant at a rate, each at its time whatever became
+// A Client sends jobs of one tenant at a rate, each at its time whatever became
 // of the others, and keeps a tally. Its times are drawn from its seed.
 type Submitter struct {
 	Addr      string
--- a/internal/upgrade/place.go
+++ b/internal/upgrade/place.go
@@ -26,11 +26,11 @@
 	byteListening = 2 // by the same, once it listens
 )
 
-// ErrTaken means that two processes hold both places already.
-var ErrTaken = errors.New("two processes serve this address already: an upgrade is under way")
+// ErrTakeoverInProgress means that two processes hold both places already.
+var ErrTakeoverInProgress = errors.New("two processes serve this address already: an upgrade is under way")
 
 // A Place is a process's place among those that serve one address.
-type Place struct {
+type TakeoverLock struct {
 	path      string
 	mu        sync.Mutex
 	file      *os.File    // nil once the place is given up
@@ -39,13 +39,13 @@
 
 // Take takes a place among the processes that serve an address and share a directory: that of the
 // serving process if it is free, else the successor's. Where both are taken it tries again every
-// pause, until the limit is over, and returns ErrTaken then.
-func Take(directory, address string, limit, pause time.Duration) (*Place, error) {
+// pause, until the limit is over, and returns ErrTakeoverInProgress then.
+func AcquireTakeover(directory, address string, limit, pause time.Duration) (*TakeoverLock, error) {
 	file, err := os.OpenFile(filepath.Join(directory, fileName(address)), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("the place for upgrades: %w", err)
 	}
-	p := &Place{path: file.Name(), file: file}
+	p := &TakeoverLock{path: file.Name(), file: file}
 	for end := time.Now().Add(limit); ; <-time.After(pause) {
 		taken, err := p.takeFree()
 		switch {
@@ -56,7 +56,7 @@
 			return p, nil
 		case !time.Now().Before(end):
 			file.Close()
-			return nil, ErrTaken
+			return nil, ErrTakeoverInProgress
 		}
 	}
 }
@@ -67,7 +67,7 @@
 }
 
 // takeFree takes the first place that is free.
-func (p *Place) takeFree() (taken bool, err error) {
+func (p *TakeoverLock) takeFree() (taken bool, err error) {
 	if taken, err = p.lock(byteServing); taken || err != nil {
 		return taken, err
 	}
@@ -77,11 +77,11 @@
 }
 
 // Successor reports whether another process still serves, from which this one takes over.
-func (p *Place) Successor() bool { return p.successor.Load() }
+func (p *TakeoverLock) Successor() bool { return p.successor.Load() }
 
 // Promote makes a successor the serving process once the other has left that place; true if it is
 // the serving process now. Not to be called by two goroutines at once.
-func (p *Place) Promote() (bool, error) {
+func (p *TakeoverLock) Promote() (bool, error) {
 	if !p.successor.Load() {
 		return true, nil
 	}
@@ -94,7 +94,7 @@
 }
 
 // Announce tells the serving process that this one, its successor, listens.
-func (p *Place) Announce() error {
+func (p *TakeoverLock) Announce() error {
 	if !p.successor.Load() {
 		return nil
 	}
@@ -103,13 +103,13 @@
 }
 
 // Succeeding reports whether there is a process that is to take over from this one.
-func (p *Place) Succeeding() bool { return !p.successor.Load() && p.locked(byteSuccessor) }
+func (p *TakeoverLock) Succeeding() bool { return !p.successor.Load() && p.locked(byteSuccessor) }
 
 // Succeeded reports whether that process listens.
-func (p *Place) Succeeded() bool { return !p.successor.Load() && p.locked(byteListening) }
+func (p *TakeoverLock) Succeeded() bool { return !p.successor.Load() && p.locked(byteListening) }
 
 // Leave gives up the place.
-func (p *Place) Leave() {
+func (p *TakeoverLock) Leave() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.file != nil {
@@ -120,7 +120,7 @@
 
 // set changes the lock on a byte. Any goroutine may call it, also amid Leave: a descriptor that
 // was closed may be another file's by then.
-func (p *Place) set(command int, r *unix.Flock_t) error {
+func (p *TakeoverLock) set(command int, r *unix.Flock_t) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.file == nil {
@@ -130,7 +130,7 @@
 }
 
 // lock takes a byte's lock; false if another process has it.
-func (p *Place) lock(at int64) (bool, error) {
+func (p *TakeoverLock) lock(at int64) (bool, error) {
 	err := p.set(unix.F_OFD_SETLK, byteRange(unix.F_WRLCK, at))
 	if errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EACCES) {
 		return false, nil
@@ -138,12 +138,12 @@
 	return err == nil, err
 }
 
-func (p *Place) unlock(at int64) error {
+func (p *TakeoverLock) unlock(at int64) error {
 	return p.set(unix.F_OFD_SETLK, byteRange(unix.F_UNLCK, at))
 }
 
 // locked reports whether another process has a byte's lock.
-func (p *Place) locked(at int64) bool {
+func (p *TakeoverLock) locked(at int64) bool {
 	r := byteRange(unix.F_WRLCK, at)
 	return p.set(unix.F_OFD_GETLK, r) == nil && r.Type != unix.F_UNLCK
 }
--- a/internal/upgrade/place_test.go
+++ b/internal/upgrade/place_test.go
@@ -11,9 +11,9 @@
 
 const address = "127.0.0.1:3000"
 
-func take(t *testing.T, directory string) *Place {
+func take(t *testing.T, directory string) *TakeoverLock {
 	t.Helper()
-	p, err := Take(directory, address, 0, time.Millisecond)
+	p, err := AcquireTakeover(directory, address, 0, time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,8 +39,8 @@
 	check(t, "the second succeeds another", second.Successor(), true)
 	check(t, "the first has a successor", first.Succeeding(), true)
 	check(t, "which listens", first.Succeeded(), false)
-	if _, err := Take(directory, address, 0, time.Millisecond); !errors.Is(err, ErrTaken) {
-		t.Errorf("a third place: %v, want %v", err, ErrTaken)
+	if _, err := AcquireTakeover(directory, address, 0, time.Millisecond); !errors.Is(err, ErrTakeoverInProgress) {
+		t.Errorf("a third place: %v, want %v", err, ErrTakeoverInProgress)
 	}
 	if err := second.Announce(); err != nil {
 		t.Fatal(err)
@@ -76,7 +76,7 @@
 func TestOtherAddress(t *testing.T) {
 	directory := t.TempDir()
 	take(t, directory)
-	other, err := Take(directory, "127.0.0.2:3000", 0, time.Millisecond)
+	other, err := AcquireTakeover(directory, "127.0.0.2:3000", 0, time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +85,7 @@
 }
 
 func TestDirectoryMissing(t *testing.T) {
-	if _, err := Take(t.TempDir()+"/none", address, 0, 0); !errors.Is(err, os.ErrNotExist) {
+	if _, err := AcquireTakeover(t.TempDir()+"/none", address, 0, 0); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("error %v, want %v", err, os.ErrNotExist)
 	}
 }
--- a/internal/upgrade/state.go
+++ b/internal/upgrade/state.go
@@ -12,16 +12,16 @@
 // ErrState means that a state's file is torn, of another form or of another program's version.
 var ErrState = statefile.ErrUnreadable
 
-func (p *Place) state() statefile.File {
+func (p *TakeoverLock) state() statefile.File {
 	return statefile.File{Path: p.path + stateSuffix, Mark: stateMark, Most: stateMost}
 }
 
 // Save writes a state, as JSON, for the other process. It replaces the one before.
-func (p *Place) Save(state any) error { return p.state().Write(state) }
+func (p *TakeoverLock) Save(state any) error { return p.state().Write(state) }
 
 // Load reads the state that the other process has written last. The error is os.ErrNotExist where
 // there is none, and ErrState where it cannot be used.
-func (p *Place) Load(state any) error { return p.state().Read(state) }
+func (p *TakeoverLock) Load(state any) error { return p.state().Read(state) }
 
 // Discard removes the state, so that no later process takes it for new.
-func (p *Place) Discard() { p.state().Remove() }
+func (p *TakeoverLock) Discard() { p.state().Remove() }
--- a/internal/wire/decode_events.go
+++ b/internal/wire/decode_events.go
@@ -45,7 +45,7 @@
 	if int64(bits)&1 != 0 {
 		r.Size = int64(hint)
 	}
-	r.Repeat = int64(bits)&2 != 0
+	r.ClientRetry = int64(bits)&2 != 0
 	if r.Slots, err = optional(f[7], "slots"); err != nil {
 		return err
 	}
@@ -114,7 +114,7 @@
 
 func (d *Decoder) probed(n *Names, f []*fastjson.Value) (err error) {
 	e := &d.event
-	e.Kind = foxlift.EventProbed
+	e.Kind = foxlift.EventHealthChecked
 	if e.Worker, err = n.worker(f[2]); err != nil {
 		return err
 	}
@@ -175,5 +175,5 @@
 	if c < 301 || c > 307 {
 		return 0, fmt.Errorf("unknown rc %d", c)
 	}
-	return foxlift.Code(c-301) + foxlift.Erred, nil
+	return foxlift.Code(c-301) + foxlift.WorkerError, nil
 }
--- a/internal/wire/decode_list.go
+++ b/internal/wire/decode_list.go
@@ -10,13 +10,13 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-var listKinds = map[string]foxlift.ListKind{
-	"incr": foxlift.ListChanges, "total": foxlift.ListFull,
-	"warm_copy": foxlift.ListSaved, "lost": foxlift.ListFailed,
+var listKinds = map[string]foxlift.EndpointUpdate{
+	"incr": foxlift.EndpointsDelta, "total": foxlift.EndpointsComplete,
+	"warm_copy": foxlift.EndpointsCached, "lost": foxlift.EndpointsPollFailed,
 }
 
 var states = map[string]foxlift.WorkerState{
-	"live": foxlift.Live, "quiescing": foxlift.Draining, "dead": foxlift.Gone,
+	"live": foxlift.Live, "quiescing": foxlift.Draining, "dead": foxlift.Removed,
 }
 
 func (d *Decoder) list(n *Names, f []*fastjson.Value) error {
@@ -28,7 +28,7 @@
 	if !ok {
 		return fmt.Errorf("unknown scope %q", scope)
 	}
-	d.event.Kind, d.event.List = foxlift.EventList, kind
+	d.event.Kind, d.event.EndpointUpdate = foxlift.EventEndpoints, kind
 	d.entries = d.entries[:0]
 	if !absent(f[4]) {
 		items, err := array(f[4], "items")
@@ -76,7 +76,7 @@
 	}
 	w.State = s
 	if !absent(f[6]) {
-		w.Started, err = integer(f[6], "cameUp")
+		w.StartedAt, err = integer(f[6], "cameUp")
 	}
 	return w, err
 }
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -27,7 +27,7 @@
 		id()
 		str(a.Worker)
 		num(a.Timeout)
-	case foxlift.ActionRefuse:
+	case foxlift.ActionShed:
 		open("shed")
 		id()
 		num(a.RetryAfter)
@@ -42,7 +42,7 @@
 		open("notifyMe")
 		num(a.At)
 		b = strconv.AppendUint(append(b, ','), a.Token, 10)
-	case foxlift.ActionProbe:
+	case foxlift.ActionHealthCheck:
 		open("poll")
 		str(a.Worker)
 	case foxlift.ActionClose:
@@ -52,7 +52,7 @@
 		open("post")
 		num(int64(a.To))
 		str(base64.StdEncoding.EncodeToString(a.Data))
-	case foxlift.ActionSubscribe:
+	case foxlift.ActionWatchEndpoints:
 		open("subscribe")
 		b = append(b, ",true"...)
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -144,7 +144,7 @@
 	case "completed":
 		err = d.outcome(n, f)
 	case "clientLeft":
-		d.event.Kind = foxlift.EventClientLeft
+		d.event.Kind = foxlift.EventClientDisconnected
 		d.event.ID, err = unsigned(f[2], "xid")
 	case "deadlineHit":
 		d.event.Kind = foxlift.EventTimer
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -50,20 +50,20 @@
 		`["neighbourSays","scheduler_3",2,"aGkgNw=="],["interim","scheduler_3",9,0.5,1,"10.18.74.7:8083",1]]}`)
 	r := ev[0].Request
 	if r.ID != 1564119492 || r.Deadline != 8652250000 || r.Class != 0 || r.Key != 0x91f03b7c55d20a64 ||
-		r.Size != 12000000 || r.Slots != 2 || r.Tenant != 0 || r.Memory != 1.5 || r.Repeat {
+		r.Size != 12000000 || r.Slots != 2 || r.Tenant != 0 || r.Memory != 1.5 || r.ClientRetry {
 		t.Errorf("request %+v", r)
 	}
-	if ev[1].Token != 77 || ev[2].ID != 242166553 || ev[2].Kind != foxlift.EventClientLeft {
+	if ev[1].Token != 77 || ev[2].ID != 242166553 || ev[2].Kind != foxlift.EventClientDisconnected {
 		t.Errorf("timer %+v, client %+v", ev[1], ev[2])
 	}
 	if o := ev[3]; o.Code != foxlift.Served || !o.Ended || o.Took != 18500000 || o.Load[3] != 1.25 || !o.HasLoad {
 		t.Errorf("outcome %+v", o)
 	}
 	w := ev[4].Workers[0]
-	if w.Zone != 1 || w.Kind != 0 || w.Cell != 3 || w.State != foxlift.Draining || w.Started != 6100000000 {
+	if w.Zone != 1 || w.Kind != 0 || w.Cell != 3 || w.State != foxlift.Draining || w.StartedAt != 6100000000 {
 		t.Errorf("worker %+v", w)
 	}
-	if p := ev[5]; p.Code != foxlift.Unreachable || p.HasLoad || p.Kind != foxlift.EventProbed {
+	if p := ev[5]; p.Code != foxlift.Unreachable || p.HasLoad || p.Kind != foxlift.EventHealthChecked {
 		t.Errorf("probe %+v", p)
 	}
 	if m := ev[6]; m.From != 2 || string(m.Data) != "hi 7" {
@@ -76,7 +76,7 @@
 
 func TestCodes(t *testing.T) {
 	want := map[string]foxlift.Code{
-		"100": foxlift.Served, "301": foxlift.Erred, "302": foxlift.Full, "303": foxlift.TimedOut,
+		"100": foxlift.Served, "301": foxlift.WorkerError, "302": foxlift.Saturated, "303": foxlift.DeadlineExceeded,
 		"304": foxlift.Unreachable, "305": foxlift.Reset, "306": foxlift.Cancelled, "307": foxlift.NotSent,
 	}
 	for s, c := range want {
@@ -91,14 +91,14 @@
 	for want, a := range map[string]foxlift.Action{
 		`["try","scheduler_3",5,"10.18.74.7:8083",80000000]`: {Kind: foxlift.ActionSend, ID: 5,
 			Worker: "10.18.74.7:8083", Timeout: 80000000},
-		`["shed","scheduler_3",5,250000000]`:   {Kind: foxlift.ActionRefuse, ID: 5, RetryAfter: 250000000},
+		`["shed","scheduler_3",5,250000000]`:   {Kind: foxlift.ActionShed, ID: 5, RetryAfter: 250000000},
 		`["finishError","scheduler_3",5]`:      {Kind: foxlift.ActionFail, ID: 5},
 		`["recall","scheduler_3",5,1]`:         {Kind: foxlift.ActionCancel, ID: 5, Attempt: 1},
 		`["notifyMe","scheduler_3",8912,77]`:   {Kind: foxlift.ActionTimer, At: 8912, Token: 77},
-		`["poll","scheduler_3","w:1"]`:         {Kind: foxlift.ActionProbe, Worker: "w:1"},
+		`["poll","scheduler_3","w:1"]`:         {Kind: foxlift.ActionHealthCheck, Worker: "w:1"},
 		`["letGo","scheduler_3","w:1"]`:        {Kind: foxlift.ActionClose, Worker: "w:1"},
 		`["post","scheduler_3",-1,"aGkgNw=="]`: {Kind: foxlift.ActionMessage, To: -1, Data: []byte("hi 7")},
-		`["subscribe","scheduler_3",true]`:     {Kind: foxlift.ActionSubscribe},
+		`["subscribe","scheduler_3",true]`:     {Kind: foxlift.ActionWatchEndpoints},
 	} {
 		if got := string(Append(nil, "scheduler_3", &a)); got != want {
 			t.Errorf("%s, want %s", got, want)
@@ -115,10 +115,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Dispatchers != 3 || c.Index != 2 || !c.ListOnRequest || c.Zone != 1 || c.MustAskIn != 10 {
+	if c.Dispatchers != 3 || c.Index != 2 || !c.PollEndpoints || c.Zone != 1 || c.MaxPollInterval != 10 {
 		t.Errorf("config %+v", c)
 	}
-	if k := c.Classes[0]; k.Aim != 5 || k.Stretch != 1.75 || k.Kind != 0 || k.Effect != foxlift.AtMostOnce {
+	if k := c.Classes[0]; k.LatencyObjective != 5 || k.ObjectiveStretch != 1.75 || k.Kind != 0 || k.Effect != foxlift.AtMostOnce {
 		t.Errorf("class %+v", k)
 	}
 	g := []foxlift.Gauge{foxlift.GaugeBusy, foxlift.GaugeFreeSlots, foxlift.GaugeFreeMemory, 0}
--- a/list_lease_test.go
+++ b/list_lease_test.go
@@ -6,12 +6,12 @@
 
 func leaseConfig() Config {
 	cfg := testConfig()
-	cfg.ListLease = testLease
+	cfg.EndpointLease = testLease
 	return cfg
 }
 
-func listEvent(kind ListKind, failure ListFailure) Event {
-	return Event{Kind: EventList, List: kind, Failure: failure}
+func listEvent(kind EndpointUpdate, failure PollFailure) Event {
+	return Event{Kind: EventEndpoints, EndpointUpdate: kind, PollFailure: failure}
 }
 
 // What a scheduler may send after each history of calls to discovery. The rig has started with a saved list.
@@ -20,9 +20,9 @@
 		after int64 // since the one before
 		event Event
 	}
-	confirmed, moved := listEvent(ListConfirmed, 0), listEvent(ListMoved, 0)
-	busy, down, spoilt := listEvent(ListFailed, FailureBusy), listEvent(ListFailed, FailureDown), listEvent(ListFailed, FailureSpoilt)
-	silent := listEvent(ListFailed, FailureUnanswered)
+	confirmed, moved := listEvent(EndpointsConfirmed, 0), listEvent(DiscoveryChanged, 0)
+	busy, down, spoilt := listEvent(EndpointsPollFailed, FailureBusy), listEvent(EndpointsPollFailed, FailureDown), listEvent(EndpointsPollFailed, FailureInvalid)
+	silent := listEvent(EndpointsPollFailed, FailureUnanswered)
 	for _, c := range []struct {
 		name    string
 		calls   []call
@@ -31,19 +31,19 @@
 		trusted bool
 	}{
 		{"just started", nil, 0, 0, false},
-		{"just before the hold's end", nil, savedListHold - ms, 0, false},
-		{"never answered", nil, savedListHold, 1, true},
-		{"never answered, refused", []call{{second, busy}}, savedListHold, 1, true},
+		{"just before the hold's end", nil, cachedListGrace - ms, 0, false},
+		{"never answered", nil, cachedListGrace, 1, true},
+		{"never answered, refused", []call{{second, busy}}, cachedListGrace, 1, true},
 		{"never answered, spoilt", []call{{second, spoilt}}, time10, 0, false},
 		{"never answered, spoilt and then refused", []call{{second, spoilt}, {second, busy}}, time10, 0, false},
 		{"nobody listens", []call{{second, down}}, 0, 3, true},
 		{"nobody listened, then refused", []call{{second, down}, {second, busy}}, 0, 0, false},
 		{"answered", []call{{second, confirmed}}, 0, 3, true},
 		{"answered long ago, and nothing since", []call{{second, confirmed}}, testLease, 1, true},
-		{"moved, within its lease", []call{{second, confirmed}, {second, moved}}, movedLease - ms, 3, true},
-		{"moved, past it", []call{{second, confirmed}, {second, moved}}, movedLease, 1, true},
-		{"moved, and answered", []call{{second, confirmed}, {second, moved}, {second, confirmed}}, movedLease, 3, true},
-		{"nobody listened, and moved", []call{{second, confirmed}, {second, down}, {second, moved}}, movedLease, 1, true},
+		{"moved, within its lease", []call{{second, confirmed}, {second, moved}}, discoveryChangeLease - ms, 3, true},
+		{"moved, past it", []call{{second, confirmed}, {second, moved}}, discoveryChangeLease, 1, true},
+		{"moved, and answered", []call{{second, confirmed}, {second, moved}, {second, confirmed}}, discoveryChangeLease, 3, true},
+		{"nobody listened, and moved", []call{{second, confirmed}, {second, down}, {second, moved}}, discoveryChangeLease, 1, true},
 		{"refused, within the lease", []call{{second, confirmed}, {second, busy}}, testLease - second - ms, 3, true},
 		{"refused, past it", []call{{second, confirmed}, {second, busy}}, testLease - second, 1, true},
 		{"spoilt, within the lease", []call{{second, confirmed}, {second, spoilt}}, testLease - second - ms, 3, true},
@@ -52,7 +52,7 @@
 		{"silent, within the lease", []call{{second, confirmed}, {second, silent}}, testLease - second - ms, 3, true},
 		{"silent, past it", []call{{second, confirmed}, {second, silent}}, testLease - second, 0, false},
 		{"silent and then refused, past it", []call{{second, confirmed}, {second, silent}, {second, busy}}, testLease, 1, true},
-		{"never answered, silent", []call{{second, silent}}, savedListHold, 1, true},
+		{"never answered, silent", []call{{second, silent}}, cachedListGrace, 1, true},
 		{"down, past it", []call{{second, confirmed}, {second, down}}, time10, 3, true},
 		{"answered again", []call{{second, confirmed}, {time10, spoilt}, {second, confirmed}}, 0, 3, true},
 	} {
@@ -64,7 +64,7 @@
 			r.after(c.wait)
 			r.step(r.request(1, 0), r.request(2, 0), r.request(3, 0))
 			r.want(ActionSend, c.sends)
-			if got := r.d.ListTrusted(); got != c.trusted {
+			if got := r.d.EndpointsUsable(); got != c.trusted {
 				t.Errorf("trusted: %v", got)
 			}
 		})
@@ -77,8 +77,8 @@
 // not to one that has turned a job away.
 func TestOldListUsesWorkersThatAccept(t *testing.T) {
 	r := newRig(t, leaseConfig(), fleet(9)...)
-	r.step(listEvent(ListConfirmed, 0))
-	r.after(second, listEvent(ListFailed, FailureBusy))
+	r.step(listEvent(EndpointsConfirmed, 0))
+	r.after(second, listEvent(EndpointsPollFailed, FailureBusy))
 	r.after(testLease - 2*second)
 	r.step(r.request(1, 0))
 	w := r.want(ActionSend, 1)[0].Worker
@@ -88,7 +88,7 @@
 	if got := r.want(ActionSend, 1)[0].Worker; got != w {
 		t.Errorf("sent to %s, which accepted nothing, and not to %s", got, w)
 	}
-	r.after(50*ms, outcome(2, 0, w, Full))
+	r.after(50*ms, outcome(2, 0, w, Saturated))
 	tries := r.only(ActionSend)
 	r.after(second)
 	r.step(r.request(3, 0))
@@ -97,7 +97,7 @@
 			t.Errorf("sent to %s, which has turned a job away", w)
 		}
 	}
-	r.step(listEvent(ListConfirmed, 0))
+	r.step(listEvent(EndpointsConfirmed, 0))
 	r.after(100 * ms)
 	r.step(r.request(4, 0))
 	if len(r.only(ActionSend)) == 0 {
@@ -108,8 +108,8 @@
 // A worker's acceptance is as old as the send that it accepted.
 func TestAcceptanceIsAsOldAsTheSend(t *testing.T) {
 	r := newRig(t, leaseConfig(), fleet(1)...)
-	r.step(listEvent(ListConfirmed, 0))
-	r.after(second, listEvent(ListFailed, FailureSpoilt), r.request(1, 1))
+	r.step(listEvent(EndpointsConfirmed, 0))
+	r.after(second, listEvent(EndpointsPollFailed, FailureInvalid), r.request(1, 1))
 	r.want(ActionSend, 1)
 	r.after(1900*ms, started(1, 0, "w0"), outcome(1, 0, "w0", Served))
 	r.after(testLease - 1900*ms)
--- a/loops.go
+++ b/loops.go
@@ -2,39 +2,39 @@
 
 // The regulators' state and the fit of their models. Nothing is decided here.
 
-// A classLoop is a class with its regulator. v is u as a share of u_max, so that
+// A latencyLoop is a class with its regulator. v is u as a share of u_max, so that
 // model and reset law do not depend on the size of the fleet.
-type classLoop struct {
+type latencyLoop struct {
 	*Class
-	patience int64 // the longest that a client waits, as seen
-	median   int64 // of recent running times
-	quick    int64 // their lower quartile
-	runs     []int64
-	ratios   []float64 // job time over wanted time, this second
-	fit      model
-	v, v1    float64 // u(k-1) and u(k-2)
-	w1       float64 // w(k-1)
+	patience             int64 // the longest that a client waits, as seen
+	median               int64 // of recent running times
+	lowerQuartile        int64 // their lower quartile
+	runtimes             []int64
+	ratios               []float64 // job time over wanted time, this second
+	fit                  model
+	input, previousInput float64 // u(k-1) and u(k-2)
+	previousOutput       float64 // w(k-1)
 }
 
 // ran keeps the running times of the last jobs.
-func (c *classLoop) ran(took int64) {
-	if len(c.runs) < 64 {
-		c.runs = append(c.runs, took)
+func (c *latencyLoop) recordRuntime(took int64) {
+	if len(c.runtimes) < 64 {
+		c.runtimes = append(c.runtimes, took)
 		return
 	}
-	copy(c.runs, c.runs[1:])
-	c.runs[63] = took
+	copy(c.runtimes, c.runtimes[1:])
+	c.runtimes[63] = took
 }
 
 // A model is w(k) = s1 w(k-1) + r1 u(k-1) + r2 u(k-2), fitted by recursive least
 // squares with forgetting.
 type model struct {
-	p   [3]float64 // s1, r1, r2
-	cov [3][3]float64
+	parameters [3]float64 // s1, r1, r2
+	covariance [3][3]float64
 }
 
 // measured is w(k): the mean over the second's jobs, 0 if there were none.
-func (c *classLoop) measured() float64 {
+func (c *latencyLoop) meanRatio() float64 {
 	sum := 0.0
 	for _, r := range c.ratios {
 		sum += r
@@ -48,25 +48,25 @@
 	den, err := forgetting, w
 	for i := range px {
 		for k := range x {
-			px[i] += m.cov[i][k] * x[k]
+			px[i] += m.covariance[i][k] * x[k]
 		}
 		den += x[i] * px[i]
-		err -= m.p[i] * x[i]
+		err -= m.parameters[i] * x[i]
 	}
 	trace := 0.0
 	for i := range px {
-		m.p[i] += px[i] / den * err
+		m.parameters[i] += px[i] / den * err
 		for k := range px {
-			m.cov[i][k] -= px[i] * px[k] / den
+			m.covariance[i][k] -= px[i] * px[k] / den
 		}
-		trace += m.cov[i][i]
+		trace += m.covariance[i][i]
 	}
 	// Without excitation forgetting would let the covariance grow for ever; then
 	// noise alone would move the parameters far enough to reset them.
 	if trace < covMax*forgetting {
-		for i := range m.cov {
-			for k := range m.cov {
-				m.cov[i][k] /= forgetting
+		for i := range m.covariance {
+			for k := range m.covariance {
+				m.covariance[i][k] /= forgetting
 			}
 		}
 	}
--- a/peers_test.go
+++ b/peers_test.go
@@ -10,13 +10,13 @@
 // two units of memory each, as their reports tell.
 func peersOf(t *testing.T, n, workers int) (rigs []*rig) {
 	cfg := testConfig()
-	cfg.Dispatchers, cfg.MayMessage, cfg.SlotMemory = n, true, 1
-	cfg.Gauges = []Gauge{GaugeQueue, GaugeHeld, GaugeFreeSlots}
+	cfg.Dispatchers, cfg.MayGossip, cfg.SlotMemory = n, true, 1
+	cfg.Gauges = []Gauge{GaugeQueued, GaugeInFlight, GaugeFreeSlots}
 	for i := range n {
 		cfg.Index = i
 		r := newSeededRig(t, cfg, uint64(i+1), fleet(workers)...)
-		for _, w := range r.d.list {
-			r.d.report(w, &Event{HasLoad: true, Load: [MaxGauges]float64{1, 2, 1.02}})
+		for _, w := range r.d.workerOrder {
+			r.d.recordLoad(w, &Event{HasLoad: true, Load: [MaxGauges]float64{1, 2, 1.02}})
 		}
 		rigs = append(rigs, r)
 	}
@@ -37,19 +37,19 @@
 func TestPeersTakeTheMeanU(t *testing.T) {
 	rigs := peersOf(t, 2, 1)
 	a, b := rigs[0], rigs[1]
-	a.d.u = 7
-	a.d.tellAll()
+	a.d.admissionRate = 7
+	a.d.gossipAll()
 	msg := a.d.actions[len(a.d.actions)-1]
 	b.after(ms, Event{Kind: EventMessage, From: 0, Data: msg.Data})
-	b.d.u = 31
-	if b.d.agree(); b.d.u != 19 {
-		t.Errorf("u %v, want the mean 19", b.d.u)
+	b.d.admissionRate = 31
+	if b.d.exchangeAdmissionRate(); b.d.admissionRate != 19 {
+		t.Errorf("u %v, want the mean 19", b.d.admissionRate)
 	}
 	b.now += 10 * second
 	b.step()
-	b.d.u = 31
-	if b.d.agree(); b.d.u != 31 {
-		t.Errorf("u %v from a peer that fell silent", b.d.u)
+	b.d.admissionRate = 31
+	if b.d.exchangeAdmissionRate(); b.d.admissionRate != 31 {
+		t.Errorf("u %v from a peer that fell silent", b.d.admissionRate)
 	}
 }
 
@@ -116,17 +116,17 @@
 	rigs := peersOf(t, 2, 2)
 	a, b := rigs[0], rigs[1]
 	theirs := func() (sum float64) {
-		for _, w := range b.d.list {
-			if w.theirs.slots < 0 || w.theirs.memory < 0 || math.Abs(w.own-w.theirs.slots) > 1e-9 {
-				t.Fatalf("own %v, theirs %+v", w.own, w.theirs)
+		for _, w := range b.d.workerOrder {
+			if w.peerUsage.slots < 0 || w.peerUsage.memory < 0 || math.Abs(w.usedSlots-w.peerUsage.slots) > 1e-9 {
+				t.Fatalf("own %v, theirs %+v", w.usedSlots, w.peerUsage)
 			}
-			sum += w.theirs.slots
+			sum += w.peerUsage.slots
 		}
 		return sum
 	}
 	all := func() Event {
 		a.d.actions = nil
-		a.d.tellAll()
+		a.d.gossipAll()
 		return Event{Kind: EventMessage, From: 0, Data: a.d.actions[0].Data}
 	}
 	check := func(what string, want float64) {
@@ -161,7 +161,7 @@
 	}
 	b.step(all())
 	b.step(all()) // the first may be of an older number than a changed one had
-	a.d.life++
+	a.d.incarnation++
 	b.step(all())
 	check("after spoilt ones, a new life", 1)
 	for _, from := range []int{-1, 1, 2} {
@@ -170,7 +170,7 @@
 		b.step(e)
 	}
 	check("from no peer", 1)
-	b.d.forgetGone(b.now + second)
+	b.d.forgetRemoved(b.now + second)
 	for range 5 {
 		b.after(second, Event{Kind: EventTimer, Token: 1})
 	}
--- a/queue.go
+++ b/queue.go
@@ -13,13 +13,13 @@
 }
 
 // hold puts a job into its tenant's queue.
-func (d *Dispatcher) hold(j *job) {
+func (d *Dispatcher) enqueue(j *job) {
 	j.queued = true
 	j.tenant.queues[j.req.Class] = append(j.tenant.queues[j.req.Class], j)
 }
 
 // drop takes a job out of its tenant's queue.
-func (t *tenant) drop(j *job) {
+func (t *tenant) dequeue(j *job) {
 	k := j.req.Class
 	if i := slices.Index(t.queues[k], j); i >= 0 {
 		t.queues[k] = slices.Delete(t.queues[k], i, i+1)
@@ -29,13 +29,13 @@
 
 // next returns the oldest job of a queue, or the newest, of those that this round of dispatch has
 // not found without a worker; nil if there is none.
-func next(q []*job, newest bool, round int64) *job {
+func nextInQueue(q []*job, newest bool, round int64) *job {
 	for i := range q {
 		j := q[i]
 		if newest {
 			j = q[len(q)-1-i]
 		}
-		if j.blocked != round {
+		if j.blockedRound != round {
 			return j
 		}
 	}
@@ -43,18 +43,18 @@
 }
 
 // waiting reports whether the tenant has jobs held.
-func (t *tenant) waiting() bool {
+func (t *tenant) hasQueued() bool {
 	return slices.ContainsFunc(t.queues, func(q []*job) bool { return len(q) > 0 })
 }
 
-// endScouting holds the jobs whose scouting is done.
-func (d *Dispatcher) endScouting(done func(*job) bool) {
-	d.scouting = slices.DeleteFunc(d.scouting, func(j *job) bool {
+// finishHealthChecks holds the jobs whose scouting is done.
+func (d *Dispatcher) finishHealthChecks(done func(*job) bool) {
+	d.awaitingHealthCheck = slices.DeleteFunc(d.awaitingHealthCheck, func(j *job) bool {
 		if !j.ended && !done(j) {
 			return false
 		}
 		if !j.ended {
-			d.hold(j)
+			d.enqueue(j)
 		}
 		return true
 	})
--- a/record_faults_test.go
+++ b/record_faults_test.go
@@ -35,8 +35,8 @@
 
 // change sets a worker's state in the list.
 func (h *fleetHost) change(w *simWorker, state foxlift.WorkerState) {
-	if w.entry.State == foxlift.Gone && state == foxlift.Live {
-		w.entry.Started = h.now
+	if w.entry.State == foxlift.Removed && state == foxlift.Live {
+		w.entry.StartedAt = h.now
 	}
 	w.entry.State = state
 	h.notifyChange(w.entry)
@@ -48,7 +48,7 @@
 		a.report(foxlift.Reset)
 	}
 	w.running, w.queue, w.keys = nil, nil, nil
-	h.change(w, foxlift.Gone)
+	h.change(w, foxlift.Removed)
 }
 
 // faultDrain drains workers; they go and come back anew.
@@ -76,7 +76,7 @@
 	zone := h.rng.IntN(2)
 	for _, w := range h.workers {
 		if w.entry.Zone == zone {
-			w.entry.Started, w.keys = h.now, nil
+			w.entry.StartedAt, w.keys = h.now, nil
 			h.notifyChange(w.entry)
 		}
 	}
@@ -147,7 +147,7 @@
 }
 
 // faultOutage lets calls to discovery fail for some time, all in one way.
-func faultOutage(failure foxlift.ListFailure, length int64) fault {
+func faultOutage(failure foxlift.PollFailure, length int64) fault {
 	return func(h *fleetHost) {
 		h.failure, h.failureLasts = failure, true
 		h.failDiscovery(length)
@@ -160,8 +160,8 @@
 	h.after(length, func() {
 		h.discoveryFails, h.failureLasts = false, false
 		for _, m := range h.members {
-			m.subscribed = m.subscribed || !m.config.ListOnRequest
-			m.receiveList(foxlift.ListConfirmed, nil)
+			m.subscribed = m.subscribed || !m.config.PollEndpoints
+			m.receiveList(foxlift.EndpointsConfirmed, nil)
 		}
 	})
 }
@@ -172,7 +172,7 @@
 // faultDiscoveryChange names another discovery.
 func faultDiscoveryChange(h *fleetHost) {
 	for _, m := range h.members {
-		m.receiveList(foxlift.ListMoved, nil)
+		m.receiveList(foxlift.DiscoveryChanged, nil)
 	}
 }
 
@@ -183,14 +183,14 @@
 		if missing := h.rng.IntN(2 * len(list)); missing < len(list) {
 			list = slices.Delete(list, missing, missing+1)
 		}
-		m.receiveList(foxlift.ListFull, list)
+		m.receiveList(foxlift.EndpointsComplete, list)
 	}
 }
 
 // faultExternalUsage changes how many slots others of the host have out at workers.
 func faultExternalUsage(h *fleetHost) {
 	for _, w := range h.pick(0.2) {
-		w.entry.Others = float64(h.rng.IntN(4))
+		w.entry.ExternalSlots = float64(h.rng.IntN(4))
 		h.notifyChange(w.entry)
 	}
 }
@@ -210,7 +210,7 @@
 	missing := uint64(1) << 60
 	for _, e := range []foxlift.Event{
 		{Kind: foxlift.EventOutcome, ID: missing}, {Kind: foxlift.EventStarted, ID: missing, Attempt: 3},
-		{Kind: foxlift.EventClientLeft, ID: missing}, {Kind: foxlift.EventProbed, Worker: "nowhere"},
+		{Kind: foxlift.EventClientDisconnected, ID: missing}, {Kind: foxlift.EventHealthChecked, Worker: "nowhere"},
 		{Kind: foxlift.EventMessage, From: -1, Data: []byte("x")}, {Kind: foxlift.EventProgress, ID: missing},
 		{Kind: foxlift.EventRequest, Request: foxlift.Request{ID: missing, Class: 77}},
 	} {
--- a/record_fleet_test.go
+++ b/record_fleet_test.go
@@ -50,7 +50,7 @@
 	lastID  uint64 // of a job
 
 	discoveryFails bool
-	failure        foxlift.ListFailure
+	failure        foxlift.PollFailure
 	failureLasts   bool // it stays the same until discovery answers again
 	flooding       int  // the tenant that sends far more than its share; -1: none
 }
@@ -99,8 +99,8 @@
 	h.repeat(inspectEvery, func() {
 		for _, m := range h.members {
 			r.inspect(m.index, m.dispatcher)
-			if plan.config.ListLease > 0 {
-				m.receiveList(foxlift.ListConfirmed, nil)
+			if plan.config.EndpointLease > 0 {
+				m.receiveList(foxlift.EndpointsConfirmed, nil)
 			}
 		}
 	})
@@ -197,11 +197,11 @@
 		r.Size = int64(float64(p.work[class]) * (0.5 + h.rng.Float64()))
 	}
 	if h.chance(0.05) {
-		r.Among = []string{h.drawWorker().entry.ID, h.drawWorker().entry.ID}
+		r.AllowedWorkers = []string{h.drawWorker().entry.ID, h.drawWorker().entry.ID}
 	}
 	if h.chance(0.05) { // it comes from another dispatcher of the host
 		r.Waited = h.rng.Int64N(100 * millisecond)
-		r.Tried = h.rng.IntN(2)
+		r.PriorAttempts = h.rng.IntN(2)
 	}
 	return r
 }
@@ -236,6 +236,6 @@
 // notifyChange tells the dispatchers of changed workers, each at a moment of its own.
 func (h *fleetHost) notifyChange(changed ...foxlift.Worker) {
 	for _, m := range h.members {
-		h.after(h.rng.Int64N(second/2), func() { m.receiveList(foxlift.ListChanges, changed) })
+		h.after(h.rng.Int64N(second/2), func() { m.receiveList(foxlift.EndpointsDelta, changed) })
 	}
 }
--- a/record_member_test.go
+++ b/record_member_test.go
@@ -36,15 +36,15 @@
 // begin starts a dispatcher with the list as last known; one that was there before is forgotten.
 func (m *member) begin() {
 	m.incarnation++
-	m.subscribed = !m.config.ListOnRequest
+	m.subscribed = !m.config.PollEndpoints
 	m.inbox, m.jobs = nil, map[uint64]*simJob{}
 	if m.incarnation == 1 {
 		m.host.record.nextIndex()
 	}
 	m.dispatcher = m.host.record.start(m.index, m.config, m.host.plan.seed+uint64(1000*m.incarnation+m.index))
-	m.inbox = []foxlift.Event{{Kind: foxlift.EventList, List: foxlift.ListSaved, Workers: m.list()}}
+	m.inbox = []foxlift.Event{{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsCached, Workers: m.list()}}
 	m.step()
-	m.receiveList(foxlift.ListConfirmed, nil)
+	m.receiveList(foxlift.EndpointsConfirmed, nil)
 }
 
 // takeOver starts a new dispatcher that goes on from what the old one has learned. The old one's
@@ -54,7 +54,7 @@
 	m.begin()
 	m.host.record.restore(m.index, m.dispatcher, snapshot)
 	m.host.record.inspect(m.index, m.dispatcher)
-	m.host.after(second, func() { m.receiveList(foxlift.ListChanges, m.list()) })
+	m.host.after(second, func() { m.receiveList(foxlift.EndpointsDelta, m.list()) })
 }
 
 // list is the list with the slots of an earlier incarnation's attempts.
@@ -62,7 +62,7 @@
 	list := m.host.entries()
 	for _, a := range m.inFlight {
 		if a.incarnation != m.incarnation {
-			list[a.worker.index].Others += max(1, a.job.request.Slots)
+			list[a.worker.index].ExternalSlots += max(1, a.job.request.Slots)
 		}
 	}
 	return list
@@ -72,16 +72,16 @@
 func (m *member) receive(e foxlift.Event) { m.inbox = append(m.inbox, e) }
 
 // receiveList passes news of the list, or the failure to get any.
-func (m *member) receiveList(kind foxlift.ListKind, workers []foxlift.Worker) {
-	e := foxlift.Event{Kind: foxlift.EventList, List: kind, Workers: workers}
+func (m *member) receiveList(kind foxlift.EndpointUpdate, workers []foxlift.Worker) {
+	e := foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: kind, Workers: workers}
 	switch {
-	case kind == foxlift.ListMoved:
+	case kind == foxlift.DiscoveryChanged:
 	case m.host.discoveryFails:
 		m.subscribed = false
 		if !m.host.failureLasts && m.host.chance(0.2) {
 			m.host.drawFailure()
 		}
-		e = foxlift.Event{Kind: foxlift.EventList, List: foxlift.ListFailed, Failure: m.host.failure}
+		e = foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsPollFailed, PollFailure: m.host.failure}
 	case !m.subscribed:
 		return
 	}
@@ -107,14 +107,14 @@
 func (m *member) leave(id uint64) {
 	if j := m.jobs[id]; j != nil && !j.answered {
 		j.answered = true
-		m.receive(foxlift.Event{Kind: foxlift.EventClientLeft, ID: id})
+		m.receive(foxlift.Event{Kind: foxlift.EventClientDisconnected, ID: id})
 	}
 }
 
 // expire ends the attempts that are still out at a job's deadline.
 func (m *member) expire(j *simJob) {
 	for _, a := range j.attempts {
-		a.report(foxlift.TimedOut)
+		a.report(foxlift.DeadlineExceeded)
 	}
 }
 
@@ -132,7 +132,7 @@
 	switch a.Kind {
 	case foxlift.ActionSend:
 		m.send(m.jobs[a.ID], a.Worker)
-	case foxlift.ActionRefuse, foxlift.ActionFail:
+	case foxlift.ActionShed, foxlift.ActionFail:
 		m.answer(m.jobs[a.ID], a)
 	case foxlift.ActionCancel:
 		attempt := m.jobs[a.ID].attempts[a.Attempt]
@@ -143,11 +143,11 @@
 				m.receive(foxlift.Event{Kind: foxlift.EventTimer, Token: a.Token})
 			}
 		})
-	case foxlift.ActionProbe:
+	case foxlift.ActionHealthCheck:
 		m.checkHealth(h.find(a.Worker))
 	case foxlift.ActionMessage:
 		m.broadcast(slices.Clone(a.Data))
-	case foxlift.ActionSubscribe:
+	case foxlift.ActionWatchEndpoints:
 		h.after(h.exponential(20*millisecond), func() {
 			if incarnation == m.incarnation {
 				m.answerSubscription()
@@ -159,9 +159,9 @@
 // answerSubscription answers the dispatcher's call to discovery.
 func (m *member) answerSubscription() {
 	m.subscribed = true
-	m.receiveList(foxlift.ListConfirmed, nil)
+	m.receiveList(foxlift.EndpointsConfirmed, nil)
 	if m.subscribed {
-		m.receiveList(foxlift.ListFull, m.list())
+		m.receiveList(foxlift.EndpointsComplete, m.list())
 	}
 }
 
@@ -176,14 +176,14 @@
 		return
 	}
 	again := j.request
-	again.ID, again.Repeat = m.host.nextID(), true
+	again.ID, again.ClientRetry = m.host.nextID(), true
 	m.host.after(wait, func() { m.accept(again) })
 }
 
 func (m *member) checkHealth(w *simWorker) {
 	m.host.after(w.distance(m)*2, func() {
-		e := foxlift.Event{Kind: foxlift.EventProbed, Worker: w.entry.ID, Code: foxlift.TimedOut}
-		if w.entry.State != foxlift.Gone && !w.hangs {
+		e := foxlift.Event{Kind: foxlift.EventHealthChecked, Worker: w.entry.ID, Code: foxlift.DeadlineExceeded}
+		if w.entry.State != foxlift.Removed && !w.hangs {
 			e.Code, e.Took, e.HasLoad, e.Load = foxlift.Served, 2*w.distance(m), true, w.load()
 		}
 		m.receive(e)
--- a/record_plans_test.go
+++ b/record_plans_test.go
@@ -6,16 +6,16 @@
 func baseConfig() foxlift.Config {
 	return foxlift.Config{
 		Classes: []foxlift.Class{
-			{Name: "read", Aim: 200 * millisecond, Stretch: 2, Deadline: 2 * second, Kind: -1, Worth: 1},
-			{Name: "order", Aim: 250 * millisecond, Stretch: 2, Deadline: 3 * second, Effect: foxlift.AtMostOnce,
-				Kind: -1, Worth: 2},
-			{Name: "keyed", Aim: 300 * millisecond, Stretch: 1, Deadline: 2 * second, Effect: foxlift.Deduplicated,
-				Scope: foxlift.ScopeCell, KeyTTL: 800 * millisecond, Kind: -1, Worth: 1},
+			{Name: "read", LatencyObjective: 200 * millisecond, ObjectiveStretch: 2, Deadline: 2 * second, Kind: -1, PriorityWeight: 1},
+			{Name: "order", LatencyObjective: 250 * millisecond, ObjectiveStretch: 2, Deadline: 3 * second, Effect: foxlift.AtMostOnce,
+				Kind: -1, PriorityWeight: 2},
+			{Name: "keyed", LatencyObjective: 300 * millisecond, ObjectiveStretch: 1, Deadline: 2 * second, Effect: foxlift.Deduplicated,
+				Scope: foxlift.ScopeCell, KeyTTL: 800 * millisecond, Kind: -1, PriorityWeight: 1},
 		},
 		Tenants:     []foxlift.Tenant{{Name: "a", Quota: 40}, {Name: "b", Quota: 20}, {Name: "c", Quota: 10}},
-		Dispatchers: 1, MayCancel: true, MayCopy: true, MayRetryAfter: true, MaxRetryAfter: second, MaxAttempts: 4,
-		StartNotes: true, Gauges: []foxlift.Gauge{foxlift.GaugeFreeSlots}, StartCapacity: 0.2, WarmAfter: 10 * second,
-		FallMultiple: 3, FallWindow: 2 * second, AnswerGrace: 50 * millisecond, JobsPerConn: 1, MustAskIn: 5 * second,
+		Dispatchers: 1, MayCancel: true, MayHedge: true, MayRetryAfter: true, MaxRetryAfter: second, MaxAttempts: 4,
+		StartNotes: true, Gauges: []foxlift.Gauge{foxlift.GaugeFreeSlots}, SlowStartCapacity: 0.2, SlowStartDuration: 10 * second,
+		OverloadMultiple: 3, OverloadWindow: 2 * second, AnswerGrace: 50 * millisecond, JobsPerConn: 1, MaxPollInterval: 5 * second,
 		Prices: foxlift.Prices{CrossZone: 0.1, Handshake: 0.02, Fetch: 0.1},
 	}
 }
@@ -44,7 +44,7 @@
 // lonePlan is one dispatcher. One of its classes has clients that leave before its jobs are late.
 func lonePlan() fleetPlan {
 	cfg := baseConfig()
-	cfg.Classes[2].Aim, cfg.Classes[2].Deadline = 900*millisecond, 500*millisecond
+	cfg.Classes[2].LatencyObjective, cfg.Classes[2].Deadline = 900*millisecond, 500*millisecond
 	return basePlan("lone", cfg, 1)
 }
 
@@ -60,8 +60,8 @@
 // peersPlan is three dispatchers that tell each other what their jobs hold.
 func peersPlan() fleetPlan {
 	cfg := baseConfig()
-	cfg.Dispatchers, cfg.MayMessage, cfg.SlotMemory = 3, true, 1
-	cfg.Gauges = []foxlift.Gauge{foxlift.GaugeQueue, foxlift.GaugeHeld, foxlift.GaugeFreeSlots}
+	cfg.Dispatchers, cfg.MayGossip, cfg.SlotMemory = 3, true, 1
+	cfg.Gauges = []foxlift.Gauge{foxlift.GaugeQueued, foxlift.GaugeInFlight, foxlift.GaugeFreeSlots}
 	cfg.Classes[2].Scope = foxlift.ScopeZone
 	p := basePlan("peers", cfg, 3)
 	p.varied, p.length = true, 20*second
@@ -71,8 +71,8 @@
 // unawarePlan is three dispatchers that know nothing of each other, and ask workers for their load.
 func unawarePlan() fleetPlan {
 	cfg := baseConfig()
-	cfg.Dispatchers, cfg.MayProbe, cfg.ListOnRequest = 3, true, true
-	cfg.Gauges = []foxlift.Gauge{foxlift.GaugeBusy, foxlift.GaugeThroughput, foxlift.GaugeQueue}
+	cfg.Dispatchers, cfg.MayHealthCheck, cfg.PollEndpoints = 3, true, true
+	cfg.Gauges = []foxlift.Gauge{foxlift.GaugeBusy, foxlift.GaugeThroughput, foxlift.GaugeQueued}
 	cfg.Classes[2].Scope, cfg.Classes[0].Stream = foxlift.ScopeAll, true
 	p := basePlan("unaware", cfg, 4)
 	p.workers, p.length, p.varied = 12, 20*second, true
@@ -99,7 +99,7 @@
 func throttledPlan() fleetPlan {
 	cfg := baseConfig()
 	for i := range cfg.Classes {
-		cfg.Classes[i].Aim, cfg.Classes[i].Stretch = 130*millisecond, 0
+		cfg.Classes[i].LatencyObjective, cfg.Classes[i].ObjectiveStretch = 130*millisecond, 0
 	}
 	p := basePlan("throttled", cfg, 12)
 	p.load, p.length, p.weights = 0.8, 40*second, []float64{8, 3, 0.1, 0}
@@ -110,7 +110,7 @@
 // leasePlan has a discovery that often fails, and a list that may not be old.
 func leasePlan() fleetPlan {
 	cfg := baseConfig()
-	cfg.ListLease, cfg.ListOnRequest, cfg.MustAskIn, cfg.ConnIdle = 6*second, true, 3*second, second
+	cfg.EndpointLease, cfg.PollEndpoints, cfg.MaxPollInterval, cfg.ConnIdle = 6*second, true, 3*second, second
 	p := basePlan("lease", cfg, 6)
 	p.load, p.length, p.every = 0.5, 60*second, 2*second
 	p.faults = []fault{
@@ -128,13 +128,13 @@
 		{second, faultRetirement},
 		{3 * second, faultOutage(foxlift.FailureBusy, 15*second)},
 		{11 * second, faultFleetSaturation},
-		{20 * second, faultOutage(foxlift.FailureSpoilt, 5*second)},
+		{20 * second, faultOutage(foxlift.FailureInvalid, 5*second)},
 		{26 * second, faultOutage(foxlift.FailureUnanswered, 11*second)},
 		{27 * second, faultFirstRestart},
 		{40 * second, faultOutage(foxlift.FailureBusy, 9*second)},
 		{40 * second, faultDiscoveryChange},
 		{51 * second, faultOutage(foxlift.FailureDown, 8*second)},
-		{61 * second, faultOutage(foxlift.FailureSpoilt, 8*second)},
+		{61 * second, faultOutage(foxlift.FailureInvalid, 8*second)},
 	}
 	return p
 }
@@ -142,7 +142,7 @@
 // plainPlan allows and tells a dispatcher as little as can be.
 func plainPlan() fleetPlan {
 	cfg := baseConfig()
-	cfg.Dispatchers, cfg.MayCancel, cfg.MayCopy, cfg.MayRetryAfter, cfg.StartNotes = 2, false, false, false, false
+	cfg.Dispatchers, cfg.MayCancel, cfg.MayHedge, cfg.MayRetryAfter, cfg.StartNotes = 2, false, false, false, false
 	cfg.Gauges, cfg.Tenants, cfg.Prices, cfg.MaxAttempts = nil, nil, foxlift.Prices{}, 0
 	p := basePlan("plain", cfg, 7)
 	p.weights, p.length = nil, 40*second
@@ -154,7 +154,7 @@
 	cfg := baseConfig()
 	cfg.Dispatchers, cfg.Gauges, cfg.MaxAttempts = 80, nil, 3
 	one := cfg.Classes[0]
-	one.Name, one.Kind, one.Aim = "other kind", 1, 300*millisecond
+	one.Name, one.Kind, one.LatencyObjective = "other kind", 1, 300*millisecond
 	cfg.Classes = append(cfg.Classes, one)
 	return cfg
 }
@@ -171,7 +171,7 @@
 // manySlowStartPlan is some of twenty dispatchers that began together with all their workers.
 func manySlowStartPlan() fleetPlan {
 	cfg := manyConfig()
-	cfg.Dispatchers, cfg.MayMessage, cfg.WarmAfter = 20, true, 20*second
+	cfg.Dispatchers, cfg.MayGossip, cfg.SlowStartDuration = 20, true, 20*second
 	cfg.Classes[3].Effect = foxlift.AtMostOnce
 	p := basePlan("many-slow-start", cfg, 9)
 	p.played, p.workers, p.kinds, p.load, p.length, p.slowStart, p.externalUsage = 5, 20, 2, 0.4, 25*second, true, 0.5
--- a/record_worker_test.go
+++ b/record_worker_test.go
@@ -46,7 +46,7 @@
 		w.entry.Kind = index % h.plan.kinds
 	}
 	if h.plan.slowStart {
-		w.entry.Started = h.now - h.rng.Int64N(second)
+		w.entry.StartedAt = h.now - h.rng.Int64N(second)
 	}
 	return w
 }
@@ -66,11 +66,11 @@
 // capacity is the share of its full speed that a worker has.
 func (w *simWorker) capacity() float64 {
 	c := &w.host.plan.config
-	if w.entry.Started == 0 || c.WarmAfter == 0 {
+	if w.entry.StartedAt == 0 || c.SlowStartDuration == 0 {
 		return 1
 	}
-	age := float64(w.host.now-w.entry.Started) / float64(c.WarmAfter)
-	return min(1, c.StartCapacity+(1-c.StartCapacity)*age)
+	age := float64(w.host.now-w.entry.StartedAt) / float64(c.SlowStartDuration)
+	return min(1, c.SlowStartCapacity+(1-c.SlowStartCapacity)*age)
 }
 
 // load is a load report.
@@ -78,9 +78,9 @@
 	held := float64(len(w.running) + len(w.queue))
 	for i, g := range w.host.plan.config.Gauges {
 		switch g {
-		case foxlift.GaugeHeld:
+		case foxlift.GaugeInFlight:
 			values[i] = held
-		case foxlift.GaugeQueue:
+		case foxlift.GaugeQueued:
 			values[i] = float64(len(w.queue))
 		case foxlift.GaugeBusy:
 			values[i] = float64(len(w.running)) / float64(w.host.plan.slots)
@@ -100,7 +100,7 @@
 	j.attempts = append(j.attempts, a)
 	m.inFlight = append(m.inFlight, a)
 	if m.host.chance(m.host.plan.strange) {
-		codes := []foxlift.Code{foxlift.NotSent, foxlift.Reset, foxlift.Blamed, foxlift.Erred, foxlift.Full}
+		codes := []foxlift.Code{foxlift.NotSent, foxlift.Reset, foxlift.InvalidRequest, foxlift.WorkerError, foxlift.Saturated}
 		code := codes[m.host.rng.IntN(len(codes))]
 		m.host.after(w.distance(m), func() { a.report(code) })
 		return
@@ -111,10 +111,10 @@
 func (w *simWorker) arrive(a *simAttempt) {
 	switch {
 	case a.done:
-	case w.entry.State == foxlift.Gone || w.host.plan.broken && w.index == 0:
+	case w.entry.State == foxlift.Removed || w.host.plan.broken && w.index == 0:
 		a.report(foxlift.Unreachable)
 	case w.saturated || len(w.queue) >= maxQueue || w.entry.State == foxlift.Draining && w.index%2 == 0:
-		a.report(foxlift.Full)
+		a.report(foxlift.Saturated)
 	case w.host.chance(w.host.plan.externalUsage):
 		w.host.after(w.host.exponential(60*millisecond), func() { w.enqueue(a) })
 	default:
@@ -177,7 +177,7 @@
 	switch {
 	case w.hangs:
 	case w.errs && w.host.chance(0.8):
-		a.report(foxlift.Erred)
+		a.report(foxlift.WorkerError)
 	default:
 		a.report(foxlift.Served)
 	}
@@ -225,7 +225,7 @@
 		Kind: foxlift.EventOutcome, ID: j.request.ID, Attempt: a.number, Worker: a.worker.entry.ID, Code: code,
 		Took: h.now - max(a.started, a.sent), Ended: j.answered,
 	}
-	if code == foxlift.Served || code == foxlift.Erred {
+	if code == foxlift.Served || code == foxlift.WorkerError {
 		e.HasLoad, e.Load = len(m.config.Gauges) > 0, a.worker.load()
 	}
 	a.notify(e)
--- a/replay_format_test.go
+++ b/replay_format_test.go
@@ -8,28 +8,28 @@
 	storedEffects = []foxlift.Effect{foxlift.Idempotent, foxlift.Deduplicated, foxlift.AtMostOnce}
 	storedScopes  = []foxlift.Scope{foxlift.ScopeAll, foxlift.ScopeZone, foxlift.ScopeCell}
 	storedGauges  = []foxlift.Gauge{
-		foxlift.GaugeUnknown, foxlift.GaugeHeld, foxlift.GaugeQueue, foxlift.GaugeBusy, foxlift.GaugeLatency,
+		foxlift.GaugeUnknown, foxlift.GaugeInFlight, foxlift.GaugeQueued, foxlift.GaugeBusy, foxlift.GaugeLatency,
 		foxlift.GaugeThroughput, foxlift.GaugeErrors, foxlift.GaugeFreeSlots, foxlift.GaugeFreeMemory,
 	}
-	storedStates = []foxlift.WorkerState{foxlift.Live, foxlift.Draining, foxlift.Gone}
-	storedLists  = []foxlift.ListKind{
-		foxlift.ListChanges, foxlift.ListFull, foxlift.ListSaved, foxlift.ListFailed, foxlift.ListConfirmed,
-		foxlift.ListMoved,
+	storedStates = []foxlift.WorkerState{foxlift.Live, foxlift.Draining, foxlift.Removed}
+	storedLists  = []foxlift.EndpointUpdate{
+		foxlift.EndpointsDelta, foxlift.EndpointsComplete, foxlift.EndpointsCached, foxlift.EndpointsPollFailed, foxlift.EndpointsConfirmed,
+		foxlift.DiscoveryChanged,
 	}
-	storedFailures = []foxlift.ListFailure{
-		foxlift.FailureBusy, foxlift.FailureUnanswered, foxlift.FailureDown, foxlift.FailureSpoilt,
+	storedFailures = []foxlift.PollFailure{
+		foxlift.FailureBusy, foxlift.FailureUnanswered, foxlift.FailureDown, foxlift.FailureInvalid,
 	}
 	storedCodes = []foxlift.Code{
-		foxlift.Served, foxlift.Erred, foxlift.Full, foxlift.TimedOut, foxlift.Unreachable, foxlift.Reset,
-		foxlift.Cancelled, foxlift.NotSent, foxlift.Blamed,
+		foxlift.Served, foxlift.WorkerError, foxlift.Saturated, foxlift.DeadlineExceeded, foxlift.Unreachable, foxlift.Reset,
+		foxlift.Cancelled, foxlift.NotSent, foxlift.InvalidRequest,
 	}
 	storedEvents = []foxlift.EventKind{
-		foxlift.EventRequest, foxlift.EventList, foxlift.EventStarted, foxlift.EventProgress, foxlift.EventOutcome,
-		foxlift.EventClientLeft, foxlift.EventTimer, foxlift.EventProbed, foxlift.EventMessage, foxlift.EventQuotas,
+		foxlift.EventRequest, foxlift.EventEndpoints, foxlift.EventStarted, foxlift.EventProgress, foxlift.EventOutcome,
+		foxlift.EventClientDisconnected, foxlift.EventTimer, foxlift.EventHealthChecked, foxlift.EventMessage, foxlift.EventQuotas,
 	}
 	storedActions = []foxlift.ActionKind{
-		foxlift.ActionSend, foxlift.ActionRefuse, foxlift.ActionFail, foxlift.ActionCancel, foxlift.ActionTimer,
-		foxlift.ActionProbe, foxlift.ActionClose, foxlift.ActionMessage, foxlift.ActionSubscribe,
+		foxlift.ActionSend, foxlift.ActionShed, foxlift.ActionFail, foxlift.ActionCancel, foxlift.ActionTimer,
+		foxlift.ActionHealthCheck, foxlift.ActionClose, foxlift.ActionMessage, foxlift.ActionWatchEndpoints,
 	}
 )
 
@@ -37,15 +37,15 @@
 
 func (a *archive) class(c *foxlift.Class) {
 	a.string(&c.Name)
-	a.duration(&c.Aim)
-	a.float(&c.Stretch)
+	a.duration(&c.LatencyObjective)
+	a.float(&c.ObjectiveStretch)
 	a.duration(&c.Deadline)
 	enum(a, &c.Effect, storedEffects)
 	enum(a, &c.Scope, storedScopes)
 	a.duration(&c.KeyTTL)
 	a.int(&c.Kind)
 	a.int(&c.Priority)
-	a.float(&c.Worth)
+	a.float(&c.PriorityWeight)
 	a.bool(&c.Stream)
 }
 
@@ -62,13 +62,13 @@
 	a.int(&c.Zone)
 	a.int(&c.Dispatchers)
 	a.int(&c.Index)
-	a.bool(&c.ListOnRequest)
-	a.duration(&c.MustAskIn)
-	a.duration(&c.ListLease)
+	a.bool(&c.PollEndpoints)
+	a.duration(&c.MaxPollInterval)
+	a.duration(&c.EndpointLease)
 	a.bool(&c.MayCancel)
-	a.bool(&c.MayProbe)
-	a.bool(&c.MayCopy)
-	a.bool(&c.MayMessage)
+	a.bool(&c.MayHealthCheck)
+	a.bool(&c.MayHedge)
+	a.bool(&c.MayGossip)
 	a.bool(&c.MayRetryAfter)
 	a.duration(&c.MaxRetryAfter)
 	a.int(&c.MaxAttempts)
@@ -77,11 +77,11 @@
 	slice(a, &c.Gauges, func(g *foxlift.Gauge) { enum(a, g, storedGauges) })
 	a.bool(&c.StartNotes)
 	a.duration(&c.AnswerGrace)
-	a.float(&c.StartCapacity)
+	a.float(&c.SlowStartCapacity)
 	a.float(&c.SlotMemory)
-	a.duration(&c.WarmAfter)
-	a.float(&c.FallMultiple)
-	a.duration(&c.FallWindow)
+	a.duration(&c.SlowStartDuration)
+	a.float(&c.OverloadMultiple)
+	a.duration(&c.OverloadWindow)
 	a.float(&c.Prices.CrossZone)
 	a.float(&c.Prices.Handshake)
 	a.float(&c.Prices.Fetch)
@@ -97,10 +97,10 @@
 	a.duration(&r.Size)
 	a.float(&r.Slots)
 	a.float(&r.Memory)
-	a.bool(&r.Repeat)
+	a.bool(&r.ClientRetry)
 	a.duration(&r.Waited)
-	a.int(&r.Tried)
-	slice(a, &r.Among, a.string)
+	a.int(&r.PriorAttempts)
+	slice(a, &r.AllowedWorkers, a.string)
 }
 
 func (a *archive) worker(w *foxlift.Worker) {
@@ -109,8 +109,8 @@
 	a.int(&w.Kind)
 	a.int(&w.Cell)
 	enum(a, &w.State, storedStates)
-	a.time(&w.Started)
-	a.float(&w.Others)
+	a.time(&w.StartedAt)
+	a.float(&w.ExternalSlots)
 }
 
 // event stores the fields that an event of its kind has, as api.go says.
@@ -119,9 +119,9 @@
 	switch e.Kind {
 	case foxlift.EventRequest:
 		a.request(&e.Request)
-	case foxlift.EventList:
-		enum(a, &e.List, storedLists)
-		enum(a, &e.Failure, storedFailures)
+	case foxlift.EventEndpoints:
+		enum(a, &e.EndpointUpdate, storedLists)
+		enum(a, &e.PollFailure, storedFailures)
 		slice(a, &e.Workers, a.worker)
 	case foxlift.EventStarted, foxlift.EventProgress:
 		a.id(&e.ID)
@@ -132,11 +132,11 @@
 		a.int(&e.Attempt)
 		a.bool(&e.Ended)
 		a.answer(e)
-	case foxlift.EventClientLeft:
+	case foxlift.EventClientDisconnected:
 		a.id(&e.ID)
 	case foxlift.EventTimer:
 		a.uint64(&e.Token)
-	case foxlift.EventProbed:
+	case foxlift.EventHealthChecked:
 		a.answer(e)
 	case foxlift.EventMessage:
 		a.int(&e.From)
--- a/replay_test.go
+++ b/replay_test.go
@@ -173,7 +173,7 @@
 	digest := fnv.New64a()
 	digest.Write(text)
 	return operation{
-		kind: operationInspect, idle: d.Idle(), trusted: d.ListTrusted(), ejected: d.Ejected(), digest: digest.Sum64(),
+		kind: operationInspect, idle: d.Idle(), trusted: d.EndpointsUsable(), ejected: d.Ejected(), digest: digest.Sum64(),
 	}, nil
 }
 
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -20,9 +20,9 @@
 			code := Served
 			switch rng.IntN(20) {
 			case 0:
-				code = Erred
+				code = WorkerError
 			case 1:
-				code = Full
+				code = Saturated
 			case 2:
 				continue // it hangs
 			}
@@ -63,26 +63,26 @@
 	from := newRig(t, testConfig(), fleet(3)...)
 	busy(from, 1)
 	snapshot := from.d.Snapshot()
-	if len(snapshot.Workers) != 3 || !snapshot.Workers[0].Capped && !snapshot.Workers[1].Capped && !snapshot.Workers[2].Capped {
+	if len(snapshot.Workers) != 3 || !snapshot.Workers[0].LimitLearned && !snapshot.Workers[1].LimitLearned && !snapshot.Workers[2].LimitLearned {
 		t.Fatalf("nothing was learned: %+v", snapshot.Workers)
 	}
 	workers := fleet(2)
-	workers[1].Started = 4 * second
+	workers[1].StartedAt = 4 * second
 	cfg := testConfig()
 	cfg.Classes[2].Name, cfg.Tenants[1].Name = "other", "c"
 	to := newRig(t, cfg, workers...)
 	before := *to.d.workers["w1"]
 	to.d.Restore(snapshot)
-	if after := *to.d.workers["w1"]; after.cap != before.cap || after.slow != before.slow || after.ejectedUntil != before.ejectedUntil {
+	if after := *to.d.workers["w1"]; after.concurrencyLimit != before.concurrencyLimit || after.latencyRatio != before.latencyRatio || after.ejectedUntil != before.ejectedUntil {
 		t.Errorf("another run of a worker: %+v, want %+v", after, before)
 	}
-	if to.d.workers["w0"].cap != snapshot.Workers[0].Cap {
-		t.Errorf("cap %v, want %v", to.d.workers["w0"].cap, snapshot.Workers[0].Cap)
+	if to.d.workers["w0"].concurrencyLimit != snapshot.Workers[0].ConcurrencyLimit {
+		t.Errorf("cap %v, want %v", to.d.workers["w0"].concurrencyLimit, snapshot.Workers[0].ConcurrencyLimit)
 	}
 	if to.d.classes[2].median == snapshot.Classes[2].Median {
 		t.Error("a class of another name was restored")
 	}
-	if mean, want := to.d.meanCap(), snapshot.Workers[0].Cap; snapshot.Workers[0].Capped && mean != want {
+	if mean, want := to.d.meanLimit(), snapshot.Workers[0].ConcurrencyLimit; snapshot.Workers[0].LimitLearned && mean != want {
 		t.Errorf("the mean cap is %v, want that of the one worker that was restored, %v", mean, want)
 	}
 	if len(to.d.workers) != 2 {
@@ -97,7 +97,7 @@
 	if n := r.d.Ejected(); n != 0 {
 		t.Fatalf("%d ejected, want 0", n)
 	}
-	r.d.pause(r.d.workers["w0"], &job{class: &r.d.classes[0]})
+	r.d.backoffWorker(r.d.workers["w0"], &job{class: &r.d.classes[0]})
 	if n := r.d.Ejected(); n != 0 {
 		t.Errorf("%d ejected when one is full, want 0", n)
 	}
