--- /dev/null
+++ b/affinity_test.go
@@ -0,0 +1,186 @@
+package foxlift
+
+import (
+	"slices"
+	"testing"
+)
+
+func TestKeysAreSentToTheirHomes(t *testing.T) {
+	cfg := testConfig()
+	cfg.Prices.Fetch = 0.1
+	seen := map[string]int{}
+	for seed := range uint64(40) { // dispatchers that know nothing of one another
+		d, err := New(cfg, seed)
+		if err != nil {
+			t.Fatal(err)
+		}
+		d.Step(second, []Event{{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: fleet(60)}})
+		as := d.Step(second, []Event{{Kind: EventRequest, Request: Request{ID: 1, Deadline: 3 * second, Key: 99}}})
+		for _, a := range as {
+			if a.Kind == ActionSend {
+				seen[a.Worker]++
+			}
+		}
+	}
+	if len(seen) != 1 {
+		t.Errorf("one key went to %d workers: %v", len(seen), seen)
+	}
+}
+
+// A job goes where its key was lately, unless others have far fewer of our jobs.
+func TestJobsFollowTheirKeys(t *testing.T) {
+	r := newRig(t, testConfig(), fleet(3)...)
+	ask := func(id, key uint64) string {
+		e := r.request(id, 0)
+		e.Request.Key = key
+		return r.step(e)[0].Worker
+	}
+	home := ask(1, 7)
+	if other, next := ask(2, 8), ask(3, 7); other == home || next != home {
+		t.Errorf("key 7 goes to %s, 8 to %s, 7 to %s", home, other, next)
+	}
+	again := 0
+	for id := uint64(4); id <= 7; id++ {
+		if ask(id, 7) == home {
+			again++
+		}
+	}
+	if again > 2 {
+		t.Errorf("%d of 4 more pile up at home", again)
+	}
+	w := r.d.workers[home]
+	for key := uint64(20); key < 20+keptKeys; key++ {
+		w.recordKey(key)
+	}
+	if w.likelyCaches(7) || !w.likelyCaches(20) || len(w.cachedKeys) != keptKeys {
+		t.Errorf("keys kept: %v", w.cachedKeys)
+	}
+	r.d.resetWorker(w, 1)
+	if w.likelyCaches(20) {
+		t.Error("a new process holds what the former one had")
+	}
+}
+
+// Many dispatchers that never speak send a key's jobs to the same worker, and on to the
+// same next one, so that what the jobs need is fetched there once: not where it is for each.
+func TestManySendAKeyToTheSameFew(t *testing.T) {
+	var seen [2]map[string]bool
+	for i := range seen {
+		seen[i] = map[string]bool{}
+	}
+	for index := range 40 {
+		cfg := manyConfig()
+		cfg.Index = index
+		r := newRig(t, cfg, fleet(60)...)
+		for range index {
+			r.d.rng.Uint64() // each draws numbers of its own
+		}
+		makeRare(r)
+		r.step(keyed(r, 1, 0, 7))
+		seen[0][r.want(ActionSend, 1)[0].Worker] = true
+		for r.after(r.d.tickInterval); len(r.only(ActionSend)) == 0; { // no word of a start
+			r.after(r.d.tickInterval)
+		}
+		seen[1][r.want(ActionSend, 1)[0].Worker] = true
+	}
+	if len(seen[0]) != 1 || len(seen[1]) != 1 {
+		t.Errorf("one key's jobs went to %d workers first and to %d then", len(seen[0]), len(seen[1]))
+	}
+}
+
+// A key with a large part of the jobs has as many homes as it fills, not one; a dispatcher
+// keeps to those where it found room.
+func TestManySpreadABusyKey(t *testing.T) {
+	seen := map[string]bool{}
+	for index := range 40 {
+		r := newRig(t, manyConfig(), fleet(60)...)
+		for range index {
+			r.d.rng.Uint64()
+		}
+		for id := uint64(1); id <= 200; id++ {
+			r.d.recentKeys.add(7 + id%4*1000) // one in four
+		}
+		r.step(keyed(r, 1, 0, 7))
+		w := r.want(ActionSend, 1)[0].Worker
+		seen[w] = true
+		r.after(ms, started(1, 0, w))
+		r.after(ms, outcome(1, 0, w, Served))
+		r.step(keyed(r, 2, 0, 7))
+		if a := r.want(ActionSend, 1)[0]; a.Worker != w {
+			t.Errorf("it had room at %s and goes to %s", w, a.Worker)
+		}
+	}
+	if len(seen) < 10 || len(seen) > maxAffinity {
+		t.Errorf("a key of a quarter of the jobs on 60 workers has %d homes", len(seen))
+	}
+}
+
+// A job that stays where it is sent goes where one has just started, though that is no home.
+func TestManySendWhatStaysWhereThereIsRoom(t *testing.T) {
+	r := newRig(t, manyConfig(), fleet(60)...)
+	makeRare(r)
+	r.now += 60 * second
+	r.step()
+	homes, _ := r.d.rankAffinity(&job{class: &r.d.classes[1], req: Request{Key: 7}})
+	proven := r.d.workerOrder[slices.IndexFunc(r.d.workerOrder, func(w *worker) bool { return !slices.Contains(homes, w) })]
+	proven.promptStartAt = r.now
+	r.d.markReported(proven)
+	for class, want := range []string{homes[0].id, proven.id} {
+		r.step(keyed(r, uint64(1+class), class, 7))
+		if a := r.want(ActionSend, 1)[0]; a.Worker != want {
+			t.Errorf("class %d goes to %s, want %s", class, a.Worker, want)
+		}
+	}
+}
+
+// A worker that goes moves the keys whose home it was, and no others.
+func TestRendezvousMovesOnlyTheKeysOfTheLost(t *testing.T) {
+	r := newRig(t, manyConfig(), fleet(60)...)
+	d := r.d
+	home := func(key uint64) *worker {
+		ws, of := d.rankAffinity(&job{class: &d.classes[0], req: Request{Key: key}})
+		if of != len(d.liveWorkers) {
+			t.Fatalf("of %d workers", of)
+		}
+		return ws[0]
+	}
+	before := map[uint64]*worker{}
+	most := map[*worker]int{}
+	for key := uint64(1); key <= 6000; key++ {
+		before[key] = home(key)
+		most[before[key]]++
+	}
+	for w, n := range most {
+		if n < 50 || n > 150 { // five deviations of chance from 100
+			t.Errorf("%s is the home of %d keys in 6000", w.id, n)
+		}
+	}
+	lost := d.liveWorkers[7]
+	r.step(Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: []Worker{{ID: lost.id, State: Removed}}})
+	for key, w := range before {
+		if now := home(key); (now != w) != (w == lost) {
+			t.Errorf("key %d moved from %s to %s when %s went", key, w.id, now.id, lost.id)
+		}
+	}
+}
+
+// A fetch weighs less for a long job: it goes where one started some seconds ago rather than
+// to a home not met yet, a light one of its own kind goes home.
+func TestManyWeighAFetchByTheJob(t *testing.T) {
+	for median, wantHome := range map[int64]bool{1: true, 10: false} {
+		r := newRig(t, manyConfig(), fleet(60)...)
+		makeRare(r)
+		r.now += 60 * second
+		r.step()
+		c := &r.d.classes[1]
+		c.median = median * r.d.classes[0].median
+		homes, _ := r.d.rankAffinity(&job{class: c, req: Request{Key: 7}})
+		met := r.d.workerOrder[slices.IndexFunc(r.d.workerOrder, func(w *worker) bool { return !slices.Contains(homes, w) })]
+		met.promptStartAt = r.now - 3*second
+		r.d.markReported(met)
+		r.step(keyed(r, 1, 1, 7))
+		if a := r.want(ActionSend, 1)[0]; (a.Worker == homes[0].id) != wantHome {
+			t.Errorf("a job %d times as long goes to %s; home is %s, met is %s", median, a.Worker, homes[0].id, met.id)
+		}
+	}
+}
--- /dev/null
+++ b/policy_test.go
@@ -0,0 +1,72 @@
+package foxlift
+
+import (
+	"bufio"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// policyFiles returns the files that deploy/balancer.toml lists as the ones that decide.
+func policyFiles(t *testing.T) []string {
+	t.Helper()
+	settings, err := os.ReadFile("deploy/balancer.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	list := regexp.MustCompile(`(?m)^policy = \[(.*)\]$`).FindSubmatch(settings)
+	if list == nil {
+		t.Fatal("deploy/balancer.toml has no list of policy files in one line")
+	}
+	var files []string
+	for name := range strings.SplitSeq(string(list[1]), ",") {
+		files = append(files, strings.Trim(name, ` "`))
+	}
+	return files
+}
+
+func TestLineLimits(t *testing.T) {
+	for _, name := range policyFiles(t) {
+		lines := 0
+		f, err := os.Open(name)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer f.Close()
+		for sc := bufio.NewScanner(f); sc.Scan(); {
+			if strings.TrimSpace(sc.Text()) != "" {
+				lines++
+			}
+			if len(sc.Text()) > 110 {
+				t.Errorf("%s: line of %d characters: %s", name, len(sc.Text()), sc.Text())
+			}
+		}
+		if lines == 0 || lines >= 400 {
+			t.Errorf("%s has %d lines that are not blank, want 1 to 399", name, lines)
+		}
+	}
+}
+
+// Every file of the module is listed as one that decides, or says that it does not.
+func TestEveryFileIsPolicyOrDecidesNothing(t *testing.T) {
+	policy := policyFiles(t)
+	files, err := filepath.Glob("*.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, name := range files {
+		if strings.HasSuffix(name, "_test.go") || name == "api.go" || slices.Contains(policy, name) {
+			continue
+		}
+		text, err := os.ReadFile(name)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if !strings.Contains(string(text), " Nothing is decided here.\n") {
+			t.Errorf("%s is not listed under policy and does not say that nothing is decided there", name)
+		}
+	}
+}
