--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -137,7 +137,7 @@
 	c := &controlpb.Cell{
 		Name: x.Name, Share: x.Fraction, Retired: x.Retired, Evacuated: x.Evacuated,
 		Condition: controlpb.Condition(x.Condition), Open: int64(x.Open), Bound: int64(x.Bound),
-		Out: int64(x.InFlight), Held: int64(x.Queued), SpillsOut: int64(x.SpillsOut),
+		Out: int64(x.InFlight), Held: int64(x.Queued), SpillsOut: int64(x.Spilled),
 		Served: x.Served, Refused: x.Shed, Failed: x.Failed, Shut: x.Rejected,
 	}
 	for _, n := range x.Workers {
--- a/internal/core/cell.go
+++ b/internal/core/cell.go
@@ -18,31 +18,31 @@
 	name      string
 	index     int // in the plan; -1 for one that is retired
 	module    *foxlift.Dispatcher
-	news      []foxlift.Event // for the module's next step
+	events    []foxlift.Event // for the module's next step
 	leaving   []*job          // that the module is being told of as gone
 	quotas    []float64       // as last told to the module
 	retired   bool            // the plan has it no more: what it has out comes to its end
 	evacuated bool            // by the operator: nothing goes there
 
-	spillsOut int      // of its jobs, open in the cell that it spills into
-	booked    [3]int64 // answers, by verdict
+	spilled int      // of its jobs, open in the cell that it spills into
+	answers [3]int64 // answers, by verdict
 }
 
 // tell keeps an event for the module's next step.
-func (cl *cell) tell(e foxlift.Event) { cl.news = append(cl.news, e) }
+func (cl *cell) notify(e foxlift.Event) { cl.events = append(cl.events, e) }
 
 // book counts an answer.
-func (cl *cell) book(j *job, v Verdict) {
-	if int(v) < len(cl.booked) {
-		cl.booked[v]++
+func (cl *cell) recordAnswer(j *job, v Verdict) {
+	if int(v) < len(cl.answers) {
+		cl.answers[v]++
 	}
-	j.unspill()
+	j.endSpill()
 }
 
-func (j *job) unspill() {
-	if j.spilled != nil {
-		j.spilled.spillsOut--
-		j.spilled = nil
+func (j *job) endSpill() {
+	if j.spilledFrom != nil {
+		j.spilledFrom.spilled--
+		j.spilledFrom = nil
 	}
 }
 
@@ -58,28 +58,28 @@
 	module, err := foxlift.New(cfg, seed)
 	cl := &cell{name: name, module: module}
 	if c.confirmed {
-		cl.tell(foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsConfirmed})
+		cl.notify(foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsConfirmed})
 	}
 	return cl, err
 }
 
 // begin makes the cells of a plan, without nodes.
-func (c *Core) begin(p *cells.Plan) error {
+func (c *Core) initCells(p *cells.Plan) error {
 	l := cells.NewLayout(p)
 	c.assigner = cells.NewAssigner(p)
 	for i := range p.Cells() {
-		cl, err := c.planned(l, i)
+		cl, err := c.newPlannedCell(l, i)
 		if err != nil {
 			return err
 		}
 		c.cells = append(c.cells, cl)
 	}
-	c.scheme.Store(newScheme(l, 0)) // Connect knows the bounds
+	c.placement.Store(newPlacement(l, 0)) // Connect knows the bounds
 	return nil
 }
 
 // planned makes the cell that a plan has at i.
-func (c *Core) planned(l *cells.Layout, i int) (*cell, error) {
+func (c *Core) newPlannedCell(l *cells.Layout, i int) (*cell, error) {
 	quotas := l.Quotas(i)
 	tenants := slices.Clone(c.settings.Module.Tenants)
 	for t := range tenants {
@@ -91,14 +91,14 @@
 }
 
 // condition is what a cell can do now.
-func (c *Core) condition(i int) cells.Condition {
-	s := c.scheme.Load()
+func (c *Core) cellCondition(i int) cells.Condition {
+	s := c.placement.Load()
 	if c.cells[i].evacuated {
 		return cells.Unavailable
 	}
 	state, now, warm := cells.Unavailable, c.clock.Now(), c.settings.Module.SlowStartDuration
 	s.layout.Each(i, func(id string) bool {
-		if n := c.known[id]; n.StartedAt != 0 && now-n.StartedAt < warm {
+		if n := c.byID[id]; n.StartedAt != 0 && now-n.StartedAt < warm {
 			state = cells.SlowStart
 			return true
 		}
@@ -109,7 +109,7 @@
 }
 
 // empty reports whether no job is left to a cell.
-func (c *Core) empty(cl *cell) bool {
+func (c *Core) hasNoJobs(cl *cell) bool {
 	for _, j := range c.jobs {
 		if j.cell == cl {
 			return false
@@ -119,15 +119,15 @@
 }
 
 // drop forgets a cell that is retired and empty.
-func (c *Core) drop(cl *cell) {
+func (c *Core) removeCell(cl *cell) {
 	c.cells = slices.DeleteFunc(c.cells, func(x *cell) bool { return x == cl })
-	for _, n := range c.known {
-		delete(n.out, cl)
+	for _, n := range c.byID {
+		delete(n.inFlight, cl)
 		if n.cell == cl {
 			n.cell = nil
 		}
 	}
 }
 
-// errEnding is the answer to whoever would change the map while the scheduler ends.
-var errEnding = errors.New("the scheduler is ending")
+// errShuttingDown is the answer to whoever would change the map while the scheduler ends.
+var errShuttingDown = errors.New("the scheduler is ending")
--- a/internal/core/cell_jobs.go
+++ b/internal/core/cell_jobs.go
@@ -10,8 +10,8 @@
 )
 
 // home is the cell in which a tenant's jobs with a key live.
-func (c *Core) home(tenant int, key uint64) *cell {
-	s := c.scheme.Load()
+func (c *Core) ownerCell(tenant int, key uint64) *cell {
+	s := c.placement.Load()
 	if s == nil {
 		return c.cells[0]
 	}
@@ -19,116 +19,116 @@
 }
 
 // way is where a job belongs now.
-func (c *Core) way(j *job) cells.Route {
-	s := c.scheme.Load()
-	home := c.home(j.tenant, j.Key)
-	return s.layout.Route(j.tenant, j.Key, c.condition, func(to int) bool {
-		if j.spilled == home && j.cell.index == to {
+func (c *Core) routeOf(j *job) cells.Route {
+	s := c.placement.Load()
+	home := c.ownerCell(j.tenant, j.Key)
+	return s.layout.Route(j.tenant, j.Key, c.cellCondition, func(to int) bool {
+		if j.spilledFrom == home && j.cell.index == to {
 			return true // it has its room there
 		}
-		return home.spillsOut < s.layout.SpillBound(home.index, s.jobs[to])
+		return home.spilled < s.layout.SpillBound(home.index, s.jobBounds[to])
 	})
 }
 
 // place gives a job to the cell where it belongs, with its age, or refuses it.
-func (c *Core) place(j *job) {
-	s := c.scheme.Load()
+func (c *Core) assign(j *job) {
+	s := c.placement.Load()
 	if s == nil {
-		c.hand(j)
+		c.requestDispatch(j)
 		return
 	}
-	way, home := c.way(j), c.home(j.tenant, j.Key)
-	j.unspill()
+	way, home := c.routeOf(j), c.ownerCell(j.tenant, j.Key)
+	j.endSpill()
 	j.cell = c.cells[way.Cell]
 	if way.Shed {
 		c.counters.Add("jobs.cell_unable")
-		c.refuse(j)
+		c.shedOrFail(j)
 		return
 	}
 	if way.Spilled {
-		j.spilled = home
-		home.spillsOut++
+		j.spilledFrom = home
+		home.spilled++
 		c.counters.Add("jobs.spilled")
 	}
-	if j.Job.reservation.gate != nil && j.Job.reservation.cell != way.Cell {
-		j.Job.reservation.gate.Move(j.Job.reservation.cell, way.Cell, j.Job.reservation.tenant)
+	if j.Job.reservation.admission != nil && j.Job.reservation.cell != way.Cell {
+		j.Job.reservation.admission.Move(j.Job.reservation.cell, way.Cell, j.Job.reservation.tenant)
 		j.Job.reservation.cell = way.Cell
 	}
-	if most := s.layout.Plan().KeyJobs(); most > 0 && j.Key != 0 && !c.enterKey(j, most) {
+	if most := s.layout.Plan().KeyJobs(); most > 0 && j.Key != 0 && !c.acquireKey(j, most) {
 		c.counters.Add("jobs.key_full")
-		c.refuse(j)
+		c.shedOrFail(j)
 		return
 	}
-	j.among = s.layout.KeyNodes(way.Cell, j.Key)
-	c.hand(j)
+	j.allowedWorkers = s.layout.KeyNodes(way.Cell, j.Key)
+	c.requestDispatch(j)
 }
 
 // refuse answers a job that the core will not hand to any module. One that may have
 // run is never told that another try is harmless.
-func (c *Core) refuse(j *job) {
-	if c.repeatHarms(j) {
+func (c *Core) shedOrFail(j *job) {
+	if c.unsafeToRetry(j) {
 		c.answer(j, Answer{Verdict: Failed, Reason: "given up"})
 		return
 	}
-	c.answer(j, Answer{Verdict: Shed, RetryAfter: c.fullRetry()})
+	c.answer(j, Answer{Verdict: Shed, RetryAfter: c.shedRetryAfter()})
 }
 
-// repeatHarms reports whether the job may have run and its class minds another run.
-func (c *Core) repeatHarms(j *job) bool {
+// unsafeToRetry reports whether the job may have run and its class minds another run.
+func (c *Core) unsafeToRetry(j *job) bool {
 	return j.mayHaveRun() != nil && c.settings.Module.Classes[j.class].Effect != foxlift.Idempotent
 }
 
-// A keyIn is a key in a cell.
-type keyIn struct {
+// A cellKey is a key in a cell.
+type cellKey struct {
 	cell *cell
 	key  uint64
 }
 
-// enterKey counts a job among those with its key in its cell; false if there are as
+// acquireKey counts a job among those with its key in its cell; false if there are as
 // many as may be.
-func (c *Core) enterKey(j *job, most int) bool {
-	c.leaveKey(j)
-	k := keyIn{j.cell, j.Key}
-	if c.keys[k] >= most {
+func (c *Core) acquireKey(j *job, most int) bool {
+	c.releaseKey(j)
+	k := cellKey{j.cell, j.Key}
+	if c.jobsByKey[k] >= most {
 		return false
 	}
-	c.keys[k]++
-	j.keyed = k
+	c.jobsByKey[k]++
+	j.heldKey = k
 	return true
 }
 
-func (c *Core) leaveKey(j *job) {
-	if j.keyed.cell == nil {
+func (c *Core) releaseKey(j *job) {
+	if j.heldKey.cell == nil {
 		return
 	}
-	if c.keys[j.keyed]--; c.keys[j.keyed] == 0 {
-		delete(c.keys, j.keyed)
+	if c.jobsByKey[j.heldKey]--; c.jobsByKey[j.heldKey] == 0 {
+		delete(c.jobsByKey, j.heldKey)
 	}
-	j.keyed = keyIn{}
+	j.heldKey = cellKey{}
 }
 
 // rehome sends a job on that is not where it belongs. One with a claim out finishes
 // where it is, and so does one that may have run, unless repeats of it are harmless:
 // only the module that sent it knows which its class allows.
-func (c *Core) rehome(j *job) {
-	s := c.scheme.Load()
-	if s == nil || j.answered.Load() || j.out > 0 || j.leaving {
+func (c *Core) reassign(j *job) {
+	s := c.placement.Load()
+	if s == nil || j.answered.Load() || j.inFlight > 0 || j.leaving {
 		return
 	}
-	if c.repeatHarms(j) {
+	if c.unsafeToRetry(j) {
 		return
 	}
-	way := c.way(j)
-	if !way.Shed && c.cells[way.Cell] == j.cell && slices.Equal(j.among, s.layout.KeyNodes(way.Cell, j.Key)) {
+	way := c.routeOf(j)
+	if !way.Shed && c.cells[way.Cell] == j.cell && slices.Equal(j.allowedWorkers, s.layout.KeyNodes(way.Cell, j.Key)) {
 		return
 	}
 	j.leaving = true
 	j.cell.leaving = append(j.cell.leaving, j)
-	j.cell.tell(foxlift.Event{Kind: foxlift.EventClientDisconnected, ID: j.number})
+	j.cell.notify(foxlift.Event{Kind: foxlift.EventClientDisconnected, ID: j.number})
 }
 
-// rehomeAll looks at every open job, in the order they came.
-func (c *Core) rehomeAll() (moved int) {
+// reassignAll looks at every open job, in the order they came.
+func (c *Core) reassignAll() (moved int) {
 	open := make([]*job, 0, len(c.open))
 	for _, j := range c.open {
 		open = append(open, j)
@@ -136,7 +136,7 @@
 	slices.SortFunc(open, func(a, b *job) int { return int(int64(a.number) - int64(b.number)) })
 	for _, j := range open {
 		before := j.leaving
-		c.rehome(j)
+		c.reassign(j)
 		if j.leaving && !before {
 			moved++
 		}
--- a/internal/core/cell_nodes.go
+++ b/internal/core/cell_nodes.go
@@ -12,16 +12,16 @@
 // spread tells each cell's module of the nodes that are its own. A node that goes to
 // another cell looks to the module that had it like one that drains; the module that
 // gets it hears how much of others is still out there, and counts it.
-func (c *Core) spread(kind foxlift.EndpointUpdate, told []foxlift.Worker) {
+func (c *Core) distribute(kind foxlift.EndpointUpdate, told []foxlift.Worker) {
 	var live []cells.Node
 	for _, n := range c.order {
 		if n.State == foxlift.Live {
 			live = append(live, cells.Node{ID: n.ID, Zone: n.Zone, Kind: n.Kind})
 		}
 	}
-	s := c.scheme.Load()
-	s = s.with(s.layout.WithChanges(c.assigner.Update(live)))
-	c.scheme.Store(s)
+	s := c.placement.Load()
+	s = s.withLayout(s.layout.WithChanges(c.assigner.Update(live)))
+	c.placement.Store(s)
 	touched := map[string]bool{}
 	for _, w := range told {
 		touched[w.ID] = true
@@ -44,19 +44,19 @@
 		}
 		if whole := kind != foxlift.EndpointsDelta && n.State != foxlift.Removed; whole || touched[n.ID] || old != n.cell {
 			at := slices.Index(c.cells, n.cell)
-			lists[at] = append(lists[at], n.seenBy(n.cell))
+			lists[at] = append(lists[at], n.forCell(n.cell))
 		}
 	}
 	for i, cl := range c.cells {
-		cl.tell(foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: kind, Workers: lists[i]})
+		cl.notify(foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: kind, Workers: lists[i]})
 	}
 }
 
-// seenBy returns a node's entry for a cell's module.
-func (n *entry) seenBy(cl *cell) foxlift.Worker {
+// forCell returns a node's entry for a cell's module.
+func (n *workerEntry) forCell(cl *cell) foxlift.Worker {
 	w := n.Worker
-	w.ExternalSlots = n.foreign
-	for other, slots := range n.out {
+	w.ExternalSlots = n.otherProcessSlots
+	for other, slots := range n.inFlight {
 		if other != cl {
 			w.ExternalSlots += slots
 		}
@@ -66,16 +66,16 @@
 
 // count follows which cell has how much out on a node, and tells the module that
 // decides on the node of what is not its own.
-func (c *Core) count(cl *claim, by float64) {
-	n := c.known[cl.node]
-	if n == nil || c.scheme.Load() == nil {
+func (c *Core) countSlots(cl *attempt, by float64) {
+	n := c.byID[cl.worker]
+	if n == nil || c.placement.Load() == nil {
 		return
 	}
-	n.out[cl.cell] += by * slotsOf(cl.job)
-	if n.out[cl.cell] <= 1e-9 {
-		delete(n.out, cl.cell)
+	n.inFlight[cl.cell] += by * slotsOf(cl.job)
+	if n.inFlight[cl.cell] <= 1e-9 {
+		delete(n.inFlight, cl.cell)
 	}
 	if n.cell != nil && n.cell != cl.cell {
-		n.cell.tell(foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsDelta, Workers: []foxlift.Worker{n.seenBy(n.cell)}})
+		n.cell.notify(foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsDelta, Workers: []foxlift.Worker{n.forCell(n.cell)}})
 	}
 }
--- a/internal/core/cell_scheme.go
+++ b/internal/core/cell_scheme.go
@@ -5,58 +5,58 @@
 import "github.com/vatu-meals/foxlift/internal/cells"
 
 // A scheme is what any goroutine may read of the cells: it is replaced whole.
-type scheme struct {
-	layout      *cells.Layout
-	gate        *cells.Admission
-	jobs        []int // bound by cell
-	connections []int
+type placement struct {
+	layout           *cells.Layout
+	admission        *cells.Admission
+	jobBounds        []int // bound by cell
+	connectionBounds []int
 }
 
-// newScheme makes a scheme with a gate that is empty. total is how many jobs may be
+// newPlacement makes a scheme with a gate that is empty. total is how many jobs may be
 // open, which is also what the submitters' connections may hold.
-func newScheme(l *cells.Layout, total int) *scheme {
-	s := &scheme{layout: l}
+func newPlacement(l *cells.Layout, total int) *placement {
+	s := &placement{layout: l}
 	p := l.Plan()
 	for i := range p.Cells() {
-		s.jobs = append(s.jobs, p.JobBound(i, total))
-		s.connections = append(s.connections, p.ConnectionBound(i, total))
+		s.jobBounds = append(s.jobBounds, p.JobBound(i, total))
+		s.connectionBounds = append(s.connectionBounds, p.ConnectionBound(i, total))
 	}
-	s.gate = cells.NewAdmission(s.jobs, p.Tenants())
+	s.admission = cells.NewAdmission(s.jobBounds, p.Tenants())
 	return s
 }
 
 // with returns the scheme with another layout of the same plan.
-func (s *scheme) with(l *cells.Layout) *scheme {
+func (s *placement) withLayout(l *cells.Layout) *placement {
 	n := *s
 	n.layout = l
 	return &n
 }
 
 // A place is a job's in a gate.
-type place struct {
-	gate         *cells.Admission
+type reservation struct {
+	admission    *cells.Admission
 	cell, tenant int
 }
 
-func (p *place) leave() {
-	if p.gate != nil {
-		p.gate.Leave(p.cell, p.tenant)
-		p.gate = nil
+func (p *reservation) release() {
+	if p.admission != nil {
+		p.admission.Leave(p.cell, p.tenant)
+		p.admission = nil
 	}
 }
 
 // enter takes a job's place in its cell's part of the scheduler.
-func (s *scheme) enter(c *Core, j *Job) bool {
-	tenant := c.tenantOf(j.Tenant)
+func (s *placement) reserve(c *Core, j *Job) bool {
+	tenant := c.tenantIndex(j.Tenant)
 	cell := s.layout.Cell(tenant, j.Key)
-	if !s.gate.Enter(cell, tenant) {
+	if !s.admission.Enter(cell, tenant) {
 		return false
 	}
-	j.reservation = place{s.gate, cell, tenant}
+	j.reservation = reservation{s.admission, cell, tenant}
 	return true
 }
 
-func (c *Core) tenantOf(name string) int {
+func (c *Core) tenantIndex(name string) int {
 	if t, ok := c.settings.Tenants[name]; ok {
 		return t
 	}
@@ -66,10 +66,10 @@
 // Cell names the cell of a tenant's jobs with a key, and how many connections that
 // cell's submitters may have; "" without cells. Any goroutine may call it.
 func (c *Core) Cell(tenant string, key uint64) (name string, connections int) {
-	s := c.scheme.Load()
+	s := c.placement.Load()
 	if s == nil {
 		return "", 0
 	}
-	i := s.layout.Cell(c.tenantOf(tenant), key)
-	return s.layout.Plan().Name(i), s.connections[i]
+	i := s.layout.Cell(c.tenantIndex(tenant), key)
+	return s.layout.Plan().Name(i), s.connectionBounds[i]
 }
--- a/internal/core/cell_test.go
+++ b/internal/core/cell_test.go
@@ -48,11 +48,11 @@
 	t.Cleanup(c.Stop)
 	r := &rig{Core: c}
 	c.Connect(r, r, 60)
-	r.do(machinesTold{kind: foxlift.EndpointsCached, entries: r.list(12, 0)})
+	r.applyEvent(endpointsUpdated{kind: foxlift.EndpointsCached, workers: r.workerList(12, 0)})
 	return r
 }
 
-func (r *rig) list(n int, started int64) (list []foxlift.Worker) {
+func (r *rig) workerList(n int, started int64) (list []foxlift.Worker) {
 	for i := range n {
 		list = append(list, foxlift.Worker{ID: fmt.Sprint("n", i), Kind: 0, Zone: 0, StartedAt: started})
 	}
@@ -60,32 +60,32 @@
 }
 
 // ask takes a job in as a front does.
-func (r *rig) ask(id, class, tenant string, key uint64) *asked {
-	a := &asked{}
+func (r *rig) submitToCell(id, class, tenant string, key uint64) *recordingClient {
+	a := &recordingClient{}
 	j := &Job{ID: id, Class: class, Tenant: tenant, Key: key, ArrivedAt: r.clock.Now(), Remaining: 10 * time.Second, Client: a}
-	if s := r.scheme.Load(); !s.enter(r.Core, j) {
-		a.Answer(Answer{Verdict: Shed, RetryAfter: r.fullRetry()})
+	if s := r.placement.Load(); !s.reserve(r.Core, j) {
+		a.Answer(Answer{Verdict: Shed, RetryAfter: r.shedRetryAfter()})
 		return a
 	}
-	r.do(jobArrived{j})
+	r.applyEvent(jobSubmitted{j})
 	return a
 }
 
 // change does what an operator asks, on the test's goroutine.
-func (r *rig) change(do func(*cells.Layout) (*cells.Layout, error)) (Migration, error) {
-	s := r.scheme.Load()
+func (r *rig) changeLayout(do func(*cells.Layout) (*cells.Layout, error)) (Migration, error) {
+	s := r.placement.Load()
 	l, err := do(s.layout)
 	if err != nil {
 		return Migration{}, err
 	}
-	m := r.adopt(s.layout, s.with(l))
-	r.route()
+	m := r.adoptPlacement(s.layout, s.withLayout(l))
+	r.dispatch()
 	return m, nil
 }
 
-func (r *rig) move(t *testing.T, tenant string, to int) Migration {
+func (r *rig) migrate(t *testing.T, tenant string, to int) Migration {
 	t.Helper()
-	m, err := r.change(func(l *cells.Layout) (*cells.Layout, error) {
+	m, err := r.changeLayout(func(l *cells.Layout) (*cells.Layout, error) {
 		return l.WithTenant(l.Plan().Tenant(tenant), to), nil
 	})
 	if err != nil {
@@ -96,7 +96,7 @@
 
 // cellOf is where a node is.
 func (r *rig) cellOf(node string) int {
-	c, _ := r.scheme.Load().layout.NodeCell(node)
+	c, _ := r.placement.Load().layout.NodeCell(node)
 	return c
 }
 
@@ -107,23 +107,23 @@
 	r := newCellRig(t, twoCells())
 	for i := range 12 {
 		tenant := []string{"t", "u"}[i%2]
-		r.ask(fmt.Sprint("j", i), "reading", tenant, 0)
-		if got := r.cellOf(r.nodes[i]); got != i%2 {
+		r.submitToCell(fmt.Sprint("j", i), "reading", tenant, 0)
+		if got := r.cellOf(r.sentTo[i]); got != i%2 {
 			t.Errorf("%s's job is in cell %d", tenant, got)
 		}
 	}
-	if r.scheme.Load().layout.Size(0) == 0 || r.scheme.Load().layout.Size(1) == 0 {
+	if r.placement.Load().layout.Size(0) == 0 || r.placement.Load().layout.Size(1) == 0 {
 		t.Fatal("a cell without nodes")
 	}
 }
 
 // full sends readings until the tenant's next job is held, and returns how many it
 // took.
-func (r *rig) full(t *testing.T, tenant string) int {
+func (r *rig) saturate(t *testing.T, tenant string) int {
 	t.Helper()
 	for i := range 100 {
 		before := len(r.sent)
-		r.ask(fmt.Sprint(tenant, "-fill-", i), "reading", tenant, 0)
+		r.submitToCell(fmt.Sprint(tenant, "-fill-", i), "reading", tenant, 0)
 		if len(r.sent) == before {
 			return i
 		}
@@ -134,26 +134,26 @@
 
 // Hard case 9: a live move. Held jobs go over with their age, new ones go to the new
 // cell, and claims that are out finish where they are.
-func TestMoveTakesHeldJobs(t *testing.T) {
+func TestMigrationTakesQueuedJobs(t *testing.T) {
 	spec := twoCells()
 	spec.Cells[0].Jobs, spec.Cells[1].Jobs = 60, 60
 	r := newCellRig(t, spec)
-	n := r.full(t, "t")
+	n := r.saturate(t, "t")
 	held := r.open[fmt.Sprint("t-fill-", n)]
 	<-time.After(30 * time.Millisecond) // it has an age to take along
-	m := r.move(t, "t", 1)
+	m := r.migrate(t, "t", 1)
 	if m.Tenants != 1 || m.Queued != 1 || m.InFlight != n {
 		t.Errorf("%+v, want 1 held and %d out", m, n)
 	}
-	if held.cell != r.cells[1] || held.out != 1 || r.cellOf(held.claims[0].node) != 1 {
-		t.Errorf("the held job is in cell %d with %d claims out", held.cell.index, held.out)
+	if held.cell != r.cells[1] || held.inFlight != 1 || r.cellOf(held.attempts[0].worker) != 1 {
+		t.Errorf("the held job is in cell %d with %d claims out", held.cell.index, held.inFlight)
 	}
 	if r.counters.Get("jobs.moved") != 1 {
 		t.Errorf("%d jobs moved", r.counters.Get("jobs.moved"))
 	}
 	at := len(r.sent)
-	r.ask("new", "reading", "t", 0)
-	if r.cellOf(r.nodes[at]) != 1 {
+	r.submitToCell("new", "reading", "t", 0)
+	if r.cellOf(r.sentTo[at]) != 1 {
 		t.Error("a new job goes to the old cell")
 	}
 	for i := range n { // the old cell's claims end
@@ -167,7 +167,7 @@
 
 // Hard case 9: an at-most-once job that may have run is never sent again, and has its
 // one answer, although the tenant's new cell knows nothing of the claim.
-func TestMoveNeverRunsTwice(t *testing.T) {
+func TestMigrationNeverRunsTwice(t *testing.T) {
 	for name, c := range map[string]struct {
 		code foxlift.Code
 		sent int
@@ -179,23 +179,23 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newCellRig(t, twoCells())
-			a := r.ask("j", "ratify", "t", 0)
-			r.move(t, "t", 1)
+			a := r.submitToCell("j", "ratify", "t", 0)
+			r.migrate(t, "t", 1)
 			r.sent[0](ended(c.code))
 			r.settle()
 			if len(r.sent) != c.sent {
 				t.Fatalf("%d claims, want %d", len(r.sent), c.sent)
 			}
 			if c.sent == 2 {
-				if r.cellOf(r.nodes[1]) != 1 {
+				if r.cellOf(r.sentTo[1]) != 1 {
 					t.Error("the second claim is in the old cell")
 				}
 				r.sent[1](ended(foxlift.Served))
 				r.sent[0](Report{Progress: true}) // late, of the first claim
 				r.settle()
 			}
-			if len(a.got) != 1 || a.got[0].Verdict != c.want {
-				t.Errorf("%+v, want one of verdict %d", a.got, c.want)
+			if len(a.answers) != 1 || a.answers[0].Verdict != c.want {
+				t.Errorf("%+v, want one of verdict %d", a.answers, c.want)
 			}
 			if len(r.jobs) != 0 {
 				t.Errorf("%d jobs stay", len(r.jobs))
@@ -205,45 +205,45 @@
 }
 
 // The core itself keeps the rule, should a module ever ask for what it must not.
-func TestAtMostOnceIsWithheld(t *testing.T) {
+func TestUnsafeRepeatIsWithheld(t *testing.T) {
 	r := newCellRig(t, twoCells())
-	a := r.ask("j", "ratify", "t", 0)
+	a := r.submitToCell("j", "ratify", "t", 0)
 	j := r.open["j"]
 	r.sent[0](ended(foxlift.Reset))
 	(<-r.inbox).apply(r.Core) // booked, and not yet told to the module
 	r.send(j, "n1", 0)
-	r.route()
-	if len(r.sent) != 1 || r.counters.Get("claims.withheld") != 1 || len(a.got) != 1 {
-		t.Errorf("%d claims, %d withheld, %d answers", len(r.sent), r.counters.Get("claims.withheld"), len(a.got))
+	r.dispatch()
+	if len(r.sent) != 1 || r.counters.Get("claims.withheld") != 1 || len(a.answers) != 1 {
+		t.Errorf("%d claims, %d withheld, %d answers", len(r.sent), r.counters.Get("claims.withheld"), len(a.answers))
 	}
 }
 
 // Hard case 9: attempts count on across a move; the bound on them is the job's.
-func TestAttemptsAcrossMoves(t *testing.T) {
+func TestAttemptsCountAcrossMigrations(t *testing.T) {
 	r := newCellRig(t, twoCells())
-	a := r.ask("j", "ratify", "t", 0)
+	a := r.submitToCell("j", "ratify", "t", 0)
 	for i := range 3 {
 		if len(r.sent) != i+1 {
 			t.Fatalf("%d claims after %d refusals", len(r.sent), i)
 		}
-		r.move(t, "t", (i+1)%2)
+		r.migrate(t, "t", (i+1)%2)
 		r.sent[i](ended(foxlift.Unreachable))
 		r.settle()
 	}
-	if len(r.sent) != 3 || len(a.got) != 1 || a.got[0].Verdict != Shed {
-		t.Errorf("%d claims, answers %+v", len(r.sent), a.got)
+	if len(r.sent) != 3 || len(a.answers) != 1 || a.answers[0].Verdict != Shed {
+		t.Errorf("%d claims, answers %+v", len(r.sent), a.answers)
 	}
 }
 
 // Hard case 9: 1,000 moves to and fro under load, with claims that end in every way,
 // a node list that changes, and another plan in the middle. Every job has one answer,
 // none that must not runs twice, and nothing is left behind.
-func TestThousandMoves(t *testing.T) {
+func TestThousandMigrations(t *testing.T) {
 	spec := twoCells()
 	spec.KeyNodes, spec.KeyJobs = 2, 4
 	r := newCellRig(t, spec)
 	rng := rand.New(rand.NewPCG(8, 9))
-	var jobs []*asked
+	var jobs []*recordingClient
 	ran := map[string]int{} // at-most-once jobs, by claims that may have run
 	reported := 0
 	end := func(code foxlift.Code) {
@@ -258,21 +258,21 @@
 	for i := range 1000 {
 		for range rng.IntN(3) {
 			id := fmt.Sprint("j", len(jobs))
-			jobs = append(jobs, r.ask(id, []string{"reading", "ratify"}[rng.IntN(2)], []string{"t", "u", "v"}[rng.IntN(3)], uint64(rng.IntN(4))))
+			jobs = append(jobs, r.submitToCell(id, []string{"reading", "ratify"}[rng.IntN(2)], []string{"t", "u", "v"}[rng.IntN(3)], uint64(rng.IntN(4))))
 		}
-		r.move(t, []string{"t", "u", "v"}[rng.IntN(3)], rng.IntN(2))
+		r.migrate(t, []string{"t", "u", "v"}[rng.IntN(3)], rng.IntN(2))
 		for reported < len(r.sent) && rng.IntN(3) > 0 {
 			code := codes[rng.IntN(len(codes))]
-			if id := ids[reported]; !code.NeverRan() && slices.Contains(r.ratify, id) {
+			if id := ids[reported]; !code.NeverRan() && slices.Contains(r.atMostOnceIDs, id) {
 				ran[id]++
 			}
 			end(code)
 		}
 		switch {
 		case i%100 == 50:
-			list := r.list(12, 0)
+			list := r.workerList(12, 0)
 			list[rng.IntN(12)].State = foxlift.Draining
-			r.do(machinesTold{kind: foxlift.EndpointsDelta, entries: list})
+			r.applyEvent(endpointsUpdated{kind: foxlift.EndpointsDelta, workers: list})
 		case i == 333 || i == 666:
 			next := twoCells()
 			if i == 333 {
@@ -283,24 +283,24 @@
 			if faults != nil {
 				t.Fatal(faults)
 			}
-			if _, err := r.replan(p); err != nil {
+			if _, err := r.applyPlan(p); err != nil {
 				t.Fatal(err)
 			}
-			r.route()
+			r.dispatch()
 		}
 	}
 	for reported < len(r.sent) {
 		end(foxlift.Served)
 	}
 	for tries := 0; len(r.open) > 0 && tries < 1000; tries++ { // held ones: their time runs out
-		r.do(<-r.inbox)
+		r.applyEvent(<-r.inbox)
 		for reported < len(r.sent) {
 			end(foxlift.Served)
 		}
 	}
 	for i, a := range jobs {
-		if len(a.got) != 1 {
-			t.Errorf("job %d has %d answers", i, len(a.got))
+		if len(a.answers) != 1 {
+			t.Errorf("job %d has %d answers", i, len(a.answers))
 		}
 	}
 	for id, k := range ran {
@@ -308,22 +308,22 @@
 			t.Errorf("%s may have run %d times", id, k)
 		}
 	}
-	if len(r.jobs) != 0 || len(r.open) != 0 || len(r.keys) != 0 {
-		t.Errorf("%d jobs, %d open, %d keys stay", len(r.jobs), len(r.open), len(r.keys))
+	if len(r.jobs) != 0 || len(r.open) != 0 || len(r.jobsByKey) != 0 {
+		t.Errorf("%d jobs, %d open, %d keys stay", len(r.jobs), len(r.open), len(r.jobsByKey))
 	}
 	for i, cl := range r.cells {
-		if cl.spillsOut != 0 {
-			t.Errorf("%s: %d spilled jobs stay", cl.name, cl.spillsOut)
+		if cl.spilled != 0 {
+			t.Errorf("%s: %d spilled jobs stay", cl.name, cl.spilled)
 		}
 		if !cl.retired {
-			if open, _, _ := r.scheme.Load().gate.Open(i); open != 0 {
+			if open, _, _ := r.placement.Load().admission.Open(i); open != 0 {
 				t.Errorf("%s: %d places stay taken", cl.name, open)
 			}
 		}
 	}
-	for id, n := range r.known {
-		if len(n.out) != 0 {
-			t.Errorf("%s: claims stay counted: %v", id, n.out)
+	for id, n := range r.byID {
+		if len(n.inFlight) != 0 {
+			t.Errorf("%s: claims stay counted: %v", id, n.inFlight)
 		}
 	}
 	t.Logf("%d jobs, %d claims, %d jobs moved", len(jobs), len(r.sent), r.counters.Get("jobs.moved"))
@@ -334,42 +334,42 @@
 
 // Hard case 2: a node that changes cell with claims out goes on being counted: the
 // module that gets it hears of them, until they end.
-func TestNodeChangesCellWithClaimsOut(t *testing.T) {
+func TestWorkerChangesCellWithJobsInFlight(t *testing.T) {
 	r := newCellRig(t, twoCells())
 	for i := range 8 {
-		r.ask(fmt.Sprint("j", i), "reading", "t", 0)
+		r.submitToCell(fmt.Sprint("j", i), "reading", "t", 0)
 	}
-	node, before := r.nodes[0], r.cellOf(r.nodes[0])
+	node, before := r.sentTo[0], r.cellOf(r.sentTo[0])
 	// The map changes under it: the same nodes, all in the other cell.
 	p, _ := r.settings.PlanCells(&cells.Spec{Cells: []cells.Cell{{Name: "b", Share: 1, Tenants: []string{"t", "u", "v"}}}})
-	if _, err := r.replan(p); err != nil {
+	if _, err := r.applyPlan(p); err != nil {
 		t.Fatal(err)
 	}
-	r.route()
-	n := r.known[node]
+	r.dispatch()
+	n := r.byID[node]
 	if n.cell.name != "b" || before != 0 {
 		t.Fatalf("%s is in %s", node, n.cell.name)
 	}
 	out := 0.0
 	for i := range r.sent {
-		if r.nodes[i] == node {
+		if r.sentTo[i] == node {
 			out++
 		}
 	}
-	if got := n.seenBy(n.cell).ExternalSlots; got != out || out == 0 {
+	if got := n.forCell(n.cell).ExternalSlots; got != out || out == 0 {
 		t.Errorf("its new cell counts %v slots of others, want %v", got, out)
 	}
 	for i := range 8 {
 		r.sent[i](ended(foxlift.Served))
 	}
 	r.settle()
-	if got := n.seenBy(n.cell).ExternalSlots; got != 0 {
+	if got := n.forCell(n.cell).ExternalSlots; got != 0 {
 		t.Errorf("%v slots stay counted", got)
 	}
-	if !r.cells[1].retired || !r.empty(r.cells[1]) {
+	if !r.cells[1].retired || !r.hasNoJobs(r.cells[1]) {
 		t.Error("the old cell is not retired and empty")
 	}
-	r.do(timerDue{r.cells[1], 1})
+	r.applyEvent(timerFired{r.cells[1], 1})
 	if len(r.cells) != 1 {
 		t.Errorf("%d cells are kept", len(r.cells))
 	}
@@ -379,35 +379,35 @@
 func TestEmptyCell(t *testing.T) {
 	r := newCellRig(t, twoCells())
 	r.evacuate(0)
-	bound := r.scheme.Load().layout.SpillBound(0, r.scheme.Load().jobs[1])
-	var got []*asked
+	bound := r.placement.Load().layout.SpillBound(0, r.placement.Load().jobBounds[1])
+	var got []*recordingClient
 	for i := range bound + 4 {
-		got = append(got, r.ask(fmt.Sprint("j", i), "reading", "t", 0))
+		got = append(got, r.submitToCell(fmt.Sprint("j", i), "reading", "t", 0))
 	}
 	refused := 0
 	for _, a := range got {
-		if len(a.got) == 1 && a.got[0].Verdict == Shed && a.got[0].RetryAfter > 0 {
+		if len(a.answers) == 1 && a.answers[0].Verdict == Shed && a.answers[0].RetryAfter > 0 {
 			refused++
 		}
 	}
-	if refused != 4 || r.cells[0].spillsOut != bound {
-		t.Errorf("%d refused, %d spilled; want 4 and %d", refused, r.cells[0].spillsOut, bound)
+	if refused != 4 || r.cells[0].spilled != bound {
+		t.Errorf("%d refused, %d spilled; want 4 and %d", refused, r.cells[0].spilled, bound)
 	}
-	for i := range r.nodes {
-		if r.cellOf(r.nodes[i]) != 1 {
+	for i := range r.sentTo {
+		if r.cellOf(r.sentTo[i]) != 1 {
 			t.Error("a job is in the empty cell")
 		}
 	}
 	r.evacuate(1) // both: nowhere to spill, and no round
-	if a := r.ask("k", "reading", "t", 0); len(a.got) != 1 || a.got[0].Verdict != Shed {
-		t.Errorf("%+v", a.got)
+	if a := r.submitToCell("k", "reading", "t", 0); len(a.answers) != 1 || a.answers[0].Verdict != Shed {
+		t.Errorf("%+v", a.answers)
 	}
 	for _, report := range r.sent {
 		report(ended(foxlift.Served))
 	}
 	r.settle()
-	if r.cells[0].spillsOut != 0 {
-		t.Errorf("%d spilled jobs stay counted", r.cells[0].spillsOut)
+	if r.cells[0].spilled != 0 {
+		t.Errorf("%d spilled jobs stay counted", r.cells[0].spilled)
 	}
 }
 
@@ -415,22 +415,22 @@
 
 // Hard case 4: a cold node gets from all cells together no more than without them:
 // one module alone sends there.
-func TestColdNodesHaveOneModule(t *testing.T) {
+func TestWorkersInSlowStartHaveOneDispatcher(t *testing.T) {
 	r := newCellRig(t, twoCells())
-	r.do(machinesTold{kind: foxlift.EndpointsComplete, entries: r.list(12, r.clock.Now())}) // all start anew
+	r.applyEvent(endpointsUpdated{kind: foxlift.EndpointsComplete, workers: r.workerList(12, r.clock.Now())}) // all start anew
 	by := map[string]map[*cell]bool{}
 	r.onSend = func(j *Job) {
-		id := r.lastNode
+		id := r.lastWorker
 		if by[id] == nil {
 			by[id] = map[*cell]bool{}
 		}
 		by[id][r.open[j.ID].cell] = true
 	}
-	if c := r.condition(0); c != cells.SlowStart {
+	if c := r.cellCondition(0); c != cells.SlowStart {
 		t.Errorf("condition %v of a cell of cold nodes", c)
 	}
 	for i := range 50 {
-		r.ask(fmt.Sprint("j", i), "reading", []string{"t", "u", "v"}[i%3], 0)
+		r.submitToCell(fmt.Sprint("j", i), "reading", []string{"t", "u", "v"}[i%3], 0)
 		if i%10 == 0 {
 			<-time.After(20 * time.Millisecond)
 			r.settle()
@@ -443,14 +443,14 @@
 	}
 	// Nothing is known of what a warm node can do: in a second each cold node gets
 	// one job of all schedulers, as the budget says.
-	for id, k := range count(r.nodes) {
+	for id, k := range countByName(r.sentTo) {
 		if k > 3 {
 			t.Errorf("cold %s got %d jobs", id, k)
 		}
 	}
 }
 
-func count(names []string) map[string]int {
+func countByName(names []string) map[string]int {
 	n := map[string]int{}
 	for _, name := range names {
 		n[name]++
@@ -460,13 +460,13 @@
 
 // Hard case 6: the flood of one cell stays before the core, and takes no place of
 // another's.
-func TestFloodStaysOut(t *testing.T) {
+func TestFloodIsShedBeforeTheCore(t *testing.T) {
 	r := newCellRig(t, twoCells())
 	refused := 0
 	for i := range 300 {
-		a := &asked{}
+		a := &recordingClient{}
 		r.Accept(&Job{ID: fmt.Sprint("f", i), Class: "reading", Tenant: "t", ArrivedAt: r.clock.Now(), Remaining: time.Second, Client: a})
-		if len(a.got) == 1 && a.got[0].Verdict == Shed && a.got[0].RetryAfter > 0 {
+		if len(a.answers) == 1 && a.answers[0].Verdict == Shed && a.answers[0].RetryAfter > 0 {
 			refused++
 		}
 	}
@@ -474,17 +474,17 @@
 		t.Errorf("%d of 300 are in the inbox, %d refused", len(r.inbox), refused)
 	}
 	r.settle()
-	if a := r.ask("u", "reading", "u", 0); len(a.got) != 0 {
-		t.Errorf("the other cell's job: %+v", a.got)
+	if a := r.submitToCell("u", "reading", "u", 0); len(a.answers) != 0 {
+		t.Errorf("the other cell's job: %+v", a.answers)
 	}
 }
 
 // An id that is in use is bad input also where its cell is full: a refusal would
 // promise that another try is harmless. Found by TestModel.
-func TestRepeatedIDAtAFullGate(t *testing.T) {
+func TestRepeatedIDAtASaturatedCell(t *testing.T) {
 	r := newCellRig(t, twoCells())
-	take := func(id string) *asked {
-		a := &asked{}
+	take := func(id string) *recordingClient {
+		a := &recordingClient{}
 		r.Accept(&Job{ID: id, Class: "ratify", Tenant: "t", ArrivedAt: r.clock.Now(), Remaining: time.Second, Client: a})
 		r.settle()
 		return a
@@ -493,17 +493,17 @@
 	for i := 0; r.counters.Get("jobs.cell_full") == 0; i++ {
 		take(fmt.Sprint("fill", i))
 	}
-	if a := take("j"); len(a.got) != 1 || a.got[0].Verdict != Rejected {
-		t.Errorf("in use: %+v", a.got)
+	if a := take("j"); len(a.answers) != 1 || a.answers[0].Verdict != Rejected {
+		t.Errorf("in use: %+v", a.answers)
 	}
 	r.sent[0](ended(foxlift.Served))
 	r.settle()
-	if a := take("j"); len(first.got) != 1 || len(a.got) != 1 || a.got[0].Verdict != Rejected {
-		t.Errorf("answered: %+v", a.got)
+	if a := take("j"); len(first.answers) != 1 || len(a.answers) != 1 || a.answers[0].Verdict != Rejected {
+		t.Errorf("answered: %+v", a.answers)
 	}
-	r.do(idForgotten{"j"})
-	if a := take("j"); len(a.got) == 1 && a.got[0].Verdict == Rejected {
-		t.Errorf("forgotten: %+v", a.got)
+	r.applyEvent(idExpired{"j"})
+	if a := take("j"); len(a.answers) == 1 && a.answers[0].Verdict == Rejected {
+		t.Errorf("forgotten: %+v", a.answers)
 	}
 }
 
@@ -515,36 +515,36 @@
 	r := newCellRig(t, spec)
 	used := map[string]bool{}
 	for i := range 20 {
-		before := len(r.nodes)
-		r.ask(fmt.Sprint("k", i), "reading", "t", 77)
-		for _, n := range r.nodes[before:] {
+		before := len(r.sentTo)
+		r.submitToCell(fmt.Sprint("k", i), "reading", "t", 77)
+		for _, n := range r.sentTo[before:] {
 			used[n] = true
 		}
 	}
 	if len(used) > 2 || r.counters.Get("jobs.key_full") != 8 {
 		t.Errorf("the key is on %v, %d refused", used, r.counters.Get("jobs.key_full"))
 	}
-	if len(r.nodes) >= 12 {
+	if len(r.sentTo) >= 12 {
 		t.Fatal("the key's nodes are never full: nothing is held behind it")
 	}
-	before := len(r.nodes)
-	r.ask("other", "reading", "t", 5)
-	r.ask("none", "reading", "t", 0)
-	if len(r.nodes) != before+2 {
-		t.Errorf("%d of 2 other jobs are sent while the key waits", len(r.nodes)-before)
+	before := len(r.sentTo)
+	r.submitToCell("other", "reading", "t", 5)
+	r.submitToCell("none", "reading", "t", 0)
+	if len(r.sentTo) != before+2 {
+		t.Errorf("%d of 2 other jobs are sent while the key waits", len(r.sentTo)-before)
 	}
 }
 
 // Hard case 11: the nodes of one cell answer "failed" at once. The other cell's module
 // sees nothing of it.
-func TestBadReleaseInOneCell(t *testing.T) {
+func TestFailingReleaseInOneCell(t *testing.T) {
 	r := newCellRig(t, twoCells())
 	for i := range 200 {
 		before := len(r.sent)
-		r.ask(fmt.Sprint("j", i), "reading", []string{"t", "u"}[i%2], 0)
+		r.submitToCell(fmt.Sprint("j", i), "reading", []string{"t", "u"}[i%2], 0)
 		for k := before; k < len(r.sent); k++ {
 			code := foxlift.Served
-			if r.cellOf(r.nodes[k]) == 0 {
+			if r.cellOf(r.sentTo[k]) == 0 {
 				code = foxlift.WorkerError
 			}
 			r.sent[k](Report{})
@@ -552,16 +552,16 @@
 			r.settle()
 		}
 	}
-	if b := r.cells[1].booked; b[Served] != 100 || b[Shed]+b[Failed] != 0 {
+	if b := r.cells[1].answers; b[Served] != 100 || b[Shed]+b[Failed] != 0 {
 		t.Errorf("the other cell's answers: %v", b)
 	}
-	if a := r.cells[0].booked; a[Served] != 0 {
+	if a := r.cells[0].answers; a[Served] != 0 {
 		t.Errorf("the bad cell serves %d", a[Served])
 	}
 }
 
 // Operators' calls through the core's goroutine: errors, states, and the end.
-func TestOperate(t *testing.T) {
+func TestOperatorCalls(t *testing.T) {
 	r := newCellRig(t, twoCells())
 	go r.Core.run()
 	ctx := t.Context()
@@ -592,11 +592,11 @@
 		t.Errorf("restore: %+v, %v", m, err)
 	}
 	r.Core.BeginShutdown(time.Second)
-	if _, err := r.Core.MigrateTenant(ctx, "t", "b"); !errors.Is(err, errEnding) {
+	if _, err := r.Core.MigrateTenant(ctx, "t", "b"); !errors.Is(err, errShuttingDown) {
 		t.Errorf("while it ends: %v", err)
 	}
 	r.Core.Stop()
-	if _, err := r.Core.Cells(ctx); !errors.Is(err, errEnding) {
+	if _, err := r.Core.Cells(ctx); !errors.Is(err, errShuttingDown) {
 		t.Errorf("after its end: %v", err)
 	}
 }
@@ -604,11 +604,11 @@
 // Hard case 5: two schedulers with lists of different age. Each confines by its own
 // map; the maps differ in few nodes, no node has two modules at either, and they are
 // the same as soon as the lists are.
-func TestListsOfDifferentAge(t *testing.T) {
+func TestEndpointListsOfDifferentAge(t *testing.T) {
 	young, old := newCellRig(t, twoCells()), newCellRig(t, twoCells())
-	news := append(young.list(12, 0)[10:], foxlift.Worker{ID: "late", Kind: 0, Zone: 0})
+	news := append(young.workerList(12, 0)[10:], foxlift.Worker{ID: "late", Kind: 0, Zone: 0})
 	news[0].State, news[1].State = foxlift.Draining, foxlift.Removed
-	young.do(machinesTold{kind: foxlift.EndpointsDelta, entries: news})
+	young.applyEvent(endpointsUpdated{kind: foxlift.EndpointsDelta, workers: news})
 	differ := 0
 	for i := range 10 {
 		if id := fmt.Sprint("n", i); young.cellOf(id) != old.cellOf(id) {
@@ -620,10 +620,10 @@
 	}
 	for _, r := range []*rig{young, old} {
 		for i := range 10 {
-			before := len(r.nodes)
+			before := len(r.sentTo)
 			tenant := []string{"t", "u"}[i%2]
-			r.ask(fmt.Sprint("j", i), "reading", tenant, 0)
-			for _, n := range r.nodes[before:] {
+			r.submitToCell(fmt.Sprint("j", i), "reading", tenant, 0)
+			for _, n := range r.sentTo[before:] {
 				if r.cellOf(n) != i%2 {
 					t.Errorf("%s's job is out of its cell", tenant)
 				}
@@ -633,19 +633,19 @@
 			}
 		}
 	}
-	old.do(machinesTold{kind: foxlift.EndpointsDelta, entries: news})
-	for id := range young.known {
-		a, aok := young.scheme.Load().layout.NodeCell(id)
-		b, bok := old.scheme.Load().layout.NodeCell(id)
+	old.applyEvent(endpointsUpdated{kind: foxlift.EndpointsDelta, workers: news})
+	for id := range young.byID {
+		a, aok := young.placement.Load().layout.NodeCell(id)
+		b, bok := old.placement.Load().layout.NodeCell(id)
 		if a != b || aok != bok {
 			t.Errorf("%s is in cell %d at one and %d at the other", id, a, b)
 		}
 	}
 	// One returns with a new id, another restarts: the same map at both again.
 	back := []foxlift.Worker{{ID: "n11b", Kind: 0, Zone: 0}, {ID: "n3", Kind: 0, Zone: 0, StartedAt: young.clock.Now()}}
-	young.do(machinesTold{kind: foxlift.EndpointsDelta, entries: back})
-	old.do(machinesTold{kind: foxlift.EndpointsDelta, entries: back[:1]})
-	old.do(machinesTold{kind: foxlift.EndpointsDelta, entries: back[1:]})
+	young.applyEvent(endpointsUpdated{kind: foxlift.EndpointsDelta, workers: back})
+	old.applyEvent(endpointsUpdated{kind: foxlift.EndpointsDelta, workers: back[:1]})
+	old.applyEvent(endpointsUpdated{kind: foxlift.EndpointsDelta, workers: back[1:]})
 	if young.cellOf("n11b") != old.cellOf("n11b") || young.cellOf("n3") != old.cellOf("n3") {
 		t.Error("the order of news decides")
 	}
@@ -653,18 +653,18 @@
 
 // Hard case 7: what a tenant is lent in its cell is taken back at once: when another
 // returns, the next place that is free is that one's.
-func TestLendingIsTakenBack(t *testing.T) {
+func TestLentCapacityIsReturned(t *testing.T) {
 	spec := twoCells()
 	spec.Cells[1].Jobs = 60
 	r := newCellRig(t, spec)
-	n := r.full(t, "u") // all of the cell, far over what the tenant has tokens for
+	n := r.saturate(t, "u") // all of the cell, far over what the tenant has tokens for
 	if n < 8 {
 		t.Fatalf("only %d jobs are lent a place", n)
 	}
 	for i := range 5 {
-		r.ask(fmt.Sprint("more", i), "reading", "u", 0)
+		r.submitToCell(fmt.Sprint("more", i), "reading", "u", 0)
 	}
-	r.ask("back", "reading", "v", 0)
+	r.submitToCell("back", "reading", "v", 0)
 	if len(r.sent) != n {
 		t.Fatalf("%d claims with %d places", len(r.sent), n)
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -76,29 +76,29 @@
 	peers    Peers // nil where there are no messages
 	seed     uint64
 
-	inbox   chan event
-	stopped chan struct{}
-	stop    sync.Once
-	ready   atomic.Bool
-	listed  atomic.Bool
-	active  atomic.Int64 // jobs taken and not yet answered
+	inbox      chan event
+	stopped    chan struct{}
+	stopOnce   sync.Once
+	ready      atomic.Bool
+	hasWorkers atomic.Bool
+	active     atomic.Int64 // jobs taken and not yet answered
 
 	// Owned by run's goroutine.
-	jobs      map[uint64]*job
-	open      map[string]*job // taken and not yet answered, by the submitter's id
-	recent    map[string]bool // ids answered not long ago; true: of jobs that must not run twice
-	longest   int64           // the longest deadline of any class
-	most      int             // jobs that may be open
-	confirmed bool            // discovery has answered since the start
-	endBy     int64           // when what comes now must be answered; 0: no end is near
-	numbered  uint64
-	cells     []*cell // one where there is no plan of cells; retired ones behind the plan's
-	nodeTable
-	assigner *cells.Assigner
-	keys     map[keyIn]int // open jobs by key and cell, where the plan bounds them
-
-	scheme atomic.Pointer[scheme]       // nil without cells; any goroutine may read it
-	ids    *xsync.Map[string, struct{}] // in use or in recent, with cells: what Accept knows before the core does
+	jobs             map[uint64]*job
+	open             map[string]*job // taken and not yet answered, by the submitter's id
+	recentIDs        map[string]bool // ids answered not long ago; true: of jobs that must not run twice
+	maxDeadline      int64           // the longest deadline of any class
+	maxOpen          int             // jobs that may be open
+	confirmed        bool            // discovery has answered since the start
+	shutdownDeadline int64           // when what comes now must be answered; 0: no end is near
+	lastNumber       uint64
+	cells            []*cell // one where there is no plan of cells; retired ones behind the plan's
+	workerTable
+	assigner  *cells.Assigner
+	jobsByKey map[cellKey]int // open jobs by key and cell, where the plan bounds them
+
+	placement atomic.Pointer[placement]    // nil without cells; any goroutine may read it
+	idsInUse  *xsync.Map[string, struct{}] // in use or in recent, with cells: what Accept knows before the core does
 }
 
 // New returns a Core, with cells where there is a plan of them. Its parts are set by
@@ -107,12 +107,12 @@
 	c := &Core{
 		settings: s, clock: clock, counters: set, seed: seed,
 		inbox: make(chan event, 1024), stopped: make(chan struct{}),
-		jobs: map[uint64]*job{}, open: map[string]*job{}, recent: map[string]bool{},
-		nodeTable: newNodeTable(), keys: map[keyIn]int{},
-		ids: xsync.NewMap[string, struct{}](),
+		jobs: map[uint64]*job{}, open: map[string]*job{}, recentIDs: map[string]bool{},
+		workerTable: newWorkerTable(), jobsByKey: map[cellKey]int{},
+		idsInUse: xsync.NewMap[string, struct{}](),
 	}
 	for _, k := range s.Module.Classes {
-		c.longest = max(c.longest, k.Deadline)
+		c.maxDeadline = max(c.maxDeadline, k.Deadline)
 	}
 	var err error
 	if plan == nil {
@@ -120,7 +120,7 @@
 		only, err = c.newCell("", s.Module.Tenants)
 		c.cells = []*cell{only}
 	} else {
-		err = c.begin(plan)
+		err = c.initCells(plan)
 	}
 	if err != nil {
 		return nil, err
@@ -131,23 +131,23 @@
 // Connect sets what the core acts through, and how many jobs a front can hold
 // open; more are refused at once.
 func (c *Core) Connect(n Workers, m EndpointWatch, most int) {
-	c.nodes, c.machines, c.most = n, m, c.boundOpen(most)
-	if s := c.scheme.Load(); s != nil {
-		c.scheme.Store(newScheme(s.layout, c.most))
+	c.nodes, c.machines, c.maxOpen = n, m, c.limitOpen(most)
+	if s := c.placement.Load(); s != nil {
+		c.placement.Store(newPlacement(s.layout, c.maxOpen))
 	}
 }
 
 // SetMaxOpen changes how many jobs a front can hold open.
-func (c *Core) SetMaxOpen(most int) { c.post(mostChanged{most}) }
+func (c *Core) SetMaxOpen(most int) { c.post(maxOpenChanged{most}) }
 
-type mostChanged struct{ most int }
+type maxOpenChanged struct{ maxOpen int }
 
-func (e mostChanged) apply(c *Core) {
-	c.most = c.boundOpen(e.most) // cells keep their bounds: they are parts of the whole
+func (e maxOpenChanged) apply(c *Core) {
+	c.maxOpen = c.limitOpen(e.maxOpen) // cells keep their bounds: they are parts of the whole
 }
 
-// boundOpen is how many jobs may be open where a front can hold so many.
-func (c *Core) boundOpen(most int) int {
+// limitOpen is how many jobs may be open where a front can hold so many.
+func (c *Core) limitOpen(most int) int {
 	if s := c.settings.MaxOpen; s > 0 {
 		return min(most, s)
 	}
@@ -161,8 +161,8 @@
 // Start begins with the machine list as last known and starts the core's
 // goroutine, which ends after Stop.
 func (c *Core) Start(known []foxlift.Worker) {
-	machinesTold{kind: foxlift.EndpointsCached, entries: known}.apply(c)
-	c.route()
+	endpointsUpdated{kind: foxlift.EndpointsCached, workers: known}.apply(c)
+	c.dispatch()
 	c.updateReady()
 	go c.run()
 }
@@ -179,13 +179,13 @@
 		for more := len(c.inbox); more > 0; more-- {
 			(<-c.inbox).apply(c)
 		}
-		c.route()
+		c.dispatch()
 		c.updateReady()
 	}
 }
 
 // Stop ends the core's goroutine.
-func (c *Core) Stop() { c.stop.Do(func() { close(c.stopped) }) }
+func (c *Core) Stop() { c.stopOnce.Do(func() { close(c.stopped) }) }
 
 // post hands an event to the core's goroutine.
 func (c *Core) post(e event) {
@@ -204,121 +204,121 @@
 // has no room, at once and on the caller's goroutine, so that a flood of one cell
 // does not even stand in the way of the others' events.
 func (c *Core) Accept(j *Job) {
-	if s := c.scheme.Load(); s != nil {
+	if s := c.placement.Load(); s != nil {
 		// An id that is in use first: to refuse it would promise that another try is
 		// harmless, while the job that has it runs.
-		if _, there := c.ids.LoadOrStore(j.ID, struct{}{}); there {
+		if _, there := c.idsInUse.LoadOrStore(j.ID, struct{}{}); there {
 			c.counters.Add("jobs.rejected")
 			j.Client.Answer(Answer{Verdict: Rejected, Reason: repeatedID})
 			return
 		}
-		if !s.enter(c, j) {
-			c.ids.Delete(j.ID)
+		if !s.reserve(c, j) {
+			c.idsInUse.Delete(j.ID)
 			c.counters.Add("jobs.taken")
-			c.countRefused(j)
+			c.countShed(j)
 			c.counters.Add("jobs.cell_full")
-			j.Client.Answer(Answer{Verdict: Shed, RetryAfter: c.fullRetry()})
+			j.Client.Answer(Answer{Verdict: Shed, RetryAfter: c.shedRetryAfter()})
 			return
 		}
 	}
-	c.post(jobArrived{j})
+	c.post(jobSubmitted{j})
 }
 
 // Left says that a job's submitter has gone away. The answer still comes.
-func (c *Core) ClientDisconnected(j *Job) { c.post(submitterLeft{j}) }
+func (c *Core) ClientDisconnected(j *Job) { c.post(clientLeft{j}) }
 
 // End says that the scheduler ends, and how long it has for what still comes in.
-func (c *Core) BeginShutdown(left time.Duration) { c.post(ending{c.clock.Now() + int64(left)}) }
+func (c *Core) BeginShutdown(left time.Duration) { c.post(shutdownBegun{c.clock.Now() + int64(left)}) }
 
-type ending struct{ by int64 }
+type shutdownBegun struct{ deadline int64 }
 
-func (e ending) apply(c *Core) { c.endBy = e.by }
+func (e shutdownBegun) apply(c *Core) { c.shutdownDeadline = e.deadline }
 
 // Heard brings a message from another scheduler.
-func (c *Core) ReceiveGossip(from int, data []byte) { c.post(peerTold{from, data}) }
+func (c *Core) ReceiveGossip(from int, data []byte) { c.post(gossipReceived{from, data}) }
 
-type peerTold struct {
+type gossipReceived struct {
 	from int
 	data []byte
 }
 
-func (e peerTold) apply(c *Core) {
-	if c.scheme.Load() == nil { // a cell's module knows of no peers
-		c.cells[0].tell(foxlift.Event{Kind: foxlift.EventMessage, From: e.from, Data: e.data})
+func (e gossipReceived) apply(c *Core) {
+	if c.placement.Load() == nil { // a cell's module knows of no peers
+		c.cells[0].notify(foxlift.Event{Kind: foxlift.EventMessage, From: e.from, Data: e.data})
 	}
 }
 
 // UpdateEndpoints brings news of the machine list, as discovery has answered it.
 func (c *Core) UpdateEndpoints(kind foxlift.EndpointUpdate, entries []foxlift.Worker) {
-	c.post(machinesTold{kind: kind, entries: entries})
+	c.post(endpointsUpdated{kind: kind, workers: entries})
 }
 
 // ConfirmEndpoints says that discovery has answered and that nothing has changed.
-func (c *Core) ConfirmEndpoints() { c.post(machinesTold{kind: foxlift.EndpointsConfirmed}) }
+func (c *Core) ConfirmEndpoints() { c.post(endpointsUpdated{kind: foxlift.EndpointsConfirmed}) }
 
 // ChangeDiscovery says that another discovery is to be asked from now on.
-func (c *Core) ChangeDiscovery() { c.post(machinesTold{kind: foxlift.DiscoveryChanged}) }
+func (c *Core) ChangeDiscovery() { c.post(endpointsUpdated{kind: foxlift.DiscoveryChanged}) }
 
 // RecordPollFailure says that a call to discovery has failed, and what that tells of it.
 func (c *Core) RecordPollFailure(failure foxlift.PollFailure) {
-	c.post(machinesTold{kind: foxlift.EndpointsPollFailed, failure: failure})
+	c.post(endpointsUpdated{kind: foxlift.EndpointsPollFailed, failure: failure})
 }
 
 // Ready reports whether jobs can be taken: the list has an active machine and can be trusted.
 func (c *Core) Ready() bool { return c.ready.Load() }
 
 // Listed reports whether the list has an active machine, however old it is.
-func (c *Core) HasWorkers() bool { return c.listed.Load() }
+func (c *Core) HasWorkers() bool { return c.hasWorkers.Load() }
 
-// machinesTold is news of the machine list.
-type machinesTold struct {
+// endpointsUpdated is news of the machine list.
+type endpointsUpdated struct {
 	kind    foxlift.EndpointUpdate
 	failure foxlift.PollFailure
-	entries []foxlift.Worker
+	workers []foxlift.Worker
 }
 
-func (e machinesTold) apply(c *Core) {
+func (e endpointsUpdated) apply(c *Core) {
 	switch e.kind {
 	case foxlift.EndpointsPollFailed:
 		c.counters.Add("machines.failed")
-		c.tellAll(foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: e.kind, PollFailure: e.failure})
+		c.notifyCells(foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: e.kind, PollFailure: e.failure})
 		return // the old list remains
 	case foxlift.EndpointsConfirmed:
-		c.confirmList()
+		c.recordConfirmation()
 		return
 	case foxlift.DiscoveryChanged:
-		c.tellAll(foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: e.kind})
+		c.notifyCells(foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: e.kind})
 		return
 	}
 	c.counters.Add("machines.told")
 	if e.kind != foxlift.EndpointsCached {
-		c.confirmList()
+		c.recordConfirmation()
 	}
-	c.note(e.kind, e.entries)
-	if c.scheme.Load() == nil {
-		c.cells[0].tell(foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: e.kind, Workers: c.withOthers(e.entries)})
+	c.update(e.kind, e.workers)
+	if c.placement.Load() == nil {
+		c.cells[0].notify(foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: e.kind, Workers: c.withExternalSlots(e.workers)})
 	} else {
-		c.spread(e.kind, e.entries)
-		c.rehomeAll()
+		c.distribute(e.kind, e.workers)
+		c.reassignAll()
 	}
 	c.prune()
 }
 
-// confirmList tells each module that the list is up to date.
-func (c *Core) confirmList() {
+// recordConfirmation tells each module that the list is up to date.
+func (c *Core) recordConfirmation() {
 	c.confirmed = true
-	c.tellAll(foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsConfirmed})
+	c.notifyCells(foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsConfirmed})
 }
 
-// tellAll keeps an event for the next step of each cell's module.
-func (c *Core) tellAll(e foxlift.Event) {
+// notifyCells keeps an event for the next step of each cell's module.
+func (c *Core) notifyCells(e foxlift.Event) {
 	for _, cl := range c.cells {
-		cl.tell(e)
+		cl.notify(e)
 	}
 }
 
 // updateReady notes whether jobs can be taken: there is a live machine, and the list that says so holds.
 func (c *Core) updateReady() {
-	c.listed.Store(c.live > 0)
-	c.ready.Store(c.live > 0 && (c.confirmed || c.cells[0].module.EndpointsUsable()))
+	c.hasWorkers.Store(c.liveCount > 0)
+	c.ready.Store(c.liveCount > 0 && (c.confirmed || c.cells[0].module.EndpointsUsable()))
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -18,33 +18,33 @@
 // started: the test applies events on its own goroutine.
 type rig struct {
 	*Core
-	sent     []func(Report) // one for each claim
-	nodes    []string
-	withdrew int
-	watched  int
-	ratify   []string // ids of claims of at-most-once jobs
-	lastNode string
-	onSend   func(*Job)
+	sent          []func(Report) // one for each claim
+	sentTo        []string
+	cancelled     int
+	watchCalls    int
+	atMostOnceIDs []string // ids of claims of at-most-once jobs
+	lastWorker    string
+	onSend        func(*Job)
 }
 
 func (r *rig) Send(node string, j *Job, _ AttemptLimits, report func(Report)) func() {
-	r.sent, r.nodes, r.lastNode = append(r.sent, report), append(r.nodes, node), node
+	r.sent, r.sentTo, r.lastWorker = append(r.sent, report), append(r.sentTo, node), node
 	if j.Class == "ratify" {
-		r.ratify = append(r.ratify, j.ID)
+		r.atMostOnceIDs = append(r.atMostOnceIDs, j.ID)
 	}
 	if r.onSend != nil {
 		r.onSend(j)
 	}
-	return func() { r.withdrew++ }
+	return func() { r.cancelled++ }
 }
 func (r *rig) CloseIdle(string)                 {}
 func (r *rig) HealthCheck(string, func(Report)) {}
-func (r *rig) Watch()                           { r.watched++ }
+func (r *rig) Watch()                           { r.watchCalls++ }
 
-type asked struct{ got []Answer }
+type recordingClient struct{ answers []Answer }
 
-func (a *asked) Answer(x Answer)    { a.got = append(a.got, x) }
-func (a *asked) Disconnected() bool { return false }
+func (a *recordingClient) Answer(x Answer)    { a.answers = append(a.answers, x) }
+func (a *recordingClient) Disconnected() bool { return false }
 
 func newRig(t *testing.T) *rig {
 	s, err := config.ParseSettings([]byte(settings))
@@ -58,25 +58,25 @@
 	t.Cleanup(c.Stop)
 	r := &rig{Core: c}
 	c.Connect(r, r, 9)
-	r.do(machinesTold{kind: foxlift.EndpointsComplete, entries: []foxlift.Worker{{ID: "n1", Kind: -1}, {ID: "n2", Kind: -1}, {ID: "n3", Kind: -1}}})
+	r.applyEvent(endpointsUpdated{kind: foxlift.EndpointsComplete, workers: []foxlift.Worker{{ID: "n1", Kind: -1}, {ID: "n2", Kind: -1}, {ID: "n3", Kind: -1}}})
 	return r
 }
 
-func (r *rig) do(e event) {
+func (r *rig) applyEvent(e event) {
 	e.apply(r.Core)
-	r.route()
+	r.dispatch()
 }
 
 // settle applies what reports and timers have posted.
 func (r *rig) settle() {
 	for len(r.inbox) > 0 {
-		r.do(<-r.inbox)
+		r.applyEvent(<-r.inbox)
 	}
 }
 
-func (r *rig) take(id, class, tenant string) *asked {
-	a := &asked{}
-	r.do(jobArrived{&Job{ID: id, Class: class, Tenant: tenant, ArrivedAt: r.clock.Now(), Remaining: 10 * time.Second, Client: a}})
+func (r *rig) submit(id, class, tenant string) *recordingClient {
+	a := &recordingClient{}
+	r.applyEvent(jobSubmitted{&Job{ID: id, Class: class, Tenant: tenant, ArrivedAt: r.clock.Now(), Remaining: 10 * time.Second, Client: a}})
 	return a
 }
 
@@ -99,7 +99,7 @@
 			r.sent[0](over(foxlift.Served))
 			r.sent[1](over(foxlift.Served))
 		}, Served},
-		"timed out":           {"ratify", func(r *rig, _ *Job) { r.post(claimReported{r.jobs[1].claims[0], over(foxlift.DeadlineExceeded)}) }, Failed},
+		"timed out":           {"ratify", func(r *rig, _ *Job) { r.post(attemptReported{r.jobs[1].attempts[0], over(foxlift.DeadlineExceeded)}) }, Failed},
 		"module says nothing": {"ratify", func(r *rig, _ *Job) { r.post(jobOverdue{r.jobs[1]}) }, Failed},
 		"turned away thrice": {"ratify", func(r *rig, _ *Job) {
 			for i := range 3 {
@@ -117,49 +117,49 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
-			a := r.take("j", c.class, "t")
+			a := r.submit("j", c.class, "t")
 			c.do(r, r.jobs[1].Job)
 			r.settle()
-			if len(a.got) != 1 || a.got[0].Verdict != c.want || c.want == Served && string(a.got[0].Result) != "r" {
-				t.Errorf("answers %+v, want one of verdict %d", a.got, c.want)
+			if len(a.answers) != 1 || a.answers[0].Verdict != c.want || c.want == Served && string(a.answers[0].Result) != "r" {
+				t.Errorf("answers %+v, want one of verdict %d", a.answers, c.want)
 			}
 			if len(r.jobs) != 0 || len(r.open) != 0 {
 				t.Errorf("%d jobs stay in the table, %d open", len(r.jobs), len(r.open))
 			}
-			if r.withdrew != len(r.sent) {
-				t.Errorf("%d of %d claims released", r.withdrew, len(r.sent))
+			if r.cancelled != len(r.sent) {
+				t.Errorf("%d of %d claims released", r.cancelled, len(r.sent))
 			}
 		})
 	}
 }
 
 // What may not be taken never reaches the module or a node.
-func TestTakeInRejects(t *testing.T) {
+func TestInvalidJobsAreRejected(t *testing.T) {
 	r := newRig(t)
-	first := r.take("j", "ratify", "t")
-	for reason, a := range map[string]*asked{
-		"unknown class": r.take("a", "other", "t"), "unknown tenant": r.take("b", "ratify", "x"),
-		"repeated id": r.take("j", "ratify", "t"),
+	first := r.submit("j", "ratify", "t")
+	for reason, a := range map[string]*recordingClient{
+		"unknown class": r.submit("a", "other", "t"), "unknown tenant": r.submit("b", "ratify", "x"),
+		"repeated id": r.submit("j", "ratify", "t"),
 	} {
-		if len(a.got) != 1 || a.got[0].Verdict != Rejected || a.got[0].Reason != reason {
-			t.Errorf("%s: %+v", reason, a.got)
+		if len(a.answers) != 1 || a.answers[0].Verdict != Rejected || a.answers[0].Reason != reason {
+			t.Errorf("%s: %+v", reason, a.answers)
 		}
 	}
-	if len(r.sent) != 1 || len(first.got) != 0 {
-		t.Errorf("%d claims, %d answers for the first job", len(r.sent), len(first.got))
+	if len(r.sent) != 1 || len(first.answers) != 0 {
+		t.Errorf("%d claims, %d answers for the first job", len(r.sent), len(first.answers))
 	}
-	r.take("k", "ratify", "t")
-	if a := r.take("l", "ratify", "t"); len(a.got) != 1 || a.got[0].Verdict != Shed || a.got[0].RetryAfter == 0 {
-		t.Errorf("past the limit of open jobs: %+v", a.got)
+	r.submit("k", "ratify", "t")
+	if a := r.submit("l", "ratify", "t"); len(a.answers) != 1 || a.answers[0].Verdict != Shed || a.answers[0].RetryAfter == 0 {
+		t.Errorf("past the limit of open jobs: %+v", a.answers)
 	}
 	r.sent[0](Report{Ended: true, Code: foxlift.Served})
 	r.settle()
-	if a := r.take("j", "ratify", "t"); len(a.got) != 1 || a.got[0].Reason != "repeated id" || len(r.sent) != 2 {
-		t.Errorf("an id that was answered: %+v, %d claims", a.got, len(r.sent))
+	if a := r.submit("j", "ratify", "t"); len(a.answers) != 1 || a.answers[0].Reason != "repeated id" || len(r.sent) != 2 {
+		t.Errorf("an id that was answered: %+v, %d claims", a.answers, len(r.sent))
 	}
-	r.do(idForgotten{"j"})
-	if a := r.take("j", "ratify", "t"); len(a.got) != 0 || len(r.sent) != 3 {
-		t.Errorf("an id that is free again: %+v", a.got)
+	r.applyEvent(idExpired{"j"})
+	if a := r.submit("j", "ratify", "t"); len(a.answers) != 0 || len(r.sent) != 3 {
+		t.Errorf("an id that is free again: %+v", a.answers)
 	}
 }
 
@@ -167,7 +167,7 @@
 func TestRemainingIsBounded(t *testing.T) {
 	r := newRig(t)
 	now := r.clock.Now()
-	r.do(jobArrived{&Job{ID: "j", Class: "reading", Tenant: "t", ArrivedAt: now, Remaining: 1 << 62, Client: &asked{}}})
+	r.applyEvent(jobSubmitted{&Job{ID: "j", Class: "reading", Tenant: "t", ArrivedAt: now, Remaining: 1 << 62, Client: &recordingClient{}}})
 	if d := r.jobs[1].deadline - now; d != 20e9 {
 		t.Errorf("deadline in %d", d)
 	}
@@ -187,22 +187,22 @@
 
 // Near the end a job that would hardly be done is refused at once, and one that is
 // taken has its answer before a kill could lose it.
-func TestNearTheEnd(t *testing.T) {
+func TestShutdownDeadline(t *testing.T) {
 	r := newRig(t)
-	r.do(ending{r.clock.Now() + int64(600*time.Millisecond)})
-	first := r.take("first", "reading", "t")
-	if len(first.got) != 0 || len(r.sent) != 1 {
-		t.Fatalf("%+v, %d claims; want it sent", first.got, len(r.sent))
+	r.applyEvent(shutdownBegun{r.clock.Now() + int64(600*time.Millisecond)})
+	first := r.submit("first", "reading", "t")
+	if len(first.answers) != 0 || len(r.sent) != 1 {
+		t.Fatalf("%+v, %d claims; want it sent", first.answers, len(r.sent))
 	}
-	r.do(ending{r.clock.Now() + int64(400*time.Millisecond)})
-	late := r.take("late", "reading", "t")
-	if len(late.got) != 1 || late.got[0].Verdict != Shed || late.got[0].RetryAfter == 0 || r.counters.Get("jobs.at_end") != 1 {
-		t.Errorf("too late: %+v", late.got)
+	r.applyEvent(shutdownBegun{r.clock.Now() + int64(400*time.Millisecond)})
+	late := r.submit("late", "reading", "t")
+	if len(late.answers) != 1 || late.answers[0].Verdict != Shed || late.answers[0].RetryAfter == 0 || r.counters.Get("jobs.at_end") != 1 {
+		t.Errorf("too late: %+v", late.answers)
 	}
-	for len(first.got) == 0 {
-		r.do(<-r.inbox)
+	for len(first.answers) == 0 {
+		r.applyEvent(<-r.inbox)
 	}
-	if first.got[0].Verdict != Failed || r.counters.Get("jobs.overdue") != 1 { // long before its deadline
-		t.Errorf("at the end: %+v", first.got)
+	if first.answers[0].Verdict != Failed || r.counters.Get("jobs.overdue") != 1 { // long before its deadline
+		t.Errorf("at the end: %+v", first.answers)
 	}
 }
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -23,7 +23,7 @@
 
 // State returns what another process would have to know to go on from here.
 func (c *Core) State(ctx context.Context) (s *State, err error) {
-	err = c.operate(ctx, func(c *Core) { s = c.state() })
+	err = c.call(ctx, func(c *Core) { s = c.state() })
 	return s, err
 }
 
@@ -38,9 +38,9 @@
 		}
 	}
 	for _, j := range c.jobs {
-		for _, cl := range j.claims {
+		for _, cl := range j.attempts {
 			if !cl.done {
-				s.InFlight[cl.node] += slotsOf(j)
+				s.InFlight[cl.worker] += slotsOf(j)
 			}
 		}
 	}
@@ -49,7 +49,7 @@
 			s.IDs = append(s.IDs, j.ID)
 		}
 	}
-	for id, once := range c.recent {
+	for id, once := range c.recentIDs {
 		if once {
 			s.IDs = append(s.IDs, id)
 		}
@@ -59,66 +59,66 @@
 
 // RestoreState goes on from what another process handed over. It is called while no job has come yet.
 func (c *Core) RestoreState(ctx context.Context, s *State) error {
-	return c.operate(ctx, func(c *Core) { c.goOnFrom(s) })
+	return c.call(ctx, func(c *Core) { c.restore(s) })
 }
 
-func (c *Core) goOnFrom(s *State) {
+func (c *Core) restore(s *State) {
 	for _, cl := range c.cells {
 		if module := s.Modules[cl.name]; module != nil {
 			cl.module.Restore(module)
 		}
 	}
 	for _, id := range s.IDs {
-		c.remember(id, true)
-		c.ids.Store(id, struct{}{})
+		c.rememberID(id, true)
+		c.idsInUse.Store(id, struct{}{})
 	}
-	c.setOthers(s.InFlight)
+	c.applyExternalSlots(s.InFlight)
 }
 
 // SetExternalSlots tells how many slots another process of the scheduler has out at the nodes. The modules
 // count them as they count those of another cell.
-func (c *Core) SetExternalSlots(out map[string]float64) { c.post(othersTold{out}) }
+func (c *Core) SetExternalSlots(out map[string]float64) { c.post(externalSlotsChanged{out}) }
 
-type othersTold struct{ out map[string]float64 }
+type externalSlotsChanged struct{ slots map[string]float64 }
 
-func (e othersTold) apply(c *Core) { c.setOthers(e.out) }
+func (e externalSlotsChanged) apply(c *Core) { c.applyExternalSlots(e.slots) }
 
-func (c *Core) setOthers(out map[string]float64) {
+func (c *Core) applyExternalSlots(out map[string]float64) {
 	told := map[*cell][]foxlift.Worker{}
 	for _, n := range c.order {
-		if n.foreign == out[n.ID] {
+		if n.otherProcessSlots == out[n.ID] {
 			continue
 		}
-		n.foreign = out[n.ID]
+		n.otherProcessSlots = out[n.ID]
 		if cl := c.cellOf(n); cl != nil {
-			told[cl] = append(told[cl], n.seenBy(cl))
+			told[cl] = append(told[cl], n.forCell(cl))
 		}
 	}
 	for cl, workers := range told {
-		cl.tell(foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsDelta, Workers: workers})
+		cl.notify(foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsDelta, Workers: workers})
 	}
 }
 
 // cellOf returns the cell whose module decides on a node; nil if there is none yet.
-func (c *Core) cellOf(n *entry) *cell {
-	if c.scheme.Load() == nil {
+func (c *Core) cellOf(n *workerEntry) *cell {
+	if c.placement.Load() == nil {
 		return c.cells[0]
 	}
 	return n.cell
 }
 
-// withOthers returns entries of the list with what another process has out there.
-func (c *Core) withOthers(entries []foxlift.Worker) []foxlift.Worker {
+// withExternalSlots returns entries of the list with what another process has out there.
+func (c *Core) withExternalSlots(entries []foxlift.Worker) []foxlift.Worker {
 	told := entries
 	for i := range entries {
-		n := c.known[entries[i].ID]
-		if n == nil || n.foreign == 0 {
+		n := c.byID[entries[i].ID]
+		if n == nil || n.otherProcessSlots == 0 {
 			continue
 		}
 		if &told[0] == &entries[0] {
 			told = append([]foxlift.Worker(nil), entries...)
 		}
-		told[i].ExternalSlots = n.foreign
+		told[i].ExternalSlots = n.otherProcessSlots
 	}
 	return told
 }
--- a/internal/core/handover_test.go
+++ b/internal/core/handover_test.go
@@ -8,7 +8,7 @@
 )
 
 // state returns what the rig's core hands over, through JSON.
-func (r *rig) handedOver(t *testing.T) *State {
+func (r *rig) savedState(t *testing.T) *State {
 	t.Helper()
 	text, err := json.Marshal(r.state())
 	if err != nil {
@@ -21,33 +21,33 @@
 	return s
 }
 
-// takeOver lets another core go on from a state.
-func (r *rig) takeOver(t *testing.T, s *State) {
+// loadState lets another core go on from a state.
+func (r *rig) loadState(t *testing.T, s *State) {
 	t.Helper()
-	r.do(operation{func(c *Core) { c.goOnFrom(s) }, make(chan struct{})})
+	r.applyEvent(operatorCall{func(c *Core) { c.restore(s) }, make(chan struct{})})
 }
 
 // An id of a job that must not run twice is refused by the process that takes over, whether the job
 // is answered or still open; one of a job that may is not.
-func TestHandedOverIDs(t *testing.T) {
+func TestRestoredIDs(t *testing.T) {
 	older, newer := newRig(t), newRig(t)
-	older.take("open", "ratify", "t")
-	older.take("answered", "ratify", "t")
-	older.do(claimReported{older.open["answered"].claims[0], Report{Ended: true, Code: foxlift.Served}})
-	s := older.handedOver(t)
+	older.submit("open", "ratify", "t")
+	older.submit("answered", "ratify", "t")
+	older.applyEvent(attemptReported{older.open["answered"].attempts[0], Report{Ended: true, Code: foxlift.Served}})
+	s := older.savedState(t)
 	if s.Open != 1 || len(s.InFlight) != 1 {
 		t.Errorf("open %d, out %v; want one job at one node", s.Open, s.InFlight)
 	}
-	newer.takeOver(t, s)
+	newer.loadState(t, s)
 	for id, rejected := range map[string]bool{"open": true, "answered": true, "fresh": false} {
-		a := newer.take(id, "ratify", "t")
-		if got := len(a.got) == 1 && a.got[0].Verdict == Rejected; got != rejected {
-			t.Errorf("%s: answers %v, want it rejected: %v", id, a.got, rejected)
+		a := newer.submit(id, "ratify", "t")
+		if got := len(a.answers) == 1 && a.answers[0].Verdict == Rejected; got != rejected {
+			t.Errorf("%s: answers %v, want it rejected: %v", id, a.answers, rejected)
 		}
 	}
 	older = newRig(t)
-	older.take("reading", "reading", "t")
-	older.do(claimReported{older.open["reading"].claims[0], Report{Ended: true, Code: foxlift.Served}})
+	older.submit("reading", "reading", "t")
+	older.applyEvent(attemptReported{older.open["reading"].attempts[0], Report{Ended: true, Code: foxlift.Served}})
 	if ids := older.state().IDs; len(ids) != 0 {
 		t.Errorf("ids %v of jobs that may run again", ids)
 	}
@@ -55,33 +55,33 @@
 
 // What the older process has out at nodes counts there until it is told otherwise, also when the
 // list comes anew: jobs go to the node that is free.
-func TestOthersCount(t *testing.T) {
+func TestExternalSlotsCount(t *testing.T) {
 	r := newRig(t)
-	r.do(othersTold{map[string]float64{"n1": 50, "n2": 50, "gone": 1}})
-	r.do(machinesTold{kind: foxlift.EndpointsComplete, entries: []foxlift.Worker{{ID: "n1", Kind: -1}, {ID: "n2", Kind: -1}, {ID: "n3", Kind: -1}}})
+	r.applyEvent(externalSlotsChanged{map[string]float64{"n1": 50, "n2": 50, "gone": 1}})
+	r.applyEvent(endpointsUpdated{kind: foxlift.EndpointsComplete, workers: []foxlift.Worker{{ID: "n1", Kind: -1}, {ID: "n2", Kind: -1}, {ID: "n3", Kind: -1}}})
 	for _, id := range []string{"a", "b"} {
-		r.take(id, "reading", "t")
-		if r.lastNode != "n3" {
-			t.Errorf("%s went to %q, want n3", id, r.lastNode)
+		r.submit(id, "reading", "t")
+		if r.lastWorker != "n3" {
+			t.Errorf("%s went to %q, want n3", id, r.lastWorker)
 		}
 	}
-	r.do(othersTold{nil})
-	if a := r.known["n1"].seenBy(r.cells[0]); a.ExternalSlots != 0 {
+	r.applyEvent(externalSlotsChanged{nil})
+	if a := r.byID["n1"].forCell(r.cells[0]); a.ExternalSlots != 0 {
 		t.Errorf("%v slots of others are left", a.ExternalSlots)
 	}
 }
 
 // The budget of open jobs may change while jobs are open.
-func TestMostChanges(t *testing.T) {
+func TestMaxOpenChanges(t *testing.T) {
 	r := newRig(t)
-	r.do(mostChanged{1})
-	r.take("a", "ratify", "t")
-	if a := r.take("b", "ratify", "t"); len(a.got) != 1 || a.got[0].Verdict != Shed {
-		t.Errorf("answers %v past the budget, want a refusal", a.got)
+	r.applyEvent(maxOpenChanged{1})
+	r.submit("a", "ratify", "t")
+	if a := r.submit("b", "ratify", "t"); len(a.answers) != 1 || a.answers[0].Verdict != Shed {
+		t.Errorf("answers %v past the budget, want a refusal", a.answers)
 	}
-	r.do(mostChanged{9})
-	if a := r.take("c", "ratify", "t"); len(a.got) != 0 {
-		t.Errorf("answers %v within the budget, want none yet", a.got)
+	r.applyEvent(maxOpenChanged{9})
+	if a := r.submit("c", "ratify", "t"); len(a.answers) != 0 {
+		t.Errorf("answers %v within the budget, want none yet", a.answers)
 	}
 	if r.Active() != 2 {
 		t.Errorf("%d active, want 2", r.Active())
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -24,7 +24,7 @@
 
 	answered       atomic.Bool
 	disconnectedAt atomic.Pointer[time.Time] // when its submitter was seen to have left
-	reservation    place                     // in a gate, where there are cells
+	reservation    reservation               // in a gate, where there are cells
 }
 
 // Over reports whether nothing more is to be begun for the job: it is answered, or its
@@ -78,25 +78,25 @@
 // its last claim has ended.
 type job struct {
 	*Job
-	number   uint64
-	class    int // index into the module's classes
-	tenant   int // index into the module's tenants, or -1
-	deadline int64
-	claims   []*claim // in the order they were made
-	out      int      // claims that have not ended
-	overdue  *time.Timer
-
-	cell    *cell // whose module decides on it
-	base    int   // claims made before that module got it
-	leaving bool  // that module has been told that it goes
-	spilled *cell // the cell that could not take it; nil if it is in its own
-	among   []string
-	keyed   keyIn // as it is counted in Core.keys
+	number       uint64
+	class        int // index into the module's classes
+	tenant       int // index into the module's tenants, or -1
+	deadline     int64
+	attempts     []*attempt // in the order they were made
+	inFlight     int        // claims that have not ended
+	overdueTimer *time.Timer
+
+	cell           *cell // whose module decides on it
+	priorAttempts  int   // claims made before that module got it
+	leaving        bool  // that module has been told that it goes
+	spilledFrom    *cell // the cell that could not take it; nil if it is in its own
+	allowedWorkers []string
+	heldKey        cellKey // as it is counted in Core.keys
 }
 
 // mayHaveRun returns the first claim of the job that may have run or may yet; nil if none.
-func (j *job) mayHaveRun() *claim {
-	for _, cl := range j.claims {
+func (j *job) mayHaveRun() *attempt {
+	for _, cl := range j.attempts {
 		if !cl.done || !cl.code.NeverRan() {
 			return cl
 		}
@@ -105,21 +105,21 @@
 }
 
 // A claim is one attempt at running a job on an execute node.
-type claim struct {
-	job      *job
-	cell     *cell // whose module made it
-	attempt  int   // as that module counts
-	node     string
-	zone     int // of the node; -1: unknown
-	pod      int // the node's cell in discovery's list; -1: unknown
-	sent     int64
-	done     bool
-	code     foxlift.Code // if done
-	limit    *time.Timer
-	withdraw func()
+type attempt struct {
+	job        *job
+	cell       *cell // whose module made it
+	number     int   // as that module counts
+	worker     string
+	zone       int // of the node; -1: unknown
+	workerCell int // the node's cell in discovery's list; -1: unknown
+	sentAt     int64
+	done       bool
+	code       foxlift.Code // if done
+	timer      *time.Timer
+	cancel     func()
 }
 
 // event returns an event about the claim for the module.
-func (cl *claim) event(kind foxlift.EventKind) foxlift.Event {
-	return foxlift.Event{Kind: kind, ID: cl.job.number, Attempt: cl.attempt, Worker: cl.node}
+func (cl *attempt) event(kind foxlift.EventKind) foxlift.Event {
+	return foxlift.Event{Kind: kind, ID: cl.job.number, Attempt: cl.number, Worker: cl.worker}
 }
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -35,10 +35,10 @@
  "familyInfo":{"tellsStart":true,"progress":1000000000}}`
 
 const (
-	modelNodes    = 6
-	modelAttempts = 3
-	modelLongest  = 8 * time.Second // of the classes' deadlines
-	drainGrace    = 750 * time.Millisecond
+	modelWorkers     = 6
+	modelMaxAttempts = 3
+	modelMaxDeadline = 8 * time.Second // of the classes' deadlines
+	drainGrace       = 750 * time.Millisecond
 )
 
 var modelClasses = []string{"reading", "ratify", "seal"}
@@ -49,18 +49,18 @@
 
 const (
 	actSubmit = iota
-	actRepeat
-	actLeave
-	actEnd
-	actNote
-	actEndAgain
-	actList
+	actResubmit
+	actDisconnect
+	actComplete
+	actProgress
+	actCompleteAgain
+	actEndpoints
 	actWait
-	actMove
+	actMigrate
 	actEvacuate
 	actRestore
 	actReplan
-	actFinish
+	actShutdown
 	actKinds
 )
 
@@ -74,39 +74,39 @@
 
 // A world is what the fakes know.
 type world struct {
-	core    *Core
-	began   time.Time
-	jobs    []*modelJob
-	claims  []*modelClaim
-	drained map[string]time.Time // nodes that were told to be not live, since when
-
-	mu     sync.Mutex // the core's goroutine calls the fakes
-	broken []string
+	core         *Core
+	startedAt    time.Time
+	jobs         []*modelJob
+	attempts     []*modelAttempt
+	notLiveSince map[string]time.Time // nodes that were told to be not live, since when
+
+	mu         sync.Mutex // the core's goroutine calls the fakes
+	violations []string
 }
 
 type modelJob struct {
 	*Job
-	world   *world
-	asked   time.Duration
-	answers []Answer
-	at      time.Duration // of the first answer
+	world       *world
+	submittedAt time.Duration
+	answers     []Answer
+	answeredAt  time.Duration // of the first answer
 }
 
-type modelClaim struct {
-	job    *modelJob
-	node   string
-	sent   time.Duration
-	ended  bool
-	code   foxlift.Code
-	ran    bool
-	end    time.Duration
-	report func(Report)
+type modelAttempt struct {
+	job     *modelJob
+	worker  string
+	sentAt  time.Duration
+	ended   bool
+	code    foxlift.Code
+	ran     bool
+	endedAt time.Duration
+	report  func(Report)
 }
 
-func (w *world) now() time.Duration { return time.Since(w.began) }
+func (w *world) now() time.Duration { return time.Since(w.startedAt) }
 
-func (w *world) breaks(format string, args ...any) {
-	w.broken = append(w.broken, fmt.Sprintf("%v: ", w.now())+fmt.Sprintf(format, args...))
+func (w *world) violate(format string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf("%v: ", w.now())+fmt.Sprintf(format, args...))
 }
 
 // provesNothingRan is the protocol's table of endings, written again: the model must
@@ -116,10 +116,10 @@
 // sameAs reports whether two submissions count as one job: an id is remembered while it
 // is in use and for the longest deadline after its answer, no longer.
 func (j *modelJob) sameAs(o *modelJob) bool {
-	if j.at > o.at && len(o.answers) > 0 {
+	if j.answeredAt > o.answeredAt && len(o.answers) > 0 {
 		j, o = o, j
 	}
-	return j == o || j.ID == o.ID && (len(j.answers) == 0 || o.asked < j.at+modelLongest)
+	return j == o || j.ID == o.ID && (len(j.answers) == 0 || o.submittedAt < j.answeredAt+modelMaxDeadline)
 }
 
 // mayHaveRun is the truth as the scheduler can know it. It goes by id: what a front
@@ -129,8 +129,8 @@
 }
 
 // firstMayHaveRun is the first claim of a job that may have run, or may yet; nil: none.
-func (w *world) firstMayHaveRun(j *modelJob) *modelClaim {
-	for _, c := range w.claims {
+func (w *world) firstMayHaveRun(j *modelJob) *modelAttempt {
+	for _, c := range w.attempts {
 		if c.job.sameAs(j) && c.job.Class == j.Class && (!c.ended || !provesNothingRan[c.code]) {
 			return c
 		}
@@ -146,14 +146,14 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(j.answers) == 0 {
-		j.at = w.now()
+		j.answeredAt = w.now()
 	}
 	j.answers = append(j.answers, a)
 	if a.Verdict == Shed && j.Class == "ratify" && w.mayHaveRun(j) {
-		w.breaks("%s is told that another try is harmless, and may have run", j.ID)
+		w.violate("%s is told that another try is harmless, and may have run", j.ID)
 	}
 	if a.Verdict == Shed && a.RetryAfter > 2*time.Second {
-		w.breaks("%s is told to wait %v", j.ID, a.RetryAfter)
+		w.violate("%s is told to wait %v", j.ID, a.RetryAfter)
 	}
 }
 
@@ -165,36 +165,36 @@
 	defer w.mu.Unlock()
 	j := job.Client.(*modelJob)
 	sent := 0
-	for _, c := range w.claims {
+	for _, c := range w.attempts {
 		if c.job == j {
 			sent++
 		}
 	}
-	if sent >= modelAttempts {
-		w.breaks("%s is sent for the %dth time", j.ID, sent+1)
+	if sent >= modelMaxAttempts {
+		w.violate("%s is sent for the %dth time", j.ID, sent+1)
 	}
 	if j.Class == "ratify" && w.mayHaveRun(j) {
-		w.breaks("%s is sent again, and may have run", j.ID)
+		w.violate("%s is sent again, and may have run", j.ID)
 	}
 	if len(j.answers) > 0 {
-		w.breaks("%s is sent after its answer", j.ID)
+		w.violate("%s is sent after its answer", j.ID)
 	}
-	if since, ok := w.drained[node]; ok && time.Since(since) > drainGrace {
-		w.breaks("%s is sent to %s, which drains for %v", j.ID, node, time.Since(since))
+	if since, ok := w.notLiveSince[node]; ok && time.Since(since) > drainGrace {
+		w.violate("%s is sent to %s, which drains for %v", j.ID, node, time.Since(since))
 	}
 	if first := w.firstMayHaveRun(j); j.Class == "seal" && first != nil {
-		if zone := func(node string) int { return int(node[1]) % 2 }; zone(node) != zone(first.node) {
-			w.breaks("%s is sent to %s, and may have run on %s in the other zone", j.ID, node, first.node)
+		if zone := func(node string) int { return int(node[1]) % 2 }; zone(node) != zone(first.worker) {
+			w.violate("%s is sent to %s, and may have run on %s in the other zone", j.ID, node, first.worker)
 		}
-		if age := w.now() - first.sent; age > sealWindow || limits.WriteWithin <= 0 || age+limits.WriteWithin > sealWindow+time.Millisecond {
-			w.breaks("%s is sent within %v, and may have run %v ago", j.ID, limits.WriteWithin, age)
+		if age := w.now() - first.sentAt; age > sealWindow || limits.WriteWithin <= 0 || age+limits.WriteWithin > sealWindow+time.Millisecond {
+			w.violate("%s is sent within %v, and may have run %v ago", j.ID, limits.WriteWithin, age)
 		}
 	}
 	if limits.Remaining <= 0 {
-		w.breaks("%s is sent when its time is over", j.ID)
+		w.violate("%s is sent when its time is over", j.ID)
 	}
-	c := &modelClaim{job: j, node: node, sent: w.now(), report: report}
-	w.claims = append(w.claims, c)
+	c := &modelAttempt{job: j, worker: node, sentAt: w.now(), report: report}
+	w.attempts = append(w.attempts, c)
 	return func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -203,9 +203,9 @@
 }
 
 // stop notes how a claim really ended.
-func (c *modelClaim) stop(code foxlift.Code, ran bool) {
+func (c *modelAttempt) stop(code foxlift.Code, ran bool) {
 	if !c.ended {
-		c.ended, c.code, c.ran, c.end = true, code, ran && !provesNothingRan[code], c.job.world.now()
+		c.ended, c.code, c.ran, c.endedAt = true, code, ran && !provesNothingRan[code], c.job.world.now()
 	}
 }
 
@@ -218,7 +218,7 @@
 // playScript plays a script and returns what it broke, and some figures.
 func playScript(t *testing.T, script []act, withCells bool) (broken []string, w *world) {
 	synctest.Test(t, func(t *testing.T) {
-		w = &world{began: time.Now(), drained: map[string]time.Time{}}
+		w = &world{startedAt: time.Now(), notLiveSince: map[string]time.Time{}}
 		s, err := config.ParseSettings([]byte(modelSettings))
 		if err != nil {
 			t.Fatal(err)
@@ -232,7 +232,7 @@
 		}
 		w.core.Connect(w, w, 40)
 		var list []foxlift.Worker
-		for i := range modelNodes {
+		for i := range modelWorkers {
 			list = append(list, w.worker(i, 0))
 		}
 		w.core.Start(list)
@@ -241,13 +241,13 @@
 			w.act(a)
 			synctest.Wait()
 		}
-		w.finish()
+		w.drain()
 		synctest.Wait()
-		w.judge()
+		w.checkFinalState()
 		w.core.Stop()
 		synctest.Wait()
 	})
-	return w.broken, w
+	return w.violations, w
 }
 
 func (w *world) worker(i int, started int64) foxlift.Worker {
@@ -257,12 +257,12 @@
 func (w *world) act(a act) {
 	c := w.core
 	switch a.kind {
-	case actSubmit, actRepeat:
+	case actSubmit, actResubmit:
 		id := fmt.Sprint("j", len(w.jobs))
-		if a.kind == actRepeat && len(w.jobs) > 0 {
+		if a.kind == actResubmit && len(w.jobs) > 0 {
 			id = w.jobs[a.a%len(w.jobs)].ID
 		}
-		j := &modelJob{world: w, asked: w.now()}
+		j := &modelJob{world: w, submittedAt: w.now()}
 		j.Job = &Job{
 			ID: id, Class: modelClasses[a.a%3], HasIdempotencyKey: a.a%3 != 2 || a.c%8 != 7, Tenant: modelTenants[a.b%3], ArrivedAt: c.clock.Now(), Key: uint64(a.c % 4),
 			Remaining: []time.Duration{5 * time.Second, 20 * time.Millisecond, time.Second, 0}[a.c%4], Client: j,
@@ -270,17 +270,17 @@
 		}
 		w.jobs = append(w.jobs, j)
 		c.Accept(j.Job)
-	case actLeave:
+	case actDisconnect:
 		if len(w.jobs) > 0 {
 			c.ClientDisconnected(w.jobs[a.a%len(w.jobs)].Job)
 		}
-	case actEnd, actNote, actEndAgain:
+	case actComplete, actProgress, actCompleteAgain:
 		w.report(a)
-	case actList:
-		w.list(a)
+	case actEndpoints:
+		w.updateEndpoints(a)
 	case actWait:
 		time.Sleep([]time.Duration{time.Millisecond, 30 * time.Millisecond, 200 * time.Millisecond, 800 * time.Millisecond, 3 * time.Second}[a.a%5])
-	case actMove:
+	case actMigrate:
 		c.MigrateTenant(context.Background(), modelTenants[a.a%3], []string{"a", "b", "c", "nowhere"}[a.b%4])
 	case actEvacuate:
 		c.Evacuate(context.Background(), []string{"a", "b", "c"}[a.a%3])
@@ -290,7 +290,7 @@
 		if p, faults := c.settings.PlanCells(modelPlans()[a.a%3]); faults == nil {
 			c.Replan(context.Background(), p)
 		}
-	case actFinish:
+	case actShutdown:
 		if a.a%4 == 0 { // else nearly every script would end soon
 			c.BeginShutdown(time.Duration(a.b%4) * time.Second)
 		}
@@ -302,24 +302,24 @@
 
 func (w *world) report(a act) {
 	w.mu.Lock()
-	var open, over []*modelClaim
-	for _, c := range w.claims {
+	var open, over []*modelAttempt
+	for _, c := range w.attempts {
 		if c.ended {
 			over = append(over, c)
 		} else {
 			open = append(open, c)
 		}
 	}
-	var c *modelClaim
+	var c *modelAttempt
 	r := Report{Ended: true, Code: modelCodes[a.b%len(modelCodes)], Result: []byte("r")}
 	switch {
-	case a.kind == actEnd && len(open) > 0:
+	case a.kind == actComplete && len(open) > 0:
 		c = open[a.a%len(open)]
 		c.stop(r.Code, a.c%2 == 0 || r.Code == foxlift.Served)
-	case a.kind == actEndAgain && len(over) > 0: // late, doubled, or against the first word
+	case a.kind == actCompleteAgain && len(over) > 0: // late, doubled, or against the first word
 		c = over[a.a%len(over)]
-	case a.kind == actNote && len(w.claims) > 0:
-		c = w.claims[a.a%len(w.claims)]
+	case a.kind == actProgress && len(w.attempts) > 0:
+		c = w.attempts[a.a%len(w.attempts)]
 		r = Report{Progress: a.b%2 == 0}
 	}
 	w.mu.Unlock()
@@ -329,16 +329,16 @@
 }
 
 func (w *world) cellOf(node string) (int, bool) {
-	if s := w.core.scheme.Load(); s != nil {
+	if s := w.core.placement.Load(); s != nil {
 		return s.layout.NodeCell(node)
 	}
 	return 0, false
 }
 
-func (w *world) list(a act) {
+func (w *world) updateEndpoints(a act) {
 	var list []foxlift.Worker
 	w.mu.Lock()
-	for i := range modelNodes {
+	for i := range modelWorkers {
 		if a.b%3 == 0 && i%2 == 0 { // a part of it
 			continue
 		}
@@ -360,16 +360,16 @@
 	for _, x := range list {
 		live[x.ID] = x.State == foxlift.Live
 	}
-	for i := range modelNodes {
+	for i := range modelWorkers {
 		id := fmt.Sprint("n", i)
 		told, named := live[id]
 		if !named && kind != foxlift.EndpointsComplete {
 			continue
 		}
 		if told {
-			delete(w.drained, id)
-		} else if _, ok := w.drained[id]; !ok {
-			w.drained[id] = time.Now()
+			delete(w.notLiveSince, id)
+		} else if _, ok := w.notLiveSince[id]; !ok {
+			w.notLiveSince[id] = time.Now()
 		}
 	}
 	w.mu.Unlock()
@@ -377,12 +377,12 @@
 }
 
 // finish lets all that is open come to its end.
-func (w *world) finish() {
+func (w *world) drain() {
 	for range 200 {
 		synctest.Wait()
 		w.mu.Lock()
-		var open []*modelClaim
-		for _, c := range w.claims {
+		var open []*modelAttempt
+		for _, c := range w.attempts {
 			if !c.ended {
 				c.stop(foxlift.Served, true)
 				open = append(open, c)
@@ -397,92 +397,92 @@
 }
 
 // judge checks what must hold at the end.
-func (w *world) judge() {
+func (w *world) checkFinalState() {
 	for _, j := range w.jobs {
 		if len(j.answers) != 1 {
-			w.breaks("%s has %d answers: %+v", j.ID, len(j.answers), j.answers)
+			w.violate("%s has %d answers: %+v", j.ID, len(j.answers), j.answers)
 		}
 	}
-	w.core.operate(context.Background(), func(c *Core) {
-		if len(c.jobs) != 0 || len(c.open) != 0 || len(c.keys) != 0 {
-			w.breaks("%d jobs, %d open, %d keys are left", len(c.jobs), len(c.open), len(c.keys))
+	w.core.call(context.Background(), func(c *Core) {
+		if len(c.jobs) != 0 || len(c.open) != 0 || len(c.jobsByKey) != 0 {
+			w.violate("%d jobs, %d open, %d keys are left", len(c.jobs), len(c.open), len(c.jobsByKey))
 		}
-		if n := c.counters.Get("jobs.overdue"); n > 0 && c.endBy == 0 {
-			w.breaks("the modules forgot %d jobs", n)
+		if n := c.counters.Get("jobs.overdue"); n > 0 && c.shutdownDeadline == 0 {
+			w.violate("the modules forgot %d jobs", n)
 		}
 		for _, cl := range c.cells {
-			if !cl.module.Idle() || cl.spillsOut != 0 || len(cl.leaving) != 0 {
-				w.breaks("cell %q: idle %v, %d spilled, %d leaving", cl.name, cl.module.Idle(), cl.spillsOut, len(cl.leaving))
+			if !cl.module.Idle() || cl.spilled != 0 || len(cl.leaving) != 0 {
+				w.violate("cell %q: idle %v, %d spilled, %d leaving", cl.name, cl.module.Idle(), cl.spilled, len(cl.leaving))
 			}
 		}
-		for id, n := range c.known {
-			if len(n.out) != 0 {
-				w.breaks("%s: %v is counted out", id, n.out)
+		for id, n := range c.byID {
+			if len(n.inFlight) != 0 {
+				w.violate("%s: %v is counted out", id, n.inFlight)
 			}
 		}
-		if s := c.scheme.Load(); s != nil {
-			for i := range s.jobs {
-				if open, _, _ := s.gate.Open(i); open != 0 {
-					w.breaks("cell %d: %d places are taken", i, open)
+		if s := c.placement.Load(); s != nil {
+			for i := range s.jobBounds {
+				if open, _, _ := s.admission.Open(i); open != 0 {
+					w.violate("cell %d: %d places are taken", i, open)
 				}
 			}
 		}
 	})
 	for _, j := range w.jobs {
-		if j.Class == "ratify" && !w.history(j) {
-			w.breaks("%s: no order of what happened fits a register that may be written once: %s", j.ID, w.story(j))
+		if j.Class == "ratify" && !w.linearizable(j) {
+			w.violate("%s: no order of what happened fits a register that may be written once: %s", j.ID, w.describe(j))
 		}
 	}
 }
 
 // A touch is an operation of a job's history: a run of it on a node, or what its
 // submitter was told.
-type touch struct {
+type registerOp struct {
 	run     bool
 	verdict Verdict
 }
 
 // The register: an at-most-once job that has run cannot run again, one that was refused
 // cannot run later, and one that is served has run.
-type register struct{ ran, refused bool }
+type register struct{ hasRun, shed bool }
 
 var onceModel = porcupine.Model{
 	Init: func() any { return register{} },
 	Step: func(state, input, _ any) (bool, any) {
-		r, x := state.(register), input.(touch)
+		r, x := state.(register), input.(registerOp)
 		switch {
 		case x.run:
-			return !r.ran && !r.refused, register{true, r.refused}
+			return !r.hasRun && !r.shed, register{true, r.shed}
 		case x.verdict == Served:
-			return r.ran, r
+			return r.hasRun, r
 		case x.verdict == Shed:
-			return !r.ran, register{r.ran, true}
+			return !r.hasRun, register{r.hasRun, true}
 		}
 		return true, r
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
 
-func (w *world) history(j *modelJob) bool {
+func (w *world) linearizable(j *modelJob) bool {
 	var ops []porcupine.Operation
 	if len(j.answers) > 0 && j.answers[0].Verdict != Rejected {
-		ops = append(ops, porcupine.Operation{Input: touch{verdict: j.answers[0].Verdict}, Call: int64(j.asked), Return: int64(j.at)})
+		ops = append(ops, porcupine.Operation{Input: registerOp{verdict: j.answers[0].Verdict}, Call: int64(j.submittedAt), Return: int64(j.answeredAt)})
 	}
-	for i, c := range w.claims {
+	for i, c := range w.attempts {
 		// An id that was refused may come again, and run then.
-		later := c.job != j && len(j.answers) > 0 && j.answers[0].Verdict == Shed && c.sent >= j.at
+		later := c.job != j && len(j.answers) > 0 && j.answers[0].Verdict == Shed && c.sentAt >= j.answeredAt
 		if c.job.sameAs(j) && c.job.Class == "ratify" && c.ran && !later {
-			ops = append(ops, porcupine.Operation{ClientId: i + 1, Input: touch{run: true}, Call: int64(c.sent), Return: int64(c.end)})
+			ops = append(ops, porcupine.Operation{ClientId: i + 1, Input: registerOp{run: true}, Call: int64(c.sentAt), Return: int64(c.endedAt)})
 		}
 	}
 	return porcupine.CheckOperations(onceModel, ops)
 }
 
-func (w *world) story(j *modelJob) string {
-	s := fmt.Sprintf("asked at %v, %+v at %v", j.asked, j.answers, j.at)
-	for _, c := range w.claims {
+func (w *world) describe(j *modelJob) string {
+	s := fmt.Sprintf("asked at %v, %+v at %v", j.submittedAt, j.answers, j.answeredAt)
+	for _, c := range w.attempts {
 		if c.job == j {
-			s += fmt.Sprintf("; on %s from %v to %v: %d, ran %v", c.node, c.sent, c.end, c.code, c.ran)
+			s += fmt.Sprintf("; on %s from %v to %v: %d, ran %v", c.worker, c.sentAt, c.endedAt, c.code, c.ran)
 		}
 	}
 	return s
@@ -492,8 +492,8 @@
 func modelProperty(t *testing.T, rt *rapid.T) {
 	kind := rapid.Custom(func(rt *rapid.T) int {
 		// Jobs and ends of claims come more often than the rest.
-		return rapid.SampledFrom(slices.Concat(slices.Repeat([]int{actSubmit}, 10), slices.Repeat([]int{actEnd}, 8), slices.Repeat([]int{actWait}, 4),
-			[]int{actRepeat, actLeave, actNote, actNote, actEndAgain, actList, actList, actMove, actMove, actEvacuate, actRestore, actReplan, actFinish})).Draw(rt, "kind")
+		return rapid.SampledFrom(slices.Concat(slices.Repeat([]int{actSubmit}, 10), slices.Repeat([]int{actComplete}, 8), slices.Repeat([]int{actWait}, 4),
+			[]int{actResubmit, actDisconnect, actProgress, actProgress, actCompleteAgain, actEndpoints, actEndpoints, actMigrate, actMigrate, actEvacuate, actRestore, actReplan, actShutdown})).Draw(rt, "kind")
 	})
 	n := rapid.IntRange(1, 80).Draw(rt, "acts")
 	var script []act
@@ -519,10 +519,10 @@
 
 // The oracles see: histories that break the register's rules are told from those that
 // do not.
-func TestRegisterSees(t *testing.T) {
-	w := &world{began: time.Now()}
+func TestRegisterModel(t *testing.T) {
+	w := &world{startedAt: time.Now()}
 	claim := func(j *modelJob, from, to time.Duration, ran bool) {
-		w.claims = append(w.claims, &modelClaim{job: j, sent: from, end: to, ended: true, ran: ran})
+		w.attempts = append(w.attempts, &modelAttempt{job: j, sentAt: from, endedAt: to, ended: true, ran: ran})
 	}
 	for name, c := range map[string]struct {
 		verdict Verdict
@@ -539,11 +539,11 @@
 		"failed, ran or not":   {Failed, 9, [][2]time.Duration{{1, 2}}, true},
 		"served before it ran": {Served, 3, [][2]time.Duration{{4, 5}}, false},
 	} {
-		j := &modelJob{Job: &Job{ID: name, Class: "ratify"}, world: w, at: c.at, answers: []Answer{{Verdict: c.verdict}}}
+		j := &modelJob{Job: &Job{ID: name, Class: "ratify"}, world: w, answeredAt: c.at, answers: []Answer{{Verdict: c.verdict}}}
 		for _, r := range c.runs {
 			claim(j, r[0], r[1], true)
 		}
-		if got := w.history(j); got != c.want {
+		if got := w.linearizable(j); got != c.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
--- a/internal/core/node_table.go
+++ b/internal/core/node_table.go
@@ -8,41 +8,41 @@
 )
 
 // An entry is a node of the machine list.
-type entry struct {
+type workerEntry struct {
 	foxlift.Worker
-	number int64             // in the order first told
-	cell   *cell             // whose module decides on it; nil before it was live
-	out    map[*cell]float64 // slots of claims on it that are out, by the cell that sent them
+	number   int64             // in the order first told
+	cell     *cell             // whose module decides on it; nil before it was live
+	inFlight map[*cell]float64 // slots of claims on it that are out, by the cell that sent them
 
-	foreign float64 // slots of claims on it that another process has out
-	isGone  bool    // it is in nodeTable.gone
+	otherProcessSlots float64 // slots of claims on it that another process has out
+	isRemoved         bool    // it is in workerTable.gone
 }
 
-// A nodeTable is the core's own copy of the machine list. A change of the list costs what it names,
+// A workerTable is the core's own copy of the machine list. A change of the list costs what it names,
 // not what the list holds.
-type nodeTable struct {
-	known    map[string]*entry
-	order    []*entry // of known, as first told
-	gone     []*entry // to be forgotten once nothing is out there
-	everTold int64    // nodes
-	live     int
+type workerTable struct {
+	byID       map[string]*workerEntry
+	order      []*workerEntry // of known, as first told
+	removed    []*workerEntry // to be forgotten once nothing is out there
+	lastNumber int64          // nodes
+	liveCount  int
 }
 
-func newNodeTable() nodeTable { return nodeTable{known: map[string]*entry{}} }
+func newWorkerTable() workerTable { return workerTable{byID: map[string]*workerEntry{}} }
 
 // note takes in news of the list.
-func (t *nodeTable) note(kind foxlift.EndpointUpdate, workers []foxlift.Worker) {
+func (t *workerTable) update(kind foxlift.EndpointUpdate, workers []foxlift.Worker) {
 	if kind != foxlift.EndpointsDelta {
 		for _, n := range t.order {
 			t.setState(n, foxlift.Removed)
 		}
 	}
 	for _, w := range workers {
-		n := t.known[w.ID]
+		n := t.byID[w.ID]
 		if n == nil {
-			t.everTold++
-			n = &entry{Worker: foxlift.Worker{ID: w.ID, State: foxlift.Removed}, number: t.everTold, out: map[*cell]float64{}}
-			t.known[w.ID] = n
+			t.lastNumber++
+			n = &workerEntry{Worker: foxlift.Worker{ID: w.ID, State: foxlift.Removed}, number: t.lastNumber, inFlight: map[*cell]float64{}}
+			t.byID[w.ID] = n
 			t.order = append(t.order, n)
 		}
 		state := w.State
@@ -53,39 +53,39 @@
 }
 
 // setState notes how a node is.
-func (t *nodeTable) setState(n *entry, state foxlift.WorkerState) {
+func (t *workerTable) setState(n *workerEntry, state foxlift.WorkerState) {
 	if n.State == foxlift.Live {
-		t.live--
+		t.liveCount--
 	}
 	if state == foxlift.Live {
-		t.live++
+		t.liveCount++
 	}
 	n.State = state
-	if state == foxlift.Removed && !n.isGone {
-		n.isGone = true
-		t.gone = append(t.gone, n)
+	if state == foxlift.Removed && !n.isRemoved {
+		n.isRemoved = true
+		t.removed = append(t.removed, n)
 	}
 }
 
-// fewForgotten is the most nodes that are taken out of the order one by one.
-const fewForgotten = 64
+// maxSingleRemovals is the most nodes that are taken out of the order one by one.
+const maxSingleRemovals = 64
 
 // prune forgets nodes that are gone, once nothing is out there.
-func (t *nodeTable) prune() {
-	var old []*entry
-	t.gone = slices.DeleteFunc(t.gone, func(n *entry) bool {
-		if n.isGone = n.State == foxlift.Removed; !n.isGone {
+func (t *workerTable) prune() {
+	var old []*workerEntry
+	t.removed = slices.DeleteFunc(t.removed, func(n *workerEntry) bool {
+		if n.isRemoved = n.State == foxlift.Removed; !n.isRemoved {
 			return true // it is back
 		}
-		if len(n.out) > 0 {
+		if len(n.inFlight) > 0 {
 			return false
 		}
-		delete(t.known, n.ID)
+		delete(t.byID, n.ID)
 		old = append(old, n)
 		return true
 	})
-	if len(old) > fewForgotten {
-		t.order = slices.DeleteFunc(t.order, func(n *entry) bool { return t.known[n.ID] != n })
+	if len(old) > maxSingleRemovals {
+		t.order = slices.DeleteFunc(t.order, func(n *workerEntry) bool { return t.byID[n.ID] != n })
 		return
 	}
 	for _, n := range old {
@@ -96,4 +96,4 @@
 }
 
 // byNumber orders entries as they were first told.
-func byNumber(a, b *entry) int { return cmp.Compare(a.number, b.number) }
+func byNumber(a, b *workerEntry) int { return cmp.Compare(a.number, b.number) }
--- a/internal/core/node_table_test.go
+++ b/internal/core/node_table_test.go
@@ -10,13 +10,13 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// A plainTable does what a nodeTable does by going over all nodes at each change.
-type plainTable struct {
+// A modelTable does what a workerTable does by going over all nodes at each change.
+type modelTable struct {
 	states map[string]foxlift.WorkerState
 	order  []string
 }
 
-func (p *plainTable) note(kind foxlift.EndpointUpdate, workers []foxlift.Worker, busy map[string]bool) {
+func (p *modelTable) update(kind foxlift.EndpointUpdate, workers []foxlift.Worker, busy map[string]bool) {
 	if kind != foxlift.EndpointsDelta {
 		for id := range p.states {
 			p.states[id] = foxlift.Removed
@@ -39,9 +39,9 @@
 
 // The table holds the same nodes in the same order as one that looks at all of them, whatever comes:
 // whole lists, changes, nodes that go with claims out and come back.
-func TestNodeTableIsLikeAPlainOne(t *testing.T) {
+func TestWorkerTableMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table, plain := newNodeTable(), plainTable{states: map[string]foxlift.WorkerState{}}
+		table, plain := newWorkerTable(), modelTable{states: map[string]foxlift.WorkerState{}}
 		busy, holder := map[string]bool{}, &cell{}
 		for range rapid.IntRange(1, 30).Draw(t, "events") {
 			kind := rapid.SampledFrom([]foxlift.EndpointUpdate{foxlift.EndpointsDelta, foxlift.EndpointsComplete, foxlift.EndpointsCached}).Draw(t, "kind")
@@ -50,28 +50,28 @@
 				state := rapid.SampledFrom([]foxlift.WorkerState{foxlift.Live, foxlift.Draining, foxlift.Removed}).Draw(t, "state")
 				workers = append(workers, foxlift.Worker{ID: fmt.Sprint("n", i), State: state})
 			}
-			table.note(kind, workers)
+			table.update(kind, workers)
 			table.prune()
-			plain.note(kind, workers, busy)
+			plain.update(kind, workers, busy)
 			var order []string
 			live := 0
 			for _, n := range table.order {
 				order = append(order, n.ID)
-				if table.known[n.ID] != n || n.State != plain.states[n.ID] {
+				if table.byID[n.ID] != n || n.State != plain.states[n.ID] {
 					t.Fatalf("%s is %v, want %v", n.ID, n.State, plain.states[n.ID])
 				}
 				if n.State == foxlift.Live {
 					live++
 				}
 			}
-			if !slices.Equal(order, plain.order) || len(table.known) != len(order) || table.live != live {
-				t.Fatalf("%v, want %v; %d known, %d live, counted %d", order, plain.order, len(table.known), live, table.live)
+			if !slices.Equal(order, plain.order) || len(table.byID) != len(order) || table.liveCount != live {
+				t.Fatalf("%v, want %v; %d known, %d live, counted %d", order, plain.order, len(table.byID), live, table.liveCount)
 			}
-			for id, n := range table.known {
+			for id, n := range table.byID {
 				if busy[id] = rapid.Bool().Draw(t, "busy"); busy[id] {
-					n.out[holder] = 1
+					n.inFlight[holder] = 1
 				} else {
-					delete(n.out, holder)
+					delete(n.inFlight, holder)
 				}
 			}
 		}
--- a/internal/core/operate.go
+++ b/internal/core/operate.go
@@ -36,7 +36,7 @@
 	Bound     int // on those
 	InFlight  int // claims that have not ended
 	Queued    int // jobs that wait in the module
-	SpillsOut int // of its jobs, in the cell that it spills into
+	Spilled   int // of its jobs, in the cell that it spills into
 	Served    int64
 	Shed      int64 // by the module or for want of a node
 	Failed    int64
@@ -62,23 +62,23 @@
 }
 
 // operation is an operator's request: done on the core's goroutine.
-type operation struct {
+type operatorCall struct {
 	do   func(*Core)
 	done chan struct{}
 }
 
-func (o operation) apply(c *Core) {
+func (o operatorCall) apply(c *Core) {
 	o.do(c)
 	close(o.done)
 }
 
 // operate runs do on the core's goroutine and waits for it, or for ctx to end.
-func (c *Core) operate(ctx context.Context, do func(*Core)) error {
-	o := operation{do, make(chan struct{})}
+func (c *Core) call(ctx context.Context, do func(*Core)) error {
+	o := operatorCall{do, make(chan struct{})}
 	select {
 	case c.inbox <- o:
 	case <-c.stopped:
-		return errEnding
+		return errShuttingDown
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -86,7 +86,7 @@
 	case <-o.done:
 		return nil
 	case <-c.stopped:
-		return errEnding
+		return errShuttingDown
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -94,8 +94,8 @@
 
 // Cells returns the state of all cells.
 func (c *Core) Cells(ctx context.Context) (states []CellState, err error) {
-	if err := c.operate(ctx, func(c *Core) {
-		if c.scheme.Load() == nil {
+	if err := c.call(ctx, func(c *Core) {
+		if c.placement.Load() == nil {
 			err = ErrNoCells
 			return
 		}
@@ -107,23 +107,23 @@
 }
 
 func (c *Core) cellStates() []CellState {
-	s := c.scheme.Load()
+	s := c.placement.Load()
 	p := s.layout.Plan()
 	states := make([]CellState, len(c.cells))
 	at := map[*cell]*CellState{}
 	now, warm := c.clock.Now(), c.settings.Module.SlowStartDuration
 	for i, cl := range c.cells {
 		states[i] = CellState{
-			Name: cl.name, Retired: cl.retired, Evacuated: cl.evacuated, SpillsOut: cl.spillsOut,
-			Served: cl.booked[Served], Shed: cl.booked[Shed], Failed: cl.booked[Failed],
+			Name: cl.name, Retired: cl.retired, Evacuated: cl.evacuated, Spilled: cl.spilled,
+			Served: cl.answers[Served], Shed: cl.answers[Shed], Failed: cl.answers[Failed],
 		}
 		x := &states[i]
 		at[cl] = x
 		if cl.retired {
 			continue
 		}
-		x.Fraction, x.Condition = p.Share(i), c.condition(i)
-		_, x.Bound, x.Rejected = s.gate.Open(i)
+		x.Fraction, x.Condition = p.Share(i), c.cellCondition(i)
+		_, x.Bound, x.Rejected = s.admission.Open(i)
 		for t, name := range p.TenantNames() {
 			if s.layout.Lives(t, i) {
 				x.Tenants = append(x.Tenants, TenantState{name, s.layout.Moved(t), cl.quotas[t]})
@@ -132,19 +132,19 @@
 	}
 	for _, n := range c.order {
 		if x := at[n.cell]; x != nil && n.State != foxlift.Removed {
-			out := n.out[n.cell]
+			out := n.inFlight[n.cell]
 			x.Workers = append(x.Workers, WorkerState{
 				ID: n.ID, Kind: n.Kind, Zone: n.Zone, State: n.State, InFlight: out,
-				InSlowStart: n.StartedAt != 0 && now-n.StartedAt < warm, ExternalSlots: n.seenBy(n.cell).ExternalSlots,
+				InSlowStart: n.StartedAt != 0 && now-n.StartedAt < warm, ExternalSlots: n.forCell(n.cell).ExternalSlots,
 			})
 		}
 	}
 	for _, j := range c.jobs {
 		x := at[j.cell]
-		x.InFlight += j.out
+		x.InFlight += j.inFlight
 		if !j.answered.Load() {
 			x.Open++
-			if j.out == 0 {
+			if j.inFlight == 0 {
 				x.Queued++
 			}
 		}
@@ -154,18 +154,18 @@
 
 // change runs one change of the map on the core's goroutine. do returns the new
 // layout; nothing is done if it returns an error.
-func (c *Core) change(ctx context.Context, do func(*cells.Layout) (*cells.Layout, error)) (m Migration, err error) {
-	if err := c.operate(ctx, func(c *Core) {
-		s := c.scheme.Load()
+func (c *Core) changeLayout(ctx context.Context, do func(*cells.Layout) (*cells.Layout, error)) (m Migration, err error) {
+	if err := c.call(ctx, func(c *Core) {
+		s := c.placement.Load()
 		switch {
 		case s == nil:
 			err = ErrNoCells
-		case c.endBy > 0:
-			err = errEnding
+		case c.shutdownDeadline > 0:
+			err = errShuttingDown
 		default:
 			var l *cells.Layout
 			if l, err = do(s.layout); err == nil {
-				m = c.adopt(s.layout, s.with(l))
+				m = c.adoptPlacement(s.layout, s.withLayout(l))
 			}
 		}
 	}); err != nil {
@@ -176,25 +176,25 @@
 
 // adopt makes a scheme the one that holds: modules hear of their new shares, and
 // jobs that wait go over. old is the layout that held before.
-func (c *Core) adopt(old *cells.Layout, s *scheme) (m Migration) {
+func (c *Core) adoptPlacement(old *cells.Layout, s *placement) (m Migration) {
 	for t := range old.Plan().TenantNames() {
 		if !old.SamePlace(s.layout, t) {
 			m.Tenants++
 		}
 	}
-	c.scheme.Store(s)
+	c.placement.Store(s)
 	for i, cl := range c.cells {
 		if cl.retired {
 			continue
 		}
 		if q := s.layout.Quotas(i); !slices.Equal(q, cl.quotas) {
 			cl.quotas = q
-			cl.tell(foxlift.Event{Kind: foxlift.EventQuotas, Quotas: q})
+			cl.notify(foxlift.Event{Kind: foxlift.EventQuotas, Quotas: q})
 		}
 	}
-	m.Queued = c.rehomeAll()
+	m.Queued = c.reassignAll()
 	for _, j := range c.open {
-		if j.out > 0 && c.home(j.tenant, j.Key) != j.cell {
+		if j.inFlight > 0 && c.ownerCell(j.tenant, j.Key) != j.cell {
 			m.InFlight++
 		}
 	}
@@ -205,7 +205,7 @@
 // Move makes a cell the one of a tenant. Its new jobs go there from now on, and so
 // do those that wait; claims that are out finish where they are.
 func (c *Core) MigrateTenant(ctx context.Context, tenant, to string) (Migration, error) {
-	return c.change(ctx, func(l *cells.Layout) (*cells.Layout, error) {
+	return c.changeLayout(ctx, func(l *cells.Layout) (*cells.Layout, error) {
 		t, i := l.Plan().Tenant(tenant), l.Plan().Find(to)
 		if err := l.MayMove(t, i); err != nil {
 			return nil, err
@@ -220,12 +220,12 @@
 // Evacuate moves all tenants out of a cell and keeps spilled jobs from it, until
 // RestorePlacement.
 func (c *Core) Evacuate(ctx context.Context, name string) (Migration, error) {
-	return c.change(ctx, func(l *cells.Layout) (*cells.Layout, error) {
+	return c.changeLayout(ctx, func(l *cells.Layout) (*cells.Layout, error) {
 		i := l.Plan().Find(name)
 		if i < 0 {
 			return nil, cells.ErrUnknownCell
 		}
-		rescues, err := l.Evacuation(i, func(other int) bool { return c.condition(other) != cells.Unavailable })
+		rescues, err := l.Evacuation(i, func(other int) bool { return c.cellCondition(other) != cells.Unavailable })
 		if err != nil {
 			return nil, err
 		}
@@ -240,7 +240,7 @@
 // RestorePlacement puts back to where the file has it what Move and Evacuate changed: one
 // tenant, the tenants of one cell, or all where both names are empty.
 func (c *Core) RestorePlacement(ctx context.Context, tenant, name string) (Migration, error) {
-	return c.change(ctx, func(l *cells.Layout) (*cells.Layout, error) {
+	return c.changeLayout(ctx, func(l *cells.Layout) (*cells.Layout, error) {
 		p := l.Plan()
 		if tenant != "" && p.Tenant(tenant) < 0 {
 			return nil, cells.ErrUnknownTenant
@@ -268,14 +268,14 @@
 // have, others begin, and those that the plan lacks finish what they have out. What
 // Move and Evacuate changed before is over: the file says where tenants are.
 func (c *Core) Replan(ctx context.Context, p *cells.Plan) (m Migration, err error) {
-	if err := c.operate(ctx, func(c *Core) {
+	if err := c.call(ctx, func(c *Core) {
 		switch {
-		case c.scheme.Load() == nil:
+		case c.placement.Load() == nil:
 			err = ErrNoCells
-		case c.endBy > 0:
-			err = errEnding
+		case c.shutdownDeadline > 0:
+			err = errShuttingDown
 		default:
-			m, err = c.replan(p)
+			m, err = c.applyPlan(p)
 		}
 	}); err != nil {
 		return Migration{}, err
@@ -283,7 +283,7 @@
 	return m, err
 }
 
-func (c *Core) replan(p *cells.Plan) (Migration, error) {
+func (c *Core) applyPlan(p *cells.Plan) (Migration, error) {
 	old := map[string]*cell{}
 	for _, cl := range c.cells {
 		old[cl.name] = cl // of two with one name the one that is retired comes last, and lives again
@@ -294,7 +294,7 @@
 		cl := old[p.Name(i)]
 		if cl == nil {
 			var err error
-			if cl, err = c.planned(l, i); err != nil {
+			if cl, err = c.newPlannedCell(l, i); err != nil {
 				return Migration{}, err // nothing has changed yet
 			}
 		}
@@ -310,16 +310,16 @@
 		}
 	}
 	c.cells = now
-	before := c.scheme.Load().layout
+	before := c.placement.Load().layout
 	c.assigner = cells.NewAssigner(p)
-	s := newScheme(l, c.most)
-	c.scheme.Store(s)
+	s := newPlacement(l, c.maxOpen)
+	c.placement.Store(s)
 	for _, j := range c.open {
-		j.Job.reservation.leave()
+		j.Job.reservation.release()
 		i := l.Cell(j.tenant, j.Key)
-		s.gate.Take(i, j.tenant)
-		j.Job.reservation = place{s.gate, i, j.tenant}
+		s.admission.Take(i, j.tenant)
+		j.Job.reservation = reservation{s.admission, i, j.tenant}
 	}
-	c.spread(foxlift.EndpointsDelta, nil)
-	return c.adopt(before, c.scheme.Load()), nil
+	c.distribute(foxlift.EndpointsDelta, nil)
+	return c.adoptPlacement(before, c.placement.Load()), nil
 }
--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -15,8 +15,8 @@
 // Pool returns the state of the pool. It fails when ctx ends before the core's goroutine has come
 // to it, or when the core has stopped.
 func (c *Core) WorkerPool(ctx context.Context) (p WorkerPool, err error) {
-	err = c.operate(ctx, func(c *Core) {
-		for _, n := range c.known {
+	err = c.call(ctx, func(c *Core) {
+		for _, n := range c.byID {
 			if n.State != foxlift.Removed {
 				p.Size++
 			}
--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -5,40 +5,40 @@
 // Stage 5, relay: what execute nodes tell goes to the module, and the first
 // result to the submitter.
 
-type claimReported struct {
-	claim  *claim
-	report Report
+type attemptReported struct {
+	attempt *attempt
+	report  Report
 }
 
-func (e claimReported) apply(c *Core) {
-	cl := e.claim
+func (e attemptReported) apply(c *Core) {
+	cl := e.attempt
 	switch {
 	case e.report.Ended:
-		c.endClaim(cl, e.report)
+		c.finishAttempt(cl, e.report)
 	case cl.done: // late: its module may have the job anew, and count from 0 again
 	case e.report.Progress:
-		cl.cell.tell(cl.event(foxlift.EventProgress))
+		cl.cell.notify(cl.event(foxlift.EventProgress))
 	default:
-		cl.cell.tell(cl.event(foxlift.EventStarted))
+		cl.cell.notify(cl.event(foxlift.EventStarted))
 	}
 }
 
-// endClaim ends a claim once, with one outcome for the module.
-func (c *Core) endClaim(cl *claim, r Report) {
+// finishAttempt ends a claim once, with one outcome for the module.
+func (c *Core) finishAttempt(cl *attempt, r Report) {
 	if cl.done {
 		return
 	}
 	cl.done, cl.code = true, r.Code
-	cl.job.out--
-	c.count(cl, -1)
-	if cl.limit != nil {
-		cl.limit.Stop()
+	cl.job.inFlight--
+	c.countSlots(cl, -1)
+	if cl.timer != nil {
+		cl.timer.Stop()
 	}
-	if cl.withdraw != nil {
-		cl.withdraw() // no effect on one that has ended by itself
+	if cl.cancel != nil {
+		cl.cancel() // no effect on one that has ended by itself
 	}
 	if r.Code == foxlift.Served {
 		c.answer(cl.job, Answer{Verdict: Served, Result: r.Result})
 	}
-	c.bookClaim(cl, r)
+	c.recordOutcome(cl, r)
 }
--- a/internal/core/route.go
+++ b/internal/core/route.go
@@ -8,12 +8,12 @@
 
 // Stage 3, route: the module takes one step with all that is new, and its
 // actions are carried out in order. Some make news at once; then it steps again.
-func (c *Core) route() {
+func (c *Core) dispatch() {
 	for first := true; ; first = false {
 		stepped := false
 		for _, cl := range c.cells {
-			if len(cl.news) > 0 || first && len(c.cells) == 1 {
-				c.step(cl)
+			if len(cl.events) > 0 || first && len(c.cells) == 1 {
+				c.stepCell(cl)
 				stepped = true
 			}
 		}
@@ -25,17 +25,17 @@
 
 // step lets one cell's module take one step. Jobs that leave it have left it then,
 // and go on to where they belong.
-func (c *Core) step(cl *cell) {
-	news, leaving := cl.news, cl.leaving
-	cl.news, cl.leaving = nil, nil
+func (c *Core) stepCell(cl *cell) {
+	news, leaving := cl.events, cl.leaving
+	cl.events, cl.leaving = nil, nil
 	for _, a := range cl.module.Step(c.clock.Now(), news) {
-		c.carryOut(cl, &a)
+		c.execute(cl, &a)
 	}
 	for _, j := range leaving {
 		j.leaving = false
 		if !j.answered.Load() {
 			c.counters.Add("jobs.moved")
-			c.place(j)
+			c.assign(j)
 		}
 	}
 }
@@ -48,15 +48,15 @@
 	return nil
 }
 
-func (c *Core) carryOut(cl *cell, a *foxlift.Action) {
+func (c *Core) execute(cl *cell, a *foxlift.Action) {
 	switch a.Kind {
 	case foxlift.ActionSend:
 		if j := c.jobOf(cl, a.ID); j != nil {
 			c.send(j, a.Worker, a.Timeout)
 		}
 	case foxlift.ActionCancel:
-		if j := c.jobOf(cl, a.ID); j != nil && j.base+a.Attempt < len(j.claims) {
-			c.endClaim(j.claims[j.base+a.Attempt], Report{Ended: true, Code: foxlift.Cancelled})
+		if j := c.jobOf(cl, a.ID); j != nil && j.priorAttempts+a.Attempt < len(j.attempts) {
+			c.finishAttempt(j.attempts[j.priorAttempts+a.Attempt], Report{Ended: true, Code: foxlift.Cancelled})
 		}
 	case foxlift.ActionShed:
 		if j := c.jobOf(cl, a.ID); j != nil {
@@ -67,11 +67,11 @@
 			c.answer(j, Answer{Verdict: Failed, Reason: "given up"})
 		}
 	case foxlift.ActionTimer:
-		c.after(a.At-c.clock.Now(), timerDue{cl, a.Token})
+		c.after(a.At-c.clock.Now(), timerFired{cl, a.Token})
 	case foxlift.ActionHealthCheck:
 		c.counters.Add("probes.sent")
 		node, sent := a.Worker, c.clock.Now()
-		c.nodes.HealthCheck(node, func(r Report) { c.post(nodeProbed{cl, node, sent, r}) })
+		c.nodes.HealthCheck(node, func(r Report) { c.post(healthChecked{cl, node, sent, r}) })
 	case foxlift.ActionClose:
 		c.nodes.CloseIdle(a.Worker)
 	case foxlift.ActionMessage:
@@ -83,29 +83,29 @@
 	}
 }
 
-type timerDue struct {
+type timerFired struct {
 	cell  *cell
 	token uint64
 }
 
-func (e timerDue) apply(c *Core) {
-	if e.cell.retired && c.empty(e.cell) {
-		c.drop(e.cell)
+func (e timerFired) apply(c *Core) {
+	if e.cell.retired && c.hasNoJobs(e.cell) {
+		c.removeCell(e.cell)
 		return
 	}
-	e.cell.tell(foxlift.Event{Kind: foxlift.EventTimer, Token: e.token})
+	e.cell.notify(foxlift.Event{Kind: foxlift.EventTimer, Token: e.token})
 }
 
-type nodeProbed struct {
+type healthChecked struct {
 	cell   *cell
-	node   string
-	sent   int64
+	worker string
+	sentAt int64
 	report Report
 }
 
-func (e nodeProbed) apply(c *Core) {
-	e.cell.tell(foxlift.Event{
-		Kind: foxlift.EventHealthChecked, Worker: e.node, Code: e.report.Code, Took: c.clock.Now() - e.sent,
+func (e healthChecked) apply(c *Core) {
+	e.cell.notify(foxlift.Event{
+		Kind: foxlift.EventHealthChecked, Worker: e.worker, Code: e.report.Code, Took: c.clock.Now() - e.sentAt,
 		HasLoad: e.report.HasLoad, Load: e.report.Load,
 	})
 }
--- a/internal/core/takein.go
+++ b/internal/core/takein.go
@@ -10,14 +10,14 @@
 // for any front and gets its place in the table. What does not pass is answered
 // as Rejected, and neither the module nor an execute node hears of it.
 
-type jobArrived struct{ job *Job }
+type jobSubmitted struct{ job *Job }
 
-func (e jobArrived) apply(c *Core) {
-	class, tenant, reason := c.check(e.job)
+func (e jobSubmitted) apply(c *Core) {
+	class, tenant, reason := c.validate(e.job)
 	if reason != "" {
-		e.job.reservation.leave()
+		e.job.reservation.release()
 		if reason != repeatedID {
-			c.ids.Delete(e.job.ID)
+			c.idsInUse.Delete(e.job.ID)
 		}
 		c.counters.Add("jobs.rejected")
 		e.job.Client.Answer(Answer{Verdict: Rejected, Reason: reason})
@@ -27,27 +27,27 @@
 	// A submitter may claim to wait for years: nothing waits longer than its class.
 	longest := c.settings.Module.Classes[class].Deadline
 	wait := min(max(int64(e.job.Remaining), 0), longest)
-	c.numbered++
-	j := &job{Job: e.job, number: c.numbered, class: class, tenant: tenant, deadline: e.job.ArrivedAt + wait, cell: c.home(tenant, e.job.Key)}
+	c.lastNumber++
+	j := &job{Job: e.job, number: c.lastNumber, class: class, tenant: tenant, deadline: e.job.ArrivedAt + wait, cell: c.ownerCell(tenant, e.job.Key)}
 	c.jobs[j.number], c.open[j.ID] = j, j
 	c.active.Store(int64(len(c.open)))
 	// The module answers every job in time. Should it ever not, the submitter
 	// still gets an answer: a little later than the end of the last claim, which
 	// the module must hear of first.
-	end := j.deadline + int64(overdueAfter)
-	if c.endBy > 0 {
-		end = min(end, c.endBy) // whoever is killed then has lost no job
+	end := j.deadline + int64(overdueGrace)
+	if c.shutdownDeadline > 0 {
+		end = min(end, c.shutdownDeadline) // whoever is killed then has lost no job
 	}
-	j.overdue = c.after(end-c.clock.Now(), jobOverdue{j})
+	j.overdueTimer = c.after(end-c.clock.Now(), jobOverdue{j})
 	c.admit(j)
 }
 
-const overdueAfter = 30 * time.Millisecond // past the deadline; rules on sockets allow over 50
+const overdueGrace = 30 * time.Millisecond // past the deadline; rules on sockets allow over 50
 
 const repeatedID = "repeated id"
 
 // check looks up the job's class and tenant; reason says what is wrong with it.
-func (c *Core) check(j *Job) (class, tenant int, reason string) {
+func (c *Core) validate(j *Job) (class, tenant int, reason string) {
 	class, ok := c.settings.Classes[j.Class]
 	if !ok {
 		return 0, 0, "unknown class"
@@ -61,7 +61,7 @@
 			return 0, 0, "unknown tenant"
 		}
 	}
-	if _, answered := c.recent[j.ID]; answered || c.open[j.ID] != nil {
+	if _, answered := c.recentIDs[j.ID]; answered || c.open[j.ID] != nil {
 		return 0, 0, repeatedID
 	}
 	return class, tenant, ""
@@ -76,9 +76,9 @@
 	}
 }
 
-type submitterLeft struct{ job *Job }
+type clientLeft struct{ job *Job }
 
-func (e submitterLeft) apply(c *Core) {
+func (e clientLeft) apply(c *Core) {
 	// The id may be in use by another job, where this one was a repeat of it.
 	if j := c.open[e.job.ID]; j != nil && j.Job == e.job {
 		c.counters.Add("jobs.left")
@@ -87,19 +87,19 @@
 }
 
 // remember keeps an answered job's id for the longest deadline.
-func (c *Core) remember(id string, once bool) {
-	c.recent[id] = once
-	c.after(c.longest, idForgotten{id})
+func (c *Core) rememberID(id string, once bool) {
+	c.recentIDs[id] = once
+	c.after(c.maxDeadline, idExpired{id})
 }
 
-// An idForgotten ends the time in which an answered job's id may not come again. A
+// An idExpired ends the time in which an answered job's id may not come again. A
 // submitter that sends a job once more, instead of a new try with a new id, would
 // have it run twice.
-type idForgotten struct{ id string }
+type idExpired struct{ id string }
 
-func (e idForgotten) apply(c *Core) {
-	delete(c.recent, e.id)
-	c.ids.Delete(e.id)
+func (e idExpired) apply(c *Core) {
+	delete(c.recentIDs, e.id)
+	c.idsInUse.Delete(e.id)
 }
 
 // remaining is how long the job's submitter still waits.
