--- a/health.go
+++ b/health.go
@@ -181,8 +181,8 @@
 func (d *Dispatcher) slowStartAdmits(w *worker, work float64) bool {
 	sent, turn := d.slowStartSent(w), d.slowStartSlots.At(d.now)
 	most := d.minObjective * d.slowStartWeight(w) / d.cfg.SlowStartCapacity // in a turn
-	return d.slowStartSlots.Mine(turn, w.hash) &&
-		(sent+work <= most || sent == 0 && d.slowStartSlots.Heavy(turn, w.hash, work/most))
+	return d.slowStartSlots.Owned(turn, w.hash) &&
+		(sent+work <= most || sent == 0 && d.slowStartSlots.AllowsHeavy(turn, w.hash, work/most))
 }
 
 // lightest is the median running time of the class that has the least.
--- a/internal/checkpoint/checkpoint_test.go
+++ b/internal/checkpoint/checkpoint_test.go
@@ -159,7 +159,7 @@
 		zone                    = 558
 	)
 	missed := (Oldest+Every).Seconds()*changes + zone
-	if took := missed*entry/traffic + coldstart.AnswerWithin.Seconds(); took > coldstart.ToldWithin.Seconds() {
-		t.Errorf("the changes since take %.2f s, the list's clock has %v", took, coldstart.ToldWithin)
+	if took := missed*entry/traffic + coldstart.AnswerBudget.Seconds(); took > coldstart.MaxPropagationDelay.Seconds() {
+		t.Errorf("the changes since take %.2f s, the list's clock has %v", took, coldstart.MaxPropagationDelay)
 	}
 }
--- a/internal/coldstart/asker_test.go
+++ b/internal/coldstart/asker_test.go
@@ -11,7 +11,7 @@
 
 // A fleet plays askers against one discovery that serves calls one after another, by the
 // order in which they came, and refuses what has waited for patience. It has no real clock.
-type askers struct {
+type pollers struct {
 	n              int
 	cost, patience time.Duration
 	down           time.Duration // until then every call fails at once
@@ -40,13 +40,13 @@
 }
 
 // seen is what a play saw.
-type seen struct {
-	half, all      time.Duration // until half, and all, had an answer
-	calls, refused int
-	most           int // calls in one second
+type result struct {
+	half, all       time.Duration // until half, and all, had an answer
+	calls, rejected int
+	maxRate         int // calls in one second
 }
 
-func (f *askers) play(seed uint64) (r seen) {
+func (f *pollers) play(seed uint64) (r result) {
 	ticks := 0
 	after := func(at time.Duration, do func(time.Duration)) {
 		ticks++
@@ -64,12 +64,12 @@
 		}
 	}
 	for range f.n {
-		a := NewPollPacer(f.n, 20*time.Second, rand.New(rand.NewPCG(seed, rng.Uint64())))
+		a := NewPacer(f.n, 20*time.Second, rand.New(rand.NewPCG(seed, rng.Uint64())))
 		backoff := 250 * time.Millisecond
 		var ask func(now time.Duration)
 		failed := func(now, took time.Duration, o Outcome) {
-			r.refused++
-			pause := a.After(o, took)
+			r.rejected++
+			pause := a.NextDelay(o, took)
 			if f.naive {
 				backoff = min(2*backoff, 5*time.Second)
 				pause = backoff/2 + time.Duration(rng.Int64N(int64(backoff/2)))
@@ -79,7 +79,7 @@
 		ask = func(began time.Duration) {
 			r.calls++
 			seconds[began/time.Second]++
-			r.most = max(r.most, seconds[began/time.Second])
+			r.maxRate = max(r.maxRate, seconds[began/time.Second])
 			if began < f.down {
 				failed(began, 0, Unreachable)
 				return
@@ -103,12 +103,12 @@
 			after(began+f.patience, func(now time.Duration) {
 				if waits {
 					waits = false
-					failed(now, f.patience, Busy)
+					failed(now, f.patience, Overloaded)
 				}
 			})
 			serve(began)
 		}
-		after(a.First(), ask)
+		after(a.InitialDelay(), ask)
 	}
 	for len(f.events) > 0 {
 		e := heap.Pop(&f.events).(event)
@@ -119,31 +119,31 @@
 
 // One second's calls of all schedulers stay under a figure that does not grow with them, and
 // the last has its list soon after discovery could have answered all one after another.
-func TestAskersTogether(t *testing.T) {
+func TestFleetPollsDiscovery(t *testing.T) {
 	for _, n := range []int{1, 10, 100, 300, 1000} {
 		for _, down := range []time.Duration{0, 10 * time.Second} {
 			t.Run(fmt.Sprintf("%d, down %v", n, down), func(t *testing.T) {
-				var worst, before seen
+				var worst, before result
 				for seed := range uint64(10) {
-					play := func(naive bool, r *seen) {
-						f := askers{n: n, cost: 22 * time.Millisecond, patience: 2 * time.Second, down: down, naive: naive}
+					play := func(naive bool, r *result) {
+						f := pollers{n: n, cost: 22 * time.Millisecond, patience: 2 * time.Second, down: down, naive: naive}
 						s := f.play(seed)
-						*r = seen{max(r.half, s.half), max(r.all, s.all), max(r.calls, s.calls), max(r.refused, s.refused), max(r.most, s.most)}
+						*r = result{max(r.half, s.half), max(r.all, s.all), max(r.calls, s.calls), max(r.rejected, s.rejected), max(r.maxRate, s.maxRate)}
 					}
 					play(false, &worst)
 					play(true, &before)
 				}
 				t.Logf("half %.2f s, all %.2f s, calls %d, refused %d, in a second %d; before: %.2f s, %.2f s, %d, %d, %d",
-					worst.half.Seconds(), worst.all.Seconds(), worst.calls, worst.refused, worst.most,
-					before.half.Seconds(), before.all.Seconds(), before.calls, before.refused, before.most)
+					worst.half.Seconds(), worst.all.Seconds(), worst.calls, worst.rejected, worst.maxRate,
+					before.half.Seconds(), before.all.Seconds(), before.calls, before.rejected, before.maxRate)
 				least := down + time.Duration(n)*22*time.Millisecond
 				if limit := least + least/4 + 2*time.Second; worst.all > limit {
 					t.Errorf("the last has its list after %v, want %v", worst.all, limit)
 				}
-				if worst.most > 500 {
-					t.Errorf("%d calls in a second", worst.most)
+				if worst.maxRate > 500 {
+					t.Errorf("%d calls in a second", worst.maxRate)
 				}
-				// What is spared are calls, unless the list's clock (TestListsClock) asks for more: a
+				// What is spared are calls, unless the list's clock (TestPropagationDelay) asks for more: a
 				// refused call costs discovery no work, and all have their lists sooner for it.
 				if n == 300 && down == 0 && 10*worst.calls > 9*before.calls {
 					t.Errorf("%d calls, %d before", worst.calls, before.calls)
@@ -157,15 +157,15 @@
 }
 
 // Who was turned away more often comes back sooner, on average.
-func TestTurnedAwayComesBackSooner(t *testing.T) {
+func TestRejectedCallsRetrySooner(t *testing.T) {
 	mean := func(times int) (sum time.Duration) {
 		rng := rand.New(rand.NewPCG(1, 2))
 		for range 2000 {
-			a := NewPollPacer(300, 0, rng)
+			a := NewPacer(300, 0, rng)
 			for range times - 1 {
-				a.After(Busy, 2*time.Second)
+				a.NextDelay(Overloaded, 2*time.Second)
 			}
-			sum += a.After(Busy, 2*time.Second) / 2000
+			sum += a.NextDelay(Overloaded, 2*time.Second) / 2000
 		}
 		return sum
 	}
@@ -184,31 +184,31 @@
 		took        time.Duration
 		least, most time.Duration
 	}{
-		{"answered", 300, []Outcome{Busy, Busy}, false, Answered, time.Second, 0, 0},
+		{"answered", 300, []Outcome{Overloaded, Overloaded}, false, Answered, time.Second, 0, 0},
 		{"a few, down", 3, nil, false, Unreachable, 0, 50 * time.Millisecond, 100 * time.Millisecond},
 		{"a few, down for long", 3, slices.Repeat([]Outcome{Unreachable}, 20), false, Unreachable, 0, 50 * time.Millisecond, time.Second},
 		{"many, down", 300, nil, false, Unreachable, 0, 50 * time.Millisecond, 3 * time.Second},
-		{"many, turned away", 300, nil, false, Busy, 2 * time.Second, 50 * time.Millisecond, 2450 * time.Millisecond},
-		{"many, after a long wait", 300, nil, false, Busy, 3 * time.Second, 50 * time.Millisecond, 1450 * time.Millisecond},
-		{"many, refused at once", 1000, nil, false, Busy, 0, 50 * time.Millisecond, 4450 * time.Millisecond},
-		{"some, refused at once", 60, nil, false, Busy, 20 * time.Millisecond, 50 * time.Millisecond, 1200 * time.Millisecond},
-		{"many, after a silence", 300, []Outcome{Busy, Busy}, false, Silent, 4 * time.Second, 50 * time.Millisecond, 250 * time.Millisecond},
+		{"many, turned away", 300, nil, false, Overloaded, 2 * time.Second, 50 * time.Millisecond, 2450 * time.Millisecond},
+		{"many, after a long wait", 300, nil, false, Overloaded, 3 * time.Second, 50 * time.Millisecond, 1450 * time.Millisecond},
+		{"many, refused at once", 1000, nil, false, Overloaded, 0, 50 * time.Millisecond, 4450 * time.Millisecond},
+		{"some, refused at once", 60, nil, false, Overloaded, 20 * time.Millisecond, 50 * time.Millisecond, 1200 * time.Millisecond},
+		{"many, after a silence", 300, []Outcome{Overloaded, Overloaded}, false, TimedOut, 4 * time.Second, 50 * time.Millisecond, 250 * time.Millisecond},
 		{"a fleet without end", 1 << 40, nil, false, Unreachable, 0, 1725 * time.Millisecond, 3450 * time.Millisecond},
 		{"a few, moved", 3, nil, true, Unreachable, 0, 50 * time.Millisecond, 50 * time.Millisecond},
 		{"many, moved", 300, nil, true, Unreachable, 0, 50 * time.Millisecond, 500 * time.Millisecond},
-		{"faulty", 300, nil, false, Faulty, 0, 50 * time.Millisecond, 3 * time.Second},
+		{"faulty", 300, nil, false, Invalid, 0, 50 * time.Millisecond, 3 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var low, high time.Duration = time.Hour, 0
 			for seed := range uint64(500) {
-				a := NewPollPacer(c.n, 20*time.Second, rand.New(rand.NewPCG(seed, 1)))
+				a := NewPacer(c.n, 20*time.Second, rand.New(rand.NewPCG(seed, 1)))
 				for _, o := range c.before {
-					a.After(o, time.Second)
+					a.NextDelay(o, time.Second)
 				}
 				if c.moved {
-					a.Moved()
+					a.EndpointChanged()
 				}
-				pause := a.After(c.o, c.took)
+				pause := a.NextDelay(c.o, c.took)
 				low, high = min(low, pause), max(high, pause)
 			}
 			if low < c.least || high > c.most || high < c.most*4/5 {
@@ -219,15 +219,15 @@
 }
 
 // After a move that is never answered the fleet's bound holds again.
-func TestMovedEnds(t *testing.T) {
-	a := NewPollPacer(300, 0, rand.New(rand.NewPCG(1, 1)))
-	a.Moved()
-	for range movedTries {
-		a.After(Unreachable, 0)
+func TestNewEndpointBoundEnds(t *testing.T) {
+	a := NewPacer(300, 0, rand.New(rand.NewPCG(1, 1)))
+	a.EndpointChanged()
+	for range newEndpointAttempts {
+		a.NextDelay(Unreachable, 0)
 	}
 	var most time.Duration
 	for range 200 {
-		most = max(most, a.After(Unreachable, 0))
+		most = max(most, a.NextDelay(Unreachable, 0))
 	}
 	if most < 2500*time.Millisecond {
 		t.Errorf("pauses up to %v", most)
@@ -235,36 +235,36 @@
 }
 
 // From any moment at which discovery has a change and can be reached, a scheduler has it within
-// ToldWithin: over every sequence of outcomes of up to six calls, on virtual time, with each call
+// MaxPropagationDelay: over every sequence of outcomes of up to six calls, on virtual time, with each call
 // as long as it can be, each pause the longest of many draws, and the change made at the worst
 // moment of the last call that failed.
-func TestListsClock(t *testing.T) {
+func TestPropagationDelay(t *testing.T) {
 	kinds := []struct {
 		o         Outcome
 		took      time.Duration // 0 for Silent: the longest
 		reachable bool          // from its beginning; else it proves that discovery was not
 	}{
-		{Silent, 0, true}, {Silent, DialLimit, true}, {Unreachable, 0, false}, {Unreachable, DialLimit, true},
-		{Busy, 0, true}, {Busy, time.Second, true}, {Busy, 3 * time.Second, true}, {Faulty, 0, true},
+		{TimedOut, 0, true}, {TimedOut, DialTimeout, true}, {Unreachable, 0, false}, {Unreachable, DialTimeout, true},
+		{Overloaded, 0, true}, {Overloaded, time.Second, true}, {Overloaded, 3 * time.Second, true}, {Invalid, 0, true},
 	}
 	for _, n := range []int{1, 2, 5, 20, 80, 300, 1000} {
-		var play func(a *PollPacer, depth int)
-		play = func(a *PollPacer, depth int) {
+		var play func(a *Pacer, depth int)
+		play = func(a *Pacer, depth int) {
 			for _, k := range kinds {
 				took, pause := k.took, time.Duration(0)
-				if k.o == Silent && took == 0 {
-					took = a.Limit(waitMost) // it was broken as it began, and the change is as old
+				if k.o == TimedOut && took == 0 {
+					took = a.Timeout(maxWatchHold) // it was broken as it began, and the change is as old
 				}
 				next := *a
 				for range 12 {
 					next = *a
-					pause = max(pause, next.After(k.o, took))
+					pause = max(pause, next.NextDelay(k.o, took))
 				}
-				told := pause + answerTime + stepTime
+				told := pause + answerDelay + schedulingDelay
 				if k.reachable {
 					told += took
 				}
-				if told > ToldWithin {
+				if told > MaxPropagationDelay {
 					t.Fatalf("%d schedulers: after call %d (%+v) a change is known after %v", n, depth, k, told)
 				}
 				if depth < 6 {
@@ -272,21 +272,21 @@
 				}
 			}
 		}
-		play(NewPollPacer(n, 0, rand.New(rand.NewPCG(uint64(n), 1))), 1)
+		play(NewPacer(n, 0, rand.New(rand.NewPCG(uint64(n), 1))), 1)
 	}
 }
 
 // An agent serves one scheduler: what it has at the end of an outage is had well within the least
 // grace for drains, however many schedulers there are and however often it failed.
-func TestAgentIsAskedAgainAtOnce(t *testing.T) {
-	a := NewAgentPollPacer(rand.New(rand.NewPCG(1, 1)))
+func TestAgentIsPolledAgainAtOnce(t *testing.T) {
+	a := NewAgentPacer(rand.New(rand.NewPCG(1, 1)))
 	for range 200 {
-		for _, o := range []Outcome{Unreachable, Silent, Busy, Faulty} {
-			if pause := a.After(o, time.Second); pause > 100*time.Millisecond {
+		for _, o := range []Outcome{Unreachable, TimedOut, Overloaded, Invalid} {
+			if pause := a.NextDelay(o, time.Second); pause > 100*time.Millisecond {
 				t.Errorf("%d: asked again after %v", o, pause)
 			}
 		}
-		if limit := a.Wait() + a.Limit(0); limit > 2500*time.Millisecond || a.First() > 0 || a.DialLimit() > 500*time.Millisecond {
+		if limit := a.WatchHold() + a.Timeout(0); limit > 2500*time.Millisecond || a.InitialDelay() > 0 || a.DialTimeout() > 500*time.Millisecond {
 			t.Errorf("a silent watch is broken after %v", limit)
 		}
 	}
@@ -297,21 +297,21 @@
 func TestOversizedPausesGrow(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for _, n := range []int{1, 300, 1000} {
-		for _, a := range []*PollPacer{NewPollPacer(n, time.Second, rng), NewAgentPollPacer(rng)} {
+		for _, a := range []*Pacer{NewPacer(n, time.Second, rng), NewAgentPacer(rng)} {
 			for range 100 {
 				last := time.Duration(0)
 				for i := range 12 {
-					took := a.Limit(0)
-					pause := a.After(Oversized, took)
-					if i < 2 && took+pause+answerTime+stepTime > ToldWithin {
+					took := a.Timeout(0)
+					pause := a.NextDelay(Oversized, took)
+					if i < 2 && took+pause+answerDelay+schedulingDelay > MaxPropagationDelay {
 						t.Fatalf("%d schedulers: known after %v and a pause of %v", n, took, pause)
 					}
-					if pause < last/2 || i >= 7 && pause < 32*time.Second || pause > oversizedMost {
+					if pause < last/2 || i >= 7 && pause < 32*time.Second || pause > maxOversizedBackoff {
 						t.Fatalf("%d schedulers: pause %d is %v after one of %v", n, i, pause, last)
 					}
 					last = pause
 				}
-				a.After(Answered, 0)
+				a.NextDelay(Answered, 0)
 			}
 		}
 	}
--- a/internal/coldstart/turns_test.go
+++ b/internal/coldstart/turns_test.go
@@ -9,12 +9,12 @@
 
 // A turn at a node belongs to one scheduler, and each has one in as many as there are
 // schedulers; no more turns are in a window than it may be sent light jobs.
-func TestTurns(t *testing.T) {
+func TestSlotOwnership(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 400).Draw(t, "schedulers")
 		node, from := rapid.Uint64().Draw(t, "node"), rapid.Int64Range(0, 1<<61).Draw(t, "now")
 		jobs := rapid.Float64Range(0, 20).Draw(t, "jobs")
-		turns := NewTimeSlots(int64(time.Second), n, 0, jobs)
+		turns := NewSlots(int64(time.Second), n, 0, jobs)
 		if most := max(1, jobs); float64(time.Second)/float64(turns.length) > most*1.001 {
 			t.Fatalf("turns of %d ns for %g jobs a second", turns.length, jobs)
 		}
@@ -22,7 +22,7 @@
 		had := map[int]int{}
 		for w := first; w < first+int64(n); w++ {
 			for i := range n {
-				if turns.index = uint64(i); turns.Mine(w, node) {
+				if turns.index = uint64(i); turns.Owned(w, node) {
 					had[i]++
 					if turns.At(w*turns.length) != w || turns.At((w+1)*turns.length-1) != w {
 						t.Fatalf("turn %d is not from its start to its end", w)
@@ -40,18 +40,18 @@
 
 // Whatever two schedulers take their jobs for, heavy ones do not come in turns side by side,
 // and they come as often as the node bears.
-func TestHeavyTurns(t *testing.T) {
+func TestHeavySlotsAreSparse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		node := rapid.Uint64().Draw(t, "node")
 		one, other := rapid.Float64Range(1.0001, 1e6).Draw(t, "times"), rapid.Float64Range(1.0001, 1e6).Draw(t, "other")
 		w := rapid.Int64Range(0, 1<<33).Draw(t, "window")
-		var turns TimeSlots
-		if turns.Heavy(w, node, one) && turns.Heavy(w+1, node, other) {
+		var turns Slots
+		if turns.AllowsHeavy(w, node, one) && turns.AllowsHeavy(w+1, node, other) {
 			t.Fatal("two heavy turns side by side")
 		}
 		heavy := 0
 		for i := range int64(1 << 10) {
-			if turns.Heavy(w+i, node, 5) {
+			if turns.AllowsHeavy(w+i, node, 5) {
 				heavy++
 			}
 		}
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -31,7 +31,7 @@
 	}
 	c := &s.Module
 	c.PollEndpoints = true // the protocol has no other way, whatever the simulator's has
-	c.EndpointLease = int64(coldstart.ToldWithin + listLeaseGrace)
+	c.EndpointLease = int64(coldstart.MaxPropagationDelay + listLeaseGrace)
 	for i := range c.Classes {
 		if k := &c.Classes[i]; k.Effect == foxlift.Deduplicated {
 			k.KeyTTL = max(0, k.KeyTTL-keyMargin)
--- a/internal/lab/capacity/schedulers.go
+++ b/internal/lab/capacity/schedulers.go
@@ -37,8 +37,8 @@
 func watchCalls(schedulers int, rng *rand.Rand) float64 {
 	calls := 0
 	for range schedulers {
-		asker := coldstart.NewPollPacer(schedulers, 0, rng)
-		for at := time.Duration(0); at < watchedFor; at += asker.Wait() {
+		asker := coldstart.NewPacer(schedulers, 0, rng)
+		for at := time.Duration(0); at < watchedFor; at += asker.WatchHold() {
 			calls++
 		}
 	}
@@ -52,7 +52,7 @@
 		seconds := map[int]int{}
 		most := 0
 		for range schedulers {
-			second := int(math.Floor(coldstart.NewPollPacer(schedulers, 0, rng).First().Seconds()))
+			second := int(math.Floor(coldstart.NewPacer(schedulers, 0, rng).InitialDelay().Seconds()))
 			seconds[second]++
 			most = max(most, seconds[second])
 		}
--- a/internal/platform/caller.go
+++ b/internal/platform/caller.go
@@ -30,11 +30,11 @@
 	case errors.As(err, &oversizedError{}), errors.Is(err, errTooLong):
 		return coldstart.Oversized
 	case errors.As(err, &status) && status == http.StatusServiceUnavailable:
-		return coldstart.Busy
+		return coldstart.Overloaded
 	case errors.As(err, &wait) && wait.Timeout():
-		return coldstart.Silent
+		return coldstart.TimedOut
 	case errors.As(err, &status) || errors.Is(err, errList):
-		return coldstart.Faulty
+		return coldstart.Invalid
 	}
 	return coldstart.Unreachable
 }
@@ -53,7 +53,7 @@
 		return foxlift.FailureInvalid
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return foxlift.FailureDown
-	case outcome(err) == coldstart.Busy && took >= coldstart.QueuedLeast:
+	case outcome(err) == coldstart.Overloaded && took >= coldstart.MinQueueWait:
 		return foxlift.FailureBusy
 	}
 	return foxlift.FailureUnanswered
--- a/internal/platform/deployments_test.go
+++ b/internal/platform/deployments_test.go
@@ -131,7 +131,7 @@
 		s.Module.MaxPollInterval = int64(time.Minute)
 		longest := time.Duration(0)
 		for range 20 {
-			longest = max(longest, newMachines("", s, nil, zap.NewNop()).asker.First())
+			longest = max(longest, newMachines("", s, nil, zap.NewNop()).asker.InitialDelay())
 		}
 		if longest > 0 != spread {
 			t.Errorf("%s: the first call waits up to %v", how, longest)
--- a/internal/platform/listing_test.go
+++ b/internal/platform/listing_test.go
@@ -106,7 +106,7 @@
 		m := &machines{readAt: began.Add(c.read)}
 		check(t, fmt.Sprint("last read after ", c.read), m.waitEndLocked(began).Sub(began), c.wait)
 	}
-	if most := newMachines("", listSettings, nil, nil).asker.Limit(0); catchUpMost < most {
+	if most := newMachines("", listSettings, nil, nil).asker.Timeout(0); catchUpMost < most {
 		t.Errorf("waits %v for a call that may take %v", catchUpMost, most)
 	}
 }
@@ -160,7 +160,7 @@
 		case whole && (err != nil || len(l.Hosts) != 4000):
 			t.Errorf("a list of 4000 entries that came whole after its limit: %v", err)
 		case !whole:
-			check(t, "a list that stops", outcome(err), coldstart.Silent)
+			check(t, "a list that stops", outcome(err), coldstart.TimedOut)
 			if took := time.Since(began); took < listStalls {
 				t.Errorf("given up after %v", took)
 			}
--- a/internal/platform/machines.go
+++ b/internal/platform/machines.go
@@ -45,7 +45,7 @@
 	clock    func() int64                                 // the core's clock
 	changed  func(node string, state foxlift.WorkerState) // of each node that an answer names or leaves out
 	log      *zap.Logger
-	asker    *coldstart.PollPacer // the watch's alone
+	asker    *coldstart.Pacer // the watch's alone
 
 	lastWords time.Duration
 
@@ -71,11 +71,11 @@
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	m := &machines{
 		addr: addr, settings: s, tell: tell, log: log, entries: map[string]machine{}, whole: true,
-		asker: coldstart.NewPollPacer(s.Module.Dispatchers, longest, rng), lastWords: lastWords,
+		asker: coldstart.NewPacer(s.Module.Dispatchers, longest, rng), lastWords: lastWords,
 		wall: wallClock, clock: core.NewClock().Now, changed: func(string, foxlift.WorkerState) {}, confirm: func() {}, noteMove: func() {}, fail: func(foxlift.PollFailure) {},
 	}
 	if s.Pushed() {
-		m.asker = coldstart.NewAgentPollPacer(rng)
+		m.asker = coldstart.NewAgentPacer(rng)
 	}
 	return m
 }
@@ -242,7 +242,7 @@
 // again when the asker says so: it has the sum of all schedulers' calls in view, and an end
 // of the watch comes to all of them at once.
 func (m *machines) watch() {
-	for pause := m.asker.First(); ; {
+	for pause := m.asker.InitialDelay(); ; {
 		m.mu.Lock()
 		if m.stopped {
 			m.watching = false
@@ -251,7 +251,7 @@
 		}
 		if m.moved {
 			m.moved, pause = false, 0
-			m.asker.Moved()
+			m.asker.EndpointChanged()
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		addr := m.addr
@@ -272,7 +272,7 @@
 			continue
 		}
 		// A watch's wait is not one for its turn.
-		pause = m.asker.After(outcome(err), min(time.Since(began), m.asker.Limit(0)))
+		pause = m.asker.NextDelay(outcome(err), min(time.Since(began), m.asker.Timeout(0)))
 		if !urgent {
 			m.log.Warn("the watch on the machine list has ended", zap.String("discovery", addr), zap.Error(err), zap.Duration("next", pause))
 			m.fail(listFailure(err, time.Since(began)))
@@ -282,7 +282,7 @@
 
 // follow makes calls until one fails or ctx ends, and returns when that one began.
 func (m *machines) follow(ctx context.Context, addr string) (began time.Time, err error) {
-	c := &caller{ctx: ctx, addr: addr, dialLimit: m.asker.DialLimit(), reading: m.noteReading}
+	c := &caller{ctx: ctx, addr: addr, dialLimit: m.asker.DialTimeout(), reading: m.noteReading}
 	defer c.close()
 	// Discovery has little time for each of many schedulers, and what it does is
 	// priced by the line: only who has no list at all takes the whole one.
@@ -295,13 +295,13 @@
 	for began = time.Now(); ; began = time.Now() {
 		target, limit := pathMembers, m.listLimit()
 		if !whole {
-			wait := m.asker.Wait()
+			wait := m.asker.WatchHold()
 			version, answered := m.progress()
 			if !answered {
 				wait = firstWait // a discovery that is silent is known to be so soon after the start
 			}
 			target = fmt.Sprintf("%s?%s=%d&%s=%d", pathMembers, queryIndex, version, queryWait, wait.Milliseconds())
-			limit = m.asker.Limit(wait)
+			limit = m.asker.Timeout(wait)
 		}
 		err := m.call(c, target, limit)
 		// The core hears of an answer once the next call is out: nothing that
@@ -340,7 +340,7 @@
 			kind = foxlift.EndpointsComplete
 		}
 		whole = false
-		m.asker.After(coldstart.Answered, time.Since(began))
+		m.asker.NextDelay(coldstart.Answered, time.Since(began))
 	}
 }
 
@@ -356,9 +356,9 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if time.Now().Before(m.urgent) {
-		return min(switchLimit, m.asker.Limit(0))
+		return min(switchLimit, m.asker.Timeout(0))
 	}
-	return m.asker.Limit(0)
+	return m.asker.Timeout(0)
 }
 
 // call sends a call to discovery. The connection is noted before that: the answer may be there
--- a/internal/platform/rules_test.go
+++ b/internal/platform/rules_test.go
@@ -932,7 +932,7 @@
 		m := newMachines("", &config.Settings{Module: foxlift.Config{Dispatchers: dispatchers}}, nil, nil)
 		low, high := time.Hour, time.Duration(0)
 		for range 200 {
-			low, high = min(low, m.asker.Wait()), max(high, m.asker.Wait())
+			low, high = min(low, m.asker.WatchHold()), max(high, m.asker.WatchHold())
 		}
 		if low < 2550*time.Millisecond || high > 3400*time.Millisecond || high-low < 400*time.Millisecond {
 			t.Errorf("%d schedulers wait %v to %v", dispatchers, low, high)
--- a/state.go
+++ b/state.go
@@ -70,10 +70,10 @@
 	servedSlots      float64
 	poll             pollSchedule
 	lease            endpointLease
-	acceptingWorkers []*worker           // that have accepted a job lately
-	slowStartSlots   coldstart.TimeSlots // at young workers, where no rate is known
-	minObjective     float64             // the least aim: what a light job stands for there
-	endpointEvents   int64               // number of list events
+	acceptingWorkers []*worker       // that have accepted a job lately
+	slowStartSlots   coldstart.Slots // at young workers, where no rate is known
+	minObjective     float64         // the least aim: what a light job stands for there
+	endpointEvents   int64           // number of list events
 }
 
 // A job is a request that is held, in flight, or ended with attempts still out.
@@ -189,7 +189,7 @@
 	d.fleetScale = max(1, float64(cfg.Dispatchers)/smallFleetMax)
 	bears := cfg.OverloadMultiple * cfg.SlowStartCapacity * d.meanLimit() // slots, of a worker that has just started
 	d.minObjective = float64(aim)
-	d.slowStartSlots = coldstart.NewTimeSlots(cfg.OverloadWindow, cfg.Dispatchers, cfg.Index, bears*float64(cfg.OverloadWindow)/d.minObjective)
+	d.slowStartSlots = coldstart.NewSlots(cfg.OverloadWindow, cfg.Dispatchers, cfg.Index, bears*float64(cfg.OverloadWindow)/d.minObjective)
 	d.incarnation = byte(seed ^ seed>>32)
 	d.initTenants()
 	return d, nil
