--- a/internal/core/takein.go
+++ b/internal/core/accept.go
@@ -104,3 +104,39 @@
 
 // remaining is how long the job's submitter still waits.
 func (j *job) remaining(now int64) time.Duration { return time.Duration(j.deadline - now) }
+
+// Accept brings a job. It is answered once, through its Client: where its cell
+// has no room, at once and on the caller's goroutine, so that a flood of one cell
+// does not even stand in the way of the others' events.
+func (c *Core) Accept(j *Job) {
+	if s := c.placement.Load(); s != nil {
+		// An id that is in use first: to refuse it would promise that another try is
+		// harmless, while the job that has it runs.
+		if _, there := c.idsInUse.LoadOrStore(j.ID, struct{}{}); there {
+			c.counters.Add("jobs.rejected")
+			j.Client.Answer(Answer{Verdict: Rejected, Reason: repeatedID})
+			return
+		}
+		if !s.reserve(c, j) {
+			c.idsInUse.Delete(j.ID)
+			c.counters.Add("jobs.taken")
+			c.countShed(j)
+			c.counters.Add("jobs.cell_full")
+			j.Client.Answer(Answer{Verdict: Shed, RetryAfter: c.shedRetryAfter()})
+			return
+		}
+	}
+	c.post(jobSubmitted{j})
+}
+
+// Left says that a job's submitter has gone away. The answer still comes.
+func (c *Core) ClientDisconnected(j *Job) { c.post(clientLeft{j}) }
+
+// countShed counts the refusal of a job that has not been checked: its class may be unknown.
+func (c *Core) countShed(j *Job) {
+	if _, known := c.settings.Classes[j.Class]; known {
+		c.counters.AddPart(VerdictCounters[Shed], j.Class)
+		return
+	}
+	c.counters.Add(VerdictCounters[Shed])
+}
--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -40,12 +40,3 @@
 		Waited: max(0, c.clock.Now()-j.ArrivedAt), PriorAttempts: j.priorAttempts, AllowedWorkers: j.allowedWorkers,
 	}})
 }
-
-// countShed counts the refusal of a job that has not been checked: its class may be unknown.
-func (c *Core) countShed(j *Job) {
-	if _, known := c.settings.Classes[j.Class]; known {
-		c.counters.AddPart(VerdictCounters[Shed], j.Class)
-		return
-	}
-	c.counters.Add(VerdictCounters[Shed])
-}
--- a/internal/core/cell.go
+++ b/internal/core/cell.go
@@ -3,7 +3,6 @@
 // The cells of the core: each has a module of its own.
 
 import (
-	"errors"
 	"slices"
 
 	"github.com/vatu-meals/foxlift"
@@ -128,6 +127,3 @@
 		}
 	}
 }
-
-// errShuttingDown is the answer to whoever would change the map while the scheduler ends.
-var errShuttingDown = errors.New("the scheduler is ending")
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -4,12 +4,10 @@
 	"context"
 	"fmt"
 	"slices"
-	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
 
-	"github.com/anishathalye/porcupine"
 	"pgregory.net/rapid"
 
 	"github.com/vatu-meals/foxlift"
@@ -41,8 +39,10 @@
 	drainGrace       = 750 * time.Millisecond
 )
 
-var modelClasses = []string{"reading", "ratify", "seal"}
-var modelTenants = []string{"t", "u", "v"}
+var (
+	modelClasses = []string{"reading", "ratify", "seal"}
+	modelTenants = []string{"t", "u", "v"}
+)
 
 // An act is one action of a script; what a, b and c mean depends on its kind.
 type act struct{ kind, a, b, c int }
@@ -72,149 +72,6 @@
 	}
 }
 
-// A world is what the fakes know.
-type world struct {
-	core         *Core
-	startedAt    time.Time
-	jobs         []*modelJob
-	attempts     []*modelAttempt
-	notLiveSince map[string]time.Time // nodes that were told to be not live, since when
-
-	mu         sync.Mutex // the core's goroutine calls the fakes
-	violations []string
-}
-
-type modelJob struct {
-	*Job
-	world       *world
-	submittedAt time.Duration
-	answers     []Answer
-	answeredAt  time.Duration // of the first answer
-}
-
-type modelAttempt struct {
-	job     *modelJob
-	worker  string
-	sentAt  time.Duration
-	ended   bool
-	code    foxlift.Code
-	ran     bool
-	endedAt time.Duration
-	report  func(Report)
-}
-
-func (w *world) now() time.Duration { return time.Since(w.startedAt) }
-
-func (w *world) violate(format string, args ...any) {
-	w.violations = append(w.violations, fmt.Sprintf("%v: ", w.now())+fmt.Sprintf(format, args...))
-}
-
-// provesNothingRan is the protocol's table of endings, written again: the model must
-// not believe what it judges.
-var provesNothingRan = map[foxlift.Code]bool{foxlift.Saturated: true, foxlift.Unreachable: true, foxlift.NotSent: true}
-
-// sameAs reports whether two submissions count as one job: an id is remembered while it
-// is in use and for the longest deadline after its answer, no longer.
-func (j *modelJob) sameAs(o *modelJob) bool {
-	if j.answeredAt > o.answeredAt && len(o.answers) > 0 {
-		j, o = o, j
-	}
-	return j == o || j.ID == o.ID && (len(j.answers) == 0 || o.submittedAt < j.answeredAt+modelMaxDeadline)
-}
-
-// mayHaveRun is the truth as the scheduler can know it. It goes by id: what a front
-// takes twice must not run twice either.
-func (w *world) mayHaveRun(j *modelJob) bool {
-	return j.Class == "ratify" && w.firstMayHaveRun(j) != nil
-}
-
-// firstMayHaveRun is the first claim of a job that may have run, or may yet; nil: none.
-func (w *world) firstMayHaveRun(j *modelJob) *modelAttempt {
-	for _, c := range w.attempts {
-		if c.job.sameAs(j) && c.job.Class == j.Class && (!c.ended || !provesNothingRan[c.code]) {
-			return c
-		}
-	}
-	return nil
-}
-
-// Answer implements Client.
-func (j *modelJob) Disconnected() bool { return false }
-
-func (j *modelJob) Answer(a Answer) {
-	w := j.world
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if len(j.answers) == 0 {
-		j.answeredAt = w.now()
-	}
-	j.answers = append(j.answers, a)
-	if a.Verdict == Shed && j.Class == "ratify" && w.mayHaveRun(j) {
-		w.violate("%s is told that another try is harmless, and may have run", j.ID)
-	}
-	if a.Verdict == Shed && a.RetryAfter > 2*time.Second {
-		w.violate("%s is told to wait %v", j.ID, a.RetryAfter)
-	}
-}
-
-const sealWindow = 2 * time.Second
-
-// Send implements Nodes.
-func (w *world) Send(node string, job *Job, limits AttemptLimits, report func(Report)) func() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	j := job.Client.(*modelJob)
-	sent := 0
-	for _, c := range w.attempts {
-		if c.job == j {
-			sent++
-		}
-	}
-	if sent >= modelMaxAttempts {
-		w.violate("%s is sent for the %dth time", j.ID, sent+1)
-	}
-	if j.Class == "ratify" && w.mayHaveRun(j) {
-		w.violate("%s is sent again, and may have run", j.ID)
-	}
-	if len(j.answers) > 0 {
-		w.violate("%s is sent after its answer", j.ID)
-	}
-	if since, ok := w.notLiveSince[node]; ok && time.Since(since) > drainGrace {
-		w.violate("%s is sent to %s, which drains for %v", j.ID, node, time.Since(since))
-	}
-	if first := w.firstMayHaveRun(j); j.Class == "seal" && first != nil {
-		if zone := func(node string) int { return int(node[1]) % 2 }; zone(node) != zone(first.worker) {
-			w.violate("%s is sent to %s, and may have run on %s in the other zone", j.ID, node, first.worker)
-		}
-		if age := w.now() - first.sentAt; age > sealWindow || limits.WriteWithin <= 0 || age+limits.WriteWithin > sealWindow+time.Millisecond {
-			w.violate("%s is sent within %v, and may have run %v ago", j.ID, limits.WriteWithin, age)
-		}
-	}
-	if limits.Remaining <= 0 {
-		w.violate("%s is sent when its time is over", j.ID)
-	}
-	c := &modelAttempt{job: j, worker: node, sentAt: w.now(), report: report}
-	w.attempts = append(w.attempts, c)
-	return func() {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		c.stop(foxlift.Cancelled, true)
-	}
-}
-
-// stop notes how a claim really ended.
-func (c *modelAttempt) stop(code foxlift.Code, ran bool) {
-	if !c.ended {
-		c.ended, c.code, c.ran, c.endedAt = true, code, ran && !provesNothingRan[code], c.job.world.now()
-	}
-}
-
-func (w *world) CloseIdle(string) {}
-func (w *world) HealthCheck(_ string, report func(Report)) {
-	report(Report{Ended: true, Code: foxlift.Served})
-}
-func (w *world) Watch() {}
-
 // playScript plays a script and returns what it broke, and some figures.
 func playScript(t *testing.T, script []act, withCells bool) (broken []string, w *world) {
 	synctest.Test(t, func(t *testing.T) {
@@ -297,8 +154,10 @@
 	}
 }
 
-var modelCodes = []foxlift.Code{foxlift.Served, foxlift.Served, foxlift.Served, foxlift.WorkerError, foxlift.Saturated, foxlift.DeadlineExceeded,
-	foxlift.Unreachable, foxlift.Reset, foxlift.NotSent}
+var modelCodes = []foxlift.Code{
+	foxlift.Served, foxlift.Served, foxlift.Served, foxlift.WorkerError, foxlift.Saturated, foxlift.DeadlineExceeded,
+	foxlift.Unreachable, foxlift.Reset, foxlift.NotSent,
+}
 
 func (w *world) report(a act) {
 	w.mu.Lock()
@@ -435,59 +294,6 @@
 	}
 }
 
-// A touch is an operation of a job's history: a run of it on a node, or what its
-// submitter was told.
-type registerOp struct {
-	run     bool
-	verdict Verdict
-}
-
-// The register: an at-most-once job that has run cannot run again, one that was refused
-// cannot run later, and one that is served has run.
-type register struct{ hasRun, shed bool }
-
-var onceModel = porcupine.Model{
-	Init: func() any { return register{} },
-	Step: func(state, input, _ any) (bool, any) {
-		r, x := state.(register), input.(registerOp)
-		switch {
-		case x.run:
-			return !r.hasRun && !r.shed, register{true, r.shed}
-		case x.verdict == Served:
-			return r.hasRun, r
-		case x.verdict == Shed:
-			return !r.hasRun, register{r.hasRun, true}
-		}
-		return true, r
-	},
-	Equal: func(a, b any) bool { return a == b },
-}
-
-func (w *world) linearizable(j *modelJob) bool {
-	var ops []porcupine.Operation
-	if len(j.answers) > 0 && j.answers[0].Verdict != Rejected {
-		ops = append(ops, porcupine.Operation{Input: registerOp{verdict: j.answers[0].Verdict}, Call: int64(j.submittedAt), Return: int64(j.answeredAt)})
-	}
-	for i, c := range w.attempts {
-		// An id that was refused may come again, and run then.
-		later := c.job != j && len(j.answers) > 0 && j.answers[0].Verdict == Shed && c.sentAt >= j.answeredAt
-		if c.job.sameAs(j) && c.job.Class == "ratify" && c.ran && !later {
-			ops = append(ops, porcupine.Operation{ClientId: i + 1, Input: registerOp{run: true}, Call: int64(c.sentAt), Return: int64(c.endedAt)})
-		}
-	}
-	return porcupine.CheckOperations(onceModel, ops)
-}
-
-func (w *world) describe(j *modelJob) string {
-	s := fmt.Sprintf("asked at %v, %+v at %v", j.submittedAt, j.answers, j.answeredAt)
-	for _, c := range w.attempts {
-		if c.job == j {
-			s += fmt.Sprintf("; on %s from %v to %v: %d, ran %v", c.worker, c.sentAt, c.endedAt, c.code, c.ran)
-		}
-	}
-	return s
-}
-
 // modelProperty draws a script and plays it.
 func modelProperty(t *testing.T, rt *rapid.T) {
 	kind := rapid.Custom(func(rt *rapid.T) int {
@@ -516,35 +322,3 @@
 		rapid.MakeFuzz(func(rt *rapid.T) { modelProperty(t, rt) })(t, data)
 	})
 }
-
-// The oracles see: histories that break the register's rules are told from those that
-// do not.
-func TestRegisterModel(t *testing.T) {
-	w := &world{startedAt: time.Now()}
-	claim := func(j *modelJob, from, to time.Duration, ran bool) {
-		w.attempts = append(w.attempts, &modelAttempt{job: j, sentAt: from, endedAt: to, ended: true, ran: ran})
-	}
-	for name, c := range map[string]struct {
-		verdict Verdict
-		at      time.Duration
-		runs    [][2]time.Duration
-		want    bool
-	}{
-		"served":               {Served, 9, [][2]time.Duration{{1, 5}}, true},
-		"served, never run":    {Served, 9, nil, false},
-		"twice":                {Served, 9, [][2]time.Duration{{1, 3}, {4, 5}}, false},
-		"refused, never run":   {Shed, 9, nil, true},
-		"refused, then run":    {Shed, 3, [][2]time.Duration{{4, 5}}, false},
-		"run, then refused":    {Shed, 9, [][2]time.Duration{{1, 2}}, false},
-		"failed, ran or not":   {Failed, 9, [][2]time.Duration{{1, 2}}, true},
-		"served before it ran": {Served, 3, [][2]time.Duration{{4, 5}}, false},
-	} {
-		j := &modelJob{Job: &Job{ID: name, Class: "ratify"}, world: w, answeredAt: c.at, answers: []Answer{{Verdict: c.verdict}}}
-		for _, r := range c.runs {
-			claim(j, r[0], r[1], true)
-		}
-		if got := w.linearizable(j); got != c.want {
-			t.Errorf("%s: %v", name, got)
-		}
-	}
-}
--- a/internal/lab/mutants.go
+++ b/internal/lab/mutants.go
@@ -12,14 +12,14 @@
 var Mutants = []Mutant{
 	{
 		Name:    "a job is answered twice",
-		File:    "internal/core/book.go",
+		File:    "internal/core/record.go",
 		Old:     "if j.answered.Load() {\n\t\treturn\n\t}",
 		Package: "./internal/core",
 		Run:     modelFuzz,
 	},
 	{
 		Name:    "an answer is forgotten",
-		File:    "internal/core/book.go",
+		File:    "internal/core/record.go",
 		Old:     "\tj.Client.Answer(a)\n",
 		New:     "\tif j.number%5 != 0 {\n\t\tj.Client.Answer(a)\n\t}\n",
 		Package: "./internal/core",
@@ -81,14 +81,14 @@
 	},
 	{
 		Name:    "a moved job is lost between modules",
-		File:    "internal/core/route.go",
+		File:    "internal/core/dispatch.go",
 		Old:     "\t\t\tc.assign(j)\n",
 		Package: "./internal/core",
 		Run:     modelFuzz,
 	},
 	{
 		Name:    "a moved job stays with its old module",
-		File:    "internal/core/cell_jobs.go",
+		File:    "internal/core/cell_assign.go",
 		Old:     "\tj.cell.notify(foxlift.Event{Kind: foxlift.EventClientDisconnected, ID: j.number})\n}",
 		New:     "}",
 		Package: "./internal/core",
@@ -96,14 +96,14 @@
 	},
 	{
 		Name:    "an answered id may come again",
-		File:    "internal/core/book.go",
+		File:    "internal/core/record.go",
 		Old:     "\tc.rememberID(j.ID, c.settings.Module.Classes[j.class].Effect != foxlift.Idempotent)\n",
 		Package: "./internal/core",
 		Run:     modelFuzz,
 	},
 	{
 		Name:    "an id in use may come again",
-		File:    "internal/core/takein.go",
+		File:    "internal/core/accept.go",
 		Old:     "answered || c.open[j.ID] != nil",
 		New:     "answered",
 		Package: "./internal/core",
@@ -111,14 +111,14 @@
 	},
 	{
 		Name:    "a place at the gate is never left",
-		File:    "internal/core/cell_scheme.go",
+		File:    "internal/core/cell_placement.go",
 		Old:     "p.admission.Leave(p.cell, p.tenant)",
 		Package: "./internal/core",
 		Run:     modelFuzz,
 	},
 	{
 		Name:    "a refused spill is not counted down",
-		File:    "internal/core/cell_jobs.go",
+		File:    "internal/core/cell_assign.go",
 		Old:     "\tj.endSpill()\n\tj.cell = c.cells[way.Cell]",
 		New:     "\tj.cell = c.cells[way.Cell]",
 		Package: "./internal/core",
@@ -133,7 +133,7 @@
 	},
 	{
 		Name:    "a key's job is never counted down",
-		File:    "internal/core/book.go",
+		File:    "internal/core/record.go",
 		Old:     "\tc.releaseKey(j)\n",
 		Package: "./internal/core",
 		Run:     modelFuzz,
