--- a/internal/checkpoint/checkpoint.go
+++ b/internal/checkpoint/checkpoint.go
@@ -21,7 +21,7 @@
 //	((Oldest + Every) x changes a second + a zone) x bytes a change / bytes a second + answer <= clock
 //
 // With the figures of docs/CAPACITY.md (0.116 changes/s of 141 bytes, a zone of 558 workers, 24 KB/s;
-// 1.55 s for a call and its answer of the clock's 6 s, see internal/coldstart) that is 5.97 s.
+// 1.55 s for a call and its answer of the clock's 6 s, see internal/pollpacing) that is 5.97 s.
 const (
 	Look   = time.Second      // between two looks at the list's version
 	Every  = 30 * time.Second // between two lists that are written
--- a/internal/checkpoint/checkpoint_test.go
+++ b/internal/checkpoint/checkpoint_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"github.com/vatu-meals/foxlift/internal/coldstart"
 	"github.com/vatu-meals/foxlift/internal/counters"
 	"github.com/vatu-meals/foxlift/internal/platform"
+	"github.com/vatu-meals/foxlift/internal/pollpacing"
 	"github.com/vatu-meals/foxlift/internal/statefile"
 )
 
@@ -159,7 +159,7 @@
 		zone                    = 558
 	)
 	missed := (Oldest+Every).Seconds()*changes + zone
-	if took := missed*entry/traffic + coldstart.AnswerBudget.Seconds(); took > coldstart.MaxPropagationDelay.Seconds() {
-		t.Errorf("the changes since take %.2f s, the list's clock has %v", took, coldstart.MaxPropagationDelay)
+	if took := missed*entry/traffic + pollpacing.AnswerBudget.Seconds(); took > pollpacing.MaxPropagationDelay.Seconds() {
+		t.Errorf("the changes since take %.2f s, the list's clock has %v", took, pollpacing.MaxPropagationDelay)
 	}
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"github.com/vatu-meals/foxlift"
-	"github.com/vatu-meals/foxlift/internal/coldstart"
+	"github.com/vatu-meals/foxlift/internal/pollpacing"
 )
 
 // maxTime bounds every time in the settings: sums and multiples of them stay numbers.
@@ -31,7 +31,7 @@
 	}
 	c := &s.Module
 	c.PollEndpoints = true // the protocol has no other way, whatever the simulator's has
-	c.EndpointLease = int64(coldstart.MaxPropagationDelay + listLeaseGrace)
+	c.EndpointLease = int64(pollpacing.MaxPropagationDelay + listLeaseGrace)
 	for i := range c.Classes {
 		if k := &c.Classes[i]; k.Effect == foxlift.Deduplicated {
 			k.KeyTTL = max(0, k.KeyTTL-keyMargin)
--- a/internal/lab/capacity/schedulers.go
+++ b/internal/lab/capacity/schedulers.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/vatu-meals/foxlift/internal/coldstart"
+	"github.com/vatu-meals/foxlift/internal/pollpacing"
 )
 
 // Discovery's calls are counted on a virtual clock, with the scheduler's own pauses and waits. A call
@@ -37,7 +37,7 @@
 func watchCalls(schedulers int, rng *rand.Rand) float64 {
 	calls := 0
 	for range schedulers {
-		asker := coldstart.NewPacer(schedulers, 0, rng)
+		asker := pollpacing.NewPacer(schedulers, 0, rng)
 		for at := time.Duration(0); at < watchedFor; at += asker.WatchHold() {
 			calls++
 		}
@@ -52,7 +52,7 @@
 		seconds := map[int]int{}
 		most := 0
 		for range schedulers {
-			second := int(math.Floor(coldstart.NewPacer(schedulers, 0, rng).InitialDelay().Seconds()))
+			second := int(math.Floor(pollpacing.NewPacer(schedulers, 0, rng).InitialDelay().Seconds()))
 			seconds[second]++
 			most = max(most, seconds[second])
 		}
--- a/internal/platform/call_limit.go
+++ b/internal/platform/call_limit.go
@@ -3,7 +3,7 @@
 import "time"
 
 // How long the reading of a list may go on past the limit of its call. A list of today's fleets is
-// within listKept and keeps the list's clock (internal/coldstart). A longer one takes its time, to
+// within listKept and keeps the list's clock (internal/pollpacing). A longer one takes its time, to
 // send and to decode: to break it off while it arrives would only begin it anew.
 const (
 	listKept   = 128 << 10              // bytes of a list for which the call's limit has to do
--- a/internal/platform/caller.go
+++ b/internal/platform/caller.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"github.com/vatu-meals/foxlift"
-	"github.com/vatu-meals/foxlift/internal/coldstart"
+	"github.com/vatu-meals/foxlift/internal/pollpacing"
 )
 
 // errList says that an answer is not a list, or not one that was asked for.
@@ -23,20 +23,20 @@
 func (e statusError) Error() string { return fmt.Sprintf("status %d", int(e)) }
 
 // outcome says what a failed call tells of discovery.
-func outcome(err error) coldstart.Outcome {
+func outcome(err error) pollpacing.Outcome {
 	var status statusError
 	var wait net.Error
 	switch {
 	case errors.As(err, &oversizedError{}), errors.Is(err, errTooLong):
-		return coldstart.Oversized
+		return pollpacing.Oversized
 	case errors.As(err, &status) && status == http.StatusServiceUnavailable:
-		return coldstart.Overloaded
+		return pollpacing.Overloaded
 	case errors.As(err, &wait) && wait.Timeout():
-		return coldstart.TimedOut
+		return pollpacing.TimedOut
 	case errors.As(err, &status) || errors.Is(err, errList):
-		return coldstart.Invalid
+		return pollpacing.Invalid
 	}
-	return coldstart.Unreachable
+	return pollpacing.Unreachable
 }
 
 // An answerError is a failure after discovery had begun to answer with a list: it can be reached.
@@ -53,7 +53,7 @@
 		return foxlift.FailureInvalid
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return foxlift.FailureDown
-	case outcome(err) == coldstart.Overloaded && took >= coldstart.MinQueueWait:
+	case outcome(err) == pollpacing.Overloaded && took >= pollpacing.MinQueueWait:
 		return foxlift.FailureBusy
 	}
 	return foxlift.FailureUnanswered
--- a/internal/platform/listing_test.go
+++ b/internal/platform/listing_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"github.com/vatu-meals/foxlift/internal/coldstart"
 	"github.com/vatu-meals/foxlift/internal/config"
+	"github.com/vatu-meals/foxlift/internal/pollpacing"
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
@@ -160,7 +160,7 @@
 		case whole && (err != nil || len(l.Hosts) != 4000):
 			t.Errorf("a list of 4000 entries that came whole after its limit: %v", err)
 		case !whole:
-			check(t, "a list that stops", outcome(err), coldstart.TimedOut)
+			check(t, "a list that stops", outcome(err), pollpacing.TimedOut)
 			if took := time.Since(began); took < listStalls {
 				t.Errorf("given up after %v", took)
 			}
@@ -224,7 +224,7 @@
 		t.Error(err)
 	}
 	_, err := decodeListing(strings.NewReader(text), 9)
-	check(t, "one too many", outcome(fmt.Errorf("%w: %w", errList, err)), coldstart.Oversized)
+	check(t, "one too many", outcome(fmt.Errorf("%w: %w", errList, err)), pollpacing.Oversized)
 }
 
 // The decoder takes what json.Unmarshal takes, and the same of it, but for a second "hosts".
--- a/internal/platform/machines.go
+++ b/internal/platform/machines.go
@@ -13,12 +13,12 @@
 	"go.uber.org/zap"
 
 	"github.com/vatu-meals/foxlift"
-	"github.com/vatu-meals/foxlift/internal/coldstart"
 	"github.com/vatu-meals/foxlift/internal/config"
 	"github.com/vatu-meals/foxlift/internal/core"
+	"github.com/vatu-meals/foxlift/internal/pollpacing"
 )
 
-// The list's clock is in coldstart: how long a watch is held, when a silent call is broken, when
+// The list's clock is in internal/pollpacing: how long a watch is held, when a silent call is broken, when
 // the next one is made. A watch that falls silent costs the news of as long as it may last: on
 // join+mass only 6 in 100 of 300 schedulers heard of a release when they waited 55 s.
 //
@@ -45,7 +45,7 @@
 	clock    func() int64                                 // the core's clock
 	changed  func(node string, state foxlift.WorkerState) // of each node that an answer names or leaves out
 	log      *zap.Logger
-	asker    *coldstart.Pacer // the watch's alone
+	asker    *pollpacing.Pacer // the watch's alone
 
 	lastWords time.Duration
 
@@ -71,11 +71,11 @@
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	m := &machines{
 		addr: addr, settings: s, tell: tell, log: log, entries: map[string]machine{}, whole: true,
-		asker: coldstart.NewPacer(s.Module.Dispatchers, longest, rng), lastWords: lastWords,
+		asker: pollpacing.NewPacer(s.Module.Dispatchers, longest, rng), lastWords: lastWords,
 		wall: wallClock, clock: core.NewClock().Now, changed: func(string, foxlift.WorkerState) {}, confirm: func() {}, noteMove: func() {}, fail: func(foxlift.PollFailure) {},
 	}
 	if s.Pushed() {
-		m.asker = coldstart.NewAgentPacer(rng)
+		m.asker = pollpacing.NewAgentPacer(rng)
 	}
 	return m
 }
@@ -340,7 +340,7 @@
 			kind = foxlift.EndpointsComplete
 		}
 		whole = false
-		m.asker.NextDelay(coldstart.Answered, time.Since(began))
+		m.asker.NextDelay(pollpacing.Answered, time.Since(began))
 	}
 }
 
--- a/internal/coldstart/asker.go
+++ b/internal/pollpacing/pacer.go
@@ -1,8 +1,8 @@
-// Package coldstart decides when a scheduler that knows little asks discovery, so that all
+// Package pollpacing decides when a scheduler that knows little asks discovery, so that all
 // schedulers of a fleet together spare it though they neither see nor tell each other
 // anything. It has no I/O and no clock: the caller says what came of each call and waits as
 // it is told.
-package coldstart
+package pollpacing
 
 import (
 	"math/rand/v2"
--- a/internal/coldstart/asker_test.go
+++ b/internal/pollpacing/pacer_test.go
@@ -1,4 +1,4 @@
-package coldstart
+package pollpacing
 
 import (
 	"container/heap"
--- a/internal/coldstart/turns_test.go
+++ b/internal/slowstart/slots_test.go
@@ -1,4 +1,4 @@
-package coldstart
+package slowstart
 
 import (
 	"testing"
--- a/sites_test.go
+++ b/sites_test.go
@@ -40,8 +40,9 @@
 	}
 	any := regexp.MustCompile(`\b(` + strings.Join(names, "|") + `)\b`)
 	files := 0
-	for _, root := range []string{".", "cmd/foxlift", "internal/cells", "internal/coldstart", "internal/config", "internal/control",
-		"internal/core", "internal/counters", "internal/daemon", "internal/logging", "internal/platform"} {
+	for _, root := range []string{".", "cmd/foxlift", "internal/cells", "internal/config", "internal/control",
+		"internal/core", "internal/counters", "internal/daemon", "internal/logging", "internal/platform",
+		"internal/pollpacing", "internal/slowstart"} {
 		paths, err := fs.Glob(os.DirFS(root), "*.go")
 		if err != nil {
 			t.Fatal(err)
--- a/state.go
+++ b/state.go
@@ -8,7 +8,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"github.com/vatu-meals/foxlift/internal/coldstart"
+	"github.com/vatu-meals/foxlift/internal/slowstart"
 )
 
 // A Dispatcher makes the decisions of one scheduler. It sees only its own traffic.
@@ -71,7 +71,7 @@
 	poll             pollSchedule
 	lease            endpointLease
 	acceptingWorkers []*worker       // that have accepted a job lately
-	slowStartSlots   coldstart.Slots // at young workers, where no rate is known
+	slowStartSlots   slowstart.Slots // at young workers, where no rate is known
 	minObjective     float64         // the least aim: what a light job stands for there
 	endpointEvents   int64           // number of list events
 }
@@ -189,7 +189,7 @@
 	d.fleetScale = max(1, float64(cfg.Dispatchers)/smallFleetMax)
 	bears := cfg.OverloadMultiple * cfg.SlowStartCapacity * d.meanLimit() // slots, of a worker that has just started
 	d.minObjective = float64(aim)
-	d.slowStartSlots = coldstart.NewSlots(cfg.OverloadWindow, cfg.Dispatchers, cfg.Index, bears*float64(cfg.OverloadWindow)/d.minObjective)
+	d.slowStartSlots = slowstart.NewSlots(cfg.OverloadWindow, cfg.Dispatchers, cfg.Index, bears*float64(cfg.OverloadWindow)/d.minObjective)
 	d.incarnation = byte(seed ^ seed>>32)
 	d.initTenants()
 	return d, nil
