--- a/internal/checkpoint/checkpoint.go
+++ b/internal/checkpoint/checkpoint.go
@@ -43,10 +43,10 @@
 
 // A Source is whose list is kept.
 type Source interface {
-	// ListVersion returns the version of the list, and whether it was told since the start.
-	ListVersion() (version int64, told bool)
-	// SaveList returns the list; false where none was told since the start.
-	SaveList() (*platform.SavedList, bool)
+	// EndpointsVersion returns the version of the list, and whether it was told since the start.
+	EndpointsVersion() (version int64, told bool)
+	// SnapshotEndpoints returns the list; false where none was told since the start.
+	SnapshotEndpoints() (*platform.EndpointSnapshot, bool)
 }
 
 // A Keeper keeps the list of one scheduler. It is not safe for concurrent use.
@@ -73,27 +73,27 @@
 // Load returns the list that was kept, in discovery's form, if it can be used now with a discovery. The
 // error is os.ErrNotExist where there is none.
 func (k *Writer) Load(discovery string, now time.Time) ([]byte, error) {
-	var saved platform.SavedList
+	var saved platform.EndpointSnapshot
 	if err := k.file.Read(&saved); err != nil {
 		return nil, err
 	}
 	if saved.Discovery != discovery {
 		return nil, ErrForeign
 	}
-	if age := now.Sub(saved.At); age > Oldest || age < -Ahead {
+	if age := now.Sub(saved.TakenAt); age > Oldest || age < -Ahead {
 		return nil, fmt.Errorf("%w: by %v", ErrOld, age.Round(time.Second))
 	}
-	if err := platform.CheckKnown(saved.List); err != nil {
+	if err := platform.ValidateCachedEndpoints(saved.Endpoints); err != nil {
 		return nil, fmt.Errorf("%w: %w", statefile.ErrUnreadable, err)
 	}
-	k.kept, k.version, k.at, k.seen = true, saved.Version, saved.At, saved.Version
-	return saved.List, nil
+	k.kept, k.version, k.at, k.seen = true, saved.Version, saved.TakenAt, saved.Version
+	return saved.Endpoints, nil
 }
 
 // Keep looks at the list's version, and writes the list if that is due. A list that cannot be written is
 // counted and tried again.
 func (k *Writer) Keep(source Source, now time.Time) error {
-	version, told := source.ListVersion()
+	version, told := source.EndpointsVersion()
 	if !told {
 		return nil
 	}
@@ -124,14 +124,14 @@
 
 // Flush writes the list as it is at the scheduler's end, if it has changed.
 func (k *Writer) Flush(source Source, now time.Time) error {
-	if version, told := source.ListVersion(); !told || k.kept && version == k.version {
+	if version, told := source.EndpointsVersion(); !told || k.kept && version == k.version {
 		return nil
 	}
 	return k.write(source, now)
 }
 
 func (k *Writer) write(source Source, now time.Time) error {
-	saved, told := source.SaveList()
+	saved, told := source.SnapshotEndpoints()
 	if !told {
 		return nil
 	}
--- a/internal/checkpoint/checkpoint_test.go
+++ b/internal/checkpoint/checkpoint_test.go
@@ -27,10 +27,10 @@
 	text    string
 }
 
-func (s *source) ListVersion() (int64, bool) { return s.version, s.told }
+func (s *source) EndpointsVersion() (int64, bool) { return s.version, s.told }
 
-func (s *source) SaveList() (*platform.SavedList, bool) {
-	return &platform.SavedList{At: s.at, Discovery: discovery, Version: s.version, List: json.RawMessage(s.text)}, s.told
+func (s *source) SnapshotEndpoints() (*platform.EndpointSnapshot, bool) {
+	return &platform.EndpointSnapshot{TakenAt: s.at, Discovery: discovery, Version: s.version, Endpoints: json.RawMessage(s.text)}, s.told
 }
 
 // What is kept serves the next start with the same discovery while it is young, and no other.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	if err := platform.CheckKnown(cfg.Known); err != nil {
+	if err := platform.ValidateCachedEndpoints(cfg.Known); err != nil {
 		return nil, nil, nil, err
 	}
 	op, text, err := readOperator(o.Operator, cfg.Settings)
@@ -231,7 +231,7 @@
 	if err := d.mayBecome(op); err != nil {
 		return err
 	}
-	if err := platform.CheckKnown(cfg.Known); err != nil {
+	if err := platform.ValidateCachedEndpoints(cfg.Known); err != nil {
 		return err
 	}
 	// Only what is new is carried out: a reload for another reason leaves tenants
--- a/internal/daemon/list_test.go
+++ b/internal/daemon/list_test.go
@@ -26,7 +26,7 @@
 // since. A list that is spoilt is refused and the scheduler serves all the same.
 func TestListIsKept(t *testing.T) {
 	w := begin(t, keepsList)
-	w.await(t, "told", func() bool { _, told := w.platform.ListVersion(); return told })
+	w.await(t, "told", func() bool { _, told := w.platform.EndpointsVersion(); return told })
 	w.ShutDown()
 	w.await(t, "kept", func() bool { _, err := os.Stat(w.socket); return err == nil })
 	w.list.Put(w.nodes[0], "leaving")
@@ -35,8 +35,8 @@
 		t.Errorf("used %d times", got)
 	}
 	w.await(t, "the change since", func() bool {
-		saved, told := w.platform.SaveList()
-		return told && strings.Contains(string(saved.List), `"leaving"`)
+		saved, told := w.platform.SnapshotEndpoints()
+		return told && strings.Contains(string(saved.Endpoints), `"leaving"`)
 	})
 	w.ShutDown()
 	if err := os.Truncate(w.socket, 100); err != nil {
@@ -46,7 +46,7 @@
 	if got := w.Counters.Get("checkpoint.refused"); got != 1 {
 		t.Errorf("refused %d times", got)
 	}
-	w.await(t, "told again", func() bool { _, told := w.platform.ListVersion(); return told })
+	w.await(t, "told again", func() bool { _, told := w.platform.EndpointsVersion(); return told })
 }
 
 // A reload that names another file, or none, is refused by its key and changes nothing.
@@ -63,7 +63,7 @@
 // Without the operator's file nothing is kept.
 func TestNoListIsKeptUnasked(t *testing.T) {
 	w := begin(t, "; %s")
-	w.await(t, "told", func() bool { _, told := w.platform.ListVersion(); return told })
+	w.await(t, "told", func() bool { _, told := w.platform.EndpointsVersion(); return told })
 	w.ShutDown()
 	if w.keeper != nil {
 		t.Error("there is a keeper")
--- a/internal/daemon/upgrade.go
+++ b/internal/daemon/upgrade.go
@@ -55,7 +55,7 @@
 // succeed takes over from the process that serves: this one listens only when it is ready.
 func (d *Daemon) succeed() {
 	d.share(withAnother)
-	d.platform.Follow()
+	d.platform.StartWatch()
 	if !d.awaitInformed() || !d.awaitState() {
 		return // it is to end before it served
 	}
@@ -78,9 +78,9 @@
 		return err
 	}
 	if d.place != nil && d.place.Successor() {
-		d.platform.TakeOver()
+		d.platform.SteerConnections()
 	} else {
-		d.platform.Follow()
+		d.platform.StartWatch()
 	}
 	d.platform.Accept()
 	if d.place != nil {
@@ -98,7 +98,7 @@
 // awaitInformed waits until the machine list is known well enough to serve; false at the end.
 func (d *Daemon) awaitInformed() bool {
 	limit := time.After(informLimit)
-	ready := d.platform.Informed
+	ready := d.platform.HasSynced
 	for look := time.NewTicker(informPause); ; {
 		if ready() {
 			look.Stop()
@@ -191,7 +191,7 @@
 			return
 		}
 		another := d.another()
-		d.platform.Relieve(d.place.Succeeded())
+		d.platform.YieldConnections(d.place.Succeeded())
 		if another != shared {
 			shared = another
 			d.share(processes(another))
@@ -252,7 +252,7 @@
 
 // share keeps the scheduler to its part of the limits.
 func (d *Daemon) share(processes int) {
-	d.platform.Share(processes)
+	d.platform.DivideDescriptors(processes)
 	if d.options.LimitMemory != nil {
 		d.options.LimitMemory(int64(d.Config.MemoryMB) << 20 / int64(processes))
 	}
@@ -267,7 +267,7 @@
 			d.platform.Kill()
 		case d.place != nil && d.place.Succeeded():
 			d.log.Info("another process has taken over")
-			d.platform.HandOver()
+			d.platform.ShutDownAfterTakeover()
 		default:
 			d.platform.ShutDown()
 		}
--- a/internal/lab/capacity/faults.go
+++ b/internal/lab/capacity/faults.go
@@ -262,7 +262,7 @@
 	if t.Without {
 		return nil
 	}
-	var saved platform.SavedList
+	var saved platform.EndpointSnapshot
 	err := checkpoint.File(t.process.Kept).Read(&saved)
 	switch {
 	case err == nil:
@@ -316,11 +316,11 @@
 		}
 		return nil
 	case fault == ofAnotherDiscovery:
-		return t.rewrite(func(s *platform.SavedList) { s.Discovery = "127.0.0.9:1" })
+		return t.rewrite(func(s *platform.EndpointSnapshot) { s.Discovery = "127.0.0.9:1" })
 	case fault == fromLongAgo:
-		return t.rewrite(func(s *platform.SavedList) { s.At = s.At.Add(-checkpoint.Oldest - time.Hour) })
+		return t.rewrite(func(s *platform.EndpointSnapshot) { s.TakenAt = s.TakenAt.Add(-checkpoint.Oldest - time.Hour) })
 	case fault == fromTheFuture:
-		return t.rewrite(func(s *platform.SavedList) { s.At = s.At.Add(checkpoint.Oldest) })
+		return t.rewrite(func(s *platform.EndpointSnapshot) { s.TakenAt = s.TakenAt.Add(checkpoint.Oldest) })
 	}
 	data, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -341,9 +341,9 @@
 }
 
 // rewrite changes a list that is kept, in its own form.
-func (t *faultsTrial) rewrite(change func(*platform.SavedList)) error {
+func (t *faultsTrial) rewrite(change func(*platform.EndpointSnapshot)) error {
 	file := checkpoint.File(t.process.Kept)
-	var saved platform.SavedList
+	var saved platform.EndpointSnapshot
 	if err := file.Read(&saved); err != nil {
 		return nil // there is none, or it was spoilt before: the start is without one either way
 	}
--- a/internal/platform/listing.go
+++ b/internal/platform/listing.go
@@ -181,8 +181,8 @@
 	return l, nil
 }
 
-// CheckKnown checks the list as last known before the start.
-func CheckKnown(known []byte) error {
+// ValidateCachedEndpoints checks the list as last known before the start.
+func ValidateCachedEndpoints(known []byte) error {
 	_, err := parseKnown(known)
 	return err
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -86,7 +86,7 @@
 	if err := p.Listen(); err != nil {
 		return nil, err
 	}
-	p.Follow()
+	p.StartWatch()
 	p.Accept()
 	return p, nil
 }
@@ -150,7 +150,7 @@
 }
 
 // Follow starts the core with the list as last known, and with it the watch on the list.
-func (p *Platform) Follow() {
+func (p *Platform) StartWatch() {
 	p.machines.Watch() // its first pause spreads the schedulers that start together
 	p.core.Start(p.known)
 }
@@ -158,19 +158,19 @@
 // Accept begins to take submitters' connections. Listen and Follow come before it.
 func (p *Platform) Accept() { go p.front.accept() }
 
-// Informed reports whether discovery has answered since the start, and jobs can be taken.
-func (p *Platform) Informed() bool {
+// HasSynced reports whether discovery has answered since the start, and jobs can be taken.
+func (p *Platform) HasSynced() bool {
 	p.machines.mu.Lock()
 	defer p.machines.mu.Unlock()
 	return p.machines.answered && p.core.Ready()
 }
 
-// Relieve sends submitters to another process that listens on the same address and gets all new
+// YieldConnections sends submitters to another process that listens on the same address and gets all new
 // connections, or ends that. The health stays as it is, and what has come is served.
-func (p *Platform) Relieve(on bool) { p.front.relieve(on) }
+func (p *Platform) YieldConnections(on bool) { p.front.relieve(on) }
 
 // Share makes the platform keep to its part of the descriptors, which so many processes share.
-func (p *Platform) Share(processes int) {
+func (p *Platform) DivideDescriptors(processes int) {
 	p.front.setBudget(p.half / processes)
 	p.nodes.setBudget(p.half / processes)
 	p.core.SetMaxOpen(mostJobs(p.half / processes))
@@ -178,7 +178,7 @@
 
 // RestoreState directs what comes to the submitters' and the peers' address to this process, from the
 // older one that listens there too.
-func (p *Platform) TakeOver() {
+func (p *Platform) SteerConnections() {
 	sockets := []syscall.Conn{p.front.listener.(syscall.Conn)}
 	if p.peers != nil {
 		sockets = append(sockets, p.peers.conn)
@@ -194,7 +194,7 @@
 // Reload goes over to the discovery of a configuration that has been read again.
 // It checks all of it first; with an error nothing changes.
 func (p *Platform) Reload(cfg *config.Scheduler) error {
-	if err := CheckKnown(cfg.Known); err != nil {
+	if err := ValidateCachedEndpoints(cfg.Known); err != nil {
 		return err
 	}
 	p.machines.switchTo(cfg.Discovery)
@@ -228,11 +228,11 @@
 	p.end()
 }
 
-// HandOver ends the platform where another process listens on the same address and gets all new
+// ShutDownAfterTakeover ends the platform where another process listens on the same address and gets all new
 // connections: the health stays as it is, since the address is served. What waits to be accepted is
 // taken, the listener closes, and submitters' connections end as soon as what they
 // carry is answered. It returns when everything taken is answered.
-func (p *Platform) HandOver() {
+func (p *Platform) ShutDownAfterTakeover() {
 	_, end := endTimes(p.settings)
 	p.core.BeginShutdown(end)
 	if p.peers != nil {
--- a/internal/platform/saved_list.go
+++ b/internal/platform/saved_list.go
@@ -9,32 +9,32 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// A SavedList is a scheduler's machine list at a moment, in the form in which a configuration has the
+// An EndpointSnapshot is a scheduler's machine list at a moment, in the form in which a configuration has the
 // list as last known. The changes since its version can be asked for.
-type SavedList struct {
-	At        time.Time       `json:"At"`        // when it was so
+type EndpointSnapshot struct {
+	TakenAt   time.Time       `json:"At"`        // when it was so
 	Discovery string          `json:"Discovery"` // whose versions the list has
 	Version   int64           `json:"Version"`   // of the list
-	List      json.RawMessage `json:"List"`      // in discovery's form
+	Endpoints json.RawMessage `json:"List"`      // in discovery's form
 }
 
 var healthWords = map[foxlift.WorkerState]string{
 	foxlift.Live: healthActive, foxlift.Draining: healthLeaving, foxlift.Removed: healthLeft,
 }
 
-// ListVersion returns the version of the list that is followed, and whether there is one that was
+// EndpointsVersion returns the version of the list that is followed, and whether there is one that was
 // told since the start by the discovery that is followed now.
-func (p *Platform) ListVersion() (version int64, told bool) {
+func (p *Platform) EndpointsVersion() (version int64, told bool) {
 	m := p.machines
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.version, m.answered && !m.moved && !m.whole
 }
 
-// SaveList returns the list as it is now; false where none was told since the start.
-func (p *Platform) SaveList() (*SavedList, bool) { return p.machines.save() }
+// SnapshotEndpoints returns the list as it is now; false where none was told since the start.
+func (p *Platform) SnapshotEndpoints() (*EndpointSnapshot, bool) { return p.machines.save() }
 
-func (m *machines) save() (*SavedList, bool) {
+func (m *machines) save() (*EndpointSnapshot, bool) {
 	m.mu.Lock()
 	if !m.answered || m.moved || m.whole {
 		m.mu.Unlock()
@@ -55,5 +55,5 @@
 	if err != nil {
 		return nil, false // it holds nothing that JSON has no form for
 	}
-	return &SavedList{At: time.Now(), Discovery: addr, Version: version, List: text}, true
+	return &EndpointSnapshot{TakenAt: time.Now(), Discovery: addr, Version: version, Endpoints: text}, true
 }
--- a/internal/platform/saved_list_test.go
+++ b/internal/platform/saved_list_test.go
@@ -20,15 +20,15 @@
 		`,{"host":"n3","dial":"10.0.0.3:3000","site":"b","class":"m","block":4,"health":"active","born_ms":9999999999999}]}`)
 	next(t, calls).answer(`{"seq":8,"whole":false,"hosts":[{"host":"n2","health":"left"}]}`)
 	next(t, calls)
-	if version, told := p.ListVersion(); version != 8 || !told {
+	if version, told := p.EndpointsVersion(); version != 8 || !told {
 		t.Errorf("version %d, told %v", version, told)
 	}
-	saved, told := p.SaveList()
+	saved, told := p.SnapshotEndpoints()
 	if !told || saved.Discovery != addr {
 		t.Fatalf("%+v, %v", saved, told)
 	}
 	again := newMachines(addr, &config.Settings{}, nil, nil)
-	workers, err := again.load(saved.List)
+	workers, err := again.load(saved.Endpoints)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,20 +51,20 @@
 	addr, calls := newDiscovery(t)
 	p, _ := start(t, addr, node)
 	c := next(t, calls)
-	if _, told := p.SaveList(); told {
+	if _, told := p.SnapshotEndpoints(); told {
 		t.Error("the list as last known is saved as new")
 	}
 	c.answer(hosts(2, true, node))
 	next(t, calls)
-	if _, told := p.SaveList(); !told {
+	if _, told := p.SnapshotEndpoints(); !told {
 		t.Error("a list that was told is not saved")
 	}
 	other, _ := newDiscovery(t)
 	p.machines.switchTo(other)
-	if _, told := p.ListVersion(); told {
+	if _, told := p.EndpointsVersion(); told {
 		t.Error("the old discovery's version counts for the new one")
 	}
-	if _, told := p.SaveList(); told {
+	if _, told := p.SnapshotEndpoints(); told {
 		t.Error("the old discovery's list is saved for the new one")
 	}
 }
