--- a/cmd/foxlift-lab/main.go
+++ b/cmd/foxlift-lab/main.go
@@ -51,7 +51,7 @@
 				return err
 			}
 			fmt.Fprintln(cmd.OutOrStdout(), r.Line())
-			if !r.OK(o.Moves) {
+			if !r.OK(o.Migrations) {
 				return errors.New("an aim is missed")
 			}
 			return nil
@@ -61,7 +61,7 @@
 	cmd.Flags().DurationVar(&o.Normal, "normal", o.Normal, "how long the load is normal first")
 	cmd.Flags().DurationVar(&o.Flood, "flood", o.Flood, "how long one tenant floods")
 	cmd.Flags().DurationVar(&o.Lending, "lending", o.Lending, "how long a lone tenant asks for more than its share")
-	cmd.Flags().IntVar(&o.Moves, "moves", o.Moves, "moves under load")
+	cmd.Flags().IntVar(&o.Migrations, "moves", o.Migrations, "moves under load")
 	return cmd
 }
 
@@ -116,10 +116,10 @@
 			return nil
 		},
 	}
-	cmd.Flags().DurationVar(&o.For, "for", time.Minute, "how long")
+	cmd.Flags().DurationVar(&o.Duration, "for", time.Minute, "how long")
 	cmd.Flags().IntVar(&o.Workers, "workers", 4, "processes that fuzz at a time")
 	cmd.Flags().StringVar(&o.Dir, "dir", "found", "where findings and the summary go")
-	cmd.Flags().BoolVar(&o.Keep, "keep", false, "take new inputs into the repository's corpus (2 MB at most)")
+	cmd.Flags().BoolVar(&o.Persist, "keep", false, "take new inputs into the repository's corpus (2 MB at most)")
 	cmd.Flags().StringVar(&o.Match, "match", "", "regular expression for the targets' names")
 	return cmd
 }
@@ -154,7 +154,7 @@
 node drain, and SIGUSR1 again brings it back.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			signals := make(chan os.Signal, 1)
-			signal.Notify(signals, lab.Signals...)
+			signal.Notify(signals, lab.StandInSignals...)
 			return lab.StandIns(cmd.OutOrStdout(), signals)
 		},
 	}
--- a/internal/lab/capacity/control.go
+++ b/internal/lab/capacity/control.go
@@ -165,7 +165,7 @@
 
 // runControl runs one process with so many hollow workers.
 func runControl(ctx context.Context, p plan, operator string, workers int) (c controlled, err error) {
-	f, err := fleet.New(fleet.Options{World: controlWorld(), Program: p.program, Admin: true, Operator: operator})
+	f, err := fleet.New(fleet.Options{Topology: controlWorld(), Program: p.program, Admin: true, Operator: operator})
 	if err != nil {
 		return c, err
 	}
@@ -216,18 +216,18 @@
 }
 
 // controlWorld is a world of one scheduler with the design's teams and zones, and no node of its own.
-func controlWorld() lab.World {
-	w := lab.World{Schedulers: 1, Sockets: processSockets}
+func controlWorld() lab.Topology {
+	w := lab.Topology{Schedulers: 1, Sockets: processSockets}
 	for i := range TargetTeams {
-		w.Tenants = append(w.Tenants, lab.Tenant{Name: fmt.Sprintf("team-%02d", i), Share: 1.0 / TargetTeams})
+		w.Tenants = append(w.Tenants, lab.Tenant{Name: fmt.Sprintf("team-%02d", i), QuotaFraction: 1.0 / TargetTeams})
 	}
 	for i := range TargetZones {
 		w.Zones = append(w.Zones, fmt.Sprintf("zone-%02d", i))
 	}
 	for i := range assumedKinds {
-		w.Kinds = append(w.Kinds, lab.Kind{Name: fmt.Sprintf("kind-%d", i), Slots: 4, Speed: 1})
+		w.Kinds = append(w.Kinds, lab.WorkerKind{Name: fmt.Sprintf("kind-%d", i), Slots: 4, Speed: 1})
 	}
-	w.Classes = []lab.Class{{Name: "light", Effect: "idempotent", Work: time.Second, Part: 1, Aim: controlAim, Wait: 5 * time.Second}}
+	w.Classes = []lab.Class{{Name: "light", Effect: "idempotent", ServiceTime: time.Second, JobFraction: 1, LatencyObjective: controlAim, Deadline: 5 * time.Second}}
 	return w
 }
 
--- a/internal/lab/capacity/faults.go
+++ b/internal/lab/capacity/faults.go
@@ -119,7 +119,7 @@
 	if err := o.check(); err != nil {
 		return nil, err
 	}
-	options := fleet.Options{World: controlWorld(), Program: o.Program, Admin: true, Operator: `(foxlift (list (checkpoint "%s")))`}
+	options := fleet.Options{Topology: controlWorld(), Program: o.Program, Admin: true, Operator: `(foxlift (list (checkpoint "%s")))`}
 	if o.Without {
 		options.Operator = ""
 	}
--- a/internal/lab/cells.go
+++ b/internal/lab/cells.go
@@ -12,12 +12,12 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// fleetOfTwelve is twelve uneven nodes, eight tenants and two classes.
-func fleetOfTwelve(operator string) World {
-	return World{
+// twelveWorkers is twelve uneven nodes, eight tenants and two classes.
+func twelveWorkers(operator string) Topology {
+	return Topology{
 		Schedulers: 2, Zones: []string{"east", "west"}, Operator: operator,
 		Sockets: 256, // the least that the platform gives
-		Kinds:   []Kind{{"large", 4, 6, 1.5}, {"medium", 4, 5, 1}, {"old", 4, 6, 0.6}},
+		Kinds:   []WorkerKind{{"large", 4, 6, 1.5}, {"medium", 4, 5, 1}, {"old", 4, 6, 0.6}},
 		Tenants: []Tenant{{"harbour", .15}, {"valley", .14}, {"coast", .14}, {"moor", .13}, {"ridge", .12},
 			{"firth", .12}, {"glen", .10}, {"skerry", .10}},
 		Classes: []Class{
@@ -33,38 +33,38 @@
  (kind large (weight 9)) (kind medium (weight 5)) (kind old (weight 3.6))
  (cell north (tenants harbour skerry)) (cell south (tenants valley glen))
  (cell east (tenants coast firth)) (cell west (tenants moor ridge))))`
-	normalLoad = 0.6
-	floodTimes = 10 // a flooding tenant's share
+	normalLoad  = 0.6
+	floodFactor = 10 // a flooding tenant's share
 )
 
 // A CellsOptions is how long the parts of the cells measurement take.
 type CellsOptions struct {
-	Seed          uint64
-	Normal, Flood time.Duration
-	Lending       time.Duration
-	Moves         int
-	Between       time.Duration // moves
+	Seed              uint64
+	Normal, Flood     time.Duration
+	Lending           time.Duration
+	Migrations        int
+	MigrationInterval time.Duration // moves
 }
 
 // DefaultCells is the measurement as it is quoted.
-var DefaultCells = CellsOptions{Seed: 1, Normal: 10 * time.Second, Flood: 20 * time.Second, Lending: 15 * time.Second, Moves: 200, Between: 50 * time.Millisecond}
+var DefaultCells = CellsOptions{Seed: 1, Normal: 10 * time.Second, Flood: 20 * time.Second, Lending: 15 * time.Second, Migrations: 200, MigrationInterval: 50 * time.Millisecond}
 
 // A CellsReport is what the cells measurement found.
 type CellsReport struct {
-	Worst, WorstWithout float64 // points of service that the flood takes from the worst other tenant
-	Lending             float64 // percent served of a tenant at 30 times its share
-	Moves, Lost, Twice  int
+	WorstLoss, WorstLossWithoutCells float64 // points of service that the flood takes from the worst other tenant
+	ServedUnderLending               float64 // percent served of a tenant at 30 times its share
+	Migrations, Lost, RanTwice       int
 }
 
 // Line is the measurement's last line.
 func (r CellsReport) Line() string {
 	return fmt.Sprintf("cells: worst other tenant -%.1f points (without -%.1f), served under lending %.1f %%, moves %d, lost %d, twice %d",
-		r.Worst, r.WorstWithout, r.Lending, r.Moves, r.Lost, r.Twice)
+		r.WorstLoss, r.WorstLossWithoutCells, r.ServedUnderLending, r.Migrations, r.Lost, r.RanTwice)
 }
 
 // OK reports whether the product's aims are met.
 func (r CellsReport) OK(moves int) bool {
-	return r.Worst <= 5 && r.Lending >= 95 && r.Moves == moves && r.Lost == 0 && r.Twice == 0
+	return r.WorstLoss <= 5 && r.ServedUnderLending >= 95 && r.Migrations == moves && r.Lost == 0 && r.RanTwice == 0
 }
 
 // Cells measures what a flood of one tenant costs the others, without and with cells,
@@ -72,59 +72,59 @@
 func Cells(w io.Writer, o CellsOptions) (CellsReport, error) {
 	var rep CellsReport
 	count := func(v Verdict) {
-		rep.Lost += v.Total.Lost + v.Unfounded
-		rep.Twice += v.Twice
+		rep.Lost += v.Total.Lost + v.ServedWithoutRun
+		rep.RanTwice += v.RanTwice
 	}
 	for _, operator := range []string{"", fourCells} {
 		what := "without cells"
 		if operator != "" {
 			what = "with cells"
 		}
-		r, err := Start(fleetOfTwelve(operator))
+		r, err := Start(twelveWorkers(operator))
 		if err != nil {
 			return rep, err
 		}
 		l := r.StartLoad(normalLoad, o.Seed)
 		<-time.After(o.Normal / 2) // modules learn
-		l.Take()
+		l.CollectTallies()
 		<-time.After(o.Normal)
-		normal := l.Take()
-		l.Set(flooder, floodTimes*0.1*r.Capacity())
+		normal := l.CollectTallies()
+		l.Set(flooder, floodFactor*0.1*r.Capacity())
 		<-time.After(o.Flood)
-		flood := l.Take()
+		flood := l.CollectTallies()
 		l.Set(flooder, normalLoad*0.1*r.Capacity())
-		worst := printFlood(w, what, r.World, normal, flood)
+		worst := printFlood(w, what, r.Topology, normal, flood)
 		if operator == "" {
-			rep.WorstWithout = worst
+			rep.WorstLossWithoutCells = worst
 		} else {
-			rep.Worst = worst
+			rep.WorstLoss = worst
 			<-time.After(o.Normal / 2)
-			l.Take()
-			if rep.Moves, err = moves(r, o); err != nil {
+			l.CollectTallies()
+			if rep.Migrations, err = migrateTenants(r, o); err != nil {
 				r.Close()
 				return rep, err
 			}
 			all := standin.Tally{}
-			for _, t := range l.Take() {
+			for _, t := range l.CollectTallies() {
 				all = standin.Total(all, t)
 			}
-			fmt.Fprintf(w, "%d moves under load: %d jobs, %.1f %% served in time\n", rep.Moves, all.Asked, all.Service())
+			fmt.Fprintf(w, "%d moves under load: %d jobs, %.1f %% served in time\n", rep.Migrations, all.Asked, all.Service())
 		}
 		count(l.Stop())
 		r.Close()
 	}
-	served, v, err := lending(o)
+	served, v, err := measureLending(o)
 	if err != nil {
 		return rep, err
 	}
 	count(v)
-	rep.Lending = served
+	rep.ServedUnderLending = served
 	return rep, nil
 }
 
 // printFlood prints each tenant's service and returns what the worst of the others
 // loses.
-func printFlood(to io.Writer, what string, world World, normal, flood map[string]standin.Tally) (worst float64) {
+func printFlood(to io.Writer, what string, world Topology, normal, flood map[string]standin.Tally) (worst float64) {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(w, "%s\tnormal asked\tin time\tflood asked\tin time\trefused\tpoints\t\n", what)
 	for _, t := range world.Tenants {
@@ -144,7 +144,7 @@
 
 // moves moves tenants round the cells at every scheduler, through the control
 // sockets, and returns how many moves were made.
-func moves(r *Rig, o CellsOptions) (done int, err error) {
+func migrateTenants(r *Rig, o CellsOptions) (done int, err error) {
 	at := map[string]int{}
 	names := []string{"north", "south", "east", "west"}
 	ctx := context.Background()
@@ -161,7 +161,7 @@
 			}
 		}
 	}
-	for i := range o.Moves {
+	for i := range o.Migrations {
 		t := r.Tenants[i%len(r.Tenants)].Name
 		at[t] = (at[t] + 1) % len(names)
 		for _, c := range r.Clients {
@@ -170,7 +170,7 @@
 			}
 		}
 		done++
-		<-time.After(o.Between)
+		<-time.After(o.MigrationInterval)
 	}
 	for _, c := range r.Clients {
 		if _, err := c.Restore(ctx, &controlpb.RestoreRequest{}); err != nil {
@@ -182,15 +182,15 @@
 
 // lending measures a lone tenant that asks 30 times its share of an idle cell of
 // fast nodes: what is served of it after two thirds of the time.
-func lending(o CellsOptions) (float64, Verdict, error) {
-	w := World{
-		Schedulers: 1, Sockets: 1024, Zones: []string{"east"}, Kinds: []Kind{{"fast", 8, 8, 10}},
+func measureLending(o CellsOptions) (float64, Verdict, error) {
+	w := Topology{
+		Schedulers: 1, Sockets: 1024, Zones: []string{"east"}, Kinds: []WorkerKind{{"fast", 8, 8, 10}},
 		Tenants:  []Tenant{{"lone", 0}, {"away", 1}},
 		Classes:  []Class{{"reading", "idempotent", 100 * time.Millisecond, 1, 500 * time.Millisecond, 5 * time.Second}},
 		Operator: `(foxlift (control (socket %q)) (cells (cell all (share 0.99) (tenants lone away)) (cell rest)))`,
 	}
-	w.Tenants[0].Share = 2 / (0.85 * w.Capacity()) // a quota of 2 a second
-	w.Tenants[1].Share = 1 - w.Tenants[0].Share
+	w.Tenants[0].QuotaFraction = 2 / (0.85 * w.Capacity()) // a quota of 2 a second
+	w.Tenants[1].QuotaFraction = 1 - w.Tenants[0].QuotaFraction
 	r, err := Start(w)
 	if err != nil {
 		return 0, Verdict{}, err
@@ -199,22 +199,22 @@
 	l := r.StartLoad(0, o.Seed)
 	l.Set("lone", 60)
 	<-time.After(o.Lending * 2 / 3)
-	l.Take()
+	l.CollectTallies()
 	<-time.After(o.Lending / 3)
-	t := l.Take()["lone"]
+	t := l.CollectTallies()["lone"]
 	return t.Service(), l.Stop(), nil
 }
 
 // Demo floods one tenant of a world with cells and prints a table as it goes.
 func Demo(w io.Writer, seed uint64) error {
-	r, err := Start(fleetOfTwelve(fourCells))
+	r, err := Start(twelveWorkers(fourCells))
 	if err != nil {
 		return err
 	}
 	defer r.Close()
 	fmt.Fprintf(w, "%d schedulers, %d execute nodes, %d tenants in 4 cells; %.0f jobs a second is all that the nodes can do.\n",
 		len(r.Schedulers), len(r.Nodes), len(r.Tenants), r.Capacity())
-	fmt.Fprintf(w, "Every tenant asks %.0f %% of its share. After 6 s %s asks %d times its share, for 8 s;\nthen it is moved to another cell, live.\n\n", 100*normalLoad, flooder, floodTimes)
+	fmt.Fprintf(w, "Every tenant asks %.0f %% of its share. After 6 s %s asks %d times its share, for 8 s;\nthen it is moved to another cell, live.\n\n", 100*normalLoad, flooder, floodFactor)
 	l := r.StartLoad(normalLoad, seed)
 	fmt.Fprint(w, "  time")
 	for _, t := range r.Tenants {
@@ -224,13 +224,13 @@
 	for second := 2; second <= 20; second += 2 {
 		<-time.After(2 * time.Second)
 		fmt.Fprintf(w, "%4d s", second)
-		tallies := l.Take()
+		tallies := l.CollectTallies()
 		for _, t := range r.Tenants {
 			fmt.Fprintf(w, "%10.1f", tallies[t.Name].Service())
 		}
 		switch second {
 		case 6:
-			l.Set(flooder, floodTimes*0.1*r.Capacity())
+			l.Set(flooder, floodFactor*0.1*r.Capacity())
 			fmt.Fprintf(w, "   %s floods", flooder)
 		case 14:
 			l.Set(flooder, normalLoad*0.1*r.Capacity())
@@ -249,9 +249,9 @@
 	v := l.Stop()
 	fmt.Fprintln(w)
 	fmt.Fprintln(w, strings.TrimSpace(fmt.Sprintf("%d jobs: %d served in time, %d late, %d refused, %d failed; without an answer %d, run twice that must not %d",
-		v.Total.Asked, v.Total.Served, v.Total.Late, v.Total.Refused, v.Total.Failed, v.Total.Lost, v.Twice)))
-	if v.Total.Lost+v.Twice+v.Unfounded > 0 {
-		return fmt.Errorf("a promise was broken: lost %d, twice %d, served but never run %d", v.Total.Lost, v.Twice, v.Unfounded)
+		v.Total.Asked, v.Total.Served, v.Total.Late, v.Total.Refused, v.Total.Failed, v.Total.Lost, v.RanTwice)))
+	if v.Total.Lost+v.RanTwice+v.ServedWithoutRun > 0 {
+		return fmt.Errorf("a promise was broken: lost %d, twice %d, served but never run %d", v.Total.Lost, v.RanTwice, v.ServedWithoutRun)
 	}
 	return nil
 }
--- a/internal/lab/fleet/coldstart.go
+++ b/internal/lab/fleet/coldstart.go
@@ -61,16 +61,16 @@
 
 // world is the trial's deployment: three kinds of node, two classes, in the proportions of
 // the platform's own.
-func (o ColdStart) world() lab.World {
+func (o ColdStart) world() lab.Topology {
 	large, medium := max(1, o.Nodes*28/100), max(1, o.Nodes*36/100)
-	return lab.World{
+	return lab.Topology{
 		Schedulers: o.Schedulers, Sockets: 512, Zones: []string{"east", "west"},
-		Kinds: []lab.Kind{{Name: "large", Count: large, Slots: 4, Speed: 1.6}, {Name: "medium", Count: medium, Slots: 3, Speed: 1},
+		Kinds: []lab.WorkerKind{{Name: "large", Count: large, Slots: 4, Speed: 1.6}, {Name: "medium", Count: medium, Slots: 3, Speed: 1},
 			{Name: "old", Count: max(1, o.Nodes-large-medium), Slots: 5, Speed: 0.6}},
-		Tenants: []lab.Tenant{{Name: "north", Share: 0.6}, {Name: "south", Share: 0.4}},
+		Tenants: []lab.Tenant{{Name: "north", QuotaFraction: 0.6}, {Name: "south", QuotaFraction: 0.4}},
 		Classes: []lab.Class{
-			{Name: "reading", Effect: "idempotent", Work: 335 * time.Millisecond, Part: 0.72, Aim: 500 * time.Millisecond, Wait: 5 * time.Second},
-			{Name: "ratify", Effect: "at_most_once", Work: 2050 * time.Millisecond, Part: 0.28, Aim: 2 * time.Second, Wait: 25 * time.Second},
+			{Name: "reading", Effect: "idempotent", ServiceTime: 335 * time.Millisecond, JobFraction: 0.72, LatencyObjective: 500 * time.Millisecond, Deadline: 5 * time.Second},
+			{Name: "ratify", Effect: "at_most_once", ServiceTime: 2050 * time.Millisecond, JobFraction: 0.28, LatencyObjective: 2 * time.Second, Deadline: 25 * time.Second},
 		},
 	}
 }
@@ -79,7 +79,7 @@
 func (o ColdStart) Run(w io.Writer) (r ColdStartResult, err error) {
 	price := standin.Price{Call: 2 * time.Millisecond, Line: 100 * time.Microsecond, Patience: 2 * time.Second}
 	f, err := New(Options{
-		World: o.world(), Program: o.Program, Price: price,
+		Topology: o.world(), Program: o.Program, Price: price,
 		Cold: &standin.Cold{From: 0.14, Warm: 24 * time.Second, Multiple: 3, Window: time.Second},
 	})
 	if err != nil {
--- a/internal/lab/fleet/cut_test.go
+++ b/internal/lab/fleet/cut_test.go
@@ -20,7 +20,7 @@
 	f := small(t, 2, func(o *Options) {
 		o.NodeLinks = true
 		for i := range o.Classes {
-			o.Classes[i].Wait = 20 * time.Second // requests outlive the cut
+			o.Classes[i].Deadline = 20 * time.Second // requests outlive the cut
 		}
 	})
 	must(t, f.StartAll(20*time.Second))
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -20,7 +20,7 @@
 
 // Options say what a fleet is made of.
 type Options struct {
-	lab.World
+	lab.Topology
 	Program   string        // the scheduler's binary
 	Price     standin.Price // of calls to discovery
 	Cold      *standin.Cold // of nodes that start; nil: they are warm at once
@@ -64,10 +64,10 @@
 		return nil, err
 	}
 	f.Discovery.Price = o.Price
-	for i := range o.Pods {
+	for i := range o.Groups {
 		f.pods = append(f.pods, &standin.Pod{Number: i, Window: f.podWindow()})
 	}
-	if o.Peers {
+	if o.Gossip {
 		if f.Talk, err = newTalk(o.Schedulers); err != nil {
 			return nil, err
 		}
@@ -93,11 +93,11 @@
 	if f.PodWindow != 0 {
 		return f.PodWindow
 	}
-	return f.Window
+	return f.DedupWindow
 }
 
 // AddNode starts a node and has discovery tell of it; started is its start, zero: long ago.
-func (f *Fleet) AddNode(k lab.Kind, started time.Time) (*standin.Node, error) {
+func (f *Fleet) AddNode(k lab.WorkerKind, started time.Time) (*standin.Node, error) {
 	l, err := standin.Listen()
 	if err != nil {
 		return nil, err
@@ -109,13 +109,13 @@
 	return f.startNode(l, name, zone, k, started), nil
 }
 
-func (f *Fleet) startNode(l net.Listener, name, zone string, k lab.Kind, started time.Time) *standin.Node {
+func (f *Fleet) startNode(l net.Listener, name, zone string, k lab.WorkerKind, started time.Time) *standin.Node {
 	work := map[string]time.Duration{}
 	for _, c := range f.Classes {
-		work[c.Name] = time.Duration(float64(c.Work) / k.Speed)
+		work[c.Name] = time.Duration(float64(c.ServiceTime) / k.Speed)
 	}
 	n := standin.NodeOn(l, name, zone, k.Name, k.Slots, 2*k.Slots, func(class string) time.Duration { return work[class] })
-	n.Started, n.Cold, n.Reports = started, f.Cold, f.Reports
+	n.Started, n.Cold, n.Reports = started, f.Cold, f.LoadReports
 	if len(f.pods) > 0 {
 		f.mu.Lock()
 		n.Pod = f.pods[len(f.nodes)%len(f.pods)]
@@ -153,8 +153,8 @@
 	delete(f.up, n.Name)
 }
 
-func (f *Fleet) kind(n *standin.Node) lab.Kind {
-	return f.Kinds[slices.IndexFunc(f.Kinds, func(k lab.Kind) bool { return k.Name == n.Kind })]
+func (f *Fleet) kind(n *standin.Node) lab.WorkerKind {
+	return f.Kinds[slices.IndexFunc(f.Kinds, func(k lab.WorkerKind) bool { return k.Name == n.Kind })]
 }
 
 // Replace takes a node away without a word and starts another, cold, in its place.
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -27,12 +27,12 @@
 func small(t *testing.T, schedulers int, change func(*Options)) *Fleet {
 	t.Helper()
 	o := Options{
-		World: lab.World{
-			Schedulers: schedulers, Sockets: 256, Zones: []string{"east"}, Kinds: []lab.Kind{{Name: "k", Count: 8, Slots: 4, Speed: 1}},
-			Tenants: []lab.Tenant{{Name: "all", Share: 1}},
+		Topology: lab.Topology{
+			Schedulers: schedulers, Sockets: 256, Zones: []string{"east"}, Kinds: []lab.WorkerKind{{Name: "k", Count: 8, Slots: 4, Speed: 1}},
+			Tenants: []lab.Tenant{{Name: "all", QuotaFraction: 1}},
 			Classes: []lab.Class{
-				{Name: "reading", Effect: "idempotent", Work: 20 * time.Millisecond, Part: 0.7, Aim: 500 * time.Millisecond, Wait: 3 * time.Second},
-				{Name: "ratify", Effect: "at_most_once", Work: 60 * time.Millisecond, Part: 0.3, Aim: time.Second, Wait: 5 * time.Second},
+				{Name: "reading", Effect: "idempotent", ServiceTime: 20 * time.Millisecond, JobFraction: 0.7, LatencyObjective: 500 * time.Millisecond, Deadline: 3 * time.Second},
+				{Name: "ratify", Effect: "at_most_once", ServiceTime: 60 * time.Millisecond, JobFraction: 0.3, LatencyObjective: time.Second, Deadline: 5 * time.Second},
 			},
 		},
 		Program: program, Price: standin.Price{Call: time.Millisecond, Line: 100 * time.Microsecond, Patience: time.Second},
--- a/internal/lab/fleet/keyed.go
+++ b/internal/lab/fleet/keyed.go
@@ -51,26 +51,26 @@
 }
 
 // keyedWorld is a small deployment: one data centre, two kinds of node, reports, messages.
-func keyedWorld() lab.World {
-	return lab.World{
-		Schedulers: 2, Sockets: 384, Zones: []string{"centre"}, Pods: 2, Window: 1500 * time.Millisecond, Reports: true, Peers: true,
-		Kinds:   []lab.Kind{{Name: "fast", Count: 4, Slots: 2, Speed: 1}, {Name: "slow", Count: 4, Slots: 2, Speed: 0.7}},
-		Tenants: []lab.Tenant{{Name: "north", Share: 0.6}, {Name: "south", Share: 0.4}},
+func keyedWorld() lab.Topology {
+	return lab.Topology{
+		Schedulers: 2, Sockets: 384, Zones: []string{"centre"}, Groups: 2, DedupWindow: 1500 * time.Millisecond, LoadReports: true, Gossip: true,
+		Kinds:   []lab.WorkerKind{{Name: "fast", Count: 4, Slots: 2, Speed: 1}, {Name: "slow", Count: 4, Slots: 2, Speed: 0.7}},
+		Tenants: []lab.Tenant{{Name: "north", QuotaFraction: 0.6}, {Name: "south", QuotaFraction: 0.4}},
 		Classes: []lab.Class{
-			{Name: "render", Effect: "idempotent", Work: 40 * time.Millisecond, Part: 0.5, Aim: 200 * time.Millisecond, Wait: 4 * time.Second},
-			{Name: "publish", Effect: "deduplicated", Work: 80 * time.Millisecond, Part: 0.5, Aim: 300 * time.Millisecond, Wait: 4 * time.Second},
+			{Name: "render", Effect: "idempotent", ServiceTime: 40 * time.Millisecond, JobFraction: 0.5, LatencyObjective: 200 * time.Millisecond, Deadline: 4 * time.Second},
+			{Name: "publish", Effect: "deduplicated", ServiceTime: 80 * time.Millisecond, JobFraction: 0.5, LatencyObjective: 300 * time.Millisecond, Deadline: 4 * time.Second},
 		},
 	}
 }
 
 // Run plays the trial.
 func (o Keyed) Run(w io.Writer) (r KeyedResult, err error) {
-	options := Options{World: keyedWorld(), Program: o.Program, Price: standin.Price{Call: time.Millisecond, Patience: time.Second}, NodeLinks: true}
+	options := Options{Topology: keyedWorld(), Program: o.Program, Price: standin.Price{Call: time.Millisecond, Patience: time.Second}, NodeLinks: true}
 	if o.ShortWindow {
 		options.PodWindow = time.Millisecond
 	}
 	if o.NoPods {
-		options.Pods = 8
+		options.Groups = 8
 	}
 	f, err := New(options)
 	if err != nil {
--- a/internal/lab/fleet/load.go
+++ b/internal/lab/fleet/load.go
@@ -41,10 +41,10 @@
 		for _, c := range f.Classes {
 			for _, t := range f.Tenants {
 				senders = append(senders, &standin.Submitter{
-					Addr: p.Addr, Tenant: t.Name, Class: c.Name, Remaining: c.Wait, Aim: c.Aim + 2*c.Work, Keyed: c.Effect == "deduplicated",
+					Addr: p.Addr, Tenant: t.Name, Class: c.Name, Remaining: c.Deadline, Aim: c.LatencyObjective + 2*c.ServiceTime, Keyed: c.Effect == "deduplicated",
 					Name: fmt.Sprintf("%s/%s/%s/%d", name, t.Name, c.Name, i), Grace: allow.Grace, Excuse: excuse(i),
 				})
-				rates = append(rates, rate*c.Part*t.Share/float64(len(f.Processes)))
+				rates = append(rates, rate*c.JobFraction*t.QuotaFraction/float64(len(f.Processes)))
 			}
 		}
 		l.senders = append(l.senders, senders...)
--- a/internal/lab/fleet/start_test.go
+++ b/internal/lab/fleet/start_test.go
@@ -16,7 +16,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := small(t, 12, func(o *Options) {
 				o.Cold = &standin.Cold{From: 0.14, Warm: 24 * time.Second, Multiple: 3, Window: time.Second}
-				o.Classes[0].Work, o.Classes[1].Work = 50*time.Millisecond, 200*time.Millisecond
+				o.Classes[0].ServiceTime, o.Classes[1].ServiceTime = 50*time.Millisecond, 200*time.Millisecond
 			})
 			for _, n := range f.Nodes() {
 				to := ""
--- a/internal/lab/fuzzrun.go
+++ b/internal/lab/fuzzrun.go
@@ -23,25 +23,25 @@
 
 // FuzzOptions are what the long runner is told.
 type FuzzOptions struct {
-	For     time.Duration
-	Workers int
-	Dir     string // where findings and the summary go
-	Keep    bool   // take new inputs into the corpus of the repository
-	Match   string // of targets' names; "": all
+	Duration time.Duration
+	Workers  int
+	Dir      string // where findings and the summary go
+	Persist  bool   // take new inputs into the corpus of the repository
+	Match    string // of targets' names; "": all
 }
 
 // A FuzzTarget is one native target and what became of it.
 type FuzzTarget struct {
-	Package    string  `json:"package"`
-	Name       string  `json:"name"`
-	Seconds    float64 `json:"seconds"`
-	Executions int64   `json:"executions"`
-	New        int     `json:"new_inputs"`
-	Inputs     int     `json:"inputs"`
-	Coverage   string  `json:"coverage,omitempty"` // of its package's statements, by seeds and corpus
-	Kept       int     `json:"kept,omitempty"`
-	dir        string
-	fresh      bool // found new coverage in its last turn
+	Package       string  `json:"package"`
+	Name          string  `json:"name"`
+	Seconds       float64 `json:"seconds"`
+	Executions    int64   `json:"executions"`
+	NewInputs     int     `json:"new_inputs"`
+	Inputs        int     `json:"inputs"`
+	Coverage      string  `json:"coverage,omitempty"` // of its package's statements, by seeds and corpus
+	Persisted     int     `json:"kept,omitempty"`
+	dir           string
+	foundCoverage bool // found new coverage in its last turn
 }
 
 // A Finding is an input that broke a rule.
@@ -68,17 +68,17 @@
 }
 
 const (
-	leastTurn  = 4 * time.Second // of which the runner of go test needs one to begin
-	mostTurn   = 60 * time.Second
-	freshTurns = 3       // as long, for a target that still finds new coverage
-	keptBytes  = 2 << 20 // of inputs in the repository, over all targets
-	keptInput  = 4 << 10 // one of them
+	minTimeSlice      = 4 * time.Second // of which the runner of go test needs one to begin
+	maxTimeSlice      = 60 * time.Second
+	newCoverageFactor = 3       // as long, for a target that still finds new coverage
+	maxCorpusBytes    = 2 << 20 // of inputs in the repository, over all targets
+	maxInputBytes     = 4 << 10 // one of them
 )
 
 // Fuzz goes through all fuzz targets of the module in the current folder, by turns,
 // until the time is over or ctx ends. It needs the go command.
 func Fuzz(ctx context.Context, w io.Writer, o FuzzOptions) (*FuzzSummary, error) {
-	targets, err := fuzzTargets(ctx, o.Match)
+	targets, err := listFuzzTargets(ctx, o.Match)
 	if err != nil {
 		return nil, err
 	}
@@ -89,23 +89,23 @@
 		return nil, err
 	}
 	s := &FuzzSummary{Started: time.Now().UTC(), Workers: o.Workers, Targets: targets, Findings: []Finding{}}
-	end := s.Started.Add(o.For)
-	for round := 1; ctx.Err() == nil && time.Until(end) >= leastTurn; round++ {
+	end := s.Started.Add(o.Duration)
+	for round := 1; ctx.Err() == nil && time.Until(end) >= minTimeSlice; round++ {
 		for i, t := range targets {
 			left := time.Until(end)
-			if ctx.Err() != nil || left < leastTurn {
+			if ctx.Err() != nil || left < minTimeSlice {
 				break
 			}
 			// What is left of the time, shared by the targets of this round and some more
 			// rounds, more of it to those that found something new.
-			turn := max(leastTurn, min(mostTurn, left/time.Duration(max(1, 3*(len(targets)-i)))))
-			if t.fresh {
-				turn = min(freshTurns*turn, mostTurn)
+			turn := max(minTimeSlice, min(maxTimeSlice, left/time.Duration(max(1, 3*(len(targets)-i)))))
+			if t.foundCoverage {
+				turn = min(newCoverageFactor*turn, maxTimeSlice)
 			}
 			if round == 1 {
-				turn = max(leastTurn, min(turn, left/time.Duration(len(targets)-i)))
+				turn = max(minTimeSlice, min(turn, left/time.Duration(len(targets)-i)))
 			}
-			found, err := t.turn(ctx, min(turn, left), o, w)
+			found, err := t.fuzzFor(ctx, min(turn, left), o, w)
 			if err != nil {
 				return s, err
 			}
@@ -121,13 +121,13 @@
 	}
 	for _, t := range s.Targets {
 		s.Executions += t.Executions
-		if o.Keep {
-			if err := t.keep(keptBytes / len(s.Targets)); err != nil {
+		if o.Persist {
+			if err := t.persistInputs(maxCorpusBytes / len(s.Targets)); err != nil {
 				return s, err
 			}
 		}
 		if ctx.Err() == nil {
-			t.Coverage = coverage(ctx, t)
+			t.Coverage = measureCoverage(ctx, t)
 		}
 	}
 	s.Seconds = time.Since(s.Started).Seconds()
@@ -138,8 +138,8 @@
 	return s, os.WriteFile(filepath.Join(o.Dir, "summary.json"), append(text, '\n'), 0o644)
 }
 
-// fuzzTargets lists the native targets of the module.
-func fuzzTargets(ctx context.Context, match string) ([]*FuzzTarget, error) {
+// listFuzzTargets lists the native targets of the module.
+func listFuzzTargets(ctx context.Context, match string) ([]*FuzzTarget, error) {
 	want, err := regexp.Compile(match)
 	if err != nil {
 		return nil, fmt.Errorf("match: %w", err)
@@ -183,7 +183,7 @@
 )
 
 // turn fuzzes one target for a while.
-func (t *FuzzTarget) turn(ctx context.Context, long time.Duration, o FuzzOptions, w io.Writer) ([]Finding, error) {
+func (t *FuzzTarget) fuzzFor(ctx context.Context, long time.Duration, o FuzzOptions, w io.Writer) ([]Finding, error) {
 	began := time.Now()
 	cmd := exec.Command("go", "test", "-run", "^$", "-fuzz", "^"+t.Name+"$", "-fuzztime", long.Round(time.Millisecond).String(),
 		"-fuzzminimizetime", "10x", "-parallel", strconv.Itoa(o.Workers), t.Package)
@@ -218,8 +218,8 @@
 	took := time.Since(began)
 	t.Seconds += took.Seconds()
 	t.Executions += execs
-	t.New += fresh
-	t.fresh = fresh > 0
+	t.NewInputs += fresh
+	t.foundCoverage = fresh > 0
 	fmt.Fprintf(w, "%-18s %6.1f s  %9d executions  %4d new of %d inputs\n", t.Name, took.Seconds(), execs, fresh, t.Inputs)
 	if !failed || ctx.Err() != nil {
 		return nil, nil
@@ -245,7 +245,7 @@
 
 // keep takes the smallest of the inputs that added coverage into the repository's
 // corpus, as many as fit; plain go test replays them.
-func (t *FuzzTarget) keep(room int) error {
+func (t *FuzzTarget) persistInputs(room int) error {
 	out, err := exec.Command("go", "env", "GOCACHE").Output()
 	if err != nil {
 		return err
@@ -277,7 +277,7 @@
 		if err != nil {
 			return err
 		}
-		if len(text) <= keptInput && !had[string(text)] {
+		if len(text) <= maxInputBytes && !had[string(text)] {
 			inputs = append(inputs, input{e.Name(), text})
 		}
 	}
@@ -294,7 +294,7 @@
 		if err := os.WriteFile(filepath.Join(to, x.name), x.text, 0o644); err != nil {
 			return err
 		}
-		t.Kept++
+		t.Persisted++
 	}
 	return nil
 }
@@ -302,7 +302,7 @@
 var coverageLine = regexp.MustCompile(`coverage: (\S+) of statements`)
 
 // coverage is what a target's seeds and corpus reach of its package.
-func coverage(ctx context.Context, t *FuzzTarget) string {
+func measureCoverage(ctx context.Context, t *FuzzTarget) string {
 	out, _ := exec.CommandContext(ctx, "go", "test", "-count=1", "-cover", "-run", "^"+t.Name+"$", t.Package).CombinedOutput()
 	if m := coverageLine.FindSubmatch(out); m != nil {
 		return string(m[1])
--- a/internal/lab/loops.go
+++ b/internal/lab/loops.go
@@ -20,7 +20,7 @@
 			for _, cells := range []int{1, 2, 4, 8, 16} {
 				learned, served := 0.0, 0.0
 				for c := range cells {
-					l, s, err := oneCell(rate/float64(cells), load, seed+uint64(c)*1000, seconds)
+					l, s, err := simulateCell(rate/float64(cells), load, seed+uint64(c)*1000, seconds)
 					if err != nil {
 						return err
 					}
@@ -37,29 +37,29 @@
 const second = int64(1e9)
 
 // A due is something that happens at a moment of virtual time.
-type due struct {
+type scheduledEvent struct {
 	at int64
 	n  int // order of those at one moment
 	do func()
 }
 
-type agenda []due
+type eventQueue []scheduledEvent
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
+func (a eventQueue) Len() int { return len(a) }
+func (a eventQueue) Less(i, j int) bool {
 	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].n < a[j].n
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(due)) }
-func (a *agenda) Pop() any {
+func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a *eventQueue) Push(x any)   { *a = append(*a, x.(scheduledEvent)) }
+func (a *eventQueue) Pop() any {
 	x := (*a)[len(*a)-1]
 	*a = (*a)[:len(*a)-1]
 	return x
 }
 
-// oneCell runs one module over nodes of two slots that together can do rate/load jobs
+// simulateCell runs one module over nodes of two slots that together can do rate/load jobs
 // a second, for two classes of which the second takes five times as long.
-func oneCell(rate, load float64, seed uint64, seconds int) (learned, served float64, err error) {
+func simulateCell(rate, load float64, seed uint64, seconds int) (learned, served float64, err error) {
 	work := [2]int64{second * 3 / 10, second * 3 / 2}
 	part := [2]float64{0.72, 0.28}
 	mean := part[0]*float64(work[0]) + part[1]*float64(work[1])
@@ -76,11 +76,11 @@
 		return 0, 0, err
 	}
 	rng := rand.New(rand.NewPCG(seed, 11))
-	var todo agenda
+	var todo eventQueue
 	now, n := int64(0), 0
 	at := func(t int64, do func()) {
 		n++
-		heap.Push(&todo, due{t, n, do})
+		heap.Push(&todo, scheduledEvent{t, n, do})
 	}
 	var news []foxlift.Event
 	type node struct{ free, queued int }
@@ -162,7 +162,7 @@
 	for end := int64(seconds) * second; len(todo) > 0 && todo[0].at < end; {
 		now = todo[0].at
 		for len(todo) > 0 && todo[0].at == now {
-			heap.Pop(&todo).(due).do()
+			heap.Pop(&todo).(scheduledEvent).do()
 		}
 		for {
 			events := news
--- a/internal/lab/rig.go
+++ b/internal/lab/rig.go
@@ -20,7 +20,7 @@
 )
 
 // A Kind is a kind of execute node.
-type Kind struct {
+type WorkerKind struct {
 	Name  string
 	Count int
 	Slots int
@@ -29,68 +29,68 @@
 
 // A Tenant is a tenant with its share of what the fleet can do.
 type Tenant struct {
-	Name  string
-	Share float64
+	Name          string
+	QuotaFraction float64
 }
 
 // A World is what a rig is made of.
-type World struct {
-	Schedulers int
-	Kinds      []Kind
-	Zones      []string
-	Tenants    []Tenant
-	Classes    []Class
-	Sockets    int           // descriptors of a scheduler
-	Pods       int           // that the nodes are dealt out to; 0: they know no repeats
-	Window     time.Duration // in which a pod drops repeats of jobs whose class has the effect "deduplicated"
-	Reports    bool          // nodes report their load
-	Peers      bool          // schedulers may send each other messages
-	Operator   string        // text of the operator's file, with %s for the control socket's path; "": none
+type Topology struct {
+	Schedulers  int
+	Kinds       []WorkerKind
+	Zones       []string
+	Tenants     []Tenant
+	Classes     []Class
+	Sockets     int           // descriptors of a scheduler
+	Groups      int           // that the nodes are dealt out to; 0: they know no repeats
+	DedupWindow time.Duration // in which a pod drops repeats of jobs whose class has the effect "deduplicated"
+	LoadReports bool          // nodes report their load
+	Gossip      bool          // schedulers may send each other messages
+	Operator    string        // text of the operator's file, with %s for the control socket's path; "": none
 }
 
 // A Class is a class of jobs.
 type Class struct {
-	Name   string
-	Effect string
-	Work   time.Duration // on a slot of speed 1
-	Part   float64       // of the jobs
-	Aim    time.Duration
-	Wait   time.Duration // that its submitters have
+	Name             string
+	Effect           string
+	ServiceTime      time.Duration // on a slot of speed 1
+	JobFraction      float64       // of the jobs
+	LatencyObjective time.Duration
+	Deadline         time.Duration // that its submitters have
 }
 
 // mean is the mean work of a job.
-func (w *World) mean() float64 {
+func (w *Topology) meanServiceTime() float64 {
 	sum := 0.0
 	for _, c := range w.Classes {
-		sum += c.Part * c.Work.Seconds()
+		sum += c.JobFraction * c.ServiceTime.Seconds()
 	}
 	return sum
 }
 
 // Capacity is how many jobs a second the fleet can run.
-func (w *World) Capacity() float64 {
+func (w *Topology) Capacity() float64 {
 	slots := 0.0
 	for _, k := range w.Kinds {
 		slots += float64(k.Count*k.Slots) * k.Speed
 	}
-	return slots / w.mean()
+	return slots / w.meanServiceTime()
 }
 
 // A Rig is a running world.
 type Rig struct {
-	World
+	Topology
 	Nodes      []*standin.Node
 	Discovery  *standin.Discovery
 	Schedulers []*daemon.Daemon
 	Clients    []controlpb.ControlClient // one for each scheduler, where there is a control socket
 
-	dir string
-	end []func()
+	dir     string
+	closers []func()
 }
 
 // Start starts a world. Close ends it.
-func Start(w World) (r *Rig, err error) {
-	r = &Rig{World: w}
+func Start(w Topology) (r *Rig, err error) {
+	r = &Rig{Topology: w}
 	defer func() {
 		if err != nil {
 			r.Close()
@@ -101,7 +101,7 @@
 	}
 	work := map[string]time.Duration{}
 	for _, c := range w.Classes {
-		work[c.Name] = c.Work
+		work[c.Name] = c.ServiceTime
 	}
 	for _, k := range w.Kinds {
 		for i := range k.Count {
@@ -130,7 +130,7 @@
 	text, err := json.MarshalIndent(map[string]any{
 		"name": fmt.Sprint("n", i), "listen": "127.0.0.1:0", "discovery": r.Discovery.Addr().String(),
 		"seed": fmt.Sprintf("%x", 1000+i), "limits": map[string]any{"memory_mb": 192, "sockets": r.Sockets},
-		"known": json.RawMessage(r.Discovery.Known()), "settings": r.World.Settings(i),
+		"known": json.RawMessage(r.Discovery.Known()), "settings": r.Topology.Settings(i),
 	}, "", " ")
 	if err != nil {
 		return "", err
@@ -140,30 +140,30 @@
 }
 
 // Settings returns the settings of scheduler i, as the platform's configuration has them.
-func (w World) Settings(i int) map[string]any {
+func (w Topology) Settings(i int) map[string]any {
 	ns := func(d time.Duration) int64 { return int64(d) }
 	var classes, tenants []map[string]any
 	var kinds []string
 	var stretch []float64
 	for _, c := range w.Classes {
-		classes = append(classes, map[string]any{"name": c.Name, "aim": ns(c.Aim), "deadline": ns(c.Wait), "effect": c.Effect, "gain": 1,
-			"dedupScope": "cell", "keyTtl": ns(w.Window)})
+		classes = append(classes, map[string]any{"name": c.Name, "aim": ns(c.LatencyObjective), "deadline": ns(c.Deadline), "effect": c.Effect, "gain": 1,
+			"dedupScope": "cell", "keyTtl": ns(w.DedupWindow)})
 		stretch = append(stretch, 2)
 	}
 	for _, t := range w.Tenants {
-		tenants = append(tenants, map[string]any{"name": t.Name, "quotaRps": math.Round(t.Share*0.85*w.Capacity()*10) / 10})
+		tenants = append(tenants, map[string]any{"name": t.Name, "quotaRps": math.Round(t.QuotaFraction*0.85*w.Capacity()*10) / 10})
 	}
 	for _, k := range w.Kinds {
 		kinds = append(kinds, k.Name)
 	}
 	report := map[string]any{"how": "none", "names": []string{}}
-	if w.Reports {
+	if w.LoadReports {
 		report = map[string]any{"how": "answers", "names": []string{"backlog", "outstanding", "x0"}}
 	}
 	return map[string]any{
 		"report": report, "balancers": w.Schedulers, "slotNo": i, "discovery": "subscribe", "dcs": w.Zones, "zone": w.Zones[i%len(w.Zones)], "flavors": kinds,
 		"grades": classes, "projects": tenants, "familyInfo": map[string]any{"classStretch": stretch, "tellsStart": true, "reportX0": "free slots"},
-		"bounds": map[string]any{"cancel": true, "peerMessages": w.Peers, "secondCopies": true, "retryAfter": true, "maxRetryAfter": ns(2 * time.Second),
+		"bounds": map[string]any{"cancel": true, "peerMessages": w.Gossip, "secondCopies": true, "retryAfter": true, "maxRetryAfter": ns(2 * time.Second),
 			"maxAttempts": 3, "connIdle": ns(30 * time.Second), "connectTimeout": ns(time.Second), "streamsPerConn": 1},
 		"obligations": map[string]any{"drainGrace": ns(750 * time.Millisecond), "graceToAnswer": ns(8 * time.Millisecond), "mustAskIn": ns(10 * time.Second),
 			"startCapacity": 0.14, "warmAfter": ns(24 * time.Second), "fallMultiple": 3, "fall": ns(time.Second)},
@@ -202,7 +202,7 @@
 			return err
 		}
 		r.Clients = append(r.Clients, client)
-		r.end = append(r.end, func() { end() })
+		r.closers = append(r.closers, func() { end() })
 	}
 	for !d.Core.Ready() {
 		<-time.After(time.Millisecond)
@@ -212,7 +212,7 @@
 
 // Close ends everything.
 func (r *Rig) Close() {
-	for _, end := range r.end {
+	for _, end := range r.closers {
 		end()
 	}
 	for _, d := range r.Schedulers {
@@ -243,7 +243,7 @@
 
 // AtMostOnce reports whether a job's id says that it must not run twice: also not where its
 // nodes drop repeats, which are no runs.
-func (w World) AtMostOnce(id string) bool {
+func (w Topology) AtMostOnce(id string) bool {
 	for _, c := range w.Classes {
 		if c.Effect != "idempotent" && strings.Contains(id, "/"+c.Name+"/") {
 			return true
--- a/internal/lab/service/deployment.go
+++ b/internal/lab/service/deployment.go
@@ -26,14 +26,14 @@
 
 // DefaultWorld is one scheduler on eight nodes, with short idempotent and longer at-most-once
 // jobs.
-func DefaultWorld() lab.World {
-	return lab.World{
+func DefaultWorld() lab.Topology {
+	return lab.Topology{
 		Schedulers: 1, Sockets: 512, Zones: []string{"east"},
-		Kinds:   []lab.Kind{{Name: "node", Count: 8, Slots: 4, Speed: 1}},
-		Tenants: []lab.Tenant{{Name: "north", Share: 0.6}, {Name: "south", Share: 0.4}},
+		Kinds:   []lab.WorkerKind{{Name: "node", Count: 8, Slots: 4, Speed: 1}},
+		Tenants: []lab.Tenant{{Name: "north", QuotaFraction: 0.6}, {Name: "south", QuotaFraction: 0.4}},
 		Classes: []lab.Class{
-			{Name: "reading", Effect: "idempotent", Work: 20 * time.Millisecond, Part: 0.7, Aim: 300 * time.Millisecond, Wait: 800 * time.Millisecond},
-			{Name: "ratify", Effect: "at_most_once", Work: 150 * time.Millisecond, Part: 0.3, Aim: 600 * time.Millisecond, Wait: 1200 * time.Millisecond},
+			{Name: "reading", Effect: "idempotent", ServiceTime: 20 * time.Millisecond, JobFraction: 0.7, LatencyObjective: 300 * time.Millisecond, Deadline: 800 * time.Millisecond},
+			{Name: "ratify", Effect: "at_most_once", ServiceTime: 150 * time.Millisecond, JobFraction: 0.3, LatencyObjective: 600 * time.Millisecond, Deadline: 1200 * time.Millisecond},
 		},
 	}
 }
@@ -47,8 +47,8 @@
 }
 
 // Deploy starts a world's scheduler and waits for its yes. Close ends it.
-func Deploy(ctx context.Context, program string, world lab.World) (d *Deployment, err error) {
-	f, err := fleet.New(fleet.Options{World: world, Program: program, Price: standin.Price{Call: time.Millisecond, Patience: time.Second}, Admin: true})
+func Deploy(ctx context.Context, program string, world lab.Topology) (d *Deployment, err error) {
+	f, err := fleet.New(fleet.Options{Topology: world, Program: program, Price: standin.Price{Call: time.Millisecond, Patience: time.Second}, Admin: true})
 	if err != nil {
 		return nil, err
 	}
@@ -75,7 +75,7 @@
 func (d *Deployment) KillAfter() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range d.Fleet.Classes {
-		longest = max(longest, class.Wait)
+		longest = max(longest, class.Deadline)
 	}
 	return min(longest, longestGrace) + killMargin
 }
--- a/internal/lab/service/load.go
+++ b/internal/lab/service/load.go
@@ -45,7 +45,7 @@
 }
 
 // StartLoad begins jobs of a world's classes and tenants.
-func StartLoad(addr string, world lab.World, o LoadOptions) *Load {
+func StartLoad(addr string, world lab.Topology, o LoadOptions) *Load {
 	l := &Load{LoadOptions: o, addr: addr, classes: world.Classes, tenants: world.Tenants, stop: make(chan struct{}), tally: newTally()}
 	l.wait.Go(l.run)
 	return l
@@ -113,7 +113,7 @@
 
 func (l *Load) class(drawn float64) lab.Class {
 	for _, c := range l.classes {
-		if drawn -= c.Part; drawn < 0 {
+		if drawn -= c.JobFraction; drawn < 0 {
 			return c
 		}
 	}
@@ -122,7 +122,7 @@
 
 func (l *Load) tenant(drawn float64) lab.Tenant {
 	for _, t := range l.tenants {
-		if drawn -= t.Share; drawn < 0 {
+		if drawn -= t.QuotaFraction; drawn < 0 {
 			return t
 		}
 	}
@@ -144,7 +144,7 @@
 func (l *Load) submit(id string, class lab.Class, tenant string, fresh bool) {
 	text := requestText(id, class, tenant)
 	record := Record{ID: id, Class: class.Name}
-	until := time.Now().Add(class.Wait + grace)
+	until := time.Now().Add(class.Deadline + grace)
 	var got answer
 	for len(record.Sends) < sends {
 		var send Send
@@ -165,7 +165,7 @@
 func requestText(id string, class lab.Class, tenant string) string {
 	const body = "body"
 	return fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: app.svc\r\nX-Txn: %s\r\nX-Lane: %s\r\nX-Org: %s\r\nX-Remaining: %dm\r\nContent-Length: %d\r\n\r\n%s",
-		class.Name, id, class.Name, tenant, class.Wait.Milliseconds(), len(body), body)
+		class.Name, id, class.Name, tenant, class.Deadline.Milliseconds(), len(body), body)
 }
 
 // send sends a request once, on a kept connection or on a new one.
--- a/internal/lab/service/main_test.go
+++ b/internal/lab/service/main_test.go
@@ -40,7 +40,7 @@
 }
 
 // deploy starts a world's scheduler and ends it with the test.
-func deploy(t *testing.T, world lab.World) *Deployment {
+func deploy(t *testing.T, world lab.Topology) *Deployment {
 	t.Helper()
 	d, err := Deploy(t.Context(), program, world)
 	must(t, err)
@@ -67,7 +67,7 @@
 func underLoad(t *testing.T) *scene {
 	t.Helper()
 	d := deploy(t, DefaultWorld())
-	s := &scene{d, StartLoad(d.Addr(), d.Fleet.World, DefaultLoad), time.Now()}
+	s := &scene{d, StartLoad(d.Addr(), d.Fleet.Topology, DefaultLoad), time.Now()}
 	s.goesOn(t)
 	return s
 }
--- a/internal/lab/service/quiesce_test.go
+++ b/internal/lab/service/quiesce_test.go
@@ -68,7 +68,7 @@
 	const kept, silent, working = 10, 5, 8
 	world := DefaultWorld()
 	long := &world.Classes[1]
-	long.Work, long.Aim, long.Wait = 1500*time.Millisecond, 4*time.Second, 6*time.Second
+	long.ServiceTime, long.LatencyObjective, long.Deadline = 1500*time.Millisecond, 4*time.Second, 6*time.Second
 	d := deploy(t, world)
 	var idle []*guest
 	for i := range kept {
--- a/internal/lab/service/stats_test.go
+++ b/internal/lab/service/stats_test.go
@@ -36,7 +36,7 @@
 	d := deploy(t, world)
 	o := DefaultLoad
 	o.Rate = 2.5 * world.Capacity()
-	load := StartLoad(d.Addr(), d.Fleet.World, o)
+	load := StartLoad(d.Addr(), d.Fleet.Topology, o)
 	for _, n := range d.Fleet.Nodes() {
 		n.Behave(standin.Behaviour{FailOne: 5})
 	}
@@ -96,7 +96,7 @@
 	const jobs = 24
 	world := DefaultWorld()
 	class := &world.Classes[1]
-	class.Work, class.Aim, class.Wait = 3*time.Second, 8*time.Second, 10*time.Second
+	class.ServiceTime, class.LatencyObjective, class.Deadline = 3*time.Second, 8*time.Second, 10*time.Second
 	d := deploy(t, world)
 	var wait sync.WaitGroup
 	for range jobs {
@@ -140,7 +140,7 @@
 	awaitFigures(t, d, "another one is", 2*time.Second, size(9))
 	d.Fleet.Discovery.Put(added, "left")
 	awaitFigures(t, d, "it has left", 2*time.Second, size(8))
-	load := StartLoad(d.Addr(), d.Fleet.World, DefaultLoad)
+	load := StartLoad(d.Addr(), d.Fleet.Topology, DefaultLoad)
 	for _, n := range d.Fleet.Nodes()[:2] {
 		n.Crash()
 	}
--- a/internal/lab/service/upgrades.go
+++ b/internal/lab/service/upgrades.go
@@ -111,7 +111,7 @@
 	defer d.Close()
 	r.Began, r.Asked, r.Tally = time.Now(), u.Upgrades, newTally()
 	u.Load.Seed = u.Seed
-	load := StartLoad(d.Addr(), d.Fleet.World, u.Load)
+	load := StartLoad(d.Addr(), d.Fleet.Topology, u.Load)
 	err = u.upgrade(ctx, w, d, load, &r)
 	r.Tally, r.Twice = load.Stop(), d.Fleet.Twice()
 	r.report(w)
--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -41,7 +41,7 @@
 	sent := load.SentAt()
 	waits := map[string]time.Duration{}
 	for _, c := range p.f.Classes {
-		waits[c.Name] = c.Wait
+		waits[c.Name] = c.Deadline
 	}
 	leaves := map[string]time.Time{}
 	for _, l := range p.record.leaves {
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -82,14 +82,14 @@
 )
 
 // world is the deployment: two zones, two kinds of node, a class that may be repeated and one that may not.
-func (o Options) world() lab.World {
-	return lab.World{
+func (o Options) world() lab.Topology {
+	return lab.Topology{
 		Schedulers: o.Schedulers, Sockets: 512, Zones: []string{"east", "west"},
-		Kinds:   []lab.Kind{{Name: "large", Count: o.Nodes / 2, Slots: 6, Speed: 1.5}, {Name: "small", Count: o.Nodes - o.Nodes/2, Slots: 4, Speed: 1}},
-		Tenants: []lab.Tenant{{Name: "all", Share: 1}},
+		Kinds:   []lab.WorkerKind{{Name: "large", Count: o.Nodes / 2, Slots: 6, Speed: 1.5}, {Name: "small", Count: o.Nodes - o.Nodes/2, Slots: 4, Speed: 1}},
+		Tenants: []lab.Tenant{{Name: "all", QuotaFraction: 1}},
 		Classes: []lab.Class{
-			{Name: "reading", Effect: "idempotent", Work: 60 * time.Millisecond, Part: 0.7, Aim: 500 * time.Millisecond, Wait: 3 * time.Second},
-			{Name: "ratify", Effect: "at_most_once", Work: 250 * time.Millisecond, Part: 0.3, Aim: 2 * time.Second, Wait: 12 * time.Second},
+			{Name: "reading", Effect: "idempotent", ServiceTime: 60 * time.Millisecond, JobFraction: 0.7, LatencyObjective: 500 * time.Millisecond, Deadline: 3 * time.Second},
+			{Name: "ratify", Effect: "at_most_once", ServiceTime: 250 * time.Millisecond, JobFraction: 0.3, LatencyObjective: 2 * time.Second, Deadline: 12 * time.Second},
 		},
 	}
 }
@@ -112,7 +112,7 @@
 // Run plays one seed. What it sees broken is written to log, a line each.
 func (o Options) Run(log io.Writer) (r Result, err error) {
 	f, err := fleet.New(fleet.Options{
-		World: o.world(), Program: o.Program, NodeLinks: true,
+		Topology: o.world(), Program: o.Program, NodeLinks: true,
 		Price: standin.Price{Call: time.Millisecond, Line: 50 * time.Microsecond, Patience: 2 * time.Second},
 		Cold:  &standin.Cold{From: 0.2, Warm: 10 * time.Second, Multiple: 3, Window: time.Second},
 	})
--- a/internal/lab/speed.go
+++ b/internal/lab/speed.go
@@ -19,8 +19,8 @@
 // connections, each sending its next job when it has the answer, to nodes that
 // answer at once. program is the scheduler's binary: two builds can be compared.
 func Speed(w io.Writer, program string, connections []int, each time.Duration) error {
-	r, err := Start(World{
-		Sockets: 1024, Zones: []string{"east"}, Kinds: []Kind{{"fast", 8, 64, 1}}, Tenants: []Tenant{{"all", 1}},
+	r, err := Start(Topology{
+		Sockets: 1024, Zones: []string{"east"}, Kinds: []WorkerKind{{"fast", 8, 64, 1}}, Tenants: []Tenant{{"all", 1}},
 		Classes: []Class{{"reading", "idempotent", time.Nanosecond, 1, 500 * time.Millisecond, 5 * time.Second}},
 	})
 	if err != nil {
--- a/internal/lab/standins.go
+++ b/internal/lab/standins.go
@@ -11,8 +11,8 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// Signals are those that StandIns wants to hear of.
-var Signals = []os.Signal{syscall.SIGUSR1, syscall.SIGINT, syscall.SIGTERM}
+// StandInSignals are those that StandIns wants to hear of.
+var StandInSignals = []os.Signal{syscall.SIGUSR1, syscall.SIGINT, syscall.SIGTERM}
 
 // StandIns runs what examples/config.json needs, until a signal that ends it.
 func StandIns(w io.Writer, signals <-chan os.Signal) error {
