--- a/affinity_test.go
+++ b/affinity_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestKeysAreSentToTheirHomes(t *testing.T) {
+func TestAffinityAgreesAcrossDispatchers(t *testing.T) {
 	cfg := testConfig()
 	cfg.Prices.Fetch = 0.1
 	seen := map[string]int{}
@@ -14,9 +14,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Step(second, []Event{{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: fleet(60)}})
-		as := d.Step(second, []Event{{Kind: EventRequest, Request: Request{ID: 1, Deadline: 3 * second, Key: 99}}})
-		for _, a := range as {
+		d.Step(second, []Event{{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: testWorkers(60)}})
+		actions := d.Step(second, []Event{{Kind: EventRequest, Request: Request{ID: 1, Deadline: 3 * second, Key: 99}}})
+		for _, a := range actions {
 			if a.Kind == ActionSend {
 				seen[a.Worker]++
 			}
@@ -28,12 +28,12 @@
 }
 
 // A job goes where its key was lately, unless others have far fewer of our jobs.
-func TestJobsFollowTheirKeys(t *testing.T) {
-	r := newRig(t, testConfig(), fleet(3)...)
+func TestJobsFollowCachedKeys(t *testing.T) {
+	h := newHarness(t, testConfig(), testWorkers(3)...)
 	ask := func(id, key uint64) string {
-		e := r.request(id, 0)
+		e := h.request(id, 0)
 		e.Request.Key = key
-		return r.step(e)[0].Worker
+		return h.step(e)[0].Worker
 	}
 	home := ask(1, 7)
 	if other, next := ask(2, 8), ask(3, 7); other == home || next != home {
@@ -48,14 +48,14 @@
 	if again > 2 {
 		t.Errorf("%d of 4 more pile up at home", again)
 	}
-	w := r.d.workers[home]
+	w := h.d.workers[home]
 	for key := uint64(20); key < 20+keptKeys; key++ {
 		w.recordKey(key)
 	}
 	if w.likelyCaches(7) || !w.likelyCaches(20) || len(w.cachedKeys) != keptKeys {
 		t.Errorf("keys kept: %v", w.cachedKeys)
 	}
-	r.d.resetWorker(w, 1)
+	h.d.resetWorker(w, 1)
 	if w.likelyCaches(20) {
 		t.Error("a new process holds what the former one had")
 	}
@@ -63,7 +63,7 @@
 
 // Many dispatchers that never speak send a key's jobs to the same worker, and on to the
 // same next one, so that what the jobs need is fetched there once: not where it is for each.
-func TestManySendAKeyToTheSameFew(t *testing.T) {
+func TestManyDispatchersShareAnAffinitySet(t *testing.T) {
 	var seen [2]map[string]bool
 	for i := range seen {
 		seen[i] = map[string]bool{}
@@ -71,17 +71,17 @@
 	for index := range 40 {
 		cfg := manyConfig()
 		cfg.Index = index
-		r := newRig(t, cfg, fleet(60)...)
+		h := newHarness(t, cfg, testWorkers(60)...)
 		for range index {
-			r.d.rng.Uint64() // each draws numbers of its own
+			h.d.rng.Uint64() // each draws numbers of its own
 		}
-		makeRare(r)
-		r.step(keyed(r, 1, 0, 7))
-		seen[0][r.want(ActionSend, 1)[0].Worker] = true
-		for r.after(r.d.tickInterval); len(r.only(ActionSend)) == 0; { // no word of a start
-			r.after(r.d.tickInterval)
+		makeRare(h)
+		h.step(keyedRequest(h, 1, 0, 7))
+		seen[0][h.wantActions(ActionSend, 1)[0].Worker] = true
+		for h.advance(h.d.tickInterval); len(h.actionsOf(ActionSend)) == 0; { // no word of a start
+			h.advance(h.d.tickInterval)
 		}
-		seen[1][r.want(ActionSend, 1)[0].Worker] = true
+		seen[1][h.wantActions(ActionSend, 1)[0].Worker] = true
 	}
 	if len(seen[0]) != 1 || len(seen[1]) != 1 {
 		t.Errorf("one key's jobs went to %d workers first and to %d then", len(seen[0]), len(seen[1]))
@@ -90,23 +90,23 @@
 
 // A key with a large part of the jobs has as many homes as it fills, not one; a dispatcher
 // keeps to those where it found room.
-func TestManySpreadABusyKey(t *testing.T) {
+func TestBusyKeyUsesMoreWorkers(t *testing.T) {
 	seen := map[string]bool{}
 	for index := range 40 {
-		r := newRig(t, manyConfig(), fleet(60)...)
+		h := newHarness(t, manyConfig(), testWorkers(60)...)
 		for range index {
-			r.d.rng.Uint64()
+			h.d.rng.Uint64()
 		}
 		for id := uint64(1); id <= 200; id++ {
-			r.d.recentKeys.add(7 + id%4*1000) // one in four
+			h.d.recentKeys.add(7 + id%4*1000) // one in four
 		}
-		r.step(keyed(r, 1, 0, 7))
-		w := r.want(ActionSend, 1)[0].Worker
+		h.step(keyedRequest(h, 1, 0, 7))
+		w := h.wantActions(ActionSend, 1)[0].Worker
 		seen[w] = true
-		r.after(ms, started(1, 0, w))
-		r.after(ms, outcome(1, 0, w, Served))
-		r.step(keyed(r, 2, 0, 7))
-		if a := r.want(ActionSend, 1)[0]; a.Worker != w {
+		h.advance(ms, started(1, 0, w))
+		h.advance(ms, outcome(1, 0, w, Served))
+		h.step(keyedRequest(h, 2, 0, 7))
+		if a := h.wantActions(ActionSend, 1)[0]; a.Worker != w {
 			t.Errorf("it had room at %s and goes to %s", w, a.Worker)
 		}
 	}
@@ -116,33 +116,33 @@
 }
 
 // A job that stays where it is sent goes where one has just started, though that is no home.
-func TestManySendWhatStaysWhereThereIsRoom(t *testing.T) {
-	r := newRig(t, manyConfig(), fleet(60)...)
-	makeRare(r)
-	r.now += 60 * second
-	r.step()
-	homes, _ := r.d.rankAffinity(&job{class: &r.d.classes[1], req: Request{Key: 7}})
-	proven := r.d.workerOrder[slices.IndexFunc(r.d.workerOrder, func(w *worker) bool { return !slices.Contains(homes, w) })]
-	proven.promptStartAt = r.now
-	r.d.markReported(proven)
+func TestAtMostOnceGoesWhereAStartWasPrompt(t *testing.T) {
+	h := newHarness(t, manyConfig(), testWorkers(60)...)
+	makeRare(h)
+	h.now += 60 * second
+	h.step()
+	homes, _ := h.d.rankAffinity(&job{class: &h.d.classes[1], req: Request{Key: 7}})
+	proven := h.d.workerOrder[slices.IndexFunc(h.d.workerOrder, func(w *worker) bool { return !slices.Contains(homes, w) })]
+	proven.promptStartAt = h.now
+	h.d.markReported(proven)
 	for class, want := range []string{homes[0].id, proven.id} {
-		r.step(keyed(r, uint64(1+class), class, 7))
-		if a := r.want(ActionSend, 1)[0]; a.Worker != want {
+		h.step(keyedRequest(h, uint64(1+class), class, 7))
+		if a := h.wantActions(ActionSend, 1)[0]; a.Worker != want {
 			t.Errorf("class %d goes to %s, want %s", class, a.Worker, want)
 		}
 	}
 }
 
 // A worker that goes moves the keys whose home it was, and no others.
-func TestRendezvousMovesOnlyTheKeysOfTheLost(t *testing.T) {
-	r := newRig(t, manyConfig(), fleet(60)...)
-	d := r.d
+func TestRendezvousReassignsOnlyKeysOfARemovedWorker(t *testing.T) {
+	h := newHarness(t, manyConfig(), testWorkers(60)...)
+	d := h.d
 	home := func(key uint64) *worker {
-		ws, of := d.rankAffinity(&job{class: &d.classes[0], req: Request{Key: key}})
+		workers, of := d.rankAffinity(&job{class: &d.classes[0], req: Request{Key: key}})
 		if of != len(d.liveWorkers) {
 			t.Fatalf("of %d workers", of)
 		}
-		return ws[0]
+		return workers[0]
 	}
 	before := map[uint64]*worker{}
 	most := map[*worker]int{}
@@ -156,7 +156,7 @@
 		}
 	}
 	lost := d.liveWorkers[7]
-	r.step(Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: []Worker{{ID: lost.id, State: Removed}}})
+	h.step(Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: []Worker{{ID: lost.id, State: Removed}}})
 	for key, w := range before {
 		if now := home(key); (now != w) != (w == lost) {
 			t.Errorf("key %d moved from %s to %s when %s went", key, w.id, now.id, lost.id)
@@ -166,20 +166,20 @@
 
 // A fetch weighs less for a long job: it goes where one started some seconds ago rather than
 // to a home not met yet, a light one of its own kind goes home.
-func TestManyWeighAFetchByTheJob(t *testing.T) {
+func TestFetchPriceIsRelativeToRunTime(t *testing.T) {
 	for median, wantHome := range map[int64]bool{1: true, 10: false} {
-		r := newRig(t, manyConfig(), fleet(60)...)
-		makeRare(r)
-		r.now += 60 * second
-		r.step()
-		c := &r.d.classes[1]
-		c.median = median * r.d.classes[0].median
-		homes, _ := r.d.rankAffinity(&job{class: c, req: Request{Key: 7}})
-		met := r.d.workerOrder[slices.IndexFunc(r.d.workerOrder, func(w *worker) bool { return !slices.Contains(homes, w) })]
-		met.promptStartAt = r.now - 3*second
-		r.d.markReported(met)
-		r.step(keyed(r, 1, 1, 7))
-		if a := r.want(ActionSend, 1)[0]; (a.Worker == homes[0].id) != wantHome {
+		h := newHarness(t, manyConfig(), testWorkers(60)...)
+		makeRare(h)
+		h.now += 60 * second
+		h.step()
+		c := &h.d.classes[1]
+		c.median = median * h.d.classes[0].median
+		homes, _ := h.d.rankAffinity(&job{class: c, req: Request{Key: 7}})
+		met := h.d.workerOrder[slices.IndexFunc(h.d.workerOrder, func(w *worker) bool { return !slices.Contains(homes, w) })]
+		met.promptStartAt = h.now - 3*second
+		h.d.markReported(met)
+		h.step(keyedRequest(h, 1, 1, 7))
+		if a := h.wantActions(ActionSend, 1)[0]; (a.Worker == homes[0].id) != wantHome {
 			t.Errorf("a job %d times as long goes to %s; home is %s, met is %s", median, a.Worker, homes[0].id, met.id)
 		}
 	}
--- a/bench_scale_test.go
+++ b/bench_scale_test.go
@@ -21,15 +21,15 @@
 )
 
 // scaleWorkers are the warm workers of a fleet with several zones and kinds.
-func scaleWorkers(n int) (ws []Worker) {
+func scaleWorkers(n int) (workers []Worker) {
 	for i := range n {
-		ws = append(ws, Worker{ID: fmt.Sprintf("worker-%05d", i), Zone: i % scaleZones, Kind: i % scaleKinds, Cell: i / 8})
+		workers = append(workers, Worker{ID: fmt.Sprintf("worker-%05d", i), Zone: i % scaleZones, Kind: i % scaleKinds, Cell: i / 8})
 	}
-	return ws
+	return workers
 }
 
-// scaleRig is one of many dispatchers of such a fleet: classes 0 to 2 run on any kind, 3 on one.
-func scaleRig(tb testing.TB, workers int) *Dispatcher {
+// scaleDispatcher is one of many dispatchers of such a fleet: classes 0 to 2 run on any kind, 3 on one.
+func scaleDispatcher(tb testing.TB, workers int) *Dispatcher {
 	cfg := testConfig()
 	cfg.Dispatchers, cfg.Gauges, cfg.Tenants = 300, nil, nil
 	for i := range scaleTenants {
@@ -47,8 +47,8 @@
 	return d
 }
 
-// bySize runs a benchmark at each size and reports the slope. run returns what to repeat.
-func bySize(b *testing.B, run func(b *testing.B, workers int) func()) {
+// benchmarkBySize runs a benchmark at each size and reports the slope. run returns what to repeat.
+func benchmarkBySize(b *testing.B, run func(b *testing.B, workers int) func()) {
 	var sizes, times []float64
 	for _, n := range scaleSizes {
 		b.Run(fmt.Sprintf("workers=%d", n), func(b *testing.B) {
@@ -91,40 +91,40 @@
 	return slope, math.Sqrt(residual)
 }
 
-// BenchmarkScaleWhole is the first whole list of a dispatcher.
-func BenchmarkScaleWhole(b *testing.B) {
-	bySize(b, func(b *testing.B, n int) func() {
-		d := scaleRig(b, 0)
-		cfg, ws, now := d.cfg, scaleWorkers(n), 3*second
+// BenchmarkScaleCompleteList is the first whole list of a dispatcher.
+func BenchmarkScaleCompleteList(b *testing.B) {
+	benchmarkBySize(b, func(b *testing.B, n int) func() {
+		d := scaleDispatcher(b, 0)
+		cfg, workers, now := d.cfg, scaleWorkers(n), 3*second
 		return func() {
 			b.StopTimer()
 			d, _ := New(cfg, 1)
 			b.StartTimer()
 			now += ms
-			d.Step(now, []Event{{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: ws}})
+			d.Step(now, []Event{{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: workers}})
 		}
 	})
 }
 
-// BenchmarkScaleAgain is a whole list that tells again what is known.
-func BenchmarkScaleAgain(b *testing.B) {
-	bySize(b, func(b *testing.B, n int) func() {
-		d, ws, now := scaleRig(b, n), scaleWorkers(n), 3*second
+// BenchmarkScaleRepeatedList is a whole list that tells again what is known.
+func BenchmarkScaleRepeatedList(b *testing.B) {
+	benchmarkBySize(b, func(b *testing.B, n int) func() {
+		d, workers, now := scaleDispatcher(b, n), scaleWorkers(n), 3*second
 		return func() {
 			now += ms
-			d.Step(now, []Event{{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: ws}})
+			d.Step(now, []Event{{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: workers}})
 		}
 	})
 }
 
 // BenchmarkScaleChange is one change of the list: a worker drains, or is back.
 func BenchmarkScaleChange(b *testing.B) {
-	bySize(b, func(b *testing.B, n int) func() {
-		d, now, i := scaleRig(b, n), 3*second, 0
-		ws := scaleWorkers(n)
+	benchmarkBySize(b, func(b *testing.B, n int) func() {
+		d, now, i := scaleDispatcher(b, n), 3*second, 0
+		workers := scaleWorkers(n)
 		return func() {
 			now += ms / 10
-			w := ws[i/2%n]
+			w := workers[i/2%n]
 			w.State = [2]WorkerState{Draining, Live}[i%2]
 			i++
 			d.Step(now, []Event{{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: []Worker{w}}})
@@ -134,8 +134,8 @@
 
 // BenchmarkScaleTick is a tick without a job.
 func BenchmarkScaleTick(b *testing.B) {
-	bySize(b, func(b *testing.B, n int) func() {
-		d, now := scaleRig(b, n), 3*second
+	benchmarkBySize(b, func(b *testing.B, n int) func() {
+		d, now := scaleDispatcher(b, n), 3*second
 		return func() {
 			now += d.tickInterval
 			d.Step(now, nil)
@@ -145,7 +145,7 @@
 
 // scaleJob is a job's whole life, without the ticks between: it comes, is sent, starts and is served.
 func scaleJob(b *testing.B, n int, request func(id uint64) Request) func() {
-	d, now, id := scaleRig(b, n), 3*second, uint64(0)
+	d, now, id := scaleDispatcher(b, n), 3*second, uint64(0)
 	return func() {
 		now += ms
 		id++
@@ -162,20 +162,20 @@
 }
 
 func BenchmarkScaleJob(b *testing.B) {
-	bySize(b, func(b *testing.B, n int) func() {
+	benchmarkBySize(b, func(b *testing.B, n int) func() {
 		return scaleJob(b, n, func(uint64) Request { return Request{} })
 	})
 }
 
 func BenchmarkScaleKindJob(b *testing.B) {
-	bySize(b, func(b *testing.B, n int) func() {
+	benchmarkBySize(b, func(b *testing.B, n int) func() {
 		return scaleJob(b, n, func(uint64) Request { return Request{Class: 3} })
 	})
 }
 
 // BenchmarkScaleKeyedJob is the same with a key that is new each time.
 func BenchmarkScaleKeyedJob(b *testing.B) {
-	bySize(b, func(b *testing.B, n int) func() {
+	benchmarkBySize(b, func(b *testing.B, n int) func() {
 		return scaleJob(b, n, func(id uint64) Request { return Request{Key: id} })
 	})
 }
--- a/bench_test.go
+++ b/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// benchRig is a dispatcher of a large fleet with warm workers.
-func benchRig(b *testing.B, workers, tenants int) *Dispatcher {
+// benchDispatcher is a dispatcher of a large fleet with warm workers.
+func benchDispatcher(b *testing.B, workers, tenants int) *Dispatcher {
 	cfg := testConfig()
 	cfg.Dispatchers, cfg.Gauges, cfg.Tenants = 80, nil, nil
 	for i := range tenants {
@@ -16,7 +16,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	d.Step(second, []Event{{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: fleet(workers)}})
+	d.Step(second, []Event{{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: testWorkers(workers)}})
 	return d
 }
 
@@ -24,13 +24,13 @@
 func BenchmarkJob(b *testing.B) {
 	for _, size := range []struct{ workers, tenants int }{{15, 8}, {60, 8}, {600, 8}, {60, 80}} {
 		b.Run(fmt.Sprintf("workers=%d/tenants=%d", size.workers, size.tenants), func(b *testing.B) {
-			d := benchRig(b, size.workers, size.tenants)
+			d := benchDispatcher(b, size.workers, size.tenants)
 			now := 2 * second
 			for id := uint64(1); b.Loop(); id++ {
 				now += ms
-				as := d.Step(now, []Event{{Kind: EventRequest, Request: Request{
+				actions := d.Step(now, []Event{{Kind: EventRequest, Request: Request{
 					ID: id, Tenant: int(id) % size.tenants, Deadline: now + 2*second}}})
-				for _, a := range as {
+				for _, a := range actions {
 					if a.Kind == ActionSend {
 						worker := a.Worker
 						d.Step(now, []Event{started(id, a.Attempt, worker), outcome(id, a.Attempt, worker, Served)})
@@ -47,7 +47,7 @@
 func BenchmarkTick(b *testing.B) {
 	for _, size := range []struct{ workers, held int }{{15, 0}, {60, 0}, {600, 0}, {60, 100}, {60, 1000}} {
 		b.Run(fmt.Sprintf("workers=%d/held=%d", size.workers, size.held), func(b *testing.B) {
-			d := benchRig(b, size.workers, 8)
+			d := benchDispatcher(b, size.workers, 8)
 			now := 2 * second
 			for _, w := range d.workerOrder {
 				w.ejectedUntil = 1 << 62
--- a/config_test.go
+++ b/config_test.go
@@ -27,11 +27,11 @@
 	}
 }
 
-func TestNoTenantsOneDispatcherEmptyList(t *testing.T) {
+func TestNoTenantsAndNoWorkersAtStart(t *testing.T) {
 	cfg := Config{Classes: []Class{{LatencyObjective: 100 * ms, Deadline: second, Kind: -1}}, Dispatchers: 1}
-	r := newRig(t, cfg)
-	r.step(Event{Kind: EventRequest, Request: Request{ID: 1, Tenant: -1, Deadline: r.now + second}})
-	r.want(ActionSend, 0)
-	r.after(10*ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: fleet(1)})
-	r.want(ActionSend, 1)
+	h := newHarness(t, cfg)
+	h.step(Event{Kind: EventRequest, Request: Request{ID: 1, Tenant: -1, Deadline: h.now + second}})
+	h.wantActions(ActionSend, 0)
+	h.advance(10*ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: testWorkers(1)})
+	h.wantActions(ActionSend, 1)
 }
--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -2,71 +2,71 @@
 
 import "testing"
 
-func TestDrainStopsAtOnce(t *testing.T) {
+func TestDrainingWorkerGetsNothingNew(t *testing.T) {
 	for _, state := range []WorkerState{Draining, Removed} {
-		r := newRig(t, testConfig(), fleet(1)...)
-		w := fleet(1)[0]
+		h := newHarness(t, testConfig(), testWorkers(1)...)
+		w := testWorkers(1)[0]
 		w.State = state
-		r.after(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: []Worker{w}}, r.request(1, 0))
-		r.want(ActionSend, 0)
+		h.advance(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: []Worker{w}}, h.request(1, 0))
+		h.wantActions(ActionSend, 0)
 	}
-	r := newRig(t, testConfig(), fleet(2)...)
-	r.after(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: fleet(1)}, r.request(1, 0), r.request(2, 0))
-	for _, a := range r.only(ActionSend) {
+	h := newHarness(t, testConfig(), testWorkers(2)...)
+	h.advance(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: testWorkers(1)}, h.request(1, 0), h.request(2, 0))
+	for _, a := range h.actionsOf(ActionSend) {
 		if a.Worker != "w0" {
 			t.Errorf("sent to %s, which the whole list lacks", a.Worker)
 		}
 	}
 }
 
-func TestListAsksBackOffButNotPastTheLimit(t *testing.T) {
+func TestEndpointPollsBackOffUpToTheLimit(t *testing.T) {
 	cfg := testConfig()
 	cfg.PollEndpoints, cfg.MaxPollInterval = true, 8*second
-	r := newRig(t, cfg, fleet(1)...)
-	last, asks := r.now, 0
-	for r.now < 120*second {
-		r.after(50*ms, Event{Kind: EventTimer, Token: 1})
-		if len(r.only(ActionWatchEndpoints)) == 0 {
+	h := newHarness(t, cfg, testWorkers(1)...)
+	last, asks := h.now, 0
+	for h.now < 120*second {
+		h.advance(50*ms, Event{Kind: EventTimer, Token: 1})
+		if len(h.actionsOf(ActionWatchEndpoints)) == 0 {
 			continue
 		}
 		asks++
-		if gap := r.now - last; gap > cfg.MaxPollInterval {
+		if gap := h.now - last; gap > cfg.MaxPollInterval {
 			t.Fatalf("%d ns between asks, at most %d", gap, cfg.MaxPollInterval)
 		}
-		last = r.now
-		r.after(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsPollFailed})
+		last = h.now
+		h.advance(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsPollFailed})
 	}
 	if asks < 15 || asks > 100 {
 		t.Errorf("%d asks in two minutes of failures", asks)
 	}
-	r.after(8*second, Event{Kind: EventTimer, Token: 1})
-	r.after(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta})
+	h.advance(8*second, Event{Kind: EventTimer, Token: 1})
+	h.advance(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta})
 	for range 100 {
-		r.after(100*ms, Event{Kind: EventTimer, Token: 1})
-		r.want(ActionWatchEndpoints, 0)
+		h.advance(100*ms, Event{Kind: EventTimer, Token: 1})
+		h.wantActions(ActionWatchEndpoints, 0)
 	}
 }
 
 // Workers that are gone are dropped after a while, and not before nothing is out there.
-func TestGoneWorkersAreForgotten(t *testing.T) {
-	r := newRig(t, manyConfig(), fleet(3)...)
-	r.step(r.request(1, 1))
-	busy := r.want(ActionSend, 1)[0].Worker
-	r.step(Event{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: []Worker{{ID: "new"}}})
+func TestRemovedWorkersAreForgotten(t *testing.T) {
+	h := newHarness(t, manyConfig(), testWorkers(3)...)
+	h.step(h.request(1, 1))
+	busy := h.wantActions(ActionSend, 1)[0].Worker
+	h.step(Event{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: []Worker{{ID: "new"}}})
 	for _, c := range []struct {
 		after int64
 		left  int
 	}{{removedRetention - 2*second, 4}, {4 * second, 2}} {
-		for end := r.now + c.after; r.now < end; {
-			r.after(second)
+		for end := h.now + c.after; h.now < end; {
+			h.advance(second)
 		}
-		if len(r.d.workerOrder) != c.left || len(r.d.workers) != c.left {
-			t.Errorf("after %d s %d workers, want %d", (r.now-5*second)/second, len(r.d.workerOrder), c.left)
+		if len(h.d.workerOrder) != c.left || len(h.d.workers) != c.left {
+			t.Errorf("after %d s %d workers, want %d", (h.now-5*second)/second, len(h.d.workerOrder), c.left)
 		}
 	}
-	r.step(outcome(1, 0, busy, Reset))
-	r.after(2 * second)
-	if r.d.workers[busy] != nil || len(r.d.workerOrder) != 1 {
-		t.Errorf("%d workers, want the new one", len(r.d.workerOrder))
+	h.step(outcome(1, 0, busy, Reset))
+	h.advance(2 * second)
+	if h.d.workers[busy] != nil || len(h.d.workerOrder) != 1 {
+		t.Errorf("%d workers, want the new one", len(h.d.workerOrder))
 	}
 }
--- a/export_test.go
+++ b/export_test.go
@@ -8,11 +8,11 @@
 // What the tests of package foxlift_test use of the fuzz tests' random host.
 
 // RandomHostConfigs are the configurations that the random host plays.
-func RandomHostConfigs() []Config { return fuzzConfigs() }
+func RandomHostConfigs() []Config { return randomConfigs() }
 
 // PlayRandomHost plays the random host for some steps, and tells of each.
 func PlayRandomHost(t *testing.T, seed uint64, cfg Config, steps int, each func(int64, []Event, []Action)) {
-	host := newFuzz(t, seed, cfg)
+	host := newRandomHost(t, seed, cfg)
 	each(host.now, []Event{{Kind: EventEndpoints, EndpointUpdate: EndpointsCached, Workers: slices.Clone(host.workers)}}, host.log)
 	step := func(events []Event) {
 		before := len(host.log)
@@ -21,10 +21,10 @@
 	}
 	for range steps {
 		host.now += 1 + host.rng.Int64N(6*ms)
-		step(host.events())
+		step(host.randomEvents())
 	}
-	for len(host.out) > 0 || len(host.open) > 0 {
+	for len(host.inFlight) > 0 || len(host.open) > 0 {
 		host.now += 2 * ms
-		step(host.due())
+		step(host.dueEvents())
 	}
 }
--- a/fleet_index_test.go
+++ b/fleet_index_test.go
@@ -9,16 +9,16 @@
 )
 
 // churn changes some workers at random: their states, starts and kinds.
-func (f *fuzzed) churn() Event {
+func (host *randomHost) churnEvent() Event {
 	var changed []Worker
-	for range f.rng.IntN(1 + len(f.workers)/4) {
-		w := &f.workers[f.rng.IntN(len(f.workers))]
-		w.State = []WorkerState{Live, Live, Draining, Removed}[f.rng.IntN(4)]
-		if f.rng.IntN(3) == 0 {
-			w.StartedAt = f.now - f.rng.Int64N(second)
+	for range host.rng.IntN(1 + len(host.workers)/4) {
+		w := &host.workers[host.rng.IntN(len(host.workers))]
+		w.State = []WorkerState{Live, Live, Draining, Removed}[host.rng.IntN(4)]
+		if host.rng.IntN(3) == 0 {
+			w.StartedAt = host.now - host.rng.Int64N(second)
 		}
-		if f.rng.IntN(6) == 0 {
-			w.Kind = f.rng.IntN(4) - 1
+		if host.rng.IntN(6) == 0 {
+			w.Kind = host.rng.IntN(4) - 1
 		}
 		changed = append(changed, *w)
 	}
@@ -27,8 +27,8 @@
 
 // Over random histories what the index keeps is what a look at all workers would find, and those
 // that it leaves alone at a tick are those that would not move.
-func TestIndexAgreesWithALookAtAll(t *testing.T) {
-	for i, cfg := range fuzzConfigs() {
+func TestIndexAgreesWithAFullScan(t *testing.T) {
+	for i, cfg := range randomConfigs() {
 		cfg.Dispatchers, cfg.MayGossip = []int{1, 5, 80}[i%3], false
 		cfg.Prices.CrossZone = float64(i%2) / 20
 		cfg.SlowStartDuration = []int64{20 * second, second, second / 3}[i%3]
@@ -36,22 +36,22 @@
 		one := cfg.Classes[0]
 		one.Kind = 1
 		cfg.Classes = append(cfg.Classes, one)
-		f := newFuzz(t, uint64(i), cfg)
-		f.workers = fleet(40)
-		f.step([]Event{{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: slices.Clone(f.workers)}})
+		host := newRandomHost(t, uint64(i), cfg)
+		host.workers = testWorkers(40)
+		host.step([]Event{{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: slices.Clone(host.workers)}})
 		for range 1500 {
-			f.now += 1 + f.rng.Int64N(6*ms)
-			events := f.events()
-			if f.rng.IntN(10) == 0 {
-				events = append(events, f.churn())
+			host.now += 1 + host.rng.Int64N(6*ms)
+			events := host.randomEvents()
+			if host.rng.IntN(10) == 0 {
+				events = append(events, host.churnEvent())
 			}
-			f.step(events)
-			checkIndex(t, f.d)
+			host.step(events)
+			checkIndex(t, host.d)
 		}
 		for range 40 { // until those that are gone are forgotten
-			f.now += 2 * second
-			f.step(f.due())
-			checkIndex(t, f.d)
+			host.now += 2 * second
+			host.step(host.dueEvents())
+			checkIndex(t, host.d)
 		}
 	}
 }
@@ -102,15 +102,15 @@
 	for k := range d.classes {
 		j := &job{class: &d.classes[k], req: Request{Key: uint64(d.now)}}
 		homes, of := d.rankAffinity(j)
-		want, wantOf := nearestOfAll(d, j)
+		want, wantOf := affinityByFullScan(d, j)
 		if of != wantOf || !slices.Equal(homes, want) {
 			t.Fatalf("homes of a key: %d of %d, want %d of %d", len(homes), of, len(want), wantOf)
 		}
 	}
 }
 
-// nearestOfAll is what nearest returns, by a look at all workers.
-func nearestOfAll(d *Dispatcher, j *job) (homes []*worker, of int) {
+// affinityByFullScan is what nearest returns, by a look at all workers.
+func affinityByFullScan(d *Dispatcher, j *job) (homes []*worker, of int) {
 	for _, w := range d.liveWorkers {
 		if !d.inSlowStart(w) && (j.class.Kind < 0 || w.kind == j.class.Kind) &&
 			(w.zone == d.cfg.Zone || d.cfg.Prices.CrossZone <= 0) {
@@ -130,20 +130,20 @@
 // What a step looks at does not grow with the fleet: a tick without a job looks at no worker, a
 // change at those that it names, a job at a sample. A loop over all of them would meet a worker that
 // is not there.
-func TestStepsLookAtFewWorkers(t *testing.T) {
+func TestStepExaminesABoundedSample(t *testing.T) {
 	const keyed = maxCompared + 4*sampleSize
 	for _, n := range []int{600, 19000} {
-		d := scaleRig(t, n)
+		d := scaleDispatcher(t, n)
 		d.workerOrder[1], d.liveWorkers[1] = nil, nil
 		now := 3 * second
 		step := func(what string, most int, events ...Event) []Action {
 			t.Helper()
 			d.candidatesExamined = 0
-			as := d.Step(now, events)
+			actions := d.Step(now, events)
 			if d.candidatesExamined > most {
 				t.Errorf("%d workers: %s looks at %d, want %d at most", n, what, d.candidatesExamined, most)
 			}
-			return as
+			return actions
 		}
 		for range 200 { // with some runs of the regulator
 			now += d.tickInterval
@@ -178,9 +178,9 @@
 
 // In a fleet of which a key's homes are searched in a part, every worker is the first home of about
 // as many keys, and one that goes moves its own keys alone.
-func TestHomesInALargeFleet(t *testing.T) {
+func TestAffinityInALargeFleet(t *testing.T) {
 	const workers, keys = 6000, 60000
-	d := scaleRig(t, workers)
+	d := scaleDispatcher(t, workers)
 	home := func(key uint64) *worker {
 		ws, of := d.rankAffinity(&job{class: &d.classes[0], req: Request{Key: key}})
 		if len(ws) != maxAffinity || of < workers*4/5 || of > workers*5/4 {
@@ -213,11 +213,11 @@
 }
 
 // Where a fleet grows so far that its part is divided, a key keeps about half of its homes.
-func TestHomesWhereAPartIsDivided(t *testing.T) {
-	d := scaleRig(t, maxCompared)
+func TestAffinityAfterTheSearchedPartSplits(t *testing.T) {
+	d := scaleDispatcher(t, maxCompared)
 	homes := func(key uint64) []*worker {
-		ws, _ := d.rankAffinity(&job{class: &d.classes[0], req: Request{Key: key}})
-		return ws
+		workers, _ := d.rankAffinity(&job{class: &d.classes[0], req: Request{Key: key}})
+		return workers
 	}
 	before := map[uint64][]*worker{}
 	for key := uint64(1); key <= 500; key++ {
@@ -225,9 +225,9 @@
 	}
 	d.Step(3*second, []Event{{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: []Worker{{ID: "one more"}}}})
 	kept := 0
-	for key, ws := range before {
+	for key, workers := range before {
 		now := homes(key)
-		for _, w := range ws {
+		for _, w := range workers {
 			if slices.Contains(now, w) {
 				kept++
 			}
--- a/health_test.go
+++ b/health_test.go
@@ -4,38 +4,38 @@
 
 // A hung worker empties nothing and says nothing; it must get no more.
 func TestHungWorkerGetsNothingNew(t *testing.T) {
-	r := newRig(t, testConfig(), fleet(2)...)
-	r.step(r.request(1, 1), r.request(2, 1))
-	sent := r.want(ActionSend, 2)
+	h := newHarness(t, testConfig(), testWorkers(2)...)
+	h.step(h.request(1, 1), h.request(2, 1))
+	sent := h.wantActions(ActionSend, 2)
 	hung, good := sent[0], sent[1]
-	r.after(2*ms, started(good.ID, 0, good.Worker))
+	h.advance(2*ms, started(good.ID, 0, good.Worker))
 	for id := uint64(10); id < 60; id++ {
-		r.after(20*ms, r.request(id, 1))
-		for _, a := range r.only(ActionSend) {
+		h.advance(20*ms, h.request(id, 1))
+		for _, a := range h.actionsOf(ActionSend) {
 			if a.Worker == hung.Worker && id > 25 {
 				t.Fatalf("request %d sent to the hung worker", id)
 			}
 			if a.Worker == good.Worker {
-				r.after(ms, started(a.ID, 0, a.Worker))
-				r.after(ms, outcome(a.ID, 0, a.Worker, Served))
+				h.advance(ms, started(a.ID, 0, a.Worker))
+				h.advance(ms, outcome(a.ID, 0, a.Worker, Served))
 			}
 		}
 	}
 }
 
 // A worker that errs at once always has fewest jobs; it must not draw the rest.
-func TestFastErringWorkerIsShut(t *testing.T) {
-	r := newRig(t, testConfig(), fleet(5)...)
+func TestFastFailingWorkerIsEjected(t *testing.T) {
+	h := newHarness(t, testConfig(), testWorkers(5)...)
 	bad := 0
 	for id := uint64(1); id <= 200; id++ {
-		r.after(10*ms, r.request(id, 1))
-		for _, a := range r.only(ActionSend) {
-			r.after(ms, started(a.ID, 0, a.Worker))
+		h.advance(10*ms, h.request(id, 1))
+		for _, a := range h.actionsOf(ActionSend) {
+			h.advance(ms, started(a.ID, 0, a.Worker))
 			if a.Worker == "w0" {
 				bad++
-				r.after(ms, outcome(a.ID, 0, a.Worker, WorkerError))
+				h.advance(ms, outcome(a.ID, 0, a.Worker, WorkerError))
 			} else {
-				r.after(ms, outcome(a.ID, 0, a.Worker, Served))
+				h.advance(ms, outcome(a.ID, 0, a.Worker, Served))
 			}
 		}
 	}
@@ -44,86 +44,86 @@
 	}
 }
 
-func TestErringWorkerIsShutAtOnceWhenOnTrial(t *testing.T) {
-	r := newRig(t, testConfig(), fleet(1)...)
-	w := r.d.workerOrder[0]
+func TestFailedTrialEjectsAtOnce(t *testing.T) {
+	h := newHarness(t, testConfig(), testWorkers(1)...)
+	w := h.d.workerOrder[0]
 	w.trial = true
-	r.step(r.request(1, 0))
-	r.want(ActionSend, 1)
-	r.after(ms, outcome(1, 0, "w0", WorkerError))
-	if w.ejectedUntil <= r.now {
+	h.step(h.request(1, 0))
+	h.wantActions(ActionSend, 1)
+	h.advance(ms, outcome(1, 0, "w0", WorkerError))
+	if w.ejectedUntil <= h.now {
 		t.Error("not shut")
 	}
 	w.ejectedUntil, w.trial = 0, false
 	for i := range 8 {
 		w.failureRate = 0.1 * float64(i)
-		a := &attempt{job: &job{class: &r.d.classes[0]}, worker: w, slots: 1}
-		r.d.recordOutcome(a, &Event{Code: WorkerError})
+		a := &attempt{job: &job{class: &h.d.classes[0]}, worker: w, slots: 1}
+		h.d.recordOutcome(a, &Event{Code: WorkerError})
 	}
-	if w.ejectedUntil <= r.now {
+	if w.ejectedUntil <= h.now {
 		t.Error("a run of errors does not shut it")
 	}
 }
 
 // A refusing worker looks free by our count; it must not draw the next job.
-func TestRefusingWorkerIsLeftAlone(t *testing.T) {
-	r := newRig(t, testConfig(), fleet(1)...)
-	r.step(r.request(1, 1))
-	r.after(ms, outcome(1, 0, "w0", Saturated))
-	first := r.d.workerOrder[0].ejectedUntil - r.now
-	r.step(r.request(2, 1))
-	r.want(ActionSend, 0)
+func TestSaturatedWorkerBacksOff(t *testing.T) {
+	h := newHarness(t, testConfig(), testWorkers(1)...)
+	h.step(h.request(1, 1))
+	h.advance(ms, outcome(1, 0, "w0", Saturated))
+	first := h.d.workerOrder[0].ejectedUntil - h.now
+	h.step(h.request(2, 1))
+	h.wantActions(ActionSend, 0)
 	for range 3 {
-		a := &attempt{job: &job{class: &r.d.classes[1]}, worker: r.d.workerOrder[0], slots: 1}
-		r.d.recordOutcome(a, &Event{Code: Saturated})
+		a := &attempt{job: &job{class: &h.d.classes[1]}, worker: h.d.workerOrder[0], slots: 1}
+		h.d.recordOutcome(a, &Event{Code: Saturated})
 	}
-	if again := r.d.workerOrder[0].ejectedUntil - r.now; first <= 0 || again <= first {
+	if again := h.d.workerOrder[0].ejectedUntil - h.now; first <= 0 || again <= first {
 		t.Errorf("left alone for %d, after more refusals for %d", first, again)
 	}
 }
 
 // One reset is a connection's, a run of them the worker's.
-func TestResetsInARowShutAWorker(t *testing.T) {
-	r := newRig(t, testConfig(), fleet(1)...)
+func TestResetsInARowEjectAWorker(t *testing.T) {
+	h := newHarness(t, testConfig(), testWorkers(1)...)
 	for id := uint64(1); id <= 4; id++ {
-		r.step(r.request(id, 1))
+		h.step(h.request(id, 1))
 		if id == 4 {
-			r.want(ActionSend, 0)
+			h.wantActions(ActionSend, 0)
 			return
 		}
-		r.want(ActionSend, 1)
-		r.after(5*ms, outcome(id, 0, "w0", Reset))
+		h.wantActions(ActionSend, 1)
+		h.advance(5*ms, outcome(id, 0, "w0", Reset))
 	}
 }
 
 // Each of many meets a worker too seldom to wait for a run of errors.
-func TestManyLeaveAnErringWorkerAtOnce(t *testing.T) {
+func TestManyDispatchersEjectAtTheFirstError(t *testing.T) {
 	for dispatchers, shut := range map[int]bool{80: true, 3: false} {
 		cfg := manyConfig()
 		cfg.Dispatchers = dispatchers
-		r := newRig(t, cfg, fleet(2)...)
-		r.step(r.request(1, 0))
-		a := r.want(ActionSend, 1)[0]
-		r.after(ms, started(1, 0, a.Worker))
-		r.after(ms, outcome(1, 0, a.Worker, WorkerError))
-		if w := r.d.workers[a.Worker]; (w.ejectedUntil > r.now) != shut {
+		h := newHarness(t, cfg, testWorkers(2)...)
+		h.step(h.request(1, 0))
+		a := h.wantActions(ActionSend, 1)[0]
+		h.advance(ms, started(1, 0, a.Worker))
+		h.advance(ms, outcome(1, 0, a.Worker, WorkerError))
+		if w := h.d.workers[a.Worker]; (w.ejectedUntil > h.now) != shut {
 			t.Errorf("%d dispatchers: left alone %v", dispatchers, !shut)
 		}
 	}
 }
 
 // A start is no sign of health where what started fails: the pause goes on growing.
-func TestStartsDoNotClearAnErringWorker(t *testing.T) {
-	r := newRig(t, manyConfig(), fleet(1)...)
-	w := r.d.workerOrder[0]
+func TestStartsDoNotResetAFailingWorkersBackoff(t *testing.T) {
+	h := newHarness(t, manyConfig(), testWorkers(1)...)
+	w := h.d.workerOrder[0]
 	before := int64(0)
 	for id := uint64(1); id <= 4; id++ {
-		r.now = max(r.now, w.ejectedUntil) + r.d.tickInterval
-		r.step(r.request(id, 0))
-		r.want(ActionSend, 1)
-		r.after(ms, started(id, 0, w.id))
-		r.after(ms, outcome(id, 0, w.id, WorkerError))
-		if pause := w.ejectedUntil - r.now; pause < second || w.backoff < 2*before {
+		h.now = max(h.now, w.ejectedUntil) + h.d.tickInterval
+		h.step(h.request(id, 0))
+		h.wantActions(ActionSend, 1)
+		h.advance(ms, started(id, 0, w.id))
+		h.advance(ms, outcome(id, 0, w.id, WorkerError))
+		if pause := w.ejectedUntil - h.now; pause < second || w.backoff < 2*before {
 			t.Errorf("error %d: left alone for %d, backoff %d after %d", id, pause, w.backoff, before)
 		}
 		before = w.backoff
--- a/helpers_test.go
+++ b/helpers_test.go
@@ -23,60 +23,60 @@
 }
 
 // A rig is a dispatcher with a clock and the answers of one step at a time.
-type rig struct {
-	t   *testing.T
-	d   *Dispatcher
-	now int64
-	out []Action
+type harness struct {
+	t       *testing.T
+	d       *Dispatcher
+	now     int64
+	actions []Action
 }
 
-func newRig(t *testing.T, cfg Config, workers ...Worker) *rig {
+func newHarness(t *testing.T, cfg Config, workers ...Worker) *harness {
 	t.Helper()
-	return newSeededRig(t, cfg, 1, workers...)
+	return newSeededHarness(t, cfg, 1, workers...)
 }
 
-func newSeededRig(t *testing.T, cfg Config, seed uint64, workers ...Worker) *rig {
+func newSeededHarness(t *testing.T, cfg Config, seed uint64, workers ...Worker) *harness {
 	t.Helper()
 	d, err := New(cfg, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, d: d, now: 5 * second}
-	r.step(Event{Kind: EventEndpoints, EndpointUpdate: EndpointsCached, Workers: workers}, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta})
-	return r
+	h := &harness{t: t, d: d, now: 5 * second}
+	h.step(Event{Kind: EventEndpoints, EndpointUpdate: EndpointsCached, Workers: workers}, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta})
+	return h
 }
 
-func (r *rig) step(events ...Event) []Action {
-	r.out = append([]Action(nil), r.d.Step(r.now, events)...)
-	return r.out
+func (h *harness) step(events ...Event) []Action {
+	h.actions = append([]Action(nil), h.d.Step(h.now, events)...)
+	return h.actions
 }
 
-func (r *rig) after(dt int64, events ...Event) []Action {
-	r.now += dt
-	return r.step(events...)
+func (h *harness) advance(dt int64, events ...Event) []Action {
+	h.now += dt
+	return h.step(events...)
 }
 
 // only returns the actions of one kind in the last step.
-func (r *rig) only(k ActionKind) (as []Action) {
-	for _, a := range r.out {
+func (h *harness) actionsOf(k ActionKind) (actions []Action) {
+	for _, a := range h.actions {
 		if a.Kind == k {
-			as = append(as, a)
+			actions = append(actions, a)
 		}
 	}
-	return as
+	return actions
 }
 
-func (r *rig) want(k ActionKind, n int) []Action {
-	r.t.Helper()
-	as := r.only(k)
-	if len(as) != n {
-		r.t.Fatalf("%d actions of kind %d, want %d: %+v", len(as), k, n, r.out)
+func (h *harness) wantActions(k ActionKind, n int) []Action {
+	h.t.Helper()
+	actions := h.actionsOf(k)
+	if len(actions) != n {
+		h.t.Fatalf("%d actions of kind %d, want %d: %+v", len(actions), k, n, h.actions)
 	}
-	return as
+	return actions
 }
 
-func (r *rig) request(id uint64, class int) Event {
-	return Event{Kind: EventRequest, Request: Request{ID: id, Class: class, Deadline: r.now + 2*second}}
+func (h *harness) request(id uint64, class int) Event {
+	return Event{Kind: EventRequest, Request: Request{ID: id, Class: class, Deadline: h.now + 2*second}}
 }
 
 func outcome(id uint64, attempt int, w string, c Code) Event {
@@ -87,11 +87,11 @@
 	return Event{Kind: EventStarted, ID: id, Attempt: attempt, Worker: w}
 }
 
-func fleet(n int) (ws []Worker) {
+func testWorkers(n int) (workers []Worker) {
 	for i := range n {
-		ws = append(ws, Worker{ID: fmt.Sprintf("w%d", i), Zone: i % 2, Kind: -1, Cell: i / 2})
+		workers = append(workers, Worker{ID: fmt.Sprintf("w%d", i), Zone: i % 2, Kind: -1, Cell: i / 2})
 	}
-	return ws
+	return workers
 }
 
 // manyConfig is a fleet of 80 dispatchers.
@@ -102,15 +102,15 @@
 }
 
 // keyed is a request for a job with a key.
-func keyed(r *rig, id uint64, class int, key uint64) Event {
-	e := r.request(id, class)
+func keyedRequest(h *harness, id uint64, class int, key uint64) Event {
+	e := h.request(id, class)
 	e.Request.Key = key
 	return e
 }
 
 // makeRare lets jobs with other keys have come, so that one more is a rare one's.
-func makeRare(r *rig) {
+func makeRare(h *harness) {
 	for key := uint64(1000); key < 1100; key++ {
-		r.d.recentKeys.add(key)
+		h.d.recentKeys.add(key)
 	}
 }
--- /dev/null
+++ b/migration_test.go
@@ -0,0 +1,170 @@
+package foxlift
+
+import "testing"
+
+// What a host with several dispatchers passes between them: jobs with their age and
+// attempts, workers with others' jobs on them, shares.
+
+// A lone tenant far over its share gets what stands idle, also where the scheduler
+// began without a list: its window used to stay at 0 then.
+func TestLoneTenantUsesAnIdleFleet(t *testing.T) {
+	for name, first := range map[string][]Worker{"list known": testWorkers(8), "no list known": nil} {
+		cfg := testConfig()
+		cfg.Tenants = []Tenant{{"lone", 2}, {"away", 100}}
+		h := newHarness(t, cfg, first...)
+		h.step(Event{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: testWorkers(8)})
+		type claim struct {
+			id uint64
+			w  string
+		}
+		var out []claim
+		asked, sent := 0, 0
+		for i := range uint64(15 * 61) {
+			var news []Event
+			for _, c := range out {
+				news = append(news, started(c.id, 0, c.w), outcome(c.id, 0, c.w, Served))
+			}
+			out = out[:0]
+			id := i + 1
+			news = append(news, h.request(id, 0))
+			h.advance(second/61, news...)
+			for _, a := range h.actionsOf(ActionSend) {
+				out = append(out, claim{a.ID, a.Worker})
+				if i >= 10*61 {
+					sent++
+				}
+			}
+			if i >= 10*61 {
+				asked++
+			}
+		}
+		if sent < asked*95/100 {
+			t.Errorf("%s: %d of %d jobs are sent after 10 s", name, sent, asked)
+		}
+	}
+}
+
+// A job that waited elsewhere is as old here: it is given up when it would have been.
+func TestMigrationPreservesQueueTime(t *testing.T) {
+	cfg := testConfig()
+	h := newHarness(t, cfg) // no worker: every job is held
+	fresh, aged := h.request(1, 0), h.request(2, 0)
+	aged.Request.Waited = 150 * ms
+	aged.Request.Deadline = fresh.Request.Deadline - 150*ms
+	h.step(fresh, aged)
+	gone := map[uint64]int64{}
+	for range 100 {
+		h.advance(10 * ms)
+		for _, a := range h.actionsOf(ActionShed) {
+			gone[a.ID] = h.now
+		}
+	}
+	if d := gone[1] - gone[2]; d < 100*ms || d > 200*ms {
+		t.Errorf("given up at %v: want the aged one some 150 ms earlier", gone)
+	}
+}
+
+// Attempts made elsewhere count.
+func TestMigrationCountsPriorAttempts(t *testing.T) {
+	h := newHarness(t, testConfig(), testWorkers(4)...)
+	e := h.request(1, 0)
+	e.Request.PriorAttempts = 3 // of 4
+	h.step(e)
+	a := h.wantActions(ActionSend, 1)[0]
+	h.advance(ms, outcome(1, 0, a.Worker, Unreachable))
+	h.wantActions(ActionSend, 0)
+	h.wantActions(ActionShed, 1)
+	e = h.request(2, 0)
+	e.Request.PriorAttempts = 4
+	h.step(e)
+	h.wantActions(ActionSend, 0)
+}
+
+// A job goes to no worker but those it is confined to, and while they are full others
+// of its class go past it.
+func TestConfinedJobsDoNotBlockTheirClass(t *testing.T) {
+	h := newHarness(t, testConfig(), testWorkers(4)...)
+	id, full := uint64(0), false
+	for !full && id < 40 {
+		id++
+		e := h.request(id, 0)
+		e.Request.AllowedWorkers = []string{"w2"}
+		h.step(e)
+		for _, a := range h.actionsOf(ActionSend) {
+			if a.Worker != "w2" {
+				t.Fatalf("job %d goes to %s", id, a.Worker)
+			}
+		}
+		full = len(h.actionsOf(ActionSend)) == 0
+	}
+	if !full {
+		t.Fatal("the worker is never full")
+	}
+	h.step(h.request(100, 0))
+	if a := h.wantActions(ActionSend, 1)[0]; a.ID != 100 || a.Worker == "w2" {
+		t.Errorf("%+v", a)
+	}
+	h.step(outcome(1, 0, "w2", Served))
+	if a := h.wantActions(ActionSend, 1)[0]; a.ID != id {
+		t.Errorf("job %d follows, want %d", a.ID, id)
+	}
+}
+
+// Slots that others hold on a worker count until they are told to be free.
+func TestExternalSlotsCount(t *testing.T) {
+	workers := testWorkers(2)
+	workers[0].ExternalSlots = 3
+	h := newHarness(t, testConfig(), workers...)
+	for id := range uint64(3) {
+		h.step(h.request(id+1, 1))
+		if a := h.wantActions(ActionSend, 1)[0]; a.Worker != "w1" {
+			t.Errorf("job %d goes to %s, which has 3 of others", id+1, a.Worker)
+		}
+	}
+	workers[0].ExternalSlots = 0
+	h.step(Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: workers[:1]})
+	h.step(h.request(9, 1))
+	if a := h.wantActions(ActionSend, 1)[0]; a.Worker != "w0" {
+		t.Errorf("then to %s", a.Worker)
+	}
+	if w := h.d.workers["w0"]; w.usedSlots != 1 || w.externalSlots != 0 {
+		t.Errorf("%v slots, %v of others", w.usedSlots, w.externalSlots)
+	}
+}
+
+// Shares that change hold at once; a message of another length changes nothing.
+func TestQuotasChange(t *testing.T) {
+	h := newHarness(t, testConfig(), testWorkers(2)...)
+	h.step(Event{Kind: EventQuotas, Quotas: []float64{30, 0}})
+	if a, b := h.d.tenants[0].rate, h.d.tenants[1].rate; a != 30 || b != 0 {
+		t.Errorf("rates %v and %v", a, b)
+	}
+	h.step(Event{Kind: EventQuotas, Quotas: []float64{1}})
+	if a := h.d.tenants[0].rate; a != 30 {
+		t.Errorf("rate %v", a)
+	}
+}
+
+// A process that has just taken over has few jobs of its own at workers that are full of the other's:
+// a late start there does not shrink the window to twice its own, which would take minutes to grow back.
+func TestStartWindowCountsExternalSlots(t *testing.T) {
+	workers := testWorkers(12)
+	for i := range workers {
+		workers[i].ExternalSlots = 2
+	}
+	h := newHarness(t, testConfig(), workers...)
+	window := h.d.startWindow
+	h.step(h.request(1, 0))
+	w := h.wantActions(ActionSend, 1)[0].Worker
+	h.advance(50*ms, started(1, 0, w)) // late
+	if got := h.d.startWindow; got < window*0.98 {
+		t.Errorf("a window of %v becomes %v with 25 jobs in flight", window, got)
+	}
+	for i := range workers {
+		workers[i].ExternalSlots = 0
+	}
+	h.step(Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: workers})
+	if got := h.d.occupiedSlots(); got != 1 {
+		t.Errorf("%v slots in flight once the other has none, want 1", got)
+	}
+}
--- a/peers_test.go
+++ b/peers_test.go
@@ -6,41 +6,41 @@
 	"testing"
 )
 
-// peersOf are dispatchers that may send each other messages, with workers of two slots and
+// newPeers are dispatchers that may send each other messages, with workers of two slots and
 // two units of memory each, as their reports tell.
-func peersOf(t *testing.T, n, workers int) (rigs []*rig) {
+func newPeers(t *testing.T, n, workers int) (harnesses []*harness) {
 	cfg := testConfig()
 	cfg.Dispatchers, cfg.MayGossip, cfg.SlotMemory = n, true, 1
 	cfg.Gauges = []Gauge{GaugeQueued, GaugeInFlight, GaugeFreeSlots}
 	for i := range n {
 		cfg.Index = i
-		r := newSeededRig(t, cfg, uint64(i+1), fleet(workers)...)
-		for _, w := range r.d.workerOrder {
-			r.d.recordLoad(w, &Event{HasLoad: true, Load: [MaxGauges]float64{1, 2, 1.02}})
+		h := newSeededHarness(t, cfg, uint64(i+1), testWorkers(workers)...)
+		for _, w := range h.d.workerOrder {
+			h.d.recordLoad(w, &Event{HasLoad: true, Load: [MaxGauges]float64{1, 2, 1.02}})
 		}
-		rigs = append(rigs, r)
+		harnesses = append(harnesses, h)
 	}
-	return rigs
+	return harnesses
 }
 
 // told is the last step's message, as the event that it is at another dispatcher.
-func (r *rig) told() Event {
-	r.t.Helper()
-	m := r.want(ActionMessage, 1)[0]
+func (h *harness) gossipEvent() Event {
+	h.t.Helper()
+	m := h.wantActions(ActionMessage, 1)[0]
 	if len(m.Data) > 256-12 {
-		r.t.Fatalf("a message of %d bytes", len(m.Data))
+		h.t.Fatalf("a message of %d bytes", len(m.Data))
 	}
-	return Event{Kind: EventMessage, From: r.d.cfg.Index, Data: m.Data}
+	return Event{Kind: EventMessage, From: h.d.cfg.Index, Data: m.Data}
 }
 
 // A dispatcher takes the mean of the u's if that is lower; one that fell silent counts no more.
-func TestPeersTakeTheMeanU(t *testing.T) {
-	rigs := peersOf(t, 2, 1)
-	a, b := rigs[0], rigs[1]
+func TestPeersAdoptTheMeanAdmissionRate(t *testing.T) {
+	harnesses := newPeers(t, 2, 1)
+	a, b := harnesses[0], harnesses[1]
 	a.d.admissionRate = 7
 	a.d.gossipAll()
 	msg := a.d.actions[len(a.d.actions)-1]
-	b.after(ms, Event{Kind: EventMessage, From: 0, Data: msg.Data})
+	b.advance(ms, Event{Kind: EventMessage, From: 0, Data: msg.Data})
 	b.d.admissionRate = 31
 	if b.d.exchangeAdmissionRate(); b.d.admissionRate != 19 {
 		t.Errorf("u %v, want the mean 19", b.d.admissionRate)
@@ -56,8 +56,8 @@
 // What a peer's jobs hold is as good as held here: two dispatchers fill two workers of two
 // slots without a queue, hold what has no slot, and send it when the peer's job ends.
 func TestPeersFillSlotsTogether(t *testing.T) {
-	rigs := peersOf(t, 2, 2)
-	a, b := rigs[0], rigs[1]
+	harnesses := newPeers(t, 2, 2)
+	a, b := harnesses[0], harnesses[1]
 	sent := map[string]int{}
 	var last Action
 	for id := uint64(1); id <= 4; id++ {
@@ -65,10 +65,10 @@
 		if id%2 == 0 {
 			from, to = b, a
 		}
-		from.after(ms, from.request(id, 0))
-		last = from.want(ActionSend, 1)[0]
+		from.advance(ms, from.request(id, 0))
+		last = from.wantActions(ActionSend, 1)[0]
 		sent[last.Worker]++
-		msg := from.told()
+		msg := from.gossipEvent()
 		to.now = from.now
 		to.step(msg)
 	}
@@ -76,10 +76,10 @@
 		t.Fatalf("sent to %v, want two to each", sent)
 	}
 	a.step(a.request(5, 0))
-	a.want(ActionSend, 0)
+	a.wantActions(ActionSend, 0)
 	b.step(outcome(4, 0, last.Worker, Served))
-	a.step(b.told())
-	if got := a.want(ActionSend, 1)[0]; got.ID != 5 || got.Worker != last.Worker {
+	a.step(b.gossipEvent())
+	if got := a.wantActions(ActionSend, 1)[0]; got.ID != 5 || got.Worker != last.Worker {
 		t.Errorf("%+v, want job 5 on %s", got, last.Worker)
 	}
 }
@@ -87,20 +87,20 @@
 // A job whose memory a worker has not left would wait at the head of its queue, and the
 // others behind it: it goes where there is room, or is held.
 func TestMemoryBoundsAWorker(t *testing.T) {
-	rigs := peersOf(t, 2, 2)
-	a, b := rigs[0], rigs[1]
-	heavy := func(r *rig, id uint64, memory float64) []Action {
-		e := r.request(id, int(id)/4) // the last of another class: those of one wait for each other
+	harnesses := newPeers(t, 2, 2)
+	a, b := harnesses[0], harnesses[1]
+	heavy := func(h *harness, id uint64, memory float64) []Action {
+		e := h.request(id, int(id)/4) // the last of another class: those of one wait for each other
 		e.Request.Memory = memory
-		r.step(e)
-		return r.only(ActionSend)
+		h.step(e)
+		return h.actionsOf(ActionSend)
 	}
 	first := heavy(a, 1, 1.5)[0].Worker
-	b.step(a.told())
+	b.step(a.gossipEvent())
 	if second := heavy(b, 2, 1.5)[0].Worker; second == first {
 		t.Errorf("both on %s", first)
 	}
-	a.step(b.told())
+	a.step(b.gossipEvent())
 	if got := heavy(a, 3, 1); len(got) != 0 {
 		t.Errorf("%+v, where no worker has the memory", got)
 	}
@@ -112,9 +112,9 @@
 // Lost, late, doubled and reordered messages, and those of an earlier life, are made good by
 // the next that tells all; one that fell silent holds nothing. Every byte of a message is
 // changed, one after another: nothing breaks, and nothing stays wrong after the next.
-func TestPeersMessagesMayBeSpoilt(t *testing.T) {
-	rigs := peersOf(t, 2, 2)
-	a, b := rigs[0], rigs[1]
+func TestCorruptGossipIsHarmless(t *testing.T) {
+	harnesses := newPeers(t, 2, 2)
+	a, b := harnesses[0], harnesses[1]
 	theirs := func() (sum float64) {
 		for _, w := range b.d.workerOrder {
 			if w.peerUsage.slots < 0 || w.peerUsage.memory < 0 || math.Abs(w.usedSlots-w.peerUsage.slots) > 1e-9 {
@@ -136,9 +136,9 @@
 		}
 	}
 	a.step(a.request(1, 0))
-	w, begun := a.want(ActionSend, 1)[0].Worker, a.told()
-	a.after(ms, outcome(1, 0, w, Served))
-	ended := a.told()
+	w, begun := a.wantActions(ActionSend, 1)[0].Worker, a.gossipEvent()
+	a.advance(ms, outcome(1, 0, w, Served))
+	ended := a.gossipEvent()
 	b.step(ended)
 	b.step(begun, begun)
 	check("in another order", 0)
@@ -172,7 +172,7 @@
 	check("from no peer", 1)
 	b.d.forgetRemoved(b.now + second)
 	for range 5 {
-		b.after(second, Event{Kind: EventTimer, Token: 1})
+		b.advance(second, Event{Kind: EventTimer, Token: 1})
 	}
 	check("silent", 0)
 	if !b.d.Idle() {
--- a/quotas_test.go
+++ b/quotas_test.go
@@ -6,7 +6,7 @@
 )
 
 // The figures are those of Table 1 of the Triage paper.
-func TestSplitTable1(t *testing.T) {
+func TestSplitMatchesTriageTable1(t *testing.T) {
 	bands := []Band{{100, []float64{50, 50}}, {300, []float64{100, 0}}, {500, []float64{0, 100}}}
 	for _, c := range []struct{ u, w1, w2, past float64 }{
 		{60, 30, 30, 0}, {100, 50, 50, 0}, {250, 200, 50, 0}, {400, 350, 50, 0},
@@ -19,21 +19,21 @@
 	}
 }
 
-func TestTenantOverItsShareIsShedFirst(t *testing.T) {
+func TestTenantPastItsQuotaIsShedFirst(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants = []Tenant{{"a", 20}, {"b", 20}}
-	r := newRig(t, cfg, fleet(1)...)
+	h := newHarness(t, cfg, testWorkers(1)...)
 	refused := [2]int{}
 	tenantOf := map[uint64]int{}
 	var running []Action
 	id := uint64(0)
 	for round := range 400 {
 		var events []Event
-		r.d.workerOrder[0].concurrencyLimit = 2
+		h.d.workerOrder[0].concurrencyLimit = 2
 		for n := range 4 { // three of tenant 0 in each round, one of tenant 1 in every other
 			if tenant := n / 3; tenant == 0 || round%2 == 0 {
 				id++
-				e := r.request(id, 1)
+				e := h.request(id, 1)
 				e.Request.Tenant = tenant
 				tenantOf[id] = tenant
 				events = append(events, e)
@@ -42,19 +42,19 @@
 		for _, a := range running {
 			events = append(events, outcome(a.ID, a.Attempt, a.Worker, Served))
 		}
-		r.after(49*ms, events...)
-		running = r.only(ActionSend)
+		h.advance(49*ms, events...)
+		running = h.actionsOf(ActionSend)
 		events = nil
-		for _, a := range r.only(ActionShed) {
+		for _, a := range h.actionsOf(ActionShed) {
 			refused[tenantOf[a.ID]]++
 		}
 		for _, a := range running {
 			events = append(events, started(a.ID, a.Attempt, a.Worker))
 		}
-		r.d.workerOrder[0].concurrencyLimit = 2
-		r.after(ms, events...)
-		running = append(running, r.only(ActionSend)...)
-		for _, a := range r.only(ActionShed) {
+		h.d.workerOrder[0].concurrencyLimit = 2
+		h.advance(ms, events...)
+		running = append(running, h.actionsOf(ActionSend)...)
+		for _, a := range h.actionsOf(ActionShed) {
 			refused[tenantOf[a.ID]]++
 		}
 	}
@@ -63,139 +63,139 @@
 	}
 }
 
-func TestPartFollowsTheTraffic(t *testing.T) {
+func TestTrafficFractionFollowsTheTraffic(t *testing.T) {
 	cfg := testConfig()
 	cfg.Dispatchers = 10
 	cfg.Tenants = []Tenant{{"big", 300}, {"a", 100}, {"b", 100}, {"c", 100}, {"d", 100}}
-	r := newRig(t, cfg)
+	h := newHarness(t, cfg)
 	set := func(offered ...float64) {
 		for i, o := range offered {
-			r.d.tenants[i].offeredRate = o
+			h.d.tenants[i].offeredRate = o
 		}
 	}
 	set(20, 5, 5, 5, 5)
-	if p := r.d.measuredFraction(); p != 0.1 {
+	if p := h.d.measuredFraction(); p != 0.1 {
 		t.Errorf("part %v of a quiet dispatcher, want an even 0.1", p)
 	}
 	set(180, 20, 20, 20, 20) // twice an even part of the traffic; big sends three times its share
-	if p := r.d.measuredFraction(); p != 0.2 {
+	if p := h.d.measuredFraction(); p != 0.2 {
 		t.Errorf("part %v of a busy dispatcher, want 0.2", p)
 	}
 	set(180, 20, 20, 20, 120) // one more tenant bursts: it must not count as traffic of all
-	if p := r.d.measuredFraction(); p != 0.2 {
+	if p := h.d.measuredFraction(); p != 0.2 {
 		t.Errorf("part %v while a tenant bursts, want 0.2", p)
 	}
 }
 
 // Incident if801ee: with half the fleet lost, jobs within the shares alone
 // overfilled the rest. A fleet drained on purpose does not count.
-func TestStandingFleet(t *testing.T) {
-	r := newRig(t, testConfig(), fleet(4)...)
-	ws := fleet(4)
-	ws[0].State = Draining
-	r.after(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: ws[:1]})
-	ws[0].State = Removed
-	r.after(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: ws[:1]})
-	if s := r.d.remainingCapacity(); s != 1 {
+func TestRemainingCapacity(t *testing.T) {
+	h := newHarness(t, testConfig(), testWorkers(4)...)
+	workers := testWorkers(4)
+	workers[0].State = Draining
+	h.advance(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: workers[:1]})
+	workers[0].State = Removed
+	h.advance(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: workers[:1]})
+	if s := h.d.remainingCapacity(); s != 1 {
 		t.Errorf("%v stand after a drain, want all", s)
 	}
-	ws[1].State = Removed
-	r.after(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: ws[1:2]})
-	if s := r.d.remainingCapacity(); math.Abs(s-2.0/3) > 1e-9 {
+	workers[1].State = Removed
+	h.advance(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: workers[1:2]})
+	if s := h.d.remainingCapacity(); math.Abs(s-2.0/3) > 1e-9 {
 		t.Errorf("%v stand after a loss, want 2/3", s)
 	}
-	ws[1].State, ws[1].StartedAt = Live, r.now
-	r.after(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: ws[1:2]})
-	if s := r.d.remainingCapacity(); s < 0.7 || s > 0.75 {
+	workers[1].State, workers[1].StartedAt = Live, h.now
+	h.advance(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: workers[1:2]})
+	if s := h.d.remainingCapacity(); s < 0.7 || s > 0.75 {
 		t.Errorf("%v stand with the third back at a fifth, want 2.2/3", s)
 	}
-	r.after(21*second, Event{Kind: EventTimer, Token: 1})
-	if s := r.d.remainingCapacity(); s != 1 {
+	h.advance(21*second, Event{Kind: EventTimer, Token: 1})
+	if s := h.d.remainingCapacity(); s != 1 {
 		t.Errorf("%v stand when it is warm, want all", s)
 	}
 }
 
 // What one class of a tenant over its share gets must not come out of another's.
 func TestClassesOfATenantAreServedEvenly(t *testing.T) {
-	r := newRig(t, testConfig())
-	tn := &r.d.tenants[0]
-	tn.offeredRate, tn.rate = 50, 5
-	tn.flows[0] = flow{arrivals: 100, sends: 60}
-	tn.flows[1] = flow{arrivals: 100, sends: 20}
-	jobs := []*job{{class: &r.d.classes[0]}, {class: &r.d.classes[1], req: Request{Class: 1}}}
-	if tn.urgency(r.d, jobs[1]) <= tn.urgency(r.d, jobs[0]) {
+	h := newHarness(t, testConfig())
+	tenant := &h.d.tenants[0]
+	tenant.offeredRate, tenant.rate = 50, 5
+	tenant.flows[0] = flow{arrivals: 100, sends: 60}
+	tenant.flows[1] = flow{arrivals: 100, sends: 20}
+	jobs := []*job{{class: &h.d.classes[0]}, {class: &h.d.classes[1], req: Request{Class: 1}}}
+	if tenant.urgency(h.d, jobs[1]) <= tenant.urgency(h.d, jobs[0]) {
 		t.Error("the class that got less is not the more urgent")
 	}
 }
 
 func TestDrainedWorkerIsNotLost(t *testing.T) {
-	r := newRig(t, testConfig(), fleet(2)...)
-	ws := fleet(2)
+	h := newHarness(t, testConfig(), testWorkers(2)...)
+	workers := testWorkers(2)
 	for _, s := range []WorkerState{Removed, Draining, Removed} { // lost, back only to drain, gone
-		ws[0].State = s
-		r.after(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: ws[:1]})
-		r.d.remainingCapacity()
+		workers[0].State = s
+		h.advance(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: workers[:1]})
+		h.d.remainingCapacity()
 	}
-	if s := r.d.remainingCapacity(); s != 1 {
+	if s := h.d.remainingCapacity(); s != 1 {
 		t.Errorf("%v stand, want all", s)
 	}
 }
 
 // A burst of all tenants looks like a larger part of the traffic; it must not
 // let everything in as within the bands (western big-2).
-func TestBurstIsNoPart(t *testing.T) {
+func TestBurstDoesNotRaiseTrafficFraction(t *testing.T) {
 	cfg := testConfig()
 	cfg.Dispatchers = 10
-	r := newRig(t, cfg)
-	r.d.controlPeriods = 100
-	r.d.trafficFraction = 0.1
+	h := newHarness(t, cfg)
+	h.d.controlPeriods = 100
+	h.d.trafficFraction = 0.1
 	for i := range cfg.Tenants {
-		r.d.tenants[i].offeredRate, r.d.tenants[i].arrivals = 30, 30
+		h.d.tenants[i].offeredRate, h.d.tenants[i].arrivals = 30, 30
 	}
-	r.d.updateRates()
-	if rate := r.d.tenants[0].rate; rate > 100*0.12 {
+	h.d.updateRates()
+	if rate := h.d.tenants[0].rate; rate > 100*0.12 {
 		t.Errorf("rate %v in the first second of a burst, want about 10", rate)
 	}
 }
 
-func TestOpenLoopNeedsNoTokens(t *testing.T) {
-	r := newRig(t, testConfig(), fleet(5)...)
-	r.d.tenants[0].tokens, r.d.tenants[0].rate, r.d.burstTokens = 0, 0, 0
-	r.d.unthrottled = true
-	r.step(r.request(1, 0))
-	r.want(ActionSend, 1)
-	r.d.tenants[0].tokens, r.d.burstTokens, r.d.burstRate, r.d.unthrottled = 0, 0, 0, false
-	r.step(r.request(2, 0))
-	r.want(ActionSend, 0)
+func TestUnthrottledNeedsNoTokens(t *testing.T) {
+	h := newHarness(t, testConfig(), testWorkers(5)...)
+	h.d.tenants[0].tokens, h.d.tenants[0].rate, h.d.burstTokens = 0, 0, 0
+	h.d.unthrottled = true
+	h.step(h.request(1, 0))
+	h.wantActions(ActionSend, 1)
+	h.d.tenants[0].tokens, h.d.burstTokens, h.d.burstRate, h.d.unthrottled = 0, 0, 0, false
+	h.step(h.request(2, 0))
+	h.wantActions(ActionSend, 0)
 }
 
 // The rates of tenants shrink with a fleet that lost workers.
-func TestRatesFollowTheStandingFleet(t *testing.T) {
-	r := newRig(t, testConfig(), fleet(4)...)
-	r.d.updateRates()
-	whole := r.d.tenants[0].rate
-	ws := fleet(4)[:2]
-	ws[0].State, ws[1].State = Removed, Removed
-	r.after(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: ws})
-	r.d.updateRates()
-	if half := r.d.tenants[0].rate; math.Abs(half-whole/2) > 1e-9 {
+func TestRatesFollowRemainingCapacity(t *testing.T) {
+	h := newHarness(t, testConfig(), testWorkers(4)...)
+	h.d.updateRates()
+	whole := h.d.tenants[0].rate
+	workers := testWorkers(4)[:2]
+	workers[0].State, workers[1].State = Removed, Removed
+	h.advance(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: workers})
+	h.d.updateRates()
+	if half := h.d.tenants[0].rate; math.Abs(half-whole/2) > 1e-9 {
 		t.Errorf("rate %v with half the fleet lost, %v before", half, whole)
 	}
 }
 
 // One job of a tenant whose rate here is one in ten seconds is no excess; a run is.
-func TestChanceIsNoExcess(t *testing.T) {
+func TestSingleJobDoesNotExceedQuota(t *testing.T) {
 	cfg := manyConfig()
 	cfg.Tenants = []Tenant{{"a", 8}, {"b", 8}}
-	r := newRig(t, cfg, fleet(8)...)
-	tn := &r.d.tenants[0]
+	h := newHarness(t, cfg, testWorkers(8)...)
+	tenant := &h.d.tenants[0]
 	for n, want := range []bool{false, false, true, true} {
-		tn.arrivals = n
+		tenant.arrivals = n
 		if n > 1 {
-			tn.arrivals = 10
+			tenant.arrivals = 10
 		}
-		r.d.updateRates()
-		if tn.exceedsQuota() != want {
+		h.d.updateRates()
+		if tenant.exceedsQuota() != want {
 			t.Errorf("second %d: over its share %v", n, !want)
 		}
 	}
--- a/regulator_test.go
+++ b/regulator_test.go
@@ -60,39 +60,39 @@
 	}
 }
 
-func TestQuietSecondChangesNothing(t *testing.T) {
+func TestRegulatorKeepsModelWithoutSamples(t *testing.T) {
 	cfg := testConfig()
 	cfg.Dispatchers, cfg.Index = 4, 1
-	r := newRig(t, cfg, fleet(4)...)
-	c := &r.d.classes[0]
+	h := newHarness(t, cfg, testWorkers(4)...)
+	c := &h.d.classes[0]
 	c.fit.parameters = [3]float64{0.1, 0.4, 0.4}
 	c.input = 0.5
 	for range 5 {
 		c.ratios = append(c.ratios, 1.5)
 	}
 	kept := c.fit
-	r.d.controlPeriods = 1 // the next is not this dispatcher's turn
-	r.d.runControlLoops()
+	h.d.controlPeriods = 1 // the next is not this dispatcher's turn
+	h.d.runControlLoops()
 	if c.fit != kept || c.input != 0.5 {
 		t.Error("fewer than 6 jobs changed the loop")
 	}
-	r.d.controlPeriods = 4
-	r.d.runControlLoops()
+	h.d.controlPeriods = 4
+	h.d.runControlLoops()
 	if c.fit == kept {
 		t.Error("the rotating dispatcher did not run its loop")
 	}
 }
 
 // At two jobs a second a loop never saw 6 in one second, and kept a stale model.
-func TestJobsCountUntilALoopUsesThem(t *testing.T) {
+func TestRegulatorAccumulatesSamples(t *testing.T) {
 	cfg := testConfig()
 	cfg.Dispatchers, cfg.Index = 50, 49
-	r := newRig(t, cfg, fleet(1)...)
-	c := &r.d.classes[0]
+	h := newHarness(t, cfg, testWorkers(1)...)
+	c := &h.d.classes[0]
 	for i := range 4 {
 		c.sample(1.5)
 		c.sample(1.5)
-		r.d.runControlLoops()
+		h.d.runControlLoops()
 		if ran := c.previousOutput != 0; ran != (i >= 2) {
 			t.Fatalf("after %d jobs the loop ran: %v", 2*i+2, ran)
 		}
--- a/retry_test.go
+++ b/retry_test.go
@@ -2,97 +2,97 @@
 
 import "testing"
 
-func TestUnsafeIsFailedAfterItMayHaveRun(t *testing.T) {
+func TestAtMostOnceFailsAfterItMayHaveRun(t *testing.T) {
 	for _, c := range []Code{WorkerError, DeadlineExceeded, Reset, Cancelled} {
-		r := newRig(t, testConfig(), fleet(3)...)
-		r.step(r.request(1, 1))
-		w := r.want(ActionSend, 1)[0].Worker
-		r.after(10*ms, outcome(1, 0, w, c))
-		r.want(ActionFail, 1)
-		r.want(ActionSend, 0)
-		r.want(ActionShed, 0)
+		h := newHarness(t, testConfig(), testWorkers(3)...)
+		h.step(h.request(1, 1))
+		w := h.wantActions(ActionSend, 1)[0].Worker
+		h.advance(10*ms, outcome(1, 0, w, c))
+		h.wantActions(ActionFail, 1)
+		h.wantActions(ActionSend, 0)
+		h.wantActions(ActionShed, 0)
 	}
 }
 
-func TestUnsafeGoesAgainWhenItNeverRan(t *testing.T) {
+func TestAtMostOnceRetriesWhenItNeverRan(t *testing.T) {
 	for _, c := range []Code{Saturated, Unreachable, NotSent} {
-		r := newRig(t, testConfig(), fleet(6)...)
-		r.step(r.request(1, 1))
+		h := newHarness(t, testConfig(), testWorkers(6)...)
+		h.step(h.request(1, 1))
 		for attempt := range 4 {
-			w := r.want(ActionSend, 1)[0].Worker
-			r.after(10*ms, outcome(1, attempt, w, c))
+			w := h.wantActions(ActionSend, 1)[0].Worker
+			h.advance(10*ms, outcome(1, attempt, w, c))
 		}
-		r.want(ActionShed, 1) // attempts are spent
+		h.wantActions(ActionShed, 1) // attempts are spent
 	}
 }
 
-func TestKeyedStaysInItsCellAndTime(t *testing.T) {
-	r := newRig(t, testConfig(), fleet(8)...)
-	r.step(r.request(1, 2))
-	first := r.want(ActionSend, 1)[0].Worker
-	r.after(10*ms, outcome(1, 0, first, WorkerError))
-	again := r.want(ActionSend, 1)[0].Worker
-	if again == first || r.d.workers[again].cell != r.d.workers[first].cell {
+func TestDeduplicatedRetryStaysInGroupAndTTL(t *testing.T) {
+	h := newHarness(t, testConfig(), testWorkers(8)...)
+	h.step(h.request(1, 2))
+	first := h.wantActions(ActionSend, 1)[0].Worker
+	h.advance(10*ms, outcome(1, 0, first, WorkerError))
+	again := h.wantActions(ActionSend, 1)[0].Worker
+	if again == first || h.d.workers[again].cell != h.d.workers[first].cell {
 		t.Errorf("first to %s, then to %s", first, again)
 	}
-	r.after(1100*ms, outcome(1, 1, again, WorkerError))
-	r.after(200*ms, Event{Kind: EventTimer, Token: 1})
-	r.want(ActionSend, 0) // the group may have forgotten it
+	h.advance(1100*ms, outcome(1, 1, again, WorkerError))
+	h.advance(200*ms, Event{Kind: EventTimer, Token: 1})
+	h.wantActions(ActionSend, 0) // the group may have forgotten it
 	for range 10 {
-		if r.after(100*ms, Event{Kind: EventTimer, Token: 1}); len(r.only(ActionFail)) == 1 {
+		if h.advance(100*ms, Event{Kind: EventTimer, Token: 1}); len(h.actionsOf(ActionFail)) == 1 {
 			return
 		}
-		r.want(ActionShed, 0)
+		h.wantActions(ActionShed, 0)
 	}
 	t.Error("no final answer")
 }
 
-func TestKeyedScopeAllMayBeRefused(t *testing.T) {
+func TestDeduplicatedScopeAllMayBeShed(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[2].Scope = ScopeAll
-	r := newRig(t, cfg, fleet(1)...)
-	r.step(r.request(1, 2))
-	w := r.want(ActionSend, 1)[0].Worker
-	r.after(1900*ms, outcome(1, 0, w, WorkerError))
-	r.after(40 * ms)
-	if len(r.only(ActionShed)) == 0 {
-		r.after(40 * ms)
+	h := newHarness(t, cfg, testWorkers(1)...)
+	h.step(h.request(1, 2))
+	w := h.wantActions(ActionSend, 1)[0].Worker
+	h.advance(1900*ms, outcome(1, 0, w, WorkerError))
+	h.advance(40 * ms)
+	if len(h.actionsOf(ActionShed)) == 0 {
+		h.advance(40 * ms)
 	}
-	r.want(ActionShed, 1)
+	h.wantActions(ActionShed, 1)
 }
 
 // A repeatable job on a hung worker goes elsewhere and is called off there.
-func TestRepeatableJobLeavesHungWorker(t *testing.T) {
-	r := newRig(t, testConfig(), fleet(2)...)
-	r.step(r.request(1, 0))
-	first := r.want(ActionSend, 1)[0].Worker
+func TestIdempotentRetryAvoidsHungWorker(t *testing.T) {
+	h := newHarness(t, testConfig(), testWorkers(2)...)
+	h.step(h.request(1, 0))
+	first := h.wantActions(ActionSend, 1)[0].Worker
 	for range 100 {
-		if r.after(10*ms, Event{Kind: EventTimer, Token: 1}); len(r.only(ActionSend)) == 1 {
+		if h.advance(10*ms, Event{Kind: EventTimer, Token: 1}); len(h.actionsOf(ActionSend)) == 1 {
 			break
 		}
 	}
-	if a := r.want(ActionSend, 1)[0]; a.Worker == first {
+	if a := h.wantActions(ActionSend, 1)[0]; a.Worker == first {
 		t.Error("sent to the same worker")
 	}
-	r.want(ActionCancel, 1)
+	h.wantActions(ActionCancel, 1)
 }
 
 // At nausori cancelled work ran on, and copies of late jobs made more jobs late.
-func TestCopiesAreFew(t *testing.T) {
-	r := newRig(t, testConfig(), fleet(40)...)
+func TestHedgeBudget(t *testing.T) {
+	h := newHarness(t, testConfig(), testWorkers(40)...)
 	first, copies := 0, 0
 	for id := uint64(1); id <= 400; id++ {
-		r.after(5*ms, r.request(id, 0)) // no worker ever says that a job started
-		for _, a := range r.only(ActionSend) {
-			if len(r.d.jobs[a.ID].attempts) == 1 {
+		h.advance(5*ms, h.request(id, 0)) // no worker ever says that a job started
+		for _, a := range h.actionsOf(ActionSend) {
+			if len(h.d.jobs[a.ID].attempts) == 1 {
 				first++
 			} else {
 				copies++
 			}
 		}
-		for _, w := range r.d.workerOrder {
+		for _, w := range h.d.workerOrder {
 			w.overdue = 0
-			r.d.markPending(w)
+			h.d.markPending(w)
 		}
 	}
 	if first < 100 || float64(copies) > maxHedgeBudget+hedgeFraction*float64(first+copies)+1 {
--- a/sites_test.go
+++ b/sites_test.go
@@ -18,7 +18,7 @@
 merrimack-media nutmeg-sports kennebec-tv transcode publish`
 
 // The program is fitted to no deployment: no text in its packages has the name of a class or a tenant.
-func TestNoSitesNames(t *testing.T) {
+func TestNoDeploymentNamesInPackages(t *testing.T) {
 	names := strings.Fields(otherSites)
 	sites, err := filepath.Glob("deploy/sites/*/*.toml")
 	if err != nil || len(sites) != 2 {
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -8,15 +8,15 @@
 )
 
 // busy lets a dispatcher serve, refuse and fail jobs for some seconds.
-func busy(r *rig, seed uint64) {
+func playRandomLoad(h *harness, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	id := uint64(0)
 	for range 400 {
 		id++
-		e := r.request(id, rng.IntN(3))
+		e := h.request(id, rng.IntN(3))
 		e.Request.Tenant, e.Request.Key = rng.IntN(2), rng.Uint64N(20)
-		r.after(20*ms, e)
-		for _, a := range r.only(ActionSend) {
+		h.advance(20*ms, e)
+		for _, a := range h.actionsOf(ActionSend) {
 			code := Served
 			switch rng.IntN(20) {
 			case 0:
@@ -26,8 +26,8 @@
 			case 2:
 				continue // it hangs
 			}
-			r.after(rng.Int64N(30*ms), started(a.ID, a.Attempt, a.Worker))
-			r.after(rng.Int64N(60*ms), outcome(a.ID, a.Attempt, a.Worker, code))
+			h.advance(rng.Int64N(30*ms), started(a.ID, a.Attempt, a.Worker))
+			h.advance(rng.Int64N(60*ms), outcome(a.ID, a.Attempt, a.Worker, code))
 		}
 	}
 }
@@ -35,8 +35,8 @@
 // What one dispatcher has learned another has after it, through JSON.
 func TestSnapshotIsRestored(t *testing.T) {
 	for seed := range uint64(5) {
-		from := newSeededRig(t, testConfig(), seed, fleet(6)...)
-		busy(from, seed)
+		from := newSeededHarness(t, testConfig(), seed, testWorkers(6)...)
+		playRandomLoad(from, seed)
 		text, err := json.Marshal(from.d.Snapshot())
 		if err != nil {
 			t.Fatal(err)
@@ -45,7 +45,7 @@
 		if err := json.Unmarshal(text, &snapshot); err != nil {
 			t.Fatal(err)
 		}
-		to := newSeededRig(t, testConfig(), seed+100, fleet(6)...)
+		to := newSeededHarness(t, testConfig(), seed+100, testWorkers(6)...)
 		to.now = from.now
 		to.step()
 		to.d.Restore(&snapshot)
@@ -53,24 +53,24 @@
 		if !reflect.DeepEqual(*got, snapshot) {
 			t.Errorf("seed %d: restored\n%+v\nwant\n%+v", seed, *got, snapshot)
 		}
-		busy(to, seed+7) // it goes on from there
+		playRandomLoad(to, seed+7) // it goes on from there
 	}
 }
 
 // What a snapshot says of what is not there is left out: another run of a worker, a worker, class or
 // tenant that is not known. One of nothing changes no worker.
-func TestSnapshotOfOthers(t *testing.T) {
-	from := newRig(t, testConfig(), fleet(3)...)
-	busy(from, 1)
+func TestSnapshotSkipsUnknownEntries(t *testing.T) {
+	from := newHarness(t, testConfig(), testWorkers(3)...)
+	playRandomLoad(from, 1)
 	snapshot := from.d.Snapshot()
 	if len(snapshot.Workers) != 3 || !snapshot.Workers[0].LimitLearned && !snapshot.Workers[1].LimitLearned && !snapshot.Workers[2].LimitLearned {
 		t.Fatalf("nothing was learned: %+v", snapshot.Workers)
 	}
-	workers := fleet(2)
+	workers := testWorkers(2)
 	workers[1].StartedAt = 4 * second
 	cfg := testConfig()
 	cfg.Classes[2].Name, cfg.Tenants[1].Name = "other", "c"
-	to := newRig(t, cfg, workers...)
+	to := newHarness(t, cfg, workers...)
 	before := *to.d.workers["w1"]
 	to.d.Restore(snapshot)
 	if after := *to.d.workers["w1"]; after.concurrencyLimit != before.concurrencyLimit || after.latencyRatio != before.latencyRatio || after.ejectedUntil != before.ejectedUntil {
@@ -88,26 +88,26 @@
 	if len(to.d.workers) != 2 {
 		t.Errorf("%d workers, want 2", len(to.d.workers))
 	}
-	newRig(t, testConfig(), fleet(2)...).d.Restore(&Snapshot{})
+	newHarness(t, testConfig(), testWorkers(2)...).d.Restore(&Snapshot{})
 }
 
 // Only failures eject a worker, not being full.
 func TestEjected(t *testing.T) {
-	r := newRig(t, testConfig(), fleet(3)...)
-	if n := r.d.Ejected(); n != 0 {
+	h := newHarness(t, testConfig(), testWorkers(3)...)
+	if n := h.d.Ejected(); n != 0 {
 		t.Fatalf("%d ejected, want 0", n)
 	}
-	r.d.backoffWorker(r.d.workers["w0"], &job{class: &r.d.classes[0]})
-	if n := r.d.Ejected(); n != 0 {
+	h.d.backoffWorker(h.d.workers["w0"], &job{class: &h.d.classes[0]})
+	if n := h.d.Ejected(); n != 0 {
 		t.Errorf("%d ejected when one is full, want 0", n)
 	}
-	r.d.eject(r.d.workers["w1"])
-	r.d.workers["w2"].overdue = 1
-	if n := r.d.Ejected(); n != 2 {
+	h.d.eject(h.d.workers["w1"])
+	h.d.workers["w2"].overdue = 1
+	if n := h.d.Ejected(); n != 2 {
 		t.Errorf("%d ejected, want 2", n)
 	}
-	r.d.workers["w2"].setState(Draining, r.now)
-	if n := r.d.Ejected(); n != 1 {
+	h.d.workers["w2"].setState(Draining, h.now)
+	if n := h.d.Ejected(); n != 1 {
 		t.Errorf("%d ejected when one of them drains, want 1", n)
 	}
 }
