--- a/cmd/foxlift-sim/main.go
+++ b/cmd/foxlift-sim/main.go
@@ -25,18 +25,18 @@
 
 // An instance is one running dispatcher; instances share nothing.
 type instance struct {
-	names  *wire.Names
-	gate   *foxlift.Dispatcher
-	events []foxlift.Event
+	names      *wire.Names
+	dispatcher *foxlift.Dispatcher
+	events     []foxlift.Event
 }
 
 // A host runs the instances and gathers the reply to a batch.
 type host struct {
-	running map[string]*instance
-	touched []*instance // those with events in this batch, in order of arrival
-	now     int64
-	reply   []byte
-	empty   int // length of a reply without actions
+	running     map[string]*instance
+	pending     []*instance // those with events in this batch, in order of arrival
+	now         int64
+	reply       []byte
+	emptyLength int // length of a reply without actions
 }
 
 func serve(in io.Reader, out io.Writer) error {
@@ -80,11 +80,11 @@
 	h.reply = append(h.reply[:0], `{"batch":`...)
 	h.reply = strconv.AppendInt(h.reply, b.Number, 10)
 	h.reply = append(h.reply, `,"do":[`...)
-	h.empty = len(h.reply)
+	h.emptyLength = len(h.reply)
 }
 
 func (h *host) comma() {
-	if len(h.reply) > h.empty {
+	if len(h.reply) > h.emptyLength {
 		h.reply = append(h.reply, ',')
 	}
 }
@@ -99,11 +99,11 @@
 	if err != nil {
 		// It is kept without a dispatcher, so that its events are swallowed.
 		h.comma()
-		h.reply = wire.AppendFault(h.reply, name, err.Error())
+		h.reply = wire.AppendError(h.reply, name, err.Error())
 		names, gate = &wire.Names{Instance: name}, nil
 	}
 	h.forget(name)
-	inst := &instance{names: names, gate: gate}
+	inst := &instance{names: names, dispatcher: gate}
 	names.Owner = inst
 	h.running[name] = inst
 	return nil
@@ -121,9 +121,9 @@
 func (h *host) forget(name string) {
 	old := h.running[name]
 	delete(h.running, name)
-	for i, t := range h.touched {
+	for i, t := range h.pending {
 		if t == old {
-			h.touched = append(h.touched[:i], h.touched[i+1:]...)
+			h.pending = append(h.pending[:i], h.pending[i+1:]...)
 			return
 		}
 	}
@@ -140,11 +140,11 @@
 // Event keeps an event for its instance until the batch has been read.
 func (h *host) Event(n *wire.Names, ev *foxlift.Event) error {
 	inst := n.Owner.(*instance)
-	if inst.gate == nil {
+	if inst.dispatcher == nil {
 		return nil
 	}
 	if len(inst.events) == 0 {
-		h.touched = append(h.touched, inst)
+		h.pending = append(h.pending, inst)
 	}
 	if ev.Kind == foxlift.EventEndpoints {
 		ev.Workers = append([]foxlift.Worker(nil), ev.Workers...)
@@ -154,13 +154,13 @@
 }
 
 func (h *host) step() {
-	for _, inst := range h.touched {
-		actions := inst.gate.Step(h.now, inst.events)
+	for _, inst := range h.pending {
+		actions := inst.dispatcher.Step(h.now, inst.events)
 		for i := range actions {
 			h.comma()
 			h.reply = wire.Append(h.reply, inst.names.Instance, &actions[i])
 		}
 		inst.events = inst.events[:0]
 	}
-	h.touched = h.touched[:0]
+	h.pending = h.pending[:0]
 }
--- a/cmd/foxlift-sim/main_test.go
+++ b/cmd/foxlift-sim/main_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestSendGoesToTheKindAsked(t *testing.T) {
+func TestSendGoesToTheKindRequested(t *testing.T) {
 	got := play(t, batch("1", attach)+batch("2",
 		`["accept","scheduler_0",77,14000000000,"pay","91f03b7c55d20a64",null,1,0,"t1",0.5]`))
 	if !strings.Contains(got, `["try","scheduler_0",77,"10.0.0.2:1",0]`) {
--- a/cmd/foxlift/operate.go
+++ b/cmd/foxlift/operate.go
@@ -65,7 +65,7 @@
 				return err
 			}
 			if op.Cells != nil {
-				fmt.Fprintf(cmd.OutOrStdout(), "the configuration is sound: %d cells\n", op.Cells.Cells())
+				fmt.Fprintf(cmd.OutOrStdout(), "the configuration is sound: %d cells\n", op.Cells.CellCount())
 			} else {
 				fmt.Fprintln(cmd.OutOrStdout(), "the configuration is sound")
 			}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -23,10 +23,10 @@
 )
 
 const (
-	callLimit  = 4500 * time.Millisecond // for a whole call to come; some callers hold on for 4 s
-	writeLimit = 2 * time.Second         // for an answer, from the end of the call's head
-	maxHead    = 8 << 10                 // bytes of a call's head
-	stopLimit  = 100 * time.Millisecond  // for the answers under way when the server stops
+	readTimeout    = 4500 * time.Millisecond // for a whole call to come; some callers hold on for 4 s
+	writeTimeout   = 2 * time.Second         // for an answer, from the end of the call's head
+	maxHeaderBytes = 8 << 10                 // bytes of a call's head
+	stopTimeout    = 100 * time.Millisecond  // for the answers under way when the server stops
 )
 
 // A Scheduler is what the calls act on. Its methods may be called on any goroutine and must
@@ -58,10 +58,10 @@
 	bounded := newBoundedListener(listener, connections)
 	a := &Server{listener: bounded, http: &http.Server{
 		Handler:        routes(s, figures),
-		ReadTimeout:    callLimit,
-		WriteTimeout:   callLimit + writeLimit, // it counts from the accept for the first call
-		MaxHeaderBytes: maxHead,
-		ConnContext:    bounded.callContext,
+		ReadTimeout:    readTimeout,
+		WriteTimeout:   readTimeout + writeTimeout, // it counts from the accept for the first call
+		MaxHeaderBytes: maxHeaderBytes,
+		ConnContext:    bounded.connContext,
 		ErrorLog:       zap.NewStdLog(zap.NewNop()), // what callers send must not fill the log
 	}}
 	a.http.SetKeepAlivesEnabled(false)
@@ -78,7 +78,7 @@
 
 // Stop ends the server. Answers under way have a moment to be written.
 func (a *Server) Stop() {
-	ctx, cancel := context.WithTimeout(context.Background(), stopLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	if a.http.Shutdown(ctx) != nil {
 		a.http.Close()
@@ -94,35 +94,35 @@
 // routes answers each call: an unknown path with 404, another method than the path's with 405.
 func routes(s Scheduler, figures http.Handler) http.Handler {
 	table := map[string]route{
-		PathHealth:  {http.MethodGet, func(w http.ResponseWriter, _ *http.Request) { answerReady(w, s.Ready()) }},
+		PathHealth:  {http.MethodGet, func(w http.ResponseWriter, _ *http.Request) { respondReady(w, s.Ready()) }},
 		PathStats:   {http.MethodGet, figures.ServeHTTP},
-		PathQuiesce: {http.MethodPut, func(w http.ResponseWriter, _ *http.Request) { s.Quiesce(); answer(w, http.StatusOK, "quiesced") }},
-		PathResume:  {http.MethodPut, func(w http.ResponseWriter, _ *http.Request) { s.Resume(); answer(w, http.StatusOK, "resumed") }},
+		PathQuiesce: {http.MethodPut, func(w http.ResponseWriter, _ *http.Request) { s.Quiesce(); respond(w, http.StatusOK, "quiesced") }},
+		PathResume:  {http.MethodPut, func(w http.ResponseWriter, _ *http.Request) { s.Resume(); respond(w, http.StatusOK, "resumed") }},
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		called(r.Context())
+		markRequestReceived(r.Context())
 		found, known := table[r.URL.Path]
 		switch {
 		case !known:
-			answer(w, http.StatusNotFound, "no such path")
+			respond(w, http.StatusNotFound, "no such path")
 		case r.Method != found.method:
 			w.Header().Set("Allow", found.method)
-			answer(w, http.StatusMethodNotAllowed, "ask by "+found.method)
+			respond(w, http.StatusMethodNotAllowed, "ask by "+found.method)
 		default:
 			found.handle(w, r)
 		}
 	})
 }
 
-func answerReady(w http.ResponseWriter, ready bool) {
+func respondReady(w http.ResponseWriter, ready bool) {
 	if !ready {
-		answer(w, http.StatusServiceUnavailable, "not ready")
+		respond(w, http.StatusServiceUnavailable, "not ready")
 		return
 	}
-	answer(w, http.StatusOK, "ready")
+	respond(w, http.StatusOK, "ready")
 }
 
-func answer(w http.ResponseWriter, status int, text string) {
+func respond(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(status)
 	io.WriteString(w, text+"\n")
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -83,7 +83,7 @@
 		{get("GET", "/_health"), true, 404},
 		{"hello\r\n\r\n", true, 400},
 		{"GET " + PathHealth + " HTTP/1.1\r\nno colon\r\n\r\n", true, 400},
-		{"GET " + PathHealth + " HTTP/1.1\r\nHost: a\r\nX-Long: " + strings.Repeat("x", 2*maxHead) + "\r\n\r\n", true, 431},
+		{"GET " + PathHealth + " HTTP/1.1\r\nHost: a\r\nX-Long: " + strings.Repeat("x", 2*maxHeaderBytes) + "\r\n\r\n", true, 431},
 	} {
 		s.ready.Store(c.ready)
 		status, closed := call(t, address, c.text)
@@ -97,7 +97,7 @@
 }
 
 // Callers that hold half a call make way for whole ones, the oldest first.
-func TestHalfCallsMakeWay(t *testing.T) {
+func TestIncompleteCallsAreEvicted(t *testing.T) {
 	const connections = 4
 	_, address := start(t, connections)
 	var held []net.Conn
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// youngCall is how long a connection is left alone that has not brought a whole call: one that did
+// minPendingAge is how long a connection is left alone that has not brought a whole call: one that did
 // not stop half way has brought it by then, even where many come at once.
-const youngCall = 20 * time.Millisecond
+const minPendingAge = 20 * time.Millisecond
 
 // A boundedListener keeps so many connections open at most. While they are all taken, the
 // connection makes way that has been open longest without a whole call, but none that is young:
 // until one of them may, new connections wait to be accepted.
 type boundedListener struct {
 	net.Listener
-	most int
+	maxOpen int
 
 	mu      sync.Mutex
 	freed   *sync.Cond // a connection has ended, or the listener has
@@ -29,14 +29,14 @@
 // A boundedConn is one of its connections.
 type boundedConn struct {
 	net.Conn
-	listener *boundedListener
-	began    time.Time
-	element  *list.Element // in pending; nil once a whole call has come or it is closed
-	closed   bool
+	listener   *boundedListener
+	acceptedAt time.Time
+	element    *list.Element // in pending; nil once a whole call has come or it is closed
+	closed     bool
 }
 
 func newBoundedListener(l net.Listener, most int) *boundedListener {
-	b := &boundedListener{Listener: l, most: most, pending: list.New()}
+	b := &boundedListener{Listener: l, maxOpen: most, pending: list.New()}
 	b.freed = sync.NewCond(&b.mu)
 	return b
 }
@@ -53,7 +53,7 @@
 		l.open--
 		return nil, err
 	}
-	c := &boundedConn{Conn: conn, listener: l, began: time.Now()}
+	c := &boundedConn{Conn: conn, listener: l, acceptedAt: time.Now()}
 	c.element = l.pending.PushBack(c)
 	return c, nil
 }
@@ -71,8 +71,8 @@
 func (l *boundedListener) reserve() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for !l.closed && l.open >= l.most {
-		l.makeRoomLocked()
+	for !l.closed && l.open >= l.maxOpen {
+		l.freeCapacityLocked()
 	}
 	if l.closed {
 		return false
@@ -81,17 +81,17 @@
 	return true
 }
 
-// makeRoomLocked ends the oldest connection without a whole call, or waits until it may be ended or
+// freeCapacityLocked ends the oldest connection without a whole call, or waits until it may be ended or
 // another one has ended.
-func (l *boundedListener) makeRoomLocked() {
+func (l *boundedListener) freeCapacityLocked() {
 	oldest := l.pending.Front()
 	if oldest == nil {
 		l.freed.Wait()
 		return
 	}
 	c := oldest.Value.(*boundedConn)
-	if age := time.Since(c.began); age < youngCall {
-		look := time.AfterFunc(youngCall-age, l.freed.Broadcast)
+	if age := time.Since(c.acceptedAt); age < minPendingAge {
+		look := time.AfterFunc(minPendingAge-age, l.freed.Broadcast)
 		l.freed.Wait()
 		look.Stop()
 		return
@@ -111,14 +111,14 @@
 		return net.ErrClosed
 	}
 	c.closed = true
-	c.settleLocked()
+	c.unlistLocked()
 	c.listener.open--
 	c.listener.freed.Broadcast()
 	return c.Conn.Close()
 }
 
-// settleLocked takes the connection out of those that may have to make way.
-func (c *boundedConn) settleLocked() {
+// unlistLocked takes the connection out of those that may have to make way.
+func (c *boundedConn) unlistLocked() {
 	if c.element != nil {
 		c.listener.pending.Remove(c.element)
 		c.element = nil
@@ -127,16 +127,16 @@
 
 type connKey struct{}
 
-// callContext lets a call's handler find its connection.
-func (l *boundedListener) callContext(ctx context.Context, conn net.Conn) context.Context {
+// connContext lets a call's handler find its connection.
+func (l *boundedListener) connContext(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
 // called notes that a whole call has come on the connection of a handler's context.
-func called(ctx context.Context) {
+func markRequestReceived(ctx context.Context) {
 	if c, ok := ctx.Value(connKey{}).(*boundedConn); ok {
 		c.listener.mu.Lock()
 		defer c.listener.mu.Unlock()
-		c.settleLocked()
+		c.unlistLocked()
 	}
 }
--- a/internal/cells/assign.go
+++ b/internal/cells/assign.go
@@ -10,7 +10,7 @@
 )
 
 // A Node is a live execute node.
-type Node struct {
+type Worker struct {
 	ID   string
 	Zone int // -1 if unknown
 	Kind int // -1 if unknown
@@ -32,37 +32,37 @@
 // The zero value is not usable; see NewAssigner. An Assigner belongs to one
 // goroutine; the Layouts that it makes may be read by any.
 type Assigner struct {
-	plan  *Plan
-	nodes map[string]*node
-	all   []*node          // by place on the ring
-	kinds map[int]*stratum // by kind
-	load  []float64        // capacity of the seats by cell, for settle
-
-	pull   []float64 // weights of the cells for nodes without a seat
-	choice int       // number of those weights
+	plan         *Plan
+	workers      map[string]*ringWorker
+	ordered      []*ringWorker    // by place on the ring
+	strata       map[int]*stratum // by kind
+	slotCapacity []float64        // capacity of the seats by cell, for settle
+
+	cellWeights    []float64 // weights of the cells for nodes without a seat
+	weightsVersion int       // number of those weights
 }
 
 const (
-	seated      = 0.3 // share of a kind's nodes for which there are seats
-	smallSeated = 0.6 // the same in a small fleet, where hashing alone is uneven,
-	fewSeats    = 24  // up to this many seats
-	steps       = 8   // in which the weights of cells change for the rest
+	slotFraction           = 0.3 // share of a kind's nodes for which there are seats
+	smallFleetSlotFraction = 0.6 // the same in a small fleet, where hashing alone is uneven,
+	smallFleetSlots        = 24  // up to this many seats
+	weightSteps            = 8   // in which the weights of cells change for the rest
 )
 
 // A node is a Node with its place.
-type node struct {
-	Node
-	pos    uint64
-	hash   uint64
-	seat   int // that it holds in its stratum; -1: none
-	first  int // the cell that rendezvous hashing prefers,
-	choice int // with these weights
-	cell   int // -1: not yet
+type ringWorker struct {
+	Worker
+	position       uint64
+	hash           uint64
+	slot           int // that it holds in its stratum; -1: none
+	preferredCell  int // the cell that rendezvous hashing prefers,
+	weightsVersion int // with these weights
+	cell           int // -1: not yet
 }
 
 // NewAssigner returns an Assigner without nodes.
 func NewAssigner(p *Plan) *Assigner {
-	return &Assigner{plan: p, nodes: map[string]*node{}, kinds: map[int]*stratum{}, load: make([]float64, len(p.cells))}
+	return &Assigner{plan: p, workers: map[string]*ringWorker{}, strata: map[int]*stratum{}, slotCapacity: make([]float64, len(p.cells))}
 }
 
 // A Change is a node whose cell is another than before; -1 stands for none.
@@ -71,23 +71,23 @@
 	From, To int
 }
 
-const incremental = 8 // changes of the list from which all is made anew: it costs as much
+const maxIncrementalChanges = 8 // changes of the list from which all is made anew: it costs as much
 
 // Update takes the whole list of live nodes and returns which nodes change cell. It
 // is the same whatever came before.
-func (a *Assigner) Update(list []Node) []Change {
-	var gone []*node
-	var come []Node
+func (a *Assigner) Update(list []Worker) []Change {
+	var gone []*ringWorker
+	var come []Worker
 	here := make(map[string]bool, len(list))
 	for _, n := range list {
 		here[n.ID] = true
-		if old := a.nodes[n.ID]; old == nil {
+		if old := a.workers[n.ID]; old == nil {
 			come = append(come, n)
-		} else if old.Node != n { // a machine of another kind or zone is another node
+		} else if old.Worker != n { // a machine of another kind or zone is another node
 			gone, come = append(gone, old), append(come, n)
 		}
 	}
-	for id, old := range a.nodes {
+	for id, old := range a.workers {
 		if !here[id] {
 			gone = append(gone, old)
 		}
@@ -99,17 +99,17 @@
 	for _, n := range gone {
 		before[n.ID] = n.cell
 	}
-	if len(gone)+len(come) > incremental {
+	if len(gone)+len(come) > maxIncrementalChanges {
 		a.rebuild(gone, come)
 	} else {
 		for _, n := range gone {
 			a.remove(n)
 		}
 		for _, n := range come {
-			a.add(n)
+			a.insert(n)
 		}
 	}
-	changes := a.settle(before)
+	changes := a.assignCells(before)
 	for id, from := range before {
 		if from >= 0 {
 			changes = append(changes, Change{id, from, -1})
@@ -119,68 +119,70 @@
 }
 
 // Add takes in one node, which the list had not. It costs far less than Update.
-func (a *Assigner) Add(n Node) []Change {
-	if a.nodes[n.ID] != nil {
+func (a *Assigner) Add(n Worker) []Change {
+	if a.workers[n.ID] != nil {
 		return nil
 	}
-	a.add(n)
-	return a.settle(nil)
+	a.insert(n)
+	return a.assignCells(nil)
 }
 
 // Remove takes out one node.
 func (a *Assigner) Remove(id string) []Change {
-	n := a.nodes[id]
+	n := a.workers[id]
 	if n == nil {
 		return nil
 	}
 	a.remove(n)
-	return append(a.settle(nil), Change{id, n.cell, -1})
+	return append(a.assignCells(nil), Change{id, n.cell, -1})
 }
 
 // enter puts a node into the tables.
-func (a *Assigner) enter(n Node) *node {
+func (a *Assigner) register(n Worker) *ringWorker {
 	hash := xxhash.Sum64String(n.ID)
-	x := &node{Node: n, pos: mix(hash), hash: hash, seat: -1, cell: -1}
-	a.nodes[n.ID] = x
+	x := &ringWorker{Worker: n, position: mix(hash), hash: hash, slot: -1, cell: -1}
+	a.workers[n.ID] = x
 	return x
 }
 
-func byPlace(a, b *node) int { return cmp.Or(cmp.Compare(a.pos, b.pos), cmp.Compare(a.ID, b.ID)) }
+func byPosition(a, b *ringWorker) int {
+	return cmp.Or(cmp.Compare(a.position, b.position), cmp.Compare(a.ID, b.ID))
+}
 
 // settle gives each node its cell: its seat's, or for the rest the one that rendezvous
 // hashing gives it. There each cell weighs what its seats leave it short of its share,
 // in coarse steps, so that the weights seldom change; and no node's cell depends on
 // another's. It returns the changes and takes those of nodes that went and came out
 // of before.
-func (a *Assigner) settle(before map[string]int) (changes []Change) {
+func (a *Assigner) assignCells(before map[string]int) (changes []Change) {
 	p, total := a.plan, 0.0
-	clear(a.load)
-	for _, x := range a.all {
-		w := p.weight(x.Kind)
+	clear(a.slotCapacity)
+	for _, x := range a.ordered {
+		w := p.kindWeight(x.Kind)
 		total += w
-		if x.seat >= 0 {
-			a.load[a.kinds[x.Kind].seats[x.seat].cell] += w
+		if x.slot >= 0 {
+			a.slotCapacity[a.strata[x.Kind].slots[x.slot].cell] += w
 		}
 	}
-	same := a.pull != nil
-	pull := make([]float64, len(p.shares))
-	for c, share := range p.shares {
-		short := 1 - a.load[c]/max(share*total, 1e-9)
-		pull[c] = share * math.Round(max(0, short)*steps) / steps
-		same = same && pull[c] == a.pull[c]
+	same := a.cellWeights != nil
+	pull := make([]float64, len(p.fractions))
+	for c, share := range p.fractions {
+		short := 1 - a.slotCapacity[c]/max(share*total, 1e-9)
+		pull[c] = share * math.Round(max(0, short)*weightSteps) / weightSteps
+		same = same && pull[c] == a.cellWeights[c]
 	}
 	if !same {
-		a.pull, a.choice = pull, a.choice+1
+		a.cellWeights, a.weightsVersion = pull, a.weightsVersion+1
 	}
-	for _, x := range a.all {
+	for _, x := range a.ordered {
 		cell := 0
-		if x.seat >= 0 {
-			cell = a.kinds[x.Kind].seats[x.seat].cell
+		if x.slot >= 0 {
+			cell = a.strata[x.Kind].slots[x.slot].cell
 		} else {
-			if x.choice != a.choice {
-				x.first, x.choice = p.prefer(x.hash, a.pull), a.choice
+			if x.weightsVersion != a.weightsVersion {
+				x.preferredCell, x.weightsVersion = p.rendezvousWeighted(x.hash, a.cellWeights), a.weightsVersion
 			}
-			cell = x.first
+			cell = x.preferredCell
 		}
 		if old, ok := before[x.ID]; ok {
 			x.cell = old
@@ -196,10 +198,10 @@
 
 // prefer is choose among all cells with other weights than the shares; with all at
 // 0 it is the shares that count.
-func (p *Plan) prefer(hash uint64, weights []float64) int {
+func (p *Plan) rendezvousWeighted(hash uint64, weights []float64) int {
 	best, most := -1, 0.0
 	for c, w := range weights {
-		u := uniform(hash ^ p.salts[c])
+		u := uniform(hash ^ p.cellHashes[c])
 		if w <= most*(1-u) {
 			continue
 		}
@@ -208,13 +210,13 @@
 		}
 	}
 	if best < 0 {
-		return p.choose(hash, nil)
+		return p.rendezvous(hash, nil)
 	}
 	return best
 }
 
 // weight is the capacity of a node of a kind.
-func (p *Plan) weight(kind int) float64 {
+func (p *Plan) kindWeight(kind int) float64 {
 	if kind+1 < 0 || kind+1 >= len(p.weights) {
 		return 1
 	}
--- a/internal/cells/assign_test.go
+++ b/internal/cells/assign_test.go
@@ -13,7 +13,7 @@
 func spec(n int) *Spec {
 	s := &Spec{}
 	for i := range n {
-		s.Cells = append(s.Cells, Cell{Name: fmt.Sprint("c", i), Share: 1 / float64(n)})
+		s.Cells = append(s.Cells, Cell{Name: fmt.Sprint("c", i), CapacityFraction: 1 / float64(n)})
 	}
 	return s
 }
@@ -28,14 +28,14 @@
 }
 
 // fleet draws n nodes of all kinds and zones.
-func fleet(rng *rand.Rand, n int) (list []Node) {
+func fleet(rng *rand.Rand, n int) (list []Worker) {
 	for i := range n {
-		list = append(list, Node{fmt.Sprintf("s-%08x", rng.Uint32()), i % 2, i % 3})
+		list = append(list, Worker{fmt.Sprintf("s-%08x", rng.Uint32()), i % 2, i % 3})
 	}
 	return list
 }
 
-func moved(changes []Change) (n int) {
+func countMigrated(changes []Change) (n int) {
 	for _, c := range changes {
 		if c.From >= 0 && c.To >= 0 {
 			n++
@@ -46,7 +46,7 @@
 
 // Hard case 2: when one of n nodes leaves, or returns with a new id, no more than 1.5
 // of the others change cell in the mean, from 6 nodes to 1,000.
-func TestFewOthersMove(t *testing.T) {
+func TestChurnMigratesFewWorkers(t *testing.T) {
 	for _, c := range []struct{ n, cells int }{{6, 2}, {12, 2}, {12, 3}, {12, 4}, {20, 4}, {40, 8}, {200, 10}, {1000, 20}} {
 		p, rng := plan(t, spec(c.cells)), rand.New(rand.NewPCG(1, 2))
 		moves, events := 0, 0
@@ -57,10 +57,10 @@
 				i := rng.IntN(len(list))
 				x := list[i]
 				list = append(list[:i:i], list[i+1:]...)
-				moves += moved(a.Update(list))
+				moves += countMigrated(a.Update(list))
 				x.ID = fmt.Sprintf("s-%08x", rng.Uint32())
 				list = append(list, x)
-				moves += moved(a.Update(list))
+				moves += countMigrated(a.Update(list))
 				events += 2
 			}
 		}
@@ -74,16 +74,16 @@
 
 // All schedulers reach the same map: what is there now decides, not how it came to be
 // so, nor the order of the list, nor one node at a time or all at once.
-func TestMapHasNoHistory(t *testing.T) {
+func TestLayoutHasNoHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := spec(rapid.IntRange(1, 7).Draw(t, "cells"))
 		s.Weights = map[string]float64{"large": 5.6, "old": 3}
-		s.Needs = rapid.SampledFrom([][]int{nil, {0}, {0, 2}}).Draw(t, "needs")
+		s.RequiredKinds = rapid.SampledFrom([][]int{nil, {0}, {0, 2}}).Draw(t, "needs")
 		p, faults := NewPlan(s, nil, 2, []string{"large", "medium", "old"})
 		if faults != nil {
 			t.Fatal(faults)
 		}
-		a, here := NewAssigner(p), map[string]Node{}
+		a, here := NewAssigner(p), map[string]Worker{}
 		l := NewLayout(p)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			var changes []Change
@@ -92,10 +92,10 @@
 				if _, ok := here[id]; ok {
 					delete(here, id)
 				} else {
-					here[id] = Node{id, rapid.IntRange(-1, 1).Draw(t, "zone"), rapid.IntRange(-1, 2).Draw(t, "kind")}
+					here[id] = Worker{id, rapid.IntRange(-1, 1).Draw(t, "zone"), rapid.IntRange(-1, 2).Draw(t, "kind")}
 				}
 			}
-			var list []Node
+			var list []Worker
 			for _, n := range here {
 				list = append(list, n)
 			}
@@ -104,13 +104,13 @@
 			fresh := NewAssigner(p)
 			want := NewLayout(p).WithChanges(fresh.Update(list))
 			size := 0
-			for c := range p.Cells() {
-				size += l.Size(c)
-				if fmt.Sprint(l.Nodes(c)) != fmt.Sprint(want.Nodes(c)) {
-					t.Fatalf("cell %d: %v, but from nothing %v", c, l.Nodes(c), want.Nodes(c))
+			for c := range p.CellCount() {
+				size += l.WorkerCount(c)
+				if fmt.Sprint(l.Workers(c)) != fmt.Sprint(want.Workers(c)) {
+					t.Fatalf("cell %d: %v, but from nothing %v", c, l.Workers(c), want.Workers(c))
 				}
-				for _, id := range l.Nodes(c) {
-					if at, ok := l.NodeCell(id); !ok || at != c {
+				for _, id := range l.Workers(c) {
+					if at, ok := l.WorkerCell(id); !ok || at != c {
 						t.Fatalf("%s is in cell %d, looked up as %d", id, c, at)
 					}
 				}
@@ -124,10 +124,10 @@
 
 // Hard case 1: nodes that differ in kind, zone and speed. Each cell gets about its
 // share of the capacity, a node in each zone, and every kind that is needed.
-func TestSharesOfAnUnevenFleet(t *testing.T) {
-	s := &Spec{Weights: map[string]float64{"large": 6.4, "medium": 3, "old": 3}, Needs: []int{0}}
+func TestFractionsOfAnUnevenFleet(t *testing.T) {
+	s := &Spec{Weights: map[string]float64{"large": 6.4, "medium": 3, "old": 3}, RequiredKinds: []int{0}}
 	for i, share := range []float64{.32, .23, .26, .19} {
-		s.Cells = append(s.Cells, Cell{Name: fmt.Sprint("c", i), Share: share})
+		s.Cells = append(s.Cells, Cell{Name: fmt.Sprint("c", i), CapacityFraction: share})
 	}
 	p := plan(t, s)
 	for _, c := range []struct {
@@ -141,16 +141,16 @@
 			a.Update(fleet(rng, c.n))
 			capacity, all := make([]float64, 4), 0.0
 			zones, large := make([][2]int, 4), make([]int, 4)
-			for _, x := range a.all {
-				capacity[x.cell] += p.weight(x.Kind)
-				all += p.weight(x.Kind)
+			for _, x := range a.ordered {
+				capacity[x.cell] += p.kindWeight(x.Kind)
+				all += p.kindWeight(x.Kind)
 				zones[x.cell][x.Zone]++
 				if x.Kind == 0 {
 					large[x.cell]++
 				}
 			}
 			for i := range capacity {
-				off := capacity[i]/all/p.shares[i] - 1
+				off := capacity[i]/all/p.fractions[i] - 1
 				square += off * off / float64(4*runs)
 				lowest = min(lowest, off)
 				if zones[i][0] == 0 || zones[i][1] == 0 || large[i] == 0 {
--- a/internal/cells/bench_test.go
+++ b/internal/cells/bench_test.go
@@ -6,7 +6,7 @@
 )
 
 // large is the size that the map must bear: 10,000 nodes, 1,000 tenants, 100 cells.
-func large(b testing.TB) (*Plan, []Node) {
+func large(b testing.TB) (*Plan, []Worker) {
 	s := spec(100)
 	var tenants []Tenant
 	for i := range 1000 {
@@ -15,20 +15,20 @@
 		s.Cells[i%100].Tenants = append(s.Cells[i%100].Tenants, name)
 	}
 	s.Weights = map[string]float64{"l": 5.6, "m": 2.9, "o": 3}
-	s.KeyNodes = 3
+	s.KeyWorkers = 3
 	p, faults := NewPlan(s, tenants, 2, []string{"l", "m", "o"})
 	if faults != nil {
 		b.Fatal(faults)
 	}
-	var list []Node
+	var list []Worker
 	for i := range 10000 {
-		list = append(list, Node{fmt.Sprintf("s-%08x", mix(uint64(i))>>32), int(mix(uint64(i)) % 2), i % 3})
+		list = append(list, Worker{fmt.Sprintf("s-%08x", mix(uint64(i))>>32), int(mix(uint64(i)) % 2), i % 3})
 	}
 	return p, list
 }
 
 // The whole map from nothing.
-func BenchmarkWholeMap(b *testing.B) {
+func BenchmarkFullLayout(b *testing.B) {
 	p, list := large(b)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -37,7 +37,7 @@
 }
 
 // One node leaves, or comes back.
-func BenchmarkOneNode(b *testing.B) {
+func BenchmarkOneWorker(b *testing.B) {
 	p, list := large(b)
 	a := NewAssigner(p)
 	l := NewLayout(p).WithChanges(a.Update(list))
@@ -55,7 +55,7 @@
 }
 
 // A job's cell and the nodes of its key.
-func BenchmarkLookUp(b *testing.B) {
+func BenchmarkLookup(b *testing.B) {
 	p, list := large(b)
 	l := NewLayout(p).WithChanges(NewAssigner(p).Update(list))
 	b.Run("cell", func(b *testing.B) {
@@ -70,7 +70,7 @@
 		b.ReportAllocs()
 		i := 0
 		for b.Loop() {
-			l.NodeCell(list[i%len(list)].ID)
+			l.WorkerCell(list[i%len(list)].ID)
 			i++
 		}
 	})
@@ -79,7 +79,7 @@
 		i := uint64(0)
 		for b.Loop() {
 			i++
-			l.KeyNodes(7, i)
+			l.KeyWorkers(7, i)
 		}
 	})
 }
--- a/internal/cells/cells_test.go
+++ b/internal/cells/cells_test.go
@@ -9,18 +9,18 @@
 	"testing"
 )
 
-func three(t *testing.T) *Plan {
+func threeCells(t *testing.T) *Plan {
 	return plan(t, &Spec{
 		Cells: []Cell{
 			{Name: "a", Tenants: []string{"t0"}, Spill: "b", SpillPart: 0.1},
 			{Name: "b", Tenants: []string{"t1"}, Spill: "a", SpillPart: 0.5},
 			{Name: "c", Jobs: 7},
 		},
-		Splits: []Split{{"t2", []string{"a", "c"}}}, KeyNodes: 2, KeyJobs: 3,
+		Splits: []Split{{"t2", []string{"a", "c"}}}, KeyWorkers: 2, KeyJobs: 3,
 	}, Tenant{"t0", 10}, Tenant{"t1", 30}, Tenant{"t2", 20}, Tenant{"t3", 1})
 }
 
-func TestFaultsOfAPlan(t *testing.T) {
+func TestSpecErrors(t *testing.T) {
 	_, faults := NewPlan(&Spec{
 		Cells:   []Cell{{Name: "a", Tenants: []string{"t0", "x"}, Spill: "a"}, {Name: "a"}, {Name: "b", Tenants: []string{"t0"}, Spill: "z"}},
 		Default: "d", Splits: []Split{{"t1", []string{"b", "q"}}}, Weights: map[string]float64{"w": 1},
@@ -42,7 +42,7 @@
 // A tenant's jobs go to its cell, a split one's to one of its cells by key, quotas
 // follow them, and a move changes that tenant alone.
 func TestTenants(t *testing.T) {
-	p := three(t)
+	p := threeCells(t)
 	l := NewLayout(p)
 	if l.Cell(0, 1) != 0 || l.Cell(1, 9) != 1 || l.Cell(3, 1) != l.Cell(3, 2) || l.Cell(-1, 0) != l.Cell(99, 5) {
 		t.Error("tenants are not in their cells")
@@ -55,7 +55,7 @@
 		t.Errorf("the split tenant's keys: %v", seen)
 	}
 	sum := 0.0
-	for c := range p.Cells() {
+	for c := range p.CellCount() {
 		for _, q := range l.Quotas(c) {
 			sum += q
 		}
@@ -64,17 +64,17 @@
 		t.Errorf("the cells' quotas add up to %v, want 61", sum)
 	}
 	m := l.WithTenant(2, 1)
-	if m.Cell(2, 5) != 1 || !m.Moved(2) || m.Moved(0) || l.Moved(2) || m.Cell(0, 1) != 0 {
+	if m.Cell(2, 5) != 1 || !m.Migrated(2) || m.Migrated(0) || l.Migrated(2) || m.Cell(0, 1) != 0 {
 		t.Error("a move changes more or less than its tenant")
 	}
-	if r := m.Restored(2); r.Moved(2) || r.Cell(2, 5) != l.Cell(2, 5) {
+	if r := m.Restored(2); r.Migrated(2) || r.Cell(2, 5) != l.Cell(2, 5) {
 		t.Error("it is not restored")
 	}
 	for what, c := range map[string]struct {
 		tenant, to int
 		want       error
-	}{"no tenant": {-1, 0, ErrUnknownTenant}, "jobs of no tenant": {4, 0, ErrUnknownTenant}, "no cell": {0, -1, ErrUnknownCell}, "same": {0, 0, ErrSameCell}, "empty": {0, 1, ErrEmpty}} {
-		if err := l.MayMove(c.tenant, c.to); !errors.Is(err, c.want) {
+	}{"no tenant": {-1, 0, ErrUnknownTenant}, "jobs of no tenant": {4, 0, ErrUnknownTenant}, "no cell": {0, -1, ErrUnknownCell}, "same": {0, 0, ErrSameCell}, "empty": {0, 1, ErrNoWorkers}} {
+		if err := l.CheckMigration(c.tenant, c.to); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
@@ -82,7 +82,7 @@
 
 // Hard case 3: a job spills once, into an able cell that has room, and never round.
 func TestRoute(t *testing.T) {
-	l := NewLayout(three(t))
+	l := NewLayout(threeCells(t))
 	for what, c := range map[string]struct {
 		conditions [3]Condition
 		room       bool
@@ -108,16 +108,16 @@
 
 // Hard case 8: a key's jobs go to few nodes of the cell, other keys to others; one
 // node less changes at most one of them.
-func TestKeyNodes(t *testing.T) {
-	p := three(t)
+func TestKeyWorkers(t *testing.T) {
+	p := threeCells(t)
 	a := NewAssigner(p)
 	list := fleet(rand.New(rand.NewPCG(5, 6)), 60)
 	l := NewLayout(p).WithChanges(a.Update(list))
-	gone := l.Nodes(1)[3]
+	gone := l.Workers(1)[3]
 	m := l.WithChanges([]Change{{gone, 1, -1}})
 	used := map[string]int{}
 	for key := uint64(1); key <= 400; key++ {
-		nodes := l.KeyNodes(1, key)
+		nodes := l.KeyWorkers(1, key)
 		if len(nodes) != 2 || nodes[0] == nodes[1] {
 			t.Fatalf("key %d: %v", key, nodes)
 		}
@@ -125,19 +125,19 @@
 			used[n]++
 		}
 		kept := 0
-		for _, n := range m.KeyNodes(1, key) {
+		for _, n := range m.KeyWorkers(1, key) {
 			if slices.Contains(nodes, n) {
 				kept++
 			}
 		}
 		if want := 2; kept != want && !slices.Contains(nodes, gone) || kept < want-1 {
-			t.Errorf("key %d: %v, then %v", key, nodes, m.KeyNodes(1, key))
+			t.Errorf("key %d: %v, then %v", key, nodes, m.KeyWorkers(1, key))
 		}
 	}
-	if len(used) != l.Size(1) {
-		t.Errorf("%d of %d nodes have keys", len(used), l.Size(1))
+	if len(used) != l.WorkerCount(1) {
+		t.Errorf("%d of %d nodes have keys", len(used), l.WorkerCount(1))
 	}
-	if l.KeyNodes(1, 0) != nil {
+	if l.KeyWorkers(1, 0) != nil {
 		t.Error("jobs without a key are confined")
 	}
 }
@@ -145,7 +145,7 @@
 // An evacuated cell's tenants go where they may: into its spill cell, or what is left
 // of their own cells, or spread over the rest.
 func TestEvacuation(t *testing.T) {
-	p := three(t)
+	p := threeCells(t)
 	l := NewLayout(p)
 	all := func(int) bool { return true }
 	got, err := l.Evacuation(0, all)
@@ -165,11 +165,11 @@
 
 // Hard case 6: ten times a tenant's share takes no place of another cell's, and within
 // its own cell leaves room for the others.
-func TestGate(t *testing.T) {
+func TestAdmission(t *testing.T) {
 	g := NewAdmission([]int{10, 10}, 2)
 	flood := 0
 	for range 100 {
-		if g.Enter(0, 0) {
+		if g.TryReserve(0, 0) {
 			flood++
 		}
 	}
@@ -177,28 +177,28 @@
 		t.Errorf("a flood has %d of 10 places", flood)
 	}
 	for i := range 5 {
-		if !g.Enter(0, 1) {
+		if !g.TryReserve(0, 1) {
 			t.Errorf("place %d of the tenant beside it is gone", i)
 		}
 	}
-	if g.Enter(0, 1) || !g.Enter(1, 0) {
+	if g.TryReserve(0, 1) || !g.TryReserve(1, 0) {
 		t.Error("a bound does not hold, or the other cell is shut")
 	}
-	g.Move(0, 1, 1)
+	g.Transfer(0, 1, 1)
 	if open, bound, refused := g.Open(0); open != 9 || bound != 10 || refused != 96 {
 		t.Errorf("%d of %d open, %d refused", open, bound, refused)
 	}
-	g.Take(0, -1) // what is there stays, room or not
+	g.Reserve(0, -1) // what is there stays, room or not
 	for range 5 {
-		g.Leave(0, 0)
+		g.Release(0, 0)
 	}
 	if open, _, _ := g.Open(0); open != 5 {
 		t.Errorf("%d open", open)
 	}
-	if p := three(t); p.JobBound(2, 100) != 7 || p.JobBound(2, 5) != 5 || p.JobBound(0, 10) < leastBound {
+	if p := threeCells(t); p.JobBound(2, 100) != 7 || p.JobBound(2, 5) != 5 || p.JobBound(0, 10) < minBound {
 		t.Error("bounds of cells")
 	}
-	if !strings.Contains(Fault{"cell a", "x"}.Error(), "cell a: x") {
+	if !strings.Contains(SpecError{"cell a", "x"}.Error(), "cell a: x") {
 		t.Error("a fault without its subject")
 	}
 }
--- a/internal/cells/gate.go
+++ b/internal/cells/gate.go
@@ -13,20 +13,20 @@
 	open    []int   // by cell
 	tenants [][]int // open, by cell and tenant
 	active  []int   // tenants with something open, by cell
-	refused []int64 // by cell
+	shed    []int64 // by cell
 }
 
 // NewAdmission returns a gate with a bound for each cell, for n tenants (and one more for
 // those of none).
 func NewAdmission(bounds []int, n int) *Admission {
-	g := &Admission{bounds: bounds, open: make([]int, len(bounds)), active: make([]int, len(bounds)), refused: make([]int64, len(bounds))}
+	g := &Admission{bounds: bounds, open: make([]int, len(bounds)), active: make([]int, len(bounds)), shed: make([]int64, len(bounds))}
 	for range bounds {
 		g.tenants = append(g.tenants, make([]int, n+1))
 	}
 	return g
 }
 
-func (g *Admission) slot(tenant int) int {
+func (g *Admission) tenantSlot(tenant int) int {
 	if n := len(g.tenants[0]) - 1; tenant < 0 || tenant > n {
 		return n
 	}
@@ -34,10 +34,10 @@
 }
 
 // Enter takes a place in a cell for a tenant, if there is one.
-func (g *Admission) Enter(cell, tenant int) bool {
+func (g *Admission) TryReserve(cell, tenant int) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	t := g.slot(tenant)
+	t := g.tenantSlot(tenant)
 	mine := g.tenants[cell][t]
 	active := g.active[cell]
 	if mine == 0 {
@@ -45,7 +45,7 @@
 	}
 	half := (g.bounds[cell] + 1) / 2
 	if g.open[cell] >= g.bounds[cell] || g.open[cell] >= half && mine >= max(1, g.bounds[cell]/max(2, active)) {
-		g.refused[cell]++
+		g.shed[cell]++
 		return false
 	}
 	g.add(cell, t, 1)
@@ -53,25 +53,25 @@
 }
 
 // Take takes a place whether there is room or not: for what is open already.
-func (g *Admission) Take(cell, tenant int) {
+func (g *Admission) Reserve(cell, tenant int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.add(cell, g.slot(tenant), 1)
+	g.add(cell, g.tenantSlot(tenant), 1)
 }
 
 // Leave gives a place back.
-func (g *Admission) Leave(cell, tenant int) {
+func (g *Admission) Release(cell, tenant int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.add(cell, g.slot(tenant), -1)
+	g.add(cell, g.tenantSlot(tenant), -1)
 }
 
 // Move takes a place from one cell to another, past its bound if need be: what was
 // taken in stays.
-func (g *Admission) Move(from, to, tenant int) {
+func (g *Admission) Transfer(from, to, tenant int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	t := g.slot(tenant)
+	t := g.tenantSlot(tenant)
 	g.add(from, t, -1)
 	g.add(to, t, 1)
 }
@@ -91,5 +91,5 @@
 func (g *Admission) Open(cell int) (open, bound int, refused int64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.open[cell], g.bounds[cell], g.refused[cell]
+	return g.open[cell], g.bounds[cell], g.shed[cell]
 }
--- a/internal/cells/layout.go
+++ b/internal/cells/layout.go
@@ -11,11 +11,11 @@
 // A Layout is a whole map at one moment: tenants to cells and nodes to cells. It is
 // immutable; a change makes another that shares what has not changed.
 type Layout struct {
-	plan    *Plan
-	tenants []place // by tenant, the last for jobs of none
-	moved   []bool  // by tenant: its place is not the file's
-	nodes   *immutable.Map[string, int]
-	members [][]member // by cell, ordered by id
+	plan     *Plan
+	tenants  []cellSet // by tenant, the last for jobs of none
+	migrated []bool    // by tenant: its place is not the file's
+	workers  *immutable.Map[string, int]
+	members  [][]member // by cell, ordered by id
 }
 
 // A member is a node of a cell.
@@ -27,8 +27,8 @@
 // NewLayout returns a plan's layout with no nodes.
 func NewLayout(p *Plan) *Layout {
 	return &Layout{
-		plan: p, tenants: p.tenants, moved: make([]bool, len(p.tenants)),
-		nodes: immutable.NewMap[string, int](nil), members: make([][]member, len(p.cells)),
+		plan: p, tenants: p.tenants, migrated: make([]bool, len(p.tenants)),
+		workers: immutable.NewMap[string, int](nil), members: make([][]member, len(p.cells)),
 	}
 }
 
@@ -36,7 +36,7 @@
 func (l *Layout) Plan() *Plan { return l.plan }
 
 // slot is where a tenant stands in the tables; tenants that are unknown share one.
-func (l *Layout) slot(tenant int) int {
+func (l *Layout) tenantSlot(tenant int) int {
 	if tenant < 0 || tenant >= len(l.tenants) {
 		return len(l.tenants) - 1
 	}
@@ -45,29 +45,29 @@
 
 // Cell returns the cell of a tenant's job. It does not allocate.
 func (l *Layout) Cell(tenant int, key uint64) int {
-	p := l.tenants[l.slot(tenant)]
+	p := l.tenants[l.tenantSlot(tenant)]
 	if len(p) == 1 {
 		return int(p[0])
 	}
-	return l.plan.choose(mix(key+0x9e3779b97f4a7c15), p)
+	return l.plan.rendezvous(mix(key+0x9e3779b97f4a7c15), p)
 }
 
 // Lives reports whether jobs of a tenant may have this cell as theirs.
-func (l *Layout) Lives(tenant, cell int) bool {
-	return slices.Contains(l.tenants[l.slot(tenant)], int32(cell))
+func (l *Layout) ServedBy(tenant, cell int) bool {
+	return slices.Contains(l.tenants[l.tenantSlot(tenant)], int32(cell))
 }
 
 // Moved reports whether the tenant is elsewhere than the file says.
-func (l *Layout) Moved(tenant int) bool { return l.moved[l.slot(tenant)] }
+func (l *Layout) Migrated(tenant int) bool { return l.migrated[l.tenantSlot(tenant)] }
 
 // Home reports whether the file has a tenant in a cell.
-func (l *Layout) Home(tenant, cell int) bool {
-	return slices.Contains(l.plan.tenants[l.slot(tenant)], int32(cell))
+func (l *Layout) ConfiguredIn(tenant, cell int) bool {
+	return slices.Contains(l.plan.tenants[l.tenantSlot(tenant)], int32(cell))
 }
 
-// SamePlace reports whether a tenant is where another layout has it.
-func (l *Layout) SamePlace(o *Layout, tenant int) bool {
-	return slices.EqualFunc(l.tenants[l.slot(tenant)], o.tenants[o.slot(tenant)], func(a, b int32) bool {
+// SameCells reports whether a tenant is where another layout has it.
+func (l *Layout) SameCells(o *Layout, tenant int) bool {
+	return slices.EqualFunc(l.tenants[l.tenantSlot(tenant)], o.tenants[o.tenantSlot(tenant)], func(a, b int32) bool {
 		return l.plan.cells[a].Name == o.plan.cells[b].Name
 	})
 }
@@ -77,26 +77,26 @@
 func (l *Layout) Quotas(cell int) []float64 {
 	q := make([]float64, len(l.plan.quotas))
 	for t, quota := range l.plan.quotas {
-		if !l.Lives(t, cell) {
+		if !l.ServedBy(t, cell) {
 			continue
 		}
 		sum := 0.0
 		for _, c := range l.tenants[t] {
-			sum += l.plan.shares[c]
+			sum += l.plan.fractions[c]
 		}
-		q[t] = quota * l.plan.shares[cell] / sum
+		q[t] = quota * l.plan.fractions[cell] / sum
 	}
 	return q
 }
 
-// NodeCell returns the cell of a node; ok is false for one that is in none.
-func (l *Layout) NodeCell(id string) (cell int, ok bool) { return l.nodes.Get(id) }
+// WorkerCell returns the cell of a node; ok is false for one that is in none.
+func (l *Layout) WorkerCell(id string) (cell int, ok bool) { return l.workers.Get(id) }
 
 // Size returns how many nodes a cell has.
-func (l *Layout) Size(cell int) int { return len(l.members[cell]) }
+func (l *Layout) WorkerCount(cell int) int { return len(l.members[cell]) }
 
 // Each calls f with the nodes of a cell, in order, until it returns false.
-func (l *Layout) Each(cell int, f func(id string) bool) {
+func (l *Layout) EachWorker(cell int, f func(id string) bool) {
 	for _, m := range l.members[cell] {
 		if !f(m.id) {
 			return
@@ -105,7 +105,7 @@
 }
 
 // Nodes returns the ids of a cell's nodes, in order.
-func (l *Layout) Nodes(cell int) []string {
+func (l *Layout) Workers(cell int) []string {
 	ids := make([]string, len(l.members[cell]))
 	for i, m := range l.members[cell] {
 		ids[i] = m.id
@@ -113,11 +113,11 @@
 	return ids
 }
 
-// KeyNodes returns the nodes of a cell to which the jobs with a key may go; nil
+// KeyWorkers returns the nodes of a cell to which the jobs with a key may go; nil
 // means all. They are those that rendezvous hashing ranks first, so that a node more
 // or less changes one of them at most.
-func (l *Layout) KeyNodes(cell int, key uint64) []string {
-	k := l.plan.keyNodes
+func (l *Layout) KeyWorkers(cell int, key uint64) []string {
+	k := l.plan.keyWorkers
 	if key == 0 || k <= 0 || len(l.members[cell]) <= k {
 		return nil
 	}
@@ -126,7 +126,7 @@
 		score uint64
 	}
 	best := make([]ranked, 0, k+1)
-	salt := mix(key ^ l.plan.salts[cell])
+	salt := mix(key ^ l.plan.cellHashes[cell])
 	for _, m := range l.members[cell] {
 		r := ranked{m.id, mix(salt ^ m.hash)}
 		at, _ := slices.BinarySearchFunc(best, r, func(a, b ranked) int { return cmp.Compare(b.score, a.score) })
@@ -154,9 +154,9 @@
 			copied[c], n.members[c] = true, slices.Clone(n.members[c])
 		}
 	}
-	if len(changes) > manyChanges {
+	if len(changes) > bulkChanges {
 		b := immutable.NewMapBuilder[string, int](nil)
-		for it := l.nodes.Iterator(); !it.Done(); {
+		for it := l.workers.Iterator(); !it.Done(); {
 			id, c, _ := it.Next()
 			b.Set(id, c)
 		}
@@ -167,7 +167,7 @@
 				b.Set(ch.ID, ch.To)
 			}
 		}
-		n.nodes = b.Map()
+		n.workers = b.Map()
 	}
 	byID := func(m member, id string) int { return cmp.Compare(m.id, id) }
 	leaving := map[string]bool{}
@@ -181,13 +181,13 @@
 			own(ch.To)
 			come = append(come, ch)
 		}
-		if len(changes) > manyChanges {
+		if len(changes) > bulkChanges {
 			continue
 		}
 		if ch.To < 0 {
-			n.nodes = n.nodes.Delete(ch.ID)
+			n.workers = n.workers.Delete(ch.ID)
 		} else {
-			n.nodes = n.nodes.Set(ch.ID, ch.To)
+			n.workers = n.workers.Set(ch.ID, ch.To)
 		}
 	}
 	for c := range n.members {
@@ -198,7 +198,7 @@
 	sorted := make([]bool, len(n.members))
 	for _, ch := range come {
 		m := member{ch.ID, xxhash.Sum64String(ch.ID)}
-		if len(come) > manyChanges {
+		if len(come) > bulkChanges {
 			n.members[ch.To] = append(n.members[ch.To], m)
 			sorted[ch.To] = true
 			continue
@@ -214,22 +214,22 @@
 	return &n
 }
 
-const manyChanges = 64 // from which a table is sorted or built once, not for each
+const bulkChanges = 64 // from which a table is sorted or built once, not for each
 
 // WithTenant returns the layout after a tenant has gone to a cell.
 func (l *Layout) WithTenant(tenant, cell int) *Layout {
-	return l.withPlace(tenant, place{int32(cell)}, true)
+	return l.withCells(tenant, cellSet{int32(cell)}, true)
 }
 
 // Restored returns the layout with a tenant where the file has it.
 func (l *Layout) Restored(tenant int) *Layout {
-	return l.withPlace(tenant, l.plan.tenants[tenant], false)
+	return l.withCells(tenant, l.plan.tenants[tenant], false)
 }
 
-func (l *Layout) withPlace(tenant int, p place, moved bool) *Layout {
+func (l *Layout) withCells(tenant int, p cellSet, moved bool) *Layout {
 	n := *l
-	n.tenants, n.moved = slices.Clone(l.tenants), slices.Clone(l.moved)
-	n.tenants[tenant], n.moved[tenant] = p, moved && !slices.Equal(p, l.plan.tenants[tenant])
+	n.tenants, n.migrated = slices.Clone(l.tenants), slices.Clone(l.migrated)
+	n.tenants[tenant], n.migrated[tenant] = p, moved && !slices.Equal(p, l.plan.tenants[tenant])
 	return &n
 }
 
@@ -240,7 +240,7 @@
 // that it spills into, or spread over the others by hash, of those that may take
 // them. Where there is none it is ErrNoTargetCell.
 func (l *Layout) Evacuation(cell int, may func(cell int) bool) ([]Evacuee, error) {
-	var others place
+	var others cellSet
 	for c := range l.members {
 		if c != cell && may(c) {
 			others = append(others, int32(c))
@@ -250,11 +250,11 @@
 		return nil, ErrNoTargetCell
 	}
 	if s := l.plan.spill[cell]; s >= 0 && may(s) {
-		others = place{int32(s)}
+		others = cellSet{int32(s)}
 	}
 	var rescues []Evacuee
 	for t := range l.tenants {
-		if !l.Lives(t, cell) {
+		if !l.ServedBy(t, cell) {
 			continue
 		}
 		rest := slices.DeleteFunc(slices.Clone(l.tenants[t]), func(c int32) bool { return int(c) == cell || !may(int(c)) })
@@ -262,10 +262,10 @@
 			rest = others
 		}
 		name := ""
-		if t < len(l.plan.names) {
-			name = l.plan.names[t]
+		if t < len(l.plan.tenantNames) {
+			name = l.plan.tenantNames[t]
 		}
-		rescues = append(rescues, Evacuee{t, l.plan.choose(xxhash.Sum64String("tenant "+name), rest)})
+		rescues = append(rescues, Evacuee{t, l.plan.rendezvous(xxhash.Sum64String("tenant "+name), rest)})
 	}
 	return rescues, nil
 }
--- a/internal/cells/ring.go
+++ b/internal/cells/ring.go
@@ -10,16 +10,16 @@
 // A ring is nodes by place, of which some are taken. next[i] leads to the first free
 // one from i on, by union and find with path halving.
 type ring struct {
-	nodes []*node
-	next  []int
+	workers []*ringWorker
+	next    []int
 }
 
-func (r *ring) add(x *node) {
-	r.nodes = append(r.nodes, x)
+func (r *ring) add(x *ringWorker) {
+	r.workers = append(r.workers, x)
 	r.next = append(r.next, len(r.next))
 }
 
-func (r *ring) find(i int) int {
+func (r *ring) nextFree(i int) int {
 	for i < len(r.next) && r.next[i] != i {
 		if j := r.next[i]; j < len(r.next) {
 			r.next[i] = r.next[j]
@@ -30,21 +30,21 @@
 }
 
 // after returns the first free node clockwise of a place, or nil.
-func (r *ring) after(pos uint64) *node {
+func (r *ring) nearestFree(pos uint64) *ringWorker {
 	if r == nil {
 		return nil
 	}
-	at, _ := slices.BinarySearchFunc(r.nodes, pos, func(x *node, p uint64) int { return cmp.Compare(x.pos, p) })
-	if i := r.find(at); i < len(r.nodes) {
-		return r.nodes[i]
+	at, _ := slices.BinarySearchFunc(r.workers, pos, func(x *ringWorker, p uint64) int { return cmp.Compare(x.position, p) })
+	if i := r.nextFree(at); i < len(r.workers) {
+		return r.workers[i]
 	}
-	if i := r.find(0); i < len(r.nodes) {
-		return r.nodes[i]
+	if i := r.nextFree(0); i < len(r.workers) {
+		return r.workers[i]
 	}
 	return nil
 }
 
-func (r *ring) drop(x *node) {
-	i, _ := slices.BinarySearchFunc(r.nodes, x, byPlace)
+func (r *ring) markTaken(x *ringWorker) {
+	i, _ := slices.BinarySearchFunc(r.workers, x, byPosition)
 	r.next[i] = i + 1
 }
--- a/internal/cells/route.go
+++ b/internal/cells/route.go
@@ -7,7 +7,7 @@
 	ErrUnknownTenant = errors.New("there is no such tenant")
 	ErrUnknownCell   = errors.New("there is no such cell")
 	ErrSameCell      = errors.New("the tenant is in that cell already")
-	ErrEmpty         = errors.New("that cell has no live node")
+	ErrNoWorkers     = errors.New("that cell has no live node")
 	ErrEvacuated     = errors.New("that cell is evacuated: restore it first")
 	ErrNoTargetCell  = errors.New("no other cell has a live node")
 )
@@ -50,17 +50,17 @@
 	return max(1, int(l.plan.cells[from].SpillPart*float64(bound)))
 }
 
-// MayMove checks a move of a tenant before anything is done.
-func (l *Layout) MayMove(tenant, to int) error {
+// CheckMigration checks a move of a tenant before anything is done.
+func (l *Layout) CheckMigration(tenant, to int) error {
 	switch {
-	case tenant < 0 || tenant >= len(l.plan.names):
+	case tenant < 0 || tenant >= len(l.plan.tenantNames):
 		return ErrUnknownTenant
 	case to < 0 || to >= len(l.plan.cells):
 		return ErrUnknownCell
 	case len(l.tenants[tenant]) == 1 && int(l.tenants[tenant][0]) == to:
 		return ErrSameCell
 	case len(l.members[to]) == 0:
-		return ErrEmpty
+		return ErrNoWorkers
 	}
 	return nil
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -17,13 +17,13 @@
 // maxTime bounds every time in the settings: sums and multiples of them stay numbers.
 const maxTime = int64(30 * 24 * time.Hour)
 
-// keyMargin is what a repeat of a keyed job may take from its last byte's writing to the node,
+// keyTTLMargin is what a repeat of a keyed job may take from its last byte's writing to the node,
 // with what clocks differ by: so much sooner the window counts as over.
-const keyMargin = int64(100 * time.Millisecond)
+const keyTTLMargin = int64(100 * time.Millisecond)
 
-// checkReal holds the checks that only the real scheduler makes: the simulator's
+// checkScheduler holds the checks that only the real scheduler makes: the simulator's
 // adapter leaves them to the module.
-func (s *Settings) checkReal() error {
+func (s *Settings) checkScheduler() error {
 	for _, check := range []func() error{s.checkFleet, s.checkClasses, s.checkTenants, s.checkTimes, s.checkFigures, s.checkReports} {
 		if err := check(); err != nil {
 			return err
@@ -31,18 +31,18 @@
 	}
 	c := &s.Module
 	c.PollEndpoints = true // the protocol has no other way, whatever the simulator's has
-	c.EndpointLease = int64(pollpacing.MaxPropagationDelay + listLeaseGrace)
+	c.EndpointLease = int64(pollpacing.MaxPropagationDelay + leaseGrace)
 	for i := range c.Classes {
 		if k := &c.Classes[i]; k.Effect == foxlift.Deduplicated {
-			k.KeyTTL = max(0, k.KeyTTL-keyMargin)
+			k.KeyTTL = max(0, k.KeyTTL-keyTTLMargin)
 		}
 	}
 	return nil
 }
 
-// listLeaseGrace is the part of the drains' grace by which the list's lease is longer than the time after
+// leaseGrace is the part of the drains' grace by which the list's lease is longer than the time after
 // which changes count as known. The rest covers a process that stands still.
-const listLeaseGrace = 300 * time.Millisecond
+const leaseGrace = 300 * time.Millisecond
 
 // checkFleet checks what the scheduler is told of itself and of the fleet.
 func (s *Settings) checkFleet() error {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -42,7 +42,7 @@
 	All    string   // reaches all others at once; "": there is no such address
 }
 
-type file struct {
+type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Admin     string `json:"admin"`
@@ -77,7 +77,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("LB_CONFIG: %w", err)
 	}
-	var f file
+	var f configFile
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, fmt.Errorf("LB_CONFIG: %w", keyError(err))
 	}
@@ -107,17 +107,17 @@
 			return nil, fmt.Errorf("seed: %q is not a number of up to 16 hex digits", f.Seed)
 		}
 	}
-	if s.MemoryMB, err = limit("limits.memory_mb", int(f.Limits.MemoryMB), minMemoryMB, maxMemoryMB); err != nil {
+	if s.MemoryMB, err = limitOrDefault("limits.memory_mb", int(f.Limits.MemoryMB), minMemoryMB, maxMemoryMB); err != nil {
 		return nil, err
 	}
-	if s.Sockets, err = limit("limits.sockets", f.Limits.Sockets, minSockets, maxSockets); err != nil {
+	if s.Sockets, err = limitOrDefault("limits.sockets", f.Limits.Sockets, minSockets, maxSockets); err != nil {
 		return nil, err
 	}
 	if len(f.Settings) == 0 {
 		return nil, fmt.Errorf("settings: not given")
 	}
 	if s.Settings, err = ParseSettings(f.Settings); err == nil {
-		err = s.Settings.checkReal()
+		err = s.Settings.checkScheduler()
 	}
 	if err != nil {
 		return nil, fmt.Errorf("settings.%w", err)
@@ -154,7 +154,7 @@
 }
 
 // limit applies a default and the most that a scheduler may use.
-func limit(key string, given, least, most int) (int, error) {
+func limitOrDefault(key string, given, least, most int) (int, error) {
 	if given == 0 {
 		return most, nil
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,7 +9,7 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-const good = `{"name":"n3","listen":"127.0.0.1:3000","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
+const validSettings = `{"name":"n3","listen":"127.0.0.1:3000","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":2048,"sockets":512},"known":{"seq":41},"novel":true,
 "settings":{"balancers":2,"slotNo":1,"dcs":["a","b"],"zone":"b","flavors":["k"],"bounds":{"peerMessages":true,"connectTimeout":5},
 "grades":[{"name":"reading","aim":5,"deadline":9,"effect":"idempotent"},{"name":"ratify","aim":5,"deadline":9,"effect":"at_most_once"}],
@@ -42,9 +42,9 @@
 		read func(func(string) string) (*Scheduler, error)
 		want string
 	}{
-		{good, Load, "127.0.0.9:9"},
-		{good, Reload, "127.0.0.1:8500"},
-		{strings.Replace(good, `"discovery"`, `"other"`, 1), Reload, "127.0.0.9:9"},
+		{validSettings, Load, "127.0.0.9:9"},
+		{validSettings, Reload, "127.0.0.1:8500"},
+		{strings.Replace(validSettings, `"discovery"`, `"other"`, 1), Reload, "127.0.0.9:9"},
 	} {
 		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
@@ -56,7 +56,7 @@
 }
 
 func TestLoad(t *testing.T) {
-	s, err := load(t, good, map[string]string{"LB_LISTEN": "127.0.0.2:0"})
+	s, err := load(t, validSettings, map[string]string{"LB_LISTEN": "127.0.0.2:0"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,14 +77,14 @@
 	if s.Admin != "" {
 		t.Errorf("operators' address %q where none is given", s.Admin)
 	}
-	if s, err := load(t, good, map[string]string{"LB_ADMIN": "127.0.0.3:4000"}); err != nil || s.Admin != "127.0.0.3:4000" {
+	if s, err := load(t, validSettings, map[string]string{"LB_ADMIN": "127.0.0.3:4000"}); err != nil || s.Admin != "127.0.0.3:4000" {
 		t.Errorf("LB_ADMIN: %+v, %v", s, err)
 	}
 	peers := `"peer_listen":"127.0.0.1:7","peers":["127.0.0.1:1","127.0.0.1:2"],"peers_all":"127.0.0.1:3"`
 	for text, want := range map[string]bool{
-		strings.Replace(good, `"novel":true`, peers, 1):                                                                  true,
-		strings.Replace(strings.Replace(good, `"novel":true`, peers, 1), `"peerMessages":true`, `"x":1`, 1):              false,
-		strings.Replace(strings.Replace(good, `"novel":true`, peers, 1), `"balancers":2,"slotNo":1`, `"balancers":1`, 1): false,
+		strings.Replace(validSettings, `"novel":true`, peers, 1):                                                                  true,
+		strings.Replace(strings.Replace(validSettings, `"novel":true`, peers, 1), `"peerMessages":true`, `"x":1`, 1):              false,
+		strings.Replace(strings.Replace(validSettings, `"novel":true`, peers, 1), `"balancers":2,"slotNo":1`, `"balancers":1`, 1): false,
 	} {
 		s, err := load(t, text, nil)
 		if err != nil || s.Settings.Module.MayGossip != want || (s.Peers.Listen != "") != want {
@@ -132,10 +132,10 @@
 		{`"novel":true`, `"peer_listen":"127.0.0.1:0","peers":["127.0.0.1:1","127.0.0.1:2"],"peers_all":"x"`, "peers_all"},
 		{`"flavors"`, `"report":{"names":["x0","x0"]},"flavors"`, "settings.report.names[1]"},
 	} {
-		if !strings.Contains(good, c.old) {
+		if !strings.Contains(validSettings, c.old) {
 			t.Fatalf("%s is not in the example", c.old)
 		}
-		_, err := load(t, strings.Replace(good, c.old, c.new, 1), nil)
+		_, err := load(t, strings.Replace(validSettings, c.old, c.new, 1), nil)
 		if err == nil || !strings.Contains(err.Error(), c.key) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s for %s: %v; want it to name %s", c.new, c.old, err, c.key)
 		}
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -17,12 +17,12 @@
 	var words []string
 	for _, v := range values {
 		switch {
-		case v.Word != nil:
-			words = append(words, *v.Word)
+		case v.Atom != nil:
+			words = append(words, *v.Atom)
 		case v.Text != nil:
 			words = append(words, strconv.Quote(*v.Text))
 		default:
-			words = append(words, "("+printSexps(v.List.Values)+")")
+			words = append(words, "("+printSexps(v.Form.Values)+")")
 		}
 	}
 	return strings.Join(words, " ")
@@ -54,8 +54,8 @@
 		return
 	}
 	sum := 0.0
-	for c := range op.Cells.Cells() {
-		share := op.Cells.Share(c)
+	for c := range op.Cells.CellCount() {
+		share := op.Cells.CapacityFraction(c)
 		sum += share
 		if !(share > 0) || op.Cells.JobBound(c, 100) < 1 || op.Cells.ConnectionBound(c, 100) < 1 {
 			t.Fatalf("%q: cell %d has share %v, bounds %d and %d", data, c, share, op.Cells.JobBound(c, 100), op.Cells.ConnectionBound(c, 100))
@@ -109,7 +109,7 @@
 func checkSettings(t testing.TB, data []byte) {
 	s, err := ParseSettings(data)
 	if err == nil {
-		err = s.checkReal()
+		err = s.checkScheduler()
 	}
 	if err != nil {
 		if err.Error() == "" {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -10,9 +10,9 @@
 // An Operator is what the operator's own file says. Everything in it is off unless
 // the file asks for it.
 type Operator struct {
-	ControlSocket  string      // path of the control socket; "": none
-	ListCheckpoint string      // path of the file in which the machine list is kept; "": it is not
-	Cells          *cells.Plan // nil: no cells
+	ControlSocket      string      // path of the control socket; "": none
+	EndpointCheckpoint string      // path of the file in which the machine list is kept; "": it is not
+	Cells              *cells.Plan // nil: no cells
 }
 
 // What the file may ask for at most.
@@ -26,7 +26,7 @@
 func ParseOperator(name string, text []byte, s *Settings) (*Operator, error) {
 	r := &reader{file: name}
 	op := &Operator{}
-	r.outermost(text, op, func(f form) { op.Cells = r.cells(f, s) })
+	r.topLevel(text, op, func(f form) { op.Cells = r.cells(f, s) })
 	if len(r.faults) > 0 {
 		return nil, r.sorted()
 	}
@@ -34,11 +34,11 @@
 }
 
 // outermost reads the file's outermost forms; cells reads that of cells.
-func (r *reader) outermost(text []byte, op *Operator, cells func(form)) {
+func (r *reader) topLevel(text []byte, op *Operator, cells func(form)) {
 	r.forms("", r.parse(text), map[string]rule{"foxlift": {read: func(f form) {
 		r.forms("", f.args, map[string]rule{
 			"control": {read: func(f form) { r.control(f, op) }},
-			"list":    {read: func(f form) { r.list(f, op) }},
+			"list":    {read: func(f form) { r.endpointList(f, op) }},
 			"cells":   {read: cells},
 		})
 	}}})
@@ -52,7 +52,7 @@
 		return "", Faults{{File: path, Text: err.Error()}}
 	}
 	r, op := &reader{file: path}, &Operator{}
-	r.outermost(text, op, func(form) {})
+	r.topLevel(text, op, func(form) {})
 	if len(r.faults) > 0 {
 		return "", r.sorted()
 	}
@@ -61,7 +61,7 @@
 
 // absolutePath reads a form's one value as an absolute path; "" if it is none.
 func (r *reader) absolutePath(f form) (v *sexp, path string) {
-	v = r.one(f)
+	v = r.singleValue(f)
 	path = r.text(f, v)
 	if path != "" && !filepath.IsAbs(path) {
 		r.fault(v, f.key, "%q is not an absolute path", path)
@@ -84,9 +84,9 @@
 	}
 }
 
-func (r *reader) list(f form, op *Operator) {
+func (r *reader) endpointList(f form, op *Operator) {
 	r.forms(f.key, f.args, map[string]rule{"checkpoint": {read: func(f form) {
-		_, op.ListCheckpoint = r.absolutePath(f)
+		_, op.EndpointCheckpoint = r.absolutePath(f)
 	}}})
 	if len(f.args) == 0 {
 		r.fault(f.at, f.key, "checkpoint is missing")
@@ -100,29 +100,29 @@
 	r.forms(f.key, f.args, map[string]rule{
 		"default": {read: func(f form) {
 			r.subjects["default"] = f
-			spec.Default = r.text(f, r.one(f))
+			spec.Default = r.text(f, r.singleValue(f))
 		}},
 		"key": {read: func(f form) {
 			r.forms(f.key, f.args, map[string]rule{
-				"nodes": {read: func(f form) { spec.KeyNodes = r.whole(f, r.one(f), 1, 1000) }},
-				"jobs":  {read: func(f form) { spec.KeyJobs = r.whole(f, r.one(f), 1, 1e6) }},
+				"nodes": {read: func(f form) { spec.KeyWorkers = r.integer(f, r.singleValue(f), 1, 1000) }},
+				"jobs":  {read: func(f form) { spec.KeyJobs = r.integer(f, r.singleValue(f), 1, 1e6) }},
 			})
 		}},
 		"kind": {many: true, read: func(f form) {
-			name, rest := r.named(f)
-			r.subjects["kind "+name] = f.of(name)
+			name, rest := r.namedForm(f)
+			r.subjects["kind "+name] = f.withName(name)
 			r.forms(f.key+" "+name, rest, map[string]rule{
-				"weight": {read: func(f form) { spec.Weights[name] = r.number(f, r.one(f), 0.01, 1000) }},
+				"weight": {read: func(f form) { spec.Weights[name] = r.number(f, r.singleValue(f), 0.01, 1000) }},
 			})
 		}},
 		"cell": {many: true, read: func(f form) { spec.Cells = append(spec.Cells, r.cell(f)) }},
 		"split": {many: true, read: func(f form) {
-			name, rest := r.named(f)
-			r.subjects["split "+name], r.subjects["tenant "+name] = f.of(name), f.of(name)
+			name, rest := r.namedForm(f)
+			r.subjects["split "+name], r.subjects["tenant "+name] = f.withName(name), f.withName(name)
 			split, by := cells.Split{Tenant: name}, false
 			r.forms(f.key+" "+name, rest, map[string]rule{
 				"cells": {read: func(f form) { split.Cells = r.names(f, "") }},
-				"by":    {read: func(f form) { r.word(f, r.one(f), "key"); by = true }},
+				"by":    {read: func(f form) { r.keyword(f, r.singleValue(f), "key"); by = true }},
 			})
 			if len(split.Cells) < 2 || !by {
 				r.fault(f.at, f.key+" "+name, "it needs two cells or more, and (by key)")
@@ -132,7 +132,7 @@
 	})
 	sum := 0.0
 	for _, c := range spec.Cells {
-		sum += c.Share
+		sum += c.CapacityFraction
 	}
 	if sum > 1.0001 {
 		r.fault(f.at, f.key, "the shares add up to %.3g, more than 1", sum)
@@ -155,14 +155,14 @@
 }
 
 func (r *reader) cell(f form) cells.Cell {
-	name, rest := r.named(f)
+	name, rest := r.namedForm(f)
 	c := cells.Cell{Name: name}
-	r.subjects["cell "+name] = f.of(name)
+	r.subjects["cell "+name] = f.withName(name)
 	r.forms(f.key+" "+name, rest, map[string]rule{
-		"share":       {read: func(f form) { c.Share = r.number(f, r.one(f), 0.001, 1) }},
+		"share":       {read: func(f form) { c.CapacityFraction = r.number(f, r.singleValue(f), 0.001, 1) }},
 		"tenants":     {read: func(f form) { c.Tenants = r.names(f, "tenant ") }},
-		"jobs":        {read: func(f form) { c.Jobs = r.whole(f, r.one(f), 1, 1e6) }},
-		"connections": {read: func(f form) { c.Connections = r.whole(f, r.one(f), 1, 1e6) }},
+		"jobs":        {read: func(f form) { c.Jobs = r.integer(f, r.singleValue(f), 1, 1e6) }},
+		"connections": {read: func(f form) { c.Connections = r.integer(f, r.singleValue(f), 1, 1e6) }},
 		"when-unable": {read: func(f form) { r.whenUnable(f, &c) }},
 	})
 	return c
@@ -174,7 +174,7 @@
 		r.fault(f.at, f.key, "it needs refuse, or spill with a cell and a part")
 		return
 	}
-	switch r.word(f, f.args[0], "refuse", "spill") {
+	switch r.keyword(f, f.args[0], "refuse", "spill") {
 	case "refuse":
 		if len(f.args) > 1 {
 			r.fault(f.args[1], f.key, "refuse stands alone")
@@ -190,14 +190,14 @@
 }
 
 // of is the form with a name behind its key, for messages.
-func (f form) of(name string) form {
+func (f form) withName(name string) form {
 	f.key += " " + name
 	return f
 }
 
 // named takes the name that follows a form's key.
-func (r *reader) named(f form) (name string, rest []*sexp) {
-	if len(f.args) == 0 || f.args[0].List != nil {
+func (r *reader) namedForm(f form) (name string, rest []*sexp) {
+	if len(f.args) == 0 || f.args[0].Form != nil {
 		r.fault(f.at, f.key, "its name is missing")
 		return "", f.args
 	}
@@ -213,14 +213,14 @@
 		name := r.text(f, v)
 		names = append(names, name)
 		if subject != "" {
-			r.subjects[subject+name] = form{v, f.key, nil}.of(name)
+			r.subjects[subject+name] = form{v, f.key, nil}.withName(name)
 		}
 	}
 	return names
 }
 
 // PlanCells checks a spec of cells against these settings.
-func (s *Settings) PlanCells(spec *cells.Spec) (*cells.Plan, []cells.Fault) {
+func (s *Settings) PlanCells(spec *cells.Spec) (*cells.Plan, []cells.SpecError) {
 	tenants := make([]cells.Tenant, len(s.Module.Tenants))
 	for i, t := range s.Module.Tenants {
 		tenants[i] = cells.Tenant{Name: t.Name, Quota: t.Quota}
@@ -234,7 +234,7 @@
 	}
 	for _, c := range s.Module.Classes {
 		if c.Kind >= 0 {
-			spec.Needs = append(spec.Needs, c.Kind)
+			spec.RequiredKinds = append(spec.RequiredKinds, c.Kind)
 		}
 	}
 	return cells.NewPlan(spec, tenants, len(s.Zones), kinds)
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -31,11 +31,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if op.ControlSocket != "/tmp/foxlift-control.sock" || op.Cells.Cells() != 2 || op.Cells.Share(op.Cells.Find("isles")) != 0.25 || op.Cells.KeyJobs() != 16 {
+	if op.ControlSocket != "/tmp/foxlift-control.sock" || op.Cells.CellCount() != 2 || op.Cells.CapacityFraction(op.Cells.CellIndex("isles")) != 0.25 || op.Cells.KeyJobs() != 16 {
 		t.Errorf("%+v", op)
 	}
-	if op.ListCheckpoint != "/tmp/foxlift-list" {
-		t.Errorf("the list is kept in %q", op.ListCheckpoint)
+	if op.EndpointCheckpoint != "/tmp/foxlift-list" {
+		t.Errorf("the list is kept in %q", op.EndpointCheckpoint)
 	}
 	if path, err := ControlSocket("../../deploy/operator.example.sexp"); err != nil || path != op.ControlSocket {
 		t.Errorf("the socket alone: %q, %v", path, err)
@@ -93,7 +93,7 @@
 }
 
 // Words that choose a way must be known; keys that are not known are passed over.
-func TestSettingsWords(t *testing.T) {
+func TestSettingsNames(t *testing.T) {
 	text, err := os.ReadFile("../../examples/config.json")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -127,14 +127,14 @@
 	}
 	shares := 0.0
 	for i, p := range f.Tenants {
-		if shares += p.Share; p.Share < 0 || shares > 1+shareSlack {
+		if shares += p.Share; p.Share < 0 || shares > 1+shareTolerance {
 			return nil, fmt.Errorf("projects[%d].share: negative, or over 1 with those before it", i)
 		}
 	}
 	s := &Settings{
 		Module:  f.module(),
 		Classes: map[string]int{}, Tenants: map[string]int{},
-		Zones: index(f.Zones), Kinds: index(f.Kinds),
+		Zones: indexNames(f.Zones), Kinds: indexNames(f.Kinds),
 		GaugeNames: f.Report.Names, ConnectTimeout: f.Bounds.ConnectTimeout, DrainGrace: f.Rules.DrainGrace, MaxOpen: f.Bounds.MaxOpen, Progress: f.Info.Progress,
 		Discovery: f.Discovery, Zone: f.Zone,
 	}
@@ -202,9 +202,9 @@
 		}
 		s.Classes[g.Name] = i
 		c.Classes = append(c.Classes, foxlift.Class{
-			Name: g.Name, LatencyObjective: g.Aim, ObjectiveStretch: g.Stretch + at(f.Info.ClassStretch, i, 0), Deadline: g.Deadline,
+			Name: g.Name, LatencyObjective: g.Aim, ObjectiveStretch: g.Stretch + valueAt(f.Info.ClassStretch, i, 0), Deadline: g.Deadline,
 			Effect: effect, Scope: scope, KeyTTL: g.KeyTTL, PriorityWeight: g.Worth, Stream: g.Stream,
-			Kind: at(f.Info.ClassKind, i, -1), Priority: at(f.Info.ClassPriority, i, 0),
+			Kind: valueAt(f.Info.ClassKind, i, -1), Priority: valueAt(f.Info.ClassPriority, i, 0),
 		})
 	}
 	return nil
@@ -228,14 +228,14 @@
 	return foxlift.GaugeUnknown
 }
 
-func at[T any](a []T, i int, other T) T {
+func valueAt[T any](a []T, i int, other T) T {
 	if i < len(a) {
 		return a[i]
 	}
 	return other
 }
 
-func index(names []string) map[string]int {
+func indexNames(names []string) map[string]int {
 	t := map[string]int{}
 	for i, name := range names {
 		t[name] = i
@@ -243,11 +243,11 @@
 	return t
 }
 
-const shareSlack = 0.01 // of the sum of tenants' shares, as they are rounded
+const shareTolerance = 0.01 // of the sum of tenants' shares, as they are rounded
 
 // Pushed reports whether lists are pushed: to an agent beside the scheduler, of whom each has
 // one of its own. What the agent has counts as told from the scheduler's first moment.
-func (s *Settings) Pushed() bool { return s.Discovery == "automatic" }
+func (s *Settings) EndpointsPushed() bool { return s.Discovery == "automatic" }
 
 // ClassNames returns the names of all classes, in the settings' order.
 func (s *Settings) ClassNames() []string {
--- a/internal/config/sexp.go
+++ b/internal/config/sexp.go
@@ -29,9 +29,9 @@
 // A sexp is a word, a string or a list.
 type sexp struct {
 	Pos  lexer.Position
-	Word *string   `parser:"  @Word"`
+	Atom *string   `parser:"  @Word"`
 	Text *string   `parser:"| @String"`
-	List *sexpList `parser:"| @@"`
+	Form *sexpList `parser:"| @@"`
 }
 
 type sexpList struct {
@@ -82,7 +82,7 @@
 type reader struct {
 	file     string
 	faults   Faults
-	subjects map[string]form // where what a cells.Fault names stands
+	subjects map[string]form // where what a cells.SpecError names stands
 }
 
 func (r *reader) fault(at *sexp, key, format string, args ...any) {
@@ -160,13 +160,13 @@
 func (r *reader) forms(within string, values []*sexp, rules map[string]rule) {
 	seen := map[string]bool{}
 	for _, v := range values {
-		if v.List == nil || len(v.List.Values) == 0 || v.List.Values[0].Word == nil {
+		if v.Form == nil || len(v.Form.Values) == 0 || v.Form.Values[0].Atom == nil {
 			r.fault(v, within, "%s stands where a list that begins with a key should", v)
 			continue
 		}
-		name := *v.List.Values[0].Word
+		name := *v.Form.Values[0].Atom
 		key := strings.TrimPrefix(within+"."+name, ".")
-		at := v.List.Values[0]
+		at := v.Form.Values[0]
 		rule, ok := rules[name]
 		switch {
 		case !ok:
@@ -175,7 +175,7 @@
 			r.fault(at, key, "it is there twice")
 		default:
 			seen[name] = true
-			rule.read(form{at, key, v.List.Values[1:]})
+			rule.read(form{at, key, v.Form.Values[1:]})
 		}
 	}
 }
@@ -191,8 +191,8 @@
 
 func (s *sexp) String() string {
 	switch {
-	case s.Word != nil:
-		return *s.Word
+	case s.Atom != nil:
+		return *s.Atom
 	case s.Text != nil:
 		return strconv.Quote(*s.Text)
 	}
@@ -200,7 +200,7 @@
 }
 
 // one returns the only value of a form.
-func (r *reader) one(f form) *sexp {
+func (r *reader) singleValue(f form) *sexp {
 	if len(f.args) != 1 {
 		r.fault(f.at, f.key, "%d values, want one", len(f.args))
 		return nil
@@ -212,8 +212,8 @@
 func (r *reader) text(f form, v *sexp) string {
 	switch {
 	case v == nil:
-	case v.Word != nil:
-		return *v.Word
+	case v.Atom != nil:
+		return *v.Atom
 	case v.Text != nil && *v.Text != "":
 		return *v.Text
 	default:
@@ -223,12 +223,12 @@
 }
 
 // word reads one of some words.
-func (r *reader) word(f form, v *sexp, known ...string) string {
+func (r *reader) keyword(f form, v *sexp, known ...string) string {
 	if v == nil {
 		return ""
 	}
-	if v.Word != nil && slices.Contains(known, *v.Word) {
-		return *v.Word
+	if v.Atom != nil && slices.Contains(known, *v.Atom) {
+		return *v.Atom
 	}
 	r.fault(v, f.key, "%s is not one of: %s", v, strings.Join(known, ", "))
 	return ""
@@ -239,9 +239,9 @@
 	if v == nil {
 		return 0
 	}
-	if v.Word != nil {
+	if v.Atom != nil {
 		// NaN and the like compare as false.
-		if n, err := strconv.ParseFloat(*v.Word, 64); err == nil && n >= least && n <= most {
+		if n, err := strconv.ParseFloat(*v.Atom, 64); err == nil && n >= least && n <= most {
 			return n
 		}
 	}
@@ -250,12 +250,12 @@
 }
 
 // whole reads a whole number from least to most.
-func (r *reader) whole(f form, v *sexp, least, most int) int {
+func (r *reader) integer(f form, v *sexp, least, most int) int {
 	if v == nil {
 		return 0
 	}
-	if v.Word != nil {
-		if n, err := strconv.Atoi(*v.Word); err == nil && n >= least && n <= most {
+	if v.Atom != nil {
+		if n, err := strconv.Atoi(*v.Atom); err == nil && n >= least && n <= most {
 			return n
 		}
 	}
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -119,9 +119,9 @@
 
 // A client that stands still, sends garbage or floods holds up neither the core nor,
 // beyond the bound on connections, the others.
-func TestBadClients(t *testing.T) {
+func TestMisbehavingClients(t *testing.T) {
 	srv, path, client := start(t)
-	for range mostCallers - 2 {
+	for range maxConnections - 2 {
 		c, err := net.Dial("unix", path)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/control/fuzz_test.go
+++ b/internal/control/fuzz_test.go
@@ -41,7 +41,7 @@
 	call(&evacuate, func() error { return second(s.Evacuate(ctx, &evacuate)) })
 	call(&restore, func() error { return second(s.Restore(ctx, &restore)) })
 	for _, err := range errs {
-		switch status.Code(word(err)) {
+		switch status.Code(toStatus(err)) {
 		case codes.OK, codes.NotFound, codes.FailedPrecondition:
 		default:
 			t.Fatalf("%q: %v", data, err)
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -29,9 +29,9 @@
 )
 
 const (
-	mostCallers = 4               // connections at once: each is a descriptor
-	callLimit   = 2 * time.Second // for the core to answer
-	maxMessage  = 64 << 10        // what a client may send
+	maxConnections = 4               // connections at once: each is a descriptor
+	callTimeout    = 2 * time.Second // for the core to answer
+	maxMessage     = 64 << 10        // what a client may send
 )
 
 // A Server serves the control API of one scheduler.
@@ -73,18 +73,18 @@
 	s.path = path
 	s.socket, _ = os.Lstat(path)
 	s.grpc = grpc.NewServer(
-		grpc.MaxRecvMsgSize(maxMessage), grpc.MaxConcurrentStreams(8), grpc.ConnectionTimeout(callLimit),
+		grpc.MaxRecvMsgSize(maxMessage), grpc.MaxConcurrentStreams(8), grpc.ConnectionTimeout(callTimeout),
 		grpc.ReadBufferSize(4<<10), grpc.WriteBufferSize(4<<10),
 		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: time.Minute, Time: 20 * time.Second, Timeout: 5 * time.Second}),
 		grpc.UnaryInterceptor(func(ctx context.Context, req any, _ *grpc.UnaryServerInfo, h grpc.UnaryHandler) (any, error) {
-			ctx, cancel := context.WithTimeout(ctx, callLimit)
+			ctx, cancel := context.WithTimeout(ctx, callTimeout)
 			defer cancel()
 			reply, err := h(ctx, req)
-			return reply, word(err)
+			return reply, toStatus(err)
 		}),
 	)
 	controlpb.RegisterControlServer(s.grpc, s)
-	go s.grpc.Serve(netutil.LimitListener(l, mostCallers))
+	go s.grpc.Serve(netutil.LimitListener(l, maxConnections))
 	return nil
 }
 
@@ -100,7 +100,7 @@
 }
 
 // word puts an error into gRPC's terms.
-func word(err error) error {
+func toStatus(err error) error {
 	switch {
 	case err == nil:
 		return nil
@@ -152,7 +152,7 @@
 	return c
 }
 
-func moved(m core.Migration, err error) (*controlpb.Moved, error) {
+func movedReply(m core.Migration, err error) (*controlpb.Moved, error) {
 	if err != nil {
 		return nil, err
 	}
@@ -161,15 +161,15 @@
 
 // Move implements the API.
 func (s *Server) Move(ctx context.Context, r *controlpb.MoveRequest) (*controlpb.Moved, error) {
-	return moved(s.Core.MigrateTenant(ctx, r.Tenant, r.Cell))
+	return movedReply(s.Core.MigrateTenant(ctx, r.Tenant, r.Cell))
 }
 
 // Evacuate implements the API.
 func (s *Server) Evacuate(ctx context.Context, r *controlpb.EvacuateRequest) (*controlpb.Moved, error) {
-	return moved(s.Core.Evacuate(ctx, r.Cell))
+	return movedReply(s.Core.Evacuate(ctx, r.Cell))
 }
 
 // RestorePlacement implements the API.
 func (s *Server) Restore(ctx context.Context, r *controlpb.RestoreRequest) (*controlpb.Moved, error) {
-	return moved(s.Core.RestorePlacement(ctx, r.Tenant, r.Cell))
+	return movedReply(s.Core.RestorePlacement(ctx, r.Tenant, r.Cell))
 }
--- a/internal/core/cell.go
+++ b/internal/core/cell.go
@@ -66,7 +66,7 @@
 func (c *Core) initCells(p *cells.Plan) error {
 	l := cells.NewLayout(p)
 	c.assigner = cells.NewAssigner(p)
-	for i := range p.Cells() {
+	for i := range p.CellCount() {
 		cl, err := c.newPlannedCell(l, i)
 		if err != nil {
 			return err
@@ -84,7 +84,7 @@
 	for t := range tenants {
 		tenants[t].Quota = quotas[t]
 	}
-	cl, err := c.newCell(l.Plan().Name(i), tenants)
+	cl, err := c.newCell(l.Plan().CellName(i), tenants)
 	cl.index, cl.quotas = i, quotas
 	return cl, err
 }
@@ -96,7 +96,7 @@
 		return cells.Unavailable
 	}
 	state, now, warm := cells.Unavailable, c.clock.Now(), c.settings.Module.SlowStartDuration
-	s.layout.Each(i, func(id string) bool {
+	s.layout.EachWorker(i, func(id string) bool {
 		if n := c.byID[id]; n.StartedAt != 0 && now-n.StartedAt < warm {
 			state = cells.SlowStart
 			return true
--- a/internal/core/cell_assign.go
+++ b/internal/core/cell_assign.go
@@ -51,7 +51,7 @@
 		c.counters.Add("jobs.spilled")
 	}
 	if j.Job.reservation.admission != nil && j.Job.reservation.cell != way.Cell {
-		j.Job.reservation.admission.Move(j.Job.reservation.cell, way.Cell, j.Job.reservation.tenant)
+		j.Job.reservation.admission.Transfer(j.Job.reservation.cell, way.Cell, j.Job.reservation.tenant)
 		j.Job.reservation.cell = way.Cell
 	}
 	if most := s.layout.Plan().KeyJobs(); most > 0 && j.Key != 0 && !c.acquireKey(j, most) {
@@ -59,7 +59,7 @@
 		c.shedOrFail(j)
 		return
 	}
-	j.allowedWorkers = s.layout.KeyNodes(way.Cell, j.Key)
+	j.allowedWorkers = s.layout.KeyWorkers(way.Cell, j.Key)
 	c.requestDispatch(j)
 }
 
@@ -119,7 +119,7 @@
 		return
 	}
 	way := c.routeOf(j)
-	if !way.Shed && c.cells[way.Cell] == j.cell && slices.Equal(j.allowedWorkers, s.layout.KeyNodes(way.Cell, j.Key)) {
+	if !way.Shed && c.cells[way.Cell] == j.cell && slices.Equal(j.allowedWorkers, s.layout.KeyWorkers(way.Cell, j.Key)) {
 		return
 	}
 	j.leaving = true
--- a/internal/core/cell_helpers_test.go
+++ b/internal/core/cell_helpers_test.go
@@ -22,8 +22,8 @@
 // twoCells has t in a and u in b; a spills into b.
 func twoCells() *cells.Spec {
 	return &cells.Spec{Cells: []cells.Cell{
-		{Name: "a", Share: 0.5, Tenants: []string{"t"}, Spill: "b", SpillPart: 0.1},
-		{Name: "b", Share: 0.5, Tenants: []string{"u", "v"}},
+		{Name: "a", CapacityFraction: 0.5, Tenants: []string{"t"}, Spill: "b", SpillPart: 0.1},
+		{Name: "b", CapacityFraction: 0.5, Tenants: []string{"u", "v"}},
 	}}
 }
 
@@ -83,7 +83,7 @@
 func (r *rig) migrate(t *testing.T, tenant string, to int) Migration {
 	t.Helper()
 	m, err := r.changeLayout(func(l *cells.Layout) (*cells.Layout, error) {
-		return l.WithTenant(l.Plan().Tenant(tenant), to), nil
+		return l.WithTenant(l.Plan().TenantIndex(tenant), to), nil
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -93,7 +93,7 @@
 
 // cellOf is where a node is.
 func (r *rig) cellOf(node string) int {
-	c, _ := r.placement.Load().layout.NodeCell(node)
+	c, _ := r.placement.Load().layout.WorkerCell(node)
 	return c
 }
 
--- a/internal/core/cell_placement.go
+++ b/internal/core/cell_placement.go
@@ -17,11 +17,11 @@
 func newPlacement(l *cells.Layout, total int) *placement {
 	s := &placement{layout: l}
 	p := l.Plan()
-	for i := range p.Cells() {
+	for i := range p.CellCount() {
 		s.jobBounds = append(s.jobBounds, p.JobBound(i, total))
 		s.connectionBounds = append(s.connectionBounds, p.ConnectionBound(i, total))
 	}
-	s.admission = cells.NewAdmission(s.jobBounds, p.Tenants())
+	s.admission = cells.NewAdmission(s.jobBounds, p.TenantCount())
 	return s
 }
 
@@ -40,7 +40,7 @@
 
 func (p *reservation) release() {
 	if p.admission != nil {
-		p.admission.Leave(p.cell, p.tenant)
+		p.admission.Release(p.cell, p.tenant)
 		p.admission = nil
 	}
 }
@@ -49,7 +49,7 @@
 func (s *placement) reserve(c *Core, j *Job) bool {
 	tenant := c.tenantIndex(j.Tenant)
 	cell := s.layout.Cell(tenant, j.Key)
-	if !s.admission.Enter(cell, tenant) {
+	if !s.admission.TryReserve(cell, tenant) {
 		return false
 	}
 	j.reservation = reservation{s.admission, cell, tenant}
@@ -71,5 +71,5 @@
 		return "", 0
 	}
 	i := s.layout.Cell(c.tenantIndex(tenant), key)
-	return s.layout.Plan().Name(i), s.connectionBounds[i]
+	return s.layout.Plan().CellName(i), s.connectionBounds[i]
 }
--- a/internal/core/cell_placement_test.go
+++ b/internal/core/cell_placement_test.go
@@ -18,7 +18,7 @@
 			t.Errorf("%s's job is in cell %d", tenant, got)
 		}
 	}
-	if r.placement.Load().layout.Size(0) == 0 || r.placement.Load().layout.Size(1) == 0 {
+	if r.placement.Load().layout.WorkerCount(0) == 0 || r.placement.Load().layout.WorkerCount(1) == 0 {
 		t.Fatal("a cell without nodes")
 	}
 }
@@ -112,7 +112,7 @@
 // same tenant and class go past it.
 func TestKeyFlood(t *testing.T) {
 	spec := twoCells()
-	spec.KeyNodes, spec.KeyJobs = 2, 12
+	spec.KeyWorkers, spec.KeyJobs = 2, 12
 	r := newCellRig(t, spec)
 	used := map[string]bool{}
 	for i := range 20 {
--- a/internal/core/cell_state.go
+++ b/internal/core/cell_state.go
@@ -75,11 +75,11 @@
 		if cl.retired {
 			continue
 		}
-		x.Fraction, x.Condition = p.Share(i), c.cellCondition(i)
+		x.Fraction, x.Condition = p.CapacityFraction(i), c.cellCondition(i)
 		_, x.Bound, x.Rejected = s.admission.Open(i)
 		for t, name := range p.TenantNames() {
-			if s.layout.Lives(t, i) {
-				x.Tenants = append(x.Tenants, TenantState{name, s.layout.Moved(t), cl.quotas[t]})
+			if s.layout.ServedBy(t, i) {
+				x.Tenants = append(x.Tenants, TenantState{name, s.layout.Migrated(t), cl.quotas[t]})
 			}
 		}
 	}
--- a/internal/core/cell_workers.go
+++ b/internal/core/cell_workers.go
@@ -13,10 +13,10 @@
 // another cell looks to the module that had it like one that drains; the module that
 // gets it hears how much of others is still out there, and counts it.
 func (c *Core) distribute(kind foxlift.EndpointUpdate, told []foxlift.Worker) {
-	var live []cells.Node
+	var live []cells.Worker
 	for _, n := range c.order {
 		if n.State == foxlift.Live {
-			live = append(live, cells.Node{ID: n.ID, Zone: n.Zone, Kind: n.Kind})
+			live = append(live, cells.Worker{ID: n.ID, Zone: n.Zone, Kind: n.Kind})
 		}
 	}
 	s := c.placement.Load()
@@ -29,7 +29,7 @@
 	lists := make([][]foxlift.Worker, len(c.cells))
 	for _, n := range c.order {
 		old := n.cell
-		if i, ok := s.layout.NodeCell(n.ID); ok {
+		if i, ok := s.layout.WorkerCell(n.ID); ok {
 			n.cell = c.cells[i]
 		} // else it stays with the module that knows it, to its end
 		if n.cell == nil {
--- a/internal/core/cell_workers_test.go
+++ b/internal/core/cell_workers_test.go
@@ -18,7 +18,7 @@
 	}
 	node, before := r.sentTo[0], r.cellOf(r.sentTo[0])
 	// The map changes under it: the same nodes, all in the other cell.
-	p, _ := r.settings.PlanCells(&cells.Spec{Cells: []cells.Cell{{Name: "b", Share: 1, Tenants: []string{"t", "u", "v"}}}})
+	p, _ := r.settings.PlanCells(&cells.Spec{Cells: []cells.Cell{{Name: "b", CapacityFraction: 1, Tenants: []string{"t", "u", "v"}}}})
 	if _, err := r.applyPlan(p); err != nil {
 		t.Fatal(err)
 	}
@@ -123,8 +123,8 @@
 	}
 	old.applyEvent(endpointsUpdated{kind: foxlift.EndpointsDelta, workers: news})
 	for id := range young.byID {
-		a, aok := young.placement.Load().layout.NodeCell(id)
-		b, bok := old.placement.Load().layout.NodeCell(id)
+		a, aok := young.placement.Load().layout.WorkerCell(id)
+		b, bok := old.placement.Load().layout.WorkerCell(id)
 		if a != b || aok != bok {
 			t.Errorf("%s is in cell %d at one and %d at the other", id, a, b)
 		}
--- a/internal/core/migration.go
+++ b/internal/core/migration.go
@@ -41,7 +41,7 @@
 // jobs that wait go over. old is the layout that held before.
 func (c *Core) adoptPlacement(old *cells.Layout, s *placement) (m Migration) {
 	for t := range old.Plan().TenantNames() {
-		if !old.SamePlace(s.layout, t) {
+		if !old.SameCells(s.layout, t) {
 			m.Tenants++
 		}
 	}
@@ -69,8 +69,8 @@
 // do those that wait; claims that are out finish where they are.
 func (c *Core) MigrateTenant(ctx context.Context, tenant, to string) (Migration, error) {
 	return c.changeLayout(ctx, func(l *cells.Layout) (*cells.Layout, error) {
-		t, i := l.Plan().Tenant(tenant), l.Plan().Find(to)
-		if err := l.MayMove(t, i); err != nil {
+		t, i := l.Plan().TenantIndex(tenant), l.Plan().CellIndex(to)
+		if err := l.CheckMigration(t, i); err != nil {
 			return nil, err
 		}
 		if c.cells[i].evacuated {
@@ -84,7 +84,7 @@
 // RestorePlacement.
 func (c *Core) Evacuate(ctx context.Context, name string) (Migration, error) {
 	return c.changeLayout(ctx, func(l *cells.Layout) (*cells.Layout, error) {
-		i := l.Plan().Find(name)
+		i := l.Plan().CellIndex(name)
 		if i < 0 {
 			return nil, cells.ErrUnknownCell
 		}
@@ -105,21 +105,21 @@
 func (c *Core) RestorePlacement(ctx context.Context, tenant, name string) (Migration, error) {
 	return c.changeLayout(ctx, func(l *cells.Layout) (*cells.Layout, error) {
 		p := l.Plan()
-		if tenant != "" && p.Tenant(tenant) < 0 {
+		if tenant != "" && p.TenantIndex(tenant) < 0 {
 			return nil, cells.ErrUnknownTenant
 		}
-		if name != "" && p.Find(name) < 0 {
+		if name != "" && p.CellIndex(name) < 0 {
 			return nil, cells.ErrUnknownCell
 		}
-		for t := range p.Slots() {
-			one := tenant != "" && t == p.Tenant(tenant)
-			ofCell := tenant == "" && (name == "" || l.Home(t, p.Find(name)))
-			if (one || ofCell) && l.Moved(t) {
+		for t := range p.TenantSlots() {
+			one := tenant != "" && t == p.TenantIndex(tenant)
+			ofCell := tenant == "" && (name == "" || l.ConfiguredIn(t, p.CellIndex(name)))
+			if (one || ofCell) && l.Migrated(t) {
 				l = l.Restored(t)
 			}
 		}
 		for i, cl := range c.cells {
-			if tenant == "" && !cl.retired && (name == "" || i == p.Find(name)) {
+			if tenant == "" && !cl.retired && (name == "" || i == p.CellIndex(name)) {
 				cl.evacuated = false
 			}
 		}
--- a/internal/core/migration_test.go
+++ b/internal/core/migration_test.go
@@ -119,7 +119,7 @@
 // none that must not runs twice, and nothing is left behind.
 func TestThousandMigrations(t *testing.T) {
 	spec := twoCells()
-	spec.KeyNodes, spec.KeyJobs = 2, 4
+	spec.KeyWorkers, spec.KeyJobs = 2, 4
 	r := newCellRig(t, spec)
 	rng := rand.New(rand.NewPCG(8, 9))
 	var jobs []*recordingClient
@@ -155,8 +155,8 @@
 		case i == 333 || i == 666:
 			next := twoCells()
 			if i == 333 {
-				next.Cells = append(next.Cells, cells.Cell{Name: "c", Share: 0}, cells.Cell{Name: "d", Tenants: []string{}})
-				next.Cells[0].Share, next.Cells[1].Share = 0.4, 0.3
+				next.Cells = append(next.Cells, cells.Cell{Name: "c", CapacityFraction: 0}, cells.Cell{Name: "d", Tenants: []string{}})
+				next.Cells[0].CapacityFraction, next.Cells[1].CapacityFraction = 0.4, 0.3
 			}
 			p, faults := r.settings.PlanCells(next)
 			if faults != nil {
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -66,8 +66,8 @@
 
 func modelPlans() []*cells.Spec {
 	return []*cells.Spec{
-		{Cells: []cells.Cell{{Name: "a", Tenants: []string{"t"}, Spill: "b", SpillPart: 0.2}, {Name: "b", Tenants: []string{"u"}}}, KeyNodes: 1, KeyJobs: 3},
-		{Cells: []cells.Cell{{Name: "b", Tenants: []string{"t", "u"}}, {Name: "c", Share: 0.4, Tenants: []string{"v"}}}},
+		{Cells: []cells.Cell{{Name: "a", Tenants: []string{"t"}, Spill: "b", SpillPart: 0.2}, {Name: "b", Tenants: []string{"u"}}}, KeyWorkers: 1, KeyJobs: 3},
+		{Cells: []cells.Cell{{Name: "b", Tenants: []string{"t", "u"}}, {Name: "c", CapacityFraction: 0.4, Tenants: []string{"v"}}}},
 		{Cells: []cells.Cell{{Name: "a"}, {Name: "b"}, {Name: "c"}}, Splits: []cells.Split{{Tenant: "t", Cells: []string{"a", "c"}}}},
 	}
 }
@@ -189,7 +189,7 @@
 
 func (w *world) cellOf(node string) (int, bool) {
 	if s := w.core.placement.Load(); s != nil {
-		return s.layout.NodeCell(node)
+		return s.layout.WorkerCell(node)
 	}
 	return 0, false
 }
--- a/internal/core/replan.go
+++ b/internal/core/replan.go
@@ -34,8 +34,8 @@
 	}
 	l := cells.NewLayout(p)
 	var now []*cell
-	for i := range p.Cells() {
-		cl := old[p.Name(i)]
+	for i := range p.CellCount() {
+		cl := old[p.CellName(i)]
 		if cl == nil {
 			var err error
 			if cl, err = c.newPlannedCell(l, i); err != nil {
@@ -61,7 +61,7 @@
 	for _, j := range c.open {
 		j.Job.reservation.release()
 		i := l.Cell(j.tenant, j.Key)
-		s.admission.Take(i, j.tenant)
+		s.admission.Reserve(i, j.tenant)
 		j.Job.reservation = reservation{s.admission, i, j.tenant}
 	}
 	c.distribute(foxlift.EndpointsDelta, nil)
--- a/internal/core/send.go
+++ b/internal/core/send.go
@@ -20,7 +20,7 @@
 	j.inFlight++
 	c.countSlots(cl, 1)
 	left := j.deadline - now
-	if rule != guard.Kept {
+	if rule != guard.None {
 		// The module never asks for it. But the rule must not rest on one module's
 		// knowledge, where a job passes from one to another.
 		c.counters.Add("claims.withheld")
@@ -43,15 +43,15 @@
 // checkRepeat returns the rule that a claim would break, because its job may have run, and within what
 // time its last byte must be written (0: no limit). Nodes of one pod drop repeats of a
 // keyed job for a time; it counts from the first claim that may have run.
-func (c *Core) checkRepeat(cl *attempt) (within time.Duration, rule guard.Rule) {
+func (c *Core) checkRepeat(cl *attempt) (within time.Duration, rule guard.Invariant) {
 	class := &c.settings.Module.Classes[cl.job.class]
-	r := guard.Repeat{ListTrusted: cl.cell.module.EndpointsUsable(), Effect: class.Effect}
+	r := guard.Repeat{EndpointsTrusted: cl.cell.module.EndpointsUsable(), Effect: class.Effect}
 	if first := cl.job.mayHaveRun(); first != nil {
 		r.MayHaveRun = true
 		r.SameGroup = cl.sameGroup(first, class.Scope)
-		r.WindowLeft = time.Duration(first.sentAt + class.KeyTTL - cl.sentAt)
+		r.WindowRemaining = time.Duration(first.sentAt + class.KeyTTL - cl.sentAt)
 		if class.Effect == foxlift.Deduplicated {
-			within = r.WindowLeft
+			within = r.WindowRemaining
 		}
 	}
 	return within, r.Check()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -258,7 +258,7 @@
 	switch {
 	case op.ControlSocket != d.operator.ControlSocket:
 		return errors.New("control.socket: it holds until the scheduler is started again")
-	case op.ListCheckpoint != d.operator.ListCheckpoint:
+	case op.EndpointCheckpoint != d.operator.EndpointCheckpoint:
 		return errors.New("list.checkpoint: it holds until the scheduler is started again")
 	case (op.Cells == nil) != (d.operator.Cells == nil):
 		return errors.New("cells: a scheduler goes from none to some, or back, when it is started again")
--- a/internal/daemon/list.go
+++ b/internal/daemon/list.go
@@ -13,7 +13,7 @@
 // loadList starts from the machine list that was kept, where the operator's file asks for that and it
 // can be used. Its changes are asked for as those of a list that the configuration has as last known.
 func (d *Daemon) loadList() {
-	path := d.operator.ListCheckpoint
+	path := d.operator.EndpointCheckpoint
 	if path == "" {
 		return
 	}
--- a/internal/fuzz/fuzz.go
+++ b/internal/fuzz/fuzz.go
@@ -11,7 +11,7 @@
 )
 
 // words are what parsers of this program mind.
-var words = []string{
+var tokens = []string{
 	"\r\n", "\n", "\r", "\x00", " ", "\t", ":", ",", ";", "0", "-1", "+5", "1e400", "NaN", "9223372036854775807", "18446744073709551616",
 	"0x10", "{", "}", "[", "]", "\"", "null", "chunked", "Transfer-Encoding: chunked\r\n", "Content-Length: 5\r\n", "HTTP/1.1", "(", ")", "\\",
 	"\xff", "é", `\u0000`,
@@ -56,9 +56,9 @@
 		case 4: // cut short
 			data = data[:at]
 		case 5: // a word put in
-			data = append(data[:at:at], append([]byte(words[rng.IntN(len(words))]), data[at:]...)...)
+			data = append(data[:at:at], append([]byte(tokens[rng.IntN(len(tokens))]), data[at:]...)...)
 		case 6: // a piece made a word
-			data = append(data[:at:at], append([]byte(words[rng.IntN(len(words))]), data[to:]...)...)
+			data = append(data[:at:at], append([]byte(tokens[rng.IntN(len(tokens))]), data[to:]...)...)
 		case 7: // part of another seed behind it
 			other := seeds[rng.IntN(len(seeds))]
 			data = append(data[:at:at], other[min(len(other), rng.IntN(1+min(len(other), maxInput))):]...)
--- a/internal/lab/mutants.go
+++ b/internal/lab/mutants.go
@@ -112,7 +112,7 @@
 	{
 		Name:    "a place at the gate is never left",
 		File:    "internal/core/cell_placement.go",
-		Old:     "p.admission.Leave(p.cell, p.tenant)",
+		Old:     "p.admission.Release(p.cell, p.tenant)",
 		Package: "./internal/core",
 		Run:     modelFuzz,
 	},
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -18,9 +18,9 @@
 
 const namespace = "scheduler" // the prefix of every figure's name
 
-// poolLimit is how long a call waits for the core to tell of the pool. Answers are owed within
+// poolTimeout is how long a call waits for the core to tell of the pool. Answers are owed within
 // 1 s; a core that is busier than this shows what it last told.
-const poolLimit = 250 * time.Millisecond
+const poolTimeout = 250 * time.Millisecond
 
 // results are the values of the label result, by the verdict that they count.
 var results = map[core.Verdict]string{core.Served: "ok", core.Shed: "shed", core.Failed: "errors"}
@@ -41,7 +41,7 @@
 	source   Source
 	pool     atomic.Value // core.Pool, as last told
 
-	responses, tries, active, size, ejected, violations *prometheus.Desc
+	responses, attempts, active, size, ejected, violations *prometheus.Desc
 }
 
 // Handler returns a handler that shows the figures of the jobs of all classes.
@@ -52,7 +52,7 @@
 	c := &collector{
 		classes: classes, counters: set, source: source,
 		responses: describe("responses_total", "Jobs answered, by class and result.", "kind", "result"),
-		tries:     describe("tries_total", "Attempts written whole to execute nodes."),
+		attempts:  describe("tries_total", "Attempts written whole to execute nodes."),
 		active:    describe("active", "Jobs taken and not yet answered."),
 		size:      describe("pool_size", "Execute nodes in the machine list."),
 		ejected:   describe("pool_ejected", "Listed execute nodes that are avoided."),
@@ -67,7 +67,7 @@
 
 // Describe implements prometheus.Collector.
 func (c *collector) Describe(out chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{c.responses, c.tries, c.active, c.size, c.ejected, c.violations} {
+	for _, d := range []*prometheus.Desc{c.responses, c.attempts, c.active, c.size, c.ejected, c.violations} {
 		out <- d
 	}
 }
@@ -80,20 +80,20 @@
 			out <- prometheus.MustNewConstMetric(c.responses, prometheus.CounterValue, float64(n), class, result)
 		}
 	}
-	for _, rule := range guard.Rules {
+	for _, rule := range guard.Invariants {
 		n := c.counters.Get(rule.Counter())
 		out <- prometheus.MustNewConstMetric(c.violations, prometheus.CounterValue, float64(n), string(rule))
 	}
-	pool := c.lookAtPool()
-	out <- prometheus.MustNewConstMetric(c.tries, prometheus.CounterValue, float64(c.counters.Get(counters.ClaimsWritten)))
+	pool := c.workerPool()
+	out <- prometheus.MustNewConstMetric(c.attempts, prometheus.CounterValue, float64(c.counters.Get(counters.ClaimsWritten)))
 	out <- prometheus.MustNewConstMetric(c.active, prometheus.GaugeValue, float64(c.source.Active()))
 	out <- prometheus.MustNewConstMetric(c.size, prometheus.GaugeValue, float64(pool.Size))
 	out <- prometheus.MustNewConstMetric(c.ejected, prometheus.GaugeValue, float64(pool.Ejected))
 }
 
-// lookAtPool returns the state of the pool, the last known one where the core is too busy.
-func (c *collector) lookAtPool() core.WorkerPool {
-	ctx, cancel := context.WithTimeout(context.Background(), poolLimit)
+// workerPool returns the state of the pool, the last known one where the core is too busy.
+func (c *collector) workerPool() core.WorkerPool {
+	ctx, cancel := context.WithTimeout(context.Background(), poolTimeout)
 	defer cancel()
 	if pool, err := c.source.WorkerPool(ctx); err == nil {
 		c.pool.Store(pool)
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -150,18 +150,18 @@
 		return true
 	}
 	send := guard.Send{
-		Grace: a.nodes.grace, LeftAgo: a.job.SinceDisconnect(),
-		Told: told, Remains: time.Until(a.until), LastByte: lastByte,
+		Grace: a.nodes.grace, DisconnectedFor: a.job.SinceDisconnect(),
+		AnnouncedTime: told, RemainingTime: time.Until(a.until), LastByte: lastByte,
 	}
 	var since time.Time
 	if send.State, since = a.nodes.stateOf(a.node); send.State != foxlift.Live {
-		send.Off = time.Since(since)
+		send.UnavailableFor = time.Since(since)
 	}
 	rule := send.Check()
-	if rule != guard.Kept {
+	if rule != guard.None {
 		a.nodes.counters.Add(rule.Counter())
 	}
-	return rule == guard.Kept
+	return rule == guard.None
 }
 
 // receive reads the node's answer.
--- a/internal/platform/machines.go
+++ b/internal/platform/machines.go
@@ -74,7 +74,7 @@
 		asker: pollpacing.NewPacer(s.Module.Dispatchers, longest, rng), lastWords: lastWords,
 		wall: wallClock, clock: core.NewClock().Now, changed: func(string, foxlift.WorkerState) {}, confirm: func() {}, noteMove: func() {}, fail: func(foxlift.PollFailure) {},
 	}
-	if s.Pushed() {
+	if s.EndpointsPushed() {
 		m.asker = pollpacing.NewAgentPacer(rng)
 	}
 	return m
--- a/internal/platform/submitter.go
+++ b/internal/platform/submitter.go
@@ -85,7 +85,7 @@
 // there is nothing to take along, and others may wait for the room.
 func (s *submitter) finish() {
 	defer s.conn.Close()
-	if rule := (guard.Close{Owed: s.owed, Left: hungUp(s.conn)}).Check(); rule != guard.Kept {
+	if rule := (guard.Close{Owed: s.owed, Disconnected: hungUp(s.conn)}).Check(); rule != guard.None {
 		s.front.counters.Add(rule.Counter())
 	}
 	if time.Since(s.wrote) >= s.front.grace && !unsent(s.conn) {
--- a/internal/wire/decode_events.go
+++ b/internal/wire/decode_events.go
@@ -82,7 +82,7 @@
 	return err
 }
 
-func (d *Decoder) interim(n *Names, f []*fastjson.Value) error {
+func (d *Decoder) progress(n *Names, f []*fastjson.Value) error {
 	kind, err := integer(f[4], "kind")
 	if err != nil {
 		return err
@@ -112,7 +112,7 @@
 	return d.load(f[9])
 }
 
-func (d *Decoder) probed(n *Names, f []*fastjson.Value) (err error) {
+func (d *Decoder) healthChecked(n *Names, f []*fastjson.Value) (err error) {
 	e := &d.event
 	e.Kind = foxlift.EventHealthChecked
 	if e.Worker, err = n.worker(f[2]); err != nil {
@@ -127,7 +127,7 @@
 	return d.load(f[5])
 }
 
-func (d *Decoder) neighbour(f []*fastjson.Value) error {
+func (d *Decoder) peerMessage(f []*fastjson.Value) error {
 	from, err := integer(f[2], "src")
 	if err != nil {
 		return err
--- a/internal/wire/decode_list.go
+++ b/internal/wire/decode_list.go
@@ -10,7 +10,7 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-var listKinds = map[string]foxlift.EndpointUpdate{
+var endpointUpdates = map[string]foxlift.EndpointUpdate{
 	"incr": foxlift.EndpointsDelta, "total": foxlift.EndpointsComplete,
 	"warm_copy": foxlift.EndpointsCached, "lost": foxlift.EndpointsPollFailed,
 }
@@ -19,12 +19,12 @@
 	"live": foxlift.Live, "quiescing": foxlift.Draining, "dead": foxlift.Removed,
 }
 
-func (d *Decoder) list(n *Names, f []*fastjson.Value) error {
+func (d *Decoder) endpoints(n *Names, f []*fastjson.Value) error {
 	scope, err := text(f[2], "scope")
 	if err != nil {
 		return err
 	}
-	kind, ok := listKinds[string(scope)]
+	kind, ok := endpointUpdates[string(scope)]
 	if !ok {
 		return fmt.Errorf("unknown scope %q", scope)
 	}
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -59,8 +59,8 @@
 	return append(b, ']')
 }
 
-// AppendFault writes the report of an instance that cannot run.
-func AppendFault(b []byte, instance, why string) []byte {
+// AppendError writes the report of an instance that cannot run.
+func AppendError(b []byte, instance, why string) []byte {
 	b = append(b, `["internalError",`...)
 	b = strconv.AppendQuote(b, instance)
 	b = append(b, ',')
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -90,7 +90,7 @@
 	if err != nil {
 		return err
 	}
-	need, ok := lengths[string(name)]
+	need, ok := minFields[string(name)]
 	if !ok {
 		return fmt.Errorf("unknown message %q", name)
 	}
@@ -103,7 +103,7 @@
 	return nil
 }
 
-var lengths = map[string]int{
+var minFields = map[string]int{
 	"attach": 4, "down": 2, "registry": 5, "accept": 11, "flowing": 6, "interim": 7,
 	"completed": 10, "clientLeft": 3, "deadlineHit": 3, "probeDone": 6, "neighbourSays": 4,
 }
@@ -133,14 +133,14 @@
 	var err error
 	switch name {
 	case "registry":
-		err = d.list(n, f)
+		err = d.endpoints(n, f)
 	case "accept":
 		err = d.request(n, f)
 	case "flowing":
 		d.event.Kind, d.event.Stream = foxlift.EventStarted, true
 		err = d.attempt(n, f[2], f[3], f[4])
 	case "interim":
-		err = d.interim(n, f)
+		err = d.progress(n, f)
 	case "completed":
 		err = d.outcome(n, f)
 	case "clientLeft":
@@ -150,9 +150,9 @@
 		d.event.Kind = foxlift.EventTimer
 		d.event.Token, err = unsigned(f[2], "name")
 	case "probeDone":
-		err = d.probed(n, f)
+		err = d.healthChecked(n, f)
 	case "neighbourSays":
-		err = d.neighbour(f)
+		err = d.peerMessage(f)
 	}
 	if err != nil {
 		return err
