--- /dev/null
+++ b/internal/golden/golden.go
@@ -0,0 +1,108 @@
+// Package golden helps tests that compare what the program writes with files under testdata. Only
+// tests import it.
+package golden
+
+import (
+	"bytes"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew from what the program writes now")
+
+// Check compares what a test got with the golden file of a name under testdata, byte for byte.
+// With -update it writes the file instead.
+func Check(t testing.TB, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s differs from what is written now:\n%s", path, firstDifference(got, want))
+	}
+}
+
+// firstDifference shows the first line that differs, and the whole of what a test got.
+func firstDifference(got, want []byte) string {
+	gotLines, wantLines := bytes.Split(got, []byte("\n")), bytes.Split(want, []byte("\n"))
+	for i := range max(len(gotLines), len(wantLines)) {
+		var g, w []byte
+		if i < len(gotLines) {
+			g = gotLines[i]
+		}
+		if i < len(wantLines) {
+			w = wantLines[i]
+		}
+		if !bytes.Equal(g, w) {
+			return fmt.Sprintf("line %d\ngot  %q\nwant %q\nall of it:\n%s", i+1, g, w, got)
+		}
+	}
+	return "they have the same lines"
+}
+
+// Fill sets everything that a pointer leads to, in the order of the fields, to values that are not
+// zero and all different. Slices get two elements, and maps one.
+func Fill(pointer any) {
+	f := filler{}
+	f.fill(reflect.ValueOf(pointer).Elem())
+}
+
+// A filler counts the values that it has set.
+type filler struct{ count int }
+
+func (f *filler) fill(v reflect.Value) {
+	f.count++
+	switch v.Kind() {
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.Int, reflect.Int64:
+		v.SetInt(int64(f.count))
+	case reflect.Uint8, reflect.Uint16, reflect.Uint64:
+		v.SetUint(uint64(f.count))
+	case reflect.Float64:
+		v.SetFloat(float64(f.count) + 0.25)
+	case reflect.String:
+		v.SetString(fmt.Sprint("text ", f.count))
+	case reflect.Struct:
+		for i := range v.NumField() {
+			f.fill(v.Field(i))
+		}
+	case reflect.Pointer:
+		v.Set(reflect.New(v.Type().Elem()))
+		f.fill(v.Elem())
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
+		f.fillElements(v)
+	case reflect.Array:
+		f.fillElements(v)
+	case reflect.Map:
+		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
+		f.fill(key)
+		f.fill(value)
+		v.Set(reflect.MakeMap(v.Type()))
+		v.SetMapIndex(key, value)
+	default:
+		panic(fmt.Sprintf("no value for a %s", v.Type()))
+	}
+}
+
+func (f *filler) fillElements(v reflect.Value) {
+	for i := range v.Len() {
+		f.fill(v.Index(i))
+	}
+}
--- /dev/null
+++ b/internal/platform/golden_test.go
@@ -0,0 +1,262 @@
+package platform
+
+import (
+	"bufio"
+	"bytes"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"regexp"
+	"strings"
+	"sync"
+	"testing"
+
+	"github.com/vatu-meals/foxlift/internal/config"
+	"github.com/vatu-meals/foxlift/internal/core"
+	"github.com/vatu-meals/foxlift/internal/golden"
+	"github.com/vatu-meals/foxlift/internal/standin"
+)
+
+// varying are the parts of a text that differ from run to run.
+var varying = []struct {
+	pattern *regexp.Regexp
+	text    string
+}{
+	{regexp.MustCompile(`X-Remaining: \d+u`), "X-Remaining: <time>u"},
+	{regexp.MustCompile(`127\.0\.0\.1:\d+`), "127.0.0.1:<port>"},
+	{regexp.MustCompile(`wait=\d{4}`), "wait=<four digits>"},
+}
+
+// A transcript is what has been said on connections, one after another, in a form that can be read.
+type transcript struct{ text strings.Builder }
+
+// add writes down some bytes; the ends of lines and what is not printable are shown.
+func (s *transcript) add(title string, data []byte) {
+	text := string(data)
+	for _, v := range varying {
+		text = v.pattern.ReplaceAllString(text, v.text)
+	}
+	fmt.Fprintf(&s.text, "# %s\n", title)
+	for line := range strings.SplitAfterSeq(text, "\n") {
+		if line != "" {
+			fmt.Fprintf(&s.text, "%q\n", line)
+		}
+	}
+}
+
+// A recordedListener keeps what its connections read.
+type recordedListener struct {
+	net.Listener
+	mu   sync.Mutex
+	read []byte
+}
+
+type recordedConn struct {
+	net.Conn
+	listener *recordedListener
+}
+
+// Accept implements net.Listener.
+func (l *recordedListener) Accept() (net.Conn, error) {
+	conn, err := l.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	return &recordedConn{conn, l}, nil
+}
+
+// Read implements net.Conn.
+func (c *recordedConn) Read(p []byte) (int, error) {
+	n, err := c.Conn.Read(p)
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	c.listener.read = append(c.listener.read, p[:n]...)
+	return n, err
+}
+
+// take returns what was read since the last call.
+func (l *recordedListener) take() []byte {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	read := l.read
+	l.read = nil
+	return read
+}
+
+// TestBytesToNodes pins the requests that execute nodes get: jobs and probes.
+func TestBytesToNodes(t *testing.T) {
+	t.Parallel()
+	var said transcript
+	l := &recordedListener{Listener: listen(t)}
+	node := standin.Serve(l, done)
+	p, _ := start(t, "", node)
+	s := connect(t, p)
+	for _, c := range []struct{ title, request string }{
+		{"a job with all headers", jobText("reading", "j0", "5000m", "two words", "Idempotency-Key: key-1",
+			"Content-Type: text/plain", "X-Resent: 1", "X-Other: not passed on")},
+		{"a job with the least", jobText("ratify", "j1", "5000000u", "", "-X-Labels")},
+		{"a job in chunks", jobText("reading", "j2", "5000m", "", "-Content-Length", "Transfer-Encoding: chunked") +
+			"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"},
+	} {
+		r, _ := s.ask(t, c.request)
+		check(t, c.title, r.StatusCode, http.StatusOK)
+		said.add(c.title, l.take())
+	}
+	probe := func(title string, p *Platform) {
+		reports := make(chan core.Report, 1)
+		p.nodes.HealthCheck("n0", func(r core.Report) { reports <- r })
+		<-reports
+		said.add(title, l.take())
+	}
+	probe("a probe", p)
+	keyed, _ := startKeyed(t, node)
+	probe("a probe that asks for the load", keyed)
+	golden.Check(t, "to-nodes.txt", []byte(said.text.String()))
+}
+
+// TestBytesToDiscovery pins the calls that discovery gets.
+func TestBytesToDiscovery(t *testing.T) {
+	t.Parallel()
+	var said transcript
+	node := newNode(t, done)
+	answers := []string{hosts(7, true, node), hosts(3, false, node), hosts(9, true, node)}
+	calls := make(chan bool)
+	l := &recordedListener{Listener: listen(t)}
+	standin.Serve(l, func(c net.Conn, _ *http.Request, _ string) bool {
+		calls <- true
+		if len(answers) == 0 {
+			return silent(c, nil, "")
+		}
+		body := answers[0]
+		answers = answers[1:]
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+		return true
+	})
+	start(t, l.Addr().String(), node)
+	for _, title := range []string{"the first", "the changes", "the whole list, where versions went back", "the changes"} {
+		<-calls
+		said.add(title, l.take())
+	}
+	golden.Check(t, "to-discovery.txt", []byte(said.text.String()))
+}
+
+// An exchange is what a submitter sends on a connection of its own.
+type exchange struct{ title, request string }
+
+// answered returns the answer to a request, byte for byte.
+func answered(t *testing.T, p *Platform, request string) []byte {
+	t.Helper()
+	s := connect(t, p)
+	s.send(t, request)
+	var raw bytes.Buffer
+	r := bufio.NewReader(io.TeeReader(s.Conn, &raw))
+	for {
+		resp, err := http.ReadResponse(r, nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
+			t.Fatal(err)
+		}
+		if resp.StatusCode != http.StatusContinue {
+			return raw.Bytes()
+		}
+	}
+}
+
+// TestBytesToSubmitters pins the answers that submitters get.
+func TestBytesToSubmitters(t *testing.T) {
+	t.Parallel()
+	var said transcript
+	handle := func(c net.Conn, r *http.Request, id string) bool {
+		if strings.HasPrefix(id, "lost") {
+			return breakOff(c, r, id)
+		}
+		return done(c, r, id)
+	}
+	p, _ := startText(t, keyedSettings, 256, "", newNode(t, handle))
+	for _, e := range append(soundRequests(), badRequests()...) {
+		said.add(e.title, answered(t, p, e.request))
+	}
+	p.Quiesce()
+	said.add("health while it is quiesced", answered(t, p, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))
+	golden.Check(t, "to-submitters.txt", []byte(said.text.String()))
+}
+
+func soundRequests() []exchange {
+	const key = "Idempotency-Key: k"
+	return []exchange{
+		{"served", jobText("reading", "j0", "5000m", "ab")},
+		{"served, by HTTP/1.0", strings.Replace(jobText("reading", "j1", "5000m", "ab"), "HTTP/1.1", "HTTP/1.0", 1)},
+		{"told to go on", jobText("reading", "j2", "5000m", "", "Expect: 100-continue")},
+		{"refused, with a time for the next try", jobText("reading", "j3", "0m", "")},
+		{"refused, since it cannot be repeated in time", jobText("reading", "lost-1", "1500m", "")},
+		{"failed, since it may have run", jobText("ratify", "lost-2", "5000m", "", key)},
+		{"health", "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"},
+		{"health, by another method", "PUT /_health HTTP/1.1\r\nHost: x\r\n\r\n"},
+	}
+}
+
+func badRequests() []exchange {
+	const class, left = "reading", "5000m"
+	chunked := func(chunks string) string {
+		return jobText(class, "j", left, "", "-Content-Length", "Transfer-Encoding: chunked") + chunks
+	}
+	return []exchange{
+		{"no HTTP", "hello\r\n\r\n"},
+		{"a header without a colon", jobText(class, "j", left, "", "no colon")},
+		{"a control character", jobText(class, "j", left, "", "X-A: b\rc")},
+		{"a folded header", jobText(class, "j", left, "", "X-A: b\r\n c")},
+		{"a header name that is none", jobText(class, "j", left, "", "Transfer-Encoding : x")},
+		{"a long head", jobText(class, "j", left, "", "X-Long: "+strings.Repeat("x", maxHead))},
+		{"two kinds of framing", jobText(class, "j", left, "0\r\n\r\n", "Transfer-Encoding: chunked")},
+		{"a length that is there twice", jobText(class, "j", left, "a", "Content-Length: 1")},
+		{"chunks before HTTP/1.1", strings.Replace(chunked(""), "1.1", "1.0", 1)},
+		{"a faulty chunk", chunked("x\r\n")},
+		{"a long body", jobText(class, "j", left, strings.Repeat("b", maxBody+1))},
+		{"a long body in chunks", chunked("10001\r\n" + strings.Repeat("b", maxBody+1) + "\r\n0\r\n\r\n")},
+		{"no id", jobText(class, "j", left, "", "-X-Txn")},
+		{"two tenants", jobText(class, "j", left, "", "X-Org: k")},
+		{"a key that is too long", jobText(class, "j", left, "", "Idempotency-Key: "+strings.Repeat("k", maxKey+1))},
+		{"no key where the class needs one", jobText("ratify", "j", left, "")},
+		{"another class in the path", strings.Replace(jobText(class, "j", left, ""), "/reading", "/ratify", 1)},
+		{"no time left to read", jobText(class, "j", "5", "")},
+		{"labels that are none", jobText(class, "j", left, "", "-X-Labels", "X-Labels: slots")},
+		{"a label that is no number", jobText(class, "j", left, "", "-X-Labels", "X-Labels: slots=-1")},
+		{"an unknown class", jobText("other", "j", left, "")},
+		{"an unknown tenant", jobText(class, "j", left, "", "-X-Org", "X-Org: nobody")},
+		{"an id that was answered", jobText(class, "j0", left, "ab")},
+		{"not by POST", strings.Replace(jobText(class, "j", left, ""), "POST", "PUT", 1)},
+	}
+}
+
+// TestDatagramBytes pins the datagram around a message to another scheduler.
+func TestDatagramBytes(t *testing.T) {
+	const (
+		sent = 1_700_000_000_123_456 // microseconds
+		want = "f0160a2418202240" + "666f786c696674" + "27c8a644"
+	)
+	datagram := sealPeer(sent, []byte("foxlift"))
+	check(t, "datagram", fmt.Sprintf("%x", datagram), want)
+	data, err := (&peerSeen{}).open(sent, datagram)
+	check(t, "read", string(data), "foxlift")
+	check(t, "error", err, error(nil))
+}
+
+// TestSavedListBytes pins the form in which a list is kept.
+func TestSavedListBytes(t *testing.T) {
+	const kept = `{"seq":8,"whole":true,"hosts":[` +
+		`{"host":"n1","dial":"10.0.0.1:3000","site":"a","class":"k","block":1,"health":"active","born_ms":5},` +
+		`{"host":"n2","dial":"10.0.0.2:3000","site":"b","class":"m","block":2,"health":"leaving","born_ms":-6}]}`
+	m := newMachines("10.0.0.9:8500", &config.Settings{}, nil, nil)
+	if _, err := m.load([]byte(kept)); err != nil {
+		t.Fatal(err)
+	}
+	m.answered = true
+	saved, told := m.save()
+	check(t, "told", told, true)
+	check(t, "list", string(saved.Endpoints), kept)
+	check(t, "version", saved.Version, int64(8))
+	check(t, "discovery", saved.Discovery, "10.0.0.9:8500")
+}
--- a/record_fleet_test.go
+++ b/record_fleet_test.go
@@ -29,6 +29,7 @@
 	keys          int     // that jobs have; 0: none
 	varied        bool    // jobs have sizes, slots, memory and workers that they are confined to
 	strange       float64 // share of attempts that end in a rare way
+	leaving       float64 // share of clients that leave before a second is over
 	externalUsage float64 // share of jobs that wait at a worker for those of other schedulers
 	slowStart     bool    // all workers have just started
 	broken        bool    // one worker can never be reached
--- a/record_member_test.go
+++ b/record_member_test.go
@@ -98,7 +98,7 @@
 			m.expire(j)
 		}
 	})
-	if m.host.chance(0.02) {
+	if m.host.chance(m.host.plan.leaving) {
 		m.host.after(m.host.rng.Int64N(second), func() { m.leave(r.ID) })
 	}
 }
--- a/record_plans_test.go
+++ b/record_plans_test.go
@@ -25,9 +25,10 @@
 	return fleetPlan{
 		name: name, config: cfg, seed: seed, played: cfg.Dispatchers, workers: 8, slots: 2, length: 45 * second,
 		load: 0.9, work: []int64{90 * millisecond, 140 * millisecond, 110 * millisecond}, weights: []float64{6, 3, 1, 0.1},
-		keys: 30, strange: 0.02, every: 3 * second,
+		keys: 30, strange: 0.02, leaving: 0.02, every: 3 * second,
 		faults: []fault{
-			faultDrain, faultCrash, faultZoneRestart, faultHang, faultErrors, faultSaturation, faultFlood, faultFlood, faultQuotas,
+			faultDrain, faultCrash, faultZoneRestart, faultHang, faultErrors, faultSaturation, faultFlood, faultFlood,
+			faultQuotas,
 			faultResync, faultExternalUsage, faultTakeover, faultProcessRestart, faultBrokenContract, faultDiscovery,
 		},
 	}
@@ -36,8 +37,9 @@
 // fleetPlans are the fleets that are recorded.
 func fleetPlans() []fleetPlan {
 	return []fleetPlan{
-		lonePlan(), overloadPlan(), peersPlan(), unawarePlan(), bandsPlan(), throttledPlan(), leasePlan(), outagesPlan(), plainPlan(),
-		manyPlan(), manySlowStartPlan(), manyKeysPlan(), manyWorkersPlan(),
+		lonePlan(), overloadPlan(), peersPlan(), unawarePlan(), bandsPlan(), throttledPlan(),
+		leasePlan(), outagesPlan(), plainPlan(),
+		manyPlan(), manySlowStartPlan(), manyKeysPlan(), manyWorkersPlan(), impatientPlan(),
 	}
 }
 
@@ -114,7 +116,8 @@
 	p := basePlan("lease", cfg, 6)
 	p.load, p.length, p.every = 0.5, 60*second, 2*second
 	p.faults = []fault{
-		faultDiscovery, faultDiscovery, faultDiscovery, faultDiscoveryChange, faultProcessRestart, faultDrain, faultSaturation,
+		faultDiscovery, faultDiscovery, faultDiscovery, faultDiscoveryChange, faultProcessRestart, faultDrain,
+		faultSaturation,
 	}
 	return p
 }
@@ -187,6 +190,18 @@
 	return p
 }
 
+// impatientPlan is some of many dispatchers with few workers, which are often full, and clients that often
+// leave before their jobs have started.
+func impatientPlan() fleetPlan {
+	cfg := manyConfig()
+	cfg.Dispatchers = 20
+	p := basePlan("impatient", cfg, 14)
+	p.played, p.workers, p.kinds, p.load, p.length, p.externalUsage, p.leaving = 2, 4, 2, 0.6, 30*second, 0.6, 0.6
+	p.work = []int64{60 * millisecond, 90 * millisecond, 80 * millisecond, 200 * millisecond}
+	p.faults, p.every = []fault{faultSaturation, faultSaturation, faultHang}, second
+	return p
+}
+
 // manyWorkersPlan is one of many dispatchers with more workers than it looks at for one job.
 func manyWorkersPlan() fleetPlan {
 	p := manyPlan()
--- /dev/null
+++ b/snapshot_golden_test.go
@@ -0,0 +1,78 @@
+package foxlift_test
+
+import (
+	"encoding/json"
+	"os"
+	"reflect"
+	"testing"
+
+	"github.com/vatu-meals/foxlift"
+	"github.com/vatu-meals/foxlift/internal/golden"
+)
+
+const snapshotFile = "snapshot.json"
+
+// fullSnapshot is a snapshot in which no field is zero, but for the name of the tenant that stands
+// for requests of no known one.
+func fullSnapshot() *foxlift.Snapshot {
+	s := &foxlift.Snapshot{}
+	golden.Fill(s)
+	s.Tenants[len(s.Tenants)-1].Name = ""
+	return s
+}
+
+// TestSnapshotJSON pins the JSON of a snapshot, in which a process hands over to one of another version.
+func TestSnapshotJSON(t *testing.T) {
+	text, err := json.Marshal(fullSnapshot())
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Check(t, snapshotFile, text)
+}
+
+// TestStoredSnapshotIsRestored restores the stored snapshot: every field goes to where the same field
+// is taken from again.
+func TestStoredSnapshotIsRestored(t *testing.T) {
+	text, err := os.ReadFile("testdata/" + snapshotFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	stored := &foxlift.Snapshot{}
+	if err := json.Unmarshal(text, stored); err != nil {
+		t.Fatal(err)
+	}
+	if want := fullSnapshot(); !reflect.DeepEqual(stored, want) {
+		t.Fatalf("read %+v, want %+v", stored, want)
+	}
+	d := dispatcherOf(t, stored)
+	d.Restore(stored)
+	got, err := json.Marshal(d.Snapshot())
+	if err != nil {
+		t.Fatal(err)
+	}
+	if string(got) != string(text) {
+		t.Errorf("after the restore the snapshot is\n%s\nwant\n%s", got, text)
+	}
+}
+
+// dispatcherOf starts a dispatcher that has the classes, tenants and workers of a snapshot.
+func dispatcherOf(t *testing.T, s *foxlift.Snapshot) *foxlift.Dispatcher {
+	t.Helper()
+	cfg := foxlift.Config{Dispatchers: 1}
+	for _, c := range s.Classes {
+		cfg.Classes = append(cfg.Classes, foxlift.Class{Name: c.Name, LatencyObjective: second, Deadline: 2 * second, Kind: -1})
+	}
+	for _, tenant := range s.Tenants[:len(s.Tenants)-1] {
+		cfg.Tenants = append(cfg.Tenants, foxlift.Tenant{Name: tenant.Name, Quota: 1})
+	}
+	var workers []foxlift.Worker
+	for _, w := range s.Workers {
+		workers = append(workers, foxlift.Worker{ID: w.ID, StartedAt: w.StartedAt, Kind: -1})
+	}
+	d, err := foxlift.New(cfg, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	d.Step(s.Now, []foxlift.Event{{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsCached, Workers: workers}})
+	return d
+}
