--- a/affinity_test.go
+++ b/affinity_test.go
@@ -63,7 +63,7 @@
 
 // Many dispatchers that never speak send a key's jobs to the same worker, and on to the
 // same next one, so that what the jobs need is fetched there once: not where it is for each.
-func TestManyDispatchersShareAnAffinitySet(t *testing.T) {
+func TestManyDispatchersUseOneAffinitySet(t *testing.T) {
 	var seen [2]map[string]bool
 	for i := range seen {
 		seen[i] = map[string]bool{}
--- a/bench_scale_test.go
+++ b/bench_scale_test.go
@@ -91,8 +91,8 @@
 	return slope, math.Sqrt(residual)
 }
 
-// BenchmarkScaleCompleteList is the first whole list of a dispatcher.
-func BenchmarkScaleCompleteList(b *testing.B) {
+// BenchmarkScaleCompleteEndpoints is the first whole list of a dispatcher.
+func BenchmarkScaleCompleteEndpoints(b *testing.B) {
 	benchmarkBySize(b, func(b *testing.B, n int) func() {
 		d := scaleDispatcher(b, 0)
 		cfg, workers, now := d.cfg, scaleWorkers(n), 3*second
@@ -106,8 +106,8 @@
 	})
 }
 
-// BenchmarkScaleRepeatedList is a whole list that tells again what is known.
-func BenchmarkScaleRepeatedList(b *testing.B) {
+// BenchmarkScaleRepeatedEndpoints is a whole list that tells again what is known.
+func BenchmarkScaleRepeatedEndpoints(b *testing.B) {
 	benchmarkBySize(b, func(b *testing.B, n int) func() {
 		d, workers, now := scaleDispatcher(b, n), scaleWorkers(n), 3*second
 		return func() {
--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestEndpointPollsBackOffUpToTheLimit(t *testing.T) {
+func TestEndpointPollBackoffIsBounded(t *testing.T) {
 	cfg := testConfig()
 	cfg.PollEndpoints, cfg.MaxPollInterval = true, 8*second
 	h := newHarness(t, cfg, testWorkers(1)...)
--- a/fleet_index_test.go
+++ b/fleet_index_test.go
@@ -102,15 +102,15 @@
 	for k := range d.classes {
 		j := &job{class: &d.classes[k], req: Request{Key: uint64(d.now)}}
 		homes, of := d.rankAffinity(j)
-		want, wantOf := affinityByFullScan(d, j)
+		want, wantOf := affinityByScan(d, j)
 		if of != wantOf || !slices.Equal(homes, want) {
 			t.Fatalf("homes of a key: %d of %d, want %d of %d", len(homes), of, len(want), wantOf)
 		}
 	}
 }
 
-// affinityByFullScan is what nearest returns, by a look at all workers.
-func affinityByFullScan(d *Dispatcher, j *job) (homes []*worker, of int) {
+// affinityByScan is what nearest returns, by a look at all workers.
+func affinityByScan(d *Dispatcher, j *job) (homes []*worker, of int) {
 	for _, w := range d.liveWorkers {
 		if !d.inSlowStart(w) && (j.class.Kind < 0 || w.kind == j.class.Kind) &&
 			(w.zone == d.cfg.Zone || d.cfg.Prices.CrossZone <= 0) {
--- a/fuzz_test.go
+++ b/fuzz_test.go
@@ -33,12 +33,12 @@
 }
 
 type randomAttempt struct {
-	id             uint64
-	number         int
-	worker         string
-	sentAt, endsAt int64
-	code           Code
-	reported       bool // its outcome was delivered
+	id                 uint64
+	number             int
+	worker             string
+	sentAt, finishesAt int64
+	code               Code
+	reported           bool // its outcome was delivered
 }
 
 func newRandomHost(t *testing.T, seed uint64, cfg Config) *randomHost {
@@ -123,7 +123,7 @@
 	kept := host.inFlight[:0]
 	for _, try := range host.inFlight {
 		r := host.requests[try.id]
-		if try.endsAt > host.now && r.deadline > host.now {
+		if try.finishesAt > host.now && r.deadline > host.now {
 			if host.rng.IntN(20) == 0 {
 				events = append(events, started(try.id, try.number, try.worker))
 			}
@@ -131,7 +131,7 @@
 			continue
 		}
 		code := try.code
-		if r.deadline <= host.now && try.endsAt > host.now {
+		if r.deadline <= host.now && try.finishesAt > host.now {
 			code = DeadlineExceeded
 		}
 		e := outcome(try.id, try.number, try.worker, code)
@@ -166,7 +166,7 @@
 			r := host.requests[a.ID]
 			for i, try := range host.inFlight {
 				if try.id == a.ID && try.number == a.Attempt {
-					host.inFlight[i].code, host.inFlight[i].endsAt = Cancelled, host.now+ms
+					host.inFlight[i].code, host.inFlight[i].finishesAt = Cancelled, host.now+ms
 				}
 			}
 			if a.Attempt >= len(r.attempts) {
@@ -221,9 +221,9 @@
 	// Heavy on failures: the rules are broken there, if anywhere.
 	code := []Code{Served, Served, Served, WorkerError, Saturated, Unreachable, Reset, NotSent, DeadlineExceeded}[host.rng.IntN(9)]
 	try := randomAttempt{id: a.ID, number: len(r.attempts), worker: a.Worker, sentAt: host.now, code: code}
-	try.endsAt = host.now + host.rng.Int64N(400*ms)
+	try.finishesAt = host.now + host.rng.Int64N(400*ms)
 	if host.rng.IntN(10) == 0 {
-		try.endsAt = host.now + 10*second // a hung worker
+		try.finishesAt = host.now + 10*second // a hung worker
 	}
 	r.attempts = append(r.attempts, try)
 	host.inFlight = append(host.inFlight, try)
--- a/health_test.go
+++ b/health_test.go
@@ -66,7 +66,7 @@
 }
 
 // A refusing worker looks free by our count; it must not draw the next job.
-func TestSaturatedWorkerBacksOff(t *testing.T) {
+func TestSaturationBackoffGrows(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(1)...)
 	h.step(h.request(1, 1))
 	h.advance(ms, outcome(1, 0, "w0", Saturated))
--- a/placement_test.go
+++ b/placement_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestLeastLoadedWorkerFirst(t *testing.T) {
+func TestPlacementPrefersIdleWorkers(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(3)...)
 	seen := map[string]bool{}
 	h.step(h.request(1, 1), h.request(2, 1), h.request(3, 1))
--- a/record_faults_test.go
+++ b/record_faults_test.go
@@ -161,7 +161,7 @@
 		h.discoveryFails, h.failureLasts = false, false
 		for _, m := range h.members {
 			m.subscribed = m.subscribed || !m.config.PollEndpoints
-			m.receiveList(foxlift.EndpointsConfirmed, nil)
+			m.receiveEndpoints(foxlift.EndpointsConfirmed, nil)
 		}
 	})
 }
@@ -172,18 +172,18 @@
 // faultDiscoveryChange names another discovery.
 func faultDiscoveryChange(h *fleetHost) {
 	for _, m := range h.members {
-		m.receiveList(foxlift.DiscoveryChanged, nil)
+		m.receiveEndpoints(foxlift.DiscoveryChanged, nil)
 	}
 }
 
 // faultResync tells the whole list, in which now and then a worker is missing.
 func faultResync(h *fleetHost) {
 	for _, m := range h.members {
-		list := m.list()
+		list := m.endpointList()
 		if missing := h.rng.IntN(2 * len(list)); missing < len(list) {
 			list = slices.Delete(list, missing, missing+1)
 		}
-		m.receiveList(foxlift.EndpointsComplete, list)
+		m.receiveEndpoints(foxlift.EndpointsComplete, list)
 	}
 }
 
@@ -196,7 +196,7 @@
 }
 
 // faultTakeover lets a new process of a scheduler take over from the old one.
-func faultTakeover(h *fleetHost) { h.members[h.rng.IntN(len(h.members))].takeOver() }
+func faultTakeover(h *fleetHost) { h.members[h.rng.IntN(len(h.members))].takeover() }
 
 // faultProcessRestart lets a new process of a scheduler begin, which knows nothing.
 func faultProcessRestart(h *fleetHost) { h.members[h.rng.IntN(len(h.members))].begin() }
--- a/record_fleet_test.go
+++ b/record_fleet_test.go
@@ -101,7 +101,7 @@
 		for _, m := range h.members {
 			r.inspect(m.index, m.dispatcher)
 			if plan.config.EndpointLease > 0 {
-				m.receiveList(foxlift.EndpointsConfirmed, nil)
+				m.receiveEndpoints(foxlift.EndpointsConfirmed, nil)
 			}
 		}
 	})
@@ -237,6 +237,6 @@
 // notifyChange tells the dispatchers of changed workers, each at a moment of its own.
 func (h *fleetHost) notifyChange(changed ...foxlift.Worker) {
 	for _, m := range h.members {
-		h.after(h.rng.Int64N(second/2), func() { m.receiveList(foxlift.EndpointsDelta, changed) })
+		h.after(h.rng.Int64N(second/2), func() { m.receiveEndpoints(foxlift.EndpointsDelta, changed) })
 	}
 }
--- a/record_member_test.go
+++ b/record_member_test.go
@@ -42,23 +42,23 @@
 		m.host.record.nextIndex()
 	}
 	m.dispatcher = m.host.record.start(m.index, m.config, m.host.plan.seed+uint64(1000*m.incarnation+m.index))
-	m.inbox = []foxlift.Event{{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsCached, Workers: m.list()}}
+	m.inbox = []foxlift.Event{{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsCached, Workers: m.endpointList()}}
 	m.step()
-	m.receiveList(foxlift.EndpointsConfirmed, nil)
+	m.receiveEndpoints(foxlift.EndpointsConfirmed, nil)
 }
 
-// takeOver starts a new dispatcher that goes on from what the old one has learned. The old one's
+// takeover starts a new dispatcher that goes on from what the old one has learned. The old one's
 // attempts count as others' until they have ended.
-func (m *member) takeOver() {
+func (m *member) takeover() {
 	snapshot := m.host.record.snapshot(m.index, m.dispatcher)
 	m.begin()
 	m.host.record.restore(m.index, m.dispatcher, snapshot)
 	m.host.record.inspect(m.index, m.dispatcher)
-	m.host.after(second, func() { m.receiveList(foxlift.EndpointsDelta, m.list()) })
+	m.host.after(second, func() { m.receiveEndpoints(foxlift.EndpointsDelta, m.endpointList()) })
 }
 
 // list is the list with the slots of an earlier incarnation's attempts.
-func (m *member) list() []foxlift.Worker {
+func (m *member) endpointList() []foxlift.Worker {
 	list := m.host.entries()
 	for _, a := range m.inFlight {
 		if a.incarnation != m.incarnation {
@@ -71,8 +71,8 @@
 // receive passes an event with the next step.
 func (m *member) receive(e foxlift.Event) { m.inbox = append(m.inbox, e) }
 
-// receiveList passes news of the list, or the failure to get any.
-func (m *member) receiveList(kind foxlift.EndpointUpdate, workers []foxlift.Worker) {
+// receiveEndpoints passes news of the list, or the failure to get any.
+func (m *member) receiveEndpoints(kind foxlift.EndpointUpdate, workers []foxlift.Worker) {
 	e := foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: kind, Workers: workers}
 	switch {
 	case kind == foxlift.DiscoveryChanged:
@@ -159,9 +159,9 @@
 // answerSubscription answers the dispatcher's call to discovery.
 func (m *member) answerSubscription() {
 	m.subscribed = true
-	m.receiveList(foxlift.EndpointsConfirmed, nil)
+	m.receiveEndpoints(foxlift.EndpointsConfirmed, nil)
 	if m.subscribed {
-		m.receiveList(foxlift.EndpointsComplete, m.list())
+		m.receiveEndpoints(foxlift.EndpointsComplete, m.endpointList())
 	}
 }
 
--- a/slow_start_fleet_test.go
+++ b/slow_start_fleet_test.go
@@ -33,7 +33,7 @@
 }
 
 type slowStartAttempt struct {
-	endsAt     int64
+	finishesAt int64
 	dispatcher int // the dispatcher
 	send       Action
 	number     int
@@ -93,7 +93,7 @@
 		due := fleet.running
 		fleet.running = nil
 		for _, e := range due {
-			if e.endsAt > now {
+			if e.finishesAt > now {
 				fleet.running = append(fleet.running, e)
 				continue
 			}
@@ -160,13 +160,13 @@
 		n.waiting = n.waiting[1:]
 		n.running++
 		heard[e.dispatcher] = append(heard[e.dispatcher], started(e.send.ID, e.number, n.ID))
-		e.endsAt = now + int64(float64(e.work)/fleet.capacityShare(n, now))
+		e.finishesAt = now + int64(float64(e.work)/fleet.capacityFraction(n, now))
 		fleet.running = append(fleet.running, e)
 	}
 }
 
 // able is the share of its capacity that a worker has.
-func (fleet *slowStartFleet) capacityShare(n *slowStartWorker, now int64) float64 {
+func (fleet *slowStartFleet) capacityFraction(n *slowStartWorker, now int64) float64 {
 	if n.StartedAt == 0 {
 		return 1
 	}
@@ -191,7 +191,7 @@
 			for ; n.sent[first].at <= s.at-fleet.cfg.OverloadWindow; first++ {
 				sum -= float64(n.sent[first].work) / float64(fleet.meanWork)
 			}
-			budget := fleet.cfg.OverloadMultiple * fleet.capacityShare(n, n.sent[first].at) * float64(n.slots) * float64(fleet.cfg.OverloadWindow) / float64(fleet.meanWork)
+			budget := fleet.cfg.OverloadMultiple * fleet.capacityFraction(n, n.sent[first].at) * float64(n.slots) * float64(fleet.cfg.OverloadWindow) / float64(fleet.meanWork)
 			if o := sum - budget - 2*math.Sqrt(budget) - 2; o > over {
 				over, where = o, fmt.Sprintf("%s: %.1f calls of %.1f, %.2f s after its start", n.ID, sum, budget, float64(s.at-n.StartedAt)/1e9)
 			}
@@ -280,7 +280,7 @@
 	for _, e := range ends {
 		if e.dispatcher != of {
 			left = append(left, e)
-		} else if e.endsAt > 0 {
+		} else if e.finishesAt > 0 {
 			e.worker.running--
 		}
 	}
