--- a/cmd/foxlift/main.go
+++ b/cmd/foxlift/main.go
@@ -19,15 +19,15 @@
 )
 
 func main() {
-	if err := root().Execute(); err != nil {
+	if err := newRootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "foxlift:", err)
 		os.Exit(1)
 	}
 }
 
 // root returns the command line.
-func root() *cobra.Command {
-	var s serving
+func newRootCommand() *cobra.Command {
+	var s serveOptions
 	cmd := &cobra.Command{
 		Use:   "foxlift",
 		Short: "A job scheduler around a decision module",
@@ -55,14 +55,14 @@
 	}
 	s.flags(serve)
 	serve.Flags().StringVar(&s.operator, "operator", "", "the operator's file")
-	cmd.AddCommand(serve, check(), cellsCommand(), status(), version())
+	cmd.AddCommand(serve, newCheckCommand(), newCellsCommand(), newStatusCommand(), newVersionCommand())
 	return cmd
 }
 
 // A serving is what the flags of serve say.
-type serving struct{ operator, format, level string }
+type serveOptions struct{ operator, format, level string }
 
-func (s *serving) flags(cmd *cobra.Command) {
+func (s *serveOptions) flags(cmd *cobra.Command) {
 	cmd.Flags().StringVar(&s.format, "log-format", "console", "how log lines are written: console or json")
 	cmd.Flags().StringVar(&s.level, "log-level", "info", "which are written: debug, info, warn or error")
 	words := func(of []string) cobra.CompletionFunc {
@@ -76,7 +76,7 @@
 // kernel's part and what the collector misses.
 func limitMemory(bytes int64) { debug.SetMemoryLimit(bytes / 2) }
 
-func (s *serving) run() error {
+func (s *serveOptions) run() error {
 	// Each kind has its own channel: none is lost while another is being seen to. A
 	// SIGHUP before the start counts after it; amid the end it does nothing.
 	ends, reloads, asks := make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)
--- a/cmd/foxlift/main_test.go
+++ b/cmd/foxlift/main_test.go
@@ -21,13 +21,13 @@
 
 // The test binary runs as foxlift itself where this variable is set.
 const (
-	asFoxlift = "FOXLIFT_TEST_MAIN"
-	fewFiles  = "FOXLIFT_TEST_FEW_FILES" // it may hold 256 descriptors
+	runAsFoxlift       = "FOXLIFT_TEST_MAIN"
+	lowDescriptorLimit = "FOXLIFT_TEST_FEW_FILES" // it may hold 256 descriptors
 )
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asFoxlift) != "" {
-		if os.Getenv(fewFiles) != "" {
+	if os.Getenv(runAsFoxlift) != "" {
+		if os.Getenv(lowDescriptorLimit) != "" {
 			syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: 256, Max: 256})
 		}
 		main()
@@ -51,12 +51,12 @@
 		t.Fatal(err)
 	}
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), asFoxlift+"=1", "LB_CONFIG="+path, "LB_LISTEN=127.0.0.1:0")
+	cmd.Env = append(os.Environ(), runAsFoxlift+"=1", "LB_CONFIG="+path, "LB_LISTEN=127.0.0.1:0")
 	return cmd
 }
 
 // A bad configuration is one line that names the key, and exit code 1.
-func TestBadConfiguration(t *testing.T) {
+func TestInvalidConfiguration(t *testing.T) {
 	for key, c := range map[string][2]string{
 		"settings.grades[0].deadline": {`"deadline": 5000000000`, `"deadline": 0`},
 		"known":                       {`"known": null`, `"known": {"seq": "x"}`},
@@ -75,7 +75,7 @@
 
 // The program starts with the example's configuration, serves its health, prints
 // its counters when asked and at its end, and ends with exit code 0.
-func TestStartAndEnd(t *testing.T) {
+func TestStartAndShutdown(t *testing.T) {
 	cmd := foxlift(t, `"known": null`, `"known": {"seq":1,"hosts":[{"host":"h","dial":"127.0.0.1:1","health":"active"}]}`)
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
@@ -152,7 +152,7 @@
 func command(t *testing.T, env []string, args ...string) (string, int) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], args...)
-	cmd.Env = append(append(os.Environ(), asFoxlift+"=1"), env...)
+	cmd.Env = append(append(os.Environ(), runAsFoxlift+"=1"), env...)
 	out, err := cmd.CombinedOutput()
 	if _, failed := err.(*exec.ExitError); err != nil && !failed {
 		t.Fatal(err)
@@ -247,7 +247,7 @@
 
 // Idle submitters hold every descriptor that submitters may have while discovery is down: when it
 // is back it is asked all the same, and the node that it names gets its job.
-func TestIdleSubmittersFillTheDescriptors(t *testing.T) {
+func TestIdleClientsExhaustDescriptors(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -285,7 +285,7 @@
 		}
 	}()
 	cmd := foxlift(t, `"sockets": 1024`, `"sockets": 256`)
-	cmd.Env = append(cmd.Env, fewFiles+"=1", "LB_DISCOVERY="+l.Addr().String())
+	cmd.Env = append(cmd.Env, lowDescriptorLimit+"=1", "LB_DISCOVERY="+l.Addr().String())
 	addr, _ := startWith(t, cmd)
 	defer cmd.Wait()
 	defer cmd.Process.Kill()
@@ -357,7 +357,7 @@
 // Signals cross the end: SIGHUP and more SIGTERMs amid it, a job at a node that hangs, half a head,
 // and a submitter that sends on its connection as long as that stays open. Each whole request has a
 // whole answer or was never taken, and the program ends with exit code 0.
-func TestSignalsAmidTheEnd(t *testing.T) {
+func TestSignalsDuringShutdown(t *testing.T) {
 	nodeAt, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/foxlift/operate.go
+++ b/cmd/foxlift/operate.go
@@ -39,14 +39,14 @@
 	return text + " " + info.GoVersion
 }
 
-func version() *cobra.Command {
+func newVersionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "version", Short: "Print the version", Args: cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), "foxlift", versionText()) },
 	}
 }
 
-func check() *cobra.Command {
+func newCheckCommand() *cobra.Command {
 	o := daemon.Options{Getenv: os.Getenv, Log: zap.NewNop()}
 	cmd := &cobra.Command{
 		Use:   "check",
@@ -76,18 +76,18 @@
 	return cmd
 }
 
-const callLimit = 5 * time.Second // for the scheduler to answer
+const callTimeout = 5 * time.Second // for the scheduler to answer
 
 // A caller is how a command reaches a running scheduler.
-type caller struct{ socket, operator string }
+type controlCaller struct{ socket, operator string }
 
-func (c *caller) flags(cmd *cobra.Command) {
+func (c *controlCaller) flags(cmd *cobra.Command) {
 	cmd.PersistentFlags().StringVar(&c.socket, "socket", os.Getenv("FOXLIFT_CONTROL"), "the scheduler's control socket (FOXLIFT_CONTROL)")
 	cmd.PersistentFlags().StringVar(&c.operator, "operator", "", "the operator's file that names the socket")
 }
 
 // call asks the scheduler one thing.
-func (c *caller) call(do func(context.Context, controlpb.ControlClient) error) error {
+func (c *controlCaller) call(do func(context.Context, controlpb.ControlClient) error) error {
 	if c.socket == "" && c.operator != "" {
 		path, err := config.ControlSocket(c.operator)
 		if err != nil {
@@ -103,7 +103,7 @@
 		return err
 	}
 	defer end()
-	ctx, cancel := context.WithTimeout(context.Background(), callLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	if err := do(ctx, client); err != nil {
 		return errors.New(grpcstatus.Convert(err).Message())
@@ -125,8 +125,8 @@
 	return err
 }
 
-func status() *cobra.Command {
-	c := &caller{}
+func newStatusCommand() *cobra.Command {
+	c := &controlCaller{}
 	cmd := &cobra.Command{
 		Use: "status", Short: "Print what a running scheduler is and its counters, as JSON", Args: cobra.NoArgs,
 		Example: `  foxlift status --socket /run/foxlift/control.sock`,
@@ -144,8 +144,8 @@
 	return cmd
 }
 
-func cellsCommand() *cobra.Command {
-	c := &caller{}
+func newCellsCommand() *cobra.Command {
+	c := &controlCaller{}
 	cmd := &cobra.Command{
 		Use:   "cells",
 		Short: "Look at the cells of a running scheduler, and move tenants between them",
--- a/internal/checkpoint/checkpoint.go
+++ b/internal/checkpoint/checkpoint.go
@@ -23,22 +23,22 @@
 // With the figures of docs/CAPACITY.md (0.116 changes/s of 141 bytes, a zone of 558 workers, 24 KB/s;
 // 1.55 s for a call and its answer of the clock's 6 s, see internal/pollpacing) that is 5.97 s.
 const (
-	Look   = time.Second      // between two looks at the list's version
-	Every  = 30 * time.Second // between two lists that are written
-	Oldest = 30 * time.Minute
-	Again  = Oldest / 8  // after this a list is written again though nothing has changed
-	Ahead  = time.Minute // a list from the future is from a clock that was set: it may be of any age
+	PollInterval    = time.Second      // between two looks at the list's version
+	WriteInterval   = 30 * time.Second // between two lists that are written
+	MaxAge          = 30 * time.Minute
+	RefreshInterval = MaxAge / 8  // after this a list is written again though nothing has changed
+	MaxClockSkew    = time.Minute // a list from the future is from a clock that was set: it may be of any age
 )
 
 const (
-	mark = "foxlift list 1\n"
-	most = 16 << 20 // bytes: as much as the longest list that is followed
+	magic   = "foxlift list 1\n"
+	maxSize = 16 << 20 // bytes: as much as the longest list that is followed
 )
 
 // Errors of a list that is there and is not used.
 var (
-	ErrOld     = errors.New("the kept list is too old")
-	ErrForeign = errors.New("the kept list is of another discovery")
+	ErrStale          = errors.New("the kept list is too old")
+	ErrOtherDiscovery = errors.New("the kept list is of another discovery")
 )
 
 // A Source is whose list is kept.
@@ -51,12 +51,12 @@
 
 // A Keeper keeps the list of one scheduler. It is not safe for concurrent use.
 type Writer struct {
-	file    statefile.File
-	kept    bool      // there is a list in the file that was written or can be used
-	version int64     // of that list,
-	at      time.Time // and when it was so
-	seen    int64     // version at the last look
-	count   Counter
+	file             statefile.File
+	persisted        bool      // there is a list in the file that was written or can be used
+	persistedVersion int64     // of that list,
+	persistedAt      time.Time // and when it was so
+	lastVersion      int64     // version at the last look
+	counter          Counter
 }
 
 // A Counter counts what the keeper does.
@@ -64,11 +64,11 @@
 
 // File returns the file of a path, in the form in which a list is kept.
 func File(path string) statefile.File {
-	return statefile.File{Path: path, Mark: mark, Most: most, Sync: true}
+	return statefile.File{Path: path, Magic: magic, MaxSize: maxSize, Sync: true}
 }
 
 // New returns a keeper with its file.
-func New(path string, count Counter) *Writer { return &Writer{file: File(path), count: count} }
+func New(path string, count Counter) *Writer { return &Writer{file: File(path), counter: count} }
 
 // Load returns the list that was kept, in discovery's form, if it can be used now with a discovery. The
 // error is os.ErrNotExist where there is none.
@@ -78,53 +78,53 @@
 		return nil, err
 	}
 	if saved.Discovery != discovery {
-		return nil, ErrForeign
+		return nil, ErrOtherDiscovery
 	}
-	if age := now.Sub(saved.TakenAt); age > Oldest || age < -Ahead {
-		return nil, fmt.Errorf("%w: by %v", ErrOld, age.Round(time.Second))
+	if age := now.Sub(saved.TakenAt); age > MaxAge || age < -MaxClockSkew {
+		return nil, fmt.Errorf("%w: by %v", ErrStale, age.Round(time.Second))
 	}
 	if err := platform.ValidateCachedEndpoints(saved.Endpoints); err != nil {
 		return nil, fmt.Errorf("%w: %w", statefile.ErrUnreadable, err)
 	}
-	k.kept, k.version, k.at, k.seen = true, saved.Version, saved.TakenAt, saved.Version
+	k.persisted, k.persistedVersion, k.persistedAt, k.lastVersion = true, saved.Version, saved.TakenAt, saved.Version
 	return saved.Endpoints, nil
 }
 
 // Keep looks at the list's version, and writes the list if that is due. A list that cannot be written is
 // counted and tried again.
-func (k *Writer) Keep(source Source, now time.Time) error {
+func (k *Writer) WriteIfDue(source Source, now time.Time) error {
 	version, told := source.EndpointsVersion()
 	if !told {
 		return nil
 	}
-	if version < k.seen {
+	if version < k.lastVersion {
 		// Discovery has lost its last versions. Those that come in their place may be other changes, and
 		// once they have overtaken the list that is kept nobody could tell.
 		k.file.Remove()
-		k.kept = false
+		k.persisted = false
 	}
-	k.seen = version
-	if !k.due(version, now) {
+	k.lastVersion = version
+	if !k.isDue(version, now) {
 		return nil
 	}
 	return k.write(source, now)
 }
 
 // due reports whether a list of a version is to be written.
-func (k *Writer) due(version int64, now time.Time) bool {
-	switch age := now.Sub(k.at); {
-	case !k.kept:
+func (k *Writer) isDue(version int64, now time.Time) bool {
+	switch age := now.Sub(k.persistedAt); {
+	case !k.persisted:
 		return true
-	case version != k.version:
-		return age >= Every
+	case version != k.persistedVersion:
+		return age >= WriteInterval
 	default:
-		return age >= Again
+		return age >= RefreshInterval
 	}
 }
 
 // Flush writes the list as it is at the scheduler's end, if it has changed.
 func (k *Writer) Flush(source Source, now time.Time) error {
-	if version, told := source.EndpointsVersion(); !told || k.kept && version == k.version {
+	if version, told := source.EndpointsVersion(); !told || k.persisted && version == k.persistedVersion {
 		return nil
 	}
 	return k.write(source, now)
@@ -136,10 +136,10 @@
 		return nil
 	}
 	if err := k.file.Write(saved); err != nil {
-		k.count.Add("checkpoint.failed")
+		k.counter.Add("checkpoint.failed")
 		return err
 	}
-	k.count.Add("checkpoint.written")
-	k.kept, k.version, k.at = true, saved.Version, now
+	k.counter.Add("checkpoint.written")
+	k.persisted, k.persistedVersion, k.persistedAt = true, saved.Version, now
 	return nil
 }
--- a/internal/checkpoint/checkpoint_test.go
+++ b/internal/checkpoint/checkpoint_test.go
@@ -16,21 +16,21 @@
 
 const (
 	discovery = "10.0.0.1:8500"
-	list      = `{"seq":7,"whole":true,"hosts":[{"host":"a","dial":"10.0.0.2:80","site":"z","class":"k","block":1,"health":"active","born_ms":5}]}`
+	endpoints = `{"seq":7,"whole":true,"hosts":[{"host":"a","dial":"10.0.0.2:80","site":"z","class":"k","block":1,"health":"active","born_ms":5}]}`
 )
 
 // source is a list of some version.
 type source struct {
-	version int64
-	told    bool
-	at      time.Time
-	text    string
+	version  int64
+	notified bool
+	at       time.Time
+	text     string
 }
 
-func (s *source) EndpointsVersion() (int64, bool) { return s.version, s.told }
+func (s *source) EndpointsVersion() (int64, bool) { return s.version, s.notified }
 
 func (s *source) SnapshotEndpoints() (*platform.EndpointSnapshot, bool) {
-	return &platform.EndpointSnapshot{TakenAt: s.at, Discovery: discovery, Version: s.version, Endpoints: json.RawMessage(s.text)}, s.told
+	return &platform.EndpointSnapshot{TakenAt: s.at, Discovery: discovery, Version: s.version, Endpoints: json.RawMessage(s.text)}, s.notified
 }
 
 // What is kept serves the next start with the same discovery while it is young, and no other.
@@ -42,7 +42,7 @@
 	if _, err := k.Load(discovery, now); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("nothing kept: %v", err)
 	}
-	if err := k.Keep(&source{version: 7, told: true, at: now, text: list}, now); err != nil {
+	if err := k.WriteIfDue(&source{version: 7, notified: true, at: now, text: endpoints}, now); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
@@ -50,18 +50,18 @@
 		after     time.Duration
 		want      error
 	}{
-		{discovery, 0, nil}, {discovery, Oldest, nil}, {discovery, Oldest + time.Second, ErrOld}, {discovery, 24 * time.Hour, ErrOld},
-		{discovery, -Ahead, nil}, {discovery, -Ahead - time.Second, ErrOld}, {"10.0.0.2:8500", 0, ErrForeign},
+		{discovery, 0, nil}, {discovery, MaxAge, nil}, {discovery, MaxAge + time.Second, ErrStale}, {discovery, 24 * time.Hour, ErrStale},
+		{discovery, -MaxClockSkew, nil}, {discovery, -MaxClockSkew - time.Second, ErrStale}, {"10.0.0.2:8500", 0, ErrOtherDiscovery},
 	} {
 		text, err := New(path, set).Load(c.discovery, now.Add(c.after))
 		if !errors.Is(err, c.want) || (err == nil) != (c.want == nil) {
 			t.Errorf("%v later, of %s: %v, want %v", c.after, c.discovery, err, c.want)
 		}
-		if err == nil && string(text) != list {
+		if err == nil && string(text) != endpoints {
 			t.Errorf("kept %s", text)
 		}
 	}
-	if err := k.Flush(&source{version: 8, told: true, at: now, text: `{"seq":8,"hosts":[{"host":""}]}`}, now); err != nil {
+	if err := k.Flush(&source{version: 8, notified: true, at: now, text: `{"seq":8,"hosts":[{"host":""}]}`}, now); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := k.Load(discovery, now); !errors.Is(err, statefile.ErrUnreadable) {
@@ -71,11 +71,11 @@
 
 // A list is written when it has changed and the last one is a while ago, or when what is kept gets old;
 // and never before discovery has told one since the start: that would make an old list look new.
-func TestKeep(t *testing.T) {
+func TestWriteIfDue(t *testing.T) {
 	set := &counters.Set{}
 	path := filepath.Join(t.TempDir(), "list")
 	k := New(path, set)
-	s := &source{version: 0, text: list}
+	s := &source{version: 0, text: endpoints}
 	began := time.Now()
 	for i, c := range []struct {
 		version int64
@@ -83,11 +83,11 @@
 		after   time.Duration
 		written int64
 	}{
-		{7, false, 0, 0}, {0, true, 0, 1}, {0, true, Every, 1}, {7, true, Every, 2}, {8, true, Every + Look, 2}, {8, true, 2 * Every, 3},
-		{8, true, Again, 3}, {8, true, 2*Every + Again, 4},
+		{7, false, 0, 0}, {0, true, 0, 1}, {0, true, WriteInterval, 1}, {7, true, WriteInterval, 2}, {8, true, WriteInterval + PollInterval, 2}, {8, true, 2 * WriteInterval, 3},
+		{8, true, RefreshInterval, 3}, {8, true, 2*WriteInterval + RefreshInterval, 4},
 	} {
-		s.version, s.told, s.at = c.version, c.told, began.Add(c.after)
-		if err := k.Keep(s, s.at); err != nil {
+		s.version, s.notified, s.at = c.version, c.told, began.Add(c.after)
+		if err := k.WriteIfDue(s, s.at); err != nil {
 			t.Fatal(err)
 		}
 		if got := set.Get("checkpoint.written"); got != c.written {
@@ -108,22 +108,22 @@
 
 // A version that goes back takes the list that is kept away at once, also one of an earlier process, and
 // also where no other can be written: the versions that follow may be other changes.
-func TestVersionGoesBack(t *testing.T) {
+func TestVersionRegression(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list")
 	set := &counters.Set{}
 	now := time.Now()
-	if err := New(path, set).Keep(&source{version: 7, told: true, at: now, text: list}, now); err != nil {
+	if err := New(path, set).WriteIfDue(&source{version: 7, notified: true, at: now, text: endpoints}, now); err != nil {
 		t.Fatal(err)
 	}
 	k := New(path, set)
 	if _, err := k.Load(discovery, now); err != nil {
 		t.Fatal(err)
 	}
-	if err := k.Keep(&source{version: 10, told: true, at: now, text: list}, now); err != nil { // not due
+	if err := k.WriteIfDue(&source{version: 10, notified: true, at: now, text: endpoints}, now); err != nil { // not due
 		t.Fatal(err)
 	}
-	k.file.Most = 0 // nothing can be written
-	if err := k.Keep(&source{version: 9, told: true, at: now, text: list}, now); err == nil {
+	k.file.MaxSize = 0 // nothing can be written
+	if err := k.WriteIfDue(&source{version: 9, notified: true, at: now, text: endpoints}, now); err == nil {
 		t.Error("a list over the bound is written")
 	}
 	if _, err := New(path, set).Load(discovery, now); !errors.Is(err, os.ErrNotExist) {
@@ -132,12 +132,12 @@
 }
 
 // A disk that takes nothing is counted, and tried again.
-func TestKeepFails(t *testing.T) {
+func TestFailedWriteIsRetried(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "folder")
 	set := &counters.Set{}
-	k, s, now := New(filepath.Join(dir, "list"), set), &source{version: 7, told: true, text: list}, time.Now()
+	k, s, now := New(filepath.Join(dir, "list"), set), &source{version: 7, notified: true, text: endpoints}, time.Now()
 	for range 2 {
-		if err := k.Keep(s, now); err == nil {
+		if err := k.WriteIfDue(s, now); err == nil {
 			t.Error("kept in a folder that is not there")
 		}
 	}
@@ -147,18 +147,18 @@
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	if err := k.Keep(s, now); err != nil {
+	if err := k.WriteIfDue(s, now); err != nil {
 		t.Error(err)
 	}
 }
 
 // The bound on a list's age follows from the list's clock with the figures of the design.
-func TestOldest(t *testing.T) {
+func TestMaxAge(t *testing.T) {
 	const (
 		changes, entry, traffic = 0.116, 141.0, 24 << 10 // a second, bytes, bytes a second
 		zone                    = 558
 	)
-	missed := (Oldest+Every).Seconds()*changes + zone
+	missed := (MaxAge+WriteInterval).Seconds()*changes + zone
 	if took := missed*entry/traffic + pollpacing.AnswerBudget.Seconds(); took > pollpacing.MaxPropagationDelay.Seconds() {
 		t.Errorf("the changes since take %.2f s, the list's clock has %v", took, pollpacing.MaxPropagationDelay)
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -44,27 +44,27 @@
 	Core     *core.Core
 	Counters *counters.Set
 
-	options  Options
-	operator *config.Operator
-	text     []byte // of the operator's file
-	platform *platform.Platform
-	control  atomic.Pointer[control.Server]
-	admin    *admin.Server
-	log      *zap.Logger
+	options      Options
+	operator     *config.Operator
+	operatorText []byte // of the operator's file
+	platform     *platform.Platform
+	control      atomic.Pointer[control.Server]
+	admin        *admin.Server
+	log          *zap.Logger
 
-	keeper   *checkpoint.Writer    // nil where the machine list is not kept
-	listKept chan struct{}         // closed once the list was kept for the last time
-	place    *upgrade.TakeoverLock // nil where no other process can take over
-	serving  atomic.Bool           // submitters are served,
-	settled  atomic.Bool           // and no other process has jobs that its end would cost
-	started  time.Time             // when this process was,
-	listened time.Time             // and when it began to listen
-	failed   chan error            // holds one: why the scheduler cannot serve, after the start
-	ending   chan struct{}         // closed at the end,
-	end      sync.Once             // once
-	gone     chan struct{}         // closed when all is answered,
-	over     sync.Once             // once
-	mu       sync.Mutex            // of the steps from starting to serving, and to the end
+	checkpointWriter   *checkpoint.Writer    // nil where the machine list is not kept
+	checkpointDone     chan struct{}         // closed once the list was kept for the last time
+	takeoverLock       *upgrade.TakeoverLock // nil where no other process can take over
+	serving            atomic.Bool           // submitters are served,
+	predecessorDrained atomic.Bool           // and no other process has jobs that its end would cost
+	startedAt          time.Time             // when this process was,
+	listeningSince     time.Time             // and when it began to listen
+	failures           chan error            // holds one: why the scheduler cannot serve, after the start
+	shutdown           chan struct{}         // closed at the end,
+	shutdownOnce       sync.Once             // once
+	drained            chan struct{}         // closed when all is answered,
+	drainedOnce        sync.Once             // once
+	startMu            sync.Mutex            // of the steps from starting to serving, and to the end
 }
 
 // Read reads and checks all of the configuration, and starts nothing.
@@ -109,11 +109,11 @@
 
 func start(o Options, cfg *config.Scheduler, op *config.Operator, text []byte) (*Daemon, error) {
 	d := &Daemon{
-		Config: cfg, Counters: &counters.Set{}, options: o, operator: op, text: text,
-		started: time.Now(), log: o.Log.With(zap.String("name", cfg.Name)), failed: make(chan error, 1), ending: make(chan struct{}), gone: make(chan struct{}),
+		Config: cfg, Counters: &counters.Set{}, options: o, operator: op, operatorText: text,
+		startedAt: time.Now(), log: o.Log.With(zap.String("name", cfg.Name)), failures: make(chan error, 1), shutdown: make(chan struct{}), drained: make(chan struct{}),
 	}
 	clock := core.NewClock()
-	d.loadList()
+	d.loadCheckpoint()
 	var err error
 	if d.Core, err = core.New(cfg.Settings, op.Cells, cfg.Seed, clock, d.Counters); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -121,38 +121,38 @@
 	if d.platform, err = platform.New(cfg, d.Core, clock, d.Counters, o.Log); err != nil {
 		return nil, err
 	}
-	if err := d.begin(); err != nil {
-		d.stopOperators()
+	if err := d.startServing(); err != nil {
+		d.stopOperatorEndpoints()
 		return nil, err
 	}
-	if d.keeper != nil {
-		d.listKept = make(chan struct{})
-		go d.keepList()
+	if d.checkpointWriter != nil {
+		d.checkpointDone = make(chan struct{})
+		go d.writeCheckpoints()
 	}
 	return d, nil
 }
 
 // begin lets operators in and serves, at once or, where another process still serves, later.
-func (d *Daemon) begin() error {
+func (d *Daemon) startServing() error {
 	if err := d.listenAdmin(); err != nil {
 		return err
 	}
-	if err := d.takePlace(); err != nil {
+	if err := d.acquireTakeoverLock(); err != nil {
 		return err
 	}
-	if d.place != nil && d.place.Successor() {
-		go d.succeed()
+	if d.takeoverLock != nil && d.takeoverLock.IsSuccessor() {
+		go d.runSuccessor()
 		return nil
 	}
 	if err := d.startControl(); err != nil {
 		return err
 	}
-	d.share(alone)
+	d.divideLimits(singleProcess)
 	if err := d.serve(); err != nil {
 		return err
 	}
-	if d.place != nil {
-		go d.watchOther()
+	if d.takeoverLock != nil {
+		go d.watchOtherProcess()
 	}
 	return nil
 }
@@ -173,11 +173,13 @@
 }
 
 // Failed brings the error, if any, for which the scheduler cannot serve after its start.
-func (d *Daemon) Failed() <-chan error { return d.failed }
+func (d *Daemon) Failed() <-chan error { return d.failures }
 
 // Ready implements admin.Scheduler. A process that takes over from another serves before it says
 // yes: the yes tells the platform that the other may be ended.
-func (d *Daemon) Ready() bool { return d.serving.Load() && d.settled.Load() && d.platform.Ready() }
+func (d *Daemon) Ready() bool {
+	return d.serving.Load() && d.predecessorDrained.Load() && d.platform.Ready()
+}
 
 // Quiesce implements admin.Scheduler.
 func (d *Daemon) Quiesce() { d.platform.Quiesce() }
@@ -195,8 +197,8 @@
 	return err
 }
 
-// stopOperators ends what operators reach the scheduler by.
-func (d *Daemon) stopOperators() {
+// stopOperatorEndpoints ends what operators reach the scheduler by.
+func (d *Daemon) stopOperatorEndpoints() {
 	if control := d.control.Load(); control != nil {
 		control.Stop()
 	}
@@ -216,7 +218,7 @@
 // Addr returns the address on which submitters are served, once they are.
 func (d *Daemon) Addr() net.Addr { return d.platform.Addr() }
 
-const replanLimit = 5 * time.Second // for the core to take over another plan of cells
+const replanTimeout = 5 * time.Second // for the core to take over another plan of cells
 
 // Reload reads the configuration again. With an error nothing has changed.
 func (d *Daemon) Reload() error {
@@ -228,7 +230,7 @@
 	if err != nil {
 		return err
 	}
-	if err := d.mayBecome(op); err != nil {
+	if err := d.checkReloadable(op); err != nil {
 		return err
 	}
 	if err := platform.ValidateCachedEndpoints(cfg.Known); err != nil {
@@ -236,8 +238,8 @@
 	}
 	// Only what is new is carried out: a reload for another reason leaves tenants
 	// where the operators have moved them.
-	if op.Cells != nil && !bytes.Equal(text, d.text) {
-		ctx, cancel := context.WithTimeout(context.Background(), replanLimit)
+	if op.Cells != nil && !bytes.Equal(text, d.operatorText) {
+		ctx, cancel := context.WithTimeout(context.Background(), replanTimeout)
 		defer cancel()
 		m, err := d.Core.Replan(ctx, op.Cells)
 		if err != nil {
@@ -248,13 +250,13 @@
 	if err := d.platform.Reload(cfg); err != nil {
 		return err
 	}
-	d.operator, d.text = op, text
+	d.operator, d.operatorText = op, text
 	d.Config.Discovery = cfg.Discovery
 	return nil
 }
 
-// mayBecome checks what a reload cannot change.
-func (d *Daemon) mayBecome(op *config.Operator) error {
+// checkReloadable checks what a reload cannot change.
+func (d *Daemon) checkReloadable(op *config.Operator) error {
 	switch {
 	case op.ControlSocket != d.operator.ControlSocket:
 		return errors.New("control.socket: it holds until the scheduler is started again")
@@ -269,10 +271,10 @@
 // Kill ends the scheduler at once, as a kill of its process would for its peers.
 func (d *Daemon) Kill() { d.finish(d.platform.Kill) }
 
-// isEnding reports whether the end has begun.
-func (d *Daemon) isEnding() bool {
+// isShuttingDown reports whether the end has begun.
+func (d *Daemon) isShuttingDown() bool {
 	select {
-	case <-d.ending:
+	case <-d.shutdown:
 		return true
 	default:
 		return false
@@ -282,14 +284,14 @@
 // finish ends the platform by stop, and then what operators and other processes see of this one. A
 // start that is under way comes to its end before, or does not begin to serve any more.
 func (d *Daemon) finish(stop func()) {
-	d.end.Do(func() { close(d.ending) })
-	d.mu.Lock()
-	defer d.mu.Unlock()
+	d.shutdownOnce.Do(func() { close(d.shutdown) })
+	d.startMu.Lock()
+	defer d.startMu.Unlock()
 	stop()
-	d.over.Do(func() { close(d.gone) })
-	d.awaitList()
-	d.stopOperators()
-	if d.place != nil {
-		d.place.Leave()
+	d.drainedOnce.Do(func() { close(d.drained) })
+	d.awaitCheckpoint()
+	d.stopOperatorEndpoints()
+	if d.takeoverLock != nil {
+		d.takeoverLock.Release()
 	}
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -24,18 +24,18 @@
  (cell mainland (share 0.5) (tenants central-belt)) (cell isles (share 0.5) (tenants islands))))`
 
 // world is a scheduler with cells between stand-ins.
-type world struct {
+type fixture struct {
 	*Daemon
-	nodes    []*standin.Node
-	list     *standin.Discovery
-	operator string
-	config   string
-	socket   string
+	workers   []*standin.Node
+	discovery *standin.Discovery
+	operator  string
+	config    string
+	socket    string
 }
 
-func begin(t *testing.T, operator string) *world {
+func startFixture(t *testing.T, operator string) *fixture {
 	t.Helper()
-	w := &world{}
+	w := &fixture{}
 	for i := range 6 {
 		n, err := standin.StartNode(fmt.Sprint("n", i), "stirling", "medium", 4, 8, func(class string) time.Duration {
 			if class == "ratify" {
@@ -47,13 +47,13 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(n.Crash)
-		w.nodes = append(w.nodes, n)
+		w.workers = append(w.workers, n)
 	}
 	var err error
-	if w.list, err = standin.StartDiscovery(w.nodes...); err != nil {
+	if w.discovery, err = standin.StartDiscovery(w.workers...); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { w.list.Close(); w.list.Reset() })
+	t.Cleanup(func() { w.discovery.Close(); w.discovery.Reset() })
 	dir := t.TempDir()
 	w.operator, w.config, w.socket = filepath.Join(dir, "operator.sexp"), filepath.Join(dir, "config.json"), filepath.Join(dir, "c.sock")
 	text, err := os.ReadFile("../../examples/config.json")
@@ -64,7 +64,7 @@
 	if err := json.Unmarshal(text, &cfg); err != nil {
 		t.Fatal(err)
 	}
-	cfg["listen"], cfg["discovery"], cfg["known"] = "127.0.0.1:0", w.list.Addr().String(), json.RawMessage(w.list.Known())
+	cfg["listen"], cfg["discovery"], cfg["known"] = "127.0.0.1:0", w.discovery.Addr().String(), json.RawMessage(w.discovery.Known())
 	cfg["limits"] = map[string]any{"memory_mb": 192, "sockets": 256}
 	text, _ = json.Marshal(cfg)
 	w.write(t, w.config, string(text))
@@ -78,21 +78,21 @@
 	return w
 }
 
-func (w *world) getenv(name string) string {
+func (w *fixture) getenv(name string) string {
 	if name == "LB_CONFIG" {
 		return w.config
 	}
 	return ""
 }
 
-func (w *world) write(t *testing.T, path, text string) {
+func (w *fixture) write(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (w *world) await(t *testing.T, what string, is func() bool) {
+func (w *fixture) await(t *testing.T, what string, is func() bool) {
 	t.Helper()
 	for end := time.Now().Add(patience); !is(); {
 		if time.Now().After(end) {
@@ -102,12 +102,12 @@
 	}
 }
 
-func (w *world) submitter(tenant, class, name string) *standin.Submitter {
+func (w *fixture) client(tenant, class, name string) *standin.Submitter {
 	return &standin.Submitter{Addr: w.Addr().String(), Tenant: tenant, Class: class, Name: name, Aim: patience, Remaining: 5 * time.Second}
 }
 
-// cellOf is the cell of each node, by name.
-func (w *world) cellOf(t *testing.T) map[string]string {
+// workerCells is the cell of each node, by name.
+func (w *fixture) workerCells(t *testing.T) map[string]string {
 	t.Helper()
 	states, err := w.Core.Cells(context.Background())
 	if err != nil {
@@ -123,9 +123,9 @@
 }
 
 // ran is how many jobs of a tenant ran in each cell.
-func (w *world) ran(t *testing.T, tenant string) map[string]int {
-	cells, ran := w.cellOf(t), map[string]int{}
-	for _, n := range w.nodes {
+func (w *fixture) runsByCell(t *testing.T, tenant string) map[string]int {
+	cells, ran := w.workerCells(t), map[string]int{}
+	for _, n := range w.workers {
 		ran[cells[n.Name]] += n.Tenants()[tenant]
 	}
 	return ran
@@ -134,20 +134,20 @@
 // Real sockets: each tenant's jobs run on its cell's nodes, and after a move on the
 // other's; a ratify that is out at the move runs once.
 func TestCellsOnSockets(t *testing.T) {
-	w := begin(t, twoCells)
-	islands, mainland := w.submitter("islands", "reading", "i"), w.submitter("central-belt", "reading", "m")
+	w := startFixture(t, twoCells)
+	islands, mainland := w.client("islands", "reading", "i"), w.client("central-belt", "reading", "m")
 	for range 20 {
 		if a, b := islands.Send(), mainland.Send(); a != 200 || b != 200 {
 			t.Fatalf("answers %d, %d", a, b)
 		}
 	}
-	if a, b := w.ran(t, "islands"), w.ran(t, "central-belt"); a["isles"] != 20 || b["mainland"] != 20 {
+	if a, b := w.runsByCell(t, "islands"), w.runsByCell(t, "central-belt"); a["isles"] != 20 || b["mainland"] != 20 {
 		t.Errorf("islands ran in %v, central-belt in %v", a, b)
 	}
-	ratify := w.submitter("islands", "ratify", "r")
+	ratify := w.client("islands", "ratify", "r")
 	answer := make(chan int)
 	go func() { answer <- ratify.Send() }()
-	w.await(t, "the ratify runs", func() bool { return w.ran(t, "islands")["isles"] == 21 })
+	w.await(t, "the ratify runs", func() bool { return w.runsByCell(t, "islands")["isles"] == 21 })
 	m, err := w.Core.MigrateTenant(t.Context(), "islands", "mainland")
 	if err != nil || m.InFlight != 1 || m.Queued != 0 {
 		t.Errorf("%+v, %v", m, err)
@@ -158,7 +158,7 @@
 	if a := <-answer; a != 200 {
 		t.Errorf("the ratify's answer is %d", a)
 	}
-	if ran := w.ran(t, "islands"); ran["isles"] != 21 || ran["mainland"] != 1 {
+	if ran := w.runsByCell(t, "islands"); ran["isles"] != 21 || ran["mainland"] != 1 {
 		t.Errorf("islands ran in %v", ran)
 	}
 }
@@ -167,7 +167,7 @@
 // the operators' moves alone; a faulty one, and what a reload cannot change, change
 // nothing and say why.
 func TestReloadOfCells(t *testing.T) {
-	w := begin(t, twoCells)
+	w := startFixture(t, twoCells)
 	if _, err := w.Core.MigrateTenant(t.Context(), "islands", "mainland"); err != nil {
 		t.Fatal(err)
 	}
@@ -210,7 +210,7 @@
 	if got := tenants(); got != "islands far, central-belt mainland" {
 		t.Errorf("after a changed file: %s", got)
 	}
-	if a := w.submitter("islands", "reading", "i").Send(); a != 200 {
+	if a := w.client("islands", "reading", "i").Send(); a != 200 {
 		t.Errorf("answer %d", a)
 	}
 }
@@ -218,7 +218,7 @@
 // Hard case 6: connections of a cell past its bound end after their answer, and leave
 // other cells' alone.
 func TestConnectionsOfACell(t *testing.T) {
-	w := begin(t, strings.Replace(twoCells, "(tenants islands)", "(tenants islands) (connections 3)", 1))
+	w := startFixture(t, strings.Replace(twoCells, "(tenants islands)", "(tenants islands) (connections 3)", 1))
 	ask := func(c net.Conn, id, tenant string) bool {
 		c.SetDeadline(time.Now().Add(patience))
 		fmt.Fprintf(c, "POST /reading HTTP/1.1\r\nHost: x\r\nX-Txn: %s\r\nX-Lane: reading\r\nX-Org: %s\r\nX-Remaining: 5000m\r\nContent-Length: 0\r\n\r\n", id, tenant)
@@ -248,10 +248,10 @@
 
 // Hard case 9: a kill in the middle of moves: what is answered is true, and a start
 // from the same files has the file's map.
-func TestKillAmidMoves(t *testing.T) {
-	w := begin(t, twoCells)
+func TestKillDuringMigrations(t *testing.T) {
+	w := startFixture(t, twoCells)
 	stop := make(chan struct{})
-	s := w.submitter("islands", "ratify", "r")
+	s := w.client("islands", "ratify", "r")
 	s.Remaining = time.Second
 	done := make(chan struct{})
 	go func() {
@@ -268,7 +268,7 @@
 	close(stop)
 	<-done
 	runs := map[string]int{}
-	for _, n := range w.nodes {
+	for _, n := range w.workers {
 		for id, k := range n.Runs() {
 			runs[id] += k
 		}
--- a/internal/daemon/list.go
+++ b/internal/daemon/list.go
@@ -10,15 +10,15 @@
 	"github.com/vatu-meals/foxlift/internal/checkpoint"
 )
 
-// loadList starts from the machine list that was kept, where the operator's file asks for that and it
+// loadCheckpoint starts from the machine list that was kept, where the operator's file asks for that and it
 // can be used. Its changes are asked for as those of a list that the configuration has as last known.
-func (d *Daemon) loadList() {
+func (d *Daemon) loadCheckpoint() {
 	path := d.operator.EndpointCheckpoint
 	if path == "" {
 		return
 	}
-	d.keeper = checkpoint.New(path, d.Counters)
-	list, err := d.keeper.Load(d.Config.Discovery, time.Now())
+	d.checkpointWriter = checkpoint.New(path, d.Counters)
+	list, err := d.checkpointWriter.Load(d.Config.Discovery, time.Now())
 	switch {
 	case err == nil:
 		d.Config.Known = list
@@ -29,39 +29,39 @@
 	}
 }
 
-// lastKeepLimit is how long the end waits for the list to be kept: a disk that stands still must not
+// finalCheckpointTimeout is how long the end waits for the list to be kept: a disk that stands still must not
 // hold it up to the kill.
-const lastKeepLimit = 300 * time.Millisecond
+const finalCheckpointTimeout = 300 * time.Millisecond
 
-// awaitList waits, at the end, until the list has been kept for the last time.
-func (d *Daemon) awaitList() {
-	if d.listKept == nil {
+// awaitCheckpoint waits, at the end, until the list has been kept for the last time.
+func (d *Daemon) awaitCheckpoint() {
+	if d.checkpointDone == nil {
 		return
 	}
 	select {
-	case <-d.listKept:
-	case <-time.After(lastKeepLimit):
+	case <-d.checkpointDone:
+	case <-time.After(finalCheckpointTimeout):
 		d.log.Warn("the machine list may not have been kept at the end")
 	}
 }
 
-// keepList keeps the machine list, on a goroutine of its own: a disk that stands still holds up nothing
+// writeCheckpoints keeps the machine list, on a goroutine of its own: a disk that stands still holds up nothing
 // else. It ends, with a last look, when the scheduler does.
-func (d *Daemon) keepList() {
-	defer close(d.listKept)
-	look := time.NewTicker(checkpoint.Look)
+func (d *Daemon) writeCheckpoints() {
+	defer close(d.checkpointDone)
+	look := time.NewTicker(checkpoint.PollInterval)
 	defer look.Stop()
 	for {
-		keep := d.keeper.Keep
+		keep := d.checkpointWriter.WriteIfDue
 		select {
 		case <-look.C:
-		case <-d.ending:
-			keep = d.keeper.Flush
+		case <-d.shutdown:
+			keep = d.checkpointWriter.Flush
 		}
 		if err := keep(d.platform, time.Now()); err != nil {
 			d.log.Warn("the machine list is not kept", zap.Error(err))
 		}
-		if d.isEnding() {
+		if d.isShuttingDown() {
 			return
 		}
 	}
--- a/internal/daemon/list_test.go
+++ b/internal/daemon/list_test.go
@@ -8,10 +8,10 @@
 	"go.uber.org/zap"
 )
 
-const keepsList = `(foxlift (list (checkpoint %q)))`
+const withCheckpoint = `(foxlift (list (checkpoint %q)))`
 
 // again starts the world's scheduler anew.
-func (w *world) again(t *testing.T) {
+func (w *fixture) restart(t *testing.T) {
 	t.Helper()
 	d, err := Start(Options{Getenv: w.getenv, Operator: w.operator, Log: zap.NewNop()})
 	if err != nil {
@@ -24,13 +24,13 @@
 
 // A scheduler that is told to end leaves its list, and the next one goes on from it with the changes
 // since. A list that is spoilt is refused and the scheduler serves all the same.
-func TestListIsKept(t *testing.T) {
-	w := begin(t, keepsList)
+func TestCheckpointIsUsedAfterRestart(t *testing.T) {
+	w := startFixture(t, withCheckpoint)
 	w.await(t, "told", func() bool { _, told := w.platform.EndpointsVersion(); return told })
 	w.ShutDown()
 	w.await(t, "kept", func() bool { _, err := os.Stat(w.socket); return err == nil })
-	w.list.Put(w.nodes[0], "leaving")
-	w.again(t)
+	w.discovery.Put(w.workers[0], "leaving")
+	w.restart(t)
 	if got := w.Counters.Get("checkpoint.used"); got != 1 {
 		t.Errorf("used %d times", got)
 	}
@@ -42,7 +42,7 @@
 	if err := os.Truncate(w.socket, 100); err != nil {
 		t.Fatal(err)
 	}
-	w.again(t)
+	w.restart(t)
 	if got := w.Counters.Get("checkpoint.refused"); got != 1 {
 		t.Errorf("refused %d times", got)
 	}
@@ -50,8 +50,8 @@
 }
 
 // A reload that names another file, or none, is refused by its key and changes nothing.
-func TestReloadDoesNotMoveTheKeptList(t *testing.T) {
-	w := begin(t, keepsList)
+func TestReloadCannotChangeCheckpointPath(t *testing.T) {
+	w := startFixture(t, withCheckpoint)
 	for _, text := range []string{"", `(foxlift (list (checkpoint "/other")))`} {
 		w.write(t, w.operator, text)
 		if err := w.Reload(); err == nil || !strings.Contains(err.Error(), "list.checkpoint") {
@@ -61,11 +61,11 @@
 }
 
 // Without the operator's file nothing is kept.
-func TestNoListIsKeptUnasked(t *testing.T) {
-	w := begin(t, "; %s")
+func TestNoCheckpointByDefault(t *testing.T) {
+	w := startFixture(t, "; %s")
 	w.await(t, "told", func() bool { _, told := w.platform.EndpointsVersion(); return told })
 	w.ShutDown()
-	if w.keeper != nil {
+	if w.checkpointWriter != nil {
 		t.Error("there is a keeper")
 	}
 	if _, err := os.Stat(w.socket); err == nil {
--- a/internal/daemon/scenario_test.go
+++ b/internal/daemon/scenario_test.go
@@ -30,9 +30,9 @@
 
 // What may happen to what goes to a node: its own requests a network does not make
 // twice or turn round. What a node or a submitter sends may be anything.
-var towardsNodes = []standin.Fault{standin.Pass, standin.Pass, standin.Pass, standin.Delay, standin.Split, standin.Truncate, standin.Reset, standin.CloseHalf}
+var faultsTowardsWorkers = []standin.Fault{standin.Pass, standin.Pass, standin.Pass, standin.Delay, standin.Split, standin.Truncate, standin.Reset, standin.CloseHalf}
 
-func faults(rng *rand.Rand, n int, of []standin.Fault) (script []standin.Fault) {
+func drawFaults(rng *rand.Rand, n int, of []standin.Fault) (script []standin.Fault) {
 	for range n {
 		if of != nil {
 			script = append(script, of[rng.IntN(len(of))])
@@ -61,7 +61,7 @@
 		n, err := standin.StartNode(fmt.Sprint("n", i), "a", "k", 2, 4, func(string) time.Duration { return 2 * time.Millisecond })
 		must(err)
 		defer n.Crash()
-		p, err := standin.StartProxy(n.Addr(), faults(rng, 12, towardsNodes), faults(rng, 12, nil))
+		p, err := standin.StartProxy(n.Addr(), drawFaults(rng, 12, faultsTowardsWorkers), drawFaults(rng, 12, nil))
 		must(err)
 		defer p.Stop()
 		n.Via = p.Addr().String()
@@ -78,7 +78,7 @@
 	}, &config.Operator{})
 	must(err)
 	defer d.Kill()
-	front, err := standin.StartProxy(d.Addr().String(), faults(rng, 16, nil), faults(rng, 8, []standin.Fault{standin.Pass, standin.Delay, standin.Split}))
+	front, err := standin.StartProxy(d.Addr().String(), drawFaults(rng, 16, nil), drawFaults(rng, 8, []standin.Fault{standin.Pass, standin.Delay, standin.Split}))
 	must(err)
 	defer front.Stop()
 	for !d.Core.Ready() {
--- a/internal/daemon/upgrade.go
+++ b/internal/daemon/upgrade.go
@@ -15,32 +15,32 @@
 
 // How a process takes over from another that serves the same address.
 const (
-	placeLimit   = 4 * time.Second        // for a place, where two processes are there already
-	informLimit  = 4 * time.Second        // for an answer from discovery; the old list has to do after it
-	informPause  = 10 * time.Millisecond  // between two looks whether there is one
-	placePause   = 100 * time.Millisecond // between two looks at the other process
-	alone        = 1                      // processes that share the limits
-	withAnother  = 2
-	directoryKey = "TMPDIR"
-	settleLimit  = 5 * time.Second        // from the start to the yes, which is due after 6 s
-	settleLeast  = 500 * time.Millisecond // from listening to the yes: until then the other's resting connections may bring jobs
-	stateLimit   = time.Second            // for the core to tell its state, or to take one
-	stateAge     = 2 * time.Second        // a state that is older was left behind
-	stateWait    = 5 * placePause         // for the older process to write its state
-	stateShare   = 9                      // so many times as long as writing a state took, none is written
+	acquireTimeout          = 4 * time.Second        // for a place, where two processes are there already
+	endpointsTimeout        = 4 * time.Second        // for an answer from discovery; the old list has to do after it
+	startPollInterval       = 10 * time.Millisecond  // between two looks whether there is one
+	takeoverPollInterval    = 100 * time.Millisecond // between two looks at the other process
+	singleProcess           = 1                      // processes that share the limits
+	twoProcesses            = 2
+	lockDirectoryVariable   = "TMPDIR"
+	readyTimeout            = 5 * time.Second          // from the start to the yes, which is due after 6 s
+	minOverlap              = 500 * time.Millisecond   // from listening to the yes: until then the other's resting connections may bring jobs
+	stateTimeout            = time.Second              // for the core to tell its state, or to take one
+	maxStateAge             = 2 * time.Second          // a state that is older was left behind
+	predecessorStateTimeout = 5 * takeoverPollInterval // for the older process to write its state
+	stateRestFactor         = 9                        // so many times as long as writing a state took, none is written
 )
 
-// takePlace finds out whether another process serves the address. A directory in which that
+// acquireTakeoverLock finds out whether another process serves the address. A directory in which that
 // cannot be found out leaves this process alone.
-func (d *Daemon) takePlace() error {
+func (d *Daemon) acquireTakeoverLock() error {
 	if d.Config.Admin == "" {
 		return nil
 	}
-	directory := d.options.Getenv(directoryKey)
+	directory := d.options.Getenv(lockDirectoryVariable)
 	if directory == "" {
 		directory = os.TempDir()
 	}
-	place, err := upgrade.AcquireTakeover(directory, d.Config.Listen, placeLimit, placePause)
+	place, err := upgrade.AcquireTakeover(directory, d.Config.Listen, acquireTimeout, takeoverPollInterval)
 	switch {
 	case errors.Is(err, upgrade.ErrTakeoverInProgress):
 		return fmt.Errorf("listen (LB_LISTEN): %w", err)
@@ -48,28 +48,28 @@
 		d.log.Warn("another process cannot take over without a break", zap.Error(err))
 		return nil
 	}
-	d.place = place
+	d.takeoverLock = place
 	return nil
 }
 
 // succeed takes over from the process that serves: this one listens only when it is ready.
-func (d *Daemon) succeed() {
-	d.share(withAnother)
+func (d *Daemon) runSuccessor() {
+	d.divideLimits(twoProcesses)
 	d.platform.StartWatch()
-	if !d.awaitInformed() || !d.awaitState() {
+	if !d.awaitEndpoints() || !d.awaitPredecessorState() {
 		return // it is to end before it served
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.isEnding() {
+	d.startMu.Lock()
+	defer d.startMu.Unlock()
+	if d.isShuttingDown() {
 		return
 	}
-	d.loadState()
+	d.restoreState()
 	if err := d.serve(); err != nil {
-		d.failed <- err
+		d.failures <- err
 		return
 	}
-	go d.watchOther()
+	go d.watchOtherProcess()
 }
 
 // serve listens and takes what comes, from the other process too where there is one.
@@ -77,29 +77,29 @@
 	if err := d.platform.Listen(); err != nil {
 		return err
 	}
-	if d.place != nil && d.place.Successor() {
+	if d.takeoverLock != nil && d.takeoverLock.IsSuccessor() {
 		d.platform.SteerConnections()
 	} else {
 		d.platform.StartWatch()
 	}
 	d.platform.Accept()
-	if d.place != nil {
-		if err := d.place.Announce(); err != nil {
+	if d.takeoverLock != nil {
+		if err := d.takeoverLock.AnnounceListening(); err != nil {
 			d.log.Warn("the older process does not learn of this one", zap.Error(err))
 		}
 	}
-	d.listened = time.Now()
-	d.settled.Store(d.place == nil || !d.place.Successor())
+	d.listeningSince = time.Now()
+	d.predecessorDrained.Store(d.takeoverLock == nil || !d.takeoverLock.IsSuccessor())
 	d.serving.Store(true)
 	d.log.Info("it listens", zap.Stringer("address", d.Addr()))
 	return nil
 }
 
-// awaitInformed waits until the machine list is known well enough to serve; false at the end.
-func (d *Daemon) awaitInformed() bool {
-	limit := time.After(informLimit)
+// awaitEndpoints waits until the machine list is known well enough to serve; false at the end.
+func (d *Daemon) awaitEndpoints() bool {
+	limit := time.After(endpointsTimeout)
 	ready := d.platform.HasSynced
-	for look := time.NewTicker(informPause); ; {
+	for look := time.NewTicker(startPollInterval); ; {
 		if ready() {
 			look.Stop()
 			return true
@@ -108,39 +108,39 @@
 		case <-look.C:
 		case <-limit:
 			ready = d.Core.HasWorkers
-		case <-d.ending:
+		case <-d.shutdown:
 			return false
 		}
 	}
 }
 
-// awaitState waits until the older process, which looks for a successor now and then, has written its
+// awaitPredecessorState waits until the older process, which looks for a successor now and then, has written its
 // state; it may never do so. False at the end.
-func (d *Daemon) awaitState() bool {
-	limit := time.After(stateWait)
-	look := time.NewTicker(informPause)
+func (d *Daemon) awaitPredecessorState() bool {
+	limit := time.After(predecessorStateTimeout)
+	look := time.NewTicker(startPollInterval)
 	defer look.Stop()
 	for {
 		var older core.Progress
-		if d.loadFresh(&older, &older) == nil {
+		if d.loadFreshState(&older, &older) == nil {
 			return true
 		}
 		select {
 		case <-look.C:
 		case <-limit:
 			return true
-		case <-d.ending:
+		case <-d.shutdown:
 			return false
 		}
 	}
 }
 
-// loadState goes on from what the older process has learned, if that can be read.
-func (d *Daemon) loadState() {
+// restoreState goes on from what the older process has learned, if that can be read.
+func (d *Daemon) restoreState() {
 	state := &core.State{}
-	err := d.loadFresh(state, &state.Progress)
+	err := d.loadFreshState(state, &state.Progress)
 	if err == nil {
-		ctx, cancel := context.WithTimeout(context.Background(), stateLimit)
+		ctx, cancel := context.WithTimeout(context.Background(), stateTimeout)
 		defer cancel()
 		err = d.Core.RestoreState(ctx, state)
 	}
@@ -150,76 +150,76 @@
 	}
 }
 
-// errOld means that a state was left by a process that is no more.
-var errOld = errors.New("the state of the older process is old")
+// errStaleState means that a state was left by a process that is no more.
+var errStaleState = errors.New("the state of the older process is old")
 
-// loadFresh reads the older process's state, or a part of it that holds its progress.
-func (d *Daemon) loadFresh(state any, progress *core.Progress) error {
-	if err := d.place.Load(state); err != nil {
+// loadFreshState reads the older process's state, or a part of it that holds its progress.
+func (d *Daemon) loadFreshState(state any, progress *core.Progress) error {
+	if err := d.takeoverLock.LoadState(state); err != nil {
 		return err
 	}
-	if age := time.Since(time.Unix(0, progress.TakenAt)); age < -stateAge || age > stateAge {
-		return errOld
+	if age := time.Since(time.Unix(0, progress.TakenAt)); age < -maxStateAge || age > maxStateAge {
+		return errStaleState
 	}
 	return nil
 }
 
 // saveState writes what a successor needs.
 func (d *Daemon) saveState() {
-	ctx, cancel := context.WithTimeout(context.Background(), stateLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), stateTimeout)
 	defer cancel()
 	state, err := d.Core.State(ctx)
 	if err == nil {
-		err = d.place.Save(state)
+		err = d.takeoverLock.SaveState(state)
 	}
 	if err != nil {
 		d.Counters.Add("upgrades.not_saved")
 	}
 }
 
-// watchOther shares the limits with another process while there is one: the older one, whose place
+// watchOtherProcess shares the limits with another process while there is one: the older one, whose place
 // this one takes when it has gone, or a newer one, for which it writes its state. It runs until all
 // is answered.
-func (d *Daemon) watchOther() {
-	look := time.NewTicker(placePause)
+func (d *Daemon) watchOtherProcess() {
+	look := time.NewTicker(takeoverPollInterval)
 	defer look.Stop()
-	shared, rested := d.place.Successor(), time.Time{}
+	shared, rested := d.takeoverLock.IsSuccessor(), time.Time{}
 	for {
 		select {
 		case <-look.C:
-		case <-d.gone:
+		case <-d.drained:
 			return
 		}
-		another := d.another()
-		d.platform.YieldConnections(d.place.Succeeded())
+		another := d.checkOtherProcess()
+		d.platform.YieldConnections(d.takeoverLock.SuccessorListening())
 		if another != shared {
 			shared = another
-			d.share(processes(another))
+			d.divideLimits(processCount(another))
 		}
-		if began := time.Now(); another && !d.place.Successor() && !began.Before(rested) {
+		if began := time.Now(); another && !d.takeoverLock.IsSuccessor() && !began.Before(rested) {
 			d.saveState()
-			rested = time.Now().Add(stateShare * time.Since(began))
+			rested = time.Now().Add(stateRestFactor * time.Since(began))
 		}
 	}
 }
 
 // another reports whether another process is there.
-func (d *Daemon) another() bool {
-	if !d.place.Successor() {
-		return d.place.Succeeding()
+func (d *Daemon) checkOtherProcess() bool {
+	if !d.takeoverLock.IsSuccessor() {
+		return d.takeoverLock.HasSuccessor()
 	}
-	first, err := d.place.Promote()
+	first, err := d.takeoverLock.Promote()
 	switch {
 	case errors.Is(err, os.ErrClosed): // this process has given up its place meanwhile
 	case err != nil:
 		d.log.Warn("the place of the serving process cannot be taken", zap.Error(err))
 	case !first:
-		d.followOlder()
+		d.followPredecessor()
 	case first:
 		d.log.Info("the older process has ended")
 		d.Core.SetExternalSlots(nil)
-		d.place.Discard()
-		d.settled.Store(true)
+		d.takeoverLock.DiscardState()
+		d.predecessorDrained.Store(true)
 		if err := d.startControl(); err != nil {
 			d.log.Error("no control socket", zap.Error(err))
 		}
@@ -227,31 +227,31 @@
 	return !first
 }
 
-// followOlder looks at what the older process still has to do. This one says yes once that is
+// followPredecessor looks at what the older process still has to do. This one says yes once that is
 // nothing, since the other may then be ended without a loss; or when the yes is due.
-func (d *Daemon) followOlder() {
-	if time.Since(d.started) >= settleLimit {
-		d.settled.Store(true)
+func (d *Daemon) followPredecessor() {
+	if time.Since(d.startedAt) >= readyTimeout {
+		d.predecessorDrained.Store(true)
 	}
 	var older core.Progress // the rest is taken once, at the start
-	if err := d.loadFresh(&older, &older); err != nil {
+	if err := d.loadFreshState(&older, &older); err != nil {
 		return
 	}
 	d.Core.SetExternalSlots(older.InFlight)
-	if relieved := time.Unix(0, older.TakenAt).Sub(d.listened); relieved > settleLeast && older.Open == 0 {
-		d.settled.Store(true)
+	if relieved := time.Unix(0, older.TakenAt).Sub(d.listeningSince); relieved > minOverlap && older.Open == 0 {
+		d.predecessorDrained.Store(true)
 	}
 }
 
-func processes(another bool) int {
+func processCount(another bool) int {
 	if another {
-		return withAnother
+		return twoProcesses
 	}
-	return alone
+	return singleProcess
 }
 
 // share keeps the scheduler to its part of the limits.
-func (d *Daemon) share(processes int) {
+func (d *Daemon) divideLimits(processes int) {
 	d.platform.DivideDescriptors(processes)
 	if d.options.LimitMemory != nil {
 		d.options.LimitMemory(int64(d.Config.MemoryMB) << 20 / int64(processes))
@@ -265,7 +265,7 @@
 		switch {
 		case !d.serving.Load():
 			d.platform.Kill()
-		case d.place != nil && d.place.Succeeded():
+		case d.takeoverLock != nil && d.takeoverLock.SuccessorListening():
 			d.log.Info("another process has taken over")
 			d.platform.ShutDownAfterTakeover()
 		default:
--- a/internal/daemon/upgrade_test.go
+++ b/internal/daemon/upgrade_test.go
@@ -11,8 +11,8 @@
 )
 
 // served is a world's scheduler with an operators' address, and what another process of it needs.
-type served struct {
-	*world
+type adminFixture struct {
+	*fixture
 	listen, directory string
 }
 
@@ -27,17 +27,17 @@
 	return l.Addr().String()
 }
 
-// serveWithOperators starts a world's scheduler anew, with an operators' address.
-func serveWithOperators(t *testing.T) (*served, *Daemon) {
+// startAdminFixture starts a world's scheduler anew, with an operators' address.
+func startAdminFixture(t *testing.T) (*adminFixture, *Daemon) {
 	t.Helper()
-	w := begin(t, "(foxlift (control (socket %q)))")
+	w := startFixture(t, "(foxlift (control (socket %q)))")
 	w.Kill()
-	s := &served{w, freeAddress(t), t.TempDir()}
-	return s, s.next(t)
+	s := &adminFixture{w, freeAddress(t), t.TempDir()}
+	return s, s.startProcess(t)
 }
 
 // next starts another process's part of the same scheduler.
-func (s *served) next(t *testing.T) *Daemon {
+func (s *adminFixture) startProcess(t *testing.T) *Daemon {
 	t.Helper()
 	variables := map[string]string{"LB_CONFIG": s.config, "LB_LISTEN": s.listen, "LB_ADMIN": "127.0.0.1:0", "TMPDIR": s.directory}
 	d, err := Start(Options{Getenv: func(name string) string { return variables[name] }, Operator: s.operator, Log: zap.NewNop()})
@@ -61,18 +61,18 @@
 
 // A second process takes over: it says yes within the time that is due, the clients' health is yes
 // throughout, the older one ends at once, and the control socket is the newer one's then.
-func TestTakeOver(t *testing.T) {
-	s, older := serveWithOperators(t)
+func TestTakeover(t *testing.T) {
+	s, older := startAdminFixture(t)
 	s.await(t, "the older one is ready", older.Ready)
 	if got := health(t, older.AdminAddr().String()+"/admin/health"); got != http.StatusOK {
 		t.Errorf("the older one's health: %d", got)
 	}
-	newer := s.next(t)
+	newer := s.startProcess(t)
 	s.await(t, "the newer one is ready", newer.Ready)
 	if newer.Counters.Get("upgrades.without_state") != 0 {
 		t.Error("nothing was handed over")
 	}
-	s.await(t, "the older one sends clients away", func() bool { return older.platform.Ready() && older.place.Succeeded() })
+	s.await(t, "the older one sends clients away", func() bool { return older.platform.Ready() && older.takeoverLock.SuccessorListening() })
 	if got := health(t, s.listen+"/_health"); got != http.StatusOK {
 		t.Errorf("the clients' health beside two processes: %d", got)
 	}
@@ -80,22 +80,22 @@
 	if got := health(t, s.listen+"/_health"); got != http.StatusOK {
 		t.Errorf("the clients' health after the older one's end: %d", got)
 	}
-	s.await(t, "the newer one has the place", func() bool { return !newer.place.Successor() })
+	s.await(t, "the newer one has the place", func() bool { return !newer.takeoverLock.IsSuccessor() })
 	s.await(t, "the control socket is its", func() bool { return newer.control.Load() != nil })
 }
 
 // A process that ends before it serves leaves the older one as it was.
-func TestSuccessorEndsBeforeItServes(t *testing.T) {
-	s, older := serveWithOperators(t)
+func TestSuccessorStopsBeforeServing(t *testing.T) {
+	s, older := startAdminFixture(t)
 	s.await(t, "the older one is ready", older.Ready)
-	s.list.Close() // the newer one waits for an answer
-	s.list.Reset()
-	newer := s.next(t)
+	s.discovery.Close() // the newer one waits for an answer
+	s.discovery.Reset()
+	newer := s.startProcess(t)
 	if newer.Ready() {
 		t.Error("it is ready without an answer from discovery")
 	}
 	newer.ShutDown()
-	s.await(t, "the older one is alone", func() bool { return !older.place.Succeeding() })
+	s.await(t, "the older one is alone", func() bool { return !older.takeoverLock.HasSuccessor() })
 	if got := health(t, s.listen+"/_health"); got != http.StatusOK {
 		t.Errorf("the clients' health: %d", got)
 	}
@@ -103,20 +103,20 @@
 
 // A third process is refused in one line that names the key; one whose operators' address is taken,
 // too.
-func TestNoPlaceLeft(t *testing.T) {
-	s, older := serveWithOperators(t)
+func TestThirdProcessFails(t *testing.T) {
+	s, older := startAdminFixture(t)
 	s.await(t, "the older one is ready", older.Ready)
 	variables := map[string]string{"LB_CONFIG": s.config, "LB_LISTEN": s.listen, "LB_ADMIN": older.AdminAddr().String(), "TMPDIR": s.directory}
 	_, err := Start(Options{Getenv: func(name string) string { return variables[name] }, Operator: s.operator, Log: zap.NewNop()})
 	if err == nil || !strings.Contains(err.Error(), "LB_ADMIN") {
 		t.Errorf("error %v, want one that names LB_ADMIN", err)
 	}
-	newer := s.next(t)
+	newer := s.startProcess(t)
 	s.await(t, "the newer one is ready", newer.Ready)
 	began := time.Now()
 	variables["LB_ADMIN"] = "127.0.0.1:0"
 	_, err = Start(Options{Getenv: func(name string) string { return variables[name] }, Operator: s.operator, Log: zap.NewNop()})
-	if err == nil || !strings.Contains(err.Error(), "LB_LISTEN") || time.Since(began) < placeLimit {
-		t.Errorf("error %v after %v, want one that names LB_LISTEN after %v", err, time.Since(began), placeLimit)
+	if err == nil || !strings.Contains(err.Error(), "LB_LISTEN") || time.Since(began) < acquireTimeout {
+		t.Errorf("error %v after %v, want one that names LB_LISTEN after %v", err, time.Since(began), acquireTimeout)
 	}
 }
--- a/internal/lab/capacity/faults.go
+++ b/internal/lab/capacity/faults.go
@@ -318,9 +318,9 @@
 	case fault == ofAnotherDiscovery:
 		return t.rewrite(func(s *platform.EndpointSnapshot) { s.Discovery = "127.0.0.9:1" })
 	case fault == fromLongAgo:
-		return t.rewrite(func(s *platform.EndpointSnapshot) { s.TakenAt = s.TakenAt.Add(-checkpoint.Oldest - time.Hour) })
+		return t.rewrite(func(s *platform.EndpointSnapshot) { s.TakenAt = s.TakenAt.Add(-checkpoint.MaxAge - time.Hour) })
 	case fault == fromTheFuture:
-		return t.rewrite(func(s *platform.EndpointSnapshot) { s.TakenAt = s.TakenAt.Add(checkpoint.Oldest) })
+		return t.rewrite(func(s *platform.EndpointSnapshot) { s.TakenAt = s.TakenAt.Add(checkpoint.MaxAge) })
 	}
 	data, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/lab/capacity/figures.go
+++ b/internal/lab/capacity/figures.go
@@ -132,8 +132,8 @@
 	ordinary := fs.add(group, "changes", (TargetFailuresADay+2*TargetRestartsADay)/float64(secondsADay), "changes/s", "(210 failures + 2 × 4,900 restarts) / 86,400 s")
 	fs.add(group, "changes_traffic", ordinary*entry/kilobyte, "KB/s", "changes × entry_size")
 	clock := fs.add(group, "clock", pollpacing.MaxPropagationDelay.Seconds(), "s", "`pollpacing.MaxPropagationDelay`: within this a change is in force")
-	missed := fs.add(group, "missed", (checkpoint.Oldest+checkpoint.Every).Seconds()*ordinary+TargetWorkers/TargetZones, "entries",
-		"(`checkpoint.Oldest` + `checkpoint.Every`) × changes + a zone of 558: what the oldest list that is kept has missed")
+	missed := fs.add(group, "missed", (checkpoint.MaxAge+checkpoint.WriteInterval).Seconds()*ordinary+TargetWorkers/TargetZones, "entries",
+		"(`checkpoint.MaxAge` + `checkpoint.WriteInterval`) × changes + a zone of 558: what the oldest list that is kept has missed")
 	answer := fs.add(group, "answer", pollpacing.AnswerBudget.Seconds(), "s", "`pollpacing.AnswerBudget`: of the clock, for a call's turn and its answer")
 	took := fs.add(group, "kept_time", missed*entry/kilobyte/TargetControlTraffic+answer, "s", "missed × entry_size / 24 KB/s + answer: a start with a list that was kept")
 	fs.add(group, "kept_room", (clock-answer)/(took-answer), "times", "(clock − answer) / (kept_time − answer)")
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -184,7 +184,7 @@
 		sockets = append(sockets, p.peers.conn)
 	}
 	for _, s := range sockets {
-		if err := upgrade.Steer(s); err != nil {
+		if err := upgrade.SteerToNewest(s); err != nil {
 			// Some connections go to the older process until it closes its listener.
 			p.log.Warn("the older process goes on getting new connections", zap.Error(err))
 		}
--- a/internal/statefile/statefile_test.go
+++ b/internal/statefile/statefile_test.go
@@ -8,8 +8,8 @@
 )
 
 // Whatever byte of a file is cut off, flipped or added, the file is refused.
-func TestSpoiltFilesAreRefused(t *testing.T) {
-	f := File{Path: filepath.Join(t.TempDir(), "value"), Mark: "test 1\n", Most: 1 << 10}
+func TestCorruptFilesAreUnreadable(t *testing.T) {
+	f := File{Path: filepath.Join(t.TempDir(), "value"), Magic: "test 1\n", MaxSize: 1 << 10}
 	var got []string
 	if err := f.Read(&got); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("no file: %v", err)
@@ -42,13 +42,13 @@
 		}
 	}
 	refused("longer", len(whole), append(append([]byte(nil), whole...), 0))
-	refused("too long", f.Most, make([]byte, f.Most+1))
+	refused("too long", f.MaxSize, make([]byte, f.MaxSize+1))
 }
 
 // A value that cannot be written leaves the one before, and nothing beside it.
-func TestFailedWriteLeavesTheOldValue(t *testing.T) {
+func TestFailedWritePreservesOldValue(t *testing.T) {
 	dir := t.TempDir()
-	f := File{Path: filepath.Join(dir, "value"), Mark: "test 1\n", Most: 64, Sync: true}
+	f := File{Path: filepath.Join(dir, "value"), Magic: "test 1\n", MaxSize: 64, Sync: true}
 	if err := f.Write("old"); err != nil {
 		t.Fatal(err)
 	}
@@ -58,7 +58,7 @@
 	if err := f.Write(func() {}); err == nil {
 		t.Error("a value that has no form is written")
 	}
-	if err := (File{Path: filepath.Join(dir, "no", "folder"), Most: 64}).Write("new"); err == nil {
+	if err := (File{Path: filepath.Join(dir, "no", "folder"), MaxSize: 64}).Write("new"); err == nil {
 		t.Error("written into a folder that is not there")
 	}
 	var got string
--- a/internal/upgrade/place.go
+++ b/internal/upgrade/place.go
@@ -21,9 +21,9 @@
 
 // The bytes of the file that are locked.
 const (
-	byteServing   = 0 // by the process that serves, until it hands over
-	byteSuccessor = 1 // by the one that is to take over
-	byteListening = 2 // by the same, once it listens
+	servingByte   = 0 // by the process that serves, until it hands over
+	successorByte = 1 // by the one that is to take over
+	listeningByte = 2 // by the same, once it listens
 )
 
 // ErrTakeoverInProgress means that two processes hold both places already.
@@ -31,10 +31,10 @@
 
 // A Place is a process's place among those that serve one address.
 type TakeoverLock struct {
-	path      string
-	mu        sync.Mutex
-	file      *os.File    // nil once the place is given up
-	successor atomic.Bool // this process is to take over
+	path        string
+	mu          sync.Mutex
+	file        *os.File    // nil once the place is given up
+	isSuccessor atomic.Bool // this process is to take over
 }
 
 // Take takes a place among the processes that serve an address and share a directory: that of the
@@ -47,7 +47,7 @@
 	}
 	p := &TakeoverLock{path: file.Name(), file: file}
 	for end := time.Now().Add(limit); ; <-time.After(pause) {
-		taken, err := p.takeFree()
+		taken, err := p.acquireFree()
 		switch {
 		case err != nil:
 			file.Close()
@@ -66,50 +66,54 @@
 	return "foxlift-" + strings.NewReplacer(":", "_", "/", "_").Replace(address) + ".lock"
 }
 
-// takeFree takes the first place that is free.
-func (p *TakeoverLock) takeFree() (taken bool, err error) {
-	if taken, err = p.lock(byteServing); taken || err != nil {
+// acquireFree takes the first place that is free.
+func (p *TakeoverLock) acquireFree() (taken bool, err error) {
+	if taken, err = p.tryLock(servingByte); taken || err != nil {
 		return taken, err
 	}
-	taken, err = p.lock(byteSuccessor)
-	p.successor.Store(taken)
+	taken, err = p.tryLock(successorByte)
+	p.isSuccessor.Store(taken)
 	return taken, err
 }
 
-// Successor reports whether another process still serves, from which this one takes over.
-func (p *TakeoverLock) Successor() bool { return p.successor.Load() }
+// IsSuccessor reports whether another process still serves, from which this one takes over.
+func (p *TakeoverLock) IsSuccessor() bool { return p.isSuccessor.Load() }
 
 // Promote makes a successor the serving process once the other has left that place; true if it is
 // the serving process now. Not to be called by two goroutines at once.
 func (p *TakeoverLock) Promote() (bool, error) {
-	if !p.successor.Load() {
+	if !p.isSuccessor.Load() {
 		return true, nil
 	}
-	taken, err := p.lock(byteServing)
+	taken, err := p.tryLock(servingByte)
 	if !taken || err != nil {
 		return false, err
 	}
-	p.successor.Store(false)
-	return true, errors.Join(p.unlock(byteListening), p.unlock(byteSuccessor))
+	p.isSuccessor.Store(false)
+	return true, errors.Join(p.unlock(listeningByte), p.unlock(successorByte))
 }
 
-// Announce tells the serving process that this one, its successor, listens.
-func (p *TakeoverLock) Announce() error {
-	if !p.successor.Load() {
+// AnnounceListening tells the serving process that this one, its successor, listens.
+func (p *TakeoverLock) AnnounceListening() error {
+	if !p.isSuccessor.Load() {
 		return nil
 	}
-	_, err := p.lock(byteListening)
+	_, err := p.tryLock(listeningByte)
 	return err
 }
 
-// Succeeding reports whether there is a process that is to take over from this one.
-func (p *TakeoverLock) Succeeding() bool { return !p.successor.Load() && p.locked(byteSuccessor) }
+// HasSuccessor reports whether there is a process that is to take over from this one.
+func (p *TakeoverLock) HasSuccessor() bool {
+	return !p.isSuccessor.Load() && p.lockedByOther(successorByte)
+}
 
-// Succeeded reports whether that process listens.
-func (p *TakeoverLock) Succeeded() bool { return !p.successor.Load() && p.locked(byteListening) }
+// SuccessorListening reports whether that process listens.
+func (p *TakeoverLock) SuccessorListening() bool {
+	return !p.isSuccessor.Load() && p.lockedByOther(listeningByte)
+}
 
 // Leave gives up the place.
-func (p *TakeoverLock) Leave() {
+func (p *TakeoverLock) Release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.file != nil {
@@ -120,7 +124,7 @@
 
 // set changes the lock on a byte. Any goroutine may call it, also amid Leave: a descriptor that
 // was closed may be another file's by then.
-func (p *TakeoverLock) set(command int, r *unix.Flock_t) error {
+func (p *TakeoverLock) fcntl(command int, r *unix.Flock_t) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.file == nil {
@@ -130,8 +134,8 @@
 }
 
 // lock takes a byte's lock; false if another process has it.
-func (p *TakeoverLock) lock(at int64) (bool, error) {
-	err := p.set(unix.F_OFD_SETLK, byteRange(unix.F_WRLCK, at))
+func (p *TakeoverLock) tryLock(at int64) (bool, error) {
+	err := p.fcntl(unix.F_OFD_SETLK, byteRange(unix.F_WRLCK, at))
 	if errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EACCES) {
 		return false, nil
 	}
@@ -139,13 +143,13 @@
 }
 
 func (p *TakeoverLock) unlock(at int64) error {
-	return p.set(unix.F_OFD_SETLK, byteRange(unix.F_UNLCK, at))
+	return p.fcntl(unix.F_OFD_SETLK, byteRange(unix.F_UNLCK, at))
 }
 
 // locked reports whether another process has a byte's lock.
-func (p *TakeoverLock) locked(at int64) bool {
+func (p *TakeoverLock) lockedByOther(at int64) bool {
 	r := byteRange(unix.F_WRLCK, at)
-	return p.set(unix.F_OFD_GETLK, r) == nil && r.Type != unix.F_UNLCK
+	return p.fcntl(unix.F_OFD_GETLK, r) == nil && r.Type != unix.F_UNLCK
 }
 
 func byteRange(kind int16, at int64) *unix.Flock_t {
--- a/internal/upgrade/socket.go
+++ b/internal/upgrade/socket.go
@@ -15,9 +15,9 @@
 const secondListener = 1
 
 // shared sets SO_REUSEPORT, so that another process of the same user may listen on the address.
-func shared() net.ListenConfig {
+func reusePortConfig() net.ListenConfig {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
-		return control(raw, func(fd int) error {
+		return withDescriptor(raw, func(fd int) error {
 			return unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 		})
 	}}
@@ -27,7 +27,7 @@
 
 // Listen listens on a TCP address that another process may listen on too.
 func Listen(address string) (*net.TCPListener, error) {
-	config := shared()
+	config := reusePortConfig()
 	l, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, err
@@ -37,7 +37,7 @@
 
 // ListenPacket opens a UDP socket on an address that another process may have open too.
 func ListenPacket(address string) (*net.UDPConn, error) {
-	config := shared()
+	config := reusePortConfig()
 	c, err := config.ListenPacket(context.Background(), "udp", address)
 	if err != nil {
 		return nil, err
@@ -47,13 +47,13 @@
 
 // Steer directs all that comes to the address from now on to the newer of its two sockets:
 // connections that are still to be opened, and datagrams. Either socket may be given.
-func Steer(socket syscall.Conn) error {
+func SteerToNewest(socket syscall.Conn) error {
 	raw, err := socket.SyscallConn()
 	if err != nil {
 		return err
 	}
 	program := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: secondListener}}
-	return control(raw, func(fd int) error {
+	return withDescriptor(raw, func(fd int) error {
 		err := unix.SetsockoptSockFprog(fd, unix.SOL_SOCKET, unix.SO_ATTACH_REUSEPORT_CBPF,
 			&unix.SockFprog{Len: uint16(len(program)), Filter: &program[0]})
 		if err != nil {
@@ -64,7 +64,7 @@
 }
 
 // control calls f with a socket's descriptor and returns its error.
-func control(raw syscall.RawConn, f func(fd int) error) error {
+func withDescriptor(raw syscall.RawConn, f func(fd int) error) error {
 	var result error
 	if err := raw.Control(func(fd uintptr) { result = f(int(fd)) }); err != nil {
 		return err
--- a/internal/upgrade/socket_test.go
+++ b/internal/upgrade/socket_test.go
@@ -67,7 +67,7 @@
 	older := listen(t, "127.0.0.1:0")
 	before := open(t, older)
 	newer := listen(t, older.Addr().String())
-	if err := Steer(newer); err != nil {
+	if err := SteerToNewest(newer); err != nil {
 		t.Fatal(err)
 	}
 	after := open(t, newer)
@@ -78,7 +78,7 @@
 	answered(t, after, "newer")
 
 	third := listen(t, newer.Addr().String())
-	if err := Steer(third); err != nil {
+	if err := SteerToNewest(third); err != nil {
 		t.Fatal(err)
 	}
 	after = open(t, third)
@@ -103,7 +103,7 @@
 		t.Fatal(err)
 	}
 	defer newer.Close()
-	if err := Steer(newer); err != nil {
+	if err := SteerToNewest(newer); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 20 {
