--- a/internal/checkpoint/golden_test.go
+++ b/internal/checkpoint/golden_test.go
@@ -16,7 +16,7 @@
 	at := time.Date(2026, time.March, 4, 5, 6, 7, 8000, time.UTC)
 	path := filepath.Join(t.TempDir(), "list")
 	k := New(path, &counters.Set{})
-	if err := k.Keep(&source{version: 7, told: true, at: at, text: list}, at); err != nil {
+	if err := k.WriteIfDue(&source{version: 7, notified: true, at: at, text: endpoints}, at); err != nil {
 		t.Fatal(err)
 	}
 	written, err := os.ReadFile(path)
@@ -26,7 +26,7 @@
 	golden.Check(t, "list", written)
 
 	text, err := New("testdata/list", &counters.Set{}).Load(discovery, at)
-	if err != nil || string(text) != list {
-		t.Errorf("read %s, %v; want %s", text, err, list)
+	if err != nil || string(text) != endpoints {
+		t.Errorf("read %s, %v; want %s", text, err, endpoints)
 	}
 }
--- a/internal/upgrade/golden_test.go
+++ b/internal/upgrade/golden_test.go
@@ -25,7 +25,7 @@
 	var full core.State
 	golden.Fill(&full)
 	directory := t.TempDir()
-	if err := take(t, directory).Save(&full); err != nil {
+	if err := acquire(t, directory).SaveState(&full); err != nil {
 		t.Fatal(err)
 	}
 	written, err := os.ReadFile(filepath.Join(directory, stateName))
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	var got core.State
-	if err := take(t, other).Load(&got); err != nil || !reflect.DeepEqual(got, full) {
+	if err := acquire(t, other).LoadState(&got); err != nil || !reflect.DeepEqual(got, full) {
 		t.Errorf("read %+v, %v; want %+v", got, err, full)
 	}
 }
@@ -52,7 +52,7 @@
 func TestLockedBytes(t *testing.T) {
 	const serving, successor, listening = 0, 1, 2
 	directory := t.TempDir()
-	first := take(t, directory)
+	first := acquire(t, directory)
 	other, err := os.OpenFile(filepath.Join(directory, lockName), os.O_RDWR, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -71,13 +71,13 @@
 		}
 	}
 	locked("one process", []bool{serving: true, successor: false, listening: false})
-	second := take(t, directory)
+	second := acquire(t, directory)
 	locked("two processes", []bool{serving: true, successor: true, listening: false})
-	if err := second.Announce(); err != nil {
+	if err := second.AnnounceListening(); err != nil {
 		t.Fatal(err)
 	}
 	locked("the second listens", []bool{serving: true, successor: true, listening: true})
-	first.Leave()
+	first.Release()
 	if _, err := second.Promote(); err != nil {
 		t.Fatal(err)
 	}
