--- a/dispatcher.go
+++ b/dispatcher.go
@@ -38,9 +38,8 @@
 
 func (d *Dispatcher) start() {
 	d.startedAt, d.refilledAt, d.nextControlAt = d.now, d.now, d.now+second
-	d.lease.confirmedAt = d.now
-	// Dispatchers that start together must not ask together.
-	d.poll.nextAt = d.now + d.rng.Int64N(max(1, min(d.cfg.MaxPollInterval/4, second)))
+	d.lease.Start(d.now)
+	d.poll.Start(d.now, d.rng)
 }
 
 // onTick looks after all that depends on time alone, and sets the next timer.
--- a/endpoint_lease_test.go
+++ b/endpoint_lease_test.go
@@ -1,6 +1,10 @@
 package foxlift
 
-import "testing"
+import (
+	"testing"
+
+	"github.com/vatu-meals/foxlift/internal/decision/membership"
+)
 
 const testLease = 6 * second
 
@@ -31,19 +35,19 @@
 		trusted bool
 	}{
 		{"just started", nil, 0, 0, false},
-		{"just before the hold's end", nil, cachedListGrace - ms, 0, false},
-		{"never answered", nil, cachedListGrace, 1, true},
-		{"never answered, refused", []call{{second, busy}}, cachedListGrace, 1, true},
+		{"just before the hold's end", nil, membership.CachedListGrace - ms, 0, false},
+		{"never answered", nil, membership.CachedListGrace, 1, true},
+		{"never answered, refused", []call{{second, busy}}, membership.CachedListGrace, 1, true},
 		{"never answered, spoilt", []call{{second, spoilt}}, tenSeconds, 0, false},
 		{"never answered, spoilt and then refused", []call{{second, spoilt}, {second, busy}}, tenSeconds, 0, false},
 		{"nobody listens", []call{{second, down}}, 0, 3, true},
 		{"nobody listened, then refused", []call{{second, down}, {second, busy}}, 0, 0, false},
 		{"answered", []call{{second, confirmed}}, 0, 3, true},
 		{"answered long ago, and nothing since", []call{{second, confirmed}}, testLease, 1, true},
-		{"moved, within its lease", []call{{second, confirmed}, {second, moved}}, discoveryChangeLease - ms, 3, true},
-		{"moved, past it", []call{{second, confirmed}, {second, moved}}, discoveryChangeLease, 1, true},
-		{"moved, and answered", []call{{second, confirmed}, {second, moved}, {second, confirmed}}, discoveryChangeLease, 3, true},
-		{"nobody listened, and moved", []call{{second, confirmed}, {second, down}, {second, moved}}, discoveryChangeLease, 1, true},
+		{"moved, within its lease", []call{{second, confirmed}, {second, moved}}, membership.DiscoveryChangeLease - ms, 3, true},
+		{"moved, past it", []call{{second, confirmed}, {second, moved}}, membership.DiscoveryChangeLease, 1, true},
+		{"moved, and answered", []call{{second, confirmed}, {second, moved}, {second, confirmed}}, membership.DiscoveryChangeLease, 3, true},
+		{"nobody listened, and moved", []call{{second, confirmed}, {second, down}, {second, moved}}, membership.DiscoveryChangeLease, 1, true},
 		{"refused, within the lease", []call{{second, confirmed}, {second, busy}}, testLease - second - ms, 3, true},
 		{"refused, past it", []call{{second, confirmed}, {second, busy}}, testLease - second, 1, true},
 		{"spoilt, within the lease", []call{{second, confirmed}, {second, spoilt}}, testLease - second - ms, 3, true},
@@ -52,7 +56,7 @@
 		{"silent, within the lease", []call{{second, confirmed}, {second, silent}}, testLease - second - ms, 3, true},
 		{"silent, past it", []call{{second, confirmed}, {second, silent}}, testLease - second, 0, false},
 		{"silent and then refused, past it", []call{{second, confirmed}, {second, silent}, {second, busy}}, testLease, 1, true},
-		{"never answered, silent", []call{{second, silent}}, cachedListGrace, 1, true},
+		{"never answered, silent", []call{{second, silent}}, membership.CachedListGrace, 1, true},
 		{"down, past it", []call{{second, confirmed}, {second, down}}, tenSeconds, 3, true},
 		{"answered again", []call{{second, confirmed}, {tenSeconds, spoilt}, {second, confirmed}}, 0, 3, true},
 	} {
--- /dev/null
+++ b/internal/decision/membership/lease_test.go
@@ -0,0 +1,75 @@
+package membership
+
+import "testing"
+
+const testDuration = 6 * second
+
+// What a list may be relied on for after each history of polls. The process has started with a cached list.
+func TestLease(t *testing.T) {
+	type call struct {
+		after int64 // since the one before
+		do    func(l *Lease, now int64)
+	}
+	confirm := func(after int64) call { return call{after, (*Lease).Confirm} }
+	change := func(after int64) call { return call{after, (*Lease).ChangeDiscovery} }
+	fail := func(after int64, f PollFailure) call {
+		return call{after, func(l *Lease, _ int64) { l.RecordFailure(f) }}
+	}
+	for _, c := range []struct {
+		name          string
+		calls         []call
+		wait          int64
+		fresh, usable bool
+	}{
+		{"just started", nil, 0, false, false},
+		{"just before the grace's end", nil, CachedListGrace - 1, false, false},
+		{"never answered", nil, CachedListGrace, false, true},
+		{"never answered, invalid", []call{fail(second, FailureInvalid)}, 10 * second, false, false},
+		{"invalid and then busy", []call{fail(0, FailureInvalid), fail(0, FailureBusy)}, 10 * second, false, false},
+		{"invalid and then down", []call{fail(0, FailureInvalid), fail(0, FailureDown)}, 0, true, true},
+		{"down and then busy", []call{fail(0, FailureDown), fail(0, FailureBusy)}, 0, false, false},
+		{"confirmed", []call{confirm(second)}, testDuration - 1, true, true},
+		{"confirmed long ago", []call{confirm(second)}, testDuration, false, true},
+		{"unanswered since", []call{confirm(second), fail(second, FailureUnanswered)}, testDuration, false, false},
+		{"changed, within its lease", []call{confirm(0), change(0)}, DiscoveryChangeLease - 1, true, true},
+		{"changed, past it", []call{confirm(0), change(0)}, DiscoveryChangeLease, false, true},
+		{"changed late", []call{confirm(0), change(5 * second)}, second - 1, true, true},
+		{"changed late, past its lease", []call{confirm(0), change(5 * second)}, second, false, true},
+		{"down, and changed", []call{confirm(0), fail(0, FailureDown), change(0)}, testDuration, false, true},
+		{"invalid, and confirmed again", []call{confirm(0), fail(0, FailureInvalid), confirm(0)}, 0, true, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			l, now := NewLease(testDuration), second
+			l.Start(now)
+			for _, step := range c.calls {
+				now += step.after
+				step.do(&l, now)
+			}
+			now += c.wait
+			if fresh, usable := l.Fresh(now), l.Usable(now); fresh != c.fresh || usable != c.usable {
+				t.Errorf("fresh %v, usable %v; want %v, %v", fresh, usable, c.fresh, c.usable)
+			}
+		})
+	}
+	if l := NewLease(0); !l.Fresh(1<<62) || !l.Usable(1<<62) {
+		t.Error("a list that may be of any age is not fresh")
+	}
+}
+
+// Workers of which nothing is known are tried now and then; a confirmed list begins anew.
+func TestLeaseExplores(t *testing.T) {
+	l := NewLease(testDuration)
+	if !l.MayExplore(second) {
+		t.Error("the first may not be tried")
+	}
+	l.RecordExplored(second)
+	if l.MayExplore(2*second-1) || !l.MayExplore(2*second) {
+		t.Error("the next may not be tried an interval later, and only then")
+	}
+	if l.Confirm(second); !l.MayExplore(second) {
+		t.Error("a confirmed list does not begin anew")
+	}
+	if !l.Covers(second, second+testDuration-1) || l.Covers(second, second+testDuration) {
+		t.Error("what was seen does not hold for the lease's duration")
+	}
+}
--- a/internal/lab/soak/mutants.go
+++ b/internal/lab/soak/mutants.go
@@ -27,7 +27,7 @@
 
 // Mutants are the faults by which the soak is proved, two for each rule.
 var Mutants = []Mutant{
-	{lab.Mutant{Name: "a saved list is trusted at once", File: "list_lease.go", Old: "d.now-l.confirmedAt >= cachedListGrace", New: "d.now >= l.confirmedAt"}, drain},
+	{lab.Mutant{Name: "a saved list is trusted at once", File: "internal/decision/membership/lease.go", Old: "now-l.confirmedAt >= CachedListGrace", New: "now >= l.confirmedAt"}, drain},
 	{lab.Mutant{Name: "drains are not heard", File: "internal/platform/machines.go", Old: "state := healths[h.Health]", New: "state := healths[h.Health]\n\t\tif state == foxlift.Draining {\n\t\t\tstate = foxlift.Live\n\t\t}"}, drain},
 	{lab.Mutant{Name: "unanswered attempts go on at nodes that are gone", File: "internal/platform/outstanding.go", Old: "if state == foxlift.Live {", New: "if true {"}, drain},
 	{lab.Mutant{Name: "some answers are never written", File: "internal/platform/submitter.go", Old: "\t_, err := s.conn.Write(b)\n", New: "\tif len(b)%7 == 0 {\n\t\treturn false\n\t}\n\t_, err := s.conn.Write(b)\n"}, lost},
--- a/machine_list.go
+++ b/machine_list.go
@@ -3,30 +3,28 @@
 // The machine list: when to ask discovery for it, and what its news changes.
 
 func (d *Dispatcher) pollEndpoints() {
-	if c := &d.poll; d.cfg.PollEndpoints && !c.subscribed && !c.inProgress && d.now >= c.nextAt {
-		c.inProgress = true
+	if d.cfg.PollEndpoints && d.poll.Begin(d.now) {
 		d.actions = append(d.actions, Action{Kind: ActionWatchEndpoints})
 	}
 }
 
 func (d *Dispatcher) onEndpoints(e *Event) {
-	c, kind, entries := &d.poll, e.EndpointUpdate, e.Workers
-	switch kind {
+	switch e.EndpointUpdate {
 	case EndpointsConfirmed:
-		d.lease.confirm(d.now)
-		return
+		d.lease.Confirm(d.now)
 	case DiscoveryChanged:
-		d.lease.changeDiscovery(d.now, d.cfg.EndpointLease)
-		return
+		d.lease.ChangeDiscovery(d.now)
+	case EndpointsPollFailed:
+		d.lease.RecordFailure(e.PollFailure)
+		d.poll.Fail(d.now, d.rng)
+	default:
+		d.poll.Succeed()
+		d.applyEndpoints(e.EndpointUpdate, e.Workers)
 	}
-	c.subscribed, c.inProgress = kind != EndpointsPollFailed && (c.subscribed || c.inProgress), false
-	if kind == EndpointsPollFailed { // for all together: they spread out, within what counts as not asking
-		d.lease.recordFailure(e.PollFailure)
-		c.backoff = min(max(2*c.backoff, second/2), max(d.cfg.MaxPollInterval/2, second/2))
-		c.nextAt = d.now + c.backoff/2 + d.rng.Int64N(c.backoff/2+1)
-		return
-	}
-	c.backoff = 0
+}
+
+// applyEndpoints takes over a list or its changes.
+func (d *Dispatcher) applyEndpoints(kind EndpointUpdate, entries []Worker) {
 	d.endpointEvents++
 	for i := range entries {
 		d.applyEndpoint(&entries[i])
--- a/placement.go
+++ b/placement.go
@@ -20,7 +20,7 @@
 // of our jobs, a crossing of zones and a fetch counting as some more, and ties
 // going to the one that promises most. It is nil if none may.
 func (d *Dispatcher) pickWorker(j *job) *worker {
-	if !d.endpointsFresh() {
+	if !d.lease.Fresh(d.now) {
 		return d.pickAccepting(j)
 	}
 	var best *worker
--- a/policy_test.go
+++ b/policy_test.go
@@ -57,6 +57,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	parts, err := filepath.Glob("internal/decision/*/*.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(parts) == 0 {
+		t.Error("the module's packages are not found under internal/decision")
+	}
+	files = append(files, parts...)
 	for _, name := range files {
 		if strings.HasSuffix(name, "_test.go") || name == "api.go" || slices.Contains(policy, name) {
 			continue
--- a/state.go
+++ b/state.go
@@ -8,6 +8,7 @@
 	"math/rand/v2"
 	"slices"
 
+	"github.com/vatu-meals/foxlift/internal/decision/membership"
 	"github.com/vatu-meals/foxlift/internal/slowstart"
 )
 
@@ -68,8 +69,8 @@
 	peakWorkerRate   float64    // slots that each warm worker has at work for us
 	recentWorkerRate float64    // the same, lately
 	servedSlots      float64
-	poll             pollSchedule
-	lease            endpointLease
+	poll             membership.PollSchedule
+	lease            membership.Lease
 	acceptingWorkers []*worker       // that have accepted a job lately
 	slowStartSlots   slowstart.Slots // at young workers, where no rate is known
 	minObjective     float64         // the least aim: what a light job stands for there
@@ -155,14 +156,6 @@
 	return s[int(share*float64(n))]
 }
 
-// A pollSchedule is the state of asking for the list, where it must be asked for.
-type pollSchedule struct {
-	nextAt     int64 // when to ask; only while not subscribed
-	inProgress bool  // an ask is unanswered
-	subscribed bool  // subscribed
-	backoff    int64
-}
-
 // New returns a Dispatcher for cfg, or an error naming the field that makes cfg
 // impossible to run. All randomness comes from seed.
 func New(cfg Config, seed uint64) (*Dispatcher, error) {
@@ -173,6 +166,7 @@
 		cfg: cfg, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), startedAt: -1, pressureDecay: second,
 		jobs: map[uint64]*job{}, workers: map[string]*worker{}, unthrottled: true, hedgeBudget: maxHedgeBudget,
 		peers: make([]peer, cfg.Dispatchers),
+		poll:  membership.NewPollSchedule(cfg.MaxPollInterval), lease: membership.NewLease(cfg.EndpointLease),
 	}
 	if !cfg.MayRetryAfter {
 		d.cfg.MaxRetryAfter = 0
