--- a/cmd/foxlift-lab/capacity.go
+++ b/cmd/foxlift-lab/capacity.go
@@ -54,7 +54,7 @@
 	cmd.Flags().BoolVar(&f.check, "check", false, "only see that the page is what the measurements give")
 	cmd.Flags().BoolVar(&f.render, "render", false, "only write the page anew from the measurements")
 	cmd.Flags().BoolVar(&f.faults, "faults", false, "only the trial of starts with a list that is kept")
-	cmd.Flags().BoolVar(&f.trial.Without, "without", false, "with --faults: no list is kept")
+	cmd.Flags().BoolVar(&f.trial.WithoutCheckpoint, "without", false, "with --faults: no list is kept")
 	cmd.Flags().IntVar(&f.trial.Workers, "workers", f.trial.Workers, "with --faults: workers in the list")
 	cmd.Flags().IntVar(&f.trial.Starts, "starts", f.trial.Starts, "with --faults: starts of the process")
 	cmd.Flags().BoolVar(&f.Short, "short", false, "few and small sizes, to see that it works")
--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -53,30 +53,30 @@
 func TestSlope(t *testing.T) {
 	s := powerLaw(0, 3, 0.5, 60, 200, 600, 2000, 6000, 19000)
 	near(t, "slope", s.Slope, 0.5, 1e-9)
-	near(t, "spread", s.Points[0].Spread, 0.2, 1e-9)
+	near(t, "spread", s.Points[0].RelativeRange, 0.2, 1e-9)
 	if s.Residual > 1e-6 {
 		t.Errorf("residual %v", s.Residual)
 	}
-	near(t, "at a size", s.at(600), 3*math.Sqrt(600), 1e-9)
-	near(t, "between sizes", s.at(1000), 3*math.Sqrt(1000), 1e-9)
-	near(t, "beyond", s.at(1e6), 3e3, 1e-6)
+	near(t, "at a size", s.costAt(600), 3*math.Sqrt(600), 1e-9)
+	near(t, "between sizes", s.costAt(1000), 3*math.Sqrt(1000), 1e-9)
+	near(t, "beyond", s.costAt(1e6), 3e3, 1e-6)
 	near(t, "bound between", s.sizeAt(3*math.Sqrt(1000)), 1000, 1e-6)
 	near(t, "bound beyond", s.sizeAt(3e3), 1e6, 1e-6)
 	if got := powerLaw(5, 0, 1, 60, 600, 6000).sizeAt(6); !math.IsInf(got, 1) {
 		t.Errorf("a cost that does not grow reaches a bound at %v", got)
 	}
 	// A part that does not grow hides the slope at the small sizes: beyond, the largest ones tell.
-	near(t, "beyond with a fixed part", powerLaw(100, 1, 1, 10, 100, 1000, 10_000, 100_000).at(1e6), 1e6, 0.15)
+	near(t, "beyond with a fixed part", powerLaw(100, 1, 1, 10, 100, 1000, 10_000, 100_000).costAt(1e6), 1e6, 0.15)
 }
 
 // A slope that reaches a budget far beyond the target tells no more than that.
 func TestMultiple(t *testing.T) {
 	for x, want := range map[float64]string{0.055: "0.0550", 2.18: "2.18", 1000: "1000", 1000.1: "over 1000", math.Inf(1): "over 1000"} {
-		if got := multiple(x); got != want {
+		if got := formatMultiple(x); got != want {
 			t.Errorf("%v: %s, want %s", x, got, want)
 		}
 	}
-	if got := multiple(math.NaN()); got != "not known" {
+	if got := formatMultiple(math.NaN()); got != "not known" {
 		t.Errorf("not known: %s", got)
 	}
 }
@@ -87,12 +87,12 @@
 		sorted []float64
 		want   float64
 	}{{[]float64{7}, 7}, {[]float64{1, 3}, 2}, {[]float64{1, 2, 9}, 2}, {[]float64{1, 2, 4, 9}, 3}, {[]float64{1, 1, 5, 8, 9}, 5}} {
-		near(t, "median", medianOf(c.sorted), c.want, 1e-12)
+		near(t, "median", median(c.sorted), c.want, 1e-12)
 	}
 }
 
 // A cost under what the clock can tell has no logarithm: it is left out of the line.
-func TestSlopeLeavesOutZero(t *testing.T) {
+func TestSlopeOmitsZeroMedians(t *testing.T) {
 	s := &Series{}
 	for _, p := range []Point{{Size: 10}, {Size: 100}, {Size: 1000, Median: 1}, {Size: 10_000, Median: 10}} {
 		s.addPoint(p.Size, []float64{p.Median})
@@ -105,7 +105,7 @@
 // The closed forms and the hollow pools tell the same.
 func TestClosedFormsAndHollowPoolsAgree(t *testing.T) {
 	near(t, "Erlang's loss, 10 erlangs on 10 slots", erlangB(10, 10), 0.2146, 0.001)
-	load := offered(0.9)
+	load := offeredLoad(0.9)
 	near(t, "slots in use", load*(1-erlangB(load, poolSlots)), 0.9*poolSlots, 1e-6)
 	urgent, err := measureUrgent(t.Context(), plan{runs: 3, seed: 1})
 	if err != nil {
@@ -118,9 +118,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, use := range gangUses {
+	for i, use := range gangUtilizations {
 		for _, p := range gangs[i].Points {
-			if want := gangRoom(float64(use)/100, p.Size); math.Abs(p.Median-want) > 0.1 {
+			if want := gangFitFraction(float64(use)/100, p.Size); math.Abs(p.Median-want) > 0.1 {
 				t.Errorf("%d %% in use: room for %d in %v of the time, closed form %v", use, p.Size, p.Median, want)
 			}
 		}
@@ -142,13 +142,13 @@
 	}
 	at := strings.Index(page, "| control_cpu |") + len("| control_cpu | ")
 	changed := page[:at] + string(page[at]+1) + page[at+1:]
-	if err := Check(changed, m); !errors.Is(err, errOff) {
+	if err := Check(changed, m); !errors.Is(err, errPageDiffers) {
 		t.Errorf("a changed figure: %v", err)
 	}
-	if err := Check(page+"\nmore", m); !errors.Is(err, errOff) {
+	if err := Check(page+"\nmore", m); !errors.Is(err, errPageDiffers) {
 		t.Errorf("a longer page: %v", err)
 	}
-	if err := Check(page[:len(page)/2], m); !errors.Is(err, errOff) {
+	if err := Check(page[:len(page)/2], m); !errors.Is(err, errPageDiffers) {
 		t.Errorf("half of the page: %v", err)
 	}
 	for i := range m.Series {
@@ -156,7 +156,7 @@
 			m.Series[i].Points[len(m.Series[i].Points)-1].Median *= 2
 		}
 	}
-	if err := Check(page, m); !errors.Is(err, errOff) {
+	if err := Check(page, m); !errors.Is(err, errPageDiffers) {
 		t.Errorf("the page of other measurements: %v", err)
 	}
 }
@@ -167,7 +167,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := renderPage("It takes 7 s.", m); !errors.Is(err, errNoSource) {
+	if _, err := renderPage("It takes 7 s.", m); !errors.Is(err, errFigureWithoutSource) {
 		t.Errorf("a figure by hand: %v", err)
 	}
 	for _, text := range []string{`{{figure "luck"}}`, `{{table "luck"}}`} {
@@ -176,7 +176,7 @@
 		}
 	}
 	m.Series = m.Series[1:]
-	if _, err := Page(m); !errors.As(err, new(missingError)) {
+	if _, err := Page(m); !errors.As(err, new(missingSeriesError)) {
 		t.Errorf("without a series: %v", err)
 	}
 }
@@ -191,10 +191,10 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Load(path); !errors.Is(err, errForeign) || !strings.Contains(err.Error(), path) {
+		if _, err := Load(path); !errors.Is(err, errNotMeasurements) || !strings.Contains(err.Error(), path) {
 			t.Errorf("%q: %v", text, err)
 		}
-		if err := CheckFiles(treePage, path); !errors.Is(err, errForeign) {
+		if err := CheckFiles(treePage, path); !errors.Is(err, errNotMeasurements) {
 			t.Errorf("check of %q: %v", text, err)
 		}
 	}
@@ -210,16 +210,16 @@
 // An unknown dimension is named before anything is measured, and a tool that takes too much of the
 // machine stops.
 func TestRunRefuses(t *testing.T) {
-	if _, err := Run(t.Context(), new(strings.Builder), Options{Dimensions: []string{"workers", "luck"}}); !errors.Is(err, errUnknown) || !strings.Contains(err.Error(), `"luck"`) {
+	if _, err := Run(t.Context(), new(strings.Builder), Options{Dimensions: []string{"workers", "luck"}}); !errors.Is(err, errUnknownDimension) || !strings.Contains(err.Error(), `"luck"`) {
 		t.Errorf("unknown dimension: %v", err)
 	}
-	for _, o := range []FaultsOptions{{Workers: 0, Starts: 5}, {Workers: mostWorkers + 1, Starts: 5}, {Workers: 2000}, {Workers: 2000, Starts: mostStarts + 1}} {
-		if _, err := o.Run(t.Context(), new(strings.Builder)); !errors.Is(err, errSize) {
+	for _, o := range []FaultsOptions{{Workers: 0, Starts: 5}, {Workers: maxWorkers + 1, Starts: 5}, {Workers: 2000}, {Workers: 2000, Starts: maxStarts + 1}} {
+		if _, err := o.Run(t.Context(), new(strings.Builder)); !errors.Is(err, errSizeOutOfBounds) {
 			t.Errorf("%d workers, %d starts: %v", o.Workers, o.Starts, err)
 		}
 	}
-	r := &Result{Machine: 1 << 20}
-	if err := r.noteMemory(); !errors.Is(err, errMemory) {
+	r := &Result{MachineMemory: 1 << 20}
+	if err := r.recordMemory(); !errors.Is(err, errTooMuchMemory) {
 		t.Errorf("on a machine of 1 MB: %v", err)
 	}
 }
@@ -242,7 +242,7 @@
 }
 
 // A run that is interrupted ends its processes.
-func TestInterruptedRunEndsItsProcesses(t *testing.T) {
+func TestInterruptedRunStopsItsProcesses(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
 	if _, err := measureControl(ctx, plan{short: true, runs: 1, program: program}); !errors.Is(err, context.DeadlineExceeded) {
@@ -262,22 +262,22 @@
 
 // Starts with a list that was kept take the changes since, whatever else happens to the file and to
 // discovery take the whole list; both come to the list as it is. Without a list each start takes all.
-func TestStartsWithAKeptList(t *testing.T) {
+func TestStartsWithACheckpoint(t *testing.T) {
 	o := FaultsOptions{Program: program, Seed: 2, Workers: 2000, Starts: 12}
 	var out strings.Builder
 	with, err := o.Run(t.Context(), &out)
 	if err != nil {
 		t.Fatalf("%v\n%s", err, &out)
 	}
-	if !with.OK() || with.Used < 3 || with.Used == with.Starts {
+	if !with.OK() || with.WithCheckpoint < 3 || with.WithCheckpoint == with.Starts {
 		t.Errorf("%s\n%s", with.Line(), &out)
 	}
-	o.Without, o.Starts = true, 3
+	o.WithoutCheckpoint, o.Starts = true, 3
 	without, err := o.Run(t.Context(), &out)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if without.Used > 0 || without.OtherBytes < 10*with.UsedBytes {
+	if without.WithCheckpoint > 0 || without.CompleteBytes < 10*with.CheckpointBytes {
 		t.Errorf("with: %s\nwithout: %s", with.Line(), without.Line())
 	}
 }
@@ -285,14 +285,14 @@
 // The judge sees a start that took the whole list though one was kept, and one that took too much.
 func TestFaultsAreJudged(t *testing.T) {
 	for name, r := range map[string]*FaultsResult{
-		"over its bound": {Used: 1, Over: []string{"1"}}, "not used": {Used: 1, Unused: 1}, "used wrongly": {Used: 1, Wrongly: 1},
-		"nothing kept": {}, "bad end": {Used: 1, unended: true},
+		"over its bound": {WithCheckpoint: 1, OverBound: []string{"1"}}, "not used": {WithCheckpoint: 1, CheckpointsIgnored: 1}, "used wrongly": {WithCheckpoint: 1, CheckpointsMisused: 1},
+		"nothing kept": {}, "bad end": {WithCheckpoint: 1, uncleanExit: true},
 	} {
 		if r.OK() {
 			t.Errorf("%s: OK", name)
 		}
 	}
-	if r := (&FaultsResult{Used: 1}); !r.OK() {
+	if r := (&FaultsResult{WithCheckpoint: 1}); !r.OK() {
 		t.Error("nothing happened, and it is not OK")
 	}
 }
--- a/internal/lab/capacity/clock.go
+++ b/internal/lab/capacity/clock.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// runsADimension is how many times each size is measured.
-const runsADimension = 5
+// runsPerSize is how many times each size is measured.
+const runsPerSize = 5
 
-// leastTimed is how long a repeated step is timed at least.
-const leastTimed = 4 * time.Millisecond
+// minTimedDuration is how long a repeated step is timed at least.
+const minTimedDuration = 4 * time.Millisecond
 
 // timeEach returns the nanoseconds that one call of a step takes, in several runs.
 func timeEach(runs int, step func()) (took []float64) {
 	step() // what is made once, at the first call, is no part of it
 	for range runs {
 		n, began := 0, time.Now()
-		for time.Since(began) < leastTimed {
+		for time.Since(began) < minTimedDuration {
 			step()
 			n++
 		}
--- a/internal/lab/capacity/configuration.go
+++ b/internal/lab/capacity/configuration.go
@@ -9,14 +9,14 @@
 // measureConfiguration measures the document that a reload reads whole, whatever has changed in it.
 func measureConfiguration(ctx context.Context, p plan) ([]Series, error) {
 	document := func(teams int) ([]byte, error) {
-		return deployment{schedulers: measuredSchedulers, teams: teams}.document()
+		return deployment{schedulers: measuredSchedulers, teams: teams}.settingsDocument()
 	}
-	return bySize(ctx, "teams", p.sizes(8, 16, 32, 64, TargetTeams, 800),
-		gauge{"configuration.bytes", "bytes", func(teams int) ([]float64, error) {
+	return measureBySize(ctx, "teams", p.sizes(8, 16, 32, 64, TargetTeams, 800),
+		costGauge{"configuration.bytes", "bytes", func(teams int) ([]float64, error) {
 			text, err := document(teams)
 			return []float64{float64(len(text))}, err
 		}},
-		gauge{"configuration.read", "ns", func(teams int) ([]float64, error) {
+		costGauge{"configuration.read", "ns", func(teams int) ([]float64, error) {
 			text, err := document(teams)
 			if err != nil {
 				return nil, err
--- a/internal/lab/capacity/control.go
+++ b/internal/lab/capacity/control.go
@@ -22,12 +22,12 @@
 var controlRates = []float64{0.2, 5}
 
 const (
-	controlTime      = 30 * time.Second // that a process is watched at each rate
-	controlTimeShort = 3 * time.Second
-	toldLimit        = 30 * time.Second // for the list, or the last change, to be in force
-	toldPause        = 50 * time.Millisecond
-	controlAim       = 100 * time.Millisecond // the module looks at its clock eight times in that
-	hollowDial       = "127.0.0.1:9"          // nothing is ever sent there
+	controlDuration         = 30 * time.Second // that a process is watched at each rate
+	controlDurationShort    = 3 * time.Second
+	propagationTimeout      = 30 * time.Second // for the list, or the last change, to be in force
+	propagationPollInterval = 50 * time.Millisecond
+	controlLatencyObjective = 100 * time.Millisecond // the module looks at its clock eight times in that
+	unusedAddr              = "127.0.0.1:9"          // nothing is ever sent there
 )
 
 // hollowDiscovery starts a discovery with so many workers behind which there is nothing.
@@ -36,28 +36,28 @@
 	if err != nil {
 		return nil, err
 	}
-	tellHollow(d, 0, workers)
+	announceHollowWorkers(d, 0, workers)
 	return d, nil
 }
 
-// tellHollow tells of hollow workers from one number on.
-func tellHollow(d *standin.Discovery, from, count int) {
+// announceHollowWorkers tells of hollow workers from one number on.
+func announceHollowWorkers(d *standin.Discovery, from, count int) {
 	entries := make([]standin.Entry, count)
 	for i := range entries {
-		w := worker(from + i)
+		w := hollowWorker(from + i)
 		entries[i] = standin.Entry{
-			Host: w.ID, Dial: hollowDial, Zone: fmt.Sprintf("zone-%02d", w.Zone), Kind: fmt.Sprintf("kind-%d", w.Kind),
-			Health: "active", Born: bornAt,
+			Host: w.ID, Dial: unusedAddr, Zone: fmt.Sprintf("zone-%02d", w.Zone), Kind: fmt.Sprintf("kind-%d", w.Kind),
+			Health: "active", Born: hollowStartedAt,
 		}
 	}
 	d.Tell(entries...)
 }
 
-// bornAt is when the hollow workers started: long ago, as long as any other time to write.
-var bornAt = time.UnixMilli(1_790_000_000_000)
+// hollowStartedAt is when the hollow workers started: long ago, as long as any other time to write.
+var hollowStartedAt = time.UnixMilli(1_790_000_000_000)
 
-// listBytes returns the length of the whole list in bytes.
-func listBytes(workers int) (int, error) {
+// endpointListBytes returns the length of the whole list in bytes.
+func endpointListBytes(workers int) (int, error) {
 	d, err := hollowDiscovery(workers)
 	if err != nil {
 		return 0, err
@@ -67,22 +67,22 @@
 }
 
 // A controlled is what one process cost.
-type controlled struct {
-	start   float64   // seconds of processor time until the list was in force
-	memory  float64   // bytes resident at the end, the most of both rates
-	cpu     []float64 // percent of a core, by rate
-	traffic []float64 // bytes a second from and to discovery, by rate
+type controlCost struct {
+	startCPU float64   // seconds of processor time until the list was in force
+	memory   float64   // bytes resident at the end, the most of both rates
+	cpu      []float64 // percent of a core, by rate
+	traffic  []float64 // bytes a second from and to discovery, by rate
 }
 
-// keepingOperator is an operator's file that has the list kept.
-const keepingOperator = `(foxlift (list (checkpoint "%s")))`
+// checkpointOperator is an operator's file that has the list kept.
+const checkpointOperator = `(foxlift (list (checkpoint "%s")))`
 
 // A variant is a way to run the process, with the names of its series.
 type variant struct {
 	prefix, operator string
 }
 
-var variants = []variant{{"control", ""}, {"keeping", keepingOperator}}
+var variants = []variant{{"control", ""}, {"keeping", checkpointOperator}}
 
 // series returns the empty series of a variant.
 func (v variant) series() []Series {
@@ -107,9 +107,9 @@
 // that is kept.
 func measureControl(ctx context.Context, p plan) (all []Series, err error) {
 	sizes := p.sizes(controlSizes...)
-	results := make([][][]controlled, len(variants)) // by variant, size and run
+	results := make([][][]controlCost, len(variants)) // by variant, size and run
 	for i := range results {
-		results[i] = make([][]controlled, len(sizes))
+		results[i] = make([][]controlCost, len(sizes))
 	}
 	for range p.controlRuns() { // all at once: each takes a few hundredths of a core
 		group, ctx := errgroup.WithContext(ctx)
@@ -147,8 +147,8 @@
 }
 
 // values returns what was measured in the order of the series.
-func (c controlled) values() []float64 {
-	values := []float64{c.start, c.memory}
+func (c controlCost) values() []float64 {
+	values := []float64{c.startCPU, c.memory}
 	for i := range controlRates {
 		values = append(values, c.cpu[i], c.traffic[i])
 	}
@@ -164,18 +164,18 @@
 }
 
 // runControl runs one process with so many hollow workers.
-func runControl(ctx context.Context, p plan, operator string, workers int) (c controlled, err error) {
-	f, err := fleet.New(fleet.Options{Topology: controlWorld(), Program: p.program, Admin: true, Operator: operator})
+func runControl(ctx context.Context, p plan, operator string, workers int) (c controlCost, err error) {
+	f, err := fleet.New(fleet.Options{Topology: controlTopology(), Program: p.program, Admin: true, Operator: operator})
 	if err != nil {
 		return c, err
 	}
 	defer f.Close()
-	tellHollow(f.Discovery, 0, workers)
+	announceHollowWorkers(f.Discovery, 0, workers)
 	process := f.Processes[0]
 	if err := process.Start(); err != nil {
 		return c, err
 	}
-	if err := awaitPool(ctx, process, workers); err != nil {
+	if err := awaitWorkerCount(ctx, process, workers); err != nil {
 		return c, err
 	}
 	proc, err := procfs.NewProc(process.ID())
@@ -186,21 +186,21 @@
 	if err != nil {
 		return c, err
 	}
-	c.start = stat.CPUTime()
-	length := controlTime
+	c.startCPU = stat.CPUTime()
+	length := controlDuration
 	if p.short {
-		length = controlTimeShort
+		length = controlDurationShort
 	}
 	told := workers
 	for _, rate := range controlRates {
-		before, err := lookAt(proc, f.Links[0])
+		before, err := sampleProcess(proc, f.Links[0])
 		if err != nil {
 			return c, err
 		}
-		if told, err = change(ctx, f.Discovery, told, rate, length); err != nil {
+		if told, err = addWorkersAtRate(ctx, f.Discovery, told, rate, length); err != nil {
 			return c, err
 		}
-		after, err := lookAt(proc, f.Links[0])
+		after, err := sampleProcess(proc, f.Links[0])
 		if err != nil {
 			return c, err
 		}
@@ -208,15 +208,15 @@
 		c.cpu = append(c.cpu, 100*(after.cpu-before.cpu)/seconds)
 		c.traffic = append(c.traffic, float64(after.bytes-before.bytes)/seconds)
 		c.memory = max(c.memory, after.memory)
-		if err := awaitPool(ctx, process, told); err != nil { // every change is in force
+		if err := awaitWorkerCount(ctx, process, told); err != nil { // every change is in force
 			return c, err
 		}
 	}
 	return c, nil
 }
 
-// controlWorld is a world of one scheduler with the design's teams and zones, and no node of its own.
-func controlWorld() lab.Topology {
+// controlTopology is a world of one scheduler with the design's teams and zones, and no node of its own.
+func controlTopology() lab.Topology {
 	w := lab.Topology{Schedulers: 1, Sockets: processSockets}
 	for i := range TargetTeams {
 		w.Tenants = append(w.Tenants, lab.Tenant{Name: fmt.Sprintf("team-%02d", i), QuotaFraction: 1.0 / TargetTeams})
@@ -227,18 +227,18 @@
 	for i := range assumedKinds {
 		w.Kinds = append(w.Kinds, lab.WorkerKind{Name: fmt.Sprintf("kind-%d", i), Slots: 4, Speed: 1})
 	}
-	w.Classes = []lab.Class{{Name: "light", Effect: "idempotent", ServiceTime: time.Second, JobFraction: 1, LatencyObjective: controlAim, Deadline: 5 * time.Second}}
+	w.Classes = []lab.Class{{Name: "light", Effect: "idempotent", ServiceTime: time.Second, JobFraction: 1, LatencyObjective: controlLatencyObjective, Deadline: 5 * time.Second}}
 	return w
 }
 
 // change adds workers to the list at a rate for some time, and returns how many there are then.
-func change(ctx context.Context, d *standin.Discovery, workers int, rate float64, length time.Duration) (int, error) {
+func addWorkersAtRate(ctx context.Context, d *standin.Discovery, workers int, rate float64, length time.Duration) (int, error) {
 	ticker := time.NewTicker(time.Duration(float64(time.Second) / rate))
 	defer ticker.Stop()
 	for end := time.After(length); ; {
 		select {
 		case <-ticker.C:
-			tellHollow(d, workers, 1)
+			announceHollowWorkers(d, workers, 1)
 			workers++
 		case <-end:
 			return workers, nil
@@ -249,33 +249,33 @@
 }
 
 // A look is what a process has cost by a moment.
-type look struct {
+type processSample struct {
 	at     time.Time
 	cpu    float64 // seconds
 	memory float64 // bytes
 	bytes  int64   // on the link to discovery, both ways
 }
 
-func lookAt(proc procfs.Proc, link *fleet.Link) (look, error) {
+func sampleProcess(proc procfs.Proc, link *fleet.Link) (processSample, error) {
 	stat, err := proc.Stat()
 	if err != nil {
-		return look{}, err
+		return processSample{}, err
 	}
-	return look{
+	return processSample{
 		at: time.Now(), cpu: stat.CPUTime(), memory: float64(stat.ResidentMemory()),
 		bytes: link.Carried(fleet.There) + link.Carried(fleet.Back),
 	}, nil
 }
 
-// errNotTold says that a process did not take in the list in time.
-var errNotTold = errors.New("the list is not in force in time")
+// errNotPropagated says that a process did not take in the list in time.
+var errNotPropagated = errors.New("the list is not in force in time")
 
-// awaitPool waits until a process knows so many workers.
-func awaitPool(ctx context.Context, p *fleet.Process, workers int) error {
+// awaitWorkerCount waits until a process knows so many workers.
+func awaitWorkerCount(ctx context.Context, p *fleet.Process, workers int) error {
 	var figures service.Figures
 	var err error
 	operators := service.Operators{Addr: p.Admin}
-	for end := time.Now().Add(toldLimit); time.Now().Before(end); {
+	for end := time.Now().Add(propagationTimeout); time.Now().Before(end); {
 		if figures, err = operators.Stats(ctx); err == nil && int(figures.PoolSize) == workers {
 			return nil
 		}
@@ -284,8 +284,8 @@
 			return fmt.Errorf("the scheduler ended: %s", strings.Join(p.Log(), "\n"))
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(toldPause):
+		case <-time.After(propagationPollInterval):
 		}
 	}
-	return fmt.Errorf("%w: %v of %d workers (%v)", errNotTold, figures.PoolSize, workers, err)
+	return fmt.Errorf("%w: %v of %d workers (%v)", errNotPropagated, figures.PoolSize, workers, err)
 }
--- a/internal/lab/capacity/dimension.go
+++ b/internal/lab/capacity/dimension.go
@@ -43,18 +43,18 @@
 	{name: "control", measure: measureControl, processes: controlProcesses},
 }
 
-// errUnknown says that there is no such dimension.
-var errUnknown = errors.New("unknown dimension")
+// errUnknownDimension says that there is no such dimension.
+var errUnknownDimension = errors.New("unknown dimension")
 
 // choose returns the dimensions that are asked for by name, all if none is.
-func choose(asked []string) (chosen []dimension, err error) {
+func chooseDimensions(asked []string) (chosen []dimension, err error) {
 	if len(asked) == 0 {
 		return dimensions, nil
 	}
 	for _, name := range asked {
 		i := slices.IndexFunc(dimensions, func(d dimension) bool { return d.name == name })
 		if i < 0 {
-			return nil, fmt.Errorf("%w %q; there are %s", errUnknown, name, names())
+			return nil, fmt.Errorf("%w %q; there are %s", errUnknownDimension, name, dimensionNames())
 		}
 		chosen = append(chosen, dimensions[i])
 	}
@@ -62,7 +62,7 @@
 }
 
 // names returns the names of all dimensions.
-func names() string {
+func dimensionNames() string {
 	var ns []string
 	for _, d := range dimensions {
 		ns = append(ns, d.name)
@@ -71,13 +71,13 @@
 }
 
 // A gauge measures one cost at one size.
-type gauge struct {
+type costGauge struct {
 	name, unit string
 	runs       func(size int) ([]float64, error)
 }
 
-// bySize measures each gauge at each size.
-func bySize(ctx context.Context, of string, sizes []int, gauges ...gauge) ([]Series, error) {
+// measureBySize measures each gauge at each size.
+func measureBySize(ctx context.Context, of string, sizes []int, gauges ...costGauge) ([]Series, error) {
 	series := make([]Series, len(gauges))
 	for i, g := range gauges {
 		series[i] = Series{Name: g.name, Of: of, Unit: g.unit}
--- a/internal/lab/capacity/events.go
+++ b/internal/lab/capacity/events.go
@@ -7,75 +7,75 @@
 	"github.com/vatu-meals/foxlift/internal/lab/fleet"
 )
 
-// A lifeEvent is what a process meets while the list changes.
-type lifeEvent int
+// A runEvent is what a process meets while the list changes.
+type runEvent int
 
 const (
-	ordinary    lifeEvent = iota
-	stopped               // the process stands still meanwhile
-	cutOff                // its connection to discovery is reset, and new ones are refused
-	silenced              // its connection to discovery hears nothing more
-	reloaded              // SIGHUP amid it
-	zoneGone              // a zone's workers go at once
-	versionBack           // discovery has lost what it wrote last
-	released              // so many changes that they are longer than any of today's whole lists
-	lifeEvents
+	ordinaryChanges    runEvent = iota
+	processStopped              // the process stands still meanwhile
+	connectionCut               // its connection to discovery is reset, and new ones are refused
+	connectionSilenced          // its connection to discovery hears nothing more
+	configReloaded              // SIGHUP amid it
+	zoneRemoved                 // a zone's workers go at once
+	versionRegressed            // discovery has lost what it wrote last
+	fleetReplaced               // so many changes that they are longer than any of today's whole lists
+	runEventCount
 )
 
-var eventNames = [lifeEvents]string{
+var runEventNames = [runEventCount]string{
 	"ordinary changes", "a stop", "a cut", "a silence", "a reload", "a zone gone", "a version that goes back", "a release",
 }
 
 const (
-	standstill = 2 * time.Second // that a process is stopped or cut off
-	goesBack   = 3               // versions
+	interruptionDuration = 2 * time.Second // that a process is stopped or cut off
+	regressedVersions    = 3               // versions
 )
 
 // meet lets the list change amid an event, and ends the event.
-func (t *faultsTrial) meet(event lifeEvent) error {
+func (t *faultsTrial) injectEvent(event runEvent) error {
 	link := t.Links[0]
 	switch event {
-	case stopped:
+	case processStopped:
 		if err := t.process.Signal(syscall.SIGSTOP); err != nil {
 			return err
 		}
-		t.change()
-		<-time.After(standstill)
+		t.changeList()
+		<-time.After(interruptionDuration)
 		return t.process.Signal(syscall.SIGCONT)
-	case cutOff:
+	case connectionCut:
 		link.Cut()
-		t.change()
-		<-time.After(standstill)
+		t.changeList()
+		<-time.After(interruptionDuration)
 		link.Heal()
-	case silenced:
+	case connectionSilenced:
 		link.Silence(fleet.There, fleet.Back)
-		t.change()
-		<-time.After(standstill)
+		t.changeList()
+		<-time.After(interruptionDuration)
 		link.Heal()
-	case reloaded:
-		t.change()
+	case configReloaded:
+		t.changeList()
 		if err := t.process.Signal(syscall.SIGHUP); err != nil {
 			return err
 		}
-		t.change()
-	case zoneGone:
-		t.leave(min(TargetWorkers/TargetZones, len(t.names)/2))
-	case versionBack:
+		t.changeList()
+	case zoneRemoved:
+		t.removeWorkers(min(TargetWorkers/TargetZones, len(t.workers)/2))
+	case versionRegressed:
 		// By more versions than the next changes make: nobody can tell versions that have been overtaken.
-		if t.Discovery.Version() <= goesBack {
-			t.change()
+		if t.Discovery.Version() <= regressedVersions {
+			t.changeList()
 			return nil
 		}
-		t.Discovery.GoBack(t.Discovery.Version() - goesBack)
+		t.Discovery.GoBack(t.Discovery.Version() - regressedVersions)
 		t.changes = nil // what is kept of the lost versions must not be used
-		t.change()
-		<-time.After(standstill) // in which the process sees it
-	case released:
-		half := len(t.names) / 2
-		t.leave(half)
-		t.join(half)
+		t.changeList()
+		<-time.After(interruptionDuration) // in which the process sees it
+	case fleetReplaced:
+		half := len(t.workers) / 2
+		t.removeWorkers(half)
+		t.addWorkers(half)
 	default:
-		t.change()
+		t.changeList()
 	}
 	return nil
 }
--- a/internal/lab/capacity/figures.go
+++ b/internal/lab/capacity/figures.go
@@ -11,19 +11,19 @@
 
 // A figure is a value at the target, with where it comes from.
 type figure struct {
-	name  string
-	value float64
-	unit  string
-	from  string // the formula, by the names of series, of other figures and of what is assumed
-	group string // the table of the page that it stands in
+	name    string
+	value   float64
+	unit    string
+	formula string // the formula, by the names of series, of other figures and of what is assumed
+	group   string // the table of the page that it stands in
 }
 
 // figures are what a page may tell, by name and in order.
 type figures struct {
-	byName map[string]figure
-	order  []string
-	err    error // the first series that is missing
-	from   *Measured
+	byName   map[string]figure
+	order    []string
+	err      error // the first series that is missing
+	measured *Measured
 }
 
 func (fs *figures) add(group, name string, value float64, unit, from string) float64 {
@@ -34,7 +34,7 @@
 
 // series returns a series; an empty one, and a note, where it is missing.
 func (fs *figures) series(name string) *Series {
-	s, err := fs.from.series(name)
+	s, err := fs.measured.series(name)
 	if err != nil {
 		if fs.err == nil {
 			fs.err = err
@@ -45,36 +45,36 @@
 }
 
 // slope adds the cost of a series at a size, in a unit that is so many times as large.
-func (fs *figures) slope(group, name, series string, size, per float64, unit string) float64 {
+func (fs *figures) addFromSeries(group, name, series string, size, per float64, unit string) float64 {
 	s := fs.series(series)
-	return fs.add(group, name, s.at(size)/per, unit, fmt.Sprintf("`%s` at %g %s", series, size, s.Of))
+	return fs.add(group, name, s.costAt(size)/per, unit, fmt.Sprintf("`%s` at %g %s", series, size, s.Of))
 }
 
 const (
-	nanosAMicro = 1e3
-	nanosAMilli = 1e6
-	percent     = 100
+	nanosPerMicro = 1e3
+	nanosPerMilli = 1e6
+	percent       = 100
 )
 
 // newFigures computes all figures from what was measured.
 func newFigures(m *Measured) (*figures, error) {
-	fs := &figures{byName: map[string]figure{}, from: m}
-	fs.ofSchedulers()
-	fs.ofControl()
-	fs.ofDecisions()
-	fs.ofNews()
-	fs.ofConfiguration()
-	fs.ofDiscovery()
-	fs.ofPlacement()
-	fs.ofFailures()
+	fs := &figures{byName: map[string]figure{}, measured: m}
+	fs.addSchedulers()
+	fs.addControl()
+	fs.addDecisions()
+	fs.addListUpdates()
+	fs.addConfiguration()
+	fs.addDiscovery()
+	fs.addPlacement()
+	fs.addFailures()
 	return fs, fs.err
 }
 
-// ofSchedulers derives how many schedulers there have to be.
-func (fs *figures) ofSchedulers() {
+// addSchedulers derives how many schedulers there have to be.
+func (fs *figures) addSchedulers() {
 	const group = "schedulers"
-	usable := fs.add(group, "sockets", processSockets*(1-1.0/spareSockets), "descriptors", "1,024 less a sixteenth that stays spare (README, Descriptors)")
-	each := fs.add(group, "tasks_of_one", math.Floor(usable/socketsOfATask), "tasks", "sockets / 2: a running task holds a connection on each side")
+	usable := fs.add(group, "sockets", processSockets*(1-1.0/spareSocketDivisor), "descriptors", "1,024 less a sixteenth that stays spare (README, Descriptors)")
+	each := fs.add(group, "tasks_of_one", math.Floor(usable/socketsPerTask), "tasks", "sockets / 2: a running task holds a connection on each side")
 	least := fs.add(group, "schedulers_least", math.Ceil(TargetTasks/each), "schedulers", "220,000 tasks / tasks_of_one")
 	fs.add(group, "schedulers_most", foxlift.MaxDispatchers, "schedulers", "`foxlift.MaxDispatchers`")
 	left := float64(TargetRegions-1) / TargetRegions
@@ -82,54 +82,54 @@
 	fs.add(group, "schedulers_chosen", chosen, "schedulers", "schedulers_least × 9/8, rounded up to as many in each of 9 regions: eight regions hold all tasks")
 	fs.add(group, "schedulers_of_region", chosen/TargetRegions, "schedulers", "schedulers_chosen / 9")
 	perTask := fs.series("tasks.memory")
-	fs.add(group, "tasks_memory", perTask.at(each)/megabyte, "MB", "`tasks.memory` at tasks_of_one; core and module only, buffers of connections are not in it")
+	fs.add(group, "tasks_memory", perTask.costAt(each)/megabyte, "MB", "`tasks.memory` at tasks_of_one; core and module only, buffers of connections are not in it")
 }
 
 func (fs *figures) value(name string) float64 { return fs.byName[name].value }
 
-// ofControl carries what a process without a job costs to the target.
-func (fs *figures) ofControl() {
+// addControl carries what a process without a job costs to the target.
+func (fs *figures) addControl() {
 	const group = "control"
-	fs.slope(group, "control_cpu", "control.cpu_at_0.2", TargetWorkers, 1, "% of a core")
-	fs.slope(group, "control_cpu_busy", "control.cpu_at_5", TargetWorkers, 1, "% of a core")
-	fs.slope(group, "control_memory", "control.memory", TargetWorkers, megabyte, "MB")
-	fs.slope(group, "control_traffic", "control.traffic_at_0.2", TargetWorkers, kilobyte, "KB/s")
-	fs.slope(group, "control_traffic_busy", "control.traffic_at_5", TargetWorkers, kilobyte, "KB/s")
-	fs.slope(group, "control_start", "control.start", TargetWorkers, 1, "s of processor time")
-	fs.slope(group, "keeping_cpu_busy", "keeping.cpu_at_5", TargetWorkers, 1, "% of a core")
-	fs.slope(group, "keeping_memory", "keeping.memory", TargetWorkers, megabyte, "MB")
+	fs.addFromSeries(group, "control_cpu", "control.cpu_at_0.2", TargetWorkers, 1, "% of a core")
+	fs.addFromSeries(group, "control_cpu_busy", "control.cpu_at_5", TargetWorkers, 1, "% of a core")
+	fs.addFromSeries(group, "control_memory", "control.memory", TargetWorkers, megabyte, "MB")
+	fs.addFromSeries(group, "control_traffic", "control.traffic_at_0.2", TargetWorkers, kilobyte, "KB/s")
+	fs.addFromSeries(group, "control_traffic_busy", "control.traffic_at_5", TargetWorkers, kilobyte, "KB/s")
+	fs.addFromSeries(group, "control_start", "control.start", TargetWorkers, 1, "s of processor time")
+	fs.addFromSeries(group, "keeping_cpu_busy", "keeping.cpu_at_5", TargetWorkers, 1, "% of a core")
+	fs.addFromSeries(group, "keeping_memory", "keeping.memory", TargetWorkers, megabyte, "MB")
 }
 
-// ofDecisions carries the module's steps to the target.
-func (fs *figures) ofDecisions() {
+// addDecisions carries the module's steps to the target.
+func (fs *figures) addDecisions() {
 	const group = "decisions"
-	tick := fs.slope(group, "idle_tick", "module.idle_tick", TargetWorkers, nanosAMicro, "us")
+	tick := fs.addFromSeries(group, "idle_tick", "module.idle_tick", TargetWorkers, nanosPerMicro, "us")
 	fs.add(group, "idle_ticks", percent*tick*80/1e6, "% of a core", "idle_tick × 80 a second, as an aim of 0.1 s asks for")
-	fs.slope(group, "change", "module.change", TargetWorkers, nanosAMicro, "us")
-	fs.slope(group, "change_in_core", "core.change", TargetWorkers, nanosAMicro, "us")
-	fs.slope(group, "whole_list", "module.whole_list", TargetWorkers, nanosAMilli, "ms")
-	job := fs.slope(group, "job", "module.job", TargetWorkers, nanosAMicro, "us")
-	fs.slope(group, "keyed_job", "module.keyed_job", TargetWorkers, nanosAMicro, "us")
-	fs.slope(group, "job_by_teams", "teams.job", TargetTeams, nanosAMicro, "us")
-	starts := fs.add(group, "starts_of_one", TargetStarts/fs.value("schedulers_chosen"), "starts/s", "8,100 / schedulers_chosen")
+	fs.addFromSeries(group, "change", "module.change", TargetWorkers, nanosPerMicro, "us")
+	fs.addFromSeries(group, "change_in_core", "core.change", TargetWorkers, nanosPerMicro, "us")
+	fs.addFromSeries(group, "whole_list", "module.whole_list", TargetWorkers, nanosPerMilli, "ms")
+	job := fs.addFromSeries(group, "job", "module.job", TargetWorkers, nanosPerMicro, "us")
+	fs.addFromSeries(group, "keyed_job", "module.keyed_job", TargetWorkers, nanosPerMicro, "us")
+	fs.addFromSeries(group, "job_by_teams", "teams.job", TargetTeams, nanosPerMicro, "us")
+	starts := fs.add(group, "starts_of_one", TargetStartsPerSecond/fs.value("schedulers_chosen"), "starts/s", "8,100 / schedulers_chosen")
 	fs.add(group, "starts_cpu", percent*starts*job/1e6, "% of a core", "starts_of_one × job")
-	fs.slope(group, "list_memory", "core.memory", TargetWorkers, megabyte, "MB")
+	fs.addFromSeries(group, "list_memory", "core.memory", TargetWorkers, megabyte, "MB")
 }
 
-// ofNews tells what news of the list costs and how long it takes within the traffic that control may have.
-func (fs *figures) ofNews() {
+// addListUpdates tells what news of the list costs and how long it takes within the traffic that control may have.
+func (fs *figures) addListUpdates() {
 	const group = "news"
-	whole := fs.slope(group, "list_size", "list.bytes", TargetWorkers, kilobyte, "KB")
+	whole := fs.addFromSeries(group, "list_size", "list.bytes", TargetWorkers, kilobyte, "KB")
 	entry := fs.add(group, "entry_size", whole*kilobyte/TargetWorkers, "bytes", "list_size / 19,000")
 	at := func(name string, entries float64, from string) {
 		fs.add(group, name, entries*entry/kilobyte/TargetControlTraffic, "s", from+" × entry_size / 24 KB/s")
 	}
 	fs.add(group, "list_time", whole/TargetControlTraffic, "s", "list_size / 24 KB/s: at each start, and after a break too long for changes")
-	at("rack_time", assumedRack, "a rack of 40 (*assumed*)")
+	at("rack_time", assumedRackWorkers, "a rack of 40 (*assumed*)")
 	at("zone_time", TargetWorkers/TargetZones, "a zone of 558")
 	at("region_time", TargetWorkers/TargetRegions, "a region of 2,111")
 	at("release_time", TargetWorkers, "a release of all 19,000")
-	ordinary := fs.add(group, "changes", (TargetFailuresADay+2*TargetRestartsADay)/float64(secondsADay), "changes/s", "(210 failures + 2 × 4,900 restarts) / 86,400 s")
+	ordinary := fs.add(group, "changes", (TargetFailuresPerDay+2*TargetRestartsPerDay)/float64(secondsPerDay), "changes/s", "(210 failures + 2 × 4,900 restarts) / 86,400 s")
 	fs.add(group, "changes_traffic", ordinary*entry/kilobyte, "KB/s", "changes × entry_size")
 	clock := fs.add(group, "clock", pollpacing.MaxPropagationDelay.Seconds(), "s", "`pollpacing.MaxPropagationDelay`: within this a change is in force")
 	missed := fs.add(group, "missed", (checkpoint.MaxAge+checkpoint.WriteInterval).Seconds()*ordinary+TargetWorkers/TargetZones, "entries",
@@ -139,24 +139,24 @@
 	fs.add(group, "kept_room", (clock-answer)/(took-answer), "times", "(clock − answer) / (kept_time − answer)")
 }
 
-// ofConfiguration tells what changes of the configuration cost as a document that is read whole.
-func (fs *figures) ofConfiguration() {
+// addConfiguration tells what changes of the configuration cost as a document that is read whole.
+func (fs *figures) addConfiguration() {
 	const group = "configuration"
-	size := fs.slope(group, "document", "configuration.bytes", TargetTeams, kilobyte, "KB")
-	fs.slope(group, "document_read", "configuration.read", TargetTeams, nanosAMicro, "us")
-	mean := fs.add(group, "configuration_changes", TargetChangesADay/float64(secondsADay), "changes/s", "13,000 / 86,400 s")
-	peak := fs.add(group, "configuration_peak", mean*peakOverMean, "changes/s", "configuration_changes × 20 (*assumed*)")
+	size := fs.addFromSeries(group, "document", "configuration.bytes", TargetTeams, kilobyte, "KB")
+	fs.addFromSeries(group, "document_read", "configuration.read", TargetTeams, nanosPerMicro, "us")
+	mean := fs.add(group, "configuration_changes", TargetConfigChangesPerDay/float64(secondsPerDay), "changes/s", "13,000 / 86,400 s")
+	peak := fs.add(group, "configuration_peak", mean*peakToMeanRatio, "changes/s", "configuration_changes × 20 (*assumed*)")
 	fs.add(group, "configuration_traffic", mean*size, "KB/s", "configuration_changes × document")
 	fs.add(group, "configuration_peak_traffic", peak*size, "KB/s", "configuration_peak × document")
 }
 
-// ofDiscovery tells what all schedulers together ask of discovery.
-func (fs *figures) ofDiscovery() {
+// addDiscovery tells what all schedulers together ask of discovery.
+func (fs *figures) addDiscovery() {
 	const group = "discovery"
 	n := fs.value("schedulers_chosen")
-	fs.add(group, "watch_calls", fs.series("discovery.watch_calls").at(n), "calls/s", "`discovery.watch_calls` at schedulers_chosen, by the slope")
-	peak := fs.add(group, "start_calls", fs.series("discovery.start_peak").at(n), "calls/s", "`discovery.start_peak` at schedulers_chosen, by the slope: the worst second of a start of all")
-	region := fs.add(group, "region_calls", fs.series("discovery.start_peak").at(fs.value("schedulers_of_region")), "calls/s", "the same at schedulers_of_region")
+	fs.add(group, "watch_calls", fs.series("discovery.watch_calls").costAt(n), "calls/s", "`discovery.watch_calls` at schedulers_chosen, by the slope")
+	peak := fs.add(group, "start_calls", fs.series("discovery.start_peak").costAt(n), "calls/s", "`discovery.start_peak` at schedulers_chosen, by the slope: the worst second of a start of all")
+	region := fs.add(group, "region_calls", fs.series("discovery.start_peak").costAt(fs.value("schedulers_of_region")), "calls/s", "the same at schedulers_of_region")
 	list := fs.value("list_size") / kilobyte
 	fs.add(group, "start_traffic", peak*list, "MB/s", "start_calls × list_size: what the lists of a start of all come to in the worst second")
 	fs.add(group, "region_traffic", region*list, "MB/s", "region_calls × list_size")
@@ -164,32 +164,32 @@
 	fs.add(group, "zone_traffic", n*TargetWorkers/TargetZones*fs.value("entry_size")/megabyte, "MB", "schedulers_chosen × a zone of 558 × entry_size: in the second in which a zone goes")
 }
 
-// ofPlacement tells of urgent tasks and gangs.
-func (fs *figures) ofPlacement() {
+// addPlacement tells of urgent tasks and gangs.
+func (fs *figures) addPlacement() {
 	const group = "placement"
 	fs.add(group, "task_length", taskSeconds, "s", "220,000 tasks / 8,100 starts a second")
 	pool := fs.add(group, "pool", poolSlots, "slots", "220,000 / 34 zones / 4 kinds (*assumed* even)")
 	fs.add(group, "urgent_wait", urgentWait(pool), "s", "−ln(0.01) × task_length / pool: 99 in 100 urgent tasks have a slot by then, every slot taken")
-	fs.add(group, "urgent_wait_hollow", fs.series("urgent.wait").at(pool), "s", "`urgent.wait` at pool, by the slope")
+	fs.add(group, "urgent_wait_hollow", fs.series("urgent.wait").costAt(pool), "s", "`urgent.wait` at pool, by the slope")
 	fs.add(group, "urgent_pool", math.Ceil(urgentSlots()), "slots", "−ln(0.01) × task_length / 6.3 s: the least pool in which that holds")
-	for _, use := range gangUses {
+	for _, use := range gangUtilizations {
 		for _, gang := range []int{32, 128, TargetGang} {
 			name := fmt.Sprintf("gang_%d_at_%d", gang, use)
 			series := fs.series(fmt.Sprintf("gangs.room_at_%d", use))
-			fs.add("gangs", name, percent*gangRoom(float64(use)/100, gang), "% of the time", "Erlang's loss system, pool slots")
-			fs.add("gangs", name+"_hollow", percent*series.at(float64(gang)), "% of the time", fmt.Sprintf("`%s` at %d", series.Name, gang))
+			fs.add("gangs", name, percent*gangFitFraction(float64(use)/100, gang), "% of the time", "Erlang's loss system, pool slots")
+			fs.add("gangs", name+"_hollow", percent*series.costAt(float64(gang)), "% of the time", fmt.Sprintf("`%s` at %d", series.Name, gang))
 		}
 	}
 	fs.add("gangs", "gang_reserved", TargetGang*taskSeconds/poolSlots, "s", "256 × task_length / pool: until slots that are held as they come free make the largest gang")
 }
 
-// ofFailures tells what failures take.
-func (fs *figures) ofFailures() {
+// addFailures tells what failures take.
+func (fs *figures) addFailures() {
 	const group = "failures"
 	tasks := fs.add(group, "tasks_of_worker", TargetTasks/float64(TargetWorkers), "tasks", "220,000 / 19,000")
-	lost := (TargetFailuresADay + TargetRestartsADay) * tasks
+	lost := (TargetFailuresPerDay + TargetRestartsPerDay) * tasks
 	fs.add(group, "lost_a_day", lost*taskSeconds/2/3600, "hours of tasks", "(210 + 4,900) × tasks_of_worker × task_length / 2: restarts without a drain, at worst")
-	fs.add(group, "lost_a_rack", assumedRack*tasks, "tasks", "a rack of 40 (*assumed*) × tasks_of_worker, each week")
+	fs.add(group, "lost_a_rack", assumedRackWorkers*tasks, "tasks", "a rack of 40 (*assumed*) × tasks_of_worker, each week")
 	fs.add(group, "lost_a_zone", TargetWorkers/TargetZones*tasks, "tasks", "a zone of 558 × tasks_of_worker, a few times a year")
 	fs.add(group, "share_of_zone", percent/float64(TargetZones), "% of the fleet", "1 / 34 zones")
 	fs.add(group, "share_of_region", percent/float64(TargetRegions), "% of the fleet", "1 / 9 regions: the greatest that one failure takes")
--- a/internal/lab/capacity/gangs.go
+++ b/internal/lab/capacity/gangs.go
@@ -11,24 +11,24 @@
 // poolSlots are the slots of one kind in one zone.
 const poolSlots = TargetTasks / TargetZones / assumedKinds
 
-// gangUses are the shares of the slots in use, in percent.
-var gangUses = []int{70, 90, 98}
+// gangUtilizations are the shares of the slots in use, in percent.
+var gangUtilizations = []int{70, 90, 98}
 
 // measureGangs measures how often so many slots of one kind and zone are free at once, in a hollow pool
 // in which tasks start as they come and are turned away where none is free.
 func measureGangs(ctx context.Context, p plan) ([]Series, error) {
 	rng := rand.New(rand.NewPCG(p.seed, 3))
 	var all []Series
-	for _, use := range gangUses {
+	for _, use := range gangUtilizations {
 		free := make([][]float64, p.runs)
 		for i := range free {
-			free[i] = timeWithFree(offered(float64(use)/100), rng)
+			free[i] = simulateFreeSlots(offeredLoad(float64(use)/100), rng)
 		}
-		series, err := bySize(ctx, "slots of a gang", p.sizes(2, 8, 32, 64, 128, TargetGang), gauge{
+		series, err := measureBySize(ctx, "slots of a gang", p.sizes(2, 8, 32, 64, 128, TargetGang), costGauge{
 			fmt.Sprintf("gangs.room_at_%d", use), "share of time",
 			func(gang int) (runs []float64, _ error) {
 				for i := range free {
-					runs = append(runs, atLeast(free[i], gang))
+					runs = append(runs, fractionWithFree(free[i], gang))
 				}
 				return runs, nil
 			},
@@ -44,7 +44,7 @@
 
 // offered returns the load that keeps a share of a pool's slots in use: more than that share, since
 // what finds no slot is turned away.
-func offered(use float64) float64 {
+func offeredLoad(use float64) float64 {
 	least, most := 0.0, 4.0*poolSlots
 	for range 60 {
 		a := (least + most) / 2
@@ -66,9 +66,9 @@
 	return b
 }
 
-// gangRoom is the closed form: the share of time in which so many slots are free.
-func gangRoom(use float64, gang int) float64 {
-	load := offered(use)
+// gangFitFraction is the closed form: the share of time in which so many slots are free.
+func gangFitFraction(use float64, gang int) float64 {
+	load := offeredLoad(use)
 	logs := make([]float64, poolSlots+1) // of load^n / n!
 	most := 0.0
 	for n := 1; n <= poolSlots; n++ {
@@ -86,13 +86,13 @@
 	return room / sum
 }
 
-// simulatedTasks are those that come to a pool in one run, after as many to fill it.
-const simulatedTasks = 40 * poolSlots
+// simulatedArrivals are those that come to a pool in one run, after as many to fill it.
+const simulatedArrivals = 40 * poolSlots
 
-// timeWithFree returns the share of time in which each number of slots was free.
-func timeWithFree(load float64, rng *rand.Rand) []float64 {
+// simulateFreeSlots returns the share of time in which each number of slots was free.
+func simulateFreeSlots(load float64, rng *rand.Rand) []float64 {
 	shares := make([]float64, poolSlots+1)
-	var ends timeHeap
+	var ends endTimes
 	now, spent := 0.0, 0.0
 	pass := func(to float64, counts bool) {
 		if counts {
@@ -101,7 +101,7 @@
 		}
 		now = to
 	}
-	for i := range simulatedTasks + 10*poolSlots {
+	for i := range simulatedArrivals + 10*poolSlots {
 		counts := i >= 10*poolSlots
 		comes := now + rng.ExpFloat64()/load // in mean lengths of a task
 		for len(ends) > 0 && ends[0] <= comes {
@@ -110,7 +110,7 @@
 		}
 		pass(comes, counts)
 		if len(ends) < poolSlots {
-			length := math.Exp(rng.NormFloat64()*taskSpread - taskSpread*taskSpread/2)
+			length := math.Exp(rng.NormFloat64()*taskLengthSigma - taskLengthSigma*taskLengthSigma/2)
 			heap.Push(&ends, now+length)
 		}
 	}
@@ -120,22 +120,22 @@
 	return shares
 }
 
-// atLeast returns the share of time in which so many slots were free.
-func atLeast(shares []float64, gang int) (sum float64) {
+// fractionWithFree returns the share of time in which so many slots were free.
+func fractionWithFree(shares []float64, gang int) (sum float64) {
 	for free := gang; free < len(shares); free++ {
 		sum += shares[free]
 	}
 	return sum
 }
 
-// A timeHeap holds the ends of running tasks, the next one first.
-type timeHeap []float64
+// An endTimes holds the ends of running tasks, the next one first.
+type endTimes []float64
 
-func (h timeHeap) Len() int           { return len(h) }
-func (h timeHeap) Less(i, j int) bool { return h[i] < h[j] }
-func (h timeHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *timeHeap) Push(x any)        { *h = append(*h, x.(float64)) }
-func (h *timeHeap) Pop() any {
+func (h endTimes) Len() int           { return len(h) }
+func (h endTimes) Less(i, j int) bool { return h[i] < h[j] }
+func (h endTimes) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *endTimes) Push(x any)        { *h = append(*h, x.(float64)) }
+func (h *endTimes) Pop() any {
 	last := len(*h) - 1
 	x := (*h)[last]
 	*h = (*h)[:last]
--- a/internal/lab/capacity/hollow.go
+++ b/internal/lab/capacity/hollow.go
@@ -24,7 +24,7 @@
 }
 
 // document returns the settings of scheduler number 0, as they stand in its configuration.
-func (d deployment) document() ([]byte, error) {
+func (d deployment) settingsDocument() ([]byte, error) {
 	var teams []map[string]any
 	for i := range d.teams {
 		teams = append(teams, map[string]any{"name": fmt.Sprintf("team-%02d", i), "quotaRps": 10 * (1 + i%7)})
@@ -49,7 +49,7 @@
 
 // settings returns the same, read.
 func (d deployment) settings() (*config.Settings, error) {
-	text, err := d.document()
+	text, err := d.settingsDocument()
 	if err != nil {
 		return nil, err
 	}
@@ -57,22 +57,22 @@
 }
 
 // worker returns a hollow worker by its number.
-func worker(i int) foxlift.Worker {
+func hollowWorker(i int) foxlift.Worker {
 	return foxlift.Worker{ID: workerName(i), Zone: i % TargetZones, Kind: i % assumedKinds, Cell: i / 8}
 }
 
 func workerName(i int) string { return fmt.Sprintf("worker-%05d", i) }
 
-func (d deployment) list() []foxlift.Worker {
+func (d deployment) endpoints() []foxlift.Worker {
 	list := make([]foxlift.Worker, d.workers)
 	for i := range list {
-		list[i] = worker(i)
+		list[i] = hollowWorker(i)
 	}
 	return list
 }
 
 // tick is longer than the module's own, so that each step with nothing to do is a tick.
-const tick = 100 * time.Millisecond
+const idleTickInterval = 100 * time.Millisecond
 
 // A hollowModule is a decision module on a virtual clock.
 type hollowModule struct {
@@ -92,7 +92,7 @@
 		return nil, err
 	}
 	h := &hollowModule{Dispatcher: m, now: int64(time.Second)}
-	h.step(foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsComplete, Workers: d.list()})
+	h.step(foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsComplete, Workers: d.endpoints()})
 	return h, nil
 }
 
@@ -102,13 +102,13 @@
 }
 
 // idle is a tick with nothing to do.
-func (h *hollowModule) idle() {
-	h.now += int64(tick)
+func (h *hollowModule) idleTick() {
+	h.now += int64(idleTickInterval)
 	h.Step(h.now, nil)
 }
 
 // job is a job's whole life: it comes, is sent, starts and is served. It reports whether it was sent.
-func (h *hollowModule) job(team int, key uint64) bool {
+func (h *hollowModule) runJob(team int, key uint64) bool {
 	h.jobs++
 	r := foxlift.Request{ID: h.jobs, Tenant: team, Key: key, Deadline: h.now + int64(5*time.Second)}
 	for _, a := range h.step(foxlift.Event{Kind: foxlift.EventRequest, Request: r}) {
@@ -124,7 +124,7 @@
 }
 
 // begin has a task sent that runs on; it reports whether it was sent.
-func (h *hollowModule) begin(team int) bool {
+func (h *hollowModule) startTask(team int) bool {
 	h.jobs++
 	r := foxlift.Request{ID: h.jobs, Class: 1, Tenant: team, Deadline: h.now + int64(time.Hour)}
 	for _, a := range h.step(foxlift.Event{Kind: foxlift.EventRequest, Request: r}) {
@@ -137,8 +137,8 @@
 }
 
 // change lets a worker drain, or come back.
-func (h *hollowModule) change(i int, state foxlift.WorkerState) {
-	w := worker(i)
+func (h *hollowModule) updateWorker(i int, state foxlift.WorkerState) {
+	w := hollowWorker(i)
 	w.State = state
 	h.step(foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsDelta, Workers: []foxlift.Worker{w}})
 }
@@ -162,32 +162,32 @@
 	}
 	h := &hollowCore{Core: c, barrier: make(chan struct{})}
 	c.Connect(h, h, TargetTasks)
-	c.Start(d.list())
-	h.await()
+	c.Start(d.endpoints())
+	h.awaitStep()
 	return h, nil
 }
 
 // await returns when the core has done all that was asked of it before. The first answer comes while the
 // events of a step are taken in, the second in the next step.
-func (h *hollowCore) await() {
+func (h *hollowCore) awaitStep() {
 	for range 2 {
-		h.Accept(&core.Job{ID: "barrier", Class: "unknown", Client: barrier(h.barrier)})
+		h.Accept(&core.Job{ID: "barrier", Class: "unknown", Client: barrierClient(h.barrier)})
 		<-h.barrier
 	}
 }
 
 // A barrier is the submitter of a job that is refused at once.
-type barrier chan struct{}
+type barrierClient chan struct{}
 
-func (b barrier) Answer(core.Answer) { b <- struct{}{} }
-func (b barrier) Disconnected() bool { return false }
+func (b barrierClient) Answer(core.Answer) { b <- struct{}{} }
+func (b barrierClient) Disconnected() bool { return false }
 
 // change brings a change of the list and waits until it is in force.
-func (h *hollowCore) change(i int, state foxlift.WorkerState) {
-	w := worker(i)
+func (h *hollowCore) updateWorker(i int, state foxlift.WorkerState) {
+	w := hollowWorker(i)
 	w.State = state
 	h.UpdateEndpoints(foxlift.EndpointsDelta, []foxlift.Worker{w})
-	h.await()
+	h.awaitStep()
 }
 
 // Send implements core.Nodes: the job starts and goes on running.
--- a/internal/lab/capacity/lines.go
+++ b/internal/lab/capacity/lines.go
@@ -5,95 +5,97 @@
 )
 
 // A state says whether a line of the target is carried.
-type state string
+type requirementState string
 
 const (
-	carriedToday state = "carried today"
-	switchedOn   state = "carried where it is switched on"
-	missing      state = "missing"
-	notReached   state = "not reached" // not measured far enough to say
+	met            requirementState = "carried today"
+	metWhenEnabled requirementState = "carried where it is switched on"
+	unmet          requirementState = "missing"
+	unverified     requirementState = "not reached" // not measured far enough to say
 )
 
 // A line is a line of the target, with the mechanism that carries it.
-type line struct {
+type requirement struct {
 	name, mechanism string
-	state           state
+	state           requirementState
 	multiple        float64 // of the target, at which it breaks; NaN: not known
 	breaks          string
 }
 
 // A wall is the fraction of the target at which a cost crosses its budget.
-type wall struct {
+type scalingLimit struct {
 	Name     string
 	Fraction float64
 	from     string
 }
 
 // A target is what measurements come to at the size designed for.
-type target struct {
+type assessment struct {
 	*figures
-	walls []wall
-	lines []line
+	limits       []scalingLimit
+	requirements []requirement
 }
 
-// newTarget carries measurements to the target; it fails where a series is missing.
-func newTarget(m *Measured) (*target, error) {
+// newAssessment carries measurements to the target; it fails where a series is missing.
+func newAssessment(m *Measured) (*assessment, error) {
 	fs, err := newFigures(m)
 	if err != nil {
 		return nil, err
 	}
-	t := &target{figures: fs}
-	t.findWalls()
-	t.judge()
+	t := &assessment{figures: fs}
+	t.findLimits()
+	t.judgeRequirements()
 	return t, nil
 }
 
 // What a start takes from discovery, by whether it has a list that was kept.
 const (
-	wholeListWall = "the whole list within the list's clock, at a start that has none kept"
-	keptListWall  = "the changes since within the list's clock, at a start with a list that was kept"
+	completeListLimit = "the whole list within the list's clock, at a start that has none kept"
+	checkpointLimit   = "the changes since within the list's clock, at a start with a list that was kept"
 )
 
-// startBudget is the processor time that a start may take, in seconds.
-const startBudget = 0.4
+// startCPUBudget is the processor time that a start may take, in seconds.
+const startCPUBudget = 0.4
 
-// findWalls finds where the slope of each cost crosses its budget.
-func (t *target) findWalls() {
+// findLimits finds where the slope of each cost crosses its budget.
+func (t *assessment) findLimits() {
 	budget := func(name, series string, bound float64, from string) {
 		s := t.series(series)
-		t.walls = append(t.walls, wall{name, s.sizeAt(bound) / TargetWorkers, from + ", `" + series + "`"})
+		t.limits = append(t.limits, scalingLimit{name, s.sizeAt(bound) / TargetWorkers, from + ", `" + series + "`"})
 	}
 	budget("control's processor time at 0.2 changes/s", "control.cpu_at_0.2", TargetControlCPU, "1.6 % of a core")
 	budget("control's processor time at 5 changes/s", "control.cpu_at_5", TargetControlCPU, "1.6 % of a core")
 	budget("control's memory", "control.memory", TargetControlMemory*megabyte, "128 MB")
 	budget("control's traffic at 0.2 changes/s", "control.traffic_at_0.2", TargetControlTraffic*kilobyte, "24 KB/s")
 	budget("control's traffic at 5 changes/s", "control.traffic_at_5", TargetControlTraffic*kilobyte, "24 KB/s")
-	budget("the start's processor time", "control.start", startBudget, "0.4 s")
-	budget(wholeListWall, "list.bytes", TargetControlTraffic*kilobyte*t.value("clock"), "24 KB/s for clock")
-	t.walls = append(t.walls, wall{keptListWall, t.value("kept_room"), "kept_room"})
+	budget("the start's processor time", "control.start", startCPUBudget, "0.4 s")
+	budget(completeListLimit, "list.bytes", TargetControlTraffic*kilobyte*t.value("clock"), "24 KB/s for clock")
+	t.limits = append(t.limits, scalingLimit{checkpointLimit, t.value("kept_room"), "kept_room"})
 	peak := t.value("configuration_peak") // changes a second; the teams take most of the document
 	s := t.series("configuration.bytes")
-	t.walls = append(t.walls, wall{
+	t.limits = append(t.limits, scalingLimit{
 		"the configuration as one document, in the peak minute",
 		s.sizeAt(TargetControlTraffic*kilobyte/peak) / TargetTeams, "24 KB/s / configuration_peak, `configuration.bytes`",
 	})
-	t.walls = append(t.walls, wall{
+	t.limits = append(t.limits, scalingLimit{
 		"descriptors of the most schedulers", t.value("tasks_of_one") * t.value("schedulers_most") / TargetTasks,
 		"tasks_of_one × schedulers_most / 220,000",
 	})
 }
 
 // wall returns the first wall.
-func (t *target) wall() wall { return t.walls[t.first(-1)] }
+func (t *assessment) lowestLimit() scalingLimit { return t.limits[t.lowestIndexExcept(-1)] }
 
-// nextWall returns the wall after the first.
-func (t *target) nextWall() wall { return t.walls[t.first(t.first(-1))] }
+// secondLimit returns the wall after the first.
+func (t *assessment) secondLimit() scalingLimit {
+	return t.limits[t.lowestIndexExcept(t.lowestIndexExcept(-1))]
+}
 
 // first returns the index of the first wall but one.
-func (t *target) first(but int) int {
+func (t *assessment) lowestIndexExcept(but int) int {
 	first := -1
-	for i, w := range t.walls {
-		if i != but && (first < 0 || w.Fraction < t.walls[first].Fraction) {
+	for i, w := range t.limits {
+		if i != but && (first < 0 || w.Fraction < t.limits[first].Fraction) {
 			first = i
 		}
 	}
@@ -101,9 +103,9 @@
 }
 
 // fraction returns the least fraction of some walls.
-func (t *target) fraction(names ...string) float64 {
+func (t *assessment) lowestFraction(names ...string) float64 {
 	least := math.Inf(1)
-	for _, w := range t.walls {
+	for _, w := range t.limits {
 		for _, name := range names {
 			if w.Name == name {
 				least = min(least, w.Fraction)
@@ -114,48 +116,48 @@
 }
 
 // judge says of each line of the target what carries it.
-func (t *target) judge() {
+func (t *assessment) judgeRequirements() {
 	measured := func(name, mechanism, breaks string, multiple float64) {
-		state := carriedToday
+		state := met
 		if multiple < 1 {
-			state = missing
+			state = unmet
 		}
-		t.lines = append(t.lines, line{name, mechanism, state, multiple, breaks})
+		t.requirements = append(t.requirements, requirement{name, mechanism, state, multiple, breaks})
 	}
-	unknown := func(name, mechanism string, state state, breaks string) {
-		t.lines = append(t.lines, line{name, mechanism, state, math.NaN(), breaks})
+	unknown := func(name, mechanism string, state requirementState, breaks string) {
+		t.requirements = append(t.requirements, requirement{name, mechanism, state, math.NaN(), breaks})
 	}
-	t.lines = append(t.lines, line{"19,000 workers", "a full replica of the membership list at each scheduler, followed by a watch; a checkpoint of it on the scheduler's disk",
-		switchedOn, t.fraction(keptListWall), "the changes since the checkpoint take longer than the list's clock at 24 KB/s; without a checkpoint the whole list does from a fraction of the target on (see the walls)"})
-	unknown("21,000 accelerators", "kinds of worker, slots told by load reports", notReached, "two accelerators in one worker are not told apart")
+	t.requirements = append(t.requirements, requirement{"19,000 workers", "a full replica of the membership list at each scheduler, followed by a watch; a checkpoint of it on the scheduler's disk",
+		metWhenEnabled, t.lowestFraction(checkpointLimit), "the changes since the checkpoint take longer than the list's clock at 24 KB/s; without a checkpoint the whole list does from a fraction of the target on (see the walls)"})
+	unknown("21,000 accelerators", "kinds of worker, slots told by load reports", unverified, "two accelerators in one worker are not told apart")
 	measured("120,000 jobs a day, 8,100 starts a second", "late binding at schedulers that share nothing",
 		"a core of each scheduler is spent on decisions", percent/t.value("starts_cpu"))
 	measured("220,000 running tasks", "a connection on each side for each running task",
-		"descriptors of the most schedulers there may be", t.fraction("descriptors of the most schedulers"))
-	unknown("gangs of up to 256", "gang scheduling: all-or-nothing admission with reservation", missing, "the module places one task at a time")
-	unknown("98 teams with quotas", "token buckets by band, each scheduler with its part", notReached,
+		"descriptors of the most schedulers there may be", t.lowestFraction("descriptors of the most schedulers"))
+	unknown("gangs of up to 256", "gang scheduling: all-or-nothing admission with reservation", unmet, "the module places one task at a time")
+	unknown("98 teams with quotas", "token buckets by band, each scheduler with its part", unverified,
 		"how close the sum of all schedulers keeps each team to its quota is not measured")
-	unknown("urgent work within 6.3 s", "priority queueing for the next slot that comes free", notReached,
+	unknown("urgent work within 6.3 s", "priority queueing for the next slot that comes free", unverified,
 		"classes have no priority in the module; the slots would come free soon enough in pools of urgent_pool slots and more")
-	unknown("9 regions with 34 zones", "zone-aware placement; regions would be a level above", missing, "there are zones only")
-	unknown("13,000 changes of configuration a day, in force within 14 s", "versioned configuration with incremental distribution", missing,
+	unknown("9 regions with 34 zones", "zone-aware placement; regions would be a level above", unmet, "there are zones only")
+	unknown("13,000 changes of configuration a day, in force within 14 s", "versioned configuration with incremental distribution", unmet,
 		"a reload changes the address of discovery only; all else holds to the process's end")
 	measured("control within 1.6 % of a core", "incremental indexes in the module and the core", "processor time of a process without a job",
-		t.fraction("control's processor time at 0.2 changes/s"))
-	measured("control within 128 MB", "the same", "resident memory of a process without a job", t.fraction("control's memory"))
+		t.lowestFraction("control's processor time at 0.2 changes/s"))
+	measured("control within 128 MB", "the same", "resident memory of a process without a job", t.lowestFraction("control's memory"))
 	measured("control within 24 KB a second, in an ordinary second", "watches that carry changes", "traffic with discovery",
-		t.fraction("control's traffic at 0.2 changes/s"))
+		t.lowestFraction("control's traffic at 0.2 changes/s"))
 	measured("210 failures, 4,900 restarts a day", "changes on the watch", "traffic with discovery at that rate",
 		TargetControlTraffic/t.value("changes_traffic"))
 	measured("a rack each week", "changes on the watch", "the news takes longer than the list's clock", t.value("clock")/t.value("rack_time"))
 	measured("a zone a few times a year", "changes on the watch", "the news takes longer than the list's clock", t.value("clock")/t.value("zone_time"))
-	unknown("regions apart for an hour", "a scheduler goes on with its last list", notReached, "what discovery tells of a region that is cut off is not ours; not played")
+	unknown("regions apart for an hour", "a scheduler goes on with its last list", unverified, "what discovery tells of a region that is cut off is not ours; not played")
 }
 
 // carried returns how many lines are carried.
-func (t *target) carried() (n int) {
-	for _, l := range t.lines {
-		if l.state == carriedToday || l.state == switchedOn {
+func (t *assessment) metCount() (n int) {
+	for _, l := range t.requirements {
+		if l.state == met || l.state == metWhenEnabled {
 			n++
 		}
 	}
--- a/internal/lab/capacity/page.go
+++ b/internal/lab/capacity/page.go
@@ -19,8 +19,8 @@
 
 // Errors of a page.
 var (
-	errNoSource = errors.New("a figure has no source")
-	errOff      = errors.New("the page is not what the measurements give")
+	errFigureWithoutSource = errors.New("a figure has no source")
+	errPageDiffers         = errors.New("the page is not what the measurements give")
 )
 
 // An unknownFigureError names a figure that no formula gives.
@@ -35,24 +35,24 @@
 	if err := checkSources(text); err != nil {
 		return "", err
 	}
-	t, err := newTarget(m)
+	t, err := newAssessment(m)
 	if err != nil {
 		return "", err
 	}
 	page, err := template.New("page").Funcs(template.FuncMap{
-		"figure": t.show, "table": t.table, "walls": t.wallTable, "lines": t.lineTable, "series": t.seriesTable,
-		"wall":      func() string { return t.wall().Name },
-		"fraction":  func() string { return number(percent*t.wall().Fraction) + " %" },
-		"nextWall":  func() string { return t.nextWall().Name },
-		"next":      func() string { return number(t.nextWall().Fraction) + " times the target" },
-		"carried":   func() string { return fmt.Sprintf("%d of %d", t.carried(), len(t.lines)) },
+		"figure": t.showFigure, "table": t.figureTable, "walls": t.limitTable, "lines": t.requirementTable, "series": t.seriesTable,
+		"wall":      func() string { return t.lowestLimit().Name },
+		"fraction":  func() string { return formatNumber(percent*t.lowestLimit().Fraction) + " %" },
+		"nextWall":  func() string { return t.secondLimit().Name },
+		"next":      func() string { return formatNumber(t.secondLimit().Fraction) + " times the target" },
+		"carried":   func() string { return fmt.Sprintf("%d of %d", t.metCount(), len(t.requirements)) },
 		"commit":    func() string { return m.Commit },
 		"zones":     func() int { return TargetZones },
 		"regions":   func() int { return TargetRegions },
 		"machines":  func() int { return TargetControlHosts },
-		"failures":  func() int { return TargetFailuresADay },
-		"urgent":    func() string { return number(TargetUrgentStart.Seconds()) + " s" },
-		"inForce":   func() string { return number(TargetConfigInForce.Seconds()) + " s" },
+		"failures":  func() int { return TargetFailuresPerDay },
+		"urgent":    func() string { return formatNumber(TargetUrgentStart.Seconds()) + " s" },
+		"inForce":   func() string { return formatNumber(TargetConfigInForce.Seconds()) + " s" },
 		"memory":    func() string { return fmt.Sprint(TargetControlMemory, " MB") },
 		"traffic":   func() string { return fmt.Sprint(TargetControlTraffic, " KB/s") },
 		"processor": func() string { return fmt.Sprint(TargetControlCPU, " % of a core") },
@@ -79,10 +79,10 @@
 	is, should := strings.Split(page, "\n"), strings.Split(want, "\n")
 	for i := range is {
 		if i >= len(should) || is[i] != should[i] {
-			return fmt.Errorf("%w: line %d: %q", errOff, i+1, is[i])
+			return fmt.Errorf("%w: line %d: %q", errPageDiffers, i+1, is[i])
 		}
 	}
-	return fmt.Errorf("%w: it ends after line %d", errOff, len(is))
+	return fmt.Errorf("%w: it ends after line %d", errPageDiffers, len(is))
 }
 
 // CheckFiles compares a page's file with that of the measurements.
@@ -102,22 +102,22 @@
 }
 
 var (
-	action = regexp.MustCompile(`\{\{[^}]*\}\}`)
-	digit  = regexp.MustCompile(`[0-9]`)
+	templateAction = regexp.MustCompile(`\{\{[^}]*\}\}`)
+	digit          = regexp.MustCompile(`[0-9]`)
 )
 
 // checkSources sees that a template has no figure but those that are looked up.
 func checkSources(text string) error {
 	for i, line := range strings.Split(text, "\n") {
-		if digit.MatchString(action.ReplaceAllString(line, "")) {
-			return fmt.Errorf("%w: line %d: %q", errNoSource, i+1, line)
+		if digit.MatchString(templateAction.ReplaceAllString(line, "")) {
+			return fmt.Errorf("%w: line %d: %q", errFigureWithoutSource, i+1, line)
 		}
 	}
 	return nil
 }
 
 // number writes a value with three digits that count.
-func number(x float64) string {
+func formatNumber(x float64) string {
 	switch {
 	case math.IsNaN(x):
 		return "not known"
@@ -133,32 +133,32 @@
 	return fmt.Sprintf("%.*f", digits, x)
 }
 
-// farBeyond is a multiple of the target past which a slope says only that there is no wall near.
-const farBeyond = 1000
+// maxShownMultiple is a multiple of the target past which a slope says only that there is no wall near.
+const maxShownMultiple = 1000
 
 // multiple writes a multiple of the target.
-func multiple(x float64) string {
-	if x > farBeyond {
-		return fmt.Sprintf("over %d", farBeyond)
+func formatMultiple(x float64) string {
+	if x > maxShownMultiple {
+		return fmt.Sprintf("over %d", maxShownMultiple)
 	}
-	return number(x)
+	return formatNumber(x)
 }
 
 // show returns a figure with its unit.
-func (t *target) show(name string) (string, error) {
+func (t *assessment) showFigure(name string) (string, error) {
 	f, there := t.byName[name]
 	if !there {
 		return "", unknownFigureError(name)
 	}
-	return number(f.value) + " " + f.unit, nil
+	return formatNumber(f.value) + " " + f.unit, nil
 }
 
 // table returns a group of figures with their sources.
-func (t *target) table(group string) (string, error) {
+func (t *assessment) figureTable(group string) (string, error) {
 	rows := []string{"| figure | value | from |", "| --- | --- | --- |"}
 	for _, name := range t.order {
 		if f := t.byName[name]; f.group == group {
-			rows = append(rows, fmt.Sprintf("| %s | %s %s | %s |", f.name, number(f.value), f.unit, f.from))
+			rows = append(rows, fmt.Sprintf("| %s | %s %s | %s |", f.name, formatNumber(f.value), f.unit, f.formula))
 		}
 	}
 	if len(rows) == 2 {
@@ -167,35 +167,35 @@
 	return strings.Join(rows, "\n"), nil
 }
 
-func (t *target) wallTable() string {
+func (t *assessment) limitTable() string {
 	rows := []string{"| budget | crossed at, of the target | from |", "| --- | --- | --- |"}
-	for _, w := range t.walls {
-		rows = append(rows, fmt.Sprintf("| %s | %s | %s |", w.Name, multiple(w.Fraction), w.from))
+	for _, w := range t.limits {
+		rows = append(rows, fmt.Sprintf("| %s | %s | %s |", w.Name, formatMultiple(w.Fraction), w.from))
 	}
 	return strings.Join(rows, "\n")
 }
 
-func (t *target) lineTable() string {
+func (t *assessment) requirementTable() string {
 	rows := []string{"| line of the target | mechanism | state | breaks at, of the target | what breaks |", "| --- | --- | --- | --- | --- |"}
-	for _, l := range t.lines {
-		rows = append(rows, fmt.Sprintf("| %s | %s | %s | %s | %s |", l.name, l.mechanism, l.state, multiple(l.multiple), l.breaks))
+	for _, l := range t.requirements {
+		rows = append(rows, fmt.Sprintf("| %s | %s | %s | %s | %s |", l.name, l.mechanism, l.state, formatMultiple(l.multiple), l.breaks))
 	}
 	return strings.Join(rows, "\n")
 }
 
 // seriesTable returns all that was measured: sizes, medians, the worst spread, slope and residual.
-func (t *target) seriesTable() string {
+func (t *assessment) seriesTable() string {
 	rows := []string{"| series | by | sizes | medians | unit | worst spread | slope | residual |", "| --- | --- | --- | --- | --- | --- | --- | --- |"}
-	for i := range t.from.Series {
-		s := &t.from.Series[i]
+	for i := range t.measured.Series {
+		s := &t.measured.Series[i]
 		var sizes, medians []string
 		spread := 0.0
 		for _, p := range s.Points {
-			sizes, medians = append(sizes, fmt.Sprint(p.Size)), append(medians, number(p.Median))
-			spread = max(spread, p.Spread)
+			sizes, medians = append(sizes, fmt.Sprint(p.Size)), append(medians, formatNumber(p.Median))
+			spread = max(spread, p.RelativeRange)
 		}
 		rows = append(rows, fmt.Sprintf("| %s | %s | %s | %s | %s | %s %% | %s | %s %% |", s.Name, s.Of, strings.Join(sizes, ", "),
-			strings.Join(medians, ", "), s.Unit, number(percent*spread), number(s.Slope), number(s.Residual)))
+			strings.Join(medians, ", "), s.Unit, formatNumber(percent*spread), formatNumber(s.Slope), formatNumber(s.Residual)))
 	}
 	return strings.Join(rows, "\n")
 }
--- a/internal/lab/capacity/run.go
+++ b/internal/lab/capacity/run.go
@@ -24,29 +24,29 @@
 // A Result is what a run has measured, and what it took.
 type Result struct {
 	Measured
-	Dimensions int
-	Memory     float64 // bytes that the tool had at most
-	Machine    float64 // bytes of the machine's memory
-	Processes  int     // that ran at a time
+	Dimensions    int
+	PeakMemory    float64 // bytes that the tool had at most
+	MachineMemory float64 // bytes of the machine's memory
+	Processes     int     // that ran at a time
 }
 
-// memoryPart is the part of the machine's memory that the tool may take.
-const memoryPart = 2
+// memoryDivisor is the part of the machine's memory that the tool may take.
+const memoryDivisor = 2
 
-// errMemory says that the tool would take too much of the machine's memory.
-var errMemory = errors.New("the machine's memory would not do: over half of it would be taken")
+// errTooMuchMemory says that the tool would take too much of the machine's memory.
+var errTooMuchMemory = errors.New("the machine's memory would not do: over half of it would be taken")
 
 // Run measures. It ends what it has started, also when ctx ends.
 func Run(ctx context.Context, out io.Writer, o Options) (*Result, error) {
-	chosen, err := choose(o.Dimensions)
+	chosen, err := chooseDimensions(o.Dimensions)
 	if err != nil {
 		return nil, err
 	}
-	r := &Result{Measured: Measured{Commit: commit(), Short: o.Short}, Dimensions: len(chosen)}
-	if r.Machine, err = machineMemory(); err != nil {
+	r := &Result{Measured: Measured{Commit: currentCommit(), Short: o.Short}, Dimensions: len(chosen)}
+	if r.MachineMemory, err = machineMemory(); err != nil {
 		return nil, err
 	}
-	p := plan{short: o.Short, runs: runsADimension, seed: o.Seed, program: o.Program}
+	p := plan{short: o.Short, runs: runsPerSize, seed: o.Seed, program: o.Program}
 	for _, d := range chosen {
 		began := time.Now()
 		series, err := d.measure(ctx, p)
@@ -58,10 +58,10 @@
 		}
 		r.Series = append(r.Series, series...)
 		for i := range series {
-			fmt.Fprintln(out, series[i].line())
+			fmt.Fprintln(out, series[i].summary())
 		}
 		fmt.Fprintf(out, "%s: %.1f s\n", d.name, time.Since(began).Seconds())
-		if err := r.noteMemory(); err != nil {
+		if err := r.recordMemory(); err != nil {
 			return nil, err
 		}
 	}
@@ -69,7 +69,7 @@
 }
 
 // line tells a series in one line.
-func (s *Series) line() string {
+func (s *Series) summary() string {
 	var points []string
 	for _, p := range s.Points {
 		points = append(points, fmt.Sprintf("%d: %.4g", p.Size, p.Median))
@@ -77,13 +77,13 @@
 	return fmt.Sprintf("%-26s %-40s slope %5.2f, residual %4.1f %% (%s by %s)", s.Name, strings.Join(points, ", "), s.Slope, s.Residual, s.Unit, s.Of)
 }
 
-// noteMemory notes what the tool has taken, and fails where that is too much.
-func (r *Result) noteMemory() error {
+// recordMemory notes what the tool has taken, and fails where that is too much.
+func (r *Result) recordMemory() error {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	r.Memory = max(r.Memory, float64(m.Sys))
-	if r.Memory > r.Machine/memoryPart {
-		return fmt.Errorf("%w: %.1f of %.1f GB", errMemory, gigabytes(r.Memory), gigabytes(r.Machine))
+	r.PeakMemory = max(r.PeakMemory, float64(m.Sys))
+	if r.PeakMemory > r.MachineMemory/memoryDivisor {
+		return fmt.Errorf("%w: %.1f of %.1f GB", errTooMuchMemory, gigabytes(r.PeakMemory), gigabytes(r.MachineMemory))
 	}
 	return nil
 }
@@ -98,13 +98,13 @@
 		}
 	}
 	carried, lines, wall := "-", "-", "not known, since not all was measured"
-	if t, err := newTarget(&r.Measured); err == nil {
-		w := t.wall()
-		carried, lines = fmt.Sprint(t.carried()), fmt.Sprint(len(t.lines))
+	if t, err := newAssessment(&r.Measured); err == nil {
+		w := t.lowestLimit()
+		carried, lines = fmt.Sprint(t.metCount()), fmt.Sprint(len(t.requirements))
 		wall = fmt.Sprintf("%s at %.3g of the target", w.Name, w.Fraction)
 	}
 	return fmt.Sprintf("capacity: dimensions %d, slopes %d (worst residual %.1f %%), lines carried %s of %s, first wall %s, memory %.1f GB of %.1f, processes %d",
-		r.Dimensions, slopes, worst, carried, lines, wall, gigabytes(r.Memory), gigabytes(r.Machine), r.Processes)
+		r.Dimensions, slopes, worst, carried, lines, wall, gigabytes(r.PeakMemory), gigabytes(r.MachineMemory), r.Processes)
 }
 
 func gigabytes(bytes float64) float64 { return bytes / (kilobyte * megabyte) }
@@ -126,7 +126,7 @@
 }
 
 // commit names the tree that is measured; "unknown" outside of a checkout.
-func commit() string {
+func currentCommit() string {
 	out, err := exec.Command("git", "rev-parse", "--short", "HEAD").Output()
 	if err != nil {
 		return "unknown"
--- a/internal/lab/capacity/schedulers.go
+++ b/internal/lab/capacity/schedulers.go
@@ -12,8 +12,8 @@
 // Discovery's calls are counted on a virtual clock, with the scheduler's own pauses and waits. A call
 // is answered at once: what discovery can bear is not ours to know.
 const (
-	watchedFor  = 2 * time.Minute
-	startsEvery = 10 // a start is counted in seconds; this many are drawn for each run
+	watchDuration = 2 * time.Minute
+	startsPerRun  = 10 // a start is counted in seconds; this many are drawn for each run
 )
 
 // measureSchedulers measures the calls that all schedulers together make to discovery.
@@ -27,9 +27,9 @@
 			return runs, nil
 		}
 	}
-	return bySize(ctx, "schedulers", p.sizes(30, 60, 100, 200, 300, 600, 1000),
-		gauge{"discovery.watch_calls", "calls/s", each(watchCalls)},
-		gauge{"discovery.start_peak", "calls/s", each(startPeak)},
+	return measureBySize(ctx, "schedulers", p.sizes(30, 60, 100, 200, 300, 600, 1000),
+		costGauge{"discovery.watch_calls", "calls/s", each(watchCalls)},
+		costGauge{"discovery.start_peak", "calls/s", each(startPeak)},
 	)
 }
 
@@ -38,17 +38,17 @@
 	calls := 0
 	for range schedulers {
 		asker := pollpacing.NewPacer(schedulers, 0, rng)
-		for at := time.Duration(0); at < watchedFor; at += asker.WatchHold() {
+		for at := time.Duration(0); at < watchDuration; at += asker.WatchHold() {
 			calls++
 		}
 	}
-	return float64(calls) / watchedFor.Seconds()
+	return float64(calls) / watchDuration.Seconds()
 }
 
 // startPeak returns the calls in the worst second after all schedulers have started at once.
 func startPeak(schedulers int, rng *rand.Rand) float64 {
 	worst := 0.0
-	for range startsEvery {
+	for range startsPerRun {
 		seconds := map[int]int{}
 		most := 0
 		for range schedulers {
--- a/internal/lab/capacity/series.go
+++ b/internal/lab/capacity/series.go
@@ -13,10 +13,10 @@
 
 // A Point is what was measured at one size.
 type Point struct {
-	Size   int       `json:"size"`
-	Runs   []float64 `json:"runs"`
-	Median float64   `json:"median"`
-	Spread float64   `json:"spread"` // (most - least) / median
+	Size          int       `json:"size"`
+	Runs          []float64 `json:"runs"`
+	Median        float64   `json:"median"`
+	RelativeRange float64   `json:"spread"` // (most - least) / median
 }
 
 // A Series is one cost by one size, the other sizes held.
@@ -40,16 +40,16 @@
 // addPoint takes in the runs at one size.
 func (s *Series) addPoint(size int, runs []float64) {
 	sorted := slices.Sorted(slices.Values(runs))
-	median := medianOf(sorted)
+	median := median(sorted)
 	p := Point{Size: size, Runs: runs, Median: median}
 	if median != 0 {
-		p.Spread = (sorted[len(sorted)-1] - sorted[0]) / median
+		p.RelativeRange = (sorted[len(sorted)-1] - sorted[0]) / median
 	}
 	s.Points = append(s.Points, p)
 }
 
-// medianOf returns the value in the middle of sorted ones, or the mean of the two there.
-func medianOf(sorted []float64) float64 {
+// median returns the value in the middle of sorted ones, or the mean of the two there.
+func median(sorted []float64) float64 {
 	const half, above = 0.5, 0.5 + 1e-9
 	return (stat.Quantile(half, stat.Empirical, sorted, nil) + stat.Quantile(above, stat.Empirical, sorted, nil)) / 2
 }
@@ -82,21 +82,21 @@
 
 // largest is how many of the largest sizes tell how a cost goes on beyond them: a part that does not
 // grow hides the slope at the smallest.
-const largest = 3
+const extrapolationSizes = 3
 
 // beyond returns the line through the largest sizes.
-func (s *Series) beyond() (offset, slope float64) {
+func (s *Series) extrapolation() (offset, slope float64) {
 	xs, ys := s.logarithms()
 	if len(xs) < 2 {
 		return math.NaN(), 0
 	}
-	from := max(0, len(xs)-largest)
+	from := max(0, len(xs)-extrapolationSizes)
 	return stat.LinearRegression(xs[from:], ys[from:], nil, false)
 }
 
 // at returns the cost at a size: as measured, by the line between the two sizes around it, or by the
 // line through the largest sizes beyond them.
-func (s *Series) at(size float64) float64 {
+func (s *Series) costAt(size float64) float64 {
 	for i, p := range s.Points {
 		if float64(p.Size) == size {
 			return p.Median
@@ -107,7 +107,7 @@
 			return before.Median * math.Pow(p.Median/before.Median, part)
 		}
 	}
-	offset, slope := s.beyond()
+	offset, slope := s.extrapolation()
 	return math.Exp(offset + slope*math.Log(size))
 }
 
@@ -125,17 +125,17 @@
 		part := math.Log(bound/before.Median) / math.Log(p.Median/before.Median)
 		return float64(before.Size) * math.Pow(float64(p.Size)/float64(before.Size), part)
 	}
-	offset, slope := s.beyond()
+	offset, slope := s.extrapolation()
 	if slope <= 0 {
 		return math.Inf(1)
 	}
 	return math.Exp((math.Log(bound) - offset) / slope)
 }
 
-// A missingError names a series that a page needs and a file lacks.
-type missingError string
+// A missingSeriesError names a series that a page needs and a file lacks.
+type missingSeriesError string
 
-func (e missingError) Error() string { return fmt.Sprintf("there is no series %q", string(e)) }
+func (e missingSeriesError) Error() string { return fmt.Sprintf("there is no series %q", string(e)) }
 
 // series returns a series by its name.
 func (m *Measured) series(name string) (*Series, error) {
@@ -144,11 +144,11 @@
 			return &m.Series[i], nil
 		}
 	}
-	return nil, missingError(name)
+	return nil, missingSeriesError(name)
 }
 
-// errForeign says that a file is not one of this tool's.
-var errForeign = errors.New("not a file of measurements")
+// errNotMeasurements says that a file is not one of this tool's.
+var errNotMeasurements = errors.New("not a file of measurements")
 
 // Load reads what an earlier run has measured.
 func Load(path string) (*Measured, error) {
@@ -158,10 +158,10 @@
 	}
 	var m Measured
 	if err := json.Unmarshal(text, &m); err != nil {
-		return nil, fmt.Errorf("%s: %w: %w", path, errForeign, err)
+		return nil, fmt.Errorf("%s: %w: %w", path, errNotMeasurements, err)
 	}
 	if m.Commit == "" || len(m.Series) == 0 {
-		return nil, fmt.Errorf("%s: %w", path, errForeign)
+		return nil, fmt.Errorf("%s: %w", path, errNotMeasurements)
 	}
 	return &m, nil
 }
--- a/internal/lab/capacity/target.go
+++ b/internal/lab/capacity/target.go
@@ -8,35 +8,35 @@
 
 // The size that the scheduler is designed for.
 const (
-	TargetWorkers        = 19_000
-	TargetAccelerators   = 21_000
-	TargetJobsADay       = 120_000
-	TargetStarts         = 8_100 // task starts a second at the peak
-	TargetTasks          = 220_000
-	TargetGang           = 256
-	TargetTeams          = 98
-	TargetRegions        = 9
-	TargetZones          = 34
-	TargetChangesADay    = 13_000 // of configuration
-	TargetFailuresADay   = 210
-	TargetRestartsADay   = 4_900
-	TargetControlHosts   = 20
-	TargetUrgentStart    = 6300 * time.Millisecond
-	TargetConfigInForce  = 14 * time.Second
-	TargetControlCPU     = 1.6 // percent of a core that control may take of a scheduler
-	TargetControlMemory  = 128 // MB
-	TargetControlTraffic = 24  // KB a second
+	TargetWorkers             = 19_000
+	TargetAccelerators        = 21_000
+	TargetJobsPerDay          = 120_000
+	TargetStartsPerSecond     = 8_100 // task starts a second at the peak
+	TargetTasks               = 220_000
+	TargetGang                = 256
+	TargetTeams               = 98
+	TargetRegions             = 9
+	TargetZones               = 34
+	TargetConfigChangesPerDay = 13_000 // of configuration
+	TargetFailuresPerDay      = 210
+	TargetRestartsPerDay      = 4_900
+	TargetControlHosts        = 20
+	TargetUrgentStart         = 6300 * time.Millisecond
+	TargetConfigInForce       = 14 * time.Second
+	TargetControlCPU          = 1.6 // percent of a core that control may take of a scheduler
+	TargetControlMemory       = 128 // MB
+	TargetControlTraffic      = 24  // KB a second
 )
 
 // What is not in the users' figures and has to be assumed.
 const (
-	assumedRack    = 40      // workers of a rack
-	assumedKinds   = 4       // kinds of worker, of even size
-	processSockets = 1024    // descriptors of a scheduler process
-	spareSockets   = 16      // part of them that stays spare: one in so many
-	socketsOfATask = 2       // a running task holds a connection on each side
-	secondsADay    = 86_400  // for rates
-	peakOverMean   = 20      // configuration changes in the peak minute over the mean
-	kilobyte       = 1 << 10 // KB and MB are binary, as the platform's limits are
-	megabyte       = kilobyte * kilobyte
+	assumedRackWorkers = 40      // workers of a rack
+	assumedKinds       = 4       // kinds of worker, of even size
+	processSockets     = 1024    // descriptors of a scheduler process
+	spareSocketDivisor = 16      // part of them that stays spare: one in so many
+	socketsPerTask     = 2       // a running task holds a connection on each side
+	secondsPerDay      = 86_400  // for rates
+	peakToMeanRatio    = 20      // configuration changes in the peak minute over the mean
+	kilobyte           = 1 << 10 // KB and MB are binary, as the platform's limits are
+	megabyte           = kilobyte * kilobyte
 )
--- a/internal/lab/capacity/tasks.go
+++ b/internal/lab/capacity/tasks.go
@@ -9,14 +9,14 @@
 	"github.com/vatu-meals/foxlift/internal/core"
 )
 
-// errNotSent says that a hollow fleet had no room for what it was to run.
-var errNotSent = errors.New("not all tasks were sent")
+// errTasksNotSent says that a hollow fleet had no room for what it was to run.
+var errTasksNotSent = errors.New("not all tasks were sent")
 
 // measureTasks measures what running tasks cost a scheduler that waits for their ends: memory in the
 // core and the module, and the time of an idle tick.
 func measureTasks(ctx context.Context, p plan) ([]Series, error) {
-	return bySize(ctx, "tasks", p.sizes(100, 300, 1000, 3000, 10_000),
-		gauge{"tasks.memory", "bytes", func(tasks int) (bytes []float64, err error) {
+	return measureBySize(ctx, "tasks", p.sizes(100, 300, 1000, 3000, 10_000),
+		costGauge{"tasks.memory", "bytes", func(tasks int) (bytes []float64, err error) {
 			for range p.runs {
 				h, b, err := memoryOfTasks(tasks)
 				if err != nil {
@@ -27,54 +27,54 @@
 			}
 			return bytes, nil
 		}},
-		gauge{"tasks.idle_tick", "ns", func(tasks int) ([]float64, error) { return tickWithTasks(tasks, p.runs) }},
+		costGauge{"tasks.idle_tick", "ns", func(tasks int) ([]float64, error) { return tickWithTasks(tasks, p.runs) }},
 	)
 }
 
 // roomy is a fleet that has room for all tasks of the dimension.
-func roomy(tasks int) deployment {
+func deploymentForTasks(tasks int) deployment {
 	return deployment{workers: 2 * tasks, schedulers: 1, teams: TargetTeams}
 }
 
 // memoryOfTasks returns a core with so many running tasks, and the bytes that they take there.
 func memoryOfTasks(tasks int) (*hollowCore, float64, error) {
-	h, err := roomy(tasks).core()
+	h, err := deploymentForTasks(tasks).core()
 	if err != nil {
 		return nil, 0, err
 	}
 	before := heapInUse()
 	for i := range tasks {
 		h.Accept(&core.Job{ID: fmt.Sprintf("%016x", i), Class: "heavy", Tenant: fmt.Sprintf("team-%02d", i%TargetTeams),
-			Remaining: 20 * time.Second, ArrivedAt: time.Now().UnixNano(), Client: patient{}})
+			Remaining: 20 * time.Second, ArrivedAt: time.Now().UnixNano(), Client: discardingClient{}})
 	}
-	h.await()
+	h.awaitStep()
 	if len(h.reports) < tasks {
 		h.Stop()
-		return nil, 0, fmt.Errorf("%w: %d of %d", errNotSent, len(h.reports), tasks)
+		return nil, 0, fmt.Errorf("%w: %d of %d", errTasksNotSent, len(h.reports), tasks)
 	}
 	for _, report := range h.reports {
 		report(core.Report{}) // it has started
 	}
-	h.await()
+	h.awaitStep()
 	return h, heapInUse() - before, nil
 }
 
 // A patient submitter waits for an answer that nobody looks at.
-type patient struct{}
+type discardingClient struct{}
 
-func (patient) Answer(core.Answer) {}
-func (patient) Disconnected() bool { return false }
+func (discardingClient) Answer(core.Answer) {}
+func (discardingClient) Disconnected() bool { return false }
 
 // tickWithTasks times an idle tick of a module that has so many tasks out.
 func tickWithTasks(tasks, runs int) ([]float64, error) {
-	h, err := roomy(tasks).module()
+	h, err := deploymentForTasks(tasks).module()
 	if err != nil {
 		return nil, err
 	}
 	for i := range tasks {
-		if !h.begin(i % TargetTeams) {
-			return nil, fmt.Errorf("%w: %d of %d", errNotSent, i, tasks)
+		if !h.startTask(i % TargetTeams) {
+			return nil, fmt.Errorf("%w: %d of %d", errTasksNotSent, i, tasks)
 		}
 	}
-	return timeEach(runs, h.idle), nil
+	return timeEach(runs, h.idleTick), nil
 }
--- a/internal/lab/capacity/urgent.go
+++ b/internal/lab/capacity/urgent.go
@@ -11,36 +11,36 @@
 )
 
 // taskSeconds is the mean length of a task at the peak: those that run over those that start a second.
-const taskSeconds = float64(TargetTasks) / TargetStarts
+const taskSeconds = float64(TargetTasks) / TargetStartsPerSecond
 
-// taskSpread is the standard deviation of the logarithm of a task's length in the hollow fleet: most
+// taskLengthSigma is the standard deviation of the logarithm of a task's length in the hollow fleet: most
 // are short, a few take many times the mean.
-const taskSpread = 1.0
+const taskLengthSigma = 1.0
 
 const (
-	urgentDraws = 2000
-	urgentShare = 0.99 // of urgent tasks that start within the bound
+	urgentDraws    = 2000
+	urgentQuantile = 0.99 // of urgent tasks that start within the bound
 )
 
 // measureUrgent measures how long an urgent task waits for the first slot that comes free where every
 // slot of a pool is taken, in a hollow pool of slots with tasks one after another.
 func measureUrgent(ctx context.Context, p plan) ([]Series, error) {
 	rng := rand.New(rand.NewPCG(p.seed, 2))
-	return bySize(ctx, "slots of a pool", p.sizes(10, 30, 100, 300, 1000),
-		gauge{"urgent.wait", "s", func(slots int) (runs []float64, _ error) {
+	return measureBySize(ctx, "slots of a pool", p.sizes(10, 30, 100, 300, 1000),
+		costGauge{"urgent.wait", "s", func(slots int) (runs []float64, _ error) {
 			for range p.runs {
-				runs = append(runs, waitForASlot(slots, rng))
+				runs = append(runs, slotWait(slots, rng))
 			}
 			return runs, nil
 		}},
 	)
 }
 
-// waitForASlot returns the wait that the given share of urgent tasks stays under. Each slot is met at a
+// slotWait returns the wait that the given share of urgent tasks stays under. Each slot is met at a
 // random moment of a task: a long task is met the more likely, so its length is drawn by length.
-func waitForASlot(slots int, rng *rand.Rand) float64 {
+func slotWait(slots int, rng *rand.Rand) float64 {
 	// By length, a lognormal length is lognormal again, with its mean moved by the variance.
-	met := distuv.LogNormal{Mu: math.Log(taskSeconds) + taskSpread*taskSpread/2, Sigma: taskSpread, Src: rng}
+	met := distuv.LogNormal{Mu: math.Log(taskSeconds) + taskLengthSigma*taskLengthSigma/2, Sigma: taskLengthSigma, Src: rng}
 	waits := make([]float64, urgentDraws)
 	for i := range waits {
 		waits[i] = math.Inf(1)
@@ -49,11 +49,11 @@
 		}
 	}
 	slices.Sort(waits)
-	return stat.Quantile(urgentShare, stat.Empirical, waits, nil)
+	return stat.Quantile(urgentQuantile, stat.Empirical, waits, nil)
 }
 
 // urgentWait is the closed form: the ends of tasks on many slots are nearly a Poisson process.
-func urgentWait(slots float64) float64 { return -math.Log(1-urgentShare) * taskSeconds / slots }
+func urgentWait(slots float64) float64 { return -math.Log(1-urgentQuantile) * taskSeconds / slots }
 
 // urgentSlots is the least pool in which the given share starts within the bound.
 func urgentSlots() float64 { return urgentWait(1) / TargetUrgentStart.Seconds() }
--- a/internal/lab/capacity/workers.go
+++ b/internal/lab/capacity/workers.go
@@ -34,16 +34,16 @@
 		turn++
 		return turn / 2, [2]foxlift.WorkerState{foxlift.Draining, foxlift.Live}[turn%2]
 	}
-	return bySize(ctx, "workers", p.sizes(workerSizes...),
-		gauge{"module.idle_tick", "ns", module(func(h *hollowModule, _ int) { h.idle() })},
-		gauge{"module.change", "ns", module(func(h *hollowModule, n int) {
+	return measureBySize(ctx, "workers", p.sizes(workerSizes...),
+		costGauge{"module.idle_tick", "ns", module(func(h *hollowModule, _ int) { h.idleTick() })},
+		costGauge{"module.change", "ns", module(func(h *hollowModule, n int) {
 			i, state := next()
-			h.change(i%n, state)
+			h.updateWorker(i%n, state)
 		})},
-		gauge{"module.job", "ns", module(func(h *hollowModule, _ int) { h.job(int(h.jobs)%TargetTeams, 0) })},
-		gauge{"module.keyed_job", "ns", module(func(h *hollowModule, _ int) { h.job(int(h.jobs)%TargetTeams, rand.Uint64()) })},
-		gauge{"module.whole_list", "ns", func(workers int) ([]float64, error) { return timeWholeList(fleet(workers), p.runs) }},
-		gauge{"core.change", "ns", func(workers int) ([]float64, error) {
+		costGauge{"module.job", "ns", module(func(h *hollowModule, _ int) { h.runJob(int(h.jobs)%TargetTeams, 0) })},
+		costGauge{"module.keyed_job", "ns", module(func(h *hollowModule, _ int) { h.runJob(int(h.jobs)%TargetTeams, rand.Uint64()) })},
+		costGauge{"module.whole_list", "ns", func(workers int) ([]float64, error) { return timeCompleteList(fleet(workers), p.runs) }},
+		costGauge{"core.change", "ns", func(workers int) ([]float64, error) {
 			h, err := fleet(workers).core()
 			if err != nil {
 				return nil, err
@@ -51,20 +51,20 @@
 			defer h.Stop()
 			return timeEach(p.runs, func() {
 				i, state := next()
-				h.change(i%workers, state)
+				h.updateWorker(i%workers, state)
 			}), nil
 		}},
-		gauge{"core.memory", "bytes", func(workers int) ([]float64, error) { return memoryOfWorkers(fleet(workers), p.runs) }},
-		gauge{"list.bytes", "bytes", func(workers int) ([]float64, error) {
-			bytes, err := listBytes(workers)
+		costGauge{"core.memory", "bytes", func(workers int) ([]float64, error) { return memoryOfWorkers(fleet(workers), p.runs) }},
+		costGauge{"list.bytes", "bytes", func(workers int) ([]float64, error) {
+			bytes, err := endpointListBytes(workers)
 			return []float64{float64(bytes)}, err
 		}},
 	)
 }
 
-// timeWholeList times the first whole list of a module.
-func timeWholeList(d deployment, runs int) (took []float64, err error) {
-	list := d.list()
+// timeCompleteList times the first whole list of a module.
+func timeCompleteList(d deployment, runs int) (took []float64, err error) {
+	list := d.endpoints()
 	s, err := d.settings()
 	if err != nil {
 		return nil, err
