--- /dev/null
+++ b/cmd/foxlift-lab/cells.go
@@ -0,0 +1,56 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+
+	"github.com/spf13/cobra"
+
+	"github.com/vatu-meals/foxlift/internal/lab"
+)
+
+func demo() *cobra.Command {
+	var seed uint64
+	cmd := &cobra.Command{
+		Use: "demo", Short: "Flood one tenant of a small deployment with cells, and watch the others (25 s)", Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error { return lab.Demo(cmd.OutOrStdout(), seed) },
+	}
+	cmd.Flags().Uint64Var(&seed, "seed", 1, "of the arrivals")
+	return cmd
+}
+
+func cells() *cobra.Command {
+	o := lab.DefaultCells
+	cmd := &cobra.Command{
+		Use: "cells", Short: "Measure what a flood costs the others without and with cells, lending, and live moves", Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			r, err := lab.Cells(cmd.OutOrStdout(), o)
+			if err != nil {
+				return err
+			}
+			fmt.Fprintln(cmd.OutOrStdout(), r.Line())
+			if !r.OK(o.Migrations) {
+				return errors.New("an aim is missed")
+			}
+			return nil
+		},
+	}
+	cmd.Flags().Uint64Var(&o.Seed, "seed", o.Seed, "of the arrivals")
+	cmd.Flags().DurationVar(&o.Normal, "normal", o.Normal, "how long the load is normal first")
+	cmd.Flags().DurationVar(&o.Flood, "flood", o.Flood, "how long one tenant floods")
+	cmd.Flags().DurationVar(&o.Lending, "lending", o.Lending, "how long a lone tenant asks for more than its share")
+	cmd.Flags().IntVar(&o.Migrations, "moves", o.Migrations, "moves under load")
+	return cmd
+}
+
+func loops() *cobra.Command {
+	var seed uint64
+	var seconds int
+	cmd := &cobra.Command{
+		Use: "loops", Short: "Measure what many cells cost the regulator's loops, in virtual time", Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error { return lab.Loops(cmd.OutOrStdout(), seed, seconds) },
+	}
+	cmd.Flags().Uint64Var(&seed, "seed", 1, "of the arrivals")
+	cmd.Flags().IntVar(&seconds, "seconds", 120, "virtual seconds of each run")
+	return cmd
+}
--- /dev/null
+++ b/cmd/foxlift-lab/trials.go
@@ -0,0 +1,75 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+
+	"github.com/spf13/cobra"
+
+	"github.com/vatu-meals/foxlift/internal/lab/fleet"
+)
+
+// judged prints a trial's last line, and fails where the trial did.
+func judged(cmd *cobra.Command, r interface {
+	Line() string
+	OK() bool
+}, err error,
+) error {
+	if err != nil {
+		return err
+	}
+	fmt.Fprintln(cmd.OutOrStdout(), r.Line())
+	if !r.OK() {
+		return errors.New("something happened that must not")
+	}
+	return nil
+}
+
+func keyed() *cobra.Command {
+	o := fleet.DefaultKeyed
+	cmd := &cobra.Command{
+		Use: "keyed", Short: "Reset and silence connections amid keyed jobs, and see that none runs twice", Args: cobra.NoArgs,
+		Long: `keyed starts two scheduler processes among nodes in two pods that drop repeats of a keyed
+job for a time, and resets or silences one connection after another; messages between the
+schedulers are lost, doubled, garbled and late. It exits with code 1 if a keyed job ran twice, a
+job is lost, none was sent again, or a scheduler does not end well. --short-window and --no-pods
+make the deployment break its own promise: then it must exit with 1.`,
+		Example: "  go run ./cmd/foxlift-lab keyed --build bin/foxlift",
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			r, err := o.Run(cmd.OutOrStdout())
+			return judged(cmd, r, err)
+		},
+	}
+	cmd.Flags().StringVar(&o.Program, "build", o.Program, "the scheduler's binary")
+	cmd.Flags().IntVar(&o.Faults, "faults", o.Faults, "resets and silences, about as many of each")
+	cmd.Flags().Uint64Var(&o.Seed, "seed", o.Seed, "of the arrivals and the faults")
+	cmd.Flags().DurationVar(&o.Every, "every", o.Every, "between two faults")
+	cmd.Flags().BoolVar(&o.ShortWindow, "short-window", false, "pods drop repeats for less than the settings say")
+	cmd.Flags().BoolVar(&o.NoPods, "no-pods", false, "each node drops its own repeats only")
+	return cmd
+}
+
+func coldStart() *cobra.Command {
+	o := fleet.DefaultColdStart
+	cmd := &cobra.Command{
+		Use: "coldstart", Short: "Start many scheduler processes at once on an old list, and watch lists, nodes and service", Args: cobra.NoArgs,
+		Long: `coldstart starts real scheduler processes, all at once, with the machine list from before
+a release, under load, against a discovery that serves one call after another and nodes that
+start cold. It exits with code 1 if a node is pushed over, a job is lost, one that must not run
+twice does, or a scheduler does not end well.`,
+		Example: "  go run ./cmd/foxlift-lab coldstart --schedulers 30 --nodes 20 --build bin/foxlift",
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			r, err := o.Run(cmd.OutOrStdout())
+			return judged(cmd, r, err)
+		},
+	}
+	cmd.Flags().StringVar(&o.Program, "build", o.Program, "the scheduler's binary")
+	cmd.Flags().IntVar(&o.Schedulers, "schedulers", o.Schedulers, "processes")
+	cmd.Flags().IntVar(&o.Nodes, "nodes", o.Nodes, "execute nodes")
+	cmd.Flags().Uint64Var(&o.Seed, "seed", o.Seed, "of the arrivals, and of which nodes are replaced")
+	cmd.Flags().DurationVar(&o.For, "for", o.For, "how long it is watched")
+	cmd.Flags().Float64Var(&o.Load, "load", o.Load, "jobs, against what the warm fleet can do")
+	cmd.Flags().Float64Var(&o.Replaced, "replaced", o.Replaced, "part of the nodes that the known list does not have")
+	cmd.Flags().Float64Var(&o.Restarted, "restarted", o.Restarted, "part that started again, cold, and that the known list takes for warm")
+	return cmd
+}
--- a/internal/lab/capacity/faults.go
+++ b/internal/lab/capacity/faults.go
@@ -14,31 +14,8 @@
 	"github.com/vatu-meals/foxlift/internal/counters"
 	"github.com/vatu-meals/foxlift/internal/lab/fleet"
 	"github.com/vatu-meals/foxlift/internal/platform"
-	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// A trial of starts: a real process is ended or killed and started again and again, while the list goes
-// on changing and something happens to the file in which it keeps its list. What a start costs is
-// counted on the link to discovery, and each start has to come to the list as it is.
-
-// A startFault is what happens between the end of one life and the next.
-type startFault int
-
-const (
-	noFault startFault = iota
-	truncated
-	bitFlip
-	emptied
-	deleted
-	otherDiscovery
-	expired
-	futureTimestamp
-	compacted // discovery no longer has the changes since
-	startFaultCount
-)
-
-var startFaultNames = [startFaultCount]string{"none", "torn", "bit flip", "emptied", "removed", "of another discovery", "from long ago", "from the future", "compacted"}
-
 // FaultsOptions say what a trial is made of.
 type FaultsOptions struct {
 	Program           string
@@ -51,31 +28,6 @@
 // DefaultFaults is the trial at the size designed for.
 var DefaultFaults = FaultsOptions{Seed: 1, Workers: TargetWorkers, Starts: 20}
 
-// A FaultsResult is what a trial saw.
-type FaultsResult struct {
-	Starts, WithCheckpoint                 int     // starts, and those with a list that could be used
-	ListBytes                              int     // bytes of the whole list at the end
-	CheckpointBytes                        int64   // most that a start took with a list that could be used,
-	CompleteBytes                          int64   // and that any other took
-	CheckpointSeconds                      float64 // seconds until the list was in force, in the same way
-	CompleteSeconds                        float64
-	OverBound                              []string // starts that took more than their bound
-	CheckpointsIgnored, CheckpointsMisused int64    // usable lists that were not used, and unusable ones that were
-	withoutCheckpoint, uncleanExit         bool
-}
-
-// Line is the result in one line.
-func (r *FaultsResult) Line() string {
-	return fmt.Sprintf("capacity faults: starts %d, with a kept list %d, whole list %d KB, most from discovery %.1f KB with and %.1f KB without a kept list, slowest %.2f s and %.2f s, over their bound %d %v, kept lists not used %d, used wrongly %d",
-		r.Starts, r.WithCheckpoint, r.ListBytes/kilobyte, float64(r.CheckpointBytes)/kilobyte, float64(r.CompleteBytes)/kilobyte, r.CheckpointSeconds, r.CompleteSeconds,
-		len(r.OverBound), r.OverBound, r.CheckpointsIgnored, r.CheckpointsMisused)
-}
-
-// OK reports whether each start kept its bound, and every list that could be used was.
-func (r *FaultsResult) OK() bool {
-	return len(r.OverBound) == 0 && r.CheckpointsIgnored == 0 && r.CheckpointsMisused == 0 && !r.uncleanExit && (r.withoutCheckpoint || r.WithCheckpoint > 0)
-}
-
 // callOverheadBytes is what a start may take besides entries: heads of calls and answers, and empty watches.
 const callOverheadBytes = 8 << 10
 
@@ -149,56 +101,6 @@
 	return t.result, nil
 }
 
-// An endpointChange is how many entries have changed with a version.
-type endpointChange struct {
-	version int64
-	entries int
-}
-
-// recordChange notes that the last version has changed so many entries.
-func (t *faultsTrial) recordChange(entries int) {
-	t.changes = append(t.changes, endpointChange{int64(t.Discovery.Version()), entries})
-}
-
-// changedSince returns how many entries have changed since the list that is kept.
-func (t *faultsTrial) changedSince() (entries int) {
-	for _, c := range t.changes {
-		if c.version > t.checkpointVersion {
-			entries += c.entries
-		}
-	}
-	return entries
-}
-
-// join adds workers to the list.
-func (t *faultsTrial) addWorkers(count int) {
-	announceHollowWorkers(t.Discovery, t.nextWorker, count)
-	for range count {
-		t.workers = append(t.workers, t.nextWorker)
-		t.nextWorker++
-	}
-	t.recordChange(count)
-}
-
-// leave takes workers out of the list.
-func (t *faultsTrial) removeWorkers(count int) {
-	entries := make([]standin.Entry, count)
-	for i := range entries {
-		at := t.rng.IntN(len(t.workers))
-		entries[i] = standin.Entry{Host: workerName(t.workers[at]), Health: "left"}
-		t.workers[at] = t.workers[len(t.workers)-1]
-		t.workers = t.workers[:len(t.workers)-1]
-	}
-	t.Discovery.Tell(entries...)
-	t.recordChange(count)
-}
-
-// change lets some workers join and some leave.
-func (t *faultsTrial) changeList() {
-	t.addWorkers(1 + t.rng.IntN(40))
-	t.removeWorkers(1 + t.rng.IntN(20))
-}
-
 // life is one life of the process: a fault, a start, changes, and its end.
 func (t *faultsTrial) runOnce(ctx context.Context, out io.Writer, fault startFault) error {
 	if err := t.injectFault(fault); err != nil {
@@ -302,51 +204,3 @@
 		r.CheckpointsMisused++
 	}
 }
-
-// spoil does a fault to what is kept, or to discovery.
-func (t *faultsTrial) injectFault(fault startFault) error {
-	path := t.process.Kept
-	t.checkpointUsable = t.checkpointUsable && fault == noFault
-	switch {
-	case t.WithoutCheckpoint || fault == noFault || fault == compacted:
-		return nil
-	case fault == deleted:
-		if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
-			return err
-		}
-		return nil
-	case fault == otherDiscovery:
-		return t.rewriteCheckpoint(func(s *platform.EndpointSnapshot) { s.Discovery = "127.0.0.9:1" })
-	case fault == expired:
-		return t.rewriteCheckpoint(func(s *platform.EndpointSnapshot) { s.TakenAt = s.TakenAt.Add(-checkpoint.MaxAge - time.Hour) })
-	case fault == futureTimestamp:
-		return t.rewriteCheckpoint(func(s *platform.EndpointSnapshot) { s.TakenAt = s.TakenAt.Add(checkpoint.MaxAge) })
-	}
-	data, err := os.ReadFile(path)
-	if errors.Is(err, os.ErrNotExist) {
-		return nil
-	}
-	if err != nil {
-		return err
-	}
-	switch fault {
-	case truncated:
-		data = data[:t.rng.IntN(len(data))]
-	case bitFlip:
-		data[t.rng.IntN(len(data))] ^= 1 << t.rng.IntN(8)
-	case emptied:
-		data = nil
-	}
-	return os.WriteFile(path, data, 0o600)
-}
-
-// rewrite changes a list that is kept, in its own form.
-func (t *faultsTrial) rewriteCheckpoint(change func(*platform.EndpointSnapshot)) error {
-	file := checkpoint.File(t.process.Kept)
-	var saved platform.EndpointSnapshot
-	if err := file.Read(&saved); err != nil {
-		return nil // there is none, or it was spoilt before: the start is without one either way
-	}
-	change(&saved)
-	return file.Write(saved)
-}
--- a/internal/lab/capacity/hollow.go
+++ b/internal/lab/capacity/hollow.go
@@ -40,10 +40,14 @@
 		"balancers": d.schedulers, "slotNo": 0, "discovery": "subscribe", "dcs": zones, "zone": zones[0], "flavors": kinds,
 		"grades": classes, "projects": teams,
 		"familyInfo": map[string]any{"classStretch": []float64{2, 2}, "tellsStart": true},
-		"bounds": map[string]any{"cancel": true, "retryAfter": true, "maxRetryAfter": 2 * time.Second, "maxAttempts": 3,
-			"connIdle": 30 * time.Second, "connectTimeout": time.Second, "streamsPerConn": 1},
-		"obligations": map[string]any{"mustAskIn": 10 * time.Second, "startCapacity": 0.14, "warmAfter": 24 * time.Second,
-			"fallMultiple": 3, "fall": time.Second},
+		"bounds": map[string]any{
+			"cancel": true, "retryAfter": true, "maxRetryAfter": 2 * time.Second, "maxAttempts": 3,
+			"connIdle": 30 * time.Second, "connectTimeout": time.Second, "streamsPerConn": 1,
+		},
+		"obligations": map[string]any{
+			"mustAskIn": 10 * time.Second, "startCapacity": 0.14, "warmAfter": 24 * time.Second,
+			"fallMultiple": 3, "fall": time.Second,
+		},
 	})
 }
 
--- a/internal/lab/capacity/tasks.go
+++ b/internal/lab/capacity/tasks.go
@@ -44,8 +44,10 @@
 	}
 	before := heapInUse()
 	for i := range tasks {
-		h.Accept(&core.Job{ID: fmt.Sprintf("%016x", i), Class: "heavy", Tenant: fmt.Sprintf("team-%02d", i%TargetTeams),
-			Remaining: 20 * time.Second, ArrivedAt: time.Now().UnixNano(), Client: discardingClient{}})
+		h.Accept(&core.Job{
+			ID: fmt.Sprintf("%016x", i), Class: "heavy", Tenant: fmt.Sprintf("team-%02d", i%TargetTeams),
+			Remaining: 20 * time.Second, ArrivedAt: time.Now().UnixNano(), Client: discardingClient{},
+		})
 	}
 	h.awaitStep()
 	if len(h.reports) < tasks {
--- a/internal/lab/loops.go
+++ b/internal/lab/loops.go
@@ -36,27 +36,6 @@
 
 const second = int64(1e9)
 
-// A due is something that happens at a moment of virtual time.
-type scheduledEvent struct {
-	at int64
-	n  int // order of those at one moment
-	do func()
-}
-
-type eventQueue []scheduledEvent
-
-func (a eventQueue) Len() int { return len(a) }
-func (a eventQueue) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].n < a[j].n
-}
-func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *eventQueue) Push(x any)   { *a = append(*a, x.(scheduledEvent)) }
-func (a *eventQueue) Pop() any {
-	x := (*a)[len(*a)-1]
-	*a = (*a)[:len(*a)-1]
-	return x
-}
-
 // simulateCell runs one module over nodes of two slots that together can do rate/load jobs
 // a second, for two classes of which the second takes five times as long.
 func simulateCell(rate, load float64, seed uint64, seconds int) (learned, served float64, err error) {
