--- a/cmd/foxlift/operate.go
+++ b/cmd/foxlift/cells.go
@@ -1,149 +1,17 @@
 package main
 
 import (
-	"bytes"
 	"context"
-	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
-	"os"
-	"runtime/debug"
 	"strings"
 	"text/tabwriter"
-	"time"
 
 	"github.com/spf13/cobra"
-	"go.uber.org/zap"
-	grpcstatus "google.golang.org/grpc/status"
-	"google.golang.org/protobuf/encoding/protojson"
-	"google.golang.org/protobuf/proto"
 
-	"github.com/vatu-meals/foxlift/internal/config"
-	"github.com/vatu-meals/foxlift/internal/control"
 	"github.com/vatu-meals/foxlift/internal/control/controlpb"
-	"github.com/vatu-meals/foxlift/internal/daemon"
 )
 
-func versionText() string {
-	info, ok := debug.ReadBuildInfo()
-	if !ok {
-		return "unknown"
-	}
-	text := info.Main.Version
-	for _, s := range info.Settings {
-		if s.Key == "vcs.revision" {
-			text += " " + s.Value
-		}
-	}
-	return text + " " + info.GoVersion
-}
-
-func newVersionCommand() *cobra.Command {
-	return &cobra.Command{
-		Use: "version", Short: "Print the version", Args: cobra.NoArgs,
-		Run: func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), "foxlift", versionText()) },
-	}
-}
-
-func newCheckCommand() *cobra.Command {
-	o := daemon.Options{Getenv: os.Getenv, Log: zap.NewNop()}
-	cmd := &cobra.Command{
-		Use:   "check",
-		Short: "Read all of the configuration and print what is wrong with it",
-		Long: `check reads the file that LB_CONFIG names and the operator's file, prints a line for
-each fault and exits with code 1 if there is any. It starts nothing.`,
-		Example: `  LB_CONFIG=config.json foxlift check --operator operator.sexp`,
-		Args:    cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			_, op, _, err := daemon.Read(o)
-			if faults := (config.Faults)(nil); errors.As(err, &faults) {
-				fmt.Fprintln(cmd.ErrOrStderr(), faults)
-				return fmt.Errorf("faults: %d", len(faults))
-			}
-			if err != nil {
-				return err
-			}
-			if op.Cells != nil {
-				fmt.Fprintf(cmd.OutOrStdout(), "the configuration is sound: %d cells\n", op.Cells.CellCount())
-			} else {
-				fmt.Fprintln(cmd.OutOrStdout(), "the configuration is sound")
-			}
-			return nil
-		},
-	}
-	cmd.Flags().StringVar(&o.Operator, "operator", "", "the operator's file")
-	return cmd
-}
-
-const callTimeout = 5 * time.Second // for the scheduler to answer
-
-// A caller is how a command reaches a running scheduler.
-type controlCaller struct{ socket, operator string }
-
-func (c *controlCaller) flags(cmd *cobra.Command) {
-	cmd.PersistentFlags().StringVar(&c.socket, "socket", os.Getenv("FOXLIFT_CONTROL"), "the scheduler's control socket (FOXLIFT_CONTROL)")
-	cmd.PersistentFlags().StringVar(&c.operator, "operator", "", "the operator's file that names the socket")
-}
-
-// call asks the scheduler one thing.
-func (c *controlCaller) call(do func(context.Context, controlpb.ControlClient) error) error {
-	if c.socket == "" && c.operator != "" {
-		path, err := config.ControlSocket(c.operator)
-		if err != nil {
-			return err
-		}
-		c.socket = path
-	}
-	if c.socket == "" {
-		return errors.New("--socket: not given; it is control.socket of the operator's file")
-	}
-	client, end, err := control.Dial(c.socket)
-	if err != nil {
-		return err
-	}
-	defer end()
-	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
-	defer cancel()
-	if err := do(ctx, client); err != nil {
-		return errors.New(grpcstatus.Convert(err).Message())
-	}
-	return nil
-}
-
-// printJSON prints a message as JSON.
-func printJSON(w io.Writer, m proto.Message) error {
-	text, err := protojson.MarshalOptions{EmitUnpopulated: true, UseProtoNames: true}.Marshal(m)
-	if err != nil {
-		return err
-	}
-	var b bytes.Buffer
-	if err := json.Indent(&b, text, "", "  "); err != nil { // protojson's own spacing differs from build to build
-		return err
-	}
-	_, err = fmt.Fprintln(w, b.String())
-	return err
-}
-
-func newStatusCommand() *cobra.Command {
-	c := &controlCaller{}
-	cmd := &cobra.Command{
-		Use: "status", Short: "Print what a running scheduler is and its counters, as JSON", Args: cobra.NoArgs,
-		Example: `  foxlift status --socket /run/foxlift/control.sock`,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			return c.call(func(ctx context.Context, client controlpb.ControlClient) error {
-				r, err := client.Status(ctx, &controlpb.StatusRequest{})
-				if err != nil {
-					return err
-				}
-				return printJSON(cmd.OutOrStdout(), r)
-			})
-		},
-	}
-	c.flags(cmd)
-	return cmd
-}
-
 func newCellsCommand() *cobra.Command {
 	c := &controlCaller{}
 	cmd := &cobra.Command{
--- /dev/null
+++ b/cmd/foxlift/check.go
@@ -0,0 +1,43 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"os"
+
+	"github.com/spf13/cobra"
+	"go.uber.org/zap"
+
+	"github.com/vatu-meals/foxlift/internal/config"
+	"github.com/vatu-meals/foxlift/internal/daemon"
+)
+
+func newCheckCommand() *cobra.Command {
+	o := daemon.Options{Getenv: os.Getenv, Log: zap.NewNop()}
+	cmd := &cobra.Command{
+		Use:   "check",
+		Short: "Read all of the configuration and print what is wrong with it",
+		Long: `check reads the file that LB_CONFIG names and the operator's file, prints a line for
+each fault and exits with code 1 if there is any. It starts nothing.`,
+		Example: `  LB_CONFIG=config.json foxlift check --operator operator.sexp`,
+		Args:    cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			_, op, _, err := daemon.Read(o)
+			if faults := config.Faults(nil); errors.As(err, &faults) {
+				fmt.Fprintln(cmd.ErrOrStderr(), faults)
+				return fmt.Errorf("faults: %d", len(faults))
+			}
+			if err != nil {
+				return err
+			}
+			if op.Cells != nil {
+				fmt.Fprintf(cmd.OutOrStdout(), "the configuration is sound: %d cells\n", op.Cells.CellCount())
+			} else {
+				fmt.Fprintln(cmd.OutOrStdout(), "the configuration is sound")
+			}
+			return nil
+		},
+	}
+	cmd.Flags().StringVar(&o.Operator, "operator", "", "the operator's file")
+	return cmd
+}
--- a/internal/checkpoint/checkpoint_test.go
+++ b/internal/checkpoint/checkpoint_test.go
@@ -50,8 +50,13 @@
 		after     time.Duration
 		want      error
 	}{
-		{discovery, 0, nil}, {discovery, MaxAge, nil}, {discovery, MaxAge + time.Second, ErrStale}, {discovery, 24 * time.Hour, ErrStale},
-		{discovery, -MaxClockSkew, nil}, {discovery, -MaxClockSkew - time.Second, ErrStale}, {"10.0.0.2:8500", 0, ErrOtherDiscovery},
+		{discovery, 0, nil},
+		{discovery, MaxAge, nil},
+		{discovery, MaxAge + time.Second, ErrStale},
+		{discovery, 24 * time.Hour, ErrStale},
+		{discovery, -MaxClockSkew, nil},
+		{discovery, -MaxClockSkew - time.Second, ErrStale},
+		{"10.0.0.2:8500", 0, ErrOtherDiscovery},
 	} {
 		text, err := New(path, set).Load(c.discovery, now.Add(c.after))
 		if !errors.Is(err, c.want) || (err == nil) != (c.want == nil) {
@@ -83,8 +88,14 @@
 		after   time.Duration
 		written int64
 	}{
-		{7, false, 0, 0}, {0, true, 0, 1}, {0, true, WriteInterval, 1}, {7, true, WriteInterval, 2}, {8, true, WriteInterval + PollInterval, 2}, {8, true, 2 * WriteInterval, 3},
-		{8, true, RefreshInterval, 3}, {8, true, 2*WriteInterval + RefreshInterval, 4},
+		{7, false, 0, 0},
+		{0, true, 0, 1},
+		{0, true, WriteInterval, 1},
+		{7, true, WriteInterval, 2},
+		{8, true, WriteInterval + PollInterval, 2},
+		{8, true, 2 * WriteInterval, 3},
+		{8, true, RefreshInterval, 3},
+		{8, true, 2*WriteInterval + RefreshInterval, 4},
 	} {
 		s.version, s.notified, s.at = c.version, c.told, began.Add(c.after)
 		if err := k.WriteIfDue(s, s.at); err != nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -3,12 +3,8 @@
 package daemon
 
 import (
-	"bytes"
-	"context"
-	"errors"
 	"fmt"
 	"net"
-	"os"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -21,7 +17,6 @@
 	"github.com/vatu-meals/foxlift/internal/control"
 	"github.com/vatu-meals/foxlift/internal/core"
 	"github.com/vatu-meals/foxlift/internal/counters"
-	"github.com/vatu-meals/foxlift/internal/metrics"
 	"github.com/vatu-meals/foxlift/internal/platform"
 	"github.com/vatu-meals/foxlift/internal/upgrade"
 )
@@ -67,31 +62,6 @@
 	startMu            sync.Mutex            // of the steps from starting to serving, and to the end
 }
 
-// Read reads and checks all of the configuration, and starts nothing.
-func Read(o Options) (*config.Scheduler, *config.Operator, []byte, error) {
-	cfg, err := config.Load(o.Getenv)
-	if err != nil {
-		return nil, nil, nil, err
-	}
-	if err := platform.ValidateCachedEndpoints(cfg.Known); err != nil {
-		return nil, nil, nil, err
-	}
-	op, text, err := readOperator(o.Operator, cfg.Settings)
-	return cfg, op, text, err
-}
-
-func readOperator(path string, s *config.Settings) (*config.Operator, []byte, error) {
-	if path == "" {
-		return &config.Operator{}, nil, nil
-	}
-	text, err := os.ReadFile(path)
-	if err != nil {
-		return nil, nil, config.Faults{{File: path, Text: err.Error()}}
-	}
-	op, err := config.ParseOperator(path, text, s)
-	return op, text, err
-}
-
 // Start starts a scheduler. It serves when Start returns, unless it takes over from another process:
 // then it serves once it is ready.
 func Start(o Options) (*Daemon, error) {
@@ -157,117 +127,12 @@
 	return nil
 }
 
-// startControl begins to serve the control socket, where the operator's file has one.
-func (d *Daemon) startControl() error {
-	if d.operator.ControlSocket == "" {
-		return nil
-	}
-	server := &control.Server{
-		Core: d.Core, Settings: d.Config.Settings, Counters: d.Counters, Name: d.Config.Name, Version: d.options.Version,
-	}
-	if err := server.Start(d.operator.ControlSocket); err != nil {
-		return err
-	}
-	d.control.Store(server)
-	return nil
-}
-
 // Failed brings the error, if any, for which the scheduler cannot serve after its start.
 func (d *Daemon) Failed() <-chan error { return d.failures }
 
-// Ready implements admin.Scheduler. A process that takes over from another serves before it says
-// yes: the yes tells the platform that the other may be ended.
-func (d *Daemon) Ready() bool {
-	return d.serving.Load() && d.predecessorDrained.Load() && d.platform.Ready()
-}
-
-// Quiesce implements admin.Scheduler.
-func (d *Daemon) Quiesce() { d.platform.Quiesce() }
-
-// Resume implements admin.Scheduler.
-func (d *Daemon) Resume() { d.platform.Resume() }
-
-// listenAdmin begins to serve the operators' address, where there is one.
-func (d *Daemon) listenAdmin() (err error) {
-	if d.Config.Admin == "" {
-		return nil
-	}
-	figures := metrics.Handler(d.Config.Settings.ClassNames(), d.Counters, d.Core)
-	d.admin, err = admin.Listen(d.Config.Admin, platform.AdminConnections(d.Config), d, figures, d.log)
-	return err
-}
-
-// stopOperatorEndpoints ends what operators reach the scheduler by.
-func (d *Daemon) stopOperatorEndpoints() {
-	if control := d.control.Load(); control != nil {
-		control.Stop()
-	}
-	if d.admin != nil {
-		d.admin.Stop()
-	}
-}
-
-// AdminAddr returns the operators' address; nil where there is none.
-func (d *Daemon) AdminAddr() net.Addr {
-	if d.admin == nil {
-		return nil
-	}
-	return d.admin.Addr()
-}
-
 // Addr returns the address on which submitters are served, once they are.
 func (d *Daemon) Addr() net.Addr { return d.platform.Addr() }
 
-const replanTimeout = 5 * time.Second // for the core to take over another plan of cells
-
-// Reload reads the configuration again. With an error nothing has changed.
-func (d *Daemon) Reload() error {
-	cfg, err := config.Reload(d.options.Getenv)
-	if err != nil {
-		return err
-	}
-	op, text, err := readOperator(d.options.Operator, d.Config.Settings)
-	if err != nil {
-		return err
-	}
-	if err := d.checkReloadable(op); err != nil {
-		return err
-	}
-	if err := platform.ValidateCachedEndpoints(cfg.Known); err != nil {
-		return err
-	}
-	// Only what is new is carried out: a reload for another reason leaves tenants
-	// where the operators have moved them.
-	if op.Cells != nil && !bytes.Equal(text, d.operatorText) {
-		ctx, cancel := context.WithTimeout(context.Background(), replanTimeout)
-		defer cancel()
-		m, err := d.Core.Replan(ctx, op.Cells)
-		if err != nil {
-			return fmt.Errorf("cells: %w", err)
-		}
-		d.options.Log.Info("the map of cells has changed", zap.Int("tenants", m.Tenants), zap.Int("held", m.Queued), zap.Int("out", m.InFlight))
-	}
-	if err := d.platform.Reload(cfg); err != nil {
-		return err
-	}
-	d.operator, d.operatorText = op, text
-	d.Config.Discovery = cfg.Discovery
-	return nil
-}
-
-// checkReloadable checks what a reload cannot change.
-func (d *Daemon) checkReloadable(op *config.Operator) error {
-	switch {
-	case op.ControlSocket != d.operator.ControlSocket:
-		return errors.New("control.socket: it holds until the scheduler is started again")
-	case op.EndpointCheckpoint != d.operator.EndpointCheckpoint:
-		return errors.New("list.checkpoint: it holds until the scheduler is started again")
-	case (op.Cells == nil) != (d.operator.Cells == nil):
-		return errors.New("cells: a scheduler goes from none to some, or back, when it is started again")
-	}
-	return nil
-}
-
 // Kill ends the scheduler at once, as a kill of its process would for its peers.
 func (d *Daemon) Kill() { d.finish(d.platform.Kill) }
 
