--- a/internal/lab/eventqueue.go
+++ b/internal/lab/eventqueue.go
@@ -1,26 +1,64 @@
 package lab
 
-// A due is something that happens at a moment of virtual time.
+import "container/heap"
+
+// A scheduledEvent is a call that is due at a moment of virtual time.
 type scheduledEvent struct {
-	at int64
-	n  int // order of those at one moment
-	do func()
+	at       int64
+	sequence int // order among events at the same moment
+	run      func()
+}
+
+// An eventQueue orders calls on a virtual clock. The zero value is empty, at time 0.
+type eventQueue struct {
+	now       int64
+	scheduled int // events ever scheduled; numbers them
+	events    eventHeap
+}
+
+// schedule adds a call at a moment that is not before now.
+func (q *eventQueue) schedule(at int64, run func()) {
+	q.scheduled++
+	heap.Push(&q.events, scheduledEvent{at, q.scheduled, run})
+}
+
+// advance moves the clock to the next moment before end and runs all calls that are due then,
+// including those scheduled for the same moment meanwhile. It reports whether there was one.
+func (q *eventQueue) advance(end int64) bool {
+	if len(q.events) == 0 || q.events[0].at >= end {
+		return false
+	}
+	q.now = q.events[0].at
+	for len(q.events) > 0 && q.events[0].at == q.now {
+		heap.Pop(&q.events).(scheduledEvent).run()
+	}
+	return true
 }
 
-type eventQueue []scheduledEvent
+// An eventHeap implements heap.Interface, the earliest event first.
+type eventHeap []scheduledEvent
 
-func (a eventQueue) Len() int { return len(a) }
+// Len implements sort.Interface.
+func (h eventHeap) Len() int { return len(h) }
 
-func (a eventQueue) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].n < a[j].n
+// Less implements sort.Interface.
+func (h eventHeap) Less(i, j int) bool {
+	if h[i].at != h[j].at {
+		return h[i].at < h[j].at
+	}
+	return h[i].sequence < h[j].sequence
 }
 
-func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+// Swap implements sort.Interface.
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-func (a *eventQueue) Push(x any) { *a = append(*a, x.(scheduledEvent)) }
+// Push implements heap.Interface.
+func (h *eventHeap) Push(x any) { *h = append(*h, x.(scheduledEvent)) }
 
-func (a *eventQueue) Pop() any {
-	x := (*a)[len(*a)-1]
-	*a = (*a)[:len(*a)-1]
-	return x
+// Pop implements heap.Interface.
+func (h *eventHeap) Pop() any {
+	last := len(*h) - 1
+	event := (*h)[last]
+	*h = (*h)[:last]
+	return event
 }
