--- a/cmd/foxlift-sim/golden_test.go
+++ b/cmd/foxlift-sim/golden_test.go
@@ -27,8 +27,10 @@
 		`["attach","s_2",9,{"grades":[]}],` +
 		`["registry","s_0","warm_copy",1,[["w:1","a","big",0,"live",1,null],["w:2","b","small",1,"live",1,1000000000],` +
 		`["w:3","a","small",1,"live",1,null]]]]}`,
-	`{"simTime":9001000000,"batch":2,"news":[["accept","s_0",77,14000000000,"read","91f03b7c55d20a64",3000000,1,1,"t1",0.5],` +
-		`["accept","s_0",78,14000000000,"pay",null,null,1,2,"t1",0.5],["accept","s_0",79,9001500000,"pay",null,null,1,0,null,0]]}`,
+	`{"simTime":9001000000,"batch":2,"news":[` +
+		`["accept","s_0",77,14000000000,"read","91f03b7c55d20a64",3000000,1,1,"t1",0.5],` +
+		`["accept","s_0",78,14000000000,"pay",null,null,1,2,"t1",0.5],` +
+		`["accept","s_0",79,9001500000,"pay",null,null,1,0,null,0]]}`,
 	`{"simTime":9002000000,"batch":3,"news":[["interim","s_0",77,0.5,1,"w:1",0],["interim","s_0",78,null,1,"w:3",0],` +
 		`["flowing","s_0",78,"w:3",0,null]]}`,
 	`{"simTime":9030000000,"batch":4,"news":[["completed","s_0",77,"w:1",28000000,true,0,100,null,[0,3]],` +
--- a/export_test.go
+++ b/export_test.go
@@ -13,7 +13,8 @@
 // PlayRandomHost plays the random host for some steps, and tells of each.
 func PlayRandomHost(t *testing.T, seed uint64, cfg Config, steps int, each func(int64, []Event, []Action)) {
 	host := newRandomHost(t, seed, cfg)
-	each(host.now, []Event{{Kind: EventEndpoints, EndpointUpdate: EndpointsCached, Workers: slices.Clone(host.workers)}}, host.log)
+	first := Event{Kind: EventEndpoints, EndpointUpdate: EndpointsCached, Workers: slices.Clone(host.workers)}
+	each(host.now, []Event{first}, host.log)
 	step := func(events []Event) {
 		before := len(host.log)
 		host.step(events)
--- a/record_member_test.go
+++ b/record_member_test.go
@@ -48,7 +48,7 @@
 }
 
 // takeover starts a new dispatcher that goes on from what the old one has learned. The old one's
-// attempts count as others' until they have ended.
+// attempts count as external usage until they have ended.
 func (m *member) takeover() {
 	snapshot := m.host.record.snapshot(m.index, m.dispatcher)
 	m.begin()
@@ -81,7 +81,7 @@
 		if !m.host.failureLasts && m.host.chance(0.2) {
 			m.host.drawFailure()
 		}
-		e = foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsPollFailed, PollFailure: m.host.failure}
+		e.EndpointUpdate, e.PollFailure, e.Workers = foxlift.EndpointsPollFailed, m.host.failure, nil
 	case !m.subscribed:
 		return
 	}
--- a/record_plans_test.go
+++ b/record_plans_test.go
@@ -6,16 +6,26 @@
 func baseConfig() foxlift.Config {
 	return foxlift.Config{
 		Classes: []foxlift.Class{
-			{Name: "read", LatencyObjective: 200 * millisecond, ObjectiveStretch: 2, Deadline: 2 * second, Kind: -1, PriorityWeight: 1},
-			{Name: "order", LatencyObjective: 250 * millisecond, ObjectiveStretch: 2, Deadline: 3 * second, Effect: foxlift.AtMostOnce,
-				Kind: -1, PriorityWeight: 2},
-			{Name: "keyed", LatencyObjective: 300 * millisecond, ObjectiveStretch: 1, Deadline: 2 * second, Effect: foxlift.Deduplicated,
-				Scope: foxlift.ScopeCell, KeyTTL: 800 * millisecond, Kind: -1, PriorityWeight: 1},
+			{
+				Name: "read", LatencyObjective: 200 * millisecond, ObjectiveStretch: 2, Deadline: 2 * second,
+				Kind: -1, PriorityWeight: 1,
+			},
+			{
+				Name: "order", LatencyObjective: 250 * millisecond, ObjectiveStretch: 2, Deadline: 3 * second,
+				Effect: foxlift.AtMostOnce, Kind: -1, PriorityWeight: 2,
+			},
+			{
+				Name: "keyed", LatencyObjective: 300 * millisecond, ObjectiveStretch: 1, Deadline: 2 * second,
+				Effect: foxlift.Deduplicated, Scope: foxlift.ScopeCell, KeyTTL: 800 * millisecond,
+				Kind: -1, PriorityWeight: 1,
+			},
 		},
-		Tenants:     []foxlift.Tenant{{Name: "a", Quota: 40}, {Name: "b", Quota: 20}, {Name: "c", Quota: 10}},
+		Tenants: []foxlift.Tenant{{Name: "a", Quota: 40}, {Name: "b", Quota: 20}, {Name: "c", Quota: 10}},
+
 		Dispatchers: 1, MayCancel: true, MayHedge: true, MayRetryAfter: true, MaxRetryAfter: second, MaxAttempts: 4,
-		StartNotes: true, Gauges: []foxlift.Gauge{foxlift.GaugeFreeSlots}, SlowStartCapacity: 0.2, SlowStartDuration: 10 * second,
-		OverloadMultiple: 3, OverloadWindow: 2 * second, AnswerGrace: 50 * millisecond, JobsPerConn: 1, MaxPollInterval: 5 * second,
+		StartNotes: true, Gauges: []foxlift.Gauge{foxlift.GaugeFreeSlots}, AnswerGrace: 50 * millisecond,
+		SlowStartCapacity: 0.2, SlowStartDuration: 10 * second, OverloadMultiple: 3, OverloadWindow: 2 * second,
+		JobsPerConn: 1, MaxPollInterval: 5 * second,
 		Prices: foxlift.Prices{CrossZone: 0.1, Handshake: 0.02, Fetch: 0.1},
 	}
 }
--- a/record_worker_test.go
+++ b/record_worker_test.go
@@ -100,7 +100,9 @@
 	j.attempts = append(j.attempts, a)
 	m.inFlight = append(m.inFlight, a)
 	if m.host.chance(m.host.plan.strange) {
-		codes := []foxlift.Code{foxlift.NotSent, foxlift.Reset, foxlift.InvalidRequest, foxlift.WorkerError, foxlift.Saturated}
+		codes := []foxlift.Code{
+			foxlift.NotSent, foxlift.Reset, foxlift.InvalidRequest, foxlift.WorkerError, foxlift.Saturated,
+		}
 		code := codes[m.host.rng.IntN(len(codes))]
 		m.host.after(w.distance(m), func() { a.report(code) })
 		return
--- a/replay_format_test.go
+++ b/replay_format_test.go
@@ -13,8 +13,8 @@
 	}
 	storedStates = []foxlift.WorkerState{foxlift.Live, foxlift.Draining, foxlift.Removed}
 	storedLists  = []foxlift.EndpointUpdate{
-		foxlift.EndpointsDelta, foxlift.EndpointsComplete, foxlift.EndpointsCached, foxlift.EndpointsPollFailed, foxlift.EndpointsConfirmed,
-		foxlift.DiscoveryChanged,
+		foxlift.EndpointsDelta, foxlift.EndpointsComplete, foxlift.EndpointsCached, foxlift.EndpointsPollFailed,
+		foxlift.EndpointsConfirmed, foxlift.DiscoveryChanged,
 	}
 	storedFailures = []foxlift.PollFailure{
 		foxlift.FailureBusy, foxlift.FailureUnanswered, foxlift.FailureDown, foxlift.FailureInvalid,
@@ -25,7 +25,8 @@
 	}
 	storedEvents = []foxlift.EventKind{
 		foxlift.EventRequest, foxlift.EventEndpoints, foxlift.EventStarted, foxlift.EventProgress, foxlift.EventOutcome,
-		foxlift.EventClientDisconnected, foxlift.EventTimer, foxlift.EventHealthChecked, foxlift.EventMessage, foxlift.EventQuotas,
+		foxlift.EventClientDisconnected, foxlift.EventTimer, foxlift.EventHealthChecked, foxlift.EventMessage,
+		foxlift.EventQuotas,
 	}
 	storedActions = []foxlift.ActionKind{
 		foxlift.ActionSend, foxlift.ActionShed, foxlift.ActionFail, foxlift.ActionCancel, foxlift.ActionTimer,
