--- /dev/null
+++ b/internal/metrics/golden_test.go
@@ -0,0 +1,18 @@
+package metrics
+
+import (
+	"net/http/httptest"
+	"testing"
+
+	"github.com/vatu-meals/foxlift/internal/core"
+	"github.com/vatu-meals/foxlift/internal/counters"
+	"github.com/vatu-meals/foxlift/internal/golden"
+)
+
+// TestExposition pins the names, help texts, types and labels of all figures.
+func TestExposition(t *testing.T) {
+	w := httptest.NewRecorder()
+	handler := Handler([]string{"first", "second"}, &counters.Set{}, &source{pool: core.WorkerPool{Size: 3, Ejected: 1}})
+	handler.ServeHTTP(w, httptest.NewRequest("GET", "/admin/stats", nil))
+	golden.Check(t, "exposition.txt", w.Body.Bytes())
+}
