--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -44,16 +44,15 @@
 		t.Fatal(faults)
 	}
 	set := &counters.Set{}
-	c, err := core.New(s, plan, 1, core.NewClock(), set)
+	c, err := core.New(core.Config{Settings: s, Plan: plan, Seed: 1, Clock: core.NewClock(), Counters: set})
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Connect(nothing{}, nothing{}, 100)
 	var list []foxlift.Worker
 	for i := range 8 {
 		list = append(list, foxlift.Worker{ID: fmt.Sprint("n", i)})
 	}
-	c.Start(list)
+	c.Start(core.Environment{Workers: nothing{}, EndpointWatch: nothing{}, MaxOpen: 100, CachedEndpoints: list})
 	return &Server{Core: c, Settings: s, Counters: set, Name: "x", Version: "v"}
 }
 
--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -6,24 +6,26 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-const defaultRetryAfter = time.Second // advice to submitters when there is no room
+// Stage 2, admit: a job is shed where too many are open, or where the scheduler ends before it would be
+// done. Else it is assigned to its cell, whose dispatcher sends, queues or sheds it.
 
-// shedRetryAfter is that advice, where the settings allow one.
+const defaultRetryAfter = time.Second // advice to clients whose jobs the core sheds
+
+// shedRetryAfter returns that advice, where the settings allow one.
 func (c *Core) shedRetryAfter() time.Duration {
 	return min(defaultRetryAfter, time.Duration(c.settings.Module.MaxRetryAfter))
 }
 
-// Stage 2, admit: the module hears of the job and holds, sends or refuses it.
-// Past the number that may be open it is refused before the module: a job that
-// waits unread because no descriptor is left for its connection is lost.
 func (c *Core) admit(j *job) {
-	if len(c.open) > c.maxOpen {
+	// Past that number a job could wait unread, because no descriptor is left for its connection to a
+	// worker. It is shed before the dispatcher learns of it.
+	if len(c.jobs.open) > c.maxOpen {
 		c.counters.Add("jobs.too_many")
 		c.answer(j, Answer{Verdict: Shed, RetryAfter: c.shedRetryAfter()})
 		return
 	}
-	if class := &c.settings.Module.Classes[j.class]; c.shutdownDeadline > 0 && c.clock.Now()+class.LatencyObjective > c.shutdownDeadline {
-		// It would hardly be done before the end: another scheduler has more time.
+	class := &c.settings.Module.Classes[j.class]
+	if c.shutdown.endsBefore(c.clock.Now() + class.LatencyObjective) { // another scheduler has more time
 		c.counters.Add("jobs.at_end")
 		c.answer(j, Answer{Verdict: Shed, RetryAfter: time.Duration(c.settings.Module.MaxRetryAfter)})
 		return
@@ -31,7 +33,7 @@
 	c.assign(j)
 }
 
-// hand gives a job to the module of its cell.
+// requestDispatch gives a job to the dispatcher of its cell.
 func (c *Core) requestDispatch(j *job) {
 	j.priorAttempts = len(j.attempts)
 	j.cell.notify(foxlift.Event{Kind: foxlift.EventRequest, Request: foxlift.Request{
--- a/internal/core/cell_assign.go
+++ b/internal/core/cell_assign.go
@@ -1,7 +1,5 @@
 package core
 
-// Which cell a job belongs to: its placement there on arrival, and its way on when the map changes.
-
 import (
 	"slices"
 
@@ -9,137 +7,97 @@
 	"github.com/vatu-meals/foxlift/internal/cells"
 )
 
-// home is the cell in which a tenant's jobs with a key live.
+// ownerCell returns the cell that a tenant's jobs with an affinity key belong to.
 func (c *Core) ownerCell(tenant int, key uint64) *cell {
-	s := c.placement.Load()
-	if s == nil {
-		return c.cells[0]
+	p := c.placement.Load()
+	if p == nil {
+		return c.cells.all[0]
 	}
-	return c.cells[s.layout.Cell(tenant, key)]
+	return c.cells.all[p.layout.Cell(tenant, key)]
 }
 
-// way is where a job belongs now.
+// routeOf returns where a job is to go now: to its own cell, or to the one that this spills into.
 func (c *Core) routeOf(j *job) cells.Route {
-	s := c.placement.Load()
-	home := c.ownerCell(j.tenant, j.Key)
-	return s.layout.Route(j.tenant, j.Key, c.cellCondition, func(to int) bool {
-		if j.spilledFrom == home && j.cell.index == to {
+	p := c.placement.Load()
+	owner := c.ownerCell(j.tenant, j.Key)
+	return p.layout.Route(j.tenant, j.Key, c.cellCondition, func(to int) bool {
+		if j.spilledFrom == owner && j.cell.index == to {
 			return true // it has its room there
 		}
-		return home.spilled < s.layout.SpillBound(home.index, s.jobBounds[to])
+		return owner.spilled < p.layout.SpillBound(owner.index, p.jobBounds[to])
 	})
 }
 
-// place gives a job to the cell where it belongs, with its age, or refuses it.
+// assign gives a job to the dispatcher of the cell where it is to go, with its age, or sheds it.
 func (c *Core) assign(j *job) {
-	s := c.placement.Load()
-	if s == nil {
+	p := c.placement.Load()
+	if p == nil {
 		c.requestDispatch(j)
 		return
 	}
-	way, home := c.routeOf(j), c.ownerCell(j.tenant, j.Key)
+	route, owner := c.routeOf(j), c.ownerCell(j.tenant, j.Key)
 	j.endSpill()
-	j.cell = c.cells[way.Cell]
-	if way.Shed {
+	j.cell = c.cells.all[route.Cell]
+	if route.Shed {
 		c.counters.Add("jobs.cell_unable")
 		c.shedOrFail(j)
 		return
 	}
-	if way.Spilled {
-		j.spilledFrom = home
-		home.spilled++
+	if route.Spilled {
+		j.spilledFrom = owner
+		owner.spilled++
 		c.counters.Add("jobs.spilled")
 	}
-	if j.Job.reservation.admission != nil && j.Job.reservation.cell != way.Cell {
-		j.Job.reservation.admission.Transfer(j.Job.reservation.cell, way.Cell, j.Job.reservation.tenant)
-		j.Job.reservation.cell = way.Cell
-	}
-	if most := s.layout.Plan().KeyJobs(); most > 0 && j.Key != 0 && !c.acquireKey(j, most) {
+	j.reservation.moveTo(route.Cell)
+	if maxJobs := p.layout.Plan().KeyJobs(); maxJobs > 0 && j.Key != 0 && !c.cells.acquireKey(j, maxJobs) {
 		c.counters.Add("jobs.key_full")
 		c.shedOrFail(j)
 		return
 	}
-	j.allowedWorkers = s.layout.KeyWorkers(way.Cell, j.Key)
+	j.allowedWorkers = p.layout.KeyWorkers(route.Cell, j.Key)
 	c.requestDispatch(j)
 }
 
-// refuse answers a job that the core will not hand to any module. One that may have
-// run is never told that another try is harmless.
+// shedOrFail answers a job that the core gives to no dispatcher. The client of one that may have run is
+// not told that a retry is harmless.
 func (c *Core) shedOrFail(j *job) {
 	if c.unsafeToRetry(j) {
-		c.answer(j, Answer{Verdict: Failed, Reason: "given up"})
+		c.answer(j, Answer{Verdict: Failed, Reason: ReasonGivenUp})
 		return
 	}
 	c.answer(j, Answer{Verdict: Shed, RetryAfter: c.shedRetryAfter()})
 }
 
-// unsafeToRetry reports whether the job may have run and its class minds another run.
+// unsafeToRetry reports whether the job may have run and its class does not allow that it runs again.
 func (c *Core) unsafeToRetry(j *job) bool {
 	return j.mayHaveRun() != nil && c.settings.Module.Classes[j.class].Effect != foxlift.Idempotent
 }
 
-// A cellKey is a key in a cell.
-type cellKey struct {
-	cell *cell
-	key  uint64
-}
-
-// acquireKey counts a job among those with its key in its cell; false if there are as
-// many as may be.
-func (c *Core) acquireKey(j *job, most int) bool {
-	c.releaseKey(j)
-	k := cellKey{j.cell, j.Key}
-	if c.jobsByKey[k] >= most {
+// reassign takes a job away from a cell where it no longer belongs; stepCell then assigns it anew. A job
+// with an attempt in flight finishes where it is, and so does one that may have run, unless it may run
+// again: only the dispatcher that sent it knows what its class allows.
+func (c *Core) reassign(j *job) (leaves bool) {
+	p := c.placement.Load()
+	if p == nil || j.answered.Load() || j.inFlight > 0 || j.leaving || c.unsafeToRetry(j) {
 		return false
 	}
-	c.jobsByKey[k]++
-	j.heldKey = k
-	return true
-}
-
-func (c *Core) releaseKey(j *job) {
-	if j.heldKey.cell == nil {
-		return
-	}
-	if c.jobsByKey[j.heldKey]--; c.jobsByKey[j.heldKey] == 0 {
-		delete(c.jobsByKey, j.heldKey)
-	}
-	j.heldKey = cellKey{}
-}
-
-// rehome sends a job on that is not where it belongs. One with a claim out finishes
-// where it is, and so does one that may have run, unless repeats of it are harmless:
-// only the module that sent it knows which its class allows.
-func (c *Core) reassign(j *job) {
-	s := c.placement.Load()
-	if s == nil || j.answered.Load() || j.inFlight > 0 || j.leaving {
-		return
-	}
-	if c.unsafeToRetry(j) {
-		return
-	}
-	way := c.routeOf(j)
-	if !way.Shed && c.cells[way.Cell] == j.cell && slices.Equal(j.allowedWorkers, s.layout.KeyWorkers(way.Cell, j.Key)) {
-		return
+	route := c.routeOf(j)
+	staysInCell := !route.Shed && c.cells.all[route.Cell] == j.cell
+	if staysInCell && slices.Equal(j.allowedWorkers, p.layout.KeyWorkers(route.Cell, j.Key)) {
+		return false
 	}
 	j.leaving = true
 	j.cell.leaving = append(j.cell.leaving, j)
 	j.cell.notify(foxlift.Event{Kind: foxlift.EventClientDisconnected, ID: j.number})
+	return true
 }
 
-// reassignAll looks at every open job, in the order they came.
-func (c *Core) reassignAll() (moved int) {
-	open := make([]*job, 0, len(c.open))
-	for _, j := range c.open {
-		open = append(open, j)
-	}
-	slices.SortFunc(open, func(a, b *job) int { return int(int64(a.number) - int64(b.number)) })
-	for _, j := range open {
-		before := j.leaving
-		c.reassign(j)
-		if j.leaving && !before {
-			moved++
+// reassignAll reassigns every open job, in the order they came, and returns how many leave their cell.
+func (c *Core) reassignAll() (leave int) {
+	for _, j := range c.jobs.openInOrder() {
+		if c.reassign(j) {
+			leave++
 		}
 	}
-	return moved
+	return leave
 }
--- a/internal/core/cell_helpers_test.go
+++ b/internal/core/cell_helpers_test.go
@@ -38,13 +38,13 @@
 	if faults != nil {
 		t.Fatal(faults)
 	}
-	c, err := New(s, p, 1, NewClock(), &counters.Set{})
+	c, err := New(Config{Settings: s, Plan: p, Seed: 1, Clock: NewClock(), Counters: &counters.Set{}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Stop)
 	r := &rig{Core: c}
-	c.Connect(r, r, 60)
+	c.connect(Environment{Workers: r, EndpointWatch: r, MaxOpen: 60})
 	r.applyEvent(endpointsUpdated{kind: foxlift.EndpointsCached, workers: r.workerList(12, 0)})
 	return r
 }
@@ -60,7 +60,7 @@
 func (r *rig) submitToCell(id, class, tenant string, key uint64) *recordingClient {
 	a := &recordingClient{}
 	j := &Job{ID: id, Class: class, Tenant: tenant, Key: key, ArrivedAt: r.clock.Now(), Remaining: 10 * time.Second, Client: a}
-	if s := r.placement.Load(); !s.reserve(r.Core, j) {
+	if !r.placement.Load().reserve(j, r.tenantIndex(j.Tenant)) {
 		a.Answer(Answer{Verdict: Shed, RetryAfter: r.shedRetryAfter()})
 		return a
 	}
@@ -114,7 +114,7 @@
 	return 0
 }
 
-func (r *rig) evacuate(i int) { r.cells[i].evacuated = true }
+func (r *rig) evacuate(i int) { r.cells.all[i].evacuated = true }
 
 func countByName(names []string) map[string]int {
 	n := map[string]int{}
--- a/internal/core/cell_placement.go
+++ b/internal/core/cell_placement.go
@@ -1,75 +1,83 @@
 package core
 
-// What any goroutine may read of the cells: the layout, the bounds and the gate.
-
 import "github.com/vatu-meals/foxlift/internal/cells"
 
-// A scheme is what any goroutine may read of the cells: it is replaced whole.
+// A placement says which cell has which tenants and workers, and what each cell may hold. Any goroutine
+// may read it; it is replaced whole.
 type placement struct {
 	layout           *cells.Layout
 	admission        *cells.Admission
-	jobBounds        []int // bound by cell
+	jobBounds        []int // by cell
 	connectionBounds []int
 }
 
-// newPlacement makes a scheme with a gate that is empty. total is how many jobs may be
-// open, which is also what the submitters' connections may hold.
-func newPlacement(l *cells.Layout, total int) *placement {
-	s := &placement{layout: l}
-	p := l.Plan()
-	for i := range p.CellCount() {
-		s.jobBounds = append(s.jobBounds, p.JobBound(i, total))
-		s.connectionBounds = append(s.connectionBounds, p.ConnectionBound(i, total))
+// newPlacement makes a placement whose admission bounds nobody uses yet. maxOpen is how many jobs may be
+// open, which is also how many connections the clients may hold.
+func newPlacement(layout *cells.Layout, maxOpen int) *placement {
+	p := &placement{layout: layout}
+	plan := layout.Plan()
+	for i := range plan.CellCount() {
+		p.jobBounds = append(p.jobBounds, plan.JobBound(i, maxOpen))
+		p.connectionBounds = append(p.connectionBounds, plan.ConnectionBound(i, maxOpen))
 	}
-	s.admission = cells.NewAdmission(s.jobBounds, p.TenantCount())
-	return s
+	p.admission = cells.NewAdmission(p.jobBounds, plan.TenantCount())
+	return p
+}
+
+// withLayout returns the placement with another layout of the same plan.
+func (p *placement) withLayout(layout *cells.Layout) *placement {
+	changed := *p
+	changed.layout = layout
+	return &changed
 }
 
-// with returns the scheme with another layout of the same plan.
-func (s *placement) withLayout(l *cells.Layout) *placement {
-	n := *s
-	n.layout = l
-	return &n
+// reserve takes a place in the admission bound of the job's cell; false if there is none.
+func (p *placement) reserve(j *Job, tenant int) bool {
+	cell := p.layout.Cell(tenant, j.Key)
+	if !p.admission.TryReserve(cell, tenant) {
+		return false
+	}
+	j.reservation = reservation{p.admission, cell, tenant}
+	return true
 }
 
-// A place is a job's in a gate.
+// A reservation is a job's place in its cell's admission bound. The zero value is none.
 type reservation struct {
 	admission    *cells.Admission
 	cell, tenant int
 }
 
-func (p *reservation) release() {
-	if p.admission != nil {
-		p.admission.Release(p.cell, p.tenant)
-		p.admission = nil
+// moveTo takes the place over to another cell.
+func (r *reservation) moveTo(cell int) {
+	if r.admission != nil && r.cell != cell {
+		r.admission.Transfer(r.cell, cell, r.tenant)
+		r.cell = cell
 	}
 }
 
-// enter takes a job's place in its cell's part of the scheduler.
-func (s *placement) reserve(c *Core, j *Job) bool {
-	tenant := c.tenantIndex(j.Tenant)
-	cell := s.layout.Cell(tenant, j.Key)
-	if !s.admission.TryReserve(cell, tenant) {
-		return false
+// release gives the place up.
+func (r *reservation) release() {
+	if r.admission != nil {
+		r.admission.Release(r.cell, r.tenant)
+		r.admission = nil
 	}
-	j.reservation = reservation{s.admission, cell, tenant}
-	return true
 }
 
+// tenantIndex returns the index of a tenant in the settings, or noTenant.
 func (c *Core) tenantIndex(name string) int {
 	if t, ok := c.settings.Tenants[name]; ok {
 		return t
 	}
-	return -1
+	return noTenant
 }
 
-// Cell names the cell of a tenant's jobs with a key, and how many connections that
-// cell's submitters may have; "" without cells. Any goroutine may call it.
+// Cell names the cell of a tenant's jobs with an affinity key, and how many connections that cell's
+// clients may have; "" without cells. Any goroutine may call it.
 func (c *Core) Cell(tenant string, key uint64) (name string, connections int) {
-	s := c.placement.Load()
-	if s == nil {
+	p := c.placement.Load()
+	if p == nil {
 		return "", 0
 	}
-	i := s.layout.Cell(c.tenantIndex(tenant), key)
-	return s.layout.Plan().CellName(i), s.connectionBounds[i]
+	i := p.layout.Cell(c.tenantIndex(tenant), key)
+	return p.layout.Plan().CellName(i), p.connectionBounds[i]
 }
--- a/internal/core/cell_placement_test.go
+++ b/internal/core/cell_placement_test.go
@@ -38,8 +38,8 @@
 			refused++
 		}
 	}
-	if refused != 4 || r.cells[0].spilled != bound {
-		t.Errorf("%d refused, %d spilled; want 4 and %d", refused, r.cells[0].spilled, bound)
+	if refused != 4 || r.cells.all[0].spilled != bound {
+		t.Errorf("%d refused, %d spilled; want 4 and %d", refused, r.cells.all[0].spilled, bound)
 	}
 	for i := range r.sentTo {
 		if r.cellOf(r.sentTo[i]) != 1 {
@@ -54,8 +54,8 @@
 		report(ended(foxlift.Served))
 	}
 	r.settle()
-	if r.cells[0].spilled != 0 {
-		t.Errorf("%d spilled jobs stay counted", r.cells[0].spilled)
+	if r.cells.all[0].spilled != 0 {
+		t.Errorf("%d spilled jobs stay counted", r.cells.all[0].spilled)
 	}
 }
 
@@ -71,8 +71,8 @@
 			refused++
 		}
 	}
-	if len(r.inbox) > 30 || refused != 300-len(r.inbox) {
-		t.Errorf("%d of 300 are in the inbox, %d refused", len(r.inbox), refused)
+	if len(r.loop.inbox) > 30 || refused != 300-len(r.loop.inbox) {
+		t.Errorf("%d of 300 are in the inbox, %d refused", len(r.loop.inbox), refused)
 	}
 	r.settle()
 	if a := r.submitToCell("u", "reading", "u", 0); len(a.answers) != 0 {
@@ -153,10 +153,10 @@
 			r.settle()
 		}
 	}
-	if b := r.cells[1].answers; b[Served] != 100 || b[Shed]+b[Failed] != 0 {
+	if b := r.cells.all[1].answers; b[Served] != 100 || b[Shed]+b[Failed] != 0 {
 		t.Errorf("the other cell's answers: %v", b)
 	}
-	if a := r.cells[0].answers; a[Served] != 0 {
+	if a := r.cells.all[0].answers; a[Served] != 0 {
 		t.Errorf("the bad cell serves %d", a[Served])
 	}
 }
--- a/internal/core/cell_state.go
+++ b/internal/core/cell_state.go
@@ -18,89 +18,98 @@
 	Tenants   []TenantState
 	Open      int // jobs not yet answered
 	Bound     int // on those
-	InFlight  int // claims that have not ended
-	Queued    int // jobs that wait in the module
+	InFlight  int // attempts that have not ended
+	Queued    int // jobs that wait in the dispatcher
 	Spilled   int // of its jobs, in the cell that it spills into
 	Served    int64
-	Shed      int64 // by the module or for want of a node
+	Shed      int64 // by the dispatcher or for want of a worker
 	Failed    int64
-	Rejected  int64 // refused at the front: the cell had no room
+	Rejected  int64 // on arrival: the cell had no room
 }
 
-// A WorkerState is a node as its cell sees it.
+// A WorkerState is a worker as its cell sees it.
 type WorkerState struct {
 	ID            string
 	Kind          int
 	Zone          int
 	State         foxlift.WorkerState
 	InSlowStart   bool
-	InFlight      float64 // slots of claims that this cell has out there
-	ExternalSlots float64 // the same of other cells
+	InFlight      float64 // slots that this cell has in flight there
+	ExternalSlots float64 // the same of other cells and another process
 }
 
 // A TenantState is a tenant that lives in a cell.
 type TenantState struct {
 	Name     string
-	Migrated bool // the file has it elsewhere
+	Migrated bool // the operator's file has it elsewhere
 	Quota    float64
 }
 
 // Cells returns the state of all cells.
-func (c *Core) Cells(ctx context.Context) (states []CellState, err error) {
-	if err := c.call(ctx, func(c *Core) {
+func (c *Core) Cells(ctx context.Context) ([]CellState, error) {
+	return call(ctx, c, func(c *Core) ([]CellState, error) {
 		if c.placement.Load() == nil {
-			err = ErrNoCells
-			return
+			return nil, ErrNoCells
 		}
-		states = c.cellStates()
-	}); err != nil {
-		return nil, err
-	}
-	return states, err
+		return c.cellStates(), nil
+	})
 }
 
 func (c *Core) cellStates() []CellState {
-	s := c.placement.Load()
-	p := s.layout.Plan()
-	states := make([]CellState, len(c.cells))
-	at := map[*cell]*CellState{}
-	now, warm := c.clock.Now(), c.settings.Module.SlowStartDuration
-	for i, cl := range c.cells {
-		states[i] = CellState{
-			Name: cl.name, Retired: cl.retired, Evacuated: cl.evacuated, Spilled: cl.spilled,
-			Served: cl.answers[Served], Shed: cl.answers[Shed], Failed: cl.answers[Failed],
-		}
-		x := &states[i]
-		at[cl] = x
-		if cl.retired {
+	states := make([]CellState, len(c.cells.all))
+	stateOf := map[*cell]*CellState{}
+	for i, cl := range c.cells.all {
+		states[i] = c.cellState(i, cl)
+		stateOf[cl] = &states[i]
+	}
+	c.addWorkerStates(stateOf)
+	for _, j := range c.jobs.byNumber {
+		state := stateOf[j.cell]
+		state.InFlight += j.inFlight
+		if j.answered.Load() {
 			continue
 		}
-		x.Fraction, x.Condition = p.CapacityFraction(i), c.cellCondition(i)
-		_, x.Bound, x.Rejected = s.admission.Open(i)
-		for t, name := range p.TenantNames() {
-			if s.layout.ServedBy(t, i) {
-				x.Tenants = append(x.Tenants, TenantState{name, s.layout.Migrated(t), cl.quotas[t]})
-			}
+		state.Open++
+		if j.inFlight == 0 {
+			state.Queued++
 		}
 	}
-	for _, n := range c.order {
-		if x := at[n.cell]; x != nil && n.State != foxlift.Removed {
-			out := n.inFlight[n.cell]
-			x.Workers = append(x.Workers, WorkerState{
-				ID: n.ID, Kind: n.Kind, Zone: n.Zone, State: n.State, InFlight: out,
-				InSlowStart: n.StartedAt != 0 && now-n.StartedAt < warm, ExternalSlots: n.forCell(n.cell).ExternalSlots,
-			})
+	return states
+}
+
+// cellState returns what a cell itself knows; i is its index in the set.
+func (c *Core) cellState(i int, cl *cell) CellState {
+	state := CellState{
+		Name: cl.name, Retired: cl.retired, Evacuated: cl.evacuated, Spilled: cl.spilled,
+		Served: cl.answers[Served], Shed: cl.answers[Shed], Failed: cl.answers[Failed],
+	}
+	if cl.retired {
+		return state
+	}
+	p := c.placement.Load()
+	plan := p.layout.Plan()
+	state.Fraction, state.Condition = plan.CapacityFraction(i), c.cellCondition(i)
+	_, state.Bound, state.Rejected = p.admission.Open(i)
+	for t, name := range plan.TenantNames() {
+		if p.layout.ServedBy(t, i) {
+			tenant := TenantState{Name: name, Migrated: p.layout.Migrated(t), Quota: cl.quotas[t]}
+			state.Tenants = append(state.Tenants, tenant)
 		}
 	}
-	for _, j := range c.jobs {
-		x := at[j.cell]
-		x.InFlight += j.inFlight
-		if !j.answered.Load() {
-			x.Open++
-			if j.inFlight == 0 {
-				x.Queued++
-			}
+	return state
+}
+
+// addWorkerStates adds the workers to the states of their cells.
+func (c *Core) addWorkerStates(stateOf map[*cell]*CellState) {
+	now := c.clock.Now()
+	for _, w := range c.workers.order {
+		state := stateOf[w.cell]
+		if state == nil || w.State == foxlift.Removed {
+			continue
 		}
+		state.Workers = append(state.Workers, WorkerState{
+			ID: w.ID, Kind: w.Kind, Zone: w.Zone, State: w.State, InSlowStart: c.inSlowStart(w, now),
+			InFlight: w.inFlight[w.cell], ExternalSlots: w.forCell(w.cell).ExternalSlots,
+		})
 	}
-	return states
 }
--- a/internal/core/cell_workers.go
+++ b/internal/core/cell_workers.go
@@ -1,81 +1,83 @@
 package core
 
-// Which cell's module decides on a node, and what each module is told of its nodes.
-
 import (
-	"slices"
-
 	"github.com/vatu-meals/foxlift"
 	"github.com/vatu-meals/foxlift/internal/cells"
 )
 
-// spread tells each cell's module of the nodes that are its own. A node that goes to
-// another cell looks to the module that had it like one that drains; the module that
-// gets it hears how much of others is still out there, and counts it.
-func (c *Core) distribute(kind foxlift.EndpointUpdate, told []foxlift.Worker) {
-	var live []cells.Worker
-	for _, n := range c.order {
-		if n.State == foxlift.Live {
-			live = append(live, cells.Worker{ID: n.ID, Zone: n.Zone, Kind: n.Kind})
-		}
-	}
-	s := c.placement.Load()
-	s = s.withLayout(s.layout.WithChanges(c.assigner.Update(live)))
-	c.placement.Store(s)
-	touched := map[string]bool{}
-	for _, w := range told {
-		touched[w.ID] = true
+// slotTolerance is below which a sum of slots is taken for zero: the sums are of fractions.
+const slotTolerance = 1e-9
+
+// distribute updates which cell each worker is in, and tells each cell's dispatcher of its workers. To
+// the dispatcher that had it, a worker that goes to another cell looks as if it drained; the one that
+// gets it learns how many slots of others are still in flight there. changed are the workers that the
+// update names.
+func (c *Core) distribute(kind foxlift.EndpointUpdate, changed []foxlift.Worker) {
+	layout := c.updateLayout()
+	isNamed := map[string]bool{}
+	for i := range changed {
+		isNamed[changed[i].ID] = true
 	}
-	lists := make([][]foxlift.Worker, len(c.cells))
-	for _, n := range c.order {
-		old := n.cell
-		if i, ok := s.layout.WorkerCell(n.ID); ok {
-			n.cell = c.cells[i]
-		} // else it stays with the module that knows it, to its end
-		if n.cell == nil {
+	updates := make(map[*cell][]foxlift.Worker, len(c.cells.all))
+	for _, w := range c.workers.order {
+		previous := w.cell
+		// A worker that the layout does not have stays with the dispatcher that knows it, to its end.
+		if i, ok := layout.WorkerCell(w.ID); ok {
+			w.cell = c.cells.all[i]
+		}
+		if w.cell == nil {
 			continue
 		}
-		if old != nil && old != n.cell {
+		if previous != nil && previous != w.cell {
 			c.counters.Add("cells.nodes_moved")
-			w := n.Worker
-			w.State = foxlift.Draining
-			at := slices.Index(c.cells, old)
-			lists[at] = append(lists[at], w)
+			draining := w.Worker
+			draining.State = foxlift.Draining
+			updates[previous] = append(updates[previous], draining)
 		}
-		if whole := kind != foxlift.EndpointsDelta && n.State != foxlift.Removed; whole || touched[n.ID] || old != n.cell {
-			at := slices.Index(c.cells, n.cell)
-			lists[at] = append(lists[at], n.forCell(n.cell))
+		isListed := kind != foxlift.EndpointsDelta && w.State != foxlift.Removed
+		if isListed || isNamed[w.ID] || previous != w.cell {
+			updates[w.cell] = append(updates[w.cell], w.forCell(w.cell))
 		}
 	}
-	for i, cl := range c.cells {
-		cl.notify(foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: kind, Workers: lists[i]})
+	for _, cl := range c.cells.all {
+		cl.notifyEndpoints(kind, updates[cl])
 	}
 }
 
-// forCell returns a node's entry for a cell's module.
-func (n *workerEntry) forCell(cl *cell) foxlift.Worker {
-	w := n.Worker
-	w.ExternalSlots = n.otherProcessSlots
-	for other, slots := range n.inFlight {
-		if other != cl {
-			w.ExternalSlots += slots
+// updateLayout brings the placement up to date with the live workers and returns its layout.
+func (c *Core) updateLayout() *cells.Layout {
+	var live []cells.Worker
+	for _, w := range c.workers.order {
+		if w.State == foxlift.Live {
+			live = append(live, cells.Worker{ID: w.ID, Zone: w.Zone, Kind: w.Kind})
 		}
 	}
-	return w
+	p := c.placement.Load()
+	p = p.withLayout(p.layout.WithChanges(c.cells.assigner.Update(live)))
+	c.placement.Store(p)
+	return p.layout
 }
 
-// count follows which cell has how much out on a node, and tells the module that
-// decides on the node of what is not its own.
-func (c *Core) countSlots(cl *attempt, by float64) {
-	n := c.byID[cl.worker]
-	if n == nil || c.placement.Load() == nil {
+// countSlots counts slots of an attempt in (sign 1) or out (sign -1), and tells the dispatcher that has
+// the worker of slots that are not its own.
+func (c *Core) countSlots(a *attempt, sign float64) {
+	w := c.workers.byID[a.worker]
+	if w == nil || c.placement.Load() == nil {
 		return
 	}
-	n.inFlight[cl.cell] += by * slotsOf(cl.job)
-	if n.inFlight[cl.cell] <= 1e-9 {
-		delete(n.inFlight, cl.cell)
+	w.inFlight[a.cell] += sign * a.job.slots()
+	if w.inFlight[a.cell] <= slotTolerance {
+		delete(w.inFlight, a.cell)
+	}
+	if w.cell != nil && w.cell != a.cell {
+		w.cell.notifyEndpoints(foxlift.EndpointsDelta, []foxlift.Worker{w.forCell(w.cell)})
 	}
-	if n.cell != nil && n.cell != cl.cell {
-		n.cell.notify(foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsDelta, Workers: []foxlift.Worker{n.forCell(n.cell)}})
+}
+
+// cellOf returns the cell whose dispatcher has a worker; nil if there is none yet.
+func (c *Core) cellOf(w *workerEntry) *cell {
+	if c.placement.Load() == nil {
+		return c.cells.all[0]
 	}
+	return w.cell
 }
--- a/internal/core/cell_workers_test.go
+++ b/internal/core/cell_workers_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	r.dispatch()
-	n := r.byID[node]
+	n := r.workers.byID[node]
 	if n.cell.name != "b" || before != 0 {
 		t.Fatalf("%s is in %s", node, n.cell.name)
 	}
@@ -43,12 +43,12 @@
 	if got := n.forCell(n.cell).ExternalSlots; got != 0 {
 		t.Errorf("%v slots stay counted", got)
 	}
-	if !r.cells[1].retired || !r.hasNoJobs(r.cells[1]) {
+	if !r.cells.all[1].retired || r.jobs.hasJobsOf(r.cells.all[1]) {
 		t.Error("the old cell is not retired and empty")
 	}
-	r.applyEvent(timerFired{r.cells[1], 1})
-	if len(r.cells) != 1 {
-		t.Errorf("%d cells are kept", len(r.cells))
+	r.applyEvent(timerFired{r.cells.all[1], 1})
+	if len(r.cells.all) != 1 {
+		t.Errorf("%d cells are kept", len(r.cells.all))
 	}
 }
 
@@ -63,7 +63,7 @@
 		if by[id] == nil {
 			by[id] = map[*cell]bool{}
 		}
-		by[id][r.open[j.ID].cell] = true
+		by[id][r.jobs.open[j.ID].cell] = true
 	}
 	if c := r.cellCondition(0); c != cells.SlowStart {
 		t.Errorf("condition %v of a cell of cold nodes", c)
@@ -122,7 +122,7 @@
 		}
 	}
 	old.applyEvent(endpointsUpdated{kind: foxlift.EndpointsDelta, workers: news})
-	for id := range young.byID {
+	for id := range young.workers.byID {
 		a, aok := young.placement.Load().layout.WorkerCell(id)
 		b, bok := old.placement.Load().layout.WorkerCell(id)
 		if a != b || aok != bok {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,16 +1,26 @@
-// Package core runs the decision module as a live scheduler. One goroutine owns
-// the Dispatcher (or one for each cell, see cell.go), the table of jobs and claims, and the chain of stages that a
-// job passes: take in, admit, route, send, relay, book (a file each). Everything
-// else talks to it by events. It knows no protocol: a front brings jobs as Job
-// values and is answered through Client; execute nodes are reached through
-// Nodes, the machine list through EndpointWatch. It decides nothing either: it
-// reports what happens to the module and carries out the actions it returns.
+// Package core runs the decision module (foxlift.Dispatcher) as a live scheduler.
+//
+// One goroutine, the event loop that Core.Start begins, owns all mutable state: the dispatchers (one, or
+// one for each cell), the job table with the attempts, the worker table, the cells and the shutdown
+// deadline. Everything else talks to it by events. Shared with other goroutines are only the status
+// (atomic values), the placement (immutable, replaced whole) and the ids in use (a concurrent map).
+//
+// A job passes six stages, each in a file of its own:
+//
+//	accept    a job that a client sent is validated and entered in the job table
+//	admit     it is shed where there is no room or no time, else assigned to its cell's dispatcher
+//	dispatch  the dispatchers take a step, and the actions that they return are executed
+//	send      an attempt at running the job is started on a worker
+//	relay     what workers report goes to the dispatcher, the first result to the client
+//	record    answers and outcomes are counted, and a job that is done leaves the table
+//
+// The package knows no protocol: the platform brings jobs as Job values, which are answered through
+// their Client; workers, discovery and peers are reached through the interfaces of Environment. It
+// decides nothing either: it reports to the dispatchers what happens and executes their actions.
 package core
 
 import (
-	"sync"
 	"sync/atomic"
-	"time"
 
 	"github.com/puzpuzpuz/xsync/v4"
 
@@ -20,139 +30,113 @@
 	"github.com/vatu-meals/foxlift/internal/counters"
 )
 
-// An event is something that the core's goroutine learns of.
-type event interface{ apply(*Core) }
+// A Config is what a Core is made from.
+type Config struct {
+	Settings *config.Settings
+	Plan     *cells.Plan // nil: no cells, one dispatcher has the whole fleet
+	Seed     uint64      // of the dispatchers' random choices
+	Clock    Clock
+	Counters *counters.Set
+}
 
-// A Core is one scheduler. Create it with New, then call Connect and Start.
+// A Core is one scheduler. Create it with New and begin with Start.
 type Core struct {
 	settings *config.Settings
 	clock    Clock
 	counters *counters.Set
-	nodes    Workers
-	machines EndpointWatch
-	peers    Peers // nil where there are no messages
-	seed     uint64
-
-	inbox      chan event
-	stopped    chan struct{}
-	stopOnce   sync.Once
-	ready      atomic.Bool
-	hasWorkers atomic.Bool
-	active     atomic.Int64 // jobs taken and not yet answered
-
-	// Owned by run's goroutine.
-	jobs             map[uint64]*job
-	open             map[string]*job // taken and not yet answered, by the submitter's id
-	recentIDs        map[string]bool // ids answered not long ago; true: of jobs that must not run twice
-	maxDeadline      int64           // the longest deadline of any class
-	maxOpen          int             // jobs that may be open
-	confirmed        bool            // discovery has answered since the start
-	shutdownDeadline int64           // when what comes now must be answered; 0: no end is near
-	lastNumber       uint64
-	cells            []*cell // one where there is no plan of cells; retired ones behind the plan's
-	workerTable
-	assigner  *cells.Assigner
-	jobsByKey map[cellKey]int // open jobs by key and cell, where the plan bounds them
-
-	placement atomic.Pointer[placement]    // nil without cells; any goroutine may read it
-	idsInUse  *xsync.Map[string, struct{}] // in use or in recent, with cells: what Accept knows before the core does
+	env      Environment // set by Start
+
+	// Used by any goroutine.
+	loop      eventLoop
+	status    status
+	placement atomic.Pointer[placement]    // nil without cells
+	idsInUse  *xsync.Map[string, struct{}] // with cells: ids that Accept must not take, before the event loop knows of them
+
+	// Owned by the event loop's goroutine.
+	jobs      jobTable
+	workers   workerTable
+	cells     cellSet
+	shutdown  shutdownState
+	maxOpen   int  // jobs that may be open
+	confirmed bool // discovery has answered since the start
 }
 
-// New returns a Core, with cells where there is a plan of them. Its parts are set by
-// Connect before Start.
-func New(s *config.Settings, plan *cells.Plan, seed uint64, clock Clock, set *counters.Set) (*Core, error) {
+// New returns a Core that does nothing until Start. Events that come before wait for it.
+func New(cfg Config) (*Core, error) {
 	c := &Core{
-		settings: s, clock: clock, counters: set, seed: seed,
-		inbox: make(chan event, 1024), stopped: make(chan struct{}),
-		jobs: map[uint64]*job{}, open: map[string]*job{}, recentIDs: map[string]bool{},
-		workerTable: newWorkerTable(), jobsByKey: map[cellKey]int{},
+		settings: cfg.Settings, clock: cfg.Clock, counters: cfg.Counters,
+		loop:     newEventLoop(),
 		idsInUse: xsync.NewMap[string, struct{}](),
+		jobs:     newJobTable(cfg.Settings.Module.Classes),
+		workers:  newWorkerTable(),
+		cells:    newCellSet(cfg.Seed),
 	}
-	for _, k := range s.Module.Classes {
-		c.maxDeadline = max(c.maxDeadline, k.Deadline)
-	}
-	var err error
-	if plan == nil {
-		var only *cell
-		only, err = c.newCell("", s.Module.Tenants)
-		c.cells = []*cell{only}
-	} else {
-		err = c.initCells(plan)
+	if cfg.Plan != nil {
+		if err := c.initCells(cfg.Plan); err != nil {
+			return nil, err
+		}
+		return c, nil
 	}
+	only, err := c.newCell("", cfg.Settings.Module.Tenants)
 	if err != nil {
 		return nil, err
 	}
+	c.cells.all = []*cell{only}
 	return c, nil
 }
 
-// Connect sets what the core acts through, and how many jobs a front can hold
-// open; more are refused at once.
-func (c *Core) Connect(n Workers, m EndpointWatch, most int) {
-	c.nodes, c.machines, c.maxOpen = n, m, c.limitOpen(most)
-	if s := c.placement.Load(); s != nil {
-		c.placement.Store(newPlacement(s.layout, c.maxOpen))
-	}
-}
-
-// SetMaxOpen changes how many jobs a front can hold open.
-func (c *Core) SetMaxOpen(most int) { c.post(maxOpenChanged{most}) }
-
-type maxOpenChanged struct{ maxOpen int }
-
-func (e maxOpenChanged) apply(c *Core) {
-	c.maxOpen = c.limitOpen(e.maxOpen) // cells keep their bounds: they are parts of the whole
+// Start begins with the endpoint list as last known and starts the event loop, which ends with Stop.
+func (c *Core) Start(env Environment) {
+	c.connect(env)
+	endpointsUpdated{kind: foxlift.EndpointsCached, workers: env.CachedEndpoints}.apply(c)
+	c.dispatch()
+	c.updateReady()
+	c.loop.start(c.run)
 }
 
-// limitOpen is how many jobs may be open where a front can hold so many.
-func (c *Core) limitOpen(most int) int {
-	if s := c.settings.MaxOpen; s > 0 {
-		return min(most, s)
+// connect sets what the core acts through.
+func (c *Core) connect(env Environment) {
+	c.env = env
+	c.maxOpen = c.limitOpen(env.MaxOpen)
+	if p := c.placement.Load(); p != nil {
+		c.placement.Store(newPlacement(p.layout, c.maxOpen))
 	}
-	return most
-}
-
-// ConnectPeers sets through whom the module's messages go. It is called before Start, and
-// only where the settings allow messages.
-func (c *Core) ConnectPeers(p Peers) { c.peers = p }
-
-// Start begins with the machine list as last known and starts the core's
-// goroutine, which ends after Stop.
-func (c *Core) Start(known []foxlift.Worker) {
-	endpointsUpdated{kind: foxlift.EndpointsCached, workers: known}.apply(c)
-	c.dispatch()
-	c.updateReady()
-	go c.run()
 }
 
+// run is the event loop.
 func (c *Core) run() {
 	for {
 		select {
-		case e := <-c.inbox:
+		case e := <-c.loop.inbox:
 			e.apply(c)
-		case <-c.stopped:
+		case <-c.loop.stopped:
 			return
 		}
 		// What has come in meanwhile goes into the same step.
-		for more := len(c.inbox); more > 0; more-- {
-			(<-c.inbox).apply(c)
+		for more := len(c.loop.inbox); more > 0; more-- {
+			(<-c.loop.inbox).apply(c)
 		}
 		c.dispatch()
 		c.updateReady()
 	}
 }
 
-// Stop ends the core's goroutine.
-func (c *Core) Stop() { c.stopOnce.Do(func() { close(c.stopped) }) }
+// Stop ends the event loop and waits for its goroutine. It is not called from that goroutine.
+func (c *Core) Stop() { c.loop.stop() }
 
-// post hands an event to the core's goroutine.
-func (c *Core) post(e event) {
-	select {
-	case c.inbox <- e:
-	case <-c.stopped:
-	}
+// SetMaxOpen changes how many jobs the platform can hold open.
+func (c *Core) SetMaxOpen(maxOpen int) { c.loop.post(maxOpenChanged{maxOpen}) }
+
+type maxOpenChanged struct{ maxOpen int }
+
+func (e maxOpenChanged) apply(c *Core) {
+	c.maxOpen = c.limitOpen(e.maxOpen) // cells keep their bounds: they are parts of the whole
 }
 
-// after posts an event when a wait of its own is over.
-func (c *Core) after(wait int64, e event) *time.Timer {
-	return time.AfterFunc(time.Duration(wait), func() { c.post(e) })
+// limitOpen returns how many jobs may be open where the platform can hold maxOpen.
+func (c *Core) limitOpen(maxOpen int) int {
+	if bound := c.settings.MaxOpen; bound > 0 {
+		return min(maxOpen, bound)
+	}
+	return maxOpen
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -22,12 +22,14 @@
 		"left, then served":  {"ratify", func(r *rig, j *Job) { r.ClientDisconnected(j); r.sent[0](over(foxlift.Served)) }, Failed},
 		"served, then left":  {"ratify", func(r *rig, j *Job) { r.sent[0](over(foxlift.Served)); r.ClientDisconnected(j) }, Served},
 		"two copies served": {"reading", func(r *rig, _ *Job) {
-			r.send(r.jobs[1], "n2", 0)
+			r.send(r.jobs.byNumber[1], "n2", 0)
 			r.sent[0](over(foxlift.Served))
 			r.sent[1](over(foxlift.Served))
 		}, Served},
-		"timed out":           {"ratify", func(r *rig, _ *Job) { r.post(attemptReported{r.jobs[1].attempts[0], over(foxlift.DeadlineExceeded)}) }, Failed},
-		"module says nothing": {"ratify", func(r *rig, _ *Job) { r.post(jobOverdue{r.jobs[1]}) }, Failed},
+		"timed out": {"ratify", func(r *rig, _ *Job) {
+			r.loop.post(attemptReported{r.jobs.byNumber[1].attempts[0], over(foxlift.DeadlineExceeded)})
+		}, Failed},
+		"module says nothing": {"ratify", func(r *rig, _ *Job) { r.loop.post(jobOverdue{r.jobs.byNumber[1]}) }, Failed},
 		"turned away thrice": {"ratify", func(r *rig, _ *Job) {
 			for i := range 3 {
 				r.sent[i](over(foxlift.Unreachable))
@@ -45,13 +47,13 @@
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
 			a := r.submit("j", c.class, "t")
-			c.do(r, r.jobs[1].Job)
+			c.do(r, r.jobs.byNumber[1].Job)
 			r.settle()
 			if len(a.answers) != 1 || a.answers[0].Verdict != c.want || c.want == Served && string(a.answers[0].Result) != "r" {
 				t.Errorf("answers %+v, want one of verdict %d", a.answers, c.want)
 			}
-			if len(r.jobs) != 0 || len(r.open) != 0 {
-				t.Errorf("%d jobs stay in the table, %d open", len(r.jobs), len(r.open))
+			if len(r.jobs.byNumber) != 0 || len(r.jobs.open) != 0 {
+				t.Errorf("%d jobs stay in the table, %d open", len(r.jobs.byNumber), len(r.jobs.open))
 			}
 			if r.cancelled != len(r.sent) {
 				t.Errorf("%d of %d claims released", r.cancelled, len(r.sent))
@@ -64,7 +66,7 @@
 func TestInvalidJobsAreRejected(t *testing.T) {
 	r := newRig(t)
 	first := r.submit("j", "ratify", "t")
-	for reason, a := range map[string]*recordingClient{
+	for reason, a := range map[Reason]*recordingClient{
 		"unknown class": r.submit("a", "other", "t"), "unknown tenant": r.submit("b", "ratify", "x"),
 		"repeated id": r.submit("j", "ratify", "t"),
 	} {
@@ -95,7 +97,7 @@
 	r := newRig(t)
 	now := r.clock.Now()
 	r.applyEvent(jobSubmitted{&Job{ID: "j", Class: "reading", Tenant: "t", ArrivedAt: now, Remaining: 1 << 62, Client: &recordingClient{}}})
-	if d := r.jobs[1].deadline - now; d != 20e9 {
+	if d := r.jobs.byNumber[1].deadline - now; d != 20e9 {
 		t.Errorf("deadline in %d", d)
 	}
 }
@@ -127,7 +129,7 @@
 		t.Errorf("too late: %+v", late.answers)
 	}
 	for len(first.answers) == 0 {
-		r.applyEvent(<-r.inbox)
+		r.applyEvent(<-r.loop.inbox)
 	}
 	if first.answers[0].Verdict != Failed || r.counters.Get("jobs.overdue") != 1 { // long before its deadline
 		t.Errorf("at the end: %+v", first.answers)
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -6,13 +6,14 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// Stage 3, route: the module takes one step with all that is new, and its
-// actions are carried out in order. Some make news at once; then it steps again.
+// Stage 3, dispatch: each dispatcher takes one step with all that is new, and its actions are executed
+// in order. Some of them cause events at once; then it steps again.
+
 func (c *Core) dispatch() {
 	for first := true; ; first = false {
 		stepped := false
-		for _, cl := range c.cells {
-			if len(cl.events) > 0 || first && len(c.cells) == 1 {
+		for _, cl := range c.cells.all {
+			if len(cl.events) > 0 || first && len(c.cells.all) == 1 {
 				c.stepCell(cl)
 				stepped = true
 			}
@@ -23,13 +24,13 @@
 	}
 }
 
-// step lets one cell's module take one step. Jobs that leave it have left it then,
-// and go on to where they belong.
+// stepCell lets one cell's dispatcher take one step. Jobs that were to leave it have left it then, and
+// are assigned to the cell where they belong.
 func (c *Core) stepCell(cl *cell) {
-	news, leaving := cl.events, cl.leaving
+	events, leaving := cl.events, cl.leaving
 	cl.events, cl.leaving = nil, nil
-	for _, a := range cl.module.Step(c.clock.Now(), news) {
-		c.execute(cl, &a)
+	for _, action := range cl.dispatcher.Step(c.clock.Now(), events) {
+		c.execute(cl, &action)
 	}
 	for _, j := range leaving {
 		j.leaving = false
@@ -40,60 +41,52 @@
 	}
 }
 
-// jobOf finds the job that an action is about, if the cell still has it.
-func (c *Core) jobOf(cl *cell, id uint64) *job {
-	if j := c.jobs[id]; j != nil && j.cell == cl {
-		return j
-	}
-	return nil
-}
-
-func (c *Core) execute(cl *cell, a *foxlift.Action) {
-	switch a.Kind {
-	case foxlift.ActionSend:
-		if j := c.jobOf(cl, a.ID); j != nil {
-			c.send(j, a.Worker, a.Timeout)
-		}
-	case foxlift.ActionCancel:
-		if j := c.jobOf(cl, a.ID); j != nil && j.priorAttempts+a.Attempt < len(j.attempts) {
-			c.finishAttempt(j.attempts[j.priorAttempts+a.Attempt], Report{Ended: true, Code: foxlift.Cancelled})
-		}
-	case foxlift.ActionShed:
-		if j := c.jobOf(cl, a.ID); j != nil {
-			c.answer(j, Answer{Verdict: Shed, RetryAfter: time.Duration(a.RetryAfter)})
-		}
-	case foxlift.ActionFail:
-		if j := c.jobOf(cl, a.ID); j != nil {
-			c.answer(j, Answer{Verdict: Failed, Reason: "given up"})
+// execute executes an action of a cell's dispatcher.
+func (c *Core) execute(cl *cell, action *foxlift.Action) {
+	switch action.Kind {
+	case foxlift.ActionSend, foxlift.ActionCancel, foxlift.ActionShed, foxlift.ActionFail:
+		// The cell may not have the job any more.
+		if j := c.jobs.byNumber[action.ID]; j != nil && j.cell == cl {
+			c.executeForJob(j, action)
 		}
 	case foxlift.ActionTimer:
-		c.after(a.At-c.clock.Now(), timerFired{cl, a.Token})
+		c.loop.after(time.Duration(action.At-c.clock.Now()), timerFired{cl, action.Token})
 	case foxlift.ActionHealthCheck:
-		c.counters.Add("probes.sent")
-		node, sent := a.Worker, c.clock.Now()
-		c.nodes.HealthCheck(node, func(r Report) { c.post(healthChecked{cl, node, sent, r}) })
+		c.checkHealth(cl, action.Worker)
 	case foxlift.ActionClose:
-		c.nodes.CloseIdle(a.Worker)
+		c.env.Workers.CloseIdle(action.Worker)
 	case foxlift.ActionMessage:
-		if c.peers != nil {
-			c.peers.Send(a.To, a.Data)
+		if c.env.Peers != nil {
+			c.env.Peers.Send(action.To, action.Data)
 		}
 	case foxlift.ActionWatchEndpoints:
-		c.machines.Watch()
+		c.env.EndpointWatch.Watch()
 	}
 }
 
-type timerFired struct {
-	cell  *cell
-	token uint64
+// executeForJob executes an action that is about a job.
+func (c *Core) executeForJob(j *job, action *foxlift.Action) {
+	switch action.Kind {
+	case foxlift.ActionSend:
+		c.send(j, action.Worker, time.Duration(action.Timeout))
+	case foxlift.ActionCancel:
+		if i := j.priorAttempts + action.Attempt; i < len(j.attempts) {
+			c.finishAttempt(j.attempts[i], Report{Ended: true, Code: foxlift.Cancelled})
+		}
+	case foxlift.ActionShed:
+		c.answer(j, Answer{Verdict: Shed, RetryAfter: time.Duration(action.RetryAfter)})
+	case foxlift.ActionFail:
+		c.answer(j, Answer{Verdict: Failed, Reason: ReasonGivenUp})
+	}
 }
 
-func (e timerFired) apply(c *Core) {
-	if e.cell.retired && c.hasNoJobs(e.cell) {
-		c.removeCell(e.cell)
-		return
-	}
-	e.cell.notify(foxlift.Event{Kind: foxlift.EventTimer, Token: e.token})
+// checkHealth starts a health check of a worker.
+func (c *Core) checkHealth(cl *cell, worker string) {
+	c.counters.Add("probes.sent")
+	sentAt := c.clock.Now()
+	c.env.Workers.HealthCheck(worker, func(r Report) {
+		c.loop.post(healthChecked{cl, worker, sentAt, r})
+	})
 }
 
 type healthChecked struct {
@@ -109,3 +102,16 @@
 		HasLoad: e.report.HasLoad, Load: e.report.Load,
 	})
 }
+
+type timerFired struct {
+	cell  *cell
+	token uint64
+}
+
+func (e timerFired) apply(c *Core) {
+	if e.cell.retired && !c.jobs.hasJobsOf(e.cell) {
+		c.removeCell(e.cell)
+		return
+	}
+	e.cell.notify(foxlift.Event{Kind: foxlift.EventTimer, Token: e.token})
+}
--- a/internal/core/gossip.go
+++ b/internal/core/gossip.go
@@ -1,11 +1,9 @@
 package core
 
-import (
-	"github.com/vatu-meals/foxlift"
-)
+import "github.com/vatu-meals/foxlift"
 
-// Heard brings a message from another scheduler.
-func (c *Core) ReceiveGossip(from int, data []byte) { c.post(gossipReceived{from, data}) }
+// ReceiveGossip brings a message from a peer.
+func (c *Core) ReceiveGossip(from int, data []byte) { c.loop.post(gossipReceived{from, data}) }
 
 type gossipReceived struct {
 	from int
@@ -13,7 +11,7 @@
 }
 
 func (e gossipReceived) apply(c *Core) {
-	if c.placement.Load() == nil { // a cell's module knows of no peers
-		c.cells[0].notify(foxlift.Event{Kind: foxlift.EventMessage, From: e.from, Data: e.data})
+	if c.placement.Load() == nil { // the dispatcher of a cell has no peers
+		c.cells.all[0].notify(foxlift.Event{Kind: foxlift.EventMessage, From: e.from, Data: e.data})
 	}
 }
--- a/internal/core/helpers_test.go
+++ b/internal/core/helpers_test.go
@@ -55,13 +55,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := New(s, nil, 1, NewClock(), &counters.Set{})
+	c, err := New(Config{Settings: s, Seed: 1, Clock: NewClock(), Counters: &counters.Set{}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Stop)
 	r := &rig{Core: c}
-	c.Connect(r, r, 9)
+	c.connect(Environment{Workers: r, EndpointWatch: r, MaxOpen: 9})
 	r.applyEvent(endpointsUpdated{kind: foxlift.EndpointsComplete, workers: []foxlift.Worker{{ID: "n1", Kind: -1}, {ID: "n2", Kind: -1}, {ID: "n3", Kind: -1}}})
 	return r
 }
@@ -73,8 +73,8 @@
 
 // settle applies what reports and timers have posted.
 func (r *rig) settle() {
-	for len(r.inbox) > 0 {
-		r.applyEvent(<-r.inbox)
+	for len(r.loop.inbox) > 0 {
+		r.applyEvent(<-r.loop.inbox)
 	}
 }
 
--- a/internal/core/migration_test.go
+++ b/internal/core/migration_test.go
@@ -18,13 +18,13 @@
 	spec.Cells[0].Jobs, spec.Cells[1].Jobs = 60, 60
 	r := newCellRig(t, spec)
 	n := r.saturate(t, "t")
-	held := r.open[fmt.Sprint("t-fill-", n)]
+	held := r.jobs.open[fmt.Sprint("t-fill-", n)]
 	<-time.After(30 * time.Millisecond) // it has an age to take along
 	m := r.migrate(t, "t", 1)
 	if m.Tenants != 1 || m.Queued != 1 || m.InFlight != n {
 		t.Errorf("%+v, want 1 held and %d out", m, n)
 	}
-	if held.cell != r.cells[1] || held.inFlight != 1 || r.cellOf(held.attempts[0].worker) != 1 {
+	if held.cell != r.cells.all[1] || held.inFlight != 1 || r.cellOf(held.attempts[0].worker) != 1 {
 		t.Errorf("the held job is in cell %d with %d claims out", held.cell.index, held.inFlight)
 	}
 	if r.counters.Get("jobs.moved") != 1 {
@@ -76,8 +76,8 @@
 			if len(a.answers) != 1 || a.answers[0].Verdict != c.want {
 				t.Errorf("%+v, want one of verdict %d", a.answers, c.want)
 			}
-			if len(r.jobs) != 0 {
-				t.Errorf("%d jobs stay", len(r.jobs))
+			if len(r.jobs.byNumber) != 0 {
+				t.Errorf("%d jobs stay", len(r.jobs.byNumber))
 			}
 		})
 	}
@@ -87,9 +87,9 @@
 func TestUnsafeRepeatIsWithheld(t *testing.T) {
 	r := newCellRig(t, twoCells())
 	a := r.submitToCell("j", "ratify", "t", 0)
-	j := r.open["j"]
+	j := r.jobs.open["j"]
 	r.sent[0](ended(foxlift.Reset))
-	(<-r.inbox).apply(r.Core) // booked, and not yet told to the module
+	(<-r.loop.inbox).apply(r.Core) // booked, and not yet told to the module
 	r.send(j, "n1", 0)
 	r.dispatch()
 	if len(r.sent) != 1 || r.counters.Get("claims.withheld") != 1 || len(a.answers) != 1 {
@@ -171,8 +171,8 @@
 	for reported < len(r.sent) {
 		end(foxlift.Served)
 	}
-	for tries := 0; len(r.open) > 0 && tries < 1000; tries++ { // held ones: their time runs out
-		r.applyEvent(<-r.inbox)
+	for tries := 0; len(r.jobs.open) > 0 && tries < 1000; tries++ { // held ones: their time runs out
+		r.applyEvent(<-r.loop.inbox)
 		for reported < len(r.sent) {
 			end(foxlift.Served)
 		}
@@ -187,10 +187,10 @@
 			t.Errorf("%s may have run %d times", id, k)
 		}
 	}
-	if len(r.jobs) != 0 || len(r.open) != 0 || len(r.jobsByKey) != 0 {
-		t.Errorf("%d jobs, %d open, %d keys stay", len(r.jobs), len(r.open), len(r.jobsByKey))
+	if len(r.jobs.byNumber) != 0 || len(r.jobs.open) != 0 || len(r.cells.jobsByKey) != 0 {
+		t.Errorf("%d jobs, %d open, %d keys stay", len(r.jobs.byNumber), len(r.jobs.open), len(r.cells.jobsByKey))
 	}
-	for i, cl := range r.cells {
+	for i, cl := range r.cells.all {
 		if cl.spilled != 0 {
 			t.Errorf("%s: %d spilled jobs stay", cl.name, cl.spilled)
 		}
@@ -200,7 +200,7 @@
 			}
 		}
 	}
-	for id, n := range r.byID {
+	for id, n := range r.workers.byID {
 		if len(n.inFlight) != 0 {
 			t.Errorf("%s: claims stay counted: %v", id, n.inFlight)
 		}
--- /dev/null
+++ b/internal/core/model_actions_test.go
@@ -0,0 +1,169 @@
+package core
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"github.com/vatu-meals/foxlift"
+)
+
+func (w *world) worker(i int, startedAt int64) foxlift.Worker {
+	return foxlift.Worker{ID: fmt.Sprint("n", i), Zone: i % 2, Kind: i % 2, Cell: i / 2, StartedAt: startedAt}
+}
+
+// act plays one action of a script. Errors of operators' calls are part of it: some name what is not
+// there, or come in a shutdown.
+func (w *world) act(a act) {
+	ctx := context.Background()
+	switch a.kind {
+	case actSubmit, actResubmit:
+		w.submit(a)
+	case actDisconnect:
+		if len(w.jobs) > 0 {
+			w.core.ClientDisconnected(w.jobs[a.a%len(w.jobs)].Job)
+		}
+	case actComplete, actProgress, actCompleteAgain:
+		w.report(a)
+	case actEndpoints:
+		w.updateEndpoints(a)
+	case actWait:
+		time.Sleep(modelWaits[a.a%len(modelWaits)])
+	case actMigrate:
+		_, _ = w.core.MigrateTenant(ctx, modelTenants[a.a%3], []string{"a", "b", "c", "nowhere"}[a.b%4])
+	case actEvacuate:
+		_, _ = w.core.Evacuate(ctx, []string{"a", "b", "c"}[a.a%3])
+	case actRestore:
+		_, _ = w.core.RestorePlacement(ctx, "", "")
+	case actReplan:
+		if plan, faults := w.core.settings.PlanCells(modelPlans()[a.a%3]); faults == nil {
+			_, _ = w.core.Replan(ctx, plan)
+		}
+	case actShutdown:
+		if a.a%4 == 0 { // else nearly every script would end soon
+			w.core.BeginShutdown(time.Duration(a.b%4) * time.Second)
+		}
+	}
+}
+
+var modelWaits = []time.Duration{
+	time.Millisecond, 30 * time.Millisecond, 200 * time.Millisecond, 800 * time.Millisecond, 3 * time.Second,
+}
+
+var modelRemaining = []time.Duration{5 * time.Second, 20 * time.Millisecond, time.Second, 0}
+
+// submit sends a job, or one with the id of an earlier one.
+func (w *world) submit(a act) {
+	id := fmt.Sprint("j", len(w.jobs))
+	if a.kind == actResubmit && len(w.jobs) > 0 {
+		id = w.jobs[a.a%len(w.jobs)].ID
+	}
+	j := &modelJob{world: w, submittedAt: w.now()}
+	j.Job = &Job{
+		ID: id, Class: modelClasses[a.a%3], Tenant: modelTenants[a.b%3],
+		HasIdempotencyKey: a.a%3 != 2 || a.c%8 != 7, Key: uint64(a.c % 4),
+		ArrivedAt: w.core.clock.Now(), Remaining: modelRemaining[a.c%len(modelRemaining)],
+		Slots: float64(a.b % 3), ClientRetry: a.c%5 == 0, Client: j,
+	}
+	w.jobs = append(w.jobs, j)
+	w.core.Accept(j.Job)
+}
+
+var modelCodes = []foxlift.Code{
+	foxlift.Served, foxlift.Served, foxlift.Served, foxlift.WorkerError, foxlift.Saturated, foxlift.DeadlineExceeded,
+	foxlift.Unreachable, foxlift.Reset, foxlift.NotSent,
+}
+
+// report lets a worker report of an attempt.
+func (w *world) report(a act) {
+	if attempt, r := w.chooseReport(a); attempt != nil {
+		attempt.report(r)
+	}
+}
+
+// chooseReport returns the attempt and the report that an action means; nil if there is no such attempt.
+func (w *world) chooseReport(a act) (*modelAttempt, Report) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	var inFlight, ended []*modelAttempt
+	for _, attempt := range w.attempts {
+		if attempt.ended {
+			ended = append(ended, attempt)
+		} else {
+			inFlight = append(inFlight, attempt)
+		}
+	}
+	final := Report{Ended: true, Code: modelCodes[a.b%len(modelCodes)], Result: []byte("r")}
+	switch {
+	case a.kind == actComplete && len(inFlight) > 0:
+		attempt := inFlight[a.a%len(inFlight)]
+		attempt.stop(final.Code, a.c%2 == 0 || final.Code == foxlift.Served)
+		return attempt, final
+	case a.kind == actCompleteAgain && len(ended) > 0: // late, repeated, or against the first report
+		return ended[a.a%len(ended)], final
+	case a.kind == actProgress && len(w.attempts) > 0:
+		return w.attempts[a.a%len(w.attempts)], Report{Progress: a.b%2 == 0}
+	}
+	return nil, Report{}
+}
+
+func (w *world) cellOf(worker string) (int, bool) {
+	if p := w.core.placement.Load(); p != nil {
+		return p.layout.WorkerCell(worker)
+	}
+	return 0, false
+}
+
+// updateEndpoints lets discovery answer with a list, a part of it, or not at all.
+func (w *world) updateEndpoints(a act) {
+	kind := []foxlift.EndpointUpdate{
+		foxlift.EndpointsDelta, foxlift.EndpointsComplete, foxlift.EndpointsPollFailed,
+	}[a.a%3]
+	w.mu.Lock()
+	var workers []foxlift.Worker
+	if kind != foxlift.EndpointsPollFailed {
+		workers = w.drawWorkers(a)
+	}
+	w.recordStates(kind, workers)
+	w.mu.Unlock()
+	w.core.UpdateEndpoints(kind, workers)
+}
+
+// drawWorkers returns workers of an update, in the states that an action means.
+func (w *world) drawWorkers(a act) (workers []foxlift.Worker) {
+	for i := range modelWorkers {
+		if a.b%3 == 0 && i%2 == 0 { // a part of the list
+			continue
+		}
+		worker := w.worker(i, 0)
+		worker.State = foxlift.WorkerState(min(2, (a.c>>(2*i))&3))
+		if worker.State == foxlift.Removed && a.c%2 == 0 {
+			worker.State = foxlift.Live
+		}
+		if cell, ok := w.cellOf(worker.ID); a.a%7 == i || a.a%7 == 6 && ok && cell == 0 {
+			worker.StartedAt = w.core.clock.Now() // it has started anew; or all of a cell have
+		}
+		workers = append(workers, worker)
+	}
+	return workers
+}
+
+// recordStates records since when each worker is not live.
+func (w *world) recordStates(kind foxlift.EndpointUpdate, workers []foxlift.Worker) {
+	live := map[string]bool{}
+	for i := range workers {
+		live[workers[i].ID] = workers[i].State == foxlift.Live
+	}
+	for i := range modelWorkers {
+		id := fmt.Sprint("n", i)
+		isLive, isNamed := live[id]
+		if !isNamed && kind != foxlift.EndpointsComplete {
+			continue
+		}
+		if isLive {
+			delete(w.notLiveSince, id)
+		} else if _, ok := w.notLiveSince[id]; !ok {
+			w.notLiveSince[id] = time.Now()
+		}
+	}
+}
--- a/internal/core/model_register_test.go
+++ b/internal/core/model_register_test.go
@@ -2,33 +2,34 @@
 
 import (
 	"fmt"
+	"strings"
 	"testing"
 	"time"
 
 	"github.com/anishathalye/porcupine"
 )
 
-// A touch is an operation of a job's history: a run of it on a node, or what its
-// submitter was told.
+// A registerOp is an operation of a job's history: a run of it on a worker, or the answer that its client
+// got.
 type registerOp struct {
 	run     bool
 	verdict Verdict
 }
 
-// The register: an at-most-once job that has run cannot run again, one that was refused
+// A register is the state of an at-most-once job: one that has run cannot run again, one that was shed
 // cannot run later, and one that is served has run.
 type register struct{ hasRun, shed bool }
 
 var onceModel = porcupine.Model{
 	Init: func() any { return register{} },
 	Step: func(state, input, _ any) (bool, any) {
-		r, x := state.(register), input.(registerOp)
+		r, op := state.(register), input.(registerOp)
 		switch {
-		case x.run:
+		case op.run:
 			return !r.hasRun && !r.shed, register{true, r.shed}
-		case x.verdict == Served:
+		case op.verdict == Served:
 			return r.hasRun, r
-		case x.verdict == Shed:
+		case op.verdict == Shed:
 			return !r.hasRun, register{r.hasRun, true}
 		}
 		return true, r
@@ -36,37 +37,45 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
+// linearizable reports whether some order of a job's runs and its answer fits a register.
 func (w *world) linearizable(j *modelJob) bool {
 	var ops []porcupine.Operation
 	if len(j.answers) > 0 && j.answers[0].Verdict != Rejected {
-		ops = append(ops, porcupine.Operation{Input: registerOp{verdict: j.answers[0].Verdict}, Call: int64(j.submittedAt), Return: int64(j.answeredAt)})
+		ops = append(ops, porcupine.Operation{
+			Input: registerOp{verdict: j.answers[0].Verdict},
+			Call:  int64(j.submittedAt), Return: int64(j.answeredAt),
+		})
 	}
-	for i, c := range w.attempts {
-		// An id that was refused may come again, and run then.
-		later := c.job != j && len(j.answers) > 0 && j.answers[0].Verdict == Shed && c.sentAt >= j.answeredAt
-		if c.job.sameAs(j) && c.job.Class == "ratify" && c.ran && !later {
-			ops = append(ops, porcupine.Operation{ClientId: i + 1, Input: registerOp{run: true}, Call: int64(c.sentAt), Return: int64(c.endedAt)})
+	for i, a := range w.attempts {
+		// An id whose job was shed may come again, and run then.
+		isLater := a.job != j && len(j.answers) > 0 && j.answers[0].Verdict == Shed && a.sentAt >= j.answeredAt
+		if a.job.sameAs(j) && a.job.Class == "ratify" && a.ran && !isLater {
+			ops = append(ops, porcupine.Operation{
+				ClientId: i + 1, Input: registerOp{run: true},
+				Call: int64(a.sentAt), Return: int64(a.endedAt),
+			})
 		}
 	}
 	return porcupine.CheckOperations(onceModel, ops)
 }
 
+// describe tells a job's history.
 func (w *world) describe(j *modelJob) string {
-	s := fmt.Sprintf("asked at %v, %+v at %v", j.submittedAt, j.answers, j.answeredAt)
-	for _, c := range w.attempts {
-		if c.job == j {
-			s += fmt.Sprintf("; on %s from %v to %v: %d, ran %v", c.worker, c.sentAt, c.endedAt, c.code, c.ran)
+	var s strings.Builder
+	fmt.Fprintf(&s, "submitted at %v, %+v at %v", j.submittedAt, j.answers, j.answeredAt)
+	for _, a := range w.attempts {
+		if a.job == j {
+			fmt.Fprintf(&s, "; on %s from %v to %v: %d, ran %v", a.worker, a.sentAt, a.endedAt, a.code, a.ran)
 		}
 	}
-	return s
+	return s.String()
 }
 
-// The oracles see: histories that break the register's rules are told from those that
-// do not.
+// The register model tells histories that break its rules from those that do not.
 func TestRegisterModel(t *testing.T) {
 	w := &world{startedAt: time.Now()}
-	claim := func(j *modelJob, from, to time.Duration, ran bool) {
-		w.attempts = append(w.attempts, &modelAttempt{job: j, sentAt: from, endedAt: to, ended: true, ran: ran})
+	addRun := func(j *modelJob, from, to time.Duration) {
+		w.attempts = append(w.attempts, &modelAttempt{job: j, sentAt: from, endedAt: to, ended: true, ran: true})
 	}
 	for name, c := range map[string]struct {
 		verdict Verdict
@@ -77,15 +86,18 @@
 		"served":               {Served, 9, [][2]time.Duration{{1, 5}}, true},
 		"served, never run":    {Served, 9, nil, false},
 		"twice":                {Served, 9, [][2]time.Duration{{1, 3}, {4, 5}}, false},
-		"refused, never run":   {Shed, 9, nil, true},
-		"refused, then run":    {Shed, 3, [][2]time.Duration{{4, 5}}, false},
-		"run, then refused":    {Shed, 9, [][2]time.Duration{{1, 2}}, false},
+		"shed, never run":      {Shed, 9, nil, true},
+		"shed, then run":       {Shed, 3, [][2]time.Duration{{4, 5}}, false},
+		"run, then shed":       {Shed, 9, [][2]time.Duration{{1, 2}}, false},
 		"failed, ran or not":   {Failed, 9, [][2]time.Duration{{1, 2}}, true},
 		"served before it ran": {Served, 3, [][2]time.Duration{{4, 5}}, false},
 	} {
-		j := &modelJob{Job: &Job{ID: name, Class: "ratify"}, world: w, answeredAt: c.at, answers: []Answer{{Verdict: c.verdict}}}
+		j := &modelJob{
+			Job: &Job{ID: name, Class: "ratify"}, world: w,
+			answeredAt: c.at, answers: []Answer{{Verdict: c.verdict}},
+		}
 		for _, r := range c.runs {
-			claim(j, r[0], r[1], true)
+			addRun(j, r[0], r[1])
 		}
 		if got := w.linearizable(j); got != c.want {
 			t.Errorf("%s: %v", name, got)
--- a/internal/core/model_world_test.go
+++ b/internal/core/model_world_test.go
@@ -8,18 +8,19 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// A world is what the fakes know.
+// A world is what the fakes of workers, discovery and clients know.
 type world struct {
 	core         *Core
 	startedAt    time.Time
 	jobs         []*modelJob
 	attempts     []*modelAttempt
-	notLiveSince map[string]time.Time // nodes that were told to be not live, since when
+	notLiveSince map[string]time.Time // workers that the list had as not live, since when
 
 	mu         sync.Mutex // the core's goroutine calls the fakes
 	violations []string
 }
 
+// A modelJob is a job and its client.
 type modelJob struct {
 	*Job
 	world       *world
@@ -28,6 +29,7 @@
 	answeredAt  time.Duration // of the first answer
 }
 
+// A modelAttempt is an attempt as its worker knows it.
 type modelAttempt struct {
 	job     *modelJob
 	worker  string
@@ -41,16 +43,17 @@
 
 func (w *world) now() time.Duration { return time.Since(w.startedAt) }
 
+// violate records that something that must hold does not.
 func (w *world) violate(format string, args ...any) {
 	w.violations = append(w.violations, fmt.Sprintf("%v: ", w.now())+fmt.Sprintf(format, args...))
 }
 
-// provesNothingRan is the protocol's table of endings, written again: the model must
-// not believe what it judges.
+// provesNothingRan is the protocol's table of outcomes, written again: the model must not rely on what it
+// checks.
 var provesNothingRan = map[foxlift.Code]bool{foxlift.Saturated: true, foxlift.Unreachable: true, foxlift.NotSent: true}
 
-// sameAs reports whether two submissions count as one job: an id is remembered while it
-// is in use and for the longest deadline after its answer, no longer.
+// sameAs reports whether two submissions count as one job: an id is remembered while it is in use and for
+// the longest deadline after its answer, no longer.
 func (j *modelJob) sameAs(o *modelJob) bool {
 	if j.answeredAt > o.answeredAt && len(o.answers) > 0 {
 		j, o = o, j
@@ -58,25 +61,26 @@
 	return j == o || j.ID == o.ID && (len(j.answers) == 0 || o.submittedAt < j.answeredAt+modelMaxDeadline)
 }
 
-// mayHaveRun is the truth as the scheduler can know it. It goes by id: what a front
-// takes twice must not run twice either.
+// mayHaveRun is the truth as the scheduler can know it. It goes by id: what is submitted twice must not
+// run twice either.
 func (w *world) mayHaveRun(j *modelJob) bool {
 	return j.Class == "ratify" && w.firstMayHaveRun(j) != nil
 }
 
-// firstMayHaveRun is the first claim of a job that may have run, or may yet; nil: none.
+// firstMayHaveRun is the first attempt of a job that may have run, or may yet; nil: none.
 func (w *world) firstMayHaveRun(j *modelJob) *modelAttempt {
-	for _, c := range w.attempts {
-		if c.job.sameAs(j) && c.job.Class == j.Class && (!c.ended || !provesNothingRan[c.code]) {
-			return c
+	for _, a := range w.attempts {
+		if a.job.sameAs(j) && a.job.Class == j.Class && (!a.ended || !provesNothingRan[a.code]) {
+			return a
 		}
 	}
 	return nil
 }
 
-// Answer implements Client.
+// Disconnected implements Client.
 func (j *modelJob) Disconnected() bool { return false }
 
+// Answer implements Client.
 func (j *modelJob) Answer(a Answer) {
 	w := j.world
 	w.mu.Lock()
@@ -86,28 +90,40 @@
 	}
 	j.answers = append(j.answers, a)
 	if a.Verdict == Shed && j.Class == "ratify" && w.mayHaveRun(j) {
-		w.violate("%s is told that another try is harmless, and may have run", j.ID)
+		w.violate("%s is told that a retry is harmless, and may have run", j.ID)
 	}
 	if a.Verdict == Shed && a.RetryAfter > 2*time.Second {
 		w.violate("%s is told to wait %v", j.ID, a.RetryAfter)
 	}
 }
 
-const sealWindow = 2 * time.Second
+const sealWindow = 2 * time.Second // keyTtl in modelSettings
 
-// Send implements Nodes.
-func (w *world) Send(node string, job *Job, limits AttemptLimits, report func(Report)) func() {
+// Send implements Workers.
+func (w *world) Send(worker string, job *Job, limits AttemptLimits, report func(Report)) func() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	j := job.Client.(*modelJob)
-	sent := 0
-	for _, c := range w.attempts {
-		if c.job == j {
-			sent++
+	w.checkSend(j, worker, limits)
+	a := &modelAttempt{job: j, worker: worker, sentAt: w.now(), report: report}
+	w.attempts = append(w.attempts, a)
+	return func() {
+		w.mu.Lock()
+		defer w.mu.Unlock()
+		a.stop(foxlift.Cancelled, true)
+	}
+}
+
+// checkSend checks that a job may be sent to a worker.
+func (w *world) checkSend(j *modelJob, worker string, limits AttemptLimits) {
+	attempts := 0
+	for _, a := range w.attempts {
+		if a.job == j {
+			attempts++
 		}
 	}
-	if sent >= modelMaxAttempts {
-		w.violate("%s is sent for the %dth time", j.ID, sent+1)
+	if attempts >= modelMaxAttempts {
+		w.violate("%s is sent for the %dth time", j.ID, attempts+1)
 	}
 	if j.Class == "ratify" && w.mayHaveRun(j) {
 		w.violate("%s is sent again, and may have run", j.ID)
@@ -115,40 +131,44 @@
 	if len(j.answers) > 0 {
 		w.violate("%s is sent after its answer", j.ID)
 	}
-	if since, ok := w.notLiveSince[node]; ok && time.Since(since) > drainGrace {
-		w.violate("%s is sent to %s, which drains for %v", j.ID, node, time.Since(since))
+	if since, ok := w.notLiveSince[worker]; ok && time.Since(since) > drainGrace {
+		w.violate("%s is sent to %s, which has been draining for %v", j.ID, worker, time.Since(since))
 	}
 	if first := w.firstMayHaveRun(j); j.Class == "seal" && first != nil {
-		if zone := func(node string) int { return int(node[1]) % 2 }; zone(node) != zone(first.worker) {
-			w.violate("%s is sent to %s, and may have run on %s in the other zone", j.ID, node, first.worker)
-		}
-		if age := w.now() - first.sentAt; age > sealWindow || limits.WriteWithin <= 0 || age+limits.WriteWithin > sealWindow+time.Millisecond {
-			w.violate("%s is sent within %v, and may have run %v ago", j.ID, limits.WriteWithin, age)
-		}
+		w.checkRepeat(j, worker, first, limits)
 	}
 	if limits.Remaining <= 0 {
 		w.violate("%s is sent when its time is over", j.ID)
 	}
-	c := &modelAttempt{job: j, worker: node, sentAt: w.now(), report: report}
-	w.attempts = append(w.attempts, c)
-	return func() {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		c.stop(foxlift.Cancelled, true)
+}
+
+// checkRepeat checks that a worker drops a repeat of a deduplicated job: it is in the group of the first
+// worker that may have run it, and the window has not ended.
+func (w *world) checkRepeat(j *modelJob, worker string, first *modelAttempt, limits AttemptLimits) {
+	zone := func(worker string) int { return int(worker[1]) % 2 }
+	if zone(worker) != zone(first.worker) {
+		w.violate("%s is sent to %s, and may have run on %s in the other zone", j.ID, worker, first.worker)
+	}
+	age := w.now() - first.sentAt
+	if age > sealWindow || limits.WriteWithin <= 0 || age+limits.WriteWithin > sealWindow+time.Millisecond {
+		w.violate("%s is sent within %v, and may have run %v ago", j.ID, limits.WriteWithin, age)
 	}
 }
 
-// stop notes how a claim really ended.
-func (c *modelAttempt) stop(code foxlift.Code, ran bool) {
-	if !c.ended {
-		c.ended, c.code, c.ran, c.endedAt = true, code, ran && !provesNothingRan[code], c.job.world.now()
+// stop records how an attempt really ended.
+func (a *modelAttempt) stop(code foxlift.Code, ran bool) {
+	if !a.ended {
+		a.ended, a.code, a.ran, a.endedAt = true, code, ran && !provesNothingRan[code], a.job.world.now()
 	}
 }
 
+// CloseIdle implements Workers.
 func (w *world) CloseIdle(string) {}
 
+// HealthCheck implements Workers.
 func (w *world) HealthCheck(_ string, report func(Report)) {
 	report(Report{Ended: true, Code: foxlift.Served})
 }
 
+// Watch implements EndpointWatch.
 func (w *world) Watch() {}
--- a/internal/core/operator.go
+++ b/internal/core/operator.go
@@ -5,43 +5,43 @@
 	"errors"
 )
 
-// What an operator may ask and do while the scheduler runs. Each call becomes one
-// event on the core's goroutine, so that it is carried out whole, between two steps
-// of the modules; a caller that goes away in the meantime holds up nothing.
+// What an operator may ask for and change while the scheduler runs. Each call becomes one event on the
+// event loop, so that it is executed whole, between two steps of the dispatchers; a caller that goes away
+// in the meantime holds up nothing.
 
 // ErrNoCells means that the scheduler runs without cells.
 var ErrNoCells = errors.New("this scheduler has no cells: its operator's file names none")
 
-// operation is an operator's request: done on the core's goroutine.
-type operatorCall struct {
-	do   func(*Core)
-	done chan struct{}
-}
-
-func (o operatorCall) apply(c *Core) {
-	o.do(c)
-	close(o.done)
-}
+// ErrShuttingDown is the answer to whoever asks a scheduler that has stopped, or would change the
+// placement while it shuts down.
+var ErrShuttingDown = errors.New("the scheduler is ending")
 
-// operate runs do on the core's goroutine and waits for it, or for ctx to end.
-func (c *Core) call(ctx context.Context, do func(*Core)) error {
-	o := operatorCall{do, make(chan struct{})}
+// call runs do on the event loop's goroutine and returns its result. It fails when ctx ends or the core
+// stops first; do may run nevertheless then, and its result is dropped.
+func call[T any](ctx context.Context, c *Core, do func(*Core) (T, error)) (T, error) {
+	type result struct {
+		value T
+		err   error
+	}
+	results := make(chan result, 1) // the event loop does not wait for the caller
+	request := eventFunc(func(c *Core) {
+		value, err := do(c)
+		results <- result{value, err}
+	})
+	var none T
 	select {
-	case c.inbox <- o:
-	case <-c.stopped:
-		return errShuttingDown
+	case c.loop.inbox <- request:
+	case <-c.loop.stopped:
+		return none, ErrShuttingDown
 	case <-ctx.Done():
-		return ctx.Err()
+		return none, ctx.Err()
 	}
 	select {
-	case <-o.done:
-		return nil
-	case <-c.stopped:
-		return errShuttingDown
+	case r := <-results:
+		return r.value, r.err
+	case <-c.loop.stopped:
+		return none, ErrShuttingDown
 	case <-ctx.Done():
-		return ctx.Err()
+		return none, ctx.Err()
 	}
 }
-
-// errShuttingDown is the answer to whoever would change the map while the scheduler ends.
-var errShuttingDown = errors.New("the scheduler is ending")
--- a/internal/core/operator_test.go
+++ b/internal/core/operator_test.go
@@ -40,11 +40,11 @@
 		t.Errorf("restore: %+v, %v", m, err)
 	}
 	r.Core.BeginShutdown(time.Second)
-	if _, err := r.Core.MigrateTenant(ctx, "t", "b"); !errors.Is(err, errShuttingDown) {
+	if _, err := r.Core.MigrateTenant(ctx, "t", "b"); !errors.Is(err, ErrShuttingDown) {
 		t.Errorf("while it ends: %v", err)
 	}
 	r.Core.Stop()
-	if _, err := r.Core.Cells(ctx); !errors.Is(err, errShuttingDown) {
+	if _, err := r.Core.Cells(ctx); !errors.Is(err, ErrShuttingDown) {
 		t.Errorf("after its end: %v", err)
 	}
 }
--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -2,8 +2,8 @@
 
 import "github.com/vatu-meals/foxlift"
 
-// Stage 5, relay: what execute nodes tell goes to the module, and the first
-// result to the submitter.
+// Stage 5, relay: what workers report of attempts goes to the dispatcher that made them, and the first
+// result to the client.
 
 type attemptReported struct {
 	attempt *attempt
@@ -11,34 +11,34 @@
 }
 
 func (e attemptReported) apply(c *Core) {
-	cl := e.attempt
+	a := e.attempt
 	switch {
 	case e.report.Ended:
-		c.finishAttempt(cl, e.report)
-	case cl.done: // late: its module may have the job anew, and count from 0 again
+		c.finishAttempt(a, e.report)
+	case a.done: // late: its dispatcher may have the job anew, and count from 0 again
 	case e.report.Progress:
-		cl.cell.notify(cl.event(foxlift.EventProgress))
+		a.cell.notify(a.event(foxlift.EventProgress))
 	default:
-		cl.cell.notify(cl.event(foxlift.EventStarted))
+		a.cell.notify(a.event(foxlift.EventStarted))
 	}
 }
 
-// finishAttempt ends a claim once, with one outcome for the module.
-func (c *Core) finishAttempt(cl *attempt, r Report) {
-	if cl.done {
+// finishAttempt ends an attempt once, with one outcome for the dispatcher.
+func (c *Core) finishAttempt(a *attempt, r Report) {
+	if a.done {
 		return
 	}
-	cl.done, cl.code = true, r.Code
-	cl.job.inFlight--
-	c.countSlots(cl, -1)
-	if cl.timer != nil {
-		cl.timer.Stop()
+	a.done, a.code = true, r.Code
+	a.job.inFlight--
+	c.countSlots(a, -1)
+	if a.timer != nil {
+		a.timer.Stop()
 	}
-	if cl.cancel != nil {
-		cl.cancel() // no effect on one that has ended by itself
+	if a.cancel != nil {
+		a.cancel() // no effect on one that has ended by itself
 	}
 	if r.Code == foxlift.Served {
-		c.answer(cl.job, Answer{Verdict: Served, Result: r.Result})
+		c.answer(a.job, Answer{Verdict: Served, Result: r.Result})
 	}
-	c.recordOutcome(cl, r)
+	c.recordOutcome(a, r)
 }
--- a/internal/core/replan.go
+++ b/internal/core/replan.go
@@ -8,62 +8,65 @@
 	"github.com/vatu-meals/foxlift/internal/cells"
 )
 
-// Replan carries out another plan as moves: cells of the same name keep what they
-// have, others begin, and those that the plan lacks finish what they have out. What
-// Move and Evacuate changed before is over: the file says where tenants are.
-func (c *Core) Replan(ctx context.Context, p *cells.Plan) (m Migration, err error) {
-	if err := c.call(ctx, func(c *Core) {
-		switch {
-		case c.placement.Load() == nil:
-			err = ErrNoCells
-		case c.shutdownDeadline > 0:
-			err = errShuttingDown
-		default:
-			m, err = c.applyPlan(p)
+// Replan puts another plan in force by migrations: cells of the same name keep what they have, others
+// begin, and those that the plan lacks finish what they have in flight. What MigrateTenant and Evacuate
+// changed before is over: the plan says where tenants are.
+func (c *Core) Replan(ctx context.Context, plan *cells.Plan) (Migration, error) {
+	return call(ctx, c, func(c *Core) (Migration, error) {
+		if _, err := c.changeablePlacement(); err != nil {
+			return Migration{}, err
 		}
-	}); err != nil {
-		return Migration{}, err
-	}
-	return m, err
+		return c.applyPlan(plan)
+	})
 }
 
-func (c *Core) applyPlan(p *cells.Plan) (Migration, error) {
-	old := map[string]*cell{}
-	for _, cl := range c.cells {
-		old[cl.name] = cl // of two with one name the one that is retired comes last, and lives again
+func (c *Core) applyPlan(plan *cells.Plan) (Migration, error) {
+	layout := cells.NewLayout(plan)
+	planned, err := c.cellsForPlan(layout)
+	if err != nil {
+		return Migration{}, err // nothing has changed yet
 	}
-	l := cells.NewLayout(p)
-	var now []*cell
-	for i := range p.CellCount() {
-		cl := old[p.CellName(i)]
-		if cl == nil {
-			var err error
-			if cl, err = c.newPlannedCell(l, i); err != nil {
-				return Migration{}, err // nothing has changed yet
-			}
-		}
-		now = append(now, cl)
-	}
-	for i, cl := range now {
+	for i, cl := range planned {
 		cl.index, cl.retired, cl.evacuated = i, false, false
 	}
-	for _, cl := range c.cells {
-		if !slices.Contains(now, cl) {
-			cl.index, cl.retired = -1, true
-			now = append(now, cl)
+	for _, cl := range c.cells.all {
+		if !slices.Contains(planned, cl) {
+			cl.index, cl.retired = retiredIndex, true
+			planned = append(planned, cl)
 		}
 	}
-	c.cells = now
-	before := c.placement.Load().layout
-	c.assigner = cells.NewAssigner(p)
-	s := newPlacement(l, c.maxOpen)
-	c.placement.Store(s)
-	for _, j := range c.open {
-		j.Job.reservation.release()
-		i := l.Cell(j.tenant, j.Key)
-		s.admission.Reserve(i, j.tenant)
-		j.Job.reservation = reservation{s.admission, i, j.tenant}
+	c.cells.all = planned
+	previous := c.placement.Load().layout
+	c.cells.assigner = cells.NewAssigner(plan)
+	p := newPlacement(layout, c.maxOpen)
+	c.placement.Store(p)
+	for _, j := range c.jobs.open {
+		j.reservation.release()
+		i := layout.Cell(j.tenant, j.Key)
+		p.admission.Reserve(i, j.tenant)
+		j.reservation = reservation{p.admission, i, j.tenant}
 	}
 	c.distribute(foxlift.EndpointsDelta, nil)
-	return c.adoptPlacement(before, c.placement.Load()), nil
+	return c.adoptPlacement(previous, c.placement.Load()), nil
+}
+
+// cellsForPlan returns the cells of a layout's plan, by index: those that there are by their names, and
+// new ones.
+func (c *Core) cellsForPlan(layout *cells.Layout) ([]*cell, error) {
+	byName := map[string]*cell{}
+	for _, cl := range c.cells.all {
+		byName[cl.name] = cl // of two with one name the retired one comes last, and lives again
+	}
+	var planned []*cell
+	for i := range layout.Plan().CellCount() {
+		cl := byName[layout.Plan().CellName(i)]
+		if cl == nil {
+			var err error
+			if cl, err = c.newPlannedCell(layout, i); err != nil {
+				return nil, err
+			}
+		}
+		planned = append(planned, cl)
+	}
+	return planned, nil
 }
--- a/internal/core/send.go
+++ b/internal/core/send.go
@@ -7,63 +7,65 @@
 	"github.com/vatu-meals/foxlift/internal/guard"
 )
 
-// Stage 4, send: a claim is made and handed to Nodes. It ends at its limit, which
-// is never past the submitter's patience, whatever the node does.
-func (c *Core) send(j *job, node string, timeout int64) {
+// Stage 4, send: an attempt is made and handed to Workers. It ends at its timeout, which is never past
+// the job's deadline, whatever the worker does.
+
+func (c *Core) send(j *job, worker string, timeout time.Duration) {
 	now := c.clock.Now()
-	cl := &attempt{job: j, cell: j.cell, number: len(j.attempts) - j.priorAttempts, worker: node, sentAt: now, zone: -1, workerCell: -1}
-	if n := c.byID[node]; n != nil {
-		cl.zone, cl.workerCell = n.Zone, n.Cell
-	}
-	within, rule := c.checkRepeat(cl)
-	j.attempts = append(j.attempts, cl)
+	a := c.newAttempt(j, worker, now)
+	writeWithin, rule := c.checkRepeat(a)
+	j.attempts = append(j.attempts, a)
 	j.inFlight++
-	c.countSlots(cl, 1)
-	left := j.deadline - now
+	c.countSlots(a, 1)
 	if rule != guard.None {
-		// The module never asks for it. But the rule must not rest on one module's
-		// knowledge, where a job passes from one to another.
+		// The dispatcher never asks for it. But the rule must not rest on what one dispatcher
+		// knows, where a job passes from one to another.
 		c.counters.Add("claims.withheld")
 		c.counters.Add(rule.Counter())
-		c.finishAttempt(cl, Report{Ended: true, Code: foxlift.NotSent})
+		c.finishAttempt(a, Report{Ended: true, Code: foxlift.NotSent})
 		return
 	}
-	if j.answered.Load() || left <= 0 {
-		c.finishAttempt(cl, Report{Ended: true, Code: foxlift.NotSent})
+	remaining := j.remaining(now)
+	if j.answered.Load() || remaining <= 0 {
+		c.finishAttempt(a, Report{Ended: true, Code: foxlift.NotSent})
 		return
 	}
 	c.counters.Add("claims.sent")
-	if timeout <= 0 || timeout > left {
-		timeout = left
+	if timeout <= 0 || timeout > remaining {
+		timeout = remaining
 	}
-	cl.timer = c.after(timeout, attemptReported{cl, Report{Ended: true, Code: foxlift.DeadlineExceeded}})
-	cl.cancel = c.nodes.Send(node, j.Job, AttemptLimits{j.remaining(now), within}, func(r Report) { c.post(attemptReported{cl, r}) })
+	a.timer = c.loop.after(timeout, attemptReported{a, Report{Ended: true, Code: foxlift.DeadlineExceeded}})
+	limits := AttemptLimits{Remaining: remaining, WriteWithin: writeWithin}
+	a.cancel = c.env.Workers.Send(worker, j.Job, limits, func(r Report) {
+		c.loop.post(attemptReported{a, r})
+	})
 }
 
-// checkRepeat returns the rule that a claim would break, because its job may have run, and within what
-// time its last byte must be written (0: no limit). Nodes of one pod drop repeats of a
-// keyed job for a time; it counts from the first claim that may have run.
-func (c *Core) checkRepeat(cl *attempt) (within time.Duration, rule guard.Invariant) {
-	class := &c.settings.Module.Classes[cl.job.class]
-	r := guard.Repeat{EndpointsTrusted: cl.cell.module.EndpointsUsable(), Effect: class.Effect}
-	if first := cl.job.mayHaveRun(); first != nil {
-		r.MayHaveRun = true
-		r.SameGroup = cl.sameGroup(first, class.Scope)
-		r.WindowRemaining = time.Duration(first.sentAt + class.KeyTTL - cl.sentAt)
-		if class.Effect == foxlift.Deduplicated {
-			within = r.WindowRemaining
-		}
+// newAttempt makes the next attempt of a job.
+func (c *Core) newAttempt(j *job, worker string, now int64) *attempt {
+	a := &attempt{
+		job: j, cell: j.cell, number: len(j.attempts) - j.priorAttempts,
+		worker: worker, zone: unknownGroup, workerCell: unknownGroup, sentAt: now,
 	}
-	return within, r.Check()
+	if w := c.workers.byID[worker]; w != nil {
+		a.zone, a.workerCell = w.Zone, w.Cell
+	}
+	return a
 }
 
-// sameGroup reports whether a claim's node drops repeats of what another claim's node may have run.
-func (cl *attempt) sameGroup(first *attempt, scope foxlift.Scope) bool {
-	switch scope {
-	case foxlift.ScopeZone:
-		return cl.zone == first.zone && cl.zone >= 0
-	case foxlift.ScopeCell:
-		return cl.workerCell == first.workerCell && cl.workerCell >= 0
+// checkRepeat returns the rule that an attempt would break because its job may have run, and within
+// what time its last byte must be written (0: no limit). Workers of one group drop repeats of an
+// idempotency key for a window that begins with the first attempt that may have run.
+func (c *Core) checkRepeat(a *attempt) (writeWithin time.Duration, rule guard.Invariant) {
+	class := &c.settings.Module.Classes[a.job.class]
+	repeat := guard.Repeat{EndpointsTrusted: a.cell.dispatcher.EndpointsUsable(), Effect: class.Effect}
+	if first := a.job.mayHaveRun(); first != nil {
+		repeat.MayHaveRun = true
+		repeat.SameGroup = a.sameGroup(first, class.Scope)
+		repeat.WindowRemaining = time.Duration(first.sentAt + class.KeyTTL - a.sentAt)
+		if class.Effect == foxlift.Deduplicated {
+			writeWithin = repeat.WindowRemaining
+		}
 	}
-	return true
+	return writeWithin, repeat.Check()
 }
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -6,7 +6,7 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// A State is what one process of a scheduler hands over to the next: what its decision modules have
+// A State is what one process of a scheduler hands over to its successor: what its dispatchers have
 // learned, and what must not be done twice. It can be written as JSON.
 type State struct {
 	Progress
@@ -14,58 +14,61 @@
 	IDs     []string                     `json:"IDs"`     // of jobs that must not run twice, open or answered not long ago
 }
 
-// A Progress is the part of a State that the next process looks at again and again.
+// A Progress is the part of a State that the successor looks at again and again.
 type Progress struct {
 	TakenAt  int64              `json:"At"`   // when it was so, in Unix nanoseconds
-	Open     int                `json:"Open"` // jobs taken and not yet answered
-	InFlight map[string]float64 `json:"Out"`  // slots of claims that have not ended, by node
+	Open     int                `json:"Open"` // jobs accepted and not yet answered
+	InFlight map[string]float64 `json:"Out"`  // slots in flight, by worker
 }
 
-// State returns what another process would have to know to go on from here.
-func (c *Core) State(ctx context.Context) (s *State, err error) {
-	err = c.call(ctx, func(c *Core) { s = c.state() })
-	return s, err
+// State returns what another process has to know to go on from here.
+func (c *Core) State(ctx context.Context) (*State, error) {
+	return call(ctx, c, func(c *Core) (*State, error) { return c.state(), nil })
 }
 
 func (c *Core) state() *State {
 	s := &State{
-		Progress: Progress{TakenAt: c.clock.Now(), Open: len(c.open), InFlight: map[string]float64{}},
+		Progress: Progress{TakenAt: c.clock.Now(), Open: len(c.jobs.open), InFlight: map[string]float64{}},
 		Modules:  map[string]*foxlift.Snapshot{},
 	}
-	for _, cl := range c.cells {
+	for _, cl := range c.cells.all {
 		if !cl.retired {
-			s.Modules[cl.name] = cl.module.Snapshot()
+			s.Modules[cl.name] = cl.dispatcher.Snapshot()
 		}
 	}
-	for _, j := range c.jobs {
-		for _, cl := range j.attempts {
-			if !cl.done {
-				s.InFlight[cl.worker] += slotsOf(j)
+	for _, j := range c.jobs.byNumber {
+		for _, a := range j.attempts {
+			if !a.done {
+				s.InFlight[a.worker] += j.slots()
 			}
 		}
 	}
-	for _, j := range c.open {
+	for _, j := range c.jobs.open {
 		if c.settings.Module.Classes[j.class].Effect != foxlift.Idempotent {
 			s.IDs = append(s.IDs, j.ID)
 		}
 	}
-	for id, once := range c.recentIDs {
-		if once {
+	for id, mustNotRunTwice := range c.jobs.recentIDs {
+		if mustNotRunTwice {
 			s.IDs = append(s.IDs, id)
 		}
 	}
 	return s
 }
 
-// RestoreState goes on from what another process handed over. It is called while no job has come yet.
+// RestoreState goes on from what another process handed over. It is called before the first job.
 func (c *Core) RestoreState(ctx context.Context, s *State) error {
-	return c.call(ctx, func(c *Core) { c.restore(s) })
+	_, err := call(ctx, c, func(c *Core) (struct{}, error) {
+		c.restore(s)
+		return struct{}{}, nil
+	})
+	return err
 }
 
 func (c *Core) restore(s *State) {
-	for _, cl := range c.cells {
-		if module := s.Modules[cl.name]; module != nil {
-			cl.module.Restore(module)
+	for _, cl := range c.cells.all {
+		if snapshot := s.Modules[cl.name]; snapshot != nil {
+			cl.dispatcher.Restore(snapshot)
 		}
 	}
 	for _, id := range s.IDs {
@@ -75,58 +78,26 @@
 	c.applyExternalSlots(s.InFlight)
 }
 
-// SetExternalSlots tells how many slots another process of the scheduler has out at the nodes. The modules
-// count them as they count those of another cell.
-func (c *Core) SetExternalSlots(out map[string]float64) { c.post(externalSlotsChanged{out}) }
+// SetExternalSlots tells how many slots another process of the scheduler has in flight, by worker. The
+// dispatchers count them as they count those of another cell.
+func (c *Core) SetExternalSlots(slots map[string]float64) { c.loop.post(externalSlotsChanged{slots}) }
 
 type externalSlotsChanged struct{ slots map[string]float64 }
 
 func (e externalSlotsChanged) apply(c *Core) { c.applyExternalSlots(e.slots) }
 
-func (c *Core) applyExternalSlots(out map[string]float64) {
-	told := map[*cell][]foxlift.Worker{}
-	for _, n := range c.order {
-		if n.otherProcessSlots == out[n.ID] {
+func (c *Core) applyExternalSlots(slots map[string]float64) {
+	changed := map[*cell][]foxlift.Worker{}
+	for _, w := range c.workers.order {
+		if w.otherProcessSlots == slots[w.ID] {
 			continue
 		}
-		n.otherProcessSlots = out[n.ID]
-		if cl := c.cellOf(n); cl != nil {
-			told[cl] = append(told[cl], n.forCell(cl))
+		w.otherProcessSlots = slots[w.ID]
+		if cl := c.cellOf(w); cl != nil {
+			changed[cl] = append(changed[cl], w.forCell(cl))
 		}
 	}
-	for cl, workers := range told {
-		cl.notify(foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsDelta, Workers: workers})
+	for cl, workers := range changed {
+		cl.notifyEndpoints(foxlift.EndpointsDelta, workers)
 	}
 }
-
-// cellOf returns the cell whose module decides on a node; nil if there is none yet.
-func (c *Core) cellOf(n *workerEntry) *cell {
-	if c.placement.Load() == nil {
-		return c.cells[0]
-	}
-	return n.cell
-}
-
-// withExternalSlots returns entries of the list with what another process has out there.
-func (c *Core) withExternalSlots(entries []foxlift.Worker) []foxlift.Worker {
-	told := entries
-	for i := range entries {
-		n := c.byID[entries[i].ID]
-		if n == nil || n.otherProcessSlots == 0 {
-			continue
-		}
-		if &told[0] == &entries[0] {
-			told = append([]foxlift.Worker(nil), entries...)
-		}
-		told[i].ExternalSlots = n.otherProcessSlots
-	}
-	return told
-}
-
-// slotsOf is how many slots a job takes; 1 where that is not known.
-func slotsOf(j *job) float64 {
-	if j.Slots <= 0 {
-		return 1
-	}
-	return j.Slots
-}
--- a/internal/core/takeover_test.go
+++ b/internal/core/takeover_test.go
@@ -24,7 +24,7 @@
 // loadState lets another core go on from a state.
 func (r *rig) loadState(t *testing.T, s *State) {
 	t.Helper()
-	r.applyEvent(operatorCall{func(c *Core) { c.restore(s) }, make(chan struct{})})
+	r.applyEvent(eventFunc(func(c *Core) { c.restore(s) }))
 }
 
 // An id of a job that must not run twice is refused by the process that takes over, whether the job
@@ -33,7 +33,7 @@
 	older, newer := newRig(t), newRig(t)
 	older.submit("open", "ratify", "t")
 	older.submit("answered", "ratify", "t")
-	older.applyEvent(attemptReported{older.open["answered"].attempts[0], Report{Ended: true, Code: foxlift.Served}})
+	older.applyEvent(attemptReported{older.jobs.open["answered"].attempts[0], Report{Ended: true, Code: foxlift.Served}})
 	s := older.savedState(t)
 	if s.Open != 1 || len(s.InFlight) != 1 {
 		t.Errorf("open %d, out %v; want one job at one node", s.Open, s.InFlight)
@@ -47,7 +47,7 @@
 	}
 	older = newRig(t)
 	older.submit("reading", "reading", "t")
-	older.applyEvent(attemptReported{older.open["reading"].attempts[0], Report{Ended: true, Code: foxlift.Served}})
+	older.applyEvent(attemptReported{older.jobs.open["reading"].attempts[0], Report{Ended: true, Code: foxlift.Served}})
 	if ids := older.state().IDs; len(ids) != 0 {
 		t.Errorf("ids %v of jobs that may run again", ids)
 	}
@@ -66,7 +66,7 @@
 		}
 	}
 	r.applyEvent(externalSlotsChanged{nil})
-	if a := r.byID["n1"].forCell(r.cells[0]); a.ExternalSlots != 0 {
+	if a := r.workers.byID["n1"].forCell(r.cells.all[0]); a.ExternalSlots != 0 {
 		t.Errorf("%v slots of others are left", a.ExternalSlots)
 	}
 }
--- a/internal/core/worker_pool.go
+++ b/internal/core/worker_pool.go
@@ -6,30 +6,25 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// A Pool is what the scheduler knows of its execute nodes at one moment.
+// A WorkerPool is what the scheduler knows of its workers at one moment.
 type WorkerPool struct {
-	Size    int // nodes in the machine list, draining ones included
-	Ejected int // of these, the live ones that the decision module avoids for their faults
+	Size    int // workers in the endpoint list, draining ones included
+	Ejected int // of these, the live ones that the dispatchers avoid for their failures
 }
 
-// Pool returns the state of the pool. It fails when ctx ends before the core's goroutine has come
+// WorkerPool returns the state of the worker pool. It fails when ctx ends before the event loop has come
 // to it, or when the core has stopped.
-func (c *Core) WorkerPool(ctx context.Context) (p WorkerPool, err error) {
-	err = c.call(ctx, func(c *Core) {
-		for _, n := range c.byID {
-			if n.State != foxlift.Removed {
-				p.Size++
+func (c *Core) WorkerPool(ctx context.Context) (WorkerPool, error) {
+	return call(ctx, c, func(c *Core) (WorkerPool, error) {
+		var pool WorkerPool
+		for _, w := range c.workers.byID {
+			if w.State != foxlift.Removed {
+				pool.Size++
 			}
 		}
-		for _, cl := range c.cells {
-			p.Ejected += cl.module.Ejected()
+		for _, cl := range c.cells.all {
+			pool.Ejected += cl.dispatcher.Ejected()
 		}
+		return pool, nil
 	})
-	if err != nil {
-		return WorkerPool{}, err
-	}
-	return p, nil
 }
-
-// Active returns how many jobs are taken and not answered yet. Any goroutine may call it.
-func (c *Core) Active() int { return int(c.active.Load()) }
--- a/internal/core/worker_table.go
+++ b/internal/core/worker_table.go
@@ -7,93 +7,134 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// An entry is a node of the machine list.
+// A workerEntry is a worker of the endpoint list.
 type workerEntry struct {
 	foxlift.Worker
-	number   int64             // in the order first told
-	cell     *cell             // whose module decides on it; nil before it was live
-	inFlight map[*cell]float64 // slots of claims on it that are out, by the cell that sent them
+	number   int64             // in the order first listed
+	cell     *cell             // whose dispatcher has it; nil before it was live
+	inFlight map[*cell]float64 // slots in flight there, by the cell that sent them
 
-	otherProcessSlots float64 // slots of claims on it that another process has out
-	isRemoved         bool    // it is in workerTable.gone
+	otherProcessSlots float64 // slots in flight there that another process of the scheduler sent
+	isRemoved         bool    // it is in workerTable.removed
 }
 
-// A workerTable is the core's own copy of the machine list. A change of the list costs what it names,
-// not what the list holds.
+// forCell returns the worker as the dispatcher of a cell is to know it: with the slots of all others as
+// external slots.
+func (w *workerEntry) forCell(cl *cell) foxlift.Worker {
+	worker := w.Worker
+	worker.ExternalSlots = w.otherProcessSlots
+	for other, slots := range w.inFlight {
+		if other != cl {
+			worker.ExternalSlots += slots
+		}
+	}
+	return worker
+}
+
+// A workerTable is the core's own copy of the endpoint list. An update costs what it names, not what the
+// list holds.
 type workerTable struct {
 	byID       map[string]*workerEntry
-	order      []*workerEntry // of known, as first told
-	removed    []*workerEntry // to be forgotten once nothing is out there
-	lastNumber int64          // nodes
+	order      []*workerEntry // of byID, as first listed
+	removed    []*workerEntry // to be forgotten once nothing is in flight there
+	lastNumber int64
 	liveCount  int
 }
 
 func newWorkerTable() workerTable { return workerTable{byID: map[string]*workerEntry{}} }
 
-// note takes in news of the list.
+// update takes over an update of the endpoint list.
 func (t *workerTable) update(kind foxlift.EndpointUpdate, workers []foxlift.Worker) {
 	if kind != foxlift.EndpointsDelta {
-		for _, n := range t.order {
-			t.setState(n, foxlift.Removed)
+		for _, w := range t.order {
+			t.setState(w, foxlift.Removed)
 		}
 	}
-	for _, w := range workers {
-		n := t.byID[w.ID]
-		if n == nil {
-			t.lastNumber++
-			n = &workerEntry{Worker: foxlift.Worker{ID: w.ID, State: foxlift.Removed}, number: t.lastNumber, inFlight: map[*cell]float64{}}
-			t.byID[w.ID] = n
-			t.order = append(t.order, n)
-		}
-		state := w.State
-		w.State = n.State
-		n.Worker = w
-		t.setState(n, state)
+	for i := range workers {
+		w := t.entry(workers[i].ID)
+		previous := w.State
+		w.Worker = workers[i]
+		w.State = previous
+		t.setState(w, workers[i].State)
+	}
+}
+
+// entry returns the entry of a worker, which it makes if there is none.
+func (t *workerTable) entry(id string) *workerEntry {
+	if w := t.byID[id]; w != nil {
+		return w
+	}
+	t.lastNumber++
+	w := &workerEntry{
+		Worker: foxlift.Worker{ID: id, State: foxlift.Removed},
+		number: t.lastNumber, inFlight: map[*cell]float64{},
 	}
+	t.byID[id] = w
+	t.order = append(t.order, w)
+	return w
 }
 
-// setState notes how a node is.
-func (t *workerTable) setState(n *workerEntry, state foxlift.WorkerState) {
-	if n.State == foxlift.Live {
+// setState changes the state of a worker.
+func (t *workerTable) setState(w *workerEntry, state foxlift.WorkerState) {
+	if w.State == foxlift.Live {
 		t.liveCount--
 	}
 	if state == foxlift.Live {
 		t.liveCount++
 	}
-	n.State = state
-	if state == foxlift.Removed && !n.isRemoved {
-		n.isRemoved = true
-		t.removed = append(t.removed, n)
+	w.State = state
+	if state == foxlift.Removed && !w.isRemoved {
+		w.isRemoved = true
+		t.removed = append(t.removed, w)
 	}
 }
 
-// maxSingleRemovals is the most nodes that are taken out of the order one by one.
+// maxSingleRemovals is how many workers are taken out of the order one by one; for more, one pass over
+// all is cheaper.
 const maxSingleRemovals = 64
 
-// prune forgets nodes that are gone, once nothing is out there.
+// prune forgets workers that are removed, once nothing is in flight there.
 func (t *workerTable) prune() {
-	var old []*workerEntry
-	t.removed = slices.DeleteFunc(t.removed, func(n *workerEntry) bool {
-		if n.isRemoved = n.State == foxlift.Removed; !n.isRemoved {
+	var forgotten []*workerEntry
+	t.removed = slices.DeleteFunc(t.removed, func(w *workerEntry) bool {
+		w.isRemoved = w.State == foxlift.Removed
+		if !w.isRemoved {
 			return true // it is back
 		}
-		if len(n.inFlight) > 0 {
+		if len(w.inFlight) > 0 {
 			return false
 		}
-		delete(t.byID, n.ID)
-		old = append(old, n)
+		delete(t.byID, w.ID)
+		forgotten = append(forgotten, w)
 		return true
 	})
-	if len(old) > maxSingleRemovals {
-		t.order = slices.DeleteFunc(t.order, func(n *workerEntry) bool { return t.byID[n.ID] != n })
+	if len(forgotten) > maxSingleRemovals {
+		t.order = slices.DeleteFunc(t.order, func(w *workerEntry) bool { return t.byID[w.ID] != w })
 		return
 	}
-	for _, n := range old {
-		if i, there := slices.BinarySearchFunc(t.order, n, byNumber); there {
+	for _, w := range forgotten {
+		if i, found := slices.BinarySearchFunc(t.order, w, compareNumbers); found {
 			t.order = slices.Delete(t.order, i, i+1)
 		}
 	}
 }
 
-// byNumber orders entries as they were first told.
-func byNumber(a, b *workerEntry) int { return cmp.Compare(a.number, b.number) }
+// compareNumbers orders entries as they were first listed.
+func compareNumbers(a, b *workerEntry) int { return cmp.Compare(a.number, b.number) }
+
+// withExternalSlots returns workers of an update with the slots that another process has in flight there.
+func (t *workerTable) withExternalSlots(workers []foxlift.Worker) []foxlift.Worker {
+	result := workers
+	isCopy := false
+	for i := range workers {
+		w := t.byID[workers[i].ID]
+		if w == nil || w.otherProcessSlots == 0 {
+			continue
+		}
+		if !isCopy {
+			result, isCopy = slices.Clone(workers), true
+		}
+		result[i].ExternalSlots = w.otherProcessSlots
+	}
+	return result
+}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -85,7 +85,10 @@
 	clock := core.NewClock()
 	d.loadCheckpoint()
 	var err error
-	if d.Core, err = core.New(cfg.Settings, op.Cells, cfg.Seed, clock, d.Counters); err != nil {
+	d.Core, err = core.New(core.Config{
+		Settings: cfg.Settings, Plan: op.Cells, Seed: cfg.Seed, Clock: clock, Counters: d.Counters,
+	})
+	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if d.platform, err = platform.New(cfg, d.Core, clock, d.Counters, o.Log); err != nil {
--- a/internal/lab/capacity/hollow.go
+++ b/internal/lab/capacity/hollow.go
@@ -160,13 +160,14 @@
 	if err != nil {
 		return nil, err
 	}
-	c, err := core.New(s, nil, 1, core.NewClock(), &counters.Set{})
+	c, err := core.New(core.Config{Settings: s, Seed: 1, Clock: core.NewClock(), Counters: &counters.Set{}})
 	if err != nil {
 		return nil, err
 	}
 	h := &hollowCore{Core: c, barrier: make(chan struct{})}
-	c.Connect(h, h, TargetTasks)
-	c.Start(d.endpoints())
+	c.Start(core.Environment{
+		Workers: h, EndpointWatch: h, MaxOpen: TargetTasks, CachedEndpoints: d.endpoints(),
+	})
 	h.awaitStep()
 	return h, nil
 }
--- a/internal/lab/soak/mutants.go
+++ b/internal/lab/soak/mutants.go
@@ -37,7 +37,7 @@
 	{lab.Mutant{Name: "a submitter that leaves is not noticed", File: "internal/platform/submitter.go", Old: "\t\t\ts.front.core.ClientDisconnected(job)\n", New: "\t\t\tjob.Client = nil\n"}, gone},
 	{lab.Mutant{Name: "a submitter's leaving is noticed late", File: "internal/platform/submitter.go", Old: "\t\t\tjob.MarkDisconnected()\n\t\t\ts.front.core.ClientDisconnected(job)\n", New: "\t\t\tjob.Client = nil\n\t\t\ttime.Sleep(400 * time.Millisecond)\n\t\t\ts.front.core.ClientDisconnected(job)\n"}, gone},
 	{lab.Mutant{Name: "nodes are told of a second more", File: "internal/platform/attempt.go", Old: "formatRemaining(told)", New: "formatRemaining(told+time.Second)"}, deadline},
-	{lab.Mutant{Name: "the time in the queue is not taken off", File: "internal/core/send.go", Old: "AttemptLimits{j.remaining(now), within}", New: "AttemptLimits{j.Remaining, within}"}, deadline},
+	{lab.Mutant{Name: "the time in the queue is not taken off", File: "internal/core/send.go", Old: "Remaining: remaining,", New: "Remaining: j.Remaining,"}, deadline},
 	{lab.Mutant{Name: "cold nodes count as warm", File: "health.go", Old: "return w.startedAt != 0 && d.now-w.startedAt < d.cfg.SlowStartDuration", New: "return false"}, slowStart},
 	{lab.Mutant{Name: "starts are not heard", File: "machine_list.go", Old: "if w.startedAt != e.StartedAt {", New: "if false {"}, slowStart},
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -107,7 +107,6 @@
 	nodes := newNodes(list, cfg.Settings, set, log, half)
 	list.changed = nodes.out.nodeChanged
 	list.confirm, list.noteMove, list.fail = c.ConfirmEndpoints, c.ChangeDiscovery, c.RecordPollFailure
-	c.Connect(nodes, list, mostJobs(half))
 	p := &Platform{
 		front: front, machines: list, nodes: nodes, core: c, settings: cfg.Settings,
 		half: half, listen: cfg.Listen, shared: cfg.Admin != "", known: workers, log: log,
@@ -116,7 +115,6 @@
 		if p.peers, err = newPeers(cfg.Peers, cfg.Settings.Module.Index, clock, set, c.ReceiveGossip); err != nil {
 			return nil, err
 		}
-		c.ConnectPeers(p.peers)
 	}
 	return p, nil
 }
@@ -152,7 +150,13 @@
 // Follow starts the core with the list as last known, and with it the watch on the list.
 func (p *Platform) StartWatch() {
 	p.machines.Watch() // its first pause spreads the schedulers that start together
-	p.core.Start(p.known)
+	env := core.Environment{
+		Workers: p.nodes, EndpointWatch: p.machines, MaxOpen: mostJobs(p.half), CachedEndpoints: p.known,
+	}
+	if p.peers != nil {
+		env.Peers = p.peers
+	}
+	p.core.Start(env)
 }
 
 // Accept begins to take submitters' connections. Listen and Follow come before it.
--- a/internal/platform/submitter.go
+++ b/internal/platform/submitter.go
@@ -213,7 +213,7 @@
 	case core.Rejected:
 		return s.refuseInput(bad(http.StatusBadRequest, "job", "%s", a.Reason))
 	}
-	return say(http.StatusBadGateway, a.Reason)
+	return say(http.StatusBadGateway, string(a.Reason))
 }
 
 // run hands a job to the core and waits for its answer. ends says that the connection must end
--- a/internal/platform/toy_test.go
+++ b/internal/platform/toy_test.go
@@ -116,7 +116,7 @@
 	cfg := &config.Scheduler{Listen: "127.0.0.1:0", Discovery: discovery, Sockets: sockets,
 		Known: []byte(known), Settings: s}
 	set, clock := &counters.Set{}, core.NewClock()
-	c, err := core.New(s, nil, 1, clock, set)
+	c, err := core.New(core.Config{Settings: s, Seed: 1, Clock: clock, Counters: set})
 	if err != nil {
 		t.Fatal(err)
 	}
