--- a/internal/platform/caller.go
+++ b/internal/platform/caller.go
@@ -32,7 +32,7 @@
 	case errors.As(err, &status) && status == http.StatusServiceUnavailable:
 		return pollpacing.Overloaded
 	case errors.As(err, &wait) && wait.Timeout():
-		return pollpacing.TimedOut
+		return pollpacing.Unanswered
 	case errors.As(err, &status) || errors.Is(err, errList):
 		return pollpacing.Invalid
 	}
--- a/internal/platform/listing_test.go
+++ b/internal/platform/listing_test.go
@@ -160,7 +160,7 @@
 		case whole && (err != nil || len(l.Hosts) != 4000):
 			t.Errorf("a list of 4000 entries that came whole after its limit: %v", err)
 		case !whole:
-			check(t, "a list that stops", outcome(err), pollpacing.TimedOut)
+			check(t, "a list that stops", outcome(err), pollpacing.Unanswered)
 			if took := time.Since(began); took < listStalls {
 				t.Errorf("given up after %v", took)
 			}
--- a/internal/pollpacing/pacer.go
+++ b/internal/pollpacing/pacer.go
@@ -1,7 +1,10 @@
-// Package pollpacing decides when a scheduler that knows little asks discovery, so that all
-// schedulers of a fleet together spare it though they neither see nor tell each other
-// anything. It has no I/O and no clock: the caller says what came of each call and waits as
-// it is told.
+// Package pollpacing decides when a scheduler polls discovery: how long a watch may be held, when
+// a call that is silent is broken off, and the backoff before the next one. Schedulers neither see
+// nor message each other here; each draws its delays from bounds that depend on how many schedulers
+// the fleet has, so that all of them together do not overload discovery.
+//
+// The package has no I/O and no clock. A Pacer owns the counts of recent failures of one
+// scheduler's calls; the caller reports each call's outcome and waits as it is told.
 package pollpacing
 
 import (
@@ -9,216 +12,251 @@
 	"time"
 )
 
-// An Outcome is what came of a call to discovery.
+// An Outcome is the result of a call to discovery.
 type Outcome uint8
 
+// The outcomes of a call.
 const (
-	Answered    Outcome = iota // with a list or its changes
-	Overloaded                 // refused by discovery itself, after a wait for its turn or at once
-	TimedOut                   // nothing within the time allowed
+	Answered    Outcome = iota // with an endpoint list or its changes
+	Overloaded                 // refused by discovery itself, after a wait in its queue or at once
+	Unanswered                 // no answer within the time allowed
 	Unreachable                // no connection, or it ended without an answer
-	Invalid                    // an answer that is of no use
-	Oversized                  // an answer over the bound: the next one will be so, too
+	Invalid                    // an answer that cannot be used
+	Oversized                  // an answer over the size bound: the next one will be, too
 )
 
-// The list's clock. From any moment at which discovery has a change and can be reached, a
-// scheduler has the change within MaxPropagationDelay, whatever became of its calls before. The longest
-// way there is a call that is lost, the pause after it, and a call that is answered:
+// Bounds of single calls. Once discovery has a change and can be reached, the change is in force
+// here within MaxPropagationDelay, whatever became of the calls before. The longest sequence is a
+// call that is lost, the backoff after it, and a call that is answered:
 //
-//	limit of the lost call + pause after it + answerDelay + schedulingDelay <= MaxPropagationDelay
+//	timeout of the lost call + backoff + answerDelay + schedulingDelay <= MaxPropagationDelay
 //
-//	a watch that falls silent  3.4 s + 0.7 s  + 0.25 s + 1.3 s + 0.25 s = 5.9 s
+//	a watch that times out     3.4 s + 0.7 s  + 0.25 s + 1.3 s + 0.25 s = 5.9 s
 //	a list that never comes    3.4 s          + 0.25 s + 1.3 s + 0.25 s = 5.2 s
-//	refused after w for its turn, at most 3 s: w + (4.45 s - w)  + ...  = 6.0 s
+//	refused after w in the queue, at most 3 s: w + (4.45 s - w)  + ...  = 6.0 s
 //	no connection, at once or after 1 s:  1 s + 3.45 s           + ...  = 6.0 s
 //
-// Calls that are refused again and again can break it: nobody can tell then whether discovery has
-// too many callers or is down, which looks the same. Sending nothing on a list that old was tried:
-// in an outage of 8 s it cost herd+mass a third of its service (0.85 to 0.55). A pushed list counts
-// at once when discovery is back: an agent serves one scheduler alone, and is asked every agentBackoff.
+// Calls that are refused again and again can exceed it: nobody can tell then whether discovery has
+// too many callers or is down. To send nothing by a list that old costs more jobs than it saves
+// (docs/design/moments.md).
 const (
+	// MaxPropagationDelay is how long a change that discovery has may take to be in force here.
 	MaxPropagationDelay = 6 * time.Second
-	AnswerBudget        = answerDelay + schedulingDelay // of MaxPropagationDelay, from a call that is answered to its change in force
+	// AnswerBudget is the part of MaxPropagationDelay from the start of a call that is answered
+	// until its change is in force.
+	AnswerBudget = answerDelay + schedulingDelay
+	// DialTimeout bounds a connection to a discovery that schedulers share.
+	DialTimeout = time.Second
+	// MinQueueWait is the shortest wait in discovery's queue: a call refused sooner was not queued.
+	MinQueueWait = 250 * time.Millisecond
 
-	answerDelay     = 1300 * time.Millisecond // for a call's turn and its answer
-	schedulingDelay = 250 * time.Millisecond  // that a scheduler with a part of a core loses on the way
+	answerDelay     = 1300 * time.Millisecond // for a call's wait in discovery's queue and its answer
+	schedulingDelay = 250 * time.Millisecond  // lost by a scheduler that has a fraction of a core
 	failureBudget   = MaxPropagationDelay - answerDelay - schedulingDelay
 
-	maxWatchHold           = 3400 * time.Millisecond // how long discovery may hold a watch,
-	watchHoldJitterDivisor = 4                       // less up to that part, so that all do not end together
-	watchAnswerGrace       = 700 * time.Millisecond  // its answer may come this much after
-	fullListTimeout        = 3400 * time.Millisecond // for the whole list: discovery gives up after 3 s
-	DialTimeout            = time.Second             // for a connection to discovery
-	agentWatchHold         = 2 * time.Second         // how long an agent may hold a watch,
-	agentTimeout           = 400 * time.Millisecond  // for its answer, and for a connection to it
-	agentBackoff           = 100 * time.Millisecond  // after a call that failed
-	MinQueueWait           = 250 * time.Millisecond  // who was refused sooner waited for no turn
+	maxWatchHold           = 3400 * time.Millisecond // how long discovery may hold a watch
+	watchHoldJitterDivisor = 4                       // up to this part less, so that watches do not end together
+	watchAnswerGrace       = 700 * time.Millisecond  // for the answer after a watch's hold
+	pollTimeout            = 3400 * time.Millisecond // for the complete list: discovery gives up after 3 s
+)
+
+// Bounds of calls to an agent. It serves one scheduler alone, so that polling it often costs nobody.
+const (
+	agentWatchHold = 2 * time.Second
+	agentTimeout   = 400 * time.Millisecond // for its answer, and for a connection to it
+	agentBackoff   = 100 * time.Millisecond
 )
 
-// The figures by which all schedulers together are bounded. With n of them:
+// Bounds of all schedulers' calls together. With n schedulers:
 //
-//   - calls that fail at once come back within n/maxFailedCallRate seconds, on average after half of
-//     that: 2 x maxFailedCallRate calls a second in sum, up to the n at which the list's clock asks for more;
-//   - calls that waited w for their turn come back within max(w, n/maxFailedCallRate) at first, or as
-//     the list's clock asks: a refused call costs discovery its place in the queue, no work;
-//   - calls that were refused at once met a discovery that has given up queueing: each costs it
-//     work all the same, and the pauses double (on nesra's calm day 49 of 60 schedulers never had
-//     an answer, at 137 refused calls a second where it answers 20 to 31);
+//   - calls that fail at once are repeated within n/maxFailedCallRate seconds, on average after half
+//     of that: 2 x maxFailedCallRate calls a second in sum, up to the n at which MaxPropagationDelay
+//     asks for more;
+//   - calls that were refused after a wait w are repeated within max(w, n/maxFailedCallRate) at
+//     first, or as MaxPropagationDelay asks: a refused call costs discovery a place in its queue, no
+//     work;
+//   - calls that were refused at once met a discovery that no longer queues: each costs it work, and
+//     the backoff doubles;
 //   - first calls come at most maxFirstCallRate a second;
-//   - calls that fell silent come back within maxTimeoutBackoff: they were ended after waits that the
-//     schedulers draw at random, and a silent discovery has no queue;
-//   - calls for a list over the bound come back after pauses that double up to maxOversizedBackoff: none
-//     of them makes anything known, so the list's clock does not hold for them, and each costs
-//     discovery the whole list. The first two pauses keep it, should a length have been spoilt.
+//   - calls that timed out are repeated within maxTimeoutBackoff: they ended after holds that the
+//     schedulers draw at random, and a discovery that does not answer has no queue;
+//   - calls whose answer was oversized are repeated after a backoff that doubles up to
+//     maxOversizedBackoff: each costs discovery the complete list and makes nothing known. The first
+//     two keep MaxPropagationDelay, should a length have been corrupted on the way.
 const (
 	maxFailedCallRate     = 100.0
 	maxFirstCallRate      = 300.0
-	firstCallJitter       = time.Second            // by which few schedulers' first calls are spread at most
-	maxTimeoutBackoff     = 250 * time.Millisecond // pause after a call that fell silent
+	firstCallJitter       = time.Second            // the window of the first calls of a small fleet
+	maxTimeoutBackoff     = 250 * time.Millisecond // after a call that timed out
 	minBackoff            = 50 * time.Millisecond  // between two calls of one scheduler
-	maxSmallFleetBackoff  = time.Second            // to which the pauses of a few schedulers grow
-	maxNewEndpointBackoff = 500 * time.Millisecond // the longest pause after another discovery was named
+	maxSmallFleetBackoff  = time.Second            // to which the backoff of a small fleet grows
+	maxNewEndpointBackoff = 500 * time.Millisecond // after another discovery has been named,
+	newEndpointAttempts   = 16                     // for so many failures
 	maxSchedulers         = 1_000_000
-	firstOversizedBackoff = time.Second      // the longest pause after the first answer over the bound,
-	maxOversizedBackoff   = 64 * time.Second // and after the last; the shortest is half of it
-	newEndpointAttempts   = 16               // after so many failures it is a discovery like any other
+	firstOversizedBackoff = time.Second // the upper bound after the first oversized answer
+	maxOversizedBackoff   = 64 * time.Second
+	oversizedInBudget     = 2 // oversized answers after which the backoff keeps MaxPropagationDelay
+
+	maxDoublings = 16 // of a backoff: more would overflow and change nothing
 )
 
-// An Asker says how long to wait before each call. It is not safe for concurrent use.
+// A Pacer says how long to wait before each call to discovery. It is not safe for concurrent use.
 type Pacer struct {
-	schedulers          int
-	maxBackoff          time.Duration
-	rng                 *rand.Rand
-	queuedRejections    int // calls in a row that were turned away after a wait
+	schedulers int
+	maxBackoff time.Duration // 0: no bound
+	rng        *rand.Rand
+	agent      bool
+
+	queuedRejections    int // calls in a row that were refused after a wait in the queue
 	failures            int // calls in a row that failed at once
-	immediateRejections int // of the calls since the last answer, those that were refused at once
-	oversizedAnswers    int // lists over the bound since the last answer
-	newEndpointCalls    int // calls left to another discovery that has been named and not yet answered
-	agent               bool
+	immediateRejections int // since the last answer, calls that were refused at once
+	oversizedAnswers    int // since the last answer within the size bound
+	newEndpointCalls    int // calls left for which the discovery counts as just named
 }
 
-// NewPacer makes one of so many schedulers' askers. A pause is never longer than longest: what
-// may go by without a call until the list counts as known; 0 for no bound.
-func NewPacer(schedulers int, longest time.Duration, rng *rand.Rand) *Pacer {
-	return &Pacer{schedulers: min(max(1, schedulers), maxSchedulers), maxBackoff: longest, rng: rng}
+// NewPacer returns the pacer of one of n schedulers that share a discovery. No delay is longer than
+// maxBackoff: the time that may pass without a call until the endpoint list counts as known; 0 for
+// no bound.
+func NewPacer(schedulers int, maxBackoff time.Duration, rng *rand.Rand) *Pacer {
+	return &Pacer{schedulers: min(max(1, schedulers), maxSchedulers), maxBackoff: maxBackoff, rng: rng}
 }
 
-// NewAgentPacer makes the asker of a scheduler to which lists are pushed: to an agent that
-// serves no other.
+// NewAgentPacer returns the pacer of a scheduler to which lists are pushed: of calls to an agent
+// that serves no other.
 func NewAgentPacer(rng *rand.Rand) *Pacer {
 	return &Pacer{schedulers: 1, rng: rng, agent: true}
 }
 
-// Wait returns how long discovery may hold the next watch.
-func (a *Pacer) WatchHold() time.Duration {
-	wait := maxWatchHold
-	if a.agent {
-		wait = agentWatchHold
+// WatchHold returns how long discovery may hold the next watch.
+func (p *Pacer) WatchHold() time.Duration {
+	hold := maxWatchHold
+	if p.agent {
+		hold = agentWatchHold
 	}
-	return wait - time.Duration(a.rng.Int64N(int64(wait/watchHoldJitterDivisor)))
+	return hold - time.Duration(p.rng.Int64N(int64(hold/watchHoldJitterDivisor)))
 }
 
-// Limit returns how long a call may take that discovery may hold for wait; 0 for one that
-// asks for the whole list. A call that is silent for longer is broken.
-func (a *Pacer) Timeout(wait time.Duration) time.Duration {
+// Timeout returns how long a call may take that discovery may hold for hold; 0 for one that asks for
+// the complete list.
+func (p *Pacer) Timeout(hold time.Duration) time.Duration {
 	switch {
-	case a.agent:
-		return wait + agentTimeout
-	case wait <= fullListTimeout-watchAnswerGrace: // its turn may take as long as the whole list's
-		return fullListTimeout
+	case p.agent:
+		return hold + agentTimeout
+	case hold <= pollTimeout-watchAnswerGrace: // it may be queued for as long as a complete list
+		return pollTimeout
 	}
-	return wait + watchAnswerGrace
+	return hold + watchAnswerGrace
 }
 
 // DialTimeout returns how long a connection to discovery may take.
-func (a *Pacer) DialTimeout() time.Duration {
-	if a.agent {
+func (p *Pacer) DialTimeout() time.Duration {
+	if p.agent {
 		return agentTimeout
 	}
 	return DialTimeout
 }
 
-// First returns the pause before the first call after a start. No call has failed yet: it is
+// InitialDelay returns the delay before the first call after a start. No call has failed yet: it is
 // shorter than those that follow may be.
-func (a *Pacer) InitialDelay() time.Duration {
-	if a.agent {
+func (p *Pacer) InitialDelay() time.Duration {
+	if p.agent {
 		return 0
 	}
-	window := seconds(float64(a.schedulers) / maxFirstCallRate)
-	pause := a.jitter(min(window, firstCallJitter), 0) + a.jitter(window-firstCallJitter, 0)
-	if a.maxBackoff > 0 {
-		pause = min(pause, a.maxBackoff/8)
+	window := seconds(float64(p.schedulers) / maxFirstCallRate)
+	delay := p.jitter(0, min(window, firstCallJitter)) + p.jitter(0, window-firstCallJitter)
+	if p.maxBackoff > 0 {
+		delay = min(delay, p.maxBackoff/8)
 	}
-	return pause
+	return delay
 }
 
-// Moved notes that another discovery is to be asked, at once: what the last one did tells
-// nothing of it.
-func (a *Pacer) EndpointChanged() {
-	a.queuedRejections, a.failures, a.immediateRejections, a.oversizedAnswers, a.newEndpointCalls = 0, 0, 0, 0, newEndpointAttempts
+// EndpointChanged notes that another discovery is called from now on, at once: the failures of the
+// last one say nothing of it.
+func (p *Pacer) EndpointChanged() {
+	p.resetFailures()
+	p.newEndpointCalls = newEndpointAttempts
 }
 
-// After notes what came of a call that took so long and returns the pause before the next.
-func (a *Pacer) NextDelay(o Outcome, took time.Duration) time.Duration {
-	fleet := seconds(float64(a.schedulers) / maxFailedCallRate)
-	window, least := fleet, minBackoff
+// NextDelay notes the outcome of a call that took elapsed and returns the delay before the next one.
+func (p *Pacer) NextDelay(outcome Outcome, elapsed time.Duration) time.Duration {
+	fleetWindow := seconds(float64(p.schedulers) / maxFailedCallRate)
+	low, high := minBackoff, time.Duration(0)
 	switch {
-	case o == Answered:
-		a.queuedRejections, a.failures, a.immediateRejections, a.oversizedAnswers, a.newEndpointCalls = 0, 0, 0, 0, 0
+	case outcome == Answered:
+		p.resetFailures()
+		p.newEndpointCalls = 0
 		return 0
-	case o == Oversized:
-		window = max(fleet, min(maxOversizedBackoff, firstOversizedBackoff<<a.oversizedAnswers))
-		if a.oversizedAnswers < 2 {
-			window = max(2*minBackoff, min(window, failureBudget-took))
-		}
-		a.oversizedAnswers = min(a.oversizedAnswers+1, 16)
-		return window/2 + time.Duration(a.rng.Int64N(int64(window/2)))
-	case a.agent:
-		return a.jitter(agentBackoff, minBackoff)
-	case o == TimedOut:
-		// Not the queue's doing: what waits too long there is refused, sooner than a call is given
-		// up. What was missed counts as told soon.
-		a.queuedRejections, a.failures = 0, 0
-		window = min(fleet, maxTimeoutBackoff)
-	case o == Overloaded && (a.immediateRejections > 0 || took < MinQueueWait):
-		if took < MinQueueWait {
-			a.immediateRejections = min(a.immediateRejections+1, 16)
+	case outcome == Oversized:
+		return p.oversizedDelay(fleetWindow, elapsed)
+	case p.agent:
+		return p.jitter(minBackoff, agentBackoff)
+	case outcome == Unanswered:
+		// The queue is not the cause: a call that waits too long there is refused before it is
+		// broken off. A change that was missed has to be known soon.
+		p.queuedRejections, p.failures = 0, 0
+		high = min(fleetWindow, maxTimeoutBackoff)
+	case outcome == Overloaded && (p.immediateRejections > 0 || elapsed < MinQueueWait):
+		if elapsed < MinQueueWait {
+			p.immediateRejections = min(p.immediateRejections+1, maxDoublings)
 		}
-		window = min(failureBudget-took, max(fleet, maxSmallFleetBackoff/2)<<a.immediateRejections)
-	case o == Overloaded:
-		// The first time, whoever waited w comes back within w: by then the queue that had no
-		// room is worked off. Who has been turned away more often comes back sooner than those
-		// that were for the first time, else some never get their turn.
-		a.failures = 0
-		a.queuedRejections++
-		window = min(max(took, fleet), failureBudget-took) * 2 / time.Duration(a.queuedRejections+1)
+		backoff := max(fleetWindow, maxSmallFleetBackoff/2) << p.immediateRejections
+		high = min(failureBudget-elapsed, backoff)
+	case outcome == Overloaded:
+		// The first time, a call that waited w is repeated within w: by then the queue that had no
+		// room has been served. A scheduler that was refused more often comes back sooner than the
+		// others, else some are never served.
+		p.failures = 0
+		p.queuedRejections++
+		backoff := min(max(elapsed, fleetWindow), failureBudget-elapsed)
+		high = backoff * 2 / time.Duration(p.queuedRejections+1)
 	default:
-		// A discovery that is down costs nothing to ask and says nothing of its queue. A few
-		// schedulers would ask all the time, very many all at once.
-		a.failures = min(a.failures+1, 16)
-		window = max(fleet, min(maxSmallFleetBackoff, minBackoff<<a.failures))
-		most := failureBudget - DialTimeout
-		least = max(least, min(window-most, most/2))
-		window = min(window, most)
+		low, high = p.failureBounds(fleetWindow)
 	}
-	if a.newEndpointCalls > 0 {
-		// What it has to tell counts as told 4 s after the move: all ask at first, then as above.
-		window, least = min(fleet, maxNewEndpointBackoff), minBackoff
-		a.newEndpointCalls--
+	if p.newEndpointCalls > 0 {
+		// What the new discovery has binds 4 s after the change: all schedulers call it at first.
+		low, high = minBackoff, min(fleetWindow, maxNewEndpointBackoff)
+		p.newEndpointCalls--
 	}
-	return a.jitter(window, least)
+	return p.jitter(low, high)
+}
+
+// resetFailures forgets what is known of a discovery's failures.
+func (p *Pacer) resetFailures() {
+	p.queuedRejections, p.failures, p.immediateRejections, p.oversizedAnswers = 0, 0, 0, 0
+}
+
+// oversizedDelay returns the delay after an oversized answer: half of the window at least.
+func (p *Pacer) oversizedDelay(fleetWindow, elapsed time.Duration) time.Duration {
+	backoff := min(maxOversizedBackoff, firstOversizedBackoff<<p.oversizedAnswers)
+	window := max(fleetWindow, backoff)
+	if p.oversizedAnswers < oversizedInBudget {
+		window = max(2*minBackoff, min(window, failureBudget-elapsed))
+	}
+	p.oversizedAnswers = min(p.oversizedAnswers+1, maxDoublings)
+	return window/2 + time.Duration(p.rng.Int64N(int64(window/2)))
+}
+
+// failureBounds returns the bounds of the delay after a call that failed at once. A discovery that is
+// down costs nothing to call and says nothing of its queue; without a backoff few schedulers would
+// call all the time, and many all at once.
+func (p *Pacer) failureBounds(fleetWindow time.Duration) (low, high time.Duration) {
+	p.failures = min(p.failures+1, maxDoublings)
+	window := max(fleetWindow, min(maxSmallFleetBackoff, minBackoff<<p.failures))
+	budget := failureBudget - DialTimeout
+	low = max(minBackoff, min(window-budget, budget/2))
+	return low, min(window, budget)
 }
 
-// jitter draws a pause up to a window: full jitter, since the schedulers fail together.
-func (a *Pacer) jitter(window, least time.Duration) time.Duration {
-	pause := least
-	if window > least {
-		pause += time.Duration(a.rng.Int64N(int64(window - least)))
+// jitter draws a delay from low up to high. It is full jitter, since the schedulers fail together.
+func (p *Pacer) jitter(low, high time.Duration) time.Duration {
+	delay := low
+	if high > low {
+		delay += time.Duration(p.rng.Int64N(int64(high - low)))
 	}
-	if a.maxBackoff > 0 {
-		pause = min(pause, a.maxBackoff)
+	if p.maxBackoff > 0 {
+		delay = min(delay, p.maxBackoff)
 	}
-	return pause
+	return delay
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/pollpacing/pacer_test.go
+++ b/internal/pollpacing/pacer_test.go
@@ -9,14 +9,22 @@
 	"time"
 )
 
-// A fleet plays askers against one discovery that serves calls one after another, by the
-// order in which they came, and refuses what has waited for patience. It has no real clock.
-type pollers struct {
-	n              int
+// A simulation is a fleet of pacers against one discovery that serves calls one after another, by
+// the order in which they came, and refuses what has waited for patience. It has no real clock.
+type simulation struct {
+	schedulers     int
 	cost, patience time.Duration
 	down           time.Duration // until then every call fails at once
-	naive          bool          // pauses as before: half a second, doubled, of which half is chance
-	events         schedule
+	naive          bool          // a backoff that knows nothing: half a second, doubled, half of it random
+
+	events   schedule
+	ticks    int
+	rng      *rand.Rand
+	perSec   map[time.Duration]int
+	queue    []func(now time.Duration)
+	busy     bool
+	answered int
+	result   result
 }
 
 type event struct {
@@ -39,82 +47,105 @@
 	return last
 }
 
-// seen is what a play saw.
+// A result is what a simulation measured.
 type result struct {
 	half, all       time.Duration // until half, and all, had an answer
 	calls, rejected int
 	maxRate         int // calls in one second
 }
 
-func (f *pollers) play(seed uint64) (r result) {
-	ticks := 0
-	after := func(at time.Duration, do func(time.Duration)) {
-		ticks++
-		heap.Push(&f.events, event{at, do, ticks})
+// worst returns the greater of each figure.
+func (r result) worst(o result) result {
+	return result{
+		max(r.half, o.half), max(r.all, o.all),
+		max(r.calls, o.calls), max(r.rejected, o.rejected), max(r.maxRate, o.maxRate),
 	}
-	rng := rand.New(rand.NewPCG(seed, 3))
-	seconds := map[time.Duration]int{}
-	var queue []func(now time.Duration)
-	busy, answered := false, 0
-	serve := func(now time.Duration) {
-		if !busy && len(queue) > 0 {
-			next := queue[0]
-			queue = queue[1:]
-			next(now)
+}
+
+// A simulatedPoller is one scheduler of a simulation.
+type simulatedPoller struct {
+	simulation *simulation
+	pacer      *Pacer
+	backoff    time.Duration // of the naive fleet
+}
+
+func (s *simulation) run(seed uint64) result {
+	s.rng = rand.New(rand.NewPCG(seed, 3))
+	s.perSec = map[time.Duration]int{}
+	for range s.schedulers {
+		p := &simulatedPoller{
+			simulation: s, backoff: 250 * time.Millisecond,
+			pacer: NewPacer(s.schedulers, 20*time.Second, rand.New(rand.NewPCG(seed, s.rng.Uint64()))),
 		}
+		s.after(p.pacer.InitialDelay(), p.poll)
 	}
-	for range f.n {
-		a := NewPacer(f.n, 20*time.Second, rand.New(rand.NewPCG(seed, rng.Uint64())))
-		backoff := 250 * time.Millisecond
-		var ask func(now time.Duration)
-		failed := func(now, took time.Duration, o Outcome) {
-			r.rejected++
-			pause := a.NextDelay(o, took)
-			if f.naive {
-				backoff = min(2*backoff, 5*time.Second)
-				pause = backoff/2 + time.Duration(rng.Int64N(int64(backoff/2)))
-			}
-			after(now+pause, ask)
+	for len(s.events) > 0 {
+		e := heap.Pop(&s.events).(event)
+		e.do(e.at)
+	}
+	return s.result
+}
+
+func (s *simulation) after(at time.Duration, do func(now time.Duration)) {
+	s.ticks++
+	heap.Push(&s.events, event{at, do, s.ticks})
+}
+
+// serve begins with the next call in discovery's queue, if it is idle.
+func (s *simulation) serve(now time.Duration) {
+	if !s.busy && len(s.queue) > 0 {
+		next := s.queue[0]
+		s.queue = s.queue[1:]
+		next(now)
+	}
+}
+
+// answer ends the call that discovery serves.
+func (s *simulation) answer(now time.Duration) {
+	s.busy = false
+	if s.answered++; s.answered == (s.schedulers+1)/2 {
+		s.result.half = now
+	}
+	s.result.all = now
+	s.serve(now)
+}
+
+func (p *simulatedPoller) poll(now time.Duration) {
+	s := p.simulation
+	s.result.calls++
+	s.perSec[now/time.Second]++
+	s.result.maxRate = max(s.result.maxRate, s.perSec[now/time.Second])
+	if now < s.down {
+		p.failed(now, 0, Unreachable)
+		return
+	}
+	waits := true
+	s.queue = append(s.queue, func(now time.Duration) {
+		if !waits {
+			s.serve(now)
+			return
 		}
-		ask = func(began time.Duration) {
-			r.calls++
-			seconds[began/time.Second]++
-			r.maxRate = max(r.maxRate, seconds[began/time.Second])
-			if began < f.down {
-				failed(began, 0, Unreachable)
-				return
-			}
-			waits := true
-			queue = append(queue, func(now time.Duration) {
-				if !waits {
-					serve(now)
-					return
-				}
-				waits, busy = false, true
-				after(now+f.cost, func(now time.Duration) {
-					busy = false
-					if answered++; answered == (f.n+1)/2 {
-						r.half = now
-					}
-					r.all = now
-					serve(now)
-				})
-			})
-			after(began+f.patience, func(now time.Duration) {
-				if waits {
-					waits = false
-					failed(now, f.patience, Overloaded)
-				}
-			})
-			serve(began)
+		waits, s.busy = false, true
+		s.after(now+s.cost, s.answer)
+	})
+	s.after(now+s.patience, func(now time.Duration) {
+		if waits {
+			waits = false
+			p.failed(now, s.patience, Overloaded)
 		}
-		after(a.InitialDelay(), ask)
-	}
-	for len(f.events) > 0 {
-		e := heap.Pop(&f.events).(event)
-		e.do(e.at)
+	})
+	s.serve(now)
+}
+
+func (p *simulatedPoller) failed(now, elapsed time.Duration, outcome Outcome) {
+	s := p.simulation
+	s.result.rejected++
+	delay := p.pacer.NextDelay(outcome, elapsed)
+	if s.naive {
+		p.backoff = min(2*p.backoff, 5*time.Second)
+		delay = p.backoff/2 + time.Duration(s.rng.Int64N(int64(p.backoff/2)))
 	}
-	return r
+	s.after(now+delay, p.poll)
 }
 
 // One second's calls of all schedulers stay under a figure that does not grow with them, and
@@ -125,13 +156,14 @@
 			t.Run(fmt.Sprintf("%d, down %v", n, down), func(t *testing.T) {
 				var worst, before result
 				for seed := range uint64(10) {
-					play := func(naive bool, r *result) {
-						f := pollers{n: n, cost: 22 * time.Millisecond, patience: 2 * time.Second, down: down, naive: naive}
-						s := f.play(seed)
-						*r = result{max(r.half, s.half), max(r.all, s.all), max(r.calls, s.calls), max(r.rejected, s.rejected), max(r.maxRate, s.maxRate)}
+					run := func(naive bool) result {
+						s := simulation{
+							schedulers: n, cost: 22 * time.Millisecond, patience: 2 * time.Second, down: down, naive: naive,
+						}
+						return s.run(seed)
 					}
-					play(false, &worst)
-					play(true, &before)
+					worst = worst.worst(run(false))
+					before = before.worst(run(true))
 				}
 				t.Logf("half %.2f s, all %.2f s, calls %d, refused %d, in a second %d; before: %.2f s, %.2f s, %d, %d, %d",
 					worst.half.Seconds(), worst.all.Seconds(), worst.calls, worst.rejected, worst.maxRate,
@@ -143,20 +175,21 @@
 				if worst.maxRate > 500 {
 					t.Errorf("%d calls in a second", worst.maxRate)
 				}
-				// What is spared are calls, unless the list's clock (TestPropagationDelay) asks for more: a
+				// Fewer calls are made than by the naive fleet, unless MaxPropagationDelay asks for more: a
 				// refused call costs discovery no work, and all have their lists sooner for it.
 				if n == 300 && down == 0 && 10*worst.calls > 9*before.calls {
 					t.Errorf("%d calls, %d before", worst.calls, before.calls)
 				}
 				if n >= 300 && (worst.all > before.all || down == 0 && 10*worst.calls > 11*before.calls) {
-					t.Errorf("all after %v and %d calls, %v and %d before", worst.all, worst.calls, before.all, before.calls)
+					t.Errorf("all after %v and %d calls, %v and %d before",
+						worst.all, worst.calls, before.all, before.calls)
 				}
 			})
 		}
 	}
 }
 
-// Who was turned away more often comes back sooner, on average.
+// A scheduler that was rejected more often calls again sooner, on average.
 func TestRejectedCallsRetrySooner(t *testing.T) {
 	mean := func(times int) (sum time.Duration) {
 		rng := rand.New(rand.NewPCG(1, 2))
@@ -174,52 +207,62 @@
 	}
 }
 
-func TestPauses(t *testing.T) {
+// Delays are within their bounds and use nearly the whole range.
+func TestDelays(t *testing.T) {
+	const ms = time.Millisecond
 	for _, c := range []struct {
 		name        string
 		n           int
 		before      []Outcome
-		moved       bool
-		o           Outcome
-		took        time.Duration
-		least, most time.Duration
+		newEndpoint bool
+		outcome     Outcome
+		elapsed     time.Duration
+		low, high   time.Duration
 	}{
 		{"answered", 300, []Outcome{Overloaded, Overloaded}, false, Answered, time.Second, 0, 0},
-		{"a few, down", 3, nil, false, Unreachable, 0, 50 * time.Millisecond, 100 * time.Millisecond},
-		{"a few, down for long", 3, slices.Repeat([]Outcome{Unreachable}, 20), false, Unreachable, 0, 50 * time.Millisecond, time.Second},
-		{"many, down", 300, nil, false, Unreachable, 0, 50 * time.Millisecond, 3 * time.Second},
-		{"many, turned away", 300, nil, false, Overloaded, 2 * time.Second, 50 * time.Millisecond, 2450 * time.Millisecond},
-		{"many, after a long wait", 300, nil, false, Overloaded, 3 * time.Second, 50 * time.Millisecond, 1450 * time.Millisecond},
-		{"many, refused at once", 1000, nil, false, Overloaded, 0, 50 * time.Millisecond, 4450 * time.Millisecond},
-		{"some, refused at once", 60, nil, false, Overloaded, 20 * time.Millisecond, 50 * time.Millisecond, 1200 * time.Millisecond},
-		{"many, after a silence", 300, []Outcome{Overloaded, Overloaded}, false, TimedOut, 4 * time.Second, 50 * time.Millisecond, 250 * time.Millisecond},
-		{"a fleet without end", 1 << 40, nil, false, Unreachable, 0, 1725 * time.Millisecond, 3450 * time.Millisecond},
-		{"a few, moved", 3, nil, true, Unreachable, 0, 50 * time.Millisecond, 50 * time.Millisecond},
-		{"many, moved", 300, nil, true, Unreachable, 0, 50 * time.Millisecond, 500 * time.Millisecond},
-		{"faulty", 300, nil, false, Invalid, 0, 50 * time.Millisecond, 3 * time.Second},
+		{"a few, down", 3, nil, false, Unreachable, 0, 50 * ms, 100 * ms},
+		{
+			"a few, down for long", 3, slices.Repeat([]Outcome{Unreachable}, 20), false,
+			Unreachable, 0, 50 * ms, time.Second,
+		},
+		{"many, down", 300, nil, false, Unreachable, 0, 50 * ms, 3 * time.Second},
+		{"many, rejected", 300, nil, false, Overloaded, 2 * time.Second, 50 * ms, 2450 * ms},
+		{"many, after a long wait", 300, nil, false, Overloaded, 3 * time.Second, 50 * ms, 1450 * ms},
+		{"many, refused at once", 1000, nil, false, Overloaded, 0, 50 * ms, 4450 * ms},
+		{"some, refused at once", 60, nil, false, Overloaded, 20 * ms, 50 * ms, 1200 * ms},
+		{
+			"many, after no answer", 300,
+			[]Outcome{Overloaded, Overloaded},
+			false,
+			Unanswered, 4 * time.Second, 50 * ms, 250 * ms,
+		},
+		{"a fleet without end", 1 << 40, nil, false, Unreachable, 0, 1725 * ms, 3450 * ms},
+		{"a few, new endpoint", 3, nil, true, Unreachable, 0, 50 * ms, 50 * ms},
+		{"many, new endpoint", 300, nil, true, Unreachable, 0, 50 * ms, 500 * ms},
+		{"invalid", 300, nil, false, Invalid, 0, 50 * ms, 3 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var low, high time.Duration = time.Hour, 0
 			for seed := range uint64(500) {
-				a := NewPacer(c.n, 20*time.Second, rand.New(rand.NewPCG(seed, 1)))
-				for _, o := range c.before {
-					a.NextDelay(o, time.Second)
+				pacer := NewPacer(c.n, 20*time.Second, rand.New(rand.NewPCG(seed, 1)))
+				for _, outcome := range c.before {
+					pacer.NextDelay(outcome, time.Second)
 				}
-				if c.moved {
-					a.EndpointChanged()
+				if c.newEndpoint {
+					pacer.EndpointChanged()
 				}
-				pause := a.NextDelay(c.o, c.took)
-				low, high = min(low, pause), max(high, pause)
+				delay := pacer.NextDelay(c.outcome, c.elapsed)
+				low, high = min(low, delay), max(high, delay)
 			}
-			if low < c.least || high > c.most || high < c.most*4/5 {
-				t.Errorf("pauses from %v to %v, want %v to %v", low, high, c.least, c.most)
+			if low < c.low || high > c.high || high < c.high*4/5 {
+				t.Errorf("delays from %v to %v, want %v to %v", low, high, c.low, c.high)
 			}
 		})
 	}
 }
 
-// After a move that is never answered the fleet's bound holds again.
-func TestNewEndpointBoundEnds(t *testing.T) {
+// After another discovery was named and never answered, the fleet's bound holds again.
+func TestNewEndpointBoundExpires(t *testing.T) {
 	a := NewPacer(300, 0, rand.New(rand.NewPCG(1, 1)))
 	a.EndpointChanged()
 	for range newEndpointAttempts {
@@ -234,66 +277,73 @@
 	}
 }
 
-// From any moment at which discovery has a change and can be reached, a scheduler has it within
-// MaxPropagationDelay: over every sequence of outcomes of up to six calls, on virtual time, with each call
-// as long as it can be, each pause the longest of many draws, and the change made at the worst
-// moment of the last call that failed.
+// Once discovery has a change and can be reached, a scheduler has it within MaxPropagationDelay: over
+// every sequence of outcomes of up to six calls, on virtual time, with each call as long as it can be,
+// each delay the longest of many draws, and the change made at the worst moment of the last call that
+// failed.
 func TestPropagationDelay(t *testing.T) {
-	kinds := []struct {
-		o         Outcome
-		took      time.Duration // 0 for Silent: the longest
+	calls := []struct {
+		outcome   Outcome
+		elapsed   time.Duration // 0 for Unanswered: the longest
 		reachable bool          // from its beginning; else it proves that discovery was not
 	}{
-		{TimedOut, 0, true}, {TimedOut, DialTimeout, true}, {Unreachable, 0, false}, {Unreachable, DialTimeout, true},
-		{Overloaded, 0, true}, {Overloaded, time.Second, true}, {Overloaded, 3 * time.Second, true}, {Invalid, 0, true},
+		{Unanswered, 0, true},
+		{Unanswered, DialTimeout, true},
+		{Unreachable, 0, false},
+		{Unreachable, DialTimeout, true},
+		{Overloaded, 0, true},
+		{Overloaded, time.Second, true},
+		{Overloaded, 3 * time.Second, true},
+		{Invalid, 0, true},
 	}
 	for _, n := range []int{1, 2, 5, 20, 80, 300, 1000} {
-		var play func(a *Pacer, depth int)
-		play = func(a *Pacer, depth int) {
-			for _, k := range kinds {
-				took, pause := k.took, time.Duration(0)
-				if k.o == TimedOut && took == 0 {
-					took = a.Timeout(maxWatchHold) // it was broken as it began, and the change is as old
+		var try func(pacer *Pacer, depth int)
+		try = func(pacer *Pacer, depth int) {
+			for _, k := range calls {
+				elapsed, delay := k.elapsed, time.Duration(0)
+				if k.outcome == Unanswered && elapsed == 0 {
+					elapsed = pacer.Timeout(maxWatchHold) // it was broken as it began, and the change is as old
 				}
-				next := *a
+				next := *pacer
 				for range 12 {
-					next = *a
-					pause = max(pause, next.NextDelay(k.o, took))
+					next = *pacer
+					delay = max(delay, next.NextDelay(k.outcome, elapsed))
 				}
-				told := pause + answerDelay + schedulingDelay
+				known := delay + answerDelay + schedulingDelay
 				if k.reachable {
-					told += took
+					known += elapsed
 				}
-				if told > MaxPropagationDelay {
-					t.Fatalf("%d schedulers: after call %d (%+v) a change is known after %v", n, depth, k, told)
+				if known > MaxPropagationDelay {
+					t.Fatalf("%d schedulers: after call %d (%+v) a change is known after %v", n, depth, k, known)
 				}
 				if depth < 6 {
-					play(&next, depth+1)
+					try(&next, depth+1)
 				}
 			}
 		}
-		play(NewPacer(n, 0, rand.New(rand.NewPCG(uint64(n), 1))), 1)
+		try(NewPacer(n, 0, rand.New(rand.NewPCG(uint64(n), 1))), 1)
 	}
 }
 
-// An agent serves one scheduler: what it has at the end of an outage is had well within the least
-// grace for drains, however many schedulers there are and however often it failed.
-func TestAgentIsPolledAgainAtOnce(t *testing.T) {
+// An agent serves one scheduler: what it has at the end of an outage is known well within the
+// shortest drain grace, however many schedulers there are and however often it failed.
+func TestAgentIsPolledAtShortIntervals(t *testing.T) {
 	a := NewAgentPacer(rand.New(rand.NewPCG(1, 1)))
 	for range 200 {
-		for _, o := range []Outcome{Unreachable, TimedOut, Overloaded, Invalid} {
+		for _, o := range []Outcome{Unreachable, Unanswered, Overloaded, Invalid} {
 			if pause := a.NextDelay(o, time.Second); pause > 100*time.Millisecond {
 				t.Errorf("%d: asked again after %v", o, pause)
 			}
 		}
-		if limit := a.WatchHold() + a.Timeout(0); limit > 2500*time.Millisecond || a.InitialDelay() > 0 || a.DialTimeout() > 500*time.Millisecond {
-			t.Errorf("a silent watch is broken after %v", limit)
+		limit := a.WatchHold() + a.Timeout(0)
+		if limit > 2500*time.Millisecond || a.InitialDelay() > 0 || a.DialTimeout() > 500*time.Millisecond {
+			t.Errorf("a watch without an answer is broken off after %v", limit)
 		}
 	}
 }
 
-// A list over the bound is asked for again and again at ever longer times, by an agent's scheduler
-// too; the first two times within the list's clock, and after an answer as if there had been none.
+// An oversized list is polled after ever longer delays, by an agent's scheduler too; the first two
+// times within MaxPropagationDelay, and after an answer as if there had been none.
 func TestOversizedPausesGrow(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for _, n := range []int{1, 300, 1000} {
