--- a/internal/checkpoint/checkpoint_test.go
+++ b/internal/checkpoint/checkpoint_test.go
@@ -16,10 +16,11 @@
 
 const (
 	discovery = "10.0.0.1:8500"
-	endpoints = `{"seq":7,"whole":true,"hosts":[{"host":"a","dial":"10.0.0.2:80","site":"z","class":"k","block":1,"health":"active","born_ms":5}]}`
+	endpoints = `{"seq":7,"whole":true,"hosts":[{"host":"a","dial":"10.0.0.2:80","site":"z","class":"k",` +
+		`"block":1,"health":"active","born_ms":5}]}`
 )
 
-// source is a list of some version.
+// A source is an endpoint list with a version.
 type source struct {
 	version  int64
 	notified bool
@@ -30,19 +31,22 @@
 func (s *source) EndpointsVersion() (int64, bool) { return s.version, s.notified }
 
 func (s *source) SnapshotEndpoints() (*platform.EndpointSnapshot, bool) {
-	return &platform.EndpointSnapshot{TakenAt: s.at, Discovery: discovery, Version: s.version, Endpoints: json.RawMessage(s.text)}, s.notified
+	snapshot := &platform.EndpointSnapshot{
+		TakenAt: s.at, Discovery: discovery, Version: s.version, Endpoints: json.RawMessage(s.text),
+	}
+	return snapshot, s.notified
 }
 
-// What is kept serves the next start with the same discovery while it is young, and no other.
+// A checkpoint is used by the next start with the same discovery service until it is too old.
 func TestLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list")
 	now := time.Now()
 	set := &counters.Set{}
-	k := New(path, set)
-	if _, err := k.Load(discovery, now); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("nothing kept: %v", err)
+	writer := New(path, set)
+	if _, err := writer.Load(discovery, now); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("no checkpoint: %v", err)
 	}
-	if err := k.WriteIfDue(&source{version: 7, notified: true, at: now, text: endpoints}, now); err != nil {
+	if err := writer.WriteIfDue(&source{version: 7, notified: true, at: now, text: endpoints}, now); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
@@ -63,30 +67,34 @@
 			t.Errorf("%v later, of %s: %v, want %v", c.after, c.discovery, err, c.want)
 		}
 		if err == nil && string(text) != endpoints {
-			t.Errorf("kept %s", text)
+			t.Errorf("loaded %s", text)
 		}
 	}
-	if err := k.Flush(&source{version: 8, notified: true, at: now, text: `{"seq":8,"hosts":[{"host":""}]}`}, now); err != nil {
+	invalid := &source{version: 8, notified: true, at: now, text: `{"seq":8,"hosts":[{"host":""}]}`}
+	if err := writer.Flush(invalid, now); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := k.Load(discovery, now); !errors.Is(err, statefile.ErrUnreadable) {
-		t.Errorf("a list that is none: %v", err)
+	if _, err := writer.Load(discovery, now); !errors.Is(err, statefile.ErrUnreadable) {
+		t.Errorf("an invalid list: %v", err)
 	}
 }
 
-// A list is written when it has changed and the last one is a while ago, or when what is kept gets old;
-// and never before discovery has told one since the start: that would make an old list look new.
+// A list is written when it has changed and the last write was some time ago, or when the checkpoint gets
+// old; and never before discovery has confirmed one since the start: an old list would look like a new one.
 func TestWriteIfDue(t *testing.T) {
 	set := &counters.Set{}
 	path := filepath.Join(t.TempDir(), "list")
-	k := New(path, set)
+	writer := New(path, set)
 	s := &source{version: 0, text: endpoints}
-	began := time.Now()
+	startedAt := time.Now()
+	if err := writer.Flush(s, startedAt); err != nil || set.Get("checkpoint.written") != 0 {
+		t.Errorf("flushed before discovery has confirmed a list: %v", err)
+	}
 	for i, c := range []struct {
-		version int64
-		told    bool
-		after   time.Duration
-		written int64
+		version  int64
+		notified bool
+		after    time.Duration
+		written  int64
 	}{
 		{7, false, 0, 0},
 		{0, true, 0, 1},
@@ -97,28 +105,28 @@
 		{8, true, RefreshInterval, 3},
 		{8, true, 2*WriteInterval + RefreshInterval, 4},
 	} {
-		s.version, s.notified, s.at = c.version, c.told, began.Add(c.after)
-		if err := k.WriteIfDue(s, s.at); err != nil {
+		s.version, s.notified, s.at = c.version, c.notified, startedAt.Add(c.after)
+		if err := writer.WriteIfDue(s, s.at); err != nil {
 			t.Fatal(err)
 		}
 		if got := set.Get("checkpoint.written"); got != c.written {
 			t.Errorf("step %d: written %d times, want %d", i, got, c.written)
 		}
 	}
-	// At the end the list is written if it has changed, however little ago the last was.
+	// At the shutdown the list is written if it has changed, however short ago the last write was.
 	for _, version := range []int64{9, 9} {
 		s.version = version
-		if err := k.Flush(s, s.at); err != nil {
+		if err := writer.Flush(s, s.at); err != nil {
 			t.Fatal(err)
 		}
 		if got := set.Get("checkpoint.written"); got != 5 {
-			t.Errorf("at the end: written %d times, want 5", got)
+			t.Errorf("at the shutdown: written %d times, want 5", got)
 		}
 	}
 }
 
-// A version that goes back takes the list that is kept away at once, also one of an earlier process, and
-// also where no other can be written: the versions that follow may be other changes.
+// A version that goes back removes the checkpoint at once, also that of an earlier process, and also where
+// no other can be written: the versions that follow may be other changes.
 func TestVersionRegression(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list")
 	set := &counters.Set{}
@@ -126,15 +134,16 @@
 	if err := New(path, set).WriteIfDue(&source{version: 7, notified: true, at: now, text: endpoints}, now); err != nil {
 		t.Fatal(err)
 	}
-	k := New(path, set)
-	if _, err := k.Load(discovery, now); err != nil {
+	writer := New(path, set)
+	if _, err := writer.Load(discovery, now); err != nil {
 		t.Fatal(err)
 	}
-	if err := k.WriteIfDue(&source{version: 10, notified: true, at: now, text: endpoints}, now); err != nil { // not due
+	notDue := &source{version: 10, notified: true, at: now, text: endpoints}
+	if err := writer.WriteIfDue(notDue, now); err != nil {
 		t.Fatal(err)
 	}
-	k.file.MaxSize = 0 // nothing can be written
-	if err := k.WriteIfDue(&source{version: 9, notified: true, at: now, text: endpoints}, now); err == nil {
+	writer.file.MaxSize = 0 // nothing can be written
+	if err := writer.WriteIfDue(&source{version: 9, notified: true, at: now, text: endpoints}, now); err == nil {
 		t.Error("a list over the bound is written")
 	}
 	if _, err := New(path, set).Load(discovery, now); !errors.Is(err, os.ErrNotExist) {
@@ -142,14 +151,16 @@
 	}
 }
 
-// A disk that takes nothing is counted, and tried again.
+// A failed write is counted, and tried again by the next call.
 func TestFailedWriteIsRetried(t *testing.T) {
-	dir := filepath.Join(t.TempDir(), "folder")
+	dir := filepath.Join(t.TempDir(), "directory")
 	set := &counters.Set{}
-	k, s, now := New(filepath.Join(dir, "list"), set), &source{version: 7, notified: true, text: endpoints}, time.Now()
+	now := time.Now()
+	writer := New(filepath.Join(dir, "list"), set)
+	s := &source{version: 7, notified: true, text: endpoints}
 	for range 2 {
-		if err := k.WriteIfDue(s, now); err == nil {
-			t.Error("kept in a folder that is not there")
+		if err := writer.WriteIfDue(s, now); err == nil {
+			t.Error("written to a directory that does not exist")
 		}
 	}
 	if got := set.Get("checkpoint.failed"); got != 2 {
@@ -158,12 +169,12 @@
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	if err := k.WriteIfDue(s, now); err != nil {
+	if err := writer.WriteIfDue(s, now); err != nil {
 		t.Error(err)
 	}
 }
 
-// The bound on a list's age follows from the list's clock with the figures of the design.
+// The bound on a checkpoint's age follows from the list's lease with the figures of the design.
 func TestMaxAge(t *testing.T) {
 	const (
 		changes, entry, traffic = 0.116, 141.0, 24 << 10 // a second, bytes, bytes a second
--- a/internal/checkpoint/golden_test.go
+++ b/internal/checkpoint/golden_test.go
@@ -10,13 +10,13 @@
 	"github.com/vatu-meals/foxlift/internal/golden"
 )
 
-// TestListFile pins the bytes of the file in which a list is kept, and reads them as another version
-// has written them.
-func TestListFile(t *testing.T) {
+// TestCheckpointFile pins the bytes of a checkpoint file, and reads them as another version has written
+// them.
+func TestCheckpointFile(t *testing.T) {
 	at := time.Date(2026, time.March, 4, 5, 6, 7, 8000, time.UTC)
 	path := filepath.Join(t.TempDir(), "list")
-	k := New(path, &counters.Set{})
-	if err := k.WriteIfDue(&source{version: 7, notified: true, at: at, text: endpoints}, at); err != nil {
+	writer := New(path, &counters.Set{})
+	if err := writer.WriteIfDue(&source{version: 7, notified: true, at: at, text: endpoints}, at); err != nil {
 		t.Fatal(err)
 	}
 	written, err := os.ReadFile(path)
--- a/internal/statefile/statefile.go
+++ b/internal/statefile/statefile.go
@@ -1,5 +1,8 @@
-// Package statefile keeps one value in a file that a reader sees whole or not at all: a mark with the
-// form's version, the length of what follows, JSON, and its CRC-32C. It is written aside and renamed.
+// Package statefile stores one value in a file that a reader sees complete or not at all.
+//
+// A file holds a magic string with the version of its form, the length of the payload as a big-endian
+// uint32, the payload as JSON, and the payload's CRC-32C. It is written to a temporary file in the same
+// directory and renamed. The package has no state of its own.
 package statefile
 
 import (
@@ -12,45 +15,45 @@
 )
 
 const (
-	lengthSize   = 4
-	checksumSize = 4
+	lengthSize   = 4 // bytes of the payload's length
+	checksumSize = 4 // bytes of the payload's CRC-32C
+
+	ownerOnly = 0o600 // permissions of a new file
 )
 
-// ErrUnreadable means that a file is torn, of another form or of another program's version.
+// ErrUnreadable means that a file is torn, of another form, or written by another version of the program.
 var ErrUnreadable = errors.New("the file cannot be read")
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// A File is where a value is kept.
+// A File describes where a value is stored. Its methods may be called by several processes at once.
 type File struct {
 	Path    string
-	Magic   string // of the form and its version; a file with another one is not read
-	MaxSize int    // bytes that the file may have
-	Sync    bool   // a written value is to outlast the machine's crash
+	Magic   string // names the form and its version; a file that begins otherwise is not read
+	MaxSize int    // bytes of the complete file
+	Sync    bool   // whether a written value must survive a crash of the machine
 }
 
-// Write writes a value as JSON. It replaces the one before, or with an error leaves that.
+// Write replaces the stored value by another one, as JSON. With an error the stored value is unchanged.
 func (f File) Write(value any) error {
-	text, err := json.Marshal(value)
+	payload, err := json.Marshal(value)
 	if err != nil {
 		return err
 	}
-	if len(text) > f.MaxSize-len(f.Magic)-lengthSize-checksumSize {
-		return fmt.Errorf("a value of %d bytes is over %d", len(text), f.MaxSize)
+	if len(payload) > f.MaxSize-len(f.Magic)-lengthSize-checksumSize {
+		return fmt.Errorf("a value of %d bytes is over %d", len(payload), f.MaxSize)
 	}
-	data := append([]byte(f.Magic), binary.BigEndian.AppendUint32(nil, uint32(len(text)))...)
-	data = append(data, text...)
-	data = binary.BigEndian.AppendUint32(data, crc32.Checksum(text, castagnoli))
-	aside := fmt.Sprintf("%s.%d.new", f.Path, os.Getpid()) // two processes may write at once
-	if err := f.writeTemporary(aside, data); err != nil {
-		os.Remove(aside)
+	// The process id keeps apart the temporary files of two processes that write at once.
+	temporary := fmt.Sprintf("%s.%d.new", f.Path, os.Getpid())
+	if err := f.writeTemporary(temporary, f.encode(payload)); err != nil {
+		os.Remove(temporary)
 		return err
 	}
-	return os.Rename(aside, f.Path)
+	return os.Rename(temporary, f.Path)
 }
 
 func (f File) writeTemporary(path string, data []byte) (err error) {
-	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
+	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, ownerOnly)
 	if err != nil {
 		return err
 	}
@@ -64,8 +67,8 @@
 	return nil
 }
 
-// Read reads the value that was written last. The error is os.ErrNotExist where there is none, and
-// ErrUnreadable where it cannot be used.
+// Read reads the stored value. The error is os.ErrNotExist if there is none, and ErrUnreadable if the
+// file cannot be used.
 func (f File) Read(value any) error {
 	if info, err := os.Stat(f.Path); err == nil && info.Size() > int64(f.MaxSize) {
 		return fmt.Errorf("%w: too long", ErrUnreadable)
@@ -74,32 +77,41 @@
 	if err != nil {
 		return err
 	}
-	text, err := f.decode(data)
+	payload, err := f.decode(data)
 	if err != nil {
 		return err
 	}
-	if err := json.Unmarshal(text, value); err != nil {
+	if err := json.Unmarshal(payload, value); err != nil {
 		return fmt.Errorf("%w: %w", ErrUnreadable, err)
 	}
 	return nil
 }
 
-// unwrap returns the JSON of a file's bytes.
+// encode returns the bytes of the file that stores a payload.
+func (f File) encode(payload []byte) []byte {
+	data := []byte(f.Magic)
+	data = binary.BigEndian.AppendUint32(data, uint32(len(payload)))
+	data = append(data, payload...)
+	return binary.BigEndian.AppendUint32(data, crc32.Checksum(payload, castagnoli))
+}
+
+// decode returns the payload in a file's bytes.
 func (f File) decode(data []byte) ([]byte, error) {
-	head := len(f.Magic) + lengthSize
-	if len(data) < head+checksumSize || string(data[:len(f.Magic)]) != f.Magic {
+	headerSize := len(f.Magic) + lengthSize
+	if len(data) < headerSize+checksumSize || string(data[:len(f.Magic)]) != f.Magic {
 		return nil, fmt.Errorf("%w: not of this form", ErrUnreadable)
 	}
 	length := int(binary.BigEndian.Uint32(data[len(f.Magic):]))
-	if len(data) != head+length+checksumSize {
+	if len(data) != headerSize+length+checksumSize {
 		return nil, fmt.Errorf("%w: torn", ErrUnreadable)
 	}
-	text, sum := data[head:head+length], binary.BigEndian.Uint32(data[head+length:])
-	if crc32.Checksum(text, castagnoli) != sum {
+	payload := data[headerSize : headerSize+length]
+	checksum := binary.BigEndian.Uint32(data[headerSize+length:])
+	if crc32.Checksum(payload, castagnoli) != checksum {
 		return nil, fmt.Errorf("%w: its checksum differs", ErrUnreadable)
 	}
-	return text, nil
+	return payload, nil
 }
 
-// Remove removes the value, so that no later process takes it for new.
+// Remove removes the stored value, if there is one.
 func (f File) Remove() { os.Remove(f.Path) }
--- a/internal/statefile/statefile_test.go
+++ b/internal/statefile/statefile_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Whatever byte of a file is cut off, flipped or added, the file is refused.
+// A file from which any byte is cut off, or in which one is flipped or added, is unreadable.
 func TestCorruptFilesAreUnreadable(t *testing.T) {
 	f := File{Path: filepath.Join(t.TempDir(), "value"), Magic: "test 1\n", MaxSize: 1 << 10}
 	var got []string
@@ -20,11 +20,11 @@
 	if err := f.Read(&got); err != nil || len(got) != 2 {
 		t.Fatalf("%v, %v", got, err)
 	}
-	whole, err := os.ReadFile(f.Path)
+	intact, err := os.ReadFile(f.Path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	refused := func(what string, at int, data []byte) {
+	expectUnreadable := func(what string, at int, data []byte) {
 		t.Helper()
 		if err := os.WriteFile(f.Path, data, 0o600); err != nil {
 			t.Fatal(err)
@@ -33,19 +33,19 @@
 			t.Errorf("%s at %d: %v", what, at, err)
 		}
 	}
-	for at := range whole {
-		refused("torn", at, whole[:at])
+	for at := range intact {
+		expectUnreadable("torn", at, intact[:at])
 		for bit := range 8 {
-			data := append([]byte(nil), whole...)
+			data := append([]byte(nil), intact...)
 			data[at] ^= 1 << bit
-			refused("flipped", at, data)
+			expectUnreadable("flipped", at, data)
 		}
 	}
-	refused("longer", len(whole), append(append([]byte(nil), whole...), 0))
-	refused("too long", f.MaxSize, make([]byte, f.MaxSize+1))
+	expectUnreadable("longer", len(intact), append(append([]byte(nil), intact...), 0))
+	expectUnreadable("too long", f.MaxSize, make([]byte, f.MaxSize+1))
 }
 
-// A value that cannot be written leaves the one before, and nothing beside it.
+// A failed write leaves the stored value as it was, and no temporary file.
 func TestFailedWritePreservesOldValue(t *testing.T) {
 	dir := t.TempDir()
 	f := File{Path: filepath.Join(dir, "value"), Magic: "test 1\n", MaxSize: 64, Sync: true}
@@ -56,7 +56,7 @@
 		t.Error("a value over the bound is written")
 	}
 	if err := f.Write(func() {}); err == nil {
-		t.Error("a value that has no form is written")
+		t.Error("a value that JSON cannot encode is written")
 	}
 	if err := (File{Path: filepath.Join(dir, "no", "folder"), MaxSize: 64}).Write("new"); err == nil {
 		t.Error("written into a folder that is not there")
@@ -66,7 +66,7 @@
 		t.Errorf("%q, %v", got, err)
 	}
 	f.Remove()
-	if left, err := os.ReadDir(dir); err != nil || len(left) != 0 {
-		t.Errorf("left: %v, %v", left, err)
+	if remaining, err := os.ReadDir(dir); err != nil || len(remaining) != 0 {
+		t.Errorf("remaining files: %v, %v", remaining, err)
 	}
 }
