--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -18,7 +18,7 @@
 	}
 	defer r.Close()
 	fmt.Fprintf(w, "%d schedulers, %d execute nodes, %d tenants in 4 cells; %.0f jobs a second is all that the nodes can do.\n",
-		len(r.Schedulers), len(r.Nodes), len(r.Tenants), r.Capacity())
+		len(r.Schedulers), len(r.Workers), len(r.Tenants), r.Capacity())
 	fmt.Fprintf(w, "Every tenant asks %.0f %% of its share. After 6 s %s asks %d times its share, for 8 s;\nthen it is moved to another cell, live.\n\n", 100*normalLoad, flooder, floodFactor)
 	l := r.StartLoad(normalLoad, seed)
 	fmt.Fprint(w, "  time")
--- a/internal/lab/rig.go
+++ b/internal/lab/rig.go
@@ -1,5 +1,8 @@
-// Package lab measures schedulers on loopback: real ones, with their configuration
-// read from files as in service, among stand-ins for all that they meet.
+// Package lab measures and demonstrates schedulers on loopback. A Rig runs real schedulers,
+// which read their configuration from files as in service, among stand-ins for discovery, the
+// workers and the clients; it owns their processes' state in a folder of its own and removes
+// it when it is closed. The package also holds the long runner of the fuzz targets and the
+// mutants that prove them.
 package lab
 
 import (
@@ -17,21 +20,24 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// A Rig is a running world.
+// readyPollInterval is how often a scheduler that starts is asked whether it is ready.
+const readyPollInterval = time.Millisecond
+
+// A Rig is a running deployment.
 type Rig struct {
 	Topology
-	Nodes      []*standin.Node
+	Workers    []*standin.Node
 	Discovery  *standin.Discovery
 	Schedulers []*daemon.Daemon
 	Clients    []controlpb.ControlClient // one for each scheduler, where there is a control socket
 
-	dir     string
-	closers []func()
+	dir     string // configuration files and control sockets
+	closers []func() error
 }
 
-// Start starts a world. Close ends it.
-func Start(w Topology) (r *Rig, err error) {
-	r = &Rig{Topology: w}
+// Start starts a deployment. Close ends it.
+func Start(topology Topology) (r *Rig, err error) {
+	r = &Rig{Topology: topology}
 	defer func() {
 		if err != nil {
 			r.Close()
@@ -40,25 +46,17 @@
 	if r.dir, err = os.MkdirTemp("", "foxlift-lab-"); err != nil {
 		return nil, err
 	}
-	work := map[string]time.Duration{}
-	for _, c := range w.Classes {
-		work[c.Name] = c.ServiceTime
-	}
-	for _, k := range w.Kinds {
-		for i := range k.Count {
-			speed := k.Speed
-			n, err := standin.StartNode(fmt.Sprintf("%s-%d", k.Name, i), w.Zones[len(r.Nodes)%len(w.Zones)], k.Name, k.Slots, 2*k.Slots,
-				func(class string) time.Duration { return time.Duration(float64(work[class]) / speed) })
-			if err != nil {
+	for _, kind := range topology.Kinds {
+		for i := range kind.Count {
+			if err := r.startWorker(kind, i); err != nil {
 				return nil, err
 			}
-			r.Nodes = append(r.Nodes, n)
 		}
 	}
-	if r.Discovery, err = standin.StartDiscovery(r.Nodes...); err != nil {
+	if r.Discovery, err = standin.StartDiscovery(r.Workers...); err != nil {
 		return nil, err
 	}
-	for i := range w.Schedulers {
+	for i := range topology.Schedulers {
 		if err := r.startScheduler(i); err != nil {
 			return nil, err
 		}
@@ -66,63 +64,88 @@
 	return r, nil
 }
 
-// Config writes the platform's configuration of a scheduler and returns its path.
-func (r *Rig) Config(i int) (string, error) {
+// startWorker starts worker i of a kind, in the next zone. Its queue is twice as long as it has slots.
+func (r *Rig) startWorker(kind WorkerKind, i int) error {
+	serviceTimes := map[string]time.Duration{}
+	for _, class := range r.Classes {
+		serviceTimes[class.Name] = time.Duration(float64(class.ServiceTime) / kind.Speed)
+	}
+	name := fmt.Sprintf("%s-%d", kind.Name, i)
+	zone := r.Zones[len(r.Workers)%len(r.Zones)]
+	serviceTime := func(class string) time.Duration { return serviceTimes[class] }
+	worker, err := standin.StartNode(name, zone, kind.Name, kind.Slots, 2*kind.Slots, serviceTime)
+	if err != nil {
+		return err
+	}
+	r.Workers = append(r.Workers, worker)
+	return nil
+}
+
+// Config writes the configuration file of a scheduler and returns its path.
+func (r *Rig) Config(scheduler int) (string, error) {
 	text, err := json.MarshalIndent(map[string]any{
-		"name": fmt.Sprint("n", i), "listen": "127.0.0.1:0", "discovery": r.Discovery.Addr().String(),
-		"seed": fmt.Sprintf("%x", 1000+i), "limits": map[string]any{"memory_mb": 192, "sockets": r.Sockets},
-		"known": json.RawMessage(r.Discovery.Known()), "settings": r.Topology.Settings(i),
+		"name":      fmt.Sprint("n", scheduler),
+		"listen":    "127.0.0.1:0",
+		"discovery": r.Discovery.Addr().String(),
+		"seed":      fmt.Sprintf("%x", 1000+scheduler),
+		"limits":    map[string]any{"memory_mb": 192, "sockets": r.Sockets},
+		"known":     json.RawMessage(r.Discovery.Known()),
+		"settings":  r.Settings(scheduler),
 	}, "", " ")
 	if err != nil {
 		return "", err
 	}
-	path := filepath.Join(r.dir, fmt.Sprintf("config-%d.json", i))
+	path := filepath.Join(r.dir, fmt.Sprintf("config-%d.json", scheduler))
 	return path, os.WriteFile(path, text, 0o600)
 }
 
-func (r *Rig) startScheduler(i int) error {
-	path, err := r.Config(i)
+// startScheduler starts a scheduler and waits until it is ready.
+func (r *Rig) startScheduler(scheduler int) error {
+	config, err := r.Config(scheduler)
 	if err != nil {
 		return err
 	}
-	operator, socket := "", filepath.Join(r.dir, fmt.Sprintf("control-%d.sock", i))
+	socket := filepath.Join(r.dir, fmt.Sprintf("control-%d.sock", scheduler))
+	operator := ""
 	if r.Operator != "" {
-		operator = filepath.Join(r.dir, fmt.Sprintf("operator-%d.sexp", i))
-		if err := os.WriteFile(operator, []byte(fmt.Sprintf(r.Operator, socket)), 0o600); err != nil {
+		operator = filepath.Join(r.dir, fmt.Sprintf("operator-%d.sexp", scheduler))
+		if err := os.WriteFile(operator, fmt.Appendf(nil, r.Operator, socket), 0o600); err != nil {
 			return err
 		}
 	}
 	d, err := daemon.Start(daemon.Options{
 		Getenv: func(name string) string {
 			if name == "LB_CONFIG" {
-				return path
+				return config
 			}
 			return ""
 		},
-		Operator: operator, Log: zap.NewNop(), Version: "lab",
+		Operator: operator,
+		Log:      zap.NewNop(),
+		Version:  "lab",
 	})
 	if err != nil {
 		return err
 	}
 	r.Schedulers = append(r.Schedulers, d)
 	if operator != "" {
-		client, end, err := control.Dial(socket)
+		client, hangUp, err := control.Dial(socket)
 		if err != nil {
 			return err
 		}
 		r.Clients = append(r.Clients, client)
-		r.closers = append(r.closers, func() { end() })
+		r.closers = append(r.closers, hangUp)
 	}
 	for !d.Core.Ready() {
-		<-time.After(time.Millisecond)
+		<-time.After(readyPollInterval)
 	}
 	return nil
 }
 
-// Close ends everything.
+// Close ends everything that Start has started, as a crash would, and removes its files.
 func (r *Rig) Close() {
-	for _, end := range r.closers {
-		end()
+	for _, hangUp := range r.closers {
+		_ = hangUp() // the schedulers are killed next
 	}
 	for _, d := range r.Schedulers {
 		d.Kill()
@@ -131,20 +154,20 @@
 		r.Discovery.Close()
 		r.Discovery.Reset()
 	}
-	for _, n := range r.Nodes {
-		n.Crash()
+	for _, worker := range r.Workers {
+		worker.Crash()
 	}
 	if r.dir != "" {
 		os.RemoveAll(r.dir)
 	}
 }
 
-// Runs returns how often each job was begun on any node.
+// Runs returns how often each job was begun, over all workers.
 func (r *Rig) Runs() map[string]int {
 	runs := map[string]int{}
-	for _, n := range r.Nodes {
-		for id, k := range n.Runs() {
-			runs[id] += k
+	for _, worker := range r.Workers {
+		for id, count := range worker.Runs() {
+			runs[id] += count
 		}
 	}
 	return runs
--- a/internal/lab/speed.go
+++ b/internal/lab/speed.go
@@ -27,7 +27,7 @@
 		return err
 	}
 	defer r.Close()
-	for _, n := range r.Nodes {
+	for _, n := range r.Workers {
 		n.Work = func(string) time.Duration { return 0 }
 	}
 	config, err := r.Config(0)
--- a/internal/lab/topology.go
+++ b/internal/lab/topology.go
@@ -6,108 +6,164 @@
 	"time"
 )
 
-// A Kind is a kind of execute node.
+// The effects of a class, as the settings name them.
+const (
+	effectIdempotent   = "idempotent"
+	effectDeduplicated = "deduplicated"
+	effectAtMostOnce   = "at_most_once"
+)
+
+// A WorkerKind is a kind of worker, and how many of it a fleet has.
 type WorkerKind struct {
 	Name  string
 	Count int
 	Slots int
-	Speed float64 // of a slot, against 1
+	Speed float64 // of a slot; a job's service time is divided by it
 }
 
-// A Tenant is a tenant with its share of what the fleet can do.
+// A Tenant is a tenant with a quota.
 type Tenant struct {
 	Name          string
-	QuotaFraction float64
+	QuotaFraction float64 // of what the fleet can do
+}
+
+// A Class is a class of jobs.
+type Class struct {
+	Name             string
+	Effect           string        // as the settings name it
+	ServiceTime      time.Duration // on a slot of speed 1
+	JobFraction      float64       // of all jobs
+	LatencyObjective time.Duration
+	Deadline         time.Duration // from the request on, after which its client gives up
 }
 
-// A World is what a rig is made of.
+// A Topology describes a deployment: its schedulers, workers, tenants and classes of jobs.
 type Topology struct {
 	Schedulers  int
 	Kinds       []WorkerKind
-	Zones       []string
+	Zones       []string // workers and schedulers are dealt out to them in turn
 	Tenants     []Tenant
 	Classes     []Class
-	Sockets     int           // descriptors of a scheduler
-	Groups      int           // that the nodes are dealt out to; 0: they know no repeats
-	DedupWindow time.Duration // in which a pod drops repeats of jobs whose class has the effect "deduplicated"
-	LoadReports bool          // nodes report their load
+	Sockets     int           // descriptors that a scheduler may use
+	Groups      int           // that the workers are dealt out to; 0: no worker drops repeats
+	DedupWindow time.Duration // for which a group drops repeats of a key, where the class is deduplicated
+	LoadReports bool          // workers send load reports
 	Gossip      bool          // schedulers may send each other messages
 	Operator    string        // text of the operator's file, with %s for the control socket's path; "": none
 }
 
-// A Class is a class of jobs.
-type Class struct {
-	Name             string
-	Effect           string
-	ServiceTime      time.Duration // on a slot of speed 1
-	JobFraction      float64       // of the jobs
-	LatencyObjective time.Duration
-	Deadline         time.Duration // that its submitters have
-}
-
-// mean is the mean work of a job.
-func (w *Topology) meanServiceTime() float64 {
+// meanServiceTime is the mean service time of a job in seconds, on a slot of speed 1.
+func (t *Topology) meanServiceTime() float64 {
 	sum := 0.0
-	for _, c := range w.Classes {
-		sum += c.JobFraction * c.ServiceTime.Seconds()
+	for _, class := range t.Classes {
+		sum += class.JobFraction * class.ServiceTime.Seconds()
 	}
 	return sum
 }
 
-// Capacity is how many jobs a second the fleet can run.
-func (w *Topology) Capacity() float64 {
+// Capacity returns how many jobs a second the fleet can run.
+func (t *Topology) Capacity() float64 {
 	slots := 0.0
-	for _, k := range w.Kinds {
-		slots += float64(k.Count*k.Slots) * k.Speed
+	for _, kind := range t.Kinds {
+		slots += float64(kind.Count*kind.Slots) * kind.Speed
 	}
-	return slots / w.meanServiceTime()
+	return slots / t.meanServiceTime()
 }
 
-// Settings returns the settings of scheduler i, as the platform's configuration has them.
-func (w Topology) Settings(i int) map[string]any {
-	ns := func(d time.Duration) int64 { return int64(d) }
-	var classes, tenants []map[string]any
-	var kinds []string
-	var stretch []float64
-	for _, c := range w.Classes {
-		classes = append(classes, map[string]any{
-			"name": c.Name, "aim": ns(c.LatencyObjective), "deadline": ns(c.Deadline), "effect": c.Effect, "gain": 1,
-			"dedupScope": "cell", "keyTtl": ns(w.DedupWindow),
-		})
-		stretch = append(stretch, 2)
-	}
-	for _, t := range w.Tenants {
-		tenants = append(tenants, map[string]any{"name": t.Name, "quotaRps": math.Round(t.QuotaFraction*0.85*w.Capacity()*10) / 10})
+// AtMostOnce reports whether a job's id says that it must not run twice. That holds for
+// deduplicated jobs as well: a repeat that a worker drops is not a run.
+func (t Topology) AtMostOnce(id string) bool {
+	for _, class := range t.Classes {
+		if class.Effect != effectIdempotent && strings.Contains(id, "/"+class.Name+"/") {
+			return true
+		}
 	}
-	for _, k := range w.Kinds {
-		kinds = append(kinds, k.Name)
+	return false
+}
+
+const (
+	quotaHeadroom    = 0.85 // of the fleet's capacity is given out as quotas
+	objectiveStretch = 2    // service times by which the latency objective grows
+)
+
+// Settings returns the settings of a scheduler, as they stand in its configuration file.
+func (t Topology) Settings(scheduler int) map[string]any {
+	var kinds []string
+	for _, kind := range t.Kinds {
+		kinds = append(kinds, kind.Name)
 	}
-	report := map[string]any{"how": "none", "names": []string{}}
-	if w.LoadReports {
-		report = map[string]any{"how": "answers", "names": []string{"backlog", "outstanding", "x0"}}
+	var stretches []float64
+	for range t.Classes {
+		stretches = append(stretches, objectiveStretch)
 	}
 	return map[string]any{
-		"report": report, "balancers": w.Schedulers, "slotNo": i, "discovery": "subscribe", "dcs": w.Zones, "zone": w.Zones[i%len(w.Zones)], "flavors": kinds,
-		"grades": classes, "projects": tenants, "familyInfo": map[string]any{"classStretch": stretch, "tellsStart": true, "reportX0": "free slots"},
+		"report":    t.reportSettings(),
+		"balancers": t.Schedulers,
+		"slotNo":    scheduler,
+		"discovery": "subscribe",
+		"dcs":       t.Zones,
+		"zone":      t.Zones[scheduler%len(t.Zones)],
+		"flavors":   kinds,
+		"grades":    t.classSettings(),
+		"projects":  t.tenantSettings(),
+		"familyInfo": map[string]any{
+			"classStretch": stretches,
+			"tellsStart":   true,
+			"reportX0":     "free slots",
+		},
 		"bounds": map[string]any{
-			"cancel": true, "peerMessages": w.Gossip, "secondCopies": true, "retryAfter": true, "maxRetryAfter": ns(2 * time.Second),
-			"maxAttempts": 3, "connIdle": ns(30 * time.Second), "connectTimeout": ns(time.Second), "streamsPerConn": 1,
+			"cancel":         true,
+			"peerMessages":   t.Gossip,
+			"secondCopies":   true,
+			"retryAfter":     true,
+			"maxRetryAfter":  2 * time.Second,
+			"maxAttempts":    3,
+			"connIdle":       30 * time.Second,
+			"connectTimeout": time.Second,
+			"streamsPerConn": 1,
 		},
 		"obligations": map[string]any{
-			"drainGrace": ns(750 * time.Millisecond), "graceToAnswer": ns(8 * time.Millisecond), "mustAskIn": ns(10 * time.Second),
-			"startCapacity": 0.14, "warmAfter": ns(24 * time.Second), "fallMultiple": 3, "fall": ns(time.Second),
+			"drainGrace":    750 * time.Millisecond,
+			"graceToAnswer": 8 * time.Millisecond,
+			"mustAskIn":     10 * time.Second,
+			"startCapacity": 0.14,
+			"warmAfter":     24 * time.Second,
+			"fallMultiple":  3,
+			"fall":          time.Second,
 		},
 		"prices": map[string]any{"crossZone": 0.01, "handshake": 0.02},
 	}
 }
 
-// AtMostOnce reports whether a job's id says that it must not run twice: also not where its
-// nodes drop repeats, which are no runs.
-func (w Topology) AtMostOnce(id string) bool {
-	for _, c := range w.Classes {
-		if c.Effect != "idempotent" && strings.Contains(id, "/"+c.Name+"/") {
-			return true
-		}
+// reportSettings says how workers report their load.
+func (t *Topology) reportSettings() map[string]any {
+	if t.LoadReports {
+		return map[string]any{"how": "answers", "names": []string{"backlog", "outstanding", "x0"}}
 	}
-	return false
+	return map[string]any{"how": "none", "names": []string{}}
+}
+
+// classSettings lists the classes; times are in nanoseconds.
+func (t *Topology) classSettings() (classes []map[string]any) {
+	for _, class := range t.Classes {
+		classes = append(classes, map[string]any{
+			"name":       class.Name,
+			"aim":        class.LatencyObjective,
+			"deadline":   class.Deadline,
+			"effect":     class.Effect,
+			"gain":       1,
+			"dedupScope": "cell",
+			"keyTtl":     t.DedupWindow,
+		})
+	}
+	return classes
+}
+
+// tenantSettings lists the tenants with their quotas, rounded to a tenth of a job a second.
+func (t *Topology) tenantSettings() (tenants []map[string]any) {
+	for _, tenant := range t.Tenants {
+		quota := math.Round(tenant.QuotaFraction*quotaHeadroom*t.Capacity()*10) / 10
+		tenants = append(tenants, map[string]any{"name": tenant.Name, "quotaRps": quota})
+	}
+	return tenants
 }
