--- a/admission.go
+++ b/admission.go
@@ -11,7 +11,7 @@
 	if j.req.Slots <= 0 {
 		j.req.Slots = 1
 	}
-	size := c.median
+	size := c.runtimes.Median()
 	if r.Size > 0 {
 		size = r.Size
 	}
@@ -23,9 +23,8 @@
 	j.firstAttemptAt = r.Deadline - c.patience
 	d.jobs[r.ID] = j
 	d.recentKeys.add(r.Key)
-	d.arrivals++
-	j.tenant.arrivals++
-	j.tenant.flows[r.Class].arrivals++
+	d.rate.RecordArrival()
+	j.tenant.quota.RecordArrival(r.Class)
 	age := d.now - j.firstAttemptAt
 	late := age >= max(d.maxQueueTime(j), 2*d.tickInterval) && d.occupiedSlots() >= d.startWindow/2
 	if late || r.Deadline-d.now <= 2*d.tickInterval {
@@ -71,16 +70,16 @@
 	if d.lacksPeerUsage() {
 		part, runs = excessQueuePart, remainingRuns
 	}
-	if j.tenant.exceedsQuota() {
+	if j.tenant.quota.ExceedsQuota() {
 		return max(1, j.class.LatencyObjective/part)
 	}
-	return max(1, d.timelyLimit(j)-runs*j.class.median-int64(d.startDelay.avg+2*d.startDelay.dev))
+	return max(1, d.timelyLimit(j)-runs*j.class.runtimes.Median()-int64(d.startDelay.avg+2*d.startDelay.dev))
 }
 
 // newestFirst says that of a tenant's queue the newest job goes first, which has its whole time
 // before it: most must be refused, or more wait than can all be in time.
 func (d *Dispatcher) newestFirst(t *tenant, q []*job) bool {
-	return t.exceedsQuota() || d.lacksPeerUsage() && len(q) >= newestFirstLength
+	return t.quota.ExceedsQuota() || d.lacksPeerUsage() && len(q) >= newestFirstLength
 }
 
 // timely is the time in which a job without a hint is surely in time. The median that
@@ -90,7 +89,7 @@
 	if !d.largeFleet() || j.req.Size > 0 {
 		return j.objective
 	}
-	return j.class.LatencyObjective + int64(j.class.ObjectiveStretch*float64(j.class.lowerQuartile))
+	return j.class.LatencyObjective + int64(j.class.ObjectiveStretch*float64(j.class.runtimes.LowerQuartile()))
 }
 
 // retryAfter is when a client should try again that was refused for want of room.
@@ -103,8 +102,9 @@
 	for i := range d.tenants {
 		t := &d.tenants[i]
 		for k := range t.queues {
-			for n := 0; n < len(t.queues[k]); {
-				j := t.queues[k][n]
+			q := &t.queues[k]
+			for n := 0; n < len(q.jobs); {
+				j := q.jobs[n]
 				if d.now-j.firstAttemptAt < d.maxQueueTime(j) && d.now+2*d.tickInterval < j.req.Deadline {
 					n++
 					continue
--- a/affinity_test.go
+++ b/affinity_test.go
@@ -173,7 +173,7 @@
 		h.now += 60 * second
 		h.step()
 		c := &h.d.classes[1]
-		c.median = median * h.d.classes[0].median
+		c.setRuntimes(median*h.d.classes[0].runtimes.Median(), c.runtimes.LowerQuartile())
 		homes, _ := h.d.rankAffinity(&job{class: c, req: Request{Key: 7}})
 		met := h.d.workerOrder[slices.IndexFunc(h.d.workerOrder, func(w *worker) bool { return !slices.Contains(homes, w) })]
 		met.promptStartAt = h.now - 3*second
--- a/api.go
+++ b/api.go
@@ -21,6 +21,8 @@
 	"errors"
 	"fmt"
 	"math"
+
+	"github.com/vatu-meals/foxlift/internal/decision/admission"
 )
 
 // An Effect says what happens if a request runs more than once.
@@ -64,10 +66,7 @@
 
 // A Band is a slice of the fleet's throughput with the ratios by which tenants
 // share it, as in Table 1 of the Triage paper.
-type Band struct {
-	Width float64   // requests a second in this band, over all dispatchers
-	Ratio []float64 // one for each tenant; need not sum to 1
-}
+type Band = admission.Band
 
 // A Gauge is one value of a worker's load report.
 type Gauge uint8
@@ -134,15 +133,6 @@
 	Prices            Prices
 }
 
-// quotaBand is the band made of the tenants' quotas.
-func quotaBand(quotas []float64) []Band {
-	b := Band{Ratio: quotas}
-	for _, q := range quotas {
-		b.Width += q
-	}
-	return []Band{b}
-}
-
 // quotas returns the tenants' quotas, in order.
 func (c *Config) quotas() []float64 {
 	q := make([]float64, len(c.Tenants))
--- a/attempts.go
+++ b/attempts.go
@@ -169,10 +169,10 @@
 		j, age := a.job, d.now-a.sentAt
 		if !a.late && age > 2*j.objective {
 			a.late = true
-			j.class.sample(lateRatio)
+			j.class.loop.SampleLate()
 		}
 		if d.largeFleet() && a.startedAt == 0 && !j.ended && j.class.Effect == Idempotent &&
-			d.now-j.firstAttemptAt >= d.timelyLimit(j)-j.class.median {
+			d.now-j.firstAttemptAt >= d.timelyLimit(j)-j.class.runtimes.Median() {
 			// It can no more be in time: started late, it would make the next ones late.
 			d.abandon(j, d.retryAfter())
 			continue
--- a/dispatch_order.go
+++ b/dispatch_order.go
@@ -8,18 +8,23 @@
 // then tenants within their bands, then the rest evenly.
 func (d *Dispatcher) dispatch() {
 	d.dispatchRound++
-	d.refillTokens()
+	d.quotas.Refill(d.now, max(1, d.rate.OfferedRate()/4))
 	d.sendRetries()
 	if !d.EndpointsUsable() {
 		return
 	}
 	for d.sendNext(true) {
 	}
-	for (d.unthrottled || d.burstTokens >= 1) && d.occupiedSlots() < d.startWindow && d.sendNext(false) {
-		d.burstTokens = max(0, d.burstTokens-1)
+	for d.mayBurst() && d.sendNext(false) {
+		d.quotas.TakeBurstToken()
 	}
 }
 
+// mayBurst reports whether a job may be sent past its tenant's bands.
+func (d *Dispatcher) mayBurst() bool {
+	return (d.rate.Unthrottled() || d.quotas.HasBurstToken()) && d.occupiedSlots() < d.startWindow
+}
+
 // maxUnstarted is how many of our jobs that cannot be moved may wait at the workers, so
 // that all dispatchers together keep the queues there short: about one at each.
 func (d *Dispatcher) maxUnstarted() int { return max(2, len(d.liveWorkers)/d.cfg.Dispatchers) }
@@ -55,11 +60,11 @@
 		most := math.Inf(-1)
 		for i := range d.tenants {
 			t := &d.tenants[i]
-			rank := -t.excessSends
+			rank := -t.quota.ExcessSends()
 			if within {
-				rank = t.tokens / t.burst()
+				rank = t.quota.FillLevel()
 			}
-			if t.blockedRound != d.dispatchRound && !(within && t.tokens < 1) && rank > most && t.hasQueued() {
+			if t.blockedRound != d.dispatchRound && (!within || t.quota.HasToken()) && rank > most && t.hasQueued() {
 				best, most = t, rank
 			}
 		}
@@ -68,9 +73,9 @@
 		}
 		if d.sendFrom(best) {
 			if within {
-				best.tokens--
+				best.quota.TakeToken()
 			} else {
-				best.excessSends++
+				best.quota.RecordExcessSend()
 			}
 			return true
 		}
@@ -82,9 +87,8 @@
 // spent, over the share of its class lately sent. A tenant's share is a share of
 // each class: one class must not eat it because its jobs may wait longest.
 func (t *tenant) urgency(d *Dispatcher, j *job) float64 {
-	c := &t.flows[j.req.Class]
-	got := (c.sends + 1) / (c.arrivals + 1)
-	if t.exceedsQuota() {
+	got := t.quota.SentFraction(j.req.Class)
+	if t.quota.ExceedsQuota() {
 		return 1 / got
 	}
 	return float64(d.now-j.firstAttemptAt+1) / float64(d.maxQueueTime(j)) / (got * got)
@@ -97,11 +101,12 @@
 	for {
 		var best *job
 		most := -1.0
-		for k, q := range t.queues {
-			if len(q) == 0 || t.flows[k].blockedRound == d.dispatchRound {
+		for k := range t.queues {
+			q := &t.queues[k]
+			if len(q.jobs) == 0 || q.blockedRound == d.dispatchRound {
 				continue
 			}
-			j := nextInQueue(q, d.newestFirst(t, q), d.dispatchRound)
+			j := nextInQueue(q.jobs, d.newestFirst(t, q.jobs), d.dispatchRound)
 			if j == nil {
 				continue
 			}
@@ -112,15 +117,14 @@
 		if best == nil {
 			return false
 		}
-		c := &t.flows[best.req.Class]
 		if w := d.pickWorker(best); w != nil {
 			t.dequeue(best)
-			c.sends++
+			t.quota.RecordSend(best.req.Class)
 			d.send(best, w)
 			return true
 		}
 		if best.blockedRound = d.dispatchRound; best.req.AllowedWorkers == nil {
-			c.blockedRound = d.dispatchRound
+			t.queues[best.req.Class].blockedRound = d.dispatchRound
 		} // others of its class may go to other workers
 	}
 }
--- a/dispatcher.go
+++ b/dispatcher.go
@@ -37,7 +37,8 @@
 }
 
 func (d *Dispatcher) start() {
-	d.startedAt, d.refilledAt, d.nextControlAt = d.now, d.now, d.now+second
+	d.startedAt, d.nextControlAt = d.now, d.now+second
+	d.quotas.Start(d.now)
 	d.lease.Start(d.now)
 	d.poll.Start(d.now, d.rng)
 }
--- a/health.go
+++ b/health.go
@@ -78,11 +78,11 @@
 		if a.startedAt != 0 {
 			run = max(1, d.now-a.startedAt)
 		}
-		j.class.recordRuntime(run)
+		j.class.runtimes.Record(run)
 		if !a.late {
-			j.class.sample(float64(d.now-j.arrivedAt) / float64(j.objective))
+			j.class.loop.Sample(float64(d.now-j.arrivedAt) / float64(j.objective))
 		}
-		w.latencyRatio += (min(float64(run)/float64(max(1, j.class.median)), 4) - w.latencyRatio) / 16
+		w.latencyRatio += (min(float64(run)/float64(max(1, j.class.runtimes.Median())), 4) - w.latencyRatio) / 16
 		w.failureRate *= 0.8
 		if !d.inSlowStart(w) {
 			// Not what was sent: refused jobs are no measure of capacity.
@@ -111,7 +111,7 @@
 			d.eject(w)
 		}
 		if w.failureRate < maxFailureRate && !a.late {
-			j.class.sample(lateRatio)
+			j.class.loop.SampleLate()
 		}
 	case DeadlineExceeded, Cancelled:
 		if a.startedAt == 0 && d.largeFleet() && w.consecutiveRejections < 2 && d.now-a.sentAt < j.objective/4 {
@@ -127,7 +127,7 @@
 // would draw the next one.
 func (d *Dispatcher) backoffWorker(w *worker, j *job) {
 	w.consecutiveRejections = min(w.consecutiveRejections+1, 3)
-	pause := j.class.median / 8 << w.consecutiveRejections
+	pause := j.class.runtimes.Median() / 8 << w.consecutiveRejections
 	w.lastFaultAt = d.now
 	w.ejectedUntil = d.now + pause/2 + d.rng.Int64N(pause/2+1)
 }
@@ -187,9 +187,9 @@
 
 // lightest is the median running time of the class that has the least.
 func (d *Dispatcher) minMedianRuntime() int64 {
-	run := d.classes[0].median
+	run := d.classes[0].runtimes.Median()
 	for i := range d.classes {
-		run = min(run, d.classes[i].median)
+		run = min(run, d.classes[i].runtimes.Median())
 	}
 	return run
 }
--- /dev/null
+++ b/internal/decision/admission/runtimes.go
@@ -0,0 +1,50 @@
+package admission
+
+import "slices"
+
+const maxRuntimes = 64 // running times that the quantiles are taken of
+
+// Runtimes are the recent running times of a class's jobs, with their quantiles as of the last Update.
+type Runtimes struct {
+	recent                []int64 // the oldest first
+	median, lowerQuartile int64
+}
+
+// NewRuntimes returns the running times of a class of which nothing is known but what to expect.
+func NewRuntimes(expected int64) Runtimes { return Runtimes{median: expected, lowerQuartile: expected} }
+
+// Median returns the median of the recent running times.
+func (r *Runtimes) Median() int64 { return r.median }
+
+// LowerQuartile returns the lower quartile of the recent running times.
+func (r *Runtimes) LowerQuartile() int64 { return r.lowerQuartile }
+
+// Recent returns the recent running times, the oldest first. They are valid until the next Record.
+func (r *Runtimes) Recent() []int64 { return r.recent }
+
+// Record notes a job's running time.
+func (r *Runtimes) Record(took int64) {
+	if len(r.recent) < maxRuntimes {
+		r.recent = append(r.recent, took)
+		return
+	}
+	copy(r.recent, r.recent[1:])
+	r.recent[maxRuntimes-1] = took
+}
+
+// Update takes the quantiles anew, if there are enough running times to tell.
+func (r *Runtimes) Update() {
+	if len(r.recent) < minJobs {
+		return
+	}
+	var buffer [maxRuntimes]int64
+	sorted := buffer[:copy(buffer[:], r.recent)]
+	slices.Sort(sorted)
+	r.median = sorted[int(0.5*float64(len(sorted)))]
+	r.lowerQuartile = sorted[int(0.25*float64(len(sorted)))]
+}
+
+// Restore takes over another's running times and quantiles.
+func (r *Runtimes) Restore(median, lowerQuartile int64, recent []int64) {
+	r.median, r.lowerQuartile, r.recent = max(median, 1), max(lowerQuartile, 1), recent
+}
--- a/migration_test.go
+++ b/migration_test.go
@@ -136,11 +136,11 @@
 func TestQuotasChange(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(2)...)
 	h.step(Event{Kind: EventQuotas, Quotas: []float64{30, 0}})
-	if a, b := h.d.tenants[0].rate, h.d.tenants[1].rate; a != 30 || b != 0 {
+	if a, b := tenantRate(h.d, 0), tenantRate(h.d, 1); a != 30 || b != 0 {
 		t.Errorf("rates %v and %v", a, b)
 	}
 	h.step(Event{Kind: EventQuotas, Quotas: []float64{1}})
-	if a := h.d.tenants[0].rate; a != 30 {
+	if a := tenantRate(h.d, 0); a != 30 {
 		t.Errorf("rate %v", a)
 	}
 }
--- a/peers.go
+++ b/peers.go
@@ -66,7 +66,7 @@
 	d.gossipSequence++
 	data := binary.LittleEndian.AppendUint16([]byte{kind, d.incarnation}, d.gossipSequence)
 	if kind == usageComplete {
-		data = binary.LittleEndian.AppendUint64(data, math.Float64bits(d.admissionRate))
+		data = binary.LittleEndian.AppendUint64(data, math.Float64bits(d.rate.AdmissionRate()))
 	}
 	for _, w := range workers {
 		if n := len(data); w.inFlightJobs == 0 && !withNone || n > headerSize+8+countSize*maxCounts {
@@ -170,7 +170,7 @@
 // meanAdmissionRate is the mean of u here and at the peers that were lately heard of. One that fell
 // silent holds nothing any more.
 func (d *Dispatcher) meanAdmissionRate() float64 {
-	sum, n := d.admissionRate, 1.0
+	sum, n := d.rate.AdmissionRate(), 1.0
 	for i := range d.peers {
 		p := &d.peers[i]
 		if p.updatedAt != 0 && d.now-p.updatedAt < peerTimeout {
--- a/peers_test.go
+++ b/peers_test.go
@@ -4,6 +4,8 @@
 	"math"
 	"slices"
 	"testing"
+
+	"github.com/vatu-meals/foxlift/internal/decision/admission"
 )
 
 // newPeers are dispatchers that may send each other messages, with workers of two slots and
@@ -37,19 +39,19 @@
 func TestPeersAdoptTheMeanAdmissionRate(t *testing.T) {
 	harnesses := newPeers(t, 2, 1)
 	a, b := harnesses[0], harnesses[1]
-	a.d.admissionRate = 7
+	setRate(a.d, func(s *admission.RateState) { s.AdmissionRate = 7 })
 	a.d.gossipAll()
 	msg := a.d.actions[len(a.d.actions)-1]
 	b.advance(ms, Event{Kind: EventMessage, From: 0, Data: msg.Data})
-	b.d.admissionRate = 31
-	if b.d.exchangeAdmissionRate(); b.d.admissionRate != 19 {
-		t.Errorf("u %v, want the mean 19", b.d.admissionRate)
+	setRate(b.d, func(s *admission.RateState) { s.AdmissionRate = 31 })
+	if b.d.exchangeAdmissionRate(); b.d.rate.AdmissionRate() != 19 {
+		t.Errorf("u %v, want the mean 19", b.d.rate.AdmissionRate())
 	}
 	b.now += 10 * second
 	b.step()
-	b.d.admissionRate = 31
-	if b.d.exchangeAdmissionRate(); b.d.admissionRate != 31 {
-		t.Errorf("u %v from a peer that fell silent", b.d.admissionRate)
+	setRate(b.d, func(s *admission.RateState) { s.AdmissionRate = 31 })
+	if b.d.exchangeAdmissionRate(); b.d.rate.AdmissionRate() != 31 {
+		t.Errorf("u %v from a peer that fell silent", b.d.rate.AdmissionRate())
 	}
 }
 
--- a/placement.go
+++ b/placement.go
@@ -75,7 +75,7 @@
 	if !d.largeFleet() {
 		return fetchJobs
 	}
-	return fetchJobs * min(1, 2*float64(d.minMedianRuntime())/float64(max(1, j.class.median)))
+	return fetchJobs * min(1, 2*float64(d.minMedianRuntime())/float64(max(1, j.class.runtimes.Median())))
 }
 
 const (
@@ -149,7 +149,8 @@
 	c += (w.latencyRatio - 1) / 3
 	switch {
 	case !d.largeFleet():
-	case d.inSlowStart(w) && d.slowStartWeight(w) < heavyJobWeight && j.class.median > d.minMedianRuntime():
+	case d.inSlowStart(w) && d.slowStartWeight(w) < heavyJobWeight &&
+		j.class.runtimes.Median() > d.minMedianRuntime():
 		c += crossZoneJobs
 	case j.class.Effect == AtMostOnce || d.remainingAttempts(j) == 1:
 		c += d.failureLikelihood(w) // it stays where it is sent: best where one of ours has just started
--- a/queue.go
+++ b/queue.go
@@ -15,14 +15,15 @@
 // hold puts a job into its tenant's queue.
 func (d *Dispatcher) enqueue(j *job) {
 	j.queued = true
-	j.tenant.queues[j.req.Class] = append(j.tenant.queues[j.req.Class], j)
+	q := &j.tenant.queues[j.req.Class]
+	q.jobs = append(q.jobs, j)
 }
 
 // drop takes a job out of its tenant's queue.
 func (t *tenant) dequeue(j *job) {
-	k := j.req.Class
-	if i := slices.Index(t.queues[k], j); i >= 0 {
-		t.queues[k] = slices.Delete(t.queues[k], i, i+1)
+	q := &t.queues[j.req.Class]
+	if i := slices.Index(q.jobs, j); i >= 0 {
+		q.jobs = slices.Delete(q.jobs, i, i+1)
 	}
 	j.queued = false
 }
@@ -44,7 +45,7 @@
 
 // waiting reports whether the tenant has jobs held.
 func (t *tenant) hasQueued() bool {
-	return slices.ContainsFunc(t.queues, func(q []*job) bool { return len(q) > 0 })
+	return slices.ContainsFunc(t.queues, func(q classQueue) bool { return len(q.jobs) > 0 })
 }
 
 // finishHealthChecks holds the jobs whose scouting is done.
--- a/queue_test.go
+++ b/queue_test.go
@@ -1,6 +1,10 @@
 package foxlift
 
-import "testing"
+import (
+	"testing"
+
+	"github.com/vatu-meals/foxlift/internal/decision/admission"
+)
 
 func TestTimeoutAtDeadlineIsAnswered(t *testing.T) {
 	for class := range 3 {
@@ -54,7 +58,7 @@
 	tenant := h.d.tenantOf(0)
 	j := h.d.jobs[1]
 	long := h.d.maxQueueTime(j)
-	tenant.offeredRate, tenant.rate = 50, 5
+	setTenant(h.d, 0, func(s *admission.TenantState) { s.OfferedRate, s.Rate = 50, 5 })
 	if short := h.d.maxQueueTime(j); short >= long || short != 50*ms {
 		t.Errorf("held for %d when over the share, %d when not", short, long)
 	}
@@ -106,19 +110,20 @@
 		cfg := testConfig()
 		cfg.Dispatchers = c.dispatchers
 		h := newHarness(t, cfg)
-		h.d.classes[0].ObjectiveStretch, h.d.classes[0].median, h.d.classes[0].lowerQuartile = 3, 80*ms, 80*ms
+		h.d.classes[0].ObjectiveStretch = 3
+		h.d.classes[0].setRuntimes(80*ms, 80*ms)
 		h.step(h.request(1, 0), h.request(2, 0), h.request(3, 0))
 		tenant := h.d.tenantOf(0)
 		if got, want := h.d.maxQueueTime(h.d.jobs[1]), 100*ms+(3-c.runs)*80*ms; got != want {
 			t.Errorf("%d dispatchers: held for %d, want %d", c.dispatchers, got, want)
 		}
-		if j := nextInQueue(tenant.queues[0], h.d.newestFirst(tenant, tenant.queues[0]), h.d.dispatchRound+1); j.id != c.first {
+		if j := nextInQueue(tenant.queues[0].jobs, h.d.newestFirst(tenant, tenant.queues[0].jobs), h.d.dispatchRound+1); j.id != c.first {
 			t.Errorf("%d dispatchers: job %d goes first, want %d", c.dispatchers, j.id, c.first)
 		}
-		if j := nextInQueue(tenant.queues[0][:2], h.d.newestFirst(tenant, tenant.queues[0][:2]), h.d.dispatchRound+1); j.id != 1 {
+		if j := nextInQueue(tenant.queues[0].jobs[:2], h.d.newestFirst(tenant, tenant.queues[0].jobs[:2]), h.d.dispatchRound+1); j.id != 1 {
 			t.Errorf("%d dispatchers: of two held job %d goes first", c.dispatchers, j.id)
 		}
-		tenant.offeredRate, tenant.rate = 500, 5
+		setTenant(h.d, 0, func(s *admission.TenantState) { s.OfferedRate, s.Rate = 500, 5 })
 		if got := h.d.maxQueueTime(h.d.jobs[1]); got != c.over {
 			t.Errorf("%d dispatchers: held for %d when over the share, want %d", c.dispatchers, got, c.over)
 		}
@@ -135,8 +140,8 @@
 		h.step(h.request(1, class))
 		h.wantActions(ActionSend, 1)
 		j := h.d.jobs[1]
-		for h.now < j.firstAttemptAt+j.objective-j.class.median {
-			if h.advance(ms); h.now < j.firstAttemptAt+j.objective-j.class.median {
+		for h.now < j.firstAttemptAt+j.objective-j.class.runtimes.Median() {
+			if h.advance(ms); h.now < j.firstAttemptAt+j.objective-j.class.runtimes.Median() {
 				h.wantActions(ActionShed, 0)
 			}
 		}
@@ -154,7 +159,7 @@
 		cfg.Dispatchers = dispatchers
 		h := newHarness(t, cfg, testWorkers(2)...)
 		for run := range int64(40) {
-			h.d.classes[0].recordRuntime((run/10*30 + 20) * ms) // 20, 50, 80 and 110 ms
+			h.d.classes[0].runtimes.Record((run/10*30 + 20) * ms) // 20, 50, 80 and 110 ms
 		}
 		h.advance(2 * second)
 		h.step(h.request(1, 0))
--- a/quotas_test.go
+++ b/quotas_test.go
@@ -3,21 +3,9 @@
 import (
 	"math"
 	"testing"
-)
 
-// The figures are those of Table 1 of the Triage paper.
-func TestSplitMatchesTriageTable1(t *testing.T) {
-	bands := []Band{{100, []float64{50, 50}}, {300, []float64{100, 0}}, {500, []float64{0, 100}}}
-	for _, c := range []struct{ u, w1, w2, past float64 }{
-		{60, 30, 30, 0}, {100, 50, 50, 0}, {250, 200, 50, 0}, {400, 350, 50, 0},
-		{500, 350, 150, 0}, {900, 350, 550, 0}, {1000, 350, 550, 100},
-	} {
-		got, past := split(c.u, bands, 2)
-		if math.Abs(got[0]-c.w1)+math.Abs(got[1]-c.w2)+math.Abs(past-c.past) > 1e-9 {
-			t.Errorf("u %v: %v and %v past the bands, want %v %v and %v", c.u, got, past, c.w1, c.w2, c.past)
-		}
-	}
-}
+	"github.com/vatu-meals/foxlift/internal/decision/admission"
+)
 
 func TestTenantPastItsQuotaIsShedFirst(t *testing.T) {
 	cfg := testConfig()
@@ -63,30 +51,6 @@
 	}
 }
 
-func TestTrafficFractionFollowsTheTraffic(t *testing.T) {
-	cfg := testConfig()
-	cfg.Dispatchers = 10
-	cfg.Tenants = []Tenant{{"big", 300}, {"a", 100}, {"b", 100}, {"c", 100}, {"d", 100}}
-	h := newHarness(t, cfg)
-	set := func(offered ...float64) {
-		for i, o := range offered {
-			h.d.tenants[i].offeredRate = o
-		}
-	}
-	set(20, 5, 5, 5, 5)
-	if p := h.d.measuredFraction(); p != 0.1 {
-		t.Errorf("part %v of a quiet dispatcher, want an even 0.1", p)
-	}
-	set(180, 20, 20, 20, 20) // twice an even part of the traffic; big sends three times its share
-	if p := h.d.measuredFraction(); p != 0.2 {
-		t.Errorf("part %v of a busy dispatcher, want 0.2", p)
-	}
-	set(180, 20, 20, 20, 120) // one more tenant bursts: it must not count as traffic of all
-	if p := h.d.measuredFraction(); p != 0.2 {
-		t.Errorf("part %v while a tenant bursts, want 0.2", p)
-	}
-}
-
 // Incident if801ee: with half the fleet lost, jobs within the shares alone
 // overfilled the rest. A fleet drained on purpose does not count.
 func TestRemainingCapacity(t *testing.T) {
@@ -119,9 +83,10 @@
 func TestClassesOfATenantAreServedEvenly(t *testing.T) {
 	h := newHarness(t, testConfig())
 	tenant := &h.d.tenants[0]
-	tenant.offeredRate, tenant.rate = 50, 5
-	tenant.flows[0] = flow{arrivals: 100, sends: 60}
-	tenant.flows[1] = flow{arrivals: 100, sends: 20}
+	setTenant(h.d, 0, func(s *admission.TenantState) {
+		s.OfferedRate, s.Rate = 50, 5
+		s.Arrivals, s.Sends = []float64{100, 100, 0}, []float64{60, 20, 0}
+	})
 	jobs := []*job{{class: &h.d.classes[0]}, {class: &h.d.classes[1], req: Request{Class: 1}}}
 	if tenant.urgency(h.d, jobs[1]) <= tenant.urgency(h.d, jobs[0]) {
 		t.Error("the class that got less is not the more urgent")
@@ -141,30 +106,18 @@
 	}
 }
 
-// A burst of all tenants looks like a larger part of the traffic; it must not
-// let everything in as within the bands (western big-2).
-func TestBurstDoesNotRaiseTrafficFraction(t *testing.T) {
-	cfg := testConfig()
-	cfg.Dispatchers = 10
-	h := newHarness(t, cfg)
-	h.d.controlPeriods = 100
-	h.d.trafficFraction = 0.1
-	for i := range cfg.Tenants {
-		h.d.tenants[i].offeredRate, h.d.tenants[i].arrivals = 30, 30
-	}
-	h.d.updateRates()
-	if rate := h.d.tenants[0].rate; rate > 100*0.12 {
-		t.Errorf("rate %v in the first second of a burst, want about 10", rate)
-	}
-}
-
 func TestUnthrottledNeedsNoTokens(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(5)...)
-	h.d.tenants[0].tokens, h.d.tenants[0].rate, h.d.burstTokens = 0, 0, 0
-	h.d.unthrottled = true
+	empty := func() {
+		setTenant(h.d, 0, func(s *admission.TenantState) { s.Tokens, s.Rate = 0, 0 })
+		h.d.quotas.Restore(h.d.quotas.TrafficFraction(), 0)
+	}
+	empty()
+	setRate(h.d, func(s *admission.RateState) { s.Unthrottled = true })
 	h.step(h.request(1, 0))
 	h.wantActions(ActionSend, 1)
-	h.d.tenants[0].tokens, h.d.burstTokens, h.d.burstRate, h.d.unthrottled = 0, 0, 0, false
+	empty()
+	setRate(h.d, func(s *admission.RateState) { s.Unthrottled = false })
 	h.step(h.request(2, 0))
 	h.wantActions(ActionSend, 0)
 }
@@ -172,13 +125,13 @@
 // The rates of tenants shrink with a fleet that lost workers.
 func TestRatesFollowRemainingCapacity(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(4)...)
-	h.d.updateRates()
-	whole := h.d.tenants[0].rate
+	h.d.updateQuotas()
+	whole := tenantRate(h.d, 0)
 	workers := testWorkers(4)[:2]
 	workers[0].State, workers[1].State = Removed, Removed
 	h.advance(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: workers})
-	h.d.updateRates()
-	if half := h.d.tenants[0].rate; math.Abs(half-whole/2) > 1e-9 {
+	h.d.updateQuotas()
+	if half := tenantRate(h.d, 0); math.Abs(half-whole/2) > 1e-9 {
 		t.Errorf("rate %v with half the fleet lost, %v before", half, whole)
 	}
 }
@@ -188,14 +141,17 @@
 	cfg := manyConfig()
 	cfg.Tenants = []Tenant{{"a", 8}, {"b", 8}}
 	h := newHarness(t, cfg, testWorkers(8)...)
-	tenant := &h.d.tenants[0]
+	tenant := h.d.quotas.Tenant(0)
 	for n, want := range []bool{false, false, true, true} {
-		tenant.arrivals = n
+		arrivals := n
 		if n > 1 {
-			tenant.arrivals = 10
+			arrivals = 10
+		}
+		for range arrivals {
+			tenant.RecordArrival(0)
 		}
-		h.d.updateRates()
-		if tenant.exceedsQuota() != want {
+		h.d.updateQuotas()
+		if tenant.ExceedsQuota() != want {
 			t.Errorf("second %d: over its share %v", n, !want)
 		}
 	}
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -4,6 +4,8 @@
 	"cmp"
 	"slices"
 	"testing"
+
+	"github.com/vatu-meals/foxlift/internal/decision/admission"
 )
 
 // Incident if801ee: a cold worker was sent by how much others were sent, though
@@ -15,7 +17,7 @@
 	workers[1].StartedAt = 5 * second
 	h := newHarness(t, cfg, workers[0])
 	for i := range cfg.Tenants {
-		h.d.tenants[i].tokens, h.d.tenants[i].rate = 1000, 100
+		setTenant(h.d, i, func(s *admission.TenantState) { s.Tokens, s.Rate = 1000, 100 })
 	}
 	h.d.peakWorkerRate = 0.2 // slots at work, here, of each warm worker: 2 jobs of 100 ms a second
 	h.step(Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: workers[1:]})
--- a/snapshot.go
+++ b/snapshot.go
@@ -3,7 +3,11 @@
 // What a dispatcher has learned, so that another process of the same scheduler can go on from it.
 // Nothing is decided here.
 
-import "slices"
+import (
+	"slices"
+
+	"github.com/vatu-meals/foxlift/internal/decision/admission"
+)
 
 // A Snapshot is what a Dispatcher has learned, without its jobs. Times are on its clock, in
 // nanoseconds. It is stored and sent as JSON: the tags keep the names of its first form.
@@ -84,8 +88,10 @@
 
 // Snapshot returns what the dispatcher has learned.
 func (d *Dispatcher) Snapshot() *Snapshot {
+	rate := d.rate.State()
 	s := &Snapshot{
-		Now: d.now, ControlPeriods: d.controlPeriods, AdmissionRate: d.admissionRate, Unthrottled: d.unthrottled, OfferedRate: d.offeredRate, TrafficFraction: d.trafficFraction, BurstTokens: d.burstTokens,
+		Now: d.now, ControlPeriods: rate.Periods, AdmissionRate: rate.AdmissionRate, Unthrottled: rate.Unthrottled,
+		OfferedRate: rate.OfferedRate, TrafficFraction: d.quotas.TrafficFraction(), BurstTokens: d.quotas.BurstTokens(),
 		StartWindow: d.startWindow, HedgeBudget: d.hedgeBudget, FleetPressure: MeanSnapshot{Average: d.fleetPressure.avg, Deviation: d.fleetPressure.dev},
 		StartDelay: MeanSnapshot{Average: d.startDelay.avg, Deviation: d.startDelay.dev}, MinDelay: d.minDelay, PressureDecay: d.pressureDecay, PeakWorkerRate: d.peakWorkerRate, RecentWorkerRate: d.recentWorkerRate,
 		Keys: d.recentKeys.newest(),
@@ -108,8 +114,11 @@
 // says of classes, tenants or workers that are not known here, or of another run of a worker, is
 // left out.
 func (d *Dispatcher) Restore(s *Snapshot) {
-	d.controlPeriods, d.admissionRate, d.unthrottled, d.offeredRate, d.trafficFraction = s.ControlPeriods, s.AdmissionRate, s.Unthrottled, s.OfferedRate, s.TrafficFraction
-	d.burstTokens, d.startWindow, d.hedgeBudget, d.minDelay, d.pressureDecay = s.BurstTokens, s.StartWindow, s.HedgeBudget, s.MinDelay, max(s.PressureDecay, 1)
+	d.rate.Restore(admission.RateState{
+		Periods: s.ControlPeriods, AdmissionRate: s.AdmissionRate, Unthrottled: s.Unthrottled, OfferedRate: s.OfferedRate,
+	})
+	d.quotas.Restore(s.TrafficFraction, s.BurstTokens)
+	d.startWindow, d.hedgeBudget, d.minDelay, d.pressureDecay = s.StartWindow, s.HedgeBudget, s.MinDelay, max(s.PressureDecay, 1)
 	d.fleetPressure, d.startDelay = movingMean{s.FleetPressure.Average, s.FleetPressure.Deviation}, movingMean{s.StartDelay.Average, s.StartDelay.Deviation}
 	d.peakWorkerRate, d.recentWorkerRate = s.PeakWorkerRate, s.RecentWorkerRate
 	d.recentKeys = keyLog{}
@@ -147,36 +156,38 @@
 	return ""
 }
 
-func (c *latencyLoop) snapshot() ClassSnapshot {
+func (c *class) snapshot() ClassSnapshot {
+	s := c.loop.State()
 	return ClassSnapshot{
-		Name: c.Name, Patience: c.patience, Median: c.median, LowerQuartile: c.lowerQuartile, Runs: slices.Clone(c.runtimes),
-		Ratios: slices.Clone(c.ratios), Parameters: c.fit.parameters, Covariance: c.fit.covariance,
-		Input: c.input, PreviousInput: c.previousInput, Output: c.previousOutput,
+		Name: c.Name, Patience: c.patience, Median: c.runtimes.Median(), LowerQuartile: c.runtimes.LowerQuartile(),
+		Runs: slices.Clone(c.runtimes.Recent()), Ratios: slices.Clone(c.loop.Ratios()),
+		Parameters: s.Parameters, Covariance: s.Covariance,
+		Input: s.Input, PreviousInput: s.PreviousInput, Output: s.Output,
 	}
 }
 
-func (c *latencyLoop) restore(s *ClassSnapshot) {
-	c.patience, c.median, c.lowerQuartile = s.Patience, max(s.Median, 1), max(s.LowerQuartile, 1)
-	c.runtimes, c.ratios = slices.Clone(s.Runs), slices.Clone(s.Ratios)
-	c.fit = model{parameters: s.Parameters, covariance: s.Covariance}
-	c.input, c.previousInput, c.previousOutput = s.Input, s.PreviousInput, s.Output
+func (c *class) restore(s *ClassSnapshot) {
+	c.patience = s.Patience
+	c.runtimes.Restore(s.Median, s.LowerQuartile, slices.Clone(s.Runs))
+	c.loop.Restore(admission.LoopState{
+		Parameters: s.Parameters, Covariance: s.Covariance,
+		Input: s.Input, PreviousInput: s.PreviousInput, Output: s.Output,
+	}, slices.Clone(s.Ratios))
 }
 
 func (t *tenant) snapshot(name string) TenantSnapshot {
-	s := TenantSnapshot{Name: name, Rate: t.rate, Tokens: t.tokens, OfferedRate: t.offeredRate, Margin: t.margin, ExcessSends: t.excessSends}
-	for _, f := range t.flows {
-		s.Arrivals, s.Sends = append(s.Arrivals, f.arrivals), append(s.Sends, f.sends)
+	s := t.quota.State()
+	return TenantSnapshot{
+		Name: name, Rate: s.Rate, Tokens: s.Tokens, OfferedRate: s.OfferedRate, Margin: s.Margin,
+		ExcessSends: s.ExcessSends, Arrivals: slices.Clone(s.Arrivals), Sends: slices.Clone(s.Sends),
 	}
-	return s
 }
 
 func (t *tenant) restore(s *TenantSnapshot) {
-	t.rate, t.tokens, t.offeredRate, t.margin, t.excessSends = s.Rate, s.Tokens, s.OfferedRate, s.Margin, s.ExcessSends
-	for i := range t.flows {
-		if i < len(s.Arrivals) && i < len(s.Sends) {
-			t.flows[i].arrivals, t.flows[i].sends = s.Arrivals[i], s.Sends[i]
-		}
-	}
+	t.quota.Restore(admission.TenantState{
+		Rate: s.Rate, Tokens: s.Tokens, OfferedRate: s.OfferedRate, Margin: s.Margin,
+		ExcessSends: s.ExcessSends, Arrivals: s.Arrivals, Sends: s.Sends,
+	})
 }
 
 func (w *worker) snapshot() WorkerSnapshot {
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -79,7 +79,7 @@
 	if to.d.workers["w0"].concurrencyLimit != snapshot.Workers[0].ConcurrencyLimit {
 		t.Errorf("cap %v, want %v", to.d.workers["w0"].concurrencyLimit, snapshot.Workers[0].ConcurrencyLimit)
 	}
-	if to.d.classes[2].median == snapshot.Classes[2].Median {
+	if to.d.classes[2].runtimes.Median() == snapshot.Classes[2].Median {
 		t.Error("a class of another name was restored")
 	}
 	if mean, want := to.d.meanLimit(), snapshot.Workers[0].ConcurrencyLimit; snapshot.Workers[0].LimitLearned && mean != want {
--- a/state.go
+++ b/state.go
@@ -6,22 +6,22 @@
 import (
 	"math"
 	"math/rand/v2"
-	"slices"
 
+	"github.com/vatu-meals/foxlift/internal/decision/admission"
 	"github.com/vatu-meals/foxlift/internal/decision/membership"
 	"github.com/vatu-meals/foxlift/internal/slowstart"
 )
 
 // A Dispatcher makes the decisions of one scheduler. It sees only its own traffic.
 type Dispatcher struct {
-	cfg                           Config
-	rng                           *rand.Rand
-	now                           int64
-	fleetScale                    float64 // how many times more dispatchers there are than a few
-	startedAt                     int64   // time of the first step; -1 before it
-	tickInterval, nextTickAt      int64   // between looks at what is held and overdue; the next of them
-	nextControlAt, controlPeriods int64   // next run of the regulator, and its number
-	actions                       []Action
+	cfg                      Config
+	rng                      *rand.Rand
+	now                      int64
+	fleetScale               float64 // how many times more dispatchers there are than a few
+	startedAt                int64   // time of the first step; -1 before it
+	tickInterval, nextTickAt int64   // between looks at what is held and overdue; the next of them
+	nextControlAt            int64   // next run of the control loops
+	actions                  []Action
 
 	jobs                map[uint64]*job
 	inFlight            []*attempt // in flight
@@ -31,22 +31,15 @@
 	awaitingHealthCheck []*job     // waiting for news of some workers
 	urgentJobs          []*job     // came just before their deadline, or too late to be in time
 
-	classes         []latencyLoop
-	admissionRate   float64 // admission rate of the whole fleet, jobs a second
-	unthrottled     bool    // u is at its maximum: the loop does not throttle
-	offeredRate     float64 // jobs a second that arrive here
-	arrivals        int
-	peers           []peer
-	dirtyWorkers    []*worker // where something changed that peers have not been told
-	gossipSequence  uint16    // number of the last message
-	incarnation     byte      // of this dispatcher, in its messages
-	tenants         []tenant
-	bands           []Band
-	trafficFraction float64 // of the traffic that comes here, slowly followed
-	burstTokens     float64 // tokens past the bands, and unused ones, for any tenant
-	burstRate       float64
-	refilledAt      int64
-	dispatchRound   int64 // of dispatch
+	classes        []class
+	rate           admission.RateController
+	peers          []peer
+	dirtyWorkers   []*worker // where something changed that peers have not been told
+	gossipSequence uint16    // number of the last message
+	incarnation    byte      // of this dispatcher, in its messages
+	tenants        []tenant
+	quotas         *admission.Allocator
+	dispatchRound  int64 // of dispatch
 
 	workers     map[string]*worker
 	workerOrder []*worker     // in the order first heard of
@@ -80,7 +73,7 @@
 // A job is a request that is held, in flight, or ended with attempts still out.
 type job struct {
 	id             uint64
-	class          *latencyLoop
+	class          *class
 	tenant         *tenant
 	req            Request
 	arrivedAt      int64
@@ -114,25 +107,6 @@
 	late              bool // entered the regulator at its limit
 }
 
-// A tenant is one of Config.Tenants as seen here.
-type tenant struct {
-	rate         float64 // its part of u here, within the bands, jobs a second
-	tokens       float64
-	arrivals     int
-	offeredRate  float64
-	margin       float64  // that offered may be over the rate by chance
-	excessSends  float64  // jobs lately sent past its bands
-	blockedRound int64    // the round of dispatch that found no worker for it
-	queues       [][]*job // by class, oldest first
-	flows        []flow   // by class, what lately came and was sent
-}
-
-// A flow is what lately came of one class of a tenant, and what was sent of it.
-type flow struct {
-	arrivals, sends float64
-	blockedRound    int64 // the round of dispatch that found no worker for it
-}
-
 // mean follows an average and the mean deviation from it.
 type movingMean struct{ avg, dev float64 }
 
@@ -145,17 +119,6 @@
 	m.avg += (x - m.avg) / 64
 }
 
-// quantile returns a quantile, or other if there are too few to tell.
-func quantileOr(runs []int64, share float64, other int64) int64 {
-	if len(runs) < minJobs {
-		return other
-	}
-	var s [64]int64
-	n := copy(s[:], runs)
-	slices.Sort(s[:n])
-	return s[int(share*float64(n))]
-}
-
 // New returns a Dispatcher for cfg, or an error naming the field that makes cfg
 // impossible to run. All randomness comes from seed.
 func New(cfg Config, seed uint64) (*Dispatcher, error) {
@@ -164,9 +127,9 @@
 	}
 	d := &Dispatcher{
 		cfg: cfg, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), startedAt: -1, pressureDecay: second,
-		jobs: map[uint64]*job{}, workers: map[string]*worker{}, unthrottled: true, hedgeBudget: maxHedgeBudget,
-		peers: make([]peer, cfg.Dispatchers),
-		poll:  membership.NewPollSchedule(cfg.MaxPollInterval), lease: membership.NewLease(cfg.EndpointLease),
+		jobs: map[uint64]*job{}, workers: map[string]*worker{}, hedgeBudget: maxHedgeBudget,
+		peers: make([]peer, cfg.Dispatchers), rate: admission.NewRateController(cfg.Dispatchers, cfg.Index),
+		poll: membership.NewPollSchedule(cfg.MaxPollInterval), lease: membership.NewLease(cfg.EndpointLease),
 	}
 	if !cfg.MayRetryAfter {
 		d.cfg.MaxRetryAfter = 0
@@ -174,7 +137,7 @@
 	aim, kinds := int64(math.MaxInt64), 0
 	for i := range cfg.Classes {
 		c := &cfg.Classes[i]
-		d.classes = append(d.classes, latencyLoop{Class: c, median: c.LatencyObjective, lowerQuartile: c.LatencyObjective, fit: newModel(), input: 1})
+		d.classes = append(d.classes, newClass(c))
 		d.hasRepeatableClass = d.hasRepeatableClass || c.Effect != AtMostOnce
 		aim, kinds = min(aim, c.LatencyObjective), max(kinds, c.Kind+1)
 	}
@@ -212,22 +175,6 @@
 	}
 }
 
-func (d *Dispatcher) initTenants() {
-	n := max(1, len(d.cfg.Tenants))
-	d.tenants = make([]tenant, n+1) // the last is for requests of no known tenant
-	for i := range d.tenants {
-		d.tenants[i].queues = make([][]*job, len(d.classes))
-		d.tenants[i].flows = make([]flow, len(d.classes))
-	}
-	if d.bands = d.cfg.Bands; len(d.bands) == 0 && len(d.cfg.Tenants) > 0 {
-		d.bands = quotaBand(d.cfg.quotas())
-	}
-	d.updateRates()
-	for i := range d.tenants {
-		d.tenants[i].tokens = d.tenants[i].burst()
-	}
-}
-
 // onHealthChecked ends the wait of the jobs that were waiting for an answer.
 func (d *Dispatcher) onHealthChecked(e *Event) {
 	w := d.workers[e.Worker]
@@ -325,18 +272,6 @@
 	}
 }
 
-// onQuotas takes over new shares. Tokens stay as they are: nobody gains by a change.
-func (d *Dispatcher) onQuotas(quotas []float64) {
-	if len(quotas) != len(d.cfg.Tenants) {
-		return
-	}
-	d.bands = quotaBand(quotas)
-	full, _ := split(math.MaxFloat64, d.bands, len(d.tenants))
-	for i := range d.tenants {
-		d.tenants[i].rate = full[i] * max(d.trafficFraction, 1/float64(d.cfg.Dispatchers))
-	}
-}
-
 // Idle reports whether the dispatcher holds no job and counts nothing in flight: so it
 // must be once every job is answered and every attempt has had its outcome.
 func (d *Dispatcher) Idle() bool {
--- a/workers.go
+++ b/workers.go
@@ -138,7 +138,7 @@
 // slowStartAfter is what a young worker has been sent with this attempt, until it has had time for it.
 func (d *Dispatcher) slowStartAfter(w *worker, a *attempt) float64 {
 	if !d.needsSlowStartSlot(w) {
-		return a.slots * float64(a.job.class.median) * (0.75 + d.rng.Float64()/2)
+		return a.slots * float64(a.job.class.runtimes.Median()) * (0.75 + d.rng.Float64()/2)
 	}
 	return d.slowStartSent(w) + d.slowStartSize(a.job)
 }
