--- a/internal/upgrade/golden_test.go
+++ b/internal/upgrade/golden_test.go
@@ -14,13 +14,13 @@
 )
 
 // What two processes of different versions must agree on: the names of the files, the bytes that are
-// locked, and the form of the state.
+// locked, and the form of the state file.
 const (
 	lockName  = "foxlift-127.0.0.1_3000.lock"
 	stateName = lockName + ".state"
 )
 
-// TestStateFile pins the bytes of a state's file, and reads them as another version has written them.
+// TestStateFile pins the bytes of a state file, and reads them as another version has written them.
 func TestStateFile(t *testing.T) {
 	var full core.State
 	golden.Fill(&full)
--- a/internal/upgrade/socket.go
+++ b/internal/upgrade/socket.go
@@ -9,50 +9,52 @@
 	"golang.org/x/sys/unix"
 )
 
-// secondListener is the index of the newest listener while two share a port: the kernel numbers
-// them in the order in which they began to listen. An index that names none makes the kernel
-// choose among those that are left.
-const secondListener = 1
+// newestOfTwo is the index of the newest listener while two share a port: the kernel numbers them from
+// 0 in the order in which they began to listen. With an index that none has, the kernel chooses among
+// the listeners that exist.
+const newestOfTwo = 1
 
-// shared sets SO_REUSEPORT, so that another process of the same user may listen on the address.
+// reusePortConfig sets SO_REUSEPORT, so that another process of the same user may listen on the address.
 func reusePortConfig() net.ListenConfig {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return withDescriptor(raw, func(fd int) error {
 			return unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 		})
 	}}
-	config.SetMultipathTCP(false) // such sockets take no steering program
+	config.SetMultipathTCP(false) // the kernel attaches no steering program to such sockets
 	return config
 }
 
 // Listen listens on a TCP address that another process may listen on too.
 func Listen(address string) (*net.TCPListener, error) {
 	config := reusePortConfig()
-	l, err := config.Listen(context.Background(), "tcp", address)
+	// The context only bounds the resolution of names.
+	listener, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return l.(*net.TCPListener), nil
+	return listener.(*net.TCPListener), nil
 }
 
 // ListenPacket opens a UDP socket on an address that another process may have open too.
 func ListenPacket(address string) (*net.UDPConn, error) {
 	config := reusePortConfig()
-	c, err := config.ListenPacket(context.Background(), "udp", address)
+	// The context only bounds the resolution of names.
+	conn, err := config.ListenPacket(context.Background(), "udp", address)
 	if err != nil {
 		return nil, err
 	}
-	return c.(*net.UDPConn), nil
+	return conn.(*net.UDPConn), nil
 }
 
-// Steer directs all that comes to the address from now on to the newer of its two sockets:
-// connections that are still to be opened, and datagrams. Either socket may be given.
+// SteerToNewest directs new connections and datagrams to the newer of the two sockets that share an
+// address. Either socket may be given.
 func SteerToNewest(socket syscall.Conn) error {
 	raw, err := socket.SyscallConn()
 	if err != nil {
 		return err
 	}
-	program := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: secondListener}}
+	program := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: newestOfTwo}}
 	return withDescriptor(raw, func(fd int) error {
 		err := unix.SetsockoptSockFprog(fd, unix.SOL_SOCKET, unix.SO_ATTACH_REUSEPORT_CBPF,
 			&unix.SockFprog{Len: uint16(len(program)), Filter: &program[0]})
@@ -63,7 +65,7 @@
 	})
 }
 
-// control calls f with a socket's descriptor and returns its error.
+// withDescriptor calls f with a socket's descriptor and returns its error.
 func withDescriptor(raw syscall.RawConn, f func(fd int) error) error {
 	var result error
 	if err := raw.Control(func(fd uintptr) { result = f(int(fd)) }); err != nil {
--- a/internal/upgrade/socket_test.go
+++ b/internal/upgrade/socket_test.go
@@ -22,37 +22,60 @@
 	return l
 }
 
-// open opens connections that nobody has accepted yet.
+func listenPacket(t *testing.T, address string) *net.UDPConn {
+	t.Helper()
+	c, err := ListenPacket(address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = c.Close() })
+	return c
+}
+
+// dial opens a connection to an address.
+func dial(t *testing.T, network string, address net.Addr) net.Conn {
+	t.Helper()
+	var dialer net.Dialer
+	c, err := dialer.DialContext(t.Context(), network, address.String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	return c
+}
+
+// open opens connections that nobody accepts yet.
 func open(t *testing.T, l net.Listener) (opened []net.Conn) {
 	t.Helper()
 	for range connections {
-		c, err := net.Dial("tcp", l.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { c.Close() })
+		c := dial(t, "tcp", l.Addr())
 		c.SetDeadline(time.Now().Add(patience))
 		opened = append(opened, c)
 	}
 	return opened
 }
 
-// acceptAll takes what waits at a listener and writes its name to each.
+// acceptAll accepts the connections that wait at a listener, writes a name to each, and returns their number.
 func acceptAll(t *testing.T, l *net.TCPListener, name string) (n int) {
 	t.Helper()
 	for {
-		l.SetDeadline(time.Now().Add(10 * time.Millisecond))
+		if err := l.SetDeadline(time.Now().Add(10 * time.Millisecond)); err != nil {
+			t.Fatal(err)
+		}
 		c, err := l.Accept()
 		if err != nil {
 			return n
 		}
-		io.WriteString(c, name)
+		if _, err := io.WriteString(c, name); err != nil {
+			t.Fatal(err)
+		}
 		c.Close()
 		n++
 	}
 }
 
-func answered(t *testing.T, opened []net.Conn, name string) {
+// expectNames checks that every connection was accepted by the listener with a name.
+func expectNames(t *testing.T, opened []net.Conn, name string) {
 	t.Helper()
 	for i, c := range opened {
 		if text, err := io.ReadAll(c); string(text) != name {
@@ -61,60 +84,52 @@
 	}
 }
 
-// Two listeners share an address, all new connections go to the newer one, and nothing is left in
-// the older one's queue when it closes; through two upgrades, and when a new process dies.
+// Two listeners share an address, all new connections go to the newer one, and nothing remains in the
+// older one's queue when it closes; through two upgrades, and when a successor exits.
 func TestSteer(t *testing.T) {
-	older := listen(t, "127.0.0.1:0")
-	before := open(t, older)
-	newer := listen(t, older.Addr().String())
-	if err := SteerToNewest(newer); err != nil {
+	predecessor := listen(t, "127.0.0.1:0")
+	before := open(t, predecessor)
+	successor := listen(t, predecessor.Addr().String())
+	if err := SteerToNewest(successor); err != nil {
 		t.Fatal(err)
 	}
-	after := open(t, newer)
-	check(t, "accepted by the older", acceptAll(t, older, "older"), connections)
-	older.Close()
-	answered(t, before, "older")
-	check(t, "accepted by the newer", acceptAll(t, newer, "newer"), connections)
-	answered(t, after, "newer")
+	after := open(t, successor)
+	check(t, "accepted by the predecessor", acceptAll(t, predecessor, "predecessor"), connections)
+	predecessor.Close()
+	expectNames(t, before, "predecessor")
+	check(t, "accepted by the successor", acceptAll(t, successor, "successor"), connections)
+	expectNames(t, after, "successor")
 
-	third := listen(t, newer.Addr().String())
+	third := listen(t, successor.Addr().String())
 	if err := SteerToNewest(third); err != nil {
 		t.Fatal(err)
 	}
 	after = open(t, third)
-	check(t, "accepted by the one before", acceptAll(t, newer, "newer"), 0)
+	check(t, "accepted by the one before", acceptAll(t, successor, "successor"), 0)
 	check(t, "accepted by the third", acceptAll(t, third, "third"), connections)
-	answered(t, after, "third")
-	third.Close() // it dies: the one before gets everything again
-	after = open(t, newer)
-	check(t, "accepted after the third's end", acceptAll(t, newer, "newer"), connections)
-	answered(t, after, "newer")
+	expectNames(t, after, "third")
+	third.Close() // the one before gets everything again
+	after = open(t, successor)
+	check(t, "accepted after the third has closed", acceptAll(t, successor, "successor"), connections)
+	expectNames(t, after, "successor")
 }
 
 // Datagrams go to the newer of two sockets, too.
 func TestSteerDatagrams(t *testing.T) {
-	older, err := ListenPacket("127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer older.Close()
-	newer, err := ListenPacket(older.LocalAddr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer newer.Close()
-	if err := SteerToNewest(newer); err != nil {
+	predecessor := listenPacket(t, "127.0.0.1:0")
+	successor := listenPacket(t, predecessor.LocalAddr().String())
+	if err := SteerToNewest(successor); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 20 {
-		from, err := net.Dial("udp", newer.LocalAddr().String())
-		if err != nil {
+		sender := dial(t, "udp", successor.LocalAddr())
+		if _, err := sender.Write([]byte{byte(i)}); err != nil {
+			t.Fatal(err)
+		}
+		if err := successor.SetReadDeadline(time.Now().Add(patience)); err != nil {
 			t.Fatal(err)
 		}
-		defer from.Close()
-		from.Write([]byte{byte(i)})
-		newer.SetReadDeadline(time.Now().Add(patience))
-		if _, err := newer.Read(make([]byte, 1)); err != nil {
+		if _, err := successor.Read(make([]byte, 1)); err != nil {
 			t.Fatalf("datagram %d: %v", i, err)
 		}
 	}
--- a/internal/upgrade/state.go
+++ b/internal/upgrade/state.go
@@ -2,26 +2,27 @@
 
 import "github.com/vatu-meals/foxlift/internal/statefile"
 
-// What the older process hands over is kept in a file beside the places.
+// The state file of a takeover lock.
 const (
 	stateMagic   = "foxlift state 1\n"
-	stateSuffix  = ".state"
-	maxStateSize = 8 << 20 // bytes; the directory may count as memory
+	stateSuffix  = ".state" // of its name, after the lock's
+	maxStateSize = 8 << 20  // bytes; the directory may count as the process's memory
 )
 
-// ErrStateUnreadable means that a state's file is torn, of another form or of another program's version.
+// ErrStateUnreadable means that a state file is torn, of another form, or written by another version of
+// the program.
 var ErrStateUnreadable = statefile.ErrUnreadable
 
-func (p *TakeoverLock) stateFile() statefile.File {
-	return statefile.File{Path: p.path + stateSuffix, Magic: stateMagic, MaxSize: maxStateSize}
+func (l *TakeoverLock) stateFile() statefile.File {
+	return statefile.File{Path: l.path + stateSuffix, Magic: stateMagic, MaxSize: maxStateSize}
 }
 
-// Save writes a state, as JSON, for the other process. It replaces the one before.
-func (p *TakeoverLock) SaveState(state any) error { return p.stateFile().Write(state) }
+// SaveState writes the predecessor's state as JSON, in place of the one before.
+func (l *TakeoverLock) SaveState(state any) error { return l.stateFile().Write(state) }
 
-// Load reads the state that the other process has written last. The error is os.ErrNotExist where
-// there is none, and ErrStateUnreadable where it cannot be used.
-func (p *TakeoverLock) LoadState(state any) error { return p.stateFile().Read(state) }
+// LoadState reads the state that the predecessor has saved last. The error is os.ErrNotExist if there is
+// none, and ErrStateUnreadable if it cannot be used.
+func (l *TakeoverLock) LoadState(state any) error { return l.stateFile().Read(state) }
 
-// DiscardState removes the state, so that no later process takes it for new.
-func (p *TakeoverLock) DiscardState() { p.stateFile().Remove() }
+// DiscardState removes the state, so that no later process reads it.
+func (l *TakeoverLock) DiscardState() { l.stateFile().Remove() }
--- a/internal/upgrade/takeover_lock.go
+++ b/internal/upgrade/takeover_lock.go
@@ -1,8 +1,12 @@
-// Package upgrade lets a second process of the program take over from the one that serves, without
-// a job lost: both agree on their places by locks in a file, and listen on the same address.
+// Package upgrade lets a successor process take over from the process that serves, without losing a job.
 //
-// The locks are open file description locks on single bytes of one file. The kernel drops them
-// with the process that holds them, so a place is never held by one that is no more.
+// Both processes agree on who is predecessor and who is successor by locks in one file, the takeover
+// lock. They listen on the same address, and the kernel steers what comes to the newer socket. The
+// predecessor passes on what it has learned in a state file beside the lock.
+//
+// The locks are open file description locks on single bytes of the file. The kernel releases them with
+// the process that holds them, so that a process that has exited never holds one. The package owns both
+// files.
 package upgrade
 
 import (
@@ -19,139 +23,146 @@
 	"golang.org/x/sys/unix"
 )
 
-// The bytes of the file that are locked.
+// The bytes of the file that are locked. Programs of other versions lock the same.
 const (
-	servingByte   = 0 // by the process that serves, until it hands over
-	successorByte = 1 // by the one that is to take over
-	listeningByte = 2 // by the same, once it listens
+	servingByte   = 0 // by the process that serves, until it exits
+	successorByte = 1 // by its successor
+	listeningByte = 2 // by its successor, once that listens
 )
 
-// ErrTakeoverInProgress means that two processes hold both places already.
+const ownerOnly = 0o600 // permissions of the lock's file
+
+// ErrTakeoverInProgress means that a serving process and its successor exist already.
 var ErrTakeoverInProgress = errors.New("two processes serve this address already: an upgrade is under way")
 
-// A Place is a process's place among those that serve one address.
+// A TakeoverLock says which of the processes that share an address serves, and which is its successor.
+// Its methods may be called by several goroutines, except where they say otherwise.
 type TakeoverLock struct {
 	path        string
 	mu          sync.Mutex
-	file        *os.File    // nil once the place is given up
-	isSuccessor atomic.Bool // this process is to take over
+	file        *os.File    // nil once released
+	isSuccessor atomic.Bool // whether this process is to take over
 }
 
-// Take takes a place among the processes that serve an address and share a directory: that of the
-// serving process if it is free, else the successor's. Where both are taken it tries again every
-// pause, until the limit is over, and returns ErrTakeoverInProgress then.
-func AcquireTakeover(directory, address string, limit, pause time.Duration) (*TakeoverLock, error) {
-	file, err := os.OpenFile(filepath.Join(directory, fileName(address)), os.O_RDWR|os.O_CREATE, 0o600)
+// AcquireTakeover acquires the takeover lock of an address in a directory: the serving process's part if
+// that is free, else the successor's. While other processes hold both it tries again every interval, and
+// returns ErrTakeoverInProgress after the timeout.
+func AcquireTakeover(directory, address string, timeout, interval time.Duration) (*TakeoverLock, error) {
+	path := filepath.Join(directory, fileName(address))
+	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, ownerOnly)
 	if err != nil {
-		return nil, fmt.Errorf("the place for upgrades: %w", err)
+		return nil, fmt.Errorf("takeover lock: %w", err)
 	}
-	p := &TakeoverLock{path: file.Name(), file: file}
-	for end := time.Now().Add(limit); ; <-time.After(pause) {
-		taken, err := p.acquireFree()
+	l := &TakeoverLock{path: path, file: file}
+	deadline := time.Now().Add(timeout)
+	for {
+		acquired, err := l.acquireFree()
 		switch {
 		case err != nil:
 			file.Close()
-			return nil, fmt.Errorf("the place for upgrades: %w", err)
-		case taken:
-			return p, nil
-		case !time.Now().Before(end):
+			return nil, fmt.Errorf("takeover lock: %w", err)
+		case acquired:
+			return l, nil
+		case !time.Now().Before(deadline):
 			file.Close()
 			return nil, ErrTakeoverInProgress
 		}
+		<-time.After(interval)
 	}
 }
 
-// fileName is the name of an address's file.
+// fileName returns the name of the lock's file of an address.
 func fileName(address string) string {
 	return "foxlift-" + strings.NewReplacer(":", "_", "/", "_").Replace(address) + ".lock"
 }
 
-// acquireFree takes the first place that is free.
-func (p *TakeoverLock) acquireFree() (taken bool, err error) {
-	if taken, err = p.tryLock(servingByte); taken || err != nil {
-		return taken, err
+// acquireFree acquires the serving process's part or, if another process has that, the successor's. It
+// returns false if both are held.
+func (l *TakeoverLock) acquireFree() (bool, error) {
+	if acquired, err := l.lockByte(servingByte); acquired || err != nil {
+		return acquired, err
 	}
-	taken, err = p.tryLock(successorByte)
-	p.isSuccessor.Store(taken)
-	return taken, err
+	acquired, err := l.lockByte(successorByte)
+	l.isSuccessor.Store(acquired)
+	return acquired, err
 }
 
-// IsSuccessor reports whether another process still serves, from which this one takes over.
-func (p *TakeoverLock) IsSuccessor() bool { return p.isSuccessor.Load() }
+// IsSuccessor reports whether this process is the successor of one that has not exited.
+func (l *TakeoverLock) IsSuccessor() bool { return l.isSuccessor.Load() }
 
-// Promote makes a successor the serving process once the other has left that place; true if it is
-// the serving process now. Not to be called by two goroutines at once.
-func (p *TakeoverLock) Promote() (bool, error) {
-	if !p.isSuccessor.Load() {
+// Promote makes a successor the serving process once its predecessor has exited, and reports whether it
+// is the serving process now. Only one goroutine may call it at a time.
+func (l *TakeoverLock) Promote() (bool, error) {
+	if !l.isSuccessor.Load() {
 		return true, nil
 	}
-	taken, err := p.tryLock(servingByte)
-	if !taken || err != nil {
+	acquired, err := l.lockByte(servingByte)
+	if !acquired || err != nil {
 		return false, err
 	}
-	p.isSuccessor.Store(false)
-	return true, errors.Join(p.unlock(listeningByte), p.unlock(successorByte))
+	l.isSuccessor.Store(false)
+	return true, errors.Join(l.unlockByte(listeningByte), l.unlockByte(successorByte))
 }
 
-// AnnounceListening tells the serving process that this one, its successor, listens.
-func (p *TakeoverLock) AnnounceListening() error {
-	if !p.isSuccessor.Load() {
+// AnnounceListening tells the predecessor, if there is one, that this process listens.
+func (l *TakeoverLock) AnnounceListening() error {
+	if !l.isSuccessor.Load() {
 		return nil
 	}
-	_, err := p.tryLock(listeningByte)
+	_, err := l.lockByte(listeningByte)
 	return err
 }
 
-// HasSuccessor reports whether there is a process that is to take over from this one.
-func (p *TakeoverLock) HasSuccessor() bool {
-	return !p.isSuccessor.Load() && p.lockedByOther(successorByte)
+// HasSuccessor reports whether a successor of this process exists.
+func (l *TakeoverLock) HasSuccessor() bool {
+	return !l.isSuccessor.Load() && l.lockedByOther(successorByte)
 }
 
-// SuccessorListening reports whether that process listens.
-func (p *TakeoverLock) SuccessorListening() bool {
-	return !p.isSuccessor.Load() && p.lockedByOther(listeningByte)
-}
-
-// Leave gives up the place.
-func (p *TakeoverLock) Release() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.file != nil {
-		p.file.Close()
-		p.file = nil
-	}
+// SuccessorListening reports whether a successor of this process exists and listens.
+func (l *TakeoverLock) SuccessorListening() bool {
+	return !l.isSuccessor.Load() && l.lockedByOther(listeningByte)
 }
 
-// set changes the lock on a byte. Any goroutine may call it, also amid Leave: a descriptor that
-// was closed may be another file's by then.
-func (p *TakeoverLock) fcntl(command int, r *unix.Flock_t) error {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.file == nil {
-		return os.ErrClosed
+// Release releases the lock.
+func (l *TakeoverLock) Release() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.file != nil {
+		l.file.Close()
+		l.file = nil
 	}
-	return unix.FcntlFlock(p.file.Fd(), command, r)
 }
 
-// lock takes a byte's lock; false if another process has it.
-func (p *TakeoverLock) tryLock(at int64) (bool, error) {
-	err := p.fcntl(unix.F_OFD_SETLK, byteRange(unix.F_WRLCK, at))
+// lockByte locks a byte. It returns false if another process has locked it.
+func (l *TakeoverLock) lockByte(offset int64) (bool, error) {
+	err := l.fcntl(unix.F_OFD_SETLK, byteRange(unix.F_WRLCK, offset))
 	if errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EACCES) {
 		return false, nil
 	}
 	return err == nil, err
 }
 
-func (p *TakeoverLock) unlock(at int64) error {
-	return p.fcntl(unix.F_OFD_SETLK, byteRange(unix.F_UNLCK, at))
+func (l *TakeoverLock) unlockByte(offset int64) error {
+	return l.fcntl(unix.F_OFD_SETLK, byteRange(unix.F_UNLCK, offset))
+}
+
+// lockedByOther reports whether another process has locked a byte.
+func (l *TakeoverLock) lockedByOther(offset int64) bool {
+	query := byteRange(unix.F_WRLCK, offset)
+	return l.fcntl(unix.F_OFD_GETLK, query) == nil && query.Type != unix.F_UNLCK
 }
 
-// locked reports whether another process has a byte's lock.
-func (p *TakeoverLock) lockedByOther(at int64) bool {
-	r := byteRange(unix.F_WRLCK, at)
-	return p.fcntl(unix.F_OFD_GETLK, r) == nil && r.Type != unix.F_UNLCK
+// fcntl runs a command for locks on the file. It returns os.ErrClosed after Release: the number of a
+// closed descriptor may be another file's.
+func (l *TakeoverLock) fcntl(command int, r *unix.Flock_t) error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.file == nil {
+		return os.ErrClosed
+	}
+	return unix.FcntlFlock(l.file.Fd(), command, r)
 }
 
-func byteRange(kind int16, at int64) *unix.Flock_t {
-	return &unix.Flock_t{Type: kind, Whence: io.SeekStart, Start: at, Len: 1}
+func byteRange(kind int16, offset int64) *unix.Flock_t {
+	return &unix.Flock_t{Type: kind, Whence: io.SeekStart, Start: offset, Len: 1}
 }
