--- a/internal/platform/buffer.go
+++ b/internal/platform/buffer.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sys/unix"
 )
 
-var errTooLong = errors.New("the message is too long")
+var errMessageTooLong = errors.New("the message is too long")
 
 // A buffer is the one buffer of a connection. It grows as a message needs, and
 // what is left is moved to its front when room runs out.
@@ -24,23 +24,23 @@
 }
 
 const (
-	firstSize = 2 << 10
-	keptSize  = 16 << 10 // a larger buffer is given back once it is empty
+	initialBufferSize = 2 << 10
+	maxRetainedSize   = 16 << 10 // a larger buffer is given back once it is empty
 )
 
 func (b *buffer) buffered() int { return b.w - b.r }
 
 // drop forgets what is buffered.
-func (b *buffer) drop() { b.r, b.w = 0, 0 }
+func (b *buffer) discard() { b.r, b.w = 0, 0 }
 
 // room makes space behind what is buffered.
-func (b *buffer) room() {
+func (b *buffer) reserve() {
 	if b.r > 0 {
 		b.w = copy(b.data, b.data[b.r:b.w])
 		b.r = 0
 	}
 	if b.w == len(b.data) {
-		grown := make([]byte, max(firstSize, 2*len(b.data)))
+		grown := make([]byte, max(initialBufferSize, 2*len(b.data)))
 		copy(grown, b.data[:b.w])
 		b.data = grown
 	}
@@ -50,13 +50,13 @@
 // what had arrived: the process may only have had no time to read it.
 func (b *buffer) fill() error {
 	if b.w == len(b.data) {
-		b.room()
+		b.reserve()
 	}
 	before := b.buffered()
 	n, err := b.conn.Read(b.data[b.w:])
 	b.w += n
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		b.fillNow()
+		b.fillAvailable()
 	}
 	if b.buffered() > before {
 		return nil // an error comes again
@@ -67,9 +67,9 @@
 	return err
 }
 
-// fillNow takes what has already arrived, without waiting. It returns false if
+// fillAvailable takes what has already arrived, without waiting. It returns false if
 // the other side has ended the connection.
-func (b *buffer) fillNow() bool {
+func (b *buffer) fillAvailable() bool {
 	sc, ok := b.conn.(syscall.Conn)
 	if !ok {
 		return true
@@ -79,7 +79,7 @@
 		return false
 	}
 	if b.w == len(b.data) {
-		b.room()
+		b.reserve()
 	}
 	alive := true
 	err = raw.Control(func(fd uintptr) {
@@ -97,7 +97,7 @@
 
 // control calls f with the descriptor of a connection or a listener, unless that has none, as in
 // some tests, or is closed.
-func control(c any, f func(fd int)) {
+func withDescriptor(c any, f func(fd int)) {
 	if sc, ok := c.(syscall.Conn); ok {
 		if raw, err := sc.SyscallConn(); err == nil {
 			raw.Control(func(fd uintptr) { f(int(fd)) })
@@ -111,42 +111,42 @@
 	return n, err
 }
 
-// somethingAt reports whether a socket has something to read, an end or an error included.
-func somethingAt(fd int) bool {
+// readable reports whether a socket has something to read, an end or an error included.
+func readable(fd int) bool {
 	_, err := peek(fd)
 	return err != syscall.EAGAIN && err != syscall.EINTR
 }
 
 // arrived reports whether a connection has something to read, or has ended.
-func arrived(conn net.Conn) (there bool) {
-	control(conn, func(fd int) { there = somethingAt(fd) })
-	return there
+func hasInput(conn net.Conn) (found bool) {
+	withDescriptor(conn, func(fd int) { found = readable(fd) })
+	return found
 }
 
-// hungUp reports whether the other side has ended a connection, or its sending on it, behind
+// peerClosed reports whether the other side has ended a connection, or its sending on it, behind
 // what it has sent before: while that is unread it cannot be told.
-func hungUp(conn net.Conn) (over bool) {
-	control(conn, func(fd int) {
+func peerClosed(conn net.Conn) (closed bool) {
+	withDescriptor(conn, func(fd int) {
 		n, err := peek(fd)
-		over = n <= 0 && err != syscall.EAGAIN && err != syscall.EINTR
+		closed = n <= 0 && err != syscall.EAGAIN && err != syscall.EINTR
 	})
-	return over
+	return closed
 }
 
 // unsent reports whether some of what was written has not reached the other side's machine.
-func unsent(conn net.Conn) bool {
-	left := 0
-	control(conn, func(fd int) { left, _ = unix.IoctlGetInt(fd, unix.TIOCOUTQ) })
-	return left > 0
+func hasUnsentBytes(conn net.Conn) bool {
+	unsent := 0
+	withDescriptor(conn, func(fd int) { unsent, _ = unix.IoctlGetInt(fd, unix.TIOCOUTQ) })
+	return unsent > 0
 }
 
 // waits reports whether a listener has a connection that is not accepted.
-func waits(l net.Listener) (there bool) {
-	control(l, func(fd int) {
+func hasPendingConn(l net.Listener) (pending bool) {
+	withDescriptor(l, func(fd int) {
 		n, err := unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, 0)
-		there = err == nil && n > 0
+		pending = err == nil && n > 0
 	})
-	return there
+	return pending
 }
 
 // A message is the reading of one message from a buffer. Its bytes stay in the
@@ -154,22 +154,22 @@
 type message struct {
 	*bufio.Reader // for http.ReadRequest and http.ReadResponse
 	b             *buffer
-	at            int   // read so far, from b.r
+	read          int   // read so far, from b.r
 	limit         int   // most that may be read
 	err           error // how the reading ended; parsers may word it as bad input
-	drop          bool  // what the parser has used need not stay until end
+	releaseEarly  bool  // what the parser has used need not stay until end
 }
 
-var parsers = sync.Pool{New: func() any { return bufio.NewReader(nil) }}
+var readerPool = sync.Pool{New: func() any { return bufio.NewReader(nil) }}
 
-func (b *buffer) message(limit int) *message {
-	m := &message{b: b, limit: limit, Reader: parsers.Get().(*bufio.Reader)}
-	m.Reset(unread{m})
+func (b *buffer) newMessage(limit int) *message {
+	m := &message{b: b, limit: limit, Reader: readerPool.Get().(*bufio.Reader)}
+	m.Reset(messageReader{m})
 	return m
 }
 
 // response reads the head of a response; provisional ones before it say nothing.
-func (m *message) response() (*http.Response, error) {
+func (m *message) readResponse() (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(m.Reader, nil)
 		if err != nil || resp.StatusCode >= 200 || resp.StatusCode == http.StatusSwitchingProtocols {
@@ -179,42 +179,42 @@
 }
 
 // used is what the parser has used of the buffer.
-func (m *message) used() []byte { return m.b.data[m.b.r : m.b.r+m.at-m.Buffered()] }
+func (m *message) consumed() []byte { return m.b.data[m.b.r : m.b.r+m.read-m.Buffered()] }
 
-// dropUsed gives back what the parser has used of the buffer.
-func (m *message) dropUsed() {
-	n := m.at - m.Buffered()
-	m.b.r, m.at, m.limit = m.b.r+n, m.at-n, m.limit-n
+// releaseConsumed gives back what the parser has used of the buffer.
+func (m *message) releaseConsumed() {
+	n := m.read - m.Buffered()
+	m.b.r, m.read, m.limit = m.b.r+n, m.read-n, m.limit-n
 }
 
 // end drops what the parser has used of the buffer.
-func (m *message) end() {
-	m.dropUsed()
-	if m.b.buffered() == 0 && len(m.b.data) > keptSize {
+func (m *message) close() {
+	m.releaseConsumed()
+	if m.b.buffered() == 0 && len(m.b.data) > maxRetainedSize {
 		m.b.data, m.b.r, m.b.w = nil, 0, 0
 	}
 	m.Reset(nil)
-	parsers.Put(m.Reader)
+	readerPool.Put(m.Reader)
 }
 
 // unread hands a message's bytes to the parser.
-type unread struct{ m *message }
+type messageReader struct{ msg *message }
 
-func (u unread) Read(p []byte) (int, error) {
-	m := u.m
-	if m.at >= m.limit {
-		m.err = errTooLong
+func (u messageReader) Read(p []byte) (int, error) {
+	m := u.msg
+	if m.read >= m.limit {
+		m.err = errMessageTooLong
 		return 0, m.err
 	}
-	for m.b.buffered() == m.at {
-		if m.drop {
-			m.dropUsed()
+	for m.b.buffered() == m.read {
+		if m.releaseEarly {
+			m.releaseConsumed()
 		}
 		if m.err = m.b.fill(); m.err != nil {
 			return 0, m.err
 		}
 	}
-	n := copy(p[:min(len(p), m.limit-m.at)], m.b.data[m.b.r+m.at:m.b.w])
-	m.at += n
+	n := copy(p[:min(len(p), m.limit-m.read)], m.b.data[m.b.r+m.read:m.b.w])
+	m.read += n
 	return n, nil
 }
--- a/internal/platform/call_limit.go
+++ b/internal/platform/call_limit.go
@@ -3,29 +3,29 @@
 import "time"
 
 // How long the reading of a list may go on past the limit of its call. A list of today's fleets is
-// within listKept and keeps the list's clock (internal/pollpacing). A longer one takes its time, to
+// within minRateBytes and keeps the list's clock (internal/pollpacing). A longer one takes its time, to
 // send and to decode: to break it off while it arrives would only begin it anew.
 const (
-	listKept   = 128 << 10              // bytes of a list for which the call's limit has to do
-	listRate   = 24 << 10               // bytes a second, beyond these, that are waited for at least
-	listStalls = 700 * time.Millisecond // most between two parts of a list that is past its call's limit
+	minRateBytes      = 128 << 10              // bytes of a list for which the call's limit has to do
+	minBytesPerSecond = 24 << 10               // bytes a second, beyond these, that are waited for at least
+	maxStall          = 700 * time.Millisecond // most between two parts of a list that is past its call's limit
 )
 
-// A callLimit says until when a call's answer is awaited.
-type callLimit struct {
-	end  time.Time // however little has arrived
-	read int64     // bytes of the list so far
+// A callDeadline says until when a call's answer is awaited.
+type callDeadline struct {
+	timeout  time.Time // however little has arrived
+	received int64     // bytes of the list so far
 }
 
 // note takes in that so many bytes more were read at a time.
-func (l *callLimit) note(bytes int) { l.read += int64(bytes) }
+func (l *callDeadline) addReceived(bytes int) { l.received += int64(bytes) }
 
 // deadline returns until when the next part is awaited after one that was read now.
-func (l *callLimit) deadline(now time.Time) time.Time {
-	granted := time.Duration(max(0, l.read-listKept)) * time.Second / listRate
-	extended := l.end.Add(granted)
-	if stall := now.Add(listStalls); stall.Before(extended) {
+func (l *callDeadline) next(now time.Time) time.Time {
+	granted := time.Duration(max(0, l.received-minRateBytes)) * time.Second / minBytesPerSecond
+	extended := l.timeout.Add(granted)
+	if stall := now.Add(maxStall); stall.Before(extended) {
 		extended = stall
 	}
-	return later(l.end, extended)
+	return later(l.timeout, extended)
 }
--- a/internal/platform/caller.go
+++ b/internal/platform/caller.go
@@ -14,8 +14,8 @@
 	"github.com/vatu-meals/foxlift/internal/pollpacing"
 )
 
-// errList says that an answer is not a list, or not one that was asked for.
-var errList = errors.New("not a list")
+// errNotEndpoints says that an answer is not a list, or not one that was asked for.
+var errNotEndpoints = errors.New("not a list")
 
 // A statusError is the status of an answer that is no list.
 type statusError int
@@ -23,17 +23,17 @@
 func (e statusError) Error() string { return fmt.Sprintf("status %d", int(e)) }
 
 // outcome says what a failed call tells of discovery.
-func outcome(err error) pollpacing.Outcome {
+func callOutcome(err error) pollpacing.Outcome {
 	var status statusError
 	var wait net.Error
 	switch {
-	case errors.As(err, &oversizedError{}), errors.Is(err, errTooLong):
+	case errors.As(err, &oversizedError{}), errors.Is(err, errMessageTooLong):
 		return pollpacing.Oversized
 	case errors.As(err, &status) && status == http.StatusServiceUnavailable:
 		return pollpacing.Overloaded
 	case errors.As(err, &wait) && wait.Timeout():
 		return pollpacing.Unanswered
-	case errors.As(err, &status) || errors.Is(err, errList):
+	case errors.As(err, &status) || errors.Is(err, errNotEndpoints):
 		return pollpacing.Invalid
 	}
 	return pollpacing.Unreachable
@@ -45,71 +45,71 @@
 // Unwrap returns what failed.
 func (e answerError) Unwrap() error { return e.error }
 
-// listFailure says what a failed call that took so long tells of the list's age. A refusal after a wait may
+// pollFailure says what a failed call that took so long tells of the list's age. A refusal after a wait may
 // mean that discovery is down or has too many callers.
-func listFailure(err error, took time.Duration) foxlift.PollFailure {
+func pollFailure(err error, took time.Duration) foxlift.PollFailure {
 	switch {
 	case errors.As(err, new(answerError)):
 		return foxlift.FailureInvalid
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return foxlift.FailureDown
-	case outcome(err) == pollpacing.Overloaded && took >= pollpacing.MinQueueWait:
+	case callOutcome(err) == pollpacing.Overloaded && took >= pollpacing.MinQueueWait:
 		return foxlift.FailureBusy
 	}
 	return foxlift.FailureUnanswered
 }
 
 // A caller makes calls to discovery, on one connection while it lasts.
-type caller struct {
-	ctx  context.Context // its end breaks off what is under way
-	addr string
-	conn net.Conn
-	buf  buffer
-	stop func() bool // conn no longer ends with ctx
-
-	dialLimit time.Duration
-	limit     callLimit  // of the call that is out
-	reading   func(bool) // what has arrived is about to be read; or nothing more has
+type discoveryClient struct {
+	ctx    context.Context // its end breaks off what is under way
+	addr   string
+	conn   net.Conn
+	buf    buffer
+	detach func() bool // conn no longer ends with ctx
+
+	dialTimeout time.Duration
+	deadline    callDeadline // of the call that is out
+	onReading   func(bool)   // what has arrived is about to be read; or nothing more has
 }
 
-func (c *caller) close() {
+func (c *discoveryClient) close() {
 	if c.conn != nil {
-		c.stop()
+		c.detach()
 		c.conn.Close()
 		c.conn = nil
 	}
 }
 
 // open dials, unless the connection of an earlier call is there.
-func (c *caller) open() error {
+func (c *discoveryClient) connect() error {
 	if c.conn != nil {
 		return nil
 	}
-	d := net.Dialer{Timeout: c.dialLimit}
+	d := net.Dialer{Timeout: c.dialTimeout}
 	conn, err := d.DialContext(c.ctx, "tcp", c.addr)
 	if err != nil {
 		return err
 	}
-	conn = &watchedConn{conn.(*net.TCPConn), c.reading}
-	c.conn, c.buf = conn, buffer{conn: conn, data: make([]byte, keptSize)}
-	c.stop = context.AfterFunc(c.ctx, func() { conn.Close() })
+	conn = &observedConn{conn.(*net.TCPConn), c.onReading}
+	c.conn, c.buf = conn, buffer{conn: conn, data: make([]byte, maxRetainedSize)}
+	c.detach = context.AfterFunc(c.ctx, func() { conn.Close() })
 	return nil
 }
 
 // send writes a call; open has succeeded before.
-func (c *caller) send(target string, limit time.Duration) error {
-	c.limit = callLimit{end: time.Now().Add(limit)}
-	c.conn.SetDeadline(c.limit.end)
+func (c *discoveryClient) send(target string, limit time.Duration) error {
+	c.deadline = callDeadline{timeout: time.Now().Add(limit)}
+	c.conn.SetDeadline(c.deadline.timeout)
 	_, err := fmt.Fprintf(c.conn, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", target, c.addr)
 	return err
 }
 
 // receive reads an answer and decodes the list as it arrives, within a bound.
-func (c *caller) receive(bound listBound) (*listing, error) {
-	msg := c.buf.message(maxHead)
-	msg.drop = true // what is decoded need not stay
-	defer msg.end()
-	resp, err := msg.response()
+func (c *discoveryClient) receive(bound responseBound) (*endpointsResponse, error) {
+	msg := c.buf.newMessage(maxHead)
+	msg.releaseEarly = true // what is decoded need not stay
+	defer msg.close()
+	resp, err := msg.readResponse()
 	if err != nil {
 		return nil, err
 	}
@@ -123,13 +123,13 @@
 		return nil, oversizedError{"bytes", bound.bytes}
 	}
 	msg.limit += 2 * int(bound.bytes) // the framing of chunks included
-	body := &bodyReader{body: resp.Body, most: bound.bytes, progress: c.extend}
-	l, err := decodeListing(body, bound.entries)
+	body := &boundedBody{body: resp.Body, maxBytes: bound.bytes, onRead: c.extendDeadline}
+	l, err := decodeResponse(body, bound.entries)
 	switch {
 	case body.err != nil:
 		return nil, answerError{body.err}
 	case err != nil:
-		return nil, answerError{fmt.Errorf("%w: %w", errList, err)}
+		return nil, answerError{fmt.Errorf("%w: %w", errNotEndpoints, err)}
 	}
 	if resp.Close {
 		c.close()
@@ -138,54 +138,54 @@
 }
 
 // extend gives a list that arrives the time that it takes.
-func (c *caller) extend(bytes int) {
-	c.limit.note(bytes)
-	c.conn.SetReadDeadline(c.limit.deadline(time.Now()))
+func (c *discoveryClient) extendDeadline(bytes int) {
+	c.deadline.addReceived(bytes)
+	c.conn.SetReadDeadline(c.deadline.next(time.Now()))
 }
 
-// A bodyReader reads a body of a bounded length, and tells of each part. It keeps the error with which the reading ended
+// A boundedBody reads a body of a bounded length, and tells of each part. It keeps the error with which the reading ended
 // before the body's end: a decoder may word it as bad input.
-type bodyReader struct {
+type boundedBody struct {
 	body     io.Reader
-	most     int64 // bytes that it may have
-	progress func(bytes int)
+	maxBytes int64 // bytes that it may have
+	onRead   func(bytes int)
 	read     int64
 	err      error
 }
 
 // Read implements io.Reader.
-func (r *bodyReader) Read(p []byte) (int, error) {
+func (r *boundedBody) Read(p []byte) (int, error) {
 	n, err := r.body.Read(p)
-	if r.read += int64(n); r.read > r.most {
-		err = oversizedError{"bytes", r.most}
+	if r.read += int64(n); r.read > r.maxBytes {
+		err = oversizedError{"bytes", r.maxBytes}
 	}
 	if err != nil && err != io.EOF {
 		r.err = err
 	}
 	if n > 0 {
-		r.progress(n)
+		r.onRead(n)
 	}
 	return n, err
 }
 
-// A watchedConn tells of what has arrived before it is read: whoever looks at the connection
+// A observedConn tells of what has arrived before it is read: whoever looks at the connection
 // in between would else find nothing there, and nothing of it in the list.
-type watchedConn struct {
+type observedConn struct {
 	*net.TCPConn
-	reading func(bool)
+	onReading func(bool)
 }
 
-func (c *watchedConn) Read(p []byte) (int, error) {
+func (c *observedConn) Read(p []byte) (int, error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
 	// With an error, such as a deadline that has passed, what has arrived is read as well.
 	raw.Read(func(fd uintptr) bool {
-		there := somethingAt(int(fd))
-		c.reading(there)
-		return there
+		ready := readable(int(fd))
+		c.onReading(ready)
+		return ready
 	})
-	c.reading(true)
+	c.onReading(true)
 	return c.TCPConn.Read(p)
 }
--- a/internal/platform/clockstep_test.go
+++ b/internal/platform/clockstep_test.go
@@ -13,28 +13,28 @@
 // The wall clock is stepped before a node starts, between its start and the list that tells of it, or after
 // that: its age in the module's terms is real time, and connections from before its start are told from those
 // after it.
-func TestStartsAcrossClockSteps(t *testing.T) {
+func TestProcessStartAcrossClockSteps(t *testing.T) {
 	const age, tolerance = 2 * time.Second, 200 * time.Millisecond
 	for _, step := range []time.Duration{0, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
 		for _, when := range []string{"before", "after"} {
 			t.Run(fmt.Sprintf("%v, %s the start", step, when), func(t *testing.T) {
 				clock := core.NewClock()
 				offset := time.Duration(0)
-				m := newMachines("", &config.Settings{}, nil, nil)
+				m := newEndpointWatch("", &config.Settings{}, nil, nil)
 				m.clock, m.wall = clock.Now, func() time.Time { return wallClock().Add(offset) }
 				if when == "before" {
 					offset = step
 				}
 				born := m.wall().Add(-age).UnixMilli()
 				tell := func(version int) foxlift.Worker {
-					l, err := parseListing(fmt.Appendf(nil,
+					l, err := parseEndpoints(fmt.Appendf(nil,
 						`{"seq":%d,"whole":true,"hosts":[{"host":"n","dial":"h:1","health":"active","born_ms":%d}]}`, version, born))
 					if err != nil {
 						t.Fatal(err)
 					}
 					m.mu.Lock()
 					defer m.mu.Unlock()
-					return m.takeLocked(l)[0]
+					return m.applyLocked(l)[0]
 				}
 				first := tell(1)
 				if got := time.Duration(clock.Now() - first.StartedAt); got < age-tolerance || got > age+tolerance {
@@ -45,10 +45,10 @@
 					t.Errorf("told again, its start moves by %v", time.Duration(again.StartedAt-first.StartedAt))
 				}
 				to, _ := m.find("n")
-				if old := time.Now().Add(-age - time.Second); !old.Before(to.born) {
+				if old := time.Now().Add(-age - time.Second); !old.Before(to.at) {
 					t.Error("a connection from before its start counts as newer")
 				}
-				if fresh := time.Now(); fresh.Before(to.born) {
+				if fresh := time.Now(); fresh.Before(to.at) {
 					t.Error("a connection from now counts as older than its start")
 				}
 			})
--- a/internal/platform/deployments_test.go
+++ b/internal/platform/deployments_test.go
@@ -21,22 +21,22 @@
 var keyedSettings = strings.NewReplacer(
 	`"effect":"at_most_once"`, `"effect":"deduplicated","dedupScope":"cell","keyTtl":5000000000`,
 	`"bounds":{`, `"report":{"how":"answers","names":["backlog","x0"]},"bounds":{"probes":true,`,
-).Replace(toySettings)
+).Replace(testSettings)
 
-func startKeyed(t *testing.T, nodes ...*toyNode) (*Platform, *counters.Set) {
+func startKeyed(t *testing.T, nodes ...*testWorker) (*Platform, *counters.Set) {
 	return startText(t, keyedSettings, 256, "", nodes...)
 }
 
 // A keyed job's key reaches the node as it came, also one of a class that needs none; where
 // the class needs one, a job without is bad input and reaches no node.
-func TestKeysArePassedOn(t *testing.T) {
+func TestIdempotencyKeysAreForwarded(t *testing.T) {
 	var mu sync.Mutex
 	var keys []string
-	node := newNode(t, func(c net.Conn, r *http.Request, id string) bool {
+	node := newTestWorker(t, func(c net.Conn, r *http.Request, id string) bool {
 		mu.Lock()
 		keys = append(keys, strings.Join(r.Header[headerKey], "+"))
 		mu.Unlock()
-		return sayStates(c, id, true, `"started"`, `"done","result":"r","load":{"backlog":0,"x0":1.5}`)
+		return writeStates(c, id, true, `"started"`, `"done","result":"r","load":{"backlog":0,"x0":1.5}`)
 	})
 	p, set := startKeyed(t, node)
 	s := connect(t, p)
@@ -48,7 +48,7 @@
 		if c.key != "" {
 			more = append(more, headerKey+": "+c.key)
 		}
-		r, _ := s.ask(t, jobText(c.class, fmt.Sprint("j", i), "5000m", "b", more...))
+		r, _ := s.request(t, jobText(c.class, fmt.Sprint("j", i), "5000m", "b", more...))
 		check(t, c.class+" with "+c.key, r.StatusCode, c.status)
 	}
 	mu.Lock()
@@ -60,21 +60,21 @@
 
 // A node that blames requests is no worse for it: the next job goes there as before, and
 // the blamed one is not tried elsewhere.
-func TestBlameCostsTheNodeNothing(t *testing.T) {
-	node := newNode(t, func(c net.Conn, r *http.Request, id string) bool {
+func TestInvalidJobsDoNotBlameTheWorker(t *testing.T) {
+	node := newTestWorker(t, func(c net.Conn, r *http.Request, id string) bool {
 		if strings.HasPrefix(id, "bad") {
 			_, err := fmt.Fprint(c, "HTTP/1.1 400 No\r\nX-Pressure: backlog=0,x0=1,x0=1\r\nContent-Length: 0\r\n\r\n")
 			return err == nil
 		}
-		return done(c, r, id)
+		return serveJob(c, r, id)
 	})
 	p, set := startKeyed(t, node)
 	s := connect(t, p)
 	for i := range 12 {
 		key := headerKey + ": k"
-		r, _ := s.ask(t, jobText("ratify", fmt.Sprint("bad", i), "5000m", "b", key))
+		r, _ := s.request(t, jobText("ratify", fmt.Sprint("bad", i), "5000m", "b", key))
 		check(t, "blamed", r.StatusCode, http.StatusBadGateway)
-		r, _ = s.ask(t, jobText("ratify", fmt.Sprint("good", i), "5000m", "b", key))
+		r, _ = s.request(t, jobText("ratify", fmt.Sprint("good", i), "5000m", "b", key))
 		check(t, "the next", r.StatusCode, http.StatusOK)
 	}
 	check(t, "claims", set.Get("claims.sent"), int64(24))
@@ -83,11 +83,11 @@
 }
 
 // A keyed job whose connection breaks goes on only to a node of the same pod.
-func TestRepeatsStayInThePod(t *testing.T) {
+func TestRetriesStayInTheGroup(t *testing.T) {
 	var mu sync.Mutex
 	ran := map[string][]string{}
-	node := func(name string) *toyNode {
-		return newNode(t, func(c net.Conn, r *http.Request, id string) bool {
+	node := func(name string) *testWorker {
+		return newTestWorker(t, func(c net.Conn, r *http.Request, id string) bool {
 			mu.Lock()
 			ran[id] = append(ran[id], name)
 			first := len(ran[id]) == 1
@@ -95,24 +95,24 @@
 			if first {
 				return false
 			}
-			return done(c, r, id)
+			return serveJob(c, r, id)
 		})
 	}
-	nodes := []*toyNode{node("a0"), node("a1"), node("b0")}
+	nodes := []*testWorker{node("a0"), node("a1"), node("b0")}
 	p, _ := startKeyed(t, nodes...)
-	list := []string{host(0, nodes[0], healthActive), host(1, nodes[1], healthActive), strings.Replace(host(2, nodes[2], healthActive), `"block":0`, `"block":1`, 1)}
-	l, err := parseListing([]byte(`{"seq":2,"whole":true,"hosts":[` + strings.Join(list, ",") + `]}`))
+	list := []string{endpointJSON(0, nodes[0], healthActive), endpointJSON(1, nodes[1], healthActive), strings.Replace(endpointJSON(2, nodes[2], healthActive), `"block":0`, `"block":1`, 1)}
+	l, err := parseEndpoints([]byte(`{"seq":2,"whole":true,"hosts":[` + strings.Join(list, ",") + `]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.machines.mu.Lock()
-	workers := p.machines.takeLocked(l)
-	p.machines.mu.Unlock()
+	p.endpoints.mu.Lock()
+	workers := p.endpoints.applyLocked(l)
+	p.endpoints.mu.Unlock()
 	p.core.UpdateEndpoints(0, workers)
 	s := connect(t, p)
 	for i := range 30 {
 		id := fmt.Sprint("j", i)
-		s.ask(t, jobText("ratify", id, "900m", "b", headerKey+": "+id))
+		s.request(t, jobText("ratify", id, "900m", "b", headerKey+": "+id))
 		mu.Lock()
 		if pods := ran[id]; len(pods) > 1 && slices.ContainsFunc(pods, func(n string) bool { return n[0] != pods[0][0] }) {
 			t.Errorf("%s ran on %v", id, pods)
@@ -122,16 +122,16 @@
 }
 
 // Where lists are pushed the first call is made at once, whatever the number of schedulers.
-func TestPushedListsAreAskedAtOnce(t *testing.T) {
+func TestPushedEndpointsArePolledAtOnce(t *testing.T) {
 	for how, spread := range map[string]bool{"subscribe": true, "automatic": false} {
-		s, err := config.ParseSettings([]byte(strings.NewReplacer(`"balancers":1`, `"balancers":900`, `"subscribe"`, `"`+how+`"`).Replace(toySettings)))
+		s, err := config.ParseSettings([]byte(strings.NewReplacer(`"balancers":1`, `"balancers":900`, `"subscribe"`, `"`+how+`"`).Replace(testSettings)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.Module.MaxPollInterval = int64(time.Minute)
 		longest := time.Duration(0)
 		for range 20 {
-			longest = max(longest, newMachines("", s, nil, zap.NewNop()).asker.InitialDelay())
+			longest = max(longest, newEndpointWatch("", s, nil, zap.NewNop()).pacer.InitialDelay())
 		}
 		if longest > 0 != spread {
 			t.Errorf("%s: the first call waits up to %v", how, longest)
@@ -141,14 +141,14 @@
 
 // Of 300 schedulers one whose watch falls silent asks anew in seconds, on a new connection, and
 // goes on from the version that it has: what it missed it is held to soon.
-func TestSilentWatchIsAskedAnew(t *testing.T) {
+func TestSilentWatchIsPolledAnew(t *testing.T) {
 	t.Parallel()
-	node := newNode(t, done)
+	node := newTestWorker(t, serveJob)
 	addr, calls := newDiscovery(t)
-	settings := strings.Replace(toySettings, `"balancers":1`, `"balancers":300`, 1)
+	settings := strings.Replace(testSettings, `"balancers":1`, `"balancers":300`, 1)
 	_, set := startText(t, settings, 256, addr, node)
 	first := next(t, calls)
-	first.answer(hosts(7, true, node))
+	first.answer(endpointsJSON(7, true, node))
 	silent := next(t, calls)
 	again := next(t, calls) // within 20 s; it was 56
 	if again.conn == silent.conn || !strings.HasPrefix(again.target, pathMembers+"?index=7&wait=") {
@@ -159,7 +159,7 @@
 
 // What comes from a stranger, is too long, garbled, late, doubled or one of a flood is counted
 // and goes no further; what a peer says does, in any order.
-func TestPeersDatagrams(t *testing.T) {
+func TestPeerDatagrams(t *testing.T) {
 	open := func() *net.UDPConn {
 		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
@@ -192,9 +192,9 @@
 	say(peer, second)
 	say(peer, first)
 	say(peer, second)
-	say(peer, append(slices.Clone(second), make([]byte, peerMost)...))
-	say(peer, sealPeer(at-2*peerOld, []byte("old")))
-	say(peer, sealPeer(at+2*peerOld, []byte("of the future")))
+	say(peer, append(slices.Clone(second), make([]byte, maxPeerDatagram)...))
+	say(peer, sealPeer(at-2*maxPeerAge, []byte("old")))
+	say(peer, sealPeer(at+2*maxPeerAge, []byte("of the future")))
 	for i := range second {
 		b := slices.Clone(second)
 		b[i] ^= 0x10
@@ -213,7 +213,7 @@
 	for name, want := range map[string]int64{"stranger": 1, "doubled": 1, "late": 1, "garbled": 2 + 2*int64(len(second)), "heard": 3} {
 		check(t, name, set.Get("peers."+name), want)
 	}
-	seen := peerSeen{at: at}
+	seen := peerReceiver{updatedAt: at}
 	passed := 0
 	for i := range 10000 { // in 10 ms
 		if _, err := seen.open(at+int64(i), sealPeer(at+int64(i), nil)); err == nil {
@@ -223,11 +223,11 @@
 	if passed > peerRate/50 {
 		t.Errorf("%d of a flood of 10,000 pass", passed)
 	}
-	if p.Send(1, make([]byte, peerMost)); set.Get("peers.too_long") != 1 {
+	if p.Send(1, make([]byte, maxPeerDatagram)); set.Get("peers.too_long") != 1 {
 		t.Error("a message that is too long is sent")
 	}
 	p.Send(-1, []byte("to all"))
-	b := make([]byte, 2*peerMost)
+	b := make([]byte, 2*maxPeerDatagram)
 	peer.SetReadDeadline(time.Now().Add(patience))
 	if n, err := peer.Read(b); err != nil || n != len("to all")+peerFrame {
 		t.Errorf("%d bytes, %v", n, err)
--- a/internal/platform/drain.go
+++ b/internal/platform/drain.go
@@ -9,26 +9,26 @@
 // stops new connections 0.2 s after it has seen the health turn, which it asks for ten times a
 // second; after 4 s no connection may rest here, or carry a job that came in the last 2 s.
 type drain struct {
-	since time.Time
-	stay  time.Duration // that an idle connection stays
+	startedAt time.Time
+	idleStay  time.Duration // that an idle connection stays
 }
 
 const (
-	drainStay  = 600 * time.Millisecond  // that an idle connection stays: closed at once, it would only come back
-	reliefStay = 200 * time.Millisecond  // the same where another process has the address: it goes there
-	drainFirst = 400 * time.Millisecond  // for the first request on a connection that comes later
-	drainRead  = 1700 * time.Millisecond // by then a request has come whole or is turned away
-	drainPiece = 150 * time.Millisecond  // for the rest of a request that begins after that
+	drainIdleStay     = 600 * time.Millisecond  // that an idle connection stays: closed at once, it would only come back
+	successorIdleStay = 200 * time.Millisecond  // the same where another process has the address: it goes there
+	drainFirstRequest = 400 * time.Millisecond  // for the first request on a connection that comes later
+	drainReadTimeout  = 1700 * time.Millisecond // by then a request has come whole or is turned away
+	drainReadRest     = 150 * time.Millisecond  // for the rest of a request that begins after that
 )
 
-// idleUntil is how long a connection may rest that was opened at a time.
-func (d *drain) idleUntil(began time.Time) time.Time {
-	return later(d.since.Add(d.stay), began.Add(drainFirst))
+// idleDeadline is how long a connection may rest that was opened at a time.
+func (d *drain) idleDeadline(openedAt time.Time) time.Time {
+	return later(d.startedAt.Add(d.idleStay), openedAt.Add(drainFirstRequest))
 }
 
-// readUntil is when a request must have come whole that begins now.
-func (d *drain) readUntil(now time.Time) time.Time {
-	return later(d.since.Add(drainRead), now.Add(drainPiece))
+// readDeadline is when a request must have come whole that begins now.
+func (d *drain) readDeadline(now time.Time) time.Time {
+	return later(d.startedAt.Add(drainReadTimeout), now.Add(drainReadRest))
 }
 
 func later(a, b time.Time) time.Time {
@@ -39,63 +39,63 @@
 }
 
 // quiesce begins a drain, unless there is one.
-func (f *front) quiesce() {
-	if f.begins(&f.drain, drainStay) {
-		f.counters.Add("drains.begun")
+func (s *clientServer) quiesce() {
+	if s.startDrain(&s.operatorDrain, drainIdleStay) {
+		s.counters.Add("drains.begun")
 	}
 }
 
 // resume ends the drain. Connections that it has not closed yet stay.
-func (f *front) resume() {
-	if f.ends(&f.drain) {
-		f.counters.Add("drains.ended")
+func (s *clientServer) resume() {
+	if s.stopDrain(&s.operatorDrain) {
+		s.counters.Add("drains.ended")
 	}
 }
 
 // relieve sends submitters to another process that listens on the same address, or, when that is
 // gone, no longer does. The health stays as it is: the address is served.
-func (f *front) relieve(on bool) {
+func (s *clientServer) yield(on bool) {
 	if on {
-		f.begins(&f.relief, reliefStay)
+		s.startDrain(&s.successorDrain, successorIdleStay)
 	} else {
-		f.ends(&f.relief)
+		s.stopDrain(&s.successorDrain)
 	}
 }
 
 // begins begins one of the front's drains; false if there is one.
-func (f *front) begins(at *atomic.Pointer[drain], stay time.Duration) bool {
+func (s *clientServer) startDrain(at *atomic.Pointer[drain], stay time.Duration) bool {
 	if at.Load() != nil || !at.CompareAndSwap(nil, &drain{time.Now(), stay}) {
 		return false
 	}
-	f.wakeIdle()
+	s.wakeIdle()
 	return true
 }
 
 // ends ends one of the front's drains; false if there is none.
-func (f *front) ends(at *atomic.Pointer[drain]) bool {
+func (s *clientServer) stopDrain(at *atomic.Pointer[drain]) bool {
 	if at.Swap(nil) == nil {
 		return false
 	}
-	f.wakeIdle()
+	s.wakeIdle()
 	return true
 }
 
 // sending returns why submitters are sent away while the scheduler goes on; nil if they are not.
-func (f *front) sending() *drain {
-	if d := f.drain.Load(); d != nil {
+func (s *clientServer) activeDrain() *drain {
+	if d := s.operatorDrain.Load(); d != nil {
 		return d
 	}
-	return f.relief.Load()
+	return s.successorDrain.Load()
 }
 
-// sendsAway reports whether answers end their connections.
-func (f *front) sendsAway() bool { return f.leaving.Load() || f.sending() != nil }
+// closesAfterAnswer reports whether answers end their connections.
+func (s *clientServer) closesAfterAnswer() bool { return s.closeIdle.Load() || s.activeDrain() != nil }
 
 // wakeIdle lets every idle connection look at how long it may rest.
-func (f *front) wakeIdle() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for s := range f.idlers() {
-		s.conn.SetReadDeadline(wakeUp)
+func (s *clientServer) wakeIdle() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for c := range s.idleConns() {
+		c.conn.SetReadDeadline(pastDeadline)
 	}
 }
--- a/internal/platform/drain_test.go
+++ b/internal/platform/drain_test.go
@@ -16,9 +16,9 @@
 		if id == "slow" {
 			<-release
 		}
-		return done(c, r, id)
+		return serveJob(c, r, id)
 	}
-	p, set := start(t, "", newNode(t, serve), newNode(t, serve))
+	p, set := start(t, "", newTestWorker(t, serve), newTestWorker(t, serve))
 	resting, working := connect(t, p), connect(t, p)
 	resting.send(t, jobText("reading", "before", "5000m", ""))
 	resting.answer(t)
@@ -44,9 +44,9 @@
 	check(t, "its result", body, "for slow")
 	check(t, "its connection ends", r.Close, true)
 	await(t, "no connection", func() bool {
-		p.front.mu.Lock()
-		defer p.front.mu.Unlock()
-		return len(p.front.all) == 0
+		p.clients.mu.Lock()
+		defer p.clients.mu.Unlock()
+		return len(p.clients.conns) == 0
 	})
 
 	p.Resume()
@@ -63,7 +63,7 @@
 
 // Resume right after quiesce keeps the connections that have not been closed yet.
 func TestResumeRightAfterQuiesce(t *testing.T) {
-	p, _ := start(t, "", newNode(t, done))
+	p, _ := start(t, "", newTestWorker(t, serveJob))
 	s := connect(t, p)
 	s.send(t, jobText("reading", "a", "5000m", ""))
 	s.answer(t)
@@ -76,15 +76,15 @@
 }
 
 // A resume does not undo the end.
-func TestResumeAmidTheEnd(t *testing.T) {
-	p, _ := start(t, "", newNode(t, done))
+func TestResumeDuringShutdown(t *testing.T) {
+	p, _ := start(t, "", newTestWorker(t, serveJob))
 	p.Quiesce()
 	over := make(chan struct{})
 	go func() {
 		p.ShutDown()
 		close(over)
 	}()
-	await(t, "ending", p.front.ending.Load)
+	await(t, "ending", p.clients.unready.Load)
 	p.Resume()
 	check(t, "ready", p.Ready(), false)
 	<-over
@@ -92,14 +92,14 @@
 
 // A request that stops half way in a drain is turned away and not held: it was never taken.
 func TestHalfRequestInDrain(t *testing.T) {
-	p, _ := start(t, "", newNode(t, done))
+	p, _ := start(t, "", newTestWorker(t, serveJob))
 	s := connect(t, p)
 	text := jobText("reading", "half", "5000m", "body")
 	s.send(t, text[:len(text)-1])
 	await(t, "the request has begun", func() bool {
-		p.front.mu.Lock()
-		defer p.front.mu.Unlock()
-		for c := range p.front.all {
+		p.clients.mu.Lock()
+		defer p.clients.mu.Unlock()
+		for c := range p.clients.conns {
 			return !c.awaiting
 		}
 		return false
@@ -112,6 +112,6 @@
 
 func healthOf(t *testing.T, p *Platform) int {
 	t.Helper()
-	r, _ := connect(t, p).ask(t, "GET "+pathHealth+" HTTP/1.1\r\nHost: app.svc\r\nConnection: close\r\n\r\n")
+	r, _ := connect(t, p).request(t, "GET "+pathHealth+" HTTP/1.1\r\nHost: app.svc\r\nConnection: close\r\n\r\n")
 	return r.StatusCode
 }
--- a/internal/platform/fuzz_test.go
+++ b/internal/platform/fuzz_test.go
@@ -64,39 +64,39 @@
 }
 
 // A reading is what the front makes of a connection's bytes.
-type reading struct {
-	requests []framed
+type parsedRequests struct {
+	requests []framedRequest
 	jobs     []string // of each request: the job, or what is wrong with it
 	headers  []string
-	end      string // how the connection's reading ended
-	held     int    // the largest that the buffer became
+	consumed string // how the connection's reading ended
+	buffered int    // the largest that the buffer became
 }
 
-func newReader(parts [][]byte) (*submitter, *memConn) {
+func newReader(parts [][]byte) (*clientConn, *memConn) {
 	conn := &memConn{parts: parts}
-	f := newFront(nil, core.NewClock(), &counters.Set{}, zap.NewNop(), nil, 8)
-	return &submitter{front: f, conn: conn, buf: buffer{conn: conn}, began: time.Now()}, conn
+	f := newClientServer(nil, core.NewClock(), &counters.Set{}, zap.NewNop(), nil, 8)
+	return &clientConn{server: f, conn: conn, buf: buffer{conn: conn}, openedAt: time.Now()}, conn
 }
 
 // readAll reads requests as a submitter's goroutine does, without serving them.
-func readAll(parts [][]byte) (r reading) {
+func readAll(parts [][]byte) (r parsedRequests) {
 	s, conn := newReader(parts)
 	for {
 		if s.buf.buffered() == 0 && s.buf.fill() != nil {
-			r.end = "end"
+			r.consumed = "end"
 			return r
 		}
 		req, body, input := s.readRequest()
-		r.held = max(r.held, len(s.buf.data))
+		r.buffered = max(r.buffered, len(s.buf.data))
 		switch {
 		case input != nil:
-			r.end = fmt.Sprint(input.status, " ", input.counter)
+			r.consumed = fmt.Sprint(input.status, " ", input.counter)
 			return r
 		case req == nil:
-			r.end = "broken off"
+			r.consumed = "broken off"
 			return r
 		}
-		r.requests = append(r.requests, framed{req.Method, req.RequestURI, body, conn.read - s.buf.buffered()})
+		r.requests = append(r.requests, framedRequest{req.Method, req.RequestURI, body, conn.read - s.buf.buffered()})
 		r.headers = append(r.headers, fmt.Sprint(req.Header)) // in the order of names
 		job, input := parseJob(req, body)
 		if input != nil {
@@ -106,18 +106,18 @@
 			r.jobs = append(r.jobs, fmt.Sprint(job.ID, job.Class, job.Tenant, job.Remaining, job.Key, job.Slots, job.Memory, job.ClientRetry, p.method, p.target))
 		}
 		if req.Close {
-			r.end = "closed"
+			r.consumed = "closed"
 			return r
 		}
 	}
 }
 
-func (r reading) String() string {
+func (r parsedRequests) String() string {
 	var b strings.Builder
 	for i, q := range r.requests {
-		fmt.Fprintf(&b, "[%s %q body %q end %d: %s] ", q.method, q.target, q.body, q.end, r.jobs[i])
+		fmt.Fprintf(&b, "[%s %q body %q end %d: %s] ", q.method, q.target, q.body, q.length, r.jobs[i])
 	}
-	return b.String() + r.end
+	return b.String() + r.consumed
 }
 
 // checkRequests holds the front's reading against the rules of RFC 9112, against
@@ -127,7 +127,7 @@
 	at := 0
 	for i, q := range got.requests {
 		want, whole, sound := frameRequest(data, at)
-		if !whole || !sound || want.end != q.end || want.method != q.method || want.target != q.target || !bytes.Equal(want.body, q.body) {
+		if !whole || !sound || want.length != q.length || want.method != q.method || want.target != q.target || !bytes.Equal(want.body, q.body) {
 			t.Fatalf("request %d at %d of %q:\nthe front reads %s\nthe rules %+v, whole %v, sound %v", i, at, data, got, want, whole, sound)
 		}
 		r, err := http.ReadRequest(parserOf(data[at:]))
@@ -140,15 +140,15 @@
 		if h := fmt.Sprint(r.Header); h != got.headers[i] {
 			t.Fatalf("request %d at %d of %q: the front reads %s, net/http %s", i, at, data, got.headers[i], h)
 		}
-		at = q.end
+		at = q.length
 	}
-	if got.end == "broken off" {
-		if want, whole, sound := frameRequest(data, at); whole && sound && want.end-at < maxHead {
+	if got.consumed == "broken off" {
+		if want, whole, sound := frameRequest(data, at); whole && sound && want.length-at < maxHead {
 			t.Fatalf("%q: whole by the rules, %+v; the front reads %s", data, want, got)
 		}
 	}
-	if got.held > 2*(maxHead+3*maxBody) {
-		t.Fatalf("%d bytes are held for %d", got.held, len(data))
+	if got.buffered > 2*(maxHead+3*maxBody) {
+		t.Fatalf("%d bytes are held for %d", got.buffered, len(data))
 	}
 	rng := rand.New(rand.NewPCG(uint64(len(data)), 5))
 	splits := [][]int{everyByte(len(data))}
@@ -214,15 +214,15 @@
 func checkAnswer(t testing.TB, data []byte) {
 	receive := func(parts [][]byte) (string, core.Report, int) {
 		conn := &memConn{parts: parts}
-		c := &nodeConn{Conn: conn, buf: buffer{conn: conn}}
+		c := &workerConn{Conn: conn, buf: buffer{conn: conn}}
 		notes := 0
-		a := &attempt{nodes: &nodes{}, job: &core.Job{ID: "j"}, report: func(r core.Report) {
+		a := &attempt{pool: &workerPool{}, job: &core.Job{ID: "j"}, report: func(r core.Report) {
 			if r.Ended {
 				t.Fatalf("%q: an end among the notes", data)
 			}
 			notes++
 		}}
-		r, reusable := a.receive(c)
+		r, reusable := a.receiveAnswer(c)
 		if reusable && c.buf.buffered() != 0 {
 			t.Fatalf("%q: the connection is kept with %d bytes in it", data, c.buf.buffered())
 		}
@@ -316,25 +316,25 @@
 
 func TestFuzzAnswer(t *testing.T) { fuzz.Play(t, 2, 4000, answerSeeds(), checkAnswer) }
 
-var listSettings = func() *config.Settings {
-	s, err := config.ParseSettings([]byte(toySettings))
+var endpointSettings = func() *config.Settings {
+	s, err := config.ParseSettings([]byte(testSettings))
 	if err != nil {
 		panic(err)
 	}
 	return s
 }()
 
-// checkListing holds discovery's answers to be refused whole or taken whole, with
+// checkEndpoints holds discovery's answers to be refused whole or taken whole, with
 // times that can be reckoned with, and the same again when printed and read.
-func checkListing(t testing.TB, data []byte) {
-	l, err := parseListing(data)
+func checkEndpoints(t testing.TB, data []byte) {
+	l, err := parseEndpoints(data)
 	if err != nil {
 		return
 	}
-	m := newMachines("", listSettings, nil, zap.NewNop())
-	workers := m.takeLocked(l)
-	if len(workers) != len(l.Hosts) {
-		t.Fatalf("%q: %d of %d hosts", data, len(workers), len(l.Hosts))
+	m := newEndpointWatch("", endpointSettings, nil, zap.NewNop())
+	workers := m.applyLocked(l)
+	if len(workers) != len(l.Endpoints) {
+		t.Fatalf("%q: %d of %d hosts", data, len(workers), len(l.Endpoints))
 	}
 	latest := time.Now().Add(time.Minute).UnixNano()
 	for i, w := range workers {
@@ -343,7 +343,7 @@
 		}
 	}
 	// The same told again is no news: a start in the future must not look new each time.
-	for i, w := range m.takeLocked(l) {
+	for i, w := range m.applyLocked(l) {
 		if w.StartedAt != workers[i].StartedAt && countHost(l, w.ID) == 1 {
 			t.Fatalf("%q: host %d started at %d, told again at %d", data, i, workers[i].StartedAt, w.StartedAt)
 		}
@@ -352,7 +352,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := parseListing(printed)
+	again, err := parseEndpoints(printed)
 	if err != nil {
 		t.Fatalf("%q, printed %q: %v", data, printed, err)
 	}
@@ -361,16 +361,16 @@
 	}
 }
 
-func countHost(l *listing, id string) (n int) {
-	for _, h := range l.Hosts {
-		if h.Host == id {
+func countHost(l *endpointsResponse, id string) (n int) {
+	for _, h := range l.Endpoints {
+		if h.ID == id {
 			n++
 		}
 	}
 	return n
 }
 
-func listingSeeds() (seeds [][]byte) {
+func endpointSeeds() (seeds [][]byte) {
 	for _, s := range []string{
 		`{"seq":41,"whole":true,"hosts":[{"host":"a","dial":"10.0.0.1:3000","site":"a","class":"k","block":3,"health":"active","share":1.0,"born_ms":0}]}`,
 		`{"seq":1,"whole":false,"hosts":[{"host":"a","health":"left"},{"host":"a","dial":"x:1","health":"leaving","born_ms":-5}]}`,
@@ -384,16 +384,16 @@
 	return seeds
 }
 
-func FuzzListing(f *testing.F) {
-	for _, s := range listingSeeds() {
+func FuzzEndpoints(f *testing.F) {
+	for _, s := range endpointSeeds() {
 		f.Add(s)
 	}
-	f.Fuzz(func(t *testing.T, data []byte) { checkListing(t, data) })
+	f.Fuzz(func(t *testing.T, data []byte) { checkEndpoints(t, data) })
 }
 
-func TestFuzzListing(t *testing.T) {
-	fuzz.Play(t, 3, 20000, listingSeeds(), checkListing)
-	fuzz.Play(t, 5, 20000, listingSeeds(), checkDecoder)
+func TestFuzzEndpoints(t *testing.T) {
+	fuzz.Play(t, 3, 20000, endpointSeeds(), checkEndpoints)
+	fuzz.Play(t, 5, 20000, endpointSeeds(), checkDecoder)
 }
 
 // checkValues holds the small parsers of header values to their ranges.
@@ -417,8 +417,8 @@
 	if isToken(s) && strings.ContainsAny(s, " \r\n\x00\x7f") {
 		t.Fatalf("%q is a token", s)
 	}
-	for _, parse := range []func(string, []string) (load, error){
-		parseLoad, func(s string, names []string) (load, error) { return parseLoadObject([]byte(s), names) },
+	for _, parse := range []func(string, []string) (loadGauges, error){
+		parseLoad, func(s string, names []string) (loadGauges, error) { return parseLoadObject([]byte(s), names) },
 	} {
 		if l, err := parse(s, []string{"a", "b"}); err == nil {
 			for _, x := range l {
@@ -428,7 +428,7 @@
 			}
 		}
 	}
-	seen := peerSeen{}
+	seen := peerReceiver{}
 	seen.open(1e15, data)
 	config.ParseKey(data)
 }
@@ -470,8 +470,8 @@
 	for _, data := range answerSeeds() {
 		outcome := func(parts [][]byte) string {
 			conn := &memConn{parts: parts}
-			a := &attempt{nodes: &nodes{}, job: &core.Job{ID: "j"}, report: func(core.Report) {}}
-			r, _ := a.receive(&nodeConn{Conn: conn, buf: buffer{conn: conn}})
+			a := &attempt{pool: &workerPool{}, job: &core.Job{ID: "j"}, report: func(core.Report) {}}
+			r, _ := a.receiveAnswer(&workerConn{Conn: conn, buf: buffer{conn: conn}})
 			return fmt.Sprint(r.Code, string(r.Result))
 		}
 		want := outcome(cut(data))
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -89,7 +89,7 @@
 	t.Parallel()
 	var said transcript
 	l := &recordedListener{Listener: listen(t)}
-	node := standin.Serve(l, done)
+	node := standin.Serve(l, serveJob)
 	p, _ := start(t, "", node)
 	s := connect(t, p)
 	for _, c := range []struct{ title, request string }{
@@ -99,13 +99,13 @@
 		{"a job in chunks", jobText("reading", "j2", "5000m", "", "-Content-Length", "Transfer-Encoding: chunked") +
 			"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"},
 	} {
-		r, _ := s.ask(t, c.request)
+		r, _ := s.request(t, c.request)
 		check(t, c.title, r.StatusCode, http.StatusOK)
 		said.add(c.title, l.take())
 	}
 	probe := func(title string, p *Platform) {
 		reports := make(chan core.Report, 1)
-		p.nodes.HealthCheck("n0", func(r core.Report) { reports <- r })
+		p.pool.HealthCheck("n0", func(r core.Report) { reports <- r })
 		<-reports
 		said.add(title, l.take())
 	}
@@ -119,14 +119,14 @@
 func TestBytesToDiscovery(t *testing.T) {
 	t.Parallel()
 	var said transcript
-	node := newNode(t, done)
-	answers := []string{hosts(7, true, node), hosts(3, false, node), hosts(9, true, node)}
+	node := newTestWorker(t, serveJob)
+	answers := []string{endpointsJSON(7, true, node), endpointsJSON(3, false, node), endpointsJSON(9, true, node)}
 	calls := make(chan bool)
 	l := &recordedListener{Listener: listen(t)}
 	standin.Serve(l, func(c net.Conn, _ *http.Request, _ string) bool {
 		calls <- true
 		if len(answers) == 0 {
-			return silent(c, nil, "")
+			return neverAnswers(c, nil, "")
 		}
 		body := answers[0]
 		answers = answers[1:]
@@ -171,11 +171,11 @@
 	var said transcript
 	handle := func(c net.Conn, r *http.Request, id string) bool {
 		if strings.HasPrefix(id, "lost") {
-			return breakOff(c, r, id)
+			return closeUnanswered(c, r, id)
 		}
-		return done(c, r, id)
+		return serveJob(c, r, id)
 	}
-	p, _ := startText(t, keyedSettings, 256, "", newNode(t, handle))
+	p, _ := startText(t, keyedSettings, 256, "", newTestWorker(t, handle))
 	for _, e := range append(soundRequests(), badRequests()...) {
 		said.add(e.title, answered(t, p, e.request))
 	}
@@ -239,7 +239,7 @@
 	)
 	datagram := sealPeer(sent, []byte("foxlift"))
 	check(t, "datagram", fmt.Sprintf("%x", datagram), want)
-	data, err := (&peerSeen{}).open(sent, datagram)
+	data, err := (&peerReceiver{}).open(sent, datagram)
 	check(t, "read", string(data), "foxlift")
 	check(t, "error", err, error(nil))
 }
@@ -249,12 +249,12 @@
 	const kept = `{"seq":8,"whole":true,"hosts":[` +
 		`{"host":"n1","dial":"10.0.0.1:3000","site":"a","class":"k","block":1,"health":"active","born_ms":5},` +
 		`{"host":"n2","dial":"10.0.0.2:3000","site":"b","class":"m","block":2,"health":"leaving","born_ms":-6}]}`
-	m := newMachines("10.0.0.9:8500", &config.Settings{}, nil, nil)
+	m := newEndpointWatch("10.0.0.9:8500", &config.Settings{}, nil, nil)
 	if _, err := m.load([]byte(kept)); err != nil {
 		t.Fatal(err)
 	}
 	m.answered = true
-	saved, told := m.save()
+	saved, told := m.snapshot()
 	check(t, "told", told, true)
 	check(t, "list", string(saved.Endpoints), kept)
 	check(t, "version", saved.Version, int64(8))
--- a/internal/platform/listing.go
+++ b/internal/platform/listing.go
@@ -16,88 +16,88 @@
 // The bound of a list. A list within it is decoded as it arrives, so that its text is never held
 // whole; one over it is refused, since a process that runs out of memory serves nobody.
 const (
-	designEntries = 19_000 // the fleet that one scheduler is designed to follow (docs/capacity)
-	entryBytes    = 512    // of one entry's text; about 126 in a compact list, about 220 in an indented one
-	entryMemory   = 2048   // bytes that an entry takes in the list, the core and the module together
-	textPart      = 8      // of the memory limit that a list's text may come to,
-	entryPart     = 2      // and that its entries may take
+	designEndpoints = 19_000 // the fleet that one scheduler is designed to follow (docs/capacity)
+	entryBytes      = 512    // of one entry's text; about 126 in a compact list, about 220 in an indented one
+	entryMemory     = 2048   // bytes that an entry takes in the list, the core and the module together
+	textDivisor     = 8      // of the memory limit that a list's text may come to,
+	entryDivisor    = 2      // and that its entries may take
 )
 
-// A listBound is the most that a list may have.
-type listBound struct {
+// A responseBound is the most that a list may have.
+type responseBound struct {
 	bytes, entries int64
 }
 
-// newListBound returns the bound for a process with a memory limit in bytes.
-func newListBound(memory int64) listBound {
-	return listBound{
-		bytes:   min(designEntries*entryBytes, memory/textPart),
-		entries: memory / entryPart / entryMemory,
+// newResponseBound returns the bound for a process with a memory limit in bytes.
+func newResponseBound(memory int64) responseBound {
+	return responseBound{
+		bytes:   min(designEndpoints*entryBytes, memory/textDivisor),
+		entries: memory / entryDivisor / entryMemory,
 	}
 }
 
-// processBound returns the bound that follows from the runtime's memory limit.
-func processBound() listBound { return newListBound(debug.SetMemoryLimit(-1)) }
+// processResponseBound returns the bound that follows from the runtime's memory limit.
+func processResponseBound() responseBound { return newResponseBound(debug.SetMemoryLimit(-1)) }
 
 // An oversizedError says that a list is over its bound: so it will be when it is asked for again.
 type oversizedError struct {
 	unit string // what is counted
-	most int64
+	max  int64
 }
 
 // Error implements error.
-func (e oversizedError) Error() string { return fmt.Sprintf("the list has over %d %s", e.most, e.unit) }
+func (e oversizedError) Error() string { return fmt.Sprintf("the list has over %d %s", e.max, e.unit) }
 
 // A listing is discovery's answer.
-type listing struct {
-	Version *int64      `json:"seq"`
-	Whole   bool        `json:"whole"`
-	Hosts   []listEntry `json:"hosts"`
+type endpointsResponse struct {
+	Version   *int64          `json:"seq"`
+	Complete  bool            `json:"whole"`
+	Endpoints []endpointEntry `json:"hosts"`
 }
 
-// A listEntry is an execute node in discovery's answer.
-type listEntry struct {
-	Host   string `json:"host"`
-	Dial   string `json:"dial"`
-	Zone   string `json:"site"`
-	Kind   string `json:"class"`
-	Cell   int    `json:"block"`
-	Health string `json:"health"`
-	Born   int64  `json:"born_ms"`
+// A endpointEntry is an execute node in discovery's answer.
+type endpointEntry struct {
+	ID           string `json:"host"`
+	Address      string `json:"dial"`
+	Zone         string `json:"site"`
+	Kind         string `json:"class"`
+	Cell         int    `json:"block"`
+	Health       string `json:"health"`
+	StartedMilli int64  `json:"born_ms"`
 }
 
-var healths = map[string]foxlift.WorkerState{
-	healthActive: foxlift.Live, healthLeaving: foxlift.Draining, healthLeft: foxlift.Removed,
+var workerStates = map[string]foxlift.WorkerState{
+	healthActive: foxlift.Live, healthLeaving: foxlift.Draining, healthRemoved: foxlift.Removed,
 }
 
 // check returns what is wrong with an entry.
-func (e *listEntry) check() error {
-	if e.Host == "" {
+func (e *endpointEntry) validate() error {
+	if e.ID == "" {
 		return errors.New("host is empty")
 	}
-	if _, ok := healths[e.Health]; !ok {
+	if _, ok := workerStates[e.Health]; !ok {
 		return fmt.Errorf("health is %q", e.Health)
 	}
-	if _, _, err := net.SplitHostPort(e.Dial); err != nil && e.Health != healthLeft {
-		return fmt.Errorf("dial is %q", e.Dial)
+	if _, _, err := net.SplitHostPort(e.Address); err != nil && e.Health != healthRemoved {
+		return fmt.Errorf("dial is %q", e.Address)
 	}
 	return nil
 }
 
-// parseListing reads an answer that is there whole.
-func parseListing(text []byte) (*listing, error) {
-	return decodeListing(bytes.NewReader(text), newListBound(1<<62).entries)
+// parseEndpoints reads an answer that is there whole.
+func parseEndpoints(text []byte) (*endpointsResponse, error) {
+	return decodeResponse(bytes.NewReader(text), newResponseBound(1<<62).entries)
 }
 
-// decodeListing reads an answer of at most so many entries up to its end, one entry after
+// decodeResponse reads an answer of at most so many entries up to its end, one entry after
 // another. One that is faulty anywhere is refused whole. It accepts what json.Unmarshal does,
 // except for a second "hosts".
-func decodeListing(r io.Reader, entries int64) (*listing, error) {
+func decodeResponse(r io.Reader, entries int64) (*endpointsResponse, error) {
 	dec := json.NewDecoder(r)
-	if err := expect(dec, '{'); err != nil {
+	if err := expectDelim(dec, '{'); err != nil {
 		return nil, err
 	}
-	var l listing
+	var l endpointsResponse
 	for hosts := false; dec.More(); {
 		key, err := dec.Token()
 		if err != nil {
@@ -107,12 +107,12 @@
 		case strings.EqualFold(name, "seq"):
 			err = dec.Decode(&l.Version)
 		case strings.EqualFold(name, "whole"):
-			err = dec.Decode(&l.Whole)
+			err = dec.Decode(&l.Complete)
 		case strings.EqualFold(name, "hosts") && hosts:
 			err = errors.New("hosts is there twice")
 		case strings.EqualFold(name, "hosts"):
 			hosts = true
-			err = l.decodeHosts(dec, entries)
+			err = l.decodeEndpoints(dec, entries)
 		default:
 			err = dec.Decode(&json.RawMessage{})
 		}
@@ -120,7 +120,7 @@
 			return nil, err
 		}
 	}
-	if err := expect(dec, '}'); err != nil {
+	if err := expectDelim(dec, '}'); err != nil {
 		return nil, err
 	}
 	if _, err := dec.Token(); err != io.EOF {
@@ -135,32 +135,32 @@
 	return &l, nil
 }
 
-// decodeHosts reads the entries, at most so many; null counts as none.
-func (l *listing) decodeHosts(dec *json.Decoder, most int64) error {
+// decodeEndpoints reads the entries, at most so many; null counts as none.
+func (l *endpointsResponse) decodeEndpoints(dec *json.Decoder, max int64) error {
 	if token, err := dec.Token(); err != nil || token == nil {
 		return err
 	} else if token != json.Delim('[') {
 		return fmt.Errorf("hosts is %v", token)
 	}
 	for i := int64(0); dec.More(); i++ {
-		if i >= most {
-			return oversizedError{"entries", most}
+		if i >= max {
+			return oversizedError{"entries", max}
 		}
-		l.Hosts = append(l.Hosts, listEntry{})
-		e := &l.Hosts[i]
+		l.Endpoints = append(l.Endpoints, endpointEntry{})
+		e := &l.Endpoints[i]
 		err := dec.Decode(e)
 		if err == nil {
-			err = e.check()
+			err = e.validate()
 		}
 		if err != nil {
 			return fmt.Errorf("hosts[%d]: %w", i, err)
 		}
 	}
-	return expect(dec, ']')
+	return expectDelim(dec, ']')
 }
 
 // expect reads a token that has to be this one.
-func expect(dec *json.Decoder, want json.Delim) error {
+func expectDelim(dec *json.Decoder, want json.Delim) error {
 	token, err := dec.Token()
 	if err == nil && token != want {
 		err = fmt.Errorf("%v where %v should be", token, want)
@@ -168,21 +168,21 @@
 	return err
 }
 
-// parseKnown reads the list as last known before the start; nil if there is none.
-func parseKnown(known []byte) (*listing, error) {
-	if len(known) == 0 || string(known) == "null" {
+// parseCached reads the list as last known before the start; nil if there is none.
+func parseCached(cached []byte) (*endpointsResponse, error) {
+	if len(cached) == 0 || string(cached) == "null" {
 		return nil, nil
 	}
-	l, err := parseListing(known)
+	l, err := parseEndpoints(cached)
 	if err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
-	l.Whole = true
+	l.Complete = true
 	return l, nil
 }
 
 // ValidateCachedEndpoints checks the list as last known before the start.
-func ValidateCachedEndpoints(known []byte) error {
-	_, err := parseKnown(known)
+func ValidateCachedEndpoints(cached []byte) error {
+	_, err := parseCached(cached)
 	return err
 }
--- a/internal/platform/load.go
+++ b/internal/platform/load.go
@@ -16,7 +16,7 @@
 
 // loads reads nodes' load reports: the values that the settings name, in their order. A
 // report that is faulty counts as none, and the answer that brought it stands.
-type loads struct {
+type loadParser struct {
 	names    []string
 	counters *counters.Set
 }
@@ -24,36 +24,36 @@
 // maxGauge is the most that a value of a report may be: no node holds as much of anything.
 const maxGauge = 1e9
 
-type load = [foxlift.MaxGauges]float64
+type loadGauges = [foxlift.MaxGauges]float64
 
 // header reads a report in an answer's head; there may be none.
-func (l loads) header(values []string) (load, bool) {
+func (l loadParser) header(values []string) (loadGauges, bool) {
 	switch {
 	case len(l.names) == 0 || len(values) == 0:
-		return load{}, false
+		return loadGauges{}, false
 	case len(values) > 1:
-		return l.judged(load{}, errors.New("it is there twice"))
+		return l.counted(loadGauges{}, errors.New("it is there twice"))
 	}
-	return l.judged(parseLoad(values[0], l.names))
+	return l.counted(parseLoad(values[0], l.names))
 }
 
 // object reads a report in the last line of an answer; there may be none.
-func (l loads) object(text json.RawMessage) (load, bool) {
+func (l loadParser) object(text json.RawMessage) (loadGauges, bool) {
 	if len(l.names) == 0 || len(text) == 0 || string(text) == "null" {
-		return load{}, false
+		return loadGauges{}, false
 	}
-	return l.judged(parseLoadObject(text, l.names))
+	return l.counted(parseLoadObject(text, l.names))
 }
 
 // body reads a report that is the whole answer to a probe, in either form.
-func (l loads) body(text []byte) (load, bool) {
+func (l loadParser) body(text []byte) (loadGauges, bool) {
 	if text = bytes.TrimSpace(text); bytes.HasPrefix(text, []byte("{")) {
 		return l.object(text)
 	}
-	return l.judged(parseLoad(string(text), l.names))
+	return l.counted(parseLoad(string(text), l.names))
 }
 
-func (l loads) judged(values load, err error) (load, bool) {
+func (l loadParser) counted(values loadGauges, err error) (loadGauges, bool) {
 	if err != nil {
 		l.counters.Add("loads.faulty")
 	}
@@ -62,75 +62,75 @@
 
 // A sheet is a report that is being read: of the names that the settings have each once,
 // with a number within bounds. Other names may hold anything.
-type sheet struct {
-	names  []string
-	values load
-	there  [foxlift.MaxGauges]bool
+type loadReport struct {
+	names   []string
+	values  loadGauges
+	present [foxlift.MaxGauges]bool
 }
 
-func (s *sheet) set(name, value string) error {
+func (s *loadReport) set(name, value string) error {
 	i := slices.Index(s.names, name)
 	if i < 0 || i >= len(s.values) {
 		return nil
 	}
-	if s.there[i] {
+	if s.present[i] {
 		return fmt.Errorf("%q is there twice", name)
 	}
 	x, err := strconv.ParseFloat(value, 64)
 	if err != nil || !(x >= 0 && x <= maxGauge) {
 		return fmt.Errorf("%q is not a number from 0 to %g", name, maxGauge)
 	}
-	s.values[i], s.there[i] = x, true
+	s.values[i], s.present[i] = x, true
 	return nil
 }
 
 // whole returns the values once all of them are there.
-func (s *sheet) whole() (load, error) {
+func (s *loadReport) complete() (loadGauges, error) {
 	for i, name := range s.names[:min(len(s.names), len(s.values))] {
-		if !s.there[i] {
-			return load{}, fmt.Errorf("%q is missing", name)
+		if !s.present[i] {
+			return loadGauges{}, fmt.Errorf("%q is missing", name)
 		}
 	}
 	return s.values, nil
 }
 
 // parseLoad reads name=value,name=value.
-func parseLoad(text string, names []string) (load, error) {
-	s := sheet{names: names}
+func parseLoad(text string, names []string) (loadGauges, error) {
+	s := loadReport{names: names}
 	for part := range strings.SplitSeq(strings.TrimSpace(text), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if err := s.set(name, value); err != nil {
-			return load{}, err
+			return loadGauges{}, err
 		}
 	}
-	return s.whole()
+	return s.complete()
 }
 
 // parseLoadObject reads {"name":value,...}.
-func parseLoadObject(text []byte, names []string) (load, error) {
+func parseLoadObject(text []byte, names []string) (loadGauges, error) {
 	dec := json.NewDecoder(bytes.NewReader(text))
 	if t, err := dec.Token(); err != nil || t != json.Delim('{') {
-		return load{}, errors.New("not an object")
+		return loadGauges{}, errors.New("not an object")
 	}
-	s := sheet{names: names}
+	s := loadReport{names: names}
 	for dec.More() {
 		name, err := dec.Token()
 		if err != nil {
-			return load{}, err
+			return loadGauges{}, err
 		}
 		var value json.RawMessage
 		if err := dec.Decode(&value); err != nil {
-			return load{}, err
+			return loadGauges{}, err
 		}
 		if err := s.set(name.(string), string(value)); err != nil {
-			return load{}, err
+			return loadGauges{}, err
 		}
 	}
 	if _, err := dec.Token(); err != nil {
-		return load{}, err
+		return loadGauges{}, err
 	}
 	if _, err := dec.Token(); err != io.EOF {
-		return load{}, errors.New("more than an object")
+		return loadGauges{}, errors.New("more than an object")
 	}
-	return s.whole()
+	return s.complete()
 }
--- a/internal/platform/machine.go
+++ b/internal/platform/machine.go
@@ -8,27 +8,27 @@
 )
 
 // A machine is an execute node's entry in the list.
-type machine struct {
-	dial  string
-	state foxlift.WorkerState
-	off   time.Time // since when the list has it as not live; zero: it is live
+type endpoint struct {
+	address          string
+	state            foxlift.WorkerState
+	unavailableSince time.Time // since when the list has it as not live; zero: it is live
 	processStart
-	told       int64 // its process's last start as it was told
-	zone, kind unique.Handle[string]
-	cell       int
+	announcedStart int64 // its process's last start as it was told
+	zone, kind     unique.Handle[string]
+	cell           int
 }
 
 // A processStart is when a node's process started; its zero value: long ago.
 type processStart struct {
-	born    time.Time // on this process's monotonic clock
-	started int64     // on the core's clock
+	at       time.Time // on this process's monotonic clock
+	coreTime int64     // on the core's clock
 }
 
-// startOf turns a start that another machine's wall clock tells, Unix time in milliseconds, into the clocks of
+// processStartOf turns a start that another machine's wall clock tells, Unix time in milliseconds, into the clocks of
 // this process, which no step of the wall clock moves. This is the one place where the two meet: wall is the
 // wall clock now, which all machines share. A start before all time counts as long ago, one in the future
 // as now: a node would else be cold for as long as its clock is wrong.
-func startOf(bornMilli int64, wall time.Time, clock func() int64) processStart {
+func processStartOf(bornMilli int64, wall time.Time, clock func() int64) processStart {
 	if bornMilli <= 0 {
 		return processStart{}
 	}
@@ -36,13 +36,13 @@
 	return processStart{time.Now().Add(-age), max(1, clock()-int64(age))}
 }
 
-// offSince returns since when a node is not live, from its entry before and its state now.
-func offSince(before machine, state foxlift.WorkerState) time.Time {
+// unavailableSince returns since when a node is not live, from its entry before and its state now.
+func unavailableSince(before endpoint, state foxlift.WorkerState) time.Time {
 	switch {
 	case state == foxlift.Live:
 		return time.Time{}
 	case before.state != foxlift.Live:
-		return before.off
+		return before.unavailableSince
 	}
 	return time.Now()
 }
--- a/internal/platform/moments_test.go
+++ b/internal/platform/moments_test.go
@@ -38,33 +38,33 @@
 
 // What discovery has written counts as told, read or not: a claim waits for it to be in the
 // list, and is not sent where that does not come to pass.
-func TestUnreadListHoldsClaims(t *testing.T) {
+func TestUnreadResponseHoldsAttempts(t *testing.T) {
 	t.Parallel()
-	m := &machines{settings: &config.Settings{}, entries: map[string]machine{"n": {}}}
+	m := &endpointWatch{settings: &config.Settings{}, entries: map[string]endpoint{"n": {}}}
 	near, far := pipe(t)
-	conn := &watchedConn{near, m.noteReading}
+	conn := &observedConn{near, m.setReading}
 	m.conn = conn
 	if _, ok := m.find("n"); !ok {
 		t.Error("nothing unread, and yet the node is not to be had")
 	}
 	io.WriteString(far, "HTTP/1.1 200 OK")
-	await(t, "arrived", func() bool { return arrived(conn) })
+	await(t, "arrived", func() bool { return hasInput(conn) })
 	if _, ok := m.find("n"); ok {
 		t.Error("sent on the old list, with an answer unread")
 	}
 	// Read, and not in the list yet: nothing is left in the kernel that find could see.
-	if _, err := conn.Read(make([]byte, 100)); err != nil || arrived(conn) {
+	if _, err := conn.Read(make([]byte, 100)); err != nil || hasInput(conn) {
 		t.Fatalf("%v: not all of it is read", err)
 	}
 	found := make(chan bool)
 	go func() { _, ok := m.find("n"); found <- ok }()
 	m.mu.Lock()
 	check(t, "reading", m.reading, true)
-	m.entries["n"], m.conn, m.reading = machine{state: foxlift.Draining}, nil, false
+	m.entries["n"], m.conn, m.reading = endpoint{state: foxlift.Draining}, nil, false
 	m.mu.Unlock()
 	check(t, "found", <-found, false)
 	// What has come is a part: until the rest does, the list holds.
-	m.entries["n"], m.conn = machine{}, conn
+	m.entries["n"], m.conn = endpoint{}, conn
 	io.WriteString(far, "half a")
 	conn.Read(make([]byte, 100))
 	go conn.Read(make([]byte, 100))
@@ -74,22 +74,22 @@
 	}
 }
 
-// busyCore follows a discovery with a core that is busy: it takes no news until free is closed, and
+// startBusyCore follows a discovery with a core that is busy: it takes no news until free is closed, and
 // by then the discovery has answered the next call with a drain, which nobody has read.
-func busyCore(t *testing.T) (m *machines, calls chan call, free chan bool) {
+func startBusyCore(t *testing.T) (m *endpointWatch, calls chan call, free chan bool) {
 	addr, calls := newDiscovery(t)
-	settings, err := config.ParseSettings([]byte(toySettings))
+	settings, err := config.ParseSettings([]byte(testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	node := newNode(t, done)
+	node := newTestWorker(t, serveJob)
 	free = make(chan bool)
-	m = newMachines(addr, settings, func(foxlift.EndpointUpdate, []foxlift.Worker) { <-free }, zap.NewNop())
-	m.lastWords = patience
+	m = newEndpointWatch(addr, settings, func(foxlift.EndpointUpdate, []foxlift.Worker) { <-free }, zap.NewNop())
+	m.finalReadTimeout = patience
 	t.Cleanup(m.stop)
 	m.Watch()
-	next(t, calls).answer(hosts(7, true, node))
-	next(t, calls).answer(`{"seq":8,"whole":false,"hosts":[` + host(0, node, healthLeaving) + `]}`)
+	next(t, calls).answer(endpointsJSON(7, true, node))
+	next(t, calls).answer(`{"seq":8,"whole":false,"hosts":[` + endpointJSON(0, node, healthLeaving) + `]}`)
 	await(t, "it has arrived where claims look", func() bool {
 		m.mu.Lock()
 		defer m.mu.Unlock()
@@ -101,7 +101,7 @@
 // An answer that comes while the core is busy with the one before counts at once.
 func TestAnswerWhileTheCoreIsBusy(t *testing.T) {
 	t.Parallel()
-	m, _, free := busyCore(t)
+	m, _, free := startBusyCore(t)
 	if _, ok := m.find("n0"); ok {
 		t.Error("sent on the old list, with an answer unread")
 	}
@@ -115,9 +115,9 @@
 
 // What the old discovery has written when a reload moves it counts as told: it is read before its
 // call ends. The new one's list is asked for whole all the same.
-func TestDrainUnreadAtAReload(t *testing.T) {
+func TestUnreadDrainAtReload(t *testing.T) {
 	t.Parallel()
-	m, _, free := busyCore(t)
+	m, _, free := startBusyCore(t)
 	later, calls := newDiscovery(t)
 	m.switchTo(later)
 	close(free)
@@ -125,18 +125,18 @@
 	check(t, "the new discovery's first call", c.target, pathMembers)
 	m.mu.Lock()
 	check(t, "the node", m.entries["n0"].state, foxlift.Draining)
-	check(t, "asked for at once until it has come", m.urgent.IsZero(), false)
+	check(t, "asked for at once until it has come", m.urgentUntil.IsZero(), false)
 	m.mu.Unlock()
 }
 
 // A pushed list counts once the agent has it, outage or not: an agent that is away for long is
 // asked again and again within the least grace for drains, whatever the number of schedulers.
-func TestAgentsReturn(t *testing.T) {
+func TestAgentReturns(t *testing.T) {
 	t.Parallel()
 	l := listen(t).(*net.TCPListener)
 	l.SetDeadline(time.Now().Add(patience))
-	settings := strings.NewReplacer(`"balancers":1`, `"balancers":300`, `"subscribe"`, `"automatic"`, `400000000}`, `60000000000}`).Replace(toySettings)
-	startText(t, settings, 256, l.Addr().String(), newNode(t, done))
+	settings := strings.NewReplacer(`"balancers":1`, `"balancers":300`, `"subscribe"`, `"automatic"`, `400000000}`, `60000000000}`).Replace(testSettings)
+	startText(t, settings, 256, l.Addr().String(), newTestWorker(t, serveJob))
 	last, longest := time.Time{}, time.Duration(0)
 	for i := range 20 {
 		c, err := l.Accept()
@@ -157,28 +157,28 @@
 // Between a claim's looks at the list the node begins to drain, or the submitter goes: during the
 // dial, and while the last byte is held back. Nothing is begun then, whether or not the settings
 // allow to cancel what has.
-func TestClaimsCrossedBeforeTheLastByte(t *testing.T) {
+func TestAttemptsWithdrawnBeforeTheLastByte(t *testing.T) {
 	for _, what := range []string{"drains", "leaves", "resets"} {
 		for look := 2; look <= 3; look++ { // after the dial; after the hold
-			node := newNode(t, done)
+			node := newTestWorker(t, serveJob)
 			near, far := pipe(t)
 			looks := 0
-			find := func(string) (machine, bool) {
+			find := func(string) (endpoint, bool) {
 				if looks++; looks == look {
 					switch what {
 					case "drains":
-						return machine{dial: node.Addr().String()}, false
+						return endpoint{address: node.Addr().String()}, false
 					case "resets":
 						far.SetLinger(0)
 					}
 					far.Close()
-					await(t, "gone", func() bool { return hungUp(near) })
+					await(t, "gone", func() bool { return peerClosed(near) })
 				}
-				return machine{dial: node.Addr().String()}, true
+				return endpoint{address: node.Addr().String()}, true
 			}
-			n := &nodes{find: find, counters: &counters.Set{}, connect: patience, idleLimit: time.Hour, budget: 9, idle: map[string][]*nodeConn{}}
+			n := &workerPool{find: find, counters: &counters.Set{}, dialTimeout: patience, idleTimeout: time.Hour, budget: 9, idle: map[string][]*workerConn{}}
 			job := &core.Job{ID: "j", Payload: &payload{method: "POST", target: "/reading"},
-				Client: &waiting{s: &submitter{conn: near}}}
+				Client: &pendingAnswer{conn: &clientConn{conn: near}}}
 			reports := make(chan core.Report, 9)
 			n.Send("n", job, core.AttemptLimits{Remaining: patience}, func(r core.Report) { reports <- r })
 			check(t, what+": code", (<-reports).Code, foxlift.NotSent)
@@ -189,8 +189,8 @@
 }
 
 // Who floods and goes is noticed though none of the flood is taken.
-func TestFloodAndGo(t *testing.T) {
-	node := newNode(t, silent)
+func TestFloodThenDisconnect(t *testing.T) {
+	node := newTestWorker(t, neverAnswers)
 	p, set := start(t, "", node)
 	s := connect(t, p)
 	s.send(t, jobText("ratify", "j", "19000m", ""))
@@ -201,28 +201,28 @@
 	check(t, "taken", set.Get("jobs.taken"), int64(1))
 }
 
-// A crossingConn calls a test's hook at a moment of a submitter's connection.
-type crossingConn struct {
+// A lateRequestConn calls a test's hook at a moment of a submitter's connection.
+type lateRequestConn struct {
 	*net.TCPConn
-	ending func() // once, as the connection begins to end
+	shuttingDown func() // once, as the connection begins to end
 }
 
-func (c *crossingConn) hook() {
-	if ending := c.ending; ending != nil {
-		c.ending = nil
+func (c *lateRequestConn) hook() {
+	if ending := c.shuttingDown; ending != nil {
+		c.shuttingDown = nil
 		ending()
 	}
 }
 
-func (c *crossingConn) CloseWrite() error { c.hook(); return c.TCPConn.CloseWrite() }
-func (c *crossingConn) Close() error      { c.hook(); return c.TCPConn.Close() }
+func (c *lateRequestConn) CloseWrite() error { c.hook(); return c.TCPConn.CloseWrite() }
+func (c *lateRequestConn) Close() error      { c.hook(); return c.TCPConn.Close() }
 
 // A request that comes in the very moment in which a connection ends is not taken; nor does it
 // take along the answer before it, which is still on its way.
-func TestRequestInTheMomentOfTheEnd(t *testing.T) {
+func TestRequestDuringShutdown(t *testing.T) {
 	big := strings.Repeat("x", 60<<10)
-	node := newNode(t, func(c net.Conn, _ *http.Request, id string) bool {
-		return sayStates(c, id, true, `"started"`, `"done","result":"`+big+`"`)
+	node := newTestWorker(t, func(c net.Conn, _ *http.Request, id string) bool {
+		return writeStates(c, id, true, `"started"`, `"done","result":"`+big+`"`)
 	})
 	for _, how := range []string{"a last answer", "an idle one", "bad input"} {
 		p, set := start(t, "", node)
@@ -230,9 +230,9 @@
 		far.SetReadBuffer(4 << 10) // most of the answer is still with the scheduler as it ends
 		far.SetDeadline(time.Now().Add(patience))
 		ending := make(chan bool)
-		p.front.begin(&crossingConn{near, func() {
+		p.clients.serveConn(&lateRequestConn{near, func() {
 			io.WriteString(far, jobText("reading", "late", "9000m", "")+strings.Repeat("y", 2<<10))
-			await(t, "arrived", func() bool { return arrived(near) })
+			await(t, "arrived", func() bool { return hasInput(near) })
 			close(ending)
 		}})
 		got, status := node.Got.Load(), 200
@@ -246,8 +246,8 @@
 		default:
 			io.WriteString(far, jobText("reading", "j", "9000m", ""))
 			await(t, "served", func() bool { return set.Get("jobs.served") == 1 })
-			await(t, "idle", func() bool { p.front.mu.Lock(); defer p.front.mu.Unlock(); return p.front.idle.Len() == 1 })
-			p.front.makeRoom(1)
+			await(t, "idle", func() bool { p.clients.mu.Lock(); defer p.clients.mu.Unlock(); return p.clients.idle.Len() == 1 })
+			p.clients.freeCapacity(1)
 		}
 		<-ending
 		br := bufio.NewReader(far)
@@ -276,24 +276,24 @@
 func (l *stalledListener) SetDeadline(at time.Time) error {
 	if l.stalls > 0 && !at.IsZero() {
 		l.stalls--
-		at = wakeUp
+		at = pastDeadline
 	}
 	return l.TCPListener.SetDeadline(at)
 }
 
 // What the kernel has accepted at the end is served, though the process stands still past the
 // time that it takes for that.
-func TestBacklogAfterAStandstill(t *testing.T) {
-	p, _ := start(t, "", newNode(t, done))
-	f := newFront(p.core, core.NewClock(), &counters.Set{}, zap.NewNop(), &stalledListener{listen(t).(*net.TCPListener), 4}, 9)
-	q := &Platform{front: f}
-	var waiting []*toySubmitter
+func TestBacklogAfterProcessStall(t *testing.T) {
+	p, _ := start(t, "", newTestWorker(t, serveJob))
+	f := newClientServer(p.core, core.NewClock(), &counters.Set{}, zap.NewNop(), &stalledListener{listen(t).(*net.TCPListener), 4}, 9)
+	q := &Platform{clients: f}
+	var waiting []*testClient
 	for i := range 5 {
 		s := connect(t, q)
 		s.send(t, jobText("reading", fmt.Sprint("w", i), "9000m", ""))
 		waiting = append(waiting, s)
 	}
-	f.closing.Store(true) // before the first accept: all of them are backlog
+	f.stopAccepting.Store(true) // before the first accept: all of them are backlog
 	go f.accept()
 	f.shutDown(0, 0)
 	for _, s := range waiting {
@@ -319,7 +319,7 @@
 					for n := 0; ; n++ {
 						if n == 1 && late == "before the last byte" {
 							br.Peek(1) // the next request has begun
-							sayStates(c, "j0", true, `"done","result":"again"`)
+							writeStates(c, "j0", true, `"done","result":"again"`)
 						}
 						r, err := http.ReadRequest(br)
 						if err != nil {
@@ -329,21 +329,21 @@
 						id := r.Header.Get(headerID)
 						wholes <- id
 						if n == 1 && late == "behind the last byte" {
-							sayStates(c, "j0", true, `"done","result":"again"`)
+							writeStates(c, "j0", true, `"done","result":"again"`)
 						}
-						sayStates(c, id, true, `"started"`, `"done","result":"for `+id+`"`)
+						writeStates(c, id, true, `"started"`, `"done","result":"for `+id+`"`)
 					}
 				}()
 			}
 		}()
 		entry := `{"host":"n%d","dial":%q,"site":"a","class":"k","block":0,"health":"active","born_ms":0}`
 		known := fmt.Sprintf(`{"seq":1,"whole":true,"hosts":[`+entry+","+entry+`]}`, 0, l.Addr(), 1, l.Addr())
-		p, _ := startKnown(t, toySettings, 256, "", known)
+		p, _ := startKnown(t, testSettings, 256, "", known)
 		s := connect(t, p)
-		r, _ := s.ask(t, jobText("reading", "j0", "9000m", ""))
+		r, _ := s.request(t, jobText("reading", "j0", "9000m", ""))
 		check(t, "first", r.StatusCode, 200)
 		check(t, "first at the node", <-wholes, "j0") // whole, or the answer would not be there
-		r, body := s.ask(t, jobText("ratify", "j1", "9000m", ""))
+		r, body := s.request(t, jobText("ratify", "j1", "9000m", ""))
 		if late == "before the last byte" {
 			check(t, late, fmt.Sprint(r.StatusCode, body), "200for j1")
 		} else {
@@ -355,12 +355,12 @@
 
 // Whatever the deadlines of the classes, all is answered, and the answers are read, before the
 // process may be killed; what comes in the first 0.7 s finds its connection open.
-func TestEndTimes(t *testing.T) {
+func TestShutdownTimes(t *testing.T) {
 	for _, deadline := range []time.Duration{300 * time.Millisecond, 800 * time.Millisecond, 2500 * time.Millisecond, 3 * time.Second, 25 * time.Second} {
 		s := &config.Settings{Module: foxlift.Config{Classes: []foxlift.Class{{Deadline: int64(time.Millisecond)}, {Deadline: int64(deadline)}}}}
-		stay, end := endTimes(s)
+		stay, end := shutdownTimes(s)
 		kill := min(3*time.Second, deadline) + 700*time.Millisecond
-		if end+lingerTime+100*time.Millisecond > kill || stay < moments || stay >= end {
+		if end+lingerTimeout+100*time.Millisecond > kill || stay < acceptAfterShutdown || stay >= end {
 			t.Errorf("deadline %v: connections stay %v, answered by %v, killed at %v", deadline, stay, end, kill)
 		}
 	}
--- a/internal/platform/names.go
+++ b/internal/platform/names.go
@@ -13,7 +13,7 @@
 	headerLabels     = "X-Labels"
 	headerKey        = "Idempotency-Key"
 	headerLoad       = "X-Pressure"
-	headerTurnedAway = "X-Turned-Away"
+	headerRejected   = "X-Turned-Away"
 	headerRetryAfter = "Retry-After"
 
 	queryKey   = "user"
@@ -37,7 +37,7 @@
 
 	healthActive  = "active"
 	healthLeaving = "leaving"
-	healthLeft    = "left"
+	healthRemoved = "left"
 )
 
 // The sizes that the protocol allows, and what else is read at most.
--- a/internal/platform/outstanding.go
+++ b/internal/platform/outstanding.go
@@ -13,46 +13,46 @@
 // is gone. So an attempt without an answer ends shortly after its node's change, with a reset of the
 // connection, which also discards what the kernel would send again.
 
-// answerAfterChange is how long after its node's change an attempt without an answer may go on. The rule on
+// answerGrace is how long after its node's change an attempt without an answer may go on. The rule on
 // drains allows for 0.75 s in the shortest settings known; the change may have come up to 0.15 s late.
-const answerAfterChange = 300 * time.Millisecond
+const answerGrace = 300 * time.Millisecond
 
 // outstanding is the attempts that are under way, by the node that they go to.
 // Its zero value is ready for use.
-type outstanding struct {
-	mu     sync.Mutex
-	byNode map[string]map[*attempt]struct{}
+type inFlightAttempts struct {
+	mu       sync.Mutex
+	byWorker map[string]map[*attempt]struct{}
 }
 
-func (o *outstanding) add(a *attempt) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.byNode == nil {
-		o.byNode = map[string]map[*attempt]struct{}{}
+func (f *inFlightAttempts) add(a *attempt) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.byWorker == nil {
+		f.byWorker = map[string]map[*attempt]struct{}{}
 	}
-	if o.byNode[a.node] == nil {
-		o.byNode[a.node] = map[*attempt]struct{}{}
+	if f.byWorker[a.worker] == nil {
+		f.byWorker[a.worker] = map[*attempt]struct{}{}
 	}
-	o.byNode[a.node][a] = struct{}{}
+	f.byWorker[a.worker][a] = struct{}{}
 }
 
-func (o *outstanding) remove(a *attempt) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	delete(o.byNode[a.node], a)
-	if len(o.byNode[a.node]) == 0 {
-		delete(o.byNode, a.node)
+func (f *inFlightAttempts) remove(a *attempt) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	delete(f.byWorker[a.worker], a)
+	if len(f.byWorker[a.worker]) == 0 {
+		delete(f.byWorker, a.worker)
 	}
 }
 
-// nodeChanged is told of a node's state in the list. It may be called with the list locked.
-func (o *outstanding) nodeChanged(node string, state foxlift.WorkerState) {
+// workerChanged is told of a node's state in the list. It may be called with the list locked.
+func (f *inFlightAttempts) workerChanged(worker string, state foxlift.WorkerState) {
 	if state == foxlift.Live {
 		return
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	for a := range o.byNode[node] {
-		time.AfterFunc(answerAfterChange, func() { a.nodeOffList(state) })
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for a := range f.byWorker[worker] {
+		time.AfterFunc(answerGrace, func() { a.abortUnavailable(state) })
 	}
 }
--- a/internal/platform/parse.go
+++ b/internal/platform/parse.go
@@ -21,24 +21,24 @@
 	body           []byte
 }
 
-// badInput is what a submitter sent and no execute node may see: the status of
+// inputError is what a submitter sent and no execute node may see: the status of
 // its answer and the counter it falls under.
-type badInput struct {
+type inputError struct {
 	status  int
 	counter string
 	text    string
 }
 
-func (e *badInput) Error() string { return e.text }
+func (e *inputError) Error() string { return e.text }
 
-func bad(status int, counter, format string, args ...any) *badInput {
-	return &badInput{status, "bad." + counter, fmt.Sprintf(format, args...)}
+func newInputError(status int, counter, format string, args ...any) *inputError {
+	return &inputError{status, "bad." + counter, fmt.Sprintf(format, args...)}
 }
 
 // checkFraming looks at a request's head as it came, for what http.ReadRequest
 // reads in one way and another party may read in another: then a second request
 // could hide in the body (RFC 9112, 6.1 to 6.3 and 11.2).
-func checkFraming(head []byte, req *http.Request) *badInput {
+func checkFraming(head []byte, req *http.Request) *inputError {
 	lengths, codings := 0, 0
 	for i, rest := 0, bytes.TrimRight(head, "\r\n"); len(rest) > 0; i++ {
 		var line []byte
@@ -46,18 +46,18 @@
 		line = bytes.TrimSuffix(line, []byte("\r"))
 		for _, c := range line {
 			if c < ' ' && c != '\t' || c == 0x7f { // RFC 9110, 5.5
-				return bad(http.StatusBadRequest, "head", "a control character in the head")
+				return newInputError(http.StatusBadRequest, "head", "a control character in the head")
 			}
 		}
 		if i == 0 {
 			continue // http.ReadRequest is strict about the first line
 		}
 		if len(line) > 0 && (line[0] == ' ' || line[0] == '\t') {
-			return bad(http.StatusBadRequest, "head", "a folded header line")
+			return newInputError(http.StatusBadRequest, "head", "a folded header line")
 		}
 		name, _, _ := bytes.Cut(line, []byte(":"))
-		if !isName(name) {
-			return bad(http.StatusBadRequest, "head", "a header name that is no token")
+		if !isHeaderName(name) {
+			return newInputError(http.StatusBadRequest, "head", "a header name that is no token")
 		}
 		switch {
 		case bytes.EqualFold(name, []byte("Content-Length")):
@@ -68,28 +68,28 @@
 	}
 	switch {
 	case lengths > 0 && codings > 0:
-		return bad(http.StatusBadRequest, "framing", "both Content-Length and Transfer-Encoding")
+		return newInputError(http.StatusBadRequest, "framing", "both Content-Length and Transfer-Encoding")
 	case lengths > 1 || codings > 1:
-		return bad(http.StatusBadRequest, "framing", "a repeated Content-Length or Transfer-Encoding")
+		return newInputError(http.StatusBadRequest, "framing", "a repeated Content-Length or Transfer-Encoding")
 	case codings > 0 && !req.ProtoAtLeast(1, 1):
-		return bad(http.StatusBadRequest, "framing", "Transfer-Encoding before HTTP/1.1")
+		return newInputError(http.StatusBadRequest, "framing", "Transfer-Encoding before HTTP/1.1")
 	}
 	return nil
 }
 
-// isName reports whether s is a header's name, a token (RFC 9110, 5.6.2). To
+// isHeaderName reports whether s is a header's name, a token (RFC 9110, 5.6.2). To
 // http.ReadRequest "Transfer-Encoding " is just some other header: the next party may
 // take it for the framing.
-func isName(s []byte) bool {
+func isHeaderName(s []byte) bool {
 	for _, c := range s {
-		if !nameBytes[c] {
+		if !headerNameBytes[c] {
 			return false
 		}
 	}
 	return len(s) > 0
 }
 
-var nameBytes = func() (in [256]bool) {
+var headerNameBytes = func() (in [256]bool) {
 	for _, c := range []byte("!#$%&'*+-.^_`|~0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz") {
 		in[c] = true
 	}
@@ -97,32 +97,32 @@
 }()
 
 // parseJob makes a job of a request read in full.
-func parseJob(req *http.Request, body []byte) (*core.Job, *badInput) {
+func parseJob(req *http.Request, body []byte) (*core.Job, *inputError) {
 	if ids := req.Header[headerID]; len(ids) != 1 || !isToken(ids[0]) {
-		return nil, bad(http.StatusBadRequest, "id", "%s must be there once, in printable characters", headerID)
+		return nil, newInputError(http.StatusBadRequest, "id", "%s must be there once, in printable characters", headerID)
 	}
 	for _, name := range []string{headerClass, headerTenant, headerRemaining, headerLabels, headerRepeat} {
 		if len(req.Header[name]) > 1 {
-			return nil, bad(http.StatusBadRequest, "head", "%s is there more than once", name)
+			return nil, newInputError(http.StatusBadRequest, "head", "%s is there more than once", name)
 		}
 	}
 	keys := req.Header[headerKey]
 	if len(keys) > 1 || len(keys) == 1 && (!isToken(keys[0]) || len(keys[0]) > maxKey) {
-		return nil, bad(http.StatusBadRequest, "key", "%s must be there once, in up to %d printable characters", headerKey, maxKey)
+		return nil, newInputError(http.StatusBadRequest, "key", "%s must be there once, in up to %d printable characters", headerKey, maxKey)
 	}
 	class := req.Header.Get(headerClass)
 	// The target goes to the node as it came: it must say the same there.
 	path, _, _ := strings.Cut(req.RequestURI, "?")
 	if first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/"); path == first || class != first {
-		return nil, bad(http.StatusBadRequest, "class", "%s and the path's first part differ", headerClass)
+		return nil, newInputError(http.StatusBadRequest, "class", "%s and the path's first part differ", headerClass)
 	}
 	remaining, err := parseRemaining(req.Header.Get(headerRemaining))
 	if err != nil {
-		return nil, bad(http.StatusBadRequest, "remaining", "%s: %v", headerRemaining, err)
+		return nil, newInputError(http.StatusBadRequest, "remaining", "%s: %v", headerRemaining, err)
 	}
 	slots, memory, err := parseLabels(req.Header.Get(headerLabels))
 	if err != nil {
-		return nil, bad(http.StatusBadRequest, "labels", "%s: %v", headerLabels, err)
+		return nil, newInputError(http.StatusBadRequest, "labels", "%s: %v", headerLabels, err)
 	}
 	return &core.Job{
 		ID: req.Header.Get(headerID), Class: class, Tenant: req.Header.Get(headerTenant), Remaining: remaining,
--- a/internal/platform/parse_test.go
+++ b/internal/platform/parse_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestParseListing(t *testing.T) {
+func TestParseEndpoints(t *testing.T) {
 	const good = `{"host":"h","dial":"1.2.3.4:5","site":"a","class":"k","block":3,"health":"leaving","share":1.0,"born_ms":7}`
 	for text, ok := range map[string]bool{
 		`{"seq":4,"whole":true,"hosts":[` + good + `]}`:                               true,
@@ -53,7 +53,7 @@
 		`{"seq":"4","hosts":[]}`:                                                      false,
 		`{"seq":4,"hosts":[{"host":"h","dial":"1.2.3.4:5","health":"active"}]} extra`: false,
 	} {
-		if _, err := parseListing([]byte(text)); (err == nil) != ok {
+		if _, err := parseEndpoints([]byte(text)); (err == nil) != ok {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
@@ -72,7 +72,7 @@
 	} {
 		parse := parseLoad
 		if text != "" && text[0] != 'x' && text[0] != 'b' {
-			parse = func(s string, names []string) (load, error) { return parseLoadObject([]byte(s), names) }
+			parse = func(s string, names []string) (loadGauges, error) { return parseLoadObject([]byte(s), names) }
 		}
 		l, err := parse(text, names)
 		if (err == nil) != good || good && (l[0] != 4 || l[1] != 2.5) {
@@ -83,7 +83,7 @@
 
 // What a node answers, and what that proves. A body that breaks off, or says what
 // does not belong to this job, serves nothing.
-func TestNodeAnswers(t *testing.T) {
+func TestWorkerAnswers(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	line := func(s string) string { return say1(`{"id":"j1","from":"n","state":` + s + "}\n") }
 	const end = "0\r\n\r\n"
@@ -119,8 +119,8 @@
 		"two ends":                {ok + line(`"done","result":"rA"`) + line(`"failed"`) + end, foxlift.Reset},
 		"too long":                {ok + line(`"done","result":"`+strings.Repeat("x", maxResponse)+`"`) + end, foxlift.Reset},
 	} {
-		a := &attempt{nodes: &nodes{}, job: &core.Job{ID: "j1", Payload: &payload{method: "POST", target: "/x"}}, report: func(core.Report) {}}
-		r, _ := a.receive(&nodeConn{buf: buffer{conn: scripted{text: strings.NewReader(c.text)}}})
+		a := &attempt{pool: &workerPool{}, job: &core.Job{ID: "j1", Payload: &payload{method: "POST", target: "/x"}}, report: func(core.Report) {}}
+		r, _ := a.receiveAnswer(&workerConn{buf: buffer{conn: scripted{text: strings.NewReader(c.text)}}})
 		if r.Code != c.want || !r.Ended || c.want == foxlift.Served && string(r.Result) != "rA" {
 			t.Errorf("%s: code %d, result %.20q; want code %d", name, r.Code, r.Result, c.want)
 		}
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -20,15 +20,15 @@
 // was sent (12 and 52 bits of one number, the time in Unix microseconds; no two have the
 // same), the message, and a CRC-32C over both.
 const (
-	peerMark  = 0xf01
-	timeBits  = 52
-	peerMost  = 256 // bytes, by the protocol
-	peerFrame = 8 + 4
-	peerOld   = 3_000_000 // microseconds; a message that is older says nothing any more
-	peerQueue = 64        // messages that wait to be sent; more are dropped
-	peerRate  = 1000      // messages a second that are taken from a peer,
-	peerBurst = 200       // and so many at once: it tells of each job twice
-	peerKept  = 64        // of the last messages, to know a doubled one
+	peerMark        = 0xf01
+	timeBits        = 52
+	maxPeerDatagram = 256 // bytes, by the protocol
+	peerFrame       = 8 + 4
+	maxPeerAge      = 3_000_000 // microseconds; a message that is older says nothing any more
+	peerQueue       = 64        // messages that wait to be sent; more are dropped
+	peerRate        = 1000      // messages a second that are taken from a peer,
+	peerBurst       = 200       // and so many at once: it tells of each job twice
+	peerHistory     = 64        // of the last messages, to know a doubled one
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -37,12 +37,12 @@
 	errGarbled = errors.New("garbled")
 	errLate    = errors.New("late")
 	errDoubled = errors.New("doubled")
-	errFlood   = errors.New("too_many")
+	errTooMany = errors.New("too_many")
 )
 
 // sealPeer makes a datagram; nil if the message is too long for one.
 func sealPeer(sent int64, data []byte) []byte {
-	if len(data) > peerMost-peerFrame {
+	if len(data) > maxPeerDatagram-peerFrame {
 		return nil
 	}
 	b := binary.BigEndian.AppendUint64(make([]byte, 0, peerFrame+len(data)), peerMark<<timeBits|uint64(sent)&(1<<timeBits-1))
@@ -50,24 +50,24 @@
 	return binary.BigEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
 
-// A peerSeen is what was last heard of a peer.
-type peerSeen struct {
-	room float64 // messages that it may send at once
-	at   int64   // time of the last one, in microseconds
-	last [peerKept]int64
-	next int
+// A peerReceiver is what was last heard of a peer.
+type peerReceiver struct {
+	tokens    float64 // messages that it may send at once
+	updatedAt int64   // time of the last one, in microseconds
+	lastSent  [peerHistory]int64
+	next      int
 }
 
 // open reads a datagram that came at a time (Unix microseconds). The messages that it
 // passes on may be in another order than they were sent.
-func (p *peerSeen) open(now int64, b []byte) ([]byte, error) {
-	p.room = min(peerBurst, p.room+float64(now-p.at)*peerRate/1e6)
-	p.at = now
-	if p.room < 1 {
-		return nil, errFlood
+func (p *peerReceiver) open(now int64, b []byte) ([]byte, error) {
+	p.tokens = min(peerBurst, p.tokens+float64(now-p.updatedAt)*peerRate/1e6)
+	p.updatedAt = now
+	if p.tokens < 1 {
+		return nil, errTooMany
 	}
-	p.room--
-	if len(b) < peerFrame || len(b) > peerMost {
+	p.tokens--
+	if len(b) < peerFrame || len(b) > maxPeerDatagram {
 		return nil, errGarbled
 	}
 	head, body, sum := binary.BigEndian.Uint64(b), b[:len(b)-4], binary.BigEndian.Uint32(b[len(b)-4:])
@@ -76,33 +76,33 @@
 	}
 	sent := int64(head & (1<<timeBits - 1))
 	switch {
-	case sent > now+peerOld: // all clocks are the same
+	case sent > now+maxPeerAge: // all clocks are the same
 		return nil, errGarbled
-	case sent < now-peerOld:
+	case sent < now-maxPeerAge:
 		return nil, errLate
-	case slices.Contains(p.last[:], sent):
+	case slices.Contains(p.lastSent[:], sent):
 		return nil, errDoubled
 	}
-	p.last[p.next] = sent
-	p.next = (p.next + 1) % peerKept
+	p.lastSent[p.next] = sent
+	p.next = (p.next + 1) % peerHistory
 	return append([]byte(nil), body[8:]...), nil
 }
 
 // peers carries the module's messages over UDP. One goroutine reads and one writes;
 // neither can hold up the core.
 type peers struct {
-	listen   string
-	conn     *net.UDPConn
-	each     []netip.AddrPort
-	all      netip.AddrPort // not valid: there is none
-	own      int
-	clock    core.Clock
-	counters *counters.Set
-	heard    func(from int, data []byte)
-	out      chan datagram
-	sent     int64 // when the last message was, for the next to be later; the core's goroutine's
-	stopped  chan struct{}
-	stopOnce sync.Once
+	listen    string
+	conn      *net.UDPConn
+	peerAddrs []netip.AddrPort
+	broadcast netip.AddrPort // not valid: there is none
+	ownIndex  int
+	clock     core.Clock
+	counters  *counters.Set
+	receive   func(from int, data []byte)
+	outgoing  chan datagram
+	lastSent  int64 // when the last message was, for the next to be later; the core's goroutine's
+	stopped   chan struct{}
+	stopOnce  sync.Once
 }
 
 type datagram struct {
@@ -112,8 +112,8 @@
 
 func newPeers(c config.Peers, own int, clock core.Clock, set *counters.Set, heard func(int, []byte)) (*peers, error) {
 	p := &peers{
-		listen: c.Listen, own: own, clock: clock, counters: set, heard: heard,
-		out: make(chan datagram, peerQueue), stopped: make(chan struct{}),
+		listen: c.Listen, ownIndex: own, clock: clock, counters: set, receive: heard,
+		outgoing: make(chan datagram, peerQueue), stopped: make(chan struct{}),
 	}
 	for i, text := range append([]string{c.All}, c.Each...) {
 		addr, err := netip.ParseAddrPort(text)
@@ -122,9 +122,9 @@
 		case err != nil:
 			return nil, fmt.Errorf("peers, peers_all: %w", err)
 		case i == 0:
-			p.all = addr
+			p.broadcast = addr
 		default:
-			p.each = append(p.each, addr)
+			p.peerAddrs = append(p.peerAddrs, addr)
 		}
 	}
 	return p, nil
@@ -151,27 +151,27 @@
 
 // Tell implements core.Peers.
 func (p *peers) Send(to int, data []byte) {
-	p.sent = max(p.sent+1, p.clock.Now()/1000)
-	b := sealPeer(p.sent, data)
+	p.lastSent = max(p.lastSent+1, p.clock.Now()/1000)
+	b := sealPeer(p.lastSent, data)
 	switch {
 	case b == nil:
 		p.counters.Add("peers.too_long")
-	case to >= 0 && to < len(p.each):
-		p.post(p.each[to], b)
-	case to < 0 && p.all.IsValid():
-		p.post(p.all, b)
+	case to >= 0 && to < len(p.peerAddrs):
+		p.enqueue(p.peerAddrs[to], b)
+	case to < 0 && p.broadcast.IsValid():
+		p.enqueue(p.broadcast, b)
 	case to < 0:
-		for i, addr := range p.each {
-			if i != p.own {
-				p.post(addr, b)
+		for i, addr := range p.peerAddrs {
+			if i != p.ownIndex {
+				p.enqueue(addr, b)
 			}
 		}
 	}
 }
 
-func (p *peers) post(to netip.AddrPort, b []byte) {
+func (p *peers) enqueue(to netip.AddrPort, b []byte) {
 	select {
-	case p.out <- datagram{to, b}:
+	case p.outgoing <- datagram{to, b}:
 	default:
 		p.counters.Add("peers.dropped")
 	}
@@ -180,7 +180,7 @@
 func (p *peers) write() {
 	for {
 		select {
-		case d := <-p.out:
+		case d := <-p.outgoing:
 			if _, err := p.conn.WriteToUDPAddrPort(d.data, d.to); err != nil {
 				p.counters.Add("peers.not_sent")
 			} else {
@@ -195,20 +195,20 @@
 // read takes datagrams until the socket is closed. What comes from a stranger, is garbled,
 // too long, late, doubled or one of a flood is counted and goes no further.
 func (p *peers) read() {
-	who := map[netip.AddrPort]int{}
-	for i, addr := range p.each {
-		if i != p.own {
-			who[addr] = i
+	indexByAddr := map[netip.AddrPort]int{}
+	for i, addr := range p.peerAddrs {
+		if i != p.ownIndex {
+			indexByAddr[addr] = i
 		}
 	}
-	seen := make([]peerSeen, len(p.each))
-	buf := make([]byte, peerMost+1)
+	seen := make([]peerReceiver, len(p.peerAddrs))
+	buf := make([]byte, maxPeerDatagram+1)
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		i, known := who[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+		i, known := indexByAddr[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		switch {
 		case err != nil: // an answer to a datagram that reached nobody, most likely
 			continue
@@ -222,7 +222,7 @@
 			continue
 		}
 		p.counters.Add("peers.heard")
-		p.heard(i, data)
+		p.receive(i, data)
 	}
 }
 
--- a/internal/platform/probe.go
+++ b/internal/platform/probe.go
@@ -11,58 +11,58 @@
 	"github.com/vatu-meals/foxlift/internal/core"
 )
 
-const probeLimit = 500 * time.Millisecond // for a probe's answer
+const healthCheckTimeout = 500 * time.Millisecond // for a probe's answer
 
 // Probe implements core.Nodes.
-func (n *nodes) HealthCheck(node string, report func(core.Report)) {
-	go func() { report(n.probe(node)) }()
+func (p *workerPool) HealthCheck(worker string, report func(core.Report)) {
+	go func() { report(p.healthCheck(worker)) }()
 }
 
-func (n *nodes) probe(node string) core.Report {
-	to, ok := n.find(node)
+func (p *workerPool) healthCheck(worker string) core.Report {
+	target, ok := p.find(worker)
 	if !ok {
-		return ended(foxlift.NotSent)
+		return finalReport(foxlift.NotSent)
 	}
-	conn, code := n.take(context.Background(), to)
+	conn, code := p.acquire(context.Background(), target)
 	if conn == nil {
-		return ended(code)
+		return finalReport(code)
 	}
-	conn.SetDeadline(time.Now().Add(probeLimit))
-	r, reusable := n.ask(conn, node)
+	conn.SetDeadline(time.Now().Add(healthCheckTimeout))
+	r, reusable := p.exchangeHealthCheck(conn, worker)
 	if conn.SetDeadline(time.Time{}) != nil || !reusable {
 		conn.reset() // a probe that is still on its way must not arrive later
-		n.discard(conn)
+		p.discard(conn)
 	} else {
-		n.keep(conn)
+		p.release(conn)
 	}
 	return r
 }
 
-func (n *nodes) ask(conn *nodeConn, node string) (core.Report, bool) {
+func (p *workerPool) exchangeHealthCheck(conn *workerConn, worker string) (core.Report, bool) {
 	path := pathPing
-	if len(n.loads.names) > 0 {
+	if len(p.loadReports.names) > 0 {
 		path = pathLoad
 	}
-	if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", path, node); err != nil {
-		return ended(foxlift.Unreachable), false
+	if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", path, worker); err != nil {
+		return finalReport(foxlift.Unreachable), false
 	}
-	m := conn.buf.message(maxResponse)
-	defer m.end()
-	resp, err := m.response()
+	m := conn.buf.newMessage(maxResponse)
+	defer m.close()
+	resp, err := m.readResponse()
 	if err != nil {
-		return ended(foxlift.DeadlineExceeded), false
+		return finalReport(foxlift.DeadlineExceeded), false
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return ended(foxlift.Reset), false
+		return finalReport(foxlift.Reset), false
 	}
 	reusable := !resp.Close && m.Buffered() == 0
 	if resp.StatusCode != http.StatusOK {
-		return ended(foxlift.WorkerError), reusable
+		return finalReport(foxlift.WorkerError), reusable
 	}
-	r := ended(foxlift.Served)
-	if len(n.loads.names) > 0 {
-		r.Load, r.HasLoad = n.loads.body(body)
+	r := finalReport(foxlift.Served)
+	if len(p.loadReports.names) > 0 {
+		r.Load, r.HasLoad = p.loadReports.body(body)
 	}
 	return r, reusable
 }
--- a/internal/platform/rfc9112_test.go
+++ b/internal/platform/rfc9112_test.go
@@ -12,10 +12,10 @@
 // a second request could hide in a body (request smuggling, RFC 9112, 11.2).
 
 // A framed is one request as the rules read it.
-type framed struct {
+type framedRequest struct {
 	method, target string
 	body           []byte
-	end            int // offset behind its last byte
+	length         int // offset behind its last byte
 }
 
 // Characters by the grammar: tchar (RFC 9110, 5.6.2), and what a field value may
@@ -49,7 +49,7 @@
 
 // frameRequest reads the request at offset at. whole is false where data ends before
 // it does; sound is false where the rules call it bad.
-func frameRequest(data []byte, at int) (f framed, whole, sound bool) {
+func frameRequest(data []byte, at int) (f framedRequest, whole, sound bool) {
 	start, at, ok := line(data, at)
 	if !ok {
 		return f, false, true
@@ -109,12 +109,12 @@
 		f.body = data[at : at+n]
 		at += n
 	}
-	f.end = at
+	f.length = at
 	return f, true, true
 }
 
 // frameChunks reads a chunked body (RFC 9112, 7.1).
-func frameChunks(f framed, data []byte, at int) (framed, bool, bool) {
+func frameChunks(f framedRequest, data []byte, at int) (framedRequest, bool, bool) {
 	f.body = []byte{}
 	for {
 		head, next, ok := line(data, at)
@@ -156,7 +156,7 @@
 		}
 		at = next
 		if text == "" {
-			f.end = at
+			f.length = at
 			return f, true, true
 		}
 		name, value, colon := strings.Cut(text, ":")
--- a/internal/platform/rules_test.go
+++ b/internal/platform/rules_test.go
@@ -34,12 +34,12 @@
 // and both connections serve the next.
 func TestJobIsServed(t *testing.T) {
 	var seen [2]string
-	node := newNode(t, func(c net.Conn, r *http.Request, id string) bool {
+	node := newTestWorker(t, func(c net.Conn, r *http.Request, id string) bool {
 		body, _ := io.ReadAll(r.Body)
 		left, err := parseRemaining(r.Header.Get(headerRemaining))
 		seen[r.ContentLength%2] = fmt.Sprintf("%s %s %s %s %s %v", r.Method, r.RequestURI, id, body,
 			r.Header.Get(headerClass), err == nil && left > 0 && left <= 5*time.Second)
-		return done(c, r, id)
+		return serveJob(c, r, id)
 	})
 	p, set := start(t, "", node)
 	s := connect(t, p)
@@ -65,8 +65,8 @@
 }
 
 // Bad input gets a plain 4xx, never a refusal, is counted, and reaches no node.
-func TestBadInput(t *testing.T) {
-	node := newNode(t, done)
+func TestInvalidInput(t *testing.T) {
+	node := newTestWorker(t, serveJob)
 	p, set := start(t, "", node)
 	const r, m = "reading", "5000m"
 	for name, c := range map[string]struct {
@@ -107,14 +107,14 @@
 		"bad health call":  {"DELETE /_health HTTP/1.1\r\nHost: x\r\n\r\n", 405, "", true},
 	} {
 		s, before := connect(t, p), set.Get(c.counter)
-		resp, _ := s.ask(t, c.text)
+		resp, _ := s.request(t, c.text)
 		check(t, name+": status", resp.StatusCode, c.status)
 		check(t, name+": ends", resp.Close, !c.goesOn)
 		if c.counter != "" {
 			check(t, name+": counted", set.Get(c.counter), before+1)
 		}
 		if c.goesOn {
-			resp, _ = s.ask(t, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
+			resp, _ = s.request(t, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
 			check(t, name+": next", resp.StatusCode, 200)
 		}
 	}
@@ -124,12 +124,12 @@
 // An id that is in use is bad input; the job that has it goes on.
 func TestRepeatedID(t *testing.T) {
 	release := make(chan bool)
-	node := newNode(t, func(c net.Conn, r *http.Request, id string) bool { <-release; return done(c, r, id) })
+	node := newTestWorker(t, func(c net.Conn, r *http.Request, id string) bool { <-release; return serveJob(c, r, id) })
 	p, _ := start(t, "", node)
 	first, second := connect(t, p), connect(t, p)
 	first.send(t, jobText("ratify", "j", "9000m", ""))
 	await(t, "at the node", func() bool { return node.Got.Load() == 1 })
-	r, _ := second.ask(t, jobText("ratify", "j", "9000m", ""))
+	r, _ := second.request(t, jobText("ratify", "j", "9000m", ""))
 	check(t, "repeat", r.StatusCode, 400)
 	second.Close()
 	close(release)
@@ -141,17 +141,17 @@
 // What follows from how a claim ended. A 503 promises that a retry is harmless: it
 // may not follow an at-most-once job that may have run; such a job is never sent
 // again, while one that proves never to have run, or may be repeated, is.
-func TestEffects(t *testing.T) {
+func TestRetriesByEffect(t *testing.T) {
 	turnAway := func(c net.Conn, _ *http.Request, _ string) bool {
 		_, err := io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
 	}
-	giveBack := func(c net.Conn, _ *http.Request, id string) bool { return sayStates(c, id, true, `"returned"`) }
+	giveBack := func(c net.Conn, _ *http.Request, id string) bool { return writeStates(c, id, true, `"returned"`) }
 	lose := func(c net.Conn, _ *http.Request, id string) bool {
-		return sayStates(c, id, true, `"started"`, `"lost"`)
+		return writeStates(c, id, true, `"started"`, `"lost"`)
 	}
 	cutShort := func(c net.Conn, _ *http.Request, id string) bool {
-		sayStates(c, id, false, `"started"`, `"done","result":"x"`)
+		writeStates(c, id, false, `"started"`, `"done","result":"x"`)
 		return false
 	}
 	for name, c := range map[string]struct {
@@ -160,19 +160,19 @@
 		status int
 		sent   int64
 	}{
-		"ratify, broken off":  {"ratify", breakOff, 502, 1},
+		"ratify, broken off":  {"ratify", closeUnanswered, 502, 1},
 		"ratify, lost":        {"ratify", lose, 502, 1},
 		"ratify, cut short":   {"ratify", cutShort, 502, 1},
 		"ratify, turned away": {"ratify", turnAway, 503, 3},
 		"ratify, given back":  {"ratify", giveBack, 503, 3},
-		"reading, broken off": {"reading", breakOff, 503, 3},
+		"reading, broken off": {"reading", closeUnanswered, 503, 3},
 		"reading, cut short":  {"reading", cutShort, 503, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			nodes := []*toyNode{newNode(t, c.handle), newNode(t, c.handle), newNode(t, c.handle), newNode(t, c.handle)}
+			nodes := []*testWorker{newTestWorker(t, c.handle), newTestWorker(t, c.handle), newTestWorker(t, c.handle), newTestWorker(t, c.handle)}
 			p, _ := start(t, "", nodes...)
-			r, _ := connect(t, p).ask(t, jobText(c.class, "j", "15000m", ""))
+			r, _ := connect(t, p).request(t, jobText(c.class, "j", "15000m", ""))
 			got := int64(0)
 			for _, n := range nodes {
 				got += n.Got.Load()
@@ -185,12 +185,12 @@
 
 // A node that breaks off once is not asked twice by the network code: the job goes
 // to the other node, where the module sends it.
-func TestResendIsTheModules(t *testing.T) {
-	bad, good := newNode(t, breakOff), newNode(t, done)
+func TestRetriesAreTheModulesDecision(t *testing.T) {
+	bad, good := newTestWorker(t, closeUnanswered), newTestWorker(t, serveJob)
 	p, set := start(t, "", bad, good)
 	s := connect(t, p)
 	for i := range 6 {
-		r, _ := s.ask(t, jobText("reading", fmt.Sprint("j", i), "15000m", ""))
+		r, _ := s.request(t, jobText("reading", fmt.Sprint("j", i), "15000m", ""))
 		check(t, "status", r.StatusCode, 200)
 	}
 	check(t, "claims", set.Get("claims.sent"), bad.Got.Load()+good.Got.Load())
@@ -201,8 +201,8 @@
 // job on it would look as if it may have run.
 func TestStaleIdleConnection(t *testing.T) {
 	closed := make(chan bool)
-	node := newNode(t, func(c net.Conn, r *http.Request, id string) bool {
-		done(c, r, id)
+	node := newTestWorker(t, func(c net.Conn, r *http.Request, id string) bool {
+		serveJob(c, r, id)
 		c.Close()
 		closed <- true
 		return false
@@ -210,7 +210,7 @@
 	p, _ := start(t, "", node)
 	s := connect(t, p)
 	for i := range 3 {
-		r, _ := s.ask(t, jobText("ratify", fmt.Sprint("j", i), "9000m", ""))
+		r, _ := s.request(t, jobText("ratify", fmt.Sprint("j", i), "9000m", ""))
 		check(t, "status", r.StatusCode, 200)
 		<-closed
 	}
@@ -220,10 +220,10 @@
 // Idle connections are reused newest first, make way for others past the budget,
 // and are dropped in time.
 func TestIdleConnections(t *testing.T) {
-	node := newNode(t, done)
-	n := &nodes{counters: &counters.Set{}, connect: patience, idleLimit: time.Hour, budget: 2, idle: map[string][]*nodeConn{}}
-	addr, to := node.Addr().String(), machine{dial: node.Addr().String()}
-	dial := func() *nodeConn {
+	node := newTestWorker(t, serveJob)
+	n := &workerPool{counters: &counters.Set{}, dialTimeout: patience, idleTimeout: time.Hour, budget: 2, idle: map[string][]*workerConn{}}
+	addr, to := node.Addr().String(), endpoint{address: node.Addr().String()}
+	dial := func() *workerConn {
 		c, err := n.dial(t.Context(), addr)
 		if err != nil {
 			t.Fatal(err)
@@ -231,25 +231,25 @@
 		return c
 	}
 	a, b := dial(), dial()
-	if _, err := n.dial(t.Context(), addr); !errors.Is(err, errBudget) {
+	if _, err := n.dial(t.Context(), addr); !errors.Is(err, errNoDescriptor) {
 		t.Errorf("a third connection: %v", err)
 	}
-	if c, code := n.take(t.Context(), to); c != nil || code != foxlift.NotSent {
+	if c, code := n.acquire(t.Context(), to); c != nil || code != foxlift.NotSent {
 		t.Errorf("without a descriptor: code %d", code)
 	}
-	n.keep(a)
-	n.keep(b)
+	n.release(a)
+	n.release(b)
 	check(t, "newest first", n.reuse(to), b)
 	c := dial() // a makes way
 	check(t, "idle", len(n.idle), 0)
-	n.keep(b)
-	n.idleLimit = time.Millisecond
-	n.keep(c)
+	n.release(b)
+	n.idleTimeout = time.Millisecond
+	n.release(c)
 	await(t, "dropped", func() bool { n.mu.Lock(); defer n.mu.Unlock(); return n.open == 1 })
 	check(t, "kept", n.reuse(to), b)
-	n.idleLimit = time.Hour
-	n.keep(b)
-	to.born = time.Now() // the node has restarted since: the connection led to its former process
+	n.idleTimeout = time.Hour
+	n.release(b)
+	to.at = time.Now() // the node has restarted since: the connection led to its former process
 	if c := n.reuse(to); c != nil {
 		t.Error("a connection to a former process was reused")
 	}
@@ -258,14 +258,14 @@
 
 // A connection that never comes up, or is refused, proves that the job never ran.
 func TestUnreachable(t *testing.T) {
-	dead := newNode(t, nil)
+	dead := newTestWorker(t, nil)
 	dead.Close()
-	n := &nodes{counters: &counters.Set{}, connect: patience, budget: 1, idle: map[string][]*nodeConn{}}
-	if c, code := n.take(t.Context(), machine{dial: dead.Addr().String()}); c != nil || code != foxlift.Unreachable {
+	n := &workerPool{counters: &counters.Set{}, dialTimeout: patience, budget: 1, idle: map[string][]*workerConn{}}
+	if c, code := n.acquire(t.Context(), endpoint{address: dead.Addr().String()}); c != nil || code != foxlift.Unreachable {
 		t.Errorf("refused: code %d", code)
 	}
-	n.connect = time.Nanosecond
-	if c, code := n.take(t.Context(), machine{dial: listen(t).Addr().String()}); c != nil || code != foxlift.Unreachable {
+	n.dialTimeout = time.Nanosecond
+	if c, code := n.acquire(t.Context(), endpoint{address: listen(t).Addr().String()}); c != nil || code != foxlift.Unreachable {
 		t.Errorf("too late: code %d", code)
 	}
 	check(t, "open", n.open, 0)
@@ -273,14 +273,14 @@
 
 // Nothing goes to a node that has begun to drain after the module chose it, even
 // during the dial.
-func TestDrainSeenBeforeTheFirstByte(t *testing.T) {
-	node := newNode(t, done)
+func TestDrainingWorkerGetsNoFirstByte(t *testing.T) {
+	node := newTestWorker(t, serveJob)
 	looks := 0
-	find := func(string) (machine, bool) {
+	find := func(string) (endpoint, bool) {
 		looks++
-		return machine{dial: node.Addr().String()}, looks == 1 // the list changes after the first look
+		return endpoint{address: node.Addr().String()}, looks == 1 // the list changes after the first look
 	}
-	n := &nodes{find: find, counters: &counters.Set{}, connect: patience, idleLimit: time.Hour, budget: 9, idle: map[string][]*nodeConn{}}
+	n := &workerPool{find: find, counters: &counters.Set{}, dialTimeout: patience, idleTimeout: time.Hour, budget: 9, idle: map[string][]*workerConn{}}
 	job := &core.Job{ID: "j", Payload: &payload{method: "POST", target: "/reading"}}
 	reports := make(chan core.Report, 9)
 	for range 2 { // then before it
@@ -292,9 +292,9 @@
 }
 
 // When a submitter leaves, its job is withdrawn: the node's connection closes.
-func TestSubmitterLeaves(t *testing.T) {
+func TestClientDisconnects(t *testing.T) {
 	closed := make(chan bool, 1)
-	node := newNode(t, func(c net.Conn, _ *http.Request, _ string) bool {
+	node := newTestWorker(t, func(c net.Conn, _ *http.Request, _ string) bool {
 		io.Copy(io.Discard, c)
 		closed <- true
 		return false
@@ -313,14 +313,14 @@
 }
 
 // A silent node does not keep a submitter past its patience, however it words it.
-func TestSilentNode(t *testing.T) {
+func TestSilentWorker(t *testing.T) {
 	for i, c := range []struct {
 		class, remaining string
 		status           int
 	}{{"ratify", "400m", 502}, {"reading", "400000u", 503}} {
-		p, set := start(t, "", newNode(t, silent))
+		p, set := start(t, "", newTestWorker(t, neverAnswers))
 		began := time.Now()
-		r, _ := connect(t, p).ask(t, jobText(c.class, fmt.Sprint("j", i), c.remaining, ""))
+		r, _ := connect(t, p).request(t, jobText(c.class, fmt.Sprint("j", i), c.remaining, ""))
 		check(t, "status", r.StatusCode, c.status)
 		if took := time.Since(began); took < 200*time.Millisecond {
 			t.Errorf("%s was given up after %v", c.class, took)
@@ -330,19 +330,19 @@
 }
 
 // A refusal says when to come back.
-func TestRefusalHasRetryAfter(t *testing.T) {
+func TestRetryAfterFormat(t *testing.T) {
 	for d, want := range map[time.Duration]string{1500 * time.Millisecond: "1.500", 50 * time.Millisecond: "0.050"} {
 		check(t, "Retry-After", retryAfter(d), want)
 	}
 }
 
 // A flaky listener fails as one does that is out of descriptors.
-type flaky struct {
+type failingListener struct {
 	*net.TCPListener
 	fails int
 }
 
-func (f *flaky) Accept() (net.Conn, error) {
+func (f *failingListener) Accept() (net.Conn, error) {
 	if f.fails--; f.fails >= 0 {
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
 	}
@@ -350,28 +350,28 @@
 }
 
 // Running out of descriptors does not end accepting.
-func TestAcceptGoesOn(t *testing.T) {
-	p, _ := start(t, "", newNode(t, done))
+func TestAcceptSurvivesErrors(t *testing.T) {
+	p, _ := start(t, "", newTestWorker(t, serveJob))
 	set := &counters.Set{}
-	l := &flaky{listen(t).(*net.TCPListener), 3}
-	f := newFront(p.core, core.NewClock(), set, zap.NewNop(), l, 9)
+	l := &failingListener{listen(t).(*net.TCPListener), 3}
+	f := newClientServer(p.core, core.NewClock(), set, zap.NewNop(), l, 9)
 	go f.accept()
-	r, _ := connect(t, &Platform{front: f}).ask(t, jobText("reading", "j", "9000m", ""))
+	r, _ := connect(t, &Platform{clients: f}).request(t, jobText("reading", "j", "9000m", ""))
 	check(t, "status", r.StatusCode, 200)
 	check(t, "failed accepts", set.Get("accept.failed"), int64(3))
 }
 
 // Past the budget the longest idle connection makes way, a busy one does not.
-func TestSubmitterBudget(t *testing.T) {
-	p, _ := start(t, "", newNode(t, done))
-	f := newFront(p.core, core.NewClock(), &counters.Set{}, zap.NewNop(), listen(t).(*net.TCPListener), 2)
+func TestClientConnBudget(t *testing.T) {
+	p, _ := start(t, "", newTestWorker(t, serveJob))
+	f := newClientServer(p.core, core.NewClock(), &counters.Set{}, zap.NewNop(), listen(t).(*net.TCPListener), 2)
 	go f.accept()
-	q := &Platform{front: f}
+	q := &Platform{clients: f}
 	busy := connect(t, q)
 	busy.send(t, jobText("reading", "j0", "9000m", "abc")[:60])
 	idle := connect(t, q)
-	idle.ask(t, jobText("reading", "j1", "9000m", ""))
-	r, _ := connect(t, q).ask(t, jobText("reading", "j2", "9000m", ""))
+	idle.request(t, jobText("reading", "j1", "9000m", ""))
+	r, _ := connect(t, q).request(t, jobText("reading", "j2", "9000m", ""))
 	check(t, "third", r.StatusCode, 200)
 	if _, err := idle.br.ReadByte(); err != io.EOF {
 		t.Errorf("the idle connection: %v", err)
@@ -382,8 +382,8 @@
 }
 
 // Whoever sends nothing, or half a request, is told so or cut off before long.
-func TestSlowSubmitters(t *testing.T) {
-	p, set := start(t, "", newNode(t, done))
+func TestIncompleteRequestsAreAnswered(t *testing.T) {
+	p, set := start(t, "", newTestWorker(t, serveJob))
 	silent, half := connect(t, p), connect(t, p)
 	half.send(t, jobText("reading", "j0", "9000m", "abc")[:60])
 	r, _ := half.answer(t)
@@ -397,24 +397,24 @@
 
 // A body that is too long is refused before it has come, and the answer arrives
 // though the other side has sent some of it.
-func TestLongBodyIsRefusedUnread(t *testing.T) {
-	p, _ := start(t, "", newNode(t, done))
+func TestLongBodyIsRejectedUnread(t *testing.T) {
+	p, _ := start(t, "", newTestWorker(t, serveJob))
 	s := connect(t, p)
 	text := jobText("reading", "j", "9000m", "", "-Content-Length", "Content-Length: 60000000")
-	r, _ := s.ask(t, text+strings.Repeat("b", lingerBytes/2))
+	r, _ := s.request(t, text+strings.Repeat("b", lingerBytes/2))
 	check(t, "status", r.StatusCode, 413)
 }
 
 // A flood of connections that bring no job does not cost others theirs.
 func TestFloodOfConnections(t *testing.T) {
-	p, _ := start(t, "", newNode(t, done))
-	f := newFront(p.core, core.NewClock(), &counters.Set{}, zap.NewNop(), listen(t).(*net.TCPListener), 20)
+	p, _ := start(t, "", newTestWorker(t, serveJob))
+	f := newClientServer(p.core, core.NewClock(), &counters.Set{}, zap.NewNop(), listen(t).(*net.TCPListener), 20)
 	go f.accept()
-	q := &Platform{front: f}
+	q := &Platform{clients: f}
 	usual := connect(t, q)
-	usual.ask(t, jobText("reading", "u0", "9000m", ""))
-	usual.ask(t, jobText("reading", "u1", "9000m", ""))
-	var flood []*toySubmitter
+	usual.request(t, jobText("reading", "u0", "9000m", ""))
+	usual.request(t, jobText("reading", "u1", "9000m", ""))
+	var flood []*testClient
 	for i := range 60 {
 		s := connect(t, q)
 		switch i % 3 {
@@ -425,9 +425,9 @@
 		}
 		flood = append(flood, s)
 	}
-	r, _ := connect(t, q).ask(t, jobText("reading", "j1", "9000m", ""))
+	r, _ := connect(t, q).request(t, jobText("reading", "j1", "9000m", ""))
 	check(t, "a new connection", r.StatusCode, 200)
-	r, _ = usual.ask(t, jobText("reading", "j2", "9000m", ""))
+	r, _ = usual.request(t, jobText("reading", "j2", "9000m", ""))
 	check(t, "the kept connection", r.StatusCode, 200)
 	check(t, "goes on", r.Close, false)
 	for _, s := range flood {
@@ -437,24 +437,24 @@
 
 // A flood of connections that brought one job each and stay makes way all at once: whoever waits
 // behind it must not wait for one batch of ends after the other.
-func TestFloodMakesWayAtOnce(t *testing.T) {
+func TestFloodFreesCapacityAtOnce(t *testing.T) {
 	const budget = 20
-	p, _ := start(t, "", newNode(t, done))
-	f := newFront(p.core, core.NewClock(), &counters.Set{}, zap.NewNop(), listen(t).(*net.TCPListener), budget)
-	f.grace = patience // none of them is gone before the count
+	p, _ := start(t, "", newTestWorker(t, serveJob))
+	f := newClientServer(p.core, core.NewClock(), &counters.Set{}, zap.NewNop(), listen(t).(*net.TCPListener), budget)
+	f.lateRequestGrace = patience // none of them is gone before the count
 	go f.accept()
-	q := &Platform{front: f}
+	q := &Platform{clients: f}
 	usual := connect(t, q)
-	usual.ask(t, jobText("reading", "u0", "9000m", ""))
-	usual.ask(t, jobText("reading", "u1", "9000m", ""))
-	const flood = budget - budget/headroom - 2
+	usual.request(t, jobText("reading", "u0", "9000m", ""))
+	usual.request(t, jobText("reading", "u1", "9000m", ""))
+	const flood = budget - budget/headroomDivisor - 2
 	for i := range flood {
-		connect(t, q).ask(t, jobText("reading", fmt.Sprint("f", i), "9000m", ""))
+		connect(t, q).request(t, jobText("reading", fmt.Sprint("f", i), "9000m", ""))
 	}
 	retired := func() (once, more int) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		for s := range f.all {
+		for s := range f.conns {
 			switch {
 			case s.retire.Load() && s.jobs > 1:
 				more++
@@ -465,21 +465,21 @@
 		return once, more
 	}
 	await(t, "all idle", func() bool { f.mu.Lock(); defer f.mu.Unlock(); return f.idle.Len() == flood+1 })
-	f.makeRoom(1)
+	f.freeCapacity(1)
 	once, more := retired()
 	check(t, "connections of one job that make way", once, flood)
 	check(t, "connections of more jobs that make way", more, 0)
 }
 
 // A request that crosses the end of an idle connection is read and answered.
-func TestRequestCrossesTheEnd(t *testing.T) {
-	p, _ := start(t, "", newNode(t, done))
-	p.front.grace = patience
+func TestRequestCrossesIdleClose(t *testing.T) {
+	p, _ := start(t, "", newTestWorker(t, serveJob))
+	p.clients.lateRequestGrace = patience
 	s := connect(t, p)
-	s.ask(t, jobText("reading", "j0", "9000m", ""))
-	await(t, "idle", func() bool { p.front.mu.Lock(); defer p.front.mu.Unlock(); return p.front.idle.Len() == 1 })
-	p.front.makeRoom(1)
-	r, _ := s.ask(t, jobText("reading", "j1", "9000m", ""))
+	s.request(t, jobText("reading", "j0", "9000m", ""))
+	await(t, "idle", func() bool { p.clients.mu.Lock(); defer p.clients.mu.Unlock(); return p.clients.idle.Len() == 1 })
+	p.clients.freeCapacity(1)
+	r, _ := s.request(t, jobText("reading", "j1", "9000m", ""))
 	check(t, "status", r.StatusCode, 200)
 	check(t, "ends its connection", r.Close, true)
 }
@@ -487,14 +487,14 @@
 // What waits unaccepted when the scheduler ends is served: the kernel has accepted
 // it.
 func TestBacklogIsServed(t *testing.T) {
-	p, _ := start(t, "", newNode(t, done))
-	f := newFront(p.core, core.NewClock(), &counters.Set{}, zap.NewNop(), listen(t).(*net.TCPListener), 1)
-	q := &Platform{front: f}
+	p, _ := start(t, "", newTestWorker(t, serveJob))
+	f := newClientServer(p.core, core.NewClock(), &counters.Set{}, zap.NewNop(), listen(t).(*net.TCPListener), 1)
+	q := &Platform{clients: f}
 	busy := connect(t, q)
 	busy.send(t, jobText("reading", "j0", "9000m", "abc")[:60])
 	go f.accept()
-	await(t, "accepted", func() bool { f.mu.Lock(); defer f.mu.Unlock(); return len(f.all) == 1 && f.idle.Len() == 0 })
-	var waiting []*toySubmitter
+	await(t, "accepted", func() bool { f.mu.Lock(); defer f.mu.Unlock(); return len(f.conns) == 1 && f.idle.Len() == 0 })
+	var waiting []*testClient
 	for i := range 5 {
 		s := connect(t, q)
 		s.send(t, jobText("reading", fmt.Sprint("w", i), "9000m", ""))
@@ -518,18 +518,18 @@
 	release := make(chan bool)
 	var atNodes atomic.Int64
 	handle := func(c net.Conn, r *http.Request, id string) bool {
-		sayStates(c, id, false, `"started"`)
+		writeStates(c, id, false, `"started"`)
 		atNodes.Add(1)
 		<-release
 		return false
 	}
-	var nodes []*toyNode
+	var nodes []*testWorker
 	for range 12 { // enough for none to be held
-		nodes = append(nodes, newNode(t, handle))
+		nodes = append(nodes, newTestWorker(t, handle))
 	}
 	p, set := startWith(t, 80, "", nodes...)
-	var held []*toySubmitter
-	for i := 0; len(held) < mostJobs(p.front.budget); i++ {
+	var held []*testClient
+	for i := 0; len(held) < maxOpenJobs(p.clients.budget); i++ {
 		s := connect(t, p)
 		s.send(t, jobText("ratify", fmt.Sprint("h", i), "19000m", ""))
 		// At a node a job that must not run twice stays open. One that the module
@@ -546,7 +546,7 @@
 		check(t, "held, then refused", r.StatusCode, 503)
 	}
 	refused, early := 0, set.Get("jobs.refused")
-	for i := range p.front.budget + 20 - len(held) {
+	for i := range p.clients.budget + 20 - len(held) {
 		s := connect(t, p)
 		s.send(t, jobText("ratify", fmt.Sprint("j", i), "19000m", ""))
 		r, _ := s.answer(t)
@@ -570,25 +570,25 @@
 		if id == "slow" {
 			<-release
 		}
-		return done(c, r, id)
+		return serveJob(c, r, id)
 	}
-	node, other := newNode(t, handle), newNode(t, handle)
+	node, other := newTestWorker(t, handle), newTestWorker(t, handle)
 	p, _ := start(t, "", node, other)
 	slow, kept, idle, half := connect(t, p), connect(t, p), connect(t, p), connect(t, p)
 	half.send(t, jobText("reading", "half", "9000m", "abc")[:60])
 	slow.send(t, jobText("ratify", "slow", "19000m", ""))
-	for _, s := range []*toySubmitter{kept, idle} {
-		r, _ := s.ask(t, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
+	for _, s := range []*testClient{kept, idle} {
+		r, _ := s.request(t, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
 		check(t, "health before", r.StatusCode, 200)
 	}
 	await(t, "at a node", func() bool { return node.Got.Load()+other.Got.Load() == 1 })
 	ended := make(chan bool)
 	go func() { p.ShutDown(); close(ended) }()
-	await(t, "ending", p.front.ending.Load)
-	r, _ := connect(t, p).ask(t, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
+	await(t, "ending", p.clients.unready.Load)
+	r, _ := connect(t, p).request(t, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
 	check(t, "health", r.StatusCode, 503)
-	for i, s := range []*toySubmitter{kept, connect(t, p)} {
-		r, _ := s.ask(t, jobText("reading", fmt.Sprint("j", i), "9000m", ""))
+	for i, s := range []*testClient{kept, connect(t, p)} {
+		r, _ := s.request(t, jobText("reading", fmt.Sprint("j", i), "9000m", ""))
 		check(t, "status while ending", r.StatusCode, 200)
 		check(t, "stays open", r.Close, false)
 	}
@@ -670,16 +670,16 @@
 // whole list costs discovery many times as much: it is asked for only where no version
 // is known that changes could go on from.
 func TestWatch(t *testing.T) {
-	first, second := newNode(t, done), newNode(t, done)
+	first, second := newTestWorker(t, serveJob), newTestWorker(t, serveJob)
 	addr, calls := newDiscovery(t)
 	// A start that the machine delays is a late one, and the module then holds jobs for a shorter time.
-	patient := strings.Replace(toySettings, `"aim":500000000`, `"aim":10000000000`, 1)
+	patient := strings.Replace(testSettings, `"aim":500000000`, `"aim":10000000000`, 1)
 	p, set := startText(t, patient, 256, addr, first)
 	s := connect(t, p)
-	serve := func(id string, by *toyNode) {
+	serve := func(id string, by *testWorker) {
 		t.Helper()
 		before := by.Got.Load()
-		r, _ := s.ask(t, jobText("reading", id, "9000m", ""))
+		r, _ := s.request(t, jobText("reading", id, "9000m", ""))
 		check(t, id, r.StatusCode, 200)
 		check(t, id+" is the node's", by.Got.Load(), before+1)
 	}
@@ -690,11 +690,11 @@
 	c := next(t, calls)
 	check(t, "first call", c.target, pathMembers+"?index=1&wait=1")
 	serve("known", first)
-	c.answer(hosts(7, true, first))
+	c.answer(endpointsJSON(7, true, first))
 	c = next(t, calls)
 	checkWatch(t, "watch", c.target, 7)
 	told(2)
-	c.answer(`{"seq":8,"whole":false,"hosts":[` + host(0, first, healthLeaving) + `,` + host(1, second, healthActive) + `]}`)
+	c.answer(`{"seq":8,"whole":false,"hosts":[` + endpointJSON(0, first, healthLeaving) + `,` + endpointJSON(1, second, healthActive) + `]}`)
 	c = next(t, calls)
 	checkWatch(t, "next", c.target, 8)
 	told(3)
@@ -704,22 +704,22 @@
 		c = next(t, calls)
 		checkWatch(t, "after a faulty answer", c.target, 8+i)
 		serve(fmt.Sprint("old", i), second)
-		c.answer(hosts(9, true, first, second))
+		c.answer(endpointsJSON(9, true, first, second))
 		c = next(t, calls)
 		checkWatch(t, "watch", c.target, 9)
 		told(int64(4 + i))
 	}
-	c.answer(hosts(3, false, first)) // discovery has lost count
+	c.answer(endpointsJSON(3, false, first)) // discovery has lost count
 	c = next(t, calls)
 	check(t, "after a lower version", c.target, pathMembers)
-	c.answer(hosts(9, true, first))
+	c.answer(endpointsJSON(9, true, first))
 	next(t, calls).conn.Close()
 	c = next(t, calls)
 	checkWatch(t, "after a reset", c.target, 9)
 	c.answer(`{"seq":12,"whole":true,"hosts":[]}`)
 	next(t, calls)
 	told(7)
-	r, _ := s.ask(t, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
+	r, _ := s.request(t, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
 	check(t, "health without machines", r.StatusCode, 503)
 }
 
@@ -727,10 +727,10 @@
 // list holds while the new one cannot be had, and what the old one says late does
 // not count. A faulty configuration changes nothing.
 func TestReload(t *testing.T) {
-	first, second := newNode(t, done), newNode(t, done)
+	first, second := newTestWorker(t, serveJob), newTestWorker(t, serveJob)
 	addr, calls := newDiscovery(t)
 	p, set := start(t, addr, first)
-	next(t, calls).answer(hosts(7, true, first))
+	next(t, calls).answer(endpointsJSON(7, true, first))
 	old := next(t, calls)
 	later, _ := newDiscovery(t)
 	cfg := &config.Scheduler{Discovery: later, Known: []byte(`{"seq":"x"}`)}
@@ -751,7 +751,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r, _ := connect(t, p).ask(t, jobText("reading", fmt.Sprint("j", i), "9000m", ""))
+		r, _ := connect(t, p).request(t, jobText("reading", fmt.Sprint("j", i), "9000m", ""))
 		check(t, "meanwhile", r.StatusCode, 200)
 		c.Close()
 	}
@@ -764,21 +764,21 @@
 	if r, err := http.ReadRequest(bufio.NewReader(c)); err != nil || r.RequestURI != pathMembers {
 		t.Fatalf("%v, %v: not the whole list", r, err)
 	}
-	call{"", c}.answer(hosts(2, true, second))
-	await(t, "the new list", func() bool { _, ok := p.machines.find("n0"); return ok && set.Get("machines.told") == 3 })
+	call{"", c}.answer(endpointsJSON(2, true, second))
+	await(t, "the new list", func() bool { _, ok := p.endpoints.find("n0"); return ok && set.Get("machines.told") == 3 })
 	got := second.Got.Load()
-	r, _ := connect(t, p).ask(t, jobText("reading", "after", "9000m", ""))
+	r, _ := connect(t, p).request(t, jobText("reading", "after", "9000m", ""))
 	check(t, "after", r.StatusCode, 200)
 	check(t, "at the new list's node", second.Got.Load(), got+1)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if _, err := p.machines.takeFrom(ctx, &listing{Whole: true}); err == nil {
+	if _, err := p.endpoints.applyResponse(ctx, &endpointsResponse{Complete: true}); err == nil {
 		t.Error("a late answer of the old discovery is taken")
 	}
 }
 
 // What had arrived before a deadline is read after it.
-func TestReadAfterTheDeadline(t *testing.T) {
+func TestReadAfterDeadline(t *testing.T) {
 	l := listen(t)
 	other, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
@@ -791,8 +791,8 @@
 	}
 	defer conn.Close()
 	io.WriteString(other, "late")
-	await(t, "arrived", func() bool { return arrived(conn) })
-	conn.SetReadDeadline(wakeUp)
+	await(t, "arrived", func() bool { return hasInput(conn) })
+	conn.SetReadDeadline(pastDeadline)
 	b := &buffer{conn: conn}
 	check(t, "error", b.fill(), error(nil))
 	check(t, "read", string(b.data[b.r:b.w]), "late")
@@ -805,32 +805,32 @@
 func TestBuffer(t *testing.T) {
 	b := &buffer{conn: scripted{text: strings.NewReader(strings.Repeat("a", 5000) + "\n" + "b\nc")}}
 	for _, want := range []string{strings.Repeat("a", 5000) + "\n", "b\n"} {
-		m := b.message(1 << 20)
+		m := b.newMessage(1 << 20)
 		line, err := m.ReadString('\n')
-		m.end()
+		m.close()
 		if err != nil || line != want {
 			t.Errorf("%d bytes, %v; want %d", len(line), err, len(want))
 		}
 	}
-	b.conn = scripted{text: strings.NewReader(strings.Repeat("c", 2*keptSize) + "\n")}
-	large := b.message(1 << 20)
+	b.conn = scripted{text: strings.NewReader(strings.Repeat("c", 2*maxRetainedSize) + "\n")}
+	large := b.newMessage(1 << 20)
 	large.ReadString('\n')
-	large.end()
+	large.close()
 	check(t, "size once empty", len(b.data), 0)
-	b.conn = scripted{text: strings.NewReader(strings.Repeat("e", 8*keptSize) + "\n")}
-	long := b.message(1 << 20)
-	long.drop = true
-	for err := error(nil); err == nil; _, err = long.Discard(firstSize) {
+	b.conn = scripted{text: strings.NewReader(strings.Repeat("e", 8*maxRetainedSize) + "\n")}
+	long := b.newMessage(1 << 20)
+	long.releaseEarly = true
+	for err := error(nil); err == nil; _, err = long.Discard(initialBufferSize) {
 	}
-	if long.end(); len(b.data) > keptSize {
+	if long.close(); len(b.data) > maxRetainedSize {
 		t.Errorf("the buffer grew to %d with what was used", len(b.data))
 	}
 	b.conn = scripted{text: strings.NewReader("d")}
-	m := b.message(1)
-	if _, err := m.ReadString('\n'); err != errTooLong {
+	m := b.newMessage(1)
+	if _, err := m.ReadString('\n'); err != errMessageTooLong {
 		t.Errorf("past the limit: %v", err)
 	}
-	m.end()
+	m.close()
 	check(t, "left", b.buffered(), 0)
 }
 
@@ -848,17 +848,17 @@
 			br := bufio.NewReader(c)
 			if r, err := http.ReadRequest(br); err == nil { // an empty body: read whole
 				served++
-				done(c, r, r.Header.Get(headerID))
+				serveJob(c, r, r.Header.Get(headerID))
 			}
 			br.ReadByte() // of the next request
 			c.(*net.TCPConn).SetLinger(0)
 			c.Close()
 		}
 	}()
-	p, set := start(t, "", &toyNode{Listener: l})
+	p, set := start(t, "", &testWorker{Listener: l})
 	s := connect(t, p)
 	for i, remaining := range []string{"19000m", "300m", "19000m", "300m"} {
-		r, _ := s.ask(t, jobText("ratify", fmt.Sprint("j", i), remaining, ""))
+		r, _ := s.request(t, jobText("ratify", fmt.Sprint("j", i), remaining, ""))
 		check(t, "status", r.StatusCode, 200+(i%2)*303) // no other node to go to
 	}
 	check(t, "not sent", set.Get("claims.not_sent"), int64(2))
@@ -868,8 +868,8 @@
 // The last byte is held for jobs that must not run twice, and on connections that were
 // idle for a while; a connection in use a moment ago is looked at without a wait, and
 // one that has been dropped by then is seen all the same.
-func TestHoldTime(t *testing.T) {
-	n := &nodes{repeatable: map[string]bool{"reading": true}}
+func TestLastByteHold(t *testing.T) {
+	n := &workerPool{repeatable: map[string]bool{"reading": true}}
 	l := listen(t)
 	conn, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
@@ -880,7 +880,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &nodeConn{Conn: conn, buf: buffer{conn: conn}}
+	c := &workerConn{Conn: conn, buf: buffer{conn: conn}}
 	for what, w := range map[string]struct {
 		class string
 		since time.Time
@@ -889,24 +889,24 @@
 		"new": {"reading", time.Time{}, true}, "recent": {"reading", time.Now().Add(time.Hour), false},
 		"idle": {"reading", time.Now().Add(-time.Second), true}, "at most once": {"ratify", time.Now().Add(time.Hour), true},
 	} {
-		c.since = w.since
-		if hold := n.holdTime(c, w.class); (hold > 0) != w.held || hold > holdMost {
+		c.idleSince = w.since
+		if hold := n.lastByteHold(c, w.class); (hold > 0) != w.held || hold > maxLastByteHold {
 			t.Errorf("%s: held for %v", what, hold)
 		}
 	}
-	c.since = time.Now()
+	c.idleSince = time.Now()
 	check(t, "deliver", c.deliver([]byte("some bytes"), 0, time.Time{}, func() bool { return true }), foxlift.Served)
 	check(t, "deliver too late", c.deliver([]byte("more"), 0, time.Now(), func() bool { return true }), foxlift.NotSent)
 	got := make([]byte, 20)
 	read, _ := io.ReadAtLeast(other, got, len("some bytesmor"))
 	check(t, "all but the last byte", string(got[:read]), "some bytesmor")
 	other.Close()
-	await(t, "the end arrives", func() bool { return !c.buf.fillNow() })
+	await(t, "the end arrives", func() bool { return !c.buf.fillAvailable() })
 	check(t, "deliver after the end", c.deliver([]byte("some bytes"), 0, time.Time{}, func() bool { return true }), foxlift.NotSent)
 }
 
 // A line that says a thing twice is garbled: no reading of it may be believed.
-func TestNotesThatSayTwice(t *testing.T) {
+func TestRepeatedNamesInStateLine(t *testing.T) {
 	for text, sound := range map[string]bool{
 		`{"id":"j","state":"done","result":"r"}`:                           true,
 		`{"id":"j","state":"running","share":0.5,"x":{"id":"k","id":"l"}}`: true,
@@ -919,7 +919,7 @@
 		`{"id":"k","id":"j","state":"done"}`:                               false,
 		`{"id":"j","state":"done"`:                                         false,
 	} {
-		if _, err := parseNote([]byte(text)); (err == nil) != sound {
+		if _, err := parseStateLine([]byte(text)); (err == nil) != sound {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
@@ -929,18 +929,18 @@
 // one that knows no list takes the whole one.
 func TestWatchWait(t *testing.T) {
 	for _, dispatchers := range []int{1, 80, 300, 1000} {
-		m := newMachines("", &config.Settings{Module: foxlift.Config{Dispatchers: dispatchers}}, nil, nil)
+		m := newEndpointWatch("", &config.Settings{Module: foxlift.Config{Dispatchers: dispatchers}}, nil, nil)
 		low, high := time.Hour, time.Duration(0)
 		for range 200 {
-			low, high = min(low, m.asker.WatchHold()), max(high, m.asker.WatchHold())
+			low, high = min(low, m.pacer.WatchHold()), max(high, m.pacer.WatchHold())
 		}
 		if low < 2550*time.Millisecond || high > 3400*time.Millisecond || high-low < 400*time.Millisecond {
 			t.Errorf("%d schedulers wait %v to %v", dispatchers, low, high)
 		}
-		check(t, "whole without a list", m.whole, true)
+		check(t, "whole without a list", m.needComplete, true)
 		if _, err := m.load([]byte(`{"seq":4,"whole":true,"hosts":[]}`)); err != nil {
 			t.Fatal(err)
 		}
-		check(t, "whole with a list", m.whole, false)
+		check(t, "whole with a list", m.needComplete, false)
 	}
 }
--- a/internal/platform/saved_list.go
+++ b/internal/platform/saved_list.go
@@ -18,39 +18,39 @@
 	Endpoints json.RawMessage `json:"List"`      // in discovery's form
 }
 
-var healthWords = map[foxlift.WorkerState]string{
-	foxlift.Live: healthActive, foxlift.Draining: healthLeaving, foxlift.Removed: healthLeft,
+var healthNames = map[foxlift.WorkerState]string{
+	foxlift.Live: healthActive, foxlift.Draining: healthLeaving, foxlift.Removed: healthRemoved,
 }
 
 // EndpointsVersion returns the version of the list that is followed, and whether there is one that was
 // told since the start by the discovery that is followed now.
-func (p *Platform) EndpointsVersion() (version int64, told bool) {
-	m := p.machines
+func (p *Platform) EndpointsVersion() (version int64, confirmed bool) {
+	m := p.endpoints
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.version, m.answered && !m.moved && !m.whole
+	return m.version, m.answered && !m.switched && !m.needComplete
 }
 
 // SnapshotEndpoints returns the list as it is now; false where none was told since the start.
-func (p *Platform) SnapshotEndpoints() (*EndpointSnapshot, bool) { return p.machines.save() }
+func (p *Platform) SnapshotEndpoints() (*EndpointSnapshot, bool) { return p.endpoints.snapshot() }
 
-func (m *machines) save() (*EndpointSnapshot, bool) {
-	m.mu.Lock()
-	if !m.answered || m.moved || m.whole {
-		m.mu.Unlock()
+func (w *endpointWatch) snapshot() (*EndpointSnapshot, bool) {
+	w.mu.Lock()
+	if !w.answered || w.switched || w.needComplete {
+		w.mu.Unlock()
 		return nil, false
 	}
-	version, addr := m.version, m.addr
-	l := listing{Version: &version, Whole: true, Hosts: make([]listEntry, 0, len(m.entries))}
-	for host, e := range m.entries {
+	version, addr := w.version, w.discovery
+	l := endpointsResponse{Version: &version, Complete: true, Endpoints: make([]endpointEntry, 0, len(w.entries))}
+	for host, e := range w.entries {
 		if e.state != foxlift.Removed {
-			l.Hosts = append(l.Hosts, listEntry{
-				Host: host, Dial: e.dial, Zone: e.zone.Value(), Kind: e.kind.Value(), Cell: e.cell, Health: healthWords[e.state], Born: e.told,
+			l.Endpoints = append(l.Endpoints, endpointEntry{
+				ID: host, Address: e.address, Zone: e.zone.Value(), Kind: e.kind.Value(), Cell: e.cell, Health: healthNames[e.state], StartedMilli: e.announcedStart,
 			})
 		}
 	}
-	m.mu.Unlock()
-	slices.SortFunc(l.Hosts, func(a, b listEntry) int { return strings.Compare(a.Host, b.Host) })
+	w.mu.Unlock()
+	slices.SortFunc(l.Endpoints, func(a, b endpointEntry) int { return strings.Compare(a.ID, b.ID) })
 	text, err := json.Marshal(&l)
 	if err != nil {
 		return nil, false // it holds nothing that JSON has no form for
--- a/internal/platform/saved_list_test.go
+++ b/internal/platform/saved_list_test.go
@@ -9,13 +9,13 @@
 
 // A list that is saved and loaded again is the same list, of the same version: also nodes that leave,
 // and starts that were told in the future or before all time. Nodes that have left are not in it.
-func TestSavedListIsTheList(t *testing.T) {
+func TestSnapshotRestoresEndpoints(t *testing.T) {
 	t.Parallel()
-	node := newNode(t, done)
+	node := newTestWorker(t, serveJob)
 	addr, calls := newDiscovery(t)
 	p, set := start(t, addr, node)
-	next(t, calls).answer(hosts(1, false)) // the first watch
-	next(t, calls).answer(`{"seq":7,"whole":true,"hosts":[` + host(0, node, healthActive) + `,` + host(1, node, healthLeaving) +
+	next(t, calls).answer(endpointsJSON(1, false)) // the first watch
+	next(t, calls).answer(`{"seq":7,"whole":true,"hosts":[` + endpointJSON(0, node, healthActive) + `,` + endpointJSON(1, node, healthLeaving) +
 		`,{"host":"n2","dial":"10.0.0.2:3000","site":"b","class":"m","block":3,"health":"active","born_ms":-5}` +
 		`,{"host":"n3","dial":"10.0.0.3:3000","site":"b","class":"m","block":4,"health":"active","born_ms":9999999999999}]}`)
 	next(t, calls).answer(`{"seq":8,"whole":false,"hosts":[{"host":"n2","health":"left"}]}`)
@@ -27,40 +27,40 @@
 	if !told || saved.Discovery != addr {
 		t.Fatalf("%+v, %v", saved, told)
 	}
-	again := newMachines(addr, &config.Settings{}, nil, nil)
+	again := newEndpointWatch(addr, &config.Settings{}, nil, nil)
 	workers, err := again.load(saved.Endpoints)
 	if err != nil {
 		t.Fatal(err)
 	}
 	check(t, "workers", len(workers), 3)
 	check(t, "version", again.version, int64(8))
-	check(t, "asks for", again.whole, false)
+	check(t, "asks for", again.needComplete, false)
 	for _, name := range []string{"n0", "n1", "n3"} {
-		was, is := p.machines.entries[name], again.entries[name]
-		check(t, name, fmt.Sprint(is.dial, is.state, is.told, is.zone.Value(), is.kind.Value(), is.cell),
-			fmt.Sprint(was.dial, was.state, was.told, was.zone.Value(), was.kind.Value(), was.cell))
+		was, is := p.endpoints.entries[name], again.entries[name]
+		check(t, name, fmt.Sprint(is.address, is.state, is.announcedStart, is.zone.Value(), is.kind.Value(), is.cell),
+			fmt.Sprint(was.address, was.state, was.announcedStart, was.zone.Value(), was.kind.Value(), was.cell))
 	}
 	check(t, "failed", set.Get("machines.failed"), int64(0))
 }
 
 // Before discovery has told a list since the start there is nothing to save, nor while another
 // discovery is gone over to: its versions are not those of the list that is held.
-func TestListThatWasNotToldIsNotSaved(t *testing.T) {
+func TestUnconfirmedEndpointsAreNotSnapshotted(t *testing.T) {
 	t.Parallel()
-	node := newNode(t, done)
+	node := newTestWorker(t, serveJob)
 	addr, calls := newDiscovery(t)
 	p, _ := start(t, addr, node)
 	c := next(t, calls)
 	if _, told := p.SnapshotEndpoints(); told {
 		t.Error("the list as last known is saved as new")
 	}
-	c.answer(hosts(2, true, node))
+	c.answer(endpointsJSON(2, true, node))
 	next(t, calls)
 	if _, told := p.SnapshotEndpoints(); !told {
 		t.Error("a list that was told is not saved")
 	}
 	other, _ := newDiscovery(t)
-	p.machines.switchTo(other)
+	p.endpoints.switchTo(other)
 	if _, told := p.EndpointsVersion(); told {
 		t.Error("the old discovery's version counts for the new one")
 	}
--- a/internal/platform/states.go
+++ b/internal/platform/states.go
@@ -17,7 +17,7 @@
 )
 
 // A note is one line of a node's answer.
-type note struct {
+type stateLine struct {
 	ID     string `json:"id"`
 	State  string `json:"state"`
 	Result string `json:"result"`
@@ -25,13 +25,13 @@
 	Load json.RawMessage `json:"load"`
 }
 
-// parseNote reads a line. One that says a thing twice is garbled: encoding/json would
+// parseStateLine reads a line. One that says a thing twice is garbled: encoding/json would
 // take the last word, and names in any case, so that "failed" could be hidden by "done".
-func parseNote(line []byte) (n note, err error) {
+func parseStateLine(line []byte) (n stateLine, err error) {
 	if err := json.Unmarshal(line, &n); err != nil {
 		return n, err
 	}
-	if !maySayTwice(line) {
+	if !mayRepeatName(line) {
 		return n, nil
 	}
 	var seen []string
@@ -65,9 +65,9 @@
 	}
 }
 
-// maySayTwice is a look at the bytes alone: whether a name that counts can be there
+// mayRepeatName is a look at the bytes alone: whether a name that counts can be there
 // twice. Escapes, and letters that fold into ASCII ones, are looked at closely.
-func maySayTwice(line []byte) bool {
+func mayRepeatName(line []byte) bool {
 	for _, c := range line {
 		if c == '\\' || c >= 0x80 {
 			return true
@@ -82,11 +82,11 @@
 	return false
 }
 
-// earlyAnswer is how long an answer has begun before the job starts where nodes answer as soon as they have
+// minAnswerLead is how long an answer has begun before the job starts where nodes answer as soon as they have
 // taken a request, not when they start on it.
-const earlyAnswer = 20 * time.Millisecond
+const minAnswerLead = 20 * time.Millisecond
 
-var lastStates = map[string]foxlift.Code{
+var finalCodes = map[string]foxlift.Code{
 	stateDone: foxlift.Served, stateFailed: foxlift.WorkerError,
 	stateReturned: foxlift.Saturated, stateLost: foxlift.Reset,
 }
@@ -97,29 +97,29 @@
 func (a *attempt) readStates(body io.Reader) (core.Report, error) {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, maxResponse)
-	var last *core.Report
+	var final *core.Report
 	for lines.Scan() {
 		line := bytes.TrimSpace(lines.Bytes())
 		if len(line) == 0 {
 			continue
 		}
-		n, err := parseNote(line)
+		n, err := parseStateLine(line)
 		if err != nil {
-			return ended(foxlift.Reset), err
+			return finalReport(foxlift.Reset), err
 		}
-		if n.ID != a.job.ID || last != nil {
-			return ended(foxlift.Reset), fmt.Errorf("a line that does not belong here")
+		if n.ID != a.job.ID || final != nil {
+			return finalReport(foxlift.Reset), fmt.Errorf("a line that does not belong here")
 		}
-		switch code, isLast := lastStates[n.State]; {
+		switch code, isLast := finalCodes[n.State]; {
 		case isLast:
-			last = &core.Report{Ended: true, Code: code}
+			final = &core.Report{Ended: true, Code: code}
 			if code == foxlift.Served {
-				last.Result = []byte(n.Result)
+				final.Result = []byte(n.Result)
 			}
-			last.Load, last.HasLoad = a.nodes.loads.object(n.Load)
+			final.Load, final.HasLoad = a.pool.loadReports.object(n.Load)
 		case n.State == stateStarted:
-			if time.Since(a.trace.answered) > earlyAnswer {
-				a.nodes.earlyAnswers.Store(true)
+			if time.Since(a.trace.answeredAt) > minAnswerLead {
+				a.pool.answersBeforeStart.Store(true)
 			}
 			a.report(core.Report{})
 		case n.State == stateRunning:
@@ -127,10 +127,10 @@
 		} // a state of a later protocol says nothing here
 	}
 	if err := lines.Err(); err != nil {
-		return ended(foxlift.Reset), err
+		return finalReport(foxlift.Reset), err
 	}
-	if last == nil {
-		return ended(foxlift.Reset), io.ErrUnexpectedEOF
+	if final == nil {
+		return finalReport(foxlift.Reset), io.ErrUnexpectedEOF
 	}
-	return *last, nil
+	return *final, nil
 }
--- a/internal/platform/submitter.go
+++ b/internal/platform/submitter.go
@@ -21,60 +21,60 @@
 const (
 	// For a request, from its first byte to its last; for the first on a connection
 	// from the accept. Whoever sends nothing or half a request is told so within 3 s.
-	readLimit   = 2 * time.Second
-	writeLimit  = 10 * time.Second       // for an answer
-	lingerTime  = 250 * time.Millisecond // for the other side to read an answer before the end,
-	lingerBytes = 1 << 20                // while it goes on sending at most this
-	floodPause  = time.Millisecond       // between two reads of what one sends past a head's length
+	requestTimeout = 2 * time.Second
+	answerTimeout  = 10 * time.Second       // for an answer
+	lingerTimeout  = 250 * time.Millisecond // for the other side to read an answer before the end,
+	lingerBytes    = 1 << 20                // while it goes on sending at most this
+	floodBackoff   = time.Millisecond       // between two reads of what one sends past a head's length
 )
 
 // The past as a read deadline wakes a connection's goroutine from Read.
-var wakeUp = time.Unix(1, 0)
+var pastDeadline = time.Unix(1, 0)
 
 // A submitter is a connection from the submitters' side. One goroutine serves
 // it: it reads a request, hands the job to the core, and while the job runs goes
 // on reading, to notice that the submitter leaves. Others wake it by a read
 // deadline in the past.
-type submitter struct {
-	front  *front
-	conn   net.Conn
-	buf    buffer
-	began  time.Time
-	retire atomic.Bool // to end as soon as it is idle
-	wrote  time.Time   // the last answer
-	owed   bool        // a job was taken from it, and its answer has not been written
+type clientConn struct {
+	server     *clientServer
+	conn       net.Conn
+	buf        buffer
+	openedAt   time.Time
+	retire     atomic.Bool // to end as soon as it is idle
+	answeredAt time.Time   // the last answer
+	owesAnswer bool        // a job was taken from it, and its answer has not been written
 
 	// Guarded by front.mu.
-	awaiting bool          // the next request has not begun
-	idle     *list.Element // in front.idle, while awaiting
-	cell     string        // of its last job, where there are cells
-	jobs     int           // that it has brought, and calls for the health
+	awaiting    bool          // the next request has not begun
+	idleElement *list.Element // in front.idle, while awaiting
+	cell        string        // of its last job, where there are cells
+	jobs        int           // that it has brought, and calls for the health
 }
 
 // A waiting is the submitter's wait for the answer to one job.
-type waiting struct {
-	s      *submitter
+type pendingAnswer struct {
+	conn   *clientConn
 	answer chan core.Answer // holds one
 }
 
 // Answer implements core.Client.
-func (w *waiting) Answer(a core.Answer) {
+func (p *pendingAnswer) Answer(a core.Answer) {
 	select {
-	case w.answer <- a:
-		w.s.conn.SetReadDeadline(wakeUp)
+	case p.answer <- a:
+		p.conn.conn.SetReadDeadline(pastDeadline)
 	default: // a second answer: the core gives only one
 	}
 }
 
 // Disconnected implements core.Client: the other side has ended the connection, or its sending on it,
 // and serve may not have come to read that yet.
-func (w *waiting) Disconnected() bool { return hungUp(w.s.conn) }
+func (p *pendingAnswer) Disconnected() bool { return peerClosed(p.conn.conn) }
 
 // serve runs until the connection ends.
-func (s *submitter) serve() {
-	for s.awaitRequest() && s.exchange() {
+func (c *clientConn) serve() {
+	for c.awaitRequest() && c.exchange() {
 	}
-	s.finish()
+	c.close()
 }
 
 // finish is the one way in which a connection ends. To close one with unread bytes resets it,
@@ -83,96 +83,96 @@
 // and dropped: nothing of it is taken. That is bounded, or a few that never stop sending would
 // have all the time there is. Where the other side's machine has had the last answer for a while
 // there is nothing to take along, and others may wait for the room.
-func (s *submitter) finish() {
-	defer s.conn.Close()
-	if rule := (guard.Close{Owed: s.owed, Disconnected: hungUp(s.conn)}).Check(); rule != guard.None {
-		s.front.counters.Add(rule.Counter())
+func (c *clientConn) close() {
+	defer c.conn.Close()
+	if rule := (guard.Close{Owed: c.owesAnswer, Disconnected: peerClosed(c.conn)}).Check(); rule != guard.None {
+		c.server.counters.Add(rule.Counter())
 	}
-	if time.Since(s.wrote) >= s.front.grace && !unsent(s.conn) {
+	if time.Since(c.answeredAt) >= c.server.lateRequestGrace && !hasUnsentBytes(c.conn) {
 		return
 	}
-	if c, ok := s.conn.(interface{ CloseWrite() error }); ok && c.CloseWrite() == nil {
-		s.conn.SetReadDeadline(time.Now().Add(lingerTime))
-		io.CopyN(io.Discard, s.conn, lingerBytes)
+	if closer, ok := c.conn.(interface{ CloseWrite() error }); ok && closer.CloseWrite() == nil {
+		c.conn.SetReadDeadline(time.Now().Add(lingerTimeout))
+		io.CopyN(io.Discard, c.conn, lingerBytes)
 	}
 }
 
 // awaitRequest waits for a request's first byte.
-func (s *submitter) awaitRequest() bool {
-	proven := s.front.await(s)
-	defer s.front.awaited(s)
+func (c *clientConn) awaitRequest() bool {
+	proven := c.server.markIdle(c)
+	defer c.server.markBusy(c)
 	for {
-		drained := s.front.sending()
-		limit := s.idleLimit(drained, proven)
+		drained := c.server.activeDrain()
+		limit := c.idleDeadline(drained, proven)
 		// In this order: a wake-up between the two ends the wait below.
-		s.conn.SetReadDeadline(limit)
-		if s.front.sending() != drained {
+		c.conn.SetReadDeadline(limit)
+		if c.server.activeDrain() != drained {
 			continue
 		}
-		if s.buf.buffered() > 0 {
+		if c.buf.buffered() > 0 {
 			return true
 		}
-		if s.retire.Load() && !proven && !s.front.leaving.Load() {
-			return s.buf.fillNow() && s.buf.buffered() > 0 // nothing of it is taken yet
+		if c.retire.Load() && !proven && !c.server.closeIdle.Load() {
+			return c.buf.fillAvailable() && c.buf.buffered() > 0 // nothing of it is taken yet
 		}
-		if s.retire.Load() {
+		if c.retire.Load() {
 			// A request may be on its way that was sent before the submitter could
 			// know of the end: it must not be lost unread.
-			s.conn.SetReadDeadline(time.Now().Add(s.front.grace))
-			return s.buf.fill() == nil || s.buf.fillNow() && s.buf.buffered() > 0
+			c.conn.SetReadDeadline(time.Now().Add(c.server.lateRequestGrace))
+			return c.buf.fill() == nil || c.buf.fillAvailable() && c.buf.buffered() > 0
 		}
-		if err := s.buf.fill(); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
+		if err := c.buf.fill(); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			return false
 		}
-		if s.buf.buffered() == 0 && !limit.IsZero() && !time.Now().Before(limit) {
+		if c.buf.buffered() == 0 && !limit.IsZero() && !time.Now().Before(limit) {
 			if drained == nil {
-				s.front.counters.Add("bad.silent")
+				c.server.counters.Add("bad.silent")
 			}
 			return false
 		}
 	}
 }
 
-// idleLimit is when the connection ends if no request has begun; zero for no such time. Only a
+// idleDeadline is when the connection ends if no request has begun; zero for no such time. Only a
 // drain ends one that has brought a job before.
-func (s *submitter) idleLimit(d *drain, proven bool) time.Time {
+func (c *clientConn) idleDeadline(d *drain, proven bool) time.Time {
 	switch {
 	case d != nil:
-		return d.idleUntil(s.began)
+		return d.idleDeadline(c.openedAt)
 	case !proven:
-		return s.began.Add(readLimit)
+		return c.openedAt.Add(requestTimeout)
 	}
 	return time.Time{}
 }
 
 // exchange reads one request and answers it. It returns whether the connection
 // goes on.
-func (s *submitter) exchange() bool {
-	req, body, input := s.readRequest()
+func (c *clientConn) exchange() bool {
+	req, body, input := c.readRequest()
 	if input != nil {
 		// What follows on the connection cannot be told from the bad request.
-		return s.write(s.refuseInput(input), true)
+		return c.writeReply(c.rejectInput(input), true)
 	}
 	if req == nil {
 		return false // it ended within a request: nothing was taken
 	}
 	switch {
 	case req.URL.Path == pathHealth:
-		s.front.prove(s)
-		return s.write(s.health(req.Method), req.Close)
+		c.server.recordRequest(c)
+		return c.writeReply(c.health(req.Method), req.Close)
 	case req.Method != http.MethodPost:
-		input = bad(http.StatusMethodNotAllowed, "method", "jobs come by POST")
-		return s.write(s.refuseInput(input), req.Close)
+		input = newInputError(http.StatusMethodNotAllowed, "method", "jobs come by POST")
+		return c.writeReply(c.rejectInput(input), req.Close)
 	}
 	job, input := parseJob(req, body)
 	if input != nil {
-		return s.write(s.refuseInput(input), req.Close)
+		return c.writeReply(c.rejectInput(input), req.Close)
 	}
-	s.front.prove(s)
-	over := !s.front.label(s, job)
-	s.owed = true
-	answer, ends := s.run(job)
-	return s.write(s.word(answer), req.Close || ends || over)
+	c.server.recordRequest(c)
+	overCellLimit := !c.server.assignCell(c, job)
+	c.owesAnswer = true
+	answer, mustClose := c.run(job)
+	return c.writeReply(c.formatAnswer(answer), req.Close || mustClose || overCellLimit)
 }
 
 // A reply is an answer as it goes out.
@@ -182,142 +182,144 @@
 	body       []byte
 }
 
-func say(status int, text string) reply { return reply{status: status, body: []byte(text + "\n")} }
+func plainReply(status int, text string) reply {
+	return reply{status: status, body: []byte(text + "\n")}
+}
 
-func (s *submitter) refuseInput(input *badInput) reply {
-	s.front.counters.Add(input.counter)
-	s.front.log.Info("bad input", zap.String("counter", input.counter), zap.String("what", input.text), zap.Stringer("from", s.conn.RemoteAddr()))
-	return say(input.status, input.text)
+func (c *clientConn) rejectInput(input *inputError) reply {
+	c.server.counters.Add(input.counter)
+	c.server.log.Info("bad input", zap.String("counter", input.counter), zap.String("what", input.text), zap.Stringer("from", c.conn.RemoteAddr()))
+	return plainReply(input.status, input.text)
 }
 
-func (s *submitter) health(method string) reply {
+func (c *clientConn) health(method string) reply {
 	switch {
 	case method != http.MethodGet:
-		return say(http.StatusMethodNotAllowed, "ask by GET")
-	case !s.front.ready():
-		return say(http.StatusServiceUnavailable, "no jobs are taken")
+		return plainReply(http.StatusMethodNotAllowed, "ask by GET")
+	case !c.server.ready():
+		return plainReply(http.StatusServiceUnavailable, "no jobs are taken")
 	}
-	return say(http.StatusOK, "ready")
+	return plainReply(http.StatusOK, "ready")
 }
 
 // word puts a job's answer into the protocol's terms. A 503 promises that a retry
 // is harmless: only a refusal may have it.
-func (s *submitter) word(a core.Answer) reply {
+func (c *clientConn) formatAnswer(a core.Answer) reply {
 	switch a.Verdict {
 	case core.Served:
 		return reply{status: http.StatusOK, body: a.Result}
 	case core.Shed:
-		r := say(http.StatusServiceUnavailable, "refused")
+		r := plainReply(http.StatusServiceUnavailable, "refused")
 		r.retryAfter = a.RetryAfter
 		return r
 	case core.Rejected:
-		return s.refuseInput(bad(http.StatusBadRequest, "job", "%s", a.Reason))
+		return c.rejectInput(newInputError(http.StatusBadRequest, "job", "%s", a.Reason))
 	}
-	return say(http.StatusBadGateway, string(a.Reason))
+	return plainReply(http.StatusBadGateway, string(a.Reason))
 }
 
 // run hands a job to the core and waits for its answer. ends says that the connection must end
 // with it: its submitter has left, or sends what cannot be taken.
-func (s *submitter) run(job *core.Job) (answer core.Answer, ends bool) {
-	left, over := false, false
-	w := &waiting{s, make(chan core.Answer, 1)}
-	job.Client, job.ArrivedAt = w, s.front.clock.Now()
-	s.front.core.Accept(job)
+func (c *clientConn) run(job *core.Job) (answer core.Answer, mustClose bool) {
+	disconnected, flooded := false, false
+	w := &pendingAnswer{c, make(chan core.Answer, 1)}
+	job.Client, job.ArrivedAt = w, c.server.clock.Now()
+	c.server.core.Accept(job)
 	for {
 		// In this order: an answer between the two ends the read below.
-		s.conn.SetReadDeadline(time.Time{})
+		c.conn.SetReadDeadline(time.Time{})
 		select {
 		case answer = <-w.answer:
-			return answer, left || over
+			return answer, disconnected || flooded
 		default:
 		}
-		if left {
+		if disconnected {
 			return <-w.answer, true
 		}
-		if s.buf.buffered() >= maxHead {
+		if c.buf.buffered() >= maxHead {
 			// More than another request's head while one is out is a flood, none of which is taken. It
 			// is read on, slowly: whoever sends much at once may go, and that shows behind it.
-			over = true
-			s.buf.drop()
+			flooded = true
+			c.buf.discard()
 			select {
 			case answer = <-w.answer:
 				return answer, true
-			case <-time.After(floodPause):
+			case <-time.After(floodBackoff):
 			}
 		}
-		if err := s.buf.fill(); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-			left = true
+		if err := c.buf.fill(); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
+			disconnected = true
 			job.MarkDisconnected()
-			s.front.core.ClientDisconnected(job)
+			c.server.core.ClientDisconnected(job)
 		}
 	}
 }
 
 // readRequest reads a whole request. All nil means that the connection ended.
-func (s *submitter) readRequest() (*http.Request, []byte, *badInput) {
-	limit := s.front.readUntil(s)
-	s.conn.SetReadDeadline(limit)
-	m := s.buf.message(maxHead)
-	defer m.end()
+func (c *clientConn) readRequest() (*http.Request, []byte, *inputError) {
+	limit := c.server.readDeadline(c)
+	c.conn.SetReadDeadline(limit)
+	m := c.buf.newMessage(maxHead)
+	defer m.close()
 	req, err := http.ReadRequest(m.Reader)
 	if err != nil {
-		return nil, nil, s.readError(m, err, "head")
+		return nil, nil, c.readError(m, err, "head")
 	}
-	if input := checkFraming(m.used(), req); input != nil {
+	if input := checkFraming(m.consumed(), req); input != nil {
 		return nil, nil, input
 	}
 	if req.ContentLength > maxBody {
-		return nil, nil, bad(http.StatusRequestEntityTooLarge, "body", "a body holds %d bytes at most", maxBody)
+		return nil, nil, newInputError(http.StatusRequestEntityTooLarge, "body", "a body holds %d bytes at most", maxBody)
 	}
 	if req.Header.Get("Expect") == "100-continue" {
-		s.conn.SetWriteDeadline(limit)
-		s.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
+		c.conn.SetWriteDeadline(limit)
+		c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
-	m.drop = true
-	m.limit = m.at + 2*maxBody // chunked framing takes room too
+	m.releaseEarly = true
+	m.limit = m.read + 2*maxBody // chunked framing takes room too
 	body, err := io.ReadAll(io.LimitReader(req.Body, maxBody+1))
 	if err != nil {
-		return nil, nil, s.readError(m, err, "length")
+		return nil, nil, c.readError(m, err, "length")
 	}
 	if len(body) > maxBody {
-		return nil, nil, bad(http.StatusRequestEntityTooLarge, "body", "a body holds %d bytes at most", maxBody)
+		return nil, nil, newInputError(http.StatusRequestEntityTooLarge, "body", "a body holds %d bytes at most", maxBody)
 	}
 	return req, body, nil
 }
 
 // readError tells bad input from a connection that has ended. Only the connection's
 // own error says that: a parser's may look like one (a url.Error is a net.Error).
-func (s *submitter) readError(m *message, err error, counter string) *badInput {
+func (c *clientConn) readError(m *message, err error, counter string) *inputError {
 	switch {
 	case m.err == nil:
-		return bad(http.StatusBadRequest, counter, "malformed request: %v", err)
-	case errors.Is(m.err, errTooLong):
-		return bad(http.StatusRequestHeaderFieldsTooLarge, counter, "the request is too long")
-	case errors.Is(m.err, os.ErrDeadlineExceeded) && s.front.drain.Load() != nil:
-		return bad(http.StatusServiceUnavailable, "drained", "another scheduler takes jobs")
+		return newInputError(http.StatusBadRequest, counter, "malformed request: %v", err)
+	case errors.Is(m.err, errMessageTooLong):
+		return newInputError(http.StatusRequestHeaderFieldsTooLarge, counter, "the request is too long")
+	case errors.Is(m.err, os.ErrDeadlineExceeded) && c.server.operatorDrain.Load() != nil:
+		return newInputError(http.StatusServiceUnavailable, "drained", "another scheduler takes jobs")
 	case errors.Is(m.err, os.ErrDeadlineExceeded):
-		return bad(http.StatusRequestTimeout, "slow", "the request did not come to its end")
+		return newInputError(http.StatusRequestTimeout, "slow", "the request did not come to its end")
 	}
 	return nil
 }
 
 // write writes a reply and returns whether the connection may go on.
-func (s *submitter) write(r reply, ends bool) bool {
-	ends = ends || s.retire.Load() || s.front.sendsAway()
+func (c *clientConn) writeReply(r reply, mustClose bool) bool {
+	mustClose = mustClose || c.retire.Load() || c.server.closesAfterAnswer()
 	b := fmt.Appendf(make([]byte, 0, 160+len(r.body)), "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n",
 		r.status, http.StatusText(r.status), len(r.body))
 	if r.retryAfter > 0 {
 		b = fmt.Appendf(b, "%s: %s\r\n", headerRetryAfter, retryAfter(r.retryAfter))
 	}
-	if ends {
+	if mustClose {
 		b = append(b, "Connection: close\r\n"...)
 	}
 	b = append(append(b, "\r\n"...), r.body...)
-	s.conn.SetWriteDeadline(time.Now().Add(writeLimit))
-	s.wrote = time.Now()
-	_, err := s.conn.Write(b)
-	s.owed = s.owed && err != nil
-	return err == nil && !ends
+	c.conn.SetWriteDeadline(time.Now().Add(answerTimeout))
+	c.answeredAt = time.Now()
+	_, err := c.conn.Write(b)
+	c.owesAnswer = c.owesAnswer && err != nil
+	return err == nil && !mustClose
 }
 
 // retryAfter writes seconds as a decimal.
--- a/internal/platform/toy_test.go
+++ b/internal/platform/toy_test.go
@@ -21,7 +21,7 @@
 
 const patience = 20 * time.Second // for what must happen, on any machine
 
-const toySettings = `{"balancers":1,"discovery":"subscribe","dcs":["a"],"zone":"a","flavors":["k"],
+const testSettings = `{"balancers":1,"discovery":"subscribe","dcs":["a"],"zone":"a","flavors":["k"],
  "grades":[{"name":"reading","aim":500000000,"deadline":20000000000,"effect":"idempotent","gain":1},
   {"name":"ratify","aim":2000000000,"deadline":20000000000,"effect":"at_most_once","gain":5}],
  "projects":[{"name":"islands","quotaRps":1000}],
@@ -29,12 +29,12 @@
   "connIdle":30000000000,"connectTimeout":5000000000,"maxOpen":1000},
  "familyInfo":{"tellsStart":true},"obligations":{"graceToAnswer":8000000,"mustAskIn":400000000}}`
 
-// A toyNode is an execute node whose answers a test writes.
-type toyNode = standin.Server
+// A testWorker is an execute node whose answers a test writes.
+type testWorker = standin.Server
 
-// newNode serves each request, read in full, with handle, which returns whether
+// newTestWorker serves each request, read in full, with handle, which returns whether
 // the connection goes on.
-func newNode(t *testing.T, handle standin.Handler) *toyNode {
+func newTestWorker(t *testing.T, handle standin.Handler) *testWorker {
 	return standin.Serve(listen(t), handle)
 }
 
@@ -47,44 +47,44 @@
 	return l
 }
 
-var sayStates = standin.SayStates
+var writeStates = standin.SayStates
 
-func done(c net.Conn, _ *http.Request, id string) bool {
-	return sayStates(c, id, true, `"started"`, `"running","share":0.5`, `"done","result":"for `+id+`"`)
+func serveJob(c net.Conn, _ *http.Request, id string) bool {
+	return writeStates(c, id, true, `"started"`, `"running","share":0.5`, `"done","result":"for `+id+`"`)
 }
 
-func breakOff(net.Conn, *http.Request, string) bool { return false }
+func closeUnanswered(net.Conn, *http.Request, string) bool { return false }
 
-func silent(c net.Conn, _ *http.Request, _ string) bool {
+func neverAnswers(c net.Conn, _ *http.Request, _ string) bool {
 	io.Copy(io.Discard, c) // until the other side closes
 	return false
 }
 
 // hosts writes a machine list of these nodes, all active.
-func hosts(seq int, whole bool, nodes ...*toyNode) string {
+func endpointsJSON(seq int, whole bool, nodes ...*testWorker) string {
 	var b []string
 	for i, n := range nodes {
-		b = append(b, host(i, n, healthActive))
+		b = append(b, endpointJSON(i, n, healthActive))
 	}
 	return fmt.Sprintf(`{"seq":%d,"whole":%t,"hosts":[%s]}`, seq, whole, strings.Join(b, ","))
 }
 
-func host(i int, n *toyNode, health string) string {
+func endpointJSON(i int, n *testWorker, health string) string {
 	return fmt.Sprintf(`{"host":"n%d","dial":%q,"site":"a","class":"k","block":0,"health":%q,"born_ms":0}`, i, n.Addr(), health)
 }
 
-func start(t *testing.T, discovery string, nodes ...*toyNode) (*Platform, *counters.Set) {
+func start(t *testing.T, discovery string, nodes ...*testWorker) (*Platform, *counters.Set) {
 	return startWith(t, 256, discovery, nodes...)
 }
 
 // startWith runs a scheduler whose list names these nodes. Without a discovery of
 // the test's, calls to it are refused.
-func startWith(t *testing.T, sockets int, discovery string, nodes ...*toyNode) (*Platform, *counters.Set) {
-	return startText(t, toySettings, sockets, discovery, nodes...)
+func startWith(t *testing.T, sockets int, discovery string, nodes ...*testWorker) (*Platform, *counters.Set) {
+	return startText(t, testSettings, sockets, discovery, nodes...)
 }
 
-func startText(t *testing.T, settings string, sockets int, discovery string, nodes ...*toyNode) (*Platform, *counters.Set) {
-	return startKnown(t, settings, sockets, discovery, hosts(1, true, nodes...))
+func startText(t *testing.T, settings string, sockets int, discovery string, nodes ...*testWorker) (*Platform, *counters.Set) {
+	return startKnown(t, settings, sockets, discovery, endpointsJSON(1, true, nodes...))
 }
 
 // refusingAddress returns an address that refuses connections and that nobody else gets meanwhile: the port
@@ -124,7 +124,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { p.front.listener.Close(); c.Stop() })
+	t.Cleanup(func() { p.clients.listener.Close(); c.Stop() })
 	await(t, "ready", c.Ready)
 	return p, set
 }
@@ -140,13 +140,13 @@
 	}
 }
 
-// A toySubmitter is a submitter's connection.
-type toySubmitter struct {
+// A testClient is a submitter's connection.
+type testClient struct {
 	net.Conn
 	br *bufio.Reader
 }
 
-func connect(t *testing.T, p *Platform) *toySubmitter {
+func connect(t *testing.T, p *Platform) *testClient {
 	t.Helper()
 	c, err := net.Dial("tcp", p.Addr().String())
 	if err != nil {
@@ -154,7 +154,7 @@
 	}
 	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(patience))
-	return &toySubmitter{c, bufio.NewReader(c)}
+	return &testClient{c, bufio.NewReader(c)}
 }
 
 // jobText is a job's request; more holds further header lines or, as "-Name",
@@ -177,7 +177,7 @@
 	return b + "\r\n" + body
 }
 
-func (s *toySubmitter) send(t *testing.T, text string) {
+func (s *testClient) send(t *testing.T, text string) {
 	t.Helper()
 	if _, err := io.WriteString(s, text); err != nil {
 		t.Fatal(err)
@@ -185,7 +185,7 @@
 }
 
 // answer reads one whole answer.
-func (s *toySubmitter) answer(t *testing.T) (*http.Response, string) {
+func (s *testClient) answer(t *testing.T) (*http.Response, string) {
 	t.Helper()
 	r, err := http.ReadResponse(s.br, nil)
 	if err != nil {
@@ -198,7 +198,7 @@
 	return r, string(body)
 }
 
-func (s *toySubmitter) ask(t *testing.T, text string) (*http.Response, string) {
+func (s *testClient) request(t *testing.T, text string) (*http.Response, string) {
 	t.Helper()
 	s.send(t, text)
 	return s.answer(t)
