--- /dev/null
+++ b/internal/config/faults_golden_test.go
@@ -0,0 +1,111 @@
+package config
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+
+	"github.com/vatu-meals/foxlift/internal/golden"
+)
+
+// faultySettings are changes of the valid configuration that each make it faulty in one way.
+var faultySettings = []struct{ old, new string }{
+	{`{"name"`, `"name"`},
+	{`"n3"`, `3`},
+	{`"127.0.0.1:3000"`, `""`},
+	{`"127.0.0.1:3000"`, `"127.0.0.1"`},
+	{`"127.0.0.1:3000"`, `"127.0.0.1:70000"`},
+	{`"127.0.0.1:8500"`, `"127.0.0.1:0"`},
+	{`"novel":true`, `"admin":"127.0.0.1"`},
+	{`"novel":true`, `"admin":"127.0.0.1:3000"`},
+	{`8c1f30d27a5be964`, `xyz`},
+	{`2048`, `8`},
+	{`512`, `-1`},
+	{`512`, `"many"`},
+	{`"settings"`, `"other"`},
+	{`"novel":true`, `"peer_listen":"127.0.0.1"`},
+	{`"novel":true`, `"peer_listen":"127.0.0.1:0"`},
+	{`"novel":true`, `"peer_listen":"127.0.0.1:0","peers":["127.0.0.1:1","127.0.0.1:0"]`},
+	{`"novel":true`, `"peer_listen":"127.0.0.1:0","peers":["127.0.0.1:1","127.0.0.1:2"],"peers_all":"x"`},
+	{`"balancers":2`, `"balancers":0`},
+	{`"balancers":2`, `"balancers":1001`},
+	{`"slotNo":1`, `"slotNo":2`},
+	{`"flavors"`, `"discovery":"guess","flavors"`},
+	{`"zone":"b"`, `"zone":"c"`},
+	{`"grades":[`, `"grades":[],"novel":[`},
+	{`"name":"reading"`, `"name":""`},
+	{`"name":"ratify"`, `"name":"reading"`},
+	{`"aim":5`, `"aim":-5`},
+	{`"aim":5`, `"aim":"5"`},
+	{`"aim":5`, `"aim":9000000000000000`},
+	{`"deadline":9`, `"deadline":0`},
+	{`"aim":5`, `"aim":5,"aimStretch":-9`},
+	{`"aim":5`, `"aim":5,"keyTtl":-1`},
+	{`idempotent`, `sometimes`},
+	{`"effect":"idempotent"`, `"effect":"deduplicated","dedupScope":"street"`},
+	{`"familyInfo":{`, `"familyInfo":{"classKind":[4],`},
+	{`"quotaRps":2.0`, `"quotaRps":-2.0`},
+	{`"quotaRps":2.0`, `"share":1.2`},
+	{`"projects":[`, `"projects":[{"name":"islands"},`},
+	{`"connectTimeout":5`, `"connectTimeout":-5`},
+	{`"connectTimeout":5`, `"connIdle":-5`},
+	{`"connectTimeout":5`, `"maxRetryAfter":-5`},
+	{`"connectTimeout":5`, `"maxOpen":-5`},
+	{`"connectTimeout":5`, `"maxAttempts":-5`},
+	{`"connectTimeout":5`, `"connectTimeout":9000000000000000`},
+	{`"flavors"`, `"obligations":{"graceToAnswer":-1},"flavors"`},
+	{`"flavors"`, `"obligations":{"mustAskIn":-1},"flavors"`},
+	{`"flavors"`, `"obligations":{"warmAfter":-1},"flavors"`},
+	{`"flavors"`, `"obligations":{"fall":-1},"flavors"`},
+	{`"flavors"`, `"obligations":{"startCapacity":1.5},"flavors"`},
+	{`"flavors"`, `"obligations":{"startCapacity":-1},"flavors"`},
+	{`"flavors"`, `"obligations":{"fallMultiple":-1},"flavors"`},
+	{`"flavors"`, `"prices":{"crossZone":-1},"flavors"`},
+	{`"flavors"`, `"prices":{"handshake":-1},"flavors"`},
+	{`"flavors"`, `"prices":{"origin":-1},"flavors"`},
+	{`"flavors"`, `"report":{"names":["x0","x0"]},"flavors"`},
+	{`"flavors"`, `"report":{"names":[""]},"flavors"`},
+	{`"flavors"`, `"report":{"names":["a","b","c","d","e"]},"flavors"`},
+}
+
+// TestSettingsFaults pins what is said of each faulty configuration: it is what "foxlift check" prints.
+func TestSettingsFaults(t *testing.T) {
+	var b strings.Builder
+	for _, c := range faultySettings {
+		if !strings.Contains(validSettings, c.old) {
+			t.Fatalf("%s is not in the valid configuration", c.old)
+		}
+		_, err := load(t, strings.Replace(validSettings, c.old, c.new, 1), nil)
+		fmt.Fprintf(&b, "%s for %s\n\t%v\n", c.new, c.old, err)
+	}
+	golden.Check(t, "settings-faults.txt", []byte(b.String()))
+}
+
+// faultyOperators are operator's files whose messages TestOperatorFaults does not have.
+var faultyOperators = []string{
+	`(foxlift (control))`,
+	`(foxlift (control (socket "/` + strings.Repeat("s", maxSocketPath) + `")))`,
+	`(foxlift (cells (cell a (when-unable))))`,
+	`(foxlift (cells (cell a (when-unable refuse twice))))`,
+	`(foxlift (cells (cell a (tenants))))`,
+	`(foxlift (cells (default ()) (cell a)))`,
+	`(foxlift (cells (key (nodes 0) (jobs 1.5)) (cell a)))`,
+	`(foxlift (cells (cell a (when-unable spill b 0.1))))`,
+	`(foxlift (cells (cell a) (kind medium (weight light))))`,
+	`(foxlift (cells` + strings.Repeat(` (cell a)`, maxCells+1) + `))`,
+}
+
+// TestOperatorFileFaults pins what is said of each faulty operator's file; of many faults the first.
+func TestOperatorFileFaults(t *testing.T) {
+	var b strings.Builder
+	for _, text := range faultyOperators {
+		_, err := ParseOperator("f", []byte(text), exampleSettings(t))
+		faults := Faults(nil)
+		if !errors.As(err, &faults) {
+			t.Fatalf("%.100s: %v", text, err)
+		}
+		fmt.Fprintf(&b, "%.100s\n\t%v, of %d\n", text, faults[0], len(faults))
+	}
+	golden.Check(t, "operator-faults.txt", []byte(b.String()))
+}
--- /dev/null
+++ b/internal/counters/names_test.go
@@ -0,0 +1,64 @@
+package counters
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"maps"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"github.com/vatu-meals/foxlift/internal/golden"
+)
+
+// counterName matches a counter's name, or the beginning of names that are put together from two parts.
+var counterName = regexp.MustCompile(`^(accept|bad|cells|checkpoint|claims|drains|invariant|jobs|loads|machines|` +
+	`nodes|peers|probes|reloads|upgrades)\.[a-z_]*$`)
+
+// notScheduler are the folders under internal that the scheduler does not link.
+var notScheduler = []string{"lab", "standin", "fuzz", "golden", "wire"}
+
+// TestNames pins the names of all counters that the scheduler's code has: dashboards use them. The
+// second parts of names that are put together are pinned where they are counted.
+func TestNames(t *testing.T) {
+	names := map[string]bool{}
+	for _, root := range []string{"../../cmd/foxlift", ".."} {
+		err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+			switch {
+			case err != nil:
+				return err
+			case entry.IsDir() && slices.Contains(notScheduler, entry.Name()):
+				return filepath.SkipDir
+			case !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go"):
+				return nil
+			}
+			return collectNames(path, names)
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	golden.Check(t, "names.txt", []byte(strings.Join(slices.Sorted(maps.Keys(names)), "\n")+"\n"))
+}
+
+// collectNames adds the counters' names among the strings of a file.
+func collectNames(path string, names map[string]bool) error {
+	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+	if err != nil {
+		return err
+	}
+	ast.Inspect(file, func(n ast.Node) bool {
+		if literal, ok := n.(*ast.BasicLit); ok && literal.Kind == token.STRING {
+			if text, err := strconv.Unquote(literal.Value); err == nil && counterName.MatchString(text) {
+				names[text] = true
+			}
+		}
+		return true
+	})
+	return nil
+}
