--- a/cmd/foxlift-lab/cells.go
+++ b/cmd/foxlift-lab/cells.go
@@ -13,7 +13,7 @@
 	var seed uint64
 	cmd := &cobra.Command{
 		Use: "demo", Short: "Flood one tenant of a small deployment with cells, and watch the others (25 s)", Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error { return lab.Demo(cmd.OutOrStdout(), seed) },
+		RunE: func(cmd *cobra.Command, _ []string) error { return lab.Demo(cmd.Context(), cmd.OutOrStdout(), seed) },
 	}
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "of the arrivals")
 	return cmd
@@ -24,7 +24,7 @@
 	cmd := &cobra.Command{
 		Use: "cells", Short: "Measure what a flood costs the others without and with cells, lending, and live moves", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			r, err := lab.Cells(cmd.OutOrStdout(), o)
+			r, err := lab.Cells(cmd.Context(), cmd.OutOrStdout(), o)
 			if err != nil {
 				return err
 			}
--- a/cmd/foxlift-lab/speed.go
+++ b/cmd/foxlift-lab/speed.go
@@ -16,7 +16,7 @@
 		Use: "speed", Short: "Measure one scheduler process: jobs a second and latency", Args: cobra.NoArgs,
 		Example: "  foxlift-lab speed --program bin/foxlift --connections 1,16,64",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return lab.Speed(cmd.OutOrStdout(), program, connections, each)
+			return lab.Speed(cmd.Context(), cmd.OutOrStdout(), program, connections, each)
 		},
 	}
 	cmd.Flags().StringVar(&program, "program", "bin/foxlift", "the scheduler's binary")
--- a/internal/lab/cells.go
+++ b/internal/lab/cells.go
@@ -11,12 +11,18 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// twelveWorkers is twelve uneven nodes, eight tenants and two classes.
+// twelveWorkers is a deployment of twelve uneven workers, eight tenants and two classes.
 func twelveWorkers(operator string) Topology {
 	return Topology{
-		Schedulers: 2, Zones: []string{"east", "west"}, Operator: operator,
-		Sockets: 256, // the least that the platform gives
-		Kinds:   []WorkerKind{{"large", 4, 6, 1.5}, {"medium", 4, 5, 1}, {"old", 4, 6, 0.6}},
+		Schedulers: 2,
+		Zones:      []string{"east", "west"},
+		Operator:   operator,
+		Sockets:    256, // the least that the platform gives
+		Kinds: []WorkerKind{
+			{Name: "large", Count: 4, Slots: 6, Speed: 1.5},
+			{Name: "medium", Count: 4, Slots: 5, Speed: 1},
+			{Name: "old", Count: 4, Slots: 6, Speed: 0.6},
+		},
 		Tenants: []Tenant{
 			{"harbour", .15},
 			{"valley", .14},
@@ -28,186 +34,261 @@
 			{"skerry", .10},
 		},
 		Classes: []Class{
-			{"reading", "idempotent", 120 * time.Millisecond, 0.75, 500 * time.Millisecond, 5 * time.Second},
-			{"ratify", "at_most_once", 400 * time.Millisecond, 0.25, 2 * time.Second, 10 * time.Second},
+			readingClass(120*time.Millisecond, 0.75),
+			{
+				Name:             "ratify",
+				Effect:           effectAtMostOnce,
+				ServiceTime:      400 * time.Millisecond,
+				JobFraction:      0.25,
+				LatencyObjective: 2 * time.Second,
+				Deadline:         10 * time.Second,
+			},
 		},
 	}
 }
 
+// readingClass is the class of short jobs that may run again.
+func readingClass(serviceTime time.Duration, fraction float64) Class {
+	return Class{
+		Name:             "reading",
+		Effect:           effectIdempotent,
+		ServiceTime:      serviceTime,
+		JobFraction:      fraction,
+		LatencyObjective: 500 * time.Millisecond,
+		Deadline:         5 * time.Second,
+	}
+}
+
 const (
-	flooder   = "glen"
 	fourCells = `(foxlift (control (socket %q)) (cells
  (kind large (weight 9)) (kind medium (weight 5)) (kind old (weight 3.6))
  (cell north (tenants harbour skerry)) (cell south (tenants valley glen))
  (cell east (tenants coast firth)) (cell west (tenants moor ridge))))`
-	normalLoad  = 0.6
-	floodFactor = 10 // a flooding tenant's share
+	loneCell = `(foxlift (control (socket %q)) (cells (cell all (share 0.99) (tenants lone away)) (cell rest)))`
+)
+
+var cellNames = []string{"north", "south", "east", "west"} // of fourCells
+
+const (
+	flooder       = "glen"
+	flooderQuota  = 0.1 // its fraction of what the fleet can do
+	normalLoad    = 0.6
+	floodFactor   = 10 // times its quota that a flooding tenant asks for
+	loneQuota     = 2  // jobs a second
+	loneRate      = 60
+	maxLoss       = 5  // points of service that a flood may take from another tenant
+	minLentServed = 95 // percent
 )
 
 // A CellsOptions is how long the parts of the cells measurement take.
 type CellsOptions struct {
 	Seed              uint64
-	Normal, Flood     time.Duration
-	Lending           time.Duration
+	Normal            time.Duration // before the flood
+	Flood             time.Duration
+	Lending           time.Duration // of a lone tenant that asks for more than its quota
 	Migrations        int
-	MigrationInterval time.Duration // moves
+	MigrationInterval time.Duration // between two migrations
 }
 
 // DefaultCells is the measurement as it is quoted.
-var DefaultCells = CellsOptions{Seed: 1, Normal: 10 * time.Second, Flood: 20 * time.Second, Lending: 15 * time.Second, Migrations: 200, MigrationInterval: 50 * time.Millisecond}
+var DefaultCells = CellsOptions{
+	Seed:              1,
+	Normal:            10 * time.Second,
+	Flood:             20 * time.Second,
+	Lending:           15 * time.Second,
+	Migrations:        200,
+	MigrationInterval: 50 * time.Millisecond,
+}
 
 // A CellsReport is what the cells measurement found.
 type CellsReport struct {
-	WorstLoss, WorstLossWithoutCells float64 // points of service that the flood takes from the worst other tenant
-	ServedUnderLending               float64 // percent served of a tenant at 30 times its share
-	Migrations, Lost, RanTwice       int
+	WorstLoss             float64 // points of service that the flood takes from the worst other tenant
+	WorstLossWithoutCells float64
+	ServedUnderLending    float64 // percent served of a tenant at 30 times its quota
+	Migrations            int
+	Lost                  int // jobs without an answer, or answered as served without a run
+	RanTwice              int
 }
 
 // Line is the measurement's last line.
 func (r CellsReport) Line() string {
-	return fmt.Sprintf("cells: worst other tenant -%.1f points (without -%.1f), served under lending %.1f %%, moves %d, lost %d, twice %d",
+	return fmt.Sprintf(
+		"cells: worst other tenant -%.1f points (without -%.1f), served under lending %.1f %%, moves %d, lost %d, twice %d",
 		r.WorstLoss, r.WorstLossWithoutCells, r.ServedUnderLending, r.Migrations, r.Lost, r.RanTwice)
 }
 
-// OK reports whether the product's aims are met.
-func (r CellsReport) OK(moves int) bool {
-	return r.WorstLoss <= 5 && r.ServedUnderLending >= 95 && r.Migrations == moves && r.Lost == 0 && r.RanTwice == 0
+// OK reports whether the product's objectives are met.
+func (r CellsReport) OK(migrations int) bool {
+	return r.WorstLoss <= maxLoss && r.ServedUnderLending >= minLentServed && r.Migrations == migrations &&
+		r.Lost == 0 && r.RanTwice == 0
+}
+
+// add takes in what a load's end has shown.
+func (r *CellsReport) add(v Verdict) {
+	r.Lost += v.Total.Lost + v.ServedWithoutRun
+	r.RanTwice += v.RanTwice
 }
 
 // Cells measures what a flood of one tenant costs the others, without and with cells,
-// what a lone tenant is lent, and moves under load.
-func Cells(w io.Writer, o CellsOptions) (CellsReport, error) {
-	var rep CellsReport
-	count := func(v Verdict) {
-		rep.Lost += v.Total.Lost + v.ServedWithoutRun
-		rep.RanTwice += v.RanTwice
-	}
-	for _, operator := range []string{"", fourCells} {
-		what := "without cells"
-		if operator != "" {
-			what = "with cells"
-		}
-		r, err := Start(twelveWorkers(operator))
-		if err != nil {
-			return rep, err
-		}
-		l := r.StartLoad(normalLoad, o.Seed)
-		<-time.After(o.Normal / 2) // modules learn
-		l.CollectTallies()
-		<-time.After(o.Normal)
-		normal := l.CollectTallies()
-		l.Set(flooder, floodFactor*0.1*r.Capacity())
-		<-time.After(o.Flood)
-		flood := l.CollectTallies()
-		l.Set(flooder, normalLoad*0.1*r.Capacity())
-		worst := printFlood(w, what, r.Topology, normal, flood)
-		if operator == "" {
-			rep.WorstLossWithoutCells = worst
-		} else {
-			rep.WorstLoss = worst
-			<-time.After(o.Normal / 2)
-			l.CollectTallies()
-			if rep.Migrations, err = migrateTenants(r, o); err != nil {
-				r.Close()
-				return rep, err
-			}
-			all := standin.Tally{}
-			for _, t := range l.CollectTallies() {
-				all = standin.Total(all, t)
-			}
-			fmt.Fprintf(w, "%d moves under load: %d jobs, %.1f %% served in time\n", rep.Migrations, all.Asked, all.Service())
-		}
-		count(l.Stop())
-		r.Close()
+// what a lone tenant is lent, and migrations under load.
+func Cells(ctx context.Context, w io.Writer, o CellsOptions) (report CellsReport, err error) {
+	if report.WorstLossWithoutCells, err = report.measureFlood(ctx, w, o, ""); err != nil {
+		return report, err
+	}
+	if report.WorstLoss, err = report.measureFlood(ctx, w, o, fourCells); err != nil {
+		return report, err
+	}
+	served, verdict, err := measureLending(o)
+	if err != nil {
+		return report, err
+	}
+	report.add(verdict)
+	report.ServedUnderLending = served
+	return report, nil
+}
+
+// measureFlood floods one tenant and returns what the worst of the others loses. Where the
+// operator's file has cells it then migrates tenants under load.
+func (r *CellsReport) measureFlood(ctx context.Context, w io.Writer, o CellsOptions, operator string) (float64, error) {
+	title := "without cells"
+	if operator != "" {
+		title = "with cells"
+	}
+	rig, err := Start(twelveWorkers(operator))
+	if err != nil {
+		return 0, err
 	}
-	served, v, err := measureLending(o)
+	defer rig.Close()
+	load := rig.StartLoad(normalLoad, o.Seed)
+	<-time.After(o.Normal / 2) // modules learn
+	load.CollectTallies()
+	<-time.After(o.Normal)
+	normal := load.CollectTallies()
+	load.Set(flooder, floodFactor*flooderQuota*rig.Capacity())
+	<-time.After(o.Flood)
+	flood := load.CollectTallies()
+	load.Set(flooder, normalLoad*flooderQuota*rig.Capacity())
+	worst, err := printFlood(w, title, rig.Tenants, normal, flood)
 	if err != nil {
-		return rep, err
+		return 0, err
+	}
+	if operator != "" {
+		if err := r.measureMigrations(ctx, w, o, rig, load); err != nil {
+			return 0, err
+		}
 	}
-	count(v)
-	rep.ServedUnderLending = served
-	return rep, nil
+	r.add(load.Stop())
+	return worst, nil
+}
+
+// measureMigrations migrates tenants under load and prints what was served meanwhile.
+func (r *CellsReport) measureMigrations(
+	ctx context.Context, w io.Writer, o CellsOptions, rig *Rig, load *Load,
+) (err error) {
+	<-time.After(o.Normal / 2)
+	load.CollectTallies()
+	if r.Migrations, err = rig.migrateTenants(ctx, o); err != nil {
+		return err
+	}
+	total := standin.Tally{}
+	for _, tally := range load.CollectTallies() {
+		total = standin.Total(total, tally)
+	}
+	fmt.Fprintf(w, "%d moves under load: %d jobs, %.1f %% served in time\n", r.Migrations, total.Asked, total.Service())
+	return nil
 }
 
 // printFlood prints each tenant's service and returns what the worst of the others
 // loses.
-func printFlood(to io.Writer, what string, world Topology, normal, flood map[string]standin.Tally) (worst float64) {
-	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintf(w, "%s\tnormal asked\tin time\tflood asked\tin time\trefused\tpoints\t\n", what)
-	for _, t := range world.Tenants {
-		n, f := normal[t.Name], flood[t.Name]
-		loss := n.Service() - f.Service()
-		name := t.Name
+func printFlood(
+	out io.Writer, title string, tenants []Tenant, normal, flood map[string]standin.Tally,
+) (worst float64, err error) {
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintf(table, "%s\tnormal asked\tin time\tflood asked\tin time\trefused\tpoints\t\n", title)
+	for _, tenant := range tenants {
+		before, during := normal[tenant.Name], flood[tenant.Name]
+		loss := before.Service() - during.Service()
+		name := tenant.Name
 		if name == flooder {
 			name += " (floods)"
 		} else {
 			worst = max(worst, loss)
 		}
-		fmt.Fprintf(w, "%s\t%d\t%.1f %%\t%d\t%.1f %%\t%d\t%+.1f\t\n", name, n.Asked, n.Service(), f.Asked, f.Service(), f.Refused, -loss)
+		fmt.Fprintf(table, "%s\t%d\t%.1f %%\t%d\t%.1f %%\t%d\t%+.1f\t\n",
+			name, before.Asked, before.Service(), during.Asked, during.Service(), during.Refused, -loss)
 	}
-	w.Flush()
-	return worst
+	return worst, table.Flush()
 }
 
-// moves moves tenants round the cells at every scheduler, through the control
-// sockets, and returns how many moves were made.
-func migrateTenants(r *Rig, o CellsOptions) (done int, err error) {
-	at := map[string]int{}
-	names := []string{"north", "south", "east", "west"}
-	ctx := context.Background()
-	reply, err := r.Clients[0].Cells(ctx, &controlpb.CellsRequest{})
+// migrateTenants moves tenants round the cells at every scheduler, through the control
+// sockets, and returns how many migrations were made. In the end it restores the cells.
+func (r *Rig) migrateTenants(ctx context.Context, o CellsOptions) (done int, err error) {
+	at, err := r.cellsOfTenants(ctx)
 	if err != nil {
 		return 0, err
 	}
-	for _, c := range reply.Cells {
-		for _, t := range c.Tenants {
-			for i := range names {
-				if names[i] == c.Name {
-					at[t.Name] = i
-				}
-			}
-		}
-	}
 	for i := range o.Migrations {
-		t := r.Tenants[i%len(r.Tenants)].Name
-		at[t] = (at[t] + 1) % len(names)
-		for _, c := range r.Clients {
-			if _, err := c.Move(ctx, &controlpb.MoveRequest{Tenant: t, Cell: names[at[t]]}); err != nil {
-				return done, fmt.Errorf("move %d, %s to %s: %w", i, t, names[at[t]], err)
+		tenant := r.Tenants[i%len(r.Tenants)].Name
+		at[tenant] = (at[tenant] + 1) % len(cellNames)
+		cell := cellNames[at[tenant]]
+		for _, client := range r.Clients {
+			if _, err := client.Move(ctx, &controlpb.MoveRequest{Tenant: tenant, Cell: cell}); err != nil {
+				return done, fmt.Errorf("move %d, %s to %s: %w", i, tenant, cell, err)
 			}
 		}
 		done++
 		<-time.After(o.MigrationInterval)
 	}
-	for _, c := range r.Clients {
-		if _, err := c.Restore(ctx, &controlpb.RestoreRequest{}); err != nil {
+	for _, client := range r.Clients {
+		if _, err := client.Restore(ctx, &controlpb.RestoreRequest{}); err != nil {
 			return done, err
 		}
 	}
 	return done, nil
 }
 
-// lending measures a lone tenant that asks 30 times its share of an idle cell of
-// fast nodes: what is served of it after two thirds of the time.
-func measureLending(o CellsOptions) (float64, Verdict, error) {
-	w := Topology{
-		Schedulers: 1, Sockets: 1024, Zones: []string{"east"}, Kinds: []WorkerKind{{"fast", 8, 8, 10}},
-		Tenants:  []Tenant{{"lone", 0}, {"away", 1}},
-		Classes:  []Class{{"reading", "idempotent", 100 * time.Millisecond, 1, 500 * time.Millisecond, 5 * time.Second}},
-		Operator: `(foxlift (control (socket %q)) (cells (cell all (share 0.99) (tenants lone away)) (cell rest)))`,
-	}
-	w.Tenants[0].QuotaFraction = 2 / (0.85 * w.Capacity()) // a quota of 2 a second
-	w.Tenants[1].QuotaFraction = 1 - w.Tenants[0].QuotaFraction
-	r, err := Start(w)
+// cellsOfTenants returns each tenant's cell, as an index of cellNames.
+func (r *Rig) cellsOfTenants(ctx context.Context) (map[string]int, error) {
+	reply, err := r.Clients[0].Cells(ctx, &controlpb.CellsRequest{})
+	if err != nil {
+		return nil, err
+	}
+	at := map[string]int{}
+	for _, cell := range reply.Cells {
+		for _, tenant := range cell.Tenants {
+			for i, name := range cellNames {
+				if name == cell.Name {
+					at[tenant.Name] = i
+				}
+			}
+		}
+	}
+	return at, nil
+}
+
+// measureLending measures a lone tenant that asks for 30 times its quota of an idle cell of
+// fast workers: which percentage of it is served in the last third of the time.
+func measureLending(o CellsOptions) (served float64, verdict Verdict, err error) {
+	topology := Topology{
+		Schedulers: 1,
+		Sockets:    1024,
+		Zones:      []string{"east"},
+		Kinds:      []WorkerKind{{Name: "fast", Count: 8, Slots: 8, Speed: 10}},
+		Classes:    []Class{readingClass(100*time.Millisecond, 1)},
+		Operator:   loneCell,
+	}
+	fraction := loneQuota / (quotaHeadroom * topology.Capacity())
+	topology.Tenants = []Tenant{{"lone", fraction}, {"away", 1 - fraction}}
+	rig, err := Start(topology)
 	if err != nil {
 		return 0, Verdict{}, err
 	}
-	defer r.Close()
-	l := r.StartLoad(0, o.Seed)
-	l.Set("lone", 60)
+	defer rig.Close()
+	load := rig.StartLoad(0, o.Seed)
+	load.Set("lone", loneRate)
 	<-time.After(o.Lending * 2 / 3)
-	l.CollectTallies()
+	load.CollectTallies()
 	<-time.After(o.Lending / 3)
-	t := l.CollectTallies()["lone"]
-	return t.Service(), l.Stop(), nil
+	tally := load.CollectTallies()["lone"]
+	return tally.Service(), load.Stop(), nil
 }
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -4,59 +4,89 @@
 	"context"
 	"fmt"
 	"io"
-	"strings"
 	"time"
 
 	"github.com/vatu-meals/foxlift/internal/control/controlpb"
 )
 
-// Demo floods one tenant of a world with cells and prints a table as it goes.
-func Demo(w io.Writer, seed uint64) error {
-	r, err := Start(twelveWorkers(fourCells))
+// The demonstration's course, in seconds.
+const (
+	demoPrintEvery = 2
+	demoFloodAt    = 6
+	demoFloodEndAt = 14
+	demoMigrateAt  = 16
+	demoEndAt      = 20
+)
+
+// Demo floods one tenant of a deployment with cells and prints a table as it goes.
+func Demo(ctx context.Context, w io.Writer, seed uint64) error {
+	rig, err := Start(twelveWorkers(fourCells))
 	if err != nil {
 		return err
 	}
-	defer r.Close()
-	fmt.Fprintf(w, "%d schedulers, %d execute nodes, %d tenants in 4 cells; %.0f jobs a second is all that the nodes can do.\n",
-		len(r.Schedulers), len(r.Workers), len(r.Tenants), r.Capacity())
-	fmt.Fprintf(w, "Every tenant asks %.0f %% of its share. After 6 s %s asks %d times its share, for 8 s;\nthen it is moved to another cell, live.\n\n", 100*normalLoad, flooder, floodFactor)
-	l := r.StartLoad(normalLoad, seed)
-	fmt.Fprint(w, "  time")
-	for _, t := range r.Tenants {
-		fmt.Fprintf(w, "%10s", t.Name)
-	}
-	fmt.Fprintln(w, "   served in time, %")
-	for second := 2; second <= 20; second += 2 {
-		<-time.After(2 * time.Second)
+	defer rig.Close()
+	rig.printDemoHead(w)
+	load := rig.StartLoad(normalLoad, seed)
+	for second := demoPrintEvery; second <= demoEndAt; second += demoPrintEvery {
+		<-time.After(demoPrintEvery * time.Second)
 		fmt.Fprintf(w, "%4d s", second)
-		tallies := l.CollectTallies()
-		for _, t := range r.Tenants {
-			fmt.Fprintf(w, "%10.1f", tallies[t.Name].Service())
+		tallies := load.CollectTallies()
+		for _, tenant := range rig.Tenants {
+			fmt.Fprintf(w, "%10.1f", tallies[tenant.Name].Service())
 		}
 		switch second {
-		case 6:
-			l.Set(flooder, floodFactor*0.1*r.Capacity())
+		case demoFloodAt:
+			load.Set(flooder, floodFactor*flooderQuota*rig.Capacity())
 			fmt.Fprintf(w, "   %s floods", flooder)
-		case 14:
-			l.Set(flooder, normalLoad*0.1*r.Capacity())
+		case demoFloodEndAt:
+			load.Set(flooder, normalLoad*flooderQuota*rig.Capacity())
 			fmt.Fprint(w, "   the flood ends")
-		case 16:
-			for _, c := range r.Clients {
-				m, err := c.Move(context.Background(), &controlpb.MoveRequest{Tenant: flooder, Cell: "west"})
-				if err != nil {
-					return err
-				}
-				fmt.Fprintf(w, "   moved: %d held, %d out", m.Held, m.Out)
+		case demoMigrateAt:
+			if err := rig.migrateFlooder(ctx, w); err != nil {
+				return err
 			}
 		}
 		fmt.Fprintln(w)
 	}
-	v := l.Stop()
-	fmt.Fprintln(w)
-	fmt.Fprintln(w, strings.TrimSpace(fmt.Sprintf("%d jobs: %d served in time, %d late, %d refused, %d failed; without an answer %d, run twice that must not %d",
-		v.Total.Asked, v.Total.Served, v.Total.Late, v.Total.Refused, v.Total.Failed, v.Total.Lost, v.RanTwice)))
-	if v.Total.Lost+v.RanTwice+v.ServedWithoutRun > 0 {
-		return fmt.Errorf("a promise was broken: lost %d, twice %d, served but never run %d", v.Total.Lost, v.RanTwice, v.ServedWithoutRun)
+	return printDemoVerdict(w, load.Stop())
+}
+
+// printDemoHead prints what the deployment is, what will happen, and the table's head.
+func (r *Rig) printDemoHead(w io.Writer) {
+	fmt.Fprintf(w, "%d schedulers, %d execute nodes, %d tenants in 4 cells; ",
+		len(r.Schedulers), len(r.Workers), len(r.Tenants))
+	fmt.Fprintf(w, "%.0f jobs a second is all that the nodes can do.\n", r.Capacity())
+	fmt.Fprintf(w, "Every tenant asks %.0f %% of its share. ", 100*normalLoad)
+	fmt.Fprintf(w, "After %d s %s asks %d times its share, for %d s;\nthen it is moved to another cell, live.\n\n",
+		demoFloodAt, flooder, floodFactor, demoFloodEndAt-demoFloodAt)
+	fmt.Fprint(w, "  time")
+	for _, tenant := range r.Tenants {
+		fmt.Fprintf(w, "%10s", tenant.Name)
+	}
+	fmt.Fprintln(w, "   served in time, %")
+}
+
+// migrateFlooder moves the flooding tenant to another cell at every scheduler.
+func (r *Rig) migrateFlooder(ctx context.Context, w io.Writer) error {
+	for _, client := range r.Clients {
+		reply, err := client.Move(ctx, &controlpb.MoveRequest{Tenant: flooder, Cell: "west"})
+		if err != nil {
+			return err
+		}
+		fmt.Fprintf(w, "   moved: %d held, %d out", reply.Held, reply.Out)
+	}
+	return nil
+}
+
+// printDemoVerdict prints what became of all jobs, and fails if a promise was broken.
+func printDemoVerdict(w io.Writer, v Verdict) error {
+	total := v.Total
+	fmt.Fprintf(w, "\n%d jobs: %d served in time, %d late, %d refused, %d failed; ",
+		total.Asked, total.Served, total.Late, total.Refused, total.Failed)
+	fmt.Fprintf(w, "without an answer %d, run twice that must not %d\n", total.Lost, v.RanTwice)
+	if total.Lost+v.RanTwice+v.ServedWithoutRun > 0 {
+		return fmt.Errorf("a promise was broken: lost %d, twice %d, served but never run %d",
+			total.Lost, v.RanTwice, v.ServedWithoutRun)
 	}
 	return nil
 }
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -9,52 +9,65 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// A Load is the submitters of all tenants: for each, one for each scheduler and class.
+// A Load is the clients of all tenants: for each, one for each scheduler and class.
 type Load struct {
 	rig     *Rig
-	senders map[string][]*standin.Submitter // by tenant
+	clients map[string][]*standin.Submitter // by tenant
 	rates   map[string]*atomic.Uint64       // jobs a second of each tenant, as float64 bits
 	stop    chan struct{}
-	wait    sync.WaitGroup
+	running sync.WaitGroup
 	total   standin.Tally
 }
 
-// StartLoad begins with each tenant at this part of the fleet's capacity times its
-// share, spread evenly over the schedulers.
-func (r *Rig) StartLoad(part float64, seed uint64) *Load {
-	l := &Load{rig: r, senders: map[string][]*standin.Submitter{}, rates: map[string]*atomic.Uint64{}, stop: make(chan struct{})}
-	for ti, t := range r.Tenants {
-		rate := &atomic.Uint64{}
-		l.rates[t.Name] = rate
-		l.Set(t.Name, part*t.QuotaFraction*r.Capacity())
-		for i, d := range r.Schedulers {
-			for ci, c := range r.Classes {
-				s := &standin.Submitter{
-					Addr: d.Addr().String(), Tenant: t.Name, Class: c.Name, Remaining: c.Deadline,
-					Aim:  c.LatencyObjective + 2*c.ServiceTime,
-					Name: fmt.Sprintf("%s/%s/%d", t.Name, c.Name, i),
-				}
-				l.senders[t.Name] = append(l.senders[t.Name], s)
-				share := c.JobFraction / float64(len(r.Schedulers))
-				l.wait.Go(func() {
-					s.Run(func() float64 { return share * math.Float64frombits(rate.Load()) }, seed+uint64(ti*100+i*10+ci), l.stop)
-				})
+// StartLoad begins with each tenant at a fraction of its quota's part of the fleet's capacity,
+// spread evenly over the schedulers. Stop ends it.
+func (r *Rig) StartLoad(fraction float64, seed uint64) *Load {
+	l := &Load{
+		rig:     r,
+		clients: map[string][]*standin.Submitter{},
+		rates:   map[string]*atomic.Uint64{},
+		stop:    make(chan struct{}),
+	}
+	for t, tenant := range r.Tenants {
+		l.rates[tenant.Name] = &atomic.Uint64{}
+		l.Set(tenant.Name, fraction*tenant.QuotaFraction*r.Capacity())
+		for scheduler := range r.Schedulers {
+			for c, class := range r.Classes {
+				l.startClient(tenant.Name, scheduler, class, seed+uint64(t*100+scheduler*10+c))
 			}
 		}
 	}
 	return l
 }
 
-// Set changes a tenant's rate.
+// startClient starts the client that sends a tenant's jobs of one class to one scheduler.
+func (l *Load) startClient(tenant string, scheduler int, class Class, seed uint64) {
+	client := &standin.Submitter{
+		Addr:      l.rig.Schedulers[scheduler].Addr().String(),
+		Tenant:    tenant,
+		Class:     class.Name,
+		Remaining: class.Deadline,
+		Aim:       class.LatencyObjective + objectiveStretch*class.ServiceTime,
+		Name:      fmt.Sprintf("%s/%s/%d", tenant, class.Name, scheduler),
+	}
+	l.clients[tenant] = append(l.clients[tenant], client)
+	rate := l.rates[tenant]
+	fraction := class.JobFraction / float64(len(l.rig.Schedulers))
+	l.running.Go(func() {
+		client.Run(func() float64 { return fraction * math.Float64frombits(rate.Load()) }, seed, l.stop)
+	})
+}
+
+// Set changes a tenant's rate, in jobs a second.
 func (l *Load) Set(tenant string, rate float64) { l.rates[tenant].Store(math.Float64bits(rate)) }
 
-// Take returns each tenant's tally since the last call.
+// CollectTallies returns each tenant's tally since the last call.
 func (l *Load) CollectTallies() map[string]standin.Tally {
 	tallies := map[string]standin.Tally{}
-	for tenant, senders := range l.senders {
+	for tenant, clients := range l.clients {
 		var all []standin.Tally
-		for _, s := range senders {
-			all = append(all, s.Take())
+		for _, client := range clients {
+			all = append(all, client.Take())
 		}
 		tallies[tenant] = standin.Total(all...)
 		l.total = standin.Total(l.total, tallies[tenant])
@@ -62,33 +75,33 @@
 	return tallies
 }
 
-// A Verdict is what the submitters' tallies and the nodes' logs say of the promises.
+// A Verdict is what the clients' tallies and the workers' logs say of the promises.
 type Verdict struct {
 	Total            standin.Tally
 	RanTwice         int // at-most-once jobs that ran more than once
-	ServedWithoutRun int // jobs answered as served that no node ran
+	ServedWithoutRun int // jobs answered as served that no worker ran
 }
 
 // Stop ends the load, waits for every answer and judges.
 func (l *Load) Stop() Verdict {
 	close(l.stop)
-	l.wait.Wait()
+	l.running.Wait()
 	l.CollectTallies()
-	v := Verdict{Total: l.total}
+	verdict := Verdict{Total: l.total}
 	runs := l.rig.Runs()
-	for id, k := range runs {
-		if k > 1 && l.rig.AtMostOnce(id) {
-			v.RanTwice++
+	for id, count := range runs {
+		if count > 1 && l.rig.AtMostOnce(id) {
+			verdict.RanTwice++
 		}
 	}
-	for _, senders := range l.senders {
-		for _, s := range senders {
-			for id := range s.Served() {
+	for _, clients := range l.clients {
+		for _, client := range clients {
+			for id := range client.Served() {
 				if runs[id] == 0 {
-					v.ServedWithoutRun++
+					verdict.ServedWithoutRun++
 				}
 			}
 		}
 	}
-	return v
+	return verdict
 }
--- a/internal/lab/speed.go
+++ b/internal/lab/speed.go
@@ -1,6 +1,7 @@
 package lab
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -15,85 +16,152 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
+const (
+	listenTimeout      = 10 * time.Second // for a scheduler process to listen
+	listenPollInterval = 10 * time.Millisecond
+	patientDeadline    = 5 * time.Second // of the jobs in a speed measurement
+)
+
+// The bounds and digits of a latency histogram.
+const (
+	minLatency    = time.Microsecond
+	maxLatency    = 10 * time.Second
+	latencyDigits = 3
+)
+
+// errNotListening says that a scheduler process did not come up.
+var errNotListening = errors.New("the scheduler does not listen")
+
 // Speed measures one scheduler process: jobs a second and latency with so many
-// connections, each sending its next job when it has the answer, to nodes that
+// connections, each sending its next job when it has the answer, to workers that
 // answer at once. program is the scheduler's binary: two builds can be compared.
-func Speed(w io.Writer, program string, connections []int, each time.Duration) error {
-	r, err := Start(Topology{
-		Sockets: 1024, Zones: []string{"east"}, Kinds: []WorkerKind{{"fast", 8, 64, 1}}, Tenants: []Tenant{{"all", 1}},
-		Classes: []Class{{"reading", "idempotent", time.Nanosecond, 1, 500 * time.Millisecond, 5 * time.Second}},
+func Speed(ctx context.Context, w io.Writer, program string, connections []int, each time.Duration) error {
+	rig, err := Start(Topology{
+		Sockets: 1024,
+		Zones:   []string{"east"},
+		Kinds:   []WorkerKind{{Name: "fast", Count: 8, Slots: 64, Speed: 1}},
+		Tenants: []Tenant{{"all", 1}},
+		Classes: []Class{readingClass(time.Nanosecond, 1)},
 	})
 	if err != nil {
 		return err
 	}
-	defer r.Close()
-	for _, n := range r.Workers {
-		n.Work = func(string) time.Duration { return 0 }
+	defer rig.Close()
+	for _, worker := range rig.Workers {
+		worker.Work = func(string) time.Duration { return 0 }
 	}
-	config, err := r.Config(0)
+	config, err := rig.Config(0)
 	if err != nil {
 		return err
 	}
-	l, err := standin.Listen()
+	addr, err := freeAddr()
 	if err != nil {
 		return err
 	}
-	addr := l.Addr().String()
-	l.Close()
-	cmd := exec.Command(program)
+	stop, err := startProcess(ctx, program, config, addr)
+	if err != nil {
+		return err
+	}
+	defer stop()
+	if err := awaitListening(ctx, addr); err != nil {
+		return err
+	}
+	fmt.Fprintln(w, "connections  jobs a second     p50     p99   p99.9  not served")
+	for _, n := range connections {
+		result := closedLoop(addr, n, each)
+		fmt.Fprintf(w, "%11d  %13.0f  %4.2f ms %4.2f ms %4.2f ms %8d\n", n, result.rate(),
+			result.quantile(50), result.quantile(99), result.quantile(99.9), result.notServed)
+	}
+	return nil
+}
+
+// freeAddr returns a loopback address on which nothing listens.
+func freeAddr() (string, error) {
+	listener, err := standin.Listen()
+	if err != nil {
+		return "", err
+	}
+	defer listener.Close()
+	return listener.Addr().String(), nil
+}
+
+// startProcess starts a scheduler process that listens on an address; stop kills it and waits
+// for its end.
+func startProcess(ctx context.Context, program, config, addr string) (stop func(), err error) {
+	cmd := exec.CommandContext(ctx, program)
 	cmd.Env = append(os.Environ(), "LB_CONFIG="+config, "LB_LISTEN="+addr)
 	cmd.Stderr = io.Discard
 	if err := cmd.Start(); err != nil {
-		return err
+		return nil, err
 	}
-	defer func() {
-		cmd.Process.Kill()
-		cmd.Wait()
-	}()
+	return func() {
+		_ = cmd.Process.Kill() // it may have ended by itself
+		_ = cmd.Wait()         // tells of the kill
+	}, nil
+}
+
+// awaitListening waits until something accepts connections on an address.
+func awaitListening(ctx context.Context, addr string) error {
+	var dialer net.Dialer
 	for began := time.Now(); ; {
-		c, err := net.Dial("tcp", addr)
+		conn, err := dialer.DialContext(ctx, "tcp", addr)
 		if err == nil {
-			c.Close()
-			break
+			conn.Close()
+			return nil
 		}
-		if time.Since(began) > 10*time.Second {
-			return errors.New("the scheduler does not listen")
+		if time.Since(began) > listenTimeout {
+			return errNotListening
 		}
-		<-time.After(10 * time.Millisecond)
-	}
-	fmt.Fprintln(w, "connections  jobs a second     p50     p99   p99.9  not served")
-	for _, n := range connections {
-		h, other, took := closedLoop(addr, n, each)
-		fmt.Fprintf(w, "%11d  %13.0f  %4.2f ms %4.2f ms %4.2f ms %8d\n", n, float64(h.TotalCount())/took.Seconds(),
-			float64(h.ValueAtQuantile(50))/1e6, float64(h.ValueAtQuantile(99))/1e6, float64(h.ValueAtQuantile(99.9))/1e6, other)
+		<-time.After(listenPollInterval)
 	}
-	return nil
 }
 
-// closedLoop runs n submitters that each wait for their answer.
-func closedLoop(addr string, n int, each time.Duration) (h *hdrhistogram.Histogram, other int, took time.Duration) {
-	h = hdrhistogram.New(1000, int64(10*time.Second), 3)
+// A closedLoopResult is what clients saw that each waited for their answers.
+type closedLoopResult struct {
+	latencies *hdrhistogram.Histogram // ns
+	notServed int                     // jobs
+	took      time.Duration
+}
+
+// rate is the jobs answered a second.
+func (r closedLoopResult) rate() float64 { return float64(r.latencies.TotalCount()) / r.took.Seconds() }
+
+// quantile returns a quantile of the latencies, given in percent, in milliseconds.
+func (r closedLoopResult) quantile(q float64) float64 {
+	return float64(r.latencies.ValueAtQuantile(q)) / float64(time.Millisecond)
+}
+
+// closedLoop runs so many clients that each wait for their answer.
+func closedLoop(addr string, connections int, each time.Duration) closedLoopResult {
+	result := closedLoopResult{
+		latencies: hdrhistogram.New(int64(minLatency), int64(maxLatency), latencyDigits),
+	}
 	var mu sync.Mutex
-	var wait sync.WaitGroup
+	var running sync.WaitGroup
 	began := time.Now()
-	for i := range n {
-		s := &standin.Submitter{
-			Addr: addr, Tenant: "all", Class: "reading", Aim: 5 * time.Second, Remaining: 5 * time.Second,
-			Name: fmt.Sprintf("speed-%d-%d-%d", n, i, began.UnixNano()),
+	for i := range connections {
+		client := &standin.Submitter{
+			Addr:      addr,
+			Tenant:    "all",
+			Class:     "reading",
+			Aim:       patientDeadline,
+			Remaining: patientDeadline,
+			Name:      fmt.Sprintf("speed-%d-%d-%d", connections, i, began.UnixNano()),
 		}
-		wait.Go(func() {
+		running.Go(func() {
 			for time.Since(began) < each {
-				s.Send()
+				client.Send()
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			for _, took := range s.Latencies() {
-				h.RecordValue(int64(took))
+			for _, latency := range client.Latencies() {
+				_ = result.latencies.RecordValue(int64(latency)) // beyond maxLatency it is not counted
 			}
-			t := s.Take()
-			other += t.Asked - t.Served
+			tally := client.Take()
+			result.notServed += tally.Asked - tally.Served
 		})
 	}
-	wait.Wait()
-	return h, other, time.Since(began)
+	running.Wait()
+	result.took = time.Since(began)
+	return result
 }
--- a/internal/lab/standins.go
+++ b/internal/lab/standins.go
@@ -1,6 +1,7 @@
 package lab
 
 import (
+	"context"
 	"fmt"
 	"io"
 	"net"
@@ -11,46 +12,50 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// StandInSignals are those that StandIns wants to hear of.
+// StandInSignals are the signals that StandIns acts on.
 var StandInSignals = []os.Signal{syscall.SIGUSR1, syscall.SIGINT, syscall.SIGTERM}
 
-// StandIns runs what examples/config.json needs, until a signal that ends it.
-func StandIns(w io.Writer, signals <-chan os.Signal) error {
-	work := func(class string) time.Duration {
-		if class == "ratify" {
-			return 1500 * time.Millisecond
-		}
-		return 300 * time.Millisecond
-	}
-	var nodes []*standin.Node
+// StandIns runs what examples/config.json needs, until a signal that ends it. SIGUSR1 makes
+// the second worker drain, or brings it back.
+func StandIns(ctx context.Context, w io.Writer, signals <-chan os.Signal) error {
+	var listenConfig net.ListenConfig
+	var workers []*standin.Node
 	for i, addr := range []string{"127.0.0.1:3101", "127.0.0.1:3102"} {
-		l, err := net.Listen("tcp", addr)
+		listener, err := listenConfig.Listen(ctx, "tcp", addr)
 		if err != nil {
 			return err
 		}
-		n := standin.NodeOn(l, fmt.Sprint("toy-", i), "stirling", "medium", 2, 4, work)
-		defer n.Crash()
-		nodes = append(nodes, n)
+		worker := standin.NodeOn(listener, fmt.Sprint("toy-", i), "stirling", "medium", 2, 4, standInServiceTime)
+		defer worker.Crash()
+		workers = append(workers, worker)
 	}
-	l, err := net.Listen("tcp", "127.0.0.1:8500")
+	listener, err := listenConfig.Listen(ctx, "tcp", "127.0.0.1:8500")
 	if err != nil {
 		return err
 	}
-	d := standin.DiscoveryOn(l, nodes...)
-	defer d.Close()
+	discovery := standin.DiscoveryOn(listener, workers...)
+	defer discovery.Close()
 	fmt.Fprintln(w, "discovery on 127.0.0.1:8500, nodes on 127.0.0.1:3101 and 127.0.0.1:3102")
-	drains := false
+	draining := false
 	for s := range signals {
 		if s != syscall.SIGUSR1 {
 			return nil
 		}
-		drains = !drains
+		draining = !draining
 		health := "active"
-		if drains {
+		if draining {
 			health = "leaving"
 		}
-		d.Put(nodes[1], health)
-		fmt.Fprintln(w, nodes[1].Name, "is", health)
+		discovery.Put(workers[1], health)
+		fmt.Fprintln(w, workers[1].Name, "is", health)
 	}
 	return nil
 }
+
+// standInServiceTime is how long a job of a class takes at the stand-in workers.
+func standInServiceTime(class string) time.Duration {
+	if class == "ratify" {
+		return 1500 * time.Millisecond
+	}
+	return 300 * time.Millisecond
+}
