--- a/affinity_test.go
+++ b/affinity_test.go
@@ -31,7 +31,7 @@
 func TestJobsFollowCachedKeys(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(3)...)
 	ask := func(id, key uint64) string {
-		e := h.request(id, 0)
+		e := h.request(id, idempotent)
 		e.Request.Key = key
 		return h.step(e)[0].Worker
 	}
@@ -76,7 +76,7 @@
 			h.d.rng.Uint64() // each draws numbers of its own
 		}
 		makeRare(h)
-		h.step(keyedRequest(h, 1, 0, 7))
+		h.step(keyedRequest(h, 1, idempotent))
 		seen[0][h.wantActions(ActionSend, 1)[0].Worker] = true
 		for h.advance(h.d.tickInterval); len(h.actionsOf(ActionSend)) == 0; { // no word of a start
 			h.advance(h.d.tickInterval)
@@ -100,12 +100,12 @@
 		for id := uint64(1); id <= 200; id++ {
 			h.d.recentKeys.add(7 + id%4*1000) // one in four
 		}
-		h.step(keyedRequest(h, 1, 0, 7))
+		h.step(keyedRequest(h, 1, idempotent))
 		w := h.wantActions(ActionSend, 1)[0].Worker
 		seen[w] = true
 		h.advance(ms, started(1, 0, w))
 		h.advance(ms, outcome(1, 0, w, Served))
-		h.step(keyedRequest(h, 2, 0, 7))
+		h.step(keyedRequest(h, 2, idempotent))
 		if a := h.wantActions(ActionSend, 1)[0]; a.Worker != w {
 			t.Errorf("it had room at %s and goes to %s", w, a.Worker)
 		}
@@ -121,12 +121,12 @@
 	makeRare(h)
 	h.now += 60 * second
 	h.step()
-	homes, _ := h.d.rankAffinity(&job{class: &h.d.classes[1], req: Request{Key: 7}})
-	proven := h.d.workerOrder[slices.IndexFunc(h.d.workerOrder, func(w *worker) bool { return !slices.Contains(homes, w) })]
+	homes, _ := h.d.rankAffinity(&job{class: &h.d.classes[1], req: Request{Key: affinityKey}})
+	proven := firstOutside(h.d, homes)
 	proven.promptStartAt = h.now
 	h.d.markReported(proven)
 	for class, want := range []string{homes[0].id, proven.id} {
-		h.step(keyedRequest(h, uint64(1+class), class, 7))
+		h.step(keyedRequest(h, uint64(1+class), class))
 		if a := h.wantActions(ActionSend, 1)[0]; a.Worker != want {
 			t.Errorf("class %d goes to %s, want %s", class, a.Worker, want)
 		}
@@ -156,7 +156,7 @@
 		}
 	}
 	lost := d.liveWorkers[7]
-	h.step(Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: []Worker{{ID: lost.id, State: Removed}}})
+	h.step(endpointsEvent(EndpointsDelta, Worker{ID: lost.id, State: Removed}))
 	for key, w := range before {
 		if now := home(key); (now != w) != (w == lost) {
 			t.Errorf("key %d moved from %s to %s when %s went", key, w.id, now.id, lost.id)
@@ -174,13 +174,18 @@
 		h.step()
 		c := &h.d.classes[1]
 		c.setRuntimes(median*h.d.classes[0].runtimes.Median(), c.runtimes.LowerQuartile())
-		homes, _ := h.d.rankAffinity(&job{class: c, req: Request{Key: 7}})
-		met := h.d.workerOrder[slices.IndexFunc(h.d.workerOrder, func(w *worker) bool { return !slices.Contains(homes, w) })]
+		homes, _ := h.d.rankAffinity(&job{class: c, req: Request{Key: affinityKey}})
+		met := firstOutside(h.d, homes)
 		met.promptStartAt = h.now - 3*second
 		h.d.markReported(met)
-		h.step(keyedRequest(h, 1, 1, 7))
+		h.step(keyedRequest(h, 1, atMostOnce))
 		if a := h.wantActions(ActionSend, 1)[0]; (a.Worker == homes[0].id) != wantHome {
 			t.Errorf("a job %d times as long goes to %s; home is %s, met is %s", median, a.Worker, homes[0].id, met.id)
 		}
 	}
 }
+
+// firstOutside is the first worker that is not in an affinity set.
+func firstOutside(d *Dispatcher, set []*worker) *worker {
+	return d.workerOrder[slices.IndexFunc(d.workerOrder, func(w *worker) bool { return !slices.Contains(set, w) })]
+}
--- a/bench_scale_test.go
+++ b/bench_scale_test.go
@@ -23,7 +23,12 @@
 // scaleWorkers are the warm workers of a fleet with several zones and kinds.
 func scaleWorkers(n int) (workers []Worker) {
 	for i := range n {
-		workers = append(workers, Worker{ID: fmt.Sprintf("worker-%05d", i), Zone: i % scaleZones, Kind: i % scaleKinds, Cell: i / 8})
+		workers = append(workers, Worker{
+			ID:   fmt.Sprintf("worker-%05d", i),
+			Zone: i % scaleZones,
+			Kind: i % scaleKinds,
+			Cell: i / 8,
+		})
 	}
 	return workers
 }
--- a/bench_test.go
+++ b/bench_test.go
@@ -29,7 +29,8 @@
 			for id := uint64(1); b.Loop(); id++ {
 				now += ms
 				actions := d.Step(now, []Event{{Kind: EventRequest, Request: Request{
-					ID: id, Tenant: int(id) % size.tenants, Deadline: now + 2*second}}})
+					ID: id, Tenant: int(id) % size.tenants, Deadline: now + 2*second,
+				}}})
 				for _, a := range actions {
 					if a.Kind == ActionSend {
 						worker := a.Worker
@@ -56,7 +57,8 @@
 			var news []Event
 			for id := range size.held {
 				news = append(news, Event{Kind: EventRequest, Request: Request{
-					ID: uint64(id) + 1, Tenant: id % 8, Deadline: 1 << 62}})
+					ID: uint64(id) + 1, Tenant: id % 8, Deadline: 1 << 62,
+				}})
 			}
 			d.classes[0].LatencyObjective = 1 << 60 // they may wait for ever
 			d.Step(now, news)
--- a/config_test.go
+++ b/config_test.go
@@ -32,6 +32,6 @@
 	h := newHarness(t, cfg)
 	h.step(Event{Kind: EventRequest, Request: Request{ID: 1, Tenant: -1, Deadline: h.now + second}})
 	h.wantActions(ActionSend, 0)
-	h.advance(10*ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: testWorkers(1)})
+	h.advance(10*ms, endpointsEvent(EndpointsComplete, testWorkers(1)...))
 	h.wantActions(ActionSend, 1)
 }
--- a/contract_test.go
+++ b/contract_test.go
@@ -9,14 +9,14 @@
 func TestBrokenContractIsHarmless(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(2)...)
 	h.step(
-		outcome(99, 0, "w0", Served), started(99, 3, "nowhere"), Event{Kind: EventClientDisconnected, ID: 99},
-		Event{Kind: EventTimer, Token: 12345}, Event{Kind: EventHealthChecked, Worker: "nowhere"},
+		outcome(99, 0, "w0", Served), started(99, 3, "nowhere"), disconnectEvent(99),
+		timerEvent(12345), Event{Kind: EventHealthChecked, Worker: "nowhere"},
 		Event{Kind: EventMessage, From: -4, Data: []byte("x")}, Event{Kind: EventProgress, Worker: "nowhere"},
 		Event{Kind: EventRequest, Request: Request{ID: 5, Class: 77, Deadline: h.now + second}},
 	)
-	h.step(h.request(1, 0))
+	h.step(h.request(1, idempotent))
 	w := h.wantActions(ActionSend, 1)[0].Worker
-	h.step(h.request(1, 0)) // the same id again
+	h.step(h.request(1, idempotent)) // the same id again
 	h.wantActions(ActionSend, 0)
 	h.now -= second // time must not go back: it counts as standing still
 	h.step(outcome(1, 7, w, Served), outcome(1, -1, w, Served))
--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -7,11 +7,11 @@
 		h := newHarness(t, testConfig(), testWorkers(1)...)
 		w := testWorkers(1)[0]
 		w.State = state
-		h.advance(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: []Worker{w}}, h.request(1, 0))
+		h.advance(ms, endpointsEvent(EndpointsDelta, w), h.request(1, idempotent))
 		h.wantActions(ActionSend, 0)
 	}
 	h := newHarness(t, testConfig(), testWorkers(2)...)
-	h.advance(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: testWorkers(1)}, h.request(1, 0), h.request(2, 0))
+	h.advance(ms, endpointsEvent(EndpointsComplete, testWorkers(1)...), h.request(1, idempotent), h.request(2, idempotent))
 	for _, a := range h.actionsOf(ActionSend) {
 		if a.Worker != "w0" {
 			t.Errorf("sent to %s, which the whole list lacks", a.Worker)
@@ -25,7 +25,7 @@
 	h := newHarness(t, cfg, testWorkers(1)...)
 	last, asks := h.now, 0
 	for h.now < 120*second {
-		h.advance(50*ms, Event{Kind: EventTimer, Token: 1})
+		h.advance(50*ms, timerEvent(1))
 		if len(h.actionsOf(ActionWatchEndpoints)) == 0 {
 			continue
 		}
@@ -34,15 +34,15 @@
 			t.Fatalf("%d ns between asks, at most %d", gap, cfg.MaxPollInterval)
 		}
 		last = h.now
-		h.advance(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsPollFailed})
+		h.advance(ms, endpointsEvent(EndpointsPollFailed))
 	}
 	if asks < 15 || asks > 100 {
 		t.Errorf("%d asks in two minutes of failures", asks)
 	}
-	h.advance(8*second, Event{Kind: EventTimer, Token: 1})
-	h.advance(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta})
+	h.advance(8*second, timerEvent(1))
+	h.advance(ms, endpointsEvent(EndpointsDelta))
 	for range 100 {
-		h.advance(100*ms, Event{Kind: EventTimer, Token: 1})
+		h.advance(100*ms, timerEvent(1))
 		h.wantActions(ActionWatchEndpoints, 0)
 	}
 }
@@ -50,9 +50,9 @@
 // Workers that are gone are dropped after a while, and not before nothing is out there.
 func TestRemovedWorkersAreForgotten(t *testing.T) {
 	h := newHarness(t, manyConfig(), testWorkers(3)...)
-	h.step(h.request(1, 1))
+	h.step(h.request(1, atMostOnce))
 	busy := h.wantActions(ActionSend, 1)[0].Worker
-	h.step(Event{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: []Worker{{ID: "new"}}})
+	h.step(endpointsEvent(EndpointsComplete, Worker{ID: "new"}))
 	for _, c := range []struct {
 		after int64
 		left  int
--- a/example_test.go
+++ b/example_test.go
@@ -11,7 +11,9 @@
 func Example() {
 	const ms = int64(1e6)
 	gate, err := foxlift.New(foxlift.Config{
-		Classes:     []foxlift.Class{{Name: "read", LatencyObjective: 100 * ms, ObjectiveStretch: 2, Deadline: 2000 * ms, Kind: -1}},
+		Classes: []foxlift.Class{
+			{Name: "read", LatencyObjective: 100 * ms, ObjectiveStretch: 2, Deadline: 2000 * ms, Kind: -1},
+		},
 		Tenants:     []foxlift.Tenant{{Name: "shop", Quota: 100}},
 		Dispatchers: 1,
 		StartNotes:  true,
@@ -25,10 +27,14 @@
 		event foxlift.Event
 	}
 	queue := []due{
-		{0, foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsComplete,
-			Workers: []foxlift.Worker{{ID: "w1", Kind: -1}}}},
-		{1 * ms, foxlift.Event{Kind: foxlift.EventRequest,
-			Request: foxlift.Request{ID: 7, Deadline: 2000 * ms}}},
+		{0, foxlift.Event{
+			Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsComplete,
+			Workers: []foxlift.Worker{{ID: "w1", Kind: -1}},
+		}},
+		{1 * ms, foxlift.Event{
+			Kind:    foxlift.EventRequest,
+			Request: foxlift.Request{ID: 7, Deadline: 2000 * ms},
+		}},
 	}
 	for now := int64(0); now < 50*ms; now += ms {
 		var events []foxlift.Event
@@ -51,8 +57,10 @@
 			case foxlift.ActionSend:
 				fmt.Printf("%d ms: send %d to %s\n", now/ms, a.ID, a.Worker)
 				start := foxlift.Event{Kind: foxlift.EventStarted, ID: a.ID, Worker: a.Worker}
-				end := foxlift.Event{Kind: foxlift.EventOutcome, ID: a.ID, Worker: a.Worker,
-					Code: foxlift.Served, Took: 30 * ms, Ended: true}
+				end := foxlift.Event{
+					Kind: foxlift.EventOutcome, ID: a.ID, Worker: a.Worker,
+					Code: foxlift.Served, Took: 30 * ms, Ended: true,
+				}
 				queue = append(queue, due{now + ms, start}, due{now + 30*ms, end})
 			case foxlift.ActionShed, foxlift.ActionFail:
 				fmt.Printf("%d ms: no answer for %d\n", now/ms, a.ID)
--- a/fleet_index_test.go
+++ b/fleet_index_test.go
@@ -22,7 +22,7 @@
 		}
 		changed = append(changed, *w)
 	}
-	return Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: changed}
+	return endpointsEvent(EndpointsDelta, changed...)
 }
 
 // Over random histories what the index keeps is what a look at all workers would find, and those
@@ -56,75 +56,96 @@
 	}
 }
 
-func checkIndex(t *testing.T, d *Dispatcher) {
+// A workerScan is what a look at all workers finds.
+type workerScan struct {
+	live, removed    []*worker
+	learnedLimits    limitSum
+	available, whole float64 // capacity: what the live workers have, and what the fleet had
+}
+
+// scanWorkers looks at all workers, and checks that each is in its place in the lists.
+func scanWorkers(t *testing.T, d *Dispatcher) (scan workerScan) {
 	t.Helper()
-	var live, gone []*worker
-	var caps limitSum
-	able, whole := 0.0, 0.0
 	for i, w := range d.workerOrder {
 		if i > 0 && d.workerOrder[i-1].number >= w.number || d.workers[w.id] != w {
 			t.Fatalf("%s is out of order in the list, or not known by its id", w.id)
 		}
-		if !w.pending {
-			level := w.level
-			if d.updateLevel(w); w.level != level || w.pending {
-				t.Fatalf("%s is not pending at level %d, and belongs to %d", w.id, level, w.level)
-			}
-		}
+		checkLevel(t, d, w)
+		live := w.state == Live
 		if w.state == Removed {
-			gone = append(gone, w)
+			scan.removed = append(scan.removed, w)
 		}
-		if w.limitLearned && w.state == Live {
-			caps.add(int64(w.concurrencyLimit*limitUnit), 1)
+		if live {
+			scan.live = append(scan.live, w)
+			scan.available += d.slowStartWeight(w)
 		}
-		if w.state == Live {
-			live = append(live, w)
-			able += d.slowStartWeight(w)
+		if live && w.limitLearned {
+			scan.learnedLimits.add(int64(w.concurrencyLimit*limitUnit), 1)
 		}
-		if w.lost && (w.state == Removed || d.inSlowStart(w)) || w.state == Live && !d.inSlowStart(w) {
-			whole++
+		if w.lost && (w.state == Removed || d.inSlowStart(w)) || live && !d.inSlowStart(w) {
+			scan.whole++
 		}
 	}
-	if !slices.Equal(live, d.liveWorkers) || len(d.workers) != len(d.workerOrder) {
-		t.Fatalf("%d live workers of %d, want %d", len(d.liveWorkers), len(d.workerOrder), len(live))
+	return scan
+}
+
+// checkLevel checks that a worker that is not pending is at the level where an update would put it.
+func checkLevel(t *testing.T, d *Dispatcher, w *worker) {
+	t.Helper()
+	if w.pending {
+		return
+	}
+	level := w.level
+	if d.updateLevel(w); w.level != level || w.pending {
+		t.Fatalf("%s is not pending at level %d, and belongs to %d", w.id, level, w.level)
+	}
+}
+
+// checkIndex compares the index with a look at all workers.
+func checkIndex(t *testing.T, d *Dispatcher) {
+	t.Helper()
+	scan := scanWorkers(t, d)
+	if !slices.Equal(scan.live, d.liveWorkers) || len(d.workers) != len(d.workerOrder) {
+		t.Fatalf("%d live workers of %d, want %d", len(d.liveWorkers), len(d.workerOrder), len(scan.live))
 	}
-	for _, w := range gone {
+	for _, w := range scan.removed {
 		if !slices.Contains(d.removed, w) {
-			t.Fatalf("%s is gone and would be kept for ever", w.id)
+			t.Fatalf("%s is removed and would never be forgotten", w.id)
 		}
 	}
-	if caps != d.learnedLimits {
-		t.Fatalf("caps %+v, want %+v", d.learnedLimits, caps)
+	if scan.learnedLimits != d.learnedLimits {
+		t.Fatalf("learned limits %+v, want %+v", d.learnedLimits, scan.learnedLimits)
 	}
-	if want := min(1, able/max(1, whole)); whole > 0 && math.Abs(d.remainingCapacity()-want) > 1e-12 {
-		t.Fatalf("standing %v, want %v", d.remainingCapacity(), want)
+	want := min(1, scan.available/max(1, scan.whole))
+	if scan.whole > 0 && math.Abs(d.remainingCapacity()-want) > 1e-12 {
+		t.Fatalf("remaining capacity %v, want %v", d.remainingCapacity(), want)
 	}
 	for k := range d.classes {
 		j := &job{class: &d.classes[k], req: Request{Key: uint64(d.now)}}
-		homes, of := d.rankAffinity(j)
-		want, wantOf := affinityByScan(d, j)
-		if of != wantOf || !slices.Equal(homes, want) {
-			t.Fatalf("homes of a key: %d of %d, want %d of %d", len(homes), of, len(want), wantOf)
+		set, of := d.rankAffinity(j)
+		wantSet, wantOf := affinityByScan(d, j)
+		if of != wantOf || !slices.Equal(set, wantSet) {
+			t.Fatalf("affinity set of a key: %d of %d, want %d of %d", len(set), of, len(wantSet), wantOf)
 		}
 	}
 }
 
-// affinityByScan is what nearest returns, by a look at all workers.
-func affinityByScan(d *Dispatcher, j *job) (homes []*worker, of int) {
+// affinityByScan is what rankAffinity returns, by a look at all workers.
+func affinityByScan(d *Dispatcher, j *job) (set []*worker, of int) {
 	for _, w := range d.liveWorkers {
 		if !d.inSlowStart(w) && (j.class.Kind < 0 || w.kind == j.class.Kind) &&
 			(w.zone == d.cfg.Zone || d.cfg.Prices.CrossZone <= 0) {
-			homes = append(homes, w)
+			set = append(set, w)
 		}
 	}
 	rank := func(w *worker) uint64 { return mixBits(w.hash ^ j.req.Key*0x9e3779b97f4a7c15) }
-	slices.SortFunc(homes, func(a, b *worker) int {
+	slices.SortFunc(set, func(a, b *worker) int {
 		if rank(a) > rank(b) {
 			return -1
 		}
 		return 1
 	})
-	return homes[:min(maxAffinity, len(homes))], len(homes)
+	return set[:min(maxAffinity, len(set))], len(set)
 }
 
 // What a step looks at does not grow with the fleet: a tick without a job looks at no worker, a
@@ -167,7 +188,7 @@
 		for i, state := range []WorkerState{Draining, Removed, Live, Draining, Live} {
 			now += ms
 			w := Worker{ID: fmt.Sprintf("worker-%05d", n/2), State: state}
-			step(fmt.Sprint("change ", i), 4, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: []Worker{w}})
+			step(fmt.Sprint("change ", i), 4, endpointsEvent(EndpointsDelta, w))
 		}
 		for range 70 { // until one that is gone is forgotten
 			now += second
@@ -204,7 +225,7 @@
 		}
 	}
 	lost := d.liveWorkers[7]
-	d.Step(3*second, []Event{{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: []Worker{{ID: lost.id, State: Removed}}}})
+	d.Step(3*second, []Event{endpointsEvent(EndpointsDelta, Worker{ID: lost.id, State: Removed})})
 	for key, w := range before {
 		if now := home(key); (now != w) != (w == lost) {
 			t.Errorf("key %d moved from %s to %s when %s went", key, w.id, now.id, lost.id)
--- a/fuzz_test.go
+++ b/fuzz_test.go
@@ -46,8 +46,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	host := &randomHost{t: t, cfg: cfg, d: d, rng: rand.New(rand.NewPCG(seed, 7)), now: 3 * second, requests: map[uint64]*randomRequest{}}
-	host.workers = testWorkers(10)
+	host := &randomHost{
+		t:        t,
+		cfg:      cfg,
+		d:        d,
+		rng:      rand.New(rand.NewPCG(seed, 7)),
+		now:      3 * second,
+		requests: map[uint64]*randomRequest{},
+		workers:  testWorkers(10),
+	}
 	host.step([]Event{{Kind: EventEndpoints, EndpointUpdate: EndpointsCached, Workers: slices.Clone(host.workers)}})
 	return host
 }
@@ -89,17 +96,17 @@
 		if w.State == Live && host.rng.IntN(2) == 0 {
 			w.StartedAt = host.now
 		}
-		events = append(events, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: []Worker{*w}})
+		events = append(events, endpointsEvent(EndpointsDelta, *w))
 	case 1:
-		events = append(events, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: slices.Clone(host.workers)})
+		events = append(events, endpointsEvent(EndpointsComplete, slices.Clone(host.workers)...))
 	case 2:
-		events = append(events, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsPollFailed})
+		events = append(events, endpointsEvent(EndpointsPollFailed))
 	case 3:
 		if len(host.open) > 0 {
 			id := host.open[host.rng.IntN(len(host.open))]
 			if r := host.requests[id]; !r.answered {
 				r.answered, r.answeredAt = true, host.now
-				events = append(events, Event{Kind: EventClientDisconnected, ID: id})
+				events = append(events, disconnectEvent(id))
 			}
 		}
 	}
@@ -112,11 +119,12 @@
 		if a.At > host.now {
 			return false
 		}
-		events = append(events, Event{Kind: EventTimer, Token: a.Token})
+		events = append(events, timerEvent(a.Token))
 		return true
 	})
 	for len(host.healthChecks) > 0 && host.rng.IntN(3) > 0 {
-		e := Event{Kind: EventHealthChecked, Worker: host.healthChecks[0], Code: []Code{Served, DeadlineExceeded}[host.rng.IntN(2)]}
+		code := []Code{Served, DeadlineExceeded}[host.rng.IntN(2)]
+		e := Event{Kind: EventHealthChecked, Worker: host.healthChecks[0], Code: code}
 		e.HasLoad = e.Code == Served
 		events, host.healthChecks = append(events, e), host.healthChecks[1:]
 	}
@@ -187,6 +195,12 @@
 	return host.workers[slices.IndexFunc(host.workers, func(w Worker) bool { return w.ID == id })]
 }
 
+// randomCodes are the outcomes that are drawn, mostly failures: invariants are broken there, if anywhere.
+var randomCodes = []Code{
+	Served, Served, Served, WorkerError, Saturated, Unreachable, Reset, NotSent, DeadlineExceeded,
+}
+
+// checkSend checks that an attempt may be sent, and draws its outcome.
 func (host *randomHost) checkSend(a Action) {
 	host.t.Helper()
 	r := host.requests[a.ID]
@@ -218,8 +232,7 @@
 			break
 		}
 	}
-	// Heavy on failures: the rules are broken there, if anywhere.
-	code := []Code{Served, Served, Served, WorkerError, Saturated, Unreachable, Reset, NotSent, DeadlineExceeded}[host.rng.IntN(9)]
+	code := randomCodes[host.rng.IntN(len(randomCodes))]
 	try := randomAttempt{id: a.ID, number: len(r.attempts), worker: a.Worker, sentAt: host.now, code: code}
 	try.finishesAt = host.now + host.rng.Int64N(400*ms)
 	if host.rng.IntN(10) == 0 {
--- a/health_test.go
+++ b/health_test.go
@@ -5,12 +5,12 @@
 // A hung worker empties nothing and says nothing; it must get no more.
 func TestHungWorkerGetsNothingNew(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(2)...)
-	h.step(h.request(1, 1), h.request(2, 1))
+	h.step(h.request(1, atMostOnce), h.request(2, atMostOnce))
 	sent := h.wantActions(ActionSend, 2)
 	hung, good := sent[0], sent[1]
 	h.advance(2*ms, started(good.ID, 0, good.Worker))
 	for id := uint64(10); id < 60; id++ {
-		h.advance(20*ms, h.request(id, 1))
+		h.advance(20*ms, h.request(id, atMostOnce))
 		for _, a := range h.actionsOf(ActionSend) {
 			if a.Worker == hung.Worker && id > 25 {
 				t.Fatalf("request %d sent to the hung worker", id)
@@ -28,7 +28,7 @@
 	h := newHarness(t, testConfig(), testWorkers(5)...)
 	bad := 0
 	for id := uint64(1); id <= 200; id++ {
-		h.advance(10*ms, h.request(id, 1))
+		h.advance(10*ms, h.request(id, atMostOnce))
 		for _, a := range h.actionsOf(ActionSend) {
 			h.advance(ms, started(a.ID, 0, a.Worker))
 			if a.Worker == "w0" {
@@ -48,7 +48,7 @@
 	h := newHarness(t, testConfig(), testWorkers(1)...)
 	w := h.d.workerOrder[0]
 	w.trial = true
-	h.step(h.request(1, 0))
+	h.step(h.request(1, idempotent))
 	h.wantActions(ActionSend, 1)
 	h.advance(ms, outcome(1, 0, "w0", WorkerError))
 	if w.ejectedUntil <= h.now {
@@ -68,10 +68,10 @@
 // A refusing worker looks free by our count; it must not draw the next job.
 func TestSaturationBackoffGrows(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(1)...)
-	h.step(h.request(1, 1))
+	h.step(h.request(1, atMostOnce))
 	h.advance(ms, outcome(1, 0, "w0", Saturated))
 	first := h.d.workerOrder[0].ejectedUntil - h.now
-	h.step(h.request(2, 1))
+	h.step(h.request(2, atMostOnce))
 	h.wantActions(ActionSend, 0)
 	for range 3 {
 		a := &attempt{job: &job{class: &h.d.classes[1]}, worker: h.d.workerOrder[0], slots: 1}
@@ -86,7 +86,7 @@
 func TestResetsInARowEjectAWorker(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(1)...)
 	for id := uint64(1); id <= 4; id++ {
-		h.step(h.request(id, 1))
+		h.step(h.request(id, atMostOnce))
 		if id == 4 {
 			h.wantActions(ActionSend, 0)
 			return
@@ -102,7 +102,7 @@
 		cfg := manyConfig()
 		cfg.Dispatchers = dispatchers
 		h := newHarness(t, cfg, testWorkers(2)...)
-		h.step(h.request(1, 0))
+		h.step(h.request(1, idempotent))
 		a := h.wantActions(ActionSend, 1)[0]
 		h.advance(ms, started(1, 0, a.Worker))
 		h.advance(ms, outcome(1, 0, a.Worker, WorkerError))
@@ -119,7 +119,7 @@
 	before := int64(0)
 	for id := uint64(1); id <= 4; id++ {
 		h.now = max(h.now, w.ejectedUntil) + h.d.tickInterval
-		h.step(h.request(id, 0))
+		h.step(h.request(id, idempotent))
 		h.wantActions(ActionSend, 1)
 		h.advance(ms, started(id, 0, w.id))
 		h.advance(ms, outcome(id, 0, w.id, WorkerError))
--- a/helpers_test.go
+++ b/helpers_test.go
@@ -7,13 +7,36 @@
 
 const ms = int64(1e6)
 
+// Classes of testConfig, by effect.
+const (
+	idempotent = iota
+	atMostOnce
+	deduplicated
+)
+
+// affinityKey is the key of the jobs that tests of affinity follow.
+const affinityKey = 7
+
+// testClass is a class with an objective of 100 ms; where the effect is Deduplicated, workers know a
+// key for a second within their cell.
+func testClass(name string, effect Effect) Class {
+	c := Class{
+		Name: name, LatencyObjective: 100 * ms, ObjectiveStretch: 2, Deadline: 2000 * ms,
+		Effect: effect, Kind: -1, PriorityWeight: 1,
+	}
+	if effect == Deduplicated {
+		c.KeyTTL, c.Scope = 1000*ms, ScopeCell
+	}
+	return c
+}
+
+// testConfig is one dispatcher with three classes and two tenants of equal quota.
 func testConfig() Config {
 	return Config{
 		Classes: []Class{
-			{Name: "read", LatencyObjective: 100 * ms, ObjectiveStretch: 2, Deadline: 2000 * ms, Effect: Idempotent, Kind: -1, PriorityWeight: 1},
-			{Name: "order", LatencyObjective: 100 * ms, ObjectiveStretch: 2, Deadline: 2000 * ms, Effect: AtMostOnce, Kind: -1, PriorityWeight: 1},
-			{Name: "keyed", LatencyObjective: 100 * ms, ObjectiveStretch: 2, Deadline: 2000 * ms, Effect: Deduplicated, KeyTTL: 1000 * ms,
-				Scope: ScopeCell, Kind: -1, PriorityWeight: 1},
+			idempotent:   testClass("read", Idempotent),
+			atMostOnce:   testClass("order", AtMostOnce),
+			deduplicated: testClass("keyed", Deduplicated),
 		},
 		Tenants:     []Tenant{{"a", 100}, {"b", 100}},
 		Dispatchers: 1, MayCancel: true, MayHedge: true, MaxAttempts: 4, StartNotes: true,
@@ -22,7 +45,7 @@
 	}
 }
 
-// A rig is a dispatcher with a clock and the answers of one step at a time.
+// A harness is a dispatcher with a clock of its own and the actions of its last step.
 type harness struct {
 	t       *testing.T
 	d       *Dispatcher
@@ -35,6 +58,8 @@
 	return newSeededHarness(t, cfg, 1, workers...)
 }
 
+// newSeededHarness returns a dispatcher that has begun with a cached list of workers, five seconds
+// after time 0, and has had discovery's first answer.
 func newSeededHarness(t *testing.T, cfg Config, seed uint64, workers ...Worker) *harness {
 	t.Helper()
 	d, err := New(cfg, seed)
@@ -42,21 +67,23 @@
 		t.Fatal(err)
 	}
 	h := &harness{t: t, d: d, now: 5 * second}
-	h.step(Event{Kind: EventEndpoints, EndpointUpdate: EndpointsCached, Workers: workers}, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta})
+	h.step(endpointsEvent(EndpointsCached, workers...), endpointsEvent(EndpointsDelta))
 	return h
 }
 
+// step hands the events to the dispatcher at the clock's time and returns its actions.
 func (h *harness) step(events ...Event) []Action {
 	h.actions = append([]Action(nil), h.d.Step(h.now, events)...)
 	return h.actions
 }
 
+// advance moves the clock on and steps the dispatcher.
 func (h *harness) advance(dt int64, events ...Event) []Action {
 	h.now += dt
 	return h.step(events...)
 }
 
-// only returns the actions of one kind in the last step.
+// actionsOf returns the actions of one kind in the last step.
 func (h *harness) actionsOf(k ActionKind) (actions []Action) {
 	for _, a := range h.actions {
 		if a.Kind == k {
@@ -66,6 +93,7 @@
 	return actions
 }
 
+// wantActions returns the actions of one kind in the last step, and fails unless there are n.
 func (h *harness) wantActions(k ActionKind, n int) []Action {
 	h.t.Helper()
 	actions := h.actionsOf(k)
@@ -75,18 +103,31 @@
 	return actions
 }
 
+// request is a job of the first tenant that comes now and has two seconds.
 func (h *harness) request(id uint64, class int) Event {
 	return Event{Kind: EventRequest, Request: Request{ID: id, Class: class, Deadline: h.now + 2*second}}
 }
 
+// outcome is the end of an attempt that ran for 50 ms.
 func outcome(id uint64, attempt int, w string, c Code) Event {
 	return Event{Kind: EventOutcome, ID: id, Attempt: attempt, Worker: w, Code: c, Took: 50 * ms, Ended: c == Served}
 }
 
+// endpointsEvent is an update of the endpoint list.
+func endpointsEvent(update EndpointUpdate, workers ...Worker) Event {
+	return Event{Kind: EventEndpoints, EndpointUpdate: update, Workers: workers}
+}
+
+func timerEvent(token uint64) Event { return Event{Kind: EventTimer, Token: token} }
+
+func disconnectEvent(id uint64) Event { return Event{Kind: EventClientDisconnected, ID: id} }
+
+// started is a worker's report that an attempt has begun to run.
 func started(id uint64, attempt int, w string) Event {
 	return Event{Kind: EventStarted, ID: id, Attempt: attempt, Worker: w}
 }
 
+// testWorkers are n live workers in two zones, in cells of two.
 func testWorkers(n int) (workers []Worker) {
 	for i := range n {
 		workers = append(workers, Worker{ID: fmt.Sprintf("w%d", i), Zone: i % 2, Kind: -1, Cell: i / 2})
@@ -101,14 +142,14 @@
 	return cfg
 }
 
-// keyed is a request for a job with a key.
-func keyedRequest(h *harness, id uint64, class int, key uint64) Event {
+// keyedRequest is a request for a job with the affinity key.
+func keyedRequest(h *harness, id uint64, class int) Event {
 	e := h.request(id, class)
-	e.Request.Key = key
+	e.Request.Key = affinityKey
 	return e
 }
 
-// makeRare lets jobs with other keys have come, so that one more is a rare one's.
+// makeRare lets a hundred jobs with other keys arrive, so that the affinity key is rare.
 func makeRare(h *harness) {
 	for key := uint64(1000); key < 1100; key++ {
 		h.d.recentKeys.add(key)
--- a/migration_test.go
+++ b/migration_test.go
@@ -12,7 +12,7 @@
 		cfg := testConfig()
 		cfg.Tenants = []Tenant{{"lone", 2}, {"away", 100}}
 		h := newHarness(t, cfg, first...)
-		h.step(Event{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: testWorkers(8)})
+		h.step(endpointsEvent(EndpointsComplete, testWorkers(8)...))
 		type claim struct {
 			id uint64
 			w  string
@@ -26,7 +26,7 @@
 			}
 			out = out[:0]
 			id := i + 1
-			news = append(news, h.request(id, 0))
+			news = append(news, h.request(id, idempotent))
 			h.advance(second/61, news...)
 			for _, a := range h.actionsOf(ActionSend) {
 				out = append(out, claim{a.ID, a.Worker})
@@ -48,7 +48,7 @@
 func TestMigrationPreservesQueueTime(t *testing.T) {
 	cfg := testConfig()
 	h := newHarness(t, cfg) // no worker: every job is held
-	fresh, aged := h.request(1, 0), h.request(2, 0)
+	fresh, aged := h.request(1, idempotent), h.request(2, idempotent)
 	aged.Request.Waited = 150 * ms
 	aged.Request.Deadline = fresh.Request.Deadline - 150*ms
 	h.step(fresh, aged)
@@ -67,14 +67,14 @@
 // Attempts made elsewhere count.
 func TestMigrationCountsPriorAttempts(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(4)...)
-	e := h.request(1, 0)
+	e := h.request(1, idempotent)
 	e.Request.PriorAttempts = 3 // of 4
 	h.step(e)
 	a := h.wantActions(ActionSend, 1)[0]
 	h.advance(ms, outcome(1, 0, a.Worker, Unreachable))
 	h.wantActions(ActionSend, 0)
 	h.wantActions(ActionShed, 1)
-	e = h.request(2, 0)
+	e = h.request(2, idempotent)
 	e.Request.PriorAttempts = 4
 	h.step(e)
 	h.wantActions(ActionSend, 0)
@@ -87,7 +87,7 @@
 	id, full := uint64(0), false
 	for !full && id < 40 {
 		id++
-		e := h.request(id, 0)
+		e := h.request(id, idempotent)
 		e.Request.AllowedWorkers = []string{"w2"}
 		h.step(e)
 		for _, a := range h.actionsOf(ActionSend) {
@@ -100,7 +100,7 @@
 	if !full {
 		t.Fatal("the worker is never full")
 	}
-	h.step(h.request(100, 0))
+	h.step(h.request(100, idempotent))
 	if a := h.wantActions(ActionSend, 1)[0]; a.ID != 100 || a.Worker == "w2" {
 		t.Errorf("%+v", a)
 	}
@@ -116,14 +116,14 @@
 	workers[0].ExternalSlots = 3
 	h := newHarness(t, testConfig(), workers...)
 	for id := range uint64(3) {
-		h.step(h.request(id+1, 1))
+		h.step(h.request(id+1, atMostOnce))
 		if a := h.wantActions(ActionSend, 1)[0]; a.Worker != "w1" {
 			t.Errorf("job %d goes to %s, which has 3 of others", id+1, a.Worker)
 		}
 	}
 	workers[0].ExternalSlots = 0
-	h.step(Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: workers[:1]})
-	h.step(h.request(9, 1))
+	h.step(endpointsEvent(EndpointsDelta, workers[:1]...))
+	h.step(h.request(9, atMostOnce))
 	if a := h.wantActions(ActionSend, 1)[0]; a.Worker != "w0" {
 		t.Errorf("then to %s", a.Worker)
 	}
@@ -154,7 +154,7 @@
 	}
 	h := newHarness(t, testConfig(), workers...)
 	window := h.d.startWindow
-	h.step(h.request(1, 0))
+	h.step(h.request(1, idempotent))
 	w := h.wantActions(ActionSend, 1)[0].Worker
 	h.advance(50*ms, started(1, 0, w)) // late
 	if got := h.d.startWindow; got < window*0.98 {
@@ -163,7 +163,7 @@
 	for i := range workers {
 		workers[i].ExternalSlots = 0
 	}
-	h.step(Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: workers})
+	h.step(endpointsEvent(EndpointsDelta, workers...))
 	if got := h.d.occupiedSlots(); got != 1 {
 		t.Errorf("%v slots in flight once the other has none, want 1", got)
 	}
--- a/peers_test.go
+++ b/peers_test.go
@@ -10,11 +10,12 @@
 
 // newPeers are dispatchers that may send each other messages, with workers of two slots and
 // two units of memory each, as their reports tell.
-func newPeers(t *testing.T, n, workers int) (harnesses []*harness) {
+func newPeers(t *testing.T, workers int) (harnesses []*harness) {
+	const peers = 2
 	cfg := testConfig()
-	cfg.Dispatchers, cfg.MayGossip, cfg.SlotMemory = n, true, 1
+	cfg.Dispatchers, cfg.MayGossip, cfg.SlotMemory = peers, true, 1
 	cfg.Gauges = []Gauge{GaugeQueued, GaugeInFlight, GaugeFreeSlots}
-	for i := range n {
+	for i := range peers {
 		cfg.Index = i
 		h := newSeededHarness(t, cfg, uint64(i+1), testWorkers(workers)...)
 		for _, w := range h.d.workerOrder {
@@ -37,7 +38,7 @@
 
 // A dispatcher takes the mean of the u's if that is lower; one that fell silent counts no more.
 func TestPeersAdoptTheMeanAdmissionRate(t *testing.T) {
-	harnesses := newPeers(t, 2, 1)
+	harnesses := newPeers(t, 1)
 	a, b := harnesses[0], harnesses[1]
 	setRate(a.d, func(s *admission.RateState) { s.AdmissionRate = 7 })
 	a.d.gossipAll()
@@ -58,7 +59,7 @@
 // What a peer's jobs hold is as good as held here: two dispatchers fill two workers of two
 // slots without a queue, hold what has no slot, and send it when the peer's job ends.
 func TestPeersFillSlotsTogether(t *testing.T) {
-	harnesses := newPeers(t, 2, 2)
+	harnesses := newPeers(t, 2)
 	a, b := harnesses[0], harnesses[1]
 	sent := map[string]int{}
 	var last Action
@@ -67,7 +68,7 @@
 		if id%2 == 0 {
 			from, to = b, a
 		}
-		from.advance(ms, from.request(id, 0))
+		from.advance(ms, from.request(id, idempotent))
 		last = from.wantActions(ActionSend, 1)[0]
 		sent[last.Worker]++
 		msg := from.gossipEvent()
@@ -77,7 +78,7 @@
 	if sent["w0"] != 2 || sent["w1"] != 2 {
 		t.Fatalf("sent to %v, want two to each", sent)
 	}
-	a.step(a.request(5, 0))
+	a.step(a.request(5, idempotent))
 	a.wantActions(ActionSend, 0)
 	b.step(outcome(4, 0, last.Worker, Served))
 	a.step(b.gossipEvent())
@@ -89,7 +90,7 @@
 // A job whose memory a worker has not left would wait at the head of its queue, and the
 // others behind it: it goes where there is room, or is held.
 func TestMemoryBoundsAWorker(t *testing.T) {
-	harnesses := newPeers(t, 2, 2)
+	harnesses := newPeers(t, 2)
 	a, b := harnesses[0], harnesses[1]
 	heavy := func(h *harness, id uint64, memory float64) []Action {
 		e := h.request(id, int(id)/4) // the last of another class: those of one wait for each other
@@ -111,73 +112,97 @@
 	}
 }
 
-// Lost, late, doubled and reordered messages, and those of an earlier life, are made good by
-// the next that tells all; one that fell silent holds nothing. Every byte of a message is
-// changed, one after another: nothing breaks, and nothing stays wrong after the next.
-func TestCorruptGossipIsHarmless(t *testing.T) {
-	harnesses := newPeers(t, 2, 2)
-	a, b := harnesses[0], harnesses[1]
-	theirs := func() (sum float64) {
-		for _, w := range b.d.workerOrder {
-			if w.peerUsage.slots < 0 || w.peerUsage.memory < 0 || math.Abs(w.usedSlots-w.peerUsage.slots) > 1e-9 {
-				t.Fatalf("own %v, theirs %+v", w.usedSlots, w.peerUsage)
-			}
-			sum += w.peerUsage.slots
-		}
-		return sum
-	}
-	all := func() Event {
-		a.d.actions = nil
-		a.d.gossipAll()
-		return Event{Kind: EventMessage, From: 0, Data: a.d.actions[0].Data}
-	}
-	check := func(what string, want float64) {
-		t.Helper()
-		if got := theirs(); got != want {
-			t.Errorf("%s: the peer holds %v slots, want %v", what, got, want)
+// A gossipPair is two dispatchers of which one receives what the other sends.
+type gossipPair struct {
+	t                *testing.T
+	sender, receiver *harness
+}
+
+func newGossipPair(t *testing.T) *gossipPair {
+	harnesses := newPeers(t, 2)
+	return &gossipPair{t: t, sender: harnesses[0], receiver: harnesses[1]}
+}
+
+// peerSlots is the usage that the receiver knows of the sender; each worker's has to add up.
+func (p *gossipPair) peerSlots() (sum float64) {
+	p.t.Helper()
+	for _, w := range p.receiver.d.workerOrder {
+		peer := w.peerUsage
+		if peer.slots < 0 || peer.memory < 0 || math.Abs(w.usedSlots-peer.slots) > 1e-9 {
+			p.t.Fatalf("used %v, by the peer %+v", w.usedSlots, peer)
 		}
+		sum += peer.slots
 	}
-	a.step(a.request(1, 0))
-	w, begun := a.wantActions(ActionSend, 1)[0].Worker, a.gossipEvent()
-	a.advance(ms, outcome(1, 0, w, Served))
-	ended := a.gossipEvent()
-	b.step(ended)
-	b.step(begun, begun)
-	check("in another order", 0)
-	a.step(a.request(2, 0)) // lost
-	check("lost", 0)
-	b.step(all())
-	check("told all", 1)
-	whole := all()
-	for i := range whole.Data {
-		for _, by := range []byte{1, 0x80, 0xff} {
-			e := whole
-			e.Data = slices.Clone(e.Data)
-			e.Data[i] ^= by
-			b.step(e)
-			theirs()
-			e.Data = e.Data[:i]
-			b.step(e)
-			theirs()
-		}
+	return sum
+}
+
+// checkPeerSlots compares the usage that the receiver knows.
+func (p *gossipPair) checkPeerSlots(when string, want float64) {
+	p.t.Helper()
+	if got := p.peerSlots(); got != want {
+		p.t.Errorf("%s: the peer holds %v slots, want %v", when, got, want)
 	}
-	b.step(all())
-	b.step(all()) // the first may be of an older number than a changed one had
-	a.d.incarnation++
-	b.step(all())
-	check("after spoilt ones, a new life", 1)
+}
+
+// complete is the sender's message that tells all of its usage.
+func (p *gossipPair) complete() Event {
+	p.sender.d.actions = nil
+	p.sender.d.gossipAll()
+	return Event{Kind: EventMessage, From: 0, Data: p.sender.d.actions[0].Data}
+}
+
+// Lost, late, doubled and reordered messages, and those of an earlier incarnation, are made good by
+// the next complete one; a peer that fell silent holds nothing. Every byte of a message is changed,
+// one after another: nothing breaks, and nothing stays wrong after the next message.
+func TestCorruptGossipIsHarmless(t *testing.T) {
+	pair := newGossipPair(t)
+	sender, receiver := pair.sender, pair.receiver
+	sender.step(sender.request(1, idempotent))
+	worker, sent := sender.wantActions(ActionSend, 1)[0].Worker, sender.gossipEvent()
+	sender.advance(ms, outcome(1, 0, worker, Served))
+	served := sender.gossipEvent()
+	receiver.step(served)
+	receiver.step(sent, sent)
+	pair.checkPeerSlots("in another order", 0)
+	sender.step(sender.request(2, idempotent)) // its message is lost
+	pair.checkPeerSlots("lost", 0)
+	receiver.step(pair.complete())
+	pair.checkPeerSlots("after a complete message", 1)
+	pair.receiveCorrupted(pair.complete())
+	receiver.step(pair.complete())
+	receiver.step(pair.complete()) // the first may have a lower sequence than a corrupt one had
+	sender.d.incarnation++
+	receiver.step(pair.complete())
+	pair.checkPeerSlots("after corrupt ones, a new incarnation", 1)
 	for _, from := range []int{-1, 1, 2} {
-		e := all()
+		e := pair.complete()
 		e.From = from
-		b.step(e)
+		receiver.step(e)
 	}
-	check("from no peer", 1)
-	b.d.forgetRemoved(b.now + second)
+	pair.checkPeerSlots("from no peer", 1)
+	receiver.d.forgetRemoved(receiver.now + second)
 	for range 5 {
-		b.advance(second, Event{Kind: EventTimer, Token: 1})
+		receiver.advance(second, timerEvent(1))
 	}
-	check("silent", 0)
-	if !b.d.Idle() {
+	pair.checkPeerSlots("silent", 0)
+	if !receiver.d.Idle() {
 		t.Error("not idle")
 	}
 }
+
+// receiveCorrupted delivers a message with each byte changed in some ways, whole and cut short there.
+func (p *gossipPair) receiveCorrupted(message Event) {
+	p.t.Helper()
+	for i := range message.Data {
+		for _, mask := range []byte{1, 0x80, 0xff} {
+			e := message
+			e.Data = slices.Clone(e.Data)
+			e.Data[i] ^= mask
+			p.receiver.step(e)
+			p.peerSlots()
+			e.Data = e.Data[:i]
+			p.receiver.step(e)
+			p.peerSlots()
+		}
+	}
+}
--- a/placement_large_test.go
+++ b/placement_large_test.go
@@ -20,7 +20,7 @@
 				w.slowStartWork = 0 // its first job may come
 			}
 			h.advance(h.d.tickInterval)
-			h.step(h.request(1, 0))
+			h.step(h.request(1, idempotent))
 			h.wantActions(ActionSend, 1)
 			for limit := h.now + h.d.jobs[1].objective/4; h.now < limit-ms; {
 				h.advance(ms)
@@ -41,7 +41,7 @@
 	}
 	h := newHarness(t, cfg, workers...)
 	for id := uint64(1); id <= 2; id++ {
-		h.step(h.request(id, 0))
+		h.step(h.request(id, idempotent))
 		sent := h.wantActions(ActionSend, 1)[0]
 		h.advance(40*ms, started(id, 0, sent.Worker)) // 3 ticks
 		if got := h.d.minDelay[h.d.jobs[id].attempts[0].path]; got != 40*ms {
@@ -53,7 +53,7 @@
 		h.advance(ms, outcome(id, 0, sent.Worker, Served))
 	}
 	h.d.minDelay = [4]int64{40 * ms, 40 * ms, 40 * ms, 40 * ms}
-	h.step(h.request(3, 0))
+	h.step(h.request(3, idempotent))
 	sent := h.wantActions(ActionSend, 1)[0]
 	h.advance(70*ms, started(3, 0, sent.Worker))
 	if w := h.d.workers[sent.Worker]; w.lastFaultAt != h.now {
@@ -64,7 +64,7 @@
 // Jobs that cannot be moved wait here while two wait at workers; those that can go on.
 func TestManyDispatchersBoundUnstartedJobs(t *testing.T) {
 	h := newHarness(t, manyConfig(), testWorkers(60)...)
-	h.step(h.request(1, 1), h.request(2, 1), h.request(3, 1), h.request(4, 0))
+	h.step(h.request(1, atMostOnce), h.request(2, atMostOnce), h.request(3, atMostOnce), h.request(4, idempotent))
 	sent := h.wantActions(ActionSend, 3)
 	for _, a := range sent {
 		if a.ID == 3 {
@@ -85,10 +85,10 @@
 		workers[i].Zone = 0
 	}
 	h := newHarness(t, manyConfig(), workers...)
-	h.step(h.request(1, 0))
+	h.step(h.request(1, idempotent))
 	proven := h.wantActions(ActionSend, 1)[0].Worker
 	h.advance(ms, started(1, 0, proven))
-	h.advance(10*ms, h.request(2, 1))
+	h.advance(10*ms, h.request(2, atMostOnce))
 	if a := h.wantActions(ActionSend, 1)[0]; a.Worker != proven {
 		t.Errorf("it goes to %s, one started at %s", a.Worker, proven)
 	}
@@ -105,7 +105,7 @@
 		h := newHarness(t, cfg, testWorkers(200)...)
 		last, again := "", 0
 		for id := uint64(1); id <= 20; id++ {
-			h.advance(ms, h.request(id, 0))
+			h.advance(ms, h.request(id, idempotent))
 			a := h.wantActions(ActionSend, 1)[0]
 			if a.Worker == last {
 				again++
@@ -136,7 +136,7 @@
 		}
 	}
 	for id, w := range order {
-		h.step(h.request(uint64(id+1), 1))
+		h.step(h.request(uint64(id+1), atMostOnce))
 		if a := h.actionsOf(ActionSend); len(a) == 1 && a[0].Worker != w.id {
 			t.Errorf("job %d goes to %s, want %s", id+1, a[0].Worker, w.id)
 		}
@@ -153,11 +153,11 @@
 		workers := testWorkers(2)
 		workers[0].Zone, workers[1].Zone = cfg.Zone, 1-cfg.Zone
 		h := newHarness(t, cfg, workers...)
-		h.step(h.request(1, 0))
+		h.step(h.request(1, idempotent))
 		if a := h.wantActions(ActionSend, 1)[0]; a.Worker != workers[0].ID {
 			t.Errorf("%d dispatchers: the first crosses", dispatchers)
 		}
-		h.step(started(1, 0, workers[0].ID), h.request(2, 0))
+		h.step(started(1, 0, workers[0].ID), h.request(2, idempotent))
 		if a := h.wantActions(ActionSend, 1)[0]; (a.Worker != workers[0].ID) != crosses {
 			t.Errorf("%d dispatchers: the second crosses %v", dispatchers, !crosses)
 		}
--- a/placement_test.go
+++ b/placement_test.go
@@ -8,7 +8,7 @@
 func TestLightLoadIsNotDelayed(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(4)...)
 	for id := uint64(1); id < 200; id++ {
-		actions := h.advance(20*ms, h.request(id, 1))
+		actions := h.advance(20*ms, h.request(id, atMostOnce))
 		if n := len(h.actionsOf(ActionSend)); n != 1 {
 			t.Fatalf("request %d: %d sends, want 1: %+v", id, n, actions)
 		}
@@ -21,7 +21,7 @@
 func TestLateBindingQueuesWithoutCapacity(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(1)...)
 	h.d.workerOrder[0].concurrencyLimit = 2
-	h.step(h.request(1, 1), h.request(2, 1), h.request(3, 1))
+	h.step(h.request(1, atMostOnce), h.request(2, atMostOnce), h.request(3, atMostOnce))
 	h.wantActions(ActionSend, 2)
 	h.advance(3 * ms)
 	h.wantActions(ActionSend, 0)
@@ -34,7 +34,7 @@
 func TestPlacementPrefersIdleWorkers(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(3)...)
 	seen := map[string]bool{}
-	h.step(h.request(1, 1), h.request(2, 1), h.request(3, 1))
+	h.step(h.request(1, atMostOnce), h.request(2, atMostOnce), h.request(3, atMostOnce))
 	for _, a := range h.wantActions(ActionSend, 3) {
 		seen[a.Worker] = true
 	}
@@ -64,7 +64,7 @@
 		workers[i].Kind = i / 3
 	}
 	h := newHarness(t, cfg, workers...)
-	h.step(h.request(1, 1))
+	h.step(h.request(1, atMostOnce))
 	if a := h.wantActions(ActionSend, 1)[0]; a.Worker != "w3" {
 		t.Errorf("sent to %s, the only worker of the kind is w3", a.Worker)
 	}
@@ -76,7 +76,7 @@
 	cfg.MayHealthCheck, cfg.Dispatchers = true, 2
 	h := newHarness(t, cfg, testWorkers(20)...)
 	h.d.fleetPressure.avg = 0.5
-	h.step(h.request(1, 0))
+	h.step(h.request(1, idempotent))
 	h.wantActions(ActionSend, 0)
 	probes := h.wantActions(ActionHealthCheck, 2)
 	e := Event{Kind: EventHealthChecked, Worker: probes[1].Worker, Code: Served, HasLoad: true}
@@ -86,10 +86,10 @@
 		t.Errorf("sent to %s, not to the worker known to be free", a.Worker)
 	}
 	h.now += 5 * second
-	h.step(h.request(2, 0))
+	h.step(h.request(2, idempotent))
 	h.wantActions(ActionSend, 0)
 	for range 4 { // no probe answers: the wait is short all the same
-		if h.advance(h.d.tickInterval, Event{Kind: EventTimer, Token: 1}); len(h.actionsOf(ActionSend)) == 1 {
+		if h.advance(h.d.tickInterval, timerEvent(1)); len(h.actionsOf(ActionSend)) == 1 {
 			return
 		}
 	}
@@ -130,7 +130,8 @@
 	h := newHarness(t, testConfig(), testWorkers(2)...)
 	w := h.d.workerOrder[0]
 	end := func(c Code) {
-		h.d.recordOutcome(&attempt{job: &job{class: &h.d.classes[0], objective: 1}, worker: w, slots: 1}, &Event{Code: c, Took: second})
+		a := &attempt{job: &job{class: &h.d.classes[0], objective: 1}, worker: w, slots: 1}
+		h.d.recordOutcome(a, &Event{Code: c, Took: second})
 	}
 	end(Saturated)
 	if h.d.servedSlots != 0 {
@@ -151,7 +152,7 @@
 	cfg.MayHealthCheck = true
 	h := newHarness(t, cfg, testWorkers(20)...)
 	h.d.fleetPressure.avg = 0.95
-	h.step(h.request(1, 0))
+	h.step(h.request(1, idempotent))
 	h.wantActions(ActionHealthCheck, 0)
 	h.wantActions(ActionSend, 1)
 }
@@ -197,7 +198,7 @@
 	}
 	got := map[string]int{}
 	for id := uint64(1); id <= 6; id++ {
-		got[h.step(h.request(id, 0))[0].Worker]++
+		got[h.step(h.request(id, idempotent))[0].Worker]++
 	}
 	if got["w0"] != 5 || got["w1"] != 1 {
 		t.Errorf("jobs by worker: %v", got)
--- a/policy_test.go
+++ b/policy_test.go
@@ -10,24 +10,31 @@
 	"testing"
 )
 
-// policyFiles returns the files that deploy/balancer.toml lists as the ones that decide.
-func policyFiles(t *testing.T) []string {
+// deploySettings returns a list of deploy/balancer.toml that stands in one line.
+func deploySettings(t *testing.T, key string) []string {
 	t.Helper()
 	settings, err := os.ReadFile("deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := regexp.MustCompile(`(?m)^policy = \[(.*)\]$`).FindSubmatch(settings)
+	list := regexp.MustCompile(`(?m)^` + key + ` = \[(.*)\]$`).FindSubmatch(settings)
 	if list == nil {
-		t.Fatal("deploy/balancer.toml has no list of policy files in one line")
+		t.Fatalf("deploy/balancer.toml has no list of %s in one line", key)
 	}
-	var files []string
-	for name := range strings.SplitSeq(string(list[1]), ",") {
-		files = append(files, strings.Trim(name, ` "`))
+	var entries []string
+	for entry := range strings.SplitSeq(string(list[1]), ",") {
+		entries = append(entries, strings.Trim(entry, ` "`))
 	}
-	return files
+	return entries
+}
+
+// policyFiles returns the files that deploy/balancer.toml lists as the ones that decide.
+func policyFiles(t *testing.T) []string {
+	t.Helper()
+	return deploySettings(t, "policy")
 }
 
+// A file that decides has under 400 lines that are not blank, each of 110 characters at most.
 func TestLineLimits(t *testing.T) {
 	for _, name := range policyFiles(t) {
 		lines := 0
--- a/queue_test.go
+++ b/queue_test.go
@@ -21,7 +21,7 @@
 // A client's last try may come a moment before its deadline (incident i580165).
 func TestJobNearDeadlineIsShedAtOnce(t *testing.T) {
 	h := newHarness(t, testConfig())
-	e := h.request(1, 0)
+	e := h.request(1, idempotent)
 	e.Request.Deadline = h.now + h.d.tickInterval
 	h.step(e)
 	h.wantActions(ActionShed, 1)
@@ -29,9 +29,9 @@
 
 func TestQueuedJobIsShedBeforeDeadline(t *testing.T) {
 	h := newHarness(t, testConfig())
-	h.step(h.request(1, 1))
+	h.step(h.request(1, atMostOnce))
 	for h.now < 7*second {
-		if h.advance(5*ms, Event{Kind: EventTimer, Token: 1}); len(h.actionsOf(ActionShed)) == 1 {
+		if h.advance(5*ms, timerEvent(1)); len(h.actionsOf(ActionShed)) == 1 {
 			return
 		}
 	}
@@ -40,9 +40,9 @@
 
 func TestNothingIsSentForADisconnectedClient(t *testing.T) {
 	h := newHarness(t, testConfig())
-	h.step(h.request(1, 0))
-	h.advance(ms, Event{Kind: EventClientDisconnected, ID: 1})
-	h.advance(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: testWorkers(2)})
+	h.step(h.request(1, idempotent))
+	h.advance(ms, disconnectEvent(1))
+	h.advance(ms, endpointsEvent(EndpointsComplete, testWorkers(2)...))
 	h.wantActions(ActionSend, 0)
 	if len(h.d.jobs) != 0 {
 		t.Error("the job is kept")
@@ -53,8 +53,8 @@
 // job would have spent its wait, and holding it for long would only delay the rest.
 func TestPastQuotaNewestFirstAndShortQueueTime(t *testing.T) {
 	h := newHarness(t, testConfig())
-	h.step(h.request(1, 1))
-	h.advance(10*ms, h.request(2, 1))
+	h.step(h.request(1, atMostOnce))
+	h.advance(10*ms, h.request(2, atMostOnce))
 	tenant := h.d.tenantOf(0)
 	j := h.d.jobs[1]
 	long := h.d.maxQueueTime(j)
@@ -74,14 +74,14 @@
 func TestLateClientRetriesAreShed(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(2)...)
 	next := func(id uint64, left int64) Event {
-		e := h.request(id, 0)
+		e := h.request(id, idempotent)
 		e.Request.Deadline = h.now + left
 		return e
 	}
-	h.step(h.request(1, 0), next(2, 1000*ms)) // with room the second is served, late or not
+	h.step(h.request(1, idempotent), next(2, 1000*ms)) // with room the second is served, late or not
 	h.wantActions(ActionSend, 2)
 	for id := uint64(3); len(h.actionsOf(ActionSend)) > 0; id++ { // until there is none
-		h.step(h.request(id, 0))
+		h.step(h.request(id, idempotent))
 	}
 	h.step(next(100, 1000*ms))
 	if a := h.wantActions(ActionShed, 1)[0]; a.ID != 100 || a.RetryAfter != 0 {
@@ -112,15 +112,16 @@
 		h := newHarness(t, cfg)
 		h.d.classes[0].ObjectiveStretch = 3
 		h.d.classes[0].setRuntimes(80*ms, 80*ms)
-		h.step(h.request(1, 0), h.request(2, 0), h.request(3, 0))
+		h.step(h.request(1, idempotent), h.request(2, idempotent), h.request(3, idempotent))
 		tenant := h.d.tenantOf(0)
 		if got, want := h.d.maxQueueTime(h.d.jobs[1]), 100*ms+(3-c.runs)*80*ms; got != want {
 			t.Errorf("%d dispatchers: held for %d, want %d", c.dispatchers, got, want)
 		}
-		if j := nextInQueue(tenant.queues[0].jobs, h.d.newestFirst(tenant, tenant.queues[0].jobs), h.d.dispatchRound+1); j.id != c.first {
+		queue, round := tenant.queues[0].jobs, h.d.dispatchRound+1
+		if j := nextInQueue(queue, h.d.newestFirst(tenant, queue), round); j.id != c.first {
 			t.Errorf("%d dispatchers: job %d goes first, want %d", c.dispatchers, j.id, c.first)
 		}
-		if j := nextInQueue(tenant.queues[0].jobs[:2], h.d.newestFirst(tenant, tenant.queues[0].jobs[:2]), h.d.dispatchRound+1); j.id != 1 {
+		if j := nextInQueue(queue[:2], h.d.newestFirst(tenant, queue[:2]), round); j.id != 1 {
 			t.Errorf("%d dispatchers: of two held job %d goes first", c.dispatchers, j.id)
 		}
 		setTenant(h.d, 0, func(s *admission.TenantState) { s.OfferedRate, s.Rate = 500, 5 })
@@ -162,7 +163,7 @@
 			h.d.classes[0].runtimes.Record((run/10*30 + 20) * ms) // 20, 50, 80 and 110 ms
 		}
 		h.advance(2 * second)
-		h.step(h.request(1, 0))
+		h.step(h.request(1, idempotent))
 		if got := h.d.timelyLimit(h.d.jobs[1]); got != want*ms {
 			t.Errorf("%d dispatchers: timely is %d ms, want %d", dispatchers, got/ms, want)
 		}
--- a/quotas_test.go
+++ b/quotas_test.go
@@ -21,7 +21,7 @@
 		for n := range 4 { // three of tenant 0 in each round, one of tenant 1 in every other
 			if tenant := n / 3; tenant == 0 || round%2 == 0 {
 				id++
-				e := h.request(id, 1)
+				e := h.request(id, atMostOnce)
 				e.Request.Tenant = tenant
 				tenantOf[id] = tenant
 				events = append(events, e)
@@ -57,23 +57,23 @@
 	h := newHarness(t, testConfig(), testWorkers(4)...)
 	workers := testWorkers(4)
 	workers[0].State = Draining
-	h.advance(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: workers[:1]})
+	h.advance(ms, endpointsEvent(EndpointsDelta, workers[:1]...))
 	workers[0].State = Removed
-	h.advance(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: workers[:1]})
+	h.advance(ms, endpointsEvent(EndpointsDelta, workers[:1]...))
 	if s := h.d.remainingCapacity(); s != 1 {
 		t.Errorf("%v stand after a drain, want all", s)
 	}
 	workers[1].State = Removed
-	h.advance(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: workers[1:2]})
+	h.advance(ms, endpointsEvent(EndpointsDelta, workers[1:2]...))
 	if s := h.d.remainingCapacity(); math.Abs(s-2.0/3) > 1e-9 {
 		t.Errorf("%v stand after a loss, want 2/3", s)
 	}
 	workers[1].State, workers[1].StartedAt = Live, h.now
-	h.advance(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: workers[1:2]})
+	h.advance(ms, endpointsEvent(EndpointsDelta, workers[1:2]...))
 	if s := h.d.remainingCapacity(); s < 0.7 || s > 0.75 {
 		t.Errorf("%v stand with the third back at a fifth, want 2.2/3", s)
 	}
-	h.advance(21*second, Event{Kind: EventTimer, Token: 1})
+	h.advance(21*second, timerEvent(1))
 	if s := h.d.remainingCapacity(); s != 1 {
 		t.Errorf("%v stand when it is warm, want all", s)
 	}
@@ -98,7 +98,7 @@
 	workers := testWorkers(2)
 	for _, s := range []WorkerState{Removed, Draining, Removed} { // lost, back only to drain, gone
 		workers[0].State = s
-		h.advance(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: workers[:1]})
+		h.advance(ms, endpointsEvent(EndpointsDelta, workers[:1]...))
 		h.d.remainingCapacity()
 	}
 	if s := h.d.remainingCapacity(); s != 1 {
@@ -114,11 +114,11 @@
 	}
 	empty()
 	setRate(h.d, func(s *admission.RateState) { s.Unthrottled = true })
-	h.step(h.request(1, 0))
+	h.step(h.request(1, idempotent))
 	h.wantActions(ActionSend, 1)
 	empty()
 	setRate(h.d, func(s *admission.RateState) { s.Unthrottled = false })
-	h.step(h.request(2, 0))
+	h.step(h.request(2, idempotent))
 	h.wantActions(ActionSend, 0)
 }
 
@@ -129,7 +129,7 @@
 	whole := tenantRate(h.d, 0)
 	workers := testWorkers(4)[:2]
 	workers[0].State, workers[1].State = Removed, Removed
-	h.advance(ms, Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: workers})
+	h.advance(ms, endpointsEvent(EndpointsDelta, workers...))
 	h.d.updateQuotas()
 	if half := tenantRate(h.d, 0); math.Abs(half-whole/2) > 1e-9 {
 		t.Errorf("rate %v with half the fleet lost, %v before", half, whole)
--- a/record_faults_test.go
+++ b/record_faults_test.go
@@ -209,9 +209,12 @@
 	m := h.members[h.rng.IntN(len(h.members))]
 	missing := uint64(1) << 60
 	for _, e := range []foxlift.Event{
-		{Kind: foxlift.EventOutcome, ID: missing}, {Kind: foxlift.EventStarted, ID: missing, Attempt: 3},
-		{Kind: foxlift.EventClientDisconnected, ID: missing}, {Kind: foxlift.EventHealthChecked, Worker: "nowhere"},
-		{Kind: foxlift.EventMessage, From: -1, Data: []byte("x")}, {Kind: foxlift.EventProgress, ID: missing},
+		{Kind: foxlift.EventOutcome, ID: missing},
+		{Kind: foxlift.EventStarted, ID: missing, Attempt: 3},
+		{Kind: foxlift.EventClientDisconnected, ID: missing},
+		{Kind: foxlift.EventHealthChecked, Worker: "nowhere"},
+		{Kind: foxlift.EventMessage, From: -1, Data: []byte("x")},
+		{Kind: foxlift.EventProgress, ID: missing},
 		{Kind: foxlift.EventRequest, Request: foxlift.Request{ID: missing, Class: 77}},
 	} {
 		m.receive(e)
--- a/record_test.go
+++ b/record_test.go
@@ -45,7 +45,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Write(r.archive.data)
+	if _, err := w.Write(r.archive.data); err != nil {
+		t.Fatal(err)
+	}
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
--- a/retry_test.go
+++ b/retry_test.go
@@ -5,7 +5,7 @@
 func TestAtMostOnceFailsAfterItMayHaveRun(t *testing.T) {
 	for _, c := range []Code{WorkerError, DeadlineExceeded, Reset, Cancelled} {
 		h := newHarness(t, testConfig(), testWorkers(3)...)
-		h.step(h.request(1, 1))
+		h.step(h.request(1, atMostOnce))
 		w := h.wantActions(ActionSend, 1)[0].Worker
 		h.advance(10*ms, outcome(1, 0, w, c))
 		h.wantActions(ActionFail, 1)
@@ -17,7 +17,7 @@
 func TestAtMostOnceRetriesWhenItNeverRan(t *testing.T) {
 	for _, c := range []Code{Saturated, Unreachable, NotSent} {
 		h := newHarness(t, testConfig(), testWorkers(6)...)
-		h.step(h.request(1, 1))
+		h.step(h.request(1, atMostOnce))
 		for attempt := range 4 {
 			w := h.wantActions(ActionSend, 1)[0].Worker
 			h.advance(10*ms, outcome(1, attempt, w, c))
@@ -28,7 +28,7 @@
 
 func TestDeduplicatedRetryStaysInGroupAndTTL(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(8)...)
-	h.step(h.request(1, 2))
+	h.step(h.request(1, deduplicated))
 	first := h.wantActions(ActionSend, 1)[0].Worker
 	h.advance(10*ms, outcome(1, 0, first, WorkerError))
 	again := h.wantActions(ActionSend, 1)[0].Worker
@@ -36,10 +36,10 @@
 		t.Errorf("first to %s, then to %s", first, again)
 	}
 	h.advance(1100*ms, outcome(1, 1, again, WorkerError))
-	h.advance(200*ms, Event{Kind: EventTimer, Token: 1})
+	h.advance(200*ms, timerEvent(1))
 	h.wantActions(ActionSend, 0) // the group may have forgotten it
 	for range 10 {
-		if h.advance(100*ms, Event{Kind: EventTimer, Token: 1}); len(h.actionsOf(ActionFail)) == 1 {
+		if h.advance(100*ms, timerEvent(1)); len(h.actionsOf(ActionFail)) == 1 {
 			return
 		}
 		h.wantActions(ActionShed, 0)
@@ -51,7 +51,7 @@
 	cfg := testConfig()
 	cfg.Classes[2].Scope = ScopeAll
 	h := newHarness(t, cfg, testWorkers(1)...)
-	h.step(h.request(1, 2))
+	h.step(h.request(1, deduplicated))
 	w := h.wantActions(ActionSend, 1)[0].Worker
 	h.advance(1900*ms, outcome(1, 0, w, WorkerError))
 	h.advance(40 * ms)
@@ -64,10 +64,10 @@
 // A repeatable job on a hung worker goes elsewhere and is called off there.
 func TestIdempotentRetryAvoidsHungWorker(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(2)...)
-	h.step(h.request(1, 0))
+	h.step(h.request(1, idempotent))
 	first := h.wantActions(ActionSend, 1)[0].Worker
 	for range 100 {
-		if h.advance(10*ms, Event{Kind: EventTimer, Token: 1}); len(h.actionsOf(ActionSend)) == 1 {
+		if h.advance(10*ms, timerEvent(1)); len(h.actionsOf(ActionSend)) == 1 {
 			break
 		}
 	}
@@ -82,7 +82,7 @@
 	h := newHarness(t, testConfig(), testWorkers(40)...)
 	first, copies := 0, 0
 	for id := uint64(1); id <= 400; id++ {
-		h.advance(5*ms, h.request(id, 0)) // no worker ever says that a job started
+		h.advance(5*ms, h.request(id, idempotent)) // no worker ever says that a job started
 		for _, a := range h.actionsOf(ActionSend) {
 			if len(h.d.jobs[a.ID].attempts) == 1 {
 				first++
--- a/sites_test.go
+++ b/sites_test.go
@@ -13,12 +13,39 @@
 
 // Names of classes and tenants of two deployments whose site files are not here; those of the
 // others are read from theirs.
-const otherSites = `reading ratify central-belt urban-roadside north-east highlands south-west borders fife-tayside islands
-cut-clip publish-clip bay-state-sports granite-net coastal-cable pioneer-valley-tv green-mtn-sports ocean-state-net
-merrimack-media nutmeg-sports kennebec-tv transcode publish`
+const otherSites = `reading ratify central-belt urban-roadside north-east highlands south-west borders
+fife-tayside islands cut-clip publish-clip bay-state-sports granite-net coastal-cable pioneer-valley-tv
+green-mtn-sports ocean-state-net merrimack-media nutmeg-sports kennebec-tv transcode publish`
 
 // The program is fitted to no deployment: no text in its packages has the name of a class or a tenant.
 func TestNoDeploymentNamesInPackages(t *testing.T) {
+	names := regexp.MustCompile(`\b(` + strings.Join(deploymentNames(t), "|") + `)\b`)
+	files := 0
+	for _, dir := range append([]string{"."}, deploySettings(t, "node")...) {
+		paths, err := fs.Glob(os.DirFS(dir), "*.go")
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, name := range paths {
+			if strings.HasSuffix(name, "_test.go") {
+				continue
+			}
+			files++
+			for _, literal := range stringLiterals(t, filepath.Join(dir, name)) {
+				if names.MatchString(literal) {
+					t.Errorf("%s: %s", filepath.Join(dir, name), literal)
+				}
+			}
+		}
+	}
+	if files < 40 {
+		t.Errorf("%d files looked at", files)
+	}
+}
+
+// deploymentNames are the names of classes and tenants of all deployments.
+func deploymentNames(t *testing.T) []string {
+	t.Helper()
 	names := strings.Fields(otherSites)
 	sites, err := filepath.Glob("deploy/sites/*/*.toml")
 	if err != nil || len(sites) != 2 {
@@ -38,40 +65,26 @@
 			names = append(names, string(m[1]))
 		}
 	}
-	any := regexp.MustCompile(`\b(` + strings.Join(names, "|") + `)\b`)
-	files := 0
-	for _, root := range []string{".", "cmd/foxlift", "internal/cells", "internal/config", "internal/control",
-		"internal/core", "internal/counters", "internal/daemon", "internal/logging", "internal/platform",
-		"internal/pollpacing", "internal/slowstart"} {
-		paths, err := fs.Glob(os.DirFS(root), "*.go")
-		if err != nil {
-			t.Fatal(err)
+	return names
+}
+
+// stringLiterals are the string literals of a Go file.
+func stringLiterals(t *testing.T, path string) (literals []string) {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	set := token.NewFileSet()
+	var s scanner.Scanner
+	s.Init(set.AddFile(path, -1, len(text)), text, nil, 0)
+	for {
+		_, tok, literal := s.Scan()
+		if tok == token.EOF {
+			return literals
 		}
-		for _, name := range paths {
-			if strings.HasSuffix(name, "_test.go") {
-				continue
-			}
-			files++
-			path := filepath.Join(root, name)
-			text, err := os.ReadFile(path)
-			if err != nil {
-				t.Fatal(err)
-			}
-			set := token.NewFileSet()
-			var s scanner.Scanner
-			s.Init(set.AddFile(path, -1, len(text)), text, nil, 0)
-			for {
-				_, tok, lit := s.Scan()
-				if tok == token.EOF {
-					break
-				}
-				if tok == token.STRING && any.MatchString(lit) {
-					t.Errorf("%s: %s", path, lit)
-				}
-			}
+		if tok == token.STRING {
+			literals = append(literals, literal)
 		}
 	}
-	if files < 40 {
-		t.Errorf("%d files looked at", files)
-	}
 }
--- a/slow_start_fleet_test.go
+++ b/slow_start_fleet_test.go
@@ -8,20 +8,20 @@
 	"testing"
 )
 
-// A slowStartFleet is dispatchers and workers on virtual time, drawn anew each time: sizes, traffic that
-// is uneven over the dispatchers, workers that all, half of them or of one zone start cold amid it,
-// each dispatcher told of that at a moment of its own, some of them started anew while it warms up.
+// A slowStartFleet is dispatchers and workers on virtual time, drawn at random: sizes, traffic that is
+// uneven over the dispatchers, workers of which all, half or those of one zone restart amid it, each
+// dispatcher notified of that at a moment of its own, some of them restarted during the slow start.
 type slowStartFleet struct {
 	rng          *rand.Rand
 	cfg          Config
 	meanWork     int64 // mean of a job
 	harnesses    []*harness
-	arrivalRates []float64 // jobs a second that come to each dispatcher
+	arrivalRates []float64 // jobs a second that arrive at each dispatcher
 	notifyAt     []int64   // when each learns of the starts
 	workers      []*slowStartWorker
 	byID         map[string]*slowStartWorker
 	lastID       uint64
-	running      []slowStartAttempt // what the dispatchers hear at the next steps
+	running      []slowStartAttempt // at all workers
 }
 
 type slowStartWorker struct {
@@ -29,12 +29,12 @@
 	slots   int
 	running int
 	waiting []slowStartAttempt
-	sent    []sentWork // since its start, by those who had been told of it
+	sent    []sentWork // since its start, by dispatchers notified of it
 }
 
 type slowStartAttempt struct {
 	finishesAt int64
-	dispatcher int // the dispatcher
+	dispatcher int // which sent it
 	send       Action
 	number     int
 	work       int64
@@ -47,7 +47,12 @@
 
 func drawSlowStartFleet(t *testing.T, n int, seed uint64) *slowStartFleet {
 	rng := rand.New(rand.NewPCG(seed, uint64(n)))
-	fleet := &slowStartFleet{rng: rng, cfg: testConfig(), meanWork: (100 + rng.Int64N(250)) * ms, byID: map[string]*slowStartWorker{}}
+	fleet := &slowStartFleet{
+		rng:      rng,
+		cfg:      testConfig(),
+		meanWork: (100 + rng.Int64N(250)) * ms,
+		byID:     map[string]*slowStartWorker{},
+	}
 	fleet.cfg.Gauges, fleet.cfg.MaxAttempts, fleet.cfg.Dispatchers = nil, 3, n
 	fleet.cfg.SlowStartCapacity = 0.14 + 0.3*rng.Float64()
 	fleet.cfg.OverloadWindow = second + rng.Int64N(second)
@@ -76,213 +81,282 @@
 	return fleet
 }
 
+// start starts a dispatcher, which knows the endpoint list.
 func (fleet *slowStartFleet) start(t *testing.T, i int) *harness {
 	cfg := fleet.cfg
 	cfg.Index, cfg.Zone = i, i%2
-	var workers []Worker
-	for _, n := range fleet.workers {
-		workers = append(workers, n.Worker)
-	}
-	return newSeededHarness(t, cfg, fleet.rng.Uint64(), workers...)
+	return newSeededHarness(t, cfg, fleet.rng.Uint64(), fleet.endpoints()...)
 }
 
-// play runs the fleet from one time to another.
-func (fleet *slowStartFleet) play(from, to int64, told bool) {
+// play runs the fleet from one time to another. Where the workers' starts are announced, each
+// dispatcher learns of them at its own moment.
+func (fleet *slowStartFleet) play(from, to int64, announced bool) {
 	for now := from; now < to; now += slowStartStep {
-		heard := make([][]Event, len(fleet.harnesses))
-		due := fleet.running
-		fleet.running = nil
-		for _, e := range due {
-			if e.finishesAt > now {
-				fleet.running = append(fleet.running, e)
-				continue
-			}
-			e.worker.running--
-			o := outcome(e.send.ID, e.number, e.worker.ID, Served)
-			o.Took = e.work
-			heard[e.dispatcher] = append(heard[e.dispatcher], o)
-		}
-		for _, n := range fleet.workers {
-			fleet.startWaiting(n, now, heard)
+		inboxes := make([][]Event, len(fleet.harnesses))
+		fleet.finishAttempts(now, inboxes)
+		for _, w := range fleet.workers {
+			fleet.startWaiting(w, now, inboxes)
 		}
 		for i, h := range fleet.harnesses {
 			if h == nil {
 				continue
 			}
-			if told && now >= fleet.notifyAt[i] && fleet.notifyAt[i] > 0 {
-				var workers []Worker
-				for _, n := range fleet.workers {
-					workers = append(workers, n.Worker)
-				}
-				heard[i] = append(heard[i], Event{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: workers})
+			if announced && now >= fleet.notifyAt[i] && fleet.notifyAt[i] > 0 {
+				inboxes[i] = append(inboxes[i], endpointsEvent(EndpointsComplete, fleet.endpoints()...))
 				fleet.notifyAt[i] = 0
 			}
-			for p := fleet.arrivalRates[i] * float64(slowStartStep) / 1e9; p > 0; p-- {
-				if fleet.rng.Float64() < p {
-					fleet.lastID++
-					e := Event{Kind: EventRequest, Request: Request{ID: fleet.lastID, Class: int(fleet.lastID % 2), Tenant: int(fleet.lastID / 2 % 2), Deadline: now + 20*second}}
-					heard[i] = append(heard[i], e)
-				}
-			}
 			h.now = now
-			h.step(heard[i]...)
-			heard[i] = nil
-			for _, a := range h.actionsOf(ActionSend) {
-				node, work := fleet.byID[a.Worker], int64(float64(fleet.meanWork)*(0.5+fleet.rng.Float64()))
-				if fleet.notifyAt[i] == 0 {
-					node.sent = append(node.sent, sentWork{now, work})
-				}
-				number := len(h.d.jobs[a.ID].attempts) - 1
-				node.waiting = append(node.waiting, slowStartAttempt{dispatcher: i, send: a, number: number, work: work, worker: node})
-			}
-			for _, a := range h.actionsOf(ActionCancel) {
-				j := h.d.jobs[a.ID]
-				if j == nil || a.Attempt >= len(j.attempts) {
-					continue
-				}
-				node := fleet.byID[j.attempts[a.Attempt].worker.id]
-				for k, e := range node.waiting {
-					if e.dispatcher == i && e.send.ID == a.ID && e.number == a.Attempt {
-						node.waiting = append(node.waiting[:k], node.waiting[k+1:]...)
-						h.step(outcome(a.ID, a.Attempt, node.ID, Cancelled))
-						break
-					}
-				}
-			}
+			h.step(append(inboxes[i], fleet.arrivals(i, now)...)...)
+			inboxes[i] = nil
+			fleet.takeSends(i)
+			fleet.takeCancels(i)
+		}
+	}
+}
+
+// finishAttempts tells the dispatchers of the attempts that have finished.
+func (fleet *slowStartFleet) finishAttempts(now int64, inboxes [][]Event) {
+	running := fleet.running
+	fleet.running = nil
+	for _, a := range running {
+		if a.finishesAt > now {
+			fleet.running = append(fleet.running, a)
+			continue
+		}
+		a.worker.running--
+		served := outcome(a.send.ID, a.number, a.worker.ID, Served)
+		served.Took = a.work
+		inboxes[a.dispatcher] = append(inboxes[a.dispatcher], served)
+	}
+}
+
+// endpoints is the complete endpoint list.
+func (fleet *slowStartFleet) endpoints() (workers []Worker) {
+	for _, w := range fleet.workers {
+		workers = append(workers, w.Worker)
+	}
+	return workers
+}
+
+// arrivals draws the jobs that come to a dispatcher in one step.
+func (fleet *slowStartFleet) arrivals(dispatcher int, now int64) (requests []Event) {
+	for p := fleet.arrivalRates[dispatcher] * float64(slowStartStep) / 1e9; p > 0; p-- {
+		if fleet.rng.Float64() >= p {
+			continue
+		}
+		fleet.lastID++
+		requests = append(requests, Event{Kind: EventRequest, Request: Request{
+			ID:       fleet.lastID,
+			Class:    int(fleet.lastID % 2),
+			Tenant:   int(fleet.lastID / 2 % 2),
+			Deadline: now + 20*second,
+		}})
+	}
+	return requests
+}
+
+// takeSends brings what a dispatcher has just sent to the workers.
+func (fleet *slowStartFleet) takeSends(dispatcher int) {
+	h := fleet.harnesses[dispatcher]
+	for _, a := range h.actionsOf(ActionSend) {
+		w := fleet.byID[a.Worker]
+		work := int64(float64(fleet.meanWork) * (0.5 + fleet.rng.Float64()))
+		if fleet.notifyAt[dispatcher] == 0 {
+			w.sent = append(w.sent, sentWork{h.now, work})
+		}
+		w.waiting = append(w.waiting, slowStartAttempt{
+			dispatcher: dispatcher,
+			send:       a,
+			number:     len(h.d.jobs[a.ID].attempts) - 1,
+			work:       work,
+			worker:     w,
+		})
+	}
+}
+
+// takeCancels drops the attempts that a dispatcher has just cancelled and that still wait.
+func (fleet *slowStartFleet) takeCancels(dispatcher int) {
+	h := fleet.harnesses[dispatcher]
+	for _, a := range h.actionsOf(ActionCancel) {
+		j := h.d.jobs[a.ID]
+		if j == nil || a.Attempt >= len(j.attempts) {
+			continue
+		}
+		w := fleet.byID[j.attempts[a.Attempt].worker.id]
+		waits := slices.IndexFunc(w.waiting, func(e slowStartAttempt) bool {
+			return e.dispatcher == dispatcher && e.send.ID == a.ID && e.number == a.Attempt
+		})
+		if waits >= 0 {
+			w.waiting = slices.Delete(w.waiting, waits, waits+1)
+			h.step(outcome(a.ID, a.Attempt, w.ID, Cancelled))
 		}
 	}
 }
 
-// admit starts what waits at a worker while it has slots.
-func (fleet *slowStartFleet) startWaiting(n *slowStartWorker, now int64, heard [][]Event) {
-	for n.running < n.slots && len(n.waiting) > 0 {
-		e := n.waiting[0]
-		n.waiting = n.waiting[1:]
-		n.running++
-		heard[e.dispatcher] = append(heard[e.dispatcher], started(e.send.ID, e.number, n.ID))
-		e.finishesAt = now + int64(float64(e.work)/fleet.capacityFraction(n, now))
-		fleet.running = append(fleet.running, e)
+// startWaiting starts what waits at a worker while it has free slots.
+func (fleet *slowStartFleet) startWaiting(w *slowStartWorker, now int64, inboxes [][]Event) {
+	for w.running < w.slots && len(w.waiting) > 0 {
+		a := w.waiting[0]
+		w.waiting = w.waiting[1:]
+		w.running++
+		inboxes[a.dispatcher] = append(inboxes[a.dispatcher], started(a.send.ID, a.number, w.ID))
+		a.finishesAt = now + int64(float64(a.work)/fleet.capacityFraction(w, now))
+		fleet.running = append(fleet.running, a)
 	}
 }
 
-// able is the share of its capacity that a worker has.
-func (fleet *slowStartFleet) capacityFraction(n *slowStartWorker, now int64) float64 {
-	if n.StartedAt == 0 {
+// capacityFraction is the part of its capacity that a worker has, 0 to 1.
+func (fleet *slowStartFleet) capacityFraction(w *slowStartWorker, now int64) float64 {
+	if w.StartedAt == 0 {
 		return 1
 	}
-	return min(1, fleet.cfg.SlowStartCapacity+(1-fleet.cfg.SlowStartCapacity)*float64(now-n.StartedAt)/float64(fleet.cfg.SlowStartDuration))
+	atStart := fleet.cfg.SlowStartCapacity
+	ramp := (1 - atStart) * float64(now-w.StartedAt) / float64(fleet.cfg.SlowStartDuration)
+	return min(1, atStart+ramp)
 }
 
-// worst returns by how much the calls that a cold worker was sent in a window were over its budget
-// of N and what counts as chance, 2 x root of N + 2; under 0 if none was.
-func (fleet *slowStartFleet) worstOverload() (over float64, where string) {
-	over = math.Inf(-1)
-	for _, n := range fleet.workers {
-		if n.StartedAt == 0 {
+// worstOverload returns by how much the jobs that a worker in slow start was sent in a window exceed
+// its budget of N and what counts as chance, 2 x root of N + 2; under 0 if none did.
+func (fleet *slowStartFleet) worstOverload() (excess float64, where string) {
+	excess = math.Inf(-1)
+	for _, w := range fleet.workers {
+		if w.StartedAt == 0 {
 			continue
 		}
 		sum, first := 0.0, 0
-		for _, s := range n.sent {
-			if s.at < n.StartedAt {
+		for _, s := range w.sent {
+			if s.at < w.StartedAt {
 				first++
 				continue
 			}
-			sum += float64(s.work) / float64(fleet.meanWork)
-			for ; n.sent[first].at <= s.at-fleet.cfg.OverloadWindow; first++ {
-				sum -= float64(n.sent[first].work) / float64(fleet.meanWork)
+			sum += fleet.jobs(s.work)
+			for ; w.sent[first].at <= s.at-fleet.cfg.OverloadWindow; first++ {
+				sum -= fleet.jobs(w.sent[first].work)
 			}
-			budget := fleet.cfg.OverloadMultiple * fleet.capacityFraction(n, n.sent[first].at) * float64(n.slots) * float64(fleet.cfg.OverloadWindow) / float64(fleet.meanWork)
-			if o := sum - budget - 2*math.Sqrt(budget) - 2; o > over {
-				over, where = o, fmt.Sprintf("%s: %.1f calls of %.1f, %.2f s after its start", n.ID, sum, budget, float64(s.at-n.StartedAt)/1e9)
+			budget := fleet.cfg.OverloadMultiple * fleet.capacityFraction(w, w.sent[first].at) *
+				float64(w.slots) * float64(fleet.cfg.OverloadWindow) / float64(fleet.meanWork)
+			if over := sum - budget - 2*math.Sqrt(budget) - 2; over > excess {
+				excess = over
+				age := float64(s.at-w.StartedAt) / 1e9
+				where = fmt.Sprintf("%s: %.1f calls of %.1f, %.2f s after its start", w.ID, sum, budget, age)
 			}
 		}
 	}
-	return over, where
+	return excess, where
 }
 
-// What all dispatchers of a fleet together send to a cold worker stays in its budget, whatever the
-// fleet's size: no failure in 1,000 drawn fleets.
+// jobs is an amount of work in mean jobs.
+func (fleet *slowStartFleet) jobs(work int64) float64 { return float64(work) / float64(fleet.meanWork) }
+
+// What all dispatchers of a fleet together send to a worker in slow start stays within its budget,
+// whatever the fleet's size: no failure in 1,000 drawn fleets.
 func TestSlowStartUnderTheSumOfDispatchers(t *testing.T) {
-	for _, c := range []struct{ dispatchers, fleets int }{{1, 300}, {4, 260}, {5, 260}, {20, 90}, {30, 60}, {80, 25}, {300, 5}} {
+	for _, c := range []struct{ dispatchers, fleets int }{
+		{1, 300},
+		{4, 260},
+		{5, 260},
+		{20, 90},
+		{30, 60},
+		{80, 25},
+		{300, 5},
+	} {
 		t.Run(fmt.Sprint(c.dispatchers), func(t *testing.T) {
 			t.Parallel()
 			failed, worst, where := 0, math.Inf(-1), ""
 			for seed := range uint64(c.fleets) {
 				fleet := drawSlowStartFleet(t, c.dispatchers, seed)
-				from, release := 5*second, 9*second
-				// Some are started anew amid the ramp; or most are killed before it, and the others have
-				// their traffic until they are back.
-				anew, down, back := 0.2, release+2*second, release+2*second
-				if seed%2 == 0 {
-					anew, down, back = 0.7, release-2*second, release+second
+				fleet.playRestarts(t, seed)
+				excess, which := fleet.worstOverload()
+				if excess > worst {
+					worst, where = excess, which
 				}
-				rate := slices.Clone(fleet.arrivalRates)
-				gone := make([]bool, len(rate))
-				all, left := 0.0, 0.0
-				for i := range rate {
-					gone[i] = c.dispatchers > 1 && fleet.rng.Float64() < anew
-					all += rate[i]
-					if !gone[i] {
-						left += rate[i]
-					}
-				}
-				fleet.play(from, min(down, release), false)
-				for i := range rate {
-					if gone[i] {
-						fleet.stop(i)
-					} else if down < back {
-						fleet.arrivalRates[i] *= all / left
-					}
-				}
-				fleet.play(min(down, release), release, false)
-				for i, n := range fleet.workers {
-					if kind := seed % 3; kind == 0 || kind == 1 && i%4 < 2 || kind == 2 && n.Zone == 0 {
-						n.StartedAt, n.sent = release, nil
-					}
-				}
-				for i := range fleet.notifyAt {
-					fleet.notifyAt[i] = release + 1 + fleet.rng.Int64N(second)
-				}
-				fleet.play(release, back, true)
-				for i := range rate {
-					if fleet.arrivalRates[i] = rate[i]; gone[i] {
-						fleet.harnesses[i], fleet.notifyAt[i] = fleet.start(t, i), 0
-					}
-				}
-				fleet.play(back, release+8*second, true)
-				over, which := fleet.worstOverload()
-				if over > worst {
-					worst, where = over, which
-				}
-				if over > 0 {
+				if excess > 0 {
 					failed++
 				}
 			}
 			t.Logf("%d fleets, %d pushed over, the nearest %+.1f: %s", c.fleets, failed, worst, where)
 			if failed > 0 {
-				t.Errorf("%d of %d fleets push a cold worker over, by up to %.1f calls", failed, c.fleets, worst)
+				t.Errorf("%d of %d fleets overload a worker in slow start, by up to %.1f calls", failed, c.fleets, worst)
 			}
 		})
 	}
 }
 
-// stop takes a dispatcher down: what it has out is called off, and nothing comes to it.
+// playRestarts restarts workers, and some dispatchers: amid the slow start, or most of them before it,
+// and the others have their traffic until they are back.
+func (fleet *slowStartFleet) playRestarts(t *testing.T, seed uint64) {
+	from, release := 5*second, 9*second
+	restarts, down, back := 0.2, release+2*second, release+2*second
+	if seed%2 == 0 {
+		restarts, down, back = 0.7, release-2*second, release+second
+	}
+	rates := slices.Clone(fleet.arrivalRates)
+	restarting := fleet.drawRestarts(restarts)
+	fleet.play(from, min(down, release), false)
+	fleet.stopDispatchers(restarting, down < back)
+	fleet.play(min(down, release), release, false)
+	for i, w := range fleet.workers {
+		if kind := seed % 3; kind == 0 || kind == 1 && i%4 < 2 || kind == 2 && w.Zone == 0 {
+			w.StartedAt, w.sent = release, nil
+		}
+	}
+	for i := range fleet.notifyAt {
+		fleet.notifyAt[i] = release + 1 + fleet.rng.Int64N(second)
+	}
+	fleet.play(release, back, true)
+	for i, rate := range rates {
+		fleet.arrivalRates[i] = rate
+		if restarting[i] {
+			fleet.harnesses[i], fleet.notifyAt[i] = fleet.start(t, i), 0
+		}
+	}
+	fleet.play(back, release+8*second, true)
+}
+
+// drawRestarts says which dispatchers restart; a single one does not.
+func (fleet *slowStartFleet) drawRestarts(probability float64) []bool {
+	restarting := make([]bool, len(fleet.harnesses))
+	for i := range restarting {
+		restarting[i] = len(restarting) > 1 && fleet.rng.Float64() < probability
+	}
+	return restarting
+}
+
+// stopDispatchers stops those that restart; the others may get their traffic.
+func (fleet *slowStartFleet) stopDispatchers(restarting []bool, rerouted bool) {
+	total, remaining := 0.0, 0.0
+	for i, rate := range fleet.arrivalRates {
+		total += rate
+		if !restarting[i] {
+			remaining += rate
+		}
+	}
+	for i := range restarting {
+		if restarting[i] {
+			fleet.stop(i)
+		} else if rerouted {
+			fleet.arrivalRates[i] *= total / remaining
+		}
+	}
+}
+
+// stop kills a dispatcher: its attempts are dropped, and no job arrives at it.
 func (fleet *slowStartFleet) stop(i int) {
 	fleet.harnesses[i], fleet.arrivalRates[i] = nil, 0
 	fleet.running = withoutDispatcher(fleet.running, i)
-	for _, n := range fleet.workers {
-		n.waiting = withoutDispatcher(n.waiting, i)
+	for _, w := range fleet.workers {
+		w.waiting = withoutDispatcher(w.waiting, i)
 	}
 }
 
-// without drops what a dispatcher that is no more would have heard.
-func withoutDispatcher(ends []slowStartAttempt, of int) (left []slowStartAttempt) {
-	for _, e := range ends {
-		if e.dispatcher != of {
-			left = append(left, e)
-		} else if e.finishesAt > 0 {
-			e.worker.running--
+// withoutDispatcher drops the attempts of one dispatcher, and frees the slots of those that run.
+func withoutDispatcher(attempts []slowStartAttempt, dispatcher int) (remaining []slowStartAttempt) {
+	for _, a := range attempts {
+		if a.dispatcher != dispatcher {
+			remaining = append(remaining, a)
+		} else if a.finishesAt > 0 {
+			a.worker.running--
 		}
 	}
-	return left
+	return remaining
 }
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -20,10 +20,10 @@
 		setTenant(h.d, i, func(s *admission.TenantState) { s.Tokens, s.Rate = 1000, 100 })
 	}
 	h.d.peakWorkerRate = 0.2 // slots at work, here, of each warm worker: 2 jobs of 100 ms a second
-	h.step(Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: workers[1:]})
+	h.step(endpointsEvent(EndpointsDelta, workers[1:]...))
 	cold := 0
 	for id := uint64(1); h.now < 15*second; id++ {
-		h.advance(5*ms, h.request(id, 1))
+		h.advance(5*ms, h.request(id, atMostOnce))
 		for sent := h.actionsOf(ActionSend); len(sent) > 0; sent = h.actionsOf(ActionSend) {
 			var full []Event
 			for _, a := range sent {
@@ -79,13 +79,13 @@
 			h.now = 6*second + now
 			if now == 0 {
 				h.d.peakWorkerRate = warm / float64(cfg.Dispatchers)
-				h.step(Event{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: workers[:1]})
+				h.step(endpointsEvent(EndpointsDelta, workers[:1]...))
 			}
 			if (now/(20*ms)+int64(i))%5 != 0 {
 				continue
 			}
 			id++
-			h.step(append(running[i], h.request(id, 0))...)
+			h.step(append(running[i], h.request(id, idempotent))...)
 			running[i] = nil
 			for _, a := range h.actionsOf(ActionSend) {
 				if a.Worker == "w0" {
@@ -114,11 +114,7 @@
 		for i := range workers {
 			workers[i].StartedAt = 5 * second
 		}
-		type sent struct {
-			at   int64
-			work float64
-		}
-		at := map[string][]sent{}
+		sent := map[string][]sentWork{}
 		for i := range dispatchers {
 			cfg.Index = i
 			h := newSeededHarness(t, cfg, uint64(i), workers...)
@@ -126,25 +122,20 @@
 				h.advance(50*ms, h.request(id, int(id%2)))
 				for _, a := range h.actionsOf(ActionSend) {
 					class := &cfg.Classes[a.ID%2]
-					at[a.Worker] = append(at[a.Worker], sent{h.now, float64(class.LatencyObjective)})
+					sent[a.Worker] = append(sent[a.Worker], sentWork{h.now, class.LatencyObjective})
 					h.step(started(a.ID, a.Attempt, a.Worker))
 				}
 			}
 		}
 		total := 0.0
-		for worker, list := range at {
-			slices.SortFunc(list, func(a, b sent) int { return cmp.Compare(a.at, b.at) })
+		budget := cfg.OverloadMultiple * cfg.SlowStartCapacity * 1.4 * 4 * float64(cfg.OverloadWindow)
+		for worker, list := range sent {
+			slices.SortFunc(list, func(a, b sentWork) int { return cmp.Compare(a.at, b.at) })
 			for i := range list {
-				sum, most := 0.0, 0.0
-				for _, s := range list[i:] {
-					if s.at-list[i].at < cfg.OverloadWindow {
-						sum, most = sum+s.work, max(most, s.work)
-					}
-				}
-				if sum -= most; sum > cfg.OverloadMultiple*cfg.SlowStartCapacity*1.4*4*float64(cfg.OverloadWindow) {
-					t.Errorf("%d dispatchers sent %s %.1f s of work in a window", dispatchers, worker, sum/1e9)
+				if work := workInWindow(list[i:], cfg.OverloadWindow); work > budget {
+					t.Errorf("%d dispatchers sent %s %.1f s of work in a window", dispatchers, worker, work/1e9)
 				}
-				total += list[i].work
+				total += float64(list[i].work)
 			}
 		}
 		if able := 20 * 8 * cfg.SlowStartCapacity * 4 * float64(cfg.OverloadWindow); total < able/10 {
@@ -152,3 +143,15 @@
 		}
 	}
 }
+
+// workInWindow is the work sent within a window from the first of the list on, but for the heaviest job.
+func workInWindow(sent []sentWork, window int64) float64 {
+	var sum, heaviest int64
+	for _, s := range sent {
+		if s.at-sent[0].at < window {
+			sum += s.work
+			heaviest = max(heaviest, s.work)
+		}
+	}
+	return float64(sum - heaviest)
+}
--- a/snapshot_golden_test.go
+++ b/snapshot_golden_test.go
@@ -60,7 +60,8 @@
 	t.Helper()
 	cfg := foxlift.Config{Dispatchers: 1}
 	for _, c := range s.Classes {
-		cfg.Classes = append(cfg.Classes, foxlift.Class{Name: c.Name, LatencyObjective: second, Deadline: 2 * second, Kind: -1})
+		class := foxlift.Class{Name: c.Name, LatencyObjective: second, Deadline: 2 * second, Kind: -1}
+		cfg.Classes = append(cfg.Classes, class)
 	}
 	for _, tenant := range s.Tenants[:len(s.Tenants)-1] {
 		cfg.Tenants = append(cfg.Tenants, foxlift.Tenant{Name: tenant.Name, Quota: 1})
@@ -73,6 +74,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Step(s.Now, []foxlift.Event{{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsCached, Workers: workers}})
+	cached := foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsCached, Workers: workers}
+	d.Step(s.Now, []foxlift.Event{cached})
 	return d
 }
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"math/rand/v2"
 	"reflect"
+	"slices"
 	"testing"
 )
 
@@ -57,13 +58,15 @@
 	}
 }
 
+func limitLearned(w WorkerSnapshot) bool { return w.LimitLearned }
+
 // What a snapshot says of what is not there is left out: another run of a worker, a worker, class or
 // tenant that is not known. One of nothing changes no worker.
 func TestSnapshotSkipsUnknownEntries(t *testing.T) {
 	from := newHarness(t, testConfig(), testWorkers(3)...)
 	playRandomLoad(from, 1)
 	snapshot := from.d.Snapshot()
-	if len(snapshot.Workers) != 3 || !snapshot.Workers[0].LimitLearned && !snapshot.Workers[1].LimitLearned && !snapshot.Workers[2].LimitLearned {
+	if len(snapshot.Workers) != 3 || !slices.ContainsFunc(snapshot.Workers, limitLearned) {
 		t.Fatalf("nothing was learned: %+v", snapshot.Workers)
 	}
 	workers := testWorkers(2)
@@ -73,7 +76,9 @@
 	to := newHarness(t, cfg, workers...)
 	before := *to.d.workers["w1"]
 	to.d.Restore(snapshot)
-	if after := *to.d.workers["w1"]; after.concurrencyLimit != before.concurrencyLimit || after.latencyRatio != before.latencyRatio || after.ejectedUntil != before.ejectedUntil {
+	after := *to.d.workers["w1"]
+	if after.concurrencyLimit != before.concurrencyLimit || after.latencyRatio != before.latencyRatio ||
+		after.ejectedUntil != before.ejectedUntil {
 		t.Errorf("another run of a worker: %+v, want %+v", after, before)
 	}
 	if to.d.workers["w0"].concurrencyLimit != snapshot.Workers[0].ConcurrencyLimit {
@@ -82,7 +87,8 @@
 	if to.d.classes[2].runtimes.Median() == snapshot.Classes[2].Median {
 		t.Error("a class of another name was restored")
 	}
-	if mean, want := to.d.meanLimit(), snapshot.Workers[0].ConcurrencyLimit; snapshot.Workers[0].LimitLearned && mean != want {
+	restored := snapshot.Workers[0]
+	if mean, want := to.d.meanLimit(), restored.ConcurrencyLimit; restored.LimitLearned && mean != want {
 		t.Errorf("the mean cap is %v, want that of the one worker that was restored, %v", mean, want)
 	}
 	if len(to.d.workers) != 2 {
