--- /dev/null
+++ b/internal/decision/gossip/message_test.go
@@ -0,0 +1,115 @@
+package gossip
+
+import (
+	"bytes"
+	"math"
+	"slices"
+	"testing"
+)
+
+// The bytes of a message are what other versions of the program read.
+func TestMessageBytes(t *testing.T) {
+	s := NewSender(0xab)
+	var m Message
+	s.Begin(&m, true, 2.5)
+	m.AddUsage(0x123456, Usage{Slots: 3, Memory: 0.5})
+	m.AddUsage(0xfedcba, Usage{Slots: 300, Memory: -1})
+	want := []byte{2, 0xab, 1, 0, 0, 0, 0, 0, 0, 0, 4, 0x40, 0x56, 0x34, 0x12, 3, 16, 0xba, 0xdc, 0xfe, 255, 0}
+	if got := m.Encode(); !bytes.Equal(got, want) {
+		t.Errorf("complete: % x, want % x", got, want)
+	}
+	s.Begin(&m, false, 2.5)
+	m.AddUsage(1, Usage{Slots: 1})
+	if got, want := m.Encode(), []byte{1, 0xab, 2, 0, 1, 0, 0, 1, 0}; !bytes.Equal(got, want) {
+		t.Errorf("delta: % x, want % x", got, want)
+	}
+}
+
+// A message has a bounded length, and what it holds is read back.
+func TestMessageIsReadBack(t *testing.T) {
+	for _, complete := range []bool{false, true} {
+		s := NewSender(7)
+		var m, got Message
+		s.Begin(&m, complete, 31)
+		for tag := range uint32(100) {
+			m.AddUsage(tag, Usage{Slots: float64(tag), Memory: float64(tag) / memoryUnits})
+		}
+		data := m.Encode()
+		if len(data) != m.size() || len(data) > 256-12-usageSize {
+			t.Errorf("%d bytes, size %d", len(data), m.size())
+		}
+		if !got.Decode(data) || !slices.Equal(got.Usages, m.Usages) || got.Complete != complete ||
+			got.Incarnation != 7 || got.Sequence != 1 {
+			t.Errorf("%+v, want %+v", got, m)
+		}
+		if u, told := got.UsageOf(9); u.Slots != 9 || !told {
+			t.Errorf("usage %+v of a worker that it names", u)
+		}
+		if u, told := got.UsageOf(99); u.Slots != 0 || told != complete {
+			t.Errorf("usage %+v, told %v of a worker that it does not name", u, told)
+		}
+	}
+}
+
+func TestSpoiltMessages(t *testing.T) {
+	whole := Message{Complete: true, AdmissionRate: 1}
+	noNumber, negative := whole, whole
+	noNumber.AdmissionRate, negative.AdmissionRate = math.NaN(), -1
+	for name, data := range map[string][]byte{
+		"empty":             {},
+		"half a header":     {1, 2, 3},
+		"unknown kind":      {3, 0, 0, 0},
+		"half a rate":       whole.Encode()[:headerSize+rateSize-1],
+		"half a usage":      {1, 0, 0, 0, 9, 9},
+		"rate is no number": noNumber.Encode(),
+		"negative rate":     negative.Encode(),
+	} {
+		var m Message
+		if m.Decode(data) {
+			t.Errorf("%s: read as %+v", name, m)
+		}
+	}
+}
+
+// A peer's usage is counted once, in the order of its messages, and until it is silent.
+func TestTable(t *testing.T) {
+	table := NewTable[string](3, 1)
+	for from, want := range map[int]bool{-1: false, 0: true, 1: false, 2: true, 3: false} {
+		if table.IsPeer(from) != want {
+			t.Errorf("%d is a peer: %v", from, !want)
+		}
+	}
+	m := Message{Complete: true, Incarnation: 5, AdmissionRate: 7}
+	if !table.Restarted(0, &m) {
+		t.Error("the first message is of no new incarnation")
+	}
+	if table.Record(0, &m, second); table.Restarted(0, &m) {
+		t.Error("the next message is of a new incarnation")
+	}
+	if mean := table.MeanAdmissionRate(31, second); mean != 19 {
+		t.Errorf("mean %v, want 19", mean)
+	}
+	for _, c := range []struct {
+		slots    float64
+		sequence uint16
+		change   float64
+		changed  bool
+	}{{2, 65535, 2, true}, {5, 1, 3, true}, {9, 65535, 0, false}, {4, 1, -1, true}} {
+		change, changed := table.RecordUsage(0, "w", Usage{Slots: c.slots}, c.sequence)
+		if change.Slots != c.change || changed != c.changed {
+			t.Errorf("%+v: changed %v by %v", c, changed, change.Slots)
+		}
+	}
+	if table.Silent(0, second) || !table.Silent(0, second+PeerTimeout) {
+		t.Error("a peer falls silent after its timeout, and only then")
+	}
+	if mean := table.MeanAdmissionRate(31, second+PeerTimeout); mean != 31 {
+		t.Errorf("mean %v with a silent peer, want 31", mean)
+	}
+	if change, changed := table.ClearUsage(0, "w"); change.Slots != -4 || !changed {
+		t.Errorf("cleared %v, want 4", change.Slots)
+	}
+	if table.Forget(0); table.Silent(0, 1<<62) {
+		t.Error("a peer that holds nothing is still to be cleared")
+	}
+}
--- a/internal/lab/mutants.go
+++ b/internal/lab/mutants.go
@@ -140,7 +140,7 @@
 	},
 	{
 		Name:    "an ended claim's place is not freed in the module",
-		File:    "peers.go",
+		File:    "gossip.go",
 		Old:     "\tw.usedSlots += by * a.slots\n",
 		New:     "\tif by > 0 {\n\t\tw.usedSlots += by * a.slots\n\t}\n",
 		Package: "./internal/core",
--- a/peers_test.go
+++ b/peers_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"github.com/vatu-meals/foxlift/internal/decision/admission"
+	"github.com/vatu-meals/foxlift/internal/decision/gossip"
 )
 
 // newPeers are dispatchers that may send each other messages, with workers of two slots and
@@ -128,10 +129,10 @@
 	p.t.Helper()
 	for _, w := range p.receiver.d.workerOrder {
 		peer := w.peerUsage
-		if peer.slots < 0 || peer.memory < 0 || math.Abs(w.usedSlots-peer.slots) > 1e-9 {
+		if peer.Slots < 0 || peer.Memory < 0 || math.Abs(w.usedSlots-peer.Slots) > 1e-9 {
 			p.t.Fatalf("used %v, by the peer %+v", w.usedSlots, peer)
 		}
-		sum += peer.slots
+		sum += peer.Slots
 	}
 	return sum
 }
@@ -171,7 +172,7 @@
 	pair.receiveCorrupted(pair.complete())
 	receiver.step(pair.complete())
 	receiver.step(pair.complete()) // the first may have a lower sequence than a corrupt one had
-	sender.d.incarnation++
+	sender.d.exchange.sender = gossip.NewSender(sender.d.exchange.sender.Incarnation() + 1)
 	receiver.step(pair.complete())
 	pair.checkPeerSlots("after corrupt ones, a new incarnation", 1)
 	for _, from := range []int{-1, 1, 2} {
--- a/state.go
+++ b/state.go
@@ -31,15 +31,12 @@
 	awaitingHealthCheck []*job     // waiting for news of some workers
 	urgentJobs          []*job     // came just before their deadline, or too late to be in time
 
-	classes        []class
-	rate           admission.RateController
-	peers          []peer
-	dirtyWorkers   []*worker // where something changed that peers have not been told
-	gossipSequence uint16    // number of the last message
-	incarnation    byte      // of this dispatcher, in its messages
-	tenants        []tenant
-	quotas         *admission.Allocator
-	dispatchRound  int64 // of dispatch
+	classes       []class
+	rate          admission.RateController
+	exchange      peerExchange
+	tenants       []tenant
+	quotas        *admission.Allocator
+	dispatchRound int64 // of dispatch
 
 	workers     map[string]*worker
 	workerOrder []*worker     // in the order first heard of
@@ -128,7 +125,7 @@
 	d := &Dispatcher{
 		cfg: cfg, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), startedAt: -1, pressureDecay: second,
 		jobs: map[uint64]*job{}, workers: map[string]*worker{}, hedgeBudget: maxHedgeBudget,
-		peers: make([]peer, cfg.Dispatchers), rate: admission.NewRateController(cfg.Dispatchers, cfg.Index),
+		exchange: newPeerExchange(&cfg, seed), rate: admission.NewRateController(cfg.Dispatchers, cfg.Index),
 		poll: membership.NewPollSchedule(cfg.MaxPollInterval), lease: membership.NewLease(cfg.EndpointLease),
 	}
 	if !cfg.MayRetryAfter {
@@ -147,7 +144,6 @@
 	bears := cfg.OverloadMultiple * cfg.SlowStartCapacity * d.meanLimit() // slots, of a worker that has just started
 	d.minObjective = float64(aim)
 	d.slowStartSlots = slowstart.NewSlots(cfg.OverloadWindow, cfg.Dispatchers, cfg.Index, bears*float64(cfg.OverloadWindow)/d.minObjective)
-	d.incarnation = byte(seed ^ seed>>32)
 	d.initTenants()
 	return d, nil
 }
@@ -279,7 +275,7 @@
 		return false
 	}
 	for _, w := range d.workerOrder {
-		if w.inFlightJobs != 0 || w.overdue != 0 || math.Abs(w.usedSlots-w.externalSlots-w.peerUsage.slots) > 1e-6 {
+		if w.inFlightJobs != 0 || w.overdue != 0 || math.Abs(w.usedSlots-w.externalSlots-w.peerUsage.Slots) > 1e-6 {
 			return false
 		}
 	}
--- a/workers.go
+++ b/workers.go
@@ -2,7 +2,11 @@
 
 // What is known of workers, and where they stand. Nothing is decided here.
 
-import "math"
+import (
+	"math"
+
+	"github.com/vatu-meals/foxlift/internal/decision/gossip"
+)
 
 // A worker is what this dispatcher knows of one.
 type worker struct {
@@ -16,12 +20,12 @@
 	startedAt        int64 // when it started; 0: long ago
 	hash             uint64
 
-	usedSlots             float64 // slots of our jobs there, and of the host's others
-	externalSlots         float64 // of these, what others sent
-	peerUsage             usage   // and what peers say that their jobs hold there
-	usedMemory            float64 // that all these jobs need
-	reportedSlots         float64 // slots that it has, as its load reports tell; 0: unknown
-	dirty                 bool    // peers have not been told of the last change
+	usedSlots             float64      // slots of our jobs there, and of the host's others
+	externalSlots         float64      // of these, what others sent
+	peerUsage             gossip.Usage // and what peers say that their jobs hold there
+	usedMemory            float64      // that all these jobs need
+	reportedSlots         float64      // slots that it has, as its load reports tell; 0: unknown
+	dirty                 bool         // peers have not been told of the last change
 	inFlightJobs          int
 	concurrencyLimit      float64 // most of our slots that it takes without delay
 	limitLearned          bool    // cap was learned from its own answers
