--- a/internal/lab/cells.go
+++ b/internal/lab/cells.go
@@ -266,9 +266,8 @@
 	return at, nil
 }
 
-// measureLending measures a lone tenant that asks for 30 times its quota of an idle cell of
-// fast workers: which percentage of it is served in the last third of the time.
-func measureLending(o CellsOptions) (served float64, verdict Verdict, err error) {
+// lendingTopology is a lone tenant in an idle cell of fast workers, with a quota far below its capacity.
+func lendingTopology() Topology {
 	topology := Topology{
 		Schedulers: 1,
 		Sockets:    1024,
@@ -279,7 +278,13 @@
 	}
 	fraction := loneQuota / (quotaHeadroom * topology.Capacity())
 	topology.Tenants = []Tenant{{"lone", fraction}, {"away", 1 - fraction}}
-	rig, err := Start(topology)
+	return topology
+}
+
+// measureLending measures a lone tenant that asks for 30 times its quota of an idle cell of
+// fast workers: which percentage of it is served in the last third of the time.
+func measureLending(o CellsOptions) (served float64, verdict Verdict, err error) {
+	rig, err := Start(lendingTopology())
 	if err != nil {
 		return 0, Verdict{}, err
 	}
--- a/internal/lab/speed.go
+++ b/internal/lab/speed.go
@@ -36,17 +36,14 @@
 // connections, each sending its next job when it has the answer, to workers that
 // answer at once. program is the scheduler's binary: two builds can be compared.
 func Speed(ctx context.Context, w io.Writer, program string, connections []int, each time.Duration) error {
-	rig, err := Start(Topology{
-		Sockets: 1024,
-		Zones:   []string{"east"},
-		Kinds:   []WorkerKind{{Name: "fast", Count: 8, Slots: 64, Speed: 1}},
-		Tenants: []Tenant{{"all", 1}},
-		Classes: []Class{readingClass(time.Nanosecond, 1)},
-	})
+	topology := speedTopology()
+	topology.Schedulers = 0 // the one that is measured is a process of its own
+	rig, err := Start(topology)
 	if err != nil {
 		return err
 	}
 	defer rig.Close()
+	rig.Topology = speedTopology()
 	for _, worker := range rig.Workers {
 		worker.Work = func(string) time.Duration { return 0 }
 	}
@@ -75,6 +72,18 @@
 	return nil
 }
 
+// speedTopology is one scheduler among fast workers.
+func speedTopology() Topology {
+	return Topology{
+		Schedulers: 1,
+		Sockets:    1024,
+		Zones:      []string{"east"},
+		Kinds:      []WorkerKind{{Name: "fast", Count: 8, Slots: 64, Speed: 1}},
+		Tenants:    []Tenant{{"all", 1}},
+		Classes:    []Class{readingClass(time.Nanosecond, 1)},
+	}
+}
+
 // freeAddr returns a loopback address on which nothing listens.
 func freeAddr() (string, error) {
 	listener, err := standin.Listen()
