--- a/affinity_test.go
+++ b/affinity_test.go
@@ -1,6 +1,7 @@
 package foxlift
 
 import (
+	"fmt"
 	"slices"
 	"testing"
 )
@@ -168,20 +169,22 @@
 // to a home not met yet, a light one of its own kind goes home.
 func TestFetchPriceIsRelativeToRunTime(t *testing.T) {
 	for median, wantHome := range map[int64]bool{1: true, 10: false} {
-		h := newHarness(t, manyConfig(), testWorkers(60)...)
-		makeRare(h)
-		h.now += 60 * second
-		h.step()
-		c := &h.d.classes[1]
-		c.setRuntimes(median*h.d.classes[0].runtimes.Median(), c.runtimes.LowerQuartile())
-		homes, _ := h.d.rankAffinity(&job{class: c, req: Request{Key: affinityKey}})
-		met := firstOutside(h.d, homes)
-		met.promptStartAt = h.now - 3*second
-		h.d.markReported(met)
-		h.step(keyedRequest(h, 1, atMostOnce))
-		if a := h.wantActions(ActionSend, 1)[0]; (a.Worker == homes[0].id) != wantHome {
-			t.Errorf("a job %d times as long goes to %s; home is %s, met is %s", median, a.Worker, homes[0].id, met.id)
-		}
+		t.Run(fmt.Sprintf("runtime=%dx", median), func(t *testing.T) {
+			h := newHarness(t, manyConfig(), testWorkers(60)...)
+			makeRare(h)
+			h.now += 60 * second
+			h.step()
+			c := &h.d.classes[1]
+			c.setRuntimes(median*h.d.classes[0].runtimes.Median(), c.runtimes.LowerQuartile())
+			homes, _ := h.d.rankAffinity(&job{class: c, req: Request{Key: affinityKey}})
+			met := firstOutside(h.d, homes)
+			met.promptStartAt = h.now - 3*second
+			h.d.markReported(met)
+			h.step(keyedRequest(h, 1, atMostOnce))
+			if a := h.wantActions(ActionSend, 1)[0]; (a.Worker == homes[0].id) != wantHome {
+				t.Errorf("a job %d times as long goes to %s; home is %s, met is %s", median, a.Worker, homes[0].id, met.id)
+			}
+		})
 	}
 }
 
--- a/config_test.go
+++ b/config_test.go
@@ -19,11 +19,13 @@
 		"Gauges":                func(c *Config) { c.Gauges = make([]Gauge, MaxGauges+1) },
 		"WarmAfter is negative": func(c *Config) { c.SlowStartDuration = -1 },
 	} {
-		cfg := testConfig()
-		spoil(&cfg)
-		if _, err := New(cfg, 1); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("error %v, want one with %q", err, want)
-		}
+		t.Run(want, func(t *testing.T) {
+			cfg := testConfig()
+			spoil(&cfg)
+			if _, err := New(cfg, 1); err == nil || !strings.Contains(err.Error(), want) {
+				t.Errorf("error %v, want one with %q", err, want)
+			}
+		})
 	}
 }
 
--- a/endpoint_lease_test.go
+++ b/endpoint_lease_test.go
@@ -50,7 +50,7 @@
 		{"changed, within its lease", []call{{second, confirmed}, {second, changed}}, changeLease - ms, 3, true},
 		{"changed, past it", []call{{second, confirmed}, {second, changed}}, changeLease, 1, true},
 		{"changed, and answered", []call{{second, confirmed}, {second, changed}, {second, confirmed}}, changeLease, 3, true},
-		{"nobody listened, then changed", []call{{second, confirmed}, {second, down}, {second, changed}}, changeLease, 1, true},
+		{"down, changed", []call{{second, confirmed}, {second, down}, {second, changed}}, changeLease, 1, true},
 		{"busy, within the lease", []call{{second, confirmed}, {second, busy}}, testLease - second - ms, 3, true},
 		{"busy, past it", []call{{second, confirmed}, {second, busy}}, testLease - second, 1, true},
 		{"invalid, within the lease", []call{{second, confirmed}, {second, invalid}}, testLease - second - ms, 3, true},
--- a/health_test.go
+++ b/health_test.go
@@ -1,6 +1,9 @@
 package foxlift
 
-import "testing"
+import (
+	"fmt"
+	"testing"
+)
 
 // A hung worker empties nothing and says nothing; it must get no more.
 func TestHungWorkerGetsNothingNew(t *testing.T) {
@@ -99,16 +102,18 @@
 // Each of many meets a worker too seldom to wait for a run of errors.
 func TestManyDispatchersEjectAtTheFirstError(t *testing.T) {
 	for dispatchers, shut := range map[int]bool{80: true, 3: false} {
-		cfg := manyConfig()
-		cfg.Dispatchers = dispatchers
-		h := newHarness(t, cfg, testWorkers(2)...)
-		h.step(h.request(1, idempotent))
-		a := h.wantActions(ActionSend, 1)[0]
-		h.advance(ms, started(1, 0, a.Worker))
-		h.advance(ms, outcome(1, 0, a.Worker, WorkerError))
-		if w := h.d.workers[a.Worker]; (w.ejectedUntil > h.now) != shut {
-			t.Errorf("%d dispatchers: left alone %v", dispatchers, !shut)
-		}
+		t.Run(fmt.Sprintf("dispatchers=%d", dispatchers), func(t *testing.T) {
+			cfg := manyConfig()
+			cfg.Dispatchers = dispatchers
+			h := newHarness(t, cfg, testWorkers(2)...)
+			h.step(h.request(1, idempotent))
+			a := h.wantActions(ActionSend, 1)[0]
+			h.advance(ms, started(1, 0, a.Worker))
+			h.advance(ms, outcome(1, 0, a.Worker, WorkerError))
+			if w := h.d.workers[a.Worker]; (w.ejectedUntil > h.now) != shut {
+				t.Errorf("%d dispatchers: left alone %v", dispatchers, !shut)
+			}
+		})
 	}
 }
 
--- a/migration_test.go
+++ b/migration_test.go
@@ -9,38 +9,40 @@
 // began without a list: its window used to stay at 0 then.
 func TestLoneTenantUsesAnIdleFleet(t *testing.T) {
 	for name, first := range map[string][]Worker{"list known": testWorkers(8), "no list known": nil} {
-		cfg := testConfig()
-		cfg.Tenants = []Tenant{{"lone", 2}, {"away", 100}}
-		h := newHarness(t, cfg, first...)
-		h.step(endpointsEvent(EndpointsComplete, testWorkers(8)...))
-		type claim struct {
-			id uint64
-			w  string
-		}
-		var out []claim
-		asked, sent := 0, 0
-		for i := range uint64(15 * 61) {
-			var news []Event
-			for _, c := range out {
-				news = append(news, started(c.id, 0, c.w), outcome(c.id, 0, c.w, Served))
+		t.Run(name, func(t *testing.T) {
+			cfg := testConfig()
+			cfg.Tenants = []Tenant{{"lone", 2}, {"away", 100}}
+			h := newHarness(t, cfg, first...)
+			h.step(endpointsEvent(EndpointsComplete, testWorkers(8)...))
+			type claim struct {
+				id uint64
+				w  string
 			}
-			out = out[:0]
-			id := i + 1
-			news = append(news, h.request(id, idempotent))
-			h.advance(second/61, news...)
-			for _, a := range h.actionsOf(ActionSend) {
-				out = append(out, claim{a.ID, a.Worker})
+			var out []claim
+			asked, sent := 0, 0
+			for i := range uint64(15 * 61) {
+				var news []Event
+				for _, c := range out {
+					news = append(news, started(c.id, 0, c.w), outcome(c.id, 0, c.w, Served))
+				}
+				out = out[:0]
+				id := i + 1
+				news = append(news, h.request(id, idempotent))
+				h.advance(second/61, news...)
+				for _, a := range h.actionsOf(ActionSend) {
+					out = append(out, claim{a.ID, a.Worker})
+					if i >= 10*61 {
+						sent++
+					}
+				}
 				if i >= 10*61 {
-					sent++
+					asked++
 				}
 			}
-			if i >= 10*61 {
-				asked++
+			if sent < asked*95/100 {
+				t.Errorf("%s: %d of %d jobs are sent after 10 s", name, sent, asked)
 			}
-		}
-		if sent < asked*95/100 {
-			t.Errorf("%s: %d of %d jobs are sent after 10 s", name, sent, asked)
-		}
+		})
 	}
 }
 
--- a/placement_large_test.go
+++ b/placement_large_test.go
@@ -1,6 +1,9 @@
 package foxlift
 
-import "testing"
+import (
+	"fmt"
+	"testing"
+)
 
 // A job that has not started stays where it is for as long as any start may take, whatever the number
 // of dispatchers and however cold the workers are: whether a worker drops what is called off nobody
@@ -99,23 +102,25 @@
 // the sample holds.
 func TestManyDispatchersReuseAFreedSlot(t *testing.T) {
 	for dispatchers, least := range map[int]int{80: 15, 3: 0} {
-		cfg := manyConfig()
-		cfg.Dispatchers, cfg.StartNotes = dispatchers, false
-		cfg.Prices.Handshake = 0.02
-		h := newHarness(t, cfg, testWorkers(200)...)
-		last, again := "", 0
-		for id := uint64(1); id <= 20; id++ {
-			h.advance(ms, h.request(id, idempotent))
-			a := h.wantActions(ActionSend, 1)[0]
-			if a.Worker == last {
-				again++
+		t.Run(fmt.Sprintf("dispatchers=%d", dispatchers), func(t *testing.T) {
+			cfg := manyConfig()
+			cfg.Dispatchers, cfg.StartNotes = dispatchers, false
+			cfg.Prices.Handshake = 0.02
+			h := newHarness(t, cfg, testWorkers(200)...)
+			last, again := "", 0
+			for id := uint64(1); id <= 20; id++ {
+				h.advance(ms, h.request(id, idempotent))
+				a := h.wantActions(ActionSend, 1)[0]
+				if a.Worker == last {
+					again++
+				}
+				last = a.Worker
+				h.advance(ms, outcome(id, a.Attempt, a.Worker, Served))
 			}
-			last = a.Worker
-			h.advance(ms, outcome(id, a.Attempt, a.Worker, Served))
-		}
-		if again < least || dispatchers <= 4 && again > 10 {
-			t.Errorf("%d dispatchers: %d of 20 jobs went where the last was served", dispatchers, again)
-		}
+			if again < least || dispatchers <= 4 && again > 10 {
+				t.Errorf("%d dispatchers: %d of 20 jobs went where the last was served", dispatchers, again)
+			}
+		})
 	}
 }
 
@@ -148,18 +153,20 @@
 // that gets more than its part refuses jobs while the others have room.
 func TestManyDispatchersCrossZonesUnderLoad(t *testing.T) {
 	for dispatchers, crosses := range map[int]bool{3: false, 80: true} {
-		cfg := manyConfig()
-		cfg.Dispatchers, cfg.Prices.CrossZone = dispatchers, 0.1
-		workers := testWorkers(2)
-		workers[0].Zone, workers[1].Zone = cfg.Zone, 1-cfg.Zone
-		h := newHarness(t, cfg, workers...)
-		h.step(h.request(1, idempotent))
-		if a := h.wantActions(ActionSend, 1)[0]; a.Worker != workers[0].ID {
-			t.Errorf("%d dispatchers: the first crosses", dispatchers)
-		}
-		h.step(started(1, 0, workers[0].ID), h.request(2, idempotent))
-		if a := h.wantActions(ActionSend, 1)[0]; (a.Worker != workers[0].ID) != crosses {
-			t.Errorf("%d dispatchers: the second crosses %v", dispatchers, !crosses)
-		}
+		t.Run(fmt.Sprintf("dispatchers=%d", dispatchers), func(t *testing.T) {
+			cfg := manyConfig()
+			cfg.Dispatchers, cfg.Prices.CrossZone = dispatchers, 0.1
+			workers := testWorkers(2)
+			workers[0].Zone, workers[1].Zone = cfg.Zone, 1-cfg.Zone
+			h := newHarness(t, cfg, workers...)
+			h.step(h.request(1, idempotent))
+			if a := h.wantActions(ActionSend, 1)[0]; a.Worker != workers[0].ID {
+				t.Errorf("%d dispatchers: the first crosses", dispatchers)
+			}
+			h.step(started(1, 0, workers[0].ID), h.request(2, idempotent))
+			if a := h.wantActions(ActionSend, 1)[0]; (a.Worker != workers[0].ID) != crosses {
+				t.Errorf("%d dispatchers: the second crosses %v", dispatchers, !crosses)
+			}
+		})
 	}
 }
--- a/queue_test.go
+++ b/queue_test.go
@@ -1,6 +1,7 @@
 package foxlift
 
 import (
+	"fmt"
 	"testing"
 
 	"github.com/vatu-meals/foxlift/internal/decision/admission"
@@ -8,13 +9,15 @@
 
 func TestTimeoutAtDeadlineIsAnswered(t *testing.T) {
 	for class := range 3 {
-		h := newHarness(t, testConfig(), testWorkers(1)...)
-		h.step(h.request(1, class))
-		w := h.wantActions(ActionSend, 1)[0].Worker
-		h.advance(2*second, outcome(1, 0, w, DeadlineExceeded))
-		if len(h.actionsOf(ActionFail))+len(h.actionsOf(ActionShed)) != 1 {
-			t.Errorf("class %d: no answer at the deadline: %+v", class, h.actions)
-		}
+		t.Run(testConfig().Classes[class].Name, func(t *testing.T) {
+			h := newHarness(t, testConfig(), testWorkers(1)...)
+			h.step(h.request(1, class))
+			w := h.wantActions(ActionSend, 1)[0].Worker
+			h.advance(2*second, outcome(1, 0, w, DeadlineExceeded))
+			if len(h.actionsOf(ActionFail))+len(h.actionsOf(ActionShed)) != 1 {
+				t.Errorf("class %d: no answer at the deadline: %+v", class, h.actions)
+			}
+		})
 	}
 }
 
@@ -107,27 +110,29 @@
 		runs        int64
 		first       uint64 // of three that are held
 	}{{1, 50 * ms, 1, 1}, {2, 100 * ms / 8, 2, 3}, {300, 50 * ms, 1, 1}} {
-		cfg := testConfig()
-		cfg.Dispatchers = c.dispatchers
-		h := newHarness(t, cfg)
-		h.d.classes[0].ObjectiveStretch = 3
-		h.d.classes[0].setRuntimes(80*ms, 80*ms)
-		h.step(h.request(1, idempotent), h.request(2, idempotent), h.request(3, idempotent))
-		tenant := h.d.tenantOf(0)
-		if got, want := h.d.maxQueueTime(h.d.jobs[1]), 100*ms+(3-c.runs)*80*ms; got != want {
-			t.Errorf("%d dispatchers: held for %d, want %d", c.dispatchers, got, want)
-		}
-		queue, round := tenant.queues[0].jobs, h.d.dispatchRound+1
-		if j := nextInQueue(queue, h.d.newestFirst(tenant, queue), round); j.id != c.first {
-			t.Errorf("%d dispatchers: job %d goes first, want %d", c.dispatchers, j.id, c.first)
-		}
-		if j := nextInQueue(queue[:2], h.d.newestFirst(tenant, queue[:2]), round); j.id != 1 {
-			t.Errorf("%d dispatchers: of two held job %d goes first", c.dispatchers, j.id)
-		}
-		setTenant(h.d, 0, func(s *admission.TenantState) { s.OfferedRate, s.Rate = 500, 5 })
-		if got := h.d.maxQueueTime(h.d.jobs[1]); got != c.over {
-			t.Errorf("%d dispatchers: held for %d when over the share, want %d", c.dispatchers, got, c.over)
-		}
+		t.Run(fmt.Sprintf("dispatchers=%d", c.dispatchers), func(t *testing.T) {
+			cfg := testConfig()
+			cfg.Dispatchers = c.dispatchers
+			h := newHarness(t, cfg)
+			h.d.classes[0].ObjectiveStretch = 3
+			h.d.classes[0].setRuntimes(80*ms, 80*ms)
+			h.step(h.request(1, idempotent), h.request(2, idempotent), h.request(3, idempotent))
+			tenant := h.d.tenantOf(0)
+			if got, want := h.d.maxQueueTime(h.d.jobs[1]), 100*ms+(3-c.runs)*80*ms; got != want {
+				t.Errorf("%d dispatchers: held for %d, want %d", c.dispatchers, got, want)
+			}
+			queue, round := tenant.queues[0].jobs, h.d.dispatchRound+1
+			if j := nextInQueue(queue, h.d.newestFirst(tenant, queue), round); j.id != c.first {
+				t.Errorf("%d dispatchers: job %d goes first, want %d", c.dispatchers, j.id, c.first)
+			}
+			if j := nextInQueue(queue[:2], h.d.newestFirst(tenant, queue[:2]), round); j.id != 1 {
+				t.Errorf("%d dispatchers: of two held job %d goes first", c.dispatchers, j.id)
+			}
+			setTenant(h.d, 0, func(s *admission.TenantState) { s.OfferedRate, s.Rate = 500, 5 })
+			if got := h.d.maxQueueTime(h.d.jobs[1]); got != c.over {
+				t.Errorf("%d dispatchers: held for %d when over the share, want %d", c.dispatchers, got, c.over)
+			}
+		})
 	}
 }
 
@@ -135,20 +140,22 @@
 // would make the jobs behind it late.
 func TestJobsPastTheirObjectiveAreShed(t *testing.T) {
 	for class, want := range []int{1, 0} {
-		cfg := manyConfig()
-		cfg.MaxAttempts = 1
-		h := newHarness(t, cfg, testWorkers(8)...)
-		h.step(h.request(1, class))
-		h.wantActions(ActionSend, 1)
-		j := h.d.jobs[1]
-		for h.now < j.firstAttemptAt+j.objective-j.class.runtimes.Median() {
-			if h.advance(ms); h.now < j.firstAttemptAt+j.objective-j.class.runtimes.Median() {
-				h.wantActions(ActionShed, 0)
+		t.Run(testConfig().Classes[class].Name, func(t *testing.T) {
+			cfg := manyConfig()
+			cfg.MaxAttempts = 1
+			h := newHarness(t, cfg, testWorkers(8)...)
+			h.step(h.request(1, class))
+			h.wantActions(ActionSend, 1)
+			j := h.d.jobs[1]
+			for h.now < j.firstAttemptAt+j.objective-j.class.runtimes.Median() {
+				if h.advance(ms); h.now < j.firstAttemptAt+j.objective-j.class.runtimes.Median() {
+					h.wantActions(ActionShed, 0)
+				}
 			}
-		}
-		h.advance(h.d.tickInterval)
-		h.wantActions(ActionShed, want)
-		h.wantActions(ActionCancel, want)
+			h.advance(h.d.tickInterval)
+			h.wantActions(ActionShed, want)
+			h.wantActions(ActionCancel, want)
+		})
 	}
 }
 
@@ -156,16 +163,18 @@
 // that a heavy one of its class has.
 func TestTimelyLimitUsesLightJobs(t *testing.T) {
 	for dispatchers, want := range map[int]int64{3: 100 + 2*80, 80: 100 + 2*50} {
-		cfg := manyConfig()
-		cfg.Dispatchers = dispatchers
-		h := newHarness(t, cfg, testWorkers(2)...)
-		for run := range int64(40) {
-			h.d.classes[0].runtimes.Record((run/10*30 + 20) * ms) // 20, 50, 80 and 110 ms
-		}
-		h.advance(2 * second)
-		h.step(h.request(1, idempotent))
-		if got := h.d.timelyLimit(h.d.jobs[1]); got != want*ms {
-			t.Errorf("%d dispatchers: timely is %d ms, want %d", dispatchers, got/ms, want)
-		}
+		t.Run(fmt.Sprintf("dispatchers=%d", dispatchers), func(t *testing.T) {
+			cfg := manyConfig()
+			cfg.Dispatchers = dispatchers
+			h := newHarness(t, cfg, testWorkers(2)...)
+			for run := range int64(40) {
+				h.d.classes[0].runtimes.Record((run/10*30 + 20) * ms) // 20, 50, 80 and 110 ms
+			}
+			h.advance(2 * second)
+			h.step(h.request(1, idempotent))
+			if got := h.d.timelyLimit(h.d.jobs[1]); got != want*ms {
+				t.Errorf("%d dispatchers: timely is %d ms, want %d", dispatchers, got/ms, want)
+			}
+		})
 	}
 }
--- a/record_member_test.go
+++ b/record_member_test.go
@@ -42,8 +42,8 @@
 		m.host.record.nextIndex()
 	}
 	m.dispatcher = m.host.record.start(m.index, m.config, m.host.plan.seed+uint64(1000*m.incarnation+m.index))
-	cached := foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsCached, Workers: m.endpointList()}
-	m.inbox = []foxlift.Event{cached}
+	list := m.endpointList()
+	m.inbox = []foxlift.Event{{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsCached, Workers: list}}
 	m.step()
 	m.receiveEndpoints(foxlift.EndpointsConfirmed, nil)
 }
--- a/retry_test.go
+++ b/retry_test.go
@@ -1,28 +1,35 @@
 package foxlift
 
-import "testing"
+import (
+	"fmt"
+	"testing"
+)
 
 func TestAtMostOnceFailsAfterItMayHaveRun(t *testing.T) {
 	for _, c := range []Code{WorkerError, DeadlineExceeded, Reset, Cancelled} {
-		h := newHarness(t, testConfig(), testWorkers(3)...)
-		h.step(h.request(1, atMostOnce))
-		w := h.wantActions(ActionSend, 1)[0].Worker
-		h.advance(10*ms, outcome(1, 0, w, c))
-		h.wantActions(ActionFail, 1)
-		h.wantActions(ActionSend, 0)
-		h.wantActions(ActionShed, 0)
+		t.Run(fmt.Sprint("code ", c), func(t *testing.T) {
+			h := newHarness(t, testConfig(), testWorkers(3)...)
+			h.step(h.request(1, atMostOnce))
+			w := h.wantActions(ActionSend, 1)[0].Worker
+			h.advance(10*ms, outcome(1, 0, w, c))
+			h.wantActions(ActionFail, 1)
+			h.wantActions(ActionSend, 0)
+			h.wantActions(ActionShed, 0)
+		})
 	}
 }
 
 func TestAtMostOnceRetriesWhenItNeverRan(t *testing.T) {
 	for _, c := range []Code{Saturated, Unreachable, NotSent} {
-		h := newHarness(t, testConfig(), testWorkers(6)...)
-		h.step(h.request(1, atMostOnce))
-		for attempt := range 4 {
-			w := h.wantActions(ActionSend, 1)[0].Worker
-			h.advance(10*ms, outcome(1, attempt, w, c))
-		}
-		h.wantActions(ActionShed, 1) // attempts are spent
+		t.Run(fmt.Sprint("code ", c), func(t *testing.T) {
+			h := newHarness(t, testConfig(), testWorkers(6)...)
+			h.step(h.request(1, atMostOnce))
+			for attempt := range 4 {
+				w := h.wantActions(ActionSend, 1)[0].Worker
+				h.advance(10*ms, outcome(1, attempt, w, c))
+			}
+			h.wantActions(ActionShed, 1) // attempts are spent
+		})
 	}
 }
 
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"fmt"
 	"slices"
 	"testing"
 
@@ -104,44 +105,52 @@
 	}
 }
 
-// Dispatchers that have just started know nothing of what workers do. Whatever comes, light or
-// heavy, all of them together send a cold one no more than it bears, and not nothing.
+// Dispatchers that have just started know nothing of what workers do. Whatever comes, light or heavy,
+// all of them together send a worker in slow start no more than it bears, and not nothing.
 func TestSlowStartPaceAfterARestart(t *testing.T) {
 	for _, dispatchers := range []int{3, 8, 80} {
-		cfg := manyConfig()
-		cfg.Dispatchers = dispatchers
-		workers := testWorkers(20)
-		for i := range workers {
-			workers[i].StartedAt = 5 * second
-		}
-		sent := map[string][]sentWork{}
-		for i := range dispatchers {
-			cfg.Index = i
-			h := newSeededHarness(t, cfg, uint64(i), workers...)
-			for id := uint64(1); h.now < 5*second+8*cfg.OverloadWindow; id++ {
-				h.advance(50*ms, h.request(id, int(id%2)))
-				for _, a := range h.actionsOf(ActionSend) {
-					class := &cfg.Classes[a.ID%2]
-					sent[a.Worker] = append(sent[a.Worker], sentWork{h.now, class.LatencyObjective})
-					h.step(started(a.ID, a.Attempt, a.Worker))
+		t.Run(fmt.Sprintf("dispatchers=%d", dispatchers), func(t *testing.T) {
+			cfg := manyConfig()
+			cfg.Dispatchers = dispatchers
+			total := 0.0
+			budget := cfg.OverloadMultiple * cfg.SlowStartCapacity * 1.4 * 4 * float64(cfg.OverloadWindow)
+			for worker, list := range sentAfterARestart(t, cfg) {
+				slices.SortFunc(list, func(a, b sentWork) int { return cmp.Compare(a.at, b.at) })
+				for i := range list {
+					if work := workInWindow(list[i:], cfg.OverloadWindow); work > budget {
+						t.Errorf("%s is sent %.1f s of work in a window, want %.1f at most", worker, work/1e9, budget/1e9)
+					}
+					total += float64(list[i].work)
 				}
 			}
-		}
-		total := 0.0
-		budget := cfg.OverloadMultiple * cfg.SlowStartCapacity * 1.4 * 4 * float64(cfg.OverloadWindow)
-		for worker, list := range sent {
-			slices.SortFunc(list, func(a, b sentWork) int { return cmp.Compare(a.at, b.at) })
-			for i := range list {
-				if work := workInWindow(list[i:], cfg.OverloadWindow); work > budget {
-					t.Errorf("%d dispatchers sent %s %.1f s of work in a window", dispatchers, worker, work/1e9)
-				}
-				total += float64(list[i].work)
+			if able := 20 * 8 * cfg.SlowStartCapacity * 4 * float64(cfg.OverloadWindow); total < able/10 {
+				t.Errorf("%.1f s of work sent, the workers can do %.1f", total/1e9, able/1e9)
+			}
+		})
+	}
+}
+
+// sentAfterARestart is what each of 20 workers is sent in eight windows after all dispatchers and
+// workers have started together.
+func sentAfterARestart(t *testing.T, cfg Config) map[string][]sentWork {
+	workers := testWorkers(20)
+	for i := range workers {
+		workers[i].StartedAt = 5 * second
+	}
+	sent := map[string][]sentWork{}
+	for i := range cfg.Dispatchers {
+		cfg.Index = i
+		h := newSeededHarness(t, cfg, uint64(i), workers...)
+		for id := uint64(1); h.now < 5*second+8*cfg.OverloadWindow; id++ {
+			h.advance(50*ms, h.request(id, int(id%2)))
+			for _, a := range h.actionsOf(ActionSend) {
+				work := cfg.Classes[a.ID%2].LatencyObjective
+				sent[a.Worker] = append(sent[a.Worker], sentWork{h.now, work})
+				h.step(started(a.ID, a.Attempt, a.Worker))
 			}
-		}
-		if able := 20 * 8 * cfg.SlowStartCapacity * 4 * float64(cfg.OverloadWindow); total < able/10 {
-			t.Errorf("%d dispatchers sent %.1f s of work, cold workers can do %.1f", dispatchers, total/1e9, able/1e9)
 		}
 	}
+	return sent
 }
 
 // workInWindow is the work sent within a window from the first of the list on, but for the heaviest job.
