--- a/internal/lab/mutants.go
+++ b/internal/lab/mutants.go
@@ -148,7 +148,7 @@
 	},
 	{
 		Name:    "Content-Length beside Transfer-Encoding",
-		File:    "internal/platform/parse.go",
+		File:    "internal/platform/framing.go",
 		Old:     "case lengths > 0 && codings > 0:",
 		New:     "case false:",
 		Package: "./internal/platform",
@@ -156,7 +156,7 @@
 	},
 	{
 		Name:    "a repeated length",
-		File:    "internal/platform/parse.go",
+		File:    "internal/platform/framing.go",
 		Old:     "case lengths > 1 || codings > 1:",
 		New:     "case false:",
 		Package: "./internal/platform",
@@ -164,7 +164,7 @@
 	},
 	{
 		Name:    "a header name with a space",
-		File:    "internal/platform/parse.go",
+		File:    "internal/platform/framing.go",
 		Old:     "if !isHeaderName(name) {",
 		New:     "if false {",
 		Package: "./internal/platform",
@@ -172,7 +172,7 @@
 	},
 	{
 		Name:    "Transfer-Encoding in HTTP/1.0",
-		File:    "internal/platform/parse.go",
+		File:    "internal/platform/framing.go",
 		Old:     "case codings > 0 && !req.ProtoAtLeast(1, 1):",
 		New:     "case false:",
 		Package: "./internal/platform",
@@ -180,7 +180,7 @@
 	},
 	{
 		Name:    "a signed time",
-		File:    "internal/platform/parse.go",
+		File:    "internal/platform/job_request.go",
 		Old:     `"0123456789."`,
 		New:     `"0123456789.+-"`,
 		Package: "./internal/platform",
@@ -188,7 +188,7 @@
 	},
 	{
 		Name:    "done without the last chunk",
-		File:    "internal/platform/states.go",
+		File:    "internal/platform/state_lines.go",
 		Old:     "if err := lines.Err(); err != nil {",
 		New:     "if err := lines.Err(); err != nil && final == nil {",
 		Package: "./internal/platform",
@@ -196,7 +196,7 @@
 	},
 	{
 		Name:    "done for another id",
-		File:    "internal/platform/states.go",
+		File:    "internal/platform/state_lines.go",
 		Old:     "n.ID != a.job.ID || final != nil",
 		New:     "final != nil",
 		Package: "./internal/platform",
@@ -204,7 +204,7 @@
 	},
 	{
 		Name:    "two words after the last",
-		File:    "internal/platform/states.go",
+		File:    "internal/platform/state_lines.go",
 		Old:     "n.ID != a.job.ID || final != nil",
 		New:     "n.ID != a.job.ID",
 		Package: "./internal/platform",
@@ -220,7 +220,7 @@
 	},
 	{
 		Name:    "a pipelined request is dropped",
-		File:    "internal/platform/buffer.go",
+		File:    "internal/platform/message.go",
 		Old:     "n := m.read - m.Buffered()\n\tm.b.r, m.read",
 		New:     "n := m.read\n\tm.b.r, m.read",
 		Package: "./internal/platform",
@@ -236,7 +236,7 @@
 	},
 	{
 		Name:    "a start in the future is believed",
-		File:    "internal/platform/machine.go",
+		File:    "internal/platform/endpoint.go",
 		Old:     "age := max(0, wall.Sub(time.UnixMilli(bornMilli)))",
 		New:     "age := wall.Sub(time.UnixMilli(bornMilli))",
 		Package: "./internal/platform",
--- /dev/null
+++ b/internal/platform/attempt_test.go
@@ -0,0 +1,315 @@
+package platform
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/vatu-meals/foxlift"
+	"github.com/vatu-meals/foxlift/internal/core"
+	"github.com/vatu-meals/foxlift/internal/counters"
+)
+
+// What follows from how a claim ended. A 503 promises that a retry is harmless: it
+// may not follow an at-most-once job that may have run; such a job is never sent
+// again, while one that proves never to have run, or may be repeated, is.
+func TestRetriesByEffect(t *testing.T) {
+	turnAway := func(c net.Conn, _ *http.Request, _ string) bool {
+		_, err := io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
+		return err == nil
+	}
+	giveBack := func(c net.Conn, _ *http.Request, id string) bool { return writeStates(c, id, true, `"returned"`) }
+	lose := func(c net.Conn, _ *http.Request, id string) bool {
+		return writeStates(c, id, true, `"started"`, `"lost"`)
+	}
+	cutShort := func(c net.Conn, _ *http.Request, id string) bool {
+		writeStates(c, id, false, `"started"`, `"done","result":"x"`)
+		return false
+	}
+	for name, c := range map[string]struct {
+		class  string
+		handle func(net.Conn, *http.Request, string) bool
+		status int
+		sent   int64
+	}{
+		"ratify, broken off":  {"ratify", closeUnanswered, 502, 1},
+		"ratify, lost":        {"ratify", lose, 502, 1},
+		"ratify, cut short":   {"ratify", cutShort, 502, 1},
+		"ratify, turned away": {"ratify", turnAway, 503, 3},
+		"ratify, given back":  {"ratify", giveBack, 503, 3},
+		"reading, broken off": {"reading", closeUnanswered, 503, 3},
+		"reading, cut short":  {"reading", cutShort, 503, 3},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			nodes := []*testWorker{newTestWorker(t, c.handle), newTestWorker(t, c.handle), newTestWorker(t, c.handle), newTestWorker(t, c.handle)}
+			p, _ := start(t, "", nodes...)
+			r, _ := connect(t, p).request(t, jobText(c.class, "j", "15000m", ""))
+			got := int64(0)
+			for _, n := range nodes {
+				got += n.Got.Load()
+			}
+			check(t, "status", r.StatusCode, c.status)
+			check(t, "requests at nodes", got, c.sent)
+		})
+	}
+}
+
+// A node that breaks off once is not asked twice by the network code: the job goes
+// to the other node, where the module sends it.
+func TestRetriesAreTheModulesDecision(t *testing.T) {
+	bad, good := newTestWorker(t, closeUnanswered), newTestWorker(t, serveJob)
+	p, set := start(t, "", bad, good)
+	s := connect(t, p)
+	for i := range 6 {
+		r, _ := s.request(t, jobText("reading", fmt.Sprint("j", i), "15000m", ""))
+		check(t, "status", r.StatusCode, 200)
+	}
+	check(t, "claims", set.Get("claims.sent"), bad.Got.Load()+good.Got.Load())
+	check(t, "resets", set.Get("claims.reset"), bad.Got.Load())
+}
+
+// Nothing goes to a node that has begun to drain after the module chose it, even
+// during the dial.
+func TestDrainingWorkerGetsNoFirstByte(t *testing.T) {
+	node := newTestWorker(t, serveJob)
+	looks := 0
+	find := func(string) (endpoint, bool) {
+		looks++
+		return endpoint{address: node.Addr().String()}, looks == 1 // the list changes after the first look
+	}
+	n := &workerPool{find: find, counters: &counters.Set{}, dialTimeout: patience, idleTimeout: time.Hour, budget: 9, idle: map[string][]*workerConn{}}
+	job := &core.Job{ID: "j", Payload: &payload{method: "POST", target: "/reading"}}
+	reports := make(chan core.Report, 9)
+	for range 2 { // then before it
+		n.Send("n", job, core.AttemptLimits{Remaining: patience}, func(r core.Report) { reports <- r })
+		check(t, "code", (<-reports).Code, foxlift.NotSent)
+	}
+	await(t, "dialed", func() bool { return node.Conns.Load() == 1 }) // the first time only
+	check(t, "requests", node.Got.Load(), int64(0))
+}
+
+// A silent node does not keep a submitter past its patience, however it words it.
+func TestSilentWorker(t *testing.T) {
+	for i, c := range []struct {
+		class, remaining string
+		status           int
+	}{{"ratify", "400m", 502}, {"reading", "400000u", 503}} {
+		p, set := start(t, "", newTestWorker(t, neverAnswers))
+		began := time.Now()
+		r, _ := connect(t, p).request(t, jobText(c.class, fmt.Sprint("j", i), c.remaining, ""))
+		check(t, "status", r.StatusCode, c.status)
+		if took := time.Since(began); took < 200*time.Millisecond {
+			t.Errorf("%s was given up after %v", c.class, took)
+		}
+		check(t, "overdue", set.Get("jobs.overdue"), int64(0))
+	}
+}
+
+// A node starts on a request's last byte. A kept connection that it drops as the
+// next request comes proves that the job never ran, and nothing against the node.
+func TestResetBeforeTheLastByte(t *testing.T) {
+	served := 0
+	l := listen(t)
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			br := bufio.NewReader(c)
+			if r, err := http.ReadRequest(br); err == nil { // an empty body: read whole
+				served++
+				serveJob(c, r, r.Header.Get(headerID))
+			}
+			br.ReadByte() // of the next request
+			c.(*net.TCPConn).SetLinger(0)
+			c.Close()
+		}
+	}()
+	p, set := start(t, "", &testWorker{Listener: l})
+	s := connect(t, p)
+	for i, remaining := range []string{"19000m", "300m", "19000m", "300m"} {
+		r, _ := s.request(t, jobText("ratify", fmt.Sprint("j", i), remaining, ""))
+		check(t, "status", r.StatusCode, 200+(i%2)*303) // no other node to go to
+	}
+	check(t, "not sent", set.Get("claims.not_sent"), int64(2))
+	check(t, "served", served, 2)
+}
+
+// The last byte is held for jobs that must not run twice, and on connections that were
+// idle for a while; a connection in use a moment ago is looked at without a wait, and
+// one that has been dropped by then is seen all the same.
+func TestLastByteHold(t *testing.T) {
+	n := &workerPool{repeatable: map[string]bool{"reading": true}}
+	l := listen(t)
+	conn, err := net.Dial("tcp", l.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	other, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	c := &workerConn{Conn: conn, buf: buffer{conn: conn}}
+	for what, w := range map[string]struct {
+		class string
+		since time.Time
+		held  bool
+	}{
+		"new": {"reading", time.Time{}, true}, "recent": {"reading", time.Now().Add(time.Hour), false},
+		"idle": {"reading", time.Now().Add(-time.Second), true}, "at most once": {"ratify", time.Now().Add(time.Hour), true},
+	} {
+		c.idleSince = w.since
+		if hold := n.lastByteHold(c, w.class); (hold > 0) != w.held || hold > maxLastByteHold {
+			t.Errorf("%s: held for %v", what, hold)
+		}
+	}
+	c.idleSince = time.Now()
+	check(t, "deliver", c.deliver([]byte("some bytes"), 0, time.Time{}, func() bool { return true }), foxlift.Served)
+	check(t, "deliver too late", c.deliver([]byte("more"), 0, time.Now(), func() bool { return true }), foxlift.NotSent)
+	got := make([]byte, 20)
+	read, _ := io.ReadAtLeast(other, got, len("some bytesmor"))
+	check(t, "all but the last byte", string(got[:read]), "some bytesmor")
+	other.Close()
+	await(t, "the end arrives", func() bool { return !c.buf.fillAvailable() })
+	check(t, "deliver after the end", c.deliver([]byte("some bytes"), 0, time.Time{}, func() bool { return true }), foxlift.NotSent)
+}
+
+// Between a claim's looks at the list the node begins to drain, or the submitter goes: during the
+// dial, and while the last byte is held back. Nothing is begun then, whether or not the settings
+// allow to cancel what has.
+func TestAttemptsWithdrawnBeforeTheLastByte(t *testing.T) {
+	for _, what := range []string{"drains", "leaves", "resets"} {
+		for look := 2; look <= 3; look++ { // after the dial; after the hold
+			node := newTestWorker(t, serveJob)
+			near, far := pipe(t)
+			looks := 0
+			find := func(string) (endpoint, bool) {
+				if looks++; looks == look {
+					switch what {
+					case "drains":
+						return endpoint{address: node.Addr().String()}, false
+					case "resets":
+						far.SetLinger(0)
+					}
+					far.Close()
+					await(t, "gone", func() bool { return peerClosed(near) })
+				}
+				return endpoint{address: node.Addr().String()}, true
+			}
+			n := &workerPool{find: find, counters: &counters.Set{}, dialTimeout: patience, idleTimeout: time.Hour, budget: 9, idle: map[string][]*workerConn{}}
+			job := &core.Job{
+				ID: "j", Payload: &payload{method: "POST", target: "/reading"},
+				Client: &pendingAnswer{conn: &clientConn{conn: near}},
+			}
+			reports := make(chan core.Report, 9)
+			n.Send("n", job, core.AttemptLimits{Remaining: patience}, func(r core.Report) { reports <- r })
+			check(t, what+": code", (<-reports).Code, foxlift.NotSent)
+			check(t, what+": looks", looks, look)
+			check(t, what+": whole requests at the node", node.Got.Load(), int64(0))
+		}
+	}
+}
+
+// A keyed job's key reaches the node as it came, also one of a class that needs none; where
+// the class needs one, a job without is bad input and reaches no node.
+func TestIdempotencyKeysAreForwarded(t *testing.T) {
+	var mu sync.Mutex
+	var keys []string
+	node := newTestWorker(t, func(c net.Conn, r *http.Request, id string) bool {
+		mu.Lock()
+		keys = append(keys, strings.Join(r.Header[headerKey], "+"))
+		mu.Unlock()
+		return writeStates(c, id, true, `"started"`, `"done","result":"r","load":{"backlog":0,"x0":1.5}`)
+	})
+	p, set := startKeyed(t, node)
+	s := connect(t, p)
+	for i, c := range []struct {
+		class, key string
+		status     int
+	}{{"ratify", "5c0f6e1a", 200}, {"reading", "k-2", 200}, {"reading", "", 200}, {"ratify", "", 400}} {
+		var more []string
+		if c.key != "" {
+			more = append(more, headerKey+": "+c.key)
+		}
+		r, _ := s.request(t, jobText(c.class, fmt.Sprint("j", i), "5000m", "b", more...))
+		check(t, c.class+" with "+c.key, r.StatusCode, c.status)
+	}
+	mu.Lock()
+	defer mu.Unlock()
+	check(t, "keys at the node", fmt.Sprint(keys), "[5c0f6e1a k-2 ]")
+	check(t, "bad jobs", set.Get("bad.job"), int64(1))
+	check(t, "faulty reports", set.Get("loads.faulty"), int64(0))
+}
+
+// A node that blames requests is no worse for it: the next job goes there as before, and
+// the blamed one is not tried elsewhere.
+func TestInvalidJobsDoNotBlameTheWorker(t *testing.T) {
+	node := newTestWorker(t, func(c net.Conn, r *http.Request, id string) bool {
+		if strings.HasPrefix(id, "bad") {
+			_, err := fmt.Fprint(c, "HTTP/1.1 400 No\r\nX-Pressure: backlog=0,x0=1,x0=1\r\nContent-Length: 0\r\n\r\n")
+			return err == nil
+		}
+		return serveJob(c, r, id)
+	})
+	p, set := startKeyed(t, node)
+	s := connect(t, p)
+	for i := range 12 {
+		key := headerKey + ": k"
+		r, _ := s.request(t, jobText("ratify", fmt.Sprint("bad", i), "5000m", "b", key))
+		check(t, "blamed", r.StatusCode, http.StatusBadGateway)
+		r, _ = s.request(t, jobText("ratify", fmt.Sprint("good", i), "5000m", "b", key))
+		check(t, "the next", r.StatusCode, http.StatusOK)
+	}
+	check(t, "claims", set.Get("claims.sent"), int64(24))
+	check(t, "blamed", set.Get("claims.blamed"), int64(12))
+	check(t, "faulty reports", set.Get("loads.faulty"), int64(12))
+}
+
+// A keyed job whose connection breaks goes on only to a node of the same pod.
+func TestRetriesStayInTheGroup(t *testing.T) {
+	var mu sync.Mutex
+	ran := map[string][]string{}
+	node := func(name string) *testWorker {
+		return newTestWorker(t, func(c net.Conn, r *http.Request, id string) bool {
+			mu.Lock()
+			ran[id] = append(ran[id], name)
+			first := len(ran[id]) == 1
+			mu.Unlock()
+			if first {
+				return false
+			}
+			return serveJob(c, r, id)
+		})
+	}
+	nodes := []*testWorker{node("a0"), node("a1"), node("b0")}
+	p, _ := startKeyed(t, nodes...)
+	list := []string{endpointJSON(0, nodes[0], healthActive), endpointJSON(1, nodes[1], healthActive), strings.Replace(endpointJSON(2, nodes[2], healthActive), `"block":0`, `"block":1`, 1)}
+	l, err := parseEndpoints([]byte(`{"seq":2,"whole":true,"hosts":[` + strings.Join(list, ",") + `]}`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	p.endpoints.mu.Lock()
+	workers := p.endpoints.applyLocked(l)
+	p.endpoints.mu.Unlock()
+	p.core.UpdateEndpoints(0, workers)
+	s := connect(t, p)
+	for i := range 30 {
+		id := fmt.Sprint("j", i)
+		s.request(t, jobText("ratify", id, "900m", "b", headerKey+": "+id))
+		mu.Lock()
+		if pods := ran[id]; len(pods) > 1 && slices.ContainsFunc(pods, func(n string) bool { return n[0] != pods[0][0] }) {
+			t.Errorf("%s ran on %v", id, pods)
+		}
+		mu.Unlock()
+	}
+}
--- a/internal/platform/submitter.go
+++ b/internal/platform/client_conn.go
@@ -3,17 +3,13 @@
 import (
 	"container/list"
 	"errors"
-	"fmt"
 	"io"
 	"net"
 	"net/http"
 	"os"
-	"strconv"
 	"sync/atomic"
 	"time"
 
-	"go.uber.org/zap"
-
 	"github.com/vatu-meals/foxlift/internal/core"
 	"github.com/vatu-meals/foxlift/internal/guard"
 )
@@ -175,49 +171,6 @@
 	return c.writeReply(c.formatAnswer(answer), req.Close || mustClose || overCellLimit)
 }
 
-// A reply is an answer as it goes out.
-type reply struct {
-	status     int
-	retryAfter time.Duration
-	body       []byte
-}
-
-func plainReply(status int, text string) reply {
-	return reply{status: status, body: []byte(text + "\n")}
-}
-
-func (c *clientConn) rejectInput(input *inputError) reply {
-	c.server.counters.Add(input.counter)
-	c.server.log.Info("bad input", zap.String("counter", input.counter), zap.String("what", input.text), zap.Stringer("from", c.conn.RemoteAddr()))
-	return plainReply(input.status, input.text)
-}
-
-func (c *clientConn) health(method string) reply {
-	switch {
-	case method != http.MethodGet:
-		return plainReply(http.StatusMethodNotAllowed, "ask by GET")
-	case !c.server.ready():
-		return plainReply(http.StatusServiceUnavailable, "no jobs are taken")
-	}
-	return plainReply(http.StatusOK, "ready")
-}
-
-// word puts a job's answer into the protocol's terms. A 503 promises that a retry
-// is harmless: only a refusal may have it.
-func (c *clientConn) formatAnswer(a core.Answer) reply {
-	switch a.Verdict {
-	case core.Served:
-		return reply{status: http.StatusOK, body: a.Result}
-	case core.Shed:
-		r := plainReply(http.StatusServiceUnavailable, "refused")
-		r.retryAfter = a.RetryAfter
-		return r
-	case core.Rejected:
-		return c.rejectInput(newInputError(http.StatusBadRequest, "job", "%s", a.Reason))
-	}
-	return plainReply(http.StatusBadGateway, string(a.Reason))
-}
-
 // run hands a job to the core and waits for its answer. ends says that the connection must end
 // with it: its submitter has left, or sends what cannot be taken.
 func (c *clientConn) run(job *core.Job) (answer core.Answer, mustClose bool) {
@@ -254,73 +207,3 @@
 		}
 	}
 }
-
-// readRequest reads a whole request. All nil means that the connection ended.
-func (c *clientConn) readRequest() (*http.Request, []byte, *inputError) {
-	limit := c.server.readDeadline(c)
-	c.conn.SetReadDeadline(limit)
-	m := c.buf.newMessage(maxHead)
-	defer m.close()
-	req, err := http.ReadRequest(m.Reader)
-	if err != nil {
-		return nil, nil, c.readError(m, err, "head")
-	}
-	if input := checkFraming(m.consumed(), req); input != nil {
-		return nil, nil, input
-	}
-	if req.ContentLength > maxBody {
-		return nil, nil, newInputError(http.StatusRequestEntityTooLarge, "body", "a body holds %d bytes at most", maxBody)
-	}
-	if req.Header.Get("Expect") == "100-continue" {
-		c.conn.SetWriteDeadline(limit)
-		c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
-	}
-	m.releaseEarly = true
-	m.limit = m.read + 2*maxBody // chunked framing takes room too
-	body, err := io.ReadAll(io.LimitReader(req.Body, maxBody+1))
-	if err != nil {
-		return nil, nil, c.readError(m, err, "length")
-	}
-	if len(body) > maxBody {
-		return nil, nil, newInputError(http.StatusRequestEntityTooLarge, "body", "a body holds %d bytes at most", maxBody)
-	}
-	return req, body, nil
-}
-
-// readError tells bad input from a connection that has ended. Only the connection's
-// own error says that: a parser's may look like one (a url.Error is a net.Error).
-func (c *clientConn) readError(m *message, err error, counter string) *inputError {
-	switch {
-	case m.err == nil:
-		return newInputError(http.StatusBadRequest, counter, "malformed request: %v", err)
-	case errors.Is(m.err, errMessageTooLong):
-		return newInputError(http.StatusRequestHeaderFieldsTooLarge, counter, "the request is too long")
-	case errors.Is(m.err, os.ErrDeadlineExceeded) && c.server.operatorDrain.Load() != nil:
-		return newInputError(http.StatusServiceUnavailable, "drained", "another scheduler takes jobs")
-	case errors.Is(m.err, os.ErrDeadlineExceeded):
-		return newInputError(http.StatusRequestTimeout, "slow", "the request did not come to its end")
-	}
-	return nil
-}
-
-// write writes a reply and returns whether the connection may go on.
-func (c *clientConn) writeReply(r reply, mustClose bool) bool {
-	mustClose = mustClose || c.retire.Load() || c.server.closesAfterAnswer()
-	b := fmt.Appendf(make([]byte, 0, 160+len(r.body)), "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n",
-		r.status, http.StatusText(r.status), len(r.body))
-	if r.retryAfter > 0 {
-		b = fmt.Appendf(b, "%s: %s\r\n", headerRetryAfter, retryAfter(r.retryAfter))
-	}
-	if mustClose {
-		b = append(b, "Connection: close\r\n"...)
-	}
-	b = append(append(b, "\r\n"...), r.body...)
-	c.conn.SetWriteDeadline(time.Now().Add(answerTimeout))
-	c.answeredAt = time.Now()
-	_, err := c.conn.Write(b)
-	c.owesAnswer = c.owesAnswer && err != nil
-	return err == nil && !mustClose
-}
-
-// retryAfter writes seconds as a decimal.
-func retryAfter(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
--- /dev/null
+++ b/internal/platform/client_conn_test.go
@@ -0,0 +1,197 @@
+package platform
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+)
+
+// A job reaches the node unchanged, is answered with what the node made for it,
+// and both connections serve the next.
+func TestJobIsServed(t *testing.T) {
+	var seen [2]string
+	node := newTestWorker(t, func(c net.Conn, r *http.Request, id string) bool {
+		body, _ := io.ReadAll(r.Body)
+		left, err := parseRemaining(r.Header.Get(headerRemaining))
+		seen[r.ContentLength%2] = fmt.Sprintf("%s %s %s %s %s %v", r.Method, r.RequestURI, id, body,
+			r.Header.Get(headerClass), err == nil && left > 0 && left <= 5*time.Second)
+		return serveJob(c, r, id)
+	})
+	p, set := start(t, "", node)
+	s := connect(t, p)
+	for i, text := range []string{
+		jobText("reading", "j0", "5000m", "ab"),
+		jobText("reading", "j1", "5000000u", "", "-Content-Length", "Transfer-Encoding: chunked", "Expect: 100-continue") + "3\r\nabc\r\n0\r\n\r\n",
+	} {
+		s.send(t, text)
+		if i == 1 {
+			if r, _ := http.ReadResponse(s.br, nil); r == nil || r.StatusCode != http.StatusContinue {
+				t.Fatal("no word to go on")
+			}
+		}
+		r, body := s.answer(t)
+		check(t, "status", r.StatusCode, http.StatusOK)
+		check(t, "result", body, fmt.Sprintf("for j%d", i))
+	}
+	check(t, "first", seen[0], "POST /reading?user=7f3a9c21e0b4d655 j0 ab reading true")
+	check(t, "second", seen[1], "POST /reading?user=7f3a9c21e0b4d655 j1 abc reading true")
+	check(t, "connections to the node", node.Conns.Load(), int64(1))
+	check(t, "jobs taken", set.Get("jobs.taken"), int64(2))
+	check(t, "jobs served", set.Get("jobs.served"), int64(2))
+}
+
+// Bad input gets a plain 4xx, never a refusal, is counted, and reaches no node.
+func TestInvalidInput(t *testing.T) {
+	node := newTestWorker(t, serveJob)
+	p, set := start(t, "", node)
+	const r, m = "reading", "5000m"
+	for name, c := range map[string]struct {
+		text    string
+		status  int
+		counter string
+		goesOn  bool
+	}{
+		"no HTTP":          {"hello\r\n\r\n", 400, "bad.head", false},
+		"bad header":       {jobText(r, "j", m, "", "no colon"), 400, "bad.head", false},
+		"long head":        {jobText(r, "j", m, "", "X-Long: "+strings.Repeat("x", maxHead)), 431, "bad.head", false},
+		"bad length":       {jobText(r, "j", m, "", "-Content-Length", "Content-Length: 1x"), 400, "bad.head", false},
+		"two lengths":      {jobText(r, "j", m, "a", "Content-Length: 2"), 400, "bad.head", false},
+		"length, chunked":  {jobText(r, "j", m, "0\r\n\r\n", "Transfer-Encoding: chunked"), 400, "bad.framing", false},
+		"length twice":     {jobText(r, "j", m, "a", "Content-Length: 1"), 400, "bad.framing", false},
+		"signed length":    {jobText(r, "j", m, "", "-Content-Length", "Content-Length: +1"), 400, "bad.head", false},
+		"huge length":      {jobText(r, "j", m, "", "-Content-Length", "Content-Length: 99999999999999999999"), 400, "bad.head", false},
+		"chunked in 1.0":   {strings.Replace(jobText(r, "j", m, "", "-Content-Length", "Transfer-Encoding: chunked"), "1.1", "1.0", 1), 400, "bad.framing", false},
+		"folded header":    {jobText(r, "j", m, "", "X-A: b\r\n c"), 400, "bad.head", false},
+		"name with space":  {jobText(r, "j", m, "", "X A: b"), 400, "bad.head", false},
+		"space at colon":   {jobText(r, "j", m, "", "-Content-Length", "Transfer-Encoding : chunked") + "0\r\n\r\n", 400, "bad.head", false},
+		"target unread":    {"POST reading HTTP/1.1\r\nHost: x\r\n\r\n", 400, "bad.head", false},
+		"bare CR":          {jobText(r, "j", m, "", "X-A: b\rc"), 400, "bad.head", false},
+		"bad chunk":        {jobText(r, "j", m, "", "-Content-Length", "Transfer-Encoding: chunked") + "x\r\n", 400, "bad.length", false},
+		"long body":        {jobText(r, "j", m, strings.Repeat("b", maxBody+1)), 413, "bad.body", false},
+		"long chunks":      {jobText(r, "j", m, "", "-Content-Length", "Transfer-Encoding: chunked") + "10001\r\n" + strings.Repeat("b", 65537) + "\r\n0\r\n\r\n", 413, "bad.body", false},
+		"no id":            {jobText(r, "j", m, "", "-"+headerID), 400, "bad.id", true},
+		"two ids":          {jobText(r, "j", m, "", headerID+": k"), 400, "bad.id", true},
+		"id not ASCII":     {jobText(r, "j\xc3\xa4", m, ""), 400, "bad.id", true},
+		"two tenants":      {jobText(r, "j", m, "", headerTenant+": k"), 400, "bad.head", true},
+		"path in disguise": {strings.Replace(jobText(r, "j", m, ""), "/reading", "/%72eading", 1), 400, "bad.class", true},
+		"absolute target":  {strings.Replace(jobText(r, "j", m, ""), "/reading", "http://h/reading", 1), 400, "bad.class", true},
+		"unknown class":    {jobText("other", "j", m, ""), 400, "bad.job", true},
+		"unknown tenant":   {jobText(r, "j", m, "", "-"+headerTenant, headerTenant+": nobody"), 400, "bad.job", true},
+		"no tenant":        {jobText(r, "j", m, "", "-"+headerTenant), 400, "bad.job", true},
+		"bad remaining":    {jobText(r, "j", "5", ""), 400, "bad.remaining", true},
+		"not by POST":      {strings.Replace(jobText(r, "j", m, ""), "POST", "PUT", 1), 405, "bad.method", true},
+		"bad health call":  {"DELETE /_health HTTP/1.1\r\nHost: x\r\n\r\n", 405, "", true},
+	} {
+		s, before := connect(t, p), set.Get(c.counter)
+		resp, _ := s.request(t, c.text)
+		check(t, name+": status", resp.StatusCode, c.status)
+		check(t, name+": ends", resp.Close, !c.goesOn)
+		if c.counter != "" {
+			check(t, name+": counted", set.Get(c.counter), before+1)
+		}
+		if c.goesOn {
+			resp, _ = s.request(t, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
+			check(t, name+": next", resp.StatusCode, 200)
+		}
+	}
+	check(t, "requests at the node", node.Got.Load(), int64(0))
+}
+
+// An id that is in use is bad input; the job that has it goes on.
+func TestRepeatedID(t *testing.T) {
+	release := make(chan bool)
+	node := newTestWorker(t, func(c net.Conn, r *http.Request, id string) bool { <-release; return serveJob(c, r, id) })
+	p, _ := start(t, "", node)
+	first, second := connect(t, p), connect(t, p)
+	first.send(t, jobText("ratify", "j", "9000m", ""))
+	await(t, "at the node", func() bool { return node.Got.Load() == 1 })
+	r, _ := second.request(t, jobText("ratify", "j", "9000m", ""))
+	check(t, "repeat", r.StatusCode, 400)
+	second.Close()
+	close(release)
+	r, _ = first.answer(t)
+	check(t, "first", r.StatusCode, 200)
+	check(t, "requests at the node", node.Got.Load(), int64(1))
+}
+
+// When a submitter leaves, its job is withdrawn: the node's connection closes.
+func TestClientDisconnects(t *testing.T) {
+	closed := make(chan bool, 1)
+	node := newTestWorker(t, func(c net.Conn, _ *http.Request, _ string) bool {
+		io.Copy(io.Discard, c)
+		closed <- true
+		return false
+	})
+	p, set := start(t, "", node)
+	s := connect(t, p)
+	s.send(t, jobText("ratify", "j", "19000m", ""))
+	await(t, "at the node", func() bool { return node.Got.Load() == 1 })
+	s.Close()
+	select {
+	case <-closed:
+	case <-time.After(patience):
+		t.Fatal("the claim goes on")
+	}
+	await(t, "counted", func() bool { return set.Get("jobs.left") == 1 && set.Get("claims.cancelled") == 1 })
+}
+
+// A refusal says when to come back.
+func TestRetryAfterFormat(t *testing.T) {
+	for d, want := range map[time.Duration]string{1500 * time.Millisecond: "1.500", 50 * time.Millisecond: "0.050"} {
+		check(t, "Retry-After", retryAfter(d), want)
+	}
+}
+
+// Whoever sends nothing, or half a request, is told so or cut off before long.
+func TestIncompleteRequestsAreAnswered(t *testing.T) {
+	p, set := start(t, "", newTestWorker(t, serveJob))
+	silent, half := connect(t, p), connect(t, p)
+	half.send(t, jobText("reading", "j0", "9000m", "abc")[:60])
+	r, _ := half.answer(t)
+	check(t, "half a request", r.StatusCode, http.StatusRequestTimeout)
+	if _, err := silent.br.ReadByte(); err != io.EOF {
+		t.Errorf("the silent connection: %v", err)
+	}
+	check(t, "silent", set.Get("bad.silent"), int64(1))
+	check(t, "taken", set.Get("jobs.taken"), int64(0))
+}
+
+// A body that is too long is refused before it has come, and the answer arrives
+// though the other side has sent some of it.
+func TestLongBodyIsRejectedUnread(t *testing.T) {
+	p, _ := start(t, "", newTestWorker(t, serveJob))
+	s := connect(t, p)
+	text := jobText("reading", "j", "9000m", "", "-Content-Length", "Content-Length: 60000000")
+	r, _ := s.request(t, text+strings.Repeat("b", lingerBytes/2))
+	check(t, "status", r.StatusCode, 413)
+}
+
+// A request that crosses the end of an idle connection is read and answered.
+func TestRequestCrossesIdleClose(t *testing.T) {
+	p, _ := start(t, "", newTestWorker(t, serveJob))
+	p.clients.lateRequestGrace = patience
+	s := connect(t, p)
+	s.request(t, jobText("reading", "j0", "9000m", ""))
+	await(t, "idle", func() bool { p.clients.mu.Lock(); defer p.clients.mu.Unlock(); return p.clients.idle.Len() == 1 })
+	p.clients.freeCapacity(1)
+	r, _ := s.request(t, jobText("reading", "j1", "9000m", ""))
+	check(t, "status", r.StatusCode, 200)
+	check(t, "ends its connection", r.Close, true)
+}
+
+// Who floods and goes is noticed though none of the flood is taken.
+func TestFloodThenDisconnect(t *testing.T) {
+	node := newTestWorker(t, neverAnswers)
+	p, set := start(t, "", node)
+	s := connect(t, p)
+	s.send(t, jobText("ratify", "j", "19000m", ""))
+	await(t, "at the node", func() bool { return node.Got.Load() == 1 })
+	s.send(t, strings.Repeat(jobText("ratify", "more", "19000m", ""), 3000)) // past every buffer on the way
+	s.Close()
+	await(t, "noticed", func() bool { return set.Get("jobs.left") == 1 && set.Get("claims.cancelled") == 1 })
+	check(t, "taken", set.Get("jobs.taken"), int64(1))
+}
--- /dev/null
+++ b/internal/platform/client_reply.go
@@ -0,0 +1,77 @@
+package platform
+
+import (
+	"fmt"
+	"net/http"
+	"strconv"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/vatu-meals/foxlift/internal/core"
+)
+
+// A reply is an answer as it goes out.
+type reply struct {
+	status     int
+	retryAfter time.Duration
+	body       []byte
+}
+
+func plainReply(status int, text string) reply {
+	return reply{status: status, body: []byte(text + "\n")}
+}
+
+func (c *clientConn) rejectInput(input *inputError) reply {
+	c.server.counters.Add(input.counter)
+	c.server.log.Info("bad input", zap.String("counter", input.counter), zap.String("what", input.text), zap.Stringer("from", c.conn.RemoteAddr()))
+	return plainReply(input.status, input.text)
+}
+
+func (c *clientConn) health(method string) reply {
+	switch {
+	case method != http.MethodGet:
+		return plainReply(http.StatusMethodNotAllowed, "ask by GET")
+	case !c.server.ready():
+		return plainReply(http.StatusServiceUnavailable, "no jobs are taken")
+	}
+	return plainReply(http.StatusOK, "ready")
+}
+
+// word puts a job's answer into the protocol's terms. A 503 promises that a retry
+// is harmless: only a refusal may have it.
+func (c *clientConn) formatAnswer(a core.Answer) reply {
+	switch a.Verdict {
+	case core.Served:
+		return reply{status: http.StatusOK, body: a.Result}
+	case core.Shed:
+		r := plainReply(http.StatusServiceUnavailable, "refused")
+		r.retryAfter = a.RetryAfter
+		return r
+	case core.Rejected:
+		return c.rejectInput(newInputError(http.StatusBadRequest, "job", "%s", a.Reason))
+	}
+	return plainReply(http.StatusBadGateway, string(a.Reason))
+}
+
+// write writes a reply and returns whether the connection may go on.
+func (c *clientConn) writeReply(r reply, mustClose bool) bool {
+	mustClose = mustClose || c.retire.Load() || c.server.closesAfterAnswer()
+	b := fmt.Appendf(make([]byte, 0, 160+len(r.body)), "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n",
+		r.status, http.StatusText(r.status), len(r.body))
+	if r.retryAfter > 0 {
+		b = fmt.Appendf(b, "%s: %s\r\n", headerRetryAfter, retryAfter(r.retryAfter))
+	}
+	if mustClose {
+		b = append(b, "Connection: close\r\n"...)
+	}
+	b = append(append(b, "\r\n"...), r.body...)
+	c.conn.SetWriteDeadline(time.Now().Add(answerTimeout))
+	c.answeredAt = time.Now()
+	_, err := c.conn.Write(b)
+	c.owesAnswer = c.owesAnswer && err != nil
+	return err == nil && !mustClose
+}
+
+// retryAfter writes seconds as a decimal.
+func retryAfter(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
--- a/internal/platform/front.go
+++ b/internal/platform/client_server.go
@@ -3,7 +3,6 @@
 import (
 	"container/list"
 	"errors"
-	"iter"
 	"net"
 	"os"
 	"sync"
@@ -61,20 +60,6 @@
 	s.listener = l
 }
 
-// setBudget changes how many connections there may be; where there are more, idle ones make way.
-func (s *clientServer) setBudget(budget int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.budget = budget
-	s.freeCapacityLocked(len(s.conns) - budget)
-	s.connEnded.Broadcast()
-}
-
-// maxOpenJobs is how many jobs may be open under a budget. Each holds a connection, and some must be
-// left for others to be read and refused on: what the kernel has accepted and
-// nobody reads is lost.
-func maxOpenJobs(budget int) int { return budget - max(1, budget/spareJobsDivisor) }
-
 func (s *clientServer) ready() bool {
 	return s.core.Ready() && !s.unready.Load() && s.operatorDrain.Load() == nil
 }
@@ -133,125 +118,6 @@
 	}()
 }
 
-// awaitCapacity waits until the budget allows another connection. Shortly before, the
-// longest idle ones begin to make way. At the end it does not wait, and what the kernel has accepted by
-// then is all that is left to accept: last is true.
-func (s *clientServer) awaitCapacity() (last bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for !s.stopAccepting.Load() {
-		s.freeCapacityLocked(len(s.conns) + 1 + s.budget/headroomDivisor - s.budget)
-		if len(s.conns) < s.budget {
-			break
-		}
-		recheck := time.AfterFunc(firstByteGrace, s.connEnded.Broadcast) // some are no longer new by then
-		s.connEnded.Wait()
-		recheck.Stop()
-	}
-	if last = s.stopAccepting.Load(); last {
-		s.listener.SetDeadline(time.Now().Add(backlogTimeout))
-	}
-	return last
-}
-
-func (s *clientServer) freeCapacity(n int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.freeCapacityLocked(n)
-}
-
-// freeCapacityLocked ends n connections and, where n is over 0, some more. Those that are about to
-// end already count. The first to go are those that never brought a job and are silent, then those
-// that are slow about their first, then those that brought one and stayed: all of them, since
-// whoever waits behind a flood waits for each batch of ends in turn, while the time that its job
-// has left runs out unseen. Last go the longest idle of those that brought more, a batch at a time,
-// so that a flood does not cost other submitters their connections.
-func (s *clientServer) freeCapacityLocked(n int) {
-	if n <= 0 {
-		return
-	}
-	n += s.budget
-	retire := func(c *clientConn, eligible bool) {
-		if eligible && n > 0 {
-			n--
-			s.retireLocked(c)
-		}
-	}
-	for c := range s.idleConns() {
-		retire(c, c.jobs == 0 && time.Since(c.openedAt) > firstByteGrace)
-	}
-	for c := range s.conns {
-		if c.jobs == 0 && !c.awaiting && time.Since(c.openedAt) > firstRequestGrace {
-			retire(c, true)
-			c.conn.SetReadDeadline(pastDeadline)
-		}
-	}
-	for c := range s.idleConns() {
-		retire(c, c.jobs == 1)
-	}
-	for c := range s.conns {
-		if c.jobs == 0 && !c.retire.Load() {
-			n-- // it brings a job or goes before long
-		}
-	}
-	n -= s.budget - s.budget/freeBatchDivisor
-	for c := range s.idleConns() {
-		retire(c, c.jobs > 1)
-	}
-}
-
-// idlers goes through the idle connections, the longest idle first.
-func (s *clientServer) idleConns() iter.Seq[*clientConn] {
-	return func(yield func(*clientConn) bool) {
-		for e := s.idle.Front(); e != nil; e = e.Next() {
-			if !yield(e.Value.(*clientConn)) {
-				return
-			}
-		}
-	}
-}
-
-// label counts a connection among those of the cell of the job that it has brought,
-// and returns whether that cell may keep it. Until its first job is read nobody can
-// know whose a connection is; from then on no cell's submitters hold more than their
-// part of the descriptors.
-func (s *clientServer) assignCell(c *clientConn, job *core.Job) bool {
-	cell, most := s.core.Cell(job.Tenant, job.Key)
-	if cell == "" {
-		return true
-	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.setCellLocked(c, cell)
-	if s.connsByCell[cell] > most {
-		s.counters.Add("accept.cell_full")
-		return false
-	}
-	return true
-}
-
-func (s *clientServer) setCellLocked(c *clientConn, cell string) {
-	if c.cell == cell {
-		return
-	}
-	if c.cell != "" {
-		if s.connsByCell[c.cell]--; s.connsByCell[c.cell] == 0 {
-			delete(s.connsByCell, c.cell)
-		}
-	}
-	if c.cell = cell; cell != "" {
-		s.connsByCell[cell]++
-	}
-}
-
-// retireLocked ends a connection as soon as it is idle. Only an idle one is woken:
-// a deadline in the past would break the reading of a request.
-func (s *clientServer) retireLocked(c *clientConn) {
-	if !c.retire.Swap(true) && c.awaiting {
-		c.conn.SetReadDeadline(pastDeadline)
-	}
-}
-
 // await notes that a connection's next request has not begun, and returns whether
 // it has brought a job before. One that becomes idle while accepting waits for
 // room makes way.
@@ -293,31 +159,3 @@
 	}
 	return c.openedAt.Add(requestTimeout)
 }
-
-// shutDown ends the front: for some moments it takes what comes in, then it closes
-// the listener. The connections that are there stay for a while more, since their
-// submitters have nowhere else to go until the end is noticed. Then the idle ones
-// are closed, and it returns when all are answered.
-func (s *clientServer) shutDown(acceptFor, stay time.Duration) {
-	stayTimer := time.After(stay)
-	<-time.After(acceptFor)
-	s.mu.Lock()
-	s.stopAccepting.Store(true)
-	s.connEnded.Broadcast()
-	s.listener.SetDeadline(pastDeadline)
-	s.mu.Unlock()
-	<-s.acceptDone // what the kernel has accepted counts as taken: it is served too
-	s.listener.Close()
-	<-stayTimer
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.closeIdle.Store(true)
-	for c := range s.conns {
-		s.retireLocked(c)
-	}
-	for len(s.conns) > 0 {
-		s.connEnded.Wait()
-	}
-}
-
-const backlogTimeout = 20 * time.Millisecond // to accept what waits before the listener closes
--- /dev/null
+++ b/internal/platform/client_server_test.go
@@ -0,0 +1,205 @@
+package platform
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"sync/atomic"
+	"syscall"
+	"testing"
+
+	"go.uber.org/zap"
+
+	"github.com/vatu-meals/foxlift/internal/core"
+	"github.com/vatu-meals/foxlift/internal/counters"
+)
+
+// A flaky listener fails as one does that is out of descriptors.
+type failingListener struct {
+	*net.TCPListener
+	fails int
+}
+
+func (f *failingListener) Accept() (net.Conn, error) {
+	if f.fails--; f.fails >= 0 {
+		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
+	}
+	return f.TCPListener.Accept()
+}
+
+// Running out of descriptors does not end accepting.
+func TestAcceptSurvivesErrors(t *testing.T) {
+	p, _ := start(t, "", newTestWorker(t, serveJob))
+	set := &counters.Set{}
+	l := &failingListener{listen(t).(*net.TCPListener), 3}
+	f := newClientServer(p.core, core.NewClock(), set, zap.NewNop(), l, 9)
+	go f.accept()
+	r, _ := connect(t, &Platform{clients: f}).request(t, jobText("reading", "j", "9000m", ""))
+	check(t, "status", r.StatusCode, 200)
+	check(t, "failed accepts", set.Get("accept.failed"), int64(3))
+}
+
+// Past the budget the longest idle connection makes way, a busy one does not.
+func TestClientConnBudget(t *testing.T) {
+	p, _ := start(t, "", newTestWorker(t, serveJob))
+	f := newClientServer(p.core, core.NewClock(), &counters.Set{}, zap.NewNop(), listen(t).(*net.TCPListener), 2)
+	go f.accept()
+	q := &Platform{clients: f}
+	busy := connect(t, q)
+	busy.send(t, jobText("reading", "j0", "9000m", "abc")[:60])
+	idle := connect(t, q)
+	idle.request(t, jobText("reading", "j1", "9000m", ""))
+	r, _ := connect(t, q).request(t, jobText("reading", "j2", "9000m", ""))
+	check(t, "third", r.StatusCode, 200)
+	if _, err := idle.br.ReadByte(); err != io.EOF {
+		t.Errorf("the idle connection: %v", err)
+	}
+	busy.send(t, jobText("reading", "j0", "9000m", "abc")[60:])
+	r, _ = busy.answer(t)
+	check(t, "busy", r.StatusCode, 200)
+}
+
+// A flood of connections that bring no job does not cost others theirs.
+func TestFloodOfConnections(t *testing.T) {
+	p, _ := start(t, "", newTestWorker(t, serveJob))
+	f := newClientServer(p.core, core.NewClock(), &counters.Set{}, zap.NewNop(), listen(t).(*net.TCPListener), 20)
+	go f.accept()
+	q := &Platform{clients: f}
+	usual := connect(t, q)
+	usual.request(t, jobText("reading", "u0", "9000m", ""))
+	usual.request(t, jobText("reading", "u1", "9000m", ""))
+	var flood []*testClient
+	for i := range 60 {
+		s := connect(t, q)
+		switch i % 3 {
+		case 0:
+			s.send(t, "POST /reading HTTP/1.1\r\n")
+		case 1: // asks once and stays
+			s.send(t, jobText("reading", fmt.Sprint("f", i), "9000m", ""))
+		}
+		flood = append(flood, s)
+	}
+	r, _ := connect(t, q).request(t, jobText("reading", "j1", "9000m", ""))
+	check(t, "a new connection", r.StatusCode, 200)
+	r, _ = usual.request(t, jobText("reading", "j2", "9000m", ""))
+	check(t, "the kept connection", r.StatusCode, 200)
+	check(t, "goes on", r.Close, false)
+	for _, s := range flood {
+		s.Close()
+	}
+}
+
+// A flood of connections that brought one job each and stay makes way all at once: whoever waits
+// behind it must not wait for one batch of ends after the other.
+func TestFloodFreesCapacityAtOnce(t *testing.T) {
+	const budget = 20
+	p, _ := start(t, "", newTestWorker(t, serveJob))
+	f := newClientServer(p.core, core.NewClock(), &counters.Set{}, zap.NewNop(), listen(t).(*net.TCPListener), budget)
+	f.lateRequestGrace = patience // none of them is gone before the count
+	go f.accept()
+	q := &Platform{clients: f}
+	usual := connect(t, q)
+	usual.request(t, jobText("reading", "u0", "9000m", ""))
+	usual.request(t, jobText("reading", "u1", "9000m", ""))
+	const flood = budget - budget/headroomDivisor - 2
+	for i := range flood {
+		connect(t, q).request(t, jobText("reading", fmt.Sprint("f", i), "9000m", ""))
+	}
+	retired := func() (once, more int) {
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		for s := range f.conns {
+			switch {
+			case s.retire.Load() && s.jobs > 1:
+				more++
+			case s.retire.Load():
+				once++
+			}
+		}
+		return once, more
+	}
+	await(t, "all idle", func() bool { f.mu.Lock(); defer f.mu.Unlock(); return f.idle.Len() == flood+1 })
+	f.freeCapacity(1)
+	once, more := retired()
+	check(t, "connections of one job that make way", once, flood)
+	check(t, "connections of more jobs that make way", more, 0)
+}
+
+// What waits unaccepted when the scheduler ends is served: the kernel has accepted
+// it.
+func TestBacklogIsServed(t *testing.T) {
+	p, _ := start(t, "", newTestWorker(t, serveJob))
+	f := newClientServer(p.core, core.NewClock(), &counters.Set{}, zap.NewNop(), listen(t).(*net.TCPListener), 1)
+	q := &Platform{clients: f}
+	busy := connect(t, q)
+	busy.send(t, jobText("reading", "j0", "9000m", "abc")[:60])
+	go f.accept()
+	await(t, "accepted", func() bool { f.mu.Lock(); defer f.mu.Unlock(); return len(f.conns) == 1 && f.idle.Len() == 0 })
+	var waiting []*testClient
+	for i := range 5 {
+		s := connect(t, q)
+		s.send(t, jobText("reading", fmt.Sprint("w", i), "9000m", ""))
+		waiting = append(waiting, s)
+	}
+	ended := make(chan bool)
+	go func() { f.shutDown(0, 0); close(ended) }()
+	for _, s := range waiting {
+		r, _ := s.answer(t)
+		check(t, "status", r.StatusCode, 200)
+	}
+	busy.send(t, jobText("reading", "j0", "9000m", "abc")[60:])
+	r, _ := busy.answer(t)
+	check(t, "busy", r.StatusCode, 200)
+	<-ended
+}
+
+// More submitters than there are descriptors for: what cannot be held is refused at
+// once, and none waits unread until its submitter gives up.
+func TestMoreJobsThanDescriptors(t *testing.T) {
+	release := make(chan bool)
+	var atNodes atomic.Int64
+	handle := func(c net.Conn, r *http.Request, id string) bool {
+		writeStates(c, id, false, `"started"`)
+		atNodes.Add(1)
+		<-release
+		return false
+	}
+	var nodes []*testWorker
+	for range 12 { // enough for none to be held
+		nodes = append(nodes, newTestWorker(t, handle))
+	}
+	p, set := startWith(t, 80, "", nodes...)
+	var held []*testClient
+	for i := 0; len(held) < maxOpenJobs(p.clients.budget); i++ {
+		s := connect(t, p)
+		s.send(t, jobText("ratify", fmt.Sprint("h", i), "19000m", ""))
+		// At a node a job that must not run twice stays open. One that the module
+		// still holds, where starts are heard late, may be refused: it never ran.
+		before := set.Get("jobs.refused")
+		await(t, "at a node or refused", func() bool {
+			return atNodes.Load() == int64(len(held)+1) || set.Get("jobs.refused") > before
+		})
+		if atNodes.Load() == int64(len(held)+1) {
+			held = append(held, s)
+			continue
+		}
+		r, _ := s.answer(t)
+		check(t, "held, then refused", r.StatusCode, 503)
+	}
+	refused, early := 0, set.Get("jobs.refused")
+	for i := range p.clients.budget + 20 - len(held) {
+		s := connect(t, p)
+		s.send(t, jobText("ratify", fmt.Sprint("j", i), "19000m", ""))
+		r, _ := s.answer(t)
+		check(t, "status", r.StatusCode, 503)
+		check(t, "Retry-After", r.Header.Get("Retry-After"), "1.000")
+		refused++
+	}
+	check(t, "refused", set.Get("jobs.too_many"), int64(refused))
+	check(t, "all of them", set.Get("jobs.refused")-early, int64(refused))
+	close(release)
+	for _, s := range held {
+		s.answer(t)
+	}
+}
--- /dev/null
+++ b/internal/platform/discovery_client_test.go
@@ -0,0 +1,109 @@
+package platform
+
+import (
+	"fmt"
+	"io"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/vatu-meals/foxlift/internal/pollpacing"
+)
+
+// A list of today's size has its call's limit and no more; a longer one is waited for as long as it
+// arrives fast enough and without a long pause.
+func TestDeadlineOfArrivingResponse(t *testing.T) {
+	end := time.Now()
+	for _, c := range []struct {
+		read       int64
+		now, limit time.Duration // after the call's limit
+	}{
+		{0, -time.Second, 0},
+		{minRateBytes, -time.Millisecond, 0},
+		{minRateBytes, time.Second, 0},
+		{minRateBytes + minBytesPerSecond/2, 0, time.Second / 2},
+		{minRateBytes + minBytesPerSecond, 0, maxStall},
+		{minRateBytes + minBytesPerSecond, -time.Second, 0},
+		{minRateBytes + 10*minBytesPerSecond, 5 * time.Second, 5*time.Second + maxStall},
+		{minRateBytes + 10*minBytesPerSecond, 9500 * time.Millisecond, 10 * time.Second},
+	} {
+		l := callDeadline{timeout: end}
+		l.addReceived(int(c.read))
+		check(t, fmt.Sprintf("%d bytes read %v after the limit", c.read, c.now), l.next(end.Add(c.now)).Sub(end), c.limit)
+	}
+}
+
+// A long list that goes on arriving past its call's limit is taken; one that stops is given up.
+func TestResponseIsReadPastItsDeadline(t *testing.T) {
+	t.Parallel()
+	node := newTestWorker(t, serveJob)
+	text := longEndpoints(7, 4000, node, healthActive)
+	for _, whole := range []bool{true, false} {
+		addr, calls := newDiscovery(t)
+		c := &discoveryClient{ctx: t.Context(), addr: addr, dialTimeout: time.Second, onReading: func(bool) {}}
+		if err := c.connect(); err != nil {
+			t.Fatal(err)
+		}
+		const limit = 50 * time.Millisecond
+		if err := c.send(pathMembers, limit); err != nil {
+			t.Fatal(err)
+		}
+		call := next(t, calls)
+		go func() {
+			fmt.Fprintf(call.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text[:len(text)-1])
+			if whole {
+				<-time.After(2 * limit)
+				io.WriteString(call.conn, text[len(text)-1:])
+			}
+		}()
+		began := time.Now()
+		l, err := c.receive(processResponseBound())
+		switch {
+		case whole && (err != nil || len(l.Endpoints) != 4000):
+			t.Errorf("a list of 4000 entries that came whole after its limit: %v", err)
+		case !whole:
+			check(t, "a list that stops", callOutcome(err), pollpacing.Unanswered)
+			if took := time.Since(began); took < maxStall {
+				t.Errorf("given up after %v", took)
+			}
+		}
+		c.close()
+	}
+}
+
+// A list over the bound, whether its length is told or not, is refused and counted; the old one
+// holds, and it is asked for again after pauses that grow. Changes over the bound are given up for
+// the whole list. Once it is within the bound it is followed.
+func TestOversizedResponseIsRejected(t *testing.T) {
+	t.Parallel()
+	node := newTestWorker(t, serveJob)
+	addr, calls := newDiscovery(t)
+	p, set := start(t, addr, node)
+	next(t, calls).answer(endpointsJSON(7, true, node))
+	c := next(t, calls)
+	checkWatch(t, "watch", c.target, 7)
+	tooMany := processResponseBound().bytes + 1
+	for i := range 3 {
+		began := time.Now()
+		if i == 1 {
+			go func() { // it is cut off
+				io.WriteString(c.conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+				fmt.Fprintf(c.conn, "%x\r\n%s\r\n0\r\n\r\n", tooMany, strings.Repeat(" ", int(tooMany)))
+			}()
+		} else {
+			fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n{", tooMany)
+		}
+		c = next(t, calls)
+		check(t, "asked for", c.target, pathMembers)
+		if paused, least := time.Since(began), 500*time.Millisecond<<i; paused < least {
+			t.Errorf("asked for again after %v, want %v", paused, least)
+		}
+		check(t, "counted", set.Get("machines.failed"), int64(i+1))
+		if _, ok := p.endpoints.find("n0"); !ok {
+			t.Error("the old list does not hold")
+		}
+	}
+	c.answer(longEndpoints(8, 1200, node, healthActive))
+	checkWatch(t, "followed again", next(t, calls).target, 8)
+	check(t, "entries", p.endpoints.entryCount(), 1200)
+}
--- /dev/null
+++ b/internal/platform/endpoint_watch_large_test.go
@@ -0,0 +1,104 @@
+package platform
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+	"testing"
+	"time"
+)
+
+// longEndpoints writes a whole list of so many entries, the first of which is a test's node; the rest
+// is as long as an entry of the field is.
+func longEndpoints(seq, entries int, node *testWorker, health string) string {
+	b := fmt.Appendf(nil, `{"seq":%d,"whole":true,"hosts":[%s`, seq, endpointJSON(0, node, health))
+	for i := 1; i < entries; i++ {
+		b = fmt.Appendf(b, `,{"host":"n%d","dial":"10.%d.%d.%d:3000","site":"a","class":"k","block":%d,"health":"active","share":1.0,"born_ms":%d}`,
+			i, i>>16, i>>8&255, i&255, i%97, 1790000000000+i)
+	}
+	return string(append(b, "]}"...))
+}
+
+// entryCount returns how many entries the list has.
+func (w *endpointWatch) entryCount() int {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return len(w.entries)
+}
+
+// A list as long as the fleet that a scheduler is designed for is followed, compact or indented,
+// and so are its changes.
+func TestLongEndpointListsAreWatched(t *testing.T) {
+	t.Parallel()
+	for _, entries := range []int{1200, designEndpoints} {
+		for _, indented := range []bool{false, true} {
+			first, second := newTestWorker(t, serveJob), newTestWorker(t, serveJob)
+			text := longEndpoints(7, entries, first, healthActive) // before the call that it answers, which has a limit
+			if indented {
+				var b bytes.Buffer
+				json.Indent(&b, []byte(text), "", "  ")
+				text = b.String()
+			}
+			addr, calls := newDiscovery(t)
+			p, set := start(t, addr, first)
+			next(t, calls).answer(endpointsJSON(1, false)) // the first watch
+			c := next(t, calls)
+			c.answer(text)
+			c = next(t, calls)
+			checkWatch(t, fmt.Sprintf("after %d entries in %d bytes", entries, len(text)), c.target, 7)
+			check(t, "entries", p.endpoints.entryCount(), entries)
+			c.answer(`{"seq":8,"whole":false,"hosts":[` + endpointJSON(0, first, healthLeaving) + `,` + endpointJSON(entries, second, healthActive) + `]}`)
+			next(t, calls)
+			check(t, "entries after a change", p.endpoints.entryCount(), entries+1)
+			await(t, "told", func() bool { return set.Get("machines.told") == 4 })
+			_, leaving := p.endpoints.find("n0")
+			_, added := p.endpoints.find(fmt.Sprint("n", entries))
+			check(t, "sent to one that leaves, and to one that came", fmt.Sprint(leaving, added), "false true")
+			check(t, "failed", set.Get("machines.failed"), int64(0))
+			p.Kill()
+		}
+	}
+}
+
+// Of a long list a part does not count as told; its last byte does, before anything of it is in
+// the list.
+func TestAttemptsWaitForManyEndpoints(t *testing.T) {
+	t.Parallel()
+	node := newTestWorker(t, serveJob)
+	addr, calls := newDiscovery(t)
+	p, _ := start(t, addr, node)
+	next(t, calls).answer(endpointsJSON(1, false))
+	c := next(t, calls)
+	text := longEndpoints(7, designEndpoints, node, healthLeaving)
+	last := len(text) - 1
+	fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text[:last])
+	await(t, "all but the last byte is read", func() bool {
+		m := p.endpoints
+		m.mu.Lock()
+		defer m.mu.Unlock()
+		return !m.lastReadAt.IsZero() && !m.unreadLocked()
+	})
+	if _, ok := p.endpoints.find("n0"); !ok {
+		t.Error("a part of a list counts as told")
+	}
+	io.WriteString(c.conn, text[last:])
+	if _, ok := p.endpoints.find("n0"); ok {
+		t.Error("sent on the old list after the new one had been written")
+	}
+	p.Kill()
+}
+
+// A claim waits for as long as an answer is being read, and not without end.
+func TestUnreadDeadline(t *testing.T) {
+	began := time.Now()
+	for _, c := range []struct{ read, wait time.Duration }{
+		{-time.Hour, unreadWait}, {0, unreadWait}, {unreadWait / 2, unreadWait * 3 / 2}, {2 * unreadWait, 3 * unreadWait}, {time.Hour, maxUnreadWait},
+	} {
+		m := &endpointWatch{lastReadAt: began.Add(c.read)}
+		check(t, fmt.Sprint("last read after ", c.read), m.unreadDeadlineLocked(began).Sub(began), c.wait)
+	}
+	if most := newEndpointWatch("", endpointSettings, nil, nil).pacer.Timeout(0); maxUnreadWait < most {
+		t.Errorf("waits %v for a call that may take %v", maxUnreadWait, most)
+	}
+}
--- /dev/null
+++ b/internal/platform/endpoint_watch_race_test.go
@@ -0,0 +1,134 @@
+package platform
+
+import (
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/vatu-meals/foxlift"
+	"github.com/vatu-meals/foxlift/internal/config"
+)
+
+// Two events that cross, each pair forced into its bad order (docs/design/moments.md).
+
+// What discovery has written counts as told, read or not: a claim waits for it to be in the
+// list, and is not sent where that does not come to pass.
+func TestUnreadResponseHoldsAttempts(t *testing.T) {
+	t.Parallel()
+	m := &endpointWatch{settings: &config.Settings{}, entries: map[string]endpoint{"n": {}}}
+	near, far := pipe(t)
+	conn := &observedConn{near, m.setReading}
+	m.conn = conn
+	if _, ok := m.find("n"); !ok {
+		t.Error("nothing unread, and yet the node is not to be had")
+	}
+	io.WriteString(far, "HTTP/1.1 200 OK")
+	await(t, "arrived", func() bool { return hasInput(conn) })
+	if _, ok := m.find("n"); ok {
+		t.Error("sent on the old list, with an answer unread")
+	}
+	// Read, and not in the list yet: nothing is left in the kernel that find could see.
+	if _, err := conn.Read(make([]byte, 100)); err != nil || hasInput(conn) {
+		t.Fatalf("%v: not all of it is read", err)
+	}
+	found := make(chan bool)
+	go func() { _, ok := m.find("n"); found <- ok }()
+	m.mu.Lock()
+	check(t, "reading", m.reading, true)
+	m.entries["n"], m.conn, m.reading = endpoint{state: foxlift.Draining}, nil, false
+	m.mu.Unlock()
+	check(t, "found", <-found, false)
+	// What has come is a part: until the rest does, the list holds.
+	m.entries["n"], m.conn = endpoint{}, conn
+	io.WriteString(far, "half a")
+	conn.Read(make([]byte, 100))
+	go conn.Read(make([]byte, 100))
+	await(t, "the rest is awaited", func() bool { m.mu.Lock(); defer m.mu.Unlock(); return !m.reading })
+	if _, ok := m.find("n"); !ok {
+		t.Error("half an answer counts as told")
+	}
+}
+
+// startBusyCore follows a discovery with a core that is busy: it takes no news until free is closed, and
+// by then the discovery has answered the next call with a drain, which nobody has read.
+func startBusyCore(t *testing.T) (m *endpointWatch, calls chan call, free chan bool) {
+	addr, calls := newDiscovery(t)
+	settings, err := config.ParseSettings([]byte(testSettings))
+	if err != nil {
+		t.Fatal(err)
+	}
+	node := newTestWorker(t, serveJob)
+	free = make(chan bool)
+	m = newEndpointWatch(addr, settings, func(foxlift.EndpointUpdate, []foxlift.Worker) { <-free }, zap.NewNop())
+	m.finalReadTimeout = patience
+	t.Cleanup(m.stop)
+	m.Watch()
+	next(t, calls).answer(endpointsJSON(7, true, node))
+	next(t, calls).answer(`{"seq":8,"whole":false,"hosts":[` + endpointJSON(0, node, healthLeaving) + `]}`)
+	await(t, "it has arrived where claims look", func() bool {
+		m.mu.Lock()
+		defer m.mu.Unlock()
+		return m.unreadLocked()
+	})
+	return m, calls, free
+}
+
+// An answer that comes while the core is busy with the one before counts at once.
+func TestAnswerWhileTheCoreIsBusy(t *testing.T) {
+	t.Parallel()
+	m, _, free := startBusyCore(t)
+	if _, ok := m.find("n0"); ok {
+		t.Error("sent on the old list, with an answer unread")
+	}
+	close(free)
+	await(t, "the drain is in the list", func() bool {
+		m.mu.Lock()
+		defer m.mu.Unlock()
+		return m.entries["n0"].state == foxlift.Draining
+	})
+}
+
+// What the old discovery has written when a reload moves it counts as told: it is read before its
+// call ends. The new one's list is asked for whole all the same.
+func TestUnreadDrainAtReload(t *testing.T) {
+	t.Parallel()
+	m, _, free := startBusyCore(t)
+	later, calls := newDiscovery(t)
+	m.switchTo(later)
+	close(free)
+	c := next(t, calls)
+	check(t, "the new discovery's first call", c.target, pathMembers)
+	m.mu.Lock()
+	check(t, "the node", m.entries["n0"].state, foxlift.Draining)
+	check(t, "asked for at once until it has come", m.urgentUntil.IsZero(), false)
+	m.mu.Unlock()
+}
+
+// A pushed list counts once the agent has it, outage or not: an agent that is away for long is
+// asked again and again within the least grace for drains, whatever the number of schedulers.
+func TestAgentReturns(t *testing.T) {
+	t.Parallel()
+	l := listen(t).(*net.TCPListener)
+	l.SetDeadline(time.Now().Add(patience))
+	settings := strings.NewReplacer(`"balancers":1`, `"balancers":300`, `"subscribe"`, `"automatic"`, `400000000}`, `60000000000}`).Replace(testSettings)
+	startText(t, settings, 256, l.Addr().String(), newTestWorker(t, serveJob))
+	last, longest := time.Time{}, time.Duration(0)
+	for i := range 20 {
+		c, err := l.Accept()
+		if err != nil {
+			t.Fatal(err)
+		}
+		c.Close()
+		if i > 0 {
+			longest = max(longest, time.Since(last))
+		}
+		last = time.Now()
+	}
+	if longest > time.Second { // 3 s and more where it is paced as a discovery that all share
+		t.Errorf("asked again after %v", longest)
+	}
+}
--- /dev/null
+++ b/internal/platform/endpoint_watch_test.go
@@ -0,0 +1,239 @@
+package platform
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/vatu-meals/foxlift"
+	"github.com/vatu-meals/foxlift/internal/config"
+)
+
+// A call is one that discovery gets; the test writes the answer.
+type call struct {
+	target string
+	conn   net.Conn
+}
+
+func (c call) answer(body string) {
+	fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+}
+
+func newDiscovery(t *testing.T) (string, chan call) {
+	l, calls := listen(t), make(chan call)
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				for br := bufio.NewReader(c); ; {
+					r, err := http.ReadRequest(br)
+					if err != nil {
+						return
+					}
+					calls <- call{r.RequestURI, c}
+				}
+			}()
+		}
+	}()
+	return l.Addr().String(), calls
+}
+
+func next(t *testing.T, calls chan call) call {
+	t.Helper()
+	select {
+	case c := <-calls:
+		return c
+	case <-time.After(patience):
+		t.Fatal("no call to discovery")
+		return call{}
+	}
+}
+
+// checkWatch checks a call for the changes since a version, which waits for 2.5 to 3.4 s.
+func checkWatch(t *testing.T, what, target string, version int) {
+	t.Helper()
+	var wait int
+	if n, err := fmt.Sscanf(target, pathMembers+fmt.Sprintf("?index=%d&wait=%%d", version), &wait); n != 1 || err != nil || wait < 2550 || wait > 3400 {
+		t.Errorf("%s: %s, want a watch from version %d", what, target, version)
+	}
+}
+
+// The watch: the changes since the list that is known, with the next call out at once;
+// after any failure or faulty answer those since the last good one, which holds. The
+// whole list costs discovery many times as much: it is asked for only where no version
+// is known that changes could go on from.
+func TestWatch(t *testing.T) {
+	first, second := newTestWorker(t, serveJob), newTestWorker(t, serveJob)
+	addr, calls := newDiscovery(t)
+	// A start that the machine delays is a late one, and the module then holds jobs for a shorter time.
+	patient := strings.Replace(testSettings, `"aim":500000000`, `"aim":10000000000`, 1)
+	p, set := startText(t, patient, 256, addr, first)
+	s := connect(t, p)
+	serve := func(id string, by *testWorker) {
+		t.Helper()
+		before := by.Got.Load()
+		r, _ := s.request(t, jobText("reading", id, "9000m", ""))
+		check(t, id, r.StatusCode, 200)
+		check(t, id+" is the node's", by.Got.Load(), before+1)
+	}
+	told := func(n int64) {
+		t.Helper()
+		await(t, "told", func() bool { return set.Get("machines.told") == n })
+	}
+	c := next(t, calls)
+	check(t, "first call", c.target, pathMembers+"?index=1&wait=1")
+	serve("known", first)
+	c.answer(endpointsJSON(7, true, first))
+	c = next(t, calls)
+	checkWatch(t, "watch", c.target, 7)
+	told(2)
+	c.answer(`{"seq":8,"whole":false,"hosts":[` + endpointJSON(0, first, healthLeaving) + `,` + endpointJSON(1, second, healthActive) + `]}`)
+	c = next(t, calls)
+	checkWatch(t, "next", c.target, 8)
+	told(3)
+	serve("changed", second)
+	for i, faulty := range []string{`{"seq":9,"whole":tr`, `{"seq":9,"hosts":[{"host":"x","health":"?"}]}`} {
+		c.answer(faulty)
+		c = next(t, calls)
+		checkWatch(t, "after a faulty answer", c.target, 8+i)
+		serve(fmt.Sprint("old", i), second)
+		c.answer(endpointsJSON(9, true, first, second))
+		c = next(t, calls)
+		checkWatch(t, "watch", c.target, 9)
+		told(int64(4 + i))
+	}
+	c.answer(endpointsJSON(3, false, first)) // discovery has lost count
+	c = next(t, calls)
+	check(t, "after a lower version", c.target, pathMembers)
+	c.answer(endpointsJSON(9, true, first))
+	next(t, calls).conn.Close()
+	c = next(t, calls)
+	checkWatch(t, "after a reset", c.target, 9)
+	c.answer(`{"seq":12,"whole":true,"hosts":[]}`)
+	next(t, calls)
+	told(7)
+	r, _ := s.request(t, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
+	check(t, "health without machines", r.StatusCode, 503)
+}
+
+// At a switch to another discovery the call to the old one ends at once, the last
+// list holds while the new one cannot be had, and what the old one says late does
+// not count. A faulty configuration changes nothing.
+func TestReload(t *testing.T) {
+	first, second := newTestWorker(t, serveJob), newTestWorker(t, serveJob)
+	addr, calls := newDiscovery(t)
+	p, set := start(t, addr, first)
+	next(t, calls).answer(endpointsJSON(7, true, first))
+	old := next(t, calls)
+	later, _ := newDiscovery(t)
+	cfg := &config.Scheduler{Discovery: later, Known: []byte(`{"seq":"x"}`)}
+	if err := p.Reload(cfg); err == nil {
+		t.Error("a faulty list is taken")
+	}
+	l := listen(t)
+	cfg.Discovery, cfg.Known = l.Addr().String(), nil
+	if err := p.Reload(cfg); err != nil {
+		t.Fatal(err)
+	}
+	old.conn.SetReadDeadline(time.Now().Add(patience))
+	if _, err := old.conn.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("the old call goes on: %v", err)
+	}
+	for i := range 3 { // it breaks off, and is asked again at once
+		c, err := l.Accept()
+		if err != nil {
+			t.Fatal(err)
+		}
+		r, _ := connect(t, p).request(t, jobText("reading", fmt.Sprint("j", i), "9000m", ""))
+		check(t, "meanwhile", r.StatusCode, 200)
+		c.Close()
+	}
+	check(t, "the module hears of failures", set.Get("machines.failed"), int64(0))
+	c, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	if r, err := http.ReadRequest(bufio.NewReader(c)); err != nil || r.RequestURI != pathMembers {
+		t.Fatalf("%v, %v: not the whole list", r, err)
+	}
+	call{"", c}.answer(endpointsJSON(2, true, second))
+	await(t, "the new list", func() bool { _, ok := p.endpoints.find("n0"); return ok && set.Get("machines.told") == 3 })
+	got := second.Got.Load()
+	r, _ := connect(t, p).request(t, jobText("reading", "after", "9000m", ""))
+	check(t, "after", r.StatusCode, 200)
+	check(t, "at the new list's node", second.Got.Load(), got+1)
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
+	if _, err := p.endpoints.applyResponse(ctx, &endpointsResponse{Complete: true}); err == nil {
+		t.Error("a late answer of the old discovery is taken")
+	}
+}
+
+// Whatever the number of schedulers, a watch waits as the list's clock asks, not all as long;
+// one that knows no list takes the whole one.
+func TestWatchWait(t *testing.T) {
+	for _, dispatchers := range []int{1, 80, 300, 1000} {
+		m := newEndpointWatch("", &config.Settings{Module: foxlift.Config{Dispatchers: dispatchers}}, nil, nil)
+		low, high := time.Hour, time.Duration(0)
+		for range 200 {
+			low, high = min(low, m.pacer.WatchHold()), max(high, m.pacer.WatchHold())
+		}
+		if low < 2550*time.Millisecond || high > 3400*time.Millisecond || high-low < 400*time.Millisecond {
+			t.Errorf("%d schedulers wait %v to %v", dispatchers, low, high)
+		}
+		check(t, "whole without a list", m.needComplete, true)
+		if _, err := m.load([]byte(`{"seq":4,"whole":true,"hosts":[]}`)); err != nil {
+			t.Fatal(err)
+		}
+		check(t, "whole with a list", m.needComplete, false)
+	}
+}
+
+// Where lists are pushed the first call is made at once, whatever the number of schedulers.
+func TestPushedEndpointsArePolledAtOnce(t *testing.T) {
+	for how, spread := range map[string]bool{"subscribe": true, "automatic": false} {
+		s, err := config.ParseSettings([]byte(strings.NewReplacer(`"balancers":1`, `"balancers":900`, `"subscribe"`, `"`+how+`"`).Replace(testSettings)))
+		if err != nil {
+			t.Fatal(err)
+		}
+		s.Module.MaxPollInterval = int64(time.Minute)
+		longest := time.Duration(0)
+		for range 20 {
+			longest = max(longest, newEndpointWatch("", s, nil, zap.NewNop()).pacer.InitialDelay())
+		}
+		if longest > 0 != spread {
+			t.Errorf("%s: the first call waits up to %v", how, longest)
+		}
+	}
+}
+
+// Of 300 schedulers one whose watch falls silent asks anew in seconds, on a new connection, and
+// goes on from the version that it has: what it missed it is held to soon.
+func TestSilentWatchIsPolledAnew(t *testing.T) {
+	t.Parallel()
+	node := newTestWorker(t, serveJob)
+	addr, calls := newDiscovery(t)
+	settings := strings.Replace(testSettings, `"balancers":1`, `"balancers":300`, 1)
+	_, set := startText(t, settings, 256, addr, node)
+	first := next(t, calls)
+	first.answer(endpointsJSON(7, true, node))
+	silent := next(t, calls)
+	again := next(t, calls) // within 20 s; it was 56
+	if again.conn == silent.conn || !strings.HasPrefix(again.target, pathMembers+"?index=7&wait=") {
+		t.Errorf("%s on the same connection", again.target)
+	}
+	check(t, "failed", set.Get("machines.failed"), int64(1))
+}
--- /dev/null
+++ b/internal/platform/endpoints_response_test.go
@@ -0,0 +1,104 @@
+package platform
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/vatu-meals/foxlift/internal/config"
+	"github.com/vatu-meals/foxlift/internal/pollpacing"
+	"github.com/vatu-meals/foxlift/internal/standin"
+)
+
+func TestParseEndpoints(t *testing.T) {
+	const good = `{"host":"h","dial":"1.2.3.4:5","site":"a","class":"k","block":3,"health":"leaving","share":1.0,"born_ms":7}`
+	for text, ok := range map[string]bool{
+		`{"seq":4,"whole":true,"hosts":[` + good + `]}`:                               true,
+		`{"seq":4,"whole":false,"hosts":[]}`:                                          true,
+		`{"seq":4,"hosts":[{"host":"h","health":"left"}]}`:                            true,
+		`{"seq":4,"whole":true,"hosts":[` + good:                                      false,
+		`{"whole":true,"hosts":[]}`:                                                   false,
+		`{"seq":4,"hosts":[{"host":"","dial":"1.2.3.4:5","health":"active"}]}`:        false,
+		`{"seq":4,"hosts":[{"host":"h","dial":"1.2.3.4","health":"active"}]}`:         false,
+		`{"seq":4,"hosts":[{"host":"h","dial":"1.2.3.4:5","health":"well"}]}`:         false,
+		`{"seq":"4","hosts":[]}`:                                                      false,
+		`{"seq":4,"hosts":[{"host":"h","dial":"1.2.3.4:5","health":"active"}]} extra`: false,
+	} {
+		if _, err := parseEndpoints([]byte(text)); (err == nil) != ok {
+			t.Errorf("%s: %v", text, err)
+		}
+	}
+}
+
+// The bound lets the design's fleet in, at the most memory and without a limit, and is smaller
+// where there is less; there no list has more entries than half of the memory can hold.
+func TestResponseBound(t *testing.T) {
+	for _, memory := range []int64{96 << 20, math.MaxInt64} {
+		b := newResponseBound(memory)
+		check(t, "bytes", b.bytes, int64(designEndpoints*entryBytes))
+		if b.entries < designEndpoints {
+			t.Errorf("%d entries", b.entries)
+		}
+	}
+	b := newResponseBound(16 << 20)
+	check(t, "bytes in 16 MB", b.bytes, int64(2<<20))
+	check(t, "entries in 16 MB", b.entries, int64(4096))
+	text := longEndpoints(1, 10, newTestWorker(t, serveJob), healthActive)
+	if _, err := decodeResponse(strings.NewReader(text), 10); err != nil {
+		t.Error(err)
+	}
+	_, err := decodeResponse(strings.NewReader(text), 9)
+	check(t, "one too many", callOutcome(fmt.Errorf("%w: %w", errNotEndpoints, err)), pollpacing.Oversized)
+}
+
+// The decoder takes what json.Unmarshal takes, and the same of it, but for a second "hosts".
+func checkDecoder(t testing.TB, data []byte) {
+	var want endpointsResponse
+	wantErr := json.Unmarshal(data, &want)
+	for i := range want.Endpoints {
+		wantErr = errors.Join(wantErr, want.Endpoints[i].validate())
+	}
+	if want.Version == nil {
+		wantErr = errors.Join(wantErr, errors.New("no version"))
+	}
+	got, err := parseEndpoints(data)
+	if err != nil && strings.Contains(err.Error(), "twice") {
+		return
+	}
+	if (err == nil) != (wantErr == nil) {
+		t.Fatalf("%q: %v, json.Unmarshal: %v", data, err, wantErr)
+	}
+	if err == nil && (*got.Version != *want.Version || got.Complete != want.Complete || len(got.Endpoints) != len(want.Endpoints) ||
+		len(got.Endpoints) > 0 && !reflect.DeepEqual(got.Endpoints, want.Endpoints)) {
+		t.Fatalf("%q: %+v, json.Unmarshal: %+v", data, got, want)
+	}
+}
+
+// A list is read at the start's cost: all of it in well under the time that a start may take.
+func BenchmarkDecodeEndpoints(b *testing.B) {
+	for _, entries := range []int{60, 200, 600, 2000, 6000, designEndpoints} {
+		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
+			l, err := standin.Listen()
+			if err != nil {
+				b.Fatal(err)
+			}
+			node := standin.Serve(l, serveJob)
+			defer node.Close()
+			text := longEndpoints(1, entries, node, healthActive)
+			m := newEndpointWatch("", &config.Settings{}, nil, nil)
+			b.SetBytes(int64(len(text)))
+			b.ReportAllocs()
+			for b.Loop() {
+				l, err := decodeResponse(strings.NewReader(text), int64(entries))
+				if err != nil {
+					b.Fatal(err)
+				}
+				m.applyLocked(l)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/platform/fuzz_requests_test.go
@@ -0,0 +1,218 @@
+package platform
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/vatu-meals/foxlift/internal/core"
+	"github.com/vatu-meals/foxlift/internal/counters"
+	"github.com/vatu-meals/foxlift/internal/fuzz"
+)
+
+// Every parser of the platform's side is fuzzed here. Each property is a function of
+// bytes, played by a native target (go test -fuzz) and, from fixed seeds, by every
+// plain go test.
+
+// cut splits data at the given offsets, in order.
+func cut(data []byte, at ...int) (parts [][]byte) {
+	last := 0
+	for _, i := range at {
+		if i > last && i < len(data) {
+			parts = append(parts, bytes.Clone(data[last:i]))
+			last = i
+		}
+	}
+	return append(parts, bytes.Clone(data[last:]))
+}
+
+// A reading is what the front makes of a connection's bytes.
+type parsedRequests struct {
+	requests []framedRequest
+	jobs     []string // of each request: the job, or what is wrong with it
+	headers  []string
+	consumed string // how the connection's reading ended
+	buffered int    // the largest that the buffer became
+}
+
+func newReader(parts [][]byte) (*clientConn, *memConn) {
+	conn := &memConn{parts: parts}
+	f := newClientServer(nil, core.NewClock(), &counters.Set{}, zap.NewNop(), nil, 8)
+	return &clientConn{server: f, conn: conn, buf: buffer{conn: conn}, openedAt: time.Now()}, conn
+}
+
+// readAll reads requests as a submitter's goroutine does, without serving them.
+func readAll(parts [][]byte) (r parsedRequests) {
+	s, conn := newReader(parts)
+	for {
+		if s.buf.buffered() == 0 && s.buf.fill() != nil {
+			r.consumed = "end"
+			return r
+		}
+		req, body, input := s.readRequest()
+		r.buffered = max(r.buffered, len(s.buf.data))
+		switch {
+		case input != nil:
+			r.consumed = fmt.Sprint(input.status, " ", input.counter)
+			return r
+		case req == nil:
+			r.consumed = "broken off"
+			return r
+		}
+		r.requests = append(r.requests, framedRequest{req.Method, req.RequestURI, body, conn.read - s.buf.buffered()})
+		r.headers = append(r.headers, fmt.Sprint(req.Header)) // in the order of names
+		job, input := parseJob(req, body)
+		if input != nil {
+			r.jobs = append(r.jobs, fmt.Sprint(input.status, " ", input.counter))
+		} else {
+			p := job.Payload.(*payload)
+			r.jobs = append(r.jobs, fmt.Sprint(job.ID, job.Class, job.Tenant, job.Remaining, job.Key, job.Slots, job.Memory, job.ClientRetry, p.method, p.target))
+		}
+		if req.Close {
+			r.consumed = "closed"
+			return r
+		}
+	}
+}
+
+func (r parsedRequests) String() string {
+	var b strings.Builder
+	for i, q := range r.requests {
+		fmt.Fprintf(&b, "[%s %q body %q end %d: %s] ", q.method, q.target, q.body, q.length, r.jobs[i])
+	}
+	return b.String() + r.consumed
+}
+
+// checkRequests holds the front's reading against the rules of RFC 9112, against
+// net/http's, and against its own when the bytes come in other pieces.
+func checkRequests(t testing.TB, data []byte) {
+	got := readAll(cut(data))
+	at := 0
+	for i, q := range got.requests {
+		want, whole, sound := frameRequest(data, at)
+		if !whole || !sound || want.length != q.length || want.method != q.method || want.target != q.target || !bytes.Equal(want.body, q.body) {
+			t.Fatalf("request %d at %d of %q:\nthe front reads %s\nthe rules %+v, whole %v, sound %v", i, at, data, got, want, whole, sound)
+		}
+		r, err := http.ReadRequest(parserOf(data[at:]))
+		if err != nil {
+			t.Fatalf("request %d at %d of %q: net/http says %v", i, at, data, err)
+		}
+		if body, err := io.ReadAll(r.Body); err != nil || !bytes.Equal(body, q.body) || r.RequestURI != q.target {
+			t.Fatalf("request %d at %d of %q: net/http reads %q %q, %v", i, at, data, r.RequestURI, body, err)
+		}
+		if h := fmt.Sprint(r.Header); h != got.headers[i] {
+			t.Fatalf("request %d at %d of %q: the front reads %s, net/http %s", i, at, data, got.headers[i], h)
+		}
+		at = q.length
+	}
+	if got.consumed == "broken off" {
+		if want, whole, sound := frameRequest(data, at); whole && sound && want.length-at < maxHead {
+			t.Fatalf("%q: whole by the rules, %+v; the front reads %s", data, want, got)
+		}
+	}
+	if got.buffered > 2*(maxHead+3*maxBody) {
+		t.Fatalf("%d bytes are held for %d", got.buffered, len(data))
+	}
+	rng := rand.New(rand.NewPCG(uint64(len(data)), 5))
+	splits := [][]int{everyByte(len(data))}
+	for range 3 {
+		splits = append(splits, []int{rng.IntN(len(data) + 1)})
+	}
+	for _, at := range splits {
+		if other := readAll(cut(data, at...)); other.String() != got.String() {
+			t.Fatalf("%q: in one piece %s\nin pieces %s", data, got, other)
+		}
+	}
+}
+
+func everyByte(n int) (at []int) {
+	for i := range n {
+		at = append(at, i)
+	}
+	return at
+}
+
+// requestSeeds are requests good and bad: what past findings were made of is among
+// them.
+func requestSeeds() (seeds [][]byte) {
+	add := func(s ...string) {
+		for _, x := range s {
+			seeds = append(seeds, []byte(x))
+		}
+	}
+	const r, m = "reading", "5000m"
+	chunked := jobText(r, "j", m, "", "-Content-Length", "Transfer-Encoding: chunked")
+	add(jobText(r, "j", m, "body"), jobText(r, "j", m, "")+jobText("ratify", "k", m, "x"),
+		chunked+"3\r\nabc\r\n0\r\n\r\n", chunked+"3;ext=\"a\"\r\nabc\r\n0\r\nTrailer: x\r\n\r\n"+jobText(r, "k", m, ""),
+		chunked+"0\r\n\r\n", chunked+"3\nabc\n0\n\n", chunked+"00000000000000003\r\nabc\r\n0\r\n\r\n", chunked+"+3\r\nabc\r\n0\r\n\r\n",
+		chunked+"0x3\r\nabc\r\n0\r\n\r\n", chunked+" 3 \r\nabc\r\n0\r\n\r\n", chunked+"3\r\nabcd\r\n0\r\n\r\n", chunked+"ffffffffffffffff\r\nabc",
+		chunked+"3;"+strings.Repeat("e", 300)+"\r\nabc\r\n0\r\n\r\n", chunked+"3\r\nabc\r\n0\r\n folded\r\n\r\n",
+		strings.Replace(chunked, "chunked", "chunked, chunked", 1)+"0\r\n\r\n", strings.Replace(chunked, "chunked", "identity", 1),
+		strings.Replace(chunked, "chunked", "\x0bchunked", 1)+"0\r\n\r\n", strings.Replace(chunked, "chunked", "Chunked", 1)+"0\r\n\r\n",
+		strings.Replace(chunked, "Transfer-Encoding:", "Transfer-Encoding :", 1)+"0\r\n\r\n",
+		jobText(r, "j", m, "", "Transfer-Encoding: chunked")+"0\r\n\r\n", jobText(r, "j", m, "a", "Content-Length: 1"),
+		"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n", "GET /_health HTTP/1.0\r\n\r\n", "\r\n\r\nGET / HTTP/1.1\r\n\r\n", "GET / HTTP/1.1\nHost: x\n\n",
+		"POST /a/../b?user=%zz HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", "hello\r\n\r\n", "GET / HTTP/2.0\r\n\r\n", "GET / HTTP/1.1 \r\n\r\n")
+	add(strings.Replace(chunked, "1.1", "1.0", 1)+"3\r\nabc\r\n0\r\n\r\n", strings.Repeat(jobText(r, "j", m, "body"), 14)) // more than a buffer begins with
+	for _, length := range []string{"+5", "-1", "0x5", "5, 5", "5 5", "", "1e1", "99999999999999999999", "18446744073709551621", "٥", "5\x00"} {
+		add(jobText(r, "j", m, "", "-Content-Length", "Content-Length: "+length) + "abcde")
+	}
+	for _, header := range []string{"X-A: b\r\n c", "X-A: b\rc", "X-A: b\x00c", "X A: b", ": b", "X-Labels: slots=1e400", "X-Remaining: 1e400m", "X-Org: \xff"} {
+		add(jobText(r, "j", m, "ab", header))
+	}
+	return seeds
+}
+
+func FuzzRequests(f *testing.F) {
+	for _, s := range requestSeeds() {
+		f.Add(s)
+	}
+	f.Fuzz(func(t *testing.T, data []byte) { checkRequests(t, data) })
+}
+
+func TestFuzzRequests(t *testing.T) { fuzz.Play(t, 1, 4000, requestSeeds(), checkRequests) }
+
+// Every message of both sides, cut at every byte boundary, and the short ones at every
+// pair of boundaries: the outcome is that of the whole.
+func TestEverySplit(t *testing.T) {
+	const short = 150
+	for _, data := range requestSeeds() {
+		want := readAll(cut(data)).String()
+		for i := range data {
+			if got := readAll(cut(data, i)).String(); got != want {
+				t.Fatalf("%q cut at %d: %s, whole %s", data, i, got, want)
+			}
+			for k := i + 1; len(data) <= short && k < len(data); k++ {
+				if got := readAll(cut(data, i, k)).String(); got != want {
+					t.Fatalf("%q cut at %d and %d: %s, whole %s", data, i, k, got, want)
+				}
+			}
+		}
+	}
+	for _, data := range answerSeeds() {
+		outcome := func(parts [][]byte) string {
+			conn := &memConn{parts: parts}
+			a := &attempt{pool: &workerPool{}, job: &core.Job{ID: "j"}, report: func(core.Report) {}}
+			r, _ := a.receiveAnswer(&workerConn{Conn: conn, buf: buffer{conn: conn}})
+			return fmt.Sprint(r.Code, string(r.Result))
+		}
+		want := outcome(cut(data))
+		for i := 0; i < len(data); i += 1 + len(data)/2000 { // the longest ones at 2,000 places
+			if got := outcome(cut(data, i)); got != want {
+				t.Fatalf("%.300q cut at %d: %s, whole %s", data, i, got, want)
+			}
+			for k := i + 1; len(data) <= short && k < len(data); k++ {
+				if got := outcome(cut(data, i, k)); got != want {
+					t.Fatalf("%q cut at %d and %d: %s, whole %s", data, i, k, got, want)
+				}
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/platform/fuzz_values_test.go
@@ -0,0 +1,66 @@
+package platform
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/vatu-meals/foxlift/internal/config"
+	"github.com/vatu-meals/foxlift/internal/fuzz"
+)
+
+// checkValues holds the small parsers of header values to their ranges.
+func checkValues(t testing.TB, data []byte) {
+	s := string(data)
+	if d, err := parseRemaining(s); err == nil {
+		if d < 0 {
+			t.Fatalf("%q is %v", s, d)
+		}
+		if again, err := parseRemaining(formatRemaining(d)); err != nil || again != d.Truncate(time.Microsecond) && d < time.Hour {
+			t.Fatalf("%q is %v, printed and read %v, %v", s, d, again, err)
+		}
+	}
+	if slots, memory, err := parseLabels(s); err == nil {
+		for _, x := range []float64{slots, memory} {
+			if !(x >= 0) || x > 1e308 {
+				t.Fatalf("%q: %v and %v", s, slots, memory)
+			}
+		}
+	}
+	if isToken(s) && strings.ContainsAny(s, " \r\n\x00\x7f") {
+		t.Fatalf("%q is a token", s)
+	}
+	for _, parse := range []func(string, []string) (loadGauges, error){
+		parseLoad, func(s string, names []string) (loadGauges, error) { return parseLoadObject([]byte(s), names) },
+	} {
+		if l, err := parse(s, []string{"a", "b"}); err == nil {
+			for _, x := range l {
+				if !(x >= 0 && x <= maxGauge) {
+					t.Fatalf("%q: %v", s, l)
+				}
+			}
+		}
+	}
+	seen := peerReceiver{}
+	seen.open(1e15, data)
+	config.ParseKey(data)
+}
+
+func valueSeeds() (seeds [][]byte) {
+	for _, s := range []string{
+		"480m", "480000u", "1e400m", "0x10m", "-1m", ".m", "1.5m", "99999999999999999999m", "NaNm", "m", "", "slots=1,memory=0.5",
+		"slots=1e400", "slots=-1", "slots=Inf", "slots", "a=1,b=2", `{"a":1,"b":2}`, "7f3a9c21e0b4d655",
+	} {
+		seeds = append(seeds, []byte(s))
+	}
+	return seeds
+}
+
+func FuzzValues(f *testing.F) {
+	for _, s := range valueSeeds() {
+		f.Add(s)
+	}
+	f.Fuzz(func(t *testing.T, data []byte) { checkValues(t, data) })
+}
+
+func TestFuzzValues(t *testing.T) { fuzz.Play(t, 4, 30000, valueSeeds(), checkValues) }
--- a/internal/platform/toy_test.go
+++ b/internal/platform/helpers_test.go
@@ -19,6 +19,29 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
+func check(t *testing.T, what string, got, want any) {
+	t.Helper()
+	if got != want {
+		t.Errorf("%s: %v, want %v", what, got, want)
+	}
+}
+
+// pipe returns both ends of a connection.
+func pipe(t *testing.T) (near, far *net.TCPConn) {
+	t.Helper()
+	l := listen(t)
+	c, err := net.Dial("tcp", l.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	o, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close(); o.Close() })
+	return c.(*net.TCPConn), o.(*net.TCPConn)
+}
+
 const patience = 20 * time.Second // for what must happen, on any machine
 
 const testSettings = `{"balancers":1,"discovery":"subscribe","dcs":["a"],"zone":"a","flavors":["k"],
@@ -113,8 +136,10 @@
 	if discovery == "" {
 		discovery = refusingAddress(t)
 	}
-	cfg := &config.Scheduler{Listen: "127.0.0.1:0", Discovery: discovery, Sockets: sockets,
-		Known: []byte(known), Settings: s}
+	cfg := &config.Scheduler{
+		Listen: "127.0.0.1:0", Discovery: discovery, Sockets: sockets,
+		Known: []byte(known), Settings: s,
+	}
 	set, clock := &counters.Set{}, core.NewClock()
 	c, err := core.New(core.Config{Settings: s, Seed: 1, Clock: clock, Counters: set})
 	if err != nil {
@@ -161,9 +186,11 @@
 // names one to leave out.
 func jobText(class, id, remaining, body string, more ...string) string {
 	b := fmt.Sprintf("POST /%s?user=7f3a9c21e0b4d655 HTTP/1.1\r\n", class)
-	for _, h := range []string{"Host: app.svc", headerID + ": " + id, headerClass + ": " + class,
+	for _, h := range []string{
+		"Host: app.svc", headerID + ": " + id, headerClass + ": " + class,
 		headerTenant + ": islands", headerRemaining + ": " + remaining, headerLabels + ": slots=1,memory=0.5",
-		fmt.Sprintf("Content-Length: %d", len(body))} {
+		fmt.Sprintf("Content-Length: %d", len(body)),
+	} {
 		name, _, _ := strings.Cut(h, ":")
 		if len(more) == 0 || more[0] != "-"+name {
 			b += h + "\r\n"
@@ -203,3 +230,13 @@
 	s.send(t, text)
 	return s.answer(t)
 }
+
+// keyedSettings is the toy deployment with a keyed class, load reports and messages.
+var keyedSettings = strings.NewReplacer(
+	`"effect":"at_most_once"`, `"effect":"deduplicated","dedupScope":"cell","keyTtl":5000000000`,
+	`"bounds":{`, `"report":{"how":"answers","names":["backlog","x0"]},"bounds":{"probes":true,`,
+).Replace(testSettings)
+
+func startKeyed(t *testing.T, nodes ...*testWorker) (*Platform, *counters.Set) {
+	return startText(t, keyedSettings, 256, "", nodes...)
+}
--- a/internal/platform/parse.go
+++ b/internal/platform/job_request.go
@@ -1,7 +1,6 @@
 package platform
 
 import (
-	"bytes"
 	"errors"
 	"fmt"
 	"math"
@@ -21,81 +20,6 @@
 	body           []byte
 }
 
-// inputError is what a submitter sent and no execute node may see: the status of
-// its answer and the counter it falls under.
-type inputError struct {
-	status  int
-	counter string
-	text    string
-}
-
-func (e *inputError) Error() string { return e.text }
-
-func newInputError(status int, counter, format string, args ...any) *inputError {
-	return &inputError{status, "bad." + counter, fmt.Sprintf(format, args...)}
-}
-
-// checkFraming looks at a request's head as it came, for what http.ReadRequest
-// reads in one way and another party may read in another: then a second request
-// could hide in the body (RFC 9112, 6.1 to 6.3 and 11.2).
-func checkFraming(head []byte, req *http.Request) *inputError {
-	lengths, codings := 0, 0
-	for i, rest := 0, bytes.TrimRight(head, "\r\n"); len(rest) > 0; i++ {
-		var line []byte
-		line, rest, _ = bytes.Cut(rest, []byte("\n"))
-		line = bytes.TrimSuffix(line, []byte("\r"))
-		for _, c := range line {
-			if c < ' ' && c != '\t' || c == 0x7f { // RFC 9110, 5.5
-				return newInputError(http.StatusBadRequest, "head", "a control character in the head")
-			}
-		}
-		if i == 0 {
-			continue // http.ReadRequest is strict about the first line
-		}
-		if len(line) > 0 && (line[0] == ' ' || line[0] == '\t') {
-			return newInputError(http.StatusBadRequest, "head", "a folded header line")
-		}
-		name, _, _ := bytes.Cut(line, []byte(":"))
-		if !isHeaderName(name) {
-			return newInputError(http.StatusBadRequest, "head", "a header name that is no token")
-		}
-		switch {
-		case bytes.EqualFold(name, []byte("Content-Length")):
-			lengths++
-		case bytes.EqualFold(name, []byte("Transfer-Encoding")):
-			codings++
-		}
-	}
-	switch {
-	case lengths > 0 && codings > 0:
-		return newInputError(http.StatusBadRequest, "framing", "both Content-Length and Transfer-Encoding")
-	case lengths > 1 || codings > 1:
-		return newInputError(http.StatusBadRequest, "framing", "a repeated Content-Length or Transfer-Encoding")
-	case codings > 0 && !req.ProtoAtLeast(1, 1):
-		return newInputError(http.StatusBadRequest, "framing", "Transfer-Encoding before HTTP/1.1")
-	}
-	return nil
-}
-
-// isHeaderName reports whether s is a header's name, a token (RFC 9110, 5.6.2). To
-// http.ReadRequest "Transfer-Encoding " is just some other header: the next party may
-// take it for the framing.
-func isHeaderName(s []byte) bool {
-	for _, c := range s {
-		if !headerNameBytes[c] {
-			return false
-		}
-	}
-	return len(s) > 0
-}
-
-var headerNameBytes = func() (in [256]bool) {
-	for _, c := range []byte("!#$%&'*+-.^_`|~0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz") {
-		in[c] = true
-	}
-	return in
-}()
-
 // parseJob makes a job of a request read in full.
 func parseJob(req *http.Request, body []byte) (*core.Job, *inputError) {
 	if ids := req.Header[headerID]; len(ids) != 1 || !isToken(ids[0]) {
--- /dev/null
+++ b/internal/platform/shutdown_test.go
@@ -0,0 +1,185 @@
+package platform
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/vatu-meals/foxlift"
+	"github.com/vatu-meals/foxlift/internal/config"
+	"github.com/vatu-meals/foxlift/internal/core"
+	"github.com/vatu-meals/foxlift/internal/counters"
+)
+
+// The end: health turns 503, what comes in is still served, answers end their
+// connections, and what runs is finished, the backlog too.
+func TestShutDown(t *testing.T) {
+	release := make(chan bool)
+	handle := func(c net.Conn, r *http.Request, id string) bool {
+		if id == "slow" {
+			<-release
+		}
+		return serveJob(c, r, id)
+	}
+	node, other := newTestWorker(t, handle), newTestWorker(t, handle)
+	p, _ := start(t, "", node, other)
+	slow, kept, idle, half := connect(t, p), connect(t, p), connect(t, p), connect(t, p)
+	half.send(t, jobText("reading", "half", "9000m", "abc")[:60])
+	slow.send(t, jobText("ratify", "slow", "19000m", ""))
+	for _, s := range []*testClient{kept, idle} {
+		r, _ := s.request(t, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
+		check(t, "health before", r.StatusCode, 200)
+	}
+	await(t, "at a node", func() bool { return node.Got.Load()+other.Got.Load() == 1 })
+	ended := make(chan bool)
+	go func() { p.ShutDown(); close(ended) }()
+	await(t, "ending", p.clients.unready.Load)
+	r, _ := connect(t, p).request(t, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
+	check(t, "health", r.StatusCode, 503)
+	for i, s := range []*testClient{kept, connect(t, p)} {
+		r, _ := s.request(t, jobText("reading", fmt.Sprint("j", i), "9000m", ""))
+		check(t, "status while ending", r.StatusCode, 200)
+		check(t, "stays open", r.Close, false)
+	}
+	half.send(t, jobText("reading", "half", "9000m", "abc")[60:])
+	r, _ = half.answer(t)
+	check(t, "read in two parts", r.StatusCode, 200)
+	if _, err := idle.br.ReadByte(); err != io.EOF {
+		t.Errorf("the idle connection: %v", err)
+	}
+	select {
+	case <-ended:
+		t.Error("ended before what runs was answered")
+	default:
+	}
+	close(release)
+	r, _ = slow.answer(t)
+	check(t, "slow", r.StatusCode, 200)
+	select {
+	case <-ended:
+	case <-time.After(patience):
+		t.Error("does not end")
+	}
+}
+
+// A lateRequestConn calls a test's hook at a moment of a submitter's connection.
+type lateRequestConn struct {
+	*net.TCPConn
+	shuttingDown func() // once, as the connection begins to end
+}
+
+func (c *lateRequestConn) hook() {
+	if ending := c.shuttingDown; ending != nil {
+		c.shuttingDown = nil
+		ending()
+	}
+}
+
+func (c *lateRequestConn) CloseWrite() error { c.hook(); return c.TCPConn.CloseWrite() }
+
+func (c *lateRequestConn) Close() error { c.hook(); return c.TCPConn.Close() }
+
+// A request that comes in the very moment in which a connection ends is not taken; nor does it
+// take along the answer before it, which is still on its way.
+func TestRequestDuringShutdown(t *testing.T) {
+	big := strings.Repeat("x", 60<<10)
+	node := newTestWorker(t, func(c net.Conn, _ *http.Request, id string) bool {
+		return writeStates(c, id, true, `"started"`, `"done","result":"`+big+`"`)
+	})
+	for _, how := range []string{"a last answer", "an idle one", "bad input"} {
+		p, set := start(t, "", node)
+		near, far := pipe(t)
+		far.SetReadBuffer(4 << 10) // most of the answer is still with the scheduler as it ends
+		far.SetDeadline(time.Now().Add(patience))
+		ending := make(chan bool)
+		p.clients.serveConn(&lateRequestConn{near, func() {
+			io.WriteString(far, jobText("reading", "late", "9000m", "")+strings.Repeat("y", 2<<10))
+			await(t, "arrived", func() bool { return hasInput(near) })
+			close(ending)
+		}})
+		got, status := node.Got.Load(), 200
+		switch how {
+		case "a last answer":
+			io.WriteString(far, jobText("reading", "j", "9000m", "", "Connection: close"))
+		case "bad input":
+			io.WriteString(far, "what is this\r\n\r\n")
+			status = 400
+			got--
+		default:
+			io.WriteString(far, jobText("reading", "j", "9000m", ""))
+			await(t, "served", func() bool { return set.Get("jobs.served") == 1 })
+			await(t, "idle", func() bool { p.clients.mu.Lock(); defer p.clients.mu.Unlock(); return p.clients.idle.Len() == 1 })
+			p.clients.freeCapacity(1)
+		}
+		<-ending
+		br := bufio.NewReader(far)
+		r, err := http.ReadResponse(br, nil)
+		if err != nil {
+			t.Fatal(how, ": ", err)
+		}
+		body, err := io.ReadAll(r.Body)
+		if err != nil || status == 200 && len(body) != len(big) {
+			t.Errorf("%s: %d bytes of the answer, %v", how, len(body), err)
+		}
+		check(t, how+": status", r.StatusCode, status)
+		if _, err := br.ReadByte(); err != io.EOF {
+			t.Errorf("%s: %v behind the answer", how, err)
+		}
+		check(t, how+": sent on", node.Got.Load(), got+1)
+	}
+}
+
+// A stalledListener's deadlines are over when they are set, some times: the process stood still.
+type stalledListener struct {
+	*net.TCPListener
+	stalls int
+}
+
+func (l *stalledListener) SetDeadline(at time.Time) error {
+	if l.stalls > 0 && !at.IsZero() {
+		l.stalls--
+		at = pastDeadline
+	}
+	return l.TCPListener.SetDeadline(at)
+}
+
+// What the kernel has accepted at the end is served, though the process stands still past the
+// time that it takes for that.
+func TestBacklogAfterProcessStall(t *testing.T) {
+	p, _ := start(t, "", newTestWorker(t, serveJob))
+	f := newClientServer(p.core, core.NewClock(), &counters.Set{}, zap.NewNop(), &stalledListener{listen(t).(*net.TCPListener), 4}, 9)
+	q := &Platform{clients: f}
+	var waiting []*testClient
+	for i := range 5 {
+		s := connect(t, q)
+		s.send(t, jobText("reading", fmt.Sprint("w", i), "9000m", ""))
+		waiting = append(waiting, s)
+	}
+	f.stopAccepting.Store(true) // before the first accept: all of them are backlog
+	go f.accept()
+	f.shutDown(0, 0)
+	for _, s := range waiting {
+		r, _ := s.answer(t)
+		check(t, "status", r.StatusCode, 200)
+	}
+}
+
+// Whatever the deadlines of the classes, all is answered, and the answers are read, before the
+// process may be killed; what comes in the first 0.7 s finds its connection open.
+func TestShutdownTimes(t *testing.T) {
+	for _, deadline := range []time.Duration{300 * time.Millisecond, 800 * time.Millisecond, 2500 * time.Millisecond, 3 * time.Second, 25 * time.Second} {
+		s := &config.Settings{Module: foxlift.Config{Classes: []foxlift.Class{{Deadline: int64(time.Millisecond)}, {Deadline: int64(deadline)}}}}
+		stay, end := shutdownTimes(s)
+		kill := min(3*time.Second, deadline) + 700*time.Millisecond
+		if end+lingerTimeout+100*time.Millisecond > kill || stay < acceptAfterShutdown || stay >= end {
+			t.Errorf("deadline %v: connections stay %v, answered by %v, killed at %v", deadline, stay, end, kill)
+		}
+	}
+}
--- a/internal/platform/nodes.go
+++ b/internal/platform/worker_pool.go
@@ -47,16 +47,6 @@
 	idle map[string][]*workerConn // by address, the newest last
 }
 
-// A workerConn is a connection to an execute node. It carries one request at a time.
-type workerConn struct {
-	net.Conn
-	addr      string
-	buf       buffer
-	idleTimer *time.Timer // while idle
-	idleSince time.Time   // when it became idle
-	openedAt  time.Time   // when it was opened
-}
-
 func newWorkerPool(list *endpointWatch, s *config.Settings, set *counters.Set, log *zap.Logger, budget int) *workerPool {
 	n := &workerPool{
 		find: list.find, stateOf: list.stateOf, drainGrace: time.Duration(s.DrainGrace), log: log, counters: set, dialTimeout: defaultDialTimeout, idleTimeout: defaultIdleTimeout, budget: budget,
@@ -133,14 +123,6 @@
 	}
 }
 
-// reset ends a connection at once: what it has not delivered is discarded.
-func (c *workerConn) reset() {
-	if tcp, ok := c.Conn.(*net.TCPConn); ok {
-		tcp.SetLinger(0)
-	}
-	c.Close()
-}
-
 // discard closes a connection that is not idle.
 func (p *workerPool) discard(c *workerConn) {
 	c.Close()
--- /dev/null
+++ b/internal/platform/worker_pool_test.go
@@ -0,0 +1,140 @@
+package platform
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"github.com/vatu-meals/foxlift"
+	"github.com/vatu-meals/foxlift/internal/counters"
+)
+
+// An idle connection that the node has closed is not written to: an at-most-once
+// job on it would look as if it may have run.
+func TestStaleIdleConnection(t *testing.T) {
+	closed := make(chan bool)
+	node := newTestWorker(t, func(c net.Conn, r *http.Request, id string) bool {
+		serveJob(c, r, id)
+		c.Close()
+		closed <- true
+		return false
+	})
+	p, _ := start(t, "", node)
+	s := connect(t, p)
+	for i := range 3 {
+		r, _ := s.request(t, jobText("ratify", fmt.Sprint("j", i), "9000m", ""))
+		check(t, "status", r.StatusCode, 200)
+		<-closed
+	}
+	check(t, "connections", node.Conns.Load(), int64(3))
+}
+
+// Idle connections are reused newest first, make way for others past the budget,
+// and are dropped in time.
+func TestIdleConnections(t *testing.T) {
+	node := newTestWorker(t, serveJob)
+	n := &workerPool{counters: &counters.Set{}, dialTimeout: patience, idleTimeout: time.Hour, budget: 2, idle: map[string][]*workerConn{}}
+	addr, to := node.Addr().String(), endpoint{address: node.Addr().String()}
+	dial := func() *workerConn {
+		c, err := n.dial(t.Context(), addr)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return c
+	}
+	a, b := dial(), dial()
+	if _, err := n.dial(t.Context(), addr); !errors.Is(err, errNoDescriptor) {
+		t.Errorf("a third connection: %v", err)
+	}
+	if c, code := n.acquire(t.Context(), to); c != nil || code != foxlift.NotSent {
+		t.Errorf("without a descriptor: code %d", code)
+	}
+	n.release(a)
+	n.release(b)
+	check(t, "newest first", n.reuse(to), b)
+	c := dial() // a makes way
+	check(t, "idle", len(n.idle), 0)
+	n.release(b)
+	n.idleTimeout = time.Millisecond
+	n.release(c)
+	await(t, "dropped", func() bool { n.mu.Lock(); defer n.mu.Unlock(); return n.open == 1 })
+	check(t, "kept", n.reuse(to), b)
+	n.idleTimeout = time.Hour
+	n.release(b)
+	to.at = time.Now() // the node has restarted since: the connection led to its former process
+	if c := n.reuse(to); c != nil {
+		t.Error("a connection to a former process was reused")
+	}
+	check(t, "open", n.open, 0)
+}
+
+// A connection that never comes up, or is refused, proves that the job never ran.
+func TestUnreachable(t *testing.T) {
+	dead := newTestWorker(t, nil)
+	dead.Close()
+	n := &workerPool{counters: &counters.Set{}, dialTimeout: patience, budget: 1, idle: map[string][]*workerConn{}}
+	if c, code := n.acquire(t.Context(), endpoint{address: dead.Addr().String()}); c != nil || code != foxlift.Unreachable {
+		t.Errorf("refused: code %d", code)
+	}
+	n.dialTimeout = time.Nanosecond
+	if c, code := n.acquire(t.Context(), endpoint{address: listen(t).Addr().String()}); c != nil || code != foxlift.Unreachable {
+		t.Errorf("too late: code %d", code)
+	}
+	check(t, "open", n.open, 0)
+}
+
+// Bytes of an earlier answer that come late on a kept connection: before the last byte they keep
+// the next job from it, which goes elsewhere; behind it the job may have run, and never runs twice.
+func TestLateBytesOfAnEarlierAnswer(t *testing.T) {
+	for _, late := range []string{"before the last byte", "behind the last byte"} {
+		wholes := make(chan string, 9)
+		l := listen(t)
+		go func() {
+			for {
+				c, err := l.Accept()
+				if err != nil {
+					return
+				}
+				go func() {
+					br := bufio.NewReader(c)
+					for n := 0; ; n++ {
+						if n == 1 && late == "before the last byte" {
+							br.Peek(1) // the next request has begun
+							writeStates(c, "j0", true, `"done","result":"again"`)
+						}
+						r, err := http.ReadRequest(br)
+						if err != nil {
+							return
+						}
+						io.Copy(io.Discard, r.Body)
+						id := r.Header.Get(headerID)
+						wholes <- id
+						if n == 1 && late == "behind the last byte" {
+							writeStates(c, "j0", true, `"done","result":"again"`)
+						}
+						writeStates(c, id, true, `"started"`, `"done","result":"for `+id+`"`)
+					}
+				}()
+			}
+		}()
+		entry := `{"host":"n%d","dial":%q,"site":"a","class":"k","block":0,"health":"active","born_ms":0}`
+		known := fmt.Sprintf(`{"seq":1,"whole":true,"hosts":[`+entry+","+entry+`]}`, 0, l.Addr(), 1, l.Addr())
+		p, _ := startKnown(t, testSettings, 256, "", known)
+		s := connect(t, p)
+		r, _ := s.request(t, jobText("reading", "j0", "9000m", ""))
+		check(t, "first", r.StatusCode, 200)
+		check(t, "first at the node", <-wholes, "j0") // whole, or the answer would not be there
+		r, body := s.request(t, jobText("ratify", "j1", "9000m", ""))
+		if late == "before the last byte" {
+			check(t, late, fmt.Sprint(r.StatusCode, body), "200for j1")
+		} else {
+			check(t, late, r.StatusCode, 502)
+		}
+		check(t, late+": whole requests since", len(wholes), 1)
+	}
+}
