--- a/affinity_test.go
+++ b/affinity_test.go
@@ -28,7 +28,8 @@
 	}
 }
 
-// A job goes where its key was lately, unless others have far fewer of our jobs.
+// A job goes where its affinity key is cached, unless other workers have far fewer of this dispatcher's
+// jobs.
 func TestJobsFollowCachedKeys(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(3)...)
 	ask := func(id, key uint64) string {
@@ -62,8 +63,8 @@
 	}
 }
 
-// Many dispatchers that never speak send a key's jobs to the same worker, and on to the
-// same next one, so that what the jobs need is fetched there once: not where it is for each.
+// Many dispatchers without gossip send a key's jobs to the same worker, and retry at the same next one,
+// so that what the jobs need is fetched once and not at a worker for each dispatcher.
 func TestManyDispatchersUseOneAffinitySet(t *testing.T) {
 	var seen [2]map[string]bool
 	for i := range seen {
@@ -89,8 +90,8 @@
 	}
 }
 
-// A key with a large part of the jobs has as many homes as it fills, not one; a dispatcher
-// keeps to those where it found room.
+// The affinity set of a key with a large part of the jobs has as many workers as the key fills, not one;
+// a dispatcher keeps to a worker that started its job promptly.
 func TestBusyKeyUsesMoreWorkers(t *testing.T) {
 	seen := map[string]bool{}
 	for index := range 40 {
@@ -116,7 +117,7 @@
 	}
 }
 
-// A job that stays where it is sent goes where one has just started, though that is no home.
+// A job that cannot be moved goes to a worker that has just started a job, even outside the affinity set.
 func TestAtMostOnceGoesWhereAStartWasPrompt(t *testing.T) {
 	h := newHarness(t, manyConfig(), testWorkers(60)...)
 	makeRare(h)
@@ -134,7 +135,7 @@
 	}
 }
 
-// A worker that goes moves the keys whose home it was, and no others.
+// The removal of a worker reassigns the keys that it was first for, and no others.
 func TestRendezvousReassignsOnlyKeysOfARemovedWorker(t *testing.T) {
 	h := newHarness(t, manyConfig(), testWorkers(60)...)
 	d := h.d
@@ -165,8 +166,8 @@
 	}
 }
 
-// A fetch weighs less for a long job: it goes where one started some seconds ago rather than
-// to a home not met yet, a light one of its own kind goes home.
+// The price of a fetch weighs less for a long job: it goes to a worker that started one some seconds ago
+// rather than to a preferred one of which nothing is known; a light job goes to the preferred one.
 func TestFetchPriceIsRelativeToRunTime(t *testing.T) {
 	for median, wantHome := range map[int64]bool{1: true, 10: false} {
 		t.Run(fmt.Sprintf("runtime=%dx", median), func(t *testing.T) {
--- a/bench_scale_test.go
+++ b/bench_scale_test.go
@@ -20,7 +20,7 @@
 	scaleKinds   = 4
 )
 
-// scaleWorkers are the warm workers of a fleet with several zones and kinds.
+// scaleWorkers are the workers of a fleet with several zones and kinds, none in slow start.
 func scaleWorkers(n int) (workers []Worker) {
 	for i := range n {
 		workers = append(workers, Worker{
@@ -96,7 +96,7 @@
 	return slope, math.Sqrt(residual)
 }
 
-// BenchmarkScaleCompleteEndpoints is the first whole list of a dispatcher.
+// BenchmarkScaleCompleteEndpoints is a dispatcher's first complete endpoint list.
 func BenchmarkScaleCompleteEndpoints(b *testing.B) {
 	benchmarkBySize(b, func(b *testing.B, n int) func() {
 		d := scaleDispatcher(b, 0)
@@ -111,7 +111,7 @@
 	})
 }
 
-// BenchmarkScaleRepeatedEndpoints is a whole list that tells again what is known.
+// BenchmarkScaleRepeatedEndpoints is a complete endpoint list without a change.
 func BenchmarkScaleRepeatedEndpoints(b *testing.B) {
 	benchmarkBySize(b, func(b *testing.B, n int) func() {
 		d, workers, now := scaleDispatcher(b, n), scaleWorkers(n), 3*second
@@ -122,7 +122,7 @@
 	})
 }
 
-// BenchmarkScaleChange is one change of the list: a worker drains, or is back.
+// BenchmarkScaleChange is a delta with one worker that drains, or is live again.
 func BenchmarkScaleChange(b *testing.B) {
 	benchmarkBySize(b, func(b *testing.B, n int) func() {
 		d, now, i := scaleDispatcher(b, n), 3*second, 0
@@ -148,7 +148,7 @@
 	})
 }
 
-// scaleJob is a job's whole life, without the ticks between: it comes, is sent, starts and is served.
+// scaleJob is all steps of a job but the ticks between: it arrives, is sent, starts and is served.
 func scaleJob(b *testing.B, n int, request func(id uint64) Request) func() {
 	d, now, id := scaleDispatcher(b, n), 3*second, uint64(0)
 	return func() {
--- a/bench_test.go
+++ b/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// benchDispatcher is a dispatcher of a large fleet with warm workers.
+// benchDispatcher is one of 80 dispatchers, with workers that are not in slow start.
 func benchDispatcher(b *testing.B, workers, tenants int) *Dispatcher {
 	cfg := testConfig()
 	cfg.Dispatchers, cfg.Gauges, cfg.Tenants = 80, nil, nil
@@ -20,7 +20,7 @@
 	return d
 }
 
-// BenchmarkJob is a job's whole life: it comes, is sent, starts and is served.
+// BenchmarkJob is all steps of a job: it arrives, is sent, starts and is served.
 func BenchmarkJob(b *testing.B) {
 	for _, size := range []struct{ workers, tenants int }{{15, 8}, {60, 8}, {600, 8}, {60, 80}} {
 		b.Run(fmt.Sprintf("workers=%d/tenants=%d", size.workers, size.tenants), func(b *testing.B) {
@@ -43,8 +43,7 @@
 	}
 }
 
-// BenchmarkTick is a look after all that depends on time, with jobs held that no worker
-// has room for.
+// BenchmarkTick is a tick with queued jobs that no worker has capacity for.
 func BenchmarkTick(b *testing.B) {
 	for _, size := range []struct{ workers, held int }{{15, 0}, {60, 0}, {600, 0}, {60, 100}, {60, 1000}} {
 		b.Run(fmt.Sprintf("workers=%d/held=%d", size.workers, size.held), func(b *testing.B) {
--- a/contract_test.go
+++ b/contract_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// The host's side of the contract: what a host that breaks it gets.
+// A host that breaks its side of the contract (unknown ids, time that goes back, doubled outcomes) does
+// no harm.
 func TestBrokenContractIsHarmless(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(2)...)
 	h.step(
--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// Workers that are gone are dropped after a while, and not before nothing is out there.
+// Removed workers are forgotten after removedRetention, and not while they have jobs in flight.
 func TestRemovedWorkersAreForgotten(t *testing.T) {
 	h := newHarness(t, manyConfig(), testWorkers(3)...)
 	h.step(h.request(1, atMostOnce))
--- a/export_test.go
+++ b/export_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// What the tests of package foxlift_test use of the fuzz tests' random host.
+// What the tests of package foxlift_test use of the random host.
 
 // RandomHostConfigs are the configurations that the random host plays.
 func RandomHostConfigs() []Config { return randomConfigs() }
 
-// PlayRandomHost plays the random host for some steps, and tells of each.
+// PlayRandomHost plays the random host for some steps, and calls each with every step.
 func PlayRandomHost(t *testing.T, seed uint64, cfg Config, steps int, each func(int64, []Event, []Action)) {
 	host := newRandomHost(t, seed, cfg)
 	first := Event{Kind: EventEndpoints, EndpointUpdate: EndpointsCached, Workers: slices.Clone(host.workers)}
--- a/fleet_index_test.go
+++ b/fleet_index_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// churn changes some workers at random: their states, starts and kinds.
+// churnEvent changes some workers at random: their states, starts and kinds.
 func (host *randomHost) churnEvent() Event {
 	var changed []Worker
 	for range host.rng.IntN(1 + len(host.workers)/4) {
@@ -25,8 +25,8 @@
 	return endpointsEvent(EndpointsDelta, changed...)
 }
 
-// Over random histories what the index keeps is what a look at all workers would find, and those
-// that it leaves alone at a tick are those that would not move.
+// Over random histories the index holds what a look at all workers would find, and the workers that a
+// tick does not examine are those whose level would not change.
 func TestIndexAgreesWithAFullScan(t *testing.T) {
 	for i, cfg := range randomConfigs() {
 		cfg.Dispatchers, cfg.MayGossip = []int{1, 5, 80}[i%3], false
@@ -148,9 +148,8 @@
 	return set[:min(maxAffinity, len(set))], len(set)
 }
 
-// What a step looks at does not grow with the fleet: a tick without a job looks at no worker, a
-// change at those that it names, a job at a sample. A loop over all of them would meet a worker that
-// is not there.
+// The number of workers that a step examines does not grow with the fleet: none at a tick without a job,
+// the named ones at a change, a sample for a job. A loop over all would meet a nil worker.
 func TestStepExaminesABoundedSample(t *testing.T) {
 	const keyed = maxCompared + 4*sampleSize
 	for _, n := range []int{600, 19000} {
@@ -197,8 +196,8 @@
 	}
 }
 
-// In a fleet of which a key's homes are searched in a part, every worker is the first home of about
-// as many keys, and one that goes moves its own keys alone.
+// In a fleet in a part of which the affinity set of a key is searched, every worker is first for about as
+// many keys, and the removal of one reassigns its own keys alone.
 func TestAffinityInALargeFleet(t *testing.T) {
 	const workers, keys = 6000, 60000
 	d := scaleDispatcher(t, workers)
@@ -233,7 +232,7 @@
 	}
 }
 
-// Where a fleet grows so far that its part is divided, a key keeps about half of its homes.
+// When a fleet grows so far that the searched part is halved, a key keeps about half of its affinity set.
 func TestAffinityAfterTheSearchedPartSplits(t *testing.T) {
 	d := scaleDispatcher(t, maxCompared)
 	homes := func(key uint64) []*worker {
--- a/fuzz_test.go
+++ b/fuzz_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A fuzzed host plays random but lawful events against a dispatcher and checks
-// the rules with bookkeeping of its own.
+// A randomHost plays random but lawful events against a dispatcher and checks the invariants with
+// records of its own.
 type randomHost struct {
 	t            *testing.T
 	cfg          Config
@@ -113,7 +113,7 @@
 	return append(events, host.dueEvents()...)
 }
 
-// due delivers timers and the outcomes of attempts that end by now.
+// dueEvents are the timers, health checks and outcomes that are due.
 func (host *randomHost) dueEvents() (events []Event) {
 	host.timers = slices.DeleteFunc(host.timers, func(a Action) bool {
 		if a.At > host.now {
--- a/health_test.go
+++ b/health_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A hung worker empties nothing and says nothing; it must get no more.
+// A hung worker starts nothing and reports nothing; it must get no further job.
 func TestHungWorkerGetsNothingNew(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(2)...)
 	h.step(h.request(1, atMostOnce), h.request(2, atMostOnce))
@@ -26,7 +26,7 @@
 	}
 }
 
-// A worker that errs at once always has fewest jobs; it must not draw the rest.
+// A worker that fails every job at once always has the fewest in flight; it must not attract the others.
 func TestFastFailingWorkerIsEjected(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(5)...)
 	bad := 0
@@ -68,7 +68,7 @@
 	}
 }
 
-// A refusing worker looks free by our count; it must not draw the next job.
+// A worker that rejects jobs looks free by the dispatcher's count; it must not attract the next job.
 func TestSaturationBackoffGrows(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(1)...)
 	h.step(h.request(1, atMostOnce))
@@ -85,7 +85,7 @@
 	}
 }
 
-// One reset is a connection's, a run of them the worker's.
+// One reset may be the connection's fault, a run of them is the worker's.
 func TestResetsInARowEjectAWorker(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(1)...)
 	for id := uint64(1); id <= 4; id++ {
@@ -99,7 +99,7 @@
 	}
 }
 
-// Each of many meets a worker too seldom to wait for a run of errors.
+// Each of many dispatchers sends to a worker too seldom to wait for a run of errors.
 func TestManyDispatchersEjectAtTheFirstError(t *testing.T) {
 	for dispatchers, shut := range map[int]bool{80: true, 3: false} {
 		t.Run(fmt.Sprintf("dispatchers=%d", dispatchers), func(t *testing.T) {
@@ -117,7 +117,7 @@
 	}
 }
 
-// A start is no sign of health where what started fails: the pause goes on growing.
+// A start is no sign of health where what started fails: the backoff goes on growing.
 func TestStartsDoNotResetAFailingWorkersBackoff(t *testing.T) {
 	h := newHarness(t, manyConfig(), testWorkers(1)...)
 	w := h.d.workerOrder[0]
--- a/migration_test.go
+++ b/migration_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-// What a host with several dispatchers passes between them: jobs with their age and
-// attempts, workers with others' jobs on them, shares.
+// What a host with several dispatchers passes between them: jobs with their queue time and prior
+// attempts, workers with external slots, quotas.
 
-// A lone tenant far over its share gets what stands idle, also where the scheduler
-// began without a list: its window used to stay at 0 then.
+// A lone tenant far past its quota gets the idle capacity, also where the dispatcher began without an
+// endpoint list: the start window must not stay at 0.
 func TestLoneTenantUsesAnIdleFleet(t *testing.T) {
 	for name, first := range map[string][]Worker{"list known": testWorkers(8), "no list known": nil} {
 		t.Run(name, func(t *testing.T) {
@@ -46,7 +46,7 @@
 	}
 }
 
-// A job that waited elsewhere is as old here: it is given up when it would have been.
+// The time that a job was queued at another dispatcher counts: it is shed when it would have been there.
 func TestMigrationPreservesQueueTime(t *testing.T) {
 	cfg := testConfig()
 	h := newHarness(t, cfg) // no worker: every job is held
@@ -66,7 +66,7 @@
 	}
 }
 
-// Attempts made elsewhere count.
+// Attempts of another dispatcher count towards MaxAttempts.
 func TestMigrationCountsPriorAttempts(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(4)...)
 	e := h.request(1, idempotent)
@@ -82,8 +82,7 @@
 	h.wantActions(ActionSend, 0)
 }
 
-// A job goes to no worker but those it is confined to, and while they are full others
-// of its class go past it.
+// A job goes only to its allowed workers, and while these are saturated others of its class overtake it.
 func TestConfinedJobsDoNotBlockTheirClass(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(4)...)
 	id, full := uint64(0), false
@@ -112,7 +111,7 @@
 	}
 }
 
-// Slots that others hold on a worker count until they are told to be free.
+// External slots of a worker count until an update of the endpoint list says that they are free.
 func TestExternalSlotsCount(t *testing.T) {
 	workers := testWorkers(2)
 	workers[0].ExternalSlots = 3
@@ -134,7 +133,7 @@
 	}
 }
 
-// Shares that change hold at once; a message of another length changes nothing.
+// New quotas apply at once; a list of the wrong length changes nothing.
 func TestQuotasChange(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(2)...)
 	h.step(Event{Kind: EventQuotas, Quotas: []float64{30, 0}})
@@ -147,8 +146,8 @@
 	}
 }
 
-// A process that has just taken over has few jobs of its own at workers that are full of the other's:
-// a late start there does not shrink the window to twice its own, which would take minutes to grow back.
+// After a takeover a dispatcher has few jobs of its own at workers that are busy with its predecessor's:
+// a late start there must not shrink the start window to twice its own jobs, which takes minutes to undo.
 func TestStartWindowCountsExternalSlots(t *testing.T) {
 	workers := testWorkers(12)
 	for i := range workers {
--- a/peers_test.go
+++ b/peers_test.go
@@ -9,8 +9,7 @@
 	"github.com/vatu-meals/foxlift/internal/decision/gossip"
 )
 
-// newPeers are dispatchers that may send each other messages, with workers of two slots and
-// two units of memory each, as their reports tell.
+// newPeers are two dispatchers that gossip, with workers that report two slots and two units of memory.
 func newPeers(t *testing.T, workers int) (harnesses []*harness) {
 	const peers = 2
 	cfg := testConfig()
@@ -27,7 +26,7 @@
 	return harnesses
 }
 
-// told is the last step's message, as the event that it is at another dispatcher.
+// gossipEvent is the last step's message, as the event that it is at another dispatcher.
 func (h *harness) gossipEvent() Event {
 	h.t.Helper()
 	m := h.wantActions(ActionMessage, 1)[0]
@@ -37,7 +36,8 @@
 	return Event{Kind: EventMessage, From: h.d.cfg.Index, Data: m.Data}
 }
 
-// A dispatcher takes the mean of the u's if that is lower; one that fell silent counts no more.
+// A dispatcher adopts the mean of the peers' admission rates if that is lower; a silent peer does not
+// count.
 func TestPeersAdoptTheMeanAdmissionRate(t *testing.T) {
 	harnesses := newPeers(t, 1)
 	a, b := harnesses[0], harnesses[1]
@@ -57,8 +57,8 @@
 	}
 }
 
-// What a peer's jobs hold is as good as held here: two dispatchers fill two workers of two
-// slots without a queue, hold what has no slot, and send it when the peer's job ends.
+// A peer's usage counts like a dispatcher's own: two dispatchers fill two workers of two slots, queue
+// what has no slot, and send it when the peer's job ends.
 func TestPeersFillSlotsTogether(t *testing.T) {
 	harnesses := newPeers(t, 2)
 	a, b := harnesses[0], harnesses[1]
@@ -88,8 +88,8 @@
 	}
 }
 
-// A job whose memory a worker has not left would wait at the head of its queue, and the
-// others behind it: it goes where there is room, or is held.
+// A job that needs more memory than a worker has free would block the worker's queue: it goes to a worker
+// with enough memory, or stays queued.
 func TestMemoryBoundsAWorker(t *testing.T) {
 	harnesses := newPeers(t, 2)
 	a, b := harnesses[0], harnesses[1]
--- a/placement_large_test.go
+++ b/placement_large_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// A job that has not started stays where it is for as long as any start may take, whatever the number
-// of dispatchers and however cold the workers are: whether a worker drops what is called off nobody
-// says, and where it does not each move is work done for nothing.
+// An unstarted job stays at its worker for as long as any start may take, whatever the number of
+// dispatchers, and in slow start too: a worker may run a cancelled job all the same, and then each move
+// is wasted work.
 func TestUnstartedJobsStayAtTheirWorker(t *testing.T) {
 	for _, dispatchers := range []int{3, 80} {
 		for _, cold := range []int64{0, 4 * second} {
@@ -34,7 +34,7 @@
 	}
 }
 
-// A start is late by what its way there takes at least: the handshake with another zone may take
+// A start is late only past the minimum delay of its path: the handshake with another zone may take
 // longer than a job may wait, and is no sign of a queue.
 func TestLateStartAllowsForThePath(t *testing.T) {
 	cfg := manyConfig()
@@ -64,7 +64,7 @@
 	}
 }
 
-// Jobs that cannot be moved wait here while two wait at workers; those that can go on.
+// Jobs that cannot be moved stay queued while two are unstarted at workers; those that can are sent.
 func TestManyDispatchersBoundUnstartedJobs(t *testing.T) {
 	h := newHarness(t, manyConfig(), testWorkers(60)...)
 	h.step(h.request(1, atMostOnce), h.request(2, atMostOnce), h.request(3, atMostOnce), h.request(4, idempotent))
@@ -80,8 +80,8 @@
 	}
 }
 
-// A job that stays where it is sent goes where one has just started at once, though that
-// worker has a job of ours: the others may hang.
+// A job that cannot be moved goes to the worker that has just started one promptly, though that worker
+// still runs it: the others may hang.
 func TestAtMostOncePrefersAWorkerThatStartedAJob(t *testing.T) {
 	workers := testWorkers(10)
 	for i := range workers {
@@ -97,9 +97,8 @@
 	}
 }
 
-// Of many workers each of many dispatchers samples a few. One that has just served
-// a job of ours has a slot free and our connection open: it is looked at whatever
-// the sample holds.
+// Each of many dispatchers samples a small part of the workers. A worker that has just served one of its
+// jobs has a free slot and an open connection: it is examined whatever the sample holds.
 func TestManyDispatchersReuseAFreedSlot(t *testing.T) {
 	for dispatchers, least := range map[int]int{80: 15, 3: 0} {
 		t.Run(fmt.Sprintf("dispatchers=%d", dispatchers), func(t *testing.T) {
@@ -124,8 +123,8 @@
 	}
 }
 
-// What a worker did with the last of our jobs holds: one that had room is preferred to one
-// not met yet, that to one that had none, and more so the newer the word of room.
+// A worker's reaction to the last job is remembered: one that started it promptly is preferred to one of
+// which nothing is known, that to one that was saturated, and the more the newer the prompt start.
 func TestManyDispatchersPreferPromptWorkers(t *testing.T) {
 	h := newHarness(t, manyConfig(), testWorkers(4)...)
 	good, unmet, bad, old := h.d.workerOrder[0], h.d.workerOrder[1], h.d.workerOrder[2], h.d.workerOrder[3]
@@ -149,8 +148,8 @@
 	}
 }
 
-// Each of many has few jobs at a worker: a crossing must not outweigh any number of them, or a zone
-// that gets more than its part refuses jobs while the others have room.
+// Each of many dispatchers has few jobs at a worker: the cross-zone price must not outweigh any number of
+// them, or a zone with more than its part of the traffic sheds jobs while others have capacity.
 func TestManyDispatchersCrossZonesUnderLoad(t *testing.T) {
 	for dispatchers, crosses := range map[int]bool{3: false, 80: true} {
 		t.Run(fmt.Sprintf("dispatchers=%d", dispatchers), func(t *testing.T) {
--- a/placement_test.go
+++ b/placement_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// At two jobs a second nothing is known of a large fleet: the job waits for a probe.
+// At two jobs a second nothing is known of a large fleet: the job waits for a health check.
 func TestQuietDispatcherChecksHealthFirst(t *testing.T) {
 	cfg := testConfig()
 	cfg.MayHealthCheck, cfg.Dispatchers = true, 2
@@ -96,7 +96,7 @@
 	t.Error("the job waits for probes that do not answer")
 }
 
-// Old reports were believed for ever, and workers once seen busy stayed unused.
+// An old load report must not keep a worker that was busy once unused for ever.
 func TestLoadReportsDecay(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(1)...)
 	w := h.d.workerOrder[0]
@@ -111,7 +111,7 @@
 	}
 }
 
-// A worker with a start overdue is in none of the room lists.
+// A worker with an overdue start is at no level of the index.
 func TestOverdueWorkerHasNoCapacity(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(1)...)
 	w := h.d.workerOrder[0]
@@ -125,7 +125,7 @@
 	}
 }
 
-// Shed jobs are no measure of capacity (incident if801ee), nor are those of the young.
+// Shed jobs are no measure of capacity (incident if801ee), nor are jobs at workers in slow start.
 func TestServedSlotsExcludeFailuresAndSlowStart(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(2)...)
 	w := h.d.workerOrder[0]
@@ -157,7 +157,7 @@
 	h.wantActions(ActionSend, 1)
 }
 
-// maySend alone keeps the rules, whatever asks it.
+// maySend keeps the invariants of a send, whatever calls it.
 func TestMaySend(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(2)...)
 	w := h.d.workerOrder[0]
@@ -188,7 +188,7 @@
 	}
 }
 
-// Jobs stay in their zone until a worker of another has four fewer of ours.
+// Jobs stay in their zone until a worker of another has four fewer of this dispatcher's jobs.
 func TestCrossZonePriceCountsAsJobs(t *testing.T) {
 	cfg := testConfig()
 	cfg.Prices.CrossZone = 0.1
--- a/queue_test.go
+++ b/queue_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// A client's last try may come a moment before its deadline (incident i580165).
+// A client's last retry may arrive a moment before its deadline (incident i580165).
 func TestJobNearDeadlineIsShedAtOnce(t *testing.T) {
 	h := newHarness(t, testConfig())
 	e := h.request(1, idempotent)
@@ -52,8 +52,8 @@
 	}
 }
 
-// The queue of a tenant over its share is always long: in order of coming every
-// job would have spent its wait, and holding it for long would only delay the rest.
+// The queue of a tenant past its quota is always long: in order of arrival every job would have used up
+// its queue time, and a long queue time would only delay the rest.
 func TestPastQuotaNewestFirstAndShortQueueTime(t *testing.T) {
 	h := newHarness(t, testConfig())
 	h.step(h.request(1, atMostOnce))
@@ -72,8 +72,8 @@
 	}
 }
 
-// A client's next try that can no longer be in time takes no place where work is
-// short, and a held job's age counts from the first try.
+// A client's retry that can no longer be in time is shed where capacity is short, and the age of a
+// queued job counts from the client's first attempt.
 func TestLateClientRetriesAreShed(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(2)...)
 	next := func(id uint64, left int64) Event {
@@ -100,9 +100,9 @@
 	}
 }
 
-// What one of a few dispatchers holds, unknown to the others, would be late at workers that have their
-// jobs: it keeps time for two runs, tells jobs over a share at the next tick, and serves a queue from
-// its newest job on. One that knows of all jobs does none of this.
+// A job queued by one of several dispatchers without gossip would be late at workers that have the
+// others' jobs: such a dispatcher reserves time for two runs, sheds jobs past a quota at the next tick,
+// and serves a queue newest first. One that knows of all jobs does none of this.
 func TestQueueTimeByNumberOfDispatchers(t *testing.T) {
 	for _, c := range []struct {
 		dispatchers int
@@ -136,8 +136,8 @@
 	}
 }
 
-// What can no more be in time is called off and refused, where that is harmless: it
-// would make the jobs behind it late.
+// A job that can no longer be in time is cancelled and shed where its effect allows it: it would make the
+// jobs behind it late.
 func TestJobsPastTheirObjectiveAreShed(t *testing.T) {
 	for class, want := range []int{1, 0} {
 		t.Run(testConfig().Classes[class].Name, func(t *testing.T) {
@@ -159,8 +159,8 @@
 	}
 }
 
-// In many dispatchers a light job must not be held, or left in a queue, for the time
-// that a heavy one of its class has.
+// With many dispatchers a light job must not be queued, here or at a worker, for the time that a heavy
+// one of its class has.
 func TestTimelyLimitUsesLightJobs(t *testing.T) {
 	for dispatchers, want := range map[int]int64{3: 100 + 2*80, 80: 100 + 2*50} {
 		t.Run(fmt.Sprintf("dispatchers=%d", dispatchers), func(t *testing.T) {
--- a/quotas_test.go
+++ b/quotas_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// Incident if801ee: with half the fleet lost, jobs within the shares alone
-// overfilled the rest. A fleet drained on purpose does not count.
+// Incident if801ee: with half the fleet lost, jobs within the quotas alone overloaded the rest. Workers
+// that were drained do not count as lost.
 func TestRemainingCapacity(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(4)...)
 	workers := testWorkers(4)
@@ -79,7 +79,7 @@
 	}
 }
 
-// What one class of a tenant over its share gets must not come out of another's.
+// A class of a tenant past its quota must not be served at another's expense.
 func TestClassesOfATenantAreServedEvenly(t *testing.T) {
 	h := newHarness(t, testConfig())
 	tenant := &h.d.tenants[0]
@@ -122,7 +122,7 @@
 	h.wantActions(ActionSend, 0)
 }
 
-// The rates of tenants shrink with a fleet that lost workers.
+// The tenants' rates shrink with the remaining capacity.
 func TestRatesFollowRemainingCapacity(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(4)...)
 	h.d.updateQuotas()
@@ -136,7 +136,7 @@
 	}
 }
 
-// One job of a tenant whose rate here is one in ten seconds is no excess; a run is.
+// One job of a tenant whose rate is one in ten seconds does not exceed its quota; a run of jobs does.
 func TestSingleJobDoesNotExceedQuota(t *testing.T) {
 	cfg := manyConfig()
 	cfg.Tenants = []Tenant{{"a", 8}, {"b", 8}}
--- a/regulator_test.go
+++ b/regulator_test.go
@@ -28,7 +28,8 @@
 	}
 }
 
-// At two jobs a second a loop never saw 6 in one second, and kept a stale model.
+// At two jobs a second a loop never has 6 samples in a second: they accumulate until it runs, or its
+// model would stay stale.
 func TestRegulatorAccumulatesSamples(t *testing.T) {
 	cfg := testConfig()
 	cfg.Dispatchers, cfg.Index = 50, 49
--- a/retry_test.go
+++ b/retry_test.go
@@ -68,7 +68,7 @@
 	h.wantActions(ActionShed, 1)
 }
 
-// A repeatable job on a hung worker goes elsewhere and is called off there.
+// An idempotent job at a hung worker is retried at another and cancelled at the first.
 func TestIdempotentRetryAvoidsHungWorker(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(2)...)
 	h.step(h.request(1, idempotent))
@@ -84,7 +84,8 @@
 	h.wantActions(ActionCancel, 1)
 }
 
-// At nausori cancelled work ran on, and copies of late jobs made more jobs late.
+// Cancelled jobs may run on at their workers: hedged requests have a budget, or those of late jobs make
+// more jobs late.
 func TestHedgeBudget(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(40)...)
 	first, copies := 0, 0
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -9,8 +9,8 @@
 	"github.com/vatu-meals/foxlift/internal/decision/admission"
 )
 
-// Incident if801ee: a cold worker was sent by how much others were sent, though
-// most of that was refused.
+// Incident if801ee: the pace of sends to a worker in slow start must not follow what others are sent, as
+// most of that may be rejected.
 func TestSlowStartPace(t *testing.T) {
 	cfg := testConfig()
 	cfg.Dispatchers = 10
@@ -43,7 +43,7 @@
 	}
 }
 
-// Incident if1a1e4: the warm rate fell with the service, and starved the young.
+// Incident if1a1e4: the peak rate must not fall with the service, or workers in slow start get nothing.
 func TestPeakWorkerRateOutlastsIdleSeconds(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(2)...)
 	h.d.servedSlots = 200
@@ -57,8 +57,8 @@
 	}
 }
 
-// What 80 dispatchers together send to a cold worker is what it can do: it is neither
-// pushed over nor left idle until it is warm.
+// What 80 dispatchers together send to a worker in slow start is what it can do: it is neither overloaded
+// nor idle.
 func TestSlowStartWorkOfManyDispatchersAddsUp(t *testing.T) {
 	cfg := manyConfig()
 	const warm = 10 // slots of a warm worker at work for all dispatchers: 800 jobs of 100 ms a second on 8
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// busy lets a dispatcher serve, refuse and fail jobs for some seconds.
+// playRandomLoad lets a dispatcher serve, shed and fail jobs for some seconds.
 func playRandomLoad(h *harness, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	id := uint64(0)
@@ -33,7 +33,7 @@
 	}
 }
 
-// What one dispatcher has learned another has after it, through JSON.
+// A snapshot carries all that a dispatcher has learned to another, through JSON.
 func TestSnapshotIsRestored(t *testing.T) {
 	for seed := range uint64(5) {
 		from := newSeededHarness(t, testConfig(), seed, testWorkers(6)...)
@@ -60,8 +60,8 @@
 
 func limitLearned(w WorkerSnapshot) bool { return w.LimitLearned }
 
-// What a snapshot says of what is not there is left out: another run of a worker, a worker, class or
-// tenant that is not known. One of nothing changes no worker.
+// Entries of a snapshot for workers, classes and tenants that are not known, or for an earlier run of a
+// worker, are skipped. An empty snapshot changes no worker.
 func TestSnapshotSkipsUnknownEntries(t *testing.T) {
 	from := newHarness(t, testConfig(), testWorkers(3)...)
 	playRandomLoad(from, 1)
@@ -97,7 +97,7 @@
 	newHarness(t, testConfig(), testWorkers(2)...).d.Restore(&Snapshot{})
 }
 
-// Only failures eject a worker, not being full.
+// Only failures eject a worker; saturation does not.
 func TestEjected(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(3)...)
 	if n := h.d.Ejected(); n != 0 {
