--- a/internal/cells/assign_test.go
+++ b/internal/cells/assigner_test.go
@@ -27,7 +27,7 @@
 	return p
 }
 
-// fleet draws n nodes of all kinds and zones.
+// fleet draws n workers of all kinds and zones.
 func fleet(rng *rand.Rand, n int) (list []Worker) {
 	for i := range n {
 		list = append(list, Worker{fmt.Sprintf("s-%08x", rng.Uint32()), i % 2, i % 3})
@@ -44,12 +44,14 @@
 	return n
 }
 
-// Hard case 2: when one of n nodes leaves, or returns with a new id, no more than 1.5
-// of the others change cell in the mean, from 6 nodes to 1,000.
-func TestChurnMigratesFewWorkers(t *testing.T) {
-	for _, c := range []struct{ n, cells int }{{6, 2}, {12, 2}, {12, 3}, {12, 4}, {20, 4}, {40, 8}, {200, 10}, {1000, 20}} {
+// When one of n workers leaves, or returns with a new id, no more than 1.5
+// of the others change cell in the mean, from 6 workers to 1,000.
+func TestChurnKeepsAssignments(t *testing.T) {
+	for _, c := range []struct{ n, cells int }{
+		{6, 2}, {12, 2}, {12, 3}, {12, 4}, {20, 4}, {40, 8}, {200, 10}, {1000, 20},
+	} {
 		p, rng := plan(t, spec(c.cells)), rand.New(rand.NewPCG(1, 2))
-		moves, events := 0, 0
+		migrations, events := 0, 0
 		for range 40 {
 			a, list := NewAssigner(p), fleet(rng, c.n)
 			a.Update(list)
@@ -57,23 +59,23 @@
 				i := rng.IntN(len(list))
 				x := list[i]
 				list = append(list[:i:i], list[i+1:]...)
-				moves += countMigrated(a.Update(list))
+				migrations += countMigrated(a.Update(list))
 				x.ID = fmt.Sprintf("s-%08x", rng.Uint32())
 				list = append(list, x)
-				moves += countMigrated(a.Update(list))
+				migrations += countMigrated(a.Update(list))
 				events += 2
 			}
 		}
-		mean := float64(moves) / float64(events)
-		t.Logf("%d nodes, %d cells: %.2f others move", c.n, c.cells, mean)
+		mean := float64(migrations) / float64(events)
+		t.Logf("%d workers, %d cells: %.2f others migrate", c.n, c.cells, mean)
 		if mean > 1.5 {
-			t.Errorf("%d nodes, %d cells: %.2f others move in the mean", c.n, c.cells, mean)
+			t.Errorf("%d workers, %d cells: %.2f others migrate in the mean", c.n, c.cells, mean)
 		}
 	}
 }
 
-// All schedulers reach the same map: what is there now decides, not how it came to be
-// so, nor the order of the list, nor one node at a time or all at once.
+// All schedulers reach the same layout: the list of now decides, not how it came to be so, nor its
+// order, nor whether workers change one at a time or all at once.
 func TestLayoutHasNoHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := spec(rapid.IntRange(1, 7).Draw(t, "cells"))
@@ -103,27 +105,32 @@
 			l = l.WithChanges(changes)
 			fresh := NewAssigner(p)
 			want := NewLayout(p).WithChanges(fresh.Update(list))
-			size := 0
-			for c := range p.CellCount() {
-				size += l.WorkerCount(c)
-				if fmt.Sprint(l.Workers(c)) != fmt.Sprint(want.Workers(c)) {
-					t.Fatalf("cell %d: %v, but from nothing %v", c, l.Workers(c), want.Workers(c))
-				}
-				for _, id := range l.Workers(c) {
-					if at, ok := l.WorkerCell(id); !ok || at != c {
-						t.Fatalf("%s is in cell %d, looked up as %d", id, c, at)
-					}
-				}
-			}
-			if size != len(here) {
-				t.Fatalf("%d nodes in cells of %d", size, len(here))
+			if size := requireSameLayout(t, l, want); size != len(here) {
+				t.Fatalf("%d workers in cells of %d", size, len(here))
 			}
 		}
 	})
 }
 
-// Hard case 1: nodes that differ in kind, zone and speed. Each cell gets about its
-// share of the capacity, a node in each zone, and every kind that is needed.
+// requireSameLayout checks that each cell has the workers that it should, and that they are looked up
+// there. It returns how many there are.
+func requireSameLayout(t *rapid.T, got, want *Layout) (size int) {
+	for c := range got.plan.CellCount() {
+		size += got.WorkerCount(c)
+		if fmt.Sprint(got.Workers(c)) != fmt.Sprint(want.Workers(c)) {
+			t.Fatalf("cell %d: %v, but from nothing %v", c, got.Workers(c), want.Workers(c))
+		}
+		for _, id := range got.Workers(c) {
+			if at, ok := got.WorkerCell(id); !ok || at != c {
+				t.Fatalf("%s is in cell %d, looked up as %d", id, c, at)
+			}
+		}
+	}
+	return size
+}
+
+// Workers that differ in kind, zone and speed. Each cell gets about its
+// fraction of the capacity, a worker in each zone, and every kind that is needed.
 func TestFractionsOfAnUnevenFleet(t *testing.T) {
 	s := &Spec{Weights: map[string]float64{"large": 6.4, "medium": 3, "old": 3}, RequiredKinds: []int{0}}
 	for i, share := range []float64{.32, .23, .26, .19} {
@@ -132,7 +139,7 @@
 	p := plan(t, s)
 	for _, c := range []struct {
 		n           int
-		rms, lowest float64 // of capacity over share, less 1
+		rms, lowest float64 // of capacity over fraction, less 1
 	}{{16, 0.3, -0.6}, {48, 0.22, -0.5}, {300, 0.12, -0.3}} {
 		rng := rand.New(rand.NewPCG(3, 4))
 		square, lowest, runs := 0.0, 0.0, 100
@@ -154,13 +161,14 @@
 				square += off * off / float64(4*runs)
 				lowest = min(lowest, off)
 				if zones[i][0] == 0 || zones[i][1] == 0 || large[i] == 0 {
-					t.Errorf("%d nodes: cell %d has %v nodes by zone, %d large", c.n, i, zones[i], large[i])
+					t.Errorf("%d workers: cell %d has %v workers by zone, %d large", c.n, i, zones[i], large[i])
 				}
 			}
 		}
-		t.Logf("%d nodes: capacity off its share by %.2f in the mean, %.2f at the lowest", c.n, math.Sqrt(square), lowest)
-		if math.Sqrt(square) > c.rms || lowest < c.lowest {
-			t.Errorf("%d nodes: capacity off its share by %.2f in the mean, %.2f at the lowest", c.n, math.Sqrt(square), lowest)
+		rms := math.Sqrt(square)
+		t.Logf("%d workers: capacity off its fraction by %.2f in the mean, %.2f at the lowest", c.n, rms, lowest)
+		if rms > c.rms || lowest < c.lowest {
+			t.Errorf("%d workers: capacity off its fraction by %.2f in the mean, %.2f at the lowest", c.n, rms, lowest)
 		}
 	}
 }
--- a/internal/cells/bench_test.go
+++ b/internal/cells/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// large is the size that the map must bear: 10,000 nodes, 1,000 tenants, 100 cells.
+// large is the size that a layout must bear: 10,000 workers, 1,000 tenants, 100 cells.
 func large(b testing.TB) (*Plan, []Worker) {
 	s := spec(100)
 	var tenants []Tenant
@@ -27,8 +27,8 @@
 	return p, list
 }
 
-// The whole map from nothing.
-func BenchmarkFullLayout(b *testing.B) {
+// The complete layout from nothing.
+func BenchmarkCompleteLayout(b *testing.B) {
 	p, list := large(b)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -36,7 +36,7 @@
 	}
 }
 
-// One node leaves, or comes back.
+// One worker leaves, or comes back.
 func BenchmarkOneWorker(b *testing.B) {
 	p, list := large(b)
 	a := NewAssigner(p)
@@ -54,7 +54,7 @@
 	}
 }
 
-// A job's cell and the nodes of its key.
+// A job's cell and the workers of its key.
 func BenchmarkLookup(b *testing.B) {
 	p, list := large(b)
 	l := NewLayout(p).WithChanges(NewAssigner(p).Update(list))
--- a/internal/cells/cells_test.go
+++ b/internal/cells/cells_test.go
@@ -21,26 +21,30 @@
 }
 
 func TestSpecErrors(t *testing.T) {
-	_, faults := NewPlan(&Spec{
-		Cells:   []Cell{{Name: "a", Tenants: []string{"t0", "x"}, Spill: "a"}, {Name: "a"}, {Name: "b", Tenants: []string{"t0"}, Spill: "z"}},
+	_, specErrors := NewPlan(&Spec{
+		Cells: []Cell{
+			{Name: "a", Tenants: []string{"t0", "x"}, Spill: "a"},
+			{Name: "a"},
+			{Name: "b", Tenants: []string{"t0"}, Spill: "z"},
+		},
 		Default: "d", Splits: []Split{{"t1", []string{"b", "q"}}}, Weights: map[string]float64{"w": 1},
 	}, []Tenant{{"t0", 1}, {"t1", 1}}, 1, []string{"k"})
 	var got []string
-	for _, f := range faults {
-		got = append(got, f.Subject)
+	for _, e := range specErrors {
+		got = append(got, e.Subject)
 	}
 	slices.Sort(got)
 	want := []string{"cell a", "default", "kind w", "spill a", "spill b", "split t1", "tenant t0", "tenant x"}
 	if fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("%v\nwant %v", got, want)
 	}
-	if _, faults := NewPlan(&Spec{}, nil, 0, nil); len(faults) != 1 || faults[0].Subject != "cells" {
-		t.Errorf("no cells: %v", faults)
+	if _, specErrors := NewPlan(&Spec{}, nil, 0, nil); len(specErrors) != 1 || specErrors[0].Subject != "cells" {
+		t.Errorf("no cells: %v", specErrors)
 	}
 }
 
 // A tenant's jobs go to its cell, a split one's to one of its cells by key, quotas
-// follow them, and a move changes that tenant alone.
+// follow them, and a migration changes that tenant alone.
 func TestTenants(t *testing.T) {
 	p := threeCells(t)
 	l := NewLayout(p)
@@ -65,7 +69,7 @@
 	}
 	m := l.WithTenant(2, 1)
 	if m.Cell(2, 5) != 1 || !m.Migrated(2) || m.Migrated(0) || l.Migrated(2) || m.Cell(0, 1) != 0 {
-		t.Error("a move changes more or less than its tenant")
+		t.Error("a migration changes more or less than its tenant")
 	}
 	if r := m.Restored(2); r.Migrated(2) || r.Cell(2, 5) != l.Cell(2, 5) {
 		t.Error("it is not restored")
@@ -73,30 +77,36 @@
 	for what, c := range map[string]struct {
 		tenant, to int
 		want       error
-	}{"no tenant": {-1, 0, ErrUnknownTenant}, "jobs of no tenant": {4, 0, ErrUnknownTenant}, "no cell": {0, -1, ErrUnknownCell}, "same": {0, 0, ErrSameCell}, "empty": {0, 1, ErrNoWorkers}} {
+	}{
+		"no tenant":         {-1, 0, ErrUnknownTenant},
+		"jobs of no tenant": {4, 0, ErrUnknownTenant},
+		"no cell":           {0, -1, ErrUnknownCell},
+		"same":              {0, 0, ErrSameCell},
+		"empty":             {0, 1, ErrNoWorkers},
+	} {
 		if err := l.CheckMigration(c.tenant, c.to); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
 }
 
-// Hard case 3: a job spills once, into an able cell that has room, and never round.
+// A job spills once, into a healthy cell that has capacity, and never in a cycle.
 func TestRoute(t *testing.T) {
 	l := NewLayout(threeCells(t))
 	for what, c := range map[string]struct {
-		conditions [3]Condition
-		room       bool
-		want       Route
+		conditions  [3]Condition
+		hasCapacity bool
+		want        Route
 	}{
-		"able":                 {[3]Condition{Healthy, Healthy, Healthy}, true, Route{Cell: 0}},
-		"empty, spills":        {[3]Condition{Unavailable, Healthy, Healthy}, true, Route{Cell: 1, Spilled: true}},
-		"cold, spills":         {[3]Condition{SlowStart, Healthy, Healthy}, true, Route{Cell: 1, Spilled: true}},
-		"empty, no room":       {[3]Condition{Unavailable, Healthy, Healthy}, false, Route{Cell: 0, Shed: true}},
-		"cold, no room":        {[3]Condition{SlowStart, Healthy, Healthy}, false, Route{Cell: 0}},
-		"both empty: no round": {[3]Condition{Unavailable, Unavailable, Healthy}, true, Route{Cell: 0, Shed: true}},
-		"the other one cold":   {[3]Condition{Unavailable, SlowStart, Healthy}, true, Route{Cell: 0, Shed: true}},
+		"healthy":                    {[3]Condition{Healthy, Healthy, Healthy}, true, Route{Cell: 0}},
+		"unavailable, spills":        {[3]Condition{Unavailable, Healthy, Healthy}, true, Route{Cell: 1, Spilled: true}},
+		"slow start, spills":         {[3]Condition{SlowStart, Healthy, Healthy}, true, Route{Cell: 1, Spilled: true}},
+		"unavailable, no capacity":   {[3]Condition{Unavailable, Healthy, Healthy}, false, Route{Cell: 0, Shed: true}},
+		"slow start, no capacity":    {[3]Condition{SlowStart, Healthy, Healthy}, false, Route{Cell: 0}},
+		"both unavailable: no cycle": {[3]Condition{Unavailable, Unavailable, Healthy}, true, Route{Cell: 0, Shed: true}},
+		"the other in slow start":    {[3]Condition{Unavailable, SlowStart, Healthy}, true, Route{Cell: 0, Shed: true}},
 	} {
-		got := l.Route(0, 7, func(cell int) Condition { return c.conditions[cell] }, func(int) bool { return c.room })
+		got := l.Route(0, 7, func(cell int) Condition { return c.conditions[cell] }, func(int) bool { return c.hasCapacity })
 		if got != c.want {
 			t.Errorf("%s: %+v, want %+v", what, got, c.want)
 		}
@@ -106,8 +116,8 @@
 	}
 }
 
-// Hard case 8: a key's jobs go to few nodes of the cell, other keys to others; one
-// node less changes at most one of them.
+// A key's jobs go to few workers of the cell, other keys to others; one
+// worker less changes at most one of them.
 func TestKeyWorkers(t *testing.T) {
 	p := threeCells(t)
 	a := NewAssigner(p)
@@ -135,14 +145,14 @@
 		}
 	}
 	if len(used) != l.WorkerCount(1) {
-		t.Errorf("%d of %d nodes have keys", len(used), l.WorkerCount(1))
+		t.Errorf("%d of %d workers have keys", len(used), l.WorkerCount(1))
 	}
 	if l.KeyWorkers(1, 0) != nil {
 		t.Error("jobs without a key are confined")
 	}
 }
 
-// An evacuated cell's tenants go where they may: into its spill cell, or what is left
+// An evacuated cell's tenants go where they are accepted: into its spill cell, or what is left
 // of their own cells, or spread over the rest.
 func TestEvacuation(t *testing.T) {
 	p := threeCells(t)
@@ -155,7 +165,7 @@
 	got, _ = l.Evacuation(0, func(c int) bool { return c == 2 })
 	for _, r := range got {
 		if r.To != 2 {
-			t.Errorf("%v: into a cell that may take none", r)
+			t.Errorf("%v: into a cell that accepts none", r)
 		}
 	}
 	if _, err := l.Evacuation(0, func(int) bool { return false }); !errors.Is(err, ErrNoTargetCell) {
@@ -163,42 +173,42 @@
 	}
 }
 
-// Hard case 6: ten times a tenant's share takes no place of another cell's, and within
-// its own cell leaves room for the others.
+// Ten times a tenant's quota takes no reservation of another cell's, and within
+// its own cell leaves capacity to the others.
 func TestAdmission(t *testing.T) {
-	g := NewAdmission([]int{10, 10}, 2)
+	admission := NewAdmission([]int{10, 10}, 2)
 	flood := 0
 	for range 100 {
-		if g.TryReserve(0, 0) {
+		if admission.Admit(0, 0) {
 			flood++
 		}
 	}
 	if flood != 5 { // alone it has the half that is anyone's
-		t.Errorf("a flood has %d of 10 places", flood)
+		t.Errorf("a flood has %d of 10 reservations", flood)
 	}
 	for i := range 5 {
-		if !g.TryReserve(0, 1) {
-			t.Errorf("place %d of the tenant beside it is gone", i)
+		if !admission.Admit(0, 1) {
+			t.Errorf("reservation %d of the tenant beside it is refused", i)
 		}
 	}
-	if g.TryReserve(0, 1) || !g.TryReserve(1, 0) {
-		t.Error("a bound does not hold, or the other cell is shut")
+	if admission.Admit(0, 1) || !admission.Admit(1, 0) {
+		t.Error("a bound does not hold, or the other cell sheds")
 	}
-	g.Transfer(0, 1, 1)
-	if open, bound, refused := g.Open(0); open != 9 || bound != 10 || refused != 96 {
-		t.Errorf("%d of %d open, %d refused", open, bound, refused)
+	admission.Transfer(0, 1, 1)
+	if open, bound, shed := admission.Open(0); open != 9 || bound != 10 || shed != 96 {
+		t.Errorf("%d of %d open, %d shed", open, bound, shed)
 	}
-	g.Reserve(0, -1) // what is there stays, room or not
+	admission.Reserve(0, -1) // past the bound: for what is open already
 	for range 5 {
-		g.Release(0, 0)
+		admission.Release(0, 0)
 	}
-	if open, _, _ := g.Open(0); open != 5 {
+	if open, _, _ := admission.Open(0); open != 5 {
 		t.Errorf("%d open", open)
 	}
 	if p := threeCells(t); p.JobBound(2, 100) != 7 || p.JobBound(2, 5) != 5 || p.JobBound(0, 10) < minBound {
 		t.Error("bounds of cells")
 	}
 	if !strings.Contains(SpecError{"cell a", "x"}.Error(), "cell a: x") {
-		t.Error("a fault without its subject")
+		t.Error("an error without its subject")
 	}
 }
--- /dev/null
+++ b/internal/cells/layout_changes.go
@@ -0,0 +1,158 @@
+package cells
+
+import (
+	"cmp"
+	"slices"
+
+	"github.com/benbjohnson/immutable"
+	"github.com/cespare/xxhash/v2"
+)
+
+// bulkChanges is the number of changes over which a table is sorted or built once, not for each.
+const bulkChanges = 64
+
+// WithChanges returns the layout after workers have changed cells.
+func (l *Layout) WithChanges(changes []Change) *Layout {
+	if len(changes) == 0 {
+		return l
+	}
+	next := *l
+	next.workers = l.workersAfter(changes)
+	next.members = l.membersAfter(changes)
+	return &next
+}
+
+// workersAfter returns the cells of the workers after changes.
+func (l *Layout) workersAfter(changes []Change) *immutable.Map[string, int] {
+	if len(changes) <= bulkChanges {
+		workers := l.workers
+		for _, change := range changes {
+			if change.To < 0 {
+				workers = workers.Delete(change.ID)
+			} else {
+				workers = workers.Set(change.ID, change.To)
+			}
+		}
+		return workers
+	}
+	builder := immutable.NewMapBuilder[string, int](nil)
+	for it := l.workers.Iterator(); !it.Done(); {
+		id, cell, _ := it.Next()
+		builder.Set(id, cell)
+	}
+	for _, change := range changes {
+		if change.To < 0 {
+			builder.Delete(change.ID)
+		} else {
+			builder.Set(change.ID, change.To)
+		}
+	}
+	return builder.Map()
+}
+
+// membersAfter returns the workers of each cell after changes. Cells without a change share their list
+// with the layout of before.
+func (l *Layout) membersAfter(changes []Change) [][]member {
+	members := slices.Clone(l.members)
+	changed := make([]bool, len(members))
+	departed := map[string]bool{}
+	var arrived []Change
+	for _, change := range changes {
+		if change.From >= 0 {
+			departed[change.ID] = true
+			changed[change.From] = true
+		}
+		if change.To >= 0 {
+			arrived = append(arrived, change)
+			changed[change.To] = true
+		}
+	}
+	for cell := range members {
+		if !changed[cell] {
+			continue
+		}
+		members[cell] = slices.Clone(members[cell])
+		if len(departed) > 0 {
+			members[cell] = slices.DeleteFunc(members[cell], func(m member) bool { return departed[m.id] })
+		}
+	}
+	addMembers(members, arrived)
+	return members
+}
+
+// addMembers adds the workers that have arrived to their cells, which may be changed in place.
+func addMembers(members [][]member, arrived []Change) {
+	bulk := len(arrived) > bulkChanges
+	unsorted := make([]bool, len(members))
+	for _, change := range arrived {
+		cell := change.To
+		added := member{change.ID, xxhash.Sum64String(change.ID)}
+		if bulk {
+			members[cell] = append(members[cell], added)
+			unsorted[cell] = true
+			continue
+		}
+		at, _ := slices.BinarySearchFunc(members[cell], added, byID)
+		members[cell] = slices.Insert(members[cell], at, added)
+	}
+	for cell := range unsorted {
+		if unsorted[cell] {
+			slices.SortFunc(members[cell], byID)
+		}
+	}
+}
+
+func byID(a, b member) int { return cmp.Compare(a.id, b.id) }
+
+// WithTenant returns the layout after a tenant has migrated to a cell.
+func (l *Layout) WithTenant(tenant, cell int) *Layout {
+	return l.withCells(tenant, cellSet{int32(cell)}, true)
+}
+
+// Restored returns the layout with a tenant in the cells that the file says.
+func (l *Layout) Restored(tenant int) *Layout {
+	return l.withCells(tenant, l.plan.tenants[tenant], false)
+}
+
+func (l *Layout) withCells(tenant int, set cellSet, migrated bool) *Layout {
+	next := *l
+	next.tenants, next.migrated = slices.Clone(l.tenants), slices.Clone(l.migrated)
+	next.tenants[tenant] = set
+	next.migrated[tenant] = migrated && !slices.Equal(set, l.plan.tenants[tenant])
+	return &next
+}
+
+// An Evacuee is a tenant of an evacuated cell, and the cell that it goes to.
+type Evacuee struct{ Tenant, To int }
+
+// Evacuation says where the tenants of a cell go while it is evacuated: to the cell that it spills
+// into, or spread over the others by hash, of those that accept tenants. Where there is none it returns
+// ErrNoTargetCell.
+func (l *Layout) Evacuation(cell int, accepts func(cell int) bool) ([]Evacuee, error) {
+	var targets cellSet
+	for c := range l.members {
+		if c != cell && accepts(c) {
+			targets = append(targets, int32(c))
+		}
+	}
+	if len(targets) == 0 {
+		return nil, ErrNoTargetCell
+	}
+	if spill := l.plan.spill[cell]; spill >= 0 && accepts(spill) {
+		targets = cellSet{int32(spill)}
+	}
+	unusable := func(c int32) bool { return int(c) == cell || !accepts(int(c)) }
+	var evacuees []Evacuee
+	for tenant := range l.tenants {
+		if !l.ServedBy(tenant, cell) {
+			continue
+		}
+		rest := slices.DeleteFunc(slices.Clone(l.tenants[tenant]), unusable)
+		if len(rest) == 0 {
+			rest = targets
+		}
+		to := l.plan.rendezvous(tenantHash(l.plan.tenantName(tenant)), rest)
+		evacuees = append(evacuees, Evacuee{tenant, to})
+	}
+	return evacuees, nil
+}
--- a/internal/cells/ring.go
+++ b/internal/cells/ring.go
@@ -1,24 +1,23 @@
 package cells
 
-// The hash ring on which seats look for a free node.
-
 import (
 	"cmp"
 	"slices"
 )
 
-// A ring is nodes by place, of which some are taken. next[i] leads to the first free
-// one from i on, by union and find with path halving.
+// A ring is workers in the order of their positions, of which some are taken by slots. next[i] leads to
+// the first free one from i on, by union and find with path halving.
 type ring struct {
 	workers []*ringWorker
 	next    []int
 }
 
-func (r *ring) add(x *ringWorker) {
-	r.workers = append(r.workers, x)
+func (r *ring) add(w *ringWorker) {
+	r.workers = append(r.workers, w)
 	r.next = append(r.next, len(r.next))
 }
 
+// nextFree returns the index of the first free worker from i on, or the ring's length.
 func (r *ring) nextFree(i int) int {
 	for i < len(r.next) && r.next[i] != i {
 		if j := r.next[i]; j < len(r.next) {
@@ -29,22 +28,24 @@
 	return i
 }
 
-// after returns the first free node clockwise of a place, or nil.
-func (r *ring) nearestFree(pos uint64) *ringWorker {
+// nearestFree returns the first free worker clockwise of a position, or nil.
+func (r *ring) nearestFree(position uint64) *ringWorker {
 	if r == nil {
 		return nil
 	}
-	at, _ := slices.BinarySearchFunc(r.workers, pos, func(x *ringWorker, p uint64) int { return cmp.Compare(x.position, p) })
-	if i := r.nextFree(at); i < len(r.workers) {
-		return r.workers[i]
-	}
-	if i := r.nextFree(0); i < len(r.workers) {
-		return r.workers[i]
+	start, _ := slices.BinarySearchFunc(r.workers, position, func(w *ringWorker, p uint64) int {
+		return cmp.Compare(w.position, p)
+	})
+	for _, from := range []int{start, 0} {
+		if i := r.nextFree(from); i < len(r.workers) {
+			return r.workers[i]
+		}
 	}
 	return nil
 }
 
-func (r *ring) markTaken(x *ringWorker) {
-	i, _ := slices.BinarySearchFunc(r.workers, x, byPosition)
+// markTaken takes a worker that a slot holds out of the search.
+func (r *ring) markTaken(w *ringWorker) {
+	i, _ := slices.BinarySearchFunc(r.workers, w, byPosition)
 	r.next[i] = i + 1
 }
--- a/internal/cells/route.go
+++ b/internal/cells/route.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// Errors of moves, in the operators' words.
+// Errors of migrations, as operators read them.
 var (
 	ErrUnknownTenant = errors.New("there is no such tenant")
 	ErrUnknownCell   = errors.New("there is no such cell")
@@ -15,42 +15,46 @@
 // A Condition is what a cell can do now.
 type Condition uint8
 
+// The conditions of a cell.
 const (
-	Healthy     Condition = iota // it has a warm node
-	SlowStart                    // all its nodes are still warming up
-	Unavailable                  // it has no node
+	Healthy     Condition = iota // it has a warm worker
+	SlowStart                    // all its workers are in slow start
+	Unavailable                  // it has no worker
 )
 
-// A Way is where a job goes.
+// A Route is where a job goes.
 type Route struct {
 	Cell    int
-	Spilled bool // out of its own cell, which cannot take it
-	Shed    bool // nowhere
+	Spilled bool // to another cell than its own, which cannot take it
+	Shed    bool // it goes to none
 }
 
-// Route says where a job goes: to its cell; while that is empty or cold, to the one
-// it spills into, if that one is able: never further, so that spills cannot go round
-// or on. A cold cell without such a way takes its jobs itself, paced; an empty one
-// refuses them. room says whether the other cell has room for one more spilled job.
-func (l *Layout) Route(tenant int, key uint64, condition func(cell int) Condition, room func(cell int) bool) Route {
-	home := l.Cell(tenant, key)
-	state := condition(home)
+// Route says where a job goes: to its cell; while that is not healthy, to the one it spills into, if
+// that one is: never further, so that spills form no cycle or chain. A cell in slow start without such
+// a target takes its jobs itself, paced; an unavailable one sheds them. hasCapacity says whether the
+// other cell takes one more spilled job.
+func (l *Layout) Route(
+	tenant int, key uint64, condition func(cell int) Condition, hasCapacity func(cell int) bool,
+) Route {
+	own := l.Cell(tenant, key)
+	state := condition(own)
 	if state == Healthy {
-		return Route{Cell: home}
+		return Route{Cell: own}
 	}
-	if to := l.plan.spill[home]; to >= 0 && condition(to) == Healthy && room(to) {
-		return Route{Cell: to, Spilled: true}
+	target := l.plan.spill[own]
+	if target >= 0 && condition(target) == Healthy && hasCapacity(target) {
+		return Route{Cell: target, Spilled: true}
 	}
-	return Route{Cell: home, Shed: state == Unavailable}
+	return Route{Cell: own, Shed: state == Unavailable}
 }
 
-// SpillBound returns how many jobs that a cell spills may be open in the cell that
-// they go to, of the bound on that cell's jobs.
+// SpillBound returns how many jobs that a cell spills may be open in the cell that they go to, of the
+// bound on that cell's jobs.
 func (l *Layout) SpillBound(from, bound int) int {
 	return max(1, int(l.plan.cells[from].SpillPart*float64(bound)))
 }
 
-// CheckMigration checks a move of a tenant before anything is done.
+// CheckMigration checks the migration of a tenant before anything is done.
 func (l *Layout) CheckMigration(tenant, to int) error {
 	switch {
 	case tenant < 0 || tenant >= len(l.plan.tenantNames):
--- a/internal/cells/slots.go
+++ b/internal/cells/slots.go
@@ -1,24 +1,31 @@
 package cells
 
-// The seats of the cells for the nodes of each kind, and the order in which they choose.
-
 import "slices"
 
-// A stratum is the nodes of one kind and the seats for them.
+// A stratum is the workers of one kind and the slots for them.
 type stratum struct {
 	kind        int
 	workers     int
 	slots       []slot
-	slotsByCell []int // seats of each cell
+	slotsByCell []int
 }
 
+// A slot is a cell's claim to a worker of the slot's stratum.
 type slot struct {
 	cell     int
 	position uint64
-	zone     int // that it would rather have
+	zone     int // that it prefers; -1: any
 	holder   *ringWorker
 }
 
+const (
+	anyZone = -1
+	// requiredRank puts a cell without a worker of a required kind before all others.
+	requiredRank = 1e6
+	// slotSalt tells the positions of a cell's slots apart.
+	slotSalt = 0xd1b54a32d192ed03
+)
+
 // stratumOf returns the stratum of a kind.
 func (a *Assigner) stratumOf(kind int) *stratum {
 	s := a.strata[kind]
@@ -29,72 +36,88 @@
 	return s
 }
 
-// wanted is how many seats there are for n nodes of a kind: as many as there are
-// cells before anything is left to hashing.
-func (a *Assigner) slotCount(n int) int {
-	return max(min(n, len(a.plan.cells)), int(slotFraction*float64(n)), min(int(smallFleetSlotFraction*float64(n)), smallFleetSlots))
+// slotCount returns how many slots there are for so many workers of a kind: as many as there are cells
+// before anything is left to hashing.
+func (a *Assigner) slotCount(workers int) int {
+	n := float64(workers)
+	return max(
+		min(workers, len(a.plan.cells)),
+		int(slotFraction*n),
+		min(int(smallFleetSlotFraction*n), smallFleetSlots),
+	)
 }
 
-// open adds the next seat: the cell's that is furthest under its share of seats, by
-// the divisors of Webster. The order depends on shares alone, so that one more node
-// means at most one more seat and changes none before it.
+// addSlot adds the next slot: the cell's that is furthest under its fraction of slots, by the divisors
+// of Webster. The order depends on fractions alone, so that one more worker means at most one more slot
+// and changes none before it.
 func (s *stratum) addSlot(p *Plan) *slot {
-	best, most := 0, -1.0
-	turn := s.kind * max(1, len(p.cells)/max(1, len(p.weights)-1)) // kinds begin at different cells
+	cell := s.nextSlotCell(p)
+	ordinal := s.slotsByCell[cell]
+	s.slotsByCell[cell]++
+	zone := anyZone
+	if p.zones > 1 {
+		zone = (ordinal + cell + max(0, s.kind)) % p.zones
+	}
+	position := mix(p.cellHashes[cell] + uint64(s.kind+1)*goldenRatio + uint64(ordinal)*slotSalt)
+	s.slots = append(s.slots, slot{cell: cell, position: position, zone: zone})
+	return &s.slots[len(s.slots)-1]
+}
+
+// nextSlotCell returns the cell of the next slot. Where cells are equal, kinds begin at different ones.
+func (s *stratum) nextSlotCell(p *Plan) int {
+	best, bestRank := 0, -1.0
+	first := max(0, s.kind*max(1, len(p.cells)/max(1, len(p.weights)-1)))
 	for i := range p.cells {
-		c := (i + max(0, turn)) % len(p.cells)
-		rank := p.fractions[c] / float64(2*s.slotsByCell[c]+1)
-		if s.slotsByCell[c] == 0 && p.requiresKind(s.kind) {
-			rank += 1e6
+		cell := (i + first) % len(p.cells)
+		rank := p.fractions[cell] / float64(2*s.slotsByCell[cell]+1)
+		if s.slotsByCell[cell] == 0 && p.requiresKind(s.kind) {
+			rank += requiredRank
 		}
-		if rank > most {
-			best, most = c, rank
+		if rank > bestRank {
+			best, bestRank = cell, rank
 		}
 	}
-	j := s.slotsByCell[best]
-	s.slotsByCell[best]++
-	zone := -1
-	if p.zones > 1 {
-		zone = (j + best + max(0, s.kind)) % p.zones
-	}
-	pos := mix(p.cellHashes[best] + uint64(s.kind+1)*0x9e3779b97f4a7c15 + uint64(j)*0xd1b54a32d192ed03)
-	s.slots = append(s.slots, slot{cell: best, position: pos, zone: zone})
-	return &s.slots[len(s.slots)-1]
+	return best
 }
 
-// likes reports whether a seat would rather have x than y.
+// prefers reports whether a slot prefers worker x to y, which may be nil: one of its zone, then the one
+// nearer on the ring.
 func (s *slot) prefers(x, y *ringWorker) bool {
 	if y == nil {
 		return true
 	}
-	if mx, my := s.zone >= 0 && x.Zone != s.zone, s.zone >= 0 && y.Zone != s.zone; mx != my {
-		return my
+	xElsewhere := s.zone >= 0 && x.Zone != s.zone
+	yElsewhere := s.zone >= 0 && y.Zone != s.zone
+	if xElsewhere != yElsewhere {
+		return yElsewhere
 	}
-	if dx, dy := x.position-s.position, y.position-s.position; dx != dy {
-		return dx < dy
+	xDistance, yDistance := x.position-s.position, y.position-s.position
+	if xDistance != yDistance {
+		return xDistance < yDistance
 	}
 	return x.ID < y.ID
 }
 
-// take gives seat i to a node.
-func (s *stratum) assign(i int, x *ringWorker) {
-	s.slots[i].holder = x
-	x.slot = i
+// assign gives slot i to a worker.
+func (s *stratum) assign(i int, w *ringWorker) {
+	s.slots[i].holder = w
+	w.slot = i
 }
 
-// add puts one node in: it goes down the seats, and each that likes it better than
-// the one it has passes that one on.
-func (a *Assigner) insert(n Worker) {
-	x := a.register(n)
-	at, _ := slices.BinarySearchFunc(a.ordered, x, byPosition)
-	a.ordered = slices.Insert(a.ordered, at, x)
-	s := a.stratumOf(n.Kind)
+// insert adds one worker: it goes down the slots, and each that prefers it to the one it has passes
+// that one on.
+func (a *Assigner) insert(w Worker) {
+	added := a.register(w)
+	at, _ := slices.BinarySearchFunc(a.ordered, added, byPosition)
+	a.ordered = slices.Insert(a.ordered, at, added)
+	s := a.stratumOf(w.Kind)
 	s.workers++
+	passed := added
 	for i := range s.slots {
-		if old := s.slots[i].holder; s.slots[i].prefers(x, old) {
-			s.assign(i, x)
-			old.slot = -1
-			x = old
+		if holder := s.slots[i].holder; s.slots[i].prefers(passed, holder) {
+			s.assign(i, passed)
+			holder.slot = noSlot
+			passed = holder
 		}
 	}
 	for len(s.slots) < a.slotCount(s.workers) {
@@ -103,33 +126,33 @@
 	}
 }
 
-// remove takes one node out: its seat chooses again among those that chose later
-// and the rest, and so on down the order.
-func (a *Assigner) remove(x *ringWorker) {
-	delete(a.workers, x.ID)
-	at, _ := slices.BinarySearchFunc(a.ordered, x, byPosition)
+// remove removes one worker: its slot chooses again among those that later slots or none hold, and so
+// on down the order.
+func (a *Assigner) remove(w *ringWorker) {
+	delete(a.workers, w.ID)
+	at, _ := slices.BinarySearchFunc(a.ordered, w, byPosition)
 	a.ordered = slices.Delete(a.ordered, at, at+1)
-	s := a.stratumOf(x.Kind)
+	s := a.stratumOf(w.Kind)
 	s.workers--
 	for len(s.slots) > a.slotCount(s.workers) {
 		last := &s.slots[len(s.slots)-1]
 		s.slotsByCell[last.cell]--
-		last.holder.slot = -1
+		last.holder.slot = noSlot
 		s.slots = s.slots[:len(s.slots)-1]
 	}
-	if x.slot >= 0 {
-		a.refill(s, x.slot)
+	if w.slot >= 0 {
+		a.refill(s, w.slot)
 	}
 }
 
-// fill lets seat i choose among the nodes that no earlier seat has, and after it
-// the seat that lost its node to it.
+// refill lets slot i choose among the workers that no earlier slot holds, and after it the slot that
+// lost its worker to it.
 func (a *Assigner) refill(s *stratum, i int) {
 	for i >= 0 {
 		var best *ringWorker
-		for _, x := range a.ordered {
-			if x.Kind == s.kind && (x.slot < 0 || x.slot > i) && s.slots[i].prefers(x, best) {
-				best = x
+		for _, w := range a.ordered {
+			if w.Kind == s.kind && (w.slot < 0 || w.slot > i) && s.slots[i].prefers(w, best) {
+				best = w
 			}
 		}
 		next := best.slot
@@ -138,47 +161,62 @@
 	}
 }
 
-// rebuild makes everything anew, for all seats of a stratum together.
-func (a *Assigner) rebuild(gone []*ringWorker, come []Worker) {
-	for _, n := range gone {
-		delete(a.workers, n.ID)
+// rebuild assigns everything anew, for all slots of a stratum together.
+func (a *Assigner) rebuild(departed []*ringWorker, arrived []Worker) {
+	for _, w := range departed {
+		delete(a.workers, w.ID)
 	}
-	for _, n := range come {
-		a.register(n)
+	for _, w := range arrived {
+		a.register(w)
 	}
 	a.ordered = a.ordered[:0]
-	for _, x := range a.workers {
-		x.slot = -1
-		a.ordered = append(a.ordered, x)
+	for _, w := range a.workers {
+		w.slot = noSlot
+		a.ordered = append(a.ordered, w)
 	}
 	slices.SortFunc(a.ordered, byPosition)
-	rings := map[int]map[int]*ring{} // by kind and zone
 	clear(a.strata)
-	for _, x := range a.ordered {
-		a.stratumOf(x.Kind).workers++
-		zones := rings[x.Kind]
+	for _, w := range a.ordered {
+		a.stratumOf(w.Kind).workers++
+	}
+	rings := ringsOf(a.ordered)
+	for kind, s := range a.strata {
+		for len(s.slots) < a.slotCount(s.workers) {
+			added := s.addSlot(a.plan)
+			w := added.choose(rings[kind])
+			rings[kind][w.Zone].markTaken(w)
+			s.assign(len(s.slots)-1, w)
+		}
+	}
+}
+
+// ringsOf returns the rings of workers by kind and zone.
+func ringsOf(ordered []*ringWorker) map[int]map[int]*ring {
+	rings := map[int]map[int]*ring{}
+	for _, w := range ordered {
+		zones := rings[w.Kind]
 		if zones == nil {
 			zones = map[int]*ring{}
-			rings[x.Kind] = zones
+			rings[w.Kind] = zones
 		}
-		if zones[x.Zone] == nil {
-			zones[x.Zone] = &ring{}
+		if zones[w.Zone] == nil {
+			zones[w.Zone] = &ring{}
 		}
-		zones[x.Zone].add(x)
+		zones[w.Zone].add(w)
 	}
-	for kind, s := range a.strata {
-		for len(s.slots) < a.slotCount(s.workers) {
-			c := s.addSlot(a.plan)
-			x := rings[kind][c.zone].nearestFree(c.position)
-			if x == nil {
-				for _, r := range rings[kind] {
-					if y := r.nearestFree(c.position); y != nil && c.prefers(y, x) {
-						x = y
-					}
-				}
-			}
-			rings[kind][x.Zone].markTaken(x)
-			s.assign(len(s.slots)-1, x)
+	return rings
+}
+
+// choose returns the free worker that a slot prefers, by the rings of its stratum's zones.
+func (s *slot) choose(zones map[int]*ring) *ringWorker {
+	if w := zones[s.zone].nearestFree(s.position); w != nil {
+		return w
+	}
+	var best *ringWorker
+	for _, r := range zones {
+		if w := r.nearestFree(s.position); w != nil && s.prefers(w, best) {
+			best = w
 		}
 	}
+	return best
 }
--- a/internal/core/cell_placement.go
+++ b/internal/core/cell_placement.go
@@ -34,7 +34,7 @@
 // reserve takes a place in the admission bound of the job's cell; false if there is none.
 func (p *placement) reserve(j *Job, tenant int) bool {
 	cell := p.layout.Cell(tenant, j.Key)
-	if !p.admission.TryReserve(cell, tenant) {
+	if !p.admission.Admit(cell, tenant) {
 		return false
 	}
 	j.reservation = reservation{p.admission, cell, tenant}
