--- a/internal/core/accept.go
+++ b/internal/core/accept.go
@@ -124,14 +124,14 @@
 }
 
 // ClientDisconnected says that a job's client has gone away. The answer still comes.
-func (c *Core) ClientDisconnected(j *Job) { c.loop.post(clientLeft{j}) }
+func (c *Core) ClientDisconnected(j *Job) { c.loop.post(clientDisconnected{j}) }
 
-type clientLeft struct{ job *Job }
+type clientDisconnected struct{ job *Job }
 
-func (e clientLeft) apply(c *Core) {
+func (e clientDisconnected) apply(c *Core) {
 	// The id may be in use by another job, where this one was a repeat of it.
 	if j := c.jobs.open[e.job.ID]; j != nil && j.Job == e.job {
 		c.counters.Add("jobs.left")
-		c.abandon(j, Answer{Verdict: Failed, Reason: ReasonClientLeft})
+		c.abandon(j, Answer{Verdict: Failed, Reason: ReasonClientDisconnected})
 	}
 }
--- a/internal/core/cell_assign.go
+++ b/internal/core/cell_assign.go
@@ -36,7 +36,7 @@
 		return
 	}
 	route, owner := c.routeOf(j), c.ownerCell(j.tenant, j.Key)
-	j.endSpill()
+	j.clearSpill()
 	j.cell = c.cells.all[route.Cell]
 	if route.Shed {
 		c.counters.Add("jobs.cell_unable")
@@ -48,7 +48,7 @@
 		owner.spilled++
 		c.counters.Add("jobs.spilled")
 	}
-	j.reservation.moveTo(route.Cell)
+	j.reservation.transfer(route.Cell)
 	if maxJobs := p.layout.Plan().KeyJobs(); maxJobs > 0 && j.Key != 0 && !c.cells.acquireKey(j, maxJobs) {
 		c.counters.Add("jobs.key_full")
 		c.shedOrFail(j)
@@ -62,7 +62,7 @@
 // not told that a retry is harmless.
 func (c *Core) shedOrFail(j *job) {
 	if c.unsafeToRetry(j) {
-		c.answer(j, Answer{Verdict: Failed, Reason: ReasonGivenUp})
+		c.answer(j, Answer{Verdict: Failed, Reason: ReasonAbandoned})
 		return
 	}
 	c.answer(j, Answer{Verdict: Shed, RetryAfter: c.shedRetryAfter()})
--- a/internal/core/cell_helpers_test.go
+++ b/internal/core/cell_helpers_test.go
@@ -8,7 +8,6 @@
 	"github.com/vatu-meals/foxlift"
 	"github.com/vatu-meals/foxlift/internal/cells"
 	"github.com/vatu-meals/foxlift/internal/config"
-	"github.com/vatu-meals/foxlift/internal/counters"
 )
 
 const cellSettings = `{"balancers":1,"dcs":["a"],"zone":"a","flavors":["k"],
@@ -19,7 +18,11 @@
  "obligations":{"startCapacity":0.14,"warmAfter":24000000000,"fallMultiple":3,"fall":1000000000},
  "familyInfo":{"tellsStart":true}}`
 
-// twoCells has t in a and u in b; a spills into b.
+const cellRigWorkers = 12
+
+var cellTenants = []string{"t", "u", "v"} // of cellSettings
+
+// twoCells has t in a and u and v in b; a spills into b.
 func twoCells() *cells.Spec {
 	return &cells.Spec{Cells: []cells.Cell{
 		{Name: "a", CapacityFraction: 0.5, Tenants: []string{"t"}, Spill: "b", SpillPart: 0.1},
@@ -27,80 +30,75 @@
 	}}
 }
 
-// newCellRig is a rig with cells and twelve nodes. The test applies events itself.
+// newCellRig returns a rig with cells and twelve workers.
 func newCellRig(t *testing.T, spec *cells.Spec) *rig {
 	t.Helper()
 	s, err := config.ParseSettings([]byte(cellSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, faults := s.PlanCells(spec)
+	r := newRigOf(t, Config{Settings: s, Plan: planOf(t, s, spec)}, 60)
+	r.applyEvent(endpointsUpdated{kind: foxlift.EndpointsCached, workers: cellWorkers(0)})
+	return r
+}
+
+func planOf(t *testing.T, s *config.Settings, spec *cells.Spec) *cells.Plan {
+	t.Helper()
+	plan, faults := s.PlanCells(spec)
 	if faults != nil {
 		t.Fatal(faults)
 	}
-	c, err := New(Config{Settings: s, Plan: p, Seed: 1, Clock: NewClock(), Counters: &counters.Set{}})
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(c.Stop)
-	r := &rig{Core: c}
-	c.connect(Environment{Workers: r, EndpointWatch: r, MaxOpen: 60})
-	r.applyEvent(endpointsUpdated{kind: foxlift.EndpointsCached, workers: r.workerList(12, 0)})
-	return r
+	return plan
 }
 
-func (r *rig) workerList(n int, started int64) (list []foxlift.Worker) {
-	for i := range n {
-		list = append(list, foxlift.Worker{ID: fmt.Sprint("n", i), Kind: 0, Zone: 0, StartedAt: started})
+// cellWorkers returns the workers of a rig with cells.
+func cellWorkers(startedAt int64) (workers []foxlift.Worker) {
+	for i := range cellRigWorkers {
+		workers = append(workers, foxlift.Worker{ID: fmt.Sprint("n", i), Kind: 0, Zone: 0, StartedAt: startedAt})
 	}
-	return list
+	return workers
 }
 
-// ask takes a job in as a front does.
+// submitToCell sends a job as the platform does: it takes a place in its cell's admission bound first.
 func (r *rig) submitToCell(id, class, tenant string, key uint64) *recordingClient {
-	a := &recordingClient{}
-	j := &Job{ID: id, Class: class, Tenant: tenant, Key: key, ArrivedAt: r.clock.Now(), Remaining: 10 * time.Second, Client: a}
+	j, client := r.newJob(id, class, tenant, 10*time.Second)
+	j.Key = key
 	if !r.placement.Load().reserve(j, r.tenantIndex(j.Tenant)) {
-		a.Answer(Answer{Verdict: Shed, RetryAfter: r.shedRetryAfter()})
-		return a
+		client.Answer(Answer{Verdict: Shed, RetryAfter: r.shedRetryAfter()})
+		return client
 	}
 	r.applyEvent(jobSubmitted{j})
-	return a
+	return client
 }
 
-// change does what an operator asks, on the test's goroutine.
-func (r *rig) changeLayout(do func(*cells.Layout) (*cells.Layout, error)) (Migration, error) {
-	s := r.placement.Load()
-	l, err := do(s.layout)
-	if err != nil {
-		return Migration{}, err
-	}
-	m := r.adoptPlacement(s.layout, s.withLayout(l))
+// migrate makes a cell the one of a tenant, on the test's goroutine.
+func (r *rig) migrate(t *testing.T, tenant string, to int) Migration {
+	t.Helper()
+	p := r.placement.Load()
+	layout := p.layout.WithTenant(p.layout.Plan().TenantIndex(tenant), to)
+	m := r.adoptPlacement(p.layout, p.withLayout(layout))
 	r.dispatch()
-	return m, nil
+	return m
 }
 
-func (r *rig) migrate(t *testing.T, tenant string, to int) Migration {
+// replan puts another plan in force, on the test's goroutine.
+func (r *rig) replan(t *testing.T, spec *cells.Spec) {
 	t.Helper()
-	m, err := r.changeLayout(func(l *cells.Layout) (*cells.Layout, error) {
-		return l.WithTenant(l.Plan().TenantIndex(tenant), to), nil
-	})
-	if err != nil {
+	if _, err := r.applyPlan(planOf(t, r.settings, spec)); err != nil {
 		t.Fatal(err)
 	}
-	return m
+	r.dispatch()
 }
 
-// cellOf is where a node is.
-func (r *rig) cellOf(node string) int {
-	c, _ := r.placement.Load().layout.WorkerCell(node)
-	return c
-}
+func (r *rig) evacuate(i int) { r.cells.all[i].evacuated = true }
 
-func ended(code foxlift.Code) Report { return Report{Ended: true, Code: code, Result: []byte("r")} }
+// cellOf returns the index of a worker's cell.
+func (r *rig) cellOf(worker string) int {
+	i, _ := r.placement.Load().layout.WorkerCell(worker)
+	return i
+}
 
-// full sends readings until the tenant's next job is held, and returns how many it
-// took.
+// saturate sends readings until the tenant's next job is queued, and returns how many were sent.
 func (r *rig) saturate(t *testing.T, tenant string) int {
 	t.Helper()
 	for i := range 100 {
@@ -110,16 +108,6 @@
 			return i
 		}
 	}
-	t.Fatal("the cell is never full")
+	t.Fatal("the cell is never saturated")
 	return 0
 }
-
-func (r *rig) evacuate(i int) { r.cells.all[i].evacuated = true }
-
-func countByName(names []string) map[string]int {
-	n := map[string]int{}
-	for _, name := range names {
-		n[name]++
-	}
-	return n
-}
--- a/internal/core/cell_placement.go
+++ b/internal/core/cell_placement.go
@@ -47,8 +47,8 @@
 	cell, tenant int
 }
 
-// moveTo takes the place over to another cell.
-func (r *reservation) moveTo(cell int) {
+// transfer takes the place over to another cell.
+func (r *reservation) transfer(cell int) {
 	if r.admission != nil && r.cell != cell {
 		r.admission.Transfer(r.cell, cell, r.tenant)
 		r.cell = cell
--- a/internal/core/cell_placement_test.go
+++ b/internal/core/cell_placement_test.go
@@ -8,7 +8,7 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// Each tenant's jobs go to the nodes of its cell alone.
+// Each tenant's jobs go to the workers of its cell alone.
 func TestCellsConfine(t *testing.T) {
 	r := newCellRig(t, twoCells())
 	for i := range 12 {
@@ -18,37 +18,34 @@
 			t.Errorf("%s's job is in cell %d", tenant, got)
 		}
 	}
-	if r.placement.Load().layout.WorkerCount(0) == 0 || r.placement.Load().layout.WorkerCount(1) == 0 {
-		t.Fatal("a cell without nodes")
+	if layout := r.placement.Load().layout; layout.WorkerCount(0) == 0 || layout.WorkerCount(1) == 0 {
+		t.Fatal("a cell without workers")
 	}
 }
 
-// Hard case 3: an empty cell spills, bounded, or refuses at once with advice.
+// Hard case 3: an empty cell spills, bounded, or sheds at once with advice.
 func TestEmptyCell(t *testing.T) {
 	r := newCellRig(t, twoCells())
 	r.evacuate(0)
-	bound := r.placement.Load().layout.SpillBound(0, r.placement.Load().jobBounds[1])
-	var got []*recordingClient
+	p := r.placement.Load()
+	bound := p.layout.SpillBound(0, p.jobBounds[1])
+	shed := 0
 	for i := range bound + 4 {
-		got = append(got, r.submitToCell(fmt.Sprint("j", i), "reading", "t", 0))
-	}
-	refused := 0
-	for _, a := range got {
-		if len(a.answers) == 1 && a.answers[0].Verdict == Shed && a.answers[0].RetryAfter > 0 {
-			refused++
+		if r.submitToCell(fmt.Sprint("j", i), "reading", "t", 0).wasShed() {
+			shed++
 		}
 	}
-	if refused != 4 || r.cells.all[0].spilled != bound {
-		t.Errorf("%d refused, %d spilled; want 4 and %d", refused, r.cells.all[0].spilled, bound)
+	if shed != 4 || r.cells.all[0].spilled != bound {
+		t.Errorf("%d shed, %d spilled; want 4 and %d", shed, r.cells.all[0].spilled, bound)
 	}
-	for i := range r.sentTo {
-		if r.cellOf(r.sentTo[i]) != 1 {
+	for _, worker := range r.sentTo {
+		if r.cellOf(worker) != 1 {
 			t.Error("a job is in the empty cell")
 		}
 	}
-	r.evacuate(1) // both: nowhere to spill, and no round
-	if a := r.submitToCell("k", "reading", "t", 0); len(a.answers) != 1 || a.answers[0].Verdict != Shed {
-		t.Errorf("%+v", a.answers)
+	r.evacuate(1) // both: nowhere to spill, and no cycle
+	if client := r.submitToCell("k", "reading", "t", 0); !client.gotOnly(Shed) {
+		t.Errorf("%+v", client.answers)
 	}
 	for _, report := range r.sent {
 		report(ended(foxlift.Served))
@@ -59,57 +56,55 @@
 	}
 }
 
-// Hard case 6: the flood of one cell stays before the core, and takes no place of
-// another's.
+// Hard case 6: the flood of one cell is shed before the event loop, and takes no place of another's.
 func TestFloodIsShedBeforeTheCore(t *testing.T) {
 	r := newCellRig(t, twoCells())
-	refused := 0
+	shed := 0
 	for i := range 300 {
-		a := &recordingClient{}
-		r.Accept(&Job{ID: fmt.Sprint("f", i), Class: "reading", Tenant: "t", ArrivedAt: r.clock.Now(), Remaining: time.Second, Client: a})
-		if len(a.answers) == 1 && a.answers[0].Verdict == Shed && a.answers[0].RetryAfter > 0 {
-			refused++
+		j, client := r.newJob(fmt.Sprint("f", i), "reading", "t", time.Second)
+		r.Accept(j)
+		if client.wasShed() {
+			shed++
 		}
 	}
-	if len(r.loop.inbox) > 30 || refused != 300-len(r.loop.inbox) {
-		t.Errorf("%d of 300 are in the inbox, %d refused", len(r.loop.inbox), refused)
+	if len(r.loop.inbox) > 30 || shed != 300-len(r.loop.inbox) {
+		t.Errorf("%d of 300 are in the inbox, %d shed", len(r.loop.inbox), shed)
 	}
 	r.settle()
-	if a := r.submitToCell("u", "reading", "u", 0); len(a.answers) != 0 {
-		t.Errorf("the other cell's job: %+v", a.answers)
+	if client := r.submitToCell("u", "reading", "u", 0); len(client.answers) != 0 {
+		t.Errorf("the other cell's job: %+v", client.answers)
 	}
 }
 
-// An id that is in use is bad input also where its cell is full: a refusal would
-// promise that another try is harmless. Found by TestModel.
+// A job whose id is in use is rejected also where its cell is saturated: to shed it would promise that a
+// retry is harmless. Found by TestModel.
 func TestRepeatedIDAtASaturatedCell(t *testing.T) {
 	r := newCellRig(t, twoCells())
-	take := func(id string) *recordingClient {
-		a := &recordingClient{}
-		r.Accept(&Job{ID: id, Class: "ratify", Tenant: "t", ArrivedAt: r.clock.Now(), Remaining: time.Second, Client: a})
+	accept := func(id string) *recordingClient {
+		j, client := r.newJob(id, "ratify", "t", time.Second)
+		r.Accept(j)
 		r.settle()
-		return a
+		return client
 	}
-	first := take("j")
+	first := accept("j")
 	for i := 0; r.counters.Get("jobs.cell_full") == 0; i++ {
-		take(fmt.Sprint("fill", i))
+		accept(fmt.Sprint("fill", i))
 	}
-	if a := take("j"); len(a.answers) != 1 || a.answers[0].Verdict != Rejected {
-		t.Errorf("in use: %+v", a.answers)
+	if client := accept("j"); !client.gotOnly(Rejected) {
+		t.Errorf("in use: %+v", client.answers)
 	}
-	r.sent[0](ended(foxlift.Served))
-	r.settle()
-	if a := take("j"); len(first.answers) != 1 || len(a.answers) != 1 || a.answers[0].Verdict != Rejected {
-		t.Errorf("answered: %+v", a.answers)
+	r.complete(0, foxlift.Served)
+	if client := accept("j"); len(first.answers) != 1 || !client.gotOnly(Rejected) {
+		t.Errorf("answered: %+v", client.answers)
 	}
 	r.applyEvent(idExpired{"j"})
-	if a := take("j"); len(a.answers) == 1 && a.answers[0].Verdict == Rejected {
-		t.Errorf("forgotten: %+v", a.answers)
+	if client := accept("j"); client.gotOnly(Rejected) {
+		t.Errorf("expired: %+v", client.answers)
 	}
 }
 
-// Hard case 8: a key that floods is held to a few nodes and a few jobs; others of the
-// same tenant and class go past it.
+// Hard case 8: an affinity key that floods is kept to a few workers and a few jobs; others of the same
+// tenant and class go past it.
 func TestKeyFlood(t *testing.T) {
 	spec := twoCells()
 	spec.KeyWorkers, spec.KeyJobs = 2, 12
@@ -118,15 +113,15 @@
 	for i := range 20 {
 		before := len(r.sentTo)
 		r.submitToCell(fmt.Sprint("k", i), "reading", "t", 77)
-		for _, n := range r.sentTo[before:] {
-			used[n] = true
+		for _, worker := range r.sentTo[before:] {
+			used[worker] = true
 		}
 	}
 	if len(used) > 2 || r.counters.Get("jobs.key_full") != 8 {
-		t.Errorf("the key is on %v, %d refused", used, r.counters.Get("jobs.key_full"))
+		t.Errorf("the key is on %v, %d shed", used, r.counters.Get("jobs.key_full"))
 	}
 	if len(r.sentTo) >= 12 {
-		t.Fatal("the key's nodes are never full: nothing is held behind it")
+		t.Fatal("the key's workers are never saturated: nothing is queued behind it")
 	}
 	before := len(r.sentTo)
 	r.submitToCell("other", "reading", "t", 5)
@@ -136,8 +131,7 @@
 	}
 }
 
-// Hard case 11: the nodes of one cell answer "failed" at once. The other cell's module
-// sees nothing of it.
+// Hard case 11: the workers of one cell fail at once. The other cell's dispatcher sees nothing of it.
 func TestFailingReleaseInOneCell(t *testing.T) {
 	r := newCellRig(t, twoCells())
 	for i := range 200 {
@@ -149,34 +143,33 @@
 				code = foxlift.WorkerError
 			}
 			r.sent[k](Report{})
-			r.sent[k](ended(code))
-			r.settle()
+			r.complete(k, code)
 		}
 	}
-	if b := r.cells.all[1].answers; b[Served] != 100 || b[Shed]+b[Failed] != 0 {
-		t.Errorf("the other cell's answers: %v", b)
+	if answers := r.cells.all[1].answers; answers[Served] != 100 || answers[Shed]+answers[Failed] != 0 {
+		t.Errorf("the other cell's answers: %v", answers)
 	}
-	if a := r.cells.all[0].answers; a[Served] != 0 {
-		t.Errorf("the bad cell serves %d", a[Served])
+	if answers := r.cells.all[0].answers; answers[Served] != 0 {
+		t.Errorf("the failing cell serves %d", answers[Served])
 	}
 }
 
-// Hard case 7: what a tenant is lent in its cell is taken back at once: when another
-// returns, the next place that is free is that one's.
+// Hard case 7: capacity that a tenant is lent in its cell is returned at once: when another tenant comes
+// back, the next slot that is free is that one's.
 func TestLentCapacityIsReturned(t *testing.T) {
 	spec := twoCells()
 	spec.Cells[1].Jobs = 60
 	r := newCellRig(t, spec)
-	n := r.saturate(t, "u") // all of the cell, far over what the tenant has tokens for
-	if n < 8 {
-		t.Fatalf("only %d jobs are lent a place", n)
+	slots := r.saturate(t, "u") // all of the cell, far over what the tenant has tokens for
+	if slots < 8 {
+		t.Fatalf("only %d jobs are lent a slot", slots)
 	}
 	for i := range 5 {
 		r.submitToCell(fmt.Sprint("more", i), "reading", "u", 0)
 	}
 	r.submitToCell("back", "reading", "v", 0)
-	if len(r.sent) != n {
-		t.Fatalf("%d claims with %d places", len(r.sent), n)
+	if len(r.sent) != slots {
+		t.Fatalf("%d attempts with %d slots", len(r.sent), slots)
 	}
 	var next string
 	r.onSend = func(j *Job) {
@@ -184,12 +177,11 @@
 			next = j.ID
 		}
 	}
-	for i := 0; next == "" && i < n; i++ {
+	for i := 0; next == "" && i < slots; i++ {
 		r.sent[i](Report{})
-		r.sent[i](ended(foxlift.Served))
-		r.settle()
+		r.complete(i, foxlift.Served)
 	}
 	if next != "back" {
-		t.Errorf("the next place is %s's", next)
+		t.Errorf("the next slot is %s's", next)
 	}
 }
--- a/internal/core/cell_set.go
+++ b/internal/core/cell_set.go
@@ -45,20 +45,20 @@
 		return false
 	}
 	s.jobsByKey[k]++
-	j.heldKey = k
+	j.countedKey = k
 	return true
 }
 
 // releaseKey counts a job no longer by its affinity key.
 func (s *cellSet) releaseKey(j *job) {
-	if j.heldKey.cell == nil {
+	if j.countedKey.cell == nil {
 		return
 	}
-	s.jobsByKey[j.heldKey]--
-	if s.jobsByKey[j.heldKey] == 0 {
-		delete(s.jobsByKey, j.heldKey)
+	s.jobsByKey[j.countedKey]--
+	if s.jobsByKey[j.countedKey] == 0 {
+		delete(s.jobsByKey, j.countedKey)
 	}
-	j.heldKey = cellKey{}
+	j.countedKey = cellKey{}
 }
 
 // initCells makes the cells of a plan, without workers.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -50,7 +50,7 @@
 	loop      eventLoop
 	status    status
 	placement atomic.Pointer[placement]    // nil without cells
-	idsInUse  *xsync.Map[string, struct{}] // with cells: ids that Accept must not take, before the event loop knows of them
+	idsInUse  *xsync.Map[string, struct{}] // with cells: what Accept knows before the event loop does
 
 	// Owned by the event loop's goroutine.
 	jobs      jobTable
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -7,102 +7,109 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// Whatever comes in whatever order, a job has one answer and leaves no trace.
+// Whatever happens in whatever order, a job has one answer and leaves nothing behind.
 func TestOneAnswer(t *testing.T) {
-	over := func(c foxlift.Code) Report { return Report{Ended: true, Code: c, Result: []byte("r")} }
+	end := func(i int, code foxlift.Code) func(*rig, *job) {
+		return func(r *rig, _ *job) { r.sent[i](ended(code)) }
+	}
+	disconnect := func(r *rig, j *job) { r.ClientDisconnected(j.Job) }
 	for name, c := range map[string]struct {
 		class string
-		do    func(r *rig, j *Job)
+		steps []func(*rig, *job)
 		want  Verdict
 	}{
-		"served":             {"ratify", func(r *rig, _ *Job) { r.sent[0](over(foxlift.Served)) }, Served},
-		"served twice":       {"ratify", func(r *rig, _ *Job) { r.sent[0](over(foxlift.Served)); r.sent[0](over(foxlift.Served)) }, Served},
-		"erred, then served": {"ratify", func(r *rig, _ *Job) { r.sent[0](over(foxlift.WorkerError)); r.sent[0](over(foxlift.Served)) }, Failed},
-		"left":               {"ratify", func(r *rig, j *Job) { r.ClientDisconnected(j) }, Failed},
-		"left, then served":  {"ratify", func(r *rig, j *Job) { r.ClientDisconnected(j); r.sent[0](over(foxlift.Served)) }, Failed},
-		"served, then left":  {"ratify", func(r *rig, j *Job) { r.sent[0](over(foxlift.Served)); r.ClientDisconnected(j) }, Served},
-		"two copies served": {"reading", func(r *rig, _ *Job) {
-			r.send(r.jobs.byNumber[1], "n2", 0)
-			r.sent[0](over(foxlift.Served))
-			r.sent[1](over(foxlift.Served))
+		"served":       {"ratify", []func(*rig, *job){end(0, foxlift.Served)}, Served},
+		"served twice": {"ratify", []func(*rig, *job){end(0, foxlift.Served), end(0, foxlift.Served)}, Served},
+		"worker error, then served": {
+			"ratify", []func(*rig, *job){end(0, foxlift.WorkerError), end(0, foxlift.Served)}, Failed,
+		},
+		"disconnected":              {"ratify", []func(*rig, *job){disconnect}, Failed},
+		"disconnected, then served": {"ratify", []func(*rig, *job){disconnect, end(0, foxlift.Served)}, Failed},
+		"served, then disconnected": {"ratify", []func(*rig, *job){end(0, foxlift.Served), disconnect}, Served},
+		"two hedged attempts served": {"reading", []func(*rig, *job){
+			func(r *rig, j *job) { r.send(j, "n2", 0) }, end(0, foxlift.Served), end(1, foxlift.Served),
 		}, Served},
-		"timed out": {"ratify", func(r *rig, _ *Job) {
-			r.loop.post(attemptReported{r.jobs.byNumber[1].attempts[0], over(foxlift.DeadlineExceeded)})
-		}, Failed},
-		"module says nothing": {"ratify", func(r *rig, _ *Job) { r.loop.post(jobOverdue{r.jobs.byNumber[1]}) }, Failed},
-		"turned away thrice": {"ratify", func(r *rig, _ *Job) {
+		"timed out": {"ratify", []func(*rig, *job){func(r *rig, j *job) {
+			r.loop.post(attemptReported{j.attempts[0], ended(foxlift.DeadlineExceeded)})
+		}}, Failed},
+		"dispatcher without an answer": {"ratify", []func(*rig, *job){func(r *rig, j *job) {
+			r.loop.post(jobOverdue{j})
+		}}, Failed},
+		"unreachable three times": {"ratify", []func(*rig, *job){func(r *rig, _ *job) {
 			for i := range 3 {
-				r.sent[i](over(foxlift.Unreachable))
-				r.settle()
+				r.complete(i, foxlift.Unreachable)
 			}
-		}, Shed},
-		"started, then reset, then served elsewhere": {"reading", func(r *rig, _ *Job) {
+		}}, Shed},
+		"started, then reset, then served elsewhere": {"reading", []func(*rig, *job){func(r *rig, _ *job) {
 			r.sent[0](Report{})
 			r.sent[0](Report{Progress: true})
-			r.sent[0](over(foxlift.Reset))
-			r.settle()
-			r.sent[1](over(foxlift.Served))
-		}, Served},
+			r.complete(0, foxlift.Reset)
+			r.sent[1](ended(foxlift.Served))
+		}}, Served},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
-			a := r.submit("j", c.class, "t")
-			c.do(r, r.jobs.byNumber[1].Job)
+			client := r.submit("j", c.class, "t")
+			j := r.jobs.byNumber[1]
+			for _, step := range c.steps {
+				step(r, j)
+			}
 			r.settle()
-			if len(a.answers) != 1 || a.answers[0].Verdict != c.want || c.want == Served && string(a.answers[0].Result) != "r" {
-				t.Errorf("answers %+v, want one of verdict %d", a.answers, c.want)
+			if !client.gotOnly(c.want) || c.want == Served && string(client.answers[0].Result) != "r" {
+				t.Errorf("answers %+v, want one of verdict %d", client.answers, c.want)
 			}
 			if len(r.jobs.byNumber) != 0 || len(r.jobs.open) != 0 {
 				t.Errorf("%d jobs stay in the table, %d open", len(r.jobs.byNumber), len(r.jobs.open))
 			}
 			if r.cancelled != len(r.sent) {
-				t.Errorf("%d of %d claims released", r.cancelled, len(r.sent))
+				t.Errorf("%d of %d attempts released", r.cancelled, len(r.sent))
 			}
 		})
 	}
 }
 
-// What may not be taken never reaches the module or a node.
+// A job that is not valid reaches neither the dispatcher nor a worker.
 func TestInvalidJobsAreRejected(t *testing.T) {
 	r := newRig(t)
 	first := r.submit("j", "ratify", "t")
-	for reason, a := range map[Reason]*recordingClient{
-		"unknown class": r.submit("a", "other", "t"), "unknown tenant": r.submit("b", "ratify", "x"),
-		"repeated id": r.submit("j", "ratify", "t"),
+	for reason, client := range map[Reason]*recordingClient{
+		"unknown class":  r.submit("a", "other", "t"),
+		"unknown tenant": r.submit("b", "ratify", "x"),
+		"repeated id":    r.submit("j", "ratify", "t"),
 	} {
-		if len(a.answers) != 1 || a.answers[0].Verdict != Rejected || a.answers[0].Reason != reason {
-			t.Errorf("%s: %+v", reason, a.answers)
+		if !client.gotOnly(Rejected) || client.answers[0].Reason != reason {
+			t.Errorf("%s: %+v", reason, client.answers)
 		}
 	}
 	if len(r.sent) != 1 || len(first.answers) != 0 {
-		t.Errorf("%d claims, %d answers for the first job", len(r.sent), len(first.answers))
+		t.Errorf("%d attempts, %d answers for the first job", len(r.sent), len(first.answers))
 	}
 	r.submit("k", "ratify", "t")
-	if a := r.submit("l", "ratify", "t"); len(a.answers) != 1 || a.answers[0].Verdict != Shed || a.answers[0].RetryAfter == 0 {
-		t.Errorf("past the limit of open jobs: %+v", a.answers)
+	if client := r.submit("l", "ratify", "t"); !client.wasShed() {
+		t.Errorf("past the limit of open jobs: %+v", client.answers)
 	}
-	r.sent[0](Report{Ended: true, Code: foxlift.Served})
-	r.settle()
-	if a := r.submit("j", "ratify", "t"); len(a.answers) != 1 || a.answers[0].Reason != "repeated id" || len(r.sent) != 2 {
-		t.Errorf("an id that was answered: %+v, %d claims", a.answers, len(r.sent))
+	r.complete(0, foxlift.Served)
+	client := r.submit("j", "ratify", "t")
+	if len(client.answers) != 1 || client.answers[0].Reason != "repeated id" || len(r.sent) != 2 {
+		t.Errorf("an id that was answered: %+v, %d attempts", client.answers, len(r.sent))
 	}
 	r.applyEvent(idExpired{"j"})
-	if a := r.submit("j", "ratify", "t"); len(a.answers) != 0 || len(r.sent) != 3 {
-		t.Errorf("an id that is free again: %+v", a.answers)
+	if client := r.submit("j", "ratify", "t"); len(client.answers) != 0 || len(r.sent) != 3 {
+		t.Errorf("an id that is free again: %+v", client.answers)
 	}
 }
 
-// However long a submitter says it waits, its class's deadline bounds it.
+// However long a client says that it waits, its class's deadline bounds it.
 func TestRemainingIsBounded(t *testing.T) {
 	r := newRig(t)
-	now := r.clock.Now()
-	r.applyEvent(jobSubmitted{&Job{ID: "j", Class: "reading", Tenant: "t", ArrivedAt: now, Remaining: 1 << 62, Client: &recordingClient{}}})
-	if d := r.jobs.byNumber[1].deadline - now; d != 20e9 {
+	j, _ := r.newJob("j", "reading", "t", 1<<62)
+	r.applyEvent(jobSubmitted{j})
+	if d := r.jobs.byNumber[1].deadline - j.ArrivedAt; d != 20e9 {
 		t.Errorf("deadline in %d", d)
 	}
 }
 
-// The clock is comparable with Unix times in the list, and only advances.
+// The clock is comparable with Unix times in the endpoint list, and only advances.
 func TestClock(t *testing.T) {
 	c := NewClock()
 	a := c.Now()
@@ -114,18 +121,17 @@
 	}
 }
 
-// Near the end a job that would hardly be done is refused at once, and one that is
-// taken has its answer before a kill could lose it.
+// Near the end of a shutdown a job that would hardly be done is shed at once, and one that is accepted has
+// its answer before the process may be killed.
 func TestShutdownDeadline(t *testing.T) {
 	r := newRig(t)
 	r.applyEvent(shutdownBegun{r.clock.Now() + int64(600*time.Millisecond)})
 	first := r.submit("first", "reading", "t")
 	if len(first.answers) != 0 || len(r.sent) != 1 {
-		t.Fatalf("%+v, %d claims; want it sent", first.answers, len(r.sent))
+		t.Fatalf("%+v, %d attempts; want it sent", first.answers, len(r.sent))
 	}
 	r.applyEvent(shutdownBegun{r.clock.Now() + int64(400*time.Millisecond)})
-	late := r.submit("late", "reading", "t")
-	if len(late.answers) != 1 || late.answers[0].Verdict != Shed || late.answers[0].RetryAfter == 0 || r.counters.Get("jobs.at_end") != 1 {
+	if late := r.submit("late", "reading", "t"); !late.wasShed() || r.counters.Get("jobs.at_end") != 1 {
 		t.Errorf("too late: %+v", late.answers)
 	}
 	for len(first.answers) == 0 {
@@ -135,3 +141,25 @@
 		t.Errorf("at the end: %+v", first.answers)
 	}
 }
+
+// Stop waits for the event loop's goroutine, may be called again, and prevents a later start.
+func TestStopWaits(t *testing.T) {
+	r := newRig(t)
+	r.loop.start(r.run)
+	begun, release := make(chan struct{}), make(chan struct{})
+	r.loop.post(eventFunc(func(*Core) { close(begun); <-release }))
+	<-begun
+	stopped := make(chan struct{})
+	go func() { r.Stop(); close(stopped) }()
+	<-r.loop.stopped
+	select {
+	case <-stopped:
+		t.Error("Stop returned while an event was being applied")
+	case <-time.After(20 * time.Millisecond):
+	}
+	close(release)
+	<-stopped
+	r.Stop()
+	r.loop.start(func() { t.Error("it started after Stop") })
+	r.Stop()
+}
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -76,7 +76,7 @@
 	case foxlift.ActionShed:
 		c.answer(j, Answer{Verdict: Shed, RetryAfter: time.Duration(action.RetryAfter)})
 	case foxlift.ActionFail:
-		c.answer(j, Answer{Verdict: Failed, Reason: ReasonGivenUp})
+		c.answer(j, Answer{Verdict: Failed, Reason: ReasonAbandoned})
 	}
 }
 
--- a/internal/core/helpers_test.go
+++ b/internal/core/helpers_test.go
@@ -10,27 +10,60 @@
 )
 
 const settings = `{"discovery":"automatic","bounds":{"cancel":true,"secondCopies":true,"maxAttempts":3,"maxOpen":2,
- "retryAfter":true,"maxRetryAfter":2000000000},"projects":[{"name":"t","quotaRps":1000}],"familyInfo":{"tellsStart":true},
+ "retryAfter":true,"maxRetryAfter":2000000000},"projects":[{"name":"t","quotaRps":1000}],
+ "familyInfo":{"tellsStart":true},
  "grades":[{"name":"reading","aim":500000000,"deadline":20000000000,"effect":"idempotent"},
  {"name":"ratify","aim":500000000,"deadline":20000000000,"effect":"at_most_once"}]}`
 
-// rig is a core whose nodes and submitters are the test itself. It is not
-// started: the test applies events on its own goroutine.
+// A rig is a core whose workers, discovery and clients are the test itself. Its event loop is not started:
+// the test applies events on its own goroutine.
 type rig struct {
 	*Core
-	sent          []func(Report) // one for each claim
-	sentTo        []string
-	cancelled     int
-	watchCalls    int
-	atMostOnceIDs []string // ids of claims of at-most-once jobs
-	lastWorker    string
-	onSend        func(*Job)
+	sent       []func(Report) // the report function of each attempt
+	sentTo     []string       // its worker
+	lastSentTo string
+	cancelled  int
+	onceIDs    []string // ids of the jobs of attempts that must not run twice
+	onSend     func(*Job)
 }
 
-func (r *rig) Send(node string, j *Job, _ AttemptLimits, report func(Report)) func() {
-	r.sent, r.sentTo, r.lastWorker = append(r.sent, report), append(r.sentTo, node), node
+// newRig returns a rig without cells that knows three workers.
+func newRig(t *testing.T) *rig {
+	t.Helper()
+	s, err := config.ParseSettings([]byte(settings))
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := newRigOf(t, Config{Settings: s}, 9)
+	r.applyEvent(endpointsUpdated{kind: foxlift.EndpointsComplete, workers: threeWorkers()})
+	return r
+}
+
+// newRigOf returns a rig that knows no workers.
+func newRigOf(t *testing.T, cfg Config, maxOpen int) *rig {
+	t.Helper()
+	cfg.Seed, cfg.Clock, cfg.Counters = 1, NewClock(), &counters.Set{}
+	c, err := New(cfg)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(c.Stop)
+	r := &rig{Core: c}
+	c.connect(Environment{Workers: r, EndpointWatch: r, MaxOpen: maxOpen})
+	return r
+}
+
+func threeWorkers() []foxlift.Worker {
+	return []foxlift.Worker{{ID: "n1", Kind: -1}, {ID: "n2", Kind: -1}, {ID: "n3", Kind: -1}}
+}
+
+// Send implements Workers.
+func (r *rig) Send(worker string, j *Job, _ AttemptLimits, report func(Report)) func() {
+	r.sent = append(r.sent, report)
+	r.sentTo = append(r.sentTo, worker)
+	r.lastSentTo = worker
 	if j.Class == "ratify" {
-		r.atMostOnceIDs = append(r.atMostOnceIDs, j.ID)
+		r.onceIDs = append(r.onceIDs, j.ID)
 	}
 	if r.onSend != nil {
 		r.onSend(j)
@@ -38,34 +71,33 @@
 	return func() { r.cancelled++ }
 }
 
+// CloseIdle implements Workers.
 func (r *rig) CloseIdle(string) {}
 
+// HealthCheck implements Workers.
 func (r *rig) HealthCheck(string, func(Report)) {}
 
-func (r *rig) Watch() { r.watchCalls++ }
+// Watch implements EndpointWatch.
+func (r *rig) Watch() {}
 
+// A recordingClient keeps the answers of its job.
 type recordingClient struct{ answers []Answer }
 
-func (a *recordingClient) Answer(x Answer) { a.answers = append(a.answers, x) }
+// Answer implements Client.
+func (c *recordingClient) Answer(a Answer) { c.answers = append(c.answers, a) }
 
-func (a *recordingClient) Disconnected() bool { return false }
+// Disconnected implements Client.
+func (c *recordingClient) Disconnected() bool { return false }
 
-func newRig(t *testing.T) *rig {
-	s, err := config.ParseSettings([]byte(settings))
-	if err != nil {
-		t.Fatal(err)
-	}
-	c, err := New(Config{Settings: s, Seed: 1, Clock: NewClock(), Counters: &counters.Set{}})
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(c.Stop)
-	r := &rig{Core: c}
-	c.connect(Environment{Workers: r, EndpointWatch: r, MaxOpen: 9})
-	r.applyEvent(endpointsUpdated{kind: foxlift.EndpointsComplete, workers: []foxlift.Worker{{ID: "n1", Kind: -1}, {ID: "n2", Kind: -1}, {ID: "n3", Kind: -1}}})
-	return r
+// gotOnly reports whether the client has one answer, of this verdict.
+func (c *recordingClient) gotOnly(v Verdict) bool {
+	return len(c.answers) == 1 && c.answers[0].Verdict == v
 }
 
+// wasShed reports whether the client has one answer, which sheds its job with advice.
+func (c *recordingClient) wasShed() bool { return c.gotOnly(Shed) && c.answers[0].RetryAfter > 0 }
+
+// applyEvent does what the event loop does with one event.
 func (r *rig) applyEvent(e event) {
 	e.apply(r.Core)
 	r.dispatch()
@@ -78,8 +110,27 @@
 	}
 }
 
+// newJob returns a job and its client.
+func (r *rig) newJob(id, class, tenant string, remaining time.Duration) (*Job, *recordingClient) {
+	client := &recordingClient{}
+	return &Job{
+		ID: id, Class: class, Tenant: tenant,
+		ArrivedAt: r.clock.Now(), Remaining: remaining, Client: client,
+	}, client
+}
+
+// submit sends a job, where there are no cells.
 func (r *rig) submit(id, class, tenant string) *recordingClient {
-	a := &recordingClient{}
-	r.applyEvent(jobSubmitted{&Job{ID: id, Class: class, Tenant: tenant, ArrivedAt: r.clock.Now(), Remaining: 10 * time.Second, Client: a}})
-	return a
+	j, client := r.newJob(id, class, tenant, 10*time.Second)
+	r.applyEvent(jobSubmitted{j})
+	return client
+}
+
+// complete lets the attempt with this index end, and applies what comes of it.
+func (r *rig) complete(i int, code foxlift.Code) {
+	r.sent[i](ended(code))
+	r.settle()
 }
+
+// ended is the last report of an attempt.
+func ended(code foxlift.Code) Report { return Report{Ended: true, Code: code, Result: []byte("r")} }
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -75,9 +75,9 @@
 	ReasonNoIdempotencyKey Reason = "no key, which its class needs"
 	ReasonRepeatedID       Reason = "repeated id"
 
-	ReasonGivenUp    Reason = "given up"
-	ReasonOverdue    Reason = "overdue"
-	ReasonClientLeft Reason = "the submitter left"
+	ReasonAbandoned          Reason = "given up"
+	ReasonOverdue            Reason = "overdue"
+	ReasonClientDisconnected Reason = "the submitter left"
 )
 
 // An Answer is the final word on a job.
@@ -110,7 +110,7 @@
 	leaving        bool     // that dispatcher has been told that it goes
 	spilledFrom    *cell    // the cell that could not take it; nil if it is in its own
 	allowedWorkers []string // where the plan bounds its affinity key to a few; else nil
-	heldKey        cellKey  // as it is counted in cellSet.jobsByKey
+	countedKey     cellKey  // as it is counted in cellSet.jobsByKey
 }
 
 // remaining returns how long the job's client still waits.
@@ -134,8 +134,8 @@
 	return nil
 }
 
-// endSpill counts the job no longer among those that its own cell has in another one.
-func (j *job) endSpill() {
+// clearSpill counts the job no longer among those that its own cell has in another one.
+func (j *job) clearSpill() {
 	if j.spilledFrom != nil {
 		j.spilledFrom.spilled--
 		j.spilledFrom = nil
--- a/internal/core/migration.go
+++ b/internal/core/migration.go
@@ -63,7 +63,7 @@
 			return nil, cells.ErrUnknownCell
 		}
 		if tenant == "" {
-			c.endEvacuations(plan, name)
+			c.clearEvacuations(plan, name)
 			return restoreTenants(layout, func(t int) bool {
 				return name == "" || layout.ConfiguredIn(t, plan.CellIndex(name))
 			}), nil
@@ -82,8 +82,8 @@
 	return layout
 }
 
-// endEvacuations ends the evacuation of a cell, or of all where the name is empty.
-func (c *Core) endEvacuations(plan *cells.Plan, name string) {
+// clearEvacuations ends the evacuation of a cell, or of all where the name is empty.
+func (c *Core) clearEvacuations(plan *cells.Plan, name string) {
 	for i, cl := range c.cells.all {
 		if !cl.retired && (name == "" || i == plan.CellIndex(name)) {
 			cl.evacuated = false
--- a/internal/core/model_actions_test.go
+++ b/internal/core/model_actions_test.go
@@ -23,7 +23,7 @@
 		if len(w.jobs) > 0 {
 			w.core.ClientDisconnected(w.jobs[a.a%len(w.jobs)].Job)
 		}
-	case actComplete, actProgress, actCompleteAgain:
+	case actComplete, actProgress, actRepeatedCompletion:
 		w.report(a)
 	case actEndpoints:
 		w.updateEndpoints(a)
@@ -99,7 +99,7 @@
 		attempt := inFlight[a.a%len(inFlight)]
 		attempt.stop(final.Code, a.c%2 == 0 || final.Code == foxlift.Served)
 		return attempt, final
-	case a.kind == actCompleteAgain && len(ended) > 0: // late, repeated, or against the first report
+	case a.kind == actRepeatedCompletion && len(ended) > 0: // late, repeated, or against the first report
 		return ended[a.a%len(ended)], final
 	case a.kind == actProgress && len(w.attempts) > 0:
 		return w.attempts[a.a%len(w.attempts)], Report{Progress: a.b%2 == 0}
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -24,10 +24,13 @@
 const modelSettings = `{"balancers":2,"slotNo":0,"discovery":"subscribe","dcs":["a","b"],"zone":"a","flavors":["k","l"],
  "grades":[{"name":"reading","aim":300000000,"deadline":5000000000,"effect":"idempotent"},
   {"name":"ratify","aim":800000000,"deadline":8000000000,"effect":"at_most_once"},
-  {"name":"seal","aim":500000000,"deadline":5000000000,"effect":"deduplicated","dedupScope":"zone","keyTtl":2000000000}],
+  {"name":"seal","aim":500000000,"deadline":5000000000,"effect":"deduplicated",
+   "dedupScope":"zone","keyTtl":2000000000}],
  "projects":[{"name":"t","quotaRps":20},{"name":"u","quotaRps":5},{"name":"v","quotaRps":0.5}],
- "bounds":{"cancel":true,"secondCopies":true,"retryAfter":true,"maxRetryAfter":2000000000,"maxAttempts":3,"maxOpen":40},
- "obligations":{"startCapacity":0.14,"warmAfter":24000000000,"fallMultiple":3,"fall":1000000000,"mustAskIn":10000000000},
+ "bounds":{"cancel":true,"secondCopies":true,"retryAfter":true,"maxRetryAfter":2000000000,"maxAttempts":3,
+  "maxOpen":40},
+ "obligations":{"startCapacity":0.14,"warmAfter":24000000000,"fallMultiple":3,"fall":1000000000,
+  "mustAskIn":10000000000},
  "familyInfo":{"tellsStart":true,"progress":1000000000}}`
 
 const (
@@ -53,7 +56,7 @@
 	actDisconnect
 	actComplete
 	actProgress
-	actCompleteAgain
+	actRepeatedCompletion
 	actEndpoints
 	actWait
 	actMigrate
@@ -199,7 +202,7 @@
 var actWeights = slices.Concat(
 	slices.Repeat([]int{actSubmit}, 10), slices.Repeat([]int{actComplete}, 8), slices.Repeat([]int{actWait}, 4),
 	[]int{
-		actResubmit, actDisconnect, actProgress, actProgress, actCompleteAgain, actEndpoints, actEndpoints,
+		actResubmit, actDisconnect, actProgress, actProgress, actRepeatedCompletion, actEndpoints, actEndpoints,
 		actMigrate, actMigrate, actEvacuate, actRestore, actReplan, actShutdown,
 	},
 )
--- a/internal/core/operator_test.go
+++ b/internal/core/operator_test.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"context"
 	"errors"
 	"testing"
 	"time"
@@ -8,43 +9,63 @@
 	"github.com/vatu-meals/foxlift/internal/cells"
 )
 
-// Operators' calls through the core's goroutine: errors, states, and the end.
+// Operators' calls through the event loop: errors, states, and the shutdown.
 func TestOperatorCalls(t *testing.T) {
 	r := newCellRig(t, twoCells())
-	go r.Core.run()
+	r.loop.start(r.run)
 	ctx := t.Context()
 	for what, c := range map[string]struct {
 		tenant, cell string
 		want         error
 	}{
-		"unknown tenant": {"x", "a", cells.ErrUnknownTenant}, "unknown cell": {"t", "x", cells.ErrUnknownCell}, "same cell": {"t", "a", cells.ErrSameCell},
+		"unknown tenant": {"x", "a", cells.ErrUnknownTenant},
+		"unknown cell":   {"t", "x", cells.ErrUnknownCell},
+		"same cell":      {"t", "a", cells.ErrSameCell},
 	} {
-		if _, err := r.Core.MigrateTenant(ctx, c.tenant, c.cell); !errors.Is(err, c.want) {
+		if _, err := r.MigrateTenant(ctx, c.tenant, c.cell); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
-	if m, err := r.Core.Evacuate(ctx, "b"); err != nil || m.Tenants != 2 {
+	if m, err := r.Evacuate(ctx, "b"); err != nil || m.Tenants != 2 {
 		t.Errorf("evacuate: %+v, %v", m, err)
 	}
-	if _, err := r.Core.MigrateTenant(ctx, "u", "b"); !errors.Is(err, cells.ErrEvacuated) {
+	if _, err := r.MigrateTenant(ctx, "u", "b"); !errors.Is(err, cells.ErrEvacuated) {
 		t.Errorf("into an evacuated cell: %v", err)
 	}
-	if _, err := r.Core.Evacuate(ctx, "a"); !errors.Is(err, cells.ErrNoTargetCell) {
+	if _, err := r.Evacuate(ctx, "a"); !errors.Is(err, cells.ErrNoTargetCell) {
 		t.Errorf("the last cell is evacuated: %v", err)
 	}
-	states, err := r.Core.Cells(ctx)
-	if err != nil || len(states) != 2 || !states[1].Evacuated || len(states[0].Tenants) != 3 || len(states[0].Workers)+len(states[1].Workers) != 12 {
-		t.Errorf("%+v, %v", states, err)
+	states, err := r.Cells(ctx)
+	if err != nil || len(states) != 2 {
+		t.Fatalf("%+v, %v", states, err)
 	}
-	if m, err := r.Core.RestorePlacement(ctx, "", "b"); err != nil || m.Tenants != 2 {
+	workers := len(states[0].Workers) + len(states[1].Workers)
+	if !states[1].Evacuated || len(states[0].Tenants) != 3 || workers != cellRigWorkers {
+		t.Errorf("%+v", states)
+	}
+	if m, err := r.RestorePlacement(ctx, "", "b"); err != nil || m.Tenants != 2 {
 		t.Errorf("restore: %+v, %v", m, err)
 	}
-	r.Core.BeginShutdown(time.Second)
-	if _, err := r.Core.MigrateTenant(ctx, "t", "b"); !errors.Is(err, ErrShuttingDown) {
-		t.Errorf("while it ends: %v", err)
+	r.BeginShutdown(time.Second)
+	if _, err := r.MigrateTenant(ctx, "t", "b"); !errors.Is(err, ErrShuttingDown) {
+		t.Errorf("in a shutdown: %v", err)
+	}
+	r.Stop()
+	if _, err := r.Cells(ctx); !errors.Is(err, ErrShuttingDown) {
+		t.Errorf("after the stop: %v", err)
+	}
+}
+
+// A caller that goes away gets its context's error at once, and holds up nothing.
+func TestOperatorCallIsCancelled(t *testing.T) {
+	r := newCellRig(t, twoCells()) // its event loop is not running
+	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
+	defer cancel()
+	if _, err := r.Evacuate(ctx, "b"); !errors.Is(err, context.DeadlineExceeded) {
+		t.Errorf("%v, want the context's error", err)
 	}
-	r.Core.Stop()
-	if _, err := r.Core.Cells(ctx); !errors.Is(err, ErrShuttingDown) {
-		t.Errorf("after its end: %v", err)
+	r.settle() // the call is executed, and nobody reads its result
+	if !r.cells.all[1].evacuated {
+		t.Error("a call that was posted was not executed")
 	}
 }
--- a/internal/core/record.go
+++ b/internal/core/record.go
@@ -36,7 +36,7 @@
 	j.reservation.release()
 	c.cells.releaseKey(j)
 	j.cell.recordAnswer(a.Verdict)
-	j.endSpill()
+	j.clearSpill()
 	c.rememberID(j.ID, c.settings.Module.Classes[j.class].Effect != foxlift.Idempotent)
 	c.counters.AddPart(VerdictCounters[a.Verdict], j.Class)
 	j.Client.Answer(a)
--- a/internal/core/shutdown.go
+++ b/internal/core/shutdown.go
@@ -9,8 +9,8 @@
 
 func (s *shutdownState) begun() bool { return s.deadline > 0 }
 
-// endsBefore reports whether the scheduler ends before a time.
-func (s *shutdownState) endsBefore(at int64) bool { return s.begun() && at > s.deadline }
+// deadlineBefore reports whether the scheduler ends before a time.
+func (s *shutdownState) deadlineBefore(at int64) bool { return s.begun() && at > s.deadline }
 
 // limit bounds a time by the end of the scheduler, if that has been told.
 func (s *shutdownState) limit(at int64) int64 {
--- a/internal/lab/mutants.go
+++ b/internal/lab/mutants.go
@@ -119,7 +119,7 @@
 	{
 		Name:    "a refused spill is not counted down",
 		File:    "internal/core/cell_assign.go",
-		Old:     "\tj.endSpill()\n\tj.cell = c.cells.all[route.Cell]",
+		Old:     "\tj.clearSpill()\n\tj.cell = c.cells.all[route.Cell]",
 		New:     "\tj.cell = c.cells.all[route.Cell]",
 		Package: "./internal/core",
 		Run:     modelFuzz,
