--- a/admission.go
+++ b/admission.go
@@ -22,7 +22,7 @@
 	c.patience = max(c.patience, r.Deadline-j.arrivedAt)
 	j.firstAttemptAt = r.Deadline - c.patience
 	d.jobs[r.ID] = j
-	d.recentKeys.add(r.Key)
+	d.recentKeys.Add(r.Key)
 	d.rate.RecordArrival()
 	j.tenant.quota.RecordArrival(r.Class)
 	age := d.now - j.firstAttemptAt
--- a/affinity_test.go
+++ b/affinity_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"slices"
 	"testing"
+
+	"github.com/vatu-meals/foxlift/internal/decision/affinity"
 )
 
 func TestAffinityAgreesAcrossDispatchers(t *testing.T) {
@@ -51,14 +53,14 @@
 		t.Errorf("%d of 4 more pile up at home", again)
 	}
 	w := h.d.workers[home]
-	for key := uint64(20); key < 20+keptKeys; key++ {
-		w.recordKey(key)
+	for key := uint64(20); key < 20+affinity.MaxCachedKeys; key++ {
+		w.cachedKeys.Record(key)
 	}
-	if w.likelyCaches(7) || !w.likelyCaches(20) || len(w.cachedKeys) != keptKeys {
-		t.Errorf("keys kept: %v", w.cachedKeys)
+	if w.cachedKeys.Contains(7) || !w.cachedKeys.Contains(20) || len(w.cachedKeys.Keys()) != affinity.MaxCachedKeys {
+		t.Errorf("keys kept: %v", w.cachedKeys.Keys())
 	}
 	h.d.resetWorker(w, 1)
-	if w.likelyCaches(20) {
+	if w.cachedKeys.Contains(20) {
 		t.Error("a new process holds what the former one had")
 	}
 }
@@ -100,7 +102,7 @@
 			h.d.rng.Uint64()
 		}
 		for id := uint64(1); id <= 200; id++ {
-			h.d.recentKeys.add(7 + id%4*1000) // one in four
+			h.d.recentKeys.Add(7 + id%4*1000) // one in four
 		}
 		h.step(keyedRequest(h, 1, idempotent))
 		w := h.wantActions(ActionSend, 1)[0].Worker
@@ -112,7 +114,7 @@
 			t.Errorf("it had room at %s and goes to %s", w, a.Worker)
 		}
 	}
-	if len(seen) < 10 || len(seen) > maxAffinity {
+	if len(seen) < 10 || len(seen) > affinity.MaxWorkers {
 		t.Errorf("a key of a quarter of the jobs on 60 workers has %d homes", len(seen))
 	}
 }
--- a/fleet_index.go
+++ b/fleet_index.go
@@ -7,21 +7,19 @@
 import (
 	"cmp"
 	"hash/fnv"
-	"math"
 	"slices"
 )
 
 // A fleetIndex holds the workers by what is asked of them. Each slice holds a worker once.
 type fleetIndex struct {
-	workersSeen        int64           // workers ever heard of
-	pending            []*worker       // to be placed anew at the next tick or list event
-	unsorted           bool            // pending is not in the order of the list
-	livenessChanged    []*worker       // those that became live, or are so no more, by the list event in hand
-	removed            []*worker       // with some that have come back since the last look
-	lost               []*worker       // the same
-	learnedLimits      limitSum        // of the live workers whose caps were learned
-	affinityIndexes    []affinityIndex // of all kinds, then of each
-	candidatesExamined int             // workers that any step but one of a whole list has looked at, for tests of its cost
+	workersSeen        int64     // workers ever heard of
+	pending            []*worker // to be placed anew at the next tick or list event
+	unsorted           bool      // pending is not in the order of the list
+	livenessChanged    []*worker // those that became live, or are so no more, by the list event in hand
+	removed            []*worker // with some that have come back since the last look
+	lost               []*worker // the same
+	learnedLimits      limitSum  // of the live workers whose caps were learned
+	candidatesExamined int       // workers that any step but one of a whole list has looked at, for tests of its cost
 }
 
 // maxIncremental is the most workers that are put into the live ones one by one.
@@ -235,92 +233,3 @@
 		}
 	}
 }
-
-// A affinityIndex holds the live workers that may be homes of keys, of one kind or of all, by the first
-// bits of their hashes.
-type affinityIndex [affinityBuckets][]affinityEntry
-
-// A affinityEntry is a worker in a affinityIndex; what the search for homes asks of it stands beside it.
-type affinityEntry struct {
-	hash    uint64
-	readyAt int64
-	worker  *worker
-}
-
-const (
-	affinityBits    = 6
-	affinityBuckets = 1 << affinityBits
-	maxCompared     = 1024 // workers that a key's homes are searched among
-)
-
-func bucketOf(hash uint64) int { return int(hash >> (64 - affinityBits)) }
-
-// indexAffinity brings the index of homes up to date with a worker.
-func (d *Dispatcher) indexAffinity(w *worker) {
-	in := w.state == Live && (w.zone == d.cfg.Zone || d.cfg.Prices.CrossZone <= 0)
-	warmAt := d.slowStartUntil(w)
-	if in == w.inAffinity && (!in || warmAt == w.affinityReadyAt && w.kind == w.affinityKind) {
-		return
-	}
-	if w.inAffinity {
-		d.affinityIndexes[0].remove(w)
-		if w.affinityKind >= 0 {
-			d.affinityIndexes[w.affinityKind+1].remove(w)
-		}
-	}
-	if w.inAffinity, w.affinityReadyAt, w.affinityKind = in, warmAt, w.kind; in {
-		d.affinityIndexes[0].add(w)
-		if w.kind >= 0 {
-			d.affinityIndexes[w.kind+1].add(w)
-		}
-	}
-}
-
-// slowStartUntil returns from when on a worker is not young.
-func (d *Dispatcher) slowStartUntil(w *worker) int64 {
-	switch {
-	case w.startedAt == 0:
-		return math.MinInt64
-	case w.startedAt > math.MaxInt64-d.cfg.SlowStartDuration:
-		return math.MaxInt64
-	}
-	return w.startedAt + d.cfg.SlowStartDuration
-}
-
-func (x *affinityIndex) add(w *worker) {
-	b := &x[bucketOf(w.hash)]
-	*b = append(*b, affinityEntry{w.hash, w.affinityReadyAt, w})
-}
-
-func (x *affinityIndex) remove(w *worker) {
-	b := &x[bucketOf(w.hash)]
-	i := slices.IndexFunc(*b, func(e affinityEntry) bool { return e.worker == w })
-	last := len(*b) - 1
-	(*b)[i] = (*b)[last]
-	(*b)[last] = affinityEntry{}
-	*b = (*b)[:last]
-}
-
-// size returns how many workers some buckets hold.
-func (x *affinityIndex) size(from, to int) (n int) {
-	for i := from; i < to; i++ {
-		n += len(x[i])
-	}
-	return n
-}
-
-// search returns the buckets that a key's homes are searched in: all, or while these hold more than
-// maxCompared workers the half that the key draws by the next bit of its hash. That is hierarchical
-// rendezvous hashing: where a half is divided, the keys that have drawn it keep half of their homes.
-func (x *affinityIndex) search(key uint64) (from, to int) {
-	from, to = 0, affinityBuckets
-	for draw := mixBits(key); to-from > 1 && x.size(from, to) > maxCompared; draw >>= 1 {
-		middle := (from + to) / 2
-		if draw&1 == 0 {
-			to = middle
-		} else {
-			from = middle
-		}
-	}
-	return from, to
-}
--- a/fleet_index_test.go
+++ b/fleet_index_test.go
@@ -6,6 +6,8 @@
 	"math/rand/v2"
 	"slices"
 	"testing"
+
+	"github.com/vatu-meals/foxlift/internal/decision/affinity"
 )
 
 // churnEvent changes some workers at random: their states, starts and kinds.
@@ -138,20 +140,20 @@
 			set = append(set, w)
 		}
 	}
-	rank := func(w *worker) uint64 { return mixBits(w.hash ^ j.req.Key*0x9e3779b97f4a7c15) }
+	rank := func(w *worker) uint64 { return affinity.Score(w.hash, j.req.Key) }
 	slices.SortFunc(set, func(a, b *worker) int {
 		if rank(a) > rank(b) {
 			return -1
 		}
 		return 1
 	})
-	return set[:min(maxAffinity, len(set))], len(set)
+	return set[:min(affinity.MaxWorkers, len(set))], len(set)
 }
 
 // The number of workers that a step examines does not grow with the fleet: none at a tick without a job,
 // the named ones at a change, a sample for a job. A loop over all would meet a nil worker.
 func TestStepExaminesABoundedSample(t *testing.T) {
-	const keyed = maxCompared + 4*sampleSize
+	const keyed = affinity.MaxCompared + 4*sampleSize
 	for _, n := range []int{600, 19000} {
 		d := scaleDispatcher(t, n)
 		d.workerOrder[1], d.liveWorkers[1] = nil, nil
@@ -203,7 +205,7 @@
 	d := scaleDispatcher(t, workers)
 	home := func(key uint64) *worker {
 		ws, of := d.rankAffinity(&job{class: &d.classes[0], req: Request{Key: key}})
-		if len(ws) != maxAffinity || of < workers*4/5 || of > workers*5/4 {
+		if len(ws) != affinity.MaxWorkers || of < workers*4/5 || of > workers*5/4 {
 			t.Fatalf("%d homes of %d workers", len(ws), of)
 		}
 		return ws[0]
@@ -234,7 +236,7 @@
 
 // When a fleet grows so far that the searched part is halved, a key keeps about half of its affinity set.
 func TestAffinityAfterTheSearchedPartSplits(t *testing.T) {
-	d := scaleDispatcher(t, maxCompared)
+	d := scaleDispatcher(t, affinity.MaxCompared)
 	homes := func(key uint64) []*worker {
 		workers, _ := d.rankAffinity(&job{class: &d.classes[0], req: Request{Key: key}})
 		return workers
@@ -253,7 +255,7 @@
 			}
 		}
 	}
-	if part := float64(kept) / float64(500*maxAffinity); part < 0.45 || part > 0.55 {
+	if part := float64(kept) / float64(500*affinity.MaxWorkers); part < 0.45 || part > 0.55 {
 		t.Errorf("%.2f of the homes are kept", part)
 	}
 }
--- a/health.go
+++ b/health.go
@@ -8,7 +8,7 @@
 	d.countAttempt(a, 1)
 	w.connections = max(w.connections, w.inFlightJobs)
 	w.connectionUsedAt = d.now
-	w.recordKey(a.job.req.Key)
+	w.cachedKeys.Record(a.job.req.Key)
 	if d.inSlowStart(w) {
 		w.slowStartSentAt, w.slowStartWork = d.now, d.slowStartAfter(w, a)
 	}
--- a/machine_list.go
+++ b/machine_list.go
@@ -1,6 +1,8 @@
 package foxlift
 
-// The machine list: when to ask discovery for it, and what its news changes.
+// The endpoint list: when to ask discovery for it, and what its news changes.
+
+import "github.com/vatu-meals/foxlift/internal/decision/affinity"
 
 func (d *Dispatcher) pollEndpoints() {
 	if d.cfg.PollEndpoints && d.poll.Begin(d.now) {
@@ -64,7 +66,7 @@
 // send to a young worker is put off at random, or all would send at once.
 func (d *Dispatcher) resetWorker(w *worker, at int64) {
 	w.startedAt, w.ejectedUntil, w.backoff, w.trial, w.failureRate, w.latencyRatio = at, 0, 0, false, 0, 0
-	w.hasLoad, w.connections, w.slotsSinceReport, w.cachedKeys = false, 0, 0, nil
+	w.hasLoad, w.connections, w.slotsSinceReport, w.cachedKeys = false, 0, 0, affinity.CachedKeys{}
 	w.promptStartAt, w.lastFaultAt = 0, 0
 	w.concurrencyLimit, w.limitLearned = d.meanLimit(), false
 	if d.inSlowStart(w) && d.slowStartSent(w) == 0 {
--- a/placement.go
+++ b/placement.go
@@ -30,7 +30,7 @@
 		if !d.eligible(j, w) {
 			return
 		}
-		if j.req.Key != 0 && !has && !w.likelyCaches(j.req.Key) {
+		if j.req.Key != 0 && !has && !w.cachedKeys.Contains(j.req.Key) {
 			extra += d.fetchCost(j)
 		}
 		if c := d.placementCost(j, w) + extra + d.rng.Float64()*1e-3; c < bestCost {
@@ -78,10 +78,7 @@
 	return fetchJobs * min(1, 2*float64(d.minMedianRuntime())/float64(max(1, j.class.runtimes.Median())))
 }
 
-const (
-	maxAffinity      = 16  // that a key has
-	affinityHeadroom = 1.5 // homes of a key over what its part of the jobs would fill
-)
+const affinityHeadroom = 1.5 // workers of a key over what its fraction of the jobs would fill
 
 // affinityPool returns the workers that are likely to have what the jobs with a key need: all
 // dispatchers send them to the same few without speaking. Many spread a key over as many
@@ -94,7 +91,7 @@
 	if !d.largeFleet() {
 		return j.affinity
 	}
-	n := max(1+len(j.attempts), int(affinityHeadroom*d.recentKeys.fraction(j.req.Key)*float64(j.affinityPool)))
+	n := max(1+len(j.attempts), int(affinityHeadroom*d.recentKeys.Fraction(j.req.Key)*float64(j.affinityPool)))
 	return j.affinity[:min(n, len(j.affinity))]
 }
 
--- a/snapshot.go
+++ b/snapshot.go
@@ -94,7 +94,7 @@
 		OfferedRate: rate.OfferedRate, TrafficFraction: d.quotas.TrafficFraction(), BurstTokens: d.quotas.BurstTokens(),
 		StartWindow: d.startWindow, HedgeBudget: d.hedgeBudget, FleetPressure: MeanSnapshot{Average: d.fleetPressure.avg, Deviation: d.fleetPressure.dev},
 		StartDelay: MeanSnapshot{Average: d.startDelay.avg, Deviation: d.startDelay.dev}, MinDelay: d.minDelay, PressureDecay: d.pressureDecay, PeakWorkerRate: d.peakWorkerRate, RecentWorkerRate: d.recentWorkerRate,
-		Keys: d.recentKeys.newest(),
+		Keys: d.recentKeys.Keys(),
 	}
 	for i := range d.classes {
 		s.Classes = append(s.Classes, d.classes[i].snapshot())
@@ -121,10 +121,7 @@
 	d.startWindow, d.hedgeBudget, d.minDelay, d.pressureDecay = s.StartWindow, s.HedgeBudget, s.MinDelay, max(s.PressureDecay, 1)
 	d.fleetPressure, d.startDelay = movingMean{s.FleetPressure.Average, s.FleetPressure.Deviation}, movingMean{s.StartDelay.Average, s.StartDelay.Deviation}
 	d.peakWorkerRate, d.recentWorkerRate = s.PeakWorkerRate, s.RecentWorkerRate
-	d.recentKeys = keyLog{}
-	for _, key := range s.Keys {
-		d.recentKeys.add(key)
-	}
+	d.recentKeys.Restore(s.Keys)
 	for i := range s.Classes {
 		for k := range d.classes {
 			if d.classes[k].Name == s.Classes[i].Name {
@@ -194,22 +191,13 @@
 	return WorkerSnapshot{
 		ID: w.id, StartedAt: w.startedAt, ConcurrencyLimit: w.concurrencyLimit, LimitLearned: w.limitLearned, ReportedSlots: w.reportedSlots, EjectedUntil: w.ejectedUntil, Backoff: w.backoff,
 		Trial: w.trial, ConsecutiveRejections: w.consecutiveRejections, PromptStartAt: w.promptStartAt, LastFaultAt: w.lastFaultAt, FailureRate: w.failureRate, LatencyRatio: w.latencyRatio,
-		SlowStartSentAt: w.slowStartSentAt, SlowStartWork: w.slowStartWork, Keys: slices.Clone(w.cachedKeys),
+		SlowStartSentAt: w.slowStartSentAt, SlowStartWork: w.slowStartWork, Keys: slices.Clone(w.cachedKeys.Keys()),
 	}
 }
 
 func (w *worker) restore(s *WorkerSnapshot) {
 	w.concurrencyLimit, w.limitLearned, w.reportedSlots, w.ejectedUntil, w.backoff = s.ConcurrencyLimit, s.LimitLearned, s.ReportedSlots, s.EjectedUntil, s.Backoff
 	w.trial, w.consecutiveRejections, w.promptStartAt, w.lastFaultAt, w.failureRate, w.latencyRatio = s.Trial, s.ConsecutiveRejections, s.PromptStartAt, s.LastFaultAt, s.FailureRate, s.LatencyRatio
-	w.slowStartSentAt, w.slowStartWork, w.cachedKeys = s.SlowStartSentAt, s.SlowStartWork, slices.Clone(s.Keys)
-	w.cachedKeys = w.cachedKeys[:min(len(w.cachedKeys), keptKeys)]
-}
-
-// newest returns the keys in the log, the oldest first.
-func (l *keyLog) newest() []uint64 {
-	var keys []uint64
-	for i := max(0, l.added-len(l.keys)); i < l.added; i++ {
-		keys = append(keys, l.keys[i%len(l.keys)])
-	}
-	return keys
+	w.slowStartSentAt, w.slowStartWork = s.SlowStartSentAt, s.SlowStartWork
+	w.cachedKeys.Restore(s.Keys)
 }
--- a/state.go
+++ b/state.go
@@ -8,6 +8,7 @@
 	"math/rand/v2"
 
 	"github.com/vatu-meals/foxlift/internal/decision/admission"
+	"github.com/vatu-meals/foxlift/internal/decision/affinity"
 	"github.com/vatu-meals/foxlift/internal/decision/membership"
 	"github.com/vatu-meals/foxlift/internal/slowstart"
 )
@@ -45,13 +46,14 @@
 	viewBuffer  [][]*worker   // for freeAt
 	liveWorkers []*worker     // the live ones, in the list's order
 	fleetIndex
-	recentKeys       keyLog     // of the last jobs
-	inFlightSlots    float64    // slots of our jobs in flight,
-	externalSlots    float64    // and of those that the host sent past this dispatcher
-	unstarted        int        // attempts sent that have not started, on workers that may be well
-	startWindow      float64    // how many of them the fleet starts without delay
-	fleetPressure    movingMean // pressure that load reports show
-	recentlyReported [4]*worker // the last that reported
+	affinity         *affinity.Indexes[*worker]
+	recentKeys       affinity.KeyLog // of the last jobs
+	inFlightSlots    float64         // slots of our jobs in flight,
+	externalSlots    float64         // and of those that the host sent past this dispatcher
+	unstarted        int             // attempts sent that have not started, on workers that may be well
+	startWindow      float64         // how many of them the fleet starts without delay
+	fleetPressure    movingMean      // pressure that load reports show
+	recentlyReported [4]*worker      // the last that reported
 	nextReported     int
 	pressureDecay    int64      // time in which a load report loses its meaning
 	startDelay       movingMean // delay from sending to the start
@@ -139,7 +141,7 @@
 		aim, kinds = min(aim, c.LatencyObjective), max(kinds, c.Kind+1)
 	}
 	d.tickInterval = max(aim/8, int64(1e6))
-	d.freeWorkers, d.affinityIndexes = make([][][]*worker, kinds+1), make([]affinityIndex, kinds+1)
+	d.freeWorkers, d.affinity = make([][][]*worker, kinds+1), affinity.NewIndexes[*worker](kinds)
 	d.fleetScale = max(1, float64(cfg.Dispatchers)/smallFleetMax)
 	bears := cfg.OverloadMultiple * cfg.SlowStartCapacity * d.meanLimit() // slots, of a worker that has just started
 	d.minObjective = float64(aim)
--- a/workers.go
+++ b/workers.go
@@ -5,6 +5,7 @@
 import (
 	"math"
 
+	"github.com/vatu-meals/foxlift/internal/decision/affinity"
 	"github.com/vatu-meals/foxlift/internal/decision/gossip"
 )
 
@@ -47,9 +48,10 @@
 	hasLoad               bool
 	slotsSinceReport      float64 // slots sent since the load report
 	reportedAt            int64
-	connections           int      // connections thought open
-	connectionUsedAt      int64    // last use of a connection
-	cachedKeys            []uint64 // of our last jobs there, the newest first
+	connections           int                   // connections thought open
+	connectionUsedAt      int64                 // last use of a connection
+	cachedKeys            affinity.CachedKeys   // of our last jobs there
+	affinity              affinity.Registration // in Dispatcher.affinity
 
 	indexEntry // where it stands in Dispatcher.fleetIndex
 }
@@ -60,9 +62,6 @@
 	forgotten                        bool  // no more in Dispatcher.workers
 	limitCounted                     bool  // its cap is in the sum,
 	countedLimit                     int64 // as so much
-	inAffinity                       bool  // in the index of homes,
-	affinityKind                     int   // of this kind,
-	affinityReadyAt                  int64 // and warm from then on
 }
 
 // setLevel puts a worker into another of the room lists, or, for a negative level,
