--- a/internal/lab/fuzz.go
+++ b/internal/lab/fuzz.go
@@ -15,21 +15,21 @@
 // FuzzOptions are what the long runner is told.
 type FuzzOptions struct {
 	Duration time.Duration
-	Workers  int
+	Workers  int    // processes that fuzz at a time
 	Dir      string // where findings and the summary go
-	Persist  bool   // take new inputs into the corpus of the repository
-	Match    string // of targets' names; "": all
+	Persist  bool   // add new inputs to the corpus in the repository
+	Match    string // regular expression for the targets' names; "": all
 }
 
 // A Finding is an input that broke a rule.
 type Finding struct {
 	Target string `json:"target"`
 	File   string `json:"file"`
-	Replay string `json:"replay"`
+	Replay string `json:"replay"` // command
 	Output string `json:"output"`
 }
 
-// A FuzzSummary is what a run of the long runner comes to.
+// A FuzzSummary is the result of a run of the long runner.
 type FuzzSummary struct {
 	Started    time.Time     `json:"started"`
 	Seconds    float64       `json:"seconds"`
@@ -44,73 +44,95 @@
 	return fmt.Sprintf("fuzz: targets %d, executions %d, findings %d", len(s.Targets), s.Executions, len(s.Findings))
 }
 
+// write stores the summary in a folder.
+func (s *FuzzSummary) write(dir string) error {
+	text, err := json.MarshalIndent(s, "", "  ")
+	if err != nil {
+		return err
+	}
+	return os.WriteFile(filepath.Join(dir, "summary.json"), append(text, '\n'), 0o644)
+}
+
 const (
-	minTimeSlice      = 4 * time.Second // of which the runner of go test needs one to begin
-	maxTimeSlice      = 60 * time.Second
-	newCoverageFactor = 3       // as long, for a target that still finds new coverage
-	maxCorpusBytes    = 2 << 20 // of inputs in the repository, over all targets
-	maxInputBytes     = 4 << 10 // one of them
+	minTimeSlice       = 4 * time.Second // of which the runner of go test needs one to begin
+	maxTimeSlice       = 60 * time.Second
+	newCoverageFactor  = 3 // times as long, for a target that still finds new coverage
+	plannedFuzzRounds  = 3 // over which the time left is shared
+	maxCorpusBytes     = 2 << 20
+	maxCorpusInputSize = 4 << 10
 )
 
-// Fuzz goes through all fuzz targets of the module in the current folder, by turns,
-// until the time is over or ctx ends. It needs the go command.
+// errNoFuzzTarget says that the module has no fuzz target of a matching name.
+var errNoFuzzTarget = errors.New("there is no fuzz target")
+
+// Fuzz runs all fuzz targets of the module in the current folder in turn, until the time
+// is over or ctx ends. It needs the go command.
 func Fuzz(ctx context.Context, w io.Writer, o FuzzOptions) (*FuzzSummary, error) {
 	targets, err := listFuzzTargets(ctx, o.Match)
 	if err != nil {
 		return nil, err
 	}
 	if len(targets) == 0 {
-		return nil, errors.New("there is no fuzz target")
+		return nil, errNoFuzzTarget
 	}
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return nil, err
 	}
 	s := &FuzzSummary{Started: time.Now().UTC(), Workers: o.Workers, Targets: targets, Findings: []Finding{}}
 	end := s.Started.Add(o.Duration)
-	for round := 1; ctx.Err() == nil && time.Until(end) >= minTimeSlice; round++ {
-		for i, t := range targets {
-			left := time.Until(end)
-			if ctx.Err() != nil || left < minTimeSlice {
-				break
-			}
-			// What is left of the time, shared by the targets of this round and some more
-			// rounds, more of it to those that found something new.
-			turn := max(minTimeSlice, min(maxTimeSlice, left/time.Duration(max(1, 3*(len(targets)-i)))))
-			if t.foundCoverage {
-				turn = min(newCoverageFactor*turn, maxTimeSlice)
-			}
-			if round == 1 {
-				turn = max(minTimeSlice, min(turn, left/time.Duration(len(targets)-i)))
-			}
-			found, err := t.fuzzFor(ctx, min(turn, left), o, w)
-			if err != nil {
-				return s, err
-			}
-			s.Findings = append(s.Findings, found...)
-			if len(found) > 0 { // it would be found again at once
-				targets = slices.Delete(slices.Clone(targets), i, i+1)
-				break
-			}
-		}
-		if len(targets) == 0 {
-			break
+	for round := 1; len(targets) > 0 && ctx.Err() == nil && time.Until(end) >= minTimeSlice; round++ {
+		if targets, err = s.fuzzRound(ctx, w, o, targets, round == 1, end); err != nil {
+			return s, err
 		}
 	}
-	for _, t := range s.Targets {
-		s.Executions += t.Executions
+	for _, target := range s.Targets {
+		s.Executions += target.Executions
 		if o.Persist {
-			if err := t.persistInputs(maxCorpusBytes / len(s.Targets)); err != nil {
+			if err := target.persistInputs(ctx, maxCorpusBytes/len(s.Targets)); err != nil {
 				return s, err
 			}
 		}
 		if ctx.Err() == nil {
-			t.Coverage = measureCoverage(ctx, t)
+			target.Coverage = target.measureCoverage(ctx)
 		}
 	}
 	s.Seconds = time.Since(s.Started).Seconds()
-	text, err := json.MarshalIndent(s, "", "  ")
-	if err != nil {
-		return s, err
+	return s, s.write(o.Dir)
+}
+
+// fuzzRound gives each target a time slice and returns the targets of the next round. A target
+// with a finding is not among them, and ends the round: it would find the same again at once.
+func (s *FuzzSummary) fuzzRound(
+	ctx context.Context, w io.Writer, o FuzzOptions, targets []*FuzzTarget, first bool, end time.Time,
+) ([]*FuzzTarget, error) {
+	for i, target := range targets {
+		left := time.Until(end)
+		if ctx.Err() != nil || left < minTimeSlice {
+			break
+		}
+		findings, err := target.fuzzFor(ctx, timeSlice(target, left, len(targets)-i, first), o, w)
+		if err != nil {
+			return nil, err
+		}
+		s.Findings = append(s.Findings, findings...)
+		if len(findings) > 0 {
+			return slices.Delete(slices.Clone(targets), i, i+1), nil
+		}
+	}
+	return targets, nil
+}
+
+// timeSlice shares the time that is left between the targets still due in this round and some
+// more rounds; a target that found something new gets more of it. In the first round every
+// target has its turn.
+func timeSlice(target *FuzzTarget, left time.Duration, due int, first bool) time.Duration {
+	slice := left / time.Duration(max(1, plannedFuzzRounds*due))
+	slice = max(minTimeSlice, min(maxTimeSlice, slice))
+	if target.foundCoverage {
+		slice = min(newCoverageFactor*slice, maxTimeSlice)
+	}
+	if first {
+		slice = max(minTimeSlice, min(slice, left/time.Duration(due)))
 	}
-	return s, os.WriteFile(filepath.Join(o.Dir, "summary.json"), append(text, '\n'), 0o644)
+	return min(slice, left)
 }
--- a/internal/lab/fuzzcorpus.go
+++ b/internal/lab/fuzzcorpus.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"cmp"
+	"context"
 	"errors"
 	"io/fs"
 	"os"
@@ -12,58 +13,89 @@
 	"strings"
 )
 
-// keep takes the smallest of the inputs that added coverage into the repository's
-// corpus, as many as fit; plain go test replays them.
-func (t *FuzzTarget) persistInputs(room int) error {
-	out, err := exec.Command("go", "env", "GOCACHE").Output()
+// A corpusInput is a file of fuzz input.
+type corpusInput struct {
+	name string
+	text []byte
+}
+
+// persistInputs adds the smallest of the inputs that added coverage to the repository's corpus,
+// as many as fit into so many bytes; plain go test replays them.
+func (t *FuzzTarget) persistInputs(ctx context.Context, maxBytes int) error {
+	// What an interrupted run has found is stored as well.
+	out, err := exec.CommandContext(context.WithoutCancel(ctx), "go", "env", "GOCACHE").Output()
 	if err != nil {
 		return err
 	}
-	from := filepath.Join(strings.TrimSpace(string(out)), "fuzz", t.Package, t.Name)
-	to := filepath.Join(t.dir, "testdata", "fuzz", t.Name)
-	type input struct {
-		name string
-		text []byte
+	cache := filepath.Join(strings.TrimSpace(string(out)), "fuzz", t.Package, t.Name)
+	corpus := filepath.Join(t.dir, "testdata", "fuzz", t.Name)
+	present, size, err := readCorpus(corpus)
+	if err != nil {
+		return err
 	}
-	var inputs []input
-	had := map[string]bool{}
-	filepath.WalkDir(to, func(path string, d fs.DirEntry, err error) error {
-		if err == nil && !d.IsDir() {
-			text, _ := os.ReadFile(path)
-			room -= len(text)
-			had[string(text)] = true
-		}
-		return nil
-	})
-	entries, err := os.ReadDir(from)
-	if errors.Is(err, fs.ErrNotExist) {
-		return nil
-	} else if err != nil {
+	inputs, err := newInputs(cache, present)
+	if err != nil {
 		return err
 	}
-	for _, e := range entries {
-		text, err := os.ReadFile(filepath.Join(from, e.Name()))
-		if err != nil {
+	for _, input := range inputs {
+		if size += len(input.text); size > maxBytes {
+			break
+		}
+		if err := os.MkdirAll(corpus, 0o755); err != nil {
 			return err
 		}
-		if len(text) <= maxInputBytes && !had[string(text)] {
-			inputs = append(inputs, input{e.Name(), text})
+		if err := os.WriteFile(filepath.Join(corpus, input.name), input.text, 0o644); err != nil {
+			return err
 		}
+		t.Persisted++
 	}
-	slices.SortFunc(inputs, func(a, b input) int {
-		return cmp.Or(cmp.Compare(len(a.text), len(b.text)), bytes.Compare(a.text, b.text))
-	})
-	for _, x := range inputs {
-		if room -= len(x.text); room < 0 {
-			break
+	return nil
+}
+
+// readCorpus returns the inputs in a folder, by their text, and their size in bytes. A folder
+// that is missing has none.
+func readCorpus(dir string) (inputs map[string]bool, size int, err error) {
+	inputs = map[string]bool{}
+	err = filepath.WalkDir(dir, func(path string, d fs.DirEntry, err error) error {
+		if errors.Is(err, fs.ErrNotExist) {
+			return nil
 		}
-		if err := os.MkdirAll(to, 0o755); err != nil {
+		if err != nil || d.IsDir() {
 			return err
 		}
-		if err := os.WriteFile(filepath.Join(to, x.name), x.text, 0o644); err != nil {
+		text, err := os.ReadFile(path)
+		if err != nil {
 			return err
 		}
-		t.Persisted++
+		size += len(text)
+		inputs[string(text)] = true
+		return nil
+	})
+	return inputs, size, err
+}
+
+// newInputs returns the inputs in a folder that are small enough and not present yet, the
+// smallest first. A folder that is missing has none.
+func newInputs(dir string, present map[string]bool) ([]corpusInput, error) {
+	entries, err := os.ReadDir(dir)
+	if errors.Is(err, fs.ErrNotExist) {
+		return nil, nil
 	}
-	return nil
+	if err != nil {
+		return nil, err
+	}
+	var inputs []corpusInput
+	for _, entry := range entries {
+		text, err := os.ReadFile(filepath.Join(dir, entry.Name()))
+		if err != nil {
+			return nil, err
+		}
+		if len(text) <= maxCorpusInputSize && !present[string(text)] {
+			inputs = append(inputs, corpusInput{entry.Name(), text})
+		}
+	}
+	slices.SortFunc(inputs, func(a, b corpusInput) int {
+		return cmp.Or(cmp.Compare(len(a.text), len(b.text)), bytes.Compare(a.text, b.text))
+	})
+	return inputs, nil
 }
