--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -1,4 +1,5 @@
-// Package counters counts what the scheduler takes in, sends and answers.
+// Package counters holds named counters of what the scheduler accepts, sends and answers. A Set owns its
+// values; whoever counts and whoever shows them share one.
 package counters
 
 import (
@@ -19,18 +20,18 @@
 	parts  map[part]int64
 }
 
-// A part is the share of a counter that belongs to one label, such as a class.
+// A part is the part of a counter that belongs to one label, such as a class.
 type part struct{ name, label string }
 
-// Add counts one.
+// Add increments a counter.
 func (s *Set) Add(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.addLocked(name)
 }
 
-// AddPart counts one, and counts it as the label's part of the counter too. Labels are kept
-// for good: they must come from the settings, never from input.
+// AddPart increments a counter and the label's part of it. Labels are never forgotten: they must come
+// from the settings, never from input.
 func (s *Set) AddPart(name, label string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,7 +1,8 @@
-// Package guard holds the platform's rules as checks of single actions: what is known in the moment before
-// the scheduler sends, repeats or closes goes in, the rule that the action would break comes out. The checks
-// are pure; the caller gives up the action and counts the rule. Other code keeps the rules in the first
-// place, so that a count over zero is a fault there (docs/operate/service.md).
+// Package guard holds the platform's rules as invariants of single actions: what is known just before
+// the scheduler sends, repeats or closes goes in, the invariant that the action would violate comes out.
+// The checks are pure and own no state; the caller gives up the action and counts the violation. Other
+// code is written so that none is ever violated: a count over zero is a defect there
+// (docs/operate/service.md).
 package guard
 
 import (
@@ -10,45 +11,54 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// A Rule is one of the platform's rules.
+// An Invariant is one of the platform's rules, by the name under which its violations are counted.
 type Invariant string
 
-// The rules, by the names under which their violations are counted.
+// The invariants.
 const (
-	None               Invariant = ""
-	WorkerDrained      Invariant = "drain"     // nothing goes to a node past the grace after it drains or is gone
-	LeaseExpired       Invariant = "lease"     // nothing is sent by a list that may be past its lease
-	ClientDisconnected Invariant = "gone"      // nothing is begun for a submitter that has left
-	DeadlineExceeded   Invariant = "deadline"  // a node is told of no more time than the submitter has left
-	DuplicateRun       Invariant = "duplicate" // what may have run is repeated only as its class allows
-	Unanswered         Invariant = "lost"      // a submitter whose job was taken gets an answer before the close
+	None Invariant = "" // nothing is violated
+
+	// WorkerDrained: nothing is sent to a worker past the grace after it began to drain or was removed.
+	WorkerDrained Invariant = "drain"
+	// LeaseExpired: nothing is sent by an endpoint list that may be past its lease.
+	LeaseExpired Invariant = "lease"
+	// ClientDisconnected: no attempt begins for a client that has disconnected.
+	ClientDisconnected Invariant = "gone"
+	// DeadlineExceeded: a worker is told of no more time than the client's deadline leaves.
+	DeadlineExceeded Invariant = "deadline"
+	// DuplicateRun: what may have run is repeated only as its class allows.
+	DuplicateRun Invariant = "duplicate"
+	// Unanswered: a client whose job was accepted gets an answer before the connection is closed.
+	Unanswered Invariant = "lost"
 )
 
-// Counter returns the name of the counter of a rule's violations.
-func (r Invariant) Counter() string { return "invariant." + string(r) }
+// Counter returns the name of the counter of an invariant's violations.
+func (i Invariant) Counter() string { return "invariant." + string(i) }
 
-// Rules are all rules, in the order of their checks.
-var Invariants = []Invariant{WorkerDrained, LeaseExpired, ClientDisconnected, DeadlineExceeded, DuplicateRun, Unanswered}
+// Invariants are all invariants, in the order of their checks.
+var Invariants = []Invariant{
+	WorkerDrained, LeaseExpired, ClientDisconnected, DeadlineExceeded, DuplicateRun, Unanswered,
+}
 
 const (
-	// DisconnectTolerance is how long after a submitter has left an attempt may still begin.
+	// DisconnectTolerance is how long after a client has disconnected an attempt may still begin.
 	DisconnectTolerance = 100 * time.Millisecond
-	// DeadlineTolerance is by how much the time that a node is told may be over what the submitter has left.
+	// DeadlineTolerance is by how much the time that a worker is told may exceed what is left.
 	DeadlineTolerance = 150 * time.Millisecond
 )
 
 // A Send is what is known when bytes of an attempt are about to be written.
 type Send struct {
-	State           foxlift.WorkerState // of its node in the list
-	UnavailableFor  time.Duration       // how long the list has had the node in this state, if not live
+	State           foxlift.WorkerState // of its worker in the endpoint list
+	UnavailableFor  time.Duration       // since the list has had the worker in this state, if not live
 	Grace           time.Duration       // after which nothing more may begin there
-	DisconnectedFor time.Duration       // how long ago the submitter was seen to have left; 0: it is there
-	AnnouncedTime   time.Duration       // how long the node is told that the submitter waits
-	RemainingTime   time.Duration       // how long it really waits
-	LastByte        bool                // the rest has been written, within the grace
+	DisconnectedFor time.Duration       // since the client was seen to have disconnected; 0: it has not
+	AnnouncedTime   time.Duration       // that the worker is told until the deadline
+	RemainingTime   time.Duration       // that really remains
+	LastByte        bool                // all but the last byte was written within the grace
 }
 
-// Check returns the rule that the write would break.
+// Check returns the invariant that the write would violate.
 func (s Send) Check() Invariant {
 	switch {
 	case s.State != foxlift.Live && s.UnavailableFor > s.Grace && !s.LastByte:
@@ -61,16 +71,16 @@
 	return None
 }
 
-// A Repeat is what is known when a job is about to be handed to a node.
+// A Repeat is what is known when a job is about to be handed to a worker.
 type Repeat struct {
-	EndpointsTrusted bool           // the machine list can be trusted
-	Effect           foxlift.Effect // of its class
+	EndpointsTrusted bool           // the endpoint list is within its lease
+	Effect           foxlift.Effect // of the job's class
 	MayHaveRun       bool           // an earlier attempt may have run, or may yet
-	SameGroup        bool           // the node drops repeats of what that attempt's node may have run
+	SameGroup        bool           // the worker drops repeats of what that attempt's worker may have run
 	WindowRemaining  time.Duration  // for which it does so
 }
 
-// Check returns the rule that the attempt would break.
+// Check returns the invariant that the attempt would violate.
 func (r Repeat) Check() Invariant {
 	switch {
 	case !r.EndpointsTrusted:
@@ -83,13 +93,13 @@
 	return DuplicateRun
 }
 
-// A Close is what is known when the scheduler ends a submitter's connection.
+// A Close is what is known when the scheduler ends a client's connection.
 type Close struct {
-	Owed         bool // a job was taken from it and not answered
-	Disconnected bool // the submitter has ended it
+	Owed         bool // a job was accepted from it and not answered
+	Disconnected bool // the client has ended it
 }
 
-// Check returns the rule that the close would break.
+// Check returns the invariant that the close would violate.
 func (c Close) Check() Invariant {
 	if c.Owed && !c.Disconnected {
 		return Unanswered
