--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -75,8 +75,8 @@
 	return n, err
 }
 
-// take returns what was read since the last call.
-func (l *recordedListener) take() []byte {
+// drain returns what was read since the last call.
+func (l *recordedListener) drain() []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	read := l.read
@@ -101,13 +101,13 @@
 	} {
 		r, _ := s.request(t, c.request)
 		check(t, c.title, r.StatusCode, http.StatusOK)
-		said.add(c.title, l.take())
+		said.add(c.title, l.drain())
 	}
 	probe := func(title string, p *Platform) {
 		reports := make(chan core.Report, 1)
 		p.pool.HealthCheck("n0", func(r core.Report) { reports <- r })
 		<-reports
-		said.add(title, l.take())
+		said.add(title, l.drain())
 	}
 	probe("a probe", p)
 	keyed, _ := startKeyed(t, node)
@@ -136,7 +136,7 @@
 	start(t, l.Addr().String(), node)
 	for _, title := range []string{"the first", "the changes", "the whole list, where versions went back", "the changes"} {
 		<-calls
-		said.add(title, l.take())
+		said.add(title, l.drain())
 	}
 	golden.Check(t, "to-discovery.txt", []byte(said.text.String()))
 }
@@ -176,7 +176,7 @@
 		return serveJob(c, r, id)
 	}
 	p, _ := startText(t, keyedSettings, 256, "", newTestWorker(t, handle))
-	for _, e := range append(soundRequests(), badRequests()...) {
+	for _, e := range append(soundRequests(), rejectedRequests()...) {
 		said.add(e.title, answered(t, p, e.request))
 	}
 	p.Quiesce()
@@ -198,7 +198,7 @@
 	}
 }
 
-func badRequests() []exchange {
+func rejectedRequests() []exchange {
 	const class, left = "reading", "5000m"
 	chunked := func(chunks string) string {
 		return jobText(class, "j", left, "", "-Content-Length", "Transfer-Encoding: chunked") + chunks
@@ -244,8 +244,8 @@
 	check(t, "error", err, error(nil))
 }
 
-// TestSavedListBytes pins the form in which a list is kept.
-func TestSavedListBytes(t *testing.T) {
+// TestEndpointSnapshotBytes pins the form in which a list is kept.
+func TestEndpointSnapshotBytes(t *testing.T) {
 	const kept = `{"seq":8,"whole":true,"hosts":[` +
 		`{"host":"n1","dial":"10.0.0.1:3000","site":"a","class":"k","block":1,"health":"active","born_ms":5},` +
 		`{"host":"n2","dial":"10.0.0.2:3000","site":"b","class":"m","block":2,"health":"leaving","born_ms":-6}]}`
--- a/record_fleet_test.go
+++ b/record_fleet_test.go
@@ -33,9 +33,14 @@
 	externalUsage float64 // share of jobs that wait at a worker for those of other schedulers
 	slowStart     bool    // all workers have just started
 	broken        bool    // one worker can never be reached
-	faults        []fault
-	every         int64 // mean time between faults
-	script        []scheduledFault
+	faultPlan
+}
+
+// A faultPlan says which faults a fleet meets.
+type faultPlan struct {
+	faults []fault // drawn from
+	every  int64   // mean time between drawn faults
+	script []scheduledFault
 }
 
 // A fleetHost plays a plan on virtual time.
--- a/record_plans_test.go
+++ b/record_plans_test.go
@@ -35,12 +35,12 @@
 	return fleetPlan{
 		name: name, config: cfg, seed: seed, played: cfg.Dispatchers, workers: 8, slots: 2, length: 45 * second,
 		load: 0.9, work: []int64{90 * millisecond, 140 * millisecond, 110 * millisecond}, weights: []float64{6, 3, 1, 0.1},
-		keys: 30, strange: 0.02, leaving: 0.02, every: 3 * second,
-		faults: []fault{
+		keys: 30, strange: 0.02, leaving: 0.02,
+		faultPlan: faultPlan{every: 3 * second, faults: []fault{
 			faultDrain, faultCrash, faultZoneRestart, faultHang, faultErrors, faultSaturation, faultFlood, faultFlood,
 			faultQuotas,
 			faultResync, faultExternalUsage, faultTakeover, faultProcessRestart, faultBrokenContract, faultDiscovery,
-		},
+		}},
 	}
 }
 
--- a/snapshot_golden_test.go
+++ b/snapshot_golden_test.go
@@ -12,9 +12,9 @@
 
 const snapshotFile = "snapshot.json"
 
-// fullSnapshot is a snapshot in which no field is zero, but for the name of the tenant that stands
+// filledSnapshot is a snapshot in which no field is zero, but for the name of the tenant that stands
 // for requests of no known one.
-func fullSnapshot() *foxlift.Snapshot {
+func filledSnapshot() *foxlift.Snapshot {
 	s := &foxlift.Snapshot{}
 	golden.Fill(s)
 	s.Tenants[len(s.Tenants)-1].Name = ""
@@ -23,7 +23,7 @@
 
 // TestSnapshotJSON pins the JSON of a snapshot, in which a process hands over to one of another version.
 func TestSnapshotJSON(t *testing.T) {
-	text, err := json.Marshal(fullSnapshot())
+	text, err := json.Marshal(filledSnapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,7 +41,7 @@
 	if err := json.Unmarshal(text, stored); err != nil {
 		t.Fatal(err)
 	}
-	if want := fullSnapshot(); !reflect.DeepEqual(stored, want) {
+	if want := filledSnapshot(); !reflect.DeepEqual(stored, want) {
 		t.Fatalf("read %+v, want %+v", stored, want)
 	}
 	d := dispatcherOf(t, stored)
