--- a/internal/platform/discovery_client.go
+++ b/internal/platform/discovery_client.go
@@ -61,7 +61,6 @@
 
 // A caller makes calls to discovery, on one connection while it lasts.
 type discoveryClient struct {
-	ctx    context.Context // its end breaks off what is under way
 	addr   string
 	conn   net.Conn
 	buf    buffer
@@ -80,19 +79,19 @@
 	}
 }
 
-// open dials, unless the connection of an earlier call is there.
-func (c *discoveryClient) connect() error {
+// connect dials, unless the connection of an earlier call is there. The end of ctx breaks off what is under way.
+func (c *discoveryClient) connect(ctx context.Context) error {
 	if c.conn != nil {
 		return nil
 	}
 	d := net.Dialer{Timeout: c.dialTimeout}
-	conn, err := d.DialContext(c.ctx, "tcp", c.addr)
+	conn, err := d.DialContext(ctx, "tcp", c.addr)
 	if err != nil {
 		return err
 	}
 	conn = &observedConn{conn.(*net.TCPConn), c.onReading}
 	c.conn, c.buf = conn, buffer{conn: conn, data: make([]byte, maxRetainedSize)}
-	c.detach = context.AfterFunc(c.ctx, func() { conn.Close() })
+	c.detach = context.AfterFunc(ctx, func() { conn.Close() })
 	return nil
 }
 
--- a/internal/platform/discovery_client_test.go
+++ b/internal/platform/discovery_client_test.go
@@ -40,8 +40,8 @@
 	text := longEndpoints(7, 4000, node, healthActive)
 	for _, whole := range []bool{true, false} {
 		addr, calls := newDiscovery(t)
-		c := &discoveryClient{ctx: t.Context(), addr: addr, dialTimeout: time.Second, onReading: func(bool) {}}
-		if err := c.connect(); err != nil {
+		c := &discoveryClient{addr: addr, dialTimeout: time.Second, onReading: func(bool) {}}
+		if err := c.connect(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		const limit = 50 * time.Millisecond
--- a/internal/platform/endpoint_snapshot.go
+++ b/internal/platform/endpoint_snapshot.go
@@ -22,38 +22,39 @@
 	foxlift.Live: healthActive, foxlift.Draining: healthLeaving, foxlift.Removed: healthRemoved,
 }
 
-// EndpointsVersion returns the version of the list that is followed, and whether there is one that was
-// told since the start by the discovery that is followed now.
+// EndpointsVersion returns the version of the endpoint list, and whether the discovery that is polled now
+// has confirmed a list since the start.
 func (p *Platform) EndpointsVersion() (version int64, confirmed bool) {
-	m := p.endpoints
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.version, m.answered && !m.switched && !m.needComplete
+	return p.endpoints.confirmedVersion()
 }
 
-// SnapshotEndpoints returns the list as it is now; false where none was told since the start.
+// SnapshotEndpoints returns the endpoint list as it is now; false if discovery has not confirmed one since
+// the start.
 func (p *Platform) SnapshotEndpoints() (*EndpointSnapshot, bool) { return p.endpoints.snapshot() }
 
+func (w *endpointWatch) confirmedVersion() (version int64, confirmed bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.table.version, w.confirmedLocked()
+}
+
+// confirmedLocked reports whether the table is of the discovery that is polled now, and of this run.
+func (w *endpointWatch) confirmedLocked() bool { return w.answered && !w.switched && !w.needComplete }
+
 func (w *endpointWatch) snapshot() (*EndpointSnapshot, bool) {
 	w.mu.Lock()
-	if !w.answered || w.switched || w.needComplete {
+	if !w.confirmedLocked() {
 		w.mu.Unlock()
 		return nil, false
 	}
-	version, addr := w.version, w.discovery
-	l := endpointsResponse{Version: &version, Complete: true, Endpoints: make([]endpointEntry, 0, len(w.entries))}
-	for host, e := range w.entries {
-		if e.state != foxlift.Removed {
-			l.Endpoints = append(l.Endpoints, endpointEntry{
-				ID: host, Address: e.address, Zone: e.zone.Value(), Kind: e.kind.Value(), Cell: e.cell, Health: healthNames[e.state], StartedMilli: e.announcedStart,
-			})
-		}
-	}
+	discovery, response := w.discovery, w.table.snapshot()
 	w.mu.Unlock()
-	slices.SortFunc(l.Endpoints, func(a, b endpointEntry) int { return strings.Compare(a.ID, b.ID) })
-	text, err := json.Marshal(&l)
+	slices.SortFunc(response.Endpoints, func(a, b endpointEntry) int { return strings.Compare(a.ID, b.ID) })
+	text, err := json.Marshal(response)
 	if err != nil {
 		return nil, false // it holds nothing that JSON has no form for
 	}
-	return &EndpointSnapshot{TakenAt: time.Now(), Discovery: addr, Version: version, Endpoints: text}, true
+	return &EndpointSnapshot{
+		TakenAt: time.Now(), Discovery: discovery, Version: *response.Version, Endpoints: text,
+	}, true
 }
--- a/internal/platform/endpoint_snapshot_test.go
+++ b/internal/platform/endpoint_snapshot_test.go
@@ -27,16 +27,16 @@
 	if !told || saved.Discovery != addr {
 		t.Fatalf("%+v, %v", saved, told)
 	}
-	again := newEndpointWatch(addr, &config.Settings{}, nil, nil)
+	again := newEndpointWatch(t.Context(), addr, &config.Settings{}, nil, nil)
 	workers, err := again.load(saved.Endpoints)
 	if err != nil {
 		t.Fatal(err)
 	}
 	check(t, "workers", len(workers), 3)
-	check(t, "version", again.version, int64(8))
+	check(t, "version", again.table.version, int64(8))
 	check(t, "asks for", again.needComplete, false)
 	for _, name := range []string{"n0", "n1", "n3"} {
-		was, is := p.endpoints.entries[name], again.entries[name]
+		was, is := p.endpoints.table.entries[name], again.table.entries[name]
 		check(t, name, fmt.Sprint(is.address, is.state, is.announcedStart, is.zone.Value(), is.kind.Value(), is.cell),
 			fmt.Sprint(was.address, was.state, was.announcedStart, was.zone.Value(), was.kind.Value(), was.cell))
 	}
--- a/internal/platform/endpoint_table.go
+++ b/internal/platform/endpoint_table.go
@@ -1,122 +1,114 @@
 package platform
 
 import (
-	"context"
 	"time"
 	"unique"
 
 	"github.com/vatu-meals/foxlift"
 	"github.com/vatu-meals/foxlift/internal/config"
+	"github.com/vatu-meals/foxlift/internal/core"
 )
 
-// load takes the list as last known before the start.
-func (w *endpointWatch) load(cached []byte) ([]foxlift.Worker, error) {
-	l, err := parseCached(cached)
-	if l == nil {
-		return nil, err
+// An endpointTable is the endpoint list as last applied. The watch guards it by its mutex.
+type endpointTable struct {
+	settings     *config.Settings
+	wall         func() time.Time                               // the wall clock, on which other machines report times
+	clock        func() int64                                   // the core's clock
+	stateChanged func(worker string, state foxlift.WorkerState) // for each worker that a response names or drops
+
+	entries map[string]endpoint
+	version int64
+}
+
+func newEndpointTable(s *config.Settings) endpointTable {
+	return endpointTable{
+		settings:     s,
+		wall:         wallClock,
+		clock:        core.NewClock().Now,
+		stateChanged: func(string, foxlift.WorkerState) {},
+		entries:      map[string]endpoint{},
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.applyLocked(l), nil
 }
 
-// removeIdleLocked puts an answer into the list and returns it in the module's terms.
-func (w *endpointWatch) applyLocked(l *endpointsResponse) []foxlift.Worker {
-	before := w.entries
-	if l.Complete {
-		w.entries = make(map[string]endpoint, len(l.Endpoints))
+// wallClock reads the wall clock, without the monotonic one.
+func wallClock() time.Time { return time.Now().Round(0) }
+
+// apply brings the table up to a response of discovery and returns the response in the module's terms.
+func (t *endpointTable) apply(response *endpointsResponse) []foxlift.Worker {
+	before := t.entries
+	if response.Complete {
+		t.entries = make(map[string]endpoint, len(response.Endpoints))
+		defer t.reportRemoved(before)
 	}
-	w.version, w.needComplete, w.conn, w.reading = *l.Version, false, nil, false
-	wall := w.wall()
+	t.version = *response.Version
+	wall := t.wall()
 	var workers []foxlift.Worker
-	if l.Complete {
-		defer w.reportRemoved(before)
-	}
-	for _, h := range l.Endpoints {
+	for _, h := range response.Endpoints {
 		state := workerStates[h.Health]
-		start := processStartOf(h.StartedMilli, wall, w.clock)
+		start := processStartOf(h.StartedMilli, wall, t.clock)
 		if old, ok := before[h.ID]; ok && old.announcedStart == h.StartedMilli {
-			start = old.processStart // told again, it is the same start, wherever the wall clock is now
+			start = old.processStart // the same start announced again, wherever the wall clock is now
 		}
-		w.entries[h.ID] = endpoint{
-			address: h.Address, state: state, unavailableSince: unavailableSince(before[h.ID], state), processStart: start, announcedStart: h.StartedMilli,
-			zone: unique.Make(h.Zone), kind: unique.Make(h.Kind), cell: h.Cell,
+		t.entries[h.ID] = endpoint{
+			address:          h.Address,
+			state:            state,
+			unavailableSince: unavailableSince(before[h.ID], state),
+			processStart:     start,
+			announcedStart:   h.StartedMilli,
+			zone:             unique.Make(h.Zone),
+			kind:             unique.Make(h.Kind),
+			cell:             h.Cell,
 		}
-		w.workerChanged(h.ID, state)
+		t.stateChanged(h.ID, state)
 		workers = append(workers, foxlift.Worker{
-			ID: h.ID, Zone: config.Find(w.settings.Zones, h.Zone), Kind: config.Find(w.settings.Kinds, h.Kind),
-			Cell: h.Cell, State: state, StartedAt: start.coreTime,
+			ID:        h.ID,
+			Zone:      config.Find(t.settings.Zones, h.Zone),
+			Kind:      config.Find(t.settings.Kinds, h.Kind),
+			Cell:      h.Cell,
+			State:     state,
+			StartedAt: start.coreTime,
 		})
 	}
 	return workers
 }
 
-// reportRemoved tells of the nodes that were in the list before and are in it no more.
-func (w *endpointWatch) reportRemoved(before map[string]endpoint) {
-	for node := range before {
-		if _, present := w.entries[node]; !present {
-			w.workerChanged(node, foxlift.Removed)
+// reportRemoved reports the workers that were in the table before and no longer are.
+func (t *endpointTable) reportRemoved(before map[string]endpoint) {
+	for worker := range before {
+		if _, present := t.entries[worker]; !present {
+			t.stateChanged(worker, foxlift.Removed)
 		}
 	}
 }
 
-// applyResponse takes an answer to a call, unless the watch has gone over to another
-// discovery since: what the old one said last must not replace the new list.
-func (w *endpointWatch) applyResponse(ctx context.Context, l *endpointsResponse) ([]foxlift.Worker, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if err := ctx.Err(); err != nil {
-		return nil, err
-	}
-	if w.switched { // the last words of the discovery before: the list that is asked for next is another's
-		w.cancel()
-		workers := w.applyLocked(l)
-		w.needComplete = true
-		return workers, nil
-	}
-	w.urgentUntil, w.answered = time.Time{}, true
-	return w.applyLocked(l), nil
-}
-
-// find returns a node's entry, if new work may go there now. A change counts as
-// told once discovery has written it: where an answer has arrived that is not yet in the
-// list (the process stood still, the core was busy, or the list is long), find waits for it,
-// and with no end to that nothing is sent. It must not be called on the core's goroutine.
-func (w *endpointWatch) find(worker string) (endpoint, bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for startedAt := time.Now(); w.unreadLocked(); {
-		if !time.Now().Before(w.unreadDeadlineLocked(startedAt)) {
-			return endpoint{}, false
-		}
-		w.mu.Unlock()
-		<-time.After(time.Millisecond)
-		w.mu.Lock()
-	}
-	e, ok := w.entries[worker]
-	return e, ok && e.state == foxlift.Live
-}
-
-// stateOf returns what the list says of a node, and since when if it is not live; one that it does not
-// name is gone, nobody knows since when.
-func (w *endpointWatch) stateOf(worker string) (state foxlift.WorkerState, since time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if e, ok := w.entries[worker]; ok {
+// state returns a worker's state, and since when it is not live. One that the table does not name is
+// removed, since an unknown time.
+func (t *endpointTable) state(worker string) (state foxlift.WorkerState, since time.Time) {
+	if e, ok := t.entries[worker]; ok {
 		return e.state, e.unavailableSince
 	}
 	return foxlift.Removed, time.Time{}
 }
 
-// unreadDeadlineLocked returns until when a claim that has waited since began waits for an answer to be
-// in the list. While it is being read, the wait goes on: a long list takes its time.
-func (w *endpointWatch) unreadDeadlineLocked(startedAt time.Time) time.Time {
-	end, limit := later(startedAt, w.lastReadAt).Add(unreadWait), startedAt.Add(maxUnreadWait)
-	if end.After(limit) {
-		end = limit
+// snapshot returns the table as a complete response, without the workers that are removed.
+func (t *endpointTable) snapshot() *endpointsResponse {
+	version := t.version
+	response := &endpointsResponse{
+		Version: &version, Complete: true, Endpoints: make([]endpointEntry, 0, len(t.entries)),
 	}
-	return end
+	for id, e := range t.entries {
+		if e.state == foxlift.Removed {
+			continue
+		}
+		response.Endpoints = append(response.Endpoints, endpointEntry{
+			ID:           id,
+			Address:      e.address,
+			Zone:         e.zone.Value(),
+			Kind:         e.kind.Value(),
+			Cell:         e.cell,
+			Health:       healthNames[e.state],
+			StartedMilli: e.announcedStart,
+		})
+	}
+	return response
 }
-
-// unreadLocked reports whether something has arrived on the watch that is not in the list.
-func (w *endpointWatch) unreadLocked() bool { return w.reading || w.conn != nil && hasInput(w.conn) }
--- a/internal/platform/endpoint_watch_large_test.go
+++ b/internal/platform/endpoint_watch_large_test.go
@@ -24,7 +24,7 @@
 func (w *endpointWatch) entryCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return len(w.entries)
+	return len(w.table.entries)
 }
 
 // A list as long as the fleet that a scheduler is designed for is followed, compact or indented,
@@ -77,7 +77,7 @@
 		m := p.endpoints
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		return !m.lastReadAt.IsZero() && !m.unreadLocked()
+		return !m.unread.lastReadAt.IsZero() && !m.unread.exists()
 	})
 	if _, ok := p.endpoints.find("n0"); !ok {
 		t.Error("a part of a list counts as told")
@@ -95,10 +95,10 @@
 	for _, c := range []struct{ read, wait time.Duration }{
 		{-time.Hour, unreadWait}, {0, unreadWait}, {unreadWait / 2, unreadWait * 3 / 2}, {2 * unreadWait, 3 * unreadWait}, {time.Hour, maxUnreadWait},
 	} {
-		m := &endpointWatch{lastReadAt: began.Add(c.read)}
-		check(t, fmt.Sprint("last read after ", c.read), m.unreadDeadlineLocked(began).Sub(began), c.wait)
+		unread := &unreadResponse{lastReadAt: began.Add(c.read)}
+		check(t, fmt.Sprint("last read after ", c.read), unread.deadline(began).Sub(began), c.wait)
 	}
-	if most := newEndpointWatch("", endpointSettings, nil, nil).pacer.Timeout(0); maxUnreadWait < most {
+	if most := newEndpointWatch(t.Context(), "", endpointSettings, nil, nil).pacer.Timeout(0); maxUnreadWait < most {
 		t.Errorf("waits %v for a call that may take %v", maxUnreadWait, most)
 	}
 }
--- a/internal/platform/endpoint_watch_race_test.go
+++ b/internal/platform/endpoint_watch_race_test.go
@@ -1,6 +1,7 @@
 package platform
 
 import (
+	"context"
 	"io"
 	"net"
 	"strings"
@@ -19,10 +20,11 @@
 // list, and is not sent where that does not come to pass.
 func TestUnreadResponseHoldsAttempts(t *testing.T) {
 	t.Parallel()
-	m := &endpointWatch{settings: &config.Settings{}, entries: map[string]endpoint{"n": {}}}
+	m := newEndpointWatch(t.Context(), "", &config.Settings{}, nil, nil)
+	m.table.entries["n"] = endpoint{}
 	near, far := pipe(t)
 	conn := &observedConn{near, m.setReading}
-	m.conn = conn
+	m.unread.conn = conn
 	if _, ok := m.find("n"); !ok {
 		t.Error("nothing unread, and yet the node is not to be had")
 	}
@@ -38,21 +40,38 @@
 	found := make(chan bool)
 	go func() { _, ok := m.find("n"); found <- ok }()
 	m.mu.Lock()
-	check(t, "reading", m.reading, true)
-	m.entries["n"], m.conn, m.reading = endpoint{state: foxlift.Draining}, nil, false
+	check(t, "reading", m.unread.reading, true)
+	m.table.entries["n"], m.unread.conn, m.unread.reading = endpoint{state: foxlift.Draining}, nil, false
 	m.mu.Unlock()
 	check(t, "found", <-found, false)
 	// What has come is a part: until the rest does, the list holds.
-	m.entries["n"], m.conn = endpoint{}, conn
+	m.table.entries["n"], m.unread.conn = endpoint{}, conn
 	io.WriteString(far, "half a")
 	conn.Read(make([]byte, 100))
 	go conn.Read(make([]byte, 100))
-	await(t, "the rest is awaited", func() bool { m.mu.Lock(); defer m.mu.Unlock(); return !m.reading })
+	await(t, "the rest is awaited", func() bool { m.mu.Lock(); defer m.mu.Unlock(); return !m.unread.reading })
 	if _, ok := m.find("n"); !ok {
 		t.Error("half an answer counts as told")
 	}
 }
 
+// A blockedObserver is a core that is busy until free is closed or the test ends.
+type blockedObserver struct {
+	free chan bool
+	test context.Context
+}
+
+func (o *blockedObserver) UpdateEndpoints(foxlift.EndpointUpdate, []foxlift.Worker) {
+	select {
+	case <-o.free:
+	case <-o.test.Done():
+	}
+}
+
+func (o *blockedObserver) ConfirmEndpoints()                     {}
+func (o *blockedObserver) ChangeDiscovery()                      {}
+func (o *blockedObserver) RecordPollFailure(foxlift.PollFailure) {}
+
 // startBusyCore follows a discovery with a core that is busy: it takes no news until free is closed, and
 // by then the discovery has answered the next call with a drain, which nobody has read.
 func startBusyCore(t *testing.T) (m *endpointWatch, calls chan call, free chan bool) {
@@ -63,7 +82,7 @@
 	}
 	node := newTestWorker(t, serveJob)
 	free = make(chan bool)
-	m = newEndpointWatch(addr, settings, func(foxlift.EndpointUpdate, []foxlift.Worker) { <-free }, zap.NewNop())
+	m = newEndpointWatch(t.Context(), addr, settings, &blockedObserver{free, t.Context()}, zap.NewNop())
 	m.finalReadTimeout = patience
 	t.Cleanup(m.stop)
 	m.Watch()
@@ -72,7 +91,7 @@
 	await(t, "it has arrived where claims look", func() bool {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		return m.unreadLocked()
+		return m.unread.exists()
 	})
 	return m, calls, free
 }
@@ -88,7 +107,7 @@
 	await(t, "the drain is in the list", func() bool {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		return m.entries["n0"].state == foxlift.Draining
+		return m.table.entries["n0"].state == foxlift.Draining
 	})
 }
 
@@ -103,7 +122,7 @@
 	c := next(t, calls)
 	check(t, "the new discovery's first call", c.target, pathMembers)
 	m.mu.Lock()
-	check(t, "the node", m.entries["n0"].state, foxlift.Draining)
+	check(t, "the node", m.table.entries["n0"].state, foxlift.Draining)
 	check(t, "asked for at once until it has come", m.urgentUntil.IsZero(), false)
 	m.mu.Unlock()
 }
--- a/internal/platform/endpoint_watch_test.go
+++ b/internal/platform/endpoint_watch_test.go
@@ -186,7 +186,7 @@
 // one that knows no list takes the whole one.
 func TestWatchWait(t *testing.T) {
 	for _, dispatchers := range []int{1, 80, 300, 1000} {
-		m := newEndpointWatch("", &config.Settings{Module: foxlift.Config{Dispatchers: dispatchers}}, nil, nil)
+		m := newEndpointWatch(t.Context(), "", &config.Settings{Module: foxlift.Config{Dispatchers: dispatchers}}, nil, nil)
 		low, high := time.Hour, time.Duration(0)
 		for range 200 {
 			low, high = min(low, m.pacer.WatchHold()), max(high, m.pacer.WatchHold())
@@ -212,7 +212,7 @@
 		s.Module.MaxPollInterval = int64(time.Minute)
 		longest := time.Duration(0)
 		for range 20 {
-			longest = max(longest, newEndpointWatch("", s, nil, zap.NewNop()).pacer.InitialDelay())
+			longest = max(longest, newEndpointWatch(t.Context(), "", s, nil, zap.NewNop()).pacer.InitialDelay())
 		}
 		if longest > 0 != spread {
 			t.Errorf("%s: the first call waits up to %v", how, longest)
--- a/internal/platform/endpoints_response_test.go
+++ b/internal/platform/endpoints_response_test.go
@@ -89,7 +89,7 @@
 			node := standin.Serve(l, serveJob)
 			defer node.Close()
 			text := longEndpoints(1, entries, node, healthActive)
-			m := newEndpointWatch("", &config.Settings{}, nil, nil)
+			m := newEndpointWatch(b.Context(), "", &config.Settings{}, nil, nil)
 			b.SetBytes(int64(len(text)))
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/platform/fuzz_endpoints_test.go
+++ b/internal/platform/fuzz_endpoints_test.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		return
 	}
-	m := newEndpointWatch("", endpointSettings, nil, zap.NewNop())
+	m := newEndpointWatch(t.Context(), "", endpointSettings, nil, zap.NewNop())
 	workers := m.applyLocked(l)
 	if len(workers) != len(l.Endpoints) {
 		t.Fatalf("%q: %d of %d hosts", data, len(workers), len(l.Endpoints))
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -249,7 +249,7 @@
 	const kept = `{"seq":8,"whole":true,"hosts":[` +
 		`{"host":"n1","dial":"10.0.0.1:3000","site":"a","class":"k","block":1,"health":"active","born_ms":5},` +
 		`{"host":"n2","dial":"10.0.0.2:3000","site":"b","class":"m","block":2,"health":"leaving","born_ms":-6}]}`
-	m := newEndpointWatch("10.0.0.9:8500", &config.Settings{}, nil, nil)
+	m := newEndpointWatch(t.Context(), "10.0.0.9:8500", &config.Settings{}, nil, nil)
 	if _, err := m.load([]byte(kept)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,6 +1,7 @@
 package platform
 
 import (
+	"context"
 	"fmt"
 	"net"
 	"syscall"
@@ -68,20 +69,27 @@
 // checked here.
 func New(cfg *config.Scheduler, c *core.Core, clock core.Clock, set *counters.Set, log *zap.Logger) (*Platform, error) {
 	log = logging.Limited(log) // whatever is logged from here on, others can cause
-	list := newEndpointWatch(cfg.Discovery, cfg.Settings, c.UpdateEndpoints, log)
-	list.clock = clock.Now
-	workers, err := list.load(cfg.Known)
+	// The watch ends by closeOutbound, at the platform's end, and by nothing else.
+	endpoints := newEndpointWatch(context.Background(), cfg.Discovery, cfg.Settings, c, log)
+	endpoints.table.clock = clock.Now
+	workers, err := endpoints.load(cfg.Known)
 	if err != nil {
 		return nil, err
 	}
 	half := (cfg.Sockets - max(minSpareDescriptors, cfg.Sockets/spareDivisor) - AdminConnections(cfg)) / 2
-	front := newClientServer(c, clock, set, log, nil, half)
-	nodes := newWorkerPool(list, cfg.Settings, set, log, half)
-	list.workerChanged = nodes.inFlight.workerChanged
-	list.confirm, list.discoveryChanged, list.fail = c.ConfirmEndpoints, c.ChangeDiscovery, c.RecordPollFailure
+	pool := newWorkerPool(endpoints, cfg.Settings, set, log, half)
+	endpoints.table.stateChanged = pool.inFlight.workerChanged
 	p := &Platform{
-		clients: front, endpoints: list, pool: nodes, core: c, settings: cfg.Settings,
-		sideBudget: half, listen: cfg.Listen, shared: cfg.Admin != "", cached: workers, log: log,
+		clients:    newClientServer(c, clock, set, log, nil, half),
+		endpoints:  endpoints,
+		pool:       pool,
+		core:       c,
+		settings:   cfg.Settings,
+		sideBudget: half,
+		listen:     cfg.Listen,
+		shared:     cfg.Admin != "",
+		cached:     workers,
+		log:        log,
 	}
 	if cfg.Peers.Listen != "" {
 		if p.peers, err = newPeers(cfg.Peers, cfg.Settings.Module.Index, clock, set, c.ReceiveGossip); err != nil {
@@ -136,9 +144,7 @@
 
 // HasSynced reports whether discovery has answered since the start, and jobs can be taken.
 func (p *Platform) HasSynced() bool {
-	p.endpoints.mu.Lock()
-	defer p.endpoints.mu.Unlock()
-	return p.endpoints.answered && p.core.Ready()
+	return p.endpoints.hasSynced() && p.core.Ready()
 }
 
 // YieldConnections sends submitters to another process that listens on the same address and gets all new
--- a/internal/platform/process_start_test.go
+++ b/internal/platform/process_start_test.go
@@ -20,12 +20,12 @@
 			t.Run(fmt.Sprintf("%v, %s the start", step, when), func(t *testing.T) {
 				clock := core.NewClock()
 				offset := time.Duration(0)
-				m := newEndpointWatch("", &config.Settings{}, nil, nil)
-				m.clock, m.wall = clock.Now, func() time.Time { return wallClock().Add(offset) }
+				m := newEndpointWatch(t.Context(), "", &config.Settings{}, nil, nil)
+				m.table.clock, m.table.wall = clock.Now, func() time.Time { return wallClock().Add(offset) }
 				if when == "before" {
 					offset = step
 				}
-				born := m.wall().Add(-age).UnixMilli()
+				born := m.table.wall().Add(-age).UnixMilli()
 				tell := func(version int) foxlift.Worker {
 					l, err := parseEndpoints(fmt.Appendf(nil,
 						`{"seq":%d,"whole":true,"hosts":[{"host":"n","dial":"h:1","health":"active","born_ms":%d}]}`, version, born))
