--- a/affinity_test.go
+++ b/affinity_test.go
@@ -39,20 +39,20 @@
 		e.Request.Key = key
 		return h.step(e)[0].Worker
 	}
-	home := ask(1, 7)
-	if other, next := ask(2, 8), ask(3, 7); other == home || next != home {
-		t.Errorf("key 7 goes to %s, 8 to %s, 7 to %s", home, other, next)
+	first := ask(1, 7)
+	if other, next := ask(2, 8), ask(3, 7); other == first || next != first {
+		t.Errorf("key 7 goes to %s, 8 to %s, 7 to %s", first, other, next)
 	}
 	again := 0
 	for id := uint64(4); id <= 7; id++ {
-		if ask(id, 7) == home {
+		if ask(id, 7) == first {
 			again++
 		}
 	}
 	if again > 2 {
-		t.Errorf("%d of 4 more pile up at home", again)
+		t.Errorf("%d of 4 more pile up at the first worker", again)
 	}
-	w := h.d.workers[home]
+	w := h.d.workers[first]
 	for key := uint64(20); key < 20+affinity.MaxCachedKeys; key++ {
 		w.cachedKeys.Record(key)
 	}
@@ -115,7 +115,7 @@
 		}
 	}
 	if len(seen) < 10 || len(seen) > affinity.MaxWorkers {
-		t.Errorf("a key of a quarter of the jobs on 60 workers has %d homes", len(seen))
+		t.Errorf("a key of a quarter of the jobs on 60 workers has an affinity set of %d", len(seen))
 	}
 }
 
@@ -125,11 +125,11 @@
 	makeRare(h)
 	h.now += 60 * second
 	h.step()
-	homes, _ := h.d.rankAffinity(&job{class: &h.d.classes[1], req: Request{Key: affinityKey}})
-	proven := firstOutside(h.d, homes)
+	preferred, _ := h.d.rankAffinity(&job{class: &h.d.classes[1], req: Request{Key: affinityKey}})
+	proven := firstOutside(h.d, preferred)
 	proven.promptStartAt = h.now
 	h.d.markReported(proven)
-	for class, want := range []string{homes[0].id, proven.id} {
+	for class, want := range []string{preferred[0].id, proven.id} {
 		h.step(keyedRequest(h, uint64(1+class), class))
 		if a := h.wantActions(ActionSend, 1)[0]; a.Worker != want {
 			t.Errorf("class %d goes to %s, want %s", class, a.Worker, want)
@@ -141,7 +141,7 @@
 func TestRendezvousReassignsOnlyKeysOfARemovedWorker(t *testing.T) {
 	h := newHarness(t, manyConfig(), testWorkers(60)...)
 	d := h.d
-	home := func(key uint64) *worker {
+	first := func(key uint64) *worker {
 		workers, of := d.rankAffinity(&job{class: &d.classes[0], req: Request{Key: key}})
 		if of != len(d.liveWorkers) {
 			t.Fatalf("of %d workers", of)
@@ -151,18 +151,18 @@
 	before := map[uint64]*worker{}
 	most := map[*worker]int{}
 	for key := uint64(1); key <= 6000; key++ {
-		before[key] = home(key)
+		before[key] = first(key)
 		most[before[key]]++
 	}
 	for w, n := range most {
 		if n < 50 || n > 150 { // five deviations of chance from 100
-			t.Errorf("%s is the home of %d keys in 6000", w.id, n)
+			t.Errorf("%s is first for %d keys in 6000", w.id, n)
 		}
 	}
 	lost := d.liveWorkers[7]
 	h.step(endpointsEvent(EndpointsDelta, Worker{ID: lost.id, State: Removed}))
 	for key, w := range before {
-		if now := home(key); (now != w) != (w == lost) {
+		if now := first(key); (now != w) != (w == lost) {
 			t.Errorf("key %d moved from %s to %s when %s went", key, w.id, now.id, lost.id)
 		}
 	}
@@ -179,13 +179,14 @@
 			h.step()
 			c := &h.d.classes[1]
 			c.setRuntimes(median*h.d.classes[0].runtimes.Median(), c.runtimes.LowerQuartile())
-			homes, _ := h.d.rankAffinity(&job{class: c, req: Request{Key: affinityKey}})
-			met := firstOutside(h.d, homes)
+			preferred, _ := h.d.rankAffinity(&job{class: c, req: Request{Key: affinityKey}})
+			met := firstOutside(h.d, preferred)
 			met.promptStartAt = h.now - 3*second
 			h.d.markReported(met)
 			h.step(keyedRequest(h, 1, atMostOnce))
-			if a := h.wantActions(ActionSend, 1)[0]; (a.Worker == homes[0].id) != wantHome {
-				t.Errorf("a job %d times as long goes to %s; home is %s, met is %s", median, a.Worker, homes[0].id, met.id)
+			if a := h.wantActions(ActionSend, 1)[0]; (a.Worker == preferred[0].id) != wantHome {
+				t.Errorf("a job %d times as long goes to %s; preferred is %s, proven is %s",
+					median, a.Worker, preferred[0].id, met.id)
 			}
 		})
 	}
--- a/endpoint_lease_test.go
+++ b/endpoint_lease_test.go
@@ -94,12 +94,12 @@
 		t.Errorf("sent to %s, which accepted nothing, and not to %s", got, w)
 	}
 	h.advance(50*ms, outcome(2, 0, w, Saturated))
-	tries := h.actionsOf(ActionSend)
+	retries := h.actionsOf(ActionSend)
 	h.advance(second)
 	h.step(h.request(3, idempotent))
-	for _, a := range append(tries, h.actionsOf(ActionSend)...) {
+	for _, a := range append(retries, h.actionsOf(ActionSend)...) {
 		if a.Worker == w {
-			t.Errorf("sent to %s, which has turned a job away", w)
+			t.Errorf("sent to %s, which has rejected a job", w)
 		}
 	}
 	h.step(pollEvent(EndpointsConfirmed, 0))
--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -23,21 +23,21 @@
 	cfg := testConfig()
 	cfg.PollEndpoints, cfg.MaxPollInterval = true, 8*second
 	h := newHarness(t, cfg, testWorkers(1)...)
-	last, asks := h.now, 0
+	last, polls := h.now, 0
 	for h.now < 120*second {
 		h.advance(50*ms, timerEvent(1))
 		if len(h.actionsOf(ActionWatchEndpoints)) == 0 {
 			continue
 		}
-		asks++
+		polls++
 		if gap := h.now - last; gap > cfg.MaxPollInterval {
-			t.Fatalf("%d ns between asks, at most %d", gap, cfg.MaxPollInterval)
+			t.Fatalf("%d ns between polls, at most %d", gap, cfg.MaxPollInterval)
 		}
 		last = h.now
 		h.advance(ms, endpointsEvent(EndpointsPollFailed))
 	}
-	if asks < 15 || asks > 100 {
-		t.Errorf("%d asks in two minutes of failures", asks)
+	if polls < 15 || polls > 100 {
+		t.Errorf("%d polls in two minutes of failures", polls)
 	}
 	h.advance(8*second, timerEvent(1))
 	h.advance(ms, endpointsEvent(EndpointsDelta))
--- a/fleet_index_test.go
+++ b/fleet_index_test.go
@@ -203,10 +203,10 @@
 func TestAffinityInALargeFleet(t *testing.T) {
 	const workers, keys = 6000, 60000
 	d := scaleDispatcher(t, workers)
-	home := func(key uint64) *worker {
+	firstWorker := func(key uint64) *worker {
 		ws, of := d.rankAffinity(&job{class: &d.classes[0], req: Request{Key: key}})
 		if len(ws) != affinity.MaxWorkers || of < workers*4/5 || of > workers*5/4 {
-			t.Fatalf("%d homes of %d workers", len(ws), of)
+			t.Fatalf("an affinity set of %d of %d workers", len(ws), of)
 		}
 		return ws[0]
 	}
@@ -214,21 +214,21 @@
 	before, most := map[uint64]*worker{}, map[*worker]int{}
 	for range keys {
 		key := rng.Uint64()
-		before[key] = home(key)
+		before[key] = firstWorker(key)
 		most[before[key]]++
 	}
 	if len(most) < workers*99/100 {
-		t.Errorf("only %d workers are homes", len(most))
+		t.Errorf("only %d workers are first for a key", len(most))
 	}
 	for w, n := range most {
 		if n > 40 { // of 10 on average
-			t.Errorf("%s is the home of %d keys of %d", w.id, n, keys)
+			t.Errorf("%s is first for %d keys of %d", w.id, n, keys)
 		}
 	}
 	lost := d.liveWorkers[7]
 	d.Step(3*second, []Event{endpointsEvent(EndpointsDelta, Worker{ID: lost.id, State: Removed})})
 	for key, w := range before {
-		if now := home(key); (now != w) != (w == lost) {
+		if now := firstWorker(key); (now != w) != (w == lost) {
 			t.Errorf("key %d moved from %s to %s when %s went", key, w.id, now.id, lost.id)
 		}
 	}
@@ -237,18 +237,18 @@
 // When a fleet grows so far that the searched part is halved, a key keeps about half of its affinity set.
 func TestAffinityAfterTheSearchedPartSplits(t *testing.T) {
 	d := scaleDispatcher(t, affinity.MaxCompared)
-	homes := func(key uint64) []*worker {
+	affinitySet := func(key uint64) []*worker {
 		workers, _ := d.rankAffinity(&job{class: &d.classes[0], req: Request{Key: key}})
 		return workers
 	}
 	before := map[uint64][]*worker{}
 	for key := uint64(1); key <= 500; key++ {
-		before[key] = homes(key)
+		before[key] = affinitySet(key)
 	}
 	d.Step(3*second, []Event{{Kind: EventEndpoints, EndpointUpdate: EndpointsDelta, Workers: []Worker{{ID: "one more"}}}})
 	kept := 0
 	for key, workers := range before {
-		now := homes(key)
+		now := affinitySet(key)
 		for _, w := range workers {
 			if slices.Contains(now, w) {
 				kept++
@@ -256,6 +256,6 @@
 		}
 	}
 	if part := float64(kept) / float64(500*affinity.MaxWorkers); part < 0.45 || part > 0.55 {
-		t.Errorf("%.2f of the homes are kept", part)
+		t.Errorf("%.2f of the affinity sets is kept", part)
 	}
 }
--- a/fuzz_test.go
+++ b/fuzz_test.go
@@ -25,11 +25,10 @@
 }
 
 type randomRequest struct {
-	class      int
-	deadline   int64
-	attempts   []randomAttempt
-	answered   bool
-	answeredAt int64 // when the dispatcher learned that it ended; 0 if not
+	class    int
+	deadline int64
+	attempts []randomAttempt
+	answered bool
 }
 
 type randomAttempt struct {
@@ -105,7 +104,7 @@
 		if len(host.open) > 0 {
 			id := host.open[host.rng.IntN(len(host.open))]
 			if r := host.requests[id]; !r.answered {
-				r.answered, r.answeredAt = true, host.now
+				r.answered = true
 				events = append(events, disconnectEvent(id))
 			}
 		}
@@ -144,7 +143,7 @@
 		}
 		e := outcome(try.id, try.number, try.worker, code)
 		if code == Served && !r.answered {
-			r.answered, r.answeredAt = true, host.now
+			r.answered = true
 		}
 		e.Ended = r.answered
 		r.attempts[try.number].reported, r.attempts[try.number].code = true, code
@@ -167,7 +166,7 @@
 			host.checkAnswer(a)
 		case ActionHealthCheck:
 			if !host.cfg.MayHealthCheck {
-				host.t.Fatal("a probe where none is allowed")
+				host.t.Fatal("a health check where none is allowed")
 			}
 			host.healthChecks = append(host.healthChecks, a.Worker)
 		case ActionCancel:
@@ -185,7 +184,7 @@
 	host.open = slices.DeleteFunc(host.open, func(id uint64) bool {
 		r := host.requests[id]
 		if !r.answered && host.now > r.deadline+8*ms {
-			host.t.Fatalf("request %d not answered by its deadline; tries %+v", id, r.attempts)
+			host.t.Fatalf("request %d not answered by its deadline; attempts %+v", id, r.attempts)
 		}
 		return r.answered
 	})
@@ -248,7 +247,7 @@
 	if r.answered {
 		host.t.Fatalf("request %d answered twice", a.ID)
 	}
-	r.answered, r.answeredAt = true, host.now
+	r.answered = true
 	if a.Kind == ActionFail {
 		return
 	}
@@ -256,7 +255,7 @@
 	for _, try := range r.attempts {
 		ran := !try.reported || !try.code.NeverRan()
 		if ran && (c.Effect == AtMostOnce || c.Effect == Deduplicated && c.Scope != ScopeAll) {
-			host.t.Fatalf("request %d refused though attempt %d may have run", a.ID, try.number)
+			host.t.Fatalf("request %d shed though attempt %d may have run", a.ID, try.number)
 		}
 	}
 }
--- a/health_test.go
+++ b/health_test.go
@@ -55,7 +55,7 @@
 	h.wantActions(ActionSend, 1)
 	h.advance(ms, outcome(1, 0, "w0", WorkerError))
 	if w.ejectedUntil <= h.now {
-		t.Error("not shut")
+		t.Error("not ejected")
 	}
 	w.ejectedUntil, w.trial = 0, false
 	for i := range 8 {
@@ -64,7 +64,7 @@
 		h.d.recordOutcome(a, &Event{Code: WorkerError})
 	}
 	if w.ejectedUntil <= h.now {
-		t.Error("a run of errors does not shut it")
+		t.Error("a run of errors does not eject it")
 	}
 }
 
@@ -81,7 +81,7 @@
 		h.d.recordOutcome(a, &Event{Code: Saturated})
 	}
 	if again := h.d.workerOrder[0].ejectedUntil - h.now; first <= 0 || again <= first {
-		t.Errorf("left alone for %d, after more refusals for %d", first, again)
+		t.Errorf("backed off for %d, after more rejections for %d", first, again)
 	}
 }
 
@@ -101,7 +101,7 @@
 
 // Each of many dispatchers sends to a worker too seldom to wait for a run of errors.
 func TestManyDispatchersEjectAtTheFirstError(t *testing.T) {
-	for dispatchers, shut := range map[int]bool{80: true, 3: false} {
+	for dispatchers, ejected := range map[int]bool{80: true, 3: false} {
 		t.Run(fmt.Sprintf("dispatchers=%d", dispatchers), func(t *testing.T) {
 			cfg := manyConfig()
 			cfg.Dispatchers = dispatchers
@@ -110,8 +110,8 @@
 			a := h.wantActions(ActionSend, 1)[0]
 			h.advance(ms, started(1, 0, a.Worker))
 			h.advance(ms, outcome(1, 0, a.Worker, WorkerError))
-			if w := h.d.workers[a.Worker]; (w.ejectedUntil > h.now) != shut {
-				t.Errorf("%d dispatchers: left alone %v", dispatchers, !shut)
+			if w := h.d.workers[a.Worker]; (w.ejectedUntil > h.now) != ejected {
+				t.Errorf("%d dispatchers: ejected %v", dispatchers, !ejected)
 			}
 		})
 	}
@@ -129,7 +129,7 @@
 		h.advance(ms, started(id, 0, w.id))
 		h.advance(ms, outcome(id, 0, w.id, WorkerError))
 		if pause := w.ejectedUntil - h.now; pause < second || w.backoff < 2*before {
-			t.Errorf("error %d: left alone for %d, backoff %d after %d", id, pause, w.backoff, before)
+			t.Errorf("error %d: backed off for %d, backoff %d after %d", id, pause, w.backoff, before)
 		}
 		before = w.backoff
 	}
--- a/migration_test.go
+++ b/migration_test.go
@@ -49,20 +49,20 @@
 // The time that a job was queued at another dispatcher counts: it is shed when it would have been there.
 func TestMigrationPreservesQueueTime(t *testing.T) {
 	cfg := testConfig()
-	h := newHarness(t, cfg) // no worker: every job is held
+	h := newHarness(t, cfg) // no worker: every job is queued
 	fresh, aged := h.request(1, idempotent), h.request(2, idempotent)
 	aged.Request.Waited = 150 * ms
 	aged.Request.Deadline = fresh.Request.Deadline - 150*ms
 	h.step(fresh, aged)
-	gone := map[uint64]int64{}
+	shedAt := map[uint64]int64{}
 	for range 100 {
 		h.advance(10 * ms)
 		for _, a := range h.actionsOf(ActionShed) {
-			gone[a.ID] = h.now
+			shedAt[a.ID] = h.now
 		}
 	}
-	if d := gone[1] - gone[2]; d < 100*ms || d > 200*ms {
-		t.Errorf("given up at %v: want the aged one some 150 ms earlier", gone)
+	if d := shedAt[1] - shedAt[2]; d < 100*ms || d > 200*ms {
+		t.Errorf("shed at %v: want the aged one some 150 ms earlier", shedAt)
 	}
 }
 
--- a/placement_large_test.go
+++ b/placement_large_test.go
@@ -160,11 +160,11 @@
 			h := newHarness(t, cfg, workers...)
 			h.step(h.request(1, idempotent))
 			if a := h.wantActions(ActionSend, 1)[0]; a.Worker != workers[0].ID {
-				t.Errorf("%d dispatchers: the first crosses", dispatchers)
+				t.Errorf("%d dispatchers: the first job crosses zones", dispatchers)
 			}
 			h.step(started(1, 0, workers[0].ID), h.request(2, idempotent))
 			if a := h.wantActions(ActionSend, 1)[0]; (a.Worker != workers[0].ID) != crosses {
-				t.Errorf("%d dispatchers: the second crosses %v", dispatchers, !crosses)
+				t.Errorf("%d dispatchers: the second job crosses zones: %v", dispatchers, !crosses)
 			}
 		})
 	}
--- a/placement_test.go
+++ b/placement_test.go
@@ -49,7 +49,7 @@
 	w.usedSlots = 3
 	h.d.adjustCapacity(w, true)
 	if w.concurrencyLimit >= 3 {
-		t.Errorf("cap %v after a refusal at 3", w.concurrencyLimit)
+		t.Errorf("limit %v after a rejection at 3", w.concurrencyLimit)
 	}
 	if m := h.d.meanLimit(); m != w.concurrencyLimit {
 		t.Errorf("a new worker counts at %v, want %v", m, w.concurrencyLimit)
@@ -88,12 +88,12 @@
 	h.now += 5 * second
 	h.step(h.request(2, idempotent))
 	h.wantActions(ActionSend, 0)
-	for range 4 { // no probe answers: the wait is short all the same
+	for range 4 { // no health check is answered: the wait is short all the same
 		if h.advance(h.d.tickInterval, timerEvent(1)); len(h.actionsOf(ActionSend)) == 1 {
 			return
 		}
 	}
-	t.Error("the job waits for probes that do not answer")
+	t.Error("the job waits for health checks that do not answer")
 }
 
 // An old load report must not keep a worker that was busy once unused for ever.
@@ -135,7 +135,7 @@
 	}
 	end(Saturated)
 	if h.d.servedSlots != 0 {
-		t.Error("a refusal counts as served")
+		t.Error("a rejection counts as served")
 	}
 	end(Served)
 	if h.d.servedSlots != 1 {
@@ -143,7 +143,7 @@
 	}
 	w.startedAt = h.now
 	if end(Served); h.d.servedSlots != 1 {
-		t.Error("a cold worker's job counts")
+		t.Error("a job of a worker in slow start counts")
 	}
 }
 
--- a/queue_test.go
+++ b/queue_test.go
@@ -38,7 +38,7 @@
 			return
 		}
 	}
-	t.Error("held past its deadline")
+	t.Error("queued past its deadline")
 }
 
 func TestNothingIsSentForADisconnectedClient(t *testing.T) {
@@ -63,7 +63,7 @@
 	long := h.d.maxQueueTime(j)
 	setTenant(h.d, 0, func(s *admission.TenantState) { s.OfferedRate, s.Rate = 50, 5 })
 	if short := h.d.maxQueueTime(j); short >= long || short != 50*ms {
-		t.Errorf("held for %d when over the share, %d when not", short, long)
+		t.Errorf("queue time %d when past the quota, %d when not", short, long)
 	}
 	h.d.onEndpoints(&Event{EndpointUpdate: EndpointsComplete, Workers: testWorkers(1)})
 	h.d.dispatchRound++
@@ -81,7 +81,7 @@
 		e.Request.Deadline = h.now + left
 		return e
 	}
-	h.step(h.request(1, idempotent), next(2, 1000*ms)) // with room the second is served, late or not
+	h.step(h.request(1, idempotent), next(2, 1000*ms)) // with capacity the second is served, late or not
 	h.wantActions(ActionSend, 2)
 	for id := uint64(3); len(h.actionsOf(ActionSend)) > 0; id++ { // until there is none
 		h.step(h.request(id, idempotent))
@@ -95,7 +95,7 @@
 	hold := h.d.maxQueueTime(h.d.jobs[101])
 	for h.advance(20 * ms); h.d.jobs[101] != nil; h.advance(10 * ms) {
 		if h.now-5*second > hold+40*ms {
-			t.Fatal("held past its time")
+			t.Fatal("queued past its time")
 		}
 	}
 }
@@ -108,7 +108,7 @@
 		dispatchers int
 		over        int64
 		runs        int64
-		first       uint64 // of three that are held
+		first       uint64 // of three that are queued
 	}{{1, 50 * ms, 1, 1}, {2, 100 * ms / 8, 2, 3}, {300, 50 * ms, 1, 1}} {
 		t.Run(fmt.Sprintf("dispatchers=%d", c.dispatchers), func(t *testing.T) {
 			cfg := testConfig()
@@ -119,18 +119,18 @@
 			h.step(h.request(1, idempotent), h.request(2, idempotent), h.request(3, idempotent))
 			tenant := h.d.tenantOf(0)
 			if got, want := h.d.maxQueueTime(h.d.jobs[1]), 100*ms+(3-c.runs)*80*ms; got != want {
-				t.Errorf("%d dispatchers: held for %d, want %d", c.dispatchers, got, want)
+				t.Errorf("%d dispatchers: queue time %d, want %d", c.dispatchers, got, want)
 			}
 			queue, round := tenant.queues[0].jobs, h.d.dispatchRound+1
 			if j := nextInQueue(queue, h.d.newestFirst(tenant, queue), round); j.id != c.first {
 				t.Errorf("%d dispatchers: job %d goes first, want %d", c.dispatchers, j.id, c.first)
 			}
 			if j := nextInQueue(queue[:2], h.d.newestFirst(tenant, queue[:2]), round); j.id != 1 {
-				t.Errorf("%d dispatchers: of two held job %d goes first", c.dispatchers, j.id)
+				t.Errorf("%d dispatchers: of two queued jobs, %d goes first", c.dispatchers, j.id)
 			}
 			setTenant(h.d, 0, func(s *admission.TenantState) { s.OfferedRate, s.Rate = 500, 5 })
 			if got := h.d.maxQueueTime(h.d.jobs[1]); got != c.over {
-				t.Errorf("%d dispatchers: held for %d when over the share, want %d", c.dispatchers, got, c.over)
+				t.Errorf("%d dispatchers: queue time %d when past the quota, want %d", c.dispatchers, got, c.over)
 			}
 		})
 	}
--- a/quotas_test.go
+++ b/quotas_test.go
@@ -11,7 +11,7 @@
 	cfg := testConfig()
 	cfg.Tenants = []Tenant{{"a", 20}, {"b", 20}}
 	h := newHarness(t, cfg, testWorkers(1)...)
-	refused := [2]int{}
+	shed := [2]int{}
 	tenantOf := map[uint64]int{}
 	var running []Action
 	id := uint64(0)
@@ -34,7 +34,7 @@
 		running = h.actionsOf(ActionSend)
 		events = nil
 		for _, a := range h.actionsOf(ActionShed) {
-			refused[tenantOf[a.ID]]++
+			shed[tenantOf[a.ID]]++
 		}
 		for _, a := range running {
 			events = append(events, started(a.ID, a.Attempt, a.Worker))
@@ -43,11 +43,11 @@
 		h.advance(ms, events...)
 		running = append(running, h.actionsOf(ActionSend)...)
 		for _, a := range h.actionsOf(ActionShed) {
-			refused[tenantOf[a.ID]]++
+			shed[tenantOf[a.ID]]++
 		}
 	}
-	if refused[0] < 100 || refused[1] > 10 {
-		t.Errorf("refused %v of tenants over and under their share", refused)
+	if shed[0] < 100 || shed[1] > 10 {
+		t.Errorf("shed %v of tenants past and within their quotas", shed)
 	}
 }
 
@@ -61,21 +61,21 @@
 	workers[0].State = Removed
 	h.advance(ms, endpointsEvent(EndpointsDelta, workers[:1]...))
 	if s := h.d.remainingCapacity(); s != 1 {
-		t.Errorf("%v stand after a drain, want all", s)
+		t.Errorf("remaining capacity %v after a drain, want all", s)
 	}
 	workers[1].State = Removed
 	h.advance(ms, endpointsEvent(EndpointsDelta, workers[1:2]...))
 	if s := h.d.remainingCapacity(); math.Abs(s-2.0/3) > 1e-9 {
-		t.Errorf("%v stand after a loss, want 2/3", s)
+		t.Errorf("remaining capacity %v after a loss, want 2/3", s)
 	}
 	workers[1].State, workers[1].StartedAt = Live, h.now
 	h.advance(ms, endpointsEvent(EndpointsDelta, workers[1:2]...))
 	if s := h.d.remainingCapacity(); s < 0.7 || s > 0.75 {
-		t.Errorf("%v stand with the third back at a fifth, want 2.2/3", s)
+		t.Errorf("remaining capacity %v with the third back at a fifth, want 2.2/3", s)
 	}
 	h.advance(21*second, timerEvent(1))
 	if s := h.d.remainingCapacity(); s != 1 {
-		t.Errorf("%v stand when it is warm, want all", s)
+		t.Errorf("remaining capacity %v after the slow start, want all", s)
 	}
 }
 
@@ -96,13 +96,13 @@
 func TestDrainedWorkerIsNotLost(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(2)...)
 	workers := testWorkers(2)
-	for _, s := range []WorkerState{Removed, Draining, Removed} { // lost, back only to drain, gone
+	for _, s := range []WorkerState{Removed, Draining, Removed} { // lost, back only to drain, removed
 		workers[0].State = s
 		h.advance(ms, endpointsEvent(EndpointsDelta, workers[:1]...))
 		h.d.remainingCapacity()
 	}
 	if s := h.d.remainingCapacity(); s != 1 {
-		t.Errorf("%v stand, want all", s)
+		t.Errorf("remaining capacity %v, want all", s)
 	}
 }
 
@@ -152,7 +152,7 @@
 		}
 		h.d.updateQuotas()
 		if tenant.ExceedsQuota() != want {
-			t.Errorf("second %d: over its share %v", n, !want)
+			t.Errorf("second %d: past its quota %v", n, !want)
 		}
 	}
 }
--- a/retry_test.go
+++ b/retry_test.go
@@ -88,14 +88,14 @@
 // more jobs late.
 func TestHedgeBudget(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(40)...)
-	first, copies := 0, 0
+	first, hedges := 0, 0
 	for id := uint64(1); id <= 400; id++ {
 		h.advance(5*ms, h.request(id, idempotent)) // no worker ever says that a job started
 		for _, a := range h.actionsOf(ActionSend) {
 			if len(h.d.jobs[a.ID].attempts) == 1 {
 				first++
 			} else {
-				copies++
+				hedges++
 			}
 		}
 		for _, w := range h.d.workerOrder {
@@ -103,7 +103,7 @@
 			h.d.markPending(w)
 		}
 	}
-	if first < 100 || float64(copies) > maxHedgeBudget+hedgeFraction*float64(first+copies)+1 {
-		t.Errorf("%d copies of %d jobs", copies, first)
+	if first < 100 || float64(hedges) > maxHedgeBudget+hedgeFraction*float64(first+hedges)+1 {
+		t.Errorf("%d hedged requests of %d jobs", hedges, first)
 	}
 }
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -20,16 +20,16 @@
 	for i := range cfg.Tenants {
 		setTenant(h.d, i, func(s *admission.TenantState) { s.Tokens, s.Rate = 1000, 100 })
 	}
-	h.d.peakWorkerRate = 0.2 // slots at work, here, of each warm worker: 2 jobs of 100 ms a second
+	h.d.peakWorkerRate = 0.2 // slots at work, here, of each worker: 2 jobs of 100 ms a second
 	h.step(endpointsEvent(EndpointsDelta, workers[1:]...))
-	cold := 0
+	sends := 0
 	for id := uint64(1); h.now < 15*second; id++ {
 		h.advance(5*ms, h.request(id, atMostOnce))
 		for sent := h.actionsOf(ActionSend); len(sent) > 0; sent = h.actionsOf(ActionSend) {
 			var full []Event
 			for _, a := range sent {
 				if a.Worker == "w1" {
-					cold++
+					sends++
 				}
 				full = append(full, outcome(a.ID, len(h.d.jobs[a.ID].attempts)-1, a.Worker, Saturated))
 			}
@@ -38,8 +38,8 @@
 		h.d.peakWorkerRate = 0.2
 	}
 	// Ten seconds at a ramp from 0.2 to 0.6 of 2 a second are 8 jobs.
-	if cold < 3 || cold > 14 {
-		t.Errorf("%d sends to the cold worker in 10 s, want about 8", cold)
+	if sends < 3 || sends > 14 {
+		t.Errorf("%d sends to the worker in slow start in 10 s, want about 8", sends)
 	}
 }
 
@@ -53,7 +53,7 @@
 		h.d.runControlLoops()
 	}
 	if peak == 0 || h.d.peakWorkerRate < peak*0.9 {
-		t.Errorf("warm rate %v five idle seconds after %v", h.d.peakWorkerRate, peak)
+		t.Errorf("peak rate %v five idle seconds after %v", h.d.peakWorkerRate, peak)
 	}
 }
 
@@ -61,7 +61,7 @@
 // nor idle.
 func TestSlowStartWorkOfManyDispatchersAddsUp(t *testing.T) {
 	cfg := manyConfig()
-	const warm = 10 // slots of a warm worker at work for all dispatchers: 800 jobs of 100 ms a second on 8
+	const warm = 10 // slots of a worker past slow start, at work for all dispatchers: 800 jobs of 100 ms a second on 8
 	workers := testWorkers(8)
 	for i := range workers {
 		workers[i].Zone = 0
@@ -72,7 +72,7 @@
 		cfg.Index = i
 		harnesses = append(harnesses, newSeededHarness(t, cfg, uint64(i), workers[1:]...))
 	}
-	var work [20]float64 // sent to the cold worker, by the second
+	var work [20]float64 // sent to the worker in slow start, by the second
 	running := make([][]Event, len(harnesses))
 	id := uint64(0)
 	for now := int64(0); now < 20*second; now += 20 * ms {
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -82,14 +82,14 @@
 		t.Errorf("another run of a worker: %+v, want %+v", after, before)
 	}
 	if to.d.workers["w0"].concurrencyLimit != snapshot.Workers[0].ConcurrencyLimit {
-		t.Errorf("cap %v, want %v", to.d.workers["w0"].concurrencyLimit, snapshot.Workers[0].ConcurrencyLimit)
+		t.Errorf("limit %v, want %v", to.d.workers["w0"].concurrencyLimit, snapshot.Workers[0].ConcurrencyLimit)
 	}
 	if to.d.classes[2].runtimes.Median() == snapshot.Classes[2].Median {
 		t.Error("a class of another name was restored")
 	}
 	restored := snapshot.Workers[0]
 	if mean, want := to.d.meanLimit(), restored.ConcurrencyLimit; restored.LimitLearned && mean != want {
-		t.Errorf("the mean cap is %v, want that of the one worker that was restored, %v", mean, want)
+		t.Errorf("the mean limit is %v, want that of the one worker that was restored, %v", mean, want)
 	}
 	if len(to.d.workers) != 2 {
 		t.Errorf("%d workers, want 2", len(to.d.workers))
