--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -11,11 +11,11 @@
 
 // The demonstration's course, in seconds.
 const (
-	demoPrintEvery = 2
-	demoFloodAt    = 6
-	demoFloodEndAt = 14
-	demoMigrateAt  = 16
-	demoEndAt      = 20
+	demoPrintEvery   = 2
+	demoFloodAt      = 6
+	demoFloodStopsAt = 14
+	demoMigrateAt    = 16
+	demoDuration     = 20
 )
 
 // Demo floods one tenant of a deployment with cells and prints a table as it goes.
@@ -27,7 +27,7 @@
 	defer rig.Close()
 	rig.printDemoHead(w)
 	load := rig.StartLoad(normalLoad, seed)
-	for second := demoPrintEvery; second <= demoEndAt; second += demoPrintEvery {
+	for second := demoPrintEvery; second <= demoDuration; second += demoPrintEvery {
 		<-time.After(demoPrintEvery * time.Second)
 		fmt.Fprintf(w, "%4d s", second)
 		tallies := load.CollectTallies()
@@ -38,7 +38,7 @@
 		case demoFloodAt:
 			load.Set(flooder, floodFactor*flooderQuota*rig.Capacity())
 			fmt.Fprintf(w, "   %s floods", flooder)
-		case demoFloodEndAt:
+		case demoFloodStopsAt:
 			load.Set(flooder, normalLoad*flooderQuota*rig.Capacity())
 			fmt.Fprint(w, "   the flood ends")
 		case demoMigrateAt:
@@ -58,7 +58,7 @@
 	fmt.Fprintf(w, "%.0f jobs a second is all that the nodes can do.\n", r.Capacity())
 	fmt.Fprintf(w, "Every tenant asks %.0f %% of its share. ", 100*normalLoad)
 	fmt.Fprintf(w, "After %d s %s asks %d times its share, for %d s;\nthen it is moved to another cell, live.\n\n",
-		demoFloodAt, flooder, floodFactor, demoFloodEndAt-demoFloodAt)
+		demoFloodAt, flooder, floodFactor, demoFloodStopsAt-demoFloodAt)
 	fmt.Fprint(w, "  time")
 	for _, tenant := range r.Tenants {
 		fmt.Fprintf(w, "%10s", tenant.Name)
--- a/internal/lab/fuzz.go
+++ b/internal/lab/fuzz.go
@@ -68,7 +68,7 @@
 // Fuzz runs all fuzz targets of the module in the current folder in turn, until the time
 // is over or ctx ends. It needs the go command.
 func Fuzz(ctx context.Context, w io.Writer, o FuzzOptions) (*FuzzSummary, error) {
-	targets, err := listFuzzTargets(ctx, o.Match)
+	targets, err := findFuzzTargets(ctx, o.Match)
 	if err != nil {
 		return nil, err
 	}
@@ -79,9 +79,9 @@
 		return nil, err
 	}
 	s := &FuzzSummary{Started: time.Now().UTC(), Workers: o.Workers, Targets: targets, Findings: []Finding{}}
-	end := s.Started.Add(o.Duration)
-	for round := 1; len(targets) > 0 && ctx.Err() == nil && time.Until(end) >= minTimeSlice; round++ {
-		if targets, err = s.fuzzRound(ctx, w, o, targets, round == 1, end); err != nil {
+	run := &fuzzRun{FuzzOptions: o, out: w, end: s.Started.Add(o.Duration)}
+	for first := true; len(targets) > 0 && run.goesOn(ctx); first = false {
+		if targets, err = run.round(ctx, s, targets, first); err != nil {
 			return s, err
 		}
 	}
@@ -100,17 +100,29 @@
 	return s, s.write(o.Dir)
 }
 
-// fuzzRound gives each target a time slice and returns the targets of the next round. A target
+// A fuzzRun is a run of the long runner.
+type fuzzRun struct {
+	FuzzOptions
+	out io.Writer
+	end time.Time
+}
+
+// goesOn reports whether there is time for another time slice.
+func (r *fuzzRun) goesOn(ctx context.Context) bool {
+	return ctx.Err() == nil && time.Until(r.end) >= minTimeSlice
+}
+
+// round gives each target a time slice and returns the targets of the next round. A target
 // with a finding is not among them, and ends the round: it would find the same again at once.
-func (s *FuzzSummary) fuzzRound(
-	ctx context.Context, w io.Writer, o FuzzOptions, targets []*FuzzTarget, first bool, end time.Time,
+func (r *fuzzRun) round(
+	ctx context.Context, s *FuzzSummary, targets []*FuzzTarget, first bool,
 ) ([]*FuzzTarget, error) {
 	for i, target := range targets {
-		left := time.Until(end)
-		if ctx.Err() != nil || left < minTimeSlice {
+		if !r.goesOn(ctx) {
 			break
 		}
-		findings, err := target.fuzzFor(ctx, timeSlice(target, left, len(targets)-i, first), o, w)
+		slice := timeSlice(target, time.Until(r.end), len(targets)-i, first)
+		findings, err := target.fuzzFor(ctx, slice, r.FuzzOptions, r.out)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/lab/fuzztarget.go
+++ b/internal/lab/fuzztarget.go
@@ -30,8 +30,8 @@
 	foundCoverage bool   // in its last time slice
 }
 
-// listFuzzTargets lists the native targets of the module.
-func listFuzzTargets(ctx context.Context, match string) ([]*FuzzTarget, error) {
+// findFuzzTargets finds the native targets of the module.
+func findFuzzTargets(ctx context.Context, match string) ([]*FuzzTarget, error) {
 	wanted, err := regexp.Compile(match)
 	if err != nil {
 		return nil, fmt.Errorf("match: %w", err)
--- a/internal/lab/mutant.go
+++ b/internal/lab/mutant.go
@@ -25,57 +25,66 @@
 	Run      string // -run of go test
 }
 
-// CheckMutants applies each mutant to a copy of the module in the current folder and
-// runs its tests. It returns how many of them the tests saw.
-func CheckMutants(ctx context.Context, w io.Writer, match string, workers int) (caught, all int, err error) {
-	if workers <= 0 {
-		workers = runtime.NumCPU()
+// A mutantResult is what became of a mutant.
+type mutantResult struct {
+	caught bool
+	took   time.Duration
+	by     string // the test that failed, or the panic
+}
+
+// CheckMutants applies each mutant whose name contains match to a copy of the module in the
+// current folder and runs its tests, so many at a time (0: one a core). It returns how many
+// of them the tests caught.
+func CheckMutants(
+	ctx context.Context, w io.Writer, match string, concurrency int,
+) (caught, checked int, err error) {
+	if concurrency <= 0 {
+		concurrency = runtime.NumCPU()
 	}
 	var mu sync.Mutex
-	var wait sync.WaitGroup
+	var running sync.WaitGroup
 	var failed error
-	free := make(chan struct{}, workers)
+	free := make(chan struct{}, concurrency)
 	for _, m := range Mutants {
 		if !strings.Contains(m.Name, match) {
 			continue
 		}
-		all++
+		checked++
 		free <- struct{}{}
-		wait.Go(func() {
+		running.Go(func() {
 			defer func() { <-free }()
-			seen, took, why, err := m.check(ctx)
+			result, err := m.check(ctx)
 			mu.Lock()
 			defer mu.Unlock()
 			switch {
 			case err != nil:
 				failed = errors.Join(failed, fmt.Errorf("%s: %w", m.Name, err))
-			case seen:
+			case result.caught:
 				caught++
-				fmt.Fprintf(w, "caught in %4.1f s  %s\n                  by %s\n", took.Seconds(), m.Name, why)
+				fmt.Fprintf(w, "caught in %4.1f s  %s\n                  by %s\n",
+					result.took.Seconds(), m.Name, result.by)
 			default:
 				fmt.Fprintf(w, "NOT SEEN         %s (%s)\n", m.Name, m.File)
 			}
 		})
 	}
-	wait.Wait()
-	return caught, all, failed
+	running.Wait()
+	return caught, checked, failed
 }
 
-// check applies one mutant to a copy and runs its tests there.
-func (m *Mutant) check(ctx context.Context) (seen bool, took time.Duration, why string, err error) {
+// check applies the mutant to a copy and runs its tests there.
+func (m *Mutant) check(ctx context.Context) (mutantResult, error) {
 	dir, err := os.MkdirTemp("", "foxlift-mutant-")
 	if err != nil {
-		return false, 0, "", err
+		return mutantResult{}, err
 	}
 	defer os.RemoveAll(dir)
 	if err := m.apply(dir); err != nil {
-		return false, 0, "", err
+		return mutantResult{}, err
 	}
 	binary := filepath.Join(dir, "mutant.test")
-	build := exec.CommandContext(ctx, "go", "test", "-c", "-vet=off", "-o", binary, m.Package)
-	build.Dir = dir
-	if out, err := build.CombinedOutput(); err != nil {
-		return false, 0, "", fmt.Errorf("it does not build: %s", out)
+	if err := runGo(ctx, dir, "test", "-c", "-vet=off", "-o", binary, m.Package); err != nil {
+		return mutantResult{}, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, mutantLimit)
 	defer cancel()
@@ -87,21 +96,38 @@
 	test.Dir = filepath.Join(dir, m.Package)
 	began := time.Now()
 	out, err := test.CombinedOutput()
-	took = time.Since(began)
+	result := mutantResult{took: time.Since(began)}
 	if ctx.Err() != nil {
-		return false, took, "", nil // it ran on without a verdict
+		return result, nil // it ran on without a verdict
 	}
-	for line := range strings.Lines(string(out)) {
-		if name, ok := strings.CutPrefix(strings.TrimSpace(line), "--- FAIL: "); ok {
-			why, _, _ = strings.Cut(name, " ")
-		} else if strings.HasPrefix(line, "panic: ") && why == "" {
-			why = strings.TrimSpace(line)
+	result.caught = err != nil
+	result.by = failureIn(string(out))
+	return result, nil
+}
+
+// failureIn names the last failed test of an output, or its panic.
+func failureIn(output string) (name string) {
+	for line := range strings.Lines(output) {
+		if failed, ok := strings.CutPrefix(strings.TrimSpace(line), "--- FAIL: "); ok {
+			name, _, _ = strings.Cut(failed, " ")
+		} else if strings.HasPrefix(line, "panic: ") && name == "" {
+			name = strings.TrimSpace(line)
 		}
 	}
-	return err != nil, took, why, nil
+	return name
 }
 
-// apply makes a copy of the source with the fault in it.
+// runGo runs a build by the go command in a folder.
+func runGo(ctx context.Context, dir string, args ...string) error {
+	cmd := exec.CommandContext(ctx, "go", args...)
+	cmd.Dir = dir
+	if out, err := cmd.CombinedOutput(); err != nil {
+		return fmt.Errorf("it does not build: %s", out)
+	}
+	return nil
+}
+
+// apply makes a copy of the source, with the fault in it, in a folder.
 func (m *Mutant) apply(dir string) error {
 	if err := copySource(dir); err != nil {
 		return err
@@ -117,22 +143,20 @@
 	return os.WriteFile(path, []byte(strings.Replace(string(text), m.Old, m.New, 1)), 0o644)
 }
 
-// BuildProgram builds the scheduler with the fault in it, from the module in the current folder, in a folder
-// of its own, and returns the binary's path.
+// BuildProgram applies the mutant to a copy of the module in the current folder, made in dir,
+// builds the scheduler there and returns the binary's path.
 func (m *Mutant) BuildProgram(ctx context.Context, dir string) (program string, err error) {
 	if err := m.apply(dir); err != nil {
 		return "", err
 	}
 	program = filepath.Join(dir, "foxlift")
-	build := exec.CommandContext(ctx, "go", "build", "-o", program, "./cmd/foxlift")
-	build.Dir = dir
-	if out, err := build.CombinedOutput(); err != nil {
-		return "", fmt.Errorf("it does not build: %s", out)
+	if err := runGo(ctx, dir, "build", "-o", program, "./cmd/foxlift"); err != nil {
+		return "", err
 	}
 	return program, nil
 }
 
-// copySource copies what the module is built and tested from.
+// copySource copies what the module is built and tested from to a folder.
 func copySource(to string) error {
 	return filepath.WalkDir(".", func(path string, d fs.DirEntry, err error) error {
 		if err != nil {
