--- a/cmd/foxlift-lab/trials.go
+++ b/cmd/foxlift-lab/trials.go
@@ -50,7 +50,7 @@
 }
 
 func coldStart() *cobra.Command {
-	o := fleet.DefaultColdStart
+	o := fleet.DefaultSlowStartTrial
 	cmd := &cobra.Command{
 		Use: "coldstart", Short: "Start many scheduler processes at once on an old list, and watch lists, nodes and service", Args: cobra.NoArgs,
 		Long: `coldstart starts real scheduler processes, all at once, with the machine list from before
--- a/internal/daemon/fixture_test.go
+++ b/internal/daemon/fixture_test.go
@@ -22,7 +22,7 @@
 // world is a scheduler with cells between stand-ins.
 type fixture struct {
 	*Daemon
-	workers   []*standin.Node
+	workers   []*standin.Worker
 	discovery *standin.Discovery
 	operator  string
 	config    string
@@ -98,8 +98,8 @@
 	}
 }
 
-func (w *fixture) client(tenant, class, name string) *standin.Submitter {
-	return &standin.Submitter{Addr: w.Addr().String(), Tenant: tenant, Class: class, Name: name, Aim: patience, Remaining: 5 * time.Second}
+func (w *fixture) client(tenant, class, name string) *standin.Client {
+	return &standin.Client{Addr: w.Addr().String(), Tenant: tenant, Class: class, Name: name, LatencyObjective: patience, Remaining: 5 * time.Second}
 }
 
 // workerCells is the cell of each node, by name.
--- a/internal/daemon/scenario_test.go
+++ b/internal/daemon/scenario_test.go
@@ -56,7 +56,7 @@
 	settings, err := config.ParseSettings([]byte(scenarioSettings))
 	must(err)
 	settings.Module.PollEndpoints = true
-	var nodes []*standin.Node
+	var nodes []*standin.Worker
 	for i := range 3 {
 		n, err := standin.StartNode(fmt.Sprint("n", i), "a", "k", 2, 4, func(string) time.Duration { return 2 * time.Millisecond })
 		must(err)
--- a/internal/lab/capacity/control.go
+++ b/internal/lab/capacity/control.go
@@ -47,10 +47,10 @@
 		w := hollowWorker(from + i)
 		entries[i] = standin.Entry{
 			Host: w.ID, Dial: unusedAddr, Zone: fmt.Sprintf("zone-%02d", w.Zone), Kind: fmt.Sprintf("kind-%d", w.Kind),
-			Health: "active", Born: hollowStartedAt,
+			Health: "active", StartedAt: hollowStartedAt,
 		}
 	}
-	d.Tell(entries...)
+	d.Announce(entries...)
 }
 
 // hollowStartedAt is when the hollow workers started: long ago, as long as any other time to write.
@@ -263,7 +263,7 @@
 	}
 	return processSample{
 		at: time.Now(), cpu: stat.CPUTime(), memory: float64(stat.ResidentMemory()),
-		bytes: link.Carried(fleet.There) + link.Carried(fleet.Back),
+		bytes: link.Carried(fleet.ToTarget) + link.Carried(fleet.FromTarget),
 	}, nil
 }
 
--- a/internal/lab/capacity/faults.go
+++ b/internal/lab/capacity/faults.go
@@ -112,14 +112,14 @@
 		t.oldestDelta = int64(t.Discovery.Version())
 	}
 	link := t.Links[0]
-	before, began := link.Carried(fleet.Back), time.Now()
+	before, began := link.Carried(fleet.FromTarget), time.Now()
 	if err := t.process.Start(); err != nil {
 		return err
 	}
 	if err := awaitWorkerCount(ctx, t.process, len(t.workers)); err != nil {
 		return fmt.Errorf("after %s: %w", startFaultNames[fault], err)
 	}
-	bytes, took := link.Carried(fleet.Back)-before, time.Since(began).Seconds()
+	bytes, took := link.Carried(fleet.FromTarget)-before, time.Since(began).Seconds()
 	t.judgeStart(fault, bytes, took)
 	fmt.Fprintf(out, "start %2d after %-20s %8.1f KB from discovery, in force after %.2f s, %d entries changed\n",
 		t.result.Starts, startFaultNames[fault]+":", float64(bytes)/kilobyte, took, t.changedSince())
@@ -149,7 +149,7 @@
 		<-time.After(time.Duration(t.rng.IntN(int(checkpointWriteTime))))
 		t.process.Kill()
 	default:
-		if err := t.process.End(); err != nil {
+		if err := t.process.Terminate(); err != nil {
 			t.result.uncleanExit = true
 		}
 	}
@@ -165,10 +165,10 @@
 		return nil
 	}
 	var saved platform.EndpointSnapshot
-	err := checkpoint.File(t.process.Kept).Read(&saved)
+	err := checkpoint.File(t.process.Checkpoint).Read(&saved)
 	switch {
 	case err == nil:
-		_, err := checkpoint.New(t.process.Kept, &counters.Set{}).Load(t.Links[0].Addr().String(), time.Now())
+		_, err := checkpoint.New(t.process.Checkpoint, &counters.Set{}).Load(t.Links[0].Addr().String(), time.Now())
 		t.checkpointUsable, t.checkpointVersion = err == nil && saved.Version >= t.oldestDelta, saved.Version
 	case was && !errors.Is(err, os.ErrNotExist):
 		return fmt.Errorf("a whole list was kept, and its replacement leaves: %w", err)
--- a/internal/lab/capacity/faultslist.go
+++ b/internal/lab/capacity/faultslist.go
@@ -44,7 +44,7 @@
 		t.workers[at] = t.workers[len(t.workers)-1]
 		t.workers = t.workers[:len(t.workers)-1]
 	}
-	t.Discovery.Tell(entries...)
+	t.Discovery.Announce(entries...)
 	t.recordChange(count)
 }
 
--- a/internal/lab/capacity/runevents.go
+++ b/internal/lab/capacity/runevents.go
@@ -48,7 +48,7 @@
 		<-time.After(interruptionDuration)
 		link.Heal()
 	case connectionSilenced:
-		link.Silence(fleet.There, fleet.Back)
+		link.Silence(fleet.ToTarget, fleet.FromTarget)
 		t.changeList()
 		<-time.After(interruptionDuration)
 		link.Heal()
--- a/internal/lab/capacity/startfaults.go
+++ b/internal/lab/capacity/startfaults.go
@@ -33,7 +33,7 @@
 
 // spoil does a fault to what is kept, or to discovery.
 func (t *faultsTrial) injectFault(fault startFault) error {
-	path := t.process.Kept
+	path := t.process.Checkpoint
 	t.checkpointUsable = t.checkpointUsable && fault == noFault
 	switch {
 	case t.WithoutCheckpoint || fault == noFault || fault == compacted:
@@ -70,7 +70,7 @@
 
 // rewrite changes a list that is kept, in its own form.
 func (t *faultsTrial) rewriteCheckpoint(change func(*platform.EndpointSnapshot)) error {
-	file := checkpoint.File(t.process.Kept)
+	file := checkpoint.File(t.process.Checkpoint)
 	var saved platform.EndpointSnapshot
 	if err := file.Read(&saved); err != nil {
 		return nil // there is none, or it was spoilt before: the start is without one either way
--- a/internal/lab/cells.go
+++ b/internal/lab/cells.go
@@ -194,7 +194,7 @@
 	for _, tally := range load.CollectTallies() {
 		total = standin.Total(total, tally)
 	}
-	fmt.Fprintf(w, "%d moves under load: %d jobs, %.1f %% served in time\n", r.Migrations, total.Asked, total.Service())
+	fmt.Fprintf(w, "%d moves under load: %d jobs, %.1f %% served in time\n", r.Migrations, total.Sent, total.Service())
 	return nil
 }
 
@@ -215,7 +215,7 @@
 			worst = max(worst, loss)
 		}
 		fmt.Fprintf(table, "%s\t%d\t%.1f %%\t%d\t%.1f %%\t%d\t%+.1f\t\n",
-			name, before.Asked, before.Service(), during.Asked, during.Service(), during.Refused, -loss)
+			name, before.Sent, before.Service(), during.Sent, during.Service(), during.Shed, -loss)
 	}
 	return worst, table.Flush()
 }
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -82,7 +82,7 @@
 func printDemoVerdict(w io.Writer, v Verdict) error {
 	total := v.Total
 	fmt.Fprintf(w, "\n%d jobs: %d served in time, %d late, %d refused, %d failed; ",
-		total.Asked, total.Served, total.Late, total.Refused, total.Failed)
+		total.Sent, total.Served, total.Late, total.Shed, total.Failed)
 	fmt.Fprintf(w, "without an answer %d, run twice that must not %d\n", total.Lost, v.RanTwice)
 	if total.Lost+v.RanTwice+v.ServedWithoutRun > 0 {
 		return fmt.Errorf("a promise was broken: lost %d, twice %d, served but never run %d",
--- a/internal/lab/fleet/cut_test.go
+++ b/internal/lab/fleet/cut_test.go
@@ -18,14 +18,14 @@
 // is gone, as late as the cut was long.
 func TestCutNodesGetNoLateRequests(t *testing.T) {
 	f := small(t, 2, func(o *Options) {
-		o.NodeLinks = true
+		o.WorkerLinks = true
 		for i := range o.Classes {
 			o.Classes[i].Deadline = 20 * time.Second // requests outlive the cut
 		}
 	})
 	must(t, f.StartAll(20*time.Second))
 	awaitLists(t, f, f.Processes...)
-	cut := f.Nodes()[:4]
+	cut := f.Workers()[:4]
 	for _, n := range cut {
 		silence(f, n)
 	}
@@ -45,7 +45,7 @@
 	for _, n := range cut {
 		await(t, n.Name+" gets what was held back", func() bool { return waitingFor(f, n) == 0 })
 	}
-	ends(t, f, l, standin.Tally{})
+	terminates(t, f, l, standin.Tally{})
 	for _, n := range cut {
 		if late := n.LastBegun().Sub(told); late > 0 {
 			t.Errorf("a request reaches %s %v after all schedulers were told that it is gone", n.Name, late)
@@ -54,23 +54,23 @@
 }
 
 // silence holds back all that goes between the schedulers and a node.
-func silence(f *Fleet, n *standin.Node) {
+func silence(f *Fleet, n *standin.Worker) {
 	for i := range f.Processes {
-		f.NodeLink(i, n).Silence(There, Back)
+		f.WorkerLink(i, n).Silence(ToTarget, FromTarget)
 	}
 }
 
 // heal passes it on again.
-func heal(f *Fleet, n *standin.Node) {
+func heal(f *Fleet, n *standin.Worker) {
 	for i := range f.Processes {
-		f.NodeLink(i, n).Heal()
+		f.WorkerLink(i, n).Heal()
 	}
 }
 
 // waitingFor returns how many bytes for a node are held back.
-func waitingFor(f *Fleet, n *standin.Node) (sum int) {
+func waitingFor(f *Fleet, n *standin.Worker) (sum int) {
 	for i := range f.Processes {
-		sum += f.NodeLink(i, n).Waiting()
+		sum += f.WorkerLink(i, n).Waiting()
 	}
 	return sum
 }
@@ -80,37 +80,37 @@
 	t.Helper()
 	version := f.Discovery.Version()
 	for _, p := range which {
-		await(t, p.Name+" has the newest list", func() bool { return f.Discovery.Told(p.Name) >= version })
+		await(t, p.Name+" has the newest list", func() bool { return f.Discovery.Announced(p.Name) >= version })
 	}
 }
 
 // A scheduler is killed, nodes go off the list while it is down, and it starts again with the list as it was
 // before: it sends nothing there while discovery, which can be reached, is late with its answer.
-func TestOldListSendsNothingToNodesThatLeft(t *testing.T) {
+func TestExpiredListSendsNothingToRemovedWorkers(t *testing.T) {
 	f := small(t, 2, nil)
 	must(t, f.StartAll(20*time.Second))
 	awaitLists(t, f, f.Processes...)
 	p := f.Processes[0]
 	p.Kill()
-	left := f.Nodes()[:4]
+	left := f.Workers()[:4]
 	for i, n := range left {
 		f.Discovery.Put(n, []string{"left", "leaving"}[i%2])
 	}
 	awaitVersion(t, f, f.Processes[1])
 	for _, l := range f.Links {
-		l.Slow(500*time.Millisecond, 0) // there and back: the answer is a second late
+		l.Throttle(500*time.Millisecond, 0) // there and back: the answer is a second late
 	}
 	restarted := time.Now()
 	must(t, p.Start())
 	await(t, "it listens", func() bool { return reachable(p.Addr) })
-	early := &standin.Submitter{Addr: p.Addr, Tenant: "all", Class: "ratify", Remaining: 4 * time.Second, Name: "early/ratify/0"}
+	early := &standin.Client{Addr: p.Addr, Tenant: "all", Class: "ratify", Remaining: 4 * time.Second, Name: "early/ratify/0"}
 	var jobs sync.WaitGroup
 	for range 8 {
 		jobs.Go(func() { early.Send() })
 	}
 	serves(t, f, "restarted")
 	jobs.Wait()
-	if tally := early.Take(); tally.Lost+tally.Failed > 0 {
+	if tally := early.ResetTally(); tally.Lost+tally.Failed > 0 {
 		t.Errorf("of the jobs that came before the answer: %+v", tally)
 	}
 	for _, n := range left {
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -21,13 +21,13 @@
 // Options say what a fleet is made of.
 type Options struct {
 	lab.Topology
-	Program   string        // the scheduler's binary
-	Price     standin.Price // of calls to discovery
-	Cold      *standin.Cold // of nodes that start; nil: they are warm at once
-	PodWindow time.Duration // in which pods really drop repeats; 0: as the settings say
-	NodeLinks bool          // a link between each scheduler and each node: only for small fleets
-	Admin     bool          // each process has a second address, for its operators
-	Operator  string        // text of each process's operator's file, with %s for a path of its own; "": none
+	Program     string             // the scheduler's binary
+	Price       standin.Price      // of calls to discovery
+	SlowStart   *standin.SlowStart // of nodes that start; nil: they are warm at once
+	GroupWindow time.Duration      // in which pods really drop repeats; 0: as the settings say
+	WorkerLinks bool               // a link between each scheduler and each node: only for small fleets
+	Admin       bool               // each process has a second address, for its operators
+	Operator    string             // text of each process's operator's file, with %s for a path of its own; "": none
 }
 
 // A Fleet is the running processes and what they meet.
@@ -35,23 +35,23 @@
 	Options
 	Processes []*Process
 	Discovery *standin.Discovery
-	Links     []*Link // of each process to discovery
-	Talk      *Talk   // between the processes; nil where they do not speak with each other
+	Links     []*Link    // of each process to discovery
+	Messaging *Messaging // between the processes; nil where they do not speak with each other
 
-	mu        sync.Mutex
-	nodes     []*standin.Node // all that ever were
-	up        map[string]*standin.Node
-	nodeLinks []map[string]*Link // of each process, by the node's name
-	dir       string
-	ends      []func()
-	began     int // nodes
-	pods      []*standin.Pod
-	later     []*Process // successors
+	mu             sync.Mutex
+	workers        []*standin.Worker // all that ever were
+	running        map[string]*standin.Worker
+	workerLinks    []map[string]*Link // of each process, by the node's name
+	dir            string
+	cleanups       []func()
+	workersStarted int // nodes
+	groups         []*standin.DedupGroup
+	successors     []*Process // successors
 }
 
 // New makes a fleet. Its processes have not been started yet: StartAll does.
 func New(o Options) (f *Fleet, err error) {
-	f = &Fleet{Options: o, up: map[string]*standin.Node{}}
+	f = &Fleet{Options: o, running: map[string]*standin.Worker{}}
 	defer func() {
 		if err != nil {
 			f.Close()
@@ -65,17 +65,17 @@
 	}
 	f.Discovery.Price = o.Price
 	for i := range o.Groups {
-		f.pods = append(f.pods, &standin.Pod{Number: i, Window: f.podWindow()})
+		f.groups = append(f.groups, &standin.DedupGroup{Number: i, Window: f.groupWindow()})
 	}
 	if o.Gossip {
-		if f.Talk, err = newTalk(o.Schedulers); err != nil {
+		if f.Messaging, err = newMessaging(o.Schedulers); err != nil {
 			return nil, err
 		}
-		f.ends = append(f.ends, f.Talk.close)
+		f.cleanups = append(f.cleanups, f.Messaging.close)
 	}
 	for _, k := range o.Kinds {
 		for range k.Count {
-			if _, err := f.AddNode(k, time.Time{}); err != nil {
+			if _, err := f.AddWorker(k, time.Time{}); err != nil {
 				return nil, err
 			}
 		}
@@ -88,42 +88,42 @@
 	return f, nil
 }
 
-// podWindow is how long pods drop repeats: as long as the settings say, if nothing else is asked for.
-func (f *Fleet) podWindow() time.Duration {
-	if f.PodWindow != 0 {
-		return f.PodWindow
+// groupWindow is how long pods drop repeats: as long as the settings say, if nothing else is asked for.
+func (f *Fleet) groupWindow() time.Duration {
+	if f.GroupWindow != 0 {
+		return f.GroupWindow
 	}
 	return f.DedupWindow
 }
 
-// AddNode starts a node and has discovery tell of it; started is its start, zero: long ago.
-func (f *Fleet) AddNode(k lab.WorkerKind, started time.Time) (*standin.Node, error) {
+// AddWorker starts a node and has discovery tell of it; started is its start, zero: long ago.
+func (f *Fleet) AddWorker(k lab.WorkerKind, started time.Time) (*standin.Worker, error) {
 	l, err := standin.Listen()
 	if err != nil {
 		return nil, err
 	}
 	f.mu.Lock()
-	name, zone := fmt.Sprintf("%s-%d", k.Name, f.began), f.Zones[f.began%len(f.Zones)]
-	f.began++
+	name, zone := fmt.Sprintf("%s-%d", k.Name, f.workersStarted), f.Zones[f.workersStarted%len(f.Zones)]
+	f.workersStarted++
 	f.mu.Unlock()
-	return f.startNode(l, name, zone, k, started), nil
+	return f.startWorker(l, name, zone, k, started), nil
 }
 
-func (f *Fleet) startNode(l net.Listener, name, zone string, k lab.WorkerKind, started time.Time) *standin.Node {
+func (f *Fleet) startWorker(l net.Listener, name, zone string, k lab.WorkerKind, started time.Time) *standin.Worker {
 	work := map[string]time.Duration{}
 	for _, c := range f.Classes {
 		work[c.Name] = time.Duration(float64(c.ServiceTime) / k.Speed)
 	}
-	n := standin.NodeOn(l, name, zone, k.Name, k.Slots, 2*k.Slots, func(class string) time.Duration { return work[class] })
-	n.Started, n.Cold, n.Reports = started, f.Cold, f.LoadReports
-	if len(f.pods) > 0 {
+	n := standin.WorkerOn(l, name, zone, k.Name, k.Slots, 2*k.Slots, func(class string) time.Duration { return work[class] })
+	n.Started, n.SlowStart, n.Reports = started, f.SlowStart, f.LoadReports
+	if len(f.groups) > 0 {
 		f.mu.Lock()
-		n.Pod = f.pods[len(f.nodes)%len(f.pods)]
+		n.Group = f.groups[len(f.workers)%len(f.groups)]
 		f.mu.Unlock()
 	}
 	f.mu.Lock()
-	f.nodes = append(f.nodes, n)
-	f.up[name] = n
+	f.workers = append(f.workers, n)
+	f.running[name] = n
 	f.mu.Unlock()
 	f.Discovery.Put(n, "active")
 	return n
@@ -131,9 +131,9 @@
 
 // Restart kills a node's process and starts it again, cold: its address is the same, and so
 // is its name, unless another is given: then another node has its address.
-func (f *Fleet) Restart(n *standin.Node, name string) (*standin.Node, error) {
+func (f *Fleet) Restart(n *standin.Worker, name string) (*standin.Worker, error) {
 	k, addr := f.kind(n), n.Addr()
-	f.takeDown(n)
+	f.crash(n)
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
@@ -143,34 +143,34 @@
 	} else {
 		f.Discovery.Put(n, "left")
 	}
-	return f.startNode(l, name, n.Zone, k, time.Now()), nil
+	return f.startWorker(l, name, n.Zone, k, time.Now()), nil
 }
 
-func (f *Fleet) takeDown(n *standin.Node) {
+func (f *Fleet) crash(n *standin.Worker) {
 	n.Crash()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.up, n.Name)
+	delete(f.running, n.Name)
 }
 
-func (f *Fleet) kind(n *standin.Node) lab.WorkerKind {
+func (f *Fleet) kind(n *standin.Worker) lab.WorkerKind {
 	return f.Kinds[slices.IndexFunc(f.Kinds, func(k lab.WorkerKind) bool { return k.Name == n.Kind })]
 }
 
 // Replace takes a node away without a word and starts another, cold, in its place.
-func (f *Fleet) Replace(n *standin.Node) (*standin.Node, error) {
-	f.takeDown(n)
+func (f *Fleet) Replace(n *standin.Worker) (*standin.Worker, error) {
+	f.crash(n)
 	f.Discovery.Put(n, "left")
-	return f.AddNode(f.kind(n), time.Now())
+	return f.AddWorker(f.kind(n), time.Now())
 }
 
 // Nodes returns the nodes that are up, in the order of their starts.
-func (f *Fleet) Nodes() []*standin.Node {
+func (f *Fleet) Workers() []*standin.Worker {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var up []*standin.Node
-	for _, n := range f.nodes {
-		if f.up[n.Name] == n {
+	var up []*standin.Worker
+	for _, n := range f.workers {
+		if f.running[n.Name] == n {
 			up = append(up, n)
 		}
 	}
@@ -180,13 +180,13 @@
 // add prepares process i: its view of discovery, its links and its configuration.
 func (f *Fleet) add(i int) error {
 	view := fmt.Sprint("n", i)
-	f.nodeLinks = append(f.nodeLinks, map[string]*Link{})
+	f.workerLinks = append(f.workerLinks, map[string]*Link{})
 	l, err := standin.Listen()
 	if err != nil {
 		return err
 	}
 	server := f.Discovery.View(l, view, f.dial(i))
-	f.ends = append(f.ends, func() { server.Close(); server.Reset() })
+	f.cleanups = append(f.cleanups, func() { server.Close(); server.Reset() })
 	link, err := newLink(l.Addr().String())
 	if err != nil {
 		return err
@@ -207,8 +207,8 @@
 	}
 	if f.Operator != "" {
 		operator := filepath.Join(f.dir, view+".sexp")
-		p.Kept, p.args = filepath.Join(f.dir, view+".kept"), []string{"serve", "--operator", operator}
-		if err := os.WriteFile(operator, fmt.Appendf(nil, f.Operator, p.Kept), 0o600); err != nil {
+		p.Checkpoint, p.args = filepath.Join(f.dir, view+".kept"), []string{"serve", "--operator", operator}
+		if err := os.WriteFile(operator, fmt.Appendf(nil, f.Operator, p.Checkpoint), 0o600); err != nil {
 			return err
 		}
 	}
@@ -226,8 +226,8 @@
 	if f.Admin {
 		config["admin"] = f.Processes[i].Admin
 	}
-	if f.Talk != nil {
-		config["peer_listen"], config["peers"] = f.Talk.listen[i], f.Talk.faces[i]
+	if f.Messaging != nil {
+		config["peer_listen"], config["peers"] = f.Messaging.listen[i], f.Messaging.faces[i]
 	}
 	text, err := json.Marshal(config)
 	if err != nil {
@@ -236,14 +236,14 @@
 	return os.WriteFile(filepath.Join(f.dir, f.Processes[i].Name+".json"), text, 0o600)
 }
 
-// MoveDiscovery names another address of discovery in the configuration of process i, which
+// ChangeDiscovery names another address of discovery in the configuration of process i, which
 // learns of it with SIGHUP. The link there replaces that in Links; the old one remains as it is.
-func (f *Fleet) MoveDiscovery(i int) error {
+func (f *Fleet) ChangeDiscovery(i int) error {
 	link, err := newLink(f.Links[i].target)
 	if err != nil {
 		return err
 	}
-	f.ends = append(f.ends, f.Links[i].close)
+	f.cleanups = append(f.cleanups, f.Links[i].close)
 	f.Links[i] = link
 	return f.Configure(i, f.Discovery.KnownAt(f.dial(i)))
 }
@@ -255,12 +255,12 @@
 
 // via returns the address by which process i reaches a node.
 func (f *Fleet) via(i int, host, addr string) string {
-	if !f.NodeLinks {
+	if !f.WorkerLinks {
 		return addr
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	links := f.nodeLinks[i]
+	links := f.workerLinks[i]
 	if links[host] == nil {
 		l, err := newLink(addr)
 		if err != nil {
@@ -271,11 +271,11 @@
 	return links[host].Addr().String()
 }
 
-// NodeLink returns the link of process i to a node; nil if there is none.
-func (f *Fleet) NodeLink(i int, n *standin.Node) *Link {
+// WorkerLink returns the link of process i to a node; nil if there is none.
+func (f *Fleet) WorkerLink(i int, n *standin.Worker) *Link {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.nodeLinks[i][n.Name]
+	return f.workerLinks[i][n.Name]
 }
 
 // StartAll starts the processes at once and waits until each is ready.
@@ -293,9 +293,9 @@
 	f.each(func(p *Process) error { p.Kill(); return nil })
 }
 
-// EndAll ends the processes with SIGTERM and returns what they ended with.
-func (f *Fleet) EndAll() error {
-	return f.each((*Process).End)
+// TerminateAll ends the processes with SIGTERM and returns what they ended with.
+func (f *Fleet) TerminateAll() error {
+	return f.each((*Process).Terminate)
 }
 
 func (f *Fleet) each(do func(p *Process) error) error {
@@ -320,7 +320,7 @@
 func (f *Fleet) Fallen() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, node := range f.nodes {
+	for _, node := range f.workers {
 		if node.Fallen() {
 			n++
 		}
@@ -333,7 +333,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	runs := map[string]int{}
-	for _, n := range f.nodes {
+	for _, n := range f.workers {
 		for id, k := range n.Runs() {
 			runs[id] += k
 		}
@@ -350,7 +350,7 @@
 func (f *Fleet) Requests() (sum int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, n := range f.nodes {
+	for _, n := range f.workers {
 		sum += n.Requests()
 	}
 	return sum
@@ -360,7 +360,7 @@
 func (f *Fleet) Arrivals() (all []standin.Arrival) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, n := range f.nodes {
+	for _, n := range f.workers {
 		all = append(all, n.Arrivals()...)
 	}
 	return all
@@ -369,28 +369,28 @@
 // Close ends everything: each process by its own id.
 func (f *Fleet) Close() {
 	f.KillAll()
-	for _, p := range f.later {
+	for _, p := range f.successors {
 		p.Kill()
 	}
-	for _, p := range slices.Concat(f.Processes, f.later) {
+	for _, p := range slices.Concat(f.Processes, f.successors) {
 		p.wait.Wait()
 	}
 	for _, l := range f.Links {
 		l.close()
 	}
-	for _, links := range f.nodeLinks {
+	for _, links := range f.workerLinks {
 		for _, l := range links {
 			l.close()
 		}
 	}
-	for _, end := range f.ends {
+	for _, end := range f.cleanups {
 		end()
 	}
 	if f.Discovery != nil {
 		f.Discovery.Close()
 		f.Discovery.Reset()
 	}
-	for _, n := range f.nodes {
+	for _, n := range f.workers {
 		n.Crash()
 	}
 	os.RemoveAll(f.dir)
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -69,7 +69,7 @@
 // Discovery has news for them: a watch with none is answered late.
 func awaitLists(t *testing.T, f *Fleet, which ...*Process) {
 	t.Helper()
-	f.Discovery.Put(f.Nodes()[0], "active")
+	f.Discovery.Put(f.Workers()[0], "active")
 	awaitAnswers(t, f, which...)
 }
 
@@ -105,11 +105,11 @@
 }
 
 // learnsOf submits jobs until a node that they did not know runs some, and judges.
-func learnsOf(t *testing.T, f *Fleet, name string, fresh *standin.Node) {
+func learnsOf(t *testing.T, f *Fleet, name string, fresh *standin.Worker) {
 	t.Helper()
 	l := f.StartLoad(name, 400, 2)
 	await(t, "the new node runs jobs", func() bool { return len(fresh.Runs()) > 0 })
-	ends(t, f, l, standin.Tally{})
+	terminates(t, f, l, standin.Tally{})
 }
 
 // serves submits jobs at every process until each has served some, and judges: each job
@@ -120,17 +120,17 @@
 	l := f.StartLoad(name, 20*float64(len(f.Processes)), 1)
 	sum := standin.Tally{}
 	await(t, "jobs are served", func() bool {
-		sum = standin.Total(sum, l.Take())
+		sum = standin.Total(sum, l.ResetTally())
 		return sum.Served+sum.Late >= 5*len(f.Processes)
 	})
-	ends(t, f, l, sum)
+	terminates(t, f, l, sum)
 }
 
 // ends ends a load, some of whose jobs have been counted, and judges.
-func ends(t *testing.T, f *Fleet, l *Load, sum standin.Tally) {
+func terminates(t *testing.T, f *Fleet, l *Load, sum standin.Tally) {
 	t.Helper()
 	if sum = standin.Total(sum, l.Stop()); sum.Lost > 0 {
-		t.Errorf("%d of %d jobs without a whole answer", sum.Lost, sum.Asked)
+		t.Errorf("%d of %d jobs without a whole answer", sum.Lost, sum.Sent)
 	}
 	judge(t, f)
 }
@@ -147,7 +147,7 @@
 }
 
 // All are killed at once, come back, and are killed again while they ask.
-func TestAllKilledAtOnceAndAgainWhileTheyAsk(t *testing.T) {
+func TestAllKilledTwiceWhilePolling(t *testing.T) {
 	f := small(t, 12, nil)
 	must(t, f.StartAll(20*time.Second))
 	awaitLists(t, f, f.Processes...)
@@ -155,13 +155,13 @@
 	for _, p := range f.Processes {
 		must(t, p.Start())
 	}
-	asked := f.Discovery.Calls().Asked
-	await(t, "some ask", func() bool { return f.Discovery.Calls().Asked > asked })
+	asked := f.Discovery.Calls().Received
+	await(t, "some ask", func() bool { return f.Discovery.Calls().Received > asked })
 	f.KillAll()
 	must(t, f.StartAll(20*time.Second))
 	serves(t, f, "after")
 	awaitLists(t, f, f.Processes...)
-	must(t, f.EndAll())
+	must(t, f.TerminateAll())
 }
 
 // Discovery is down while they start: they serve from what they know; when it is back all
@@ -169,7 +169,7 @@
 func TestDiscoveryDownDuringTheStart(t *testing.T) {
 	for name, down := range map[string]func(*Link){
 		"refusing": (*Link).Cut,
-		"silent":   func(l *Link) { l.Silence(There, Back) },
+		"silent":   func(l *Link) { l.Silence(ToTarget, FromTarget) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := small(t, 6, nil)
@@ -181,7 +181,7 @@
 			if n := f.Discovery.Calls().Answered; n > 0 {
 				t.Errorf("%d calls were answered by a discovery that is down", n)
 			}
-			fresh, err := f.AddNode(f.Kinds[0], time.Time{})
+			fresh, err := f.AddWorker(f.Kinds[0], time.Time{})
 			must(t, err)
 			for _, l := range f.Links {
 				l.Heal()
@@ -197,12 +197,12 @@
 func TestDiscoveryReachableFromHalf(t *testing.T) {
 	f := small(t, 8, nil)
 	for _, l := range f.Links[4:] {
-		l.Silence(Back)
+		l.Silence(FromTarget)
 	}
 	must(t, f.StartAll(20*time.Second))
 	awaitLists(t, f, f.Processes[:4]...)
 	serves(t, f, "half")
-	must(t, f.EndAll()) // which prints the counters
+	must(t, f.TerminateAll()) // which prints the counters
 	for i, p := range f.Processes {
 		if told := p.Counter("machines.told") > 1; told != (i < 4) { // the first is the known list
 			t.Errorf("%s was told of changes: %v", p.Name, told)
@@ -211,9 +211,9 @@
 }
 
 // All that they know is gone: jobs are answered at once, and served once the list is there.
-func TestKnownInWhichEveryNodeIsGone(t *testing.T) {
+func TestCachedListWithEveryWorkerRemoved(t *testing.T) {
 	f := small(t, 6, nil)
-	for _, n := range f.Nodes() {
+	for _, n := range f.Workers() {
 		_, err := f.Replace(n)
 		must(t, err)
 	}
@@ -230,7 +230,7 @@
 		must(t, f.Configure(i, []byte("null")))
 		f.Links[i].Cut()
 		must(t, p.Start())
-		early := &standin.Submitter{Addr: p.Addr, Tenant: "all", Class: "ratify", Remaining: time.Second, Name: "early/ratify/" + p.Name}
+		early := &standin.Client{Addr: p.Addr, Tenant: "all", Class: "ratify", Remaining: time.Second, Name: "early/ratify/" + p.Name}
 		await(t, p.Name+" answers", func() bool { return early.Send() == http.StatusServiceUnavailable })
 		if err := p.AwaitReady(0); err == nil {
 			t.Errorf("%s is ready and knows no node", p.Name)
@@ -243,10 +243,10 @@
 }
 
 // A process stands still between its call and the answer: it goes on with what came.
-func TestStoppedBetweenAskAndAnswer(t *testing.T) {
+func TestStoppedBetweenPollAndAnswer(t *testing.T) {
 	f := small(t, 5, nil)
 	for _, l := range f.Links {
-		l.Silence(There)
+		l.Silence(ToTarget)
 	}
 	must(t, f.StartAll(20*time.Second))
 	p := f.Processes[0]
@@ -266,38 +266,38 @@
 	must(t, f.StartAll(20*time.Second))
 	awaitLists(t, f, f.Processes...)
 	for _, l := range f.Links {
-		l.Slow(0, 200) // an answer takes some seconds
+		l.Throttle(0, 200) // an answer takes some seconds
 	}
-	asked := f.Discovery.Calls().Asked
-	fresh, err := f.AddNode(f.Kinds[0], time.Time{})
+	asked := f.Discovery.Calls().Received
+	fresh, err := f.AddWorker(f.Kinds[0], time.Time{})
 	must(t, err)
 	for _, l := range f.Links {
 		l.Reset()
 		l.Heal()
 	}
-	await(t, "all ask again", func() bool { return f.Discovery.Calls().Asked >= asked+len(f.Processes) })
+	await(t, "all ask again", func() bool { return f.Discovery.Calls().Received >= asked+len(f.Processes) })
 	learnsOf(t, f, "cut", fresh)
 }
 
 // SIGTERM while they start and hear nothing of discovery: each ends well, and every job
 // taken until then has its answer.
-func TestEndDuringTheStart(t *testing.T) {
+func TestTerminatedDuringStart(t *testing.T) {
 	f := small(t, 5, nil)
 	for _, l := range f.Links {
-		l.Silence(There, Back)
+		l.Silence(ToTarget, FromTarget)
 	}
 	l := f.StartLoad("end", 100, 1)
 	must(t, f.StartAll(20*time.Second))
 	sum := standin.Tally{}
 	await(t, "jobs are served", func() bool {
-		sum = standin.Total(sum, l.Take())
+		sum = standin.Total(sum, l.ResetTally())
 		return sum.Served > 0
 	})
 	close(l.stop)
-	must(t, f.EndAll())
+	must(t, f.TerminateAll())
 	l.wait.Wait()
-	if sum = standin.Total(sum, l.Take()); sum.Lost > 0 {
-		t.Errorf("%d of %d jobs lost", sum.Lost, sum.Asked)
+	if sum = standin.Total(sum, l.ResetTally()); sum.Lost > 0 {
+		t.Errorf("%d of %d jobs lost", sum.Lost, sum.Sent)
 	}
 	if f.Counter("jobs.taken") == 0 {
 		t.Error("no counters are printed at the end")
@@ -308,26 +308,26 @@
 // A node that is cut off from one process in silence, both ways, costs it no job that may
 // run elsewhere, and the others nothing.
 func TestNodeSilentForOne(t *testing.T) {
-	f := small(t, 4, func(o *Options) { o.NodeLinks = true })
+	f := small(t, 4, func(o *Options) { o.WorkerLinks = true })
 	must(t, f.StartAll(20*time.Second))
 	awaitLists(t, f, f.Processes...)
-	f.NodeLink(0, f.Nodes()[0]).Silence(There, Back)
+	f.WorkerLink(0, f.Workers()[0]).Silence(ToTarget, FromTarget)
 	l := f.StartLoad("silent", 120, 3)
 	sum := standin.Tally{}
 	await(t, "jobs are served", func() bool {
-		sum = standin.Total(sum, l.Take())
+		sum = standin.Total(sum, l.ResetTally())
 		return sum.Served >= 100
 	})
-	ends(t, f, l, sum)
+	terminates(t, f, l, sum)
 }
 
 // The oracle sees: a cold node that is sent too much falls, one that is not does not.
-func TestColdNodeFalls(t *testing.T) {
+func TestSlowStartWorkerOverloads(t *testing.T) {
 	for jobs, falls := range map[int]bool{3: false, 60: true} {
 		f := small(t, 1, func(o *Options) {
-			o.Cold = &standin.Cold{From: 0.2, Warm: time.Hour, Multiple: 3, Window: time.Second}
+			o.SlowStart = &standin.SlowStart{InitialCapacity: 0.2, Duration: time.Hour, OverloadMultiple: 3, OverloadWindow: time.Second}
 		})
-		n, err := f.AddNode(f.Kinds[0], time.Now())
+		n, err := f.AddWorker(f.Kinds[0], time.Now())
 		must(t, err)
 		for i := range jobs { // 0.06 s of work each: 2.4 s in a second are too much
 			c, err := net.Dial("tcp", n.Addr())
@@ -340,16 +340,16 @@
 }
 
 // The trial itself, small: it passes, and its result fails where a node fell.
-func TestColdStartTrial(t *testing.T) {
-	r, err := ColdStart{Program: program, Schedulers: 5, Nodes: 10, Seed: 1, For: 3 * time.Second, Load: 0.2, Replaced: 0.5}.Run(io.Discard)
+func TestSlowStartTrial(t *testing.T) {
+	r, err := SlowStartTrial{Program: program, Schedulers: 5, Nodes: 10, Seed: 1, For: 3 * time.Second, Load: 0.2, Replaced: 0.5}.Run(io.Discard)
 	must(t, err)
 	// 10 nodes do 42 of these jobs a second; asked for are a fifth, and all must count.
-	if !r.OK() || r.Listed != 5 || !r.Drained || r.Tally.Asked < 15 {
+	if !r.OK() || r.Informed != 5 || !r.Drained || r.Tally.Sent < 15 {
 		t.Errorf("%s (drained %v)", r.Line(), r.Drained)
 	}
-	for _, bad := range []func(*ColdStartResult){
-		func(r *ColdStartResult) { r.Fallen = 1 }, func(r *ColdStartResult) { r.Tally.Lost = 1 },
-		func(r *ColdStartResult) { r.Twice = 1 }, func(r *ColdStartResult) { r.Ended = false },
+	for _, bad := range []func(*SlowStartResult){
+		func(r *SlowStartResult) { r.Fallen = 1 }, func(r *SlowStartResult) { r.Tally.Lost = 1 },
+		func(r *SlowStartResult) { r.Twice = 1 }, func(r *SlowStartResult) { r.Ended = false },
 	} {
 		b := r
 		if bad(&b); b.OK() {
--- a/internal/lab/fleet/keyed.go
+++ b/internal/lab/fleet/keyed.go
@@ -28,26 +28,26 @@
 
 // A KeyedResult is what a trial saw.
 type KeyedResult struct {
-	Resets, Silences int
-	Tally            standin.Tally
-	Sent             int64 // claims
-	Withheld         int64 // repeats that no rule allowed
-	Twice            int   // keyed jobs that ran twice, on any nodes
-	Heard, Dropped   int64 // messages between schedulers
-	Ended            bool
+	Resets, Silences  int
+	Tally             standin.Tally
+	Sent              int64 // claims
+	Withheld          int64 // repeats that no rule allowed
+	Twice             int   // keyed jobs that ran twice, on any nodes
+	Received, Dropped int64 // messages between schedulers
+	Ended             bool
 }
 
 // Line is the result in one line.
 func (r KeyedResult) Line() string {
 	return fmt.Sprintf("keyed: resets %d, silences %d, jobs %d, claims %d, withheld %d, served %.1f %%, messages heard %d, dropped %d, jobs lost %d, ran twice %d",
-		r.Resets, r.Silences, r.Tally.Asked, r.Sent, r.Withheld, 100*float64(r.Tally.Served+r.Tally.Late)/float64(max(1, r.Tally.Asked)),
-		r.Heard, r.Dropped, r.Tally.Lost, r.Twice)
+		r.Resets, r.Silences, r.Tally.Sent, r.Sent, r.Withheld, 100*float64(r.Tally.Served+r.Tally.Late)/float64(max(1, r.Tally.Sent)),
+		r.Received, r.Dropped, r.Tally.Lost, r.Twice)
 }
 
 // OK reports whether what must never happen did not, and there was something to see: jobs
 // that were sent again.
 func (r KeyedResult) OK() bool {
-	return r.Twice == 0 && r.Tally.Lost == 0 && r.Ended && r.Sent > int64(r.Tally.Asked) && r.Heard > 0
+	return r.Twice == 0 && r.Tally.Lost == 0 && r.Ended && r.Sent > int64(r.Tally.Sent) && r.Received > 0
 }
 
 // keyedWorld is a small deployment: one data centre, two kinds of node, reports, messages.
@@ -65,9 +65,9 @@
 
 // Run plays the trial.
 func (o Keyed) Run(w io.Writer) (r KeyedResult, err error) {
-	options := Options{Topology: keyedWorld(), Program: o.Program, Price: standin.Price{Call: time.Millisecond, Patience: time.Second}, NodeLinks: true}
+	options := Options{Topology: keyedWorld(), Program: o.Program, Price: standin.Price{Call: time.Millisecond, Patience: time.Second}, WorkerLinks: true}
 	if o.ShortWindow {
-		options.PodWindow = time.Millisecond
+		options.GroupWindow = time.Millisecond
 	}
 	if o.NoPods {
 		options.Groups = 8
@@ -78,10 +78,10 @@
 	}
 	defer f.Close()
 	if o.NoPods {
-		for _, p := range f.pods {
+		for _, p := range f.groups {
 			p.Number = 0
 		}
-		for _, n := range f.Nodes() {
+		for _, n := range f.Workers() {
 			f.Discovery.Put(n, "active")
 		}
 		for i := range f.Processes {
@@ -90,15 +90,15 @@
 			}
 		}
 	}
-	f.Talk.Spoil(5, 5, 2, 20*time.Millisecond)
+	f.Messaging.Corrupt(5, 5, 2, 20*time.Millisecond)
 	if err := f.StartAll(20 * time.Second); err != nil {
 		return r, err
 	}
 	load := f.StartLoad("keyed", 0.4*f.Capacity(), o.Seed)
-	rng, nodes := rand.New(rand.NewPCG(o.Seed, 3)), f.Nodes()
+	rng, nodes := rand.New(rand.NewPCG(o.Seed, 3)), f.Workers()
 	for range o.Faults {
 		<-time.After(o.Every)
-		l := f.NodeLink(rng.IntN(len(f.Processes)), nodes[rng.IntN(len(nodes))])
+		l := f.WorkerLink(rng.IntN(len(f.Processes)), nodes[rng.IntN(len(nodes))])
 		if l == nil {
 			continue
 		}
@@ -108,17 +108,17 @@
 			continue
 		}
 		r.Silences++
-		l.Silence(Way(rng.IntN(2)))
+		l.Silence(Direction(rng.IntN(2)))
 		time.AfterFunc(time.Duration(50+rng.IntN(300))*time.Millisecond, l.Heal)
 	}
 	r.Tally = load.Stop()
 	r.Ended = true
-	if err := f.EndAll(); err != nil {
+	if err := f.TerminateAll(); err != nil {
 		r.Ended = false
 		fmt.Fprintln(w, err)
 	}
 	r.Sent, r.Withheld = f.Counter("claims.sent"), f.Counter("claims.withheld")
-	r.Heard = f.Counter("peers.heard")
+	r.Received = f.Counter("peers.heard")
 	r.Dropped = f.Counter("peers.garbled") + f.Counter("peers.doubled") + f.Counter("peers.late")
 	r.Twice = len(f.Twice())
 	return r, nil
--- a/internal/lab/fleet/link.go
+++ b/internal/lab/fleet/link.go
@@ -11,11 +11,11 @@
 )
 
 // A Way is a direction of a link.
-type Way int
+type Direction int
 
 const (
-	There Way = iota // from the scheduler
-	Back             // to it
+	ToTarget   Direction = iota // from the scheduler
+	FromTarget                  // to it
 )
 
 // A Link passes connections on from one scheduler to one party that it meets. It knows
@@ -55,7 +55,7 @@
 
 // Silence holds back what goes a way, as a network that loses it: connections stay open,
 // new ones come up and hear nothing. What was held back is passed on after Heal.
-func (l *Link) Silence(ways ...Way) {
+func (l *Link) Silence(ways ...Direction) {
 	l.change(func() {
 		for _, w := range ways {
 			l.silent[w] = true
@@ -65,7 +65,7 @@
 
 // Slow passes each piece on this much later, and at most so many bytes a second; 0: as
 // they come.
-func (l *Link) Slow(delay time.Duration, bytesEachSecond int) {
+func (l *Link) Throttle(delay time.Duration, bytesEachSecond int) {
 	l.change(func() { l.delay, l.rate = [2]time.Duration{delay, delay}, bytesEachSecond })
 }
 
@@ -75,7 +75,7 @@
 }
 
 // Carried returns how many bytes a way has passed on.
-func (l *Link) Carried(way Way) int64 {
+func (l *Link) Carried(way Direction) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.carried[way]
@@ -99,7 +99,7 @@
 	return sum
 }
 
-func (l *Link) count(way Way, bytes int) {
+func (l *Link) count(way Direction, bytes int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.carried[way] += int64(bytes)
@@ -176,12 +176,12 @@
 	}
 	defer l.drop(d)
 	var both sync.WaitGroup
-	both.Go(func() { l.pass(c, d, There) })
-	both.Go(func() { l.pass(d, c, Back) })
+	both.Go(func() { l.pass(c, d, ToTarget) })
+	both.Go(func() { l.pass(d, c, FromTarget) })
 	both.Wait()
 }
 
-func (l *Link) pass(from, to net.Conn, way Way) {
+func (l *Link) pass(from, to net.Conn, way Direction) {
 	defer to.(*net.TCPConn).CloseWrite()
 	buf := make([]byte, 16<<10)
 	for {
@@ -222,7 +222,7 @@
 }
 
 // silentNow reports whether a way is silent.
-func (l *Link) silentNow(way Way) bool {
+func (l *Link) silentNow(way Direction) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.silent[way]
@@ -243,7 +243,7 @@
 }
 
 // mayPass waits until so many bytes may go a way; false once the link is closed.
-func (l *Link) mayPass(way Way, bytes int) bool {
+func (l *Link) mayPass(way Direction, bytes int) bool {
 	var due time.Time
 	for {
 		l.mu.Lock()
--- a/internal/lab/fleet/load.go
+++ b/internal/lab/fleet/load.go
@@ -11,7 +11,7 @@
 
 // A Load is submitters at every process.
 type Load struct {
-	senders []*standin.Submitter
+	senders []*standin.Client
 	stop    chan struct{}
 	wait    sync.WaitGroup
 }
@@ -36,12 +36,12 @@
 	}
 	l := &Load{stop: make(chan struct{})}
 	for i, p := range f.Processes {
-		var senders []*standin.Submitter
+		var senders []*standin.Client
 		var rates []float64
 		for _, c := range f.Classes {
 			for _, t := range f.Tenants {
-				senders = append(senders, &standin.Submitter{
-					Addr: p.Addr, Tenant: t.Name, Class: c.Name, Remaining: c.Deadline, Aim: c.LatencyObjective + 2*c.ServiceTime, Keyed: c.Effect == "deduplicated",
+				senders = append(senders, &standin.Client{
+					Addr: p.Addr, Tenant: t.Name, Class: c.Name, Remaining: c.Deadline, LatencyObjective: c.LatencyObjective + 2*c.ServiceTime, HasIdempotencyKey: c.Effect == "deduplicated",
 					Name: fmt.Sprintf("%s/%s/%s/%d", name, t.Name, c.Name, i), Grace: allow.Grace, Excuse: excuse(i),
 				})
 				rates = append(rates, rate*c.JobFraction*t.QuotaFraction/float64(len(f.Processes)))
@@ -73,14 +73,14 @@
 func (l *Load) Stop() standin.Tally {
 	close(l.stop)
 	l.wait.Wait()
-	return l.Take()
+	return l.ResetTally()
 }
 
 // Take returns what became of the jobs that were answered since the last call.
-func (l *Load) Take() standin.Tally {
+func (l *Load) ResetTally() standin.Tally {
 	var all []standin.Tally
 	for _, s := range l.senders {
-		all = append(all, s.Take())
+		all = append(all, s.ResetTally())
 	}
 	return standin.Total(all...)
 }
--- a/internal/lab/fleet/talk.go
+++ b/internal/lab/fleet/messaging.go
@@ -10,12 +10,12 @@
 
 // Talk passes the datagrams between the processes on, and can lose, double, delay and spoil
 // them. To each process every other has an address of its own, its face.
-type Talk struct {
+type Messaging struct {
 	listen []string   // where each process receives
 	faces  [][]string // by process, then by the other one; its own is nobody's
 
-	lose, double, spoil atomic.Int64 // of each 100 datagrams
-	delay               atomic.Int64 // most, in nanoseconds
+	lose, double, corruption atomic.Int64 // of each 100 datagrams
+	delay                    atomic.Int64 // most, in nanoseconds
 
 	sockets []*net.UDPConn
 	wait    sync.WaitGroup
@@ -24,15 +24,15 @@
 
 // Spoil sets how many of each 100 datagrams are lost, doubled and garbled, and how late they
 // come at most: each by another time, so that they overtake one another.
-func (t *Talk) Spoil(lost, doubled, garbled int, late time.Duration) {
+func (t *Messaging) Corrupt(lost, doubled, garbled int, late time.Duration) {
 	t.lose.Store(int64(lost))
 	t.double.Store(int64(doubled))
-	t.spoil.Store(int64(garbled))
+	t.corruption.Store(int64(garbled))
 	t.delay.Store(int64(late))
 }
 
-func newTalk(n int) (*Talk, error) {
-	t := &Talk{}
+func newMessaging(n int) (*Messaging, error) {
+	t := &Messaging{}
 	open := func() (*net.UDPConn, error) {
 		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err == nil {
@@ -78,7 +78,7 @@
 	return t, nil
 }
 
-func (t *Talk) pass(from, by *net.UDPConn, to *net.UDPAddr) {
+func (t *Messaging) pass(from, by *net.UDPConn, to *net.UDPAddr) {
 	buf := make([]byte, 2048)
 	for k := int64(1); ; k++ {
 		n, err := from.Read(buf)
@@ -92,7 +92,7 @@
 			continue
 		}
 		data := append([]byte(nil), buf[:n]...)
-		if at(t.spoil.Load()) && n > 0 {
+		if at(t.corruption.Load()) && n > 0 {
 			data[k%int64(n)] ^= byte(k) | 1
 		}
 		times := 1
@@ -113,7 +113,7 @@
 	}
 }
 
-func (t *Talk) close() {
+func (t *Messaging) close() {
 	for _, c := range t.sockets {
 		c.Close()
 	}
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -18,27 +18,27 @@
 // A Process is one scheduler: the built program, with its configuration. It can be
 // started again after it has ended.
 type Process struct {
-	Name  string
-	Addr  string // where submitters reach it
-	Admin string // where its operators reach it; "": nowhere
-	Kept  string // path of its own that its operator's file has; "": there is no such file
+	Name       string
+	Addr       string // where submitters reach it
+	Admin      string // where its operators reach it; "": nowhere
+	Checkpoint string // path of its own that its operator's file has; "": there is no such file
 
 	program string
 	args    []string
 	env     []string
 
-	mu       sync.Mutex
-	cmd      *exec.Cmd
-	done     chan struct{} // closed when the process has ended
-	exit     error
-	killed   bool             // by the rig
-	counters map[string]int64 // of all its lives, as printed at SIGUSR1 and at the end
-	life     map[string]int64 // of this life, as last printed
-	log      []string         // the last lines
-	wait     sync.WaitGroup
+	mu          sync.Mutex
+	cmd         *exec.Cmd
+	done        chan struct{} // closed when the process has ended
+	exit        error
+	killed      bool             // by the rig
+	counters    map[string]int64 // of all its lives, as printed at SIGUSR1 and at the end
+	incarnation map[string]int64 // of this life, as last printed
+	log         []string         // the last lines
+	wait        sync.WaitGroup
 }
 
-const keptLines = 200 // of a process's log
+const maxLogLines = 200 // of a process's log
 
 // Start starts the process; it may not be ready when Start returns.
 func (p *Process) Start() error {
@@ -57,17 +57,17 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	p.cmd, p.done, p.killed, p.life = cmd, make(chan struct{}), false, map[string]int64{}
+	p.cmd, p.done, p.killed, p.incarnation = cmd, make(chan struct{}), false, map[string]int64{}
 	done := p.done
 	p.wait.Go(func() {
 		p.read(out)
 		err := cmd.Wait()
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		for name, n := range p.life {
+		for name, n := range p.incarnation {
 			p.counters[name] += n
 		}
-		p.cmd, p.exit, p.life = nil, err, nil
+		p.cmd, p.exit, p.incarnation = nil, err, nil
 		close(done)
 	})
 	return nil
@@ -78,13 +78,13 @@
 	for s := bufio.NewScanner(r); s.Scan(); {
 		line := s.Text()
 		p.mu.Lock()
-		if len(p.log) == keptLines {
+		if len(p.log) == maxLogLines {
 			p.log = p.log[1:]
 		}
 		p.log = append(p.log, line)
 		if f := strings.Fields(line); len(f) == 2 && strings.Contains(f[0], ".") {
 			if n, err := strconv.ParseInt(f[1], 10, 64); err == nil {
-				p.life[f[0]] = n
+				p.incarnation[f[0]] = n
 			}
 		}
 		p.mu.Unlock()
@@ -147,7 +147,7 @@
 }
 
 // End ends the process with SIGTERM and waits for its end.
-func (p *Process) End() error {
+func (p *Process) Terminate() error {
 	if p.Signal(syscall.SIGTERM) != nil {
 		return nil
 	}
@@ -189,5 +189,5 @@
 func (p *Process) Counter(name string) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.counters[name] + p.life[name]
+	return p.counters[name] + p.incarnation[name]
 }
--- a/internal/lab/fleet/coldstart.go
+++ b/internal/lab/fleet/slowstart_trial.go
@@ -11,10 +11,10 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// A ColdStart is a trial: all schedulers of a fleet start at once with a list from before a
+// A SlowStartTrial is a trial: all schedulers of a fleet start at once with a list from before a
 // release that replaced a part of the nodes, under load, while discovery serves one call
 // after another.
-type ColdStart struct {
+type SlowStartTrial struct {
 	Program    string
 	Schedulers int
 	Nodes      int
@@ -25,43 +25,43 @@
 	Restarted  float64       // part that the known list takes for warm, but that started again, cold, at the trial's start
 }
 
-// DefaultColdStart is the trial that the operators' page speaks of.
-var DefaultColdStart = ColdStart{
+// DefaultSlowStartTrial is the trial that the operators' page speaks of.
+var DefaultSlowStartTrial = SlowStartTrial{
 	Program: "bin/foxlift", Schedulers: 300, Nodes: 200, Seed: 1, For: 30 * time.Second, Load: 0.4, Replaced: 0.5,
 }
 
-// A ColdStartResult is what a trial saw.
-type ColdStartResult struct {
-	Schedulers  int
-	Half, All   time.Duration // until half, and all, of the schedulers had the list; 0: never
-	Listed      int           // schedulers that had it in the end
-	Most        int           // calls to discovery in one second
-	Capacity    float64       // whole lists that it can give in one
-	Refused     float64       // percent of its calls
-	Fallen      int           // nodes pushed over
-	Gone        float64       // percent of the sends that went to nodes that were gone
-	Tally       standin.Tally
-	Twice       int     // at-most-once jobs that ran twice
-	Ended       bool    // all schedulers ended well after SIGTERM
-	Drained     bool    // no call waited for discovery in the end
-	ServiceWarm float64 // percent served in the last third
+// A SlowStartResult is what a trial saw.
+type SlowStartResult struct {
+	Schedulers     int
+	Half, All      time.Duration // until half, and all, of the schedulers had the list; 0: never
+	Informed       int           // schedulers that had it in the end
+	MaxCalls       int           // calls to discovery in one second
+	Capacity       float64       // whole lists that it can give in one
+	RejectedCalls  float64       // percent of its calls
+	Fallen         int           // nodes pushed over
+	SendsToRemoved float64       // percent of the sends that went to nodes that were gone
+	Tally          standin.Tally
+	Twice          int     // at-most-once jobs that ran twice
+	Ended          bool    // all schedulers ended well after SIGTERM
+	Drained        bool    // no call waited for discovery in the end
+	FinalService   float64 // percent served in the last third
 }
 
 // Line is the result in one line.
-func (r ColdStartResult) Line() string {
+func (r SlowStartResult) Line() string {
 	return fmt.Sprintf("coldstart: schedulers %d, lists at half in %.2f s, at all in %.2f s (%d), calls a second at most %d of capacity %.0f, refused %.1f %%, nodes pushed over %d, sends to gone nodes %.1f %%, jobs lost %d, twice %d, service %.1f %% (last third %.1f %%)",
-		r.Schedulers, r.Half.Seconds(), r.All.Seconds(), r.Listed, r.Most, r.Capacity, r.Refused, r.Fallen, r.Gone, r.Tally.Lost, r.Twice,
-		r.Tally.Service(), r.ServiceWarm)
+		r.Schedulers, r.Half.Seconds(), r.All.Seconds(), r.Informed, r.MaxCalls, r.Capacity, r.RejectedCalls, r.Fallen, r.SendsToRemoved, r.Tally.Lost, r.Twice,
+		r.Tally.Service(), r.FinalService)
 }
 
 // OK reports whether what must never happen did not.
-func (r ColdStartResult) OK() bool {
-	return r.Fallen == 0 && r.Tally.Lost == 0 && r.Twice == 0 && r.Ended && r.Tally.Asked > 0
+func (r SlowStartResult) OK() bool {
+	return r.Fallen == 0 && r.Tally.Lost == 0 && r.Twice == 0 && r.Ended && r.Tally.Sent > 0
 }
 
 // world is the trial's deployment: three kinds of node, two classes, in the proportions of
 // the platform's own.
-func (o ColdStart) world() lab.Topology {
+func (o SlowStartTrial) world() lab.Topology {
 	large, medium := max(1, o.Nodes*28/100), max(1, o.Nodes*36/100)
 	return lab.Topology{
 		Schedulers: o.Schedulers, Sockets: 512, Zones: []string{"east", "west"},
@@ -76,18 +76,18 @@
 }
 
 // Run plays the trial.
-func (o ColdStart) Run(w io.Writer) (r ColdStartResult, err error) {
+func (o SlowStartTrial) Run(w io.Writer) (r SlowStartResult, err error) {
 	price := standin.Price{Call: 2 * time.Millisecond, Line: 100 * time.Microsecond, Patience: 2 * time.Second}
 	f, err := New(Options{
 		Topology: o.world(), Program: o.Program, Price: price,
-		Cold: &standin.Cold{From: 0.14, Warm: 24 * time.Second, Multiple: 3, Window: time.Second},
+		SlowStart: &standin.SlowStart{InitialCapacity: 0.14, Duration: 24 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second},
 	})
 	if err != nil {
 		return r, err
 	}
 	defer f.Close()
 	rng := rand.New(rand.NewPCG(o.Seed, 11))
-	old := f.Nodes()
+	old := f.Workers()
 	rng.Shuffle(len(old), func(i, j int) { old[i], old[j] = old[j], old[i] })
 	replaced, restarted := int(o.Replaced*float64(len(old))), int(o.Restarted*float64(len(old)))
 	for i, n := range old[:min(replaced+restarted, len(old))] {
@@ -112,13 +112,13 @@
 	var last standin.Tally
 	for at := range 3 {
 		<-time.After(time.Until(began.Add(o.For * time.Duration(at+1) / 3)))
-		last = load.Take()
+		last = load.ResetTally()
 		r.Tally = standin.Total(r.Tally, last)
 		calls := f.Discovery.Calls()
 		fmt.Fprintf(w, "%5.1f s: %d jobs, service %.1f %%, refused %d, late %d, failed %d; discovery: %d calls, %d refused, %d waiting\n",
-			time.Since(began).Seconds(), last.Asked, last.Service(), last.Refused, last.Late, last.Failed, calls.Asked, calls.Refused, calls.Waiting)
+			time.Since(began).Seconds(), last.Sent, last.Service(), last.Shed, last.Late, last.Failed, calls.Received, calls.Rejected, calls.Waiting)
 	}
-	r.ServiceWarm = last.Service()
+	r.FinalService = last.Service()
 	r.Tally = standin.Total(r.Tally, load.Stop())
 	var first []time.Duration
 	for _, p := range f.Processes {
@@ -127,7 +127,7 @@
 		}
 	}
 	slices.Sort(first)
-	r.Listed = len(first)
+	r.Informed = len(first)
 	if half := (o.Schedulers+1)/2 - 1; half < len(first) {
 		r.Half = first[half]
 	}
@@ -135,12 +135,12 @@
 		r.All = first[len(first)-1]
 	}
 	calls := f.Discovery.Calls()
-	r.Most, r.Refused, r.Drained = calls.Most, 100*float64(calls.Refused)/float64(max(1, calls.Asked)), calls.Waiting == 0
-	if err := f.EndAll(); err != nil {
+	r.MaxCalls, r.RejectedCalls, r.Drained = calls.MaxPerSecond, 100*float64(calls.Rejected)/float64(max(1, calls.Received)), calls.Waiting == 0
+	if err := f.TerminateAll(); err != nil {
 		r.Ended = false
 		fmt.Fprintln(w, err)
 	}
-	r.Gone = 100 * float64(f.Counter("claims.unreachable")) / float64(max(1, f.Counter("claims.sent")))
+	r.SendsToRemoved = 100 * float64(f.Counter("claims.unreachable")) / float64(max(1, f.Counter("claims.sent")))
 	r.Fallen, r.Twice = f.Fallen(), len(f.Twice())
 	return r, nil
 }
--- a/internal/lab/fleet/start_test.go
+++ b/internal/lab/fleet/start_test.go
@@ -11,14 +11,14 @@
 // Every node has started again, cold, under its name or with another at its address. Once all
 // have been told, and know no rate, no node falls under a load that is far over what they
 // can do: jobs are served, and the rest is answered.
-func TestAllNodesColdAtOnce(t *testing.T) {
+func TestAllWorkersInSlowStart(t *testing.T) {
 	for name, other := range map[string]string{"the same names": "", "other names": "other-"} {
 		t.Run(name, func(t *testing.T) {
 			f := small(t, 12, func(o *Options) {
-				o.Cold = &standin.Cold{From: 0.14, Warm: 24 * time.Second, Multiple: 3, Window: time.Second}
+				o.SlowStart = &standin.SlowStart{InitialCapacity: 0.14, Duration: 24 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second}
 				o.Classes[0].ServiceTime, o.Classes[1].ServiceTime = 50*time.Millisecond, 200*time.Millisecond
 			})
-			for _, n := range f.Nodes() {
+			for _, n := range f.Workers() {
 				to := ""
 				if other != "" {
 					to = other + n.Name
@@ -31,17 +31,17 @@
 			l := f.StartLoad("cold", 300, 1)
 			sum := standin.Tally{}
 			await(t, "some are served", func() bool {
-				sum = standin.Total(sum, l.Take())
-				return sum.Served+sum.Late >= 60 && sum.Asked >= 600
+				sum = standin.Total(sum, l.ResetTally())
+				return sum.Served+sum.Late >= 60 && sum.Sent >= 600
 			})
-			ends(t, f, l, sum)
+			terminates(t, f, l, sum)
 		})
 	}
 }
 
 // Discovery is down, and has lost its last changes when it is back: its list is believed, also
 // under a lower version, and so is what changes from there.
-func TestListGoesBack(t *testing.T) {
+func TestListVersionDecreases(t *testing.T) {
 	f := small(t, 6, nil)
 	must(t, f.StartAll(20*time.Second))
 	awaitLists(t, f, f.Processes...)
@@ -53,23 +53,23 @@
 		l.Heal()
 	}
 	awaitAnswers(t, f, f.Processes...)
-	fresh, err := f.AddNode(f.Kinds[0], time.Time{})
+	fresh, err := f.AddWorker(f.Kinds[0], time.Time{})
 	must(t, err)
 	learnsOf(t, f, "back", fresh)
 }
 
 // Discovery moves while they start and the old one is silent: SIGHUP takes them to the new one.
-func TestDiscoveryMovesDuringTheStart(t *testing.T) {
+func TestDiscoveryChangesDuringStart(t *testing.T) {
 	f := small(t, 6, nil)
 	for _, l := range f.Links {
-		l.Silence(There, Back)
+		l.Silence(ToTarget, FromTarget)
 	}
 	must(t, f.StartAll(20*time.Second))
 	for i, p := range f.Processes {
-		must(t, f.MoveDiscovery(i))
+		must(t, f.ChangeDiscovery(i))
 		must(t, p.Signal(syscall.SIGHUP))
 	}
 	awaitLists(t, f, f.Processes...)
 	serves(t, f, "moved")
-	must(t, f.EndAll())
+	must(t, f.TerminateAll())
 }
--- a/internal/lab/fleet/successor.go
+++ b/internal/lab/fleet/successor.go
@@ -17,11 +17,11 @@
 	defer f.mu.Unlock()
 	base := f.Processes[i]
 	next := &Process{
-		Name: fmt.Sprintf("%s, successor %d", base.Name, len(f.later)+1), Addr: base.Addr, Admin: admin,
+		Name: fmt.Sprintf("%s, successor %d", base.Name, len(f.successors)+1), Addr: base.Addr, Admin: admin,
 		program: f.Program, counters: map[string]int64{},
 	}
 	// Of a variable that is there twice, the last one holds.
 	next.env = append(append([]string{}, base.env...), adminVariable+admin)
-	f.later = append(f.later, next)
+	f.successors = append(f.successors, next)
 	return next, nil
 }
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -12,8 +12,8 @@
 // A Load is the clients of all tenants: for each, one for each scheduler and class.
 type Load struct {
 	rig     *Rig
-	clients map[string][]*standin.Submitter // by tenant
-	rates   map[string]*atomic.Uint64       // jobs a second of each tenant, as float64 bits
+	clients map[string][]*standin.Client // by tenant
+	rates   map[string]*atomic.Uint64    // jobs a second of each tenant, as float64 bits
 	stop    chan struct{}
 	running sync.WaitGroup
 	total   standin.Tally
@@ -24,7 +24,7 @@
 func (r *Rig) StartLoad(fraction float64, seed uint64) *Load {
 	l := &Load{
 		rig:     r,
-		clients: map[string][]*standin.Submitter{},
+		clients: map[string][]*standin.Client{},
 		rates:   map[string]*atomic.Uint64{},
 		stop:    make(chan struct{}),
 	}
@@ -42,13 +42,13 @@
 
 // startClient starts the client that sends a tenant's jobs of one class to one scheduler.
 func (l *Load) startClient(tenant string, scheduler int, class Class, seed uint64) {
-	client := &standin.Submitter{
-		Addr:      l.rig.Schedulers[scheduler].Addr().String(),
-		Tenant:    tenant,
-		Class:     class.Name,
-		Remaining: class.Deadline,
-		Aim:       class.LatencyObjective + objectiveStretch*class.ServiceTime,
-		Name:      fmt.Sprintf("%s/%s/%d", tenant, class.Name, scheduler),
+	client := &standin.Client{
+		Addr:             l.rig.Schedulers[scheduler].Addr().String(),
+		Tenant:           tenant,
+		Class:            class.Name,
+		Remaining:        class.Deadline,
+		LatencyObjective: class.LatencyObjective + objectiveStretch*class.ServiceTime,
+		Name:             fmt.Sprintf("%s/%s/%d", tenant, class.Name, scheduler),
 	}
 	l.clients[tenant] = append(l.clients[tenant], client)
 	rate := l.rates[tenant]
@@ -67,7 +67,7 @@
 	for tenant, clients := range l.clients {
 		var all []standin.Tally
 		for _, client := range clients {
-			all = append(all, client.Take())
+			all = append(all, client.ResetTally())
 		}
 		tallies[tenant] = standin.Total(all...)
 		l.total = standin.Total(l.total, tallies[tenant])
--- a/internal/lab/rig.go
+++ b/internal/lab/rig.go
@@ -26,7 +26,7 @@
 // A Rig is a running deployment.
 type Rig struct {
 	Topology
-	Workers    []*standin.Node
+	Workers    []*standin.Worker
 	Discovery  *standin.Discovery
 	Schedulers []*daemon.Daemon
 	Clients    []controlpb.ControlClient // one for each scheduler, where there is a control socket
--- a/internal/lab/service/connection.go
+++ b/internal/lab/service/connection.go
@@ -74,7 +74,7 @@
 
 // ask sends a request and waits for the answer. The error says in words what happened where
 // there is none.
-func (c *connection) ask(request string, until time.Time) (answer, Fate, error) {
+func (c *connection) exchange(request string, until time.Time) (answer, Fate, error) {
 	c.SetDeadline(until)
 	n, err := io.WriteString(c, request)
 	c.written += uint64(n)
--- a/internal/lab/service/connection_test.go
+++ b/internal/lab/service/connection_test.go
@@ -13,7 +13,7 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-const wholeAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const completeAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 // serveOnce accepts one connection, treats it, and closes treated.
 func serveOnce(t *testing.T, treat func(net.Conn)) (addr string, treated chan struct{}) {
@@ -46,10 +46,10 @@
 		treat func(net.Conn)
 		fate  Fate
 	}{
-		"a whole answer":               {treat: func(c net.Conn) { readRequest(c); io.WriteString(c, wholeAnswer) }, fate: Answered},
+		"a whole answer":               {treat: func(c net.Conn) { readRequest(c); io.WriteString(c, completeAnswer) }, fate: Answered},
 		"read and closed":              {treat: func(c net.Conn) { readRequest(c); c.Close() }, fate: Cut},
-		"half an answer":               {treat: func(c net.Conn) { readRequest(c); io.WriteString(c, wholeAnswer[:20]); c.Close() }, fate: Cut},
-		"an answer without all of it":  {treat: func(c net.Conn) { readRequest(c); io.WriteString(c, wholeAnswer[:len(wholeAnswer)-1]); c.Close() }, fate: Cut},
+		"half an answer":               {treat: func(c net.Conn) { readRequest(c); io.WriteString(c, completeAnswer[:20]); c.Close() }, fate: Cut},
+		"an answer without all of it":  {treat: func(c net.Conn) { readRequest(c); io.WriteString(c, completeAnswer[:len(completeAnswer)-1]); c.Close() }, fate: Cut},
 		"half of it read and closed":   {treat: func(c net.Conn) { io.ReadFull(c, make([]byte, 10)); c.Close() }, fate: Unheard},
 		"closed before it came":        {first: true, treat: func(c net.Conn) { c.Close() }, fate: Unheard},
 		"reset before it came":         {first: true, treat: func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }, fate: Unheard},
@@ -70,7 +70,7 @@
 			if c.fate == Silent {
 				limit = 100 * time.Millisecond
 			}
-			if _, fate, err := conn.ask(request, time.Now().Add(limit)); fate != c.fate {
+			if _, fate, err := conn.exchange(request, time.Now().Add(limit)); fate != c.fate {
 				t.Errorf("%v (%v), should be %v", fate, err, c.fate)
 			}
 		})
@@ -93,12 +93,12 @@
 
 // A job that was turned back unheard is sent once more; where that fails too, it is lost. One
 // that was read is not sent again.
-func TestTurnedBackIsSentOnceMore(t *testing.T) {
+func TestReturnedJobIsSentOnceMore(t *testing.T) {
 	for name, c := range map[string]struct {
 		treat            []func(net.Conn) // the connections in turn
 		lost, turnedBack int
 	}{
-		"answered then": {[]func(net.Conn){closeUnread, func(c net.Conn) { readRequest(c); io.WriteString(c, wholeAnswer) }}, 0, 1},
+		"answered then": {[]func(net.Conn){closeUnread, func(c net.Conn) { readRequest(c); io.WriteString(c, completeAnswer) }}, 0, 1},
 		"and again":     {[]func(net.Conn){closeUnread, closeUnread}, 1, 1},
 		"read":          {[]func(net.Conn){func(c net.Conn) { readRequest(c); c.Close() }}, 1, 0},
 	} {
@@ -118,7 +118,7 @@
 			if n := len(load.tally.Lost); n != c.lost {
 				t.Errorf("lost %d, should be %d", n, c.lost)
 			}
-			if n := len(load.tally.TurnedBack); n != c.turnedBack {
+			if n := len(load.tally.Returned); n != c.turnedBack {
 				t.Errorf("turned back %d, should be %d", n, c.turnedBack)
 			}
 		})
--- a/internal/lab/service/deployment.go
+++ b/internal/lab/service/deployment.go
@@ -18,10 +18,10 @@
 
 // The platform's rules for an upgrade.
 const (
-	YesLimit     = 6 * time.Second        // for a new process, from its start to its yes
-	longestGrace = 3 * time.Second        // longer deadlines count as this
-	killMargin   = 700 * time.Millisecond // beyond the longest deadline, between SIGTERM and SIGKILL
-	pollEvery    = 5 * time.Millisecond   // between two questions to the operators' address
+	YesLimit   = 6 * time.Second        // for a new process, from its start to its yes
+	maxGrace   = 3 * time.Second        // longer deadlines count as this
+	killMargin = 700 * time.Millisecond // beyond the longest deadline, between SIGTERM and SIGKILL
+	pollEvery  = 5 * time.Millisecond   // between two questions to the operators' address
 )
 
 // DefaultWorld is one scheduler on eight nodes, with short idempotent and longer at-most-once
@@ -77,7 +77,7 @@
 	for _, class := range d.Fleet.Classes {
 		longest = max(longest, class.Deadline)
 	}
-	return min(longest, longestGrace) + killMargin
+	return min(longest, maxGrace) + killMargin
 }
 
 // An EndedError says that a process ended that should have gone on.
--- a/internal/lab/service/descriptors_test.go
+++ b/internal/lab/service/descriptors_test.go
@@ -79,5 +79,5 @@
 	if len(files) != 1 || !strings.HasSuffix(files[0], ".lock") {
 		t.Errorf("files %q, want one lock", files)
 	}
-	s.ends(t, 1)
+	s.terminates(t, 1)
 }
--- a/internal/lab/service/duress_test.go
+++ b/internal/lab/service/duress_test.go
@@ -13,8 +13,8 @@
 // callers is how many hold a call on the operators' address that they do not finish.
 const callers = 200
 
-// comeAgain is after what time a caller comes again whose connection was closed.
-const comeAgain = 50 * time.Millisecond
+// retryAfterReplace is after what time a caller comes again whose connection was closed.
+const retryAfterReplace = 50 * time.Millisecond
 
 // holdCalls has them hold one until the test's end. One that is closed comes again, or stays away.
 func holdCalls(t *testing.T, addr string, again bool) {
@@ -45,7 +45,7 @@
 				select {
 				case <-stop:
 					return
-				case <-time.After(comeAgain):
+				case <-time.After(retryAfterReplace):
 				}
 			}
 		})
@@ -56,13 +56,13 @@
 
 // Beside callers that do not finish their calls, and under load, each call has its answer in
 // time: also where they come again whenever their connection is closed.
-func TestOperatorsAreAnsweredBesideHeldCalls(t *testing.T) {
+func TestOperatorsAreAnsweredBesideStalledCalls(t *testing.T) {
 	for name, again := range map[string]bool{"once": false, "again and again": true} {
-		t.Run(name, func(t *testing.T) { answeredBesideHeldCalls(t, again) })
+		t.Run(name, func(t *testing.T) { answeredBesideStalledCalls(t, again) })
 	}
 }
 
-func answeredBesideHeldCalls(t *testing.T, again bool) {
+func answeredBesideStalledCalls(t *testing.T, again bool) {
 	s := underLoad(t)
 	holdCalls(t, s.Current.Admin, again)
 	operators := Operators{s.Current.Admin}
@@ -87,7 +87,7 @@
 	timed("resume", operators.Resume(t.Context()), began)
 	t.Logf("the slowest answer came after %v", slowest)
 	await(t, "yes", 2*time.Second, func() bool { return frontHealth(t, s.Deployment) == nil })
-	s.ends(t, 1)
+	s.terminates(t, 1)
 }
 
 // frontHealth asks for the health that the front sees; nil: yes.
@@ -97,7 +97,7 @@
 }
 
 // What is no call is answered with a no, and changes nothing.
-func TestWrongCallsAreRefused(t *testing.T) {
+func TestWrongCallsAreRejected(t *testing.T) {
 	d := deploy(t, DefaultWorld())
 	for _, call := range []struct{ method, path string }{
 		{http.MethodGet, "/admin/quiesce"}, {http.MethodGet, "/admin/resume"}, {http.MethodPut, "/admin/health"},
--- a/internal/lab/service/fault.go
+++ b/internal/lab/service/fault.go
@@ -27,18 +27,18 @@
 
 // The times of faults are drawn up to these.
 const (
-	longestStop = 400 * time.Millisecond // of a new process, until it is killed
-	latestKill  = 300 * time.Millisecond // of an old process, after a step of the upgrade
+	maxStop    = 400 * time.Millisecond // of a new process, until it is killed
+	latestKill = 300 * time.Millisecond // of an old process, after a step of the upgrade
 )
 
 // An Outage is a time in which a process was killed and jobs may be lost with it.
 type Outage struct{ From, To time.Time }
 
 // covers reports whether a send was under way in the outage.
-func (o Outage) covers(s Send) bool { return !s.Began.After(o.To) && !s.Ended.Before(o.From) }
+func (o Outage) covers(s Send) bool { return !s.StartedAt.After(o.To) && !s.Ended.Before(o.From) }
 
 // pause waits for a drawn time.
-func pause(ctx context.Context, drawn time.Duration) error {
+func waitOrDone(ctx context.Context, drawn time.Duration) error {
 	select {
 	case <-time.After(drawn):
 		return nil
@@ -47,15 +47,15 @@
 	}
 }
 
-// SpoilNew starts a next process, stops it at a moment after its start and kills it, after a time
+// DisturbSuccessor starts a next process, stops it at a moment after its start and kills it, after a time
 // in which it stands still. A process that listens by then was too fast: it goes on, and is
 // returned.
-func (d *Deployment) SpoilNew(ctx context.Context, moment, still time.Duration) (tooFast *fleet.Process, err error) {
+func (d *Deployment) DisturbSuccessor(ctx context.Context, moment, still time.Duration) (tooFast *fleet.Process, err error) {
 	next, err := d.StartNext()
 	if err != nil {
 		return nil, err
 	}
-	if err := pause(ctx, moment); err != nil {
+	if err := waitOrDone(ctx, moment); err != nil {
 		return nil, err
 	}
 	if err := standStill(next); err != nil {
@@ -68,7 +68,7 @@
 	if listens {
 		return next, next.Signal(syscall.SIGCONT)
 	}
-	if err := pause(ctx, still); err != nil {
+	if err := waitOrDone(ctx, still); err != nil {
 		return nil, err
 	}
 	next.Kill()
@@ -96,8 +96,8 @@
 
 const (
 	NewStarted Step = iota
-	NewSaidYes
-	OldTold
+	SuccessorReady
+	PredecessorTerminated
 	steps
 )
 
@@ -109,13 +109,13 @@
 // UpgradeKillingOld upgrades while the old process is killed at a drawn time after a step.
 func (d *Deployment) UpgradeKillingOld(ctx context.Context, step Step, after time.Duration) (h Handover, o Outage, err error) {
 	old := d.Current
-	h.Began, h.Old = time.Now(), old
+	h.StartedAt, h.Old = time.Now(), old
 	next, err := d.StartNext()
 	if err != nil {
 		return h, o, err
 	}
 	kill := func() error {
-		err := pause(ctx, after)
+		err := waitOrDone(ctx, after)
 		o.From = time.Now()
 		old.Kill()
 		o.To = time.Now()
@@ -129,14 +129,14 @@
 	if h.Yes, err = AwaitYes(ctx, next); err != nil {
 		return h, o, err
 	}
-	h.Yes = time.Since(h.Began)
+	h.Yes = time.Since(h.StartedAt)
 	d.Current = next
 	switch step {
 	case NewStarted: // nobody served until now
 		o.To = time.Now()
 		return h, o, nil
-	case OldTold:
-		h.Told = time.Now()
+	case PredecessorTerminated:
+		h.TerminatedAt = time.Now()
 		if err := old.Signal(syscall.SIGTERM); err != nil {
 			return h, o, fmt.Errorf("%s was gone before its SIGTERM: %w", old.Name, err)
 		}
--- a/internal/lab/service/figures.go
+++ b/internal/lab/service/figures.go
@@ -13,7 +13,7 @@
 // The names of the figures.
 const (
 	responsesName = "scheduler_responses_total"
-	triesName     = "scheduler_tries_total"
+	attemptsName  = "scheduler_tries_total"
 	activeName    = "scheduler_active"
 	poolSizeName  = "scheduler_pool_size"
 	ejectedName   = "scheduler_pool_ejected"
@@ -21,10 +21,10 @@
 
 // How far figures may be off: by a share of the true number or by this many.
 const (
-	JobsShare   = 0.01
-	TriesShare  = 0.02
-	ActiveShare = 0.10
-	slack       = 3
+	JobsTolerance     = 0.01
+	AttemptsTolerance = 0.02
+	ActiveTolerance   = 0.10
+	slack             = 3
 )
 
 // Responses are the jobs of a class by their answer.
@@ -33,7 +33,7 @@
 // Figures are what a scheduler tells of itself.
 type Figures struct {
 	Responses map[string]Responses // by class
-	Tries     float64
+	Attempts  float64
 	Active    float64
 	PoolSize  float64
 	Ejected   float64
@@ -47,7 +47,7 @@
 	if err != nil {
 		return f, err
 	}
-	for name, to := range map[string]*float64{triesName: &f.Tries, activeName: &f.Active, poolSizeName: &f.PoolSize, ejectedName: &f.Ejected} {
+	for name, to := range map[string]*float64{attemptsName: &f.Attempts, activeName: &f.Active, poolSizeName: &f.PoolSize, ejectedName: &f.Ejected} {
 		metrics := families[name].GetMetric()
 		if len(metrics) != 1 {
 			return f, fmt.Errorf("the figures hold %s %d times", name, len(metrics))
@@ -98,7 +98,7 @@
 func (f Figures) Disagreement(answers map[string]Responses) string {
 	var faults []string
 	check := func(class, result string, figure, truth float64) {
-		if !Within(figure, truth, JobsShare) {
+		if !Within(figure, truth, JobsTolerance) {
 			faults = append(faults, fmt.Sprintf("%s %s: the figures say %.0f, submitters received %.0f", class, result, figure, truth))
 		}
 	}
--- a/internal/lab/service/judge_test.go
+++ b/internal/lab/service/judge_test.go
@@ -20,7 +20,7 @@
 func TestFiguresAreRead(t *testing.T) {
 	f, err := ParseFigures(figuresText)
 	must(t, err)
-	if f.Tries != 900 || f.Active != 14 || f.PoolSize != 8 || f.Ejected != 1 {
+	if f.Attempts != 900 || f.Active != 14 || f.PoolSize != 8 || f.Ejected != 1 {
 		t.Errorf("read: %+v", f)
 	}
 	truth := map[string]Responses{"reading": {OK: 815, Shed: 43}, "ratify": {Errors: 4}}
@@ -45,17 +45,17 @@
 func TestUpgradesAreJudged(t *testing.T) {
 	at := func(ms int) time.Time { return time.UnixMilli(int64(ms)) }
 	failed := func(fate Fate, began, ended int) Record {
-		return Record{ID: "a/ratify/1", Class: "ratify", Sends: []Send{{Began: at(began), Ended: at(ended), Fate: fate}}}
+		return Record{ID: "a/ratify/1", Class: "ratify", Sends: []Send{{StartedAt: at(began), Ended: at(ended), Fate: fate}}}
 	}
 	good := func() UpgradesResult {
-		r := UpgradesResult{Asked: 2, Handovers: []Handover{{Began: at(100), Yes: time.Second}, {Began: at(900), Yes: time.Second}}, Tally: newTally()}
+		r := UpgradesResult{Sent: 2, Handovers: []Handover{{StartedAt: at(100), Yes: time.Second}, {StartedAt: at(900), Yes: time.Second}}, Tally: newTally()}
 		r.Tally.Answers["reading"] = Responses{OK: 1}
 		return r
 	}
 	turned := func(moments ...int) func(*UpgradesResult) {
 		return func(r *UpgradesResult) {
 			for _, m := range moments {
-				r.Tally.TurnedBack = append(r.Tally.TurnedBack, failed(Unheard, m, m+1))
+				r.Tally.Returned = append(r.Tally.Returned, failed(Unheard, m, m+1))
 			}
 		}
 	}
@@ -72,7 +72,7 @@
 		"wrong":                            {false, func(r *UpgradesResult) { r.Tally.Wrong = []Record{failed(Answered, 1, 2)} }},
 		"twice":                            {false, func(r *UpgradesResult) { r.Twice = []string{"a"} }},
 		"a late yes":                       {false, func(r *UpgradesResult) { r.Handovers[1].Yes = YesLimit + 1 }},
-		"an upgrade missing":               {false, func(r *UpgradesResult) { r.Asked = 3 }},
+		"an upgrade missing":               {false, func(r *UpgradesResult) { r.Sent = 3 }},
 		"no job served":                    {false, func(r *UpgradesResult) { clear(r.Tally.Answers) }},
 		"two turned back in each":          {true, turned(150, 160, 950, 960)},
 		"three turned back in one":         {false, turned(150, 160, 170)},
--- a/internal/lab/service/load.go
+++ b/internal/lab/service/load.go
@@ -18,16 +18,16 @@
 
 // A LoadOptions is a steady, bounded load.
 type LoadOptions struct {
-	Name  string  // begins the jobs' ids
-	Rate  float64 // jobs a second, Poisson
-	Seed  uint64
-	Fresh float64 // share of the jobs that come on a connection of their own
-	Keep  int     // idle connections that are kept at most; used in turn
-	Most  int     // jobs open at a time; arrivals beyond are left out
+	Name        string  // begins the jobs' ids
+	Rate        float64 // jobs a second, Poisson
+	Seed        uint64
+	Fresh       float64 // share of the jobs that come on a connection of their own
+	MaxIdle     int     // idle connections that are kept at most; used in turn
+	MaxOpenJobs int     // jobs open at a time; arrivals beyond are left out
 }
 
 // DefaultLoad is a quarter of what DefaultWorld can do.
-var DefaultLoad = LoadOptions{Name: "load", Rate: 140, Seed: 1, Fresh: 0.4, Keep: 24, Most: 128}
+var DefaultLoad = LoadOptions{Name: "load", Rate: 140, Seed: 1, Fresh: 0.4, MaxIdle: 24, MaxOpenJobs: 128}
 
 // A Load is submitters at one address, on kept and on fresh connections.
 type Load struct {
@@ -68,7 +68,7 @@
 func (l *Load) Answered() (ended, turnedBack int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.tally.Asked, len(l.tally.TurnedBack)
+	return l.tally.Sent, len(l.tally.Returned)
 }
 
 // Total returns the answers so far, of all classes.
@@ -85,7 +85,7 @@
 		if now, _ := l.Answered(); now >= before+more {
 			return nil
 		}
-		if err := pause(ctx, pollEvery); err != nil {
+		if err := waitOrDone(ctx, pollEvery); err != nil {
 			return err
 		}
 	}
@@ -133,7 +133,7 @@
 func (l *Load) enter() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.open >= l.Most {
+	if l.open >= l.MaxOpenJobs {
 		return false
 	}
 	l.open++
@@ -170,10 +170,10 @@
 
 // send sends a request once, on a kept connection or on a new one.
 func (l *Load) send(text string, fresh bool, until time.Time) (got answer, s Send) {
-	s.Began = time.Now()
+	s.StartedAt = time.Now()
 	var c *connection
 	if !fresh {
-		c = l.take()
+		c = l.connection()
 	}
 	if s.Fresh = c == nil; s.Fresh {
 		if c, s.Err = dial(l.addr, until); s.Err != nil {
@@ -182,10 +182,10 @@
 		}
 	}
 	s.Port = c.port()
-	got, s.Fate, s.Err = c.ask(text, until)
+	got, s.Fate, s.Err = c.exchange(text, until)
 	s.Ended = time.Now()
 	if s.Fate == Answered && !fresh {
-		l.keep(c)
+		l.release(c)
 	} else {
 		c.Close()
 	}
@@ -194,7 +194,7 @@
 
 // take returns the connection that has been idle for longest and is still open; nil: there is
 // none.
-func (l *Load) take() *connection {
+func (l *Load) connection() *connection {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for len(l.idle) > 0 {
@@ -209,10 +209,10 @@
 }
 
 // keep keeps a connection for a later job, while there is room.
-func (l *Load) keep(c *connection) {
+func (l *Load) release(c *connection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.idle) >= l.Keep || c.closes {
+	if len(l.idle) >= l.MaxIdle || c.closes {
 		c.Close()
 		return
 	}
--- a/internal/lab/service/main_test.go
+++ b/internal/lab/service/main_test.go
@@ -59,8 +59,8 @@
 // A scene is a deployment under load.
 type scene struct {
 	*Deployment
-	load  *Load
-	began time.Time
+	load      *Load
+	startedAt time.Time
 }
 
 // underLoad starts a deployment and a load, and returns once jobs are being answered.
@@ -84,19 +84,19 @@
 
 // ends ends the load and judges: no job is lost, none that must not ran twice, and in each
 // upgrade two at most were turned back unheard.
-func (s *scene) ends(t *testing.T, upgrades int) {
+func (s *scene) terminates(t *testing.T, upgrades int) {
 	t.Helper()
 	tally := s.load.Stop()
 	t.Log(tally.Line())
 	for _, record := range tally.Lost {
-		t.Error("lost:", record.Text(s.began))
+		t.Error("lost:", record.Text(s.startedAt))
 	}
 	for _, record := range tally.Wrong {
-		t.Error("wrong result:", record.Text(s.began))
+		t.Error("wrong result:", record.Text(s.startedAt))
 	}
-	if len(tally.TurnedBack) > mostTurnedBack*upgrades {
-		for _, record := range tally.TurnedBack {
-			t.Error("turned back:", record.Text(s.began))
+	if len(tally.Returned) > maxReturned*upgrades {
+		for _, record := range tally.Returned {
+			t.Error("turned back:", record.Text(s.startedAt))
 		}
 	}
 	if ids := s.Fleet.Twice(); len(ids) > 0 {
@@ -105,5 +105,5 @@
 	if sum := tally.Total(); sum.OK == 0 {
 		t.Error("no job was served")
 	}
-	must(t, s.End(context.Background()))
+	must(t, s.Terminate(context.Background()))
 }
--- a/internal/lab/service/quiesce_test.go
+++ b/internal/lab/service/quiesce_test.go
@@ -57,7 +57,7 @@
 	await(t, "yes after the drain's end", resumeLimit, func() bool { return frontHealth(t, d) == nil })
 	g := newGuest(t, d)
 	text := requestText("resumed/north/reading/"+g.port(), d.Fleet.Classes[0], "north")
-	if a, fate, err := g.ask(text, time.Now().Add(patience)); fate != Answered || a.Status != http.StatusOK {
+	if a, fate, err := g.exchange(text, time.Now().Add(patience)); fate != Answered || a.Status != http.StatusOK {
 		t.Errorf("after the drain a job is %v, status %d (%v)", fate, a.Status, err)
 	}
 }
@@ -74,7 +74,7 @@
 	for i := range kept {
 		g := newGuest(t, d)
 		text := requestText(fmt.Sprintf("kept/north/reading/%d", i), world.Classes[0], "north")
-		if a, fate, err := g.ask(text, time.Now().Add(patience)); fate != Answered || a.Status != http.StatusOK {
+		if a, fate, err := g.exchange(text, time.Now().Add(patience)); fate != Answered || a.Status != http.StatusOK {
 			t.Errorf("before the drain a job is %v, status %d (%v)", fate, a.Status, err)
 		}
 		idle = append(idle, g)
@@ -87,7 +87,7 @@
 		g := newGuest(t, d)
 		text := requestText(fmt.Sprintf("working/north/ratify/%d", i), *long, "north")
 		work.Go(func() {
-			if a, fate, err := g.ask(text, time.Now().Add(patience)); fate != Answered || a.Status != http.StatusOK {
+			if a, fate, err := g.exchange(text, time.Now().Add(patience)); fate != Answered || a.Status != http.StatusOK {
 				t.Errorf("a job in work at the drain is %v, status %d (%v)", fate, a.Status, err)
 			}
 			g.wait()
@@ -109,7 +109,7 @@
 	work.Wait()
 	must(t, Operators{d.Current.Admin}.alive(t.Context()))
 	resumed(t, d)
-	must(t, d.End(context.Background()))
+	must(t, d.Terminate(context.Background()))
 }
 
 // alive reports whether the process still answers its operators, with yes or no.
@@ -120,7 +120,7 @@
 
 // Clients that go on with jobs on their open connections are sent away too: each connection ends
 // in time, and each job that was read has its answer.
-func TestQuiesceSendsBusyClientsAway(t *testing.T) {
+func TestQuiesceDisconnectsBusyClients(t *testing.T) {
 	const clients = 12
 	d := deploy(t, DefaultWorld())
 	var wait, busy sync.WaitGroup
@@ -134,7 +134,7 @@
 			var last time.Time
 			for number := 0; ; number++ {
 				text := requestText(fmt.Sprintf("busy-%d/south/reading/%d", i, number), d.Fleet.Classes[0], "south")
-				a, fate, err := g.ask(text, time.Now().Add(patience))
+				a, fate, err := g.exchange(text, time.Now().Add(patience))
 				first()
 				if fate == Unheard || g.closes {
 					break
@@ -158,7 +158,7 @@
 	}
 	wait.Wait()
 	resumed(t, d)
-	must(t, d.End(context.Background()))
+	must(t, d.Terminate(context.Background()))
 }
 
 // A drain that is asked for twice is one, and so is its end.
@@ -168,5 +168,5 @@
 	quiesced(t, d)
 	resumed(t, d)
 	resumed(t, d)
-	must(t, d.End(context.Background()))
+	must(t, d.Terminate(context.Background()))
 }
--- a/internal/lab/service/stats_test.go
+++ b/internal/lab/service/stats_test.go
@@ -37,7 +37,7 @@
 	o := DefaultLoad
 	o.Rate = 2.5 * world.Capacity()
 	load := StartLoad(d.Addr(), d.Fleet.Topology, o)
-	for _, n := range d.Fleet.Nodes() {
+	for _, n := range d.Fleet.Workers() {
 		n.Behave(standin.Behaviour{FailOne: 5})
 	}
 	enough := float64(size(20, 150))
@@ -53,7 +53,7 @@
 	var told Figures
 	defer func() {
 		t.Log(told.Disagreement(tally.Answers))
-		t.Logf("tries %.0f, the nodes have read %d", told.Tries, d.Fleet.Requests())
+		t.Logf("tries %.0f, the nodes have read %d", told.Attempts, d.Fleet.Requests())
 	}()
 	awaitFigures(t, d, "the responses are the submitters'", lateness, func(f Figures) bool {
 		told = f
@@ -61,7 +61,7 @@
 	})
 	awaitFigures(t, d, "the tries are the nodes'", lateness, func(f Figures) bool {
 		told = f
-		return Within(f.Tries, float64(d.Fleet.Requests()), TriesShare)
+		return Within(f.Attempts, float64(d.Fleet.Requests()), AttemptsTolerance)
 	})
 	if told.Active > slack {
 		t.Errorf("%.0f jobs are active, and all have ended", told.Active)
@@ -84,11 +84,11 @@
 	must(t, err)
 	s.goesOn(t)
 	tally := s.load.Stop()
-	most := float64(tally.Asked-before) + slack
+	most := float64(tally.Sent-before) + slack
 	awaitFigures(t, s.Deployment, "it counts some, and none from before the upgrade", lateness, func(f Figures) bool {
 		return f.served() > 0 && f.served() <= most
 	})
-	must(t, s.End(context.Background()))
+	must(t, s.Terminate(context.Background()))
 }
 
 // While jobs run, and wait for a node, as many are active; once they are answered, none is.
@@ -105,21 +105,21 @@
 		t.Cleanup(func() { c.Close() })
 		text := requestText("active/north/ratify/"+c.port(), *class, "north")
 		wait.Go(func() {
-			if a, fate, err := c.ask(text, time.Now().Add(patience)); fate != Answered || a.Status != 200 {
+			if a, fate, err := c.exchange(text, time.Now().Add(patience)); fate != Answered || a.Status != 200 {
 				t.Errorf("%v, status %d (%v)", fate, a.Status, err)
 			}
 		})
 	}
 	await(t, "the jobs run", patience, func() bool { return runs(d) >= jobs })
-	awaitFigures(t, d, "they are active", lateness, func(f Figures) bool { return Within(f.Active, jobs, ActiveShare) })
+	awaitFigures(t, d, "they are active", lateness, func(f Figures) bool { return Within(f.Active, jobs, ActiveTolerance) })
 	wait.Wait()
-	awaitFigures(t, d, "none is active", lateness, func(f Figures) bool { return Within(f.Active, 0, ActiveShare) })
+	awaitFigures(t, d, "none is active", lateness, func(f Figures) bool { return Within(f.Active, 0, ActiveTolerance) })
 }
 
 // runs is how many different jobs the nodes have begun.
 func runs(d *Deployment) int {
 	ids := map[string]bool{}
-	for _, n := range d.Fleet.Nodes() {
+	for _, n := range d.Fleet.Workers() {
 		for id := range n.Runs() {
 			ids[id] = true
 		}
@@ -129,24 +129,24 @@
 
 // The pool is as large as the machine list, also as that changes, and nodes that went away
 // without a word are told as avoided.
-func TestPoolIsTold(t *testing.T) {
+func TestPoolIsReported(t *testing.T) {
 	d := deploy(t, DefaultWorld())
 	size := func(n float64) func(Figures) bool {
 		return func(f Figures) bool { return f.PoolSize == n && f.Ejected == 0 }
 	}
 	awaitFigures(t, d, "all nodes are in the pool", 2*time.Second, size(8))
-	added, err := d.Fleet.AddNode(d.Fleet.Kinds[0], time.Time{})
+	added, err := d.Fleet.AddWorker(d.Fleet.Kinds[0], time.Time{})
 	must(t, err)
 	awaitFigures(t, d, "another one is", 2*time.Second, size(9))
 	d.Fleet.Discovery.Put(added, "left")
 	awaitFigures(t, d, "it has left", 2*time.Second, size(8))
 	load := StartLoad(d.Addr(), d.Fleet.Topology, DefaultLoad)
-	for _, n := range d.Fleet.Nodes()[:2] {
+	for _, n := range d.Fleet.Workers()[:2] {
 		n.Crash()
 	}
 	awaitFigures(t, d, "two are avoided", 10*time.Second, func(f Figures) bool { return f.PoolSize == 8 && f.Ejected == 2 })
 	if tally := load.Stop(); tally.Total().OK == 0 {
 		t.Error(tally.Line())
 	}
-	must(t, d.End(context.Background()))
+	must(t, d.Terminate(context.Background()))
 }
--- a/internal/lab/service/tally.go
+++ b/internal/lab/service/tally.go
@@ -11,11 +11,11 @@
 
 // A Send is one try at handing a job to the scheduler.
 type Send struct {
-	Began, Ended time.Time
-	Port         string // the submitter's; "": no connection came up
-	Fresh        bool   // the connection had carried nothing before
-	Fate         Fate
-	Err          error // what happened, where there was no answer
+	StartedAt, Ended time.Time
+	Port             string // the submitter's; "": no connection came up
+	Fresh            bool   // the connection had carried nothing before
+	Fate             Fate
+	Err              error // what happened, where there was no answer
 }
 
 // A Record is one job with all its sends.
@@ -35,7 +35,7 @@
 func (r Record) Text(since time.Time) string {
 	var sends []string
 	for _, s := range r.Sends {
-		text := fmt.Sprintf("sent at %.3f s from port %q (fresh: %v), %s at %.3f s", s.Began.Sub(since).Seconds(), s.Port, s.Fresh, s.Fate, s.Ended.Sub(since).Seconds())
+		text := fmt.Sprintf("sent at %.3f s from port %q (fresh: %v), %s at %.3f s", s.StartedAt.Sub(since).Seconds(), s.Port, s.Fresh, s.Fate, s.Ended.Sub(since).Seconds())
 		if s.Err != nil {
 			text += " (" + s.Err.Error() + ")"
 		}
@@ -47,31 +47,31 @@
 // Latencies are recorded in microseconds, up to a minute.
 const (
 	latencyUnit   = time.Microsecond
-	latencyMost   = time.Minute
+	maxLatency    = time.Minute
 	latencyDigits = 3
 )
 
 // A Tally is what became of jobs.
 type Tally struct {
-	Asked      int
-	Answers    map[string]Responses // by class
-	Rejected   int                  // 4xx but 429: the scheduler did not take the job
-	Wrong      []Record             // answered as served, with another job's result or none
-	Lost       []Record
-	TurnedBack []Record // unheard at least once
-	Latency    *hdrhistogram.Histogram
+	Sent     int
+	Answers  map[string]Responses // by class
+	Rejected int                  // 4xx but 429: the scheduler did not take the job
+	Wrong    []Record             // answered as served, with another job's result or none
+	Lost     []Record
+	Returned []Record // unheard at least once
+	Latency  *hdrhistogram.Histogram
 }
 
 func newTally() Tally {
-	return Tally{Answers: map[string]Responses{}, Latency: hdrhistogram.New(1, int64(latencyMost/latencyUnit), latencyDigits)}
+	return Tally{Answers: map[string]Responses{}, Latency: hdrhistogram.New(1, int64(maxLatency/latencyUnit), latencyDigits)}
 }
 
 // add counts a job that has ended, with the answer's body.
 func (t *Tally) add(r Record, body string) {
-	t.Asked++
+	t.Sent++
 	for _, s := range r.Sends {
 		if s.Fate == Unheard {
-			t.TurnedBack = append(t.TurnedBack, r)
+			t.Returned = append(t.Returned, r)
 			break
 		}
 	}
@@ -79,7 +79,7 @@
 		t.Lost = append(t.Lost, r)
 		return
 	}
-	t.Latency.RecordValue(int64(r.last().Ended.Sub(r.Sends[0].Began) / latencyUnit))
+	t.Latency.RecordValue(int64(r.last().Ended.Sub(r.Sends[0].StartedAt) / latencyUnit))
 	responses := t.Answers[r.Class]
 	switch {
 	case r.Status == http.StatusOK:
@@ -117,5 +117,5 @@
 		return (time.Duration(t.Latency.ValueAtQuantile(percent)) * latencyUnit).Seconds()
 	}
 	return fmt.Sprintf("jobs %d: ok %.0f, shed %.0f, errors %.0f, rejected %d, lost %d, wrong %d, turned back unheard %d; answered after %.3f s at the median, %.3f s at 99 %%, %.3f s at most",
-		t.Asked, sum.OK, sum.Shed, sum.Errors, t.Rejected, len(t.Lost), len(t.Wrong), len(t.TurnedBack), at(50), at(99), at(100))
+		t.Sent, sum.OK, sum.Shed, sum.Errors, t.Rejected, len(t.Lost), len(t.Wrong), len(t.Returned), at(50), at(99), at(100))
 }
--- a/internal/lab/service/upgrade_test.go
+++ b/internal/lab/service/upgrade_test.go
@@ -60,7 +60,7 @@
 	must(t, err)
 	must(t, old.Signal(syscall.SIGHUP))
 	must(t, next.Signal(syscall.SIGHUP))
-	leaving, err := s.TakeOver(next)
+	leaving, err := s.Promote(next)
 	must(t, err)
 	must(t, next.Signal(syscall.SIGHUP))
 	if err := old.Signal(syscall.SIGHUP); err != nil && err != os.ErrProcessDone {
@@ -68,7 +68,7 @@
 	}
 	must(t, leaving.Await(t.Context()))
 	s.goesOn(t)
-	s.ends(t, 1)
+	s.terminates(t, 1)
 }
 
 // The old process is drained while the new one starts.
@@ -80,28 +80,28 @@
 	must(t, old.Quiesce(t.Context()))
 	_, err = AwaitYes(t.Context(), next)
 	must(t, err)
-	leaving, err := s.TakeOver(next)
+	leaving, err := s.Promote(next)
 	must(t, err)
 	must(t, leaving.Await(t.Context()))
 	s.goesOn(t)
-	s.ends(t, 1)
+	s.terminates(t, 1)
 }
 
 // The second upgrade begins at the first one's yes: three processes are there at a time.
-func TestTwoUpgradesWithoutPause(t *testing.T) {
+func TestTwoUpgradesInARow(t *testing.T) {
 	s := underLoad(t)
-	var leaving [2]*Leaving
+	var leaving [2]*Termination
 	for i := range leaving {
 		next, err := s.StartNext()
 		must(t, err)
 		_, err = AwaitYes(t.Context(), next)
 		must(t, err)
-		leaving[i], err = s.TakeOver(next)
+		leaving[i], err = s.Promote(next)
 		must(t, err)
 	}
 	for _, l := range leaving {
 		must(t, l.Await(t.Context()))
 	}
 	s.goesOn(t)
-	s.ends(t, len(leaving))
+	s.terminates(t, len(leaving))
 }
--- a/internal/lab/service/upgrades.go
+++ b/internal/lab/service/upgrades.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	mostTurnedBack = 2  // jobs, unheard in one upgrade
-	jobsBetween    = 10 // that end before each upgrade
+	maxReturned = 2  // jobs, unheard in one upgrade
+	jobsBetween = 10 // that end before each upgrade
 )
 
 // Upgrades is a trial: one upgrade after another, as the platform does them, under load.
@@ -30,9 +30,9 @@
 
 // An UpgradesResult is what a trial saw.
 type UpgradesResult struct {
-	Began     time.Time
+	StartedAt time.Time
 	Handovers []Handover
-	Asked     int      // upgrades
+	Sent      int      // upgrades
 	Placed    int      // faults
 	Outages   []Outage // by kills of a process that served
 	Tally     Tally
@@ -54,11 +54,11 @@
 	return lost
 }
 
-// TurnedBack counts the jobs turned back unheard, and the most in one upgrade: each belongs to
+// Returned counts the jobs turned back unheard, and the most in one upgrade: each belongs to
 // the upgrade that began last before it was sent. What a killed process turned back counts not.
-func (r UpgradesResult) TurnedBack() (all, most int) {
+func (r UpgradesResult) Returned() (all, most int) {
 	counts := make([]int, len(r.Handovers)+1)
-	for _, record := range r.Tally.TurnedBack {
+	for _, record := range r.Tally.Returned {
 		if !r.excused(record.Sends[0]) {
 			all++
 			counts[r.upgradeOf(record)]++
@@ -71,7 +71,7 @@
 // there was none yet.
 func (r UpgradesResult) upgradeOf(record Record) int {
 	ended := record.Sends[0].Ended
-	if later := slices.IndexFunc(r.Handovers, func(h Handover) bool { return h.Began.After(ended) }); later >= 0 {
+	if later := slices.IndexFunc(r.Handovers, func(h Handover) bool { return h.StartedAt.After(ended) }); later >= 0 {
 		return later
 	}
 	return len(r.Handovers)
@@ -87,16 +87,16 @@
 
 // Line is the result in one line.
 func (r UpgradesResult) Line() string {
-	all, most := r.TurnedBack()
+	all, most := r.Returned()
 	return fmt.Sprintf("upgrades %d, jobs %d, lost %d, ran twice %d, turned back unheard %d (most in one upgrade %d), slowest yes %.2f s",
-		len(r.Handovers), r.Tally.Asked, len(r.Lost()), len(r.Twice), all, most, r.Slowest().Seconds())
+		len(r.Handovers), r.Tally.Sent, len(r.Lost()), len(r.Twice), all, most, r.Slowest().Seconds())
 }
 
 // OK reports whether what must never happen did not, and there was something to see.
 func (r UpgradesResult) OK() bool {
-	_, most := r.TurnedBack()
-	return len(r.Lost()) == 0 && len(r.Twice) == 0 && len(r.Tally.Wrong) == 0 && most <= mostTurnedBack &&
-		r.Slowest() <= YesLimit && len(r.Handovers) == r.Asked && r.Tally.Total().OK > 0
+	_, most := r.Returned()
+	return len(r.Lost()) == 0 && len(r.Twice) == 0 && len(r.Tally.Wrong) == 0 && most <= maxReturned &&
+		r.Slowest() <= YesLimit && len(r.Handovers) == r.Sent && r.Tally.Total().OK > 0
 }
 
 // Run plays the trial. Where an upgrade fails, the result has what was seen until then.
@@ -109,7 +109,7 @@
 		return r, err
 	}
 	defer d.Close()
-	r.Began, r.Asked, r.Tally = time.Now(), u.Upgrades, newTally()
+	r.StartedAt, r.Sent, r.Tally = time.Now(), u.Upgrades, newTally()
 	u.Load.Seed = u.Seed
 	load := StartLoad(d.Addr(), d.Fleet.Topology, u.Load)
 	err = u.upgrade(ctx, w, d, load, &r)
@@ -118,12 +118,12 @@
 	if err != nil {
 		return r, err
 	}
-	return r, d.End(ctx)
+	return r, d.Terminate(ctx)
 }
 
 // End ends the current process, as the last one of its deployment.
-func (d *Deployment) End(ctx context.Context) error {
-	leaving := &Leaving{Process: d.Current, limit: d.KillAfter(), told: time.Now()}
+func (d *Deployment) Terminate(ctx context.Context) error {
+	leaving := &Termination{Process: d.Current, limit: d.KillAfter(), startedAt: time.Now()}
 	if err := d.Current.Signal(syscall.SIGTERM); err != nil {
 		return &EndedError{d.Current.Name, d.Current.Log()}
 	}
@@ -142,7 +142,7 @@
 			return fmt.Errorf("upgrade %d of %d: %w", number+1, u.Upgrades, err)
 		}
 		r.Handovers = append(r.Handovers, h)
-		fmt.Fprintf(w, "upgrade %d: %s\n", number+1, h.Line(r.Began))
+		fmt.Fprintf(w, "upgrade %d: %s\n", number+1, h.Line(r.StartedAt))
 	}
 	return nil
 }
@@ -165,13 +165,13 @@
 // spoilt does one upgrade after a new process that fails before its yes. The moments of all
 // upgrades are spread over the time that a process takes to its yes, as seen so far.
 func (u Upgrades) spoilt(ctx context.Context, d *Deployment, r *UpgradesResult, rng *rand.Rand) (h Handover, err error) {
-	h.Began, h.Old = time.Now(), d.Current
+	h.StartedAt, h.Old = time.Now(), d.Current
 	each := max(d.FirstYes, r.Slowest()) / time.Duration(u.Upgrades)
 	moment, still := time.Duration(len(r.Handovers))*each+drawn(rng, each), time.Duration(0)
 	if u.Fault == StopNew {
-		still = drawn(rng, longestStop)
+		still = drawn(rng, maxStop)
 	}
-	next, err := d.SpoilNew(ctx, moment, still)
+	next, err := d.DisturbSuccessor(ctx, moment, still)
 	if err != nil {
 		return h, err
 	}
@@ -182,7 +182,7 @@
 	if _, err := AwaitYes(ctx, next); err != nil {
 		return h, err
 	}
-	h.Yes = time.Since(h.Began)
+	h.Yes = time.Since(h.StartedAt)
 	err = d.finish(ctx, &h, next)
 	return h, err
 }
@@ -195,18 +195,18 @@
 // report tells what went wrong, job by job, and sums up.
 func (r UpgradesResult) report(w io.Writer) {
 	for _, record := range r.Lost() {
-		fmt.Fprintln(w, "lost:", record.Text(r.Began))
+		fmt.Fprintln(w, "lost:", record.Text(r.StartedAt))
 		if number := r.upgradeOf(record); number > 0 {
 			h := r.Handovers[number-1]
 			fmt.Fprintf(w, "  in upgrade %d, whose old process was %s; its log ends with\n    %s\n", number, h.Old.Name, strings.Join(h.Old.Log(), "\n    "))
 		}
 	}
 	for _, record := range r.Tally.Wrong {
-		fmt.Fprintln(w, "wrong result:", record.Text(r.Began))
+		fmt.Fprintln(w, "wrong result:", record.Text(r.StartedAt))
 	}
-	for _, record := range r.Tally.TurnedBack {
+	for _, record := range r.Tally.Returned {
 		if !r.excused(record.Sends[0]) {
-			fmt.Fprintln(w, "turned back:", record.Text(r.Began))
+			fmt.Fprintln(w, "turned back:", record.Text(r.StartedAt))
 		}
 	}
 	for _, id := range r.Twice {
--- a/internal/lab/soak/clients.go
+++ b/internal/lab/soak/clients.go
@@ -9,13 +9,13 @@
 )
 
 // leavers numbers the submitters that leave, and waits for them.
-type leavers struct {
+type disconnecters struct {
 	mu   sync.Mutex
 	last int
 	wait sync.WaitGroup
 }
 
-func (l *leavers) next() int {
+func (l *disconnecters) next() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.last++
@@ -41,8 +41,8 @@
 	for range leaveAtOnce {
 		i, class := rng.IntN(p.Schedulers), []string{"reading", "ratify"}[rng.IntN(2)]
 		stays := time.Duration(rng.Int64N(int64(leaveWithin)))
-		id := fmt.Sprintf("leave/all/%s/%d-%d", class, i, p.leavers.next())
-		p.leavers.wait.Go(func() {
+		id := fmt.Sprintf("leave/all/%s/%d-%d", class, i, p.disconnecters.next())
+		p.disconnecters.wait.Go(func() {
 			c, err := net.DialTimeout("tcp", p.f.Processes[i].Addr, clientsLimit)
 			if err != nil {
 				return
@@ -50,7 +50,7 @@
 			fmt.Fprint(c, jobText(id, class, leaverWaits))
 			<-time.After(stays)
 			c.Close()
-			p.record.left(id, time.Now())
+			p.record.disconnected(id, time.Now())
 		})
 	}
 	return func() {}
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -21,10 +21,10 @@
 
 // A kind is a kind of fault. begin makes it so and returns what ends it; nil if it did not come to it.
 type kind struct {
-	name   string
-	weight int
-	most   time.Duration // that it lasts
-	begin  func(p *run, rng *rand.Rand) (end func())
+	name      string
+	weight    int
+	maxAtOnce time.Duration // that it lasts
+	begin     func(p *run, rng *rand.Rand) (end func())
 }
 
 const (
@@ -34,8 +34,8 @@
 )
 
 var kinds = []kind{
-	{"discovery's answers are spoilt", 4, 9 * time.Second, spoilDiscovery},
-	{"discovery is slow", 3, 9 * time.Second, slowDiscovery},
+	{"discovery's answers are spoilt", 4, 9 * time.Second, corruptDiscovery},
+	{"discovery is slow", 3, 9 * time.Second, throttleDiscovery},
 	{"discovery is down", 2, 6 * time.Second, discoveryDown},
 	{"a scheduler hears nothing of discovery", 2, 6 * time.Second, discoverySilent},
 	{"a node drains and leaves", 6, 14 * time.Second, drainNode},
@@ -44,11 +44,11 @@
 	{"a node is cut off and taken off the list", 4, 9 * time.Second, cutNode},
 	{"a link is silent", 3, 4 * time.Second, silentLink},
 	{"a link is reset", 3, shortest, resetLink},
-	{"a link is slow", 2, 3 * time.Second, slowLink},
+	{"a link is slow", 2, 3 * time.Second, throttleLink},
 	{"submitters leave", 3, time.Second, (*run).leave},
 	{"submitters stop half way", 1, 4 * time.Second, halfRequests},
 	{"a scheduler is killed and starts with its old list", 6, 9 * time.Second, killScheduler},
-	{"a scheduler is ended and starts again", 3, 2 * time.Second, endScheduler},
+	{"a scheduler is ended and starts again", 3, 2 * time.Second, terminateScheduler},
 	{"a scheduler stands still", 3, 150 * time.Millisecond, stopScheduler},
 	{"a scheduler reads its configuration again", 2, shortest, reloadScheduler},
 }
@@ -67,8 +67,8 @@
 			return faults
 		}
 		k := by[p.rng.IntN(len(by))]
-		length := shortest + time.Duration(p.rng.Int64N(int64(max(1, kinds[k].most-shortest))))
-		faults = append(faults, fault{k, at, min(length, kinds[k].most), p.rng.Uint64()})
+		length := shortest + time.Duration(p.rng.Int64N(int64(max(1, kinds[k].maxAtOnce-shortest))))
+		faults = append(faults, fault{k, at, min(length, kinds[k].maxAtOnce), p.rng.Uint64()})
 	}
 }
 
@@ -88,7 +88,7 @@
 func (p *run) play(faults []fault) {
 	for _, f := range faults {
 		p.wait.Go(func() {
-			<-time.After(time.Until(p.began.Add(f.at)))
+			<-time.After(time.Until(p.startedAt.Add(f.at)))
 			k := kinds[f.kind]
 			end := k.begin(p, rand.New(rand.NewPCG(f.pick, 1)))
 			if end == nil {
@@ -119,8 +119,8 @@
 }
 
 // claimNode takes a node that is up and under no other fault; nil if the one that was drawn is.
-func (p *run) claimNode(rng *rand.Rand) *standin.Node {
-	nodes := p.f.Nodes()
+func (p *run) claimNode(rng *rand.Rand) *standin.Worker {
+	nodes := p.f.Workers()
 	n := nodes[rng.IntN(len(nodes))]
 	if !p.claim(n.Name) {
 		return nil
@@ -137,13 +137,13 @@
 	return i, target
 }
 
-func spoilDiscovery(p *run, rng *rand.Rand) func() {
+func corruptDiscovery(p *run, rng *rand.Rand) func() {
 	if !p.claim(discoveryIs) {
 		return nil
 	}
-	p.f.Discovery.SpoilAnswers(standin.Spoils[rng.IntN(len(standin.Spoils))])
+	p.f.Discovery.CorruptAnswers(standin.Corruptions[rng.IntN(len(standin.Corruptions))])
 	return func() {
-		p.f.Discovery.SpoilAnswers(standin.NoSpoil)
+		p.f.Discovery.CorruptAnswers(standin.NoCorruption)
 		p.release(discoveryIs)
 	}
 }
@@ -166,14 +166,14 @@
 	}
 }
 
-// slowDiscovery lets each answer arrive late, at all schedulers.
-func slowDiscovery(p *run, rng *rand.Rand) func() {
+// throttleDiscovery lets each answer arrive late, at all schedulers.
+func throttleDiscovery(p *run, rng *rand.Rand) func() {
 	if !p.claim(discoveryIs) {
 		return nil
 	}
 	delay := 200*time.Millisecond + time.Duration(rng.Int64N(int64(500*time.Millisecond)))
 	for _, l := range p.f.Links {
-		l.Slow(delay, 0)
+		l.Throttle(delay, 0)
 	}
 	return func() {
 		for _, l := range p.f.Links {
@@ -192,7 +192,7 @@
 }
 
 func discoverySilent(p *run, rng *rand.Rand) func() {
-	return p.unreachable([]int{rng.IntN(p.Schedulers)}, func(l *fleet.Link) { l.Silence(fleet.There, fleet.Back) })
+	return p.unreachable([]int{rng.IntN(p.Schedulers)}, func(l *fleet.Link) { l.Silence(fleet.ToTarget, fleet.FromTarget) })
 }
 
 func drainNode(p *run, rng *rand.Rand) func() {
@@ -200,7 +200,7 @@
 	if n == nil {
 		return nil
 	}
-	n.Behave(standin.Behaviour{Drains: true})
+	n.Behave(standin.Behaviour{Draining: true})
 	p.f.Discovery.Put(n, "leaving")
 	return func() { // its log is kept: it goes on listening
 		p.f.Discovery.Put(n, "left")
@@ -221,7 +221,7 @@
 	}
 	return func() {
 		if _, err := p.f.Restart(n, ""); err != nil {
-			p.say("restart of %s: %v", n.Name, err)
+			p.logf("restart of %s: %v", n.Name, err)
 		}
 		p.release(n.Name)
 	}
@@ -247,13 +247,13 @@
 	}
 	from := time.Now()
 	for i := range p.Schedulers {
-		p.f.NodeLink(i, n).Silence(fleet.There, fleet.Back)
+		p.f.WorkerLink(i, n).Silence(fleet.ToTarget, fleet.FromTarget)
 	}
 	notice := time.AfterFunc(time.Duration(rng.Int64N(int64(2*time.Second))), func() { p.f.Discovery.Put(n, "left") })
 	return func() {
 		notice.Stop()
 		for i := range p.Schedulers {
-			p.f.NodeLink(i, n).Heal()
+			p.f.WorkerLink(i, n).Heal()
 			p.record.link(i, n.Name, from, time.Now())
 		}
 		p.wait.Go(func() {
@@ -271,7 +271,7 @@
 		return nil
 	}
 	i, from := rng.IntN(p.Schedulers), time.Now()
-	l := p.f.NodeLink(i, n)
+	l := p.f.WorkerLink(i, n)
 	begin(l)
 	return func() {
 		l.Heal()
@@ -281,15 +281,15 @@
 }
 
 func silentLink(p *run, rng *rand.Rand) func() {
-	ways := [][]fleet.Way{{fleet.There}, {fleet.Back}, {fleet.There, fleet.Back}}[rng.IntN(3)]
+	ways := [][]fleet.Direction{{fleet.ToTarget}, {fleet.FromTarget}, {fleet.ToTarget, fleet.FromTarget}}[rng.IntN(3)]
 	return p.onLink(rng, func(l *fleet.Link) { l.Silence(ways...) })
 }
 
 func resetLink(p *run, rng *rand.Rand) func() { return p.onLink(rng, (*fleet.Link).Reset) }
 
-func slowLink(p *run, rng *rand.Rand) func() {
+func throttleLink(p *run, rng *rand.Rand) func() {
 	delay := time.Duration(rng.Int64N(int64(50 * time.Millisecond)))
-	return p.onLink(rng, func(l *fleet.Link) { l.Slow(delay, 20_000) })
+	return p.onLink(rng, func(l *fleet.Link) { l.Throttle(delay, 20_000) })
 }
 
 // killScheduler kills a process. It starts again with the list as it was at the run's start.
@@ -306,27 +306,27 @@
 
 func (p *run) start(process *fleet.Process, target string) {
 	if err := process.Start(); err != nil {
-		p.say("start of %s: %v", process.Name, err)
+		p.logf("start of %s: %v", process.Name, err)
 	}
 	p.wait.Go(func() {
 		if err := process.AwaitReady(readyLimit); err != nil {
-			p.say("%v", err)
+			p.logf("%v", err)
 		}
 		p.release(target)
 	})
 }
 
-func endScheduler(p *run, rng *rand.Rand) func() {
+func terminateScheduler(p *run, rng *rand.Rand) func() {
 	i, target := p.claimProcess(rng)
 	if i < 0 {
 		return nil
 	}
 	process := p.f.Processes[i]
-	p.record.ended(i, time.Now())
+	p.record.terminated(i, time.Now())
 	p.wait.Go(func() {
-		if err := process.End(); err != nil {
-			p.record.badExit()
-			p.say("%s ended: %v", process.Name, err)
+		if err := process.Terminate(); err != nil {
+			p.record.failedExit()
+			p.logf("%s ended: %v", process.Name, err)
 		}
 		p.start(process, target)
 	})
--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -13,14 +13,14 @@
 // The rules' figures, as lab.World tells them in its settings, with the slack of 50 ms on sockets. A process
 // that stands still for up to 0.15 s is late by that, but for the grace of drains, which covers it.
 const (
-	told          = 6 * time.Second // a change counts as known so long after discovery had it and could be reached
-	drainGrace    = 750 * time.Millisecond
-	slack         = 50 * time.Millisecond
-	standstill    = 150 * time.Millisecond
-	goneSlack     = 100 * time.Millisecond
-	deadlineSlack = 150 * time.Millisecond
-	linkTime      = 100 * time.Millisecond // that a slow link may take, with the machine's own delays
-	writeQuiet    = time.Second            // an answer counts as told when written if its link was well so long after
+	notifiedWithin  = 6 * time.Second // a change counts as known so long after discovery had it and could be reached
+	drainGrace      = 750 * time.Millisecond
+	slack           = 50 * time.Millisecond
+	standstill      = 150 * time.Millisecond
+	disconnectSlack = 100 * time.Millisecond
+	deadlineSlack   = 150 * time.Millisecond
+	linkTime        = 100 * time.Millisecond // that a slow link may take, with the machine's own delays
+	writeQuiet      = time.Second            // an answer counts as told when written if its link was well so long after
 )
 
 // judge counts the broken rules.
@@ -29,40 +29,40 @@
 	defer p.record.mu.Unlock()
 	v := &r.Violations
 	v.Exit += p.record.exits
-	v.Lost += r.Tally.Lost + r.Tally.Blamed
-	if r.Tally.Lost+r.Tally.Blamed > 0 {
-		p.say("lost: %d jobs without an answer in time, %d good ones answered with 4xx", r.Tally.Lost, r.Tally.Blamed)
+	v.Lost += r.Tally.Lost + r.Tally.Rejected
+	if r.Tally.Lost+r.Tally.Rejected > 0 {
+		p.logf("lost: %d jobs without an answer in time, %d good ones answered with 4xx", r.Tally.Lost, r.Tally.Rejected)
 	}
 	for _, id := range p.f.Twice() {
 		v.Duplicate++
-		p.say("duplicate: %s", id)
+		p.logf("duplicate: %s", id)
 	}
-	v.SlowStart += p.f.Fallen()
+	v.StartOverload += p.f.Fallen()
 	sent := load.SentAt()
 	waits := map[string]time.Duration{}
 	for _, c := range p.f.Classes {
 		waits[c.Name] = c.Deadline
 	}
 	leaves := map[string]time.Time{}
-	for _, l := range p.record.leaves {
+	for _, l := range p.record.disconnects {
 		leaves[l.id] = l.at
 	}
-	off := p.offTimes()
+	off := p.unavailabilities()
 	for _, a := range p.f.Arrivals() {
 		r.Sends++
 		class, i := origin(a.ID)
-		if p.drains(a, i, off[a.Node]) {
+		if p.violatesDrain(a, i, off[a.Node]) {
 			v.Drain++
 		}
-		if at, left := leaves[a.ID]; left && a.Begun.Sub(at) > goneSlack+slack+linkTime && !p.record.linkFaulty(i, a.Node, at, a.Begun) {
-			v.Gone++
-			p.say("gone: %s reaches %s %v after its submitter left", a.ID, a.Node, a.Begun.Sub(at))
+		if at, left := leaves[a.ID]; left && a.Begun.Sub(at) > disconnectSlack+slack+linkTime && !p.record.linkFaulty(i, a.Node, at, a.Begun) {
+			v.Disconnected++
+			p.logf("gone: %s reaches %s %v after its submitter left", a.ID, a.Node, a.Begun.Sub(at))
 		}
 		if at, known := sent[a.ID]; known {
 			left := at.Add(waits[class]).Sub(a.Begun)
 			if a.Remains > left+deadlineSlack+slack+linkTime && !p.record.linkFaulty(i, a.Node, at, a.Begun) {
 				v.Deadline++
-				p.say("deadline: %s is told %v, and has %v", a.ID, a.Remains, left)
+				p.logf("deadline: %s is told %v, and has %v", a.ID, a.Remains, left)
 			}
 		}
 	}
@@ -82,15 +82,15 @@
 	return parts[2], i
 }
 
-// An offTime is a time in which a node was not live in the list.
-type offTime struct {
+// An unavailability is a time in which a node was not live in the list.
+type unavailability struct {
 	change standin.Change
 	until  time.Time // zero: to the end
 }
 
-// offTimes returns them by node.
-func (p *run) offTimes() map[string][]offTime {
-	off := map[string][]offTime{}
+// unavailabilities returns them by node.
+func (p *run) unavailabilities() map[string][]unavailability {
+	off := map[string][]unavailability{}
 	open := map[string]bool{}
 	for _, c := range p.f.Discovery.Changes() {
 		all := off[c.Host]
@@ -99,7 +99,7 @@
 			all[len(all)-1].until = c.At
 			open[c.Host] = false
 		case c.Health != "active" && !open[c.Host]:
-			off[c.Host] = append(all, offTime{change: c})
+			off[c.Host] = append(all, unavailability{change: c})
 			open[c.Host] = true
 		}
 	}
@@ -107,14 +107,14 @@
 }
 
 // drains reports whether an arrival came past the grace at a node that drains or is gone.
-func (p *run) drains(a standin.Arrival, i int, off []offTime) bool {
+func (p *run) violatesDrain(a standin.Arrival, i int, off []unavailability) bool {
 	for _, o := range off {
 		if a.Begun.Before(o.change.At) || !o.until.IsZero() && a.Begun.After(o.until) {
 			continue
 		}
-		known := p.toldAt(i, o.change, a.Begun)
+		known := p.notifiedAt(i, o.change, a.Begun)
 		if late := a.Begun.Sub(known) - drainGrace - slack; late > 0 {
-			p.say("drain: %s reaches %s %.2f s after the list said %q (version %d), %.2f s after it counted as known",
+			p.logf("drain: %s reaches %s %.2f s after the list said %q (version %d), %.2f s after it counted as known",
 				a.ID, a.Node, a.Begun.Sub(o.change.At).Seconds(), o.change.Health, o.change.Version, a.Begun.Sub(known).Seconds())
 			return true
 		}
@@ -122,11 +122,11 @@
 	return false
 }
 
-// toldAt returns when a change counts as known to a scheduler, for something that it did at a time: when
+// notifiedAt returns when a change counts as known to a scheduler, for something that it did at a time: when
 // discovery had written it to the process that runs then, and at the latest some seconds after discovery had
 // it and could be reached.
-func (p *run) toldAt(i int, c standin.Change, at time.Time) time.Time {
-	latest := p.reachableFrom(i, c.At).Add(told)
+func (p *run) notifiedAt(i int, c standin.Change, at time.Time) time.Time {
+	latest := p.reachableFrom(i, c.At).Add(notifiedWithin)
 	for _, w := range p.f.Discovery.Writes(p.f.Processes[i].Name) {
 		if w.Version < c.Version || w.At.Before(c.At) {
 			continue
@@ -146,7 +146,7 @@
 	spans := append([]span(nil), p.record.apart[i]...)
 	sort.Slice(spans, func(a, b int) bool { return spans[a].from.Before(spans[b].from) })
 	for _, s := range spans {
-		if s.overlaps(from, from.Add(told)) {
+		if s.overlaps(from, from.Add(notifiedWithin)) {
 			from = s.to
 		}
 	}
--- a/internal/lab/soak/mutants.go
+++ b/internal/lab/soak/mutants.go
@@ -18,12 +18,12 @@
 	Shows func(Violations) int
 }
 
-func drain(v Violations) int     { return v.Drain }
-func lost(v Violations) int      { return v.Lost }
-func duplicate(v Violations) int { return v.Duplicate }
-func gone(v Violations) int      { return v.Gone }
-func deadline(v Violations) int  { return v.Deadline }
-func slowStart(v Violations) int { return v.SlowStart }
+func drain(v Violations) int         { return v.Drain }
+func lost(v Violations) int          { return v.Lost }
+func duplicate(v Violations) int     { return v.Duplicate }
+func disconnected(v Violations) int  { return v.Disconnected }
+func deadline(v Violations) int      { return v.Deadline }
+func startOverload(v Violations) int { return v.StartOverload }
 
 // Mutants are the faults by which the soak is proved, two for each rule.
 var Mutants = []Mutant{
@@ -34,16 +34,16 @@
 	{lab.Mutant{Name: "the end waits for no job", File: "internal/platform/shutdown.go", Old: "\tp.clients.shutDown(acceptAfterShutdown, stay)\n\tp.core.Stop()", New: "\tgo p.clients.shutDown(acceptAfterShutdown, stay)\n\ttime.Sleep(acceptAfterShutdown / 4)\n\tp.core.Stop()"}, lost},
 	{lab.Mutant{Name: "a reset counts as never run", File: "api.go", Old: "c == Unreachable || c == NotSent }", New: "c == Unreachable || c == NotSent || c == Reset }"}, duplicate},
 	{lab.Mutant{Name: "a timed-out claim counts as never run", File: "api.go", Old: "c == Unreachable || c == NotSent }", New: "c == Unreachable || c == NotSent || c == DeadlineExceeded || c == Cancelled || c == Reset }"}, duplicate},
-	{lab.Mutant{Name: "a submitter that leaves is not noticed", File: "internal/platform/client_conn.go", Old: "\t\t\tc.server.core.ClientDisconnected(job)\n", New: "\t\t\tjob.Client = nil\n"}, gone},
-	{lab.Mutant{Name: "a submitter's leaving is noticed late", File: "internal/platform/client_conn.go", Old: "\t\t\tjob.MarkDisconnected()\n\t\t\tc.server.core.ClientDisconnected(job)\n", New: "\t\t\tjob.Client = nil\n\t\t\ttime.Sleep(400 * time.Millisecond)\n\t\t\tc.server.core.ClientDisconnected(job)\n"}, gone},
+	{lab.Mutant{Name: "a submitter that leaves is not noticed", File: "internal/platform/client_conn.go", Old: "\t\t\tc.server.core.ClientDisconnected(job)\n", New: "\t\t\tjob.Client = nil\n"}, disconnected},
+	{lab.Mutant{Name: "a submitter's leaving is noticed late", File: "internal/platform/client_conn.go", Old: "\t\t\tjob.MarkDisconnected()\n\t\t\tc.server.core.ClientDisconnected(job)\n", New: "\t\t\tjob.Client = nil\n\t\t\ttime.Sleep(400 * time.Millisecond)\n\t\t\tc.server.core.ClientDisconnected(job)\n"}, disconnected},
 	{lab.Mutant{Name: "nodes are told of a second more", File: "internal/platform/attempt.go", Old: "formatRemaining(remaining)", New: "formatRemaining(remaining+time.Second)"}, deadline},
 	{lab.Mutant{Name: "the time in the queue is not taken off", File: "internal/core/send.go", Old: "Remaining: remaining,", New: "Remaining: j.Remaining,"}, deadline},
-	{lab.Mutant{Name: "cold nodes count as warm", File: "health.go", Old: "return w.startedAt != 0 && d.now-w.startedAt < d.cfg.SlowStartDuration", New: "return false"}, slowStart},
-	{lab.Mutant{Name: "starts are not heard", File: "machine_list.go", Old: "if w.startedAt != e.StartedAt {", New: "if false {"}, slowStart},
+	{lab.Mutant{Name: "cold nodes count as warm", File: "health.go", Old: "return w.startedAt != 0 && d.now-w.startedAt < d.cfg.SlowStartDuration", New: "return false"}, startOverload},
+	{lab.Mutant{Name: "starts are not heard", File: "machine_list.go", Old: "if w.startedAt != e.StartedAt {", New: "if false {"}, startOverload},
 }
 
 const (
-	mostSeeds     = 10 // that the soak has to see a mutant
+	maxSeeds      = 10 // that the soak has to see a mutant
 	mutantsAtOnce = 3  // that are played side by side
 )
 
@@ -61,8 +61,8 @@
 			switch {
 			case err != nil:
 				return fmt.Errorf("%s: %w", m.Name, err)
-			case seeds > mostSeeds:
-				fmt.Fprintf(w, "NOT SEEN in %d seeds  %s\n", mostSeeds, m.Name)
+			case seeds > maxSeeds:
+				fmt.Fprintf(w, "NOT SEEN in %d seeds  %s\n", maxSeeds, m.Name)
 			default:
 				caught++
 				fmt.Fprintf(w, "caught by seed %2d     %s\n", seeds, m.Name)
@@ -84,7 +84,7 @@
 	if o.Program, err = m.BuildProgram(ctx, dir); err != nil {
 		return 0, err
 	}
-	for seeds = 1; seeds <= mostSeeds; seeds++ {
+	for seeds = 1; seeds <= maxSeeds; seeds++ {
 		o.Seed = uint64(seeds)
 		r, err := o.Run(io.Discard)
 		if err != nil {
--- a/internal/lab/soak/record.go
+++ b/internal/lab/soak/record.go
@@ -13,17 +13,17 @@
 // A record is what was done to the run, for the judge: what it does to a scheduler's links and process
 // changes what can be asked of it.
 type record struct {
-	mu     sync.Mutex
-	apart  map[int][]span            // when a scheduler could not reach discovery
-	links  map[int]map[string][]span // when its link to a node was faulty
-	kills  map[int][]time.Time
-	ends   map[int][]time.Time
-	exits  int // bad ones
-	leaves []leave
+	mu           sync.Mutex
+	apart        map[int][]span            // when a scheduler could not reach discovery
+	links        map[int]map[string][]span // when its link to a node was faulty
+	kills        map[int][]time.Time
+	terminations map[int][]time.Time
+	exits        int // bad ones
+	disconnects  []disconnect
 }
 
 // A leave is a submitter that left before its answer.
-type leave struct {
+type disconnect struct {
 	id string
 	at time.Time
 }
@@ -58,25 +58,25 @@
 	r.kills[i] = append(r.kills[i], at)
 }
 
-func (r *record) ended(i int, at time.Time) {
+func (r *record) terminated(i int, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.ends == nil {
-		r.ends = map[int][]time.Time{}
+	if r.terminations == nil {
+		r.terminations = map[int][]time.Time{}
 	}
-	r.ends[i] = append(r.ends[i], at)
+	r.terminations[i] = append(r.terminations[i], at)
 }
 
-func (r *record) badExit() {
+func (r *record) failedExit() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.exits++
 }
 
-func (r *record) left(id string, at time.Time) {
+func (r *record) disconnected(id string, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.leaves = append(r.leaves, leave{id, at})
+	r.disconnects = append(r.disconnects, disconnect{id, at})
 }
 
 // killedSince reports whether a scheduler was killed after a time.
@@ -88,7 +88,7 @@
 
 // restarted reports whether a scheduler's process was killed or ended between two times.
 func (r *record) restarted(i int, from, to time.Time) bool {
-	return anyIn(r.kills[i], from, to) || anyIn(r.ends[i], from, to)
+	return anyIn(r.kills[i], from, to) || anyIn(r.terminations[i], from, to)
 }
 
 func anyIn(times []time.Time, from, to time.Time) bool {
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -19,23 +19,23 @@
 type Options struct {
 	Program    string // the scheduler's binary
 	Schedulers int
-	Nodes      int
+	Workers    int
 	Seed       uint64
 	For        time.Duration // how long faults begin
 	Load       float64       // jobs a second at each scheduler
 }
 
 // Default is the run that the operators' page speaks of.
-var Default = Options{Program: "bin/foxlift", Schedulers: 10, Nodes: 10, For: 30 * time.Second, Load: 12}
+var Default = Options{Program: "bin/foxlift", Schedulers: 10, Workers: 10, For: 30 * time.Second, Load: 12}
 
 // Violations counts broken rules, by the names of package guard, and exit codes that are not 0.
 type Violations struct {
-	Drain, Lost, Duplicate, Gone, Deadline, SlowStart, Exit int
+	Drain, Lost, Duplicate, Disconnected, Deadline, StartOverload, Exit int
 }
 
 // Sum returns all violations.
 func (v Violations) Sum() int {
-	return v.Drain + v.Lost + v.Duplicate + v.Gone + v.Deadline + v.SlowStart + v.Exit
+	return v.Drain + v.Lost + v.Duplicate + v.Disconnected + v.Deadline + v.StartOverload + v.Exit
 }
 
 // A Result is what a run, or several, saw.
@@ -59,20 +59,20 @@
 	v.Drain += w.Drain
 	v.Lost += w.Lost
 	v.Duplicate += w.Duplicate
-	v.Gone += w.Gone
+	v.Disconnected += w.Disconnected
 	v.Deadline += w.Deadline
-	v.SlowStart += w.SlowStart
+	v.StartOverload += w.StartOverload
 	v.Exit += w.Exit
 }
 
 // Line is the result in one line.
 func (r *Result) Line() string {
 	v, t := r.Violations, r.Tally
-	served := 100 * float64(t.Served+t.Late) / float64(max(1, t.Asked))
+	served := 100 * float64(t.Served+t.Late) / float64(max(1, t.Sent))
 	return fmt.Sprintf("soak: seeds %d, processes %d, faults %d (overlapping %d), sends %d, violations %d "+
 		"(drain %d, lost %d, duplicate %d, gone %d, deadline %d, slowstart %d, exit %d), served %.1f %%",
 		r.Seeds, r.Processes, r.Faults, r.Overlapping, r.Sends, v.Sum(),
-		v.Drain, v.Lost, v.Duplicate, v.Gone, v.Deadline, v.SlowStart, v.Exit, served)
+		v.Drain, v.Lost, v.Duplicate, v.Disconnected, v.Deadline, v.StartOverload, v.Exit, served)
 }
 
 const (
@@ -85,7 +85,7 @@
 func (o Options) world() lab.Topology {
 	return lab.Topology{
 		Schedulers: o.Schedulers, Sockets: 512, Zones: []string{"east", "west"},
-		Kinds:   []lab.WorkerKind{{Name: "large", Count: o.Nodes / 2, Slots: 6, Speed: 1.5}, {Name: "small", Count: o.Nodes - o.Nodes/2, Slots: 4, Speed: 1}},
+		Kinds:   []lab.WorkerKind{{Name: "large", Count: o.Workers / 2, Slots: 6, Speed: 1.5}, {Name: "small", Count: o.Workers - o.Workers/2, Slots: 4, Speed: 1}},
 		Tenants: []lab.Tenant{{Name: "all", QuotaFraction: 1}},
 		Classes: []lab.Class{
 			{Name: "reading", Effect: "idempotent", ServiceTime: 60 * time.Millisecond, JobFraction: 0.7, LatencyObjective: 500 * time.Millisecond, Deadline: 3 * time.Second},
@@ -97,12 +97,12 @@
 // A run is one seed's play.
 type run struct {
 	Options
-	f       *fleet.Fleet
-	rng     *rand.Rand
-	log     io.Writer
-	began   time.Time
-	record  record
-	leavers leavers
+	f             *fleet.Fleet
+	rng           *rand.Rand
+	log           io.Writer
+	startedAt     time.Time
+	record        record
+	disconnecters disconnecters
 
 	mu   sync.Mutex
 	busy map[string]bool // nodes and processes under a fault that excludes others
@@ -112,9 +112,9 @@
 // Run plays one seed. What it sees broken is written to log, a line each.
 func (o Options) Run(log io.Writer) (r Result, err error) {
 	f, err := fleet.New(fleet.Options{
-		Topology: o.world(), Program: o.Program, NodeLinks: true,
-		Price: standin.Price{Call: time.Millisecond, Line: 50 * time.Microsecond, Patience: 2 * time.Second},
-		Cold:  &standin.Cold{From: 0.2, Warm: 10 * time.Second, Multiple: 3, Window: time.Second},
+		Topology: o.world(), Program: o.Program, WorkerLinks: true,
+		Price:     standin.Price{Call: time.Millisecond, Line: 50 * time.Microsecond, Patience: 2 * time.Second},
+		SlowStart: &standin.SlowStart{InitialCapacity: 0.2, Duration: 10 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second},
 	})
 	if err != nil {
 		return r, err
@@ -126,12 +126,12 @@
 	}
 	load := f.StartLoadWith("soak", o.Load*float64(o.Schedulers), o.Seed, fleet.Leniency{Grace: answerGrace, Excuse: p.excuse})
 	<-time.After(settleTime)
-	p.began = time.Now()
+	p.startedAt = time.Now()
 	faults := p.draw()
 	p.play(faults)
 	tally := load.Stop()
-	p.leavers.wait.Wait()
-	p.endAll(&r.Violations)
+	p.disconnecters.wait.Wait()
+	p.terminateAll(&r.Violations)
 	r.Seeds, r.Processes, r.Faults, r.Overlapping = 1, o.Schedulers, len(faults), overlapping(faults)
 	r.Tally = tally
 	p.judge(load, &r)
@@ -143,14 +143,14 @@
 	return func(sent time.Time) bool { return p.record.killedSince(i, sent) }
 }
 
-// endAll ends all processes with SIGTERM; each has to end with exit code 0.
-func (p *run) endAll(v *Violations) {
-	if err := p.f.EndAll(); err != nil {
+// terminateAll ends all processes with SIGTERM; each has to end with exit code 0.
+func (p *run) terminateAll(v *Violations) {
+	if err := p.f.TerminateAll(); err != nil {
 		v.Exit += strings.Count(err.Error(), "exit status") + strings.Count(err.Error(), "signal:")
-		p.say("exit: %v", err)
+		p.logf("exit: %v", err)
 	}
 }
 
-func (p *run) say(format string, args ...any) {
-	fmt.Fprintf(p.log, "seed %d, %6.2f s: %s\n", p.Seed, time.Since(p.began).Seconds(), fmt.Sprintf(format, args...))
+func (p *run) logf(format string, args ...any) {
+	fmt.Fprintf(p.log, "seed %d, %6.2f s: %s\n", p.Seed, time.Since(p.startedAt).Seconds(), fmt.Sprintf(format, args...))
 }
--- a/internal/lab/speed.go
+++ b/internal/lab/speed.go
@@ -149,13 +149,13 @@
 	var running sync.WaitGroup
 	began := time.Now()
 	for i := range connections {
-		client := &standin.Submitter{
-			Addr:      addr,
-			Tenant:    "all",
-			Class:     "reading",
-			Aim:       patientDeadline,
-			Remaining: patientDeadline,
-			Name:      fmt.Sprintf("speed-%d-%d-%d", connections, i, began.UnixNano()),
+		client := &standin.Client{
+			Addr:             addr,
+			Tenant:           "all",
+			Class:            "reading",
+			LatencyObjective: patientDeadline,
+			Remaining:        patientDeadline,
+			Name:             fmt.Sprintf("speed-%d-%d-%d", connections, i, began.UnixNano()),
 		}
 		running.Go(func() {
 			for time.Since(began) < each {
@@ -166,8 +166,8 @@
 			for _, latency := range client.Latencies() {
 				_ = result.latencies.RecordValue(int64(latency)) // beyond maxLatency it is not counted
 			}
-			tally := client.Take()
-			result.notServed += tally.Asked - tally.Served
+			tally := client.ResetTally()
+			result.notServed += tally.Sent - tally.Served
 		})
 	}
 	running.Wait()
--- a/internal/lab/standins.go
+++ b/internal/lab/standins.go
@@ -19,13 +19,13 @@
 // the second worker drain, or brings it back.
 func StandIns(ctx context.Context, w io.Writer, signals <-chan os.Signal) error {
 	var listenConfig net.ListenConfig
-	var workers []*standin.Node
+	var workers []*standin.Worker
 	for i, addr := range []string{"127.0.0.1:3101", "127.0.0.1:3102"} {
 		listener, err := listenConfig.Listen(ctx, "tcp", addr)
 		if err != nil {
 			return err
 		}
-		worker := standin.NodeOn(listener, fmt.Sprint("toy-", i), "stirling", "medium", 2, 4, standInServiceTime)
+		worker := standin.WorkerOn(listener, fmt.Sprint("toy-", i), "stirling", "medium", 2, 4, standInServiceTime)
 		defer worker.Crash()
 		workers = append(workers, worker)
 	}
--- a/internal/standin/submitter.go
+++ b/internal/standin/client.go
@@ -16,42 +16,42 @@
 // A Tally counts what became of jobs. Of each job one of the others grows when it
 // has ended.
 type Tally struct {
-	Asked   int
-	Served  int // in time
-	Late    int // served, but past the aim
-	Refused int
-	Failed  int // an answer that is neither
-	Blamed  int // of those: the submitter is said to be at fault
-	Lost    int // no whole answer, or none in time
-	Cut     int // the same, where Client.Excuse says that no answer was owed
+	Sent     int
+	Served   int // in time
+	Late     int // served, but past the aim
+	Shed     int
+	Failed   int // an answer that is neither
+	Rejected int // of those: the submitter is said to be at fault
+	Lost     int // no whole answer, or none in time
+	Cut      int // the same, where Client.Excuse says that no answer was owed
 }
 
 // Service is the share of the jobs that was served in time, in percent.
-func (t Tally) Service() float64 { return 100 * float64(t.Served) / float64(max(1, t.Asked)) }
+func (t Tally) Service() float64 { return 100 * float64(t.Served) / float64(max(1, t.Sent)) }
 
 func (t *Tally) add(o Tally) {
-	t.Asked += o.Asked
+	t.Sent += o.Sent
 	t.Served += o.Served
 	t.Late += o.Late
-	t.Refused += o.Refused
+	t.Shed += o.Shed
 	t.Failed += o.Failed
-	t.Blamed += o.Blamed
+	t.Rejected += o.Rejected
 	t.Lost += o.Lost
 	t.Cut += o.Cut
 }
 
 // A Client sends jobs of one tenant at a rate, each at its time whatever became
 // of the others, and keeps a tally. Its times are drawn from its seed.
-type Submitter struct {
-	Addr      string
-	Tenant    string
-	Class     string
-	Key       string // of every job; "": none
-	Keyed     bool   // its jobs carry an idempotency key, a new one each
-	Aim       time.Duration
-	Remaining time.Duration
-	Name      string        // begins the ids of its jobs
-	Grace     time.Duration // past Remaining, in which an answer still comes in time; 0: 0.1 s
+type Client struct {
+	Addr              string
+	Tenant            string
+	Class             string
+	Key               string // of every job; "": none
+	HasIdempotencyKey bool   // its jobs carry an idempotency key, a new one each
+	LatencyObjective  time.Duration
+	Remaining         time.Duration
+	Name              string        // begins the ids of its jobs
+	Grace             time.Duration // past Remaining, in which an answer still comes in time; 0: 0.1 s
 
 	// Excuse reports whether a job sent at a time is owed no answer: its scheduler was killed since. nil: none is.
 	Excuse func(sent time.Time) bool
@@ -60,21 +60,21 @@
 	sentAt map[string]time.Time // of each job
 	tally  Tally
 	served map[string]bool // ids
-	idle   []*client
+	idle   []*clientConn
 	sent   atomic.Int64
 	wait   sync.WaitGroup
 	last   []time.Duration // latencies of what was served
 }
 
 // A client is one connection.
-type client struct {
+type clientConn struct {
 	net.Conn
 	br *bufio.Reader
 }
 
 // Run sends jobs at a rate a second (Poisson) until stop closes, and waits for
 // their answers.
-func (s *Submitter) Run(rate func() float64, seed uint64, stop <-chan struct{}) {
+func (s *Client) Run(rate func() float64, seed uint64, stop <-chan struct{}) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	next := time.Now()
 	for {
@@ -100,7 +100,7 @@
 	}
 }
 
-func (s *Submitter) finish() {
+func (s *Client) finish() {
 	s.wait.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,13 +110,13 @@
 	s.idle = nil
 }
 
-// leastGrace is how late an answer may come, past what the job's submitter waits.
-const leastGrace = 100 * time.Millisecond
+// minGrace is how late an answer may come, past what the job's submitter waits.
+const minGrace = 100 * time.Millisecond
 
-// notTaken is the status of a job whose scheduler could not be reached.
-const notTaken = -1
+// notConnected is the status of a job whose scheduler could not be reached.
+const notConnected = -1
 
-func (s *Submitter) note(id string, at time.Time) {
+func (s *Client) recordSend(id string, at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.sentAt == nil {
@@ -126,35 +126,35 @@
 }
 
 // SentAt returns when each job was sent.
-func (s *Submitter) SentAt() map[string]time.Time {
+func (s *Client) SentAt() map[string]time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.sentAt)
 }
 
 // Send sends one job and returns the status of its answer, 0 for none.
-func (s *Submitter) Send() int {
+func (s *Client) Send() int {
 	id := fmt.Sprintf("%s-%d", s.Name, s.sent.Add(1))
 	began := time.Now()
-	s.note(id, began)
-	status := s.exchange(id, began.Add(s.Remaining+max(s.Grace, leastGrace)))
+	s.recordSend(id, began)
+	status := s.exchange(id, began.Add(s.Remaining+max(s.Grace, minGrace)))
 	took := time.Since(began)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := Tally{Asked: 1}
+	t := Tally{Sent: 1}
 	switch {
-	case status == http.StatusOK && took <= s.Aim:
+	case status == http.StatusOK && took <= s.LatencyObjective:
 		t.Served = 1
 	case status == http.StatusOK:
 		t.Late = 1
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
-		t.Refused = 1
-	case status != 0 && status != notTaken:
+		t.Shed = 1
+	case status != 0 && status != notConnected:
 		t.Failed = 1
 		if status >= 400 && status < 500 {
-			t.Blamed = 1
+			t.Rejected = 1
 		}
-	case status == notTaken && s.Excuse != nil:
+	case status == notConnected && s.Excuse != nil:
 		t.Cut = 1
 	case s.Excuse != nil && s.Excuse(began):
 		t.Cut = 1
@@ -173,7 +173,7 @@
 }
 
 // take returns a connection; fresh tells that it has carried nothing yet.
-func (s *Submitter) take() (c *client, fresh bool, err error) {
+func (s *Client) connection() (c *clientConn, fresh bool, err error) {
 	s.mu.Lock()
 	if n := len(s.idle); n > 0 {
 		c = s.idle[n-1]
@@ -186,24 +186,24 @@
 	if err != nil {
 		return nil, true, err
 	}
-	return &client{conn, bufio.NewReader(conn)}, true, nil
+	return &clientConn{conn, bufio.NewReader(conn)}, true, nil
 }
 
-func (s *Submitter) exchange(id string, until time.Time) int {
+func (s *Client) exchange(id string, until time.Time) int {
 	target := "/" + s.Class
 	if s.Key != "" {
 		target += "?user=" + s.Key
 	}
 	keyed := ""
-	if s.Keyed {
+	if s.HasIdempotencyKey {
 		keyed = "Idempotency-Key: key-" + id + "\r\n"
 	}
 	text := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: app.svc\r\nX-Txn: %s\r\nX-Lane: %s\r\nX-Org: %s\r\nX-Remaining: %dm\r\n%sContent-Length: 4\r\n\r\nbody",
 		target, id, s.Class, s.Tenant, s.Remaining.Milliseconds(), keyed)
 	for {
-		c, fresh, err := s.take()
+		c, fresh, err := s.connection()
 		if err != nil {
-			return notTaken
+			return notConnected
 		}
 		c.SetDeadline(until)
 		if _, err = io.WriteString(c, text); err == nil {
@@ -236,7 +236,7 @@
 }
 
 // Take returns the tally since the last call and begins another.
-func (s *Submitter) Take() Tally {
+func (s *Client) ResetTally() Tally {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.tally
@@ -245,7 +245,7 @@
 }
 
 // Served returns the ids of the jobs that were answered as served.
-func (s *Submitter) Served() map[string]bool {
+func (s *Client) Served() map[string]bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ids := make(map[string]bool, len(s.served))
@@ -256,7 +256,7 @@
 }
 
 // Latencies returns how long the served jobs took, since the last call.
-func (s *Submitter) Latencies() []time.Duration {
+func (s *Client) Latencies() []time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.last
--- a/internal/standin/pod.go
+++ b/internal/standin/dedup_group.go
@@ -7,7 +7,7 @@
 )
 
 // A Pod is the nodes that drop repeats of a keyed job together, for a time.
-type Pod struct {
+type DedupGroup struct {
 	Number int
 	Window time.Duration // counted from a job's first arrival at any of them
 
@@ -21,7 +21,7 @@
 }
 
 // enter takes in a key; first tells that it has to run. Without a key every job does.
-func (p *Pod) enter(key string) (first bool, done chan struct{}) {
+func (p *DedupGroup) enter(key string) (first bool, done chan struct{}) {
 	done = make(chan struct{})
 	if key == "" {
 		return true, done
@@ -39,14 +39,14 @@
 }
 
 // forget forgets a key whose job was turned away.
-func (p *Pod) forget(key string) {
+func (p *DedupGroup) forget(key string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.seen, key)
 }
 
 // report is a load report as the last line of an answer has it; "" without reports.
-func (n *Node) report() string {
+func (n *Worker) report() string {
 	if !n.Reports {
 		return ""
 	}
@@ -54,7 +54,7 @@
 }
 
 // load counts the job that is about to end as ended.
-func (n *Node) load() string {
-	running, held := max(0, len(n.slots)-1), max(0, len(n.room)-1)
+func (n *Worker) load() string {
+	running, held := max(0, len(n.slots)-1), max(0, len(n.admitted)-1)
 	return fmt.Sprintf(`{"backlog":%d,"outstanding":%d,"x0":%d}`, max(0, held-running), held, cap(n.slots)-running)
 }
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -13,14 +13,14 @@
 
 // A host is an entry of the machine list as discovery words it.
 type host struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Zone   string  `json:"site"`
-	Kind   string  `json:"class"`
-	Block  int     `json:"block"`
-	Health string  `json:"health"`
-	Share  float64 `json:"share"`
-	Born   int64   `json:"born_ms"`
+	Host         string  `json:"host"`
+	Dial         string  `json:"dial"`
+	Zone         string  `json:"site"`
+	Kind         string  `json:"class"`
+	Block        int     `json:"block"`
+	Health       string  `json:"health"`
+	Weight       float64 `json:"share"`
+	StartedMilli int64   `json:"born_ms"`
 }
 
 // A Price is what discovery's calls cost: it serves them one after another. The zero
@@ -32,9 +32,9 @@
 
 // Calls is what discovery has been asked.
 type Calls struct {
-	Asked, Answered, Refused int
-	Most                     int // that came in one second
-	Waiting                  int // for their turn now
+	Received, Answered, Rejected int
+	MaxPerSecond                 int // that came in one second
+	Waiting                      int // for their turn now
 }
 
 // Discovery serves the machine list and watches on it.
@@ -44,24 +44,24 @@
 
 	turn chan struct{}
 
-	mu      sync.Mutex
-	seq     int
-	oldest  int // version before which changes are no longer known
-	hosts   []host
-	places  map[string]int // of each host in hosts
-	at      map[string]int // the version in which each host last changed, also those that left
-	changed chan struct{}
-	calls   Calls
-	seconds map[int64]int
-	first   map[string]time.Time // first answer to each view
-	told    map[string]int       // version of the last answer to each view
-	writes  map[string][]Write
-	changes []Change
-	spoiler spoiler
+	mu           sync.Mutex
+	version      int
+	oldestKnown  int // version before which changes are no longer known
+	hosts        []host
+	positions    map[string]int // of each host in hosts
+	changedIn    map[string]int // the version in which each host last changed, also those that left
+	changed      chan struct{}
+	calls        Calls
+	seconds      map[int64]int
+	firstAnswers map[string]time.Time // first answer to each view
+	announced    map[string]int       // version of the last answer to each view
+	writes       map[string][]Write
+	changes      []Change
+	corrupter    corrupter
 }
 
 // StartDiscovery starts a discovery that knows these nodes.
-func StartDiscovery(nodes ...*Node) (*Discovery, error) {
+func StartDiscovery(nodes ...*Worker) (*Discovery, error) {
 	l, err := Listen()
 	if err != nil {
 		return nil, err
@@ -69,10 +69,10 @@
 	return DiscoveryOn(l, nodes...), nil
 }
 
-func DiscoveryOn(l net.Listener, nodes ...*Node) *Discovery {
+func DiscoveryOn(l net.Listener, nodes ...*Worker) *Discovery {
 	d := &Discovery{
-		changed: make(chan struct{}), turn: make(chan struct{}, 1), at: map[string]int{}, places: map[string]int{},
-		seconds: map[int64]int{}, first: map[string]time.Time{}, told: map[string]int{}, writes: map[string][]Write{},
+		changed: make(chan struct{}), turn: make(chan struct{}, 1), changedIn: map[string]int{}, positions: map[string]int{},
+		seconds: map[int64]int{}, firstAnswers: map[string]time.Time{}, announced: map[string]int{}, writes: map[string][]Write{},
 	}
 	for _, n := range nodes {
 		d.Put(n, "active")
@@ -88,57 +88,57 @@
 }
 
 // Put says how a node is: active, leaving, or left.
-func (d *Discovery) Put(n *Node, health string) {
-	h := host{Host: n.Name, Dial: n.Addr(), Zone: n.Zone, Kind: n.Kind, Health: health, Share: 1}
-	if n.Pod != nil {
-		h.Block = n.Pod.Number
+func (d *Discovery) Put(n *Worker, health string) {
+	h := host{Host: n.Name, Dial: n.Addr(), Zone: n.Zone, Kind: n.Kind, Health: health, Weight: 1}
+	if n.Group != nil {
+		h.Block = n.Group.Number
 	}
 	if n.Via != "" {
 		h.Dial = n.Via
 	}
 	if !n.Started.IsZero() {
-		h.Born = n.Started.UnixMilli()
+		h.StartedMilli = n.Started.UnixMilli()
 	}
-	d.tell(h)
+	d.update(h)
 }
 
 // An Entry is a host of the list behind which there is no node, as hollow fleets have them.
 type Entry struct {
 	Host, Dial, Zone, Kind string
 	Health                 string // active, leaving, or left
-	Born                   time.Time
+	StartedAt              time.Time
 }
 
 // Tell says how hosts without a node are, all in one change of the list.
-func (d *Discovery) Tell(entries ...Entry) {
+func (d *Discovery) Announce(entries ...Entry) {
 	hosts := make([]host, len(entries))
 	for i, e := range entries {
-		hosts[i] = host{Host: e.Host, Dial: e.Dial, Zone: e.Zone, Kind: e.Kind, Health: e.Health, Share: 1}
-		if !e.Born.IsZero() {
-			hosts[i].Born = e.Born.UnixMilli()
+		hosts[i] = host{Host: e.Host, Dial: e.Dial, Zone: e.Zone, Kind: e.Kind, Health: e.Health, Weight: 1}
+		if !e.StartedAt.IsZero() {
+			hosts[i].StartedMilli = e.StartedAt.UnixMilli()
 		}
 	}
-	d.tell(hosts...)
+	d.update(hosts...)
 }
 
 // tell takes hosts into the list, in one change of it.
-func (d *Discovery) tell(hosts ...host) {
+func (d *Discovery) update(hosts ...host) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.seq++
+	d.version++
 	for _, h := range hosts {
-		at, there := d.places[h.Host]
+		at, there := d.positions[h.Host]
 		switch {
 		case h.Health == "left" && there:
 			d.drop(at)
 		case there:
 			d.hosts[at] = h
 		default:
-			d.places[h.Host] = len(d.hosts)
+			d.positions[h.Host] = len(d.hosts)
 			d.hosts = append(d.hosts, h)
 		}
-		d.at[h.Host] = d.seq
-		d.changes = append(d.changes, Change{d.seq, h.Host, h.Health, time.Now()})
+		d.changedIn[h.Host] = d.version
+		d.changes = append(d.changes, Change{d.version, h.Host, h.Health, time.Now()})
 	}
 	close(d.changed)
 	d.changed = make(chan struct{})
@@ -146,10 +146,10 @@
 
 // drop takes a host out of the list.
 func (d *Discovery) drop(at int) {
-	delete(d.places, d.hosts[at].Host)
+	delete(d.positions, d.hosts[at].Host)
 	d.hosts = append(d.hosts[:at:at], d.hosts[at+1:]...)
 	for i := at; i < len(d.hosts); i++ {
-		d.places[d.hosts[i].Host] = i
+		d.positions[d.hosts[i].Host] = i
 	}
 }
 
@@ -157,23 +157,23 @@
 func (d *Discovery) Version() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.seq
+	return d.version
 }
 
 // Compact forgets the changes so far: who asks for those since an older version gets the whole list.
 func (d *Discovery) Compact() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.oldest = d.seq
+	d.oldestKnown = d.version
 }
 
 // GoBack gives the list a lower version, as a discovery does that has lost what it wrote last.
 func (d *Discovery) GoBack(version int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.seq = version
-	for host, at := range d.at {
-		d.at[host] = min(at, version)
+	d.version = version
+	for host, at := range d.changedIn {
+		d.changedIn[host] = min(at, version)
 	}
 }
 
@@ -182,10 +182,10 @@
 	index, _ := strconv.Atoi(q.Get("index"))
 	now := time.Now()
 	d.mu.Lock()
-	d.calls.Asked++
+	d.calls.Received++
 	d.seconds[now.Unix()]++
-	d.calls.Most = max(d.calls.Most, d.seconds[now.Unix()])
-	changed, seq := d.changed, d.seq
+	d.calls.MaxPerSecond = max(d.calls.MaxPerSecond, d.seconds[now.Unix()])
+	changed, seq := d.changed, d.version
 	d.mu.Unlock()
 	if index == seq {
 		ms, _ := strconv.Atoi(q.Get("wait"))
@@ -202,17 +202,17 @@
 	body, err := json.Marshal(list)
 	if err == nil {
 		answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-		if spoilt, on := d.spoiler.spoil(c, answer); spoilt {
+		if spoilt, on := d.corrupter.corrupt(c, answer); spoilt {
 			return on
 		}
 		_, err = io.WriteString(c, answer)
 	}
 	if err == nil {
 		d.mu.Lock()
-		if d.first[view].IsZero() {
-			d.first[view] = time.Now()
+		if d.firstAnswers[view].IsZero() {
+			d.firstAnswers[view] = time.Now()
 		}
-		d.told[view] = list.Version
+		d.announced[view] = list.Version
 		d.writes[view] = append(d.writes[view], Write{list.Version, time.Now()})
 		d.mu.Unlock()
 	}
@@ -220,29 +220,29 @@
 }
 
 // A list is an answer.
-type list struct {
-	Version int    `json:"seq"`
-	Whole   bool   `json:"whole"`
-	Hosts   []host `json:"hosts"`
+type endpointAnswer struct {
+	Version  int    `json:"seq"`
+	Complete bool   `json:"whole"`
+	Hosts    []host `json:"hosts"`
 }
 
 // since returns what has changed since a version, or the whole list if it is not known.
-func (d *Discovery) since(version int, dial func(host, addr string) string) list {
+func (d *Discovery) since(version int, dial func(host, addr string) string) endpointAnswer {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l := list{Version: d.seq, Whole: version <= 0 || version > d.seq || version < d.oldest, Hosts: []host{}}
+	l := endpointAnswer{Version: d.version, Complete: version <= 0 || version > d.version || version < d.oldestKnown, Hosts: []host{}}
 	here := map[string]bool{}
 	for _, h := range d.hosts {
 		here[h.Host] = true
-		if l.Whole || d.at[h.Host] > version {
+		if l.Complete || d.changedIn[h.Host] > version {
 			if dial != nil {
 				h.Dial = dial(h.Host, h.Dial)
 			}
 			l.Hosts = append(l.Hosts, h)
 		}
 	}
-	for name, at := range d.at {
-		if !l.Whole && !here[name] && at > version {
+	for name, at := range d.changedIn {
+		if !l.Complete && !here[name] && at > version {
 			l.Hosts = append(l.Hosts, host{Host: name, Health: "left"})
 		}
 	}
@@ -256,7 +256,7 @@
 		defer d.mu.Unlock()
 		d.calls.Waiting += waiting
 		d.calls.Answered += answered
-		d.calls.Refused += refused
+		d.calls.Rejected += refused
 	}
 	if d.Price == (Price{}) {
 		count(0, 1, 0)
@@ -286,16 +286,16 @@
 func (d *Discovery) First(view string) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	at := d.first[view]
-	delete(d.first, view)
+	at := d.firstAnswers[view]
+	delete(d.firstAnswers, view)
 	return at
 }
 
 // Told returns the version of the last answer that was written to a view.
-func (d *Discovery) Told(view string) int {
+func (d *Discovery) Announced(view string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.told[view]
+	return d.announced[view]
 }
 
 // Known returns the list as a scheduler's configuration has it.
--- a/internal/standin/history.go
+++ b/internal/standin/history.go
@@ -39,7 +39,7 @@
 }
 
 // Arrivals returns the requests with a job that have reached the node, in the order in which they were read.
-func (n *Node) Arrivals() []Arrival {
+func (n *Worker) Arrivals() []Arrival {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return append([]Arrival(nil), n.arrivals...)
--- a/internal/standin/node.go
+++ b/internal/standin/worker.go
@@ -120,7 +120,7 @@
 // A Behaviour is how a Node treats the jobs that reach it.
 type Behaviour struct {
 	Slower   float64 // its jobs take this many times as long; 0 counts as 1
-	Drains   bool    // it finishes what it has and turns new jobs away
+	Draining bool    // it finishes what it has and turns new jobs away
 	Hang     bool    // it takes jobs and answers none
 	Fail     bool    // it answers "failed" at once
 	FailOne  int64   // it does so for one of so many jobs; 0: for none
@@ -128,27 +128,27 @@
 }
 
 // A Cold is how a node that has just started comes to its speed, and what it bears until then.
-type Cold struct {
-	From     float64       // share of its capacity that it starts with
-	Warm     time.Duration // it has all of it after this
-	Multiple float64       // sent more than so many times what it can do
-	Window   time.Duration // within this, it falls over and stays down
+type SlowStart struct {
+	InitialCapacity  float64       // share of its capacity that it starts with
+	Duration         time.Duration // it has all of it after this
+	OverloadMultiple float64       // sent more than so many times what it can do
+	OverloadWindow   time.Duration // within this, it falls over and stays down
 }
 
 // A Node is an execute node: slots, a bounded queue in order, and a log of what it
 // really ran.
-type Node struct {
+type Worker struct {
 	Name, Zone, Kind string
 	Work             func(class string) time.Duration // how long a job runs
 	Started          time.Time                        // reported as its start; zero: long ago
 	Via              string                           // the address that discovery tells; "": its own
-	Cold             *Cold                            // nil: it is warm at once and bears anything
-	Pod              *Pod                             // nil: it knows no repeats
+	SlowStart        *SlowStart                       // nil: it is warm at once and bears anything
+	Group            *DedupGroup                      // nil: it knows no repeats
 	Reports          bool                             // its last words bring a load report
 
 	server    *Server
 	slots     chan struct{}
-	room      chan struct{}
+	admitted  chan struct{}
 	behaviour atomic.Pointer[Behaviour]
 	requests  atomic.Int64 // with a job
 	mu        sync.Mutex
@@ -166,25 +166,25 @@
 }
 
 // warmth is the share of its capacity that a node has.
-func (n *Node) warmth(now time.Time) float64 {
-	if n.Cold == nil || n.Started.IsZero() {
+func (n *Worker) capacityFraction(now time.Time) float64 {
+	if n.SlowStart == nil || n.Started.IsZero() {
 		return 1
 	}
-	return min(1, n.Cold.From+(1-n.Cold.From)*float64(now.Sub(n.Started))/float64(n.Cold.Warm))
+	return min(1, n.SlowStart.InitialCapacity+(1-n.SlowStart.InitialCapacity)*float64(now.Sub(n.Started))/float64(n.SlowStart.Duration))
 }
 
 // bears takes in work that has arrived, and reports whether the node still stands. The
 // heaviest job is not counted: one alone is no push.
-func (n *Node) bears(work time.Duration) bool {
+func (n *Worker) canAbsorb(work time.Duration) bool {
 	now := time.Now()
-	w := n.warmth(now)
+	w := n.capacityFraction(now)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if w >= 1 || n.fallen {
 		return !n.fallen
 	}
 	n.lately = append(n.lately, sent{now, work})
-	for now.Sub(n.lately[0].at) > n.Cold.Window {
+	for now.Sub(n.lately[0].at) > n.SlowStart.OverloadWindow {
 		n.lately = n.lately[1:]
 	}
 	var sum, most time.Duration
@@ -192,30 +192,30 @@
 		sum += s.work
 		most = max(most, s.work)
 	}
-	n.fallen = float64(sum-most) > n.Cold.Multiple*float64(cap(n.slots))*w*float64(n.Cold.Window)
+	n.fallen = float64(sum-most) > n.SlowStart.OverloadMultiple*float64(cap(n.slots))*w*float64(n.SlowStart.OverloadWindow)
 	return !n.fallen
 }
 
 // Fallen reports whether the node was pushed over.
-func (n *Node) Fallen() bool {
+func (n *Worker) Fallen() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.fallen
 }
 
 // StartNode starts a node with so many slots and places in its queue.
-func StartNode(name, zone, kind string, slots, queue int, work func(string) time.Duration) (*Node, error) {
+func StartNode(name, zone, kind string, slots, queue int, work func(string) time.Duration) (*Worker, error) {
 	l, err := Listen()
 	if err != nil {
 		return nil, err
 	}
-	return NodeOn(l, name, zone, kind, slots, queue, work), nil
+	return WorkerOn(l, name, zone, kind, slots, queue, work), nil
 }
 
-func NodeOn(l net.Listener, name, zone, kind string, slots, queue int, work func(string) time.Duration) *Node {
-	n := &Node{
+func WorkerOn(l net.Listener, name, zone, kind string, slots, queue int, work func(string) time.Duration) *Worker {
+	n := &Worker{
 		Name: name, Zone: zone, Kind: kind, Work: work, runs: map[string]int{}, tenants: map[string]int{},
-		slots: make(chan struct{}, slots), room: make(chan struct{}, slots+queue),
+		slots: make(chan struct{}, slots), admitted: make(chan struct{}, slots+queue),
 	}
 	n.behaviour.Store(&Behaviour{})
 	n.server = Serve(l, n.handle)
@@ -223,26 +223,26 @@
 }
 
 // Behave changes how the node treats jobs from now on.
-func (n *Node) Behave(b Behaviour) { n.behaviour.Store(&b) }
+func (n *Worker) Behave(b Behaviour) { n.behaviour.Store(&b) }
 
 // Addr returns where the node listens.
-func (n *Node) Addr() string { return n.server.Addr().String() }
+func (n *Worker) Addr() string { return n.server.Addr().String() }
 
 // Crash ends the node as a killed process does.
-func (n *Node) Crash() {
+func (n *Worker) Crash() {
 	n.server.Close()
 	n.server.Reset()
 }
 
 // Requests returns how many whole requests with a job have been read here, also those that
 // were turned away. Probes are none.
-func (n *Node) Requests() int64 { return n.requests.Load() }
+func (n *Worker) Requests() int64 { return n.requests.Load() }
 
 // LastBegun returns when the first byte of the last request came, also of one that was not whole.
-func (n *Node) LastBegun() time.Time { return n.server.LastBegun() }
+func (n *Worker) LastBegun() time.Time { return n.server.LastBegun() }
 
 // Runs returns how often each job was begun here.
-func (n *Node) Runs() map[string]int {
+func (n *Worker) Runs() map[string]int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	runs := make(map[string]int, len(n.runs))
@@ -253,7 +253,7 @@
 }
 
 // Tenants returns how many jobs of each tenant were begun here.
-func (n *Node) Tenants() map[string]int {
+func (n *Worker) Tenants() map[string]int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	tenants := make(map[string]int, len(n.tenants))
@@ -263,7 +263,7 @@
 	return tenants
 }
 
-func (n *Node) handle(c net.Conn, r *http.Request, id string) bool {
+func (n *Worker) handle(c net.Conn, r *http.Request, id string) bool {
 	b := *n.behaviour.Load()
 	if id != "" {
 		n.mu.Lock()
@@ -273,17 +273,17 @@
 			b.Fail = true
 		}
 	}
-	if b.Drains {
-		return turnAway(c)
+	if b.Draining {
+		return rejectJob(c)
 	}
 	class, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	work := n.Work(class)
-	if !n.bears(work) || b.Hang {
+	if !n.canAbsorb(work) || b.Hang {
 		io.Copy(io.Discard, c) // until the scheduler gives up
 		return false
 	}
-	if n.Pod != nil {
-		first, done := n.Pod.enter(r.Header.Get("Idempotency-Key"))
+	if n.Group != nil {
+		first, done := n.Group.enter(r.Header.Get("Idempotency-Key"))
 		if !first { // it has run here or runs: the answer is the first one's
 			<-done
 			return SayStates(c, id, true, fmt.Sprintf(`"done","result":"%s again"`, id))
@@ -291,14 +291,14 @@
 		defer close(done)
 	}
 	select {
-	case n.room <- struct{}{}:
+	case n.admitted <- struct{}{}:
 	default:
-		if n.Pod != nil {
-			n.Pod.forget(r.Header.Get("Idempotency-Key")) // turned away unseen
+		if n.Group != nil {
+			n.Group.forget(r.Header.Get("Idempotency-Key")) // turned away unseen
 		}
-		return turnAway(c)
+		return rejectJob(c)
 	}
-	defer func() { <-n.room }()
+	defer func() { <-n.admitted }()
 	n.slots <- struct{}{}
 	defer func() { <-n.slots }()
 	n.mu.Lock()
@@ -308,12 +308,12 @@
 	if b.Fail {
 		return SayStates(c, id, true, `"failed"`)
 	}
-	w := &cutter{Conn: c, left: b.CutAfter}
-	if !SayStates(w, id, false, `"started"`) && n.Pod == nil {
+	w := &cutter{Conn: c, remaining: b.CutAfter}
+	if !SayStates(w, id, false, `"started"`) && n.Group == nil {
 		return false
 	}
 	if work > 0 {
-		work = time.Duration(float64(work) / n.warmth(time.Now()))
+		work = time.Duration(float64(work) / n.capacityFraction(time.Now()))
 		if b.Slower > 0 {
 			work = time.Duration(float64(work) * b.Slower)
 		}
@@ -323,8 +323,8 @@
 	return err == nil
 }
 
-// turnAway answers a job that is not taken.
-func turnAway(c net.Conn) bool {
+// rejectJob answers a job that is not taken.
+func rejectJob(c net.Conn) bool {
 	_, err := io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
 	return err == nil
 }
@@ -332,15 +332,15 @@
 // A cutter resets a connection once so many bytes have been written.
 type cutter struct {
 	net.Conn
-	left int // 0: never
+	remaining int // 0: never
 }
 
 func (w *cutter) Write(p []byte) (int, error) {
-	if w.left == 0 || len(p) < w.left {
-		w.left = max(0, w.left-len(p))
+	if w.remaining == 0 || len(p) < w.remaining {
+		w.remaining = max(0, w.remaining-len(p))
 		return w.Conn.Write(p)
 	}
-	n, _ := w.Conn.Write(p[:w.left])
+	n, _ := w.Conn.Write(p[:w.remaining])
 	if tcp, ok := w.Conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
 	}
