--- /dev/null
+++ b/docs_test.go
@@ -0,0 +1,136 @@
+package foxlift
+
+import (
+	"io/fs"
+	"os"
+	"path"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+)
+
+const architecturePage = "docs/ARCHITECTURE.md"
+
+// How the pages name what the tests look up.
+var (
+	quoted      = regexp.MustCompile("`([^`\n]+)`")
+	pathName    = regexp.MustCompile(`^(cmd|deploy|docs|examples|internal)/[\w./-]+$|^\w+\.(go|md|toml)$`)
+	counterName = regexp.MustCompile(`^(accept|cells|checkpoint|claims|jobs|machines|nodes|probes|reloads)\.\w+$`)
+	metricName  = regexp.MustCompile(`^scheduler_\w+$`)
+	pictureName = regexp.MustCompile(`\b(?:cmd|internal)/[\w./-]*\w`)
+	link        = regexp.MustCompile(`\]\(([^)#:\s]+)(?:#[^)\s]*)?\)`)
+)
+
+// The architecture page and the README name files and packages by their paths from the root. Each must
+// exist, so that a move reaches the pages.
+func TestPagesNamePathsThatExist(t *testing.T) {
+	for page, fewest := range map[string]int{architecturePage: 40, "README.md": 20} {
+		paths := 0
+		for _, name := range quotedNames(readPage(t, page)) {
+			if !pathName.MatchString(name) {
+				continue
+			}
+			paths++
+			if _, err := os.Stat(name); err != nil {
+				t.Errorf("%s names %s, which does not exist", page, name)
+			}
+		}
+		if paths < fewest {
+			t.Errorf("%s names %d paths, want %d at least", page, paths, fewest)
+		}
+	}
+}
+
+// The architecture page names counters as they are counted, and metrics as they are served.
+func TestArchitecturePageNamesCountersAndMetrics(t *testing.T) {
+	source := programSource(t)
+	counters, metrics := 0, 0
+	for _, name := range quotedNames(readPage(t, architecturePage)) {
+		switch {
+		case counterName.MatchString(name):
+			counters++
+			if !strings.Contains(source, `"`+name+`"`) {
+				t.Errorf("%s names the counter %s, which nothing counts", architecturePage, name)
+			}
+		case metricName.MatchString(name):
+			metrics++
+			if !strings.Contains(source, `"`+strings.TrimPrefix(name, "scheduler_")+`"`) {
+				t.Errorf("%s names the metric %s, which is not served", architecturePage, name)
+			}
+		}
+	}
+	if counters < 10 || metrics < 4 {
+		t.Errorf("%d counters and %d metrics are named", counters, metrics)
+	}
+}
+
+func readPage(t *testing.T, page string) string {
+	t.Helper()
+	text, err := os.ReadFile(page)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+// quotedNames are the names in backquotes, and the paths in the pictures.
+func quotedNames(page string) (names []string) {
+	for i, part := range strings.Split(page, "```") {
+		if i%2 == 1 {
+			names = append(names, pictureName.FindAllString(part, -1)...)
+			continue
+		}
+		for _, m := range quoted.FindAllStringSubmatch(part, -1) {
+			names = append(names, m[1])
+		}
+	}
+	return names
+}
+
+// programSource is the text of all files of the programs, without tests.
+func programSource(t *testing.T) string {
+	t.Helper()
+	var text strings.Builder
+	for _, dir := range []string{"cmd", "internal"} {
+		err := filepath.WalkDir(dir, func(name string, entry fs.DirEntry, err error) error {
+			if err != nil || entry.IsDir() || path.Ext(name) != ".go" || strings.HasSuffix(name, "_test.go") {
+				return err
+			}
+			file, err := os.ReadFile(name)
+			text.Write(file)
+			return err
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	return text.String()
+}
+
+// Links of the pages lead to files that exist.
+func TestLinksOfThePages(t *testing.T) {
+	pages, err := filepath.Glob("docs/*.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, pattern := range []string{"docs/*/*.md", "README.md"} {
+		more, err := filepath.Glob(pattern)
+		if err != nil {
+			t.Fatal(err)
+		}
+		pages = append(pages, more...)
+	}
+	links := 0
+	for _, page := range pages {
+		for _, m := range link.FindAllStringSubmatch(readPage(t, page), -1) {
+			links++
+			if _, err := os.Stat(filepath.Join(filepath.Dir(page), m[1])); err != nil {
+				t.Errorf("%s links to %s, which does not exist", page, m[1])
+			}
+		}
+	}
+	if links < 10 {
+		t.Errorf("%d links looked at", links)
+	}
+}
