--- a/cmd/foxlift-lab/capacity.go
+++ b/cmd/foxlift-lab/capacity.go
@@ -81,7 +81,7 @@
 	if f.faults {
 		f.trial.Program, f.trial.Seed = f.Program, f.Seed
 		r, err := f.trial.Run(ctx, cmd.OutOrStdout())
-		return judged(cmd, r, err)
+		return printResult(cmd, r, err)
 	}
 	result, err := capacity.Run(ctx, cmd.OutOrStdout(), f.Options)
 	if err != nil {
--- a/cmd/foxlift-lab/cells.go
+++ b/cmd/foxlift-lab/cells.go
@@ -9,7 +9,7 @@
 	"github.com/vatu-meals/foxlift/internal/lab"
 )
 
-func demo() *cobra.Command {
+func demoCommand() *cobra.Command {
 	var seed uint64
 	cmd := &cobra.Command{
 		Use: "demo", Short: "Flood one tenant of a small deployment with cells, and watch the others (25 s)", Args: cobra.NoArgs,
@@ -19,7 +19,7 @@
 	return cmd
 }
 
-func cells() *cobra.Command {
+func cellsCommand() *cobra.Command {
 	o := lab.DefaultCells
 	cmd := &cobra.Command{
 		Use: "cells", Short: "Measure what a flood costs the others without and with cells, lending, and live moves", Args: cobra.NoArgs,
@@ -43,7 +43,7 @@
 	return cmd
 }
 
-func loops() *cobra.Command {
+func loopsCommand() *cobra.Command {
 	var seed uint64
 	var seconds int
 	cmd := &cobra.Command{
--- a/cmd/foxlift-lab/fuzz.go
+++ b/cmd/foxlift-lab/fuzz.go
@@ -12,7 +12,7 @@
 	"github.com/vatu-meals/foxlift/internal/lab"
 )
 
-func fuzzRunner() *cobra.Command {
+func fuzzCommand() *cobra.Command {
 	var o lab.FuzzOptions
 	cmd := &cobra.Command{
 		Use: "fuzz", Short: "Go through all fuzz targets by turns, and store what they find", Args: cobra.NoArgs,
@@ -42,7 +42,7 @@
 	return cmd
 }
 
-func mutants() *cobra.Command {
+func mutantsCommand() *cobra.Command {
 	var match string
 	var workers int
 	cmd := &cobra.Command{
--- a/cmd/foxlift-lab/help_test.go
+++ b/cmd/foxlift-lab/help_test.go
@@ -7,4 +7,4 @@
 )
 
 // TestHelp pins what each command says of itself.
-func TestHelp(t *testing.T) { golden.Check(t, "help.txt", golden.Help(t, root)) }
+func TestHelp(t *testing.T) { golden.Check(t, "help.txt", golden.Help(t, rootCommand)) }
--- a/cmd/foxlift-lab/main.go
+++ b/cmd/foxlift-lab/main.go
@@ -10,17 +10,17 @@
 )
 
 func main() {
-	if err := root().Execute(); err != nil {
+	if err := rootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "foxlift-lab:", err)
 		os.Exit(1)
 	}
 }
 
-func root() *cobra.Command {
+func rootCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use: "foxlift-lab", Short: "Demonstrations and measurements of foxlift on loopback",
 		SilenceErrors: true, SilenceUsage: true,
 	}
-	cmd.AddCommand(demo(), cells(), loops(), speed(), standIns(), fuzzRunner(), mutants(), coldStart(), keyed(), upgrade(), capacityCommand(), soakCommand())
+	cmd.AddCommand(demoCommand(), cellsCommand(), loopsCommand(), speedCommand(), standInCommand(), fuzzCommand(), mutantsCommand(), slowStartCommand(), keyedCommand(), upgradeCommand(), capacityCommand(), soakCommand())
 	return cmd
 }
--- a/cmd/foxlift-lab/speed.go
+++ b/cmd/foxlift-lab/speed.go
@@ -8,7 +8,7 @@
 	"github.com/vatu-meals/foxlift/internal/lab"
 )
 
-func speed() *cobra.Command {
+func speedCommand() *cobra.Command {
 	var program string
 	var connections []int
 	var each time.Duration
--- a/cmd/foxlift-lab/standin.go
+++ b/cmd/foxlift-lab/standin.go
@@ -9,7 +9,7 @@
 	"github.com/vatu-meals/foxlift/internal/lab"
 )
 
-func standIns() *cobra.Command {
+func standInCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "standin", Short: "Stand in for a deployment that fits examples/config.json, until SIGINT", Args: cobra.NoArgs,
 		Long: `standin runs discovery on 127.0.0.1:8500 and two execute nodes on 127.0.0.1:3101 and
--- a/cmd/foxlift-lab/trials.go
+++ b/cmd/foxlift-lab/trials.go
@@ -10,7 +10,7 @@
 )
 
 // judged prints a trial's last line, and fails where the trial did.
-func judged(cmd *cobra.Command, r interface {
+func printResult(cmd *cobra.Command, r interface {
 	Line() string
 	OK() bool
 }, err error,
@@ -25,7 +25,7 @@
 	return nil
 }
 
-func keyed() *cobra.Command {
+func keyedCommand() *cobra.Command {
 	o := fleet.DefaultKeyed
 	cmd := &cobra.Command{
 		Use: "keyed", Short: "Reset and silence connections amid keyed jobs, and see that none runs twice", Args: cobra.NoArgs,
@@ -37,7 +37,7 @@
 		Example: "  go run ./cmd/foxlift-lab keyed --build bin/foxlift",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			r, err := o.Run(cmd.OutOrStdout())
-			return judged(cmd, r, err)
+			return printResult(cmd, r, err)
 		},
 	}
 	cmd.Flags().StringVar(&o.Program, "build", o.Program, "the scheduler's binary")
@@ -49,7 +49,7 @@
 	return cmd
 }
 
-func coldStart() *cobra.Command {
+func slowStartCommand() *cobra.Command {
 	o := fleet.DefaultSlowStartTrial
 	cmd := &cobra.Command{
 		Use: "coldstart", Short: "Start many scheduler processes at once on an old list, and watch lists, nodes and service", Args: cobra.NoArgs,
@@ -60,7 +60,7 @@
 		Example: "  go run ./cmd/foxlift-lab coldstart --schedulers 30 --nodes 20 --build bin/foxlift",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			r, err := o.Run(cmd.OutOrStdout())
-			return judged(cmd, r, err)
+			return printResult(cmd, r, err)
 		},
 	}
 	cmd.Flags().StringVar(&o.Program, "build", o.Program, "the scheduler's binary")
--- a/cmd/foxlift-lab/upgrade.go
+++ b/cmd/foxlift-lab/upgrade.go
@@ -10,7 +10,7 @@
 )
 
 // upgrade is the command that upgrades a scheduler under load, many times in a row.
-func upgrade() *cobra.Command {
+func upgradeCommand() *cobra.Command {
 	u := service.DefaultUpgrades
 	fault := string(u.Fault)
 	cmd := &cobra.Command{
@@ -29,7 +29,7 @@
 			defer stop()
 			u.Fault = service.Fault(fault)
 			r, err := u.Run(ctx, cmd.OutOrStdout())
-			return judged(cmd, r, err)
+			return printResult(cmd, r, err)
 		},
 	}
 	cmd.Flags().StringVar(&u.Program, "build", u.Program, "the scheduler's binary")
--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -214,7 +214,7 @@
 		t.Errorf("unknown dimension: %v", err)
 	}
 	for _, o := range []FaultsOptions{{Workers: 0, Starts: 5}, {Workers: maxWorkers + 1, Starts: 5}, {Workers: 2000}, {Workers: 2000, Starts: maxStarts + 1}} {
-		if _, err := o.Run(t.Context(), new(strings.Builder)); !errors.Is(err, errSizeOutOfBounds) {
+		if _, err := o.Run(t.Context(), new(strings.Builder)); !errors.Is(err, errInvalidSize) {
 			t.Errorf("%d workers, %d starts: %v", o.Workers, o.Starts, err)
 		}
 	}
@@ -285,7 +285,7 @@
 // The judge sees a start that took the whole list though one was kept, and one that took too much.
 func TestFaultsAreJudged(t *testing.T) {
 	for name, r := range map[string]*FaultsResult{
-		"over its bound": {WithCheckpoint: 1, OverBound: []string{"1"}}, "not used": {WithCheckpoint: 1, CheckpointsIgnored: 1}, "used wrongly": {WithCheckpoint: 1, CheckpointsMisused: 1},
+		"over its bound": {WithCheckpoint: 1, ExceededBound: []string{"1"}}, "not used": {WithCheckpoint: 1, CheckpointsIgnored: 1}, "used wrongly": {WithCheckpoint: 1, CheckpointsMisused: 1},
 		"nothing kept": {}, "bad end": {WithCheckpoint: 1, uncleanExit: true},
 	} {
 		if r.OK() {
--- a/internal/lab/capacity/control.go
+++ b/internal/lab/capacity/control.go
@@ -56,8 +56,8 @@
 // hollowStartedAt is when the hollow workers started: long ago, as long as any other time to write.
 var hollowStartedAt = time.UnixMilli(1_790_000_000_000)
 
-// endpointListBytes returns the length of the whole list in bytes.
-func endpointListBytes(workers int) (int, error) {
+// endpointsBytes returns the length of the whole list in bytes.
+func endpointsBytes(workers int) (int, error) {
 	d, err := hollowDiscovery(workers)
 	if err != nil {
 		return 0, err
--- a/internal/lab/capacity/faults.go
+++ b/internal/lab/capacity/faults.go
@@ -52,16 +52,16 @@
 	minStarts, maxStarts   = 2, 1000
 )
 
-// errSizeOutOfBounds says that a trial has a size that it cannot have.
-var errSizeOutOfBounds = errors.New("a size is out of bounds")
+// errInvalidSize says that a trial has a size that it cannot have.
+var errInvalidSize = errors.New("a size is out of bounds")
 
 // check names a size that is out of bounds.
 func (o FaultsOptions) validate() error {
 	switch {
 	case o.Workers < minWorkers || o.Workers > maxWorkers:
-		return fmt.Errorf("%w: workers is %d, from %d to %d", errSizeOutOfBounds, o.Workers, minWorkers, maxWorkers)
+		return fmt.Errorf("%w: workers is %d, from %d to %d", errInvalidSize, o.Workers, minWorkers, maxWorkers)
 	case o.Starts < minStarts || o.Starts > maxStarts:
-		return fmt.Errorf("%w: starts is %d, from %d to %d", errSizeOutOfBounds, o.Starts, minStarts, maxStarts)
+		return fmt.Errorf("%w: starts is %d, from %d to %d", errInvalidSize, o.Starts, minStarts, maxStarts)
 	}
 	return nil
 }
@@ -97,7 +97,7 @@
 			return nil, err
 		}
 	}
-	t.result.ListBytes = len(f.Discovery.Known())
+	t.result.EndpointsBytes = len(f.Discovery.Known())
 	return t.result, nil
 }
 
@@ -106,7 +106,7 @@
 	if err := t.injectFault(fault); err != nil {
 		return err
 	}
-	t.changeList()
+	t.churnWorkers()
 	if fault == compacted { // also the changes just made, so that nobody's list is new enough
 		t.Discovery.Compact()
 		t.oldestDelta = int64(t.Discovery.Version())
@@ -195,7 +195,7 @@
 		r.CompleteBytes, r.CompleteSeconds = max(r.CompleteBytes, bytes), max(r.CompleteSeconds, took)
 	}
 	if bytes > bound {
-		r.OverBound = append(r.OverBound, fmt.Sprintf("%d (%s): %d of %d bytes", r.Starts, startFaultNames[fault], bytes, bound))
+		r.ExceededBound = append(r.ExceededBound, fmt.Sprintf("%d (%s): %d of %d bytes", r.Starts, startFaultNames[fault], bytes, bound))
 	}
 	half := int64(entry * float64(len(t.workers)) / 2)
 	if whole := bytes > half; kept && whole && bound < half { // a list that misses a release takes as much
--- a/internal/lab/capacity/faultslist.go
+++ b/internal/lab/capacity/faultschurn.go
@@ -49,7 +49,7 @@
 }
 
 // change lets some workers join and some leave.
-func (t *faultsTrial) changeList() {
+func (t *faultsTrial) churnWorkers() {
 	t.addWorkers(1 + t.rng.IntN(40))
 	t.removeWorkers(1 + t.rng.IntN(20))
 }
--- a/internal/lab/capacity/figures.go
+++ b/internal/lab/capacity/figures.go
@@ -62,7 +62,7 @@
 	fs.addSchedulers()
 	fs.addControl()
 	fs.addDecisions()
-	fs.addListUpdates()
+	fs.addEndpointUpdates()
 	fs.addConfiguration()
 	fs.addDiscovery()
 	fs.addPlacement()
@@ -116,8 +116,8 @@
 	fs.addFromSeries(group, "list_memory", "core.memory", TargetWorkers, megabyte, "MB")
 }
 
-// addListUpdates tells what news of the list costs and how long it takes within the traffic that control may have.
-func (fs *figures) addListUpdates() {
+// addEndpointUpdates tells what news of the list costs and how long it takes within the traffic that control may have.
+func (fs *figures) addEndpointUpdates() {
 	const group = "news"
 	whole := fs.addFromSeries(group, "list_size", "list.bytes", TargetWorkers, kilobyte, "KB")
 	entry := fs.add(group, "entry_size", whole*kilobyte/TargetWorkers, "bytes", "list_size / 19,000")
--- a/internal/lab/capacity/gangs.go
+++ b/internal/lab/capacity/gangs.go
@@ -92,7 +92,7 @@
 // simulateFreeSlots returns the share of time in which each number of slots was free.
 func simulateFreeSlots(load float64, rng *rand.Rand) []float64 {
 	shares := make([]float64, poolSlots+1)
-	var ends endTimes
+	var ends finishTimes
 	now, spent := 0.0, 0.0
 	pass := func(to float64, counts bool) {
 		if counts {
@@ -128,14 +128,14 @@
 	return sum
 }
 
-// An endTimes holds the ends of running tasks, the next one first.
-type endTimes []float64
+// finishTimes holds the ends of running tasks, the next one first.
+type finishTimes []float64
 
-func (h endTimes) Len() int           { return len(h) }
-func (h endTimes) Less(i, j int) bool { return h[i] < h[j] }
-func (h endTimes) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *endTimes) Push(x any)        { *h = append(*h, x.(float64)) }
-func (h *endTimes) Pop() any {
+func (h finishTimes) Len() int           { return len(h) }
+func (h finishTimes) Less(i, j int) bool { return h[i] < h[j] }
+func (h finishTimes) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *finishTimes) Push(x any)        { *h = append(*h, x.(float64)) }
+func (h *finishTimes) Pop() any {
 	last := len(*h) - 1
 	x := (*h)[last]
 	*h = (*h)[:last]
--- a/internal/lab/capacity/limits.go
+++ b/internal/lab/capacity/limits.go
@@ -13,8 +13,8 @@
 
 // What a start takes from discovery, by whether it has a list that was kept.
 const (
-	completeListLimit = "the whole list within the list's clock, at a start that has none kept"
-	checkpointLimit   = "the changes since within the list's clock, at a start with a list that was kept"
+	completeSnapshotLimit = "the whole list within the list's clock, at a start that has none kept"
+	checkpointLimit       = "the changes since within the list's clock, at a start with a list that was kept"
 )
 
 // startCPUBudget is the processor time that a start may take, in seconds.
@@ -32,7 +32,7 @@
 	budget("control's traffic at 0.2 changes/s", "control.traffic_at_0.2", TargetControlTraffic*kilobyte, "24 KB/s")
 	budget("control's traffic at 5 changes/s", "control.traffic_at_5", TargetControlTraffic*kilobyte, "24 KB/s")
 	budget("the start's processor time", "control.start", startCPUBudget, "0.4 s")
-	budget(completeListLimit, "list.bytes", TargetControlTraffic*kilobyte*t.value("clock"), "24 KB/s for clock")
+	budget(completeSnapshotLimit, "list.bytes", TargetControlTraffic*kilobyte*t.value("clock"), "24 KB/s for clock")
 	t.limits = append(t.limits, scalingLimit{checkpointLimit, t.value("kept_room"), "kept_room"})
 	peak := t.value("configuration_peak") // changes a second; the teams take most of the document
 	s := t.series("configuration.bytes")
--- a/internal/lab/capacity/runevents.go
+++ b/internal/lab/capacity/runevents.go
@@ -39,43 +39,43 @@
 		if err := t.process.Signal(syscall.SIGSTOP); err != nil {
 			return err
 		}
-		t.changeList()
+		t.churnWorkers()
 		<-time.After(interruptionDuration)
 		return t.process.Signal(syscall.SIGCONT)
 	case connectionCut:
 		link.Cut()
-		t.changeList()
+		t.churnWorkers()
 		<-time.After(interruptionDuration)
 		link.Heal()
 	case connectionSilenced:
 		link.Silence(fleet.ToTarget, fleet.FromTarget)
-		t.changeList()
+		t.churnWorkers()
 		<-time.After(interruptionDuration)
 		link.Heal()
 	case configReloaded:
-		t.changeList()
+		t.churnWorkers()
 		if err := t.process.Signal(syscall.SIGHUP); err != nil {
 			return err
 		}
-		t.changeList()
+		t.churnWorkers()
 	case zoneRemoved:
 		t.removeWorkers(min(TargetWorkers/TargetZones, len(t.workers)/2))
 	case versionRegressed:
 		// By more versions than the next changes make: nobody can tell versions that have been overtaken.
 		if t.Discovery.Version() <= regressedVersions {
-			t.changeList()
+			t.churnWorkers()
 			return nil
 		}
 		t.Discovery.GoBack(t.Discovery.Version() - regressedVersions)
 		t.changes = nil // what is kept of the lost versions must not be used
-		t.changeList()
+		t.churnWorkers()
 		<-time.After(interruptionDuration) // in which the process sees it
 	case fleetReplaced:
 		half := len(t.workers) / 2
 		t.removeWorkers(half)
 		t.addWorkers(half)
 	default:
-		t.changeList()
+		t.churnWorkers()
 	}
 	return nil
 }
--- a/internal/lab/capacity/workers.go
+++ b/internal/lab/capacity/workers.go
@@ -42,7 +42,7 @@
 		})},
 		costGauge{"module.job", "ns", module(func(h *hollowModule, _ int) { h.runJob(int(h.jobs)%TargetTeams, 0) })},
 		costGauge{"module.keyed_job", "ns", module(func(h *hollowModule, _ int) { h.runJob(int(h.jobs)%TargetTeams, rand.Uint64()) })},
-		costGauge{"module.whole_list", "ns", func(workers int) ([]float64, error) { return timeCompleteList(fleet(workers), p.runs) }},
+		costGauge{"module.whole_list", "ns", func(workers int) ([]float64, error) { return timeCompleteSnapshot(fleet(workers), p.runs) }},
 		costGauge{"core.change", "ns", func(workers int) ([]float64, error) {
 			h, err := fleet(workers).core()
 			if err != nil {
@@ -56,14 +56,14 @@
 		}},
 		costGauge{"core.memory", "bytes", func(workers int) ([]float64, error) { return memoryOfWorkers(fleet(workers), p.runs) }},
 		costGauge{"list.bytes", "bytes", func(workers int) ([]float64, error) {
-			bytes, err := endpointListBytes(workers)
+			bytes, err := endpointsBytes(workers)
 			return []float64{float64(bytes)}, err
 		}},
 	)
 }
 
-// timeCompleteList times the first whole list of a module.
-func timeCompleteList(d deployment, runs int) (took []float64, err error) {
+// timeCompleteSnapshot times the first whole list of a module.
+func timeCompleteSnapshot(d deployment, runs int) (took []float64, err error) {
 	list := d.endpoints()
 	s, err := d.settings()
 	if err != nil {
