--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -10,8 +10,8 @@
 	"github.com/vatu-meals/foxlift/internal/control/controlpb"
 )
 
-// Dial returns a client of the scheduler whose control socket is at path, and what
-// ends it. It connects with the first call.
+// Dial returns a client of the scheduler whose control socket is at path, and the function that closes
+// it. It connects at the first call.
 func Dial(path string) (controlpb.ControlClient, func() error, error) {
 	conn, err := grpc.NewClient("passthrough:///foxlift",
 		grpc.WithTransportCredentials(insecure.NewCredentials()), // the socket's mode guards it
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -22,6 +22,7 @@
 
 const patience = 20 * time.Second
 
+// nothing is an environment in which no worker answers.
 type nothing struct{}
 
 func (nothing) Send(string, *core.Job, core.AttemptLimits, func(core.Report)) func() {
@@ -34,14 +35,18 @@
 // newServer returns a server, which does not listen yet, of a core with two cells and
 // eight nodes.
 func newServer(t testing.TB) *Server {
-	s, err := config.ParseSettings([]byte(`{"dcs":["a"],"flavors":["k"],"grades":[{"name":"r","aim":1,"deadline":1,"effect":"idempotent"}],
+	s, err := config.ParseSettings([]byte(`{"dcs":["a"],"flavors":["k"],
+		"grades":[{"name":"r","aim":1,"deadline":1,"effect":"idempotent"}],
 		"projects":[{"name":"t","quotaRps":1},{"name":"u","quotaRps":1}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	plan, faults := s.PlanCells(&cells.Spec{Cells: []cells.Cell{{Name: "a", Tenants: []string{"t"}}, {Name: "b", Tenants: []string{"u"}}}})
-	if faults != nil {
-		t.Fatal(faults)
+	plan, specErrors := s.PlanCells(&cells.Spec{Cells: []cells.Cell{
+		{Name: "a", Tenants: []string{"t"}},
+		{Name: "b", Tenants: []string{"u"}},
+	}})
+	if specErrors != nil {
+		t.Fatal(specErrors)
 	}
 	set := &counters.Set{}
 	c, err := core.New(core.Config{Settings: s, Plan: plan, Seed: 1, Clock: core.NewClock(), Counters: set})
@@ -62,15 +67,19 @@
 	srv := newServer(t)
 	t.Cleanup(srv.Core.Stop)
 	path := filepath.Join(t.TempDir(), "c.sock")
-	if err := srv.Start(path); err != nil {
+	if err := srv.Start(t.Context(), path); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(srv.Stop)
-	client, end, err := Dial(path)
+	client, closeClient, err := Dial(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { end() })
+	t.Cleanup(func() {
+		if err := closeClient(); err != nil {
+			t.Error(err)
+		}
+	})
 	return srv, path, client
 }
 
@@ -83,23 +92,30 @@
 	if err != nil || info.Mode().Perm() != 0o600 {
 		t.Errorf("mode %v, %v", info.Mode(), err)
 	}
-	if st, err := client.Status(ctx, &controlpb.StatusRequest{}); err != nil || !st.Ready || !st.Cells || st.Version != "v" {
+	st, err := client.Status(ctx, &controlpb.StatusRequest{})
+	if err != nil || !st.Ready || !st.Cells || st.Version != "v" {
 		t.Errorf("status %v, %v", st, err)
 	}
 	r, err := client.Cells(ctx, &controlpb.CellsRequest{})
-	if err != nil || len(r.Cells) != 2 || len(r.Cells[0].Nodes)+len(r.Cells[1].Nodes) != 8 || r.Cells[0].Tenants[0].Name != "t" {
+	if err != nil || len(r.Cells) != 2 {
 		t.Fatalf("cells %v, %v", r, err)
 	}
+	if len(r.Cells[0].Nodes)+len(r.Cells[1].Nodes) != 8 || r.Cells[0].Tenants[0].Name != "t" {
+		t.Fatalf("cells %v", r)
+	}
 	if m, err := client.Move(ctx, &controlpb.MoveRequest{Tenant: "t", Cell: "b"}); err != nil || m.Tenants != 1 {
 		t.Errorf("move %v, %v", m, err)
 	}
+	migrate := func(tenant, cell string) error {
+		return second(client.Move(ctx, &controlpb.MoveRequest{Tenant: tenant, Cell: cell}))
+	}
 	for what, c := range map[string]struct {
 		err  error
 		want codes.Code
 	}{
-		"the same cell":  {second(client.Move(ctx, &controlpb.MoveRequest{Tenant: "t", Cell: "b"})), codes.FailedPrecondition},
-		"unknown cell":   {second(client.Move(ctx, &controlpb.MoveRequest{Tenant: "t", Cell: "z"})), codes.NotFound},
-		"unknown tenant": {second(client.Move(ctx, &controlpb.MoveRequest{Tenant: "z", Cell: "a"})), codes.NotFound},
+		"the same cell":  {migrate("t", "b"), codes.FailedPrecondition},
+		"unknown cell":   {migrate("t", "z"), codes.NotFound},
+		"unknown tenant": {migrate("z", "a"), codes.NotFound},
 		"no such cell":   {second(client.Evacuate(ctx, &controlpb.EvacuateRequest{Cell: "z"})), codes.NotFound},
 	} {
 		if status.Code(c.err) != c.want {
@@ -116,23 +132,28 @@
 
 func second[T any](_ T, err error) error { return err }
 
+// dial opens a connection that stays until the test's end.
+func dial(t *testing.T, path string) net.Conn {
+	t.Helper()
+	var dialer net.Dialer
+	conn, err := dialer.DialContext(t.Context(), "unix", path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { conn.Close() })
+	return conn
+}
+
 // A client that stands still, sends garbage or floods holds up neither the core nor,
 // beyond the bound on connections, the others.
 func TestMisbehavingClients(t *testing.T) {
 	srv, path, client := start(t)
 	for range maxConnections - 2 {
-		c, err := net.Dial("unix", path)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer c.Close()
+		dial(t, path)
 	}
-	c, err := net.Dial("unix", path)
-	if err != nil {
+	if _, err := dial(t, path).Write([]byte("GET / HTTP/1.1\r\n\r\n")); err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	c.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
 	if _, err := client.Cells(ctx, &controlpb.CellsRequest{}); err != nil {
@@ -141,10 +162,10 @@
 	if _, err := srv.Core.Cells(ctx); err != nil {
 		t.Errorf("the core: %v", err)
 	}
-	gone, end := context.WithCancel(ctx)
-	end()
-	if _, err := client.Cells(gone, &controlpb.CellsRequest{}); status.Code(err) != codes.Canceled {
-		t.Errorf("a caller that has gone: %v", err)
+	canceled, cancelCall := context.WithCancel(ctx)
+	cancelCall()
+	if _, err := client.Cells(canceled, &controlpb.CellsRequest{}); status.Code(err) != codes.Canceled {
+		t.Errorf("a caller that has disconnected: %v", err)
 	}
 }
 
@@ -153,12 +174,12 @@
 func TestSocketFile(t *testing.T) {
 	srv, path, _ := start(t)
 	again := &Server{Core: srv.Core, Settings: srv.Settings, Counters: srv.Counters}
-	if err := again.Start(path); err == nil {
+	if err := again.Start(t.Context(), path); err == nil {
 		t.Error("a socket in use is taken over")
 	}
 	file := filepath.Join(t.TempDir(), "file")
-	os.WriteFile(file, []byte("x"), 0o600)
-	if err := again.Start(file); err == nil {
+	writeFile(t, file, "x")
+	if err := again.Start(t.Context(), file); err == nil {
 		t.Error("a file is taken for a socket")
 	}
 	left := filepath.Join(t.TempDir(), "left.sock")
@@ -167,8 +188,10 @@
 		t.Fatal(err)
 	}
 	l.SetUnlinkOnClose(false)
-	l.Close()
-	if err := again.Start(left); err != nil {
+	if err := l.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if err := again.Start(t.Context(), left); err != nil {
 		t.Errorf("a socket that was left: %v", err)
 	}
 	again.Stop()
@@ -176,9 +199,16 @@
 		t.Errorf("its socket stays: %v", err)
 	}
 	os.Remove(path)
-	os.WriteFile(path, []byte("another's"), 0o600)
+	writeFile(t, path, "another's")
 	srv.Stop()
 	if _, err := os.Lstat(path); err != nil {
 		t.Errorf("another's file is removed: %v", err)
 	}
 }
+
+func writeFile(t *testing.T, path, text string) {
+	t.Helper()
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
--- a/internal/control/fuzz_test.go
+++ b/internal/control/fuzz_test.go
@@ -25,7 +25,7 @@
 }
 
 // checkCall: whatever bytes a caller sends as a message, the answer is a change that
-// adds up or an error in gRPC's terms that is no surprise, and the map stays whole.
+// adds up or an error in gRPC's terms that is expected, and no tenant or worker is lost.
 func checkCall(t testing.TB, data []byte) {
 	s, ctx := fuzzed(t), context.Background()
 	var errs []error
@@ -63,9 +63,15 @@
 
 func callSeeds() (seeds [][]byte) {
 	for _, m := range []proto.Message{
-		&controlpb.MoveRequest{Tenant: "t", Cell: "b"}, &controlpb.MoveRequest{Tenant: "t", Cell: "a"}, &controlpb.MoveRequest{Tenant: "u", Cell: "a"},
-		&controlpb.EvacuateRequest{Cell: "a"}, &controlpb.EvacuateRequest{Cell: "b"}, &controlpb.RestoreRequest{}, &controlpb.RestoreRequest{Tenant: "t"},
-		&controlpb.RestoreRequest{Cell: "b"}, &controlpb.MoveRequest{},
+		&controlpb.MoveRequest{Tenant: "t", Cell: "b"},
+		&controlpb.MoveRequest{Tenant: "t", Cell: "a"},
+		&controlpb.MoveRequest{Tenant: "u", Cell: "a"},
+		&controlpb.EvacuateRequest{Cell: "a"},
+		&controlpb.EvacuateRequest{Cell: "b"},
+		&controlpb.RestoreRequest{},
+		&controlpb.RestoreRequest{Tenant: "t"},
+		&controlpb.RestoreRequest{Cell: "b"},
+		&controlpb.MoveRequest{},
 	} {
 		b, _ := proto.Marshal(m)
 		seeds = append(seeds, b)
--- a/internal/control/generate.go
+++ b/internal/control/generate.go
@@ -1,3 +1,3 @@
 package control
 
-//go:generate sh -c "cd controlpb && protoc --plugin=protoc-gen-go=`go tool -n protoc-gen-go` --plugin=protoc-gen-go-grpc=`go tool -n protoc-gen-go-grpc` --go_out=paths=source_relative:. --go-grpc_out=paths=source_relative:. control.proto"
+//go:generate sh generate.sh
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -1,8 +1,7 @@
-// Package control is the operators' way into a running scheduler: gRPC on a Unix
-// socket. The socket's mode, 0600, is its access control: whoever runs the scheduler
-// may operate it. The server asks the core by events, with a bound on how long it
-// waits and on how many calls it has at once, so that no client of it, slow, dead or
-// many, holds up a job.
+// Package control serves operators' calls to a running scheduler: gRPC on a Unix socket. The socket's
+// mode, 0600, is its access control: whoever runs the scheduler may operate it. A Server owns the socket
+// and its file. It asks the core by events, with a bound on how long it waits and on how many calls it
+// has at once, so that no client of it, slow, dead or many, delays a job.
 package control
 
 import (
@@ -29,11 +28,23 @@
 )
 
 const (
-	maxConnections = 4               // connections at once: each is a descriptor
-	callTimeout    = 2 * time.Second // for the core to answer
-	maxMessage     = 64 << 10        // what a client may send
+	maxConnections = 4 // at once: each is a file descriptor
+	maxStreams     = 8 // of one connection
+	maxMessage     = 64 << 10
+	bufferSize     = 4 << 10 // of a connection, to read and to write
+
+	dialTimeout = time.Second     // for another process that may serve the socket
+	callTimeout = 2 * time.Second // for the core to answer
+
+	socketUmask = 0o177 // the socket must not be open to others even for a moment
 )
 
+var keepaliveParameters = keepalive.ServerParameters{
+	MaxConnectionIdle: time.Minute,
+	Time:              20 * time.Second,
+	Timeout:           5 * time.Second,
+}
+
 // A Server serves the control API of one scheduler.
 type Server struct {
 	controlpb.UnimplementedControlServer
@@ -46,60 +57,94 @@
 	grpc   *grpc.Server
 	path   string
 	socket fs.FileInfo
+	served chan struct{} // closed when the socket is no longer served
 }
 
-// Start listens on a path. A socket that is left there from a process that is no
-// more is replaced; one that answers, or a file of another kind, is an error.
-func (s *Server) Start(path string) error {
-	if info, err := os.Lstat(path); err == nil {
-		if info.Mode().Type() != fs.ModeSocket {
-			return fmt.Errorf("control.socket: %s is there and is no socket", path)
-		}
-		if c, err := net.DialTimeout("unix", path, time.Second); err == nil {
-			c.Close()
-			return fmt.Errorf("control.socket: another process serves %s", path)
-		}
-		if err := os.Remove(path); err != nil {
-			return fmt.Errorf("control.socket: %w", err)
-		}
-	}
-	old := syscall.Umask(0o177) // the socket must not be open to others even for a moment
-	l, err := net.Listen("unix", path)
-	syscall.Umask(old)
+// Start listens on a path; ctx bounds the start alone. A socket that is left there from a process that
+// has ended is replaced; one that is served, or a file of another kind, is an error.
+func (s *Server) Start(ctx context.Context, path string) error {
+	listener, err := listen(ctx, path)
 	if err != nil {
 		return fmt.Errorf("control.socket: %w", err)
 	}
-	l.(*net.UnixListener).SetUnlinkOnClose(false) // by then it may be another's
 	s.path = path
 	s.socket, _ = os.Lstat(path)
 	s.grpc = grpc.NewServer(
-		grpc.MaxRecvMsgSize(maxMessage), grpc.MaxConcurrentStreams(8), grpc.ConnectionTimeout(callTimeout),
-		grpc.ReadBufferSize(4<<10), grpc.WriteBufferSize(4<<10),
-		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: time.Minute, Time: 20 * time.Second, Timeout: 5 * time.Second}),
-		grpc.UnaryInterceptor(func(ctx context.Context, req any, _ *grpc.UnaryServerInfo, h grpc.UnaryHandler) (any, error) {
-			ctx, cancel := context.WithTimeout(ctx, callTimeout)
-			defer cancel()
-			reply, err := h(ctx, req)
-			return reply, toStatus(err)
-		}),
+		grpc.MaxRecvMsgSize(maxMessage),
+		grpc.MaxConcurrentStreams(maxStreams),
+		grpc.ConnectionTimeout(callTimeout),
+		grpc.ReadBufferSize(bufferSize),
+		grpc.WriteBufferSize(bufferSize),
+		grpc.KeepaliveParams(keepaliveParameters),
+		grpc.UnaryInterceptor(boundedCall),
 	)
 	controlpb.RegisterControlServer(s.grpc, s)
-	go s.grpc.Serve(netutil.LimitListener(l, maxConnections))
+	s.served = make(chan struct{})
+	go func() {
+		defer close(s.served)
+		// Its error says that the listener has failed: operators see that their calls do.
+		_ = s.grpc.Serve(netutil.LimitListener(listener, maxConnections))
+	}()
 	return nil
 }
 
+// listen makes the socket, in the place of one that nobody serves.
+func listen(ctx context.Context, path string) (net.Listener, error) {
+	if err := removeStale(ctx, path); err != nil {
+		return nil, err
+	}
+	var config net.ListenConfig
+	previous := syscall.Umask(socketUmask)
+	listener, err := config.Listen(ctx, "unix", path)
+	syscall.Umask(previous)
+	if err != nil {
+		return nil, err
+	}
+	// By the time of its close the file may be another process's.
+	listener.(*net.UnixListener).SetUnlinkOnClose(false)
+	return listener, nil
+}
+
+// removeStale removes a socket that nobody serves.
+func removeStale(ctx context.Context, path string) error {
+	info, err := os.Lstat(path)
+	if err != nil {
+		return nil //nolint:nilerr // there is nothing to remove; listening tells of what else is wrong
+	}
+	if info.Mode().Type() != fs.ModeSocket {
+		return fmt.Errorf("%s is there and is no socket", path)
+	}
+	dialer := net.Dialer{Timeout: dialTimeout}
+	if conn, err := dialer.DialContext(ctx, "unix", path); err == nil {
+		conn.Close()
+		return fmt.Errorf("another process serves %s", path)
+	}
+	return os.Remove(path)
+}
+
+// boundedCall bounds a call in time and puts its error into gRPC's terms.
+func boundedCall(
+	ctx context.Context, request any, _ *grpc.UnaryServerInfo, handler grpc.UnaryHandler,
+) (any, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	reply, err := handler(ctx, request)
+	return reply, toStatus(err)
+}
+
 // Stop ends the server at once, and removes the socket if it is still its own.
 func (s *Server) Stop() {
 	if s.grpc == nil {
 		return
 	}
 	s.grpc.Stop()
+	<-s.served
 	if now, err := os.Lstat(s.path); err == nil && os.SameFile(now, s.socket) {
 		os.Remove(s.path)
 	}
 }
 
-// word puts an error into gRPC's terms.
+// toStatus puts an error into gRPC's terms.
 func toStatus(err error) error {
 	switch {
 	case err == nil:
@@ -133,43 +178,60 @@
 	return r, nil
 }
 
-func (s *Server) cell(x *core.CellState) *controlpb.Cell {
-	c := &controlpb.Cell{
-		Name: x.Name, Share: x.Fraction, Retired: x.Retired, Evacuated: x.Evacuated,
-		Condition: controlpb.Condition(x.Condition), Open: int64(x.Open), Bound: int64(x.Bound),
-		Out: int64(x.InFlight), Held: int64(x.Queued), SpillsOut: int64(x.Spilled),
-		Served: x.Served, Refused: x.Shed, Failed: x.Failed, Shut: x.Rejected,
+// cell returns the API's form of a cell's state.
+func (s *Server) cell(state *core.CellState) *controlpb.Cell {
+	cell := &controlpb.Cell{
+		Name:      state.Name,
+		Share:     state.Fraction,
+		Retired:   state.Retired,
+		Evacuated: state.Evacuated,
+		Condition: controlpb.Condition(state.Condition),
+		Open:      int64(state.Open),
+		Bound:     int64(state.Bound),
+		Out:       int64(state.InFlight),
+		Held:      int64(state.Queued),
+		SpillsOut: int64(state.Spilled),
+		Served:    state.Served,
+		Refused:   state.Shed,
+		Failed:    state.Failed,
+		Shut:      state.Rejected,
 	}
-	for _, n := range x.Workers {
-		c.Nodes = append(c.Nodes, &controlpb.Node{
-			Id: n.ID, Kind: config.NameOf(s.Settings.Kinds, n.Kind), Zone: config.NameOf(s.Settings.Zones, n.Zone),
-			State: controlpb.NodeState(n.State), Cold: n.InSlowStart, Out: n.InFlight, Others: n.ExternalSlots,
+	for _, w := range state.Workers {
+		cell.Nodes = append(cell.Nodes, &controlpb.Node{
+			Id:     w.ID,
+			Kind:   config.NameOf(s.Settings.Kinds, w.Kind),
+			Zone:   config.NameOf(s.Settings.Zones, w.Zone),
+			State:  controlpb.NodeState(w.State),
+			Cold:   w.InSlowStart,
+			Out:    w.InFlight,
+			Others: w.ExternalSlots,
 		})
 	}
-	for _, t := range x.Tenants {
-		c.Tenants = append(c.Tenants, &controlpb.Tenant{Name: t.Name, Moved: t.Migrated, Quota: t.Quota})
+	for _, t := range state.Tenants {
+		cell.Tenants = append(cell.Tenants, &controlpb.Tenant{Name: t.Name, Moved: t.Migrated, Quota: t.Quota})
 	}
-	return c
+	return cell
 }
 
-func movedReply(m core.Migration, err error) (*controlpb.Moved, error) {
+// migrationReply returns the API's form of a migration.
+func migrationReply(m core.Migration, err error) (*controlpb.Moved, error) {
 	if err != nil {
 		return nil, err
 	}
 	return &controlpb.Moved{Tenants: int64(m.Tenants), Held: int64(m.Queued), Out: int64(m.InFlight)}, nil
 }
 
-// Move implements the API.
+// Move implements the API: it migrates a tenant to a cell.
 func (s *Server) Move(ctx context.Context, r *controlpb.MoveRequest) (*controlpb.Moved, error) {
-	return movedReply(s.Core.MigrateTenant(ctx, r.Tenant, r.Cell))
+	return migrationReply(s.Core.MigrateTenant(ctx, r.Tenant, r.Cell))
 }
 
 // Evacuate implements the API.
 func (s *Server) Evacuate(ctx context.Context, r *controlpb.EvacuateRequest) (*controlpb.Moved, error) {
-	return movedReply(s.Core.Evacuate(ctx, r.Cell))
+	return migrationReply(s.Core.Evacuate(ctx, r.Cell))
 }
 
-// RestorePlacement implements the API.
+// Restore implements the API.
 func (s *Server) Restore(ctx context.Context, r *controlpb.RestoreRequest) (*controlpb.Moved, error) {
-	return movedReply(s.Core.RestorePlacement(ctx, r.Tenant, r.Cell))
+	return migrationReply(s.Core.RestorePlacement(ctx, r.Tenant, r.Cell))
 }
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -1,6 +1,7 @@
 package daemon
 
 import (
+	"context"
 	"net"
 
 	"github.com/vatu-meals/foxlift/internal/admin"
@@ -17,7 +18,7 @@
 	server := &control.Server{
 		Core: d.Core, Settings: d.Config.Settings, Counters: d.Counters, Name: d.Config.Name, Version: d.options.Version,
 	}
-	if err := server.Start(d.operator.ControlSocket); err != nil {
+	if err := server.Start(context.Background(), d.operator.ControlSocket); err != nil {
 		return err
 	}
 	d.control.Store(server)
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -64,9 +64,15 @@
 			MayHaveRun: true, SameGroup: true, WindowRemaining: time.Hour,
 		}, DuplicateRun},
 		{Repeat{EndpointsTrusted: true, Effect: foxlift.Idempotent, MayHaveRun: true}, None},
-		{Repeat{EndpointsTrusted: true, Effect: foxlift.Deduplicated, MayHaveRun: true, SameGroup: true, WindowRemaining: 1}, None},
+		{Repeat{
+			EndpointsTrusted: true, Effect: foxlift.Deduplicated,
+			MayHaveRun: true, SameGroup: true, WindowRemaining: 1,
+		}, None},
 		{Repeat{EndpointsTrusted: true, Effect: foxlift.Deduplicated, MayHaveRun: true, SameGroup: true}, DuplicateRun},
-		{Repeat{EndpointsTrusted: true, Effect: foxlift.Deduplicated, MayHaveRun: true, WindowRemaining: time.Hour}, DuplicateRun},
+		{Repeat{
+			EndpointsTrusted: true, Effect: foxlift.Deduplicated,
+			MayHaveRun: true, WindowRemaining: time.Hour,
+		}, DuplicateRun},
 	} {
 		if got := c.r.Check(); got != c.want {
 			t.Errorf("%+v: %q, want %q", c.r, got, c.want)
