--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,12 +1,12 @@
-// Package admin serves the operators' second address: whether the scheduler is ready, its figures,
-// and draining it. HTTP/1.1, one call per connection: a 2xx means yes, a 4xx or 5xx no.
+// Package admin serves the operators' address: whether the scheduler is ready, its metrics, and taking
+// it out of service and back. It is HTTP/1.1 with one request per connection: a 2xx means yes, a 4xx or
+// 5xx no. A Server owns its listener and the goroutine that serves it.
 package admin
 
 import (
 	"context"
 	"errors"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"time"
@@ -14,7 +14,7 @@
 	"go.uber.org/zap"
 )
 
-// Paths of the calls.
+// The paths of the requests.
 const (
 	PathHealth  = "/admin/health"
 	PathStats   = "/admin/stats"
@@ -23,85 +23,104 @@
 )
 
 const (
-	readTimeout    = 4500 * time.Millisecond // for a whole call to come; some callers hold on for 4 s
-	writeTimeout   = 2 * time.Second         // for an answer, from the end of the call's head
-	maxHeaderBytes = 8 << 10                 // bytes of a call's head
-	stopTimeout    = 100 * time.Millisecond  // for the answers under way when the server stops
+	readTimeout    = 4500 * time.Millisecond // for a whole request to arrive; some clients take 4 s
+	writeTimeout   = 2 * time.Second         // for a response, from the end of the request's header
+	maxHeaderBytes = 8 << 10
+	stopTimeout    = 100 * time.Millisecond // for the responses in progress when the server stops
 )
 
-// A Scheduler is what the calls act on. Its methods may be called on any goroutine and must
-// return at once.
+// A Scheduler is what the requests act on. Its methods may be called on any goroutine and must return
+// at once.
 type Scheduler interface {
 	// Ready reports whether clients are served.
 	Ready() bool
-	// Quiesce sends clients away. Another call while it holds changes nothing.
+	// Quiesce takes the scheduler out of service. While it is, another call changes nothing.
 	Quiesce()
 	// Resume ends that. Without a Quiesce before it, it changes nothing.
 	Resume()
 }
 
-// A Server serves the second address.
+// A Server serves the operators' address.
 type Server struct {
 	http     *http.Server
 	listener *boundedListener
+	served   chan struct{} // closed when the address is no longer served
 }
 
-// Listen starts to serve at an address, with so many connections at most. figures answers
-// GET /admin/stats. The error says why the address cannot be listened on.
-func Listen(address string, connections int, s Scheduler, figures http.Handler, log *zap.Logger) (*Server, error) {
+// Listen starts to serve an address, with a bound on its connections; ctx bounds the start alone. The
+// metrics handler answers GET /admin/stats. The error says why the address cannot be listened on.
+func Listen(
+	ctx context.Context, address string, connections int, s Scheduler, metrics http.Handler, log *zap.Logger,
+) (*Server, error) {
 	var config net.ListenConfig
 	config.SetMultipathTCP(false)
-	listener, err := config.Listen(context.Background(), "tcp", address)
+	listener, err := config.Listen(ctx, "tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("admin (LB_ADMIN): %w", err)
 	}
 	bounded := newBoundedListener(listener, connections)
-	a := &Server{listener: bounded, http: &http.Server{
-		Handler:        routes(s, figures),
-		ReadTimeout:    readTimeout,
-		WriteTimeout:   readTimeout + writeTimeout, // it counts from the accept for the first call
-		MaxHeaderBytes: maxHeaderBytes,
-		ConnContext:    bounded.connContext,
-		ErrorLog:       zap.NewStdLog(zap.NewNop()), // what callers send must not fill the log
-	}}
-	a.http.SetKeepAlivesEnabled(false)
-	go func() {
-		if err := a.http.Serve(bounded); err != nil && !errors.Is(err, http.ErrServerClosed) {
-			log.Error("the second address is no longer served", zap.Error(err))
-		}
-	}()
-	return a, nil
+	server := &Server{
+		listener: bounded,
+		served:   make(chan struct{}),
+		http: &http.Server{
+			Handler:        newHandler(s, metrics),
+			ReadTimeout:    readTimeout,
+			WriteTimeout:   readTimeout + writeTimeout, // it counts from the accept for the first request
+			MaxHeaderBytes: maxHeaderBytes,
+			ConnContext:    bounded.connContext,
+			ErrorLog:       zap.NewStdLog(zap.NewNop()), // what clients send must not fill the log
+		},
+	}
+	server.http.SetKeepAlivesEnabled(false)
+	go server.serve(log)
+	return server, nil
+}
+
+func (s *Server) serve(log *zap.Logger) {
+	defer close(s.served)
+	if err := s.http.Serve(s.listener); err != nil && !errors.Is(err, http.ErrServerClosed) {
+		log.Error("the second address is no longer served", zap.Error(err))
+	}
 }
 
 // Addr returns the address that is served.
-func (a *Server) Addr() net.Addr { return a.listener.Addr() }
+func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Stop ends the server. Answers under way have a moment to be written.
-func (a *Server) Stop() {
+// Stop ends the server. Responses in progress have a moment to be written.
+func (s *Server) Stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	if a.http.Shutdown(ctx) != nil {
-		a.http.Close()
+	if s.http.Shutdown(ctx) != nil {
+		_ = s.http.Close() // an error of the listener's close, which Shutdown has told of
 	}
+	<-s.served
 }
 
-// A route is a path's one method and its handler.
-type route struct {
+// An endpoint is a path's one method and its handler.
+type endpoint struct {
 	method string
 	handle http.HandlerFunc
 }
 
-// routes answers each call: an unknown path with 404, another method than the path's with 405.
-func routes(s Scheduler, figures http.Handler) http.Handler {
-	table := map[string]route{
-		PathHealth:  {http.MethodGet, func(w http.ResponseWriter, _ *http.Request) { respondReady(w, s.Ready()) }},
-		PathStats:   {http.MethodGet, figures.ServeHTTP},
-		PathQuiesce: {http.MethodPut, func(w http.ResponseWriter, _ *http.Request) { s.Quiesce(); respond(w, http.StatusOK, "quiesced") }},
-		PathResume:  {http.MethodPut, func(w http.ResponseWriter, _ *http.Request) { s.Resume(); respond(w, http.StatusOK, "resumed") }},
+// newHandler answers each request: an unknown path with 404, another method than the path's with 405.
+func newHandler(s Scheduler, metrics http.Handler) http.Handler {
+	endpoints := map[string]endpoint{
+		PathHealth: {http.MethodGet, func(w http.ResponseWriter, _ *http.Request) {
+			respondReady(w, s.Ready())
+		}},
+		PathStats: {http.MethodGet, metrics.ServeHTTP},
+		PathQuiesce: {http.MethodPut, func(w http.ResponseWriter, _ *http.Request) {
+			s.Quiesce()
+			respond(w, http.StatusOK, "quiesced")
+		}},
+		PathResume: {http.MethodPut, func(w http.ResponseWriter, _ *http.Request) {
+			s.Resume()
+			respond(w, http.StatusOK, "resumed")
+		}},
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		markRequestReceived(r.Context())
-		found, known := table[r.URL.Path]
+		found, known := endpoints[r.URL.Path]
 		switch {
 		case !known:
 			respond(w, http.StatusNotFound, "no such path")
@@ -125,5 +144,5 @@
 func respond(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(status)
-	io.WriteString(w, text+"\n")
+	fmt.Fprintln(w, text)
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -30,8 +31,10 @@
 func start(t *testing.T, connections int) (*state, string) {
 	t.Helper()
 	s := &state{}
-	figures := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "scheduler_active 0\n") })
-	server, err := Listen("127.0.0.1:0", connections, s, figures, zap.NewNop())
+	metrics := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		fmt.Fprint(w, "scheduler_active 0\n")
+	})
+	server, err := Listen(t.Context(), "127.0.0.1:0", connections, s, metrics, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,24 +42,37 @@
 	return s, server.Addr().String()
 }
 
-// call writes a text on a connection of its own and returns the answer's status; 0 if there is none.
-func call(t *testing.T, address, text string) (status int, closed bool) {
+// dial opens a connection that stays until the test's end and writes a text on it.
+func dial(t *testing.T, address, text string) net.Conn {
 	t.Helper()
-	conn, err := net.Dial("tcp", address)
+	var dialer net.Dialer
+	conn, err := dialer.DialContext(t.Context(), "tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	t.Cleanup(func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(patience))
-	io.WriteString(conn, text)
+	// The server may answer and close before all is written.
+	fmt.Fprint(conn, text)
+	return conn
+}
+
+// call writes a text on a connection of its own and returns the answer's status; 0 if there is none.
+func call(t *testing.T, address, text string) (status int, closed bool) {
+	t.Helper()
+	conn := dial(t, address, text)
+	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	response, err := http.ReadResponse(reader, nil)
 	if err != nil {
 		return 0, false
 	}
-	io.Copy(io.Discard, response.Body)
+	defer response.Body.Close()
+	if _, err := io.Copy(io.Discard, response.Body); err != nil {
+		t.Logf("%.40q: the answer's body: %v", text, err)
+	}
 	_, err = reader.ReadByte()
-	return response.StatusCode, err == io.EOF
+	return response.StatusCode, errors.Is(err, io.EOF)
 }
 
 func get(method, path string) string {
@@ -83,7 +99,10 @@
 		{get("GET", "/_health"), true, 404},
 		{"hello\r\n\r\n", true, 400},
 		{"GET " + PathHealth + " HTTP/1.1\r\nno colon\r\n\r\n", true, 400},
-		{"GET " + PathHealth + " HTTP/1.1\r\nHost: a\r\nX-Long: " + strings.Repeat("x", 2*maxHeaderBytes) + "\r\n\r\n", true, 431},
+		{
+			"GET " + PathHealth + " HTTP/1.1\r\nHost: a\r\nX-Long: " + strings.Repeat("x", 2*maxHeaderBytes) + "\r\n\r\n",
+			true, 431,
+		},
 	} {
 		s.ready.Store(c.ready)
 		status, closed := call(t, address, c.text)
@@ -96,32 +115,26 @@
 	}
 }
 
-// Callers that hold half a call make way for whole ones, the oldest first.
+// Connections with half a request are closed for complete ones, the oldest first.
 func TestIncompleteCallsAreEvicted(t *testing.T) {
 	const connections = 4
 	_, address := start(t, connections)
 	var held []net.Conn
 	for range 5 * connections {
-		conn, err := net.Dial("tcp", address)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer conn.Close()
-		io.WriteString(conn, "GET /admin/st")
-		held = append(held, conn)
+		held = append(held, dial(t, address, "GET /admin/st"))
 		if status, _ := call(t, address, get("GET", PathStats)); status != 200 {
-			t.Fatalf("status %d beside %d half calls", status, len(held))
+			t.Fatalf("status %d beside %d half requests", status, len(held))
 		}
 	}
-	held[0].SetDeadline(time.Now().Add(patience))
 	if _, err := held[0].Read(make([]byte, 1)); err == nil {
-		t.Error("the oldest half call was answered")
+		t.Error("the oldest half request was answered")
 	}
 }
 
 func TestAddressInUse(t *testing.T) {
 	_, address := start(t, 8)
-	if _, err := Listen(address, 8, &state{}, http.NotFoundHandler(), zap.NewNop()); err == nil || !strings.Contains(err.Error(), "LB_ADMIN") {
+	_, err := Listen(t.Context(), address, 8, &state{}, http.NotFoundHandler(), zap.NewNop())
+	if err == nil || !strings.Contains(err.Error(), "LB_ADMIN") {
 		t.Errorf("error %v, want one that names the key", err)
 	}
 }
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -3,11 +3,9 @@
 import (
 	"fmt"
 	"io"
-	"net"
 	"regexp"
 	"strings"
 	"testing"
-	"time"
 
 	"github.com/vatu-meals/foxlift/internal/golden"
 )
@@ -21,18 +19,18 @@
 		text  string
 		ready bool
 	}{
-		{get("GET", PathHealth), true}, {get("GET", PathHealth), false}, {get("GET", PathStats), true},
-		{get("PUT", PathQuiesce), true}, {get("PUT", PathResume), true},
-		{get("PUT", PathHealth), true}, {get("GET", PathQuiesce), true}, {get("GET", "/admin"), true},
+		{get("GET", PathHealth), true},
+		{get("GET", PathHealth), false},
+		{get("GET", PathStats), true},
+		{get("PUT", PathQuiesce), true},
+		{get("PUT", PathResume), true},
+		{get("PUT", PathHealth), true},
+		{get("GET", PathQuiesce), true},
+		{get("GET", "/admin"), true},
 		{"hello\r\n\r\n", true},
 	} {
 		s.ready.Store(c.ready)
-		conn, err := net.Dial("tcp", address)
-		if err != nil {
-			t.Fatal(err)
-		}
-		conn.SetDeadline(time.Now().Add(patience))
-		io.WriteString(conn, c.text)
+		conn := dial(t, address, c.text)
 		answer, err := io.ReadAll(conn)
 		conn.Close()
 		if err != nil {
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -8,35 +8,35 @@
 	"time"
 )
 
-// minPendingAge is how long a connection is left alone that has not brought a whole call: one that did
-// not stop half way has brought it by then, even where many come at once.
+// minPendingAge is how long a connection without a complete request may not be closed: a client that did
+// not stop half way has sent it by then, even where many connect at once.
 const minPendingAge = 20 * time.Millisecond
 
-// A boundedListener keeps so many connections open at most. While they are all taken, the
-// connection makes way that has been open longest without a whole call, but none that is young:
-// until one of them may, new connections wait to be accepted.
+// A boundedListener bounds its open connections. While the bound is reached it closes the connection
+// that has been open longest without a complete request, once that has minPendingAge; until then new
+// connections wait to be accepted.
 type boundedListener struct {
 	net.Listener
 	maxOpen int
 
 	mu      sync.Mutex
-	freed   *sync.Cond // a connection has ended, or the listener has
+	freed   *sync.Cond // a connection has been closed, or the listener has
 	open    int
-	pending *list.List // of *boundedConn without a whole call, the oldest first
+	pending *list.List // of *boundedConn without a complete request, the oldest first
 	closed  bool
 }
 
-// A boundedConn is one of its connections.
+// A boundedConn is a connection of a boundedListener.
 type boundedConn struct {
 	net.Conn
 	listener   *boundedListener
 	acceptedAt time.Time
-	element    *list.Element // in pending; nil once a whole call has come or it is closed
+	element    *list.Element // in pending; nil after a complete request or the close
 	closed     bool
 }
 
-func newBoundedListener(l net.Listener, most int) *boundedListener {
-	b := &boundedListener{Listener: l, maxOpen: most, pending: list.New()}
+func newBoundedListener(l net.Listener, maxOpen int) *boundedListener {
+	b := &boundedListener{Listener: l, maxOpen: maxOpen, pending: list.New()}
 	b.freed = sync.NewCond(&b.mu)
 	return b
 }
@@ -67,7 +67,7 @@
 	return l.Listener.Close()
 }
 
-// reserve waits for room for one more connection and takes it; false if the listener is closed.
+// reserve waits until one more connection may be open and counts it; false if the listener is closed.
 func (l *boundedListener) reserve() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,8 +81,8 @@
 	return true
 }
 
-// freeCapacityLocked ends the oldest connection without a whole call, or waits until it may be ended or
-// another one has ended.
+// freeCapacityLocked closes the oldest connection without a complete request, or waits until it may be
+// closed or another one has been.
 func (l *boundedListener) freeCapacityLocked() {
 	oldest := l.pending.Front()
 	if oldest == nil {
@@ -91,12 +91,12 @@
 	}
 	c := oldest.Value.(*boundedConn)
 	if age := time.Since(c.acceptedAt); age < minPendingAge {
-		look := time.AfterFunc(minPendingAge-age, l.freed.Broadcast)
+		wake := time.AfterFunc(minPendingAge-age, l.freed.Broadcast)
 		l.freed.Wait()
-		look.Stop()
+		wake.Stop()
 		return
 	}
-	c.closeLocked()
+	_ = c.closeLocked() // the connection is given up
 }
 
 // Close implements net.Conn.
@@ -117,7 +117,7 @@
 	return c.Conn.Close()
 }
 
-// unlistLocked takes the connection out of those that may have to make way.
+// unlistLocked takes the connection out of those that may be closed for another.
 func (c *boundedConn) unlistLocked() {
 	if c.element != nil {
 		c.listener.pending.Remove(c.element)
@@ -127,12 +127,12 @@
 
 type connKey struct{}
 
-// connContext lets a call's handler find its connection.
+// connContext lets a request's handler find its connection.
 func (l *boundedListener) connContext(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// called notes that a whole call has come on the connection of a handler's context.
+// markRequestReceived notes that a complete request has arrived on the connection of a handler's context.
 func markRequestReceived(ctx context.Context) {
 	if c, ok := ctx.Value(connKey{}).(*boundedConn); ok {
 		c.listener.mu.Lock()
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -43,7 +43,8 @@
 		return nil
 	}
 	figures := metrics.Handler(d.Config.Settings.ClassNames(), d.Counters, d.Core)
-	d.admin, err = admin.Listen(d.Config.Admin, platform.AdminConnections(d.Config), d, figures, d.log)
+	connections := platform.AdminConnections(d.Config)
+	d.admin, err = admin.Listen(context.Background(), d.Config.Admin, connections, d, figures, d.log)
 	return err
 }
 
--- a/internal/metrics/golden_test.go
+++ b/internal/metrics/golden_test.go
@@ -1,6 +1,7 @@
 package metrics
 
 import (
+	"net/http"
 	"net/http/httptest"
 	"testing"
 
@@ -13,6 +14,7 @@
 func TestExposition(t *testing.T) {
 	w := httptest.NewRecorder()
 	handler := Handler([]string{"first", "second"}, &counters.Set{}, &source{pool: core.WorkerPool{Size: 3, Ejected: 1}})
-	handler.ServeHTTP(w, httptest.NewRequest("GET", "/admin/stats", nil))
+	request := httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/admin/stats", nil)
+	handler.ServeHTTP(w, request)
 	golden.Check(t, "exposition.txt", w.Body.Bytes())
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,6 @@
-// Package metrics shows a scheduler's figures in the text form of Prometheus. It counts nothing
-// itself: the figures are read from the counters that the log prints, and from the core.
+// Package metrics exposes a scheduler's metrics in the text format of Prometheus. It counts nothing
+// itself: the values are read from the counters that the log prints, and from the core. Its only state
+// is the worker pool as last read.
 package metrics
 
 import (
@@ -16,21 +17,21 @@
 	"github.com/vatu-meals/foxlift/internal/guard"
 )
 
-const namespace = "scheduler" // the prefix of every figure's name
+const namespace = "scheduler" // the prefix of every metric's name
 
-// poolTimeout is how long a call waits for the core to tell of the pool. Answers are owed within
-// 1 s; a core that is busier than this shows what it last told.
+// poolTimeout is how long a request waits for the core to report the worker pool. Responses are due
+// within 1 s; of a core that is busier than this the last report is shown.
 const poolTimeout = 250 * time.Millisecond
 
-// results are the values of the label result, by the verdict that they count.
+// results are the values of the label "result", by the verdict that they count.
 var results = map[core.Verdict]string{core.Served: "ok", core.Shed: "shed", core.Failed: "errors"}
 
-// A Source tells what the counters do not hold.
+// A Source reports what the counters do not hold.
 type Source interface {
-	// Active returns the jobs that are taken and not yet answered.
+	// Active returns how many jobs are accepted and not yet answered.
 	Active() int
-	// Pool returns what is known of the execute nodes, or an error if that cannot be told by the
-	// end of the context.
+	// WorkerPool returns what is known of the workers, or an error if that is not available by the end
+	// of the context.
 	WorkerPool(context.Context) (core.WorkerPool, error)
 }
 
@@ -39,12 +40,12 @@
 	classes  []string
 	counters *counters.Set
 	source   Source
-	pool     atomic.Value // core.Pool, as last told
+	pool     atomic.Value // core.WorkerPool, as last reported
 
 	responses, attempts, active, size, ejected, violations *prometheus.Desc
 }
 
-// Handler returns a handler that shows the figures of the jobs of all classes.
+// Handler returns a handler that exposes the metrics of the jobs of all classes.
 func Handler(classes []string, set *counters.Set, source Source) http.Handler {
 	describe := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc(prometheus.BuildFQName(namespace, "", name), help, labels, nil)
@@ -80,18 +81,20 @@
 			out <- prometheus.MustNewConstMetric(c.responses, prometheus.CounterValue, float64(n), class, result)
 		}
 	}
-	for _, rule := range guard.Invariants {
-		n := c.counters.Get(rule.Counter())
-		out <- prometheus.MustNewConstMetric(c.violations, prometheus.CounterValue, float64(n), string(rule))
+	for _, invariant := range guard.Invariants {
+		n := c.counters.Get(invariant.Counter())
+		out <- prometheus.MustNewConstMetric(c.violations, prometheus.CounterValue, float64(n), string(invariant))
 	}
 	pool := c.workerPool()
-	out <- prometheus.MustNewConstMetric(c.attempts, prometheus.CounterValue, float64(c.counters.Get(counters.ClaimsWritten)))
+	attempts := c.counters.Get(counters.ClaimsWritten)
+	out <- prometheus.MustNewConstMetric(c.attempts, prometheus.CounterValue, float64(attempts))
 	out <- prometheus.MustNewConstMetric(c.active, prometheus.GaugeValue, float64(c.source.Active()))
 	out <- prometheus.MustNewConstMetric(c.size, prometheus.GaugeValue, float64(pool.Size))
 	out <- prometheus.MustNewConstMetric(c.ejected, prometheus.GaugeValue, float64(pool.Ejected))
 }
 
-// workerPool returns the state of the pool, the last known one where the core is too busy.
+// workerPool returns the state of the pool, the last known one where the core is too busy. A
+// prometheus.Collector has no context of the request: the timeout bounds the wait.
 func (c *collector) workerPool() core.WorkerPool {
 	ctx, cancel := context.WithTimeout(context.Background(), poolTimeout)
 	defer cancel()
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"net/http"
 	"net/http/httptest"
 	"strings"
 	"testing"
@@ -31,7 +32,8 @@
 	handler := Handler([]string{"C", `odd"name`}, set, s)
 	read := func() string {
 		w := httptest.NewRecorder()
-		handler.ServeHTTP(w, httptest.NewRequest("GET", "/admin/stats", nil))
+		request := httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/admin/stats", nil)
+		handler.ServeHTTP(w, request)
 		return w.Body.String()
 	}
 	text := read()
@@ -49,7 +51,7 @@
 	if set.Get("jobs.served") != 812 {
 		t.Errorf("the log's counter says %d", set.Get("jobs.served"))
 	}
-	// A core that is too busy to tell leaves the pool's last figures.
+	// A core that is too busy to report leaves the pool's last figures.
 	s.pool, s.err = core.WorkerPool{}, errors.New("busy")
 	if text := read(); !strings.Contains(text, "scheduler_pool_size 12\n") {
 		t.Errorf("the pool's last size is not there:\n%s", text)
