--- a/internal/lab/capacity/assessment.go
+++ b/internal/lab/capacity/assessment.go
@@ -1,6 +1,6 @@
 package capacity
 
-// A target is what measurements come to at the size designed for.
+// An assessment is what measurements come to at the size designed for.
 type assessment struct {
 	*figures
 	limits       []scalingLimit
@@ -9,12 +9,12 @@
 
 // newAssessment carries measurements to the target; it fails where a series is missing.
 func newAssessment(m *Measured) (*assessment, error) {
-	fs, err := newFigures(m)
+	figures, err := newFigures(m)
 	if err != nil {
 		return nil, err
 	}
-	t := &assessment{figures: fs}
-	t.findLimits()
-	t.judgeRequirements()
-	return t, nil
+	a := &assessment{figures: figures}
+	a.findLimits()
+	a.judgeRequirements()
+	return a, nil
 }
--- a/internal/lab/capacity/figures.go
+++ b/internal/lab/capacity/figures.go
@@ -14,7 +14,7 @@
 	name    string
 	value   float64
 	unit    string
-	formula string // the formula, by the names of series, of other figures and of what is assumed
+	formula string // by the names of series, of other figures and of what is assumed
 	group   string // the table of the page that it stands in
 }
 
@@ -26,8 +26,9 @@
 	measured *Measured
 }
 
-func (fs *figures) add(group, name string, value float64, unit, from string) float64 {
-	fs.byName[name] = figure{name, value, unit, from, group}
+// add adds a figure and returns its value.
+func (fs *figures) add(group, name string, value float64, unit, formula string) float64 {
+	fs.byName[name] = figure{name, value, unit, formula, group}
 	fs.order = append(fs.order, name)
 	return value
 }
@@ -44,7 +45,7 @@
 	return s
 }
 
-// slope adds the cost of a series at a size, in a unit that is so many times as large.
+// addFromSeries adds the cost of a series at a size, in a unit that is so many times as large.
 func (fs *figures) addFromSeries(group, name, series string, size, per float64, unit string) float64 {
 	s := fs.series(series)
 	return fs.add(group, name, s.costAt(size)/per, unit, fmt.Sprintf("`%s` at %g %s", series, size, s.Of))
@@ -73,18 +74,24 @@
 // addSchedulers derives how many schedulers there have to be.
 func (fs *figures) addSchedulers() {
 	const group = "schedulers"
-	usable := fs.add(group, "sockets", processSockets*(1-1.0/spareSocketDivisor), "descriptors", "1,024 less a sixteenth that stays spare (README, Descriptors)")
-	each := fs.add(group, "tasks_of_one", math.Floor(usable/socketsPerTask), "tasks", "sockets / 2: a running task holds a connection on each side")
-	least := fs.add(group, "schedulers_least", math.Ceil(TargetTasks/each), "schedulers", "220,000 tasks / tasks_of_one")
+	usable := fs.add(group, "sockets", processSockets*(1-1.0/spareSocketDivisor), "descriptors",
+		"1,024 less a sixteenth that stays spare (README, Descriptors)")
+	each := fs.add(group, "tasks_of_one", math.Floor(usable/socketsPerTask), "tasks",
+		"sockets / 2: a running task holds a connection on each side")
+	least := fs.add(group, "schedulers_least", math.Ceil(TargetTasks/each), "schedulers",
+		"220,000 tasks / tasks_of_one")
 	fs.add(group, "schedulers_most", foxlift.MaxDispatchers, "schedulers", "`foxlift.MaxDispatchers`")
 	left := float64(TargetRegions-1) / TargetRegions
 	chosen := math.Ceil(least/left/TargetRegions) * TargetRegions
-	fs.add(group, "schedulers_chosen", chosen, "schedulers", "schedulers_least × 9/8, rounded up to as many in each of 9 regions: eight regions hold all tasks")
+	fs.add(group, "schedulers_chosen", chosen, "schedulers",
+		"schedulers_least × 9/8, rounded up to as many in each of 9 regions: eight regions hold all tasks")
 	fs.add(group, "schedulers_of_region", chosen/TargetRegions, "schedulers", "schedulers_chosen / 9")
 	perTask := fs.series("tasks.memory")
-	fs.add(group, "tasks_memory", perTask.costAt(each)/megabyte, "MB", "`tasks.memory` at tasks_of_one; core and module only, buffers of connections are not in it")
+	fs.add(group, "tasks_memory", perTask.costAt(each)/megabyte, "MB",
+		"`tasks.memory` at tasks_of_one; core and module only, buffers of connections are not in it")
 }
 
+// value returns the value of a figure that has been added before.
 func (fs *figures) value(name string) float64 { return fs.byName[name].value }
 
 // addControl carries what a process without a job costs to the target.
@@ -104,39 +111,51 @@
 func (fs *figures) addDecisions() {
 	const group = "decisions"
 	tick := fs.addFromSeries(group, "idle_tick", "module.idle_tick", TargetWorkers, nanosPerMicro, "us")
-	fs.add(group, "idle_ticks", percent*tick*80/1e6, "% of a core", "idle_tick × 80 a second, as an aim of 0.1 s asks for")
+	fs.add(group, "idle_ticks", percent*tick*80/1e6, "% of a core",
+		"idle_tick × 80 a second, as an aim of 0.1 s asks for")
 	fs.addFromSeries(group, "change", "module.change", TargetWorkers, nanosPerMicro, "us")
 	fs.addFromSeries(group, "change_in_core", "core.change", TargetWorkers, nanosPerMicro, "us")
 	fs.addFromSeries(group, "whole_list", "module.whole_list", TargetWorkers, nanosPerMilli, "ms")
 	job := fs.addFromSeries(group, "job", "module.job", TargetWorkers, nanosPerMicro, "us")
 	fs.addFromSeries(group, "keyed_job", "module.keyed_job", TargetWorkers, nanosPerMicro, "us")
 	fs.addFromSeries(group, "job_by_teams", "teams.job", TargetTeams, nanosPerMicro, "us")
-	starts := fs.add(group, "starts_of_one", TargetStartsPerSecond/fs.value("schedulers_chosen"), "starts/s", "8,100 / schedulers_chosen")
+	starts := fs.add(group, "starts_of_one", TargetStartsPerSecond/fs.value("schedulers_chosen"), "starts/s",
+		"8,100 / schedulers_chosen")
 	fs.add(group, "starts_cpu", percent*starts*job/1e6, "% of a core", "starts_of_one × job")
 	fs.addFromSeries(group, "list_memory", "core.memory", TargetWorkers, megabyte, "MB")
 }
 
-// addEndpointUpdates tells what news of the list costs and how long it takes within the traffic that control may have.
+// addEndpointUpdates tells what updates of the endpoint list cost, and how long they take within
+// the traffic that control may have.
 func (fs *figures) addEndpointUpdates() {
 	const group = "news"
 	whole := fs.addFromSeries(group, "list_size", "list.bytes", TargetWorkers, kilobyte, "KB")
 	entry := fs.add(group, "entry_size", whole*kilobyte/TargetWorkers, "bytes", "list_size / 19,000")
-	at := func(name string, entries float64, from string) {
-		fs.add(group, name, entries*entry/kilobyte/TargetControlTraffic, "s", from+" × entry_size / 24 KB/s")
+	addTime := func(name string, entries float64, formula string) {
+		fs.add(group, name, entries*entry/kilobyte/TargetControlTraffic, "s", formula+" × entry_size / 24 KB/s")
 	}
-	fs.add(group, "list_time", whole/TargetControlTraffic, "s", "list_size / 24 KB/s: at each start, and after a break too long for changes")
-	at("rack_time", assumedRackWorkers, "a rack of 40 (*assumed*)")
-	at("zone_time", TargetWorkers/TargetZones, "a zone of 558")
-	at("region_time", TargetWorkers/TargetRegions, "a region of 2,111")
-	at("release_time", TargetWorkers, "a release of all 19,000")
-	ordinary := fs.add(group, "changes", (TargetFailuresPerDay+2*TargetRestartsPerDay)/float64(secondsPerDay), "changes/s", "(210 failures + 2 × 4,900 restarts) / 86,400 s")
+	fs.add(group, "list_time", whole/TargetControlTraffic, "s",
+		"list_size / 24 KB/s: at each start, and after a break too long for changes")
+	addTime("rack_time", assumedRackWorkers, "a rack of 40 (*assumed*)")
+	addTime("zone_time", TargetWorkers/TargetZones, "a zone of 558")
+	addTime("region_time", TargetWorkers/TargetRegions, "a region of 2,111")
+	addTime("release_time", TargetWorkers, "a release of all 19,000")
+	ordinary := fs.add(group, "changes",
+		(TargetFailuresPerDay+2*TargetRestartsPerDay)/float64(secondsPerDay), "changes/s",
+		"(210 failures + 2 × 4,900 restarts) / 86,400 s")
 	fs.add(group, "changes_traffic", ordinary*entry/kilobyte, "KB/s", "changes × entry_size")
-	clock := fs.add(group, "clock", pollpacing.MaxPropagationDelay.Seconds(), "s", "`pollpacing.MaxPropagationDelay`: within this a change is in force")
-	missed := fs.add(group, "missed", (checkpoint.MaxAge+checkpoint.WriteInterval).Seconds()*ordinary+TargetWorkers/TargetZones, "entries",
-		"(`checkpoint.MaxAge` + `checkpoint.WriteInterval`) × changes + a zone of 558: what the oldest list that is kept has missed")
-	answer := fs.add(group, "answer", pollpacing.AnswerBudget.Seconds(), "s", "`pollpacing.AnswerBudget`: of the clock, for a call's turn and its answer")
-	took := fs.add(group, "kept_time", missed*entry/kilobyte/TargetControlTraffic+answer, "s", "missed × entry_size / 24 KB/s + answer: a start with a list that was kept")
-	fs.add(group, "kept_room", (clock-answer)/(took-answer), "times", "(clock − answer) / (kept_time − answer)")
+	clock := fs.add(group, "clock", pollpacing.MaxPropagationDelay.Seconds(), "s",
+		"`pollpacing.MaxPropagationDelay`: within this a change is in force")
+	checkpointAge := (checkpoint.MaxAge + checkpoint.WriteInterval).Seconds()
+	missed := fs.add(group, "missed", checkpointAge*ordinary+TargetWorkers/TargetZones, "entries",
+		"(`checkpoint.MaxAge` + `checkpoint.WriteInterval`) × changes + a zone of 558: "+
+			"what the oldest list that is kept has missed")
+	answer := fs.add(group, "answer", pollpacing.AnswerBudget.Seconds(), "s",
+		"`pollpacing.AnswerBudget`: of the clock, for a call's turn and its answer")
+	took := fs.add(group, "kept_time", missed*entry/kilobyte/TargetControlTraffic+answer, "s",
+		"missed × entry_size / 24 KB/s + answer: a start with a list that was kept")
+	fs.add(group, "kept_room", (clock-answer)/(took-answer), "times",
+		"(clock − answer) / (kept_time − answer)")
 }
 
 // addConfiguration tells what changes of the configuration cost as a document that is read whole.
@@ -144,8 +163,10 @@
 	const group = "configuration"
 	size := fs.addFromSeries(group, "document", "configuration.bytes", TargetTeams, kilobyte, "KB")
 	fs.addFromSeries(group, "document_read", "configuration.read", TargetTeams, nanosPerMicro, "us")
-	mean := fs.add(group, "configuration_changes", TargetConfigChangesPerDay/float64(secondsPerDay), "changes/s", "13,000 / 86,400 s")
-	peak := fs.add(group, "configuration_peak", mean*peakToMeanRatio, "changes/s", "configuration_changes × 20 (*assumed*)")
+	mean := fs.add(group, "configuration_changes", TargetConfigChangesPerDay/float64(secondsPerDay), "changes/s",
+		"13,000 / 86,400 s")
+	peak := fs.add(group, "configuration_peak", mean*peakToMeanRatio, "changes/s",
+		"configuration_changes × 20 (*assumed*)")
 	fs.add(group, "configuration_traffic", mean*size, "KB/s", "configuration_changes × document")
 	fs.add(group, "configuration_peak_traffic", peak*size, "KB/s", "configuration_peak × document")
 }
@@ -154,14 +175,21 @@
 func (fs *figures) addDiscovery() {
 	const group = "discovery"
 	n := fs.value("schedulers_chosen")
-	fs.add(group, "watch_calls", fs.series("discovery.watch_calls").costAt(n), "calls/s", "`discovery.watch_calls` at schedulers_chosen, by the slope")
-	peak := fs.add(group, "start_calls", fs.series("discovery.start_peak").costAt(n), "calls/s", "`discovery.start_peak` at schedulers_chosen, by the slope: the worst second of a start of all")
-	region := fs.add(group, "region_calls", fs.series("discovery.start_peak").costAt(fs.value("schedulers_of_region")), "calls/s", "the same at schedulers_of_region")
+	fs.add(group, "watch_calls", fs.series("discovery.watch_calls").costAt(n), "calls/s",
+		"`discovery.watch_calls` at schedulers_chosen, by the slope")
+	peak := fs.add(group, "start_calls", fs.series("discovery.start_peak").costAt(n), "calls/s",
+		"`discovery.start_peak` at schedulers_chosen, by the slope: the worst second of a start of all")
+	region := fs.add(group, "region_calls",
+		fs.series("discovery.start_peak").costAt(fs.value("schedulers_of_region")), "calls/s",
+		"the same at schedulers_of_region")
 	list := fs.value("list_size") / kilobyte
-	fs.add(group, "start_traffic", peak*list, "MB/s", "start_calls × list_size: what the lists of a start of all come to in the worst second")
+	fs.add(group, "start_traffic", peak*list, "MB/s",
+		"start_calls × list_size: what the lists of a start of all come to in the worst second")
 	fs.add(group, "region_traffic", region*list, "MB/s", "region_calls × list_size")
-	fs.add(group, "change_traffic", n*fs.value("changes_traffic"), "KB/s", "schedulers_chosen × changes_traffic")
-	fs.add(group, "zone_traffic", n*TargetWorkers/TargetZones*fs.value("entry_size")/megabyte, "MB", "schedulers_chosen × a zone of 558 × entry_size: in the second in which a zone goes")
+	fs.add(group, "change_traffic", n*fs.value("changes_traffic"), "KB/s",
+		"schedulers_chosen × changes_traffic")
+	fs.add(group, "zone_traffic", n*TargetWorkers/TargetZones*fs.value("entry_size")/megabyte, "MB",
+		"schedulers_chosen × a zone of 558 × entry_size: in the second in which a zone goes")
 }
 
 // addPlacement tells of urgent tasks and gangs.
@@ -169,28 +197,39 @@
 	const group = "placement"
 	fs.add(group, "task_length", taskSeconds, "s", "220,000 tasks / 8,100 starts a second")
 	pool := fs.add(group, "pool", poolSlots, "slots", "220,000 / 34 zones / 4 kinds (*assumed* even)")
-	fs.add(group, "urgent_wait", urgentWait(pool), "s", "−ln(0.01) × task_length / pool: 99 in 100 urgent tasks have a slot by then, every slot taken")
-	fs.add(group, "urgent_wait_hollow", fs.series("urgent.wait").costAt(pool), "s", "`urgent.wait` at pool, by the slope")
-	fs.add(group, "urgent_pool", math.Ceil(urgentSlots()), "slots", "−ln(0.01) × task_length / 6.3 s: the least pool in which that holds")
+	fs.add(group, "urgent_wait", urgentWait(pool), "s",
+		"−ln(0.01) × task_length / pool: 99 in 100 urgent tasks have a slot by then, every slot taken")
+	fs.add(group, "urgent_wait_hollow", fs.series("urgent.wait").costAt(pool), "s",
+		"`urgent.wait` at pool, by the slope")
+	fs.add(group, "urgent_pool", math.Ceil(urgentSlots()), "slots",
+		"−ln(0.01) × task_length / 6.3 s: the least pool in which that holds")
 	for _, use := range gangUtilizations {
 		for _, gang := range []int{32, 128, TargetGang} {
 			name := fmt.Sprintf("gang_%d_at_%d", gang, use)
 			series := fs.series(fmt.Sprintf("gangs.room_at_%d", use))
-			fs.add("gangs", name, percent*gangFitFraction(float64(use)/100, gang), "% of the time", "Erlang's loss system, pool slots")
-			fs.add("gangs", name+"_hollow", percent*series.costAt(float64(gang)), "% of the time", fmt.Sprintf("`%s` at %d", series.Name, gang))
+			fs.add("gangs", name, percent*gangFitFraction(float64(use)/100, gang), "% of the time",
+				"Erlang's loss system, pool slots")
+			fs.add("gangs", name+"_hollow", percent*series.costAt(float64(gang)), "% of the time",
+				fmt.Sprintf("`%s` at %d", series.Name, gang))
 		}
 	}
-	fs.add("gangs", "gang_reserved", TargetGang*taskSeconds/poolSlots, "s", "256 × task_length / pool: until slots that are held as they come free make the largest gang")
+	fs.add("gangs", "gang_reserved", TargetGang*taskSeconds/poolSlots, "s",
+		"256 × task_length / pool: until slots that are held as they come free make the largest gang")
 }
 
 // addFailures tells what failures take.
 func (fs *figures) addFailures() {
 	const group = "failures"
-	tasks := fs.add(group, "tasks_of_worker", TargetTasks/float64(TargetWorkers), "tasks", "220,000 / 19,000")
+	tasks := fs.add(group, "tasks_of_worker", TargetTasks/float64(TargetWorkers), "tasks",
+		"220,000 / 19,000")
 	lost := (TargetFailuresPerDay + TargetRestartsPerDay) * tasks
-	fs.add(group, "lost_a_day", lost*taskSeconds/2/3600, "hours of tasks", "(210 + 4,900) × tasks_of_worker × task_length / 2: restarts without a drain, at worst")
-	fs.add(group, "lost_a_rack", assumedRackWorkers*tasks, "tasks", "a rack of 40 (*assumed*) × tasks_of_worker, each week")
-	fs.add(group, "lost_a_zone", TargetWorkers/TargetZones*tasks, "tasks", "a zone of 558 × tasks_of_worker, a few times a year")
+	fs.add(group, "lost_a_day", lost*taskSeconds/2/3600, "hours of tasks",
+		"(210 + 4,900) × tasks_of_worker × task_length / 2: restarts without a drain, at worst")
+	fs.add(group, "lost_a_rack", assumedRackWorkers*tasks, "tasks",
+		"a rack of 40 (*assumed*) × tasks_of_worker, each week")
+	fs.add(group, "lost_a_zone", TargetWorkers/TargetZones*tasks, "tasks",
+		"a zone of 558 × tasks_of_worker, a few times a year")
 	fs.add(group, "share_of_zone", percent/float64(TargetZones), "% of the fleet", "1 / 34 zones")
-	fs.add(group, "share_of_region", percent/float64(TargetRegions), "% of the fleet", "1 / 9 regions: the greatest that one failure takes")
+	fs.add(group, "share_of_region", percent/float64(TargetRegions), "% of the fleet",
+		"1 / 9 regions: the greatest that one failure takes")
 }
--- a/internal/lab/capacity/limits.go
+++ b/internal/lab/capacity/limits.go
@@ -2,17 +2,24 @@
 
 import (
 	"math"
+	"slices"
 )
 
-// A wall is the fraction of the target at which a cost crosses its budget.
+// A scalingLimit is the fraction of the target at which a cost crosses its budget.
 type scalingLimit struct {
 	Name     string
 	Fraction float64
-	from     string
+	formula  string
 }
 
-// What a start takes from discovery, by whether it has a list that was kept.
+// The limits that requirements refer to.
 const (
+	ordinaryCPULimit     = "control's processor time at 0.2 changes/s"
+	memoryLimit          = "control's memory"
+	ordinaryTrafficLimit = "control's traffic at 0.2 changes/s"
+	descriptorLimit      = "descriptors of the most schedulers"
+
+	// What a start takes from discovery, by whether it has a checkpoint of the endpoint list.
 	completeSnapshotLimit = "the whole list within the list's clock, at a start that has none kept"
 	checkpointLimit       = "the changes since within the list's clock, at a start with a list that was kept"
 )
@@ -21,59 +28,61 @@
 const startCPUBudget = 0.4
 
 // findLimits finds where the slope of each cost crosses its budget.
-func (t *assessment) findLimits() {
-	budget := func(name, series string, bound float64, from string) {
-		s := t.series(series)
-		t.limits = append(t.limits, scalingLimit{name, s.sizeAt(bound) / TargetWorkers, from + ", `" + series + "`"})
-	}
-	budget("control's processor time at 0.2 changes/s", "control.cpu_at_0.2", TargetControlCPU, "1.6 % of a core")
-	budget("control's processor time at 5 changes/s", "control.cpu_at_5", TargetControlCPU, "1.6 % of a core")
-	budget("control's memory", "control.memory", TargetControlMemory*megabyte, "128 MB")
-	budget("control's traffic at 0.2 changes/s", "control.traffic_at_0.2", TargetControlTraffic*kilobyte, "24 KB/s")
-	budget("control's traffic at 5 changes/s", "control.traffic_at_5", TargetControlTraffic*kilobyte, "24 KB/s")
-	budget("the start's processor time", "control.start", startCPUBudget, "0.4 s")
-	budget(completeSnapshotLimit, "list.bytes", TargetControlTraffic*kilobyte*t.value("clock"), "24 KB/s for clock")
-	t.limits = append(t.limits, scalingLimit{checkpointLimit, t.value("kept_room"), "kept_room"})
-	peak := t.value("configuration_peak") // changes a second; the teams take most of the document
-	s := t.series("configuration.bytes")
-	t.limits = append(t.limits, scalingLimit{
-		"the configuration as one document, in the peak minute",
-		s.sizeAt(TargetControlTraffic*kilobyte/peak) / TargetTeams, "24 KB/s / configuration_peak, `configuration.bytes`",
-	})
-	t.limits = append(t.limits, scalingLimit{
-		"descriptors of the most schedulers", t.value("tasks_of_one") * t.value("schedulers_most") / TargetTasks,
-		"tasks_of_one × schedulers_most / 220,000",
-	})
+func (a *assessment) findLimits() {
+	a.addBudget(ordinaryCPULimit, "control.cpu_at_0.2", TargetControlCPU, "1.6 % of a core")
+	a.addBudget("control's processor time at 5 changes/s", "control.cpu_at_5", TargetControlCPU, "1.6 % of a core")
+	a.addBudget(memoryLimit, "control.memory", TargetControlMemory*megabyte, "128 MB")
+	a.addBudget(ordinaryTrafficLimit, "control.traffic_at_0.2", TargetControlTraffic*kilobyte, "24 KB/s")
+	a.addBudget("control's traffic at 5 changes/s", "control.traffic_at_5", TargetControlTraffic*kilobyte, "24 KB/s")
+	a.addBudget("the start's processor time", "control.start", startCPUBudget, "0.4 s")
+	a.addBudget(completeSnapshotLimit, "list.bytes", TargetControlTraffic*kilobyte*a.value("clock"), "24 KB/s for clock")
+	a.addLimit(checkpointLimit, a.value("kept_room"), "kept_room")
+	peak := a.value("configuration_peak") // changes a second; the teams take most of the document
+	document := a.series("configuration.bytes")
+	a.addLimit("the configuration as one document, in the peak minute",
+		document.sizeAt(TargetControlTraffic*kilobyte/peak)/TargetTeams,
+		"24 KB/s / configuration_peak, `configuration.bytes`")
+	a.addLimit(descriptorLimit, a.value("tasks_of_one")*a.value("schedulers_most")/TargetTasks,
+		"tasks_of_one × schedulers_most / 220,000")
+}
+
+// addLimit adds a limit.
+func (a *assessment) addLimit(name string, fraction float64, formula string) {
+	a.limits = append(a.limits, scalingLimit{name, fraction, formula})
+}
+
+// addBudget adds the number of workers at which a series reaches its budget.
+func (a *assessment) addBudget(name, series string, budget float64, formula string) {
+	workers := a.series(series).sizeAt(budget)
+	a.addLimit(name, workers/TargetWorkers, formula+", `"+series+"`")
 }
 
-// wall returns the first wall.
-func (t *assessment) lowestLimit() scalingLimit { return t.limits[t.lowestIndexExcept(-1)] }
+// lowestLimit returns the limit that is reached first.
+func (a *assessment) lowestLimit() scalingLimit { return a.limits[a.lowestIndexExcept(-1)] }
 
-// secondLimit returns the wall after the first.
-func (t *assessment) secondLimit() scalingLimit {
-	return t.limits[t.lowestIndexExcept(t.lowestIndexExcept(-1))]
+// secondLimit returns the limit that is reached after the first.
+func (a *assessment) secondLimit() scalingLimit {
+	return a.limits[a.lowestIndexExcept(a.lowestIndexExcept(-1))]
 }
 
-// first returns the index of the first wall but one.
-func (t *assessment) lowestIndexExcept(but int) int {
-	first := -1
-	for i, w := range t.limits {
-		if i != but && (first < 0 || w.Fraction < t.limits[first].Fraction) {
-			first = i
+// lowestIndexExcept returns the index of the lowest limit, leaving one out.
+func (a *assessment) lowestIndexExcept(except int) int {
+	lowest := -1
+	for i, limit := range a.limits {
+		if i != except && (lowest < 0 || limit.Fraction < a.limits[lowest].Fraction) {
+			lowest = i
 		}
 	}
-	return first
+	return lowest
 }
 
-// fraction returns the least fraction of some walls.
-func (t *assessment) lowestFraction(names ...string) float64 {
-	least := math.Inf(1)
-	for _, w := range t.limits {
-		for _, name := range names {
-			if w.Name == name {
-				least = min(least, w.Fraction)
-			}
+// lowestFraction returns the lowest fraction of some limits.
+func (a *assessment) lowestFraction(names ...string) float64 {
+	lowest := math.Inf(1)
+	for _, limit := range a.limits {
+		if slices.Contains(names, limit.Name) {
+			lowest = min(lowest, limit.Fraction)
 		}
 	}
-	return least
+	return lowest
 }
--- a/internal/lab/capacity/page.go
+++ b/internal/lab/capacity/page.go
@@ -26,27 +26,46 @@
 // An unknownFigureError names a figure that no formula gives.
 type unknownFigureError string
 
+// Error implements error.
 func (e unknownFigureError) Error() string { return fmt.Sprintf("unknown figure %q", string(e)) }
 
 // Page writes the page from measurements.
 func Page(m *Measured) (string, error) { return renderPage(pageTemplate, m) }
 
+// renderPage writes a page from a template and measurements.
 func renderPage(text string, m *Measured) (string, error) {
 	if err := checkSources(text); err != nil {
 		return "", err
 	}
-	t, err := newAssessment(m)
+	a, err := newAssessment(m)
 	if err != nil {
 		return "", err
 	}
-	page, err := template.New("page").Funcs(template.FuncMap{
-		"figure": t.showFigure, "table": t.figureTable, "walls": t.limitTable, "lines": t.requirementTable, "series": t.seriesTable,
-		"wall":      func() string { return t.lowestLimit().Name },
-		"fraction":  func() string { return formatNumber(percent*t.lowestLimit().Fraction) + " %" },
-		"nextWall":  func() string { return t.secondLimit().Name },
-		"next":      func() string { return formatNumber(t.secondLimit().Fraction) + " times the target" },
-		"carried":   func() string { return fmt.Sprintf("%d of %d", t.metCount(), len(t.requirements)) },
-		"commit":    func() string { return m.Commit },
+	page, err := template.New("page").Funcs(a.templateFunctions()).Parse(text)
+	if err != nil {
+		return "", err
+	}
+	var b bytes.Buffer
+	if err := page.Execute(&b, nil); err != nil {
+		return "", err
+	}
+	return b.String(), nil
+}
+
+// templateFunctions are what the page's template can look up, by the page's names for it.
+func (a *assessment) templateFunctions() template.FuncMap {
+	return template.FuncMap{
+		"figure":    a.showFigure,
+		"table":     a.figureTable,
+		"walls":     a.limitTable,
+		"lines":     a.requirementTable,
+		"series":    a.seriesTable,
+		"wall":      func() string { return a.lowestLimit().Name },
+		"fraction":  func() string { return formatNumber(percent*a.lowestLimit().Fraction) + " %" },
+		"nextWall":  func() string { return a.secondLimit().Name },
+		"next":      func() string { return formatNumber(a.secondLimit().Fraction) + " times the target" },
+		"carried":   func() string { return fmt.Sprintf("%d of %d", a.metCount(), len(a.requirements)) },
+		"commit":    func() string { return a.measured.Commit },
 		"zones":     func() int { return TargetZones },
 		"regions":   func() int { return TargetRegions },
 		"machines":  func() int { return TargetControlHosts },
@@ -56,15 +75,7 @@
 		"memory":    func() string { return fmt.Sprint(TargetControlMemory, " MB") },
 		"traffic":   func() string { return fmt.Sprint(TargetControlTraffic, " KB/s") },
 		"processor": func() string { return fmt.Sprint(TargetControlCPU, " % of a core") },
-	}).Parse(text)
-	if err != nil {
-		return "", err
-	}
-	var b bytes.Buffer
-	if err := page.Execute(&b, nil); err != nil {
-		return "", err
 	}
-	return b.String(), nil
 }
 
 // Check compares a page with what the measurements give.
@@ -76,13 +87,13 @@
 	if page == want {
 		return nil
 	}
-	is, should := strings.Split(page, "\n"), strings.Split(want, "\n")
-	for i := range is {
-		if i >= len(should) || is[i] != should[i] {
-			return fmt.Errorf("%w: line %d: %q", errPageDiffers, i+1, is[i])
+	lines, wantLines := strings.Split(page, "\n"), strings.Split(want, "\n")
+	for i, line := range lines {
+		if i >= len(wantLines) || line != wantLines[i] {
+			return fmt.Errorf("%w: line %d: %q", errPageDiffers, i+1, line)
 		}
 	}
-	return fmt.Errorf("%w: it ends after line %d", errPageDiffers, len(is))
+	return fmt.Errorf("%w: it ends after line %d", errPageDiffers, len(lines))
 }
 
 // CheckFiles compares a page's file with that of the measurements.
@@ -106,7 +117,7 @@
 	digit          = regexp.MustCompile(`[0-9]`)
 )
 
-// checkSources sees that a template has no figure but those that are looked up.
+// checkSources makes sure that a template has no figure but those that are looked up.
 func checkSources(text string) error {
 	for i, line := range strings.Split(text, "\n") {
 		if digit.MatchString(templateAction.ReplaceAllString(line, "")) {
@@ -116,7 +127,7 @@
 	return nil
 }
 
-// number writes a value with three digits that count.
+// formatNumber writes a value with three digits that count.
 func formatNumber(x float64) string {
 	switch {
 	case math.IsNaN(x):
@@ -133,10 +144,10 @@
 	return fmt.Sprintf("%.*f", digits, x)
 }
 
-// maxShownMultiple is a multiple of the target past which a slope says only that there is no wall near.
+// maxShownMultiple is a multiple of the target past which a slope says only that there is no limit near.
 const maxShownMultiple = 1000
 
-// multiple writes a multiple of the target.
+// formatMultiple writes a multiple of the target.
 func formatMultiple(x float64) string {
 	if x > maxShownMultiple {
 		return fmt.Sprintf("over %d", maxShownMultiple)
@@ -144,58 +155,84 @@
 	return formatNumber(x)
 }
 
-// show returns a figure with its unit.
-func (t *assessment) showFigure(name string) (string, error) {
-	f, there := t.byName[name]
-	if !there {
+// showFigure returns a figure with its unit.
+func (a *assessment) showFigure(name string) (string, error) {
+	f, ok := a.byName[name]
+	if !ok {
 		return "", unknownFigureError(name)
 	}
 	return formatNumber(f.value) + " " + f.unit, nil
 }
 
-// table returns a group of figures with their sources.
-func (t *assessment) figureTable(group string) (string, error) {
-	rows := []string{"| figure | value | from |", "| --- | --- | --- |"}
-	for _, name := range t.order {
-		if f := t.byName[name]; f.group == group {
-			rows = append(rows, fmt.Sprintf("| %s | %s %s | %s |", f.name, formatNumber(f.value), f.unit, f.formula))
+// figureTable returns a group of figures with their sources.
+func (a *assessment) figureTable(group string) (string, error) {
+	var rows [][]string
+	for _, name := range a.order {
+		if f := a.byName[name]; f.group == group {
+			rows = append(rows, []string{f.name, formatNumber(f.value) + " " + f.unit, f.formula})
 		}
 	}
-	if len(rows) == 2 {
+	if len(rows) == 0 {
 		return "", unknownFigureError(group)
 	}
-	return strings.Join(rows, "\n"), nil
+	return markdownTable([]string{"figure", "value", "from"}, rows), nil
 }
 
-func (t *assessment) limitTable() string {
-	rows := []string{"| budget | crossed at, of the target | from |", "| --- | --- | --- |"}
-	for _, w := range t.limits {
-		rows = append(rows, fmt.Sprintf("| %s | %s | %s |", w.Name, formatMultiple(w.Fraction), w.from))
+// limitTable returns all limits.
+func (a *assessment) limitTable() string {
+	var rows [][]string
+	for _, limit := range a.limits {
+		rows = append(rows, []string{limit.Name, formatMultiple(limit.Fraction), limit.formula})
 	}
-	return strings.Join(rows, "\n")
+	return markdownTable([]string{"budget", "crossed at, of the target", "from"}, rows)
 }
 
-func (t *assessment) requirementTable() string {
-	rows := []string{"| line of the target | mechanism | state | breaks at, of the target | what breaks |", "| --- | --- | --- | --- | --- |"}
-	for _, l := range t.requirements {
-		rows = append(rows, fmt.Sprintf("| %s | %s | %s | %s | %s |", l.name, l.mechanism, l.state, formatMultiple(l.multiple), l.breaks))
+// requirementTable returns all requirements.
+func (a *assessment) requirementTable() string {
+	var rows [][]string
+	for _, r := range a.requirements {
+		rows = append(rows, []string{r.name, r.mechanism, string(r.state), formatMultiple(r.multiple), r.breaks})
 	}
-	return strings.Join(rows, "\n")
+	return markdownTable(
+		[]string{"line of the target", "mechanism", "state", "breaks at, of the target", "what breaks"}, rows)
 }
 
-// seriesTable returns all that was measured: sizes, medians, the worst spread, slope and residual.
-func (t *assessment) seriesTable() string {
-	rows := []string{"| series | by | sizes | medians | unit | worst spread | slope | residual |", "| --- | --- | --- | --- | --- | --- | --- | --- |"}
-	for i := range t.measured.Series {
-		s := &t.measured.Series[i]
+// seriesTable returns all that was measured: sizes, medians, the widest relative range, slope
+// and residual.
+func (a *assessment) seriesTable() string {
+	var rows [][]string
+	for i := range a.measured.Series {
+		s := &a.measured.Series[i]
 		var sizes, medians []string
-		spread := 0.0
+		widest := 0.0
 		for _, p := range s.Points {
-			sizes, medians = append(sizes, fmt.Sprint(p.Size)), append(medians, formatNumber(p.Median))
-			spread = max(spread, p.RelativeRange)
+			sizes = append(sizes, fmt.Sprint(p.Size))
+			medians = append(medians, formatNumber(p.Median))
+			widest = max(widest, p.RelativeRange)
 		}
-		rows = append(rows, fmt.Sprintf("| %s | %s | %s | %s | %s | %s %% | %s | %s %% |", s.Name, s.Of, strings.Join(sizes, ", "),
-			strings.Join(medians, ", "), s.Unit, formatNumber(percent*spread), formatNumber(s.Slope), formatNumber(s.Residual)))
+		rows = append(rows, []string{
+			s.Name,
+			s.Of,
+			strings.Join(sizes, ", "),
+			strings.Join(medians, ", "),
+			s.Unit,
+			formatNumber(percent*widest) + " %",
+			formatNumber(s.Slope),
+			formatNumber(s.Residual) + " %",
+		})
+	}
+	return markdownTable(
+		[]string{"series", "by", "sizes", "medians", "unit", "worst spread", "slope", "residual"}, rows)
+}
+
+// markdownTable writes a table.
+func markdownTable(head []string, rows [][]string) string {
+	lines := []string{tableRow(head), "|" + strings.Repeat(" --- |", len(head))}
+	for _, row := range rows {
+		lines = append(lines, tableRow(row))
 	}
-	return strings.Join(rows, "\n")
+	return strings.Join(lines, "\n")
 }
+
+// tableRow writes a row of a table.
+func tableRow(cells []string) string { return "| " + strings.Join(cells, " | ") + " |" }
