--- a/cmd/foxlift/check.go
+++ b/cmd/foxlift/check.go
@@ -22,7 +22,7 @@
 		Example: `  LB_CONFIG=config.json foxlift check --operator operator.sexp`,
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			_, op, _, err := daemon.Read(o)
+			configuration, err := daemon.ReadConfiguration(o)
 			if faults := config.Faults(nil); errors.As(err, &faults) {
 				fmt.Fprintln(cmd.ErrOrStderr(), faults)
 				return fmt.Errorf("faults: %d", len(faults))
@@ -30,8 +30,8 @@
 			if err != nil {
 				return err
 			}
-			if op.Cells != nil {
-				fmt.Fprintf(cmd.OutOrStdout(), "the configuration is sound: %d cells\n", op.Cells.CellCount())
+			if configuration.Operator.Cells != nil {
+				fmt.Fprintf(cmd.OutOrStdout(), "the configuration is sound: %d cells\n", configuration.Operator.Cells.CellCount())
 			} else {
 				fmt.Fprintln(cmd.OutOrStdout(), "the configuration is sound")
 			}
--- a/cmd/foxlift/control_test.go
+++ b/cmd/foxlift/control_test.go
@@ -72,7 +72,7 @@
 	}
 	defer cmd.Process.Kill()
 	lines := bufio.NewScanner(stderr)
-	if !lines.Scan() || !json.Valid(lines.Bytes()) || !strings.Contains(lines.Text(), "it listens") {
+	if !lines.Scan() || !json.Valid(lines.Bytes()) || !strings.Contains(lines.Text(), "listening for clients") {
 		t.Fatalf("first line %q", lines.Text())
 	}
 	do := func(want string, code int, args ...string) string {
--- a/cmd/foxlift/main.go
+++ b/cmd/foxlift/main.go
@@ -4,6 +4,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"os"
 	"os/signal"
@@ -19,7 +20,7 @@
 )
 
 func main() {
-	if err := newRootCommand().Execute(); err != nil {
+	if err := newRootCommand().ExecuteContext(context.Background()); err != nil {
 		fmt.Fprintln(os.Stderr, "foxlift:", err)
 		os.Exit(1)
 	}
@@ -43,7 +44,7 @@
 		Args:          cobra.NoArgs,
 		SilenceErrors: true,
 		SilenceUsage:  true,
-		RunE:          func(*cobra.Command, []string) error { return s.run() },
+		RunE:          func(cmd *cobra.Command, _ []string) error { return s.run(cmd.Context()) },
 	}
 	s.flags(cmd)
 	serve := &cobra.Command{
@@ -76,7 +77,7 @@
 // kernel's part and what the collector misses.
 func limitMemory(bytes int64) { debug.SetMemoryLimit(bytes / 2) }
 
-func (s *serveOptions) run() error {
+func (s *serveOptions) run(ctx context.Context) error {
 	// Each kind has its own channel: none is lost while another is being seen to. A
 	// SIGHUP before the start counts after it; amid the end it does nothing.
 	ends, reloads, asks := make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)
@@ -88,7 +89,7 @@
 		return err
 	}
 	runtime.GOMAXPROCS(1) // a scheduler has one core
-	d, err := daemon.Start(daemon.Options{
+	d, err := daemon.Start(ctx, daemon.Options{
 		Getenv: os.Getenv, Operator: s.operator, Log: log, Version: versionText(), LimitMemory: limitMemory,
 	})
 	if err != nil {
@@ -105,16 +106,16 @@
 		case <-asks:
 			d.Counters.Print(os.Stderr)
 		case <-reloads:
-			if err := d.Reload(); err != nil {
+			if err := d.Reload(ctx); err != nil {
 				d.Counters.Add("reloads.faulty")
-				log.Error("not reloaded", zap.Error(err))
+				log.Error("reload: configuration rejected", zap.Error(err))
 				continue
 			}
 			d.Counters.Add("reloads.done")
-			log.Info("reloaded", zap.String("discovery", d.Config.Discovery))
+			log.Info("reload: configuration applied", zap.String("discovery", d.Config.Discovery))
 		}
 	}
-	log.Info("it ends")
+	log.Info("shutting down")
 	d.ShutDown()
 	d.Counters.Print(os.Stderr)
 	return nil
--- a/cmd/foxlift/main_test.go
+++ b/cmd/foxlift/main_test.go
@@ -91,7 +91,7 @@
 		t.Fatalf("it never says %q", what)
 		return ""
 	}
-	_, addr, _ := strings.Cut(until("it listens"), `"address": "`)
+	_, addr, _ := strings.Cut(until("listening for clients"), `"address": "`)
 	addr, _, _ = strings.Cut(addr, `"`)
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -124,7 +124,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for with, want := range map[string]string{"127.0.0.1:1": `"discovery": "127.0.0.1:1"`, "": `not reloaded	{"name": "toy", "error": "discovery`} {
+	for with, want := range map[string]string{"127.0.0.1:1": `"discovery": "127.0.0.1:1"`, "": `reload: configuration rejected	{"name": "toy", "error": "discovery`} {
 		now := bytes.Replace(text, []byte("127.0.0.1:8500"), []byte(with), 1)
 		if err := os.WriteFile(path, now, 0o600); err != nil {
 			t.Fatal(err)
--- a/cmd/foxlift/shutdown_test.go
+++ b/cmd/foxlift/shutdown_test.go
@@ -112,7 +112,7 @@
 	ends = make(chan bool)
 	go func() {
 		for lines.Scan() {
-			if strings.Contains(lines.Text(), "it ends") {
+			if strings.Contains(lines.Text(), "shutting down") {
 				close(ends)
 			}
 		}
--- a/internal/daemon/checkpoint.go
+++ b/internal/daemon/checkpoint.go
@@ -1,6 +1,7 @@
 package daemon
 
 import (
+	"context"
 	"errors"
 	"os"
 	"time"
@@ -10,59 +11,49 @@
 	"github.com/vatu-meals/foxlift/internal/checkpoint"
 )
 
-// loadCheckpoint starts from the machine list that was kept, where the operator's file asks for that and it
-// can be used. Its changes are asked for as those of a list that the configuration has as last known.
+// A checkpointer writes checkpoints of the endpoint list in the background.
+type checkpointer struct {
+	writer *checkpoint.Writer
+	log    *zap.Logger
+}
+
+// loadCheckpoint starts from the endpoint list in the checkpoint, if the operator's file names one and it
+// can be used. It takes the place of the configuration's cached list.
 func (d *Daemon) loadCheckpoint() {
-	path := d.operator.EndpointCheckpoint
+	path := d.operator.settings.EndpointCheckpoint
 	if path == "" {
 		return
 	}
-	d.checkpointWriter = checkpoint.New(path, d.Counters)
-	list, err := d.checkpointWriter.Load(d.Config.Discovery, time.Now())
+	writer := checkpoint.New(path, d.Counters)
+	d.checkpoints = &checkpointer{writer: writer, log: d.log}
+	endpoints, err := writer.Load(d.Config.Discovery, time.Now())
 	switch {
 	case err == nil:
-		d.Config.Known = list
+		d.Config.Known = endpoints
 		d.Counters.Add("checkpoint.used")
 	case !errors.Is(err, os.ErrNotExist):
 		d.Counters.Add("checkpoint.refused")
-		d.log.Warn("the kept machine list is not used", zap.String("path", path), zap.Error(err))
+		d.log.Warn("checkpoint: not used", zap.String("path", path), zap.Error(err))
 	}
 }
 
-// finalCheckpointTimeout is how long the end waits for the list to be kept: a disk that stands still must not
-// hold it up to the kill.
-const finalCheckpointTimeout = 300 * time.Millisecond
-
-// awaitCheckpoint waits, at the end, until the list has been kept for the last time.
-func (d *Daemon) awaitCheckpoint() {
-	if d.checkpointDone == nil {
-		return
-	}
-	select {
-	case <-d.checkpointDone:
-	case <-time.After(finalCheckpointTimeout):
-		d.log.Warn("the machine list may not have been kept at the end")
+// run writes checkpoints when they are due until the shutdown begins, and the last one then. It has a
+// goroutine of its own: a disk that hangs delays nothing else.
+func (c *checkpointer) run(shuttingDown context.Context, source checkpoint.Source) {
+	ticker := time.NewTicker(checkpoint.PollInterval)
+	defer ticker.Stop()
+	for shuttingDown.Err() == nil {
+		select {
+		case <-ticker.C:
+			c.logFailure(c.writer.WriteIfDue(source, time.Now()))
+		case <-shuttingDown.Done():
+		}
 	}
+	c.logFailure(c.writer.Flush(source, time.Now()))
 }
 
-// writeCheckpoints keeps the machine list, on a goroutine of its own: a disk that stands still holds up nothing
-// else. It ends, with a last look, when the scheduler does.
-func (d *Daemon) writeCheckpoints() {
-	defer close(d.checkpointDone)
-	look := time.NewTicker(checkpoint.PollInterval)
-	defer look.Stop()
-	for {
-		keep := d.checkpointWriter.WriteIfDue
-		select {
-		case <-look.C:
-		case <-d.shutdown:
-			keep = d.checkpointWriter.Flush
-		}
-		if err := keep(d.platform, time.Now()); err != nil {
-			d.log.Warn("the machine list is not kept", zap.Error(err))
-		}
-		if d.isShuttingDown() {
-			return
-		}
+func (c *checkpointer) logFailure(err error) {
+	if err != nil {
+		c.log.Warn("checkpoint: write failed", zap.Error(err))
 	}
 }
--- a/internal/daemon/configuration.go
+++ b/internal/daemon/configuration.go
@@ -7,27 +7,46 @@
 	"github.com/vatu-meals/foxlift/internal/platform"
 )
 
-// Read reads and checks all of the configuration, and starts nothing.
-func Read(o Options) (*config.Scheduler, *config.Operator, []byte, error) {
-	cfg, err := config.Load(o.Getenv)
+// A Configuration is all that a scheduler is configured by.
+type Configuration struct {
+	Scheduler *config.Scheduler
+	Operator  *config.Operator // of the operator's file; empty if there is none
+
+	operatorText []byte // of the operator's file
+}
+
+func (c *Configuration) operatorFile() operatorFile { return operatorFile{c.Operator, c.operatorText} }
+
+// An operatorFile is the operator's file as it was read last.
+type operatorFile struct {
+	settings *config.Operator
+	text     []byte
+}
+
+// ReadConfiguration reads and checks all of the configuration, and starts nothing.
+func ReadConfiguration(options Options) (*Configuration, error) {
+	cfg, err := config.Load(options.Getenv)
 	if err != nil {
-		return nil, nil, nil, err
+		return nil, err
 	}
 	if err := platform.ValidateCachedEndpoints(cfg.Known); err != nil {
-		return nil, nil, nil, err
+		return nil, err
+	}
+	file, err := readOperatorFile(options.Operator, cfg.Settings)
+	if err != nil {
+		return nil, err
 	}
-	op, text, err := readOperator(o.Operator, cfg.Settings)
-	return cfg, op, text, err
+	return &Configuration{Scheduler: cfg, Operator: file.settings, operatorText: file.text}, nil
 }
 
-func readOperator(path string, s *config.Settings) (*config.Operator, []byte, error) {
+func readOperatorFile(path string, settings *config.Settings) (operatorFile, error) {
 	if path == "" {
-		return &config.Operator{}, nil, nil
+		return operatorFile{settings: &config.Operator{}}, nil
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, nil, config.Faults{{File: path, Text: err.Error()}}
+		return operatorFile{}, config.Faults{{File: path, Text: err.Error()}}
 	}
-	op, err := config.ParseOperator(path, text, s)
-	return op, text, err
+	operator, err := config.ParseOperator(path, text, settings)
+	return operatorFile{operator, text}, err
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,35 +1,33 @@
-// Package daemon puts a scheduler together: configuration, core, the platform's side
-// and, where the operator's file asks for them, cells and the control socket.
+// Package daemon assembles a scheduler from its configuration, the core, the platform's side and, where
+// the operator's file asks for them, cells, a control socket and a checkpoint of the endpoint list.
+//
+// A Daemon owns these parts and the background tasks beside them: taking over from a predecessor,
+// watching another process of the same scheduler, and writing checkpoints. ShutDown and Kill wait for
+// the tasks.
 package daemon
 
 import (
+	"context"
 	"fmt"
 	"net"
-	"sync"
-	"sync/atomic"
-	"time"
 
 	"go.uber.org/zap"
 
-	"github.com/vatu-meals/foxlift/internal/admin"
-	"github.com/vatu-meals/foxlift/internal/checkpoint"
 	"github.com/vatu-meals/foxlift/internal/config"
-	"github.com/vatu-meals/foxlift/internal/control"
 	"github.com/vatu-meals/foxlift/internal/core"
 	"github.com/vatu-meals/foxlift/internal/counters"
 	"github.com/vatu-meals/foxlift/internal/platform"
-	"github.com/vatu-meals/foxlift/internal/upgrade"
 )
 
 // Options are what a scheduler is started with besides its configuration.
 type Options struct {
-	Getenv   func(string) string // where the LB_ variables are
-	Operator string              // path of the operator's file; "": none
+	Getenv   func(string) string // looks up the LB_ variables
+	Operator string              // path of the operator's file; "" if there is none
 	Log      *zap.Logger
 	Version  string
 
-	// LimitMemory is told of how many bytes the process may use, at the start and whenever that
-	// changes, as another process of the scheduler comes or goes; nil: nobody is told.
+	// LimitMemory is called with the bytes that the process may use, at the start and whenever that
+	// changes because another process of the scheduler starts or exits. It may be nil.
 	LimitMemory func(bytes int64)
 }
 
@@ -39,73 +37,83 @@
 	Core     *core.Core
 	Counters *counters.Set
 
-	options      Options
-	operator     *config.Operator
-	operatorText []byte // of the operator's file
-	platform     *platform.Platform
-	control      atomic.Pointer[control.Server]
-	admin        *admin.Server
-	log          *zap.Logger
-
-	checkpointWriter   *checkpoint.Writer    // nil where the machine list is not kept
-	checkpointDone     chan struct{}         // closed once the list was kept for the last time
-	takeoverLock       *upgrade.TakeoverLock // nil where no other process can take over
-	serving            atomic.Bool           // submitters are served,
-	predecessorDrained atomic.Bool           // and no other process has jobs that its end would cost
-	startedAt          time.Time             // when this process was,
-	listeningSince     time.Time             // and when it began to listen
-	failures           chan error            // holds one: why the scheduler cannot serve, after the start
-	shutdown           chan struct{}         // closed at the end,
-	shutdownOnce       sync.Once             // once
-	drained            chan struct{}         // closed when all is answered,
-	drainedOnce        sync.Once             // once
-	startMu            sync.Mutex            // of the steps from starting to serving, and to the end
+	options     Options
+	operator    operatorFile
+	platform    *platform.Platform
+	operators   operatorAccess
+	checkpoints *checkpointer // nil unless the operator's file asks for checkpoints
+	takeover    takeover
+	lifecycle   *lifecycle
+	log         *zap.Logger
 }
 
-// Start starts a scheduler. It serves when Start returns, unless it takes over from another process:
-// then it serves once it is ready.
-func Start(o Options) (*Daemon, error) {
-	cfg, op, text, err := Read(o)
+// Start starts a scheduler. It serves when Start returns, unless it takes over from a predecessor: then
+// it serves once it is ready.
+//
+// The scheduler runs until ShutDown or Kill. ctx is that of its background tasks, and has to last until
+// then.
+func Start(ctx context.Context, options Options) (*Daemon, error) {
+	configuration, err := ReadConfiguration(options)
 	if err != nil {
 		return nil, err
 	}
-	return start(o, cfg, op, text)
+	return StartWith(ctx, options, configuration)
 }
 
-// StartWith starts a scheduler whose configuration has been read.
-func StartWith(o Options, cfg *config.Scheduler, op *config.Operator) (*Daemon, error) {
-	return start(o, cfg, op, nil)
-}
-
-func start(o Options, cfg *config.Scheduler, op *config.Operator, text []byte) (*Daemon, error) {
+// StartWith starts a scheduler as Start does, with a configuration that has been read.
+func StartWith(ctx context.Context, options Options, configuration *Configuration) (*Daemon, error) {
+	cfg := configuration.Scheduler
 	d := &Daemon{
-		Config: cfg, Counters: &counters.Set{}, options: o, operator: op, operatorText: text,
-		startedAt: time.Now(), log: o.Log.With(zap.String("name", cfg.Name)), failures: make(chan error, 1), shutdown: make(chan struct{}), drained: make(chan struct{}),
+		Config:    cfg,
+		Counters:  &counters.Set{},
+		options:   options,
+		operator:  configuration.operatorFile(),
+		lifecycle: newLifecycle(ctx),
+		log:       options.Log.With(zap.String("name", cfg.Name)),
+	}
+	if err := d.start(); err != nil {
+		d.lifecycle.markDrained() // no background task is running
+		return nil, err
 	}
+	return d, nil
+}
+
+func (d *Daemon) start() error {
 	clock := core.NewClock()
 	d.loadCheckpoint()
-	var err error
-	d.Core, err = core.New(core.Config{
-		Settings: cfg.Settings, Plan: op.Cells, Seed: cfg.Seed, Clock: clock, Counters: d.Counters,
-	})
-	if err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
+	if err := d.buildCore(clock); err != nil {
+		return err
 	}
-	if d.platform, err = platform.New(cfg, d.Core, clock, d.Counters, o.Log); err != nil {
-		return nil, err
+	var err error
+	if d.platform, err = platform.New(d.Config, d.Core, clock, d.Counters, d.options.Log); err != nil {
+		return err
 	}
 	if err := d.startServing(); err != nil {
-		d.stopOperatorEndpoints()
-		return nil, err
+		d.operators.stop()
+		return err
 	}
-	if d.checkpointWriter != nil {
-		d.checkpointDone = make(chan struct{})
-		go d.writeCheckpoints()
+	if d.checkpoints != nil {
+		d.lifecycle.run(func() { d.checkpoints.run(d.lifecycle.shuttingDown, d.platform) })
 	}
-	return d, nil
+	return nil
+}
+
+func (d *Daemon) buildCore(clock core.Clock) (err error) {
+	d.Core, err = core.New(core.Config{
+		Settings: d.Config.Settings,
+		Plan:     d.operator.settings.Cells,
+		Seed:     d.Config.Seed,
+		Clock:    clock,
+		Counters: d.Counters,
+	})
+	if err != nil {
+		return fmt.Errorf("settings: %w", err)
+	}
+	return nil
 }
 
-// begin lets operators in and serves, at once or, where another process still serves, later.
+// startServing opens the operators' address and serves clients, at once or, if a predecessor serves,
+// once that has been taken over from.
 func (d *Daemon) startServing() error {
 	if err := d.listenAdmin(); err != nil {
 		return err
@@ -113,8 +121,8 @@
 	if err := d.acquireTakeoverLock(); err != nil {
 		return err
 	}
-	if d.takeoverLock != nil && d.takeoverLock.IsSuccessor() {
-		go d.runSuccessor()
+	if d.takeover.isSuccessor() {
+		d.lifecycle.run(d.runSuccessor)
 		return nil
 	}
 	if err := d.startControl(); err != nil {
@@ -124,42 +132,44 @@
 	if err := d.serve(); err != nil {
 		return err
 	}
-	if d.takeoverLock != nil {
-		go d.watchOtherProcess()
+	if d.takeover.isAvailable() {
+		d.lifecycle.run(d.watchOtherProcess)
 	}
 	return nil
 }
 
-// Failed brings the error, if any, for which the scheduler cannot serve after its start.
-func (d *Daemon) Failed() <-chan error { return d.failures }
+// Failed delivers the error, if there is one, for which the scheduler cannot serve after its start.
+func (d *Daemon) Failed() <-chan error { return d.lifecycle.failures }
 
-// Addr returns the address on which submitters are served, once they are.
+// Addr returns the address on which clients are served, once they are.
 func (d *Daemon) Addr() net.Addr { return d.platform.Addr() }
 
+// ShutDown ends the scheduler once all accepted jobs are answered. If a successor listens, new
+// connections go there already, and the health stays as it is.
+func (d *Daemon) ShutDown() {
+	d.finish(func() {
+		switch {
+		case !d.lifecycle.serving.Load():
+			d.platform.Kill()
+		case d.takeover.successorListening():
+			d.log.Info("takeover: successor has taken over")
+			d.platform.ShutDownAfterTakeover()
+		default:
+			d.platform.ShutDown()
+		}
+	})
+}
+
 // Kill ends the scheduler at once, as a kill of its process would for its peers.
 func (d *Daemon) Kill() { d.finish(d.platform.Kill) }
 
-// isShuttingDown reports whether the end has begun.
-func (d *Daemon) isShuttingDown() bool {
-	select {
-	case <-d.shutdown:
-		return true
-	default:
-		return false
-	}
-}
-
-// finish ends the platform by stop, and then what operators and other processes see of this one. A
-// start that is under way comes to its end before, or does not begin to serve any more.
+// finish ends the platform by stop, then the background tasks, and then what operators and other
+// processes see of this one. A start to serve that is under way completes before; none begins after.
 func (d *Daemon) finish(stop func()) {
-	d.shutdownOnce.Do(func() { close(d.shutdown) })
-	d.startMu.Lock()
-	defer d.startMu.Unlock()
-	stop()
-	d.drainedOnce.Do(func() { close(d.drained) })
-	d.awaitCheckpoint()
-	d.stopOperatorEndpoints()
-	if d.takeoverLock != nil {
-		d.takeoverLock.Release()
+	d.lifecycle.finish(stop)
+	if !d.lifecycle.awaitTasks(finalTasksTimeout) {
+		d.log.Warn("shutdown: background tasks have not finished, the last checkpoint may be missing")
 	}
+	d.operators.stop()
+	d.takeover.release()
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -8,67 +8,52 @@
 	"strings"
 	"testing"
 	"time"
-
-	"go.uber.org/zap"
 )
 
-// Real sockets: each tenant's jobs run on its cell's nodes, and after a move on the
-// other's; a ratify that is out at the move runs once.
+// Real sockets: each tenant's jobs run on its cell's workers, and after a migration on the other's; a
+// ratify that is in flight at the migration runs once.
 func TestCellsOnSockets(t *testing.T) {
-	w := startFixture(t, twoCells)
-	islands, mainland := w.client("islands", "reading", "i"), w.client("central-belt", "reading", "m")
+	f := startFixture(t, twoCells)
+	islands, mainland := f.client("islands", "reading", "i"), f.client("central-belt", "reading", "m")
 	for range 20 {
-		if a, b := islands.Send(), mainland.Send(); a != 200 || b != 200 {
+		a, b := islands.Send(), mainland.Send()
+		if a != http.StatusOK || b != http.StatusOK {
 			t.Fatalf("answers %d, %d", a, b)
 		}
 	}
-	if a, b := w.runsByCell(t, "islands"), w.runsByCell(t, "central-belt"); a["isles"] != 20 || b["mainland"] != 20 {
+	if a, b := f.runsByCell(t, "islands"), f.runsByCell(t, "central-belt"); a["isles"] != 20 || b["mainland"] != 20 {
 		t.Errorf("islands ran in %v, central-belt in %v", a, b)
 	}
-	ratify := w.client("islands", "ratify", "r")
+	ratify := f.client("islands", "ratify", "r")
 	answer := make(chan int)
 	go func() { answer <- ratify.Send() }()
-	w.await(t, "the ratify runs", func() bool { return w.runsByCell(t, "islands")["isles"] == 21 })
-	m, err := w.Core.MigrateTenant(t.Context(), "islands", "mainland")
+	f.await(t, "the ratify runs", func() bool { return f.runsByCell(t, "islands")["isles"] == 21 })
+	m, err := f.Core.MigrateTenant(t.Context(), "islands", "mainland")
 	if err != nil || m.InFlight != 1 || m.Queued != 0 {
 		t.Errorf("%+v, %v", m, err)
 	}
-	if a := islands.Send(); a != 200 {
-		t.Errorf("after the move %d", a)
+	if a := islands.Send(); a != http.StatusOK {
+		t.Errorf("after the migration %d", a)
 	}
-	if a := <-answer; a != 200 {
+	if a := <-answer; a != http.StatusOK {
 		t.Errorf("the ratify's answer is %d", a)
 	}
-	if ran := w.runsByCell(t, "islands"); ran["isles"] != 21 || ran["mainland"] != 1 {
-		t.Errorf("islands ran in %v", ran)
+	if runs := f.runsByCell(t, "islands"); runs["isles"] != 21 || runs["mainland"] != 1 {
+		t.Errorf("islands ran in %v", runs)
 	}
 }
 
-// A reload carries a changed map out as moves; one that changes nothing of it leaves
-// the operators' moves alone; a faulty one, and what a reload cannot change, change
-// nothing and say why.
+// A reload applies a changed plan of cells as migrations, and one without changes keeps the operators'
+// migrations. An invalid file, and one with what a reload cannot change, change nothing and say why.
 func TestReloadOfCells(t *testing.T) {
-	w := startFixture(t, twoCells)
-	if _, err := w.Core.MigrateTenant(t.Context(), "islands", "mainland"); err != nil {
+	f := startFixture(t, twoCells)
+	if _, err := f.Core.MigrateTenant(t.Context(), "islands", "mainland"); err != nil {
 		t.Fatal(err)
 	}
-	if err := w.Reload(); err != nil {
+	if err := f.Reload(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	tenants := func() string {
-		states, err := w.Core.Cells(t.Context())
-		if err != nil {
-			t.Fatal(err)
-		}
-		var s []string
-		for _, c := range states {
-			for _, x := range c.Tenants {
-				s = append(s, x.Name+" "+c.Name)
-			}
-		}
-		return strings.Join(s, ", ")
-	}
-	if got := tenants(); got != "central-belt mainland, islands mainland" {
+	if got := f.tenantCells(t); got != "central-belt mainland, islands mainland" {
 		t.Errorf("after a reload of the same file: %s", got)
 	}
 	for name, text := range map[string]string{
@@ -76,48 +61,69 @@
 		"control.socket: ":              `(foxlift (control (socket "/tmp/%s-other")) (cells (cell a)))`,
 		"cells: ":                       `(foxlift (control (socket %q)))`,
 	} {
-		w.write(t, w.operator, fmt.Sprintf(text, w.socket))
-		if err := w.Reload(); err == nil || !strings.Contains(err.Error(), name) {
+		f.write(t, f.operator, fmt.Sprintf(text, f.socket))
+		if err := f.Reload(t.Context()); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if got := tenants(); got != "central-belt mainland, islands mainland" {
-		t.Errorf("after faulty reloads: %s", got)
+	if got := f.tenantCells(t); got != "central-belt mainland, islands mainland" {
+		t.Errorf("after invalid reloads: %s", got)
 	}
-	w.write(t, w.operator, fmt.Sprintf(`(foxlift (control (socket %q)) (cells (cell far (tenants islands)) (cell mainland (tenants central-belt))))`, w.socket))
-	if err := w.Reload(); err != nil {
+	const changed = `(foxlift (control (socket %q)) (cells
+ (cell far (tenants islands)) (cell mainland (tenants central-belt))))`
+	f.write(t, f.operator, fmt.Sprintf(changed, f.socket))
+	if err := f.Reload(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if got := tenants(); got != "islands far, central-belt mainland" {
+	if got := f.tenantCells(t); got != "islands far, central-belt mainland" {
 		t.Errorf("after a changed file: %s", got)
 	}
-	if a := w.client("islands", "reading", "i").Send(); a != 200 {
+	if a := f.client("islands", "reading", "i").Send(); a != http.StatusOK {
 		t.Errorf("answer %d", a)
 	}
 }
 
-// Hard case 6: connections of a cell past its bound end after their answer, and leave
-// other cells' alone.
-func TestConnectionsOfACell(t *testing.T) {
-	w := startFixture(t, strings.Replace(twoCells, "(tenants islands)", "(tenants islands) (connections 3)", 1))
-	ask := func(c net.Conn, id, tenant string) bool {
-		c.SetDeadline(time.Now().Add(patience))
-		fmt.Fprintf(c, "POST /reading HTTP/1.1\r\nHost: x\r\nX-Txn: %s\r\nX-Lane: reading\r\nX-Org: %s\r\nX-Remaining: 5000m\r\nContent-Length: 0\r\n\r\n", id, tenant)
-		r, err := http.ReadResponse(bufio.NewReader(c), nil)
-		if err != nil || r.StatusCode != 200 {
-			t.Fatalf("%s: %v, %v", id, r, err)
+// tenantCells returns each tenant with its cell.
+func (f *fixture) tenantCells(t *testing.T) string {
+	t.Helper()
+	states, err := f.Core.Cells(t.Context())
+	if err != nil {
+		t.Fatal(err)
+	}
+	var pairs []string
+	for _, cell := range states {
+		for _, tenant := range cell.Tenants {
+			pairs = append(pairs, tenant.Name+" "+cell.Name)
 		}
-		return r.Close
 	}
+	return strings.Join(pairs, ", ")
+}
+
+// post sends a job on a connection, and reports whether its answer closes that.
+func post(t *testing.T, c net.Conn, id, tenant string) (closes bool) {
+	t.Helper()
+	c.SetDeadline(time.Now().Add(patience))
+	fmt.Fprintf(c, "POST /reading HTTP/1.1\r\nHost: x\r\nX-Txn: %s\r\nX-Lane: reading\r\nX-Org: %s\r\n"+
+		"X-Remaining: 5000m\r\nContent-Length: 0\r\n\r\n", id, tenant)
+	response, err := http.ReadResponse(bufio.NewReader(c), nil)
+	if err != nil {
+		t.Fatalf("%s: %v", id, err)
+	}
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		t.Fatalf("%s: %v", id, response)
+	}
+	return response.Close
+}
+
+// Connections of a cell past its bound close after their answer; those of other cells do not.
+func TestConnectionsOfACell(t *testing.T) {
+	f := startFixture(t, strings.Replace(twoCells, "(tenants islands)", "(tenants islands) (connections 3)", 1))
 	closed := map[string]int{}
 	for i := range 6 {
 		for _, tenant := range []string{"islands", "central-belt"} {
-			c, err := net.Dial("tcp", w.Addr().String())
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer c.Close()
-			if ask(c, fmt.Sprint(tenant, i), tenant) {
+			c := dial(t, f.Addr().String())
+			if post(t, c, fmt.Sprint(tenant, i), tenant) {
 				closed[tenant]++
 			}
 		}
@@ -127,49 +133,46 @@
 	}
 }
 
-// Hard case 9: a kill in the middle of moves: what is answered is true, and a start
-// from the same files has the file's map.
+// After a kill during migrations, each job that was answered as served has run once, and a start from the
+// same files has the file's plan.
 func TestKillDuringMigrations(t *testing.T) {
-	w := startFixture(t, twoCells)
+	f := startFixture(t, twoCells)
 	stop := make(chan struct{})
-	s := w.client("islands", "ratify", "r")
-	s.Remaining = time.Second
+	client := f.client("islands", "ratify", "r")
+	client.Remaining = time.Second
 	done := make(chan struct{})
 	go func() {
-		s.Run(func() float64 { return 40 }, 3, stop)
+		client.Run(func() float64 { return 40 }, 3, stop)
 		close(done)
 	}()
 	for i := range 30 {
-		if _, err := w.Core.MigrateTenant(t.Context(), "islands", []string{"mainland", "isles"}[i%2]); err != nil {
+		cell := []string{"mainland", "isles"}[i%2]
+		if _, err := f.Core.MigrateTenant(t.Context(), "islands", cell); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	w.Kill()
+	f.Kill()
 	close(stop)
 	<-done
 	runs := map[string]int{}
-	for _, n := range w.workers {
-		for id, k := range n.Runs() {
-			runs[id] += k
+	for _, worker := range f.workers {
+		for id, n := range worker.Runs() {
+			runs[id] += n
 		}
 	}
-	for id, k := range runs {
-		if k > 1 {
-			t.Errorf("%s ran %d times", id, k)
+	for id, n := range runs {
+		if n > 1 {
+			t.Errorf("%s ran %d times", id, n)
 		}
 	}
-	for id := range s.Served() {
+	for id := range client.Served() {
 		if runs[id] != 1 {
 			t.Errorf("%s is answered as served and ran %d times", id, runs[id])
 		}
 	}
-	again, err := Start(Options{Getenv: w.getenv, Operator: w.operator, Log: zap.NewNop()})
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer again.Kill()
-	states, err := again.Core.Cells(t.Context())
+	f.restart(t)
+	states, err := f.Core.Cells(t.Context())
 	if err != nil || states[1].Name != "isles" || len(states[1].Tenants) != 1 || states[1].Tenants[0].Migrated {
 		t.Errorf("after a restart: %+v, %v", states, err)
 	}
--- a/internal/daemon/fixture_test.go
+++ b/internal/daemon/fixture_test.go
@@ -1,9 +1,9 @@
 package daemon
 
 import (
-	"context"
 	"encoding/json"
 	"fmt"
+	"net"
 	"os"
 	"path/filepath"
 	"testing"
@@ -19,39 +19,64 @@
 const twoCells = `(foxlift (control (socket %q)) (cells
  (cell mainland (share 0.5) (tenants central-belt)) (cell isles (share 0.5) (tenants islands))))`
 
-// world is a scheduler with cells between stand-ins.
+// A fixture is a scheduler between stand-ins.
 type fixture struct {
 	*Daemon
 	workers   []*standin.Worker
 	discovery *standin.Discovery
-	operator  string
-	config    string
-	socket    string
+	operator  string // path of the operator's file
+	config    string // path of the configuration
+	socket    string // path that the operator's file has in place of %q
 }
 
+// startFixture starts a scheduler with an operator's file, and waits until it is ready.
 func startFixture(t *testing.T, operator string) *fixture {
 	t.Helper()
-	w := &fixture{}
+	directory := t.TempDir()
+	f := &fixture{
+		operator: filepath.Join(directory, "operator.sexp"),
+		config:   filepath.Join(directory, "config.json"),
+		socket:   filepath.Join(directory, "c.sock"),
+	}
+	f.startStandins(t)
+	f.writeConfig(t)
+	f.write(t, f.operator, fmt.Sprintf(operator, f.socket))
+	f.restart(t)
+	return f
+}
+
+// startStandins starts six workers and a discovery service that lists them.
+func (f *fixture) startStandins(t *testing.T) {
+	t.Helper()
+	serviceTime := func(class string) time.Duration {
+		if class == "ratify" {
+			return 200 * time.Millisecond
+		}
+		return time.Millisecond
+	}
 	for i := range 6 {
-		n, err := standin.StartNode(fmt.Sprint("n", i), "stirling", "medium", 4, 8, func(class string) time.Duration {
-			if class == "ratify" {
-				return 200 * time.Millisecond
-			}
-			return time.Millisecond
-		})
+		worker, err := standin.StartNode(fmt.Sprint("n", i), "stirling", "medium", 4, 8, serviceTime)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(n.Crash)
-		w.workers = append(w.workers, n)
+		t.Cleanup(worker.Crash)
+		f.workers = append(f.workers, worker)
 	}
 	var err error
-	if w.discovery, err = standin.StartDiscovery(w.workers...); err != nil {
+	if f.discovery, err = standin.StartDiscovery(f.workers...); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { w.discovery.Close(); w.discovery.Reset() })
-	dir := t.TempDir()
-	w.operator, w.config, w.socket = filepath.Join(dir, "operator.sexp"), filepath.Join(dir, "config.json"), filepath.Join(dir, "c.sock")
+	t.Cleanup(f.stopDiscovery)
+}
+
+func (f *fixture) stopDiscovery() {
+	f.discovery.Close()
+	f.discovery.Reset()
+}
+
+// writeConfig writes the example's configuration for the stand-ins.
+func (f *fixture) writeConfig(t *testing.T) {
+	t.Helper()
 	text, err := os.ReadFile("../../examples/config.json")
 	if err != nil {
 		t.Fatal(err)
@@ -60,69 +85,107 @@
 	if err := json.Unmarshal(text, &cfg); err != nil {
 		t.Fatal(err)
 	}
-	cfg["listen"], cfg["discovery"], cfg["known"] = "127.0.0.1:0", w.discovery.Addr().String(), json.RawMessage(w.discovery.Known())
+	cfg["listen"] = "127.0.0.1:0"
+	cfg["discovery"] = f.discovery.Addr().String()
+	cfg["known"] = json.RawMessage(f.discovery.Known())
 	cfg["limits"] = map[string]any{"memory_mb": 192, "sockets": 256}
-	text, _ = json.Marshal(cfg)
-	w.write(t, w.config, string(text))
-	w.write(t, w.operator, fmt.Sprintf(operator, w.socket))
-	w.Daemon, err = Start(Options{Getenv: w.getenv, Operator: w.operator, Log: zap.NewNop()})
-	if err != nil {
+	if text, err = json.Marshal(cfg); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(w.Kill)
-	w.await(t, "ready", w.Core.Ready)
-	return w
+	f.write(t, f.config, string(text))
+}
+
+// restart starts a scheduler from the fixture's files in place of the one before, and waits until it is
+// ready.
+func (f *fixture) restart(t *testing.T) {
+	t.Helper()
+	f.Daemon = f.mustStart(t, map[string]string{"LB_CONFIG": f.config})
+	f.await(t, "ready", f.Core.Ready)
 }
 
-func (w *fixture) getenv(name string) string {
-	if name == "LB_CONFIG" {
-		return w.config
+// mustStart starts a scheduler with variables.
+func (f *fixture) mustStart(t *testing.T, variables map[string]string) *Daemon {
+	t.Helper()
+	d, err := f.start(t, variables)
+	if err != nil {
+		t.Fatal(err)
 	}
-	return ""
+	t.Cleanup(d.Kill)
+	return d
 }
 
-func (w *fixture) write(t *testing.T, path, text string) {
+func (f *fixture) start(t *testing.T, variables map[string]string) (*Daemon, error) {
+	t.Helper()
+	return Start(t.Context(), Options{
+		Getenv:   func(name string) string { return variables[name] },
+		Operator: f.operator,
+		Log:      zap.NewNop(),
+	})
+}
+
+func (f *fixture) write(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (w *fixture) await(t *testing.T, what string, is func() bool) {
+// await waits until a condition holds.
+func (f *fixture) await(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !is(); {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(patience); !holds(); {
+		if time.Now().After(deadline) {
 			t.Fatalf("still not: %s", what)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func (w *fixture) client(tenant, class, name string) *standin.Client {
-	return &standin.Client{Addr: w.Addr().String(), Tenant: tenant, Class: class, Name: name, LatencyObjective: patience, Remaining: 5 * time.Second}
+func (f *fixture) client(tenant, class, name string) *standin.Client {
+	return &standin.Client{
+		Addr:             f.Addr().String(),
+		Tenant:           tenant,
+		Class:            class,
+		Name:             name,
+		LatencyObjective: patience,
+		Remaining:        5 * time.Second,
+	}
 }
 
-// workerCells is the cell of each node, by name.
-func (w *fixture) workerCells(t *testing.T) map[string]string {
+// workerCells returns the cell of each worker, by name.
+func (f *fixture) workerCells(t *testing.T) map[string]string {
 	t.Helper()
-	states, err := w.Core.Cells(context.Background())
+	states, err := f.Core.Cells(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
 	cells := map[string]string{}
-	for _, c := range states {
-		for _, n := range c.Workers {
-			cells[n.ID] = c.Name
+	for _, cell := range states {
+		for _, worker := range cell.Workers {
+			cells[worker.ID] = cell.Name
 		}
 	}
 	return cells
 }
 
-// ran is how many jobs of a tenant ran in each cell.
-func (w *fixture) runsByCell(t *testing.T, tenant string) map[string]int {
-	cells, ran := w.workerCells(t), map[string]int{}
-	for _, n := range w.workers {
-		ran[cells[n.Name]] += n.Tenants()[tenant]
+// runsByCell returns how many jobs of a tenant ran in each cell.
+func (f *fixture) runsByCell(t *testing.T, tenant string) map[string]int {
+	t.Helper()
+	cells, runs := f.workerCells(t), map[string]int{}
+	for _, worker := range f.workers {
+		runs[cells[worker.Name]] += worker.Tenants()[tenant]
+	}
+	return runs
+}
+
+// dial opens a connection that the test's end closes.
+func dial(t *testing.T, address string) net.Conn {
+	t.Helper()
+	var dialer net.Dialer
+	c, err := dialer.DialContext(t.Context(), "tcp", address)
+	if err != nil {
+		t.Fatal(err)
 	}
-	return ran
+	t.Cleanup(func() { c.Close() })
+	return c
 }
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -1,8 +1,8 @@
 package daemon
 
 import (
-	"context"
 	"net"
+	"sync/atomic"
 
 	"github.com/vatu-meals/foxlift/internal/admin"
 	"github.com/vatu-meals/foxlift/internal/control"
@@ -10,58 +10,69 @@
 	"github.com/vatu-meals/foxlift/internal/platform"
 )
 
-// startControl begins to serve the control socket, where the operator's file has one.
-func (d *Daemon) startControl() error {
-	if d.operator.ControlSocket == "" {
-		return nil
-	}
-	server := &control.Server{
-		Core: d.Core, Settings: d.Config.Settings, Counters: d.Counters, Name: d.Config.Name, Version: d.options.Version,
-	}
-	if err := server.Start(context.Background(), d.operator.ControlSocket); err != nil {
-		return err
-	}
-	d.control.Store(server)
-	return nil
+// operatorAccess is what operators reach a scheduler by.
+type operatorAccess struct {
+	admin   *admin.Server                  // nil if no address is configured
+	control atomic.Pointer[control.Server] // nil unless the control socket is served
 }
 
-// Ready implements admin.Scheduler. A process that takes over from another serves before it says
-// yes: the yes tells the platform that the other may be ended.
-func (d *Daemon) Ready() bool {
-	return d.serving.Load() && d.predecessorDrained.Load() && d.platform.Ready()
+// stop stops serving operators.
+func (a *operatorAccess) stop() {
+	if server := a.control.Load(); server != nil {
+		server.Stop()
+	}
+	if a.admin != nil {
+		a.admin.Stop()
+	}
 }
 
-// Quiesce implements admin.Scheduler.
-func (d *Daemon) Quiesce() { d.platform.Quiesce() }
-
-// Resume implements admin.Scheduler.
-func (d *Daemon) Resume() { d.platform.Resume() }
-
-// listenAdmin begins to serve the operators' address, where there is one.
+// listenAdmin starts to serve the operators' address, if one is configured.
 func (d *Daemon) listenAdmin() (err error) {
 	if d.Config.Admin == "" {
 		return nil
 	}
 	figures := metrics.Handler(d.Config.Settings.ClassNames(), d.Counters, d.Core)
 	connections := platform.AdminConnections(d.Config)
-	d.admin, err = admin.Listen(context.Background(), d.Config.Admin, connections, d, figures, d.log)
+	d.operators.admin, err = admin.Listen(d.lifecycle.drained, d.Config.Admin, connections, d, figures, d.log)
 	return err
 }
 
-// stopOperatorEndpoints ends what operators reach the scheduler by.
-func (d *Daemon) stopOperatorEndpoints() {
-	if control := d.control.Load(); control != nil {
-		control.Stop()
+// startControl starts to serve the control socket, if the operator's file names one.
+func (d *Daemon) startControl() error {
+	path := d.operator.settings.ControlSocket
+	if path == "" {
+		return nil
+	}
+	server := &control.Server{
+		Core:     d.Core,
+		Settings: d.Config.Settings,
+		Counters: d.Counters,
+		Name:     d.Config.Name,
+		Version:  d.options.Version,
 	}
-	if d.admin != nil {
-		d.admin.Stop()
+	if err := server.Start(d.lifecycle.drained, path); err != nil {
+		return err
 	}
+	d.operators.control.Store(server)
+	return nil
 }
 
-// AdminAddr returns the operators' address; nil where there is none.
+// AdminAddr returns the operators' address; nil if none is configured.
 func (d *Daemon) AdminAddr() net.Addr {
-	if d.admin == nil {
+	if d.operators.admin == nil {
 		return nil
 	}
-	return d.admin.Addr()
+	return d.operators.admin.Addr()
+}
+
+// Ready implements admin.Scheduler. A successor serves before it is ready: the platform may stop its
+// predecessor once it says so.
+func (d *Daemon) Ready() bool {
+	return d.lifecycle.serving.Load() && d.takeover.predecessorDispensable.Load() && d.platform.Ready()
 }
+
+// Quiesce implements admin.Scheduler.
+func (d *Daemon) Quiesce() { d.platform.Quiesce() }
+
+// Resume implements admin.Scheduler.
+func (d *Daemon) Resume() { d.platform.Resume() }
--- a/internal/daemon/scenario_test.go
+++ b/internal/daemon/scenario_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"bufio"
+	"context"
+	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -18,26 +20,43 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// Scenarios over real sockets: the fuzzer's bytes are a script of faults between
-// submitters, a real scheduler and stand-in nodes; the nodes' logs are the oracle.
+// Scenarios over real sockets: the fuzzer's seed draws a script of faults between clients, a real
+// scheduler and stand-in workers; the workers' logs are the oracle.
 
 const scenarioSettings = `{"discovery":"subscribe","dcs":["a"],"zone":"a","flavors":["k"],
  "grades":[{"name":"reading","aim":200000000,"deadline":600000000,"effect":"idempotent"},
   {"name":"ratify","aim":200000000,"deadline":600000000,"effect":"at_most_once"}],
  "projects":[{"name":"t","quotaRps":1000}],
- "bounds":{"cancel":true,"secondCopies":true,"retryAfter":true,"maxRetryAfter":1000000000,"maxAttempts":3,"connIdle":30000000000,"connectTimeout":500000000},
+ "bounds":{"cancel":true,"secondCopies":true,"retryAfter":true,"maxRetryAfter":1000000000,"maxAttempts":3,` +
+	`"connIdle":30000000000,"connectTimeout":500000000},
  "familyInfo":{"tellsStart":true},"obligations":{"mustAskIn":10000000000}}`
 
-// What may happen to what goes to a node: its own requests a network does not make
-// twice or turn round. What a node or a submitter sends may be anything.
-var faultsTowardsWorkers = []standin.Fault{standin.Pass, standin.Pass, standin.Pass, standin.Delay, standin.Split, standin.Truncate, standin.Reset, standin.CloseHalf}
+const (
+	scenarioWorkers = 3
+	scenarioClients = 3
+	jobsPerClient   = 5
+	answerTimeout   = 3500 * time.Millisecond // a malformed request has its end within 3 s
+	settleTimeout   = 5 * time.Second         // until all accepted jobs are answered
+)
+
+var (
+	// faultsTowardsWorkers may happen to what goes to a worker: a network does not repeat or reorder the
+	// scheduler's own requests. What a worker or a client sends may be anything.
+	faultsTowardsWorkers = []standin.Fault{
+		standin.Pass, standin.Pass, standin.Pass,
+		standin.Delay, standin.Split, standin.Truncate, standin.Reset, standin.CloseHalf,
+	}
+	// faultsTowardsClients may happen to answers.
+	faultsTowardsClients = []standin.Fault{standin.Pass, standin.Delay, standin.Split}
+)
 
-func drawFaults(rng *rand.Rand, n int, of []standin.Fault) (script []standin.Fault) {
+// drawFaults draws n faults from a set or, if that is nil, from all faults, half of them Pass.
+func drawFaults(rng *rand.Rand, n int, set []standin.Fault) (script []standin.Fault) {
 	for range n {
-		if of != nil {
-			script = append(script, of[rng.IntN(len(of))])
-		} else if f := standin.Fault(rng.IntN(2 * int(standin.Faults))); f < standin.Faults {
-			script = append(script, f)
+		if set != nil {
+			script = append(script, set[rng.IntN(len(set))])
+		} else if fault := standin.Fault(rng.IntN(2 * int(standin.Faults))); fault < standin.Faults {
+			script = append(script, fault)
 		} else {
 			script = append(script, standin.Pass)
 		}
@@ -45,136 +64,212 @@
 	return script
 }
 
+// An answer is what a client received for a job.
+type answer struct {
+	id, body string
+	status   int
+}
+
+// A scenario is a scheduler between stand-ins with faults, and what came of its jobs.
+type scenario struct {
+	seed    uint64
+	rng     *rand.Rand
+	daemon  *Daemon
+	workers []*standin.Worker
+	front   *standin.Proxy
+
+	mu      sync.Mutex
+	answers []answer
+	broken  []string // promises, by what broke them
+}
+
 // playScenario plays the faults that a seed draws and returns what is broken.
-func playScenario(t testing.TB, seed uint64) (broken []string) {
-	rng := rand.New(rand.NewPCG(seed, 77))
-	must := func(err error) {
-		if err != nil {
-			t.Fatal(err)
-		}
+func playScenario(t testing.TB, seed uint64) []string {
+	t.Helper()
+	s := &scenario{seed: seed, rng: rand.New(rand.NewPCG(seed, 77))}
+	s.start(t)
+	var clients sync.WaitGroup
+	for client := range scenarioClients {
+		clients.Go(func() { s.runClient(t.Context(), client) })
 	}
+	clients.Wait()
+	s.awaitAnswered()
+	s.checkRuns()
+	return s.broken
+}
+
+func must(t testing.TB, err error) {
+	t.Helper()
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
+// start starts the scheduler and the stand-ins, and waits until the scheduler is ready.
+func (s *scenario) start(t testing.TB) {
+	t.Helper()
 	settings, err := config.ParseSettings([]byte(scenarioSettings))
-	must(err)
+	must(t, err)
 	settings.Module.PollEndpoints = true
-	var nodes []*standin.Worker
-	for i := range 3 {
-		n, err := standin.StartNode(fmt.Sprint("n", i), "a", "k", 2, 4, func(string) time.Duration { return 2 * time.Millisecond })
-		must(err)
-		defer n.Crash()
-		p, err := standin.StartProxy(n.Addr(), drawFaults(rng, 12, faultsTowardsWorkers), drawFaults(rng, 12, nil))
-		must(err)
-		defer p.Stop()
-		n.Via = p.Addr().String()
-		if rng.IntN(5) == 0 {
-			n.Behave(standin.Behaviour{CutAfter: 1 + rng.IntN(200)})
-		}
-		nodes = append(nodes, n)
-	}
-	list, err := standin.StartDiscovery(nodes...)
-	must(err)
-	defer func() { list.Close(); list.Reset() }()
-	d, err := StartWith(Options{Log: zap.NewNop()}, &config.Scheduler{
-		Listen: "127.0.0.1:0", Discovery: list.Addr().String(), Seed: seed, Sockets: 128, Known: list.Known(), Settings: settings,
-	}, &config.Operator{})
-	must(err)
-	defer d.Kill()
-	front, err := standin.StartProxy(d.Addr().String(), drawFaults(rng, 16, nil), drawFaults(rng, 8, []standin.Fault{standin.Pass, standin.Delay, standin.Split}))
-	must(err)
-	defer front.Stop()
-	for !d.Core.Ready() {
+	for i := range scenarioWorkers {
+		s.startWorker(t, fmt.Sprint("n", i))
+	}
+	discovery, err := standin.StartDiscovery(s.workers...)
+	must(t, err)
+	t.Cleanup(func() { discovery.Close(); discovery.Reset() })
+	s.daemon, err = StartWith(t.Context(), Options{Log: zap.NewNop()}, &Configuration{
+		Scheduler: &config.Scheduler{
+			Listen:    "127.0.0.1:0",
+			Discovery: discovery.Addr().String(),
+			Seed:      s.seed,
+			Sockets:   128,
+			Known:     discovery.Known(),
+			Settings:  settings,
+		},
+		Operator: &config.Operator{},
+	})
+	must(t, err)
+	t.Cleanup(s.daemon.Kill)
+	towardsScheduler := drawFaults(s.rng, 16, nil)
+	towardsClients := drawFaults(s.rng, 8, faultsTowardsClients)
+	s.front, err = standin.StartProxy(s.daemon.Addr().String(), towardsScheduler, towardsClients)
+	must(t, err)
+	t.Cleanup(s.front.Stop)
+	for !s.daemon.Core.Ready() {
 		time.Sleep(time.Millisecond)
 	}
-	type answer struct {
-		id, class, body string
-		status          int
-	}
-	var mu sync.Mutex
-	var answers []answer
-	var wait sync.WaitGroup
-	for s := range 3 {
-		wait.Go(func() {
-			var c net.Conn
-			var br *bufio.Reader
+}
+
+// startWorker starts a worker behind a proxy with faults.
+func (s *scenario) startWorker(t testing.TB, name string) {
+	t.Helper()
+	serviceTime := func(string) time.Duration { return 2 * time.Millisecond }
+	worker, err := standin.StartNode(name, "a", "k", 2, 4, serviceTime)
+	must(t, err)
+	t.Cleanup(worker.Crash)
+	towardsWorker := drawFaults(s.rng, 12, faultsTowardsWorkers)
+	towardsScheduler := drawFaults(s.rng, 12, nil)
+	proxy, err := standin.StartProxy(worker.Addr(), towardsWorker, towardsScheduler)
+	must(t, err)
+	t.Cleanup(proxy.Stop)
+	worker.Via = proxy.Addr().String()
+	if s.rng.IntN(5) == 0 {
+		worker.Behave(standin.Behaviour{CutAfter: 1 + s.rng.IntN(200)})
+	}
+	s.workers = append(s.workers, worker)
+}
+
+func (s *scenario) report(format string, args ...any) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.broken = append(s.broken, fmt.Sprintf(format, args...))
+}
+
+// runClient sends jobs one after another, on a new connection after each that fails or closes.
+func (s *scenario) runClient(ctx context.Context, client int) {
+	var dialer net.Dialer
+	var c net.Conn
+	var reader *bufio.Reader
+	for i := range jobsPerClient {
+		if c == nil {
 			var err error
-			for i := range 5 {
-				if c == nil {
-					if c, err = net.Dial("tcp", front.Addr().String()); err != nil {
-						return
-					}
-					br = bufio.NewReader(c)
-				}
-				id, class := fmt.Sprintf("j-%d-%d-%d", seed, s, i), []string{"reading", "ratify"}[(s+i)%2]
-				c.SetDeadline(time.Now().Add(3500 * time.Millisecond)) // a bad request has its end within 3 s
-				fmt.Fprintf(c, "POST /%s HTTP/1.1\r\nHost: x\r\nX-Txn: %s\r\nX-Lane: %s\r\nX-Org: t\r\nX-Remaining: 400m\r\nContent-Length: 4\r\n\r\nbody", class, id, class)
-				r, err := http.ReadResponse(br, nil)
-				var body []byte
-				if err == nil {
-					body, err = io.ReadAll(r.Body)
-				}
-				if e, ok := err.(net.Error); ok && e.Timeout() {
-					mu.Lock()
-					broken = append(broken, fmt.Sprintf("%s: neither an answer nor an end", id))
-					mu.Unlock()
-				}
-				if err != nil || r.Close {
-					c.Close()
-					c = nil
-				}
-				if err == nil {
-					mu.Lock()
-					answers = append(answers, answer{id, class, string(body), r.StatusCode})
-					mu.Unlock()
-				}
-			}
-			if c != nil {
-				c.Close()
+			if c, err = dialer.DialContext(ctx, "tcp", s.front.Addr().String()); err != nil {
+				return
 			}
-		})
+			reader = bufio.NewReader(c)
+		}
+		id, class := fmt.Sprintf("j-%d-%d-%d", s.seed, client, i), []string{"reading", "ratify"}[(client+i)%2]
+		if closes := s.sendJob(c, reader, id, class); closes {
+			c.Close()
+			c = nil
+		}
+	}
+	if c != nil {
+		c.Close()
+	}
+}
+
+// sendJob sends a job, records its answer, and reports whether the connection has to be closed.
+func (s *scenario) sendJob(c net.Conn, reader *bufio.Reader, id, class string) (closes bool) {
+	c.SetDeadline(time.Now().Add(answerTimeout))
+	fmt.Fprintf(c, "POST /%s HTTP/1.1\r\nHost: x\r\nX-Txn: %s\r\nX-Lane: %s\r\nX-Org: t\r\n"+
+		"X-Remaining: 400m\r\nContent-Length: 4\r\n\r\nbody", class, id, class)
+	response, err := http.ReadResponse(reader, nil)
+	if err != nil {
+		s.reportTimeout(id, err)
+		return true
+	}
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
+	if err != nil {
+		s.reportTimeout(id, err)
+		return true
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.answers = append(s.answers, answer{id, string(body), response.StatusCode})
+	return response.Close
+}
+
+// reportTimeout reports a job whose connection had neither an answer nor an end.
+func (s *scenario) reportTimeout(id string, err error) {
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() {
+		s.report("%s: neither an answer nor an end", id)
 	}
-	wait.Wait()
-	for end := time.Now().Add(5 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		taken := d.Counters.Get("jobs.taken")
-		if taken == d.Counters.Get("jobs.served")+d.Counters.Get("jobs.refused")+d.Counters.Get("jobs.failed") {
-			break
+}
+
+// awaitAnswered waits until all accepted jobs are answered.
+func (s *scenario) awaitAnswered() {
+	counters := s.daemon.Counters
+	for deadline := time.Now().Add(settleTimeout); ; time.Sleep(5 * time.Millisecond) {
+		accepted := counters.Get("jobs.taken")
+		answered := counters.Get("jobs.served") + counters.Get("jobs.refused") + counters.Get("jobs.failed")
+		if accepted == answered {
+			return
 		}
-		if time.Now().After(end) {
-			broken = append(broken, fmt.Sprintf("%d jobs taken, not as many answered: %v", taken, d.Counters.All()))
-			break
+		if time.Now().After(deadline) {
+			s.report("%d jobs taken, not as many answered: %v", accepted, counters.All())
+			return
 		}
 	}
+}
+
+// checkRuns compares the answers with the runs in the workers' logs.
+func (s *scenario) checkRuns() {
 	runs := map[string]int{}
-	for _, n := range nodes {
-		for id, k := range n.Runs() {
-			runs[id] += k
-			if !strings.HasPrefix(id, "j-") { // garbage went through as a job
-				broken = append(broken, fmt.Sprintf("a job with the id %q ran", id))
+	for _, worker := range s.workers {
+		for id, n := range worker.Runs() {
+			runs[id] += n
+			if !strings.HasPrefix(id, "j-") {
+				s.report("a job with the id %q ran", id) // garbage was accepted as a job
 			}
 		}
 	}
-	for _, a := range answers {
+	for _, a := range s.answers {
 		switch {
 		case a.status == http.StatusOK && !strings.HasPrefix(a.body, "j-"):
-			broken = append(broken, fmt.Sprintf("%s: served with %q", a.id, a.body))
+			s.report("%s: served with %q", a.id, a.body)
 		case a.status == http.StatusOK && runs[strings.Fields(a.body)[0]] == 0:
-			broken = append(broken, fmt.Sprintf("%s: served with %q, which never ran", a.id, a.body))
+			s.report("%s: served with %q, which never ran", a.id, a.body)
 		}
 	}
-	for id, k := range runs {
-		// Which class a job was that came garbled only the nodes know; ids tell it here.
-		var s, i int
-		if _, err := fmt.Sscanf(id, fmt.Sprintf("j-%d-%%d-%%d", seed), &s, &i); err == nil && (s+i)%2 == 1 && k > 1 {
-			broken = append(broken, fmt.Sprintf("%s ran %d times", id, k))
+	for id, n := range runs {
+		// Only the workers know the class of a job that was garbled on its way; here its id tells it.
+		var client, i int
+		_, err := fmt.Sscanf(id, fmt.Sprintf("j-%d-%%d-%%d", s.seed), &client, &i)
+		if err == nil && (client+i)%2 == 1 && n > 1 {
+			s.report("%s ran %d times", id, n)
 		}
 	}
-	return broken
 }
 
 func TestScenarios(t *testing.T) {
 	for seed := range uint64(24) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			for _, b := range playScenario(t, seed) {
-				t.Error(b)
+			for _, broken := range playScenario(t, seed) {
+				t.Error(broken)
 			}
 		})
 	}
@@ -185,8 +280,8 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		for _, b := range playScenario(t, seed) {
-			t.Error(b)
+		for _, broken := range playScenario(t, seed) {
+			t.Error(broken)
 		}
 	})
 }
--- a/internal/daemon/takeover.go
+++ b/internal/daemon/takeover.go
@@ -5,33 +5,55 @@
 	"errors"
 	"fmt"
 	"os"
+	"sync/atomic"
 	"time"
 
 	"go.uber.org/zap"
 
-	"github.com/vatu-meals/foxlift/internal/core"
 	"github.com/vatu-meals/foxlift/internal/upgrade"
 )
 
-// How a process takes over from another that serves the same address.
+// How two processes of one scheduler agree on a takeover.
 const (
-	acquireTimeout          = 4 * time.Second        // for a place, where two processes are there already
-	endpointsTimeout        = 4 * time.Second        // for an answer from discovery; the old list has to do after it
-	startPollInterval       = 10 * time.Millisecond  // between two looks whether there is one
-	takeoverPollInterval    = 100 * time.Millisecond // between two looks at the other process
-	singleProcess           = 1                      // processes that share the limits
-	twoProcesses            = 2
-	lockDirectoryVariable   = "TMPDIR"
-	readyTimeout            = 5 * time.Second          // from the start to the yes, which is due after 6 s
-	minOverlap              = 500 * time.Millisecond   // from listening to the yes: until then the other's resting connections may bring jobs
-	stateTimeout            = time.Second              // for the core to tell its state, or to take one
-	maxStateAge             = 2 * time.Second          // a state that is older was left behind
-	predecessorStateTimeout = 5 * takeoverPollInterval // for the older process to write its state
-	stateRestFactor         = 9                        // so many times as long as writing a state took, none is written
+	lockDirectoryVariable = "TMPDIR"
+	acquireTimeout        = 4 * time.Second        // for the takeover lock, while two processes hold it
+	takeoverPollInterval  = 100 * time.Millisecond // between two checks of the other process
+	stateTimeout          = time.Second            // for the core to return its state, or to restore one
+	stateRestFactor       = 9                      // after a write of the state, rest so many times as long
 )
 
-// acquireTakeoverLock finds out whether another process serves the address. A directory in which that
-// cannot be found out leaves this process alone.
+// Processes that share the limits of one scheduler.
+const (
+	singleProcess = 1
+	twoProcesses  = 2
+)
+
+// A takeover is what a process knows of its predecessor or successor. Without a lock there is neither.
+type takeover struct {
+	lock           *upgrade.TakeoverLock // nil if no other process can take over
+	listeningSince time.Time
+
+	// predecessorDispensable is set once no other process has jobs that its exit would fail, or when
+	// this process has to be ready in any case.
+	predecessorDispensable atomic.Bool
+}
+
+func (t *takeover) isAvailable() bool { return t.lock != nil }
+
+// isSuccessor reports whether a predecessor of this process has not exited.
+func (t *takeover) isSuccessor() bool { return t.lock != nil && t.lock.IsSuccessor() }
+
+// successorListening reports whether a successor of this process listens.
+func (t *takeover) successorListening() bool { return t.lock != nil && t.lock.SuccessorListening() }
+
+func (t *takeover) release() {
+	if t.lock != nil {
+		t.lock.Release()
+	}
+}
+
+// acquireTakeoverLock finds out whether a predecessor serves the address. If the directory of the lock
+// does not allow that, this process has neither predecessor nor successor.
 func (d *Daemon) acquireTakeoverLock() error {
 	if d.Config.Admin == "" {
 		return nil
@@ -40,236 +62,131 @@
 	if directory == "" {
 		directory = os.TempDir()
 	}
-	place, err := upgrade.AcquireTakeover(directory, d.Config.Listen, acquireTimeout, takeoverPollInterval)
+	lock, err := upgrade.AcquireTakeover(directory, d.Config.Listen, acquireTimeout, takeoverPollInterval)
 	switch {
 	case errors.Is(err, upgrade.ErrTakeoverInProgress):
 		return fmt.Errorf("listen (LB_LISTEN): %w", err)
 	case err != nil:
-		d.log.Warn("another process cannot take over without a break", zap.Error(err))
+		d.log.Warn("takeover: not available to a later process", zap.Error(err))
 		return nil
 	}
-	d.takeoverLock = place
+	d.takeover.lock = lock
 	return nil
 }
 
-// succeed takes over from the process that serves: this one listens only when it is ready.
-func (d *Daemon) runSuccessor() {
-	d.divideLimits(twoProcesses)
-	d.platform.StartWatch()
-	if !d.awaitEndpoints() || !d.awaitPredecessorState() {
-		return // it is to end before it served
-	}
-	d.startMu.Lock()
-	defer d.startMu.Unlock()
-	if d.isShuttingDown() {
-		return
-	}
-	d.restoreState()
-	if err := d.serve(); err != nil {
-		d.failures <- err
-		return
-	}
-	go d.watchOtherProcess()
-}
-
-// serve listens and takes what comes, from the other process too where there is one.
+// serve listens for clients. If a predecessor listens too, what comes from now on is steered to this
+// process.
 func (d *Daemon) serve() error {
 	if err := d.platform.Listen(); err != nil {
 		return err
 	}
-	if d.takeoverLock != nil && d.takeoverLock.IsSuccessor() {
+	isSuccessor := d.takeover.isSuccessor()
+	if isSuccessor {
 		d.platform.SteerConnections()
 	} else {
 		d.platform.StartWatch()
 	}
 	d.platform.Accept()
-	if d.takeoverLock != nil {
-		if err := d.takeoverLock.AnnounceListening(); err != nil {
-			d.log.Warn("the older process does not learn of this one", zap.Error(err))
-		}
-	}
-	d.listeningSince = time.Now()
-	d.predecessorDrained.Store(d.takeoverLock == nil || !d.takeoverLock.IsSuccessor())
-	d.serving.Store(true)
-	d.log.Info("it listens", zap.Stringer("address", d.Addr()))
-	return nil
-}
-
-// awaitEndpoints waits until the machine list is known well enough to serve; false at the end.
-func (d *Daemon) awaitEndpoints() bool {
-	limit := time.After(endpointsTimeout)
-	ready := d.platform.HasSynced
-	for look := time.NewTicker(startPollInterval); ; {
-		if ready() {
-			look.Stop()
-			return true
-		}
-		select {
-		case <-look.C:
-		case <-limit:
-			ready = d.Core.HasWorkers
-		case <-d.shutdown:
-			return false
+	if d.takeover.isAvailable() {
+		if err := d.takeover.lock.AnnounceListening(); err != nil {
+			d.log.Warn("takeover: predecessor cannot be notified", zap.Error(err))
 		}
 	}
-}
-
-// awaitPredecessorState waits until the older process, which looks for a successor now and then, has written its
-// state; it may never do so. False at the end.
-func (d *Daemon) awaitPredecessorState() bool {
-	limit := time.After(predecessorStateTimeout)
-	look := time.NewTicker(startPollInterval)
-	defer look.Stop()
-	for {
-		var older core.Progress
-		if d.loadFreshState(&older, &older) == nil {
-			return true
-		}
-		select {
-		case <-look.C:
-		case <-limit:
-			return true
-		case <-d.shutdown:
-			return false
-		}
-	}
-}
-
-// restoreState goes on from what the older process has learned, if that can be read.
-func (d *Daemon) restoreState() {
-	state := &core.State{}
-	err := d.loadFreshState(state, &state.Progress)
-	if err == nil {
-		ctx, cancel := context.WithTimeout(context.Background(), stateTimeout)
-		defer cancel()
-		err = d.Core.RestoreState(ctx, state)
-	}
-	if err != nil {
-		d.Counters.Add("upgrades.without_state")
-		d.log.Warn("it begins with nothing learned", zap.Error(err))
-	}
-}
-
-// errStaleState means that a state was left by a process that is no more.
-var errStaleState = errors.New("the state of the older process is old")
-
-// loadFreshState reads the older process's state, or a part of it that holds its progress.
-func (d *Daemon) loadFreshState(state any, progress *core.Progress) error {
-	if err := d.takeoverLock.LoadState(state); err != nil {
-		return err
-	}
-	if age := time.Since(time.Unix(0, progress.TakenAt)); age < -maxStateAge || age > maxStateAge {
-		return errStaleState
-	}
+	d.takeover.listeningSince = time.Now()
+	d.takeover.predecessorDispensable.Store(!isSuccessor)
+	d.lifecycle.serving.Store(true)
+	d.log.Info("listening for clients", zap.Stringer("address", d.Addr()))
 	return nil
 }
 
-// saveState writes what a successor needs.
-func (d *Daemon) saveState() {
-	ctx, cancel := context.WithTimeout(context.Background(), stateTimeout)
-	defer cancel()
-	state, err := d.Core.State(ctx)
-	if err == nil {
-		err = d.takeoverLock.SaveState(state)
-	}
-	if err != nil {
-		d.Counters.Add("upgrades.not_saved")
-	}
-}
-
-// watchOtherProcess shares the limits with another process while there is one: the older one, whose place
-// this one takes when it has gone, or a newer one, for which it writes its state. It runs until all
-// is answered.
+// watchOtherProcess divides the limits with another process while one exists: the predecessor, whose
+// part of the lock this process acquires when it has exited, or a successor, for which this process
+// saves its state. It runs until the scheduler is drained.
 func (d *Daemon) watchOtherProcess() {
-	look := time.NewTicker(takeoverPollInterval)
-	defer look.Stop()
-	shared, rested := d.takeoverLock.IsSuccessor(), time.Time{}
+	ticker := time.NewTicker(takeoverPollInterval)
+	defer ticker.Stop()
+	dividing := d.takeover.isSuccessor()
+	var nextSave time.Time
 	for {
 		select {
-		case <-look.C:
-		case <-d.drained:
+		case <-ticker.C:
+		case <-d.lifecycle.drained.Done():
 			return
 		}
-		another := d.checkOtherProcess()
-		d.platform.YieldConnections(d.takeoverLock.SuccessorListening())
-		if another != shared {
-			shared = another
-			d.divideLimits(processCount(another))
+		exists := d.checkOtherProcess()
+		d.platform.YieldConnections(d.takeover.successorListening())
+		if exists != dividing {
+			dividing = exists
+			d.divideLimits(processCount(exists))
 		}
-		if began := time.Now(); another && !d.takeoverLock.IsSuccessor() && !began.Before(rested) {
-			d.saveState()
-			rested = time.Now().Add(stateRestFactor * time.Since(began))
+		if !exists || d.takeover.isSuccessor() {
+			continue
+		}
+		if startedAt := time.Now(); !startedAt.Before(nextSave) {
+			d.saveState(d.lifecycle.drained)
+			nextSave = time.Now().Add(stateRestFactor * time.Since(startedAt))
 		}
 	}
 }
 
-// another reports whether another process is there.
+// checkOtherProcess reports whether another process exists. When the predecessor has exited, this process
+// becomes the serving one.
 func (d *Daemon) checkOtherProcess() bool {
-	if !d.takeoverLock.IsSuccessor() {
-		return d.takeoverLock.HasSuccessor()
+	if !d.takeover.isSuccessor() {
+		return d.takeover.lock.HasSuccessor()
 	}
-	first, err := d.takeoverLock.Promote()
+	promoted, err := d.takeover.lock.Promote()
 	switch {
-	case errors.Is(err, os.ErrClosed): // this process has given up its place meanwhile
+	case errors.Is(err, os.ErrClosed): // this process has released the lock in the meantime
 	case err != nil:
-		d.log.Warn("the place of the serving process cannot be taken", zap.Error(err))
-	case !first:
+		d.log.Warn("takeover: cannot become the serving process", zap.Error(err))
+	case promoted:
+		d.completeTakeover()
+	default:
 		d.followPredecessor()
-	case first:
-		d.log.Info("the older process has ended")
-		d.Core.SetExternalSlots(nil)
-		d.takeoverLock.DiscardState()
-		d.predecessorDrained.Store(true)
-		if err := d.startControl(); err != nil {
-			d.log.Error("no control socket", zap.Error(err))
-		}
 	}
-	return !first
+	return !promoted
 }
 
-// followPredecessor looks at what the older process still has to do. This one says yes once that is
-// nothing, since the other may then be ended without a loss; or when the yes is due.
-func (d *Daemon) followPredecessor() {
-	if time.Since(d.startedAt) >= readyTimeout {
-		d.predecessorDrained.Store(true)
+// completeTakeover goes on alone after the predecessor has exited.
+func (d *Daemon) completeTakeover() {
+	d.log.Info("takeover: predecessor has exited")
+	d.Core.SetExternalSlots(nil)
+	d.takeover.lock.DiscardState()
+	d.takeover.predecessorDispensable.Store(true)
+	if err := d.startControl(); err != nil {
+		d.log.Error("control socket: not served", zap.Error(err))
 	}
-	var older core.Progress // the rest is taken once, at the start
-	if err := d.loadFreshState(&older, &older); err != nil {
-		return
+}
+
+// saveState saves what a successor needs.
+func (d *Daemon) saveState(ctx context.Context) {
+	if err := d.writeState(ctx); err != nil {
+		d.Counters.Add("upgrades.not_saved")
 	}
-	d.Core.SetExternalSlots(older.InFlight)
-	if relieved := time.Unix(0, older.TakenAt).Sub(d.listeningSince); relieved > minOverlap && older.Open == 0 {
-		d.predecessorDrained.Store(true)
+}
+
+func (d *Daemon) writeState(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
+	defer cancel()
+	state, err := d.Core.State(ctx)
+	if err != nil {
+		return err
 	}
+	return d.takeover.lock.SaveState(state)
 }
 
-func processCount(another bool) int {
-	if another {
+func processCount(anotherExists bool) int {
+	if anotherExists {
 		return twoProcesses
 	}
 	return singleProcess
 }
 
-// share keeps the scheduler to its part of the limits.
+// divideLimits keeps this process to its part of the scheduler's descriptors and memory.
 func (d *Daemon) divideLimits(processes int) {
 	d.platform.DivideDescriptors(processes)
 	if d.options.LimitMemory != nil {
 		d.options.LimitMemory(int64(d.Config.MemoryMB) << 20 / int64(processes))
 	}
 }
-
-// ShutDown ends the scheduler once everything taken is answered. Where another process has taken
-// over, new connections go there already, and the health stays as it is.
-func (d *Daemon) ShutDown() {
-	d.finish(func() {
-		switch {
-		case !d.serving.Load():
-			d.platform.Kill()
-		case d.takeoverLock != nil && d.takeoverLock.SuccessorListening():
-			d.log.Info("another process has taken over")
-			d.platform.ShutDownAfterTakeover()
-		default:
-			d.platform.ShutDown()
-		}
-	})
-}
--- a/internal/daemon/takeover_test.go
+++ b/internal/daemon/takeover_test.go
@@ -6,11 +6,10 @@
 	"strings"
 	"testing"
 	"time"
-
-	"go.uber.org/zap"
 )
 
-// served is a world's scheduler with an operators' address, and what another process of it needs.
+// An adminFixture is a fixture whose scheduler has an operators' address, so that another process can
+// take over from it.
 type adminFixture struct {
 	*fixture
 	listen, directory string
@@ -19,7 +18,8 @@
 // freeAddress returns an address on which nobody listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	var config net.ListenConfig
+	l, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,96 +27,104 @@
 	return l.Addr().String()
 }
 
-// startAdminFixture starts a world's scheduler anew, with an operators' address.
+// startAdminFixture starts a fixture, and a scheduler with an operators' address in place of its own.
 func startAdminFixture(t *testing.T) (*adminFixture, *Daemon) {
 	t.Helper()
-	w := startFixture(t, "(foxlift (control (socket %q)))")
-	w.Kill()
-	s := &adminFixture{w, freeAddress(t), t.TempDir()}
-	return s, s.startProcess(t)
+	f := startFixture(t, "(foxlift (control (socket %q)))")
+	f.Kill()
+	a := &adminFixture{f, freeAddress(t), t.TempDir()}
+	predecessor := a.startProcess(t)
+	a.await(t, "the predecessor is ready", predecessor.Ready)
+	return a, predecessor
 }
 
-// next starts another process's part of the same scheduler.
-func (s *adminFixture) startProcess(t *testing.T) *Daemon {
-	t.Helper()
-	variables := map[string]string{"LB_CONFIG": s.config, "LB_LISTEN": s.listen, "LB_ADMIN": "127.0.0.1:0", "TMPDIR": s.directory}
-	d, err := Start(Options{Getenv: func(name string) string { return variables[name] }, Operator: s.operator, Log: zap.NewNop()})
-	if err != nil {
-		t.Fatal(err)
+// variables returns the environment of a process with an operators' address.
+func (a *adminFixture) variables(admin string) map[string]string {
+	return map[string]string{
+		"LB_CONFIG": a.config,
+		"LB_LISTEN": a.listen,
+		"LB_ADMIN":  admin,
+		"TMPDIR":    a.directory,
 	}
-	t.Cleanup(d.Kill)
-	return d
 }
 
-func health(t *testing.T, address string) int {
+// startProcess starts a further process of the same scheduler.
+func (a *adminFixture) startProcess(t *testing.T) *Daemon {
+	t.Helper()
+	return a.mustStart(t, a.variables("127.0.0.1:0"))
+}
+
+// health returns the status of the answer of a health endpoint.
+func health(t *testing.T, url string) int {
 	t.Helper()
 	client := http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
-	r, err := client.Get("http://" + address)
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+url, http.NoBody)
+	if err != nil {
+		t.Fatal(err)
+	}
+	response, err := client.Do(request)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Body.Close()
-	return r.StatusCode
+	response.Body.Close()
+	return response.StatusCode
 }
 
-// A second process takes over: it says yes within the time that is due, the clients' health is yes
-// throughout, the older one ends at once, and the control socket is the newer one's then.
+// A successor takes over: it is ready within the time that the platform allows, the clients' health is
+// 200 throughout, the predecessor shuts down at once, and the successor serves the control socket then.
 func TestTakeover(t *testing.T) {
-	s, older := startAdminFixture(t)
-	s.await(t, "the older one is ready", older.Ready)
-	if got := health(t, older.AdminAddr().String()+"/admin/health"); got != http.StatusOK {
-		t.Errorf("the older one's health: %d", got)
+	a, predecessor := startAdminFixture(t)
+	if got := health(t, predecessor.AdminAddr().String()+"/admin/health"); got != http.StatusOK {
+		t.Errorf("the predecessor's health: %d", got)
 	}
-	newer := s.startProcess(t)
-	s.await(t, "the newer one is ready", newer.Ready)
-	if newer.Counters.Get("upgrades.without_state") != 0 {
-		t.Error("nothing was handed over")
+	successor := a.startProcess(t)
+	a.await(t, "the successor is ready", successor.Ready)
+	if successor.Counters.Get("upgrades.without_state") != 0 {
+		t.Error("no state was restored")
 	}
-	s.await(t, "the older one sends clients away", func() bool { return older.platform.Ready() && older.takeoverLock.SuccessorListening() })
-	if got := health(t, s.listen+"/_health"); got != http.StatusOK {
+	a.await(t, "the predecessor yields its connections", func() bool {
+		return predecessor.platform.Ready() && predecessor.takeover.lock.SuccessorListening()
+	})
+	if got := health(t, a.listen+"/_health"); got != http.StatusOK {
 		t.Errorf("the clients' health beside two processes: %d", got)
 	}
-	older.ShutDown()
-	if got := health(t, s.listen+"/_health"); got != http.StatusOK {
-		t.Errorf("the clients' health after the older one's end: %d", got)
+	predecessor.ShutDown()
+	if got := health(t, a.listen+"/_health"); got != http.StatusOK {
+		t.Errorf("the clients' health after the predecessor's shutdown: %d", got)
 	}
-	s.await(t, "the newer one has the place", func() bool { return !newer.takeoverLock.IsSuccessor() })
-	s.await(t, "the control socket is its", func() bool { return newer.control.Load() != nil })
+	a.await(t, "the successor is promoted", func() bool { return !successor.takeover.lock.IsSuccessor() })
+	a.await(t, "the control socket is served", func() bool { return successor.operators.control.Load() != nil })
 }
 
-// A process that ends before it serves leaves the older one as it was.
+// A successor that is shut down before it serves leaves the predecessor as it was.
 func TestSuccessorStopsBeforeServing(t *testing.T) {
-	s, older := startAdminFixture(t)
-	s.await(t, "the older one is ready", older.Ready)
-	s.discovery.Close() // the newer one waits for an answer
-	s.discovery.Reset()
-	newer := s.startProcess(t)
-	if newer.Ready() {
+	a, predecessor := startAdminFixture(t)
+	a.stopDiscovery() // the successor waits for an answer
+	successor := a.startProcess(t)
+	if successor.Ready() {
 		t.Error("it is ready without an answer from discovery")
 	}
-	newer.ShutDown()
-	s.await(t, "the older one is alone", func() bool { return !older.takeoverLock.HasSuccessor() })
-	if got := health(t, s.listen+"/_health"); got != http.StatusOK {
+	successor.ShutDown()
+	a.await(t, "the predecessor is alone", func() bool { return !predecessor.takeover.lock.HasSuccessor() })
+	if got := health(t, a.listen+"/_health"); got != http.StatusOK {
 		t.Errorf("the clients' health: %d", got)
 	}
 }
 
-// A third process is refused in one line that names the key; one whose operators' address is taken,
-// too.
+// A process whose operators' address is in use fails in one line that names the key, and so does a third
+// process.
 func TestThirdProcessFails(t *testing.T) {
-	s, older := startAdminFixture(t)
-	s.await(t, "the older one is ready", older.Ready)
-	variables := map[string]string{"LB_CONFIG": s.config, "LB_LISTEN": s.listen, "LB_ADMIN": older.AdminAddr().String(), "TMPDIR": s.directory}
-	_, err := Start(Options{Getenv: func(name string) string { return variables[name] }, Operator: s.operator, Log: zap.NewNop()})
+	a, predecessor := startAdminFixture(t)
+	_, err := a.start(t, a.variables(predecessor.AdminAddr().String()))
 	if err == nil || !strings.Contains(err.Error(), "LB_ADMIN") {
 		t.Errorf("error %v, want one that names LB_ADMIN", err)
 	}
-	newer := s.startProcess(t)
-	s.await(t, "the newer one is ready", newer.Ready)
-	began := time.Now()
-	variables["LB_ADMIN"] = "127.0.0.1:0"
-	_, err = Start(Options{Getenv: func(name string) string { return variables[name] }, Operator: s.operator, Log: zap.NewNop()})
-	if err == nil || !strings.Contains(err.Error(), "LB_LISTEN") || time.Since(began) < acquireTimeout {
-		t.Errorf("error %v after %v, want one that names LB_LISTEN after %v", err, time.Since(began), acquireTimeout)
+	successor := a.startProcess(t)
+	a.await(t, "the successor is ready", successor.Ready)
+	startedAt := time.Now()
+	_, err = a.start(t, a.variables("127.0.0.1:0"))
+	took := time.Since(startedAt)
+	if err == nil || !strings.Contains(err.Error(), "LB_LISTEN") || took < acquireTimeout {
+		t.Errorf("error %v after %v, want one that names LB_LISTEN after %v", err, took, acquireTimeout)
 	}
 }
--- a/internal/lab/rig.go
+++ b/internal/lab/rig.go
@@ -6,6 +6,7 @@
 package lab
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
 	"os"
@@ -113,7 +114,7 @@
 			return err
 		}
 	}
-	d, err := daemon.Start(daemon.Options{
+	d, err := daemon.Start(context.Background(), daemon.Options{
 		Getenv: func(name string) string {
 			if name == "LB_CONFIG" {
 				return config
