--- a/affinity.go
+++ b/affinity.go
@@ -2,8 +2,6 @@
 
 // The affinity sets: which workers belong to an affinity key. Nothing is decided here.
 
-import "math"
-
 // rankAffinity returns the warm workers of the own zone and of the job's kind that come first in the order
 // of its key. Where crossings are free zones don't count. It also returns how many workers they are the
 // first of.
@@ -16,16 +14,5 @@
 // indexAffinity brings the affinity sets up to date with a worker.
 func (d *Dispatcher) indexAffinity(w *worker) {
 	indexed := w.state == Live && (w.zone == d.cfg.Zone || d.cfg.Prices.CrossZone <= 0)
-	d.affinity.Update(w, w.hash, &w.affinity, indexed, w.kind, d.slowStartUntil(w))
-}
-
-// slowStartUntil returns from when on a worker is not in slow start.
-func (d *Dispatcher) slowStartUntil(w *worker) int64 {
-	switch {
-	case w.startedAt == 0:
-		return math.MinInt64
-	case w.startedAt > math.MaxInt64-d.cfg.SlowStartDuration:
-		return math.MaxInt64
-	}
-	return w.startedAt + d.cfg.SlowStartDuration
+	d.affinity.Update(w, w.hash, &w.affinity, indexed, w.kind, d.slowStart.Until(&w.warmup))
 }
--- a/affinity_test.go
+++ b/affinity_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"github.com/vatu-meals/foxlift/internal/decision/affinity"
+	"github.com/vatu-meals/foxlift/internal/decision/health"
 )
 
 func TestAffinityAgreesAcrossDispatchers(t *testing.T) {
@@ -127,7 +128,7 @@
 	h.step()
 	preferred, _ := h.d.rankAffinity(&job{class: &h.d.classes[1], req: Request{Key: affinityKey}})
 	proven := firstOutside(h.d, preferred)
-	proven.promptStartAt = h.now
+	proven.setOutlier(func(s *health.OutlierState) { s.PromptStartAt = h.now })
 	h.d.markReported(proven)
 	for class, want := range []string{preferred[0].id, proven.id} {
 		h.step(keyedRequest(h, uint64(1+class), class))
@@ -181,7 +182,7 @@
 			c.setRuntimes(median*h.d.classes[0].runtimes.Median(), c.runtimes.LowerQuartile())
 			preferred, _ := h.d.rankAffinity(&job{class: c, req: Request{Key: affinityKey}})
 			met := firstOutside(h.d, preferred)
-			met.promptStartAt = h.now - 3*second
+			met.setOutlier(func(s *health.OutlierState) { s.PromptStartAt = h.now - 3*second })
 			h.d.markReported(met)
 			h.step(keyedRequest(h, 1, atMostOnce))
 			if a := h.wantActions(ActionSend, 1)[0]; (a.Worker == preferred[0].id) != wantHome {
--- a/bench_test.go
+++ b/bench_test.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"testing"
+
+	"github.com/vatu-meals/foxlift/internal/decision/health"
 )
 
 // benchDispatcher is one of 80 dispatchers, with workers that are not in slow start.
@@ -50,7 +52,7 @@
 			d := benchDispatcher(b, size.workers, 8)
 			now := 2 * second
 			for _, w := range d.workerOrder {
-				w.ejectedUntil = 1 << 62
+				w.setOutlier(func(s *health.OutlierState) { s.EjectedUntil = 1 << 62 })
 				d.updateLevel(w)
 			}
 			var news []Event
--- a/fleet_index.go
+++ b/fleet_index.go
@@ -8,6 +8,8 @@
 	"cmp"
 	"hash/fnv"
 	"slices"
+
+	"github.com/vatu-meals/foxlift/internal/decision/health"
 )
 
 // A fleetIndex holds the workers by what is asked of them. Each slice holds a worker once.
@@ -56,7 +58,8 @@
 	h := fnv.New64a()
 	h.Write([]byte(id))
 	d.workersSeen++
-	w := &worker{id: id, number: d.workersSeen, state: Removed, level: -1, hash: h.Sum64() * 0xff51afd7ed558ccd, startedAt: -1}
+	hash := h.Sum64() * 0xff51afd7ed558ccd
+	w := &worker{id: id, number: d.workersSeen, state: Removed, level: -1, hash: hash, warmup: health.NewWarmup(hash)}
 	d.workers[id] = w
 	d.workerOrder = append(d.workerOrder, w)
 	return w
@@ -79,7 +82,7 @@
 
 // timed reports whether time alone may move a worker.
 func (d *Dispatcher) timeDependent(w *worker) bool {
-	return w.state == Live && (d.now < w.ejectedUntil || d.inSlowStart(w))
+	return w.state == Live && (w.outlier.Ejected(d.now) || d.inSlowStart(w))
 }
 
 // sortPending puts the pending workers into the order of the list.
--- a/internal/lab/soak/mutants.go
+++ b/internal/lab/soak/mutants.go
@@ -38,8 +38,8 @@
 	{lab.Mutant{Name: "a submitter's leaving is noticed late", File: "internal/platform/client_conn.go", Old: "\t\t\tjob.MarkDisconnected()\n\t\t\tc.server.core.ClientDisconnected(job)\n", New: "\t\t\tjob.Client = nil\n\t\t\ttime.Sleep(400 * time.Millisecond)\n\t\t\tc.server.core.ClientDisconnected(job)\n"}, disconnected},
 	{lab.Mutant{Name: "nodes are told of a second more", File: "internal/platform/attempt.go", Old: "formatRemaining(remaining)", New: "formatRemaining(remaining+time.Second)"}, deadline},
 	{lab.Mutant{Name: "the time in the queue is not taken off", File: "internal/core/send.go", Old: "Remaining: remaining,", New: "Remaining: j.Remaining,"}, deadline},
-	{lab.Mutant{Name: "cold nodes count as warm", File: "health.go", Old: "return w.startedAt != 0 && d.now-w.startedAt < d.cfg.SlowStartDuration", New: "return false"}, startOverload},
-	{lab.Mutant{Name: "starts are not heard", File: "machine_list.go", Old: "if w.startedAt != e.StartedAt {", New: "if false {"}, startOverload},
+	{lab.Mutant{Name: "cold nodes count as warm", File: "internal/decision/health/slow_start.go", Old: "return w.startedAt != 0 && now-w.startedAt < s.config.Duration", New: "return false"}, startOverload},
+	{lab.Mutant{Name: "starts are not heard", File: "machine_list.go", Old: "if w.warmup.StartedAt() != e.StartedAt {", New: "if false {"}, startOverload},
 }
 
 const (
--- a/latency_loop.go
+++ b/latency_loop.go
@@ -18,8 +18,6 @@
 	return class{Class: c, runtimes: admission.NewRuntimes(c.LatencyObjective), loop: admission.NewLatencyLoop()}
 }
 
-const peakDecay = 0.98 // of a peak, each second; less for many: their peaks add up to more than that of all
-
 // runControlLoops runs the loops of all classes once and takes the lowest admission rate.
 func (d *Dispatcher) runControlLoops() {
 	turn := d.rate.BeginPeriod()
@@ -39,16 +37,10 @@
 	d.forgetRemoved(d.now - removedRetention)
 }
 
-// updateWorkerRate follows the slots that each warm worker has at work. A peak is held for a while: what
-// workers once served they can serve, also when traffic or a failure keeps them from it now.
+// updateWorkerRate follows the slots that each warm worker has at work.
 func (d *Dispatcher) updateWorkerRate() {
 	young, _ := d.slowStartTotals()
-	if warm := len(d.liveWorkers) - young; warm > 0 {
-		gain := max(admission.RateGain/min(d.fleetScale, 2), 1/float64(d.rate.Periods()))
-		d.recentWorkerRate += (d.servedSlots/float64(warm) - d.recentWorkerRate) * gain
-		d.peakWorkerRate = max(d.recentWorkerRate, d.peakWorkerRate*(1-(1-peakDecay)*min(d.fleetScale, 5)))
-	}
-	d.servedSlots = 0
+	d.slowStart.Rate().Update(len(d.liveWorkers)-young, d.rate.Periods())
 }
 
 // exchangeAdmissionRate tells peers, where that is allowed, this dispatcher's admission rate, and takes
--- a/machine_list.go
+++ b/machine_list.go
@@ -56,7 +56,7 @@
 	if w.kind+1 >= len(d.freeWorkers) {
 		w.kind = -1
 	}
-	if w.startedAt != e.StartedAt {
+	if w.warmup.StartedAt() != e.StartedAt {
 		d.resetWorker(w, e.StartedAt)
 	}
 	d.indexWorker(w)
@@ -65,13 +65,12 @@
 // restarted forgets what was learned of a process that is no more. The first
 // send to a young worker is put off at random, or all would send at once.
 func (d *Dispatcher) resetWorker(w *worker, at int64) {
-	w.startedAt, w.ejectedUntil, w.backoff, w.trial, w.failureRate, w.latencyRatio = at, 0, 0, false, 0, 0
+	w.outlier.Reset()
+	w.warmup.Restart(at)
+	w.latencyRatio = 0
 	w.hasLoad, w.connections, w.slotsSinceReport, w.cachedKeys = false, 0, 0, affinity.CachedKeys{}
-	w.promptStartAt, w.lastFaultAt = 0, 0
 	w.concurrencyLimit, w.limitLearned = d.meanLimit(), false
-	if d.inSlowStart(w) && d.slowStartSent(w) == 0 {
-		w.slowStartSentAt, w.slowStartWork = w.startedAt, float64(d.minMedianRuntime())*d.rng.Float64()
-	}
+	d.slowStart.DelayFirst(&w.warmup, d.now, d.minMedianRuntime(), d.rng)
 }
 
 // meanLimit is what a worker counts at until it answers.
--- a/placement.go
+++ b/placement.go
@@ -5,13 +5,14 @@
 import (
 	"math"
 	"slices"
+
+	"github.com/vatu-meals/foxlift/internal/decision/health"
 )
 
 const (
 	sampleSize     = 24   // workers looked at for one job, of those with as many
 	maxScanned     = 1024 // workers that are all looked at for a job that may go anywhere but where it failed
 	crossZoneJobs  = 40.0 // of our jobs, that a crossing at the price of a whole job weighs; one of many has few
-	unprovenCost   = 3.0  // that a worker weighs where our last job found no room
 	heavyJobWeight = 0.3  // warmth from which a young worker gets other than the lightest jobs
 	fetchJobs      = 2.0  // that a worker's fetch of what a job needs weighs: it holds a slot meanwhile
 )
@@ -44,7 +45,7 @@
 				try(w, float64(w.level)-4*d.cfg.Prices.Fetch*(1-float64(i)/float64(len(ws))), true)
 			}
 		}
-		if j.class.Effect != AtMostOnce && d.largeFleet() && bestCost < unprovenCost {
+		if j.class.Effect != AtMostOnce && d.largeFleet() && bestCost < health.UnprovenCost {
 			return best // it mostly has a slot free, or soon
 		}
 	}
@@ -116,10 +117,11 @@
 		w.usedMemory+j.req.Memory > d.memoryCapacity(w) {
 		return false // it would wait at the head of the queue, and the others behind it
 	}
-	if w.trial && j.class.Effect == AtMostOnce && d.hasRepeatableClass {
+	if w.outlier.OnTrial() && j.class.Effect == AtMostOnce && d.hasRepeatableClass {
 		return false // a worker that failed is tried with jobs that can be moved
 	}
-	if d.needsSlowStartSlot(w) && !d.slowStartAdmits(w, d.slowStartSize(j)) {
+	if d.slowStart.NeedsSlot(&w.warmup, d.now) &&
+		!d.slowStart.Admits(&w.warmup, d.now, d.slowStart.Work(j.req.Slots, j.class.LatencyObjective)) {
 		return false
 	}
 	for _, a := range j.attempts {
@@ -150,26 +152,13 @@
 		j.class.runtimes.Median() > d.minMedianRuntime():
 		c += crossZoneJobs
 	case j.class.Effect == AtMostOnce || d.remainingAttempts(j) == 1:
-		c += d.failureLikelihood(w) // it stays where it is sent: best where one of ours has just started
+		c += w.outlier.Cost(d.now) // it stays where it is sent: best where one of ours has just started
 	case !d.inSlowStart(w): // which are paced
-		c += d.failureLikelihood(w) / 10
+		c += w.outlier.Cost(d.now) / 10
 	}
 	return c
 }
 
-// doubt rates how likely a job finds no slot free at a worker. What the last of ours found
-// holds for long: of jobs sent where it had started at once 65 in 100 did in the next second
-// and 45 later on, 24 where none of ours had been, 12 where it had not.
-func (d *Dispatcher) failureLikelihood(w *worker) float64 {
-	switch {
-	case w.lastFaultAt > w.promptStartAt:
-		return unprovenCost
-	case w.promptStartAt == 0:
-		return 0.85 * unprovenCost
-	}
-	return 0.4 * unprovenCost * (1 - math.Exp(-float64(d.now-w.promptStartAt)/float64(2*second)))
-}
-
 // pressure guesses from the load report how likely a job waits: 0 to 1. An old
 // report tells little, since the jobs it counted have ended: it fades towards
 // what is usual in the fleet.
--- a/placement_large_test.go
+++ b/placement_large_test.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"testing"
+
+	"github.com/vatu-meals/foxlift/internal/decision/health"
 )
 
 // An unstarted job stays at its worker for as long as any start may take, whatever the number of
@@ -18,9 +20,9 @@
 				workers[i].StartedAt = cold
 			}
 			h := newHarness(t, cfg, workers...)
-			h.d.peakWorkerRate = 1
+			setPeakRate(h.d, 1)
 			for _, w := range h.d.workerOrder {
-				w.slowStartWork = 0 // its first job may come
+				w.clearSlowStartWork() // its first job may come
 			}
 			h.advance(h.d.tickInterval)
 			h.step(h.request(1, idempotent))
@@ -50,7 +52,7 @@
 		if got := h.d.minDelay[h.d.jobs[id].attempts[0].path]; got != 40*ms {
 			t.Errorf("the way takes %d", got)
 		}
-		if w := h.d.workers[sent.Worker]; w.promptStartAt == 0 || w.lastFaultAt != 0 || h.d.startWindow < 1 {
+		if w := h.d.workers[sent.Worker]; w.outlier.State().PromptStartAt == 0 || w.outlier.State().LastFaultAt != 0 || h.d.startWindow < 1 {
 			t.Error("the worker counts as full for its distance")
 		}
 		h.advance(ms, outcome(id, 0, sent.Worker, Served))
@@ -59,7 +61,7 @@
 	h.step(h.request(3, idempotent))
 	sent := h.wantActions(ActionSend, 1)[0]
 	h.advance(70*ms, started(3, 0, sent.Worker))
-	if w := h.d.workers[sent.Worker]; w.lastFaultAt != h.now {
+	if w := h.d.workers[sent.Worker]; w.outlier.State().LastFaultAt != h.now {
 		t.Error("a start 30 ms past its way counts as prompt")
 	}
 }
@@ -128,15 +130,17 @@
 func TestManyDispatchersPreferPromptWorkers(t *testing.T) {
 	h := newHarness(t, manyConfig(), testWorkers(4)...)
 	good, unmet, bad, old := h.d.workerOrder[0], h.d.workerOrder[1], h.d.workerOrder[2], h.d.workerOrder[3]
-	good.promptStartAt, bad.lastFaultAt, old.promptStartAt = h.now, h.now, h.now
+	good.setOutlier(func(s *health.OutlierState) { s.PromptStartAt = h.now })
+	bad.setOutlier(func(s *health.OutlierState) { s.LastFaultAt = h.now })
+	old.setOutlier(func(s *health.OutlierState) { s.PromptStartAt = h.now })
 	h.now += 20 * second
 	h.step()
-	good.promptStartAt = h.now
-	bad.promptStartAt = h.now - 30*second
+	good.setOutlier(func(s *health.OutlierState) { s.PromptStartAt = h.now })
+	bad.setOutlier(func(s *health.OutlierState) { s.PromptStartAt = h.now - 30*second })
 	order := []*worker{good, old, unmet, bad}
 	for i, w := range order[1:] {
-		if d := h.d.failureLikelihood(order[i]); d >= h.d.failureLikelihood(w) {
-			t.Errorf("%s is doubted by %.2f, %s by %.2f", order[i].id, d, w.id, h.d.failureLikelihood(w))
+		if d := order[i].outlier.Cost(h.d.now); d >= w.outlier.Cost(h.d.now) {
+			t.Errorf("%s is doubted by %.2f, %s by %.2f", order[i].id, d, w.id, w.outlier.Cost(h.d.now))
 		}
 	}
 	for id, w := range order {
--- a/placement_test.go
+++ b/placement_test.go
@@ -134,15 +134,15 @@
 		h.d.recordOutcome(a, &Event{Code: c, Took: second})
 	}
 	end(Saturated)
-	if h.d.servedSlots != 0 {
+	if servedSlots(h.d) != 0 {
 		t.Error("a rejection counts as served")
 	}
 	end(Served)
-	if h.d.servedSlots != 1 {
+	if servedSlots(h.d) != 1 {
 		t.Error("a served job does not count")
 	}
-	w.startedAt = h.now
-	if end(Served); h.d.servedSlots != 1 {
+	w.warmup.Restart(h.now)
+	if end(Served); servedSlots(h.d) != 1 {
 		t.Error("a job of a worker in slow start counts")
 	}
 }
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -20,7 +20,7 @@
 	for i := range cfg.Tenants {
 		setTenant(h.d, i, func(s *admission.TenantState) { s.Tokens, s.Rate = 1000, 100 })
 	}
-	h.d.peakWorkerRate = 0.2 // slots at work, here, of each worker: 2 jobs of 100 ms a second
+	setPeakRate(h.d, 0.2) // slots at work, here, of each worker: 2 jobs of 100 ms a second
 	h.step(endpointsEvent(EndpointsDelta, workers[1:]...))
 	sends := 0
 	for id := uint64(1); h.now < 15*second; id++ {
@@ -35,7 +35,7 @@
 			}
 			h.advance(0, full...)
 		}
-		h.d.peakWorkerRate = 0.2
+		setPeakRate(h.d, 0.2)
 	}
 	// Ten seconds at a ramp from 0.2 to 0.6 of 2 a second are 8 jobs.
 	if sends < 3 || sends > 14 {
@@ -46,14 +46,14 @@
 // Incident if1a1e4: the peak rate must not fall with the service, or workers in slow start get nothing.
 func TestPeakWorkerRateOutlastsIdleSeconds(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(2)...)
-	h.d.servedSlots = 200
+	h.d.slowStart.Rate().RecordServed(200, second)
 	h.d.runControlLoops()
-	peak := h.d.peakWorkerRate
+	peak := h.d.slowStart.Rate().Peak()
 	for range 5 {
 		h.d.runControlLoops()
 	}
-	if peak == 0 || h.d.peakWorkerRate < peak*0.9 {
-		t.Errorf("peak rate %v five idle seconds after %v", h.d.peakWorkerRate, peak)
+	if peak == 0 || h.d.slowStart.Rate().Peak() < peak*0.9 {
+		t.Errorf("peak rate %v five idle seconds after %v", h.d.slowStart.Rate().Peak(), peak)
 	}
 }
 
@@ -79,7 +79,7 @@
 		for i, h := range harnesses {
 			h.now = 6*second + now
 			if now == 0 {
-				h.d.peakWorkerRate = warm / float64(cfg.Dispatchers)
+				setPeakRate(h.d, warm/float64(cfg.Dispatchers))
 				h.step(endpointsEvent(EndpointsDelta, workers[:1]...))
 			}
 			if (now/(20*ms)+int64(i))%5 != 0 {
--- a/snapshot.go
+++ b/snapshot.go
@@ -7,6 +7,7 @@
 	"slices"
 
 	"github.com/vatu-meals/foxlift/internal/decision/admission"
+	"github.com/vatu-meals/foxlift/internal/decision/health"
 )
 
 // A Snapshot is what a Dispatcher has learned, without its jobs. Times are on its clock, in
@@ -93,7 +94,7 @@
 		Now: d.now, ControlPeriods: rate.Periods, AdmissionRate: rate.AdmissionRate, Unthrottled: rate.Unthrottled,
 		OfferedRate: rate.OfferedRate, TrafficFraction: d.quotas.TrafficFraction(), BurstTokens: d.quotas.BurstTokens(),
 		StartWindow: d.startWindow, HedgeBudget: d.hedgeBudget, FleetPressure: MeanSnapshot{Average: d.fleetPressure.avg, Deviation: d.fleetPressure.dev},
-		StartDelay: MeanSnapshot{Average: d.startDelay.avg, Deviation: d.startDelay.dev}, MinDelay: d.minDelay, PressureDecay: d.pressureDecay, PeakWorkerRate: d.peakWorkerRate, RecentWorkerRate: d.recentWorkerRate,
+		StartDelay: MeanSnapshot{Average: d.startDelay.avg, Deviation: d.startDelay.dev}, MinDelay: d.minDelay, PressureDecay: d.pressureDecay, PeakWorkerRate: d.slowStart.Rate().Peak(), RecentWorkerRate: d.slowStart.Rate().Recent(),
 		Keys: d.recentKeys.Keys(),
 	}
 	for i := range d.classes {
@@ -120,7 +121,7 @@
 	d.quotas.Restore(s.TrafficFraction, s.BurstTokens)
 	d.startWindow, d.hedgeBudget, d.minDelay, d.pressureDecay = s.StartWindow, s.HedgeBudget, s.MinDelay, max(s.PressureDecay, 1)
 	d.fleetPressure, d.startDelay = movingMean{s.FleetPressure.Average, s.FleetPressure.Deviation}, movingMean{s.StartDelay.Average, s.StartDelay.Deviation}
-	d.peakWorkerRate, d.recentWorkerRate = s.PeakWorkerRate, s.RecentWorkerRate
+	d.slowStart.Rate().Restore(s.PeakWorkerRate, s.RecentWorkerRate)
 	d.recentKeys.Restore(s.Keys)
 	for i := range s.Classes {
 		for k := range d.classes {
@@ -137,7 +138,7 @@
 		}
 	}
 	for i := range s.Workers {
-		if w := d.workers[s.Workers[i].ID]; w != nil && w.startedAt == s.Workers[i].StartedAt {
+		if w := d.workers[s.Workers[i].ID]; w != nil && w.warmup.StartedAt() == s.Workers[i].StartedAt {
 			w.restore(&s.Workers[i])
 			d.recountLimit(w)
 			d.updateLevel(w)
@@ -188,16 +189,26 @@
 }
 
 func (w *worker) snapshot() WorkerSnapshot {
+	outlier := w.outlier.State()
+	sentAt, work := w.warmup.LastSend()
 	return WorkerSnapshot{
-		ID: w.id, StartedAt: w.startedAt, ConcurrencyLimit: w.concurrencyLimit, LimitLearned: w.limitLearned, ReportedSlots: w.reportedSlots, EjectedUntil: w.ejectedUntil, Backoff: w.backoff,
-		Trial: w.trial, ConsecutiveRejections: w.consecutiveRejections, PromptStartAt: w.promptStartAt, LastFaultAt: w.lastFaultAt, FailureRate: w.failureRate, LatencyRatio: w.latencyRatio,
-		SlowStartSentAt: w.slowStartSentAt, SlowStartWork: w.slowStartWork, Keys: slices.Clone(w.cachedKeys.Keys()),
+		ID: w.id, StartedAt: w.warmup.StartedAt(), ConcurrencyLimit: w.concurrencyLimit, LimitLearned: w.limitLearned,
+		ReportedSlots: w.reportedSlots, EjectedUntil: outlier.EjectedUntil, Backoff: outlier.Backoff,
+		Trial: outlier.Trial, ConsecutiveRejections: outlier.ConsecutiveRejections,
+		PromptStartAt: outlier.PromptStartAt, LastFaultAt: outlier.LastFaultAt, FailureRate: outlier.FailureRate,
+		LatencyRatio: w.latencyRatio, SlowStartSentAt: sentAt, SlowStartWork: work,
+		Keys: slices.Clone(w.cachedKeys.Keys()),
 	}
 }
 
 func (w *worker) restore(s *WorkerSnapshot) {
-	w.concurrencyLimit, w.limitLearned, w.reportedSlots, w.ejectedUntil, w.backoff = s.ConcurrencyLimit, s.LimitLearned, s.ReportedSlots, s.EjectedUntil, s.Backoff
-	w.trial, w.consecutiveRejections, w.promptStartAt, w.lastFaultAt, w.failureRate, w.latencyRatio = s.Trial, s.ConsecutiveRejections, s.PromptStartAt, s.LastFaultAt, s.FailureRate, s.LatencyRatio
-	w.slowStartSentAt, w.slowStartWork = s.SlowStartSentAt, s.SlowStartWork
+	w.concurrencyLimit, w.limitLearned, w.reportedSlots = s.ConcurrencyLimit, s.LimitLearned, s.ReportedSlots
+	w.outlier.Restore(health.OutlierState{
+		EjectedUntil: s.EjectedUntil, Backoff: s.Backoff, Trial: s.Trial,
+		ConsecutiveRejections: s.ConsecutiveRejections,
+		PromptStartAt:         s.PromptStartAt, LastFaultAt: s.LastFaultAt, FailureRate: s.FailureRate,
+	})
+	w.latencyRatio = s.LatencyRatio
+	w.warmup.RestoreLastSend(s.SlowStartSentAt, s.SlowStartWork)
 	w.cachedKeys.Restore(s.Keys)
 }
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -78,7 +78,7 @@
 	to.d.Restore(snapshot)
 	after := *to.d.workers["w1"]
 	if after.concurrencyLimit != before.concurrencyLimit || after.latencyRatio != before.latencyRatio ||
-		after.ejectedUntil != before.ejectedUntil {
+		after.outlier.State().EjectedUntil != before.outlier.State().EjectedUntil {
 		t.Errorf("another run of a worker: %+v, want %+v", after, before)
 	}
 	if to.d.workers["w0"].concurrencyLimit != snapshot.Workers[0].ConcurrencyLimit {
--- a/state.go
+++ b/state.go
@@ -9,6 +9,7 @@
 
 	"github.com/vatu-meals/foxlift/internal/decision/admission"
 	"github.com/vatu-meals/foxlift/internal/decision/affinity"
+	"github.com/vatu-meals/foxlift/internal/decision/health"
 	"github.com/vatu-meals/foxlift/internal/decision/membership"
 	"github.com/vatu-meals/foxlift/internal/slowstart"
 )
@@ -58,15 +59,11 @@
 	pressureDecay    int64      // time in which a load report loses its meaning
 	startDelay       movingMean // delay from sending to the start
 	minDelay         [4]int64   // the least delay, by attempt.path
-	peakWorkerRate   float64    // slots that each warm worker has at work for us
-	recentWorkerRate float64    // the same, lately
-	servedSlots      float64
+	slowStart        health.SlowStart
 	poll             membership.PollSchedule
 	lease            membership.Lease
-	acceptingWorkers []*worker       // that have accepted a job lately
-	slowStartSlots   slowstart.Slots // at young workers, where no rate is known
-	minObjective     float64         // the least aim: what a light job stands for there
-	endpointEvents   int64           // number of list events
+	acceptingWorkers []*worker // that have accepted a job lately
+	endpointEvents   int64     // number of list events
 }
 
 // A job is a request that is held, in flight, or ended with attempts still out.
@@ -144,8 +141,13 @@
 	d.freeWorkers, d.affinity = make([][][]*worker, kinds+1), affinity.NewIndexes[*worker](kinds)
 	d.fleetScale = max(1, float64(cfg.Dispatchers)/smallFleetMax)
 	bears := cfg.OverloadMultiple * cfg.SlowStartCapacity * d.meanLimit() // slots, of a worker that has just started
-	d.minObjective = float64(aim)
-	d.slowStartSlots = slowstart.NewSlots(cfg.OverloadWindow, cfg.Dispatchers, cfg.Index, bears*float64(cfg.OverloadWindow)/d.minObjective)
+	minObjective := float64(aim)
+	slots := slowstart.NewSlots(cfg.OverloadWindow, cfg.Dispatchers, cfg.Index,
+		bears*float64(cfg.OverloadWindow)/minObjective)
+	d.slowStart = health.NewSlowStart(health.SlowStartConfig{
+		Capacity: cfg.SlowStartCapacity, Duration: cfg.SlowStartDuration, OverloadMultiple: cfg.OverloadMultiple,
+		MinObjective: minObjective, Slots: slots,
+	}, health.NewWorkerRate(d.fleetScale))
 	d.initTenants()
 	return d, nil
 }
--- a/state_helpers_test.go
+++ b/state_helpers_test.go
@@ -1,6 +1,9 @@
 package foxlift
 
-import "github.com/vatu-meals/foxlift/internal/decision/admission"
+import (
+	"github.com/vatu-meals/foxlift/internal/decision/admission"
+	"github.com/vatu-meals/foxlift/internal/decision/health"
+)
 
 // How tests set what a dispatcher has learned.
 
@@ -27,3 +30,27 @@
 func (c *class) setRuntimes(median, lowerQuartile int64) {
 	c.runtimes.Restore(median, lowerQuartile, c.runtimes.Recent())
 }
+
+func (w *worker) setOutlier(change func(*health.OutlierState)) {
+	s := w.outlier.State()
+	change(&s)
+	w.outlier.Restore(s)
+}
+
+func setPeakRate(d *Dispatcher, peak float64) {
+	d.slowStart.Rate().Restore(peak, d.slowStart.Rate().Recent())
+}
+
+// servedSlots is what the rate of warm workers takes into account of this second.
+func servedSlots(d *Dispatcher) float64 {
+	rate := *d.slowStart.Rate()
+	rate.Restore(0, 0)
+	rate.Update(1, 1)
+	return rate.Recent()
+}
+
+// clearSlowStartWork lets a worker's next job come at once.
+func (w *worker) clearSlowStartWork() {
+	at, _ := w.warmup.LastSend()
+	w.warmup.RestoreLastSend(at, 0)
+}
--- a/workers.go
+++ b/workers.go
@@ -7,6 +7,7 @@
 
 	"github.com/vatu-meals/foxlift/internal/decision/affinity"
 	"github.com/vatu-meals/foxlift/internal/decision/gossip"
+	"github.com/vatu-meals/foxlift/internal/decision/health"
 )
 
 // A worker is what this dispatcher knows of one.
@@ -18,40 +19,32 @@
 	lastSeenEvent    int64 // number of the last list event that named it
 	lost             bool  // went without a drain, and is not back and warm
 	removedAt        int64 // when the list last named it otherwise than gone
-	startedAt        int64 // when it started; 0: long ago
 	hash             uint64
 
-	usedSlots             float64      // slots of our jobs there, and of the host's others
-	externalSlots         float64      // of these, what others sent
-	peerUsage             gossip.Usage // and what peers say that their jobs hold there
-	usedMemory            float64      // that all these jobs need
-	reportedSlots         float64      // slots that it has, as its load reports tell; 0: unknown
-	dirty                 bool         // peers have not been told of the last change
-	inFlightJobs          int
-	concurrencyLimit      float64 // most of our slots that it takes without delay
-	limitLearned          bool    // cap was learned from its own answers
-	level, position       int     // place in Dispatcher.room; level -1: gets nothing now
-	overdue               int     // jobs that it should have started
-	ejectedUntil          int64   // gets nothing before this
-	backoff               int64
-	acceptedAt            int64   // when the last attempt that it accepted was sent
-	accepting             bool    // it is in Dispatcher.accepting
-	consecutiveRejections int     // refusals in a row
-	trial                 bool    // one job only, until it answers
-	promptStartAt         int64   // when it last started one of our jobs at once,
-	lastFaultAt           int64   // and when it last had no room for one, or failed it
-	failureRate           float64 // share of late attempts that failed
-	slowStartSentAt       int64   // a young worker's last send,
-	slowStartWork         float64 // and the work that it must have had time for before the next
-	latencyRatio          float64 // its running times over the class medians
-	load                  [MaxGauges]float64
-	hasLoad               bool
-	slotsSinceReport      float64 // slots sent since the load report
-	reportedAt            int64
-	connections           int                   // connections thought open
-	connectionUsedAt      int64                 // last use of a connection
-	cachedKeys            affinity.CachedKeys   // of our last jobs there
-	affinity              affinity.Registration // in Dispatcher.affinity
+	usedSlots        float64      // slots of our jobs there, and of the host's others
+	externalSlots    float64      // of these, what others sent
+	peerUsage        gossip.Usage // and what peers say that their jobs hold there
+	usedMemory       float64      // that all these jobs need
+	reportedSlots    float64      // slots that it has, as its load reports tell; 0: unknown
+	dirty            bool         // peers have not been told of the last change
+	inFlightJobs     int
+	concurrencyLimit float64 // most of our slots that it takes without delay
+	limitLearned     bool    // cap was learned from its own answers
+	level, position  int     // place in Dispatcher.room; level -1: gets nothing now
+	overdue          int     // jobs that it should have started
+	outlier          health.Outlier
+	warmup           health.Warmup
+	acceptedAt       int64   // when the last attempt that it accepted was sent
+	accepting        bool    // it is in Dispatcher.accepting
+	latencyRatio     float64 // its running times over the class medians
+	load             [MaxGauges]float64
+	hasLoad          bool
+	slotsSinceReport float64 // slots sent since the load report
+	reportedAt       int64
+	connections      int                   // connections thought open
+	connectionUsedAt int64                 // last use of a connection
+	cachedKeys       affinity.CachedKeys   // of our last jobs there
+	affinity         affinity.Registration // in Dispatcher.affinity
 
 	indexEntry // where it stands in Dispatcher.fleetIndex
 }
@@ -124,28 +117,6 @@
 	return nil
 }
 
-// slowStartSent is the work that a young worker has been sent in this window, where no rate is known.
-func (d *Dispatcher) slowStartSent(w *worker) float64 {
-	if !d.needsSlowStartSlot(w) || d.slowStartSlots.At(w.slowStartSentAt) != d.slowStartSlots.At(d.now) {
-		return 0
-	}
-	return w.slowStartWork
-}
-
-// slowStartSize is what a job counts for at such a worker. By its aim: running times are long where
-// it is cold. Aims tell little of how much heavier one is than another, so the rest counts twice.
-func (d *Dispatcher) slowStartSize(j *job) float64 {
-	return 2*j.req.Slots*float64(j.class.LatencyObjective) - d.minObjective
-}
-
-// slowStartAfter is what a young worker has been sent with this attempt, until it has had time for it.
-func (d *Dispatcher) slowStartAfter(w *worker, a *attempt) float64 {
-	if !d.needsSlowStartSlot(w) {
-		return a.slots * float64(a.job.class.runtimes.Median()) * (0.75 + d.rng.Float64()/2)
-	}
-	return d.slowStartSent(w) + d.slowStartSize(a.job)
-}
-
 // setState notes what the list says of a worker.
 func (w *worker) setState(s WorkerState, now int64) {
 	w.lost = w.lost || w.state == Live && s == Removed
@@ -200,7 +171,7 @@
 func (d *Dispatcher) Ejected() int {
 	n := 0
 	for _, w := range d.workerOrder {
-		if w.state == Live && (w.trial || w.overdue > 0) {
+		if w.state == Live && (w.outlier.OnTrial() || w.overdue > 0) {
 			n++
 		}
 	}
