--- a/cmd/foxlift/check.go
+++ b/cmd/foxlift/check.go
@@ -23,7 +23,7 @@
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			configuration, err := daemon.ReadConfiguration(o)
-			if faults := config.Faults(nil); errors.As(err, &faults) {
+			if faults := config.OperatorErrors(nil); errors.As(err, &faults) {
 				fmt.Fprintln(cmd.ErrOrStderr(), faults)
 				return fmt.Errorf("faults: %d", len(faults))
 			}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -94,7 +94,7 @@
 }
 
 // Whatever is wrong, the error is one line that names the key.
-func TestFaultsNameTheKey(t *testing.T) {
+func TestErrorsNameTheKey(t *testing.T) {
 	if _, err := Load(func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), "LB_CONFIG") {
 		t.Errorf("without LB_CONFIG: %v", err)
 	}
--- a/internal/config/faults_golden_test.go
+++ b/internal/config/faults_golden_test.go
@@ -82,7 +82,7 @@
 	golden.Check(t, "settings-faults.txt", []byte(b.String()))
 }
 
-// faultyOperators are operator's files whose messages TestOperatorFaults does not have.
+// faultyOperators are operator's files whose messages TestOperatorErrors does not have.
 var faultyOperators = []string{
 	`(foxlift (control))`,
 	`(foxlift (control (socket "/` + strings.Repeat("s", maxSocketPath) + `")))`,
@@ -101,7 +101,7 @@
 	var b strings.Builder
 	for _, text := range faultyOperators {
 		_, err := ParseOperator("f", []byte(text), exampleSettings(t))
-		faults := Faults(nil)
+		faults := OperatorErrors(nil)
 		if !errors.As(err, &faults) {
 			t.Fatalf("%.100s: %v", text, err)
 		}
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -32,15 +32,15 @@
 // what is read reads the same when printed; a plan that is taken is sound.
 func checkOperator(t testing.TB, data []byte) {
 	r := &reader{file: "f"}
-	if values := r.parse(data); len(r.faults) == 0 {
+	if values := r.parse(data); len(r.errors) == 0 {
 		text := printSexps(values)
 		again := &reader{file: "f"}
-		if twice := printSexps(again.parse([]byte(text))); len(again.faults) > 0 || twice != text {
-			t.Fatalf("%q is printed %q, then %q, %v", data, text, twice, again.faults)
+		if twice := printSexps(again.parse([]byte(text))); len(again.errors) > 0 || twice != text {
+			t.Fatalf("%q is printed %q, then %q, %v", data, text, twice, again.errors)
 		}
 	}
 	op, err := ParseOperator("f", data, fuzzSettings)
-	if faults := (Faults)(nil); err != nil && (!errors.As(err, &faults) || len(faults) == 0) {
+	if faults := (OperatorErrors)(nil); err != nil && (!errors.As(err, &faults) || len(faults) == 0) {
 		t.Fatalf("%q: %v", data, err)
 	} else if err != nil {
 		for i, f := range faults {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -27,7 +27,7 @@
 	r := &reader{file: name}
 	op := &Operator{}
 	r.topLevel(text, op, func(f form) { op.Cells = r.cells(f, s) })
-	if len(r.faults) > 0 {
+	if len(r.errors) > 0 {
 		return nil, r.sorted()
 	}
 	return op, nil
@@ -38,7 +38,7 @@
 	r.forms("", r.parse(text), map[string]rule{"foxlift": {read: func(f form) {
 		r.forms("", f.args, map[string]rule{
 			"control": {read: func(f form) { r.control(f, op) }},
-			"list":    {read: func(f form) { r.endpointList(f, op) }},
+			"list":    {read: func(f form) { r.endpointCheckpoint(f, op) }},
 			"cells":   {read: cells},
 		})
 	}}})
@@ -49,11 +49,11 @@
 func ControlSocket(path string) (string, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return "", Faults{{File: path, Text: err.Error()}}
+		return "", OperatorErrors{{File: path, Text: err.Error()}}
 	}
 	r, op := &reader{file: path}, &Operator{}
 	r.topLevel(text, op, func(form) {})
-	if len(r.faults) > 0 {
+	if len(r.errors) > 0 {
 		return "", r.sorted()
 	}
 	return op.ControlSocket, nil
@@ -64,7 +64,7 @@
 	v = r.singleValue(f)
 	path = r.text(f, v)
 	if path != "" && !filepath.IsAbs(path) {
-		r.fault(v, f.key, "%q is not an absolute path", path)
+		r.fail(v, f.key, "%q is not an absolute path", path)
 		return v, ""
 	}
 	return v, path
@@ -74,27 +74,27 @@
 	r.forms(f.key, f.args, map[string]rule{"socket": {read: func(f form) {
 		v, path := r.absolutePath(f)
 		if len(path) > maxSocketPath {
-			r.fault(v, f.key, "a socket's path holds %d bytes at most", maxSocketPath)
+			r.fail(v, f.key, "a socket's path holds %d bytes at most", maxSocketPath)
 			return
 		}
 		op.ControlSocket = path
 	}}})
 	if len(f.args) == 0 {
-		r.fault(f.at, f.key, "socket is missing")
+		r.fail(f.at, f.key, "socket is missing")
 	}
 }
 
-func (r *reader) endpointList(f form, op *Operator) {
+func (r *reader) endpointCheckpoint(f form, op *Operator) {
 	r.forms(f.key, f.args, map[string]rule{"checkpoint": {read: func(f form) {
 		_, op.EndpointCheckpoint = r.absolutePath(f)
 	}}})
 	if len(f.args) == 0 {
-		r.fault(f.at, f.key, "checkpoint is missing")
+		r.fail(f.at, f.key, "checkpoint is missing")
 	}
 }
 
 func (r *reader) cells(f form, s *Settings) *cells.Plan {
-	before := len(r.faults)
+	before := len(r.errors)
 	spec := &cells.Spec{Weights: map[string]float64{}}
 	r.subjects = map[string]form{"cells": f}
 	r.forms(f.key, f.args, map[string]rule{
@@ -125,7 +125,7 @@
 				"by":    {read: func(f form) { r.keyword(f, r.singleValue(f), "key"); by = true }},
 			})
 			if len(split.Cells) < 2 || !by {
-				r.fault(f.at, f.key+" "+name, "it needs two cells or more, and (by key)")
+				r.fail(f.at, f.key+" "+name, "it needs two cells or more, and (by key)")
 			}
 			spec.Splits = append(spec.Splits, split)
 		}},
@@ -135,12 +135,12 @@
 		sum += c.CapacityFraction
 	}
 	if sum > 1.0001 {
-		r.fault(f.at, f.key, "the shares add up to %.3g, more than 1", sum)
+		r.fail(f.at, f.key, "the shares add up to %.3g, more than 1", sum)
 	}
 	if len(spec.Cells) > maxCells {
-		r.fault(f.at, f.key, "%d cells, %d at most", len(spec.Cells), maxCells)
+		r.fail(f.at, f.key, "%d cells, %d at most", len(spec.Cells), maxCells)
 	}
-	if len(spec.Cells) == 0 && len(r.faults) > before {
+	if len(spec.Cells) == 0 && len(r.errors) > before {
 		return nil // that there is none may come of the faults
 	}
 	plan, faults := s.PlanCells(spec)
@@ -149,7 +149,7 @@
 		if !ok {
 			at = f
 		}
-		r.fault(at.at, at.key, "%s", fault.Text)
+		r.fail(at.at, at.key, "%s", fault.Text)
 	}
 	return plan
 }
@@ -171,17 +171,17 @@
 // whenUnable reads (when-unable refuse) or (when-unable spill CELL PART).
 func (r *reader) whenUnable(f form, c *cells.Cell) {
 	if len(f.args) == 0 {
-		r.fault(f.at, f.key, "it needs refuse, or spill with a cell and a part")
+		r.fail(f.at, f.key, "it needs refuse, or spill with a cell and a part")
 		return
 	}
 	switch r.keyword(f, f.args[0], "refuse", "spill") {
 	case "refuse":
 		if len(f.args) > 1 {
-			r.fault(f.args[1], f.key, "refuse stands alone")
+			r.fail(f.args[1], f.key, "refuse stands alone")
 		}
 	case "spill":
 		if len(f.args) != 3 {
-			r.fault(f.at, f.key, "spill needs a cell and the part of its jobs that it may take")
+			r.fail(f.at, f.key, "spill needs a cell and the part of its jobs that it may take")
 			return
 		}
 		r.subjects["spill "+c.Name] = form{f.args[1], f.key, nil}
@@ -198,7 +198,7 @@
 // named takes the name that follows a form's key.
 func (r *reader) namedForm(f form) (name string, rest []*sexp) {
 	if len(f.args) == 0 || f.args[0].Form != nil {
-		r.fault(f.at, f.key, "its name is missing")
+		r.fail(f.at, f.key, "its name is missing")
 		return "", f.args
 	}
 	return r.text(f, f.args[0]), f.args[1:]
@@ -207,7 +207,7 @@
 // names reads all values of a form as names, each the subject of its faults.
 func (r *reader) names(f form, subject string) (names []string) {
 	if len(f.args) == 0 {
-		r.fault(f.at, f.key, "no names")
+		r.fail(f.at, f.key, "no names")
 	}
 	for _, v := range f.args {
 		name := r.text(f, v)
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -46,7 +46,7 @@
 }
 
 // Faults name file, line, column and key, and come all at once in the file's order.
-func TestOperatorFaults(t *testing.T) {
+func TestOperatorErrors(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
 		"many at once": {`(foxlift
   (control (socket relative) (port 9))
@@ -86,7 +86,7 @@
 		"too long":         {strings.Repeat(";", maxOperatorFile+1), `f: over 1048576 bytes`},
 	} {
 		_, err := ParseOperator("f", []byte(c.text), exampleSettings(t))
-		if faults := (Faults)(nil); !errors.As(err, &faults) || err.Error() != c.want {
+		if faults := (OperatorErrors)(nil); !errors.As(err, &faults) || err.Error() != c.want {
 			t.Errorf("%s:\n%v\nwant\n%s", name, err, c.want)
 		}
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -31,13 +31,13 @@
 // settingsFile is the settings as they stand in JSON. Times are nanoseconds.
 // Unknown keys are ignored.
 type settingsFile struct {
-	Balancers int      `json:"balancers"`
-	SlotNo    int      `json:"slotNo"`
-	Zone      string   `json:"zone"`
-	Zones     []string `json:"dcs"`
-	Kinds     []string `json:"flavors"`
-	Discovery string   `json:"discovery"`
-	Classes   []struct {
+	Dispatchers int      `json:"balancers"`
+	Index       int      `json:"slotNo"`
+	Zone        string   `json:"zone"`
+	Zones       []string `json:"dcs"`
+	Kinds       []string `json:"flavors"`
+	Discovery   string   `json:"discovery"`
+	Classes     []struct {
 		Name     string  `json:"name"`
 		Aim      int64   `json:"aim"`
 		Stretch  float64 `json:"aimStretch"`
@@ -66,7 +66,7 @@
 		ConnectTimeout int64 `json:"connectTimeout"`
 		StreamsPerConn int   `json:"streamsPerConn"`
 	} `json:"bounds"`
-	Rules struct {
+	Obligations struct {
 		AnswerGrace   int64   `json:"graceToAnswer"`
 		MustAskIn     int64   `json:"mustAskIn"`
 		DrainGrace    int64   `json:"drainGrace"`
@@ -83,7 +83,7 @@
 	Report struct {
 		Names []string `json:"names"`
 	} `json:"report"`
-	Info struct {
+	FamilyInfo struct {
 		ClassKind     []int     `json:"classKind"`
 		ClassPriority []int     `json:"classPriority"`
 		ClassStretch  []float64 `json:"classStretch"`
@@ -118,16 +118,16 @@
 // ParseSettings turns the settings' JSON into Settings. It serves the real
 // scheduler and the simulator's adapter alike. Its errors name the faulty key.
 func ParseSettings(raw []byte) (*Settings, error) {
-	f := settingsFile{Balancers: 1}
+	f := settingsFile{Dispatchers: 1}
 	if err := json.Unmarshal(raw, &f); err != nil {
 		return nil, keyError(err)
 	}
-	if f.Balancers < 1 {
+	if f.Dispatchers < 1 {
 		return nil, errors.New("balancers: under 1")
 	}
 	shares := 0.0
 	for i, p := range f.Tenants {
-		if shares += p.Share; p.Share < 0 || shares > 1+shareTolerance {
+		if shares += p.Share; p.Share < 0 || shares > 1+roundingTolerance {
 			return nil, fmt.Errorf("projects[%d].share: negative, or over 1 with those before it", i)
 		}
 	}
@@ -135,14 +135,14 @@
 		Module:  f.module(),
 		Classes: map[string]int{}, Tenants: map[string]int{},
 		Zones: indexNames(f.Zones), Kinds: indexNames(f.Kinds),
-		GaugeNames: f.Report.Names, ConnectTimeout: f.Bounds.ConnectTimeout, DrainGrace: f.Rules.DrainGrace, MaxOpen: f.Bounds.MaxOpen, Progress: f.Info.Progress,
+		GaugeNames: f.Report.Names, ConnectTimeout: f.Bounds.ConnectTimeout, DrainGrace: f.Obligations.DrainGrace, MaxOpen: f.Bounds.MaxOpen, Progress: f.FamilyInfo.Progress,
 		Discovery: f.Discovery, Zone: f.Zone,
 	}
 	c := &s.Module
 	if z, ok := s.Zones[f.Zone]; ok {
 		c.Zone = z
 	}
-	if strings.Contains(f.Info.MemoryUnit, "one unit for each slot") {
+	if strings.Contains(f.FamilyInfo.MemoryUnit, "one unit for each slot") {
 		c.SlotMemory = 1
 	}
 	if err := s.addClasses(&f); err != nil {
@@ -153,18 +153,18 @@
 		c.Tenants = append(c.Tenants, foxlift.Tenant{Name: p.Name, Quota: p.Quota})
 	}
 	for _, name := range f.Report.Names {
-		c.Gauges = append(c.Gauges, gauge(name, f.Info.ReportX0, f.Info.ReportX1))
+		c.Gauges = append(c.Gauges, gauge(name, f.FamilyInfo.ReportX0, f.FamilyInfo.ReportX1))
 	}
 	return s, nil
 }
 
 // module returns the module's configuration, without what has names.
 func (f *settingsFile) module() foxlift.Config {
-	b, r := &f.Bounds, &f.Rules
+	b, r := &f.Bounds, &f.Obligations
 	return foxlift.Config{
 		Zone:              -1,
-		Dispatchers:       f.Balancers,
-		Index:             f.SlotNo,
+		Dispatchers:       f.Dispatchers,
+		Index:             f.Index,
 		PollEndpoints:     f.Discovery == "subscribe",
 		MaxPollInterval:   r.MustAskIn,
 		MayCancel:         b.Cancel,
@@ -176,7 +176,7 @@
 		MaxAttempts:       b.MaxAttempts,
 		ConnIdle:          b.ConnIdle,
 		JobsPerConn:       b.StreamsPerConn,
-		StartNotes:        f.Info.TellsStart,
+		StartNotes:        f.FamilyInfo.TellsStart,
 		AnswerGrace:       r.AnswerGrace,
 		SlowStartCapacity: r.StartCapacity,
 		SlowStartDuration: r.WarmAfter,
@@ -202,9 +202,9 @@
 		}
 		s.Classes[g.Name] = i
 		c.Classes = append(c.Classes, foxlift.Class{
-			Name: g.Name, LatencyObjective: g.Aim, ObjectiveStretch: g.Stretch + valueAt(f.Info.ClassStretch, i, 0), Deadline: g.Deadline,
+			Name: g.Name, LatencyObjective: g.Aim, ObjectiveStretch: g.Stretch + valueAt(f.FamilyInfo.ClassStretch, i, 0), Deadline: g.Deadline,
 			Effect: effect, Scope: scope, KeyTTL: g.KeyTTL, PriorityWeight: g.Worth, Stream: g.Stream,
-			Kind: valueAt(f.Info.ClassKind, i, -1), Priority: valueAt(f.Info.ClassPriority, i, 0),
+			Kind: valueAt(f.FamilyInfo.ClassKind, i, -1), Priority: valueAt(f.FamilyInfo.ClassPriority, i, 0),
 		})
 	}
 	return nil
@@ -243,7 +243,7 @@
 	return t
 }
 
-const shareTolerance = 0.01 // of the sum of tenants' shares, as they are rounded
+const roundingTolerance = 0.01 // of the sum of tenants' shares, as they are rounded
 
 // Pushed reports whether lists are pushed: to an agent beside the scheduler, of whom each has
 // one of its own. What the agent has counts as told from the scheduler's first moment.
--- a/internal/config/sexp.go
+++ b/internal/config/sexp.go
@@ -31,10 +31,10 @@
 	Pos  lexer.Position
 	Atom *string   `parser:"  @Word"`
 	Text *string   `parser:"| @String"`
-	Form *sexpList `parser:"| @@"`
+	Form *sexpForm `parser:"| @@"`
 }
 
-type sexpList struct {
+type sexpForm struct {
 	Open   string  `parser:"@'('"`
 	Values []*sexp `parser:"@@* ')'"`
 }
@@ -49,14 +49,14 @@
 )
 
 // A Fault is one thing wrong with the operator's file.
-type Fault struct {
+type OperatorError struct {
 	File         string
 	Line, Column int // 0: the file as a whole
 	Key          string
 	Text         string
 }
 
-func (f Fault) Error() string {
+func (f OperatorError) Error() string {
 	at := f.File
 	if f.Line > 0 {
 		at = fmt.Sprintf("%s:%d:%d", f.File, f.Line, f.Column)
@@ -68,9 +68,9 @@
 }
 
 // Faults are all that is wrong, in the file's order.
-type Faults []Fault
+type OperatorErrors []OperatorError
 
-func (f Faults) Error() string {
+func (f OperatorErrors) Error() string {
 	lines := make([]string, len(f))
 	for i := range f {
 		lines[i] = f[i].Error()
@@ -81,30 +81,30 @@
 // A reader walks the forms of a file and gathers faults.
 type reader struct {
 	file     string
-	faults   Faults
+	errors   OperatorErrors
 	subjects map[string]form // where what a cells.SpecError names stands
 }
 
-func (r *reader) fault(at *sexp, key, format string, args ...any) {
-	f := Fault{File: r.file, Key: key, Text: fmt.Sprintf(format, args...)}
+func (r *reader) fail(at *sexp, key, format string, args ...any) {
+	f := OperatorError{File: r.file, Key: key, Text: fmt.Sprintf(format, args...)}
 	if at != nil {
 		f.Line, f.Column = at.Pos.Line, at.Pos.Column
 	}
-	r.faults = append(r.faults, f)
+	r.errors = append(r.errors, f)
 }
 
 // sorted returns the faults in the file's order.
-func (r *reader) sorted() Faults {
-	slices.SortStableFunc(r.faults, func(a, b Fault) int {
+func (r *reader) sorted() OperatorErrors {
+	slices.SortStableFunc(r.errors, func(a, b OperatorError) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
 	})
-	return r.faults
+	return r.errors
 }
 
 // parse reads a text into forms.
 func (r *reader) parse(text []byte) []*sexp {
 	if len(text) > maxOperatorFile {
-		r.fault(nil, "", "over %d bytes", maxOperatorFile)
+		r.fail(nil, "", "over %d bytes", maxOperatorFile)
 		return nil
 	}
 	// The parser recurses: depth is bounded before it begins.
@@ -127,17 +127,17 @@
 			depth--
 		}
 		if depth > maxDepth {
-			r.fault(nil, "", "lists more than %d deep", maxDepth)
+			r.fail(nil, "", "lists more than %d deep", maxDepth)
 			return nil
 		}
 	}
 	f, err := sexpParser.ParseBytes(r.file, text)
 	if err != nil {
-		fault := Fault{File: r.file, Text: err.Error()}
+		fault := OperatorError{File: r.file, Text: err.Error()}
 		if p, ok := err.(participle.Error); ok {
 			fault.Line, fault.Column, fault.Text = p.Position().Line, p.Position().Column, strings.TrimPrefix(p.Message(), "lexer: ")
 		}
-		r.faults = append(r.faults, fault)
+		r.errors = append(r.errors, fault)
 		return nil
 	}
 	return f.Values
@@ -161,7 +161,7 @@
 	seen := map[string]bool{}
 	for _, v := range values {
 		if v.Form == nil || len(v.Form.Values) == 0 || v.Form.Values[0].Atom == nil {
-			r.fault(v, within, "%s stands where a list that begins with a key should", v)
+			r.fail(v, within, "%s stands where a list that begins with a key should", v)
 			continue
 		}
 		name := *v.Form.Values[0].Atom
@@ -170,9 +170,9 @@
 		rule, ok := rules[name]
 		switch {
 		case !ok:
-			r.fault(at, key, "unknown key; known here: %s", strings.Join(sortedKeys(rules), ", "))
+			r.fail(at, key, "unknown key; known here: %s", strings.Join(sortedKeys(rules), ", "))
 		case seen[name] && !rule.many:
-			r.fault(at, key, "it is there twice")
+			r.fail(at, key, "it is there twice")
 		default:
 			seen[name] = true
 			rule.read(form{at, key, v.Form.Values[1:]})
@@ -202,7 +202,7 @@
 // one returns the only value of a form.
 func (r *reader) singleValue(f form) *sexp {
 	if len(f.args) != 1 {
-		r.fault(f.at, f.key, "%d values, want one", len(f.args))
+		r.fail(f.at, f.key, "%d values, want one", len(f.args))
 		return nil
 	}
 	return f.args[0]
@@ -217,7 +217,7 @@
 	case v.Text != nil && *v.Text != "":
 		return *v.Text
 	default:
-		r.fault(v, f.key, "%s is no name", v)
+		r.fail(v, f.key, "%s is no name", v)
 	}
 	return ""
 }
@@ -230,7 +230,7 @@
 	if v.Atom != nil && slices.Contains(known, *v.Atom) {
 		return *v.Atom
 	}
-	r.fault(v, f.key, "%s is not one of: %s", v, strings.Join(known, ", "))
+	r.fail(v, f.key, "%s is not one of: %s", v, strings.Join(known, ", "))
 	return ""
 }
 
@@ -245,7 +245,7 @@
 			return n
 		}
 	}
-	r.fault(v, f.key, "%s is not a number from %g to %g", v, least, most)
+	r.fail(v, f.key, "%s is not a number from %g to %g", v, least, most)
 	return 0
 }
 
@@ -259,6 +259,6 @@
 			return n
 		}
 	}
-	r.fault(v, f.key, "%s is not a whole number from %d to %d", v, least, most)
+	r.fail(v, f.key, "%s is not a whole number from %d to %d", v, least, most)
 	return 0
 }
--- a/internal/daemon/configuration.go
+++ b/internal/daemon/configuration.go
@@ -45,7 +45,7 @@
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return operatorFile{}, config.Faults{{File: path, Text: err.Error()}}
+		return operatorFile{}, config.OperatorErrors{{File: path, Text: err.Error()}}
 	}
 	operator, err := config.ParseOperator(path, text, settings)
 	return operatorFile{operator, text}, err
