--- a/internal/standin/dedup_group.go
+++ b/internal/standin/dedup_group.go
@@ -1,7 +1,6 @@
 package standin
 
 import (
-	"fmt"
 	"sync"
 	"time"
 )
@@ -44,17 +43,3 @@
 	defer p.mu.Unlock()
 	delete(p.seen, key)
 }
-
-// report is a load report as the last line of an answer has it; "" without reports.
-func (n *Worker) report() string {
-	if !n.Reports {
-		return ""
-	}
-	return fmt.Sprintf(`,"load":%s`, n.load())
-}
-
-// load counts the job that is about to end as ended.
-func (n *Worker) load() string {
-	running, held := max(0, len(n.slots)-1), max(0, len(n.admitted)-1)
-	return fmt.Sprintf(`{"backlog":%d,"outstanding":%d,"x0":%d}`, max(0, held-running), held, cap(n.slots)-running)
-}
