--- a/internal/lab/capacity/hollow.go
+++ b/internal/lab/capacity/hollow.go
@@ -27,14 +27,14 @@
 func (d deployment) settingsDocument() ([]byte, error) {
 	var teams []map[string]any
 	for i := range d.teams {
-		teams = append(teams, map[string]any{"name": fmt.Sprintf("team-%02d", i), "quotaRps": 10 * (1 + i%7)})
+		teams = append(teams, map[string]any{"name": teamName(i), "quotaRps": 10 * (1 + i%7)})
 	}
 	var zones, kinds []string
 	for i := range TargetZones {
-		zones = append(zones, fmt.Sprintf("zone-%02d", i))
+		zones = append(zones, zoneName(i))
 	}
 	for i := range assumedKinds {
-		kinds = append(kinds, fmt.Sprintf("kind-%d", i))
+		kinds = append(kinds, kindName(i))
 	}
 	return json.Marshal(map[string]any{
 		"balancers": d.schedulers, "slotNo": 0, "discovery": "subscribe", "dcs": zones, "zone": zones[0], "flavors": kinds,
@@ -65,7 +65,11 @@
 	return foxlift.Worker{ID: workerName(i), Zone: i % TargetZones, Kind: i % assumedKinds, Cell: i / 8}
 }
 
+// Names of hollow workers, zones, kinds and teams, by their numbers.
 func workerName(i int) string { return fmt.Sprintf("worker-%05d", i) }
+func zoneName(i int) string   { return fmt.Sprintf("zone-%02d", i) }
+func kindName(i int) string   { return fmt.Sprintf("kind-%d", i) }
+func teamName(i int) string   { return fmt.Sprintf("team-%02d", i) }
 
 func (d deployment) endpoints() []foxlift.Worker {
 	list := make([]foxlift.Worker, d.workers)
--- a/internal/lab/capacity/tasks.go
+++ b/internal/lab/capacity/tasks.go
@@ -45,7 +45,7 @@
 	before := heapInUse()
 	for i := range tasks {
 		h.Accept(&core.Job{
-			ID: fmt.Sprintf("%016x", i), Class: "heavy", Tenant: fmt.Sprintf("team-%02d", i%TargetTeams),
+			ID: fmt.Sprintf("%016x", i), Class: "heavy", Tenant: teamName(i % TargetTeams),
 			Remaining: 20 * time.Second, ArrivedAt: time.Now().UnixNano(), Client: discardingClient{},
 		})
 	}
