--- a/cmd/foxlift/cells.go
+++ b/cmd/foxlift/cells.go
@@ -12,8 +12,9 @@
 	"github.com/vatu-meals/foxlift/internal/control/controlpb"
 )
 
+// newCellsCommand returns the command whose subcommands show and change a scheduler's cells.
 func newCellsCommand() *cobra.Command {
-	c := &controlCaller{}
+	caller := &controlCaller{}
 	cmd := &cobra.Command{
 		Use:   "cells",
 		Short: "Look at the cells of a running scheduler, and move tenants between them",
@@ -22,113 +23,153 @@
 file if it is to last.`,
 		Args: cobra.NoArgs,
 	}
-	c.flags(cmd)
-	changed := func(cmd *cobra.Command, m *controlpb.Moved) error {
-		fmt.Fprintf(cmd.OutOrStdout(), "tenants %d, held jobs gone over %d, jobs that finish where they are %d\n", m.Tenants, m.Held, m.Out)
-		return nil
-	}
+	caller.flags(cmd)
+	cmd.AddCommand(
+		newCellsShowCommand(caller),
+		newCellsMoveCommand(caller),
+		newCellsEvacuateCommand(caller),
+		newCellsRestoreCommand(caller),
+	)
+	return cmd
+}
+
+func newCellsShowCommand(caller *controlCaller) *cobra.Command {
 	asJSON := false
-	show := &cobra.Command{
-		Use: "show", Short: "Print nodes, tenants and jobs of each cell", Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use:     "show",
+		Short:   "Print nodes, tenants and jobs of each cell",
+		Args:    cobra.NoArgs,
 		Example: `  foxlift cells show --socket /run/foxlift/control.sock --json`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return c.call(func(ctx context.Context, client controlpb.ControlClient) error {
-				r, err := client.Cells(ctx, &controlpb.CellsRequest{})
+			return caller.call(cmd.Context(), func(ctx context.Context, client controlpb.ControlClient) error {
+				reply, err := client.Cells(ctx, &controlpb.CellsRequest{})
 				if err != nil {
 					return err
 				}
 				if asJSON {
-					return printJSON(cmd.OutOrStdout(), r)
+					return printJSON(cmd.OutOrStdout(), reply)
 				}
-				return printCells(cmd.OutOrStdout(), r)
+				return printCells(cmd.OutOrStdout(), reply)
 			})
 		},
 	}
-	show.Flags().BoolVar(&asJSON, "json", false, "print JSON")
-	move := &cobra.Command{
-		Use: "move TENANT CELL", Short: "Move a tenant: new and held jobs go over, claims finish where they are", Args: cobra.ExactArgs(2),
+	cmd.Flags().BoolVar(&asJSON, "json", false, "print JSON")
+	return cmd
+}
+
+func newCellsMoveCommand(caller *controlCaller) *cobra.Command {
+	return &cobra.Command{
+		Use:     "move TENANT CELL",
+		Short:   "Move a tenant: new and held jobs go over, claims finish where they are",
+		Args:    cobra.ExactArgs(2),
 		Example: `  foxlift cells move tenant-a east`,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return c.call(func(ctx context.Context, client controlpb.ControlClient) error {
-				m, err := client.Move(ctx, &controlpb.MoveRequest{Tenant: args[0], Cell: args[1]})
-				if err != nil {
-					return err
-				}
-				return changed(cmd, m)
+			return caller.migrate(cmd, func(ctx context.Context, client controlpb.ControlClient) (*controlpb.Moved, error) {
+				return client.Move(ctx, &controlpb.MoveRequest{Tenant: args[0], Cell: args[1]})
 			})
 		},
 	}
-	evacuate := &cobra.Command{
-		Use: "evacuate CELL", Short: "Move every tenant out of a cell, for a release on its nodes", Args: cobra.ExactArgs(1),
+}
+
+func newCellsEvacuateCommand(caller *controlCaller) *cobra.Command {
+	return &cobra.Command{
+		Use:   "evacuate CELL",
+		Short: "Move every tenant out of a cell, for a release on its nodes",
+		Args:  cobra.ExactArgs(1),
 		Example: `  foxlift cells evacuate isles
   foxlift cells show            # until "out" is 0
   foxlift cells restore --cell isles`,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return c.call(func(ctx context.Context, client controlpb.ControlClient) error {
-				m, err := client.Evacuate(ctx, &controlpb.EvacuateRequest{Cell: args[0]})
-				if err != nil {
-					return err
-				}
-				return changed(cmd, m)
+			return caller.migrate(cmd, func(ctx context.Context, client controlpb.ControlClient) (*controlpb.Moved, error) {
+				return client.Evacuate(ctx, &controlpb.EvacuateRequest{Cell: args[0]})
 			})
 		},
 	}
+}
+
+func newCellsRestoreCommand(caller *controlCaller) *cobra.Command {
 	var tenant, cell string
-	restore := &cobra.Command{
-		Use: "restore", Short: "Put tenants back to where the file has them", Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use:   "restore",
+		Short: "Put tenants back to where the file has them",
+		Args:  cobra.NoArgs,
 		Example: `  foxlift cells restore --tenant tenant-a
   foxlift cells restore             # all of them`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return c.call(func(ctx context.Context, client controlpb.ControlClient) error {
-				m, err := client.Restore(ctx, &controlpb.RestoreRequest{Tenant: tenant, Cell: cell})
-				if err != nil {
-					return err
-				}
-				return changed(cmd, m)
+			return caller.migrate(cmd, func(ctx context.Context, client controlpb.ControlClient) (*controlpb.Moved, error) {
+				return client.Restore(ctx, &controlpb.RestoreRequest{Tenant: tenant, Cell: cell})
 			})
 		},
 	}
-	restore.Flags().StringVar(&tenant, "tenant", "", "this tenant alone")
-	restore.Flags().StringVar(&cell, "cell", "", "the tenants of this cell alone")
-	restore.MarkFlagsMutuallyExclusive("tenant", "cell")
-	cmd.AddCommand(show, move, evacuate, restore)
+	cmd.Flags().StringVar(&tenant, "tenant", "", "this tenant alone")
+	cmd.Flags().StringVar(&cell, "cell", "", "the tenants of this cell alone")
+	cmd.MarkFlagsMutuallyExclusive("tenant", "cell")
 	return cmd
 }
 
-// printCells prints a table of cells, one of nodes and one of tenants.
-func printCells(to io.Writer, r *controlpb.CellsReply) error {
+// migrate has the scheduler migrate tenants, and prints how many tenants and jobs that concerned.
+func (c *controlCaller) migrate(
+	cmd *cobra.Command, do func(context.Context, controlpb.ControlClient) (*controlpb.Moved, error),
+) error {
+	return c.call(cmd.Context(), func(ctx context.Context, client controlpb.ControlClient) error {
+		migration, err := do(ctx, client)
+		if err != nil {
+			return err
+		}
+		fmt.Fprintf(cmd.OutOrStdout(), "tenants %d, held jobs gone over %d, jobs that finish where they are %d\n",
+			migration.Tenants, migration.Held, migration.Out)
+		return nil
+	})
+}
+
+// printCells prints a table of cells, one of tenants and one of workers.
+func printCells(to io.Writer, reply *controlpb.CellsReply) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
+	printCellTable(w, reply)
+	printTenantTable(w, reply)
+	printWorkerTable(w, reply)
+	return w.Flush()
+}
+
+func printCellTable(w io.Writer, reply *controlpb.CellsReply) {
 	fmt.Fprintln(w, "CELL\tSTATE\tSHARE\tNODES\tOPEN\tBOUND\tOUT\tHELD\tSPILLED\tSERVED\tREFUSED\tFAILED\tSHUT")
-	for _, c := range r.Cells {
-		state := strings.ToLower(strings.TrimPrefix(c.Condition.String(), "CONDITION_"))
+	for _, cell := range reply.Cells {
+		state := strings.ToLower(strings.TrimPrefix(cell.Condition.String(), "CONDITION_"))
 		switch {
-		case c.Retired:
+		case cell.Retired:
 			state = "retired"
-		case c.Evacuated:
+		case cell.Evacuated:
 			state = "evacuated"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%.1f %%\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", c.Name, state, 100*c.Share, len(c.Nodes),
-			c.Open, c.Bound, c.Out, c.Held, c.SpillsOut, c.Served, c.Refused, c.Failed, c.Shut)
+		fmt.Fprintf(w, "%s\t%s\t%.1f %%\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n",
+			cell.Name, state, 100*cell.Share, len(cell.Nodes), cell.Open, cell.Bound, cell.Out, cell.Held,
+			cell.SpillsOut, cell.Served, cell.Refused, cell.Failed, cell.Shut)
 	}
+}
+
+func printTenantTable(w io.Writer, reply *controlpb.CellsReply) {
 	fmt.Fprintln(w, "\nTENANT\tCELL\tQUOTA\tPLACE")
-	for _, c := range r.Cells {
-		for _, t := range c.Tenants {
-			place := "as in the file"
-			if t.Moved {
-				place = "moved"
+	for _, cell := range reply.Cells {
+		for _, tenant := range cell.Tenants {
+			placement := "as in the file"
+			if tenant.Moved {
+				placement = "moved"
 			}
-			fmt.Fprintf(w, "%s\t%s\t%.4g/s\t%s\n", t.Name, c.Name, t.Quota, place)
+			fmt.Fprintf(w, "%s\t%s\t%.4g/s\t%s\n", tenant.Name, cell.Name, tenant.Quota, placement)
 		}
 	}
+}
+
+func printWorkerTable(w io.Writer, reply *controlpb.CellsReply) {
 	fmt.Fprintln(w, "\nNODE\tCELL\tKIND\tZONE\tSTATE\tOUT\tOF OTHERS")
-	for _, c := range r.Cells {
-		for _, n := range c.Nodes {
-			state := strings.ToLower(strings.TrimPrefix(n.State.String(), "NODE_STATE_"))
-			if n.Cold {
+	for _, cell := range reply.Cells {
+		for _, worker := range cell.Nodes {
+			state := strings.ToLower(strings.TrimPrefix(worker.State.String(), "NODE_STATE_"))
+			if worker.Cold {
 				state += ", cold"
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%g\t%g\n", n.Id, c.Name, n.Kind, n.Zone, state, n.Out, n.Others)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%g\t%g\n",
+				worker.Id, cell.Name, worker.Kind, worker.Zone, state, worker.Out, worker.Others)
 		}
 	}
-	return w.Flush()
 }
--- a/cmd/foxlift/check.go
+++ b/cmd/foxlift/check.go
@@ -12,8 +12,9 @@
 	"github.com/vatu-meals/foxlift/internal/daemon"
 )
 
+// newCheckCommand returns the command that checks a configuration.
 func newCheckCommand() *cobra.Command {
-	o := daemon.Options{Getenv: os.Getenv, Log: zap.NewNop()}
+	options := daemon.Options{Getenv: os.Getenv, Log: zap.NewNop()}
 	cmd := &cobra.Command{
 		Use:   "check",
 		Short: "Read all of the configuration and print what is wrong with it",
@@ -22,7 +23,7 @@
 		Example: `  LB_CONFIG=config.json foxlift check --operator operator.sexp`,
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			configuration, err := daemon.ReadConfiguration(o)
+			configuration, err := daemon.ReadConfiguration(options)
 			if faults := config.OperatorErrors(nil); errors.As(err, &faults) {
 				fmt.Fprintln(cmd.ErrOrStderr(), faults)
 				return fmt.Errorf("faults: %d", len(faults))
@@ -30,14 +31,14 @@
 			if err != nil {
 				return err
 			}
-			if configuration.Operator.Cells != nil {
-				fmt.Fprintf(cmd.OutOrStdout(), "the configuration is sound: %d cells\n", configuration.Operator.Cells.CellCount())
-			} else {
-				fmt.Fprintln(cmd.OutOrStdout(), "the configuration is sound")
+			if cells := configuration.Operator.Cells; cells != nil {
+				fmt.Fprintf(cmd.OutOrStdout(), "the configuration is sound: %d cells\n", cells.CellCount())
+				return nil
 			}
+			fmt.Fprintln(cmd.OutOrStdout(), "the configuration is sound")
 			return nil
 		},
 	}
-	cmd.Flags().StringVar(&o.Operator, "operator", "", "the operator's file")
+	cmd.Flags().StringVar(&options.Operator, "operator", "", "the operator's file")
 	return cmd
 }
--- a/cmd/foxlift/control.go
+++ b/cmd/foxlift/control.go
@@ -22,32 +22,31 @@
 
 const callTimeout = 5 * time.Second // for the scheduler to answer
 
-// A caller is how a command reaches a running scheduler.
-type controlCaller struct{ socket, operator string }
+// A controlCaller calls a running scheduler over its control socket, which flags name.
+type controlCaller struct {
+	socket   string // path of the control socket
+	operator string // path of the operator's file that names it
+}
 
 func (c *controlCaller) flags(cmd *cobra.Command) {
-	cmd.PersistentFlags().StringVar(&c.socket, "socket", os.Getenv("FOXLIFT_CONTROL"), "the scheduler's control socket (FOXLIFT_CONTROL)")
-	cmd.PersistentFlags().StringVar(&c.operator, "operator", "", "the operator's file that names the socket")
+	flags := cmd.PersistentFlags()
+	flags.StringVar(&c.socket, "socket", os.Getenv("FOXLIFT_CONTROL"),
+		"the scheduler's control socket (FOXLIFT_CONTROL)")
+	flags.StringVar(&c.operator, "operator", "", "the operator's file that names the socket")
 }
 
-// call asks the scheduler one thing.
-func (c *controlCaller) call(do func(context.Context, controlpb.ControlClient) error) error {
-	if c.socket == "" && c.operator != "" {
-		path, err := config.ControlSocket(c.operator)
-		if err != nil {
-			return err
-		}
-		c.socket = path
-	}
-	if c.socket == "" {
-		return errors.New("--socket: not given; it is control.socket of the operator's file")
+// call connects to the scheduler for one call.
+func (c *controlCaller) call(ctx context.Context, do func(context.Context, controlpb.ControlClient) error) error {
+	socket, err := c.socketPath()
+	if err != nil {
+		return err
 	}
-	client, end, err := control.Dial(c.socket)
+	client, closeClient, err := control.Dial(socket)
 	if err != nil {
 		return err
 	}
-	defer end()
-	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
+	defer func() { _ = closeClient() }() // the call has its answer
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if err := do(ctx, client); err != nil {
 		return errors.New(grpcstatus.Convert(err).Message())
@@ -55,35 +54,53 @@
 	return nil
 }
 
+// socketPath returns the path that a flag gives or, without one, that the operator's file has.
+func (c *controlCaller) socketPath() (string, error) {
+	if c.socket == "" && c.operator != "" {
+		path, err := config.ControlSocket(c.operator)
+		if err != nil {
+			return "", err
+		}
+		c.socket = path
+	}
+	if c.socket == "" {
+		return "", errors.New("--socket: not given; it is control.socket of the operator's file")
+	}
+	return c.socket, nil
+}
+
 // printJSON prints a message as JSON.
-func printJSON(w io.Writer, m proto.Message) error {
-	text, err := protojson.MarshalOptions{EmitUnpopulated: true, UseProtoNames: true}.Marshal(m)
+func printJSON(w io.Writer, message proto.Message) error {
+	text, err := protojson.MarshalOptions{EmitUnpopulated: true, UseProtoNames: true}.Marshal(message)
 	if err != nil {
 		return err
 	}
-	var b bytes.Buffer
-	if err := json.Indent(&b, text, "", "  "); err != nil { // protojson's own spacing differs from build to build
+	var indented bytes.Buffer
+	// protojson's own spacing differs from build to build.
+	if err := json.Indent(&indented, text, "", "  "); err != nil {
 		return err
 	}
-	_, err = fmt.Fprintln(w, b.String())
+	_, err = fmt.Fprintln(w, indented.String())
 	return err
 }
 
 func newStatusCommand() *cobra.Command {
-	c := &controlCaller{}
+	caller := &controlCaller{}
 	cmd := &cobra.Command{
-		Use: "status", Short: "Print what a running scheduler is and its counters, as JSON", Args: cobra.NoArgs,
+		Use:     "status",
+		Short:   "Print what a running scheduler is and its counters, as JSON",
+		Args:    cobra.NoArgs,
 		Example: `  foxlift status --socket /run/foxlift/control.sock`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return c.call(func(ctx context.Context, client controlpb.ControlClient) error {
-				r, err := client.Status(ctx, &controlpb.StatusRequest{})
+			return caller.call(cmd.Context(), func(ctx context.Context, client controlpb.ControlClient) error {
+				reply, err := client.Status(ctx, &controlpb.StatusRequest{})
 				if err != nil {
 					return err
 				}
-				return printJSON(cmd.OutOrStdout(), r)
+				return printJSON(cmd.OutOrStdout(), reply)
 			})
 		},
 	}
-	c.flags(cmd)
+	caller.flags(cmd)
 	return cmd
 }
--- /dev/null
+++ b/cmd/foxlift/serve.go
@@ -0,0 +1,116 @@
+package main
+
+import (
+	"context"
+	"os"
+	"os/signal"
+	"runtime"
+	"runtime/debug"
+	"syscall"
+
+	"github.com/spf13/cobra"
+	"go.uber.org/zap"
+
+	"github.com/vatu-meals/foxlift/internal/daemon"
+	"github.com/vatu-meals/foxlift/internal/logging"
+)
+
+// serveOptions are what the flags of serve say.
+type serveOptions struct {
+	operator  string // path of the operator's file; "" if there is none
+	logFormat string
+	logLevel  string
+}
+
+func (o *serveOptions) flags(cmd *cobra.Command) {
+	cmd.Flags().StringVar(&o.logFormat, "log-format", "console", "how log lines are written: console or json")
+	cmd.Flags().StringVar(&o.logLevel, "log-level", "info", "which are written: debug, info, warn or error")
+	completeFlag(cmd, "log-format", logging.Formats)
+	completeFlag(cmd, "log-level", logging.Levels)
+}
+
+// completeFlag lets the shell complete the values of a flag.
+func completeFlag(cmd *cobra.Command, flag string, values []string) {
+	complete := cobra.FixedCompletions(values, cobra.ShellCompDirectiveNoFileComp)
+	if err := cmd.RegisterFlagCompletionFunc(flag, complete); err != nil {
+		panic(err) // the command has no such flag
+	}
+}
+
+// signals each have a channel of their own, so that none is lost while another one is handled.
+type signals struct {
+	shutdown, reload, print chan os.Signal
+}
+
+// notifySignals begins to receive signals. A reload that is requested before the start is done after it.
+func notifySignals() signals {
+	s := signals{
+		shutdown: make(chan os.Signal, 1),
+		reload:   make(chan os.Signal, 1),
+		print:    make(chan os.Signal, 1),
+	}
+	signal.Notify(s.reload, syscall.SIGHUP)
+	signal.Notify(s.shutdown, syscall.SIGTERM, syscall.SIGINT)
+	signal.Notify(s.print, syscall.SIGUSR1)
+	return s
+}
+
+// limitMemory limits the Go heap to half of what the process may use. The rest is for stacks, the
+// kernel's part and what the runtime does not count.
+func limitMemory(bytes int64) { debug.SetMemoryLimit(bytes / 2) }
+
+// serve runs a scheduler until a signal shuts it down.
+func (o *serveOptions) serve(ctx context.Context) error {
+	received := notifySignals()
+	log, err := logging.New(os.Stderr, o.logFormat, o.logLevel)
+	if err != nil {
+		return err
+	}
+	runtime.GOMAXPROCS(1) // a scheduler has one core
+	d, err := daemon.Start(ctx, daemon.Options{
+		Getenv:      os.Getenv,
+		Operator:    o.operator,
+		Log:         log,
+		Version:     versionText(),
+		LimitMemory: limitMemory,
+	})
+	if err != nil {
+		return err
+	}
+	log = log.With(zap.String("name", d.Config.Name))
+	if err := handleSignals(ctx, d, received, log); err != nil {
+		d.Kill()
+		return err
+	}
+	log.Info("shutting down")
+	d.ShutDown()
+	d.Counters.Print(os.Stderr)
+	return nil
+}
+
+// handleSignals returns when a signal requests the shutdown, or with the error for which the scheduler
+// cannot serve.
+func handleSignals(ctx context.Context, d *daemon.Daemon, received signals, log *zap.Logger) error {
+	for {
+		select {
+		case <-received.shutdown:
+			return nil
+		case err := <-d.Failed():
+			return err
+		case <-received.print:
+			d.Counters.Print(os.Stderr)
+		case <-received.reload:
+			reload(ctx, d, log)
+		}
+	}
+}
+
+func reload(ctx context.Context, d *daemon.Daemon, log *zap.Logger) {
+	if err := d.Reload(ctx); err != nil {
+		d.Counters.Add("reloads.faulty")
+		log.Error("reload: configuration rejected", zap.Error(err))
+		return
+	}
+	d.Counters.Add("reloads.done")
+	log.Info("reload: configuration applied", zap.String("discovery", d.Config.Discovery))
+}
--- a/cmd/foxlift/version.go
+++ b/cmd/foxlift/version.go
@@ -7,15 +7,16 @@
 	"github.com/spf13/cobra"
 )
 
+// versionText returns the version of the module, of the source and of Go.
 func versionText() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "unknown"
 	}
 	text := info.Main.Version
-	for _, s := range info.Settings {
-		if s.Key == "vcs.revision" {
-			text += " " + s.Value
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" {
+			text += " " + setting.Value
 		}
 	}
 	return text + " " + info.GoVersion
@@ -23,7 +24,11 @@
 
 func newVersionCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "version", Short: "Print the version", Args: cobra.NoArgs,
-		Run: func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), "foxlift", versionText()) },
+		Use:   "version",
+		Short: "Print the version",
+		Args:  cobra.NoArgs,
+		Run: func(cmd *cobra.Command, _ []string) {
+			fmt.Fprintln(cmd.OutOrStdout(), "foxlift", versionText())
+		},
 	}
 }
