--- a/example_test.go
+++ b/example_test.go
@@ -6,11 +6,60 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// A host with one worker that serves each job in 30 ms. It keeps the timers and
-// the outcomes that are due, and steps the dispatcher whenever something is.
+const exampleMillisecond = int64(1e6) // on the dispatcher's clock
+
+// An exampleHost keeps the events that are to come, and steps a dispatcher whenever some are due.
+type exampleHost struct {
+	dispatcher *foxlift.Dispatcher
+	pending    []scheduledEvent
+}
+
+type scheduledEvent struct {
+	at    int64
+	event foxlift.Event
+}
+
+// schedule has an event delivered at a time.
+func (h *exampleHost) schedule(at int64, event foxlift.Event) {
+	h.pending = append(h.pending, scheduledEvent{at, event})
+}
+
+// due takes the events that have come by now.
+func (h *exampleHost) due(now int64) (events []foxlift.Event) {
+	var later []scheduledEvent
+	for _, s := range h.pending {
+		if s.at <= now {
+			events = append(events, s.event)
+		} else {
+			later = append(later, s)
+		}
+	}
+	h.pending = later
+	return events
+}
+
+// execute executes an action. The worker starts each job 1 ms after it was sent and serves it in 30 ms.
+func (h *exampleHost) execute(now int64, action foxlift.Action) {
+	const ms = exampleMillisecond
+	switch action.Kind {
+	case foxlift.ActionTimer:
+		h.schedule(action.At, foxlift.Event{Kind: foxlift.EventTimer, Token: action.Token})
+	case foxlift.ActionSend:
+		fmt.Printf("%d ms: send %d to %s\n", now/ms, action.ID, action.Worker)
+		h.schedule(now+ms, foxlift.Event{Kind: foxlift.EventStarted, ID: action.ID, Worker: action.Worker})
+		h.schedule(now+30*ms, foxlift.Event{
+			Kind: foxlift.EventOutcome, ID: action.ID, Worker: action.Worker,
+			Code: foxlift.Served, Took: 30 * ms, Ended: true,
+		})
+	case foxlift.ActionShed, foxlift.ActionFail:
+		fmt.Printf("%d ms: no answer for %d\n", now/ms, action.ID)
+	}
+}
+
+// A host with one worker and one job: it delivers events to the dispatcher and executes its actions.
 func Example() {
-	const ms = int64(1e6)
-	gate, err := foxlift.New(foxlift.Config{
+	const ms = exampleMillisecond
+	dispatcher, err := foxlift.New(foxlift.Config{
 		Classes: []foxlift.Class{
 			{Name: "read", LatencyObjective: 100 * ms, ObjectiveStretch: 2, Deadline: 2000 * ms, Kind: -1},
 		},
@@ -22,49 +71,22 @@
 		fmt.Println(err)
 		return
 	}
-	type due struct {
-		at    int64
-		event foxlift.Event
-	}
-	queue := []due{
-		{0, foxlift.Event{
-			Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsComplete,
-			Workers: []foxlift.Worker{{ID: "w1", Kind: -1}},
-		}},
-		{1 * ms, foxlift.Event{
-			Kind:    foxlift.EventRequest,
-			Request: foxlift.Request{ID: 7, Deadline: 2000 * ms},
-		}},
-	}
+	host := &exampleHost{dispatcher: dispatcher}
+	host.schedule(0, foxlift.Event{
+		Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsComplete,
+		Workers: []foxlift.Worker{{ID: "w1", Kind: -1}},
+	})
+	host.schedule(1*ms, foxlift.Event{
+		Kind:    foxlift.EventRequest,
+		Request: foxlift.Request{ID: 7, Deadline: 2000 * ms},
+	})
 	for now := int64(0); now < 50*ms; now += ms {
-		var events []foxlift.Event
-		rest := queue[:0:0]
-		for _, q := range queue {
-			if q.at <= now {
-				events = append(events, q.event)
-			} else {
-				rest = append(rest, q)
-			}
-		}
-		queue = rest
+		events := host.due(now)
 		if len(events) == 0 {
 			continue
 		}
-		for _, a := range gate.Step(now, events) {
-			switch a.Kind {
-			case foxlift.ActionTimer:
-				queue = append(queue, due{a.At, foxlift.Event{Kind: foxlift.EventTimer, Token: a.Token}})
-			case foxlift.ActionSend:
-				fmt.Printf("%d ms: send %d to %s\n", now/ms, a.ID, a.Worker)
-				start := foxlift.Event{Kind: foxlift.EventStarted, ID: a.ID, Worker: a.Worker}
-				end := foxlift.Event{
-					Kind: foxlift.EventOutcome, ID: a.ID, Worker: a.Worker,
-					Code: foxlift.Served, Took: 30 * ms, Ended: true,
-				}
-				queue = append(queue, due{now + ms, start}, due{now + 30*ms, end})
-			case foxlift.ActionShed, foxlift.ActionFail:
-				fmt.Printf("%d ms: no answer for %d\n", now/ms, a.ID)
-			}
+		for _, action := range host.dispatcher.Step(now, events) {
+			host.execute(now, action)
 		}
 	}
 	// Output:
--- a/fleet_index_test.go
+++ b/fleet_index_test.go
@@ -62,7 +62,7 @@
 type workerScan struct {
 	live, removed    []*worker
 	learnedLimits    limitSum
-	available, whole float64 // capacity: what the live workers have, and what the fleet had
+	available, total float64 // capacity: what the live workers have, and what the fleet had
 }
 
 // scanWorkers looks at all workers, and checks that each is in its place in the lists.
@@ -85,7 +85,7 @@
 			scan.learnedLimits.add(int64(w.concurrencyLimit*limitUnit), 1)
 		}
 		if w.lost && (w.state == Removed || d.inSlowStart(w)) || live && !d.inSlowStart(w) {
-			scan.whole++
+			scan.total++
 		}
 	}
 	return scan
@@ -118,8 +118,8 @@
 	if scan.learnedLimits != d.learnedLimits {
 		t.Fatalf("learned limits %+v, want %+v", d.learnedLimits, scan.learnedLimits)
 	}
-	want := min(1, scan.available/max(1, scan.whole))
-	if scan.whole > 0 && math.Abs(d.remainingCapacity()-want) > 1e-12 {
+	want := min(1, scan.available/max(1, scan.total))
+	if scan.total > 0 && math.Abs(d.remainingCapacity()-want) > 1e-12 {
 		t.Fatalf("remaining capacity %v, want %v", d.remainingCapacity(), want)
 	}
 	for k := range d.classes {
--- a/placement_large_test.go
+++ b/placement_large_test.go
@@ -52,7 +52,8 @@
 		if got := h.d.minDelay[h.d.jobs[id].attempts[0].path]; got != 40*ms {
 			t.Errorf("the way takes %d", got)
 		}
-		if w := h.d.workers[sent.Worker]; w.outlier.State().PromptStartAt == 0 || w.outlier.State().LastFaultAt != 0 || h.d.startWindow < 1 {
+		outlier := h.d.workers[sent.Worker].outlier.State()
+		if outlier.PromptStartAt == 0 || outlier.LastFaultAt != 0 || h.d.startWindow < 1 {
 			t.Error("the worker counts as full for its distance")
 		}
 		h.advance(ms, outcome(id, 0, sent.Worker, Served))
--- a/record_faults_test.go
+++ b/record_faults_test.go
@@ -179,7 +179,7 @@
 // faultResync tells the whole list, in which now and then a worker is missing.
 func faultResync(h *fleetHost) {
 	for _, m := range h.members {
-		list := m.endpointList()
+		list := m.endpoints()
 		if missing := h.rng.IntN(2 * len(list)); missing < len(list) {
 			list = slices.Delete(list, missing, missing+1)
 		}
--- a/record_member_test.go
+++ b/record_member_test.go
@@ -42,7 +42,7 @@
 		m.host.record.nextIndex()
 	}
 	m.dispatcher = m.host.record.start(m.index, m.config, m.host.plan.seed+uint64(1000*m.incarnation+m.index))
-	list := m.endpointList()
+	list := m.endpoints()
 	m.inbox = []foxlift.Event{{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsCached, Workers: list}}
 	m.step()
 	m.receiveEndpoints(foxlift.EndpointsConfirmed, nil)
@@ -55,11 +55,11 @@
 	m.begin()
 	m.host.record.restore(m.index, m.dispatcher, snapshot)
 	m.host.record.inspect(m.index, m.dispatcher)
-	m.host.after(second, func() { m.receiveEndpoints(foxlift.EndpointsDelta, m.endpointList()) })
+	m.host.after(second, func() { m.receiveEndpoints(foxlift.EndpointsDelta, m.endpoints()) })
 }
 
 // list is the list with the slots of an earlier incarnation's attempts.
-func (m *member) endpointList() []foxlift.Worker {
+func (m *member) endpoints() []foxlift.Worker {
 	list := m.host.entries()
 	for _, a := range m.inFlight {
 		if a.incarnation != m.incarnation {
@@ -162,7 +162,7 @@
 	m.subscribed = true
 	m.receiveEndpoints(foxlift.EndpointsConfirmed, nil)
 	if m.subscribed {
-		m.receiveEndpoints(foxlift.EndpointsComplete, m.endpointList())
+		m.receiveEndpoints(foxlift.EndpointsComplete, m.endpoints())
 	}
 }
 
--- a/slow_start_fleet_test.go
+++ b/slow_start_fleet_test.go
@@ -108,8 +108,8 @@
 			h.now = now
 			h.step(append(inboxes[i], fleet.arrivals(i, now)...)...)
 			inboxes[i] = nil
-			fleet.takeSends(i)
-			fleet.takeCancels(i)
+			fleet.enqueueSends(i)
+			fleet.applyCancels(i)
 		}
 	}
 }
@@ -155,8 +155,8 @@
 	return requests
 }
 
-// takeSends brings what a dispatcher has just sent to the workers.
-func (fleet *slowStartFleet) takeSends(dispatcher int) {
+// enqueueSends brings what a dispatcher has just sent to the workers.
+func (fleet *slowStartFleet) enqueueSends(dispatcher int) {
 	h := fleet.harnesses[dispatcher]
 	for _, a := range h.actionsOf(ActionSend) {
 		w := fleet.byID[a.Worker]
@@ -174,8 +174,8 @@
 	}
 }
 
-// takeCancels drops the attempts that a dispatcher has just cancelled and that still wait.
-func (fleet *slowStartFleet) takeCancels(dispatcher int) {
+// applyCancels drops the attempts that a dispatcher has just cancelled and that still wait.
+func (fleet *slowStartFleet) applyCancels(dispatcher int) {
 	h := fleet.harnesses[dispatcher]
 	for _, a := range h.actionsOf(ActionCancel) {
 		j := h.d.jobs[a.ID]
