--- a/internal/lab/capacity/configuration.go
+++ b/internal/lab/capacity/configuration.go
@@ -21,7 +21,10 @@
 			if err != nil {
 				return nil, err
 			}
-			return timeEach(p.runs, func() { config.ParseSettings(text) }), nil
+			if _, err := config.ParseSettings(text); err != nil {
+				return nil, err
+			}
+			return timeEach(p.runs, func() { _, _ = config.ParseSettings(text) }), nil // as above: it is valid
 		}},
 	)
 }
--- a/internal/lab/capacity/tasks.go
+++ b/internal/lab/capacity/tasks.go
@@ -9,29 +9,31 @@
 	"github.com/vatu-meals/foxlift/internal/core"
 )
 
-// errTasksNotSent says that a hollow fleet had no room for what it was to run.
+// errTasksNotSent says that a hollow fleet had no capacity for what it was to run.
 var errTasksNotSent = errors.New("not all tasks were sent")
 
-// measureTasks measures what running tasks cost a scheduler that waits for their ends: memory in the
+// measureTasks measures what running tasks cost a scheduler that waits for them to finish: memory in the
 // core and the module, and the time of an idle tick.
 func measureTasks(ctx context.Context, p plan) ([]Series, error) {
 	return measureBySize(ctx, "tasks", p.sizes(100, 300, 1000, 3000, 10_000),
-		costGauge{"tasks.memory", "bytes", func(tasks int) (bytes []float64, err error) {
+		costGauge{"tasks.memory", "bytes", func(tasks int) (runs []float64, err error) {
 			for range p.runs {
-				h, b, err := memoryOfTasks(tasks)
+				h, bytes, err := memoryOfTasks(tasks)
 				if err != nil {
 					return nil, err
 				}
 				defer h.Stop() // after the last run, as in memoryOfWorkers
-				bytes = append(bytes, b)
+				runs = append(runs, bytes)
 			}
-			return bytes, nil
+			return runs, nil
+		}},
+		costGauge{"tasks.idle_tick", "ns", func(tasks int) ([]float64, error) {
+			return tickWithTasks(tasks, p.runs)
 		}},
-		costGauge{"tasks.idle_tick", "ns", func(tasks int) ([]float64, error) { return tickWithTasks(tasks, p.runs) }},
 	)
 }
 
-// roomy is a fleet that has room for all tasks of the dimension.
+// deploymentForTasks is a fleet that has room for so many tasks.
 func deploymentForTasks(tasks int) deployment {
 	return deployment{workers: 2 * tasks, schedulers: 1, teams: TargetTeams}
 }
@@ -45,8 +47,12 @@
 	before := heapInUse()
 	for i := range tasks {
 		h.Accept(&core.Job{
-			ID: fmt.Sprintf("%016x", i), Class: "heavy", Tenant: teamName(i % TargetTeams),
-			Remaining: 20 * time.Second, ArrivedAt: time.Now().UnixNano(), Client: discardingClient{},
+			ID:        fmt.Sprintf("%016x", i),
+			Class:     "heavy",
+			Tenant:    teamName(i % TargetTeams),
+			Remaining: 20 * time.Second,
+			ArrivedAt: time.Now().UnixNano(),
+			Client:    discardingClient{},
 		})
 	}
 	h.awaitStep()
@@ -61,13 +67,16 @@
 	return h, heapInUse() - before, nil
 }
 
-// A patient submitter waits for an answer that nobody looks at.
+// A discardingClient waits for an answer and does not look at it.
 type discardingClient struct{}
 
+// Answer implements core.Client.
 func (discardingClient) Answer(core.Answer) {}
+
+// Disconnected implements core.Client.
 func (discardingClient) Disconnected() bool { return false }
 
-// tickWithTasks times an idle tick of a module that has so many tasks out.
+// tickWithTasks times an idle tick of a module that has so many tasks in flight.
 func tickWithTasks(tasks, runs int) ([]float64, error) {
 	h, err := deploymentForTasks(tasks).module()
 	if err != nil {
