--- a/admission.go
+++ b/admission.go
@@ -26,7 +26,7 @@
 	d.rate.RecordArrival()
 	j.tenant.quota.RecordArrival(r.Class)
 	age := d.now - j.firstAttemptAt
-	late := age >= max(d.maxQueueTime(j), 2*d.tickInterval) && d.occupiedSlots() >= d.startWindow/2
+	late := age >= max(d.maxQueueTime(j), 2*d.tickInterval) && d.occupiedSlots() >= d.startWindow.Slots()/2
 	if late || r.Deadline-d.now <= 2*d.tickInterval {
 		d.urgentJobs = append(d.urgentJobs, j)
 	} else if d.requestHealthChecks(j) {
@@ -73,7 +73,7 @@
 	if j.tenant.quota.ExceedsQuota() {
 		return max(1, j.class.LatencyObjective/part)
 	}
-	return max(1, d.timelyLimit(j)-runs*j.class.runtimes.Median()-int64(d.startDelay.avg+2*d.startDelay.dev))
+	return max(1, d.timelyLimit(j)-runs*j.class.runtimes.Median()-d.startDelays.Bound(2))
 }
 
 // newestFirst says that of a tenant's queue the newest job goes first, which has its whole time
--- a/api.go
+++ b/api.go
@@ -23,6 +23,7 @@
 	"math"
 
 	"github.com/vatu-meals/foxlift/internal/decision/admission"
+	"github.com/vatu-meals/foxlift/internal/decision/capacity"
 )
 
 // An Effect says what happens if a request runs more than once.
@@ -69,22 +70,23 @@
 type Band = admission.Band
 
 // A Gauge is one value of a worker's load report.
-type Gauge uint8
+type Gauge = capacity.Gauge
 
+// The gauges that a load report may hold.
 const (
-	GaugeUnknown    Gauge = iota
-	GaugeInFlight         // requests the worker holds
-	GaugeQueued           // requests waiting there
-	GaugeBusy             // share of its cores busy
-	GaugeLatency          // recent service time in milliseconds
-	GaugeThroughput       // requests served a second
-	GaugeErrors           // errors a second
-	GaugeFreeSlots
-	GaugeFreeMemory
+	GaugeUnknown    = capacity.GaugeUnknown
+	GaugeInFlight   = capacity.GaugeInFlight   // requests the worker holds
+	GaugeQueued     = capacity.GaugeQueued     // requests waiting there
+	GaugeBusy       = capacity.GaugeBusy       // share of its cores busy
+	GaugeLatency    = capacity.GaugeLatency    // recent service time in milliseconds
+	GaugeThroughput = capacity.GaugeThroughput // requests served a second
+	GaugeErrors     = capacity.GaugeErrors     // errors a second
+	GaugeFreeSlots  = capacity.GaugeFreeSlots
+	GaugeFreeMemory = capacity.GaugeFreeMemory
 )
 
 // MaxGauges is the most values that a load report may hold.
-const MaxGauges = 4
+const MaxGauges = capacity.MaxGauges
 
 // MaxDispatchers is the most dispatchers that may share a fleet: each keeps a little of
 // every other.
--- a/attempts.go
+++ b/attempts.go
@@ -207,5 +207,5 @@
 	if !d.cfg.StartNotes {
 		limit = 2 * a.job.objective
 	}
-	return max(limit, int64(d.startDelay.avg+4*d.startDelay.dev))
+	return max(limit, d.startDelays.Bound(4))
 }
--- a/dispatch_order.go
+++ b/dispatch_order.go
@@ -22,7 +22,7 @@
 
 // mayBurst reports whether a job may be sent past its tenant's bands.
 func (d *Dispatcher) mayBurst() bool {
-	return (d.rate.Unthrottled() || d.quotas.HasBurstToken()) && d.occupiedSlots() < d.startWindow
+	return (d.rate.Unthrottled() || d.quotas.HasBurstToken()) && d.occupiedSlots() < d.startWindow.Slots()
 }
 
 // maxUnstarted is how many of our jobs that cannot be moved may wait at the workers, so
--- a/fleet_index.go
+++ b/fleet_index.go
@@ -9,50 +9,25 @@
 	"hash/fnv"
 	"slices"
 
+	"github.com/vatu-meals/foxlift/internal/decision/capacity"
 	"github.com/vatu-meals/foxlift/internal/decision/health"
 )
 
 // A fleetIndex holds the workers by what is asked of them. Each slice holds a worker once.
 type fleetIndex struct {
-	workersSeen        int64     // workers ever heard of
-	pending            []*worker // to be placed anew at the next tick or list event
-	unsorted           bool      // pending is not in the order of the list
-	livenessChanged    []*worker // those that became live, or are so no more, by the list event in hand
-	removed            []*worker // with some that have come back since the last look
-	lost               []*worker // the same
-	learnedLimits      limitSum  // of the live workers whose caps were learned
-	candidatesExamined int       // workers that any step but one of a whole list has looked at, for tests of its cost
+	workersSeen        int64           // workers ever heard of
+	pending            []*worker       // to be placed anew at the next tick or list event
+	unsorted           bool            // pending is not in the order of the list
+	livenessChanged    []*worker       // those that became live, or are so no more, by the list event in hand
+	removed            []*worker       // with some that have come back since the last look
+	lost               []*worker       // the same
+	learnedLimits      capacity.Limits // of the live workers
+	candidatesExamined int             // workers that any step but one of a whole list has looked at, for tests of its cost
 }
 
 // maxIncremental is the most workers that are put into the live ones one by one.
 const maxIncremental = 64
 
-// A limitSum is an exact sum of caps, so that it depends on no order and never drifts: a cap is
-// counted in parts of limitUnit, to which every cap that was learned from whole slots is exact.
-type limitSum struct {
-	parts int64
-	count int
-}
-
-const (
-	limitUnit       = 1 << 30 // parts of a slot
-	maxCountedLimit = 1 << 14 // slots that a cap counts for at most: half a million such workers fit the sum
-)
-
-// add takes a cap into the sum (1) or out of it (-1).
-func (s *limitSum) add(parts int64, by int) {
-	s.parts += int64(by) * parts
-	s.count += by
-}
-
-// mean returns the mean of the caps, or other if there are none.
-func (s *limitSum) mean(other float64) float64 {
-	if s.count == 0 {
-		return other
-	}
-	return float64(s.parts) / float64(s.count) / limitUnit
-}
-
 // addWorker takes a worker that is heard of for the first time into the list.
 func (d *Dispatcher) addWorker(id string) *worker {
 	h := fnv.New64a()
@@ -109,16 +84,8 @@
 	d.pending = kept
 }
 
-// recountLimit brings the sum of caps up to date with a worker.
-func (d *Dispatcher) recountLimit(w *worker) {
-	if w.limitCounted {
-		d.learnedLimits.add(w.countedLimit, -1)
-	}
-	if w.limitCounted = w.limitLearned && w.state == Live; w.limitCounted {
-		w.countedLimit = int64(min(w.concurrencyLimit, maxCountedLimit) * limitUnit)
-		d.learnedLimits.add(w.countedLimit, 1)
-	}
-}
+// recountLimit brings the sum of limits up to date with a worker.
+func (d *Dispatcher) recountLimit(w *worker) { d.learnedLimits.Recount(&w.limit, w.state == Live) }
 
 // indexWorker brings the index up to date with what a list event says of a worker.
 func (d *Dispatcher) indexWorker(w *worker) {
--- a/fleet_index_test.go
+++ b/fleet_index_test.go
@@ -8,6 +8,7 @@
 	"testing"
 
 	"github.com/vatu-meals/foxlift/internal/decision/affinity"
+	"github.com/vatu-meals/foxlift/internal/decision/capacity"
 )
 
 // churnEvent changes some workers at random: their states, starts and kinds.
@@ -61,7 +62,7 @@
 // A workerScan is what a look at all workers finds.
 type workerScan struct {
 	live, removed    []*worker
-	learnedLimits    limitSum
+	learnedLimits    capacity.Limits
 	available, total float64 // capacity: what the live workers have, and what the fleet had
 }
 
@@ -81,9 +82,9 @@
 			scan.live = append(scan.live, w)
 			scan.available += d.slowStartWeight(w)
 		}
-		if live && w.limitLearned {
-			scan.learnedLimits.add(int64(w.concurrencyLimit*limitUnit), 1)
-		}
+		var limit capacity.Limit // counted in no sum yet
+		limit.Restore(w.limit.Slots(), w.limit.Learned())
+		scan.learnedLimits.Recount(&limit, live)
 		if w.lost && (w.state == Removed || d.inSlowStart(w)) || live && !d.inSlowStart(w) {
 			scan.total++
 		}
--- a/gossip.go
+++ b/gossip.go
@@ -35,7 +35,7 @@
 func (d *Dispatcher) countAttempt(a *attempt, by float64) {
 	w := a.worker
 	w.usedSlots += by * a.slots
-	w.slotsSinceReport += by * a.slots
+	w.report.CountSlots(by * a.slots)
 	w.usedMemory += by * a.job.req.Memory
 	w.inFlightJobs += int(by)
 	d.inFlightSlots += by * a.slots
--- a/health.go
+++ b/health.go
@@ -22,8 +22,10 @@
 // 'full': the worker had no room for it.
 func (d *Dispatcher) recordStart(a *attempt) {
 	w, delay := a.worker, d.now-a.sentAt
-	d.startDelay.add(float64(delay))
-	delay = d.excessDelay(a, delay)
+	d.startDelays.Record(delay)
+	if d.largeFleet() { // a few learn each worker's room by itself
+		delay = d.startDelays.Excess(a.path, delay)
+	}
 	w.outlier.RecordStart(d.now, delay < d.tickInterval)
 	late := delay > 2*d.tickInterval
 	a.clearOverdue()
@@ -34,26 +36,16 @@
 	d.updateLevel(w)
 }
 
-const (
-	lateStartFraction = 0.25 // share of late starts at which the window stays
-	windowGain        = 0.01 // share of the window that one start moves it by, at most
-)
-
-// adjustCapacity moves the worker's cap and the fleet's window after an answer.
+// adjustCapacity moves the worker's limit and the fleet's window after an answer.
 func (d *Dispatcher) adjustCapacity(w *worker, late bool) {
-	defer d.recountLimit(w)
-	gain := windowGain * min(d.fleetScale, 8) // each of many sees fewer starts
 	if late {
-		w.concurrencyLimit, w.limitLearned = max(1, min(w.concurrencyLimit, w.usedSlots)-0.5), true
-		d.startWindow = max(1, min(d.startWindow, 2*d.occupiedSlots())*(1-gain))
-		return
-	}
-	if w.usedSlots >= w.concurrencyLimit-1 {
-		w.concurrencyLimit, w.limitLearned = w.concurrencyLimit+0.25, true
-	}
-	if d.occupiedSlots() >= d.startWindow/2 {
-		d.startWindow += d.startWindow * gain * lateStartFraction / (1 - lateStartFraction)
+		w.limit.Decrease(w.usedSlots)
+		d.startWindow.RecordLate(d.occupiedSlots())
+	} else {
+		w.limit.Increase(w.usedSlots)
+		d.startWindow.RecordPrompt(d.occupiedSlots())
 	}
+	d.recountLimit(w)
 }
 
 // release takes the end of an attempt into the counts and judges its worker.
@@ -121,7 +113,7 @@
 
 // eject keeps jobs from a worker that has failed for a while.
 func (d *Dispatcher) eject(w *worker) {
-	least := int64(d.startDelay.avg + 4*d.startDelay.dev)
+	least := d.startDelays.Bound(4)
 	if d.largeFleet() {
 		least = max(least, second)
 	}
@@ -149,7 +141,7 @@
 func (d *Dispatcher) updateLevel(w *worker) {
 	level := -1
 	if w.state == Live && w.overdue == 0 && !w.outlier.Ejected(d.now) &&
-		w.usedSlots < max(1, min(w.concurrencyLimit, w.maxSlots())) &&
+		w.usedSlots < max(1, min(w.limit.Slots(), w.report.MaxSlots())) &&
 		!(w.outlier.OnTrial() && w.inFlightJobs > 0) && !d.slowStart.Holds(&w.warmup, d.now) {
 		level = int(w.usedSlots)
 	}
--- /dev/null
+++ b/internal/decision/capacity/window.go
@@ -0,0 +1,71 @@
+package capacity
+
+const (
+	lateStartFraction = 0.25 // fraction of late starts at which the window stays
+	windowGain        = 0.01 // fraction of the window that one start moves it by, at most
+	maxWindowScale    = 8    // times the gain of few dispatchers
+)
+
+// A StartWindow is how many slots the whole fleet starts without delay, as learned from each start.
+type StartWindow struct {
+	slots float64
+	gain  float64
+}
+
+// NewStartWindow returns the window in a fleet that has fleetScale times more dispatchers than learn
+// enough from their own jobs: each of many sees fewer starts.
+func NewStartWindow(fleetScale float64) StartWindow {
+	return StartWindow{gain: windowGain * min(fleetScale, maxWindowScale)}
+}
+
+// Slots returns the window; 0: nothing is known yet.
+func (w *StartWindow) Slots() float64 { return w.slots }
+
+// Set sets the window.
+func (w *StartWindow) Set(slots float64) { w.slots = slots }
+
+// RecordLate notes that a job had to wait while so many slots were in flight.
+func (w *StartWindow) RecordLate(occupied float64) {
+	w.slots = max(1, min(w.slots, 2*occupied)*(1-w.gain))
+}
+
+// RecordPrompt notes that a job did not wait while so many slots were in flight.
+func (w *StartWindow) RecordPrompt(occupied float64) {
+	if occupied >= w.slots/2 {
+		w.slots += w.slots * w.gain * lateStartFraction / (1 - lateStartFraction)
+	}
+}
+
+// Paths is the number of ways that an attempt may go: over a new connection or not, to another zone or
+// not.
+const Paths = 4
+
+// StartDelays is the delay from sending an attempt to its start.
+type StartDelays struct {
+	mean  MovingMean
+	least [Paths]int64 // by way; 0: none yet
+}
+
+// Mean returns the delay's average and deviation.
+func (s *StartDelays) Mean() MovingMean { return s.mean }
+
+// Least returns the least delay of each way.
+func (s *StartDelays) Least() [Paths]int64 { return s.least }
+
+// Restore takes over another's delays.
+func (s *StartDelays) Restore(mean MovingMean, least [Paths]int64) { s.mean, s.least = mean, least }
+
+// Bound returns the average delay and so many mean deviations.
+func (s *StartDelays) Bound(deviations float64) int64 { return s.mean.Bound(deviations) }
+
+// Record notes an attempt's delay to its start.
+func (s *StartDelays) Record(delay int64) { s.mean.Add(float64(delay)) }
+
+// Excess returns a delay less the least that the same way has taken: a handshake with another zone may
+// take longer than a job waits.
+func (s *StartDelays) Excess(path int, delay int64) int64 {
+	if least := &s.least[path]; *least == 0 || delay < *least {
+		*least = max(1, delay)
+	}
+	return delay - s.least[path]
+}
--- a/latency_loop.go
+++ b/latency_loop.go
@@ -22,14 +22,15 @@
 func (d *Dispatcher) runControlLoops() {
 	turn := d.rate.BeginPeriod()
 	v := 1.0
-	d.pressureDecay = 1
+	decay := int64(1)
 	for i := range d.classes {
 		c := &d.classes[i]
 		c.loop.Run(turn && !d.exchangesUsage())
 		c.runtimes.Update()
-		d.pressureDecay = max(d.pressureDecay, 2*c.runtimes.Median())
+		decay = max(decay, 2*c.runtimes.Median())
 		v = min(v, c.loop.Input())
 	}
+	d.reports.SetDecay(decay)
 	d.rate.SetInput(v)
 	d.exchangeAdmissionRate()
 	d.updateQuotas()
--- a/machine_list.go
+++ b/machine_list.go
@@ -35,8 +35,9 @@
 		d.removeUnlisted()
 	}
 	d.updateLive()
-	if kind == EndpointsCached || d.startWindow == 0 {
-		d.startWindow = d.meanLimit() * float64(len(d.liveWorkers)) / d.fleetScale // nothing is known against it
+	if kind == EndpointsCached || d.startWindow.Slots() == 0 {
+		// Nothing is known against it.
+		d.startWindow.Set(d.learnedLimits.Mean() * float64(len(d.liveWorkers)) / d.fleetScale)
 	}
 	d.updatePending()
 }
@@ -45,7 +46,7 @@
 	w := d.workers[e.ID]
 	if w == nil {
 		w = d.addWorker(e.ID)
-		w.concurrencyLimit = d.meanLimit()
+		w.limit.Restore(d.learnedLimits.Mean(), false)
 	}
 	d.setLevel(w, -1) // its kind may change
 	w.setState(e.State, d.now)
@@ -68,13 +69,11 @@
 	w.outlier.Reset()
 	w.warmup.Restart(at)
 	w.latencyRatio = 0
-	w.hasLoad, w.connections, w.slotsSinceReport, w.cachedKeys = false, 0, 0, affinity.CachedKeys{}
-	w.concurrencyLimit, w.limitLearned = d.meanLimit(), false
+	w.report.Invalidate()
+	w.connections, w.cachedKeys = 0, affinity.CachedKeys{}
+	w.limit.Restore(d.learnedLimits.Mean(), false)
 	d.slowStart.DelayFirst(&w.warmup, d.now, d.minMedianRuntime(), d.rng)
 }
 
-// meanLimit is what a worker counts at until it answers.
-func (d *Dispatcher) meanLimit() float64 { return d.learnedLimits.mean(4) }
-
 // removedRetention is how long a worker that is gone counts as lost and may come back as itself.
 const removedRetention = 60 * second
--- a/placement.go
+++ b/placement.go
@@ -41,7 +41,7 @@
 	if j.req.Key != 0 && (d.largeFleet() || d.cfg.Prices.Fetch > 0) {
 		ws := d.affinityWorkers(j)
 		for i, w := range ws {
-			if w.level >= 0 && (!w.hasLoad || d.reportedPressure(w, j.req.Slots) < 1) {
+			if w.level >= 0 && (!w.report.Valid() || d.reports.Reported(&w.report, j.req.Slots) < 1) {
 				try(w, float64(w.level)-4*d.cfg.Prices.Fetch*(1-float64(i)/float64(len(ws))), true)
 			}
 		}
@@ -135,7 +135,7 @@
 // cost rates a worker among equals: the share of a job's worth that is likely
 // lost there, and the jobs that a crossing or a fetch stands for.
 func (d *Dispatcher) placementCost(j *job, w *worker) float64 {
-	c := d.pressure(w, j.req.Slots) / 2
+	c := d.reports.Pressure(&w.report, j.req.Slots, d.now) / 2
 	if c >= 0.45 {
 		c = 1
 	}
@@ -159,37 +159,6 @@
 	return c
 }
 
-// pressure guesses from the load report how likely a job waits: 0 to 1. An old
-// report tells little, since the jobs it counted have ended: it fades towards
-// what is usual in the fleet.
-func (d *Dispatcher) pressure(w *worker, slots float64) float64 {
-	if !w.hasLoad {
-		return d.fleetPressure.avg
-	}
-	age := float64(d.now-w.reportedAt) / float64(d.pressureDecay)
-	return d.fleetPressure.avg + (d.reportedPressure(w, slots)-d.fleetPressure.avg)*math.Exp(-age)
-}
-
-// reported is the pressure that the last load report shows.
-func (d *Dispatcher) reportedPressure(w *worker, slots float64) float64 {
-	p, known := 0.0, false
-	for i, g := range d.cfg.Gauges {
-		x := w.load[i]
-		switch g {
-		case GaugeFreeSlots:
-			free := x - w.slotsSinceReport
-			p, known = max(p, 1/max(1, 2+free-slots)), true
-		case GaugeQueued:
-			p, known = max(p, x/(1+x)), true
-		case GaugeBusy:
-			if !known {
-				p = max(p, x*x)
-			}
-		}
-	}
-	return min(p, 1)
-}
-
 const saturatedPressure = 0.8 // usual pressure at which asking finds no room and only adds work
 
 // scout lets a job wait a moment while two workers are asked for their load, where
@@ -197,12 +166,12 @@
 // was true many jobs ago. The answers make those workers the last that reported.
 func (d *Dispatcher) requestHealthChecks(j *job) bool {
 	if d.knowsAllUsage() || !d.cfg.MayHealthCheck || len(d.cfg.Gauges) == 0 ||
-		len(d.liveWorkers) <= len(d.recentlyReported) || d.fleetPressure.avg > saturatedPressure {
+		len(d.liveWorkers) <= len(d.recentlyReported) || d.reports.Usual().Average > saturatedPressure {
 		return false
 	}
 	known := 0
 	for _, w := range d.recentlyReported {
-		if w != nil && w.level == 0 && d.now-w.reportedAt < d.pressureDecay/8 && d.reportedPressure(w, 1) < 1 {
+		if w != nil && w.level == 0 && d.reports.Recent(&w.report, d.now) && d.reports.Reported(&w.report, 1) < 1 {
 			known++
 		}
 	}
--- a/placement_large_test.go
+++ b/placement_large_test.go
@@ -49,16 +49,16 @@
 		h.step(h.request(id, idempotent))
 		sent := h.wantActions(ActionSend, 1)[0]
 		h.advance(40*ms, started(id, 0, sent.Worker)) // 3 ticks
-		if got := h.d.minDelay[h.d.jobs[id].attempts[0].path]; got != 40*ms {
+		if got := h.d.startDelays.Least()[h.d.jobs[id].attempts[0].path]; got != 40*ms {
 			t.Errorf("the way takes %d", got)
 		}
 		outlier := h.d.workers[sent.Worker].outlier.State()
-		if outlier.PromptStartAt == 0 || outlier.LastFaultAt != 0 || h.d.startWindow < 1 {
+		if outlier.PromptStartAt == 0 || outlier.LastFaultAt != 0 || h.d.startWindow.Slots() < 1 {
 			t.Error("the worker counts as full for its distance")
 		}
 		h.advance(ms, outcome(id, 0, sent.Worker, Served))
 	}
-	h.d.minDelay = [4]int64{40 * ms, 40 * ms, 40 * ms, 40 * ms}
+	h.d.startDelays.Restore(h.d.startDelays.Mean(), [4]int64{40 * ms, 40 * ms, 40 * ms, 40 * ms})
 	h.step(h.request(3, idempotent))
 	sent := h.wantActions(ActionSend, 1)[0]
 	h.advance(70*ms, started(3, 0, sent.Worker))
--- a/placement_test.go
+++ b/placement_test.go
@@ -20,7 +20,7 @@
 
 func TestLateBindingQueuesWithoutCapacity(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(1)...)
-	h.d.workerOrder[0].concurrencyLimit = 2
+	h.d.workerOrder[0].limit.Restore(2, h.d.workerOrder[0].limit.Learned())
 	h.step(h.request(1, atMostOnce), h.request(2, atMostOnce), h.request(3, atMostOnce))
 	h.wantActions(ActionSend, 2)
 	h.advance(3 * ms)
@@ -48,11 +48,11 @@
 	w := h.d.workerOrder[0]
 	w.usedSlots = 3
 	h.d.adjustCapacity(w, true)
-	if w.concurrencyLimit >= 3 {
-		t.Errorf("limit %v after a rejection at 3", w.concurrencyLimit)
+	if w.limit.Slots() >= 3 {
+		t.Errorf("limit %v after a rejection at 3", w.limit.Slots())
 	}
-	if m := h.d.meanLimit(); m != w.concurrencyLimit {
-		t.Errorf("a new worker counts at %v, want %v", m, w.concurrencyLimit)
+	if m := h.d.learnedLimits.Mean(); m != w.limit.Slots() {
+		t.Errorf("a new worker counts at %v, want %v", m, w.limit.Slots())
 	}
 }
 
@@ -75,7 +75,7 @@
 	cfg := testConfig()
 	cfg.MayHealthCheck, cfg.Dispatchers = true, 2
 	h := newHarness(t, cfg, testWorkers(20)...)
-	h.d.fleetPressure.avg = 0.5
+	setUsualPressure(h.d, 0.5)
 	h.step(h.request(1, idempotent))
 	h.wantActions(ActionSend, 0)
 	probes := h.wantActions(ActionHealthCheck, 2)
@@ -102,11 +102,11 @@
 	w := h.d.workerOrder[0]
 	e := Event{Kind: EventHealthChecked, Worker: "w0", Code: Served, HasLoad: true}
 	h.step(e) // no free slots
-	h.d.fleetPressure.avg = 0.3
-	fresh := h.d.pressure(w, 1)
+	setUsualPressure(h.d, 0.3)
+	fresh := h.d.reports.Pressure(&w.report, 1, h.d.now)
 	h.now += 20 * second
 	h.step()
-	if old := h.d.pressure(w, 1); fresh < 0.9 || math.Abs(old-0.3) > 0.01 {
+	if old := h.d.reports.Pressure(&w.report, 1, h.d.now); fresh < 0.9 || math.Abs(old-0.3) > 0.01 {
 		t.Errorf("pressure %v when fresh and %v when old, want about 1 and 0.3", fresh, old)
 	}
 }
@@ -151,7 +151,7 @@
 	cfg := testConfig()
 	cfg.MayHealthCheck = true
 	h := newHarness(t, cfg, testWorkers(20)...)
-	h.d.fleetPressure.avg = 0.95
+	setUsualPressure(h.d, 0.95)
 	h.step(h.request(1, idempotent))
 	h.wantActions(ActionHealthCheck, 0)
 	h.wantActions(ActionSend, 1)
@@ -194,7 +194,7 @@
 	cfg.Prices.CrossZone = 0.1
 	h := newHarness(t, cfg, testWorkers(2)...) // w0 in this zone
 	for _, w := range h.d.workerOrder {
-		w.concurrencyLimit = 9
+		w.limit.Restore(9, w.limit.Learned())
 	}
 	got := map[string]int{}
 	for id := uint64(1); id <= 6; id++ {
--- a/quotas_test.go
+++ b/quotas_test.go
@@ -17,7 +17,7 @@
 	id := uint64(0)
 	for round := range 400 {
 		var events []Event
-		h.d.workerOrder[0].concurrencyLimit = 2
+		h.d.workerOrder[0].limit.Restore(2, h.d.workerOrder[0].limit.Learned())
 		for n := range 4 { // three of tenant 0 in each round, one of tenant 1 in every other
 			if tenant := n / 3; tenant == 0 || round%2 == 0 {
 				id++
@@ -39,7 +39,7 @@
 		for _, a := range running {
 			events = append(events, started(a.ID, a.Attempt, a.Worker))
 		}
-		h.d.workerOrder[0].concurrencyLimit = 2
+		h.d.workerOrder[0].limit.Restore(2, h.d.workerOrder[0].limit.Learned())
 		h.advance(ms, events...)
 		running = append(running, h.actionsOf(ActionSend)...)
 		for _, a := range h.actionsOf(ActionShed) {
--- a/snapshot.go
+++ b/snapshot.go
@@ -7,6 +7,7 @@
 	"slices"
 
 	"github.com/vatu-meals/foxlift/internal/decision/admission"
+	"github.com/vatu-meals/foxlift/internal/decision/capacity"
 	"github.com/vatu-meals/foxlift/internal/decision/health"
 )
 
@@ -93,8 +94,10 @@
 	s := &Snapshot{
 		Now: d.now, ControlPeriods: rate.Periods, AdmissionRate: rate.AdmissionRate, Unthrottled: rate.Unthrottled,
 		OfferedRate: rate.OfferedRate, TrafficFraction: d.quotas.TrafficFraction(), BurstTokens: d.quotas.BurstTokens(),
-		StartWindow: d.startWindow, HedgeBudget: d.hedgeBudget, FleetPressure: MeanSnapshot{Average: d.fleetPressure.avg, Deviation: d.fleetPressure.dev},
-		StartDelay: MeanSnapshot{Average: d.startDelay.avg, Deviation: d.startDelay.dev}, MinDelay: d.minDelay, PressureDecay: d.pressureDecay, PeakWorkerRate: d.slowStart.Rate().Peak(), RecentWorkerRate: d.slowStart.Rate().Recent(),
+		StartWindow: d.startWindow.Slots(), HedgeBudget: d.hedgeBudget,
+		FleetPressure: MeanSnapshot(d.reports.Usual()),
+		StartDelay:    MeanSnapshot(d.startDelays.Mean()), MinDelay: d.startDelays.Least(),
+		PressureDecay: d.reports.Decay(), PeakWorkerRate: d.slowStart.Rate().Peak(), RecentWorkerRate: d.slowStart.Rate().Recent(),
 		Keys: d.recentKeys.Keys(),
 	}
 	for i := range d.classes {
@@ -119,8 +122,10 @@
 		Periods: s.ControlPeriods, AdmissionRate: s.AdmissionRate, Unthrottled: s.Unthrottled, OfferedRate: s.OfferedRate,
 	})
 	d.quotas.Restore(s.TrafficFraction, s.BurstTokens)
-	d.startWindow, d.hedgeBudget, d.minDelay, d.pressureDecay = s.StartWindow, s.HedgeBudget, s.MinDelay, max(s.PressureDecay, 1)
-	d.fleetPressure, d.startDelay = movingMean{s.FleetPressure.Average, s.FleetPressure.Deviation}, movingMean{s.StartDelay.Average, s.StartDelay.Deviation}
+	d.startWindow.Set(s.StartWindow)
+	d.startDelays.Restore(capacity.MovingMean(s.StartDelay), s.MinDelay)
+	d.reports.Restore(capacity.MovingMean(s.FleetPressure), max(s.PressureDecay, 1))
+	d.hedgeBudget = s.HedgeBudget
 	d.slowStart.Rate().Restore(s.PeakWorkerRate, s.RecentWorkerRate)
 	d.recentKeys.Restore(s.Keys)
 	for i := range s.Classes {
@@ -192,8 +197,8 @@
 	outlier := w.outlier.State()
 	sentAt, work := w.warmup.LastSend()
 	return WorkerSnapshot{
-		ID: w.id, StartedAt: w.warmup.StartedAt(), ConcurrencyLimit: w.concurrencyLimit, LimitLearned: w.limitLearned,
-		ReportedSlots: w.reportedSlots, EjectedUntil: outlier.EjectedUntil, Backoff: outlier.Backoff,
+		ID: w.id, StartedAt: w.warmup.StartedAt(), ConcurrencyLimit: w.limit.Slots(), LimitLearned: w.limit.Learned(),
+		ReportedSlots: w.report.TotalSlots(), EjectedUntil: outlier.EjectedUntil, Backoff: outlier.Backoff,
 		Trial: outlier.Trial, ConsecutiveRejections: outlier.ConsecutiveRejections,
 		PromptStartAt: outlier.PromptStartAt, LastFaultAt: outlier.LastFaultAt, FailureRate: outlier.FailureRate,
 		LatencyRatio: w.latencyRatio, SlowStartSentAt: sentAt, SlowStartWork: work,
@@ -202,7 +207,8 @@
 }
 
 func (w *worker) restore(s *WorkerSnapshot) {
-	w.concurrencyLimit, w.limitLearned, w.reportedSlots = s.ConcurrencyLimit, s.LimitLearned, s.ReportedSlots
+	w.limit.Restore(s.ConcurrencyLimit, s.LimitLearned)
+	w.report.RestoreTotalSlots(s.ReportedSlots)
 	w.outlier.Restore(health.OutlierState{
 		EjectedUntil: s.EjectedUntil, Backoff: s.Backoff, Trial: s.Trial,
 		ConsecutiveRejections: s.ConsecutiveRejections,
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -77,18 +77,18 @@
 	before := *to.d.workers["w1"]
 	to.d.Restore(snapshot)
 	after := *to.d.workers["w1"]
-	if after.concurrencyLimit != before.concurrencyLimit || after.latencyRatio != before.latencyRatio ||
+	if after.limit.Slots() != before.limit.Slots() || after.latencyRatio != before.latencyRatio ||
 		after.outlier.State().EjectedUntil != before.outlier.State().EjectedUntil {
 		t.Errorf("another run of a worker: %+v, want %+v", after, before)
 	}
-	if to.d.workers["w0"].concurrencyLimit != snapshot.Workers[0].ConcurrencyLimit {
-		t.Errorf("limit %v, want %v", to.d.workers["w0"].concurrencyLimit, snapshot.Workers[0].ConcurrencyLimit)
+	if to.d.workers["w0"].limit.Slots() != snapshot.Workers[0].ConcurrencyLimit {
+		t.Errorf("limit %v, want %v", to.d.workers["w0"].limit.Slots(), snapshot.Workers[0].ConcurrencyLimit)
 	}
 	if to.d.classes[2].runtimes.Median() == snapshot.Classes[2].Median {
 		t.Error("a class of another name was restored")
 	}
 	restored := snapshot.Workers[0]
-	if mean, want := to.d.meanLimit(), restored.ConcurrencyLimit; restored.LimitLearned && mean != want {
+	if mean, want := to.d.learnedLimits.Mean(), restored.ConcurrencyLimit; restored.LimitLearned && mean != want {
 		t.Errorf("the mean limit is %v, want that of the one worker that was restored, %v", mean, want)
 	}
 	if len(to.d.workers) != 2 {
--- a/state.go
+++ b/state.go
@@ -9,6 +9,7 @@
 
 	"github.com/vatu-meals/foxlift/internal/decision/admission"
 	"github.com/vatu-meals/foxlift/internal/decision/affinity"
+	"github.com/vatu-meals/foxlift/internal/decision/capacity"
 	"github.com/vatu-meals/foxlift/internal/decision/health"
 	"github.com/vatu-meals/foxlift/internal/decision/membership"
 	"github.com/vatu-meals/foxlift/internal/slowstart"
@@ -52,13 +53,11 @@
 	inFlightSlots    float64         // slots of our jobs in flight,
 	externalSlots    float64         // and of those that the host sent past this dispatcher
 	unstarted        int             // attempts sent that have not started, on workers that may be well
-	startWindow      float64         // how many of them the fleet starts without delay
-	fleetPressure    movingMean      // pressure that load reports show
-	recentlyReported [4]*worker      // the last that reported
+	startWindow      capacity.StartWindow
+	startDelays      capacity.StartDelays
+	reports          capacity.Reports
+	recentlyReported [4]*worker // the last that reported
 	nextReported     int
-	pressureDecay    int64      // time in which a load report loses its meaning
-	startDelay       movingMean // delay from sending to the start
-	minDelay         [4]int64   // the least delay, by attempt.path
 	slowStart        health.SlowStart
 	poll             membership.PollSchedule
 	lease            membership.Lease
@@ -103,18 +102,6 @@
 	late              bool // entered the regulator at its limit
 }
 
-// mean follows an average and the mean deviation from it.
-type movingMean struct{ avg, dev float64 }
-
-func (m *movingMean) add(x float64) {
-	if m.avg == 0 {
-		m.avg, m.dev = x, x/2
-		return
-	}
-	m.dev += (math.Abs(x-m.avg) - m.dev) / 64
-	m.avg += (x - m.avg) / 64
-}
-
 // New returns a Dispatcher for cfg, or an error naming the field that makes cfg
 // impossible to run. All randomness comes from seed.
 func New(cfg Config, seed uint64) (*Dispatcher, error) {
@@ -122,7 +109,7 @@
 		return nil, err
 	}
 	d := &Dispatcher{
-		cfg: cfg, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), startedAt: -1, pressureDecay: second,
+		cfg: cfg, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), startedAt: -1,
 		jobs: map[uint64]*job{}, workers: map[string]*worker{}, hedgeBudget: maxHedgeBudget,
 		exchange: newPeerExchange(&cfg, seed), rate: admission.NewRateController(cfg.Dispatchers, cfg.Index),
 		poll: membership.NewPollSchedule(cfg.MaxPollInterval), lease: membership.NewLease(cfg.EndpointLease),
@@ -140,7 +127,8 @@
 	d.tickInterval = max(aim/8, int64(1e6))
 	d.freeWorkers, d.affinity = make([][][]*worker, kinds+1), affinity.NewIndexes[*worker](kinds)
 	d.fleetScale = max(1, float64(cfg.Dispatchers)/smallFleetMax)
-	bears := cfg.OverloadMultiple * cfg.SlowStartCapacity * d.meanLimit() // slots, of a worker that has just started
+	d.startWindow, d.reports = capacity.NewStartWindow(d.fleetScale), capacity.NewReports(cfg.Gauges)
+	bears := cfg.OverloadMultiple * cfg.SlowStartCapacity * d.learnedLimits.Mean() // slots, of a worker that has just started
 	minObjective := float64(aim)
 	slots := slowstart.NewSlots(cfg.OverloadWindow, cfg.Dispatchers, cfg.Index,
 		bears*float64(cfg.OverloadWindow)/minObjective)
@@ -237,18 +225,6 @@
 	return w.inFlightJobs >= w.connections || d.cfg.ConnIdle > 0 && d.now-w.connectionUsedAt > d.cfg.ConnIdle
 }
 
-// excessDelay notes an attempt's delay to its start and returns it less the least that the same way
-// has taken: a handshake with another zone may take longer than a job waits.
-func (d *Dispatcher) excessDelay(a *attempt, delay int64) int64 {
-	if !d.largeFleet() {
-		return delay // a few learn each worker's room by itself
-	}
-	if least := &d.minDelay[a.path]; *least == 0 || delay < *least {
-		*least = max(1, delay)
-	}
-	return delay - d.minDelay[a.path]
-}
-
 // waited ends an attempt's wait for its start.
 func (d *Dispatcher) recordStarted(a *attempt) {
 	if a.unstarted {
--- a/state_helpers_test.go
+++ b/state_helpers_test.go
@@ -54,3 +54,9 @@
 	at, _ := w.warmup.LastSend()
 	w.warmup.RestoreLastSend(at, 0)
 }
+
+func setUsualPressure(d *Dispatcher, average float64) {
+	usual := d.reports.Usual()
+	usual.Average = average
+	d.reports.Restore(usual, d.reports.Decay())
+}
--- a/workers.go
+++ b/workers.go
@@ -6,6 +6,7 @@
 	"math"
 
 	"github.com/vatu-meals/foxlift/internal/decision/affinity"
+	"github.com/vatu-meals/foxlift/internal/decision/capacity"
 	"github.com/vatu-meals/foxlift/internal/decision/gossip"
 	"github.com/vatu-meals/foxlift/internal/decision/health"
 )
@@ -25,22 +26,17 @@
 	externalSlots    float64      // of these, what others sent
 	peerUsage        gossip.Usage // and what peers say that their jobs hold there
 	usedMemory       float64      // that all these jobs need
-	reportedSlots    float64      // slots that it has, as its load reports tell; 0: unknown
-	dirty            bool         // peers have not been told of the last change
+	report           capacity.LoadReport
+	dirty            bool // peers have not been told of the last change
 	inFlightJobs     int
-	concurrencyLimit float64 // most of our slots that it takes without delay
-	limitLearned     bool    // cap was learned from its own answers
-	level, position  int     // place in Dispatcher.room; level -1: gets nothing now
-	overdue          int     // jobs that it should have started
+	limit            capacity.Limit
+	level, position  int // place in Dispatcher.room; level -1: gets nothing now
+	overdue          int // jobs that it should have started
 	outlier          health.Outlier
 	warmup           health.Warmup
-	acceptedAt       int64   // when the last attempt that it accepted was sent
-	accepting        bool    // it is in Dispatcher.accepting
-	latencyRatio     float64 // its running times over the class medians
-	load             [MaxGauges]float64
-	hasLoad          bool
-	slotsSinceReport float64 // slots sent since the load report
-	reportedAt       int64
+	acceptedAt       int64                 // when the last attempt that it accepted was sent
+	accepting        bool                  // it is in Dispatcher.accepting
+	latencyRatio     float64               // its running times over the class medians
 	connections      int                   // connections thought open
 	connectionUsedAt int64                 // last use of a connection
 	cachedKeys       affinity.CachedKeys   // of our last jobs there
@@ -51,10 +47,8 @@
 
 // indexed is what fleetIndex notes of a worker.
 type indexEntry struct {
-	pending, live, inRemoved, inLost bool  // in the slice of that name
-	forgotten                        bool  // no more in Dispatcher.workers
-	limitCounted                     bool  // its cap is in the sum,
-	countedLimit                     int64 // as so much
+	pending, live, inRemoved, inLost bool // in the slice of that name
+	forgotten                        bool // no more in Dispatcher.workers
 }
 
 // setLevel puts a worker into another of the room lists, or, for a negative level,
@@ -126,21 +120,9 @@
 	w.state = s
 }
 
-// report keeps a worker's load report.
+// recordLoad keeps a worker's load report.
 func (d *Dispatcher) recordLoad(w *worker, e *Event) {
-	w.load, w.hasLoad, w.slotsSinceReport, w.reportedAt = e.Load, true, 0, d.now
-	var gauges [GaugeFreeMemory + 1]float64
-	known := 0
-	for i, g := range d.cfg.Gauges {
-		gauges[g] = e.Load[i]
-		if g == GaugeInFlight || g == GaugeQueued || g == GaugeFreeSlots {
-			known++
-		}
-	}
-	if known == 3 {
-		w.reportedSlots = max(w.reportedSlots, math.Round(gauges[GaugeInFlight]-gauges[GaugeQueued]+gauges[GaugeFreeSlots]))
-	}
-	d.fleetPressure.add(d.reportedPressure(w, 1))
+	d.reports.Record(&w.report, e.Load, d.now)
 	d.markReported(w)
 }
 
@@ -150,20 +132,12 @@
 	d.nextReported = (d.nextReported + 1) % len(d.recentlyReported)
 }
 
-// slots is the most that a worker can have at work.
-func (w *worker) maxSlots() float64 {
-	if w.reportedSlots == 0 {
-		return math.Inf(1)
-	}
-	return w.reportedSlots
-}
-
 // memoryCapacity is the memory that a worker has for jobs.
 func (d *Dispatcher) memoryCapacity(w *worker) float64 {
-	if d.cfg.SlotMemory == 0 || w.reportedSlots == 0 {
+	if d.cfg.SlotMemory == 0 || w.report.TotalSlots() == 0 {
 		return math.Inf(1)
 	}
-	return w.reportedSlots * d.cfg.SlotMemory
+	return w.report.TotalSlots() * d.cfg.SlotMemory
 }
 
 // Ejected returns how many live workers get nothing, or one trial job at most, since attempts
