--- a/cmd/foxlift/cells.go
+++ b/cmd/foxlift/cells.go
@@ -26,7 +26,7 @@
 	caller.flags(cmd)
 	cmd.AddCommand(
 		newCellsShowCommand(caller),
-		newCellsMoveCommand(caller),
+		newCellsMigrateCommand(caller),
 		newCellsEvacuateCommand(caller),
 		newCellsRestoreCommand(caller),
 	)
@@ -57,7 +57,7 @@
 	return cmd
 }
 
-func newCellsMoveCommand(caller *controlCaller) *cobra.Command {
+func newCellsMigrateCommand(caller *controlCaller) *cobra.Command {
 	return &cobra.Command{
 		Use:     "move TENANT CELL",
 		Short:   "Move a tenant: new and held jobs go over, claims finish where they are",
--- /dev/null
+++ b/cmd/foxlift/process_test.go
@@ -0,0 +1,208 @@
+package main
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// Variables for the test binary.
+const (
+	runAsFoxlift       = "FOXLIFT_TEST_MAIN"      // it runs as foxlift itself
+	lowDescriptorLimit = "FOXLIFT_TEST_FEW_FILES" // it may hold 256 descriptors
+)
+
+const (
+	patience      = 20 * time.Second
+	healthRequest = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"
+)
+
+func TestMain(m *testing.M) {
+	if os.Getenv(runAsFoxlift) == "" {
+		os.Exit(m.Run())
+	}
+	if os.Getenv(lowDescriptorLimit) != "" {
+		if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: 256, Max: 256}); err != nil {
+			panic(err)
+		}
+	}
+	main()
+}
+
+// A process is a run of the program.
+type process struct {
+	*exec.Cmd
+	config string // path of the configuration
+	lines  *bufio.Scanner
+}
+
+// newProcess returns the program, not yet started, with the example's configuration in which one text is
+// replaced by another.
+func newProcess(t *testing.T, old, replacement string) *process {
+	t.Helper()
+	text, err := os.ReadFile("../../examples/config.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !strings.Contains(string(text), old) {
+		t.Fatalf("%s is not in the example", old)
+	}
+	path := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(path, []byte(strings.Replace(string(text), old, replacement, 1)), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return &process{
+		Cmd:    newCommand(t, "LB_CONFIG="+path, "LB_LISTEN=127.0.0.1:0"),
+		config: path,
+	}
+}
+
+// newCommand returns the program, not yet started, without arguments. It is killed at the test's end.
+func newCommand(t *testing.T, env ...string) *exec.Cmd {
+	t.Helper()
+	cmd := exec.CommandContext(t.Context(), os.Args[0])
+	cmd.Env = append(os.Environ(), runAsFoxlift+"=1")
+	cmd.Env = append(cmd.Env, env...)
+	return cmd
+}
+
+// newProcessWithEndpoints returns the program, not yet started, with entries in the cached endpoint list.
+func newProcessWithEndpoints(t *testing.T, entries ...string) *process {
+	t.Helper()
+	return newProcess(t, `"known": null`, `"known": {"seq":1,"hosts":[`+strings.Join(entries, ",")+`]}`)
+}
+
+// endpoint returns the entry of an active worker.
+func endpoint(name, address string) string {
+	return fmt.Sprintf(`{"host":%q,"dial":%q,"health":"active"}`, name, address)
+}
+
+// start starts the program.
+func (p *process) start(t *testing.T) {
+	t.Helper()
+	stderr, err := p.StderrPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := p.Start(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = p.Wait() }) // fails where the test has waited
+	p.lines = bufio.NewScanner(stderr)
+}
+
+// startServing starts the program and returns the address on which it serves clients.
+func (p *process) startServing(t *testing.T) (address string) {
+	t.Helper()
+	p.start(t)
+	_, rest, _ := strings.Cut(p.awaitLine(t, "listening for clients"), `"address": "`)
+	address, _, _ = strings.Cut(rest, `"`)
+	return address
+}
+
+// awaitLine reads what the program writes up to a line with a text, and returns that line.
+func (p *process) awaitLine(t *testing.T, text string) string {
+	t.Helper()
+	for p.lines.Scan() {
+		if strings.Contains(p.lines.Text(), text) {
+			return p.lines.Text()
+		}
+	}
+	t.Fatalf("it never writes %q", text)
+	return ""
+}
+
+func (p *process) signal(t *testing.T, signal os.Signal) {
+	t.Helper()
+	if err := p.Process.Signal(signal); err != nil && !errors.Is(err, os.ErrProcessDone) {
+		t.Fatal(err)
+	}
+}
+
+// awaitExit waits until the program exits, which it must with code 0.
+func (p *process) awaitExit(t *testing.T) {
+	t.Helper()
+	for p.lines.Scan() {
+	}
+	if err := p.Wait(); err != nil {
+		t.Errorf("it exits with %v", err)
+	}
+}
+
+// listen listens on a free address until the test's end.
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	var config net.ListenConfig
+	l, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { l.Close() })
+	return l
+}
+
+// A connection is a client's connection to the program.
+type connection struct {
+	net.Conn
+	reader *bufio.Reader
+}
+
+// dial opens a connection, which is closed at the test's end and may be used for some time.
+func dial(t *testing.T, address string) *connection {
+	t.Helper()
+	var dialer net.Dialer
+	c, err := dialer.DialContext(t.Context(), "tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	c.SetDeadline(time.Now().Add(patience))
+	return &connection{c, bufio.NewReader(c)}
+}
+
+// send sends a text.
+func (c *connection) send(text string) error {
+	_, err := io.WriteString(c, text)
+	return err
+}
+
+func (c *connection) mustSend(t *testing.T, text string) {
+	t.Helper()
+	if err := c.send(text); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// A response is what the program has answered.
+type response struct {
+	status  int
+	closes  bool  // it closes the connection
+	bodyErr error // the body was not complete
+}
+
+// receive reads the next response. The error says that there is none.
+func (c *connection) receive() (response, error) {
+	r, err := http.ReadResponse(c.reader, nil)
+	if err != nil {
+		return response{}, err
+	}
+	defer r.Body.Close()
+	_, bodyErr := io.Copy(io.Discard, r.Body)
+	return response{status: r.StatusCode, closes: r.Close, bodyErr: bodyErr}, nil
+}
+
+// jobText returns the request of a job without a body.
+func jobText(class, id, remaining string) string {
+	return fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: x\r\nX-Txn: %s\r\nX-Lane: %s\r\nX-Org: islands\r\n"+
+		"X-Remaining: %s\r\nContent-Length: 0\r\n\r\n", class, id, class, remaining)
+}
--- a/cmd/foxlift/shutdown_test.go
+++ b/cmd/foxlift/shutdown_test.go
@@ -7,8 +7,6 @@
 	"net"
 	"net/http"
 	"os"
-	"os/exec"
-	"strings"
 	"syscall"
 	"testing"
 	"time"
@@ -16,178 +14,127 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// Idle submitters hold every descriptor that submitters may have while discovery is down: when it
-// is back it is asked all the same, and the node that it names gets its job.
-func TestIdleClientsExhaustDescriptors(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
+// serveEndpoints answers each poll at a listener with a list of one worker, once up is closed; until then
+// it closes each connection.
+func serveEndpoints(l net.Listener, worker string, up <-chan struct{}) {
+	for {
+		c, err := l.Accept()
+		if err != nil {
+			return
+		}
+		select {
+		case <-up:
+			go answerPolls(c, worker)
+		default:
+			c.Close()
+		}
 	}
-	defer l.Close()
-	nodeAt, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
+}
+
+func answerPolls(c net.Conn, worker string) {
+	defer c.Close()
+	body := `{"seq":2,"whole":true,"hosts":[` + endpoint("h", worker) + `]}`
+	for reader := bufio.NewReader(c); ; {
+		if _, err := http.ReadRequest(reader); err != nil {
+			return
+		}
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	}
-	node := standin.Serve(nodeAt, func(c net.Conn, _ *http.Request, id string) bool {
+}
+
+// Idle clients hold every descriptor that clients may have while discovery is down: when it is back it is
+// polled all the same, and the worker that it names gets its job.
+func TestIdleClientsExhaustDescriptors(t *testing.T) {
+	worker := standin.Serve(listen(t), func(c net.Conn, _ *http.Request, id string) bool {
 		return standin.SayStates(c, id, true, `"started"`, `"done","result":"served"`)
 	})
-	defer nodeAt.Close()
-	down := make(chan bool)
-	go func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			select {
-			case <-down: // it is back
-				go func() {
-					for br := bufio.NewReader(c); ; {
-						if _, err := http.ReadRequest(br); err != nil {
-							return
-						}
-						body := fmt.Sprintf(`{"seq":2,"whole":true,"hosts":[{"host":"h","dial":%q,"health":"active"}]}`, node.Addr())
-						fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-					}
-				}()
-			default:
-				c.Close()
-			}
-		}
-	}()
-	cmd := foxlift(t, `"sockets": 1024`, `"sockets": 256`)
-	cmd.Env = append(cmd.Env, lowDescriptorLimit+"=1", "LB_DISCOVERY="+l.Addr().String())
-	addr, _ := startWith(t, cmd)
-	defer cmd.Wait()
-	defer cmd.Process.Kill()
+	discovery, up := listen(t), make(chan struct{})
+	go serveEndpoints(discovery, worker.Addr().String(), up)
+	p := newProcess(t, `"sockets": 1024`, `"sockets": 256`)
+	p.Env = append(p.Env, lowDescriptorLimit+"=1", "LB_DISCOVERY="+discovery.Addr().String())
+	address := p.startServing(t)
+	go p.discardLines()
 	for range 400 { // more than it may hold
-		c, err := net.Dial("tcp", addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer c.Close()
+		dial(t, address)
 	}
-	close(down)
-	ask := func(text string) int {
-		c, err := net.Dial("tcp", addr)
-		if err != nil {
-			t.Fatal(err)
-		}
+	close(up)
+	request := func(text string) (status int) {
+		c := dial(t, address)
 		defer c.Close()
-		io.WriteString(c, text)
-		c.SetDeadline(time.Now().Add(20 * time.Second))
-		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+		if c.send(text) != nil {
+			return 0
+		}
+		r, err := c.receive()
 		if err != nil {
 			return 0
 		}
-		return resp.StatusCode
+		return r.status
 	}
-	for end := time.Now().Add(20 * time.Second); ask("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n") != http.StatusOK; {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(patience); request(healthRequest) != http.StatusOK; {
+		if time.Now().After(deadline) {
 			t.Fatal("not ready after discovery is back")
 		}
 	}
-	if status := ask(jobText("reading", "j", "9000m")); status != http.StatusOK {
+	if status := request(jobText("reading", "j", "9000m")); status != http.StatusOK {
 		t.Errorf("a job gets %d", status)
 	}
 }
 
-// startWith starts the program and returns its address, and a channel that is closed once it
-// has said that it ends.
-func startWith(t *testing.T, cmd *exec.Cmd) (addr string, ends chan bool) {
-	t.Helper()
-	stderr, err := cmd.StderrPipe()
-	if err != nil {
-		t.Fatal(err)
+// discardLines reads what the program writes, so that it is not held up by a full pipe.
+func (p *process) discardLines() {
+	for p.lines.Scan() {
 	}
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	lines := bufio.NewScanner(stderr)
-	for addr == "" && lines.Scan() {
-		if _, rest, there := strings.Cut(lines.Text(), `"address": "`); there {
-			addr, _, _ = strings.Cut(rest, `"`)
-		}
-	}
-	ends = make(chan bool)
-	go func() {
-		for lines.Scan() {
-			if strings.Contains(lines.Text(), "shutting down") {
-				close(ends)
-			}
-		}
-	}()
-	return addr, ends
-}
-
-func jobText(class, id, remaining string) string {
-	return fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: x\r\nX-Txn: %s\r\nX-Lane: %s\r\nX-Org: islands\r\nX-Remaining: %s\r\nContent-Length: 0\r\n\r\n",
-		class, id, class, remaining)
 }
 
-// Signals cross the end: SIGHUP and more SIGTERMs amid it, a job at a node that hangs, half a head,
-// and a submitter that sends on its connection as long as that stays open. Each whole request has a
-// whole answer or was never taken, and the program ends with exit code 0.
+// Signals during a shutdown: SIGHUP and more SIGTERMs, with a job at a worker that hangs, half a head, and
+// a client that sends on its connection as long as that stays open. Each complete request has a complete
+// answer or was never accepted, and the program exits with code 0.
 func TestSignalsDuringShutdown(t *testing.T) {
-	nodeAt, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer nodeAt.Close()
-	node := standin.Serve(nodeAt, func(c net.Conn, _ *http.Request, _ string) bool {
-		io.Copy(io.Discard, c) // it hangs
+	worker := standin.Serve(listen(t), func(c net.Conn, _ *http.Request, _ string) bool {
+		_, _ = io.Copy(io.Discard, c) // it hangs until the scheduler closes the connection
 		return false
 	})
-	cmd := foxlift(t, `"known": null`, fmt.Sprintf(`"known": {"seq":1,"hosts":[{"host":"h","dial":%q,"health":"active"}]}`, node.Addr()))
-	addr, ends := startWith(t, cmd)
-	defer cmd.Process.Kill()
-	var conns []net.Conn
-	for range 3 {
-		c, err := net.Dial("tcp", addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer c.Close()
-		c.SetDeadline(time.Now().Add(20 * time.Second))
-		conns = append(conns, c)
-	}
-	hanging, half, busy := conns[0], conns[1], conns[2]
-	io.WriteString(hanging, jobText("ratify", "hangs", "1500m"))
-	for node.Got.Load() == 0 {
+	p := newProcessWithEndpoints(t, endpoint("h", worker.Addr().String()))
+	address := p.startServing(t)
+	hanging, half, busy := dial(t, address), dial(t, address), dial(t, address)
+	hanging.mustSend(t, jobText("ratify", "hangs", "1500m"))
+	for worker.Got.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	io.WriteString(half, jobText("reading", "half", "9000m")[:30])
-	cmd.Process.Signal(syscall.SIGTERM)
-	<-ends
+	half.mustSend(t, jobText("reading", "half", "9000m")[:30])
+	p.signal(t, syscall.SIGTERM)
+	p.awaitLine(t, "shutting down")
 	for _, s := range []os.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGTERM, syscall.SIGUSR1} {
-		cmd.Process.Signal(s)
+		p.signal(t, s)
+	}
+	if answered := busy.requestUntilClosed(t); answered == 0 {
+		t.Error("no request is answered during the shutdown")
+	}
+	r, err := hanging.receive()
+	if err != nil || r.status != http.StatusBadGateway {
+		t.Errorf("the job at the hanging worker: %v, %v", r, err)
 	}
-	asked, answered := 0, 0
-	for br := bufio.NewReader(busy); ; asked++ {
-		if _, err := io.WriteString(busy, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
-			break
+	p.awaitExit(t)
+}
+
+// requestUntilClosed sends health requests until the connection closes, and returns how many were
+// answered.
+func (c *connection) requestUntilClosed(t *testing.T) (answered int) {
+	t.Helper()
+	for {
+		if c.send(healthRequest) != nil {
+			return answered
 		}
-		r, err := http.ReadResponse(br, nil)
+		r, err := c.receive()
 		if err != nil {
-			break
+			return answered
 		}
-		if _, err := io.Copy(io.Discard, r.Body); err != nil {
-			t.Error("half an answer: ", err)
+		if r.bodyErr != nil {
+			t.Errorf("half an answer: %v", r.bodyErr)
 		}
 		answered++
-		if r.Close {
-			asked++
-			break
+		if r.closes {
+			return answered
 		}
 	}
-	if answered == 0 || answered < asked {
-		t.Errorf("%d answers to %d requests", answered, asked)
-	}
-	r, err := http.ReadResponse(bufio.NewReader(hanging), nil)
-	if err != nil || r.StatusCode != http.StatusBadGateway {
-		t.Errorf("the job at the hanging node: %v, %v", r, err)
-	}
-	if err := cmd.Wait(); err != nil {
-		t.Errorf("it ends with %v", err)
-	}
 }
