--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -1,7 +1,5 @@
 package config
 
-// The checks that only the real scheduler makes.
-
 import (
 	"errors"
 	"fmt"
@@ -17,20 +15,22 @@
 // maxTime bounds every time in the settings: sums and multiples of them stay numbers.
 const maxTime = int64(30 * 24 * time.Hour)
 
-// keyTTLMargin is what a repeat of a keyed job may take from its last byte's writing to the node,
-// with what clocks differ by: so much sooner the window counts as over.
+// keyTTLMargin is the time that a repeat of a deduplicated job may take from the write of its last byte
+// to the worker, and by which clocks may differ: so much sooner the window counts as over.
 const keyTTLMargin = int64(100 * time.Millisecond)
 
-// checkScheduler holds the checks that only the real scheduler makes: the simulator's
-// adapter leaves them to the module.
+// checkScheduler checks the settings of the real scheduler and completes them: the simulator's adapter
+// leaves the checks to the module.
 func (s *Settings) checkScheduler() error {
-	for _, check := range []func() error{s.checkFleet, s.checkClasses, s.checkTenants, s.checkTimes, s.checkFigures, s.checkReports} {
+	for _, check := range []func() error{
+		s.checkFleet, s.checkClasses, s.checkTenants, s.checkTimes, s.checkFigures, s.checkReports,
+	} {
 		if err := check(); err != nil {
 			return err
 		}
 	}
 	c := &s.Module
-	c.PollEndpoints = true // the protocol has no other way, whatever the simulator's has
+	c.PollEndpoints = true // on sockets there is no other way, whatever the simulator has
 	c.EndpointLease = int64(pollpacing.MaxPropagationDelay + leaseGrace)
 	for i := range c.Classes {
 		if k := &c.Classes[i]; k.Effect == foxlift.Deduplicated {
@@ -40,11 +40,11 @@
 	return nil
 }
 
-// leaseGrace is the part of the drains' grace by which the list's lease is longer than the time after
-// which changes count as known. The rest covers a process that stands still.
+// leaseGrace is the part of the drain grace by which the endpoint list's lease is longer than the time
+// after which changes bind. The rest covers a process that is paused.
 const leaseGrace = 300 * time.Millisecond
 
-// checkFleet checks what the scheduler is told of itself and of the fleet.
+// checkFleet checks the settings of the scheduler itself and of the fleet.
 func (s *Settings) checkFleet() error {
 	c := &s.Module
 	switch {
@@ -112,10 +112,14 @@
 		key  string
 		time int64
 	}{
-		{"bounds.connectTimeout", s.ConnectTimeout}, {"bounds.connIdle", c.ConnIdle},
-		{"bounds.maxRetryAfter", c.MaxRetryAfter}, {"obligations.graceToAnswer", c.AnswerGrace},
-		{"obligations.mustAskIn", c.MaxPollInterval}, {"obligations.warmAfter", c.SlowStartDuration},
-		{"obligations.fall", c.OverloadWindow}, {"bounds.maxOpen", int64(s.MaxOpen)},
+		{"bounds.connectTimeout", s.ConnectTimeout},
+		{"bounds.connIdle", c.ConnIdle},
+		{"bounds.maxRetryAfter", c.MaxRetryAfter},
+		{"obligations.graceToAnswer", c.AnswerGrace},
+		{"obligations.mustAskIn", c.MaxPollInterval},
+		{"obligations.warmAfter", c.SlowStartDuration},
+		{"obligations.fall", c.OverloadWindow},
+		{"bounds.maxOpen", int64(s.MaxOpen)},
 		{"bounds.maxAttempts", int64(c.MaxAttempts)},
 	} {
 		if f.time < 0 {
@@ -128,15 +132,18 @@
 	return nil
 }
 
-// checkFigures checks that no share or price is negative.
+// checkFigures checks that no fraction or price is negative.
 func (s *Settings) checkFigures() error {
 	c := &s.Module
 	for _, f := range []struct {
 		key    string
 		figure float64
 	}{
-		{"obligations.startCapacity", c.SlowStartCapacity}, {"obligations.fallMultiple", c.OverloadMultiple},
-		{"prices.crossZone", c.Prices.CrossZone}, {"prices.handshake", c.Prices.Handshake}, {"prices.origin", c.Prices.Fetch},
+		{"obligations.startCapacity", c.SlowStartCapacity},
+		{"obligations.fallMultiple", c.OverloadMultiple},
+		{"prices.crossZone", c.Prices.CrossZone},
+		{"prices.handshake", c.Prices.Handshake},
+		{"prices.origin", c.Prices.Fetch},
 	} {
 		if f.figure < 0 {
 			return fmt.Errorf("%s: negative", f.key)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,19 +1,19 @@
-// Package config is the one place that reads the scheduler's configuration: the
-// LB_* variables and the file that LB_CONFIG names. It checks every value, gives
-// defaults, and names the faulty key in its errors. The deployment's settings
-// become the decision module's Config here, for the real scheduler and for the
-// simulator's adapter.
+// Package config reads the scheduler's configuration: the LB_* variables, the file that LB_CONFIG names,
+// and the operator's file. It checks every value, sets defaults, and names the faulty key in its errors.
+// The deployment's settings become the decision module's Config here, for the real scheduler and for the
+// simulator's adapter. It owns no state: what it returns is the caller's.
 package config
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net"
 	"os"
 	"strconv"
 )
 
-// What a scheduler may use at most, whatever it is offered.
+// Bounds of what a scheduler may use, whatever it is offered.
 const (
 	maxMemoryMB = 192
 	maxSockets  = 1024
@@ -21,27 +21,31 @@
 	minSockets  = 64
 )
 
+// defaultName is the name of a scheduler that is given none.
+const defaultName = "foxlift"
+
 // A Scheduler is the whole configuration of one scheduler.
 type Scheduler struct {
 	Name      string
-	Listen    string // address:port for submitters
-	Admin     string // address:port for the operators' calls; "": there is none
+	Listen    string // address:port for clients
+	Admin     string // address:port for the operators' requests; "": none
 	Discovery string // address:port of discovery
 	Seed      uint64
 	MemoryMB  int
 	Sockets   int             // file descriptors
-	Known     json.RawMessage // the machine list as last known, in discovery's form; may be empty
+	Known     json.RawMessage // the cached endpoint list, in discovery's form; may be empty
 	Settings  *Settings
-	Peers     Peers // the zero value where schedulers do not speak with each other
+	Peers     Peers // the zero value where schedulers do not gossip
 }
 
-// Peers are the addresses by which schedulers send each other datagrams.
+// Peers are the addresses by which schedulers gossip in datagrams.
 type Peers struct {
-	Listen string   // where this one receives; "": it does not speak with others
-	Each   []string // of every scheduler by its number, this one's included
+	Listen string   // where this one receives; "": it does not gossip
+	Each   []string // of every scheduler by its index, this one's included
 	All    string   // reaches all others at once; "": there is no such address
 }
 
+// A configFile is the file that LB_CONFIG names.
 type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -60,73 +64,109 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// Load reads the configuration from the environment that getenv shows. A
-// variable stands above the file's value of the same name.
+// Load reads the configuration from the environment that getenv shows. A variable takes precedence over
+// the file's value of the same name.
 func Load(getenv func(string) string) (*Scheduler, error) { return read(getenv, false) }
 
-// Reload reads it again at a running scheduler. What has changed since the start is
-// the file: its discovery stands above the variable.
+// Reload reads it again at a running scheduler. What has changed since the start is the file: its
+// discovery takes precedence over the variable.
 func Reload(getenv func(string) string) (*Scheduler, error) { return read(getenv, true) }
 
-func read(getenv func(string) string, again bool) (*Scheduler, error) {
-	path := getenv("LB_CONFIG")
+func read(getenv func(string) string, reload bool) (*Scheduler, error) {
+	f, err := readFile(getenv("LB_CONFIG"))
+	if err != nil {
+		return nil, err
+	}
+	s := &Scheduler{Name: f.Name, Listen: f.Listen, Admin: f.Admin, Discovery: f.Discovery, Known: f.Known}
+	s.override(getenv, reload)
+	if s.Name == "" {
+		s.Name = defaultName
+	}
+	if err := s.checkAddresses(); err != nil {
+		return nil, err
+	}
+	if err := s.setLimits(f); err != nil {
+		return nil, err
+	}
+	if err := s.setSettings(f.Settings); err != nil {
+		return nil, err
+	}
+	return s, s.setPeers(f.PeerListen, f.Peers, f.PeersAll)
+}
+
+func readFile(path string) (*configFile, error) {
 	if path == "" {
-		return nil, fmt.Errorf("LB_CONFIG: not set; it names the configuration file")
+		return nil, errors.New("LB_CONFIG: not set; it names the configuration file")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("LB_CONFIG: %w", err)
 	}
-	var f configFile
-	if err := json.Unmarshal(text, &f); err != nil {
+	f := &configFile{}
+	if err := json.Unmarshal(text, f); err != nil {
 		return nil, fmt.Errorf("LB_CONFIG: %w", keyError(err))
 	}
-	s := &Scheduler{Name: f.Name, Listen: f.Listen, Admin: f.Admin, Discovery: f.Discovery, Known: f.Known}
-	for _, v := range []struct {
-		key string
-		to  *string
-	}{{"LB_NAME", &s.Name}, {"LB_LISTEN", &s.Listen}, {"LB_ADMIN", &s.Admin}, {"LB_DISCOVERY", &s.Discovery}} {
-		if x := getenv(v.key); x != "" && !(again && v.to == &s.Discovery && *v.to != "") {
-			*v.to = x
+	return f, nil
+}
+
+// override sets the values that variables give.
+func (s *Scheduler) override(getenv func(string) string, reload bool) {
+	for _, variable := range []struct {
+		key   string
+		value *string
+	}{
+		{"LB_NAME", &s.Name}, {"LB_LISTEN", &s.Listen}, {"LB_ADMIN", &s.Admin}, {"LB_DISCOVERY", &s.Discovery},
+	} {
+		fileFirst := reload && variable.value == &s.Discovery
+		if fileFirst && *variable.value != "" {
+			continue
+		}
+		if given := getenv(variable.key); given != "" {
+			*variable.value = given
 		}
 	}
-	if s.Name == "" {
-		s.Name = "foxlift"
-	}
+}
+
+func (s *Scheduler) checkAddresses() error {
 	if err := checkAddress("listen (LB_LISTEN)", s.Listen, 0); err != nil {
-		return nil, err
+		return err
 	}
 	if err := checkAddress("discovery (LB_DISCOVERY)", s.Discovery, 1); err != nil {
-		return nil, err
-	}
-	if err := checkAdmin(s.Admin, s.Listen); err != nil {
-		return nil, err
+		return err
 	}
+	return checkAdmin(s.Admin, s.Listen)
+}
+
+// setLimits sets the seed and what the scheduler may use.
+func (s *Scheduler) setLimits(f *configFile) (err error) {
 	if f.Seed != "" {
 		if s.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-			return nil, fmt.Errorf("seed: %q is not a number of up to 16 hex digits", f.Seed)
+			return fmt.Errorf("seed: %q is not a number of up to 16 hex digits", f.Seed)
 		}
 	}
-	if s.MemoryMB, err = limitOrDefault("limits.memory_mb", int(f.Limits.MemoryMB), minMemoryMB, maxMemoryMB); err != nil {
-		return nil, err
-	}
-	if s.Sockets, err = limitOrDefault("limits.sockets", f.Limits.Sockets, minSockets, maxSockets); err != nil {
-		return nil, err
+	s.MemoryMB, err = limitOrDefault("limits.memory_mb", int(f.Limits.MemoryMB), minMemoryMB, maxMemoryMB)
+	if err != nil {
+		return err
 	}
-	if len(f.Settings) == 0 {
-		return nil, fmt.Errorf("settings: not given")
+	s.Sockets, err = limitOrDefault("limits.sockets", f.Limits.Sockets, minSockets, maxSockets)
+	return err
+}
+
+func (s *Scheduler) setSettings(raw json.RawMessage) (err error) {
+	if len(raw) == 0 {
+		return errors.New("settings: not given")
 	}
-	if s.Settings, err = ParseSettings(f.Settings); err == nil {
+	if s.Settings, err = ParseSettings(raw); err == nil {
 		err = s.Settings.checkScheduler()
 	}
 	if err != nil {
-		return nil, fmt.Errorf("settings.%w", err)
+		return fmt.Errorf("settings.%w", err)
 	}
-	return s, s.setPeers(f.PeerListen, f.Peers, f.PeersAll)
+	return nil
 }
 
-// setPeers takes the peers' addresses where the settings allow messages and there is
-// somebody to send them to. Elsewhere nothing is opened for them.
+// setPeers sets the peers' addresses where the settings allow gossip and there is another scheduler.
+// Elsewhere nothing is opened for it.
 func (s *Scheduler) setPeers(listen string, each []string, all string) error {
 	c := &s.Settings.Module
 	c.MayGossip = c.MayGossip && listen != "" && c.Dispatchers > 1
@@ -153,19 +193,18 @@
 	return nil
 }
 
-// limit applies a default and the most that a scheduler may use.
-func limitOrDefault(key string, given, least, most int) (int, error) {
+// limitOrDefault returns a limit that is given, within its bounds, or else its maximum.
+func limitOrDefault(key string, given, minimum, maximum int) (int, error) {
 	if given == 0 {
-		return most, nil
+		return maximum, nil
 	}
-	if given < least {
-		return 0, fmt.Errorf("%s: %d is under %d", key, given, least)
+	if given < minimum {
+		return 0, fmt.Errorf("%s: %d is under %d", key, given, minimum)
 	}
-	return min(given, most), nil
+	return min(given, maximum), nil
 }
 
-// checkAdmin checks the operators' address, where there is one: calls there must not meet the
-// submitters' listener.
+// checkAdmin checks the operators' address, where there is one: it must not be the clients'.
 func checkAdmin(admin, listen string) error {
 	const key = "admin (LB_ADMIN)"
 	if admin == "" {
@@ -180,7 +219,8 @@
 	return nil
 }
 
-func checkAddress(key, s string, leastPort int) error {
+// checkAddress checks an address:port.
+func checkAddress(key, s string, minPort int) error {
 	if s == "" {
 		return fmt.Errorf("%s: not given", key)
 	}
@@ -188,8 +228,8 @@
 	if err != nil || host == "" {
 		return fmt.Errorf("%s: %q is not address:port", key, s)
 	}
-	if n, err := strconv.Atoi(port); err != nil || n < leastPort || n > 65535 {
-		return fmt.Errorf("%s: %q has no port from %d to 65535", key, s, leastPort)
+	if n, err := strconv.Atoi(port); err != nil || n < minPort || n > 65535 {
+		return fmt.Errorf("%s: %q has no port from %d to 65535", key, s, minPort)
 	}
 	return nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,8 +11,10 @@
 
 const validSettings = `{"name":"n3","listen":"127.0.0.1:3000","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":2048,"sockets":512},"known":{"seq":41},"novel":true,
-"settings":{"balancers":2,"slotNo":1,"dcs":["a","b"],"zone":"b","flavors":["k"],"bounds":{"peerMessages":true,"connectTimeout":5},
-"grades":[{"name":"reading","aim":5,"deadline":9,"effect":"idempotent"},{"name":"ratify","aim":5,"deadline":9,"effect":"at_most_once"}],
+"settings":{"balancers":2,"slotNo":1,"dcs":["a","b"],"zone":"b","flavors":["k"],
+"bounds":{"peerMessages":true,"connectTimeout":5},
+"grades":[{"name":"reading","aim":5,"deadline":9,"effect":"idempotent"},
+{"name":"ratify","aim":5,"deadline":9,"effect":"at_most_once"}],
 "projects":[{"name":"islands","quotaRps":2.0}],"familyInfo":{"classStretch":[2.5,2.0]}}}`
 
 func load(t *testing.T, text string, env map[string]string) (*Scheduler, error) {
@@ -32,8 +34,8 @@
 	}
 }
 
-// At the start LB_DISCOVERY stands above the file, at a reload below it; the other
-// variables always stand above.
+// At the start LB_DISCOVERY takes precedence over the file, at a reload the file over it; the other
+// variables always take precedence.
 func TestReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := environment(path, map[string]string{"LB_DISCOVERY": "127.0.0.9:9", "LB_LISTEN": "127.0.0.2:0"})
@@ -72,23 +74,25 @@
 		t.Errorf("settings: %+v", c)
 	}
 	if c.Module.MayGossip {
-		t.Error("messages to peers, without an address to receive them at")
+		t.Error("gossip without an address to receive at")
 	}
 	if s.Admin != "" {
 		t.Errorf("operators' address %q where none is given", s.Admin)
 	}
-	if s, err := load(t, validSettings, map[string]string{"LB_ADMIN": "127.0.0.3:4000"}); err != nil || s.Admin != "127.0.0.3:4000" {
+	const admin = "127.0.0.3:4000"
+	if s, err := load(t, validSettings, map[string]string{"LB_ADMIN": admin}); err != nil || s.Admin != admin {
 		t.Errorf("LB_ADMIN: %+v, %v", s, err)
 	}
 	peers := `"peer_listen":"127.0.0.1:7","peers":["127.0.0.1:1","127.0.0.1:2"],"peers_all":"127.0.0.1:3"`
+	withPeers := strings.Replace(validSettings, `"novel":true`, peers, 1)
 	for text, want := range map[string]bool{
-		strings.Replace(validSettings, `"novel":true`, peers, 1):                                                                  true,
-		strings.Replace(strings.Replace(validSettings, `"novel":true`, peers, 1), `"peerMessages":true`, `"x":1`, 1):              false,
-		strings.Replace(strings.Replace(validSettings, `"novel":true`, peers, 1), `"balancers":2,"slotNo":1`, `"balancers":1`, 1): false,
+		withPeers: true,
+		strings.Replace(withPeers, `"peerMessages":true`, `"x":1`, 1):              false,
+		strings.Replace(withPeers, `"balancers":2,"slotNo":1`, `"balancers":1`, 1): false,
 	} {
 		s, err := load(t, text, nil)
 		if err != nil || s.Settings.Module.MayGossip != want || (s.Peers.Listen != "") != want {
-			t.Errorf("%v, %v, want messages %v", s, err, want)
+			t.Errorf("%v, %v, want gossip %v", s, err, want)
 		}
 	}
 }
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -28,8 +28,8 @@
 	return strings.Join(words, " ")
 }
 
-// checkOperator: any text is either read or refused with faults that have a place;
-// what is read reads the same when printed; a plan that is taken is sound.
+// checkOperator: any text is either read or rejected with errors that have a place; what is read reads
+// the same when printed; a plan that is accepted is sound.
 func checkOperator(t testing.TB, data []byte) {
 	r := &reader{file: "f"}
 	if values := r.parse(data); len(r.errors) == 0 {
@@ -40,7 +40,7 @@
 		}
 	}
 	op, err := ParseOperator("f", data, fuzzSettings)
-	if faults := (OperatorErrors)(nil); err != nil && (!errors.As(err, &faults) || len(faults) == 0) {
+	if faults := OperatorErrors(nil); err != nil && (!errors.As(err, &faults) || len(faults) == 0) {
 		t.Fatalf("%q: %v", data, err)
 	} else if err != nil {
 		for i, f := range faults {
@@ -58,7 +58,8 @@
 		share := op.Cells.CapacityFraction(c)
 		sum += share
 		if !(share > 0) || op.Cells.JobBound(c, 100) < 1 || op.Cells.ConnectionBound(c, 100) < 1 {
-			t.Fatalf("%q: cell %d has share %v, bounds %d and %d", data, c, share, op.Cells.JobBound(c, 100), op.Cells.ConnectionBound(c, 100))
+			t.Fatalf("%q: cell %d has share %v, bounds %d and %d",
+				data, c, share, op.Cells.JobBound(c, 100), op.Cells.ConnectionBound(c, 100))
 		}
 	}
 	if sum < 0.999 || sum > 1.001 {
@@ -75,9 +76,11 @@
 }()
 
 const settingsText = `{"balancers":2,"slotNo":1,"discovery":"subscribe","dcs":["a","b"],"zone":"a","flavors":["k","l"],
- "grades":[{"name":"r","aim":1,"deadline":2,"effect":"idempotent"},{"name":"s","aim":1,"deadline":2,"effect":"deduplicated","dedupScope":"zone","keyTtl":5}],
+ "grades":[{"name":"r","aim":1,"deadline":2,"effect":"idempotent"},` +
+	`{"name":"s","aim":1,"deadline":2,"effect":"deduplicated","dedupScope":"zone","keyTtl":5}],
  "projects":[{"name":"t","quotaRps":2.5},{"name":"u","quotaRps":0}],"report":{"names":["x0","backlog"]},
- "familyInfo":{"classKind":[0,-1],"classStretch":[2.5],"reportX0":"free slots"},"bounds":{"maxAttempts":3,"connIdle":30},"obligations":{"warmAfter":7}}`
+ "familyInfo":{"classKind":[0,-1],"classStretch":[2.5],"reportX0":"free slots"},` +
+	`"bounds":{"maxAttempts":3,"connIdle":30},"obligations":{"warmAfter":7}}`
 
 func operatorSeeds() [][]byte {
 	example, err := os.ReadFile("../../deploy/operator.example.sexp")
@@ -86,9 +89,17 @@
 	}
 	seeds := [][]byte{example}
 	for _, s := range []string{
-		`(foxlift (cells (default a) (key (nodes 2) (jobs 3)) (kind k (weight 2)) (cell a (share 0.5) (tenants t)) (cell b (jobs 5) (when-unable spill a 0.5))))`,
-		`(foxlift (control (socket "/tmp/\"x\n")) (cells (cell a) (split t (cells a a) (by key))))`, `(foxlift (cells (cell a (share 1)) (cell b (share 1))))`,
-		`(foxlift (cells (cell a (share 1)) (cell b)))`, "(foxlift ; comment\n)", `()`, `("a" b (c))`, `(foxlift (cells (cell "") (cell a (share NaN))))`, strings.Repeat("(", 40), `"\`,
+		`(foxlift (cells (default a) (key (nodes 2) (jobs 3)) (kind k (weight 2)) ` +
+			`(cell a (share 0.5) (tenants t)) (cell b (jobs 5) (when-unable spill a 0.5))))`,
+		`(foxlift (control (socket "/tmp/\"x\n")) (cells (cell a) (split t (cells a a) (by key))))`,
+		`(foxlift (cells (cell a (share 1)) (cell b (share 1))))`,
+		`(foxlift (cells (cell a (share 1)) (cell b)))`,
+		"(foxlift ; comment\n)",
+		`()`,
+		`("a" b (c))`,
+		`(foxlift (cells (cell "") (cell a (share NaN))))`,
+		strings.Repeat("(", 40),
+		`"\`,
 	} {
 		seeds = append(seeds, []byte(s))
 	}
@@ -104,8 +115,8 @@
 
 func TestFuzzOperator(t *testing.T) { fuzz.Play(t, 11, 8000, operatorSeeds(), checkOperator) }
 
-// checkSettings: settings are refused with a word for it, or make tables that agree
-// with what the module is told.
+// checkSettings: settings are rejected with an error that has a text, or make tables that agree with the
+// module's configuration.
 func checkSettings(t testing.TB, data []byte) {
 	s, err := ParseSettings(data)
 	if err == nil {
@@ -133,11 +144,16 @@
 		}
 	}
 	c := s.Module
-	if c.Dispatchers < 1 || c.Dispatchers > foxlift.MaxDispatchers || c.Index >= c.Dispatchers || c.SlowStartDuration < 0 || c.MaxAttempts < 0 {
+	if c.Dispatchers < 1 || c.Dispatchers > foxlift.MaxDispatchers || c.Index >= c.Dispatchers {
 		t.Fatalf("%q: %+v", data, c)
 	}
-	for _, share := range []float64{c.SlowStartCapacity, c.OverloadMultiple, c.Prices.CrossZone, c.Prices.Handshake, c.Prices.Fetch} {
-		if !(share >= 0) {
+	if c.SlowStartDuration < 0 || c.MaxAttempts < 0 {
+		t.Fatalf("%q: %+v", data, c)
+	}
+	for _, figure := range []float64{
+		c.SlowStartCapacity, c.OverloadMultiple, c.Prices.CrossZone, c.Prices.Handshake, c.Prices.Fetch,
+	} {
+		if !(figure >= 0) {
 			t.Fatalf("%q: a negative figure in %+v", data, c)
 		}
 	}
@@ -149,7 +165,11 @@
 		`{"grades":[{"name":"r","aim":1,"deadline":9223372036854775807,"effect":"idempotent","aimStretch":-1}]}`,
 		`{"balancers":1000000000000,"grades":[{"name":"r","aim":1,"deadline":1,"effect":"idempotent"}]}`,
 		`{"grades":[{"name":"r","aim":1,"deadline":1,"effect":"idempotent"}],"obligations":{"startCapacity":-1}}`,
-		`{"grades":[{"name":"r","aim":1,"deadline":1,"effect":"deduplicated","keyTtl":-1}]}`, `{"grades":1e400}`, `{"flavors":["k","k"],"grades":[]}`, `null`, `[]`,
+		`{"grades":[{"name":"r","aim":1,"deadline":1,"effect":"deduplicated","keyTtl":-1}]}`,
+		`{"grades":1e400}`,
+		`{"flavors":["k","k"],"grades":[]}`,
+		`null`,
+		`[]`,
 	} {
 		seeds = append(seeds, []byte(s))
 	}
@@ -165,8 +185,8 @@
 
 func TestFuzzSettings(t *testing.T) { fuzz.Play(t, 12, 10000, settingsSeeds(), checkSettings) }
 
-// The whole file, with the variables above it: an error names a key, what is taken is
-// within the limits.
+// The complete file, overridden by variables: an error names a key, what is accepted is within the
+// limits.
 func TestFuzzFile(t *testing.T) {
 	example, err := os.ReadFile("../../examples/config.json")
 	if err != nil {
@@ -177,8 +197,10 @@
 		t.Fatal(err)
 	}
 	path := t.TempDir() + "/config.json"
-	seeds := [][]byte{example, keyed, []byte(strings.Replace(string(example), `"memory_mb": 192`, `"memory_mb": 1e300`, 1)),
-		[]byte(strings.Replace(string(example), `"sockets": 1024`, `"sockets": -1`, 1))}
+	seeds := [][]byte{
+		example, keyed, []byte(strings.Replace(string(example), `"memory_mb": 192`, `"memory_mb": 1e300`, 1)),
+		[]byte(strings.Replace(string(example), `"sockets": 1024`, `"sockets": -1`, 1)),
+	}
 	fuzz.Play(t, 13, 1500, seeds, func(t testing.TB, data []byte) {
 		if err := os.WriteFile(path, data, 0o600); err != nil {
 			t.Fatal(err)
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -11,18 +11,26 @@
 // the file asks for it.
 type Operator struct {
 	ControlSocket      string      // path of the control socket; "": none
-	EndpointCheckpoint string      // path of the file in which the machine list is kept; "": it is not
+	EndpointCheckpoint string      // path of the endpoint list's checkpoint; "": none
 	Cells              *cells.Plan // nil: no cells
 }
 
-// What the file may ask for at most.
+// Bounds of what the file may ask for.
 const (
 	maxCells      = 1000
+	maxKeyWorkers = 1000
+	maxCount      = 1e6 // of jobs or connections
+	minFraction   = 0.001
+	minWeight     = 0.01
+	maxWeight     = 1000
 	maxSocketPath = 100 // a Unix socket's path holds little more (unix(7): 108 bytes)
 )
 
+// fractionTolerance is by how much cells' fractions may add up to more than 1, as they are rounded.
+const fractionTolerance = 0.0001
+
 // ParseOperator reads an operator's file from its text and checks it against the
-// platform's settings. Its error is Faults: all that is wrong, not the first alone.
+// platform's settings. Its error is OperatorErrors: all that is wrong, not the first alone.
 func ParseOperator(name string, text []byte, s *Settings) (*Operator, error) {
 	r := &reader{file: name}
 	op := &Operator{}
@@ -33,7 +41,7 @@
 	return op, nil
 }
 
-// outermost reads the file's outermost forms; cells reads that of cells.
+// topLevel reads the file's top-level forms; cells reads that of cells.
 func (r *reader) topLevel(text []byte, op *Operator, cells func(form)) {
 	r.forms("", r.parse(text), map[string]rule{"foxlift": {read: func(f form) {
 		r.forms("", f.args, map[string]rule{
@@ -44,8 +52,8 @@
 	}}})
 }
 
-// ControlSocket reads the path of the control socket alone from an operator's file,
-// for whoever has not the platform's settings at hand.
+// ControlSocket reads the path of the control socket alone from an operator's file, for a caller
+// without the platform's settings.
 func ControlSocket(path string) (string, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -70,6 +78,7 @@
 	return v, path
 }
 
+// control reads what is said of the control socket.
 func (r *reader) control(f form, op *Operator) {
 	r.forms(f.key, f.args, map[string]rule{"socket": {read: func(f form) {
 		v, path := r.absolutePath(f)
@@ -84,6 +93,7 @@
 	}
 }
 
+// endpointCheckpoint reads what is said of the endpoint list's checkpoint.
 func (r *reader) endpointCheckpoint(f form, op *Operator) {
 	r.forms(f.key, f.args, map[string]rule{"checkpoint": {read: func(f form) {
 		_, op.EndpointCheckpoint = r.absolutePath(f)
@@ -93,6 +103,7 @@
 	}
 }
 
+// cells reads the cells and checks them against the platform's settings.
 func (r *reader) cells(f form, s *Settings) *cells.Plan {
 	before := len(r.errors)
 	spec := &cells.Spec{Weights: map[string]float64{}}
@@ -102,67 +113,82 @@
 			r.subjects["default"] = f
 			spec.Default = r.text(f, r.singleValue(f))
 		}},
-		"key": {read: func(f form) {
-			r.forms(f.key, f.args, map[string]rule{
-				"nodes": {read: func(f form) { spec.KeyWorkers = r.integer(f, r.singleValue(f), 1, 1000) }},
-				"jobs":  {read: func(f form) { spec.KeyJobs = r.integer(f, r.singleValue(f), 1, 1e6) }},
-			})
-		}},
-		"kind": {many: true, read: func(f form) {
-			name, rest := r.namedForm(f)
-			r.subjects["kind "+name] = f.withName(name)
-			r.forms(f.key+" "+name, rest, map[string]rule{
-				"weight": {read: func(f form) { spec.Weights[name] = r.number(f, r.singleValue(f), 0.01, 1000) }},
-			})
-		}},
-		"cell": {many: true, read: func(f form) { spec.Cells = append(spec.Cells, r.cell(f)) }},
-		"split": {many: true, read: func(f form) {
-			name, rest := r.namedForm(f)
-			r.subjects["split "+name], r.subjects["tenant "+name] = f.withName(name), f.withName(name)
-			split, by := cells.Split{Tenant: name}, false
-			r.forms(f.key+" "+name, rest, map[string]rule{
-				"cells": {read: func(f form) { split.Cells = r.names(f, "") }},
-				"by":    {read: func(f form) { r.keyword(f, r.singleValue(f), "key"); by = true }},
-			})
-			if len(split.Cells) < 2 || !by {
-				r.fail(f.at, f.key+" "+name, "it needs two cells or more, and (by key)")
-			}
-			spec.Splits = append(spec.Splits, split)
-		}},
+		"key":   {read: func(f form) { r.keyLimits(f, spec) }},
+		"kind":  {many: true, read: func(f form) { r.kind(f, spec) }},
+		"cell":  {many: true, read: func(f form) { spec.Cells = append(spec.Cells, r.cell(f)) }},
+		"split": {many: true, read: func(f form) { spec.Splits = append(spec.Splits, r.split(f)) }},
 	})
 	sum := 0.0
 	for _, c := range spec.Cells {
 		sum += c.CapacityFraction
 	}
-	if sum > 1.0001 {
+	if sum > 1+fractionTolerance {
 		r.fail(f.at, f.key, "the shares add up to %.3g, more than 1", sum)
 	}
 	if len(spec.Cells) > maxCells {
 		r.fail(f.at, f.key, "%d cells, %d at most", len(spec.Cells), maxCells)
 	}
 	if len(spec.Cells) == 0 && len(r.errors) > before {
-		return nil // that there is none may come of the faults
+		return nil // the errors may be why there is none
 	}
-	plan, faults := s.PlanCells(spec)
-	for _, fault := range faults {
-		at, ok := r.subjects[fault.Subject]
+	plan, specErrors := s.PlanCells(spec)
+	for _, e := range specErrors {
+		subject, ok := r.subjects[e.Subject]
 		if !ok {
-			at = f
+			subject = f
 		}
-		r.fail(at.at, at.key, "%s", fault.Text)
+		r.fail(subject.at, subject.key, "%s", e.Text)
 	}
 	return plan
 }
 
+// keyLimits reads what the jobs with one key may use.
+func (r *reader) keyLimits(f form, spec *cells.Spec) {
+	r.forms(f.key, f.args, map[string]rule{
+		"nodes": {read: func(f form) { spec.KeyWorkers = r.positiveInteger(f, r.singleValue(f), maxKeyWorkers) }},
+		"jobs":  {read: func(f form) { spec.KeyJobs = r.positiveInteger(f, r.singleValue(f), maxCount) }},
+	})
+}
+
+// kind reads what is said of a kind of workers.
+func (r *reader) kind(f form, spec *cells.Spec) {
+	name, rest := r.namedForm(f)
+	r.subjects["kind "+name] = f.withName(name)
+	r.forms(f.key+" "+name, rest, map[string]rule{
+		"weight": {read: func(f form) {
+			spec.Weights[name] = r.number(f, r.singleValue(f), minWeight, maxWeight)
+		}},
+	})
+}
+
+// split reads a tenant that several cells serve.
+func (r *reader) split(f form) cells.Split {
+	name, rest := r.namedForm(f)
+	r.subjects["split "+name], r.subjects["tenant "+name] = f.withName(name), f.withName(name)
+	split, byKey := cells.Split{Tenant: name}, false
+	r.forms(f.key+" "+name, rest, map[string]rule{
+		"cells": {read: func(f form) { split.Cells = r.names(f, "") }},
+		"by": {read: func(f form) {
+			r.keyword(f, r.singleValue(f), "key")
+			byKey = true
+		}},
+	})
+	if len(split.Cells) < 2 || !byKey {
+		r.fail(f.at, f.key+" "+name, "it needs two cells or more, and (by key)")
+	}
+	return split
+}
+
+// cell reads one cell.
 func (r *reader) cell(f form) cells.Cell {
 	name, rest := r.namedForm(f)
 	c := cells.Cell{Name: name}
 	r.subjects["cell "+name] = f.withName(name)
 	r.forms(f.key+" "+name, rest, map[string]rule{
-		"share":       {read: func(f form) { c.CapacityFraction = r.number(f, r.singleValue(f), 0.001, 1) }},
+		"share":       {read: func(f form) { c.CapacityFraction = r.number(f, r.singleValue(f), minFraction, 1) }},
 		"tenants":     {read: func(f form) { c.Tenants = r.names(f, "tenant ") }},
-		"jobs":        {read: func(f form) { c.Jobs = r.integer(f, r.singleValue(f), 1, 1e6) }},
-		"connections": {read: func(f form) { c.Connections = r.integer(f, r.singleValue(f), 1, 1e6) }},
+		"jobs":        {read: func(f form) { c.Jobs = r.positiveInteger(f, r.singleValue(f), maxCount) }},
+		"connections": {read: func(f form) { c.Connections = r.positiveInteger(f, r.singleValue(f), maxCount) }},
 		"when-unable": {read: func(f form) { r.whenUnable(f, &c) }},
 	})
 	return c
@@ -185,17 +211,17 @@
 			return
 		}
 		r.subjects["spill "+c.Name] = form{f.args[1], f.key, nil}
-		c.Spill, c.SpillPart = r.text(f, f.args[1]), r.number(f, f.args[2], 0.001, 1)
+		c.Spill, c.SpillPart = r.text(f, f.args[1]), r.number(f, f.args[2], minFraction, 1)
 	}
 }
 
-// of is the form with a name behind its key, for messages.
+// withName returns the form with a name after its key, for messages.
 func (f form) withName(name string) form {
 	f.key += " " + name
 	return f
 }
 
-// named takes the name that follows a form's key.
+// namedForm returns the name that follows a form's key, and the values after it.
 func (r *reader) namedForm(f form) (name string, rest []*sexp) {
 	if len(f.args) == 0 || f.args[0].Form != nil {
 		r.fail(f.at, f.key, "its name is missing")
@@ -204,7 +230,7 @@
 	return r.text(f, f.args[0]), f.args[1:]
 }
 
-// names reads all values of a form as names, each the subject of its faults.
+// names reads all values of a form as names, each the subject of its errors.
 func (r *reader) names(f form, subject string) (names []string) {
 	if len(f.args) == 0 {
 		r.fail(f.at, f.key, "no names")
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -31,21 +31,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if op.ControlSocket != "/tmp/foxlift-control.sock" || op.Cells.CellCount() != 2 || op.Cells.CapacityFraction(op.Cells.CellIndex("isles")) != 0.25 || op.Cells.KeyJobs() != 16 {
+	plan := op.Cells
+	if op.ControlSocket != "/tmp/foxlift-control.sock" || plan.CellCount() != 2 || plan.KeyJobs() != 16 {
 		t.Errorf("%+v", op)
 	}
+	if fraction := plan.CapacityFraction(plan.CellIndex("isles")); fraction != 0.25 {
+		t.Errorf("a cell has %g of the capacity", fraction)
+	}
 	if op.EndpointCheckpoint != "/tmp/foxlift-list" {
-		t.Errorf("the list is kept in %q", op.EndpointCheckpoint)
+		t.Errorf("the checkpoint is %q", op.EndpointCheckpoint)
 	}
 	if path, err := ControlSocket("../../deploy/operator.example.sexp"); err != nil || path != op.ControlSocket {
 		t.Errorf("the socket alone: %q, %v", path, err)
 	}
-	if op, err := ParseOperator("empty", []byte("; nothing\n"), exampleSettings(t)); err != nil || op.Cells != nil || op.ControlSocket != "" {
+	op, err = ParseOperator("empty", []byte("; nothing\n"), exampleSettings(t))
+	if err != nil || op.Cells != nil || op.ControlSocket != "" {
 		t.Errorf("an empty file: %+v, %v", op, err)
 	}
 }
 
-// Faults name file, line, column and key, and come all at once in the file's order.
+// Errors name file, line, column and key, and come all at once in the file's order.
 func TestOperatorErrors(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
 		"many at once": {`(foxlift
@@ -69,30 +74,46 @@
 f:8:6: cells.split islands: it needs two cells or more, and (by key)
 f:8:6: cells.split islands: it has a place already
 f:9:6: cells.colour: unknown key; known here: cell, default, key, kind, split`},
-		"no checkpoint":    {`(foxlift (list))`, `f:1:11: list: checkpoint is missing`},
-		"a relative path":  {`(foxlift (list (checkpoint "kept") (age 5)))`, "f:1:28: list.checkpoint: \"kept\" is not an absolute path\nf:1:37: list.age: unknown key; known here: checkpoint"},
+		"no checkpoint": {`(foxlift (list))`, `f:1:11: list: checkpoint is missing`},
+		"a relative path": {
+			`(foxlift (list (checkpoint "kept") (age 5)))`,
+			"f:1:28: list.checkpoint: \"kept\" is not an absolute path\n" +
+				"f:1:37: list.age: unknown key; known here: checkpoint",
+		},
 		"no list":          {`foxlift`, `f:1:1: foxlift stands where a list that begins with a key should`},
 		"not closed":       {"(foxlift\n (cells", `f:2:8: unexpected token "<EOF>" (expected ")")`},
 		"closed too often": {"(foxlift))", `f:1:10: unexpected token ")"`},
 		"open string":      {"(foxlift (control (socket \"/a)))\n", `f:1:27: invalid input text "\"/a)))\n"`},
-		"twice":            {`(foxlift (control (socket "/a")) (control (socket "/b")))`, `f:1:35: control: it is there twice`},
-		"no cells":         {`(foxlift (cells))`, `f:1:11: cells: no cell is given`},
-		"shares":           {`(foxlift (cells (cell a (share 0.9)) (cell b (share 0.2))))`, `f:1:11: cells: the shares add up to 1.1, more than 1`},
-		"not a number":     {`(foxlift (cells (cell a (share NaN))))`, `f:1:32: cells.cell a.share: NaN is not a number from 0.001 to 1`},
-		"two values":       {`(foxlift (cells (cell a (share 0.1 0.2))))`, `f:1:26: cells.cell a.share: 2 values, want one`},
-		"no name":          {`(foxlift (cells (cell)))`, `f:1:18: cells.cell: its name is missing`},
-		"spill alone":      {`(foxlift (cells (cell a (when-unable spill b))))`, `f:1:26: cells.cell a.when-unable: spill needs a cell and the part of its jobs that it may take`},
-		"too deep":         {strings.Repeat("(", 10000), `f: lists more than 32 deep`},
-		"too long":         {strings.Repeat(";", maxOperatorFile+1), `f: over 1048576 bytes`},
+		"twice": {
+			`(foxlift (control (socket "/a")) (control (socket "/b")))`,
+			`f:1:35: control: it is there twice`,
+		},
+		"no cells": {`(foxlift (cells))`, `f:1:11: cells: no cell is given`},
+		"shares": {
+			`(foxlift (cells (cell a (share 0.9)) (cell b (share 0.2))))`,
+			`f:1:11: cells: the shares add up to 1.1, more than 1`,
+		},
+		"not a number": {
+			`(foxlift (cells (cell a (share NaN))))`,
+			`f:1:32: cells.cell a.share: NaN is not a number from 0.001 to 1`,
+		},
+		"two values": {`(foxlift (cells (cell a (share 0.1 0.2))))`, `f:1:26: cells.cell a.share: 2 values, want one`},
+		"no name":    {`(foxlift (cells (cell)))`, `f:1:18: cells.cell: its name is missing`},
+		"spill alone": {
+			`(foxlift (cells (cell a (when-unable spill b))))`,
+			`f:1:26: cells.cell a.when-unable: spill needs a cell and the part of its jobs that it may take`,
+		},
+		"too deep": {strings.Repeat("(", 10000), `f: lists more than 32 deep`},
+		"too long": {strings.Repeat(";", maxOperatorFile+1), `f: over 1048576 bytes`},
 	} {
 		_, err := ParseOperator("f", []byte(c.text), exampleSettings(t))
-		if faults := (OperatorErrors)(nil); !errors.As(err, &faults) || err.Error() != c.want {
+		if faults := OperatorErrors(nil); !errors.As(err, &faults) || err.Error() != c.want {
 			t.Errorf("%s:\n%v\nwant\n%s", name, err, c.want)
 		}
 	}
 }
 
-// Words that choose a way must be known; keys that are not known are passed over.
+// Names that choose among alternatives must be known; unknown keys are ignored.
 func TestSettingsNames(t *testing.T) {
 	text, err := os.ReadFile("../../examples/config.json")
 	if err != nil {
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// A Fault is one thing wrong with the operator's file.
+// An OperatorError is one thing wrong with the operator's file.
 type OperatorError struct {
 	File         string
 	Line, Column int // 0: the file as a whole
@@ -16,44 +16,46 @@
 	Text         string
 }
 
-func (f OperatorError) Error() string {
-	at := f.File
-	if f.Line > 0 {
-		at = fmt.Sprintf("%s:%d:%d", f.File, f.Line, f.Column)
+// Error implements error.
+func (e OperatorError) Error() string {
+	place := e.File
+	if e.Line > 0 {
+		place = fmt.Sprintf("%s:%d:%d", e.File, e.Line, e.Column)
 	}
-	if f.Key != "" {
-		return fmt.Sprintf("%s: %s: %s", at, f.Key, f.Text)
+	if e.Key != "" {
+		return fmt.Sprintf("%s: %s: %s", place, e.Key, e.Text)
 	}
-	return fmt.Sprintf("%s: %s", at, f.Text)
+	return fmt.Sprintf("%s: %s", place, e.Text)
 }
 
-// Faults are all that is wrong, in the file's order.
+// OperatorErrors are all that is wrong, in the file's order.
 type OperatorErrors []OperatorError
 
-func (f OperatorErrors) Error() string {
-	lines := make([]string, len(f))
-	for i := range f {
-		lines[i] = f[i].Error()
+// Error implements error: a line for each.
+func (e OperatorErrors) Error() string {
+	lines := make([]string, len(e))
+	for i := range e {
+		lines[i] = e[i].Error()
 	}
 	return strings.Join(lines, "\n")
 }
 
-// A reader walks the forms of a file and gathers faults.
+// A reader walks the forms of a file and gathers what is wrong with them.
 type reader struct {
 	file     string
 	errors   OperatorErrors
-	subjects map[string]form // where what a cells.SpecError names stands
+	subjects map[string]form // the form of each subject of a cells.SpecError
 }
 
 func (r *reader) fail(at *sexp, key, format string, args ...any) {
-	f := OperatorError{File: r.file, Key: key, Text: fmt.Sprintf(format, args...)}
+	e := OperatorError{File: r.file, Key: key, Text: fmt.Sprintf(format, args...)}
 	if at != nil {
-		f.Line, f.Column = at.Pos.Line, at.Pos.Column
+		e.Line, e.Column = at.Pos.Line, at.Pos.Column
 	}
-	r.errors = append(r.errors, f)
+	r.errors = append(r.errors, e)
 }
 
-// sorted returns the faults in the file's order.
+// sorted returns the errors in the file's order.
 func (r *reader) sorted() OperatorErrors {
 	slices.SortStableFunc(r.errors, func(a, b OperatorError) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
@@ -61,7 +63,7 @@
 	return r.errors
 }
 
-// A form is a list that begins with its key.
+// A form is a sexpForm by its key.
 type form struct {
 	at   *sexp
 	key  string // with the keys around it, for messages
@@ -74,7 +76,7 @@
 	read func(form)
 }
 
-// forms reads the lists in values by their keys; what has no rule is a fault.
+// forms reads the forms in values by the rules of their keys; a key without a rule is an error.
 func (r *reader) forms(within string, values []*sexp, rules map[string]rule) {
 	seen := map[string]bool{}
 	for _, v := range values {
@@ -107,7 +109,7 @@
 	return keys
 }
 
-// one returns the only value of a form.
+// singleValue returns the only value of a form.
 func (r *reader) singleValue(f form) *sexp {
 	if len(f.args) != 1 {
 		r.fail(f.at, f.key, "%d values, want one", len(f.args))
@@ -116,7 +118,7 @@
 	return f.args[0]
 }
 
-// text reads a word or a string.
+// text reads an atom or a string.
 func (r *reader) text(f form, v *sexp) string {
 	switch {
 	case v == nil:
@@ -130,7 +132,7 @@
 	return ""
 }
 
-// word reads one of some words.
+// keyword reads one of the known words.
 func (r *reader) keyword(f form, v *sexp, known ...string) string {
 	if v == nil {
 		return ""
@@ -142,31 +144,31 @@
 	return ""
 }
 
-// number reads a number from least to most.
-func (r *reader) number(f form, v *sexp, least, most float64) float64 {
+// number reads a number from a minimum to a maximum.
+func (r *reader) number(f form, v *sexp, minimum, maximum float64) float64 {
 	if v == nil {
 		return 0
 	}
 	if v.Atom != nil {
 		// NaN and the like compare as false.
-		if n, err := strconv.ParseFloat(*v.Atom, 64); err == nil && n >= least && n <= most {
+		if n, err := strconv.ParseFloat(*v.Atom, 64); err == nil && n >= minimum && n <= maximum {
 			return n
 		}
 	}
-	r.fail(v, f.key, "%s is not a number from %g to %g", v, least, most)
+	r.fail(v, f.key, "%s is not a number from %g to %g", v, minimum, maximum)
 	return 0
 }
 
-// whole reads a whole number from least to most.
-func (r *reader) integer(f form, v *sexp, least, most int) int {
+// positiveInteger reads an integer from 1 to a maximum.
+func (r *reader) positiveInteger(f form, v *sexp, maximum int) int {
 	if v == nil {
 		return 0
 	}
 	if v.Atom != nil {
-		if n, err := strconv.Atoi(*v.Atom); err == nil && n >= least && n <= most {
+		if n, err := strconv.Atoi(*v.Atom); err == nil && n >= 1 && n <= maximum {
 			return n
 		}
 	}
-	r.fail(v, f.key, "%s is not a whole number from %d to %d", v, least, most)
+	r.fail(v, f.key, "%s is not a whole number from %d to %d", v, 1, maximum)
 	return 0
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -21,8 +21,8 @@
 	Kinds          map[string]int
 	GaugeNames     []string // of the values in a load report, in order
 	ConnectTimeout int64    // nanoseconds; 0 means not given
-	DrainGrace     int64    // nanoseconds in which sends to a node that drains have to stop
-	MaxOpen        int      // jobs held at once; 0 means no limit
+	DrainGrace     int64    // nanoseconds in which sends to a draining worker have to stop
+	MaxOpen        int      // open jobs; 0 means no limit
 	Progress       int64    // nanoseconds between progress notes; 0 means none
 	Discovery      string   // one of discoveries, or ""
 	Zone           string   // of this scheduler
@@ -38,15 +38,15 @@
 	Kinds       []string `json:"flavors"`
 	Discovery   string   `json:"discovery"`
 	Classes     []struct {
-		Name     string  `json:"name"`
-		Aim      int64   `json:"aim"`
-		Stretch  float64 `json:"aimStretch"`
-		Deadline int64   `json:"deadline"`
-		Effect   string  `json:"effect"`
-		Scope    string  `json:"dedupScope"`
-		KeyTTL   int64   `json:"keyTtl"`
-		Worth    float64 `json:"gain"`
-		Stream   bool    `json:"stream"`
+		Name             string  `json:"name"`
+		LatencyObjective int64   `json:"aim"`
+		ObjectiveStretch float64 `json:"aimStretch"`
+		Deadline         int64   `json:"deadline"`
+		Effect           string  `json:"effect"`
+		Scope            string  `json:"dedupScope"`
+		KeyTTL           int64   `json:"keyTtl"`
+		PriorityWeight   float64 `json:"gain"`
+		Stream           bool    `json:"stream"`
 	} `json:"grades"`
 	Tenants []struct {
 		Name  string  `json:"name"`
@@ -105,9 +105,21 @@
 	"cell": foxlift.ScopeCell,
 }
 
-// The ways in which the list of workers is to be had in the simulator: told unasked,
-// or asked for. On sockets it is always asked for.
-var discoveries = []string{"automatic", "subscribe"}
+// How the endpoint list comes in the simulator: it is pushed, or it is watched. On sockets it is always
+// polled.
+const (
+	discoveryAutomatic = "automatic"
+	discoverySubscribe = "subscribe"
+)
+
+var discoveries = []string{discoveryAutomatic, discoverySubscribe}
+
+// Texts of familyInfo that say what a value of a load report, or a job's memory, is.
+const (
+	memoryBySlot     = "one unit for each slot"
+	reportFreeSlots  = "free slots"
+	reportFreeMemory = "free memory"
+)
 
 var gauges = map[string]foxlift.Gauge{
 	"outstanding": foxlift.GaugeInFlight, "backlog": foxlift.GaugeQueued,
@@ -125,32 +137,36 @@
 	if f.Dispatchers < 1 {
 		return nil, errors.New("balancers: under 1")
 	}
-	shares := 0.0
-	for i, p := range f.Tenants {
-		if shares += p.Share; p.Share < 0 || shares > 1+roundingTolerance {
-			return nil, fmt.Errorf("projects[%d].share: negative, or over 1 with those before it", i)
-		}
+	if err := f.checkQuotaFractions(); err != nil {
+		return nil, err
 	}
 	s := &Settings{
-		Module:  f.module(),
-		Classes: map[string]int{}, Tenants: map[string]int{},
-		Zones: indexNames(f.Zones), Kinds: indexNames(f.Kinds),
-		GaugeNames: f.Report.Names, ConnectTimeout: f.Bounds.ConnectTimeout, DrainGrace: f.Obligations.DrainGrace, MaxOpen: f.Bounds.MaxOpen, Progress: f.FamilyInfo.Progress,
-		Discovery: f.Discovery, Zone: f.Zone,
+		Module:         f.module(),
+		Classes:        map[string]int{},
+		Tenants:        map[string]int{},
+		Zones:          indexNames(f.Zones),
+		Kinds:          indexNames(f.Kinds),
+		GaugeNames:     f.Report.Names,
+		ConnectTimeout: f.Bounds.ConnectTimeout,
+		DrainGrace:     f.Obligations.DrainGrace,
+		MaxOpen:        f.Bounds.MaxOpen,
+		Progress:       f.FamilyInfo.Progress,
+		Discovery:      f.Discovery,
+		Zone:           f.Zone,
 	}
 	c := &s.Module
-	if z, ok := s.Zones[f.Zone]; ok {
-		c.Zone = z
+	if zone, ok := s.Zones[f.Zone]; ok {
+		c.Zone = zone
 	}
-	if strings.Contains(f.FamilyInfo.MemoryUnit, "one unit for each slot") {
+	if strings.Contains(f.FamilyInfo.MemoryUnit, memoryBySlot) {
 		c.SlotMemory = 1
 	}
 	if err := s.addClasses(&f); err != nil {
 		return nil, err
 	}
-	for i, p := range f.Tenants {
-		s.Tenants[p.Name] = i
-		c.Tenants = append(c.Tenants, foxlift.Tenant{Name: p.Name, Quota: p.Quota})
+	for i, tenant := range f.Tenants {
+		s.Tenants[tenant.Name] = i
+		c.Tenants = append(c.Tenants, foxlift.Tenant{Name: tenant.Name, Quota: tenant.Quota})
 	}
 	for _, name := range f.Report.Names {
 		c.Gauges = append(c.Gauges, gauge(name, f.FamilyInfo.ReportX0, f.FamilyInfo.ReportX1))
@@ -158,30 +174,42 @@
 	return s, nil
 }
 
-// module returns the module's configuration, without what has names.
+// checkQuotaFractions checks the tenants' parts of all quotas.
+func (f *settingsFile) checkQuotaFractions() error {
+	sum := 0.0
+	for i, tenant := range f.Tenants {
+		sum += tenant.Share
+		if tenant.Share < 0 || sum > 1+roundingTolerance {
+			return fmt.Errorf("projects[%d].share: negative, or over 1 with those before it", i)
+		}
+	}
+	return nil
+}
+
+// module returns the module's configuration, without the classes, tenants and gauges.
 func (f *settingsFile) module() foxlift.Config {
-	b, r := &f.Bounds, &f.Obligations
+	bounds, obligations := &f.Bounds, &f.Obligations
 	return foxlift.Config{
 		Zone:              -1,
 		Dispatchers:       f.Dispatchers,
 		Index:             f.Index,
-		PollEndpoints:     f.Discovery == "subscribe",
-		MaxPollInterval:   r.MustAskIn,
-		MayCancel:         b.Cancel,
-		MayHealthCheck:    b.Probes,
-		MayHedge:          b.SecondCopies,
-		MayGossip:         b.PeerMessages,
-		MayRetryAfter:     b.RetryAfter,
-		MaxRetryAfter:     b.MaxRetryAfter,
-		MaxAttempts:       b.MaxAttempts,
-		ConnIdle:          b.ConnIdle,
-		JobsPerConn:       b.StreamsPerConn,
+		PollEndpoints:     f.Discovery == discoverySubscribe,
+		MaxPollInterval:   obligations.MustAskIn,
+		MayCancel:         bounds.Cancel,
+		MayHealthCheck:    bounds.Probes,
+		MayHedge:          bounds.SecondCopies,
+		MayGossip:         bounds.PeerMessages,
+		MayRetryAfter:     bounds.RetryAfter,
+		MaxRetryAfter:     bounds.MaxRetryAfter,
+		MaxAttempts:       bounds.MaxAttempts,
+		ConnIdle:          bounds.ConnIdle,
+		JobsPerConn:       bounds.StreamsPerConn,
 		StartNotes:        f.FamilyInfo.TellsStart,
-		AnswerGrace:       r.AnswerGrace,
-		SlowStartCapacity: r.StartCapacity,
-		SlowStartDuration: r.WarmAfter,
-		OverloadMultiple:  r.FallMultiple,
-		OverloadWindow:    r.Fall,
+		AnswerGrace:       obligations.AnswerGrace,
+		SlowStartCapacity: obligations.StartCapacity,
+		SlowStartDuration: obligations.WarmAfter,
+		OverloadMultiple:  obligations.FallMultiple,
+		OverloadWindow:    obligations.Fall,
 		Prices: foxlift.Prices{
 			CrossZone: f.Prices.CrossZone, Handshake: f.Prices.Handshake, Fetch: f.Prices.Origin,
 		},
@@ -190,26 +218,35 @@
 
 // addClasses adds the classes; an error names what is unknown of one.
 func (s *Settings) addClasses(f *settingsFile) error {
-	c := &s.Module
-	for i, g := range f.Classes {
-		effect, ok := effects[g.Effect]
+	c, info := &s.Module, &f.FamilyInfo
+	for i, class := range f.Classes {
+		effect, ok := effects[class.Effect]
 		if !ok {
-			return fmt.Errorf("grades[%d]: unknown effect %q", i, g.Effect)
+			return fmt.Errorf("grades[%d]: unknown effect %q", i, class.Effect)
 		}
-		scope, ok := scopes[g.Scope]
+		scope, ok := scopes[class.Scope]
 		if !ok {
-			return fmt.Errorf("grades[%d]: unknown dedupScope %q", i, g.Scope)
+			return fmt.Errorf("grades[%d]: unknown dedupScope %q", i, class.Scope)
 		}
-		s.Classes[g.Name] = i
+		s.Classes[class.Name] = i
 		c.Classes = append(c.Classes, foxlift.Class{
-			Name: g.Name, LatencyObjective: g.Aim, ObjectiveStretch: g.Stretch + valueAt(f.FamilyInfo.ClassStretch, i, 0), Deadline: g.Deadline,
-			Effect: effect, Scope: scope, KeyTTL: g.KeyTTL, PriorityWeight: g.Worth, Stream: g.Stream,
-			Kind: valueAt(f.FamilyInfo.ClassKind, i, -1), Priority: valueAt(f.FamilyInfo.ClassPriority, i, 0),
+			Name:             class.Name,
+			LatencyObjective: class.LatencyObjective,
+			ObjectiveStretch: class.ObjectiveStretch + valueAt(info.ClassStretch, i, 0),
+			Deadline:         class.Deadline,
+			Effect:           effect,
+			Scope:            scope,
+			KeyTTL:           class.KeyTTL,
+			PriorityWeight:   class.PriorityWeight,
+			Stream:           class.Stream,
+			Kind:             valueAt(info.ClassKind, i, -1),
+			Priority:         valueAt(info.ClassPriority, i, 0),
 		})
 	}
 	return nil
 }
 
+// gauge returns what a value of a load report is, by its name; x0 and x1 have a text that says it.
 func gauge(name, x0, x1 string) foxlift.Gauge {
 	switch name {
 	case "x0":
@@ -220,34 +257,36 @@
 		return gauges[name]
 	}
 	switch {
-	case strings.Contains(name, "free slots"):
+	case strings.Contains(name, reportFreeSlots):
 		return foxlift.GaugeFreeSlots
-	case strings.Contains(name, "free memory"):
+	case strings.Contains(name, reportFreeMemory):
 		return foxlift.GaugeFreeMemory
 	}
 	return foxlift.GaugeUnknown
 }
 
-func valueAt[T any](a []T, i int, other T) T {
-	if i < len(a) {
-		return a[i]
+// valueAt returns an element of a slice, or a default past its end.
+func valueAt[T any](values []T, i int, defaultValue T) T {
+	if i < len(values) {
+		return values[i]
 	}
-	return other
+	return defaultValue
 }
 
+// indexNames returns the index of each name.
 func indexNames(names []string) map[string]int {
-	t := map[string]int{}
+	table := map[string]int{}
 	for i, name := range names {
-		t[name] = i
+		table[name] = i
 	}
-	return t
+	return table
 }
 
-const roundingTolerance = 0.01 // of the sum of tenants' shares, as they are rounded
+const roundingTolerance = 0.01 // of the sum of tenants' fractions, as they are rounded
 
-// Pushed reports whether lists are pushed: to an agent beside the scheduler, of whom each has
-// one of its own. What the agent has counts as told from the scheduler's first moment.
-func (s *Settings) EndpointsPushed() bool { return s.Discovery == "automatic" }
+// EndpointsPushed reports whether endpoint lists are pushed to an agent beside the scheduler, of whom
+// each scheduler has its own. What the agent has binds from the scheduler's first moment.
+func (s *Settings) EndpointsPushed() bool { return s.Discovery == discoveryAutomatic }
 
 // ClassNames returns the names of all classes, in the settings' order.
 func (s *Settings) ClassNames() []string {
@@ -258,7 +297,7 @@
 	return names
 }
 
-// Find looks a name up in one of the tables; -1 if it is not there.
+// Find returns the index of a name in one of the tables; -1 if it is not there.
 func Find(table map[string]int, name string) int {
 	if i, ok := table[name]; ok {
 		return i
@@ -266,18 +305,17 @@
 	return -1
 }
 
-// NameOf looks a number up in one of the tables; "" if it is not there.
-func NameOf(table map[string]int, i int) string {
-	for name, n := range table {
-		if n == i {
+// NameOf returns the name of an index in one of the tables; "" if it is not there.
+func NameOf(table map[string]int, index int) string {
+	for name, i := range table {
+		if i == index {
 			return name
 		}
 	}
 	return ""
 }
 
-// ParseKey reads the subject of a job; 0 means none. One that is not 16 hex
-// digits is folded into a number.
+// ParseKey reads the affinity key of a job; 0 means none. One that is not 16 hex digits is hashed.
 func ParseKey(s []byte) uint64 {
 	var raw [8]byte
 	if len(s) == 16 {
@@ -297,11 +335,11 @@
 	return h.Sum64()
 }
 
-// keyError words an error of encoding/json so that it names the key.
+// keyError returns an error of encoding/json as one that names the key.
 func keyError(err error) error {
-	var t *json.UnmarshalTypeError
-	if errors.As(err, &t) && t.Field != "" {
-		return fmt.Errorf("%s: a %s does not fit", t.Field, t.Value)
+	var typeError *json.UnmarshalTypeError
+	if errors.As(err, &typeError) && typeError.Field != "" {
+		return fmt.Errorf("%s: a %s does not fit", typeError.Field, typeError.Value)
 	}
 	return fmt.Errorf("not JSON: %w", err)
 }
--- a/internal/config/sexp.go
+++ b/internal/config/sexp.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"errors"
 	"strconv"
 	"strings"
 
@@ -8,9 +9,8 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// The operator's file is S-expressions: lists in parentheses, each begun by its
-// key, of words, numbers, strings in double quotes and lists. A semicolon begins a
-// comment.
+// The operator's file is S-expressions: forms in parentheses, each begun by its key, of atoms (words and
+// numbers), strings in double quotes and forms. A semicolon begins a comment.
 var sexpLexer = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "Space", Pattern: `[ \t\r\n]+`},
 	{Name: "Comment", Pattern: `;[^\n]*`},
@@ -19,11 +19,12 @@
 	{Name: "Punct", Pattern: `[()]`},
 })
 
+// A sexpFile is a whole file.
 type sexpFile struct {
 	Values []*sexp `parser:"@@*"`
 }
 
-// A sexp is a word, a string or a list.
+// A sexp is an atom, a string or a form.
 type sexp struct {
 	Pos  lexer.Position
 	Atom *string   `parser:"  @Word"`
@@ -31,6 +32,7 @@
 	Form *sexpForm `parser:"| @@"`
 }
 
+// A sexpForm is values in parentheses.
 type sexpForm struct {
 	Open   string  `parser:"@'('"`
 	Values []*sexp `parser:"@@* ')'"`
@@ -41,8 +43,8 @@
 )
 
 const (
-	maxOperatorFile = 1 << 20
-	maxDepth        = 32 // of lists within lists: no form of ours has so many
+	maxOperatorFile = 1 << 20 // bytes
+	maxDepth        = 32      // of forms within forms: no key needs so many
 )
 
 // parse reads a text into forms.
@@ -51,7 +53,36 @@
 		r.fail(nil, "", "over %d bytes", maxOperatorFile)
 		return nil
 	}
-	// The parser recurses: depth is bounded before it begins.
+	if tooDeep(text) {
+		r.fail(nil, "", "lists more than %d deep", maxDepth)
+		return nil
+	}
+	file, err := sexpParser.ParseBytes(r.file, text)
+	if err != nil {
+		r.errors = append(r.errors, r.syntaxError(err))
+		return nil
+	}
+	return file.Values
+}
+
+// syntaxError returns a parser's error with its place in the file.
+func (r *reader) syntaxError(err error) OperatorError {
+	var parseError participle.Error
+	if !errors.As(err, &parseError) {
+		return OperatorError{File: r.file, Text: err.Error()}
+	}
+	position := parseError.Position()
+	return OperatorError{
+		File:   r.file,
+		Line:   position.Line,
+		Column: position.Column,
+		Text:   strings.TrimPrefix(parseError.Message(), "lexer: "),
+	}
+}
+
+// tooDeep reports whether forms are nested over maxDepth. The parser recurses: the depth has to be
+// bounded before it begins.
+func tooDeep(text []byte) bool {
 	depth, quoted, comment := 0, false, false
 	for i := 0; i < len(text); i++ {
 		switch c := text[i]; {
@@ -71,22 +102,13 @@
 			depth--
 		}
 		if depth > maxDepth {
-			r.fail(nil, "", "lists more than %d deep", maxDepth)
-			return nil
+			return true
 		}
 	}
-	f, err := sexpParser.ParseBytes(r.file, text)
-	if err != nil {
-		fault := OperatorError{File: r.file, Text: err.Error()}
-		if p, ok := err.(participle.Error); ok {
-			fault.Line, fault.Column, fault.Text = p.Position().Line, p.Position().Column, strings.TrimPrefix(p.Message(), "lexer: ")
-		}
-		r.errors = append(r.errors, fault)
-		return nil
-	}
-	return f.Values
+	return false
 }
 
+// String returns a value as error messages show it.
 func (s *sexp) String() string {
 	switch {
 	case s.Atom != nil:
--- a/internal/lab/mutants.go
+++ b/internal/lab/mutants.go
@@ -244,19 +244,19 @@
 	},
 	{
 		Name: "NaN is a number",
-		File: "internal/config/sexp.go",
-		Old: "err == nil && n >= least && n <= most {\n\t\t\treturn n\n" +
-			"\t\t}\n\t}\n\tr.fault(v, f.key, \"%s is not a number",
-		New: "err == nil && !(n < least) && !(n > most) {\n\t\t\treturn n\n" +
-			"\t\t}\n\t}\n\tr.fault(v, f.key, \"%s is not a number",
+		File: "internal/config/reader.go",
+		Old: "err == nil && n >= minimum && n <= maximum {\n\t\t\treturn n\n" +
+			"\t\t}\n\t}\n\tr.fail(v, f.key, \"%s is not a number",
+		New: "err == nil && !(n < minimum) && !(n > maximum) {\n\t\t\treturn n\n" +
+			"\t\t}\n\t}\n\tr.fail(v, f.key, \"%s is not a number",
 		Package: "./internal/config",
 		Run:     "^TestFuzz",
 	},
 	{
-		Name:    "faults are out of order",
+		Name:    "errors are out of order",
 		File:    "internal/config/operator.go",
 		Old:     "\t\treturn nil, r.sorted()",
-		New:     "\t\treturn nil, r.faults",
+		New:     "\t\treturn nil, r.errors",
 		Package: "./internal/config",
 		Run:     "^TestFuzz",
 	},
