--- a/internal/daemon/fixture_test.go
+++ b/internal/daemon/fixture_test.go
@@ -55,7 +55,14 @@
 		return time.Millisecond
 	}
 	for i := range 6 {
-		worker, err := standin.StartNode(fmt.Sprint("n", i), "stirling", "medium", 4, 8, serviceTime)
+		worker, err := standin.StartWorker(standin.WorkerSpec{
+			Name:        fmt.Sprint("n", i),
+			Zone:        "stirling",
+			Kind:        "medium",
+			Slots:       4,
+			Queue:       8,
+			ServiceTime: serviceTime,
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/daemon/scenario_test.go
+++ b/internal/daemon/scenario_test.go
@@ -144,7 +144,14 @@
 func (s *scenario) startWorker(t testing.TB, name string) {
 	t.Helper()
 	serviceTime := func(string) time.Duration { return 2 * time.Millisecond }
-	worker, err := standin.StartNode(name, "a", "k", 2, 4, serviceTime)
+	worker, err := standin.StartWorker(standin.WorkerSpec{
+		Name:        name,
+		Zone:        "a",
+		Kind:        "k",
+		Slots:       2,
+		Queue:       4,
+		ServiceTime: serviceTime,
+	})
 	must(t, err)
 	t.Cleanup(worker.Crash)
 	towardsWorker := drawFaults(s.rng, 12, faultsTowardsWorkers)
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -114,7 +114,14 @@
 	for _, c := range f.Classes {
 		work[c.Name] = time.Duration(float64(c.ServiceTime) / k.Speed)
 	}
-	n := standin.WorkerOn(l, name, zone, k.Name, k.Slots, 2*k.Slots, func(class string) time.Duration { return work[class] })
+	n := standin.WorkerOn(l, standin.WorkerSpec{
+		Name:        name,
+		Zone:        zone,
+		Kind:        k.Name,
+		Slots:       k.Slots,
+		Queue:       2 * k.Slots,
+		ServiceTime: func(class string) time.Duration { return work[class] },
+	})
 	n.Started, n.SlowStart, n.Reports = started, f.SlowStart, f.LoadReports
 	if len(f.groups) > 0 {
 		f.mu.Lock()
--- a/internal/lab/rig.go
+++ b/internal/lab/rig.go
@@ -71,10 +71,14 @@
 	for _, class := range r.Classes {
 		serviceTimes[class.Name] = time.Duration(float64(class.ServiceTime) / kind.Speed)
 	}
-	name := fmt.Sprintf("%s-%d", kind.Name, i)
-	zone := r.Zones[len(r.Workers)%len(r.Zones)]
-	serviceTime := func(class string) time.Duration { return serviceTimes[class] }
-	worker, err := standin.StartNode(name, zone, kind.Name, kind.Slots, 2*kind.Slots, serviceTime)
+	worker, err := standin.StartWorker(standin.WorkerSpec{
+		Name:        fmt.Sprintf("%s-%d", kind.Name, i),
+		Zone:        r.Zones[len(r.Workers)%len(r.Zones)],
+		Kind:        kind.Name,
+		Slots:       kind.Slots,
+		Queue:       2 * kind.Slots,
+		ServiceTime: func(class string) time.Duration { return serviceTimes[class] },
+	})
 	if err != nil {
 		return err
 	}
--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -51,18 +51,18 @@
 	for _, a := range p.f.Arrivals() {
 		r.Sends++
 		class, i := origin(a.ID)
-		if p.violatesDrain(a, i, off[a.Node]) {
+		if p.violatesDrain(a, i, off[a.Worker]) {
 			v.Drain++
 		}
-		if at, left := leaves[a.ID]; left && a.Begun.Sub(at) > disconnectSlack+slack+linkTime && !p.record.linkFaulty(i, a.Node, at, a.Begun) {
+		if at, left := leaves[a.ID]; left && a.Begun.Sub(at) > disconnectSlack+slack+linkTime && !p.record.linkFaulty(i, a.Worker, at, a.Begun) {
 			v.Disconnected++
-			p.logf("gone: %s reaches %s %v after its submitter left", a.ID, a.Node, a.Begun.Sub(at))
+			p.logf("gone: %s reaches %s %v after its submitter left", a.ID, a.Worker, a.Begun.Sub(at))
 		}
 		if at, known := sent[a.ID]; known {
 			left := at.Add(waits[class]).Sub(a.Begun)
-			if a.Remains > left+deadlineSlack+slack+linkTime && !p.record.linkFaulty(i, a.Node, at, a.Begun) {
+			if a.Remaining > left+deadlineSlack+slack+linkTime && !p.record.linkFaulty(i, a.Worker, at, a.Begun) {
 				v.Deadline++
-				p.logf("deadline: %s is told %v, and has %v", a.ID, a.Remains, left)
+				p.logf("deadline: %s is told %v, and has %v", a.ID, a.Remaining, left)
 			}
 		}
 	}
@@ -115,7 +115,7 @@
 		known := p.notifiedAt(i, o.change, a.Begun)
 		if late := a.Begun.Sub(known) - drainGrace - slack; late > 0 {
 			p.logf("drain: %s reaches %s %.2f s after the list said %q (version %d), %.2f s after it counted as known",
-				a.ID, a.Node, a.Begun.Sub(o.change.At).Seconds(), o.change.Health, o.change.Version, a.Begun.Sub(known).Seconds())
+				a.ID, a.Worker, a.Begun.Sub(o.change.At).Seconds(), o.change.Health, o.change.Version, a.Begun.Sub(known).Seconds())
 			return true
 		}
 	}
--- a/internal/lab/speed.go
+++ b/internal/lab/speed.go
@@ -45,7 +45,7 @@
 	defer rig.Close()
 	rig.Topology = speedTopology()
 	for _, worker := range rig.Workers {
-		worker.Work = func(string) time.Duration { return 0 }
+		worker.ServiceTime = func(string) time.Duration { return 0 }
 	}
 	config, err := rig.Config(0)
 	if err != nil {
--- a/internal/lab/standins.go
+++ b/internal/lab/standins.go
@@ -25,7 +25,14 @@
 		if err != nil {
 			return err
 		}
-		worker := standin.WorkerOn(listener, fmt.Sprint("toy-", i), "stirling", "medium", 2, 4, standInServiceTime)
+		worker := standin.WorkerOn(listener, standin.WorkerSpec{
+			Name:        fmt.Sprint("toy-", i),
+			Zone:        "stirling",
+			Kind:        "medium",
+			Slots:       2,
+			Queue:       4,
+			ServiceTime: standInServiceTime,
+		})
 		defer worker.Crash()
 		workers = append(workers, worker)
 	}
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -13,22 +13,23 @@
 	"time"
 )
 
-// A Tally counts what became of jobs. Of each job one of the others grows when it
-// has ended.
+// A Tally counts what became of jobs. When a job has ended, Sent grows, and one of the others: with Rejected
+// grows Failed too.
 type Tally struct {
 	Sent     int
-	Served   int // in time
-	Late     int // served, but past the aim
+	Served   int // within the latency objective
+	Late     int // served, but past the latency objective
 	Shed     int
 	Failed   int // an answer that is neither
-	Rejected int // of those: the submitter is said to be at fault
+	Rejected int // of those: 4xx, which says that the client is at fault
 	Lost     int // no whole answer, or none in time
 	Cut      int // the same, where Client.Excuse says that no answer was owed
 }
 
-// Service is the share of the jobs that was served in time, in percent.
+// Service is the share of the jobs that was served within the latency objective, in percent.
 func (t Tally) Service() float64 { return 100 * float64(t.Served) / float64(max(1, t.Sent)) }
 
+// add adds another tally's counts.
 func (t *Tally) add(o Tally) {
 	t.Sent += o.Sent
 	t.Served += o.Served
@@ -56,94 +57,114 @@
 	// Excuse reports whether a job sent at a time is owed no answer: its scheduler was killed since. nil: none is.
 	Excuse func(sent time.Time) bool
 
-	mu     sync.Mutex
-	sentAt map[string]time.Time // of each job
-	tally  Tally
-	served map[string]bool // ids
-	idle   []*clientConn
-	sent   atomic.Int64
-	wait   sync.WaitGroup
-	last   []time.Duration // latencies of what was served
+	sent    atomic.Int64
+	sending sync.WaitGroup
+
+	mu        sync.Mutex
+	sentAt    map[string]time.Time // by job
+	tally     Tally
+	served    map[string]bool // by job
+	idle      []*clientConn
+	latencies []time.Duration // of what was served
 }
 
-// A client is one connection.
+// A clientConn is one connection of a client.
 type clientConn struct {
 	net.Conn
-	br *bufio.Reader
+	reader *bufio.Reader
 }
 
+const (
+	minGrace       = 100 * time.Millisecond // how late an answer may come at least, past the job's deadline
+	connectTimeout = time.Second
+	idleInterval   = 10 * time.Millisecond // how often a client whose rate is 0 looks at it again
+	rngStream      = 7                     // of the seed's random numbers, for the times of sends
+	notConnected   = -1                    // the status of a job whose scheduler could not be reached
+)
+
 // Run sends jobs at a rate a second (Poisson) until stop closes, and waits for
 // their answers.
-func (s *Client) Run(rate func() float64, seed uint64, stop <-chan struct{}) {
-	rng := rand.New(rand.NewPCG(seed, 7))
+func (c *Client) Run(rate func() float64, seed uint64, stop <-chan struct{}) {
+	defer c.finish()
+	rng := rand.New(rand.NewPCG(seed, rngStream))
 	next := time.Now()
 	for {
-		r := rate()
-		if r <= 0 {
+		wait := idleInterval
+		now := rate()
+		if now > 0 {
+			next = next.Add(time.Duration(rng.ExpFloat64() / now * float64(time.Second)))
+			wait = time.Until(next)
+		} else {
 			next = time.Now()
-			select {
-			case <-time.After(10 * time.Millisecond):
-				continue
-			case <-stop:
-				s.finish()
-				return
-			}
 		}
-		next = next.Add(time.Duration(rng.ExpFloat64() / r * float64(time.Second)))
 		select {
-		case <-time.After(time.Until(next)):
+		case <-time.After(wait):
 		case <-stop:
-			s.finish()
 			return
 		}
-		s.wait.Go(func() { s.Send() })
+		if now > 0 {
+			c.sending.Go(func() { c.Send() })
+		}
 	}
 }
 
-func (s *Client) finish() {
-	s.wait.Wait()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, c := range s.idle {
-		c.Close()
-	}
-	s.idle = nil
+// finish waits for the answers and closes the connections.
+func (c *Client) finish() {
+	c.sending.Wait()
+	c.closeIdle()
 }
 
-// minGrace is how late an answer may come, past what the job's submitter waits.
-const minGrace = 100 * time.Millisecond
-
-// notConnected is the status of a job whose scheduler could not be reached.
-const notConnected = -1
+func (c *Client) closeIdle() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, conn := range c.idle {
+		conn.Close()
+	}
+	c.idle = nil
+}
 
-func (s *Client) recordSend(id string, at time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.sentAt == nil {
-		s.sentAt = map[string]time.Time{}
+func (c *Client) recordSend(id string, at time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.sentAt == nil {
+		c.sentAt = map[string]time.Time{}
 	}
-	s.sentAt[id] = at
+	c.sentAt[id] = at
 }
 
 // SentAt returns when each job was sent.
-func (s *Client) SentAt() map[string]time.Time {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return maps.Clone(s.sentAt)
+func (c *Client) SentAt() map[string]time.Time {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return maps.Clone(c.sentAt)
 }
 
-// Send sends one job and returns the status of its answer, 0 for none.
-func (s *Client) Send() int {
-	id := fmt.Sprintf("%s-%d", s.Name, s.sent.Add(1))
+// Send sends one job and returns the status of its answer, 0 for none and -1 where its scheduler cannot be reached.
+func (c *Client) Send() int {
+	id := fmt.Sprintf("%s-%d", c.Name, c.sent.Add(1))
 	began := time.Now()
-	s.recordSend(id, began)
-	status := s.exchange(id, began.Add(s.Remaining+max(s.Grace, minGrace)))
+	c.recordSend(id, began)
+	status := c.exchange(id, began.Add(c.Remaining+max(c.Grace, minGrace)))
 	took := time.Since(began)
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	outcome := c.classify(status, began, took)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.tally.add(outcome)
+	if status == http.StatusOK {
+		if c.served == nil {
+			c.served = map[string]bool{}
+		}
+		c.served[id] = true
+		c.latencies = append(c.latencies, took)
+	}
+	return status
+}
+
+// classify returns the tally of one job that was sent at a time and had its answer, or none, after a while.
+func (c *Client) classify(status int, sentAt time.Time, took time.Duration) Tally {
 	t := Tally{Sent: 1}
 	switch {
-	case status == http.StatusOK && took <= s.LatencyObjective:
+	case status == http.StatusOK && took <= c.LatencyObjective:
 		t.Served = 1
 	case status == http.StatusOK:
 		t.Late = 1
@@ -154,114 +175,128 @@
 		if status >= 400 && status < 500 {
 			t.Rejected = 1
 		}
-	case status == notConnected && s.Excuse != nil:
+	case status == notConnected && c.Excuse != nil:
 		t.Cut = 1
-	case s.Excuse != nil && s.Excuse(began):
+	case c.Excuse != nil && c.Excuse(sentAt):
 		t.Cut = 1
 	default:
 		t.Lost = 1
 	}
-	s.tally.add(t)
-	if status == http.StatusOK {
-		if s.served == nil {
-			s.served = map[string]bool{}
-		}
-		s.served[id] = true
-		s.last = append(s.last, took)
-	}
-	return status
+	return t
 }
 
-// take returns a connection; fresh tells that it has carried nothing yet.
-func (s *Client) connection() (c *clientConn, fresh bool, err error) {
-	s.mu.Lock()
-	if n := len(s.idle); n > 0 {
-		c = s.idle[n-1]
-		s.idle = s.idle[:n-1]
-		s.mu.Unlock()
-		return c, false, nil
+// connection returns an idle connection or a new one; fresh tells that it has carried nothing yet.
+func (c *Client) connection() (conn *clientConn, fresh bool, err error) {
+	if conn := c.popIdle(); conn != nil {
+		return conn, false, nil
 	}
-	s.mu.Unlock()
-	conn, err := net.DialTimeout("tcp", s.Addr, time.Second)
+	dialed, err := Dial(c.Addr, connectTimeout)
 	if err != nil {
 		return nil, true, err
 	}
-	return &clientConn{conn, bufio.NewReader(conn)}, true, nil
+	return &clientConn{dialed, bufio.NewReader(dialed)}, true, nil
 }
 
-func (s *Client) exchange(id string, until time.Time) int {
-	target := "/" + s.Class
-	if s.Key != "" {
-		target += "?user=" + s.Key
+// popIdle returns the connection that was used last; nil: none is idle.
+func (c *Client) popIdle() *clientConn {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	last := len(c.idle) - 1
+	if last < 0 {
+		return nil
 	}
-	keyed := ""
-	if s.HasIdempotencyKey {
-		keyed = "Idempotency-Key: key-" + id + "\r\n"
+	conn := c.idle[last]
+	c.idle = c.idle[:last]
+	return conn
+}
+
+func (c *Client) release(conn *clientConn) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.idle = append(c.idle, conn)
+}
+
+// request is a job as it goes over the wire.
+func (c *Client) request(id string) string {
+	target := "/" + c.Class
+	if c.Key != "" {
+		target += "?user=" + c.Key
 	}
-	text := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: app.svc\r\nX-Txn: %s\r\nX-Lane: %s\r\nX-Org: %s\r\nX-Remaining: %dm\r\n%sContent-Length: 4\r\n\r\nbody",
-		target, id, s.Class, s.Tenant, s.Remaining.Milliseconds(), keyed)
+	idempotencyKey := ""
+	if c.HasIdempotencyKey {
+		idempotencyKey = "Idempotency-Key: key-" + id + "\r\n"
+	}
+	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: app.svc\r\n"+
+		"X-Txn: %s\r\nX-Lane: %s\r\nX-Org: %s\r\nX-Remaining: %dm\r\n%sContent-Length: 4\r\n\r\nbody",
+		target, id, c.Class, c.Tenant, c.Remaining.Milliseconds(), idempotencyKey)
+}
+
+// exchange sends a job and returns the status of its answer, 0 for none by a time.
+func (c *Client) exchange(id string, until time.Time) int {
+	request := c.request(id)
 	for {
-		c, fresh, err := s.connection()
+		conn, fresh, err := c.connection()
 		if err != nil {
 			return notConnected
 		}
-		c.SetDeadline(until)
-		if _, err = io.WriteString(c, text); err == nil {
-			var r *http.Response
-			if r, err = http.ReadResponse(c.br, nil); err == nil {
-				if _, err = io.Copy(io.Discard, r.Body); err == nil {
-					if r.Close {
-						c.Close()
-					} else {
-						s.mu.Lock()
-						s.idle = append(s.idle, c)
-						s.mu.Unlock()
-					}
-					return r.StatusCode
-				}
+		conn.SetDeadline(until)
+		status, closes, err := conn.exchange(request)
+		if err == nil {
+			if closes {
+				conn.Close()
+			} else {
+				c.release(conn)
 			}
+			return status
 		}
-		c.Close()
+		conn.Close()
 		if fresh || time.Now().After(until) {
 			return 0
 		}
 		// The end of an idle connection crossed the request: once more, on a new one.
-		s.mu.Lock()
-		for _, c := range s.idle {
-			c.Close()
-		}
-		s.idle = nil
-		s.mu.Unlock()
+		c.closeIdle()
+	}
+}
+
+// exchange writes a request and reads its answer; closes tells that it is the connection's last.
+func (c *clientConn) exchange(request string) (status int, closes bool, err error) {
+	if _, err := io.WriteString(c, request); err != nil {
+		return 0, false, err
+	}
+	response, err := http.ReadResponse(c.reader, nil)
+	if err != nil {
+		return 0, false, err
 	}
+	defer response.Body.Close()
+	_, err = io.Copy(io.Discard, response.Body)
+	return response.StatusCode, response.Close, err
 }
 
-// Take returns the tally since the last call and begins another.
-func (s *Client) ResetTally() Tally {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	t := s.tally
-	s.tally = Tally{}
+// ResetTally returns the tally since the last call and begins another.
+func (c *Client) ResetTally() Tally {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	t := c.tally
+	c.tally = Tally{}
 	return t
 }
 
 // Served returns the ids of the jobs that were answered as served.
-func (s *Client) Served() map[string]bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	ids := make(map[string]bool, len(s.served))
-	for id := range s.served {
-		ids[id] = true
-	}
-	return ids
+func (c *Client) Served() map[string]bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	served := make(map[string]bool, len(c.served))
+	maps.Copy(served, c.served)
+	return served
 }
 
 // Latencies returns how long the served jobs took, since the last call.
-func (s *Client) Latencies() []time.Duration {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	l := s.last
-	s.last = nil
-	return l
+func (c *Client) Latencies() []time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	latencies := c.latencies
+	c.latencies = nil
+	return latencies
 }
 
 // Total adds tallies up.
--- a/internal/standin/corruption.go
+++ b/internal/standin/corruption.go
@@ -1,15 +1,15 @@
 package standin
 
 import (
-	"io"
 	"net"
 	"sync/atomic"
 	"time"
 )
 
-// A Spoil is a way in which discovery's answers are of no use.
+// A Corruption is a way in which discovery's answers are of no use.
 type Corruption int32
 
+// The ways in which answers are corrupted.
 const (
 	NoCorruption Corruption = iota
 	TornClose               // cut off before the last bytes, and closed
@@ -23,59 +23,73 @@
 	corruptionCount
 )
 
-// Spoils are all ways but none.
+// Corruptions are all ways but NoCorruption.
 var Corruptions = []Corruption{TornClose, TornOpen, BusyNow, BusyLate, Silence, ResetAnswer, NotJSON, Trickle}
 
-var corruptionNames = [corruptionCount]string{"none", "torn, closed", "torn, left open", "503 at once", "503 late", "silent", "reset", "no list", "a trickle"}
+var corruptionNames = [corruptionCount]string{
+	"none",
+	"torn, closed",
+	"torn, left open",
+	"503 at once",
+	"503 late",
+	"silent",
+	"reset",
+	"no list",
+	"a trickle",
+}
 
 // String implements fmt.Stringer.
-func (s Corruption) String() string { return corruptionNames[s] }
+func (c Corruption) String() string { return corruptionNames[c] }
 
 const (
 	busyDelay       = 2900 * time.Millisecond
 	trickleInterval = 150 * time.Millisecond // between the bytes of a trickle
 	tornBytes       = 2
-	busyAnswer      = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
+	notJSONAnswer   = "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nnothing"
 )
 
-// A spoiler is how answers are spoilt now.
+// A corrupter holds how answers are corrupted now.
 type corrupter struct{ kind atomic.Int32 }
 
 // CorruptAnswers makes all answers from now on of no use in this way; NoCorruption ends that.
 func (d *Discovery) CorruptAnswers(way Corruption) { d.corrupter.kind.Store(int32(way)) }
 
-// spoil writes a spoilt answer in place of a whole one. It reports whether it did, and whether the connection
+func (c *corrupter) current() Corruption { return Corruption(c.kind.Load()) }
+
+// corrupt writes a corrupted answer in place of a whole one. It reports whether it did, and whether the connection
 // goes on.
-func (s *corrupter) corrupt(c net.Conn, answer string) (spoilt, on bool) {
-	way := Corruption(s.kind.Load())
-	switch way {
+func (c *corrupter) corrupt(conn net.Conn, answer string) (corrupted, goesOn bool) {
+	switch c.current() {
 	case NoCorruption:
 		return false, true
-	case TornClose, TornOpen:
-		io.WriteString(c, answer[:len(answer)-tornBytes])
-	case BusyLate, BusyNow:
-		if way == BusyLate {
-			<-time.After(busyDelay)
-		}
-		_, err := io.WriteString(c, busyAnswer)
-		return true, err == nil
+	case TornClose:
+		writeText(conn, answer[:len(answer)-tornBytes])
+	case TornOpen:
+		writeText(conn, answer[:len(answer)-tornBytes])
+		awaitClose(conn)
+	case BusyNow:
+		return true, writeText(conn, busyAnswer)
+	case BusyLate:
+		<-time.After(busyDelay)
+		return true, writeText(conn, busyAnswer)
+	case Silence:
+		awaitClose(conn)
 	case ResetAnswer:
-		if tcp, ok := c.(*net.TCPConn); ok {
-			tcp.SetLinger(0)
-		}
+		ResetOnClose(conn)
 	case NotJSON:
-		_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nnothing")
-		return true, err == nil
+		return true, writeText(conn, notJSONAnswer)
 	case Trickle:
-		for i := range len(answer) {
-			if _, err := io.WriteString(c, answer[i:i+1]); err != nil || Corruption(s.kind.Load()) != Trickle {
-				return true, false
-			}
-			<-time.After(trickleInterval)
-		}
-	}
-	if way == TornOpen || way == Silence {
-		io.Copy(io.Discard, c) // until the scheduler gives up
+		c.trickle(conn, answer)
 	}
 	return true, false
 }
+
+// trickle writes an answer byte by byte, until this is no longer the way or the connection has ended.
+func (c *corrupter) trickle(conn net.Conn, answer string) {
+	for i := range len(answer) {
+		if !writeText(conn, answer[i:i+1]) || c.current() != Trickle {
+			return
+		}
+		<-time.After(trickleInterval)
+	}
+}
--- a/internal/standin/dedup_group.go
+++ b/internal/standin/dedup_group.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A Pod is the nodes that drop repeats of a keyed job together, for a time.
+// A DedupGroup is the workers that drop repeats of a job with an idempotency key together, for a time.
 type DedupGroup struct {
 	Number int
 	Window time.Duration // counted from a job's first arrival at any of them
@@ -19,27 +19,27 @@
 	done chan struct{} // closed when its run has ended
 }
 
-// enter takes in a key; first tells that it has to run. Without a key every job does.
-func (p *DedupGroup) enter(key string) (first bool, done chan struct{}) {
+// enter takes in a key; first tells that its job has to run. Without a key every job does.
+func (g *DedupGroup) enter(key string) (first bool, done chan struct{}) {
 	done = make(chan struct{})
 	if key == "" {
 		return true, done
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.seen == nil {
-		p.seen = map[string]seenKey{}
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.seen == nil {
+		g.seen = map[string]seenKey{}
 	}
-	if s, ok := p.seen[key]; ok && time.Since(s.at) < p.Window {
+	if s, ok := g.seen[key]; ok && time.Since(s.at) < g.Window {
 		return false, s.done
 	}
-	p.seen[key] = seenKey{time.Now(), done}
+	g.seen[key] = seenKey{time.Now(), done}
 	return true, done
 }
 
-// forget forgets a key whose job was turned away.
-func (p *DedupGroup) forget(key string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	delete(p.seen, key)
+// forget forgets a key whose job was rejected.
+func (g *DedupGroup) forget(key string) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	delete(g.seen, key)
 }
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"strconv"
@@ -11,7 +10,7 @@
 	"time"
 )
 
-// A host is an entry of the machine list as discovery words it.
+// A host is an entry of the endpoint list in discovery's words.
 type host struct {
 	Host         string  `json:"host"`
 	Dial         string  `json:"dial"`
@@ -30,14 +29,14 @@
 	Patience   time.Duration // a call that has waited longer for its turn ends in 503
 }
 
-// Calls is what discovery has been asked.
+// Calls counts the calls to discovery.
 type Calls struct {
 	Received, Answered, Rejected int
 	MaxPerSecond                 int // that came in one second
 	Waiting                      int // for their turn now
 }
 
-// Discovery serves the machine list and watches on it.
+// Discovery serves the endpoint list and watches on it. A view is one scheduler's access to it.
 type Discovery struct {
 	*Server
 	Price Price // set before the first call
@@ -60,22 +59,29 @@
 	corrupter    corrupter
 }
 
-// StartDiscovery starts a discovery that knows these nodes.
-func StartDiscovery(nodes ...*Worker) (*Discovery, error) {
+// StartDiscovery starts a discovery that knows these workers on a free port of loopback.
+func StartDiscovery(workers ...*Worker) (*Discovery, error) {
 	l, err := Listen()
 	if err != nil {
 		return nil, err
 	}
-	return DiscoveryOn(l, nodes...), nil
+	return DiscoveryOn(l, workers...), nil
 }
 
-func DiscoveryOn(l net.Listener, nodes ...*Worker) *Discovery {
+// DiscoveryOn starts a discovery that knows these workers on a listener, which it owns from then on.
+func DiscoveryOn(l net.Listener, workers ...*Worker) *Discovery {
 	d := &Discovery{
-		changed: make(chan struct{}), turn: make(chan struct{}, 1), changedIn: map[string]int{}, positions: map[string]int{},
-		seconds: map[int64]int{}, firstAnswers: map[string]time.Time{}, announced: map[string]int{}, writes: map[string][]Write{},
+		changed:      make(chan struct{}),
+		turn:         make(chan struct{}, 1),
+		changedIn:    map[string]int{},
+		positions:    map[string]int{},
+		seconds:      map[int64]int{},
+		firstAnswers: map[string]time.Time{},
+		announced:    map[string]int{},
+		writes:       map[string][]Write{},
 	}
-	for _, n := range nodes {
-		d.Put(n, "active")
+	for _, w := range workers {
+		d.Put(w, "active")
 	}
 	d.Server = d.View(l, "", nil)
 	return d
@@ -87,29 +93,29 @@
 	return Serve(l, func(c net.Conn, r *http.Request, _ string) bool { return d.handle(c, r, name, dial) })
 }
 
-// Put says how a node is: active, leaving, or left.
-func (d *Discovery) Put(n *Worker, health string) {
-	h := host{Host: n.Name, Dial: n.Addr(), Zone: n.Zone, Kind: n.Kind, Health: health, Weight: 1}
-	if n.Group != nil {
-		h.Block = n.Group.Number
+// Put announces a worker's health: active, leaving, or left.
+func (d *Discovery) Put(w *Worker, health string) {
+	h := host{Host: w.Name, Dial: w.Addr(), Zone: w.Zone, Kind: w.Kind, Health: health, Weight: 1}
+	if w.Group != nil {
+		h.Block = w.Group.Number
 	}
-	if n.Via != "" {
-		h.Dial = n.Via
+	if w.Via != "" {
+		h.Dial = w.Via
 	}
-	if !n.Started.IsZero() {
-		h.StartedMilli = n.Started.UnixMilli()
+	if !w.Started.IsZero() {
+		h.StartedMilli = w.Started.UnixMilli()
 	}
 	d.update(h)
 }
 
-// An Entry is a host of the list behind which there is no node, as hollow fleets have them.
+// An Entry is a host of the list behind which there is no worker, as the capacity tool's fleets have them.
 type Entry struct {
 	Host, Dial, Zone, Kind string
 	Health                 string // active, leaving, or left
 	StartedAt              time.Time
 }
 
-// Tell says how hosts without a node are, all in one change of the list.
+// Announce announces hosts without a worker, all in one change of the list.
 func (d *Discovery) Announce(entries ...Entry) {
 	hosts := make([]host, len(entries))
 	for i, e := range entries {
@@ -121,7 +127,7 @@
 	d.update(hosts...)
 }
 
-// tell takes hosts into the list, in one change of it.
+// update takes hosts into the list, in one change of it.
 func (d *Discovery) update(hosts ...host) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -160,7 +166,7 @@
 	return d.version
 }
 
-// Compact forgets the changes so far: who asks for those since an older version gets the whole list.
+// Compact forgets the changes so far: who asks for those since an older version gets the complete list.
 func (d *Discovery) Compact() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -177,86 +183,99 @@
 	}
 }
 
+// handle answers a call: at once, or as a watch when the list changes or the watch's time is up.
 func (d *Discovery) handle(c net.Conn, r *http.Request, view string, dial func(host, addr string) string) bool {
-	q := r.URL.Query()
-	index, _ := strconv.Atoi(q.Get("index"))
-	now := time.Now()
-	d.mu.Lock()
-	d.calls.Received++
-	d.seconds[now.Unix()]++
-	d.calls.MaxPerSecond = max(d.calls.MaxPerSecond, d.seconds[now.Unix()])
-	changed, seq := d.changed, d.version
-	d.mu.Unlock()
-	if index == seq {
-		ms, _ := strconv.Atoi(q.Get("wait"))
+	query := r.URL.Query()
+	index, _ := strconv.Atoi(query.Get("index")) // none: 0, which asks for the complete list
+	changed, version := d.countCall(time.Now())
+	if index == version {
+		wait, _ := strconv.Atoi(query.Get("wait")) // none: 0, which does not wait
 		select {
 		case <-changed:
-		case <-time.After(time.Duration(ms) * time.Millisecond):
+		case <-time.After(time.Duration(wait) * time.Millisecond):
 		}
 	}
 	list := d.since(index, dial)
 	if !d.pay(len(list.Hosts)) {
-		_, err := io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
-		return err == nil
+		return writeText(c, busyAnswer)
 	}
 	body, err := json.Marshal(list)
-	if err == nil {
-		answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-		if spoilt, on := d.corrupter.corrupt(c, answer); spoilt {
-			return on
-		}
-		_, err = io.WriteString(c, answer)
+	if err != nil {
+		return false
 	}
-	if err == nil {
-		d.mu.Lock()
-		if d.firstAnswers[view].IsZero() {
-			d.firstAnswers[view] = time.Now()
-		}
-		d.announced[view] = list.Version
-		d.writes[view] = append(d.writes[view], Write{list.Version, time.Now()})
-		d.mu.Unlock()
+	answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	if corrupted, goesOn := d.corrupter.corrupt(c, answer); corrupted {
+		return goesOn
+	}
+	if !writeText(c, answer) {
+		return false
+	}
+	d.recordAnswer(view, list.Version)
+	return true
+}
+
+// countCall counts a call that came at a time. It returns the list's version, and what is closed when that changes.
+func (d *Discovery) countCall(now time.Time) (changed <-chan struct{}, version int) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	second := now.Unix()
+	d.calls.Received++
+	d.seconds[second]++
+	d.calls.MaxPerSecond = max(d.calls.MaxPerSecond, d.seconds[second])
+	return d.changed, d.version
+}
+
+// recordAnswer keeps that a whole answer was written to a view.
+func (d *Discovery) recordAnswer(view string, version int) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := time.Now()
+	if d.firstAnswers[view].IsZero() {
+		d.firstAnswers[view] = now
 	}
-	return err == nil
+	d.announced[view] = version
+	d.writes[view] = append(d.writes[view], Write{version, now})
 }
 
-// A list is an answer.
+// An endpointAnswer is a list as an answer brings it: complete or a delta.
 type endpointAnswer struct {
 	Version  int    `json:"seq"`
 	Complete bool   `json:"whole"`
 	Hosts    []host `json:"hosts"`
 }
 
-// since returns what has changed since a version, or the whole list if it is not known.
+// since returns what has changed since a version, or the complete list if the changes since are not known.
 func (d *Discovery) since(version int, dial func(host, addr string) string) endpointAnswer {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l := endpointAnswer{Version: d.version, Complete: version <= 0 || version > d.version || version < d.oldestKnown, Hosts: []host{}}
+	known := 0 < version && d.oldestKnown <= version && version <= d.version
+	answer := endpointAnswer{Version: d.version, Complete: !known, Hosts: []host{}}
 	here := map[string]bool{}
 	for _, h := range d.hosts {
 		here[h.Host] = true
-		if l.Complete || d.changedIn[h.Host] > version {
+		if answer.Complete || d.changedIn[h.Host] > version {
 			if dial != nil {
 				h.Dial = dial(h.Host, h.Dial)
 			}
-			l.Hosts = append(l.Hosts, h)
+			answer.Hosts = append(answer.Hosts, h)
 		}
 	}
 	for name, at := range d.changedIn {
-		if !l.Complete && !here[name] && at > version {
-			l.Hosts = append(l.Hosts, host{Host: name, Health: "left"})
+		if !answer.Complete && !here[name] && at > version {
+			answer.Hosts = append(answer.Hosts, host{Host: name, Health: "left"})
 		}
 	}
-	return l
+	return answer
 }
 
-// pay waits for the turn of a call and spends its time; false after too long a wait.
+// pay waits for the turn of a call and spends the time that it costs; false after too long a wait.
 func (d *Discovery) pay(lines int) bool {
-	count := func(waiting, answered, refused int) {
+	count := func(waiting, answered, rejected int) {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		d.calls.Waiting += waiting
 		d.calls.Answered += answered
-		d.calls.Rejected += refused
+		d.calls.Rejected += rejected
 	}
 	if d.Price == (Price{}) {
 		count(0, 1, 0)
@@ -275,7 +294,7 @@
 	}
 }
 
-// Calls returns what has been asked so far.
+// Calls returns the calls so far.
 func (d *Discovery) Calls() Calls {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -291,7 +310,7 @@
 	return at
 }
 
-// Told returns the version of the last answer that was written to a view.
+// Announced returns the version of the last answer that was written to a view.
 func (d *Discovery) Announced(view string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -301,8 +320,8 @@
 // Known returns the list as a scheduler's configuration has it.
 func (d *Discovery) Known() []byte { return d.KnownAt(nil) }
 
-// KnownAt returns it with the hosts' addresses as a view has them.
+// KnownAt returns the same with the hosts' addresses as a view has them.
 func (d *Discovery) KnownAt(dial func(host, addr string) string) []byte {
-	known, _ := json.Marshal(d.since(0, dial))
+	known, _ := json.Marshal(d.since(0, dial)) // the type has nothing that fails
 	return known
 }
--- a/internal/standin/history.go
+++ b/internal/standin/history.go
@@ -2,50 +2,61 @@
 
 import (
 	"net/http"
+	"slices"
 	"strconv"
 	"strings"
 	"time"
 )
 
-// What nodes and discovery saw, with times: for judges of runs.
-
-// An Arrival is a whole request with a job that reached a node.
+// An Arrival is a whole request with a job that reached a worker.
 type Arrival struct {
-	ID      string
-	Node    string
-	Begun   time.Time     // when its first byte came
-	Remains time.Duration // that the scheduler told
+	ID        string
+	Worker    string
+	Begun     time.Time     // when its first byte came
+	Remaining time.Duration // until the job's deadline, as the scheduler told it
 }
 
 // headerBegun carries the time of a request's first byte from the server to its handler.
 const headerBegun = "X-Lab-Begun"
 
-func stamp(r *http.Request, begun time.Time) {
+func setBegun(r *http.Request, begun time.Time) {
 	r.Header.Set(headerBegun, strconv.FormatInt(begun.UnixNano(), 10))
 }
 
-// arrival reads what a node keeps of a request.
-func arrival(node, id string, r *http.Request) Arrival {
-	begun, _ := strconv.ParseInt(r.Header.Get(headerBegun), 10, 64)
-	a := Arrival{ID: id, Node: node, Begun: time.Unix(0, begun)}
-	if text, ok := strings.CutSuffix(r.Header.Get("X-Remaining"), "m"); ok {
-		ms, _ := strconv.ParseFloat(text, 64)
-		a.Remains = time.Duration(ms * float64(time.Millisecond))
-	} else if text, ok := strings.CutSuffix(r.Header.Get("X-Remaining"), "u"); ok {
-		us, _ := strconv.ParseFloat(text, 64)
-		a.Remains = time.Duration(us * float64(time.Microsecond))
+// arrivalOf reads what a worker keeps of a request.
+func arrivalOf(worker, id string, r *http.Request) Arrival {
+	begun, _ := strconv.ParseInt(r.Header.Get(headerBegun), 10, 64) // the server has set it
+	return Arrival{
+		ID:        id,
+		Worker:    worker,
+		Begun:     time.Unix(0, begun),
+		Remaining: parseRemaining(r.Header.Get(headerRemaining)),
+	}
+}
+
+// parseRemaining reads a time in milliseconds ("5m") or microseconds ("5u"); 0 where it is neither.
+func parseRemaining(text string) time.Duration {
+	unit := time.Millisecond
+	number, ok := strings.CutSuffix(text, "m")
+	if !ok {
+		unit = time.Microsecond
+		number, ok = strings.CutSuffix(text, "u")
+	}
+	value, err := strconv.ParseFloat(number, 64)
+	if !ok || err != nil {
+		return 0
 	}
-	return a
+	return time.Duration(value * float64(unit))
 }
 
-// Arrivals returns the requests with a job that have reached the node, in the order in which they were read.
-func (n *Worker) Arrivals() []Arrival {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return append([]Arrival(nil), n.arrivals...)
+// Arrivals returns the requests with a job that have reached the worker, in the order in which they were read.
+func (w *Worker) Arrivals() []Arrival {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return slices.Clone(w.arrivals)
 }
 
-// A Change is a change of the machine list.
+// A Change is a change of the endpoint list.
 type Change struct {
 	Version int
 	Host    string
@@ -63,12 +74,12 @@
 func (d *Discovery) Changes() []Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return append([]Change(nil), d.changes...)
+	return slices.Clone(d.changes)
 }
 
 // Writes returns the answers that were written to a view.
 func (d *Discovery) Writes(view string) []Write {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return append([]Write(nil), d.writes[view]...)
+	return slices.Clone(d.writes[view])
 }
--- a/internal/standin/proxy.go
+++ b/internal/standin/proxy.go
@@ -1,6 +1,7 @@
 package standin
 
 import (
+	"errors"
 	"io"
 	"net"
 	"sync"
@@ -10,6 +11,7 @@
 // A Fault is what a Proxy does to a piece of what passes it.
 type Fault uint8
 
+// The faults of a proxy.
 const (
 	Pass      Fault = iota
 	Delay           // a few milliseconds late
@@ -23,17 +25,26 @@
 	Faults          // how many there are
 )
 
+const (
+	proxyDelay   = 5 * time.Millisecond
+	proxyGarbage = "\x00{]\r\n"
+	copyBuffer   = 16 << 10 // bytes that are read at once
+)
+
 // A Proxy passes connections on to a target and does to each piece that it reads the
 // next fault of its direction's script; past a script's end all passes.
 type Proxy struct {
 	net.Listener
+	target     string
+	towards    *script // the target
+	returning  *script
+	forwarding sync.WaitGroup
 
 	mu    sync.Mutex
 	conns []net.Conn
-	wait  sync.WaitGroup
 }
 
-// A script is the faults of one direction.
+// A script is the faults of one direction, over all connections.
 type script struct {
 	mu     sync.Mutex
 	faults []Fault
@@ -52,34 +63,40 @@
 
 // StartProxy starts a proxy to an address, with a script for what goes there and one
 // for what comes back.
-func StartProxy(target string, there, back []Fault) (*Proxy, error) {
+func StartProxy(target string, towards, returning []Fault) (*Proxy, error) {
 	l, err := Listen()
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{Listener: l}
-	out, in := &script{faults: there}, &script{faults: back}
-	p.wait.Go(func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			d, err := net.Dial("tcp", target)
-			if err != nil {
-				c.Close()
-				continue
-			}
-			p.mu.Lock()
-			p.conns = append(p.conns, c, d)
-			p.mu.Unlock()
-			p.wait.Go(func() { pass(c, d, out) })
-			p.wait.Go(func() { pass(d, c, in) })
-		}
-	})
+	p := &Proxy{
+		Listener:  l,
+		target:    target,
+		towards:   &script{faults: towards},
+		returning: &script{faults: returning},
+	}
+	p.forwarding.Go(p.accept)
 	return p, nil
 }
 
+func (p *Proxy) accept() {
+	for {
+		client, err := p.Accept()
+		if err != nil {
+			return
+		}
+		server, err := Dial(p.target, 0)
+		if err != nil {
+			client.Close()
+			continue
+		}
+		p.mu.Lock()
+		p.conns = append(p.conns, client, server)
+		p.mu.Unlock()
+		p.forwarding.Go(func() { forward(client, server, p.towards) })
+		p.forwarding.Go(func() { forward(server, client, p.returning) })
+	}
+}
+
 // Stop ends the proxy and all that passes it.
 func (p *Proxy) Stop() {
 	p.Close()
@@ -88,29 +105,30 @@
 		c.Close()
 	}
 	p.mu.Unlock()
-	p.wait.Wait()
+	p.forwarding.Wait()
 }
 
-func pass(from, to net.Conn, s *script) {
-	defer to.(*net.TCPConn).CloseWrite()
-	buf := make([]byte, 16<<10)
+// forward passes one direction of a connection on until it ends; a reset is passed on as one.
+func forward(from, to net.Conn, s *script) {
+	defer CloseWrite(to)
+	buf := make([]byte, copyBuffer)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && !write(from, to, buf[:n], s.next()) {
+		if n > 0 && !forwardPiece(from, to, buf[:n], s.next()) {
+			return
+		}
+		if errors.Is(err, io.EOF) {
 			return
 		}
 		if err != nil {
-			if err != io.EOF {
-				to.(*net.TCPConn).SetLinger(0) // a reset is passed on as one
-				to.Close()
-			}
+			ResetConn(to)
 			return
 		}
 	}
 }
 
-// write passes a piece on with the next fault; false means that this direction ends.
-func write(from, to net.Conn, piece []byte, f Fault) bool {
+// forwardPiece passes a piece on with a fault, and reports whether this direction goes on.
+func forwardPiece(from, to net.Conn, piece []byte, f Fault) bool {
 	put := func(b []byte) bool {
 		_, err := to.Write(b)
 		return err == nil
@@ -118,7 +136,7 @@
 	half := len(piece) / 2
 	switch f {
 	case Delay:
-		<-time.After(5 * time.Millisecond)
+		<-time.After(proxyDelay)
 	case Split:
 		for i := range piece {
 			if !put(piece[i : i+1]) {
@@ -132,13 +150,11 @@
 		to.Close()
 		return false
 	case Reset:
-		for _, c := range []net.Conn{from, to} {
-			c.(*net.TCPConn).SetLinger(0)
-			c.Close()
-		}
+		ResetConn(from)
+		ResetConn(to)
 		return false
 	case Garbage:
-		if !put([]byte("\x00{]\r\n")) {
+		if !put([]byte(proxyGarbage)) {
 			return false
 		}
 	case Duplicate:
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -1,7 +1,10 @@
-// Package standin stands in for what a scheduler meets: discovery, execute nodes and
-// submitters, on loopback, for tests, demonstrations and measurements. They speak the
-// platform's protocol from its description, with none of the scheduler's own code,
-// and their logs and tallies are what its promises are held against.
+// Package standin stands in for what a scheduler meets: discovery, workers and clients, on loopback, for tests,
+// demonstrations and measurements. The stand-ins speak the platform's protocol from its description, with none
+// of the scheduler's own code.
+//
+// Each stand-in owns its listener, its connections and a log of what it saw: a Worker of the jobs that it
+// received and ran, Discovery of the calls and of the endpoint list's changes, a Client of its jobs' answers.
+// These logs are what the scheduler's promises are held against. Times are real time.
 package standin
 
 import (
@@ -16,8 +19,18 @@
 	"time"
 )
 
-// A Handler answers a request that was read in full, and returns whether the
-// connection goes on.
+// Headers of a job's request.
+const (
+	headerID             = "X-Txn"
+	headerTenant         = "X-Org"
+	headerRemaining      = "X-Remaining"
+	headerIdempotencyKey = "Idempotency-Key"
+)
+
+// busyAnswer is discovery's answer to a call that it does not serve.
+const busyAnswer = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
+
+// A Handler answers a request that was read in full, and reports whether the connection goes on.
 type Handler func(c net.Conn, r *http.Request, id string) bool
 
 // A Server answers requests one after another on each of its connections.
@@ -30,25 +43,28 @@
 	open map[net.Conn]bool
 }
 
-// Serve answers with handle on a listener, until Close.
+// Serve answers the listener's requests with handle. Close ends the listener and Reset the connections; a call
+// of handle that waits goes on until it notices.
 func Serve(l net.Listener, handle Handler) *Server {
 	s := &Server{Listener: l, open: map[net.Conn]bool{}}
-	go func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			s.Conns.Add(1)
-			s.mu.Lock()
-			s.open[c] = true
-			s.mu.Unlock()
-			go s.serve(c, handle)
-		}
-	}()
+	go s.accept(handle)
 	return s
 }
 
+func (s *Server) accept(handle Handler) {
+	for {
+		c, err := s.Accept()
+		if err != nil {
+			return
+		}
+		s.Conns.Add(1)
+		s.mu.Lock()
+		s.open[c] = true
+		s.mu.Unlock()
+		go s.serve(c, handle)
+	}
+}
+
 func (s *Server) serve(c net.Conn, handle Handler) {
 	defer func() {
 		c.Close()
@@ -56,13 +72,14 @@
 		delete(s.open, c)
 		s.mu.Unlock()
 	}()
-	for br := bufio.NewReader(c); ; {
-		if _, err := br.Peek(1); err != nil {
+	reader := bufio.NewReader(c)
+	for {
+		if _, err := reader.Peek(1); err != nil {
 			return
 		}
 		begun := time.Now()
 		s.lastBegun.Store(begun.UnixNano())
-		r, err := http.ReadRequest(br)
+		r, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
@@ -72,8 +89,8 @@
 		}
 		r.Body = io.NopCloser(bytes.NewReader(body))
 		s.Got.Add(1)
-		stamp(r, begun)
-		if !handle(c, r, r.Header.Get("X-Txn")) {
+		setBegun(r, begun)
+		if !handle(c, r, r.Header.Get(headerID)) {
 			return
 		}
 	}
@@ -87,31 +104,38 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.open {
-		if tcp, ok := c.(*net.TCPConn); ok {
-			tcp.SetLinger(0)
-		}
-		c.Close()
+		ResetConn(c)
 	}
 }
 
-// Listen listens on a free port of loopback.
-func Listen() (net.Listener, error) { return net.Listen("tcp", "127.0.0.1:0") }
-
-// SayStates writes the head of a node's 200 and one chunk for each state; a state may
-// hold more fields behind its name. Without end the body does not end.
+// SayStates writes the head of a worker's 200 and one chunk for each state; a state may hold more fields behind
+// its name. Without end the body does not end.
 func SayStates(c net.Conn, id string, end bool, states ...string) bool {
-	b := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-	for _, s := range states {
-		b += chunk(id, s)
+	answer := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+	for _, state := range states {
+		answer += chunk(id, state)
 	}
 	if end {
-		b += "0\r\n\r\n"
+		answer += lastChunk
 	}
-	_, err := io.WriteString(c, b)
-	return err == nil
+	return writeText(c, answer)
 }
 
+// lastChunk ends a chunked body.
+const lastChunk = "0\r\n\r\n"
+
 func chunk(id, state string) string {
 	line := fmt.Sprintf(`{"id":%q,"from":"n","state":%s}`+"\n", id, state)
 	return fmt.Sprintf("%x\r\n%s\r\n", len(line), line)
 }
+
+// writeText writes a text and reports whether the connection took it.
+func writeText(c net.Conn, text string) bool {
+	_, err := io.WriteString(c, text)
+	return err == nil
+}
+
+// awaitClose reads until the other side ends the connection.
+func awaitClose(c net.Conn) {
+	_, _ = io.Copy(io.Discard, c) // any error is the end that it waits for
+}
