--- a/docs_test.go
+++ b/docs_test.go
@@ -6,6 +6,7 @@
 	"path"
 	"path/filepath"
 	"regexp"
+	"slices"
 	"strings"
 	"testing"
 )
@@ -42,6 +43,29 @@
 	}
 }
 
+// Each package of the scheduler is on one of the two pages, and each part of the decision module on the
+// architecture page.
+func TestPagesNameEveryPackage(t *testing.T) {
+	architecture := quotedNames(readPage(t, architecturePage))
+	named := append(quotedNames(readPage(t, "README.md")), architecture...)
+	parts := 0
+	for _, dir := range deploySettings(t, "node") {
+		if strings.HasPrefix(dir, "internal/decision/") {
+			parts++
+			if !slices.Contains(architecture, dir) {
+				t.Errorf("%s does not name %s", architecturePage, dir)
+			}
+			continue
+		}
+		if !slices.Contains(named, dir) {
+			t.Errorf("neither %s nor README.md names %s", architecturePage, dir)
+		}
+	}
+	if parts == 0 {
+		t.Error("deploy/balancer.toml lists no part of the decision module under node")
+	}
+}
+
 // The architecture page names counters as they are counted, and metrics as they are served.
 func TestArchitecturePageNamesCountersAndMetrics(t *testing.T) {
 	source := programSource(t)
