--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -71,7 +71,9 @@
 
 // A slope that reaches a budget far beyond the target tells no more than that.
 func TestMultiple(t *testing.T) {
-	for x, want := range map[float64]string{0.055: "0.0550", 2.18: "2.18", 1000: "1000", 1000.1: "over 1000", math.Inf(1): "over 1000"} {
+	for x, want := range map[float64]string{
+		0.055: "0.0550", 2.18: "2.18", 1000: "1000", 1000.1: "over 1000", math.Inf(1): "over 1000",
+	} {
 		if got := formatMultiple(x); got != want {
 			t.Errorf("%v: %s, want %s", x, got, want)
 		}
@@ -86,7 +88,13 @@
 	for _, c := range []struct {
 		sorted []float64
 		want   float64
-	}{{[]float64{7}, 7}, {[]float64{1, 3}, 2}, {[]float64{1, 2, 9}, 2}, {[]float64{1, 2, 4, 9}, 3}, {[]float64{1, 1, 5, 8, 9}, 5}} {
+	}{
+		{[]float64{7}, 7},
+		{[]float64{1, 3}, 2},
+		{[]float64{1, 2, 9}, 2},
+		{[]float64{1, 2, 4, 9}, 3},
+		{[]float64{1, 1, 5, 8, 9}, 5},
+	} {
 		near(t, "median", median(c.sorted), c.want, 1e-12)
 	}
 }
@@ -171,7 +179,8 @@
 		t.Errorf("a figure by hand: %v", err)
 	}
 	for _, text := range []string{`{{figure "luck"}}`, `{{table "luck"}}`} {
-		if _, err := renderPage(text, m); !errors.As(err, new(unknownFigureError)) || !strings.Contains(err.Error(), `"luck"`) {
+		_, err := renderPage(text, m)
+		if !errors.As(err, new(unknownFigureError)) || !strings.Contains(err.Error(), `"luck"`) {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
@@ -210,10 +219,16 @@
 // An unknown dimension is named before anything is measured, and a tool that takes too much of the
 // machine stops.
 func TestRunRefuses(t *testing.T) {
-	if _, err := Run(t.Context(), new(strings.Builder), Options{Dimensions: []string{"workers", "luck"}}); !errors.Is(err, errUnknownDimension) || !strings.Contains(err.Error(), `"luck"`) {
+	_, err := Run(t.Context(), new(strings.Builder), Options{Dimensions: []string{"workers", "luck"}})
+	if !errors.Is(err, errUnknownDimension) || !strings.Contains(err.Error(), `"luck"`) {
 		t.Errorf("unknown dimension: %v", err)
 	}
-	for _, o := range []FaultsOptions{{Workers: 0, Starts: 5}, {Workers: maxWorkers + 1, Starts: 5}, {Workers: 2000}, {Workers: 2000, Starts: maxStarts + 1}} {
+	for _, o := range []FaultsOptions{
+		{Workers: 0, Starts: 5},
+		{Workers: maxWorkers + 1, Starts: 5},
+		{Workers: 2000},
+		{Workers: 2000, Starts: maxStarts + 1},
+	} {
 		if _, err := o.Run(t.Context(), new(strings.Builder)); !errors.Is(err, errInvalidSize) {
 			t.Errorf("%d workers, %d starts: %v", o.Workers, o.Starts, err)
 		}
@@ -245,7 +260,8 @@
 func TestInterruptedRunStopsItsProcesses(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	if _, err := measureControl(ctx, plan{short: true, runs: 1, program: program}); !errors.Is(err, context.DeadlineExceeded) {
+	_, err := measureControl(ctx, plan{short: true, runs: 1, program: program})
+	if !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("ended with %v", err)
 	}
 	procs, err := procfs.AllProcs()
@@ -285,8 +301,11 @@
 // The judge sees a start that took the whole list though one was kept, and one that took too much.
 func TestFaultsAreJudged(t *testing.T) {
 	for name, r := range map[string]*FaultsResult{
-		"over its bound": {WithCheckpoint: 1, ExceededBound: []string{"1"}}, "not used": {WithCheckpoint: 1, CheckpointsIgnored: 1}, "used wrongly": {WithCheckpoint: 1, CheckpointsMisused: 1},
-		"nothing kept": {}, "bad end": {WithCheckpoint: 1, uncleanExit: true},
+		"over its bound": {WithCheckpoint: 1, ExceededBound: []string{"1"}},
+		"not used":       {WithCheckpoint: 1, CheckpointsIgnored: 1},
+		"used wrongly":   {WithCheckpoint: 1, CheckpointsMisused: 1},
+		"nothing kept":   {},
+		"bad end":        {WithCheckpoint: 1, uncleanExit: true},
 	} {
 		if r.OK() {
 			t.Errorf("%s: OK", name)
--- a/internal/lab/capacity/control.go
+++ b/internal/lab/capacity/control.go
@@ -17,7 +17,7 @@
 var controlRates = []float64{0.2, 5}
 
 const (
-	fullControlDuration     = 30 * time.Second // for which a process is watched at each rate
+	longControlDuration     = 30 * time.Second // for which a process is watched at each rate
 	shortControlDuration    = 3 * time.Second
 	controlLatencyObjective = 100 * time.Millisecond // the module ticks eight times in that
 )
@@ -129,7 +129,7 @@
 	if p.short {
 		return shortControlDuration
 	}
-	return fullControlDuration
+	return longControlDuration
 }
 
 // runControl runs one process with so many hollow workers.
--- a/internal/lab/capacity/dimension.go
+++ b/internal/lab/capacity/dimension.go
@@ -46,7 +46,7 @@
 // errUnknownDimension says that there is no such dimension.
 var errUnknownDimension = errors.New("unknown dimension")
 
-// choose returns the dimensions that are asked for by name, all if none is.
+// chooseDimensions returns the dimensions that are asked for by name, all if none is.
 func chooseDimensions(asked []string) (chosen []dimension, err error) {
 	if len(asked) == 0 {
 		return dimensions, nil
@@ -61,7 +61,7 @@
 	return chosen, nil
 }
 
-// names returns the names of all dimensions.
+// dimensionNames returns the names of all dimensions.
 func dimensionNames() string {
 	var ns []string
 	for _, d := range dimensions {
@@ -70,7 +70,7 @@
 	return strings.Join(ns, ", ")
 }
 
-// A gauge measures one cost at one size.
+// A costGauge measures one cost at one size.
 type costGauge struct {
 	name, unit string
 	runs       func(size int) ([]float64, error)
--- a/internal/lab/capacity/faults.go
+++ b/internal/lab/capacity/faults.go
@@ -16,13 +16,16 @@
 	"github.com/vatu-meals/foxlift/internal/platform"
 )
 
-// FaultsOptions say what a trial is made of.
+// FaultsOptions say what a trial of starts is made of: a real process is ended or killed and started
+// again and again, while the endpoint list goes on changing and something happens to the file of its
+// checkpoint. What a start costs is counted on the link to discovery, and each start has to come to
+// the endpoint list as it is.
 type FaultsOptions struct {
 	Program           string
 	Seed              uint64
 	Workers           int
 	Starts            int
-	WithoutCheckpoint bool // the process keeps no list
+	WithoutCheckpoint bool // the process writes no checkpoint
 }
 
 // DefaultFaults is the trial at the size designed for.
@@ -31,16 +34,16 @@
 // callOverheadBytes is what a start may take besides entries: heads of calls and answers, and empty watches.
 const callOverheadBytes = 8 << 10
 
-// A faultsTrial is a running one.
+// A faultsTrial is a running trial.
 type faultsTrial struct {
 	FaultsOptions
 	*fleet.Fleet
 	process           *fleet.Process
 	rng               *rand.Rand
-	workers           []int // of the workers in the list
-	nextWorker        int   // name of the next one
+	workers           []int // numbers of those in the endpoint list
+	nextWorker        int   // number of the next one
 	changes           []endpointChange
-	checkpointUsable  bool  // a list that can be used is kept,
+	checkpointUsable  bool  // the process has left a checkpoint that can be used,
 	checkpointVersion int64 // of this version
 	oldestDelta       int64 // version since which discovery has the changes
 	result            *FaultsResult
@@ -55,7 +58,7 @@
 // errInvalidSize says that a trial has a size that it cannot have.
 var errInvalidSize = errors.New("a size is out of bounds")
 
-// check names a size that is out of bounds.
+// validate names a size that is out of bounds.
 func (o FaultsOptions) validate() error {
 	switch {
 	case o.Workers < minWorkers || o.Workers > maxWorkers:
@@ -71,9 +74,9 @@
 	if err := o.validate(); err != nil {
 		return nil, err
 	}
-	options := fleet.Options{Topology: controlTopology(), Program: o.Program, Admin: true, Operator: `(foxlift (list (checkpoint "%s")))`}
-	if o.WithoutCheckpoint {
-		options.Operator = ""
+	options := fleet.Options{Topology: controlTopology(), Program: o.Program, Admin: true}
+	if !o.WithoutCheckpoint {
+		options.Operator = checkpointOperator
 	}
 	f, err := fleet.New(options)
 	if err != nil {
@@ -81,11 +84,14 @@
 	}
 	defer f.Close()
 	t := &faultsTrial{
-		FaultsOptions: o, Fleet: f, process: f.Processes[0], rng: rand.New(rand.NewPCG(o.Seed, 4)),
-		result: &FaultsResult{withoutCheckpoint: o.WithoutCheckpoint},
+		FaultsOptions: o,
+		Fleet:         f,
+		process:       f.Processes[0],
+		rng:           rand.New(rand.NewPCG(o.Seed, 4)),
+		result:        &FaultsResult{withoutCheckpoint: o.WithoutCheckpoint},
 	}
 	t.addWorkers(o.Workers)
-	if err := t.runOnce(ctx, out, noFault); err != nil { // the first: nothing is kept yet
+	if err := t.runOnce(ctx, out, noFault); err != nil { // the first: there is no checkpoint yet
 		return nil, err
 	}
 	for range o.Starts - 1 {
@@ -101,13 +107,13 @@
 	return t.result, nil
 }
 
-// life is one life of the process: a fault, a start, changes, and its end.
+// runOnce is one run of the process: a fault, a start, changes, and its end.
 func (t *faultsTrial) runOnce(ctx context.Context, out io.Writer, fault startFault) error {
 	if err := t.injectFault(fault); err != nil {
 		return err
 	}
 	t.churnWorkers()
-	if fault == compacted { // also the changes just made, so that nobody's list is new enough
+	if fault == compacted { // also the changes just made, so that no checkpoint is new enough
 		t.Discovery.Compact()
 		t.oldestDelta = int64(t.Discovery.Version())
 	}
@@ -134,10 +140,11 @@
 	return t.stopProcess()
 }
 
-// checkpointWriteTime is about how long the last write of a list takes after SIGTERM.
+// checkpointWriteTime is about how long the last write of a checkpoint takes after SIGTERM.
 const checkpointWriteTime = 60 * time.Millisecond
 
-// finish ends the process in order, or kills it before its end or amid the last write of its list.
+// stopProcess ends the process in order, or kills it before its end or amid the last write of its
+// checkpoint.
 func (t *faultsTrial) stopProcess() error {
 	switch t.rng.IntN(4) {
 	case 0:
@@ -153,13 +160,14 @@
 			t.result.uncleanExit = true
 		}
 	}
-	t.Links[0].Reset() // no late answer to this life counts against the next
+	t.Links[0].Reset() // no late answer to this run counts against the next
 	return t.inspectCheckpoint()
 }
 
-// inspectCheckpoint finds out which list a process has left: an earlier one or its last one, and never a part.
+// inspectCheckpoint finds out which checkpoint a process has left: an earlier one or its last one, and
+// never a part.
 func (t *faultsTrial) inspectCheckpoint() error {
-	was := t.checkpointUsable
+	before := t.checkpointUsable
 	t.checkpointUsable = false
 	if t.WithoutCheckpoint {
 		return nil
@@ -170,37 +178,54 @@
 	case err == nil:
 		_, err := checkpoint.New(t.process.Checkpoint, &counters.Set{}).Load(t.Links[0].Addr().String(), time.Now())
 		t.checkpointUsable, t.checkpointVersion = err == nil && saved.Version >= t.oldestDelta, saved.Version
-	case was && !errors.Is(err, os.ErrNotExist):
+	case before && !errors.Is(err, os.ErrNotExist):
 		return fmt.Errorf("a whole list was kept, and its replacement leaves: %w", err)
 	}
 	return nil
 }
 
-// note judges a start.
-func (t *faultsTrial) judgeStart(fault startFault, bytes int64, took float64) {
+// judgeStart judges a start by the bytes that it took from discovery and the seconds until its list
+// was in force.
+func (t *faultsTrial) judgeStart(fault startFault, bytes int64, seconds float64) {
 	r := t.result
 	r.Starts++
-	entry := float64(len(t.Discovery.Known())) / float64(len(t.workers))
-	kept := t.checkpointUsable
-	bound := int64(1.02*entry*float64(len(t.workers))) + callOverheadBytes
-	if kept {
-		whole := bound
-		bound = int64(1.02*entry*float64(t.changedSince())) + callOverheadBytes
-		if t.changedSince() > len(t.workers) { // more than a list may have is given up for the whole one
-			bound += whole
-		}
+	entry := float64(len(t.Discovery.Known())) / float64(len(t.workers)) // bytes
+	bound := t.startBound(entry)
+	if t.checkpointUsable {
 		r.WithCheckpoint++
-		r.CheckpointBytes, r.CheckpointSeconds = max(r.CheckpointBytes, bytes), max(r.CheckpointSeconds, took)
+		r.CheckpointBytes = max(r.CheckpointBytes, bytes)
+		r.CheckpointSeconds = max(r.CheckpointSeconds, seconds)
 	} else {
-		r.CompleteBytes, r.CompleteSeconds = max(r.CompleteBytes, bytes), max(r.CompleteSeconds, took)
+		r.CompleteBytes = max(r.CompleteBytes, bytes)
+		r.CompleteSeconds = max(r.CompleteSeconds, seconds)
 	}
 	if bytes > bound {
-		r.ExceededBound = append(r.ExceededBound, fmt.Sprintf("%d (%s): %d of %d bytes", r.Starts, startFaultNames[fault], bytes, bound))
+		r.ExceededBound = append(r.ExceededBound,
+			fmt.Sprintf("%d (%s): %d of %d bytes", r.Starts, startFaultNames[fault], bytes, bound))
 	}
 	half := int64(entry * float64(len(t.workers)) / 2)
-	if whole := bytes > half; kept && whole && bound < half { // a list that misses a release takes as much
+	tookComplete := bytes > half
+	switch {
+	case t.checkpointUsable && tookComplete && bound < half: // a list that misses a release takes as much
 		r.CheckpointsIgnored++
-	} else if !kept && !whole {
+	case !t.checkpointUsable && !tookComplete:
 		r.CheckpointsMisused++
 	}
 }
+
+// entrySlack is what an entry may take over the mean.
+const entrySlack = 1.02
+
+// startBound is how many bytes a start may take, where an entry has so many.
+func (t *faultsTrial) startBound(entry float64) int64 {
+	complete := int64(entrySlack*entry*float64(len(t.workers))) + callOverheadBytes
+	if !t.checkpointUsable {
+		return complete
+	}
+	changed := t.changedSince()
+	delta := int64(entrySlack*entry*float64(changed)) + callOverheadBytes
+	if changed > len(t.workers) { // more than a list may have is given up for the complete one
+		return delta + complete
+	}
+	return delta
+}
--- a/internal/lab/capacity/faultschurn.go
+++ b/internal/lab/capacity/faultschurn.go
@@ -1,21 +1,25 @@
 package capacity
 
-import (
-	"github.com/vatu-meals/foxlift/internal/standin"
+import "github.com/vatu-meals/foxlift/internal/standin"
+
+// Most workers that join and that leave in one change.
+const (
+	maxJoining = 40
+	maxLeaving = 20
 )
 
-// An endpointChange is how many entries have changed with a version.
+// An endpointChange is how many entries have changed with a version of the endpoint list.
 type endpointChange struct {
 	version int64
 	entries int
 }
 
-// recordChange notes that the last version has changed so many entries.
+// recordChange records that the last version has changed so many entries.
 func (t *faultsTrial) recordChange(entries int) {
 	t.changes = append(t.changes, endpointChange{int64(t.Discovery.Version()), entries})
 }
 
-// changedSince returns how many entries have changed since the list that is kept.
+// changedSince returns how many entries have changed since the checkpoint.
 func (t *faultsTrial) changedSince() (entries int) {
 	for _, c := range t.changes {
 		if c.version > t.checkpointVersion {
@@ -25,7 +29,7 @@
 	return entries
 }
 
-// join adds workers to the list.
+// addWorkers adds workers to the endpoint list.
 func (t *faultsTrial) addWorkers(count int) {
 	announceHollowWorkers(t.Discovery, t.nextWorker, count)
 	for range count {
@@ -35,7 +39,7 @@
 	t.recordChange(count)
 }
 
-// leave takes workers out of the list.
+// removeWorkers takes workers out of the endpoint list.
 func (t *faultsTrial) removeWorkers(count int) {
 	entries := make([]standin.Entry, count)
 	for i := range entries {
@@ -48,8 +52,8 @@
 	t.recordChange(count)
 }
 
-// change lets some workers join and some leave.
+// churnWorkers lets some workers join and some leave.
 func (t *faultsTrial) churnWorkers() {
-	t.addWorkers(1 + t.rng.IntN(40))
-	t.removeWorkers(1 + t.rng.IntN(20))
+	t.addWorkers(1 + t.rng.IntN(maxJoining))
+	t.removeWorkers(1 + t.rng.IntN(maxLeaving))
 }
--- a/internal/lab/capacity/gangs.go
+++ b/internal/lab/capacity/gangs.go
@@ -11,24 +11,24 @@
 // poolSlots are the slots of one kind in one zone.
 const poolSlots = TargetTasks / TargetZones / assumedKinds
 
-// gangUtilizations are the shares of the slots in use, in percent.
+// gangUtilizations are the fractions of the slots in use, in percent.
 var gangUtilizations = []int{70, 90, 98}
 
 // measureGangs measures how often so many slots of one kind and zone are free at once, in a hollow pool
-// in which tasks start as they come and are turned away where none is free.
+// in which tasks start as they come and are shed where none is free.
 func measureGangs(ctx context.Context, p plan) ([]Series, error) {
 	rng := rand.New(rand.NewPCG(p.seed, 3))
 	var all []Series
-	for _, use := range gangUtilizations {
-		free := make([][]float64, p.runs)
-		for i := range free {
-			free[i] = simulateFreeSlots(offeredLoad(float64(use)/100), rng)
+	for _, utilization := range gangUtilizations {
+		simulated := make([][]float64, p.runs)
+		for i := range simulated {
+			simulated[i] = simulateFreeSlots(offeredLoad(float64(utilization)/percent), rng)
 		}
 		series, err := measureBySize(ctx, "slots of a gang", p.sizes(2, 8, 32, 64, 128, TargetGang), costGauge{
-			fmt.Sprintf("gangs.room_at_%d", use), "share of time",
+			fmt.Sprintf("gangs.room_at_%d", utilization), "share of time",
 			func(gang int) (runs []float64, _ error) {
-				for i := range free {
-					runs = append(runs, fractionWithFree(free[i], gang))
+				for _, fractions := range simulated {
+					runs = append(runs, fractionWithFree(fractions, gang))
 				}
 				return runs, nil
 			},
@@ -36,28 +36,29 @@
 		if err != nil {
 			return nil, err
 		}
-		series[0].Slope, series[0].Offset, series[0].Residual = 0, 0, 0 // a share of time follows no power law
+		series[0].Slope, series[0].Offset, series[0].Residual = 0, 0, 0 // a fraction of time follows no power law
 		all = append(all, series...)
 	}
 	return all, nil
 }
 
-// offered returns the load that keeps a share of a pool's slots in use: more than that share, since
-// what finds no slot is turned away.
-func offeredLoad(use float64) float64 {
-	least, most := 0.0, 4.0*poolSlots
-	for range 60 {
-		a := (least + most) / 2
-		if a*(1-erlangB(a, poolSlots)) < use*poolSlots {
-			least = a
+// offeredLoad returns the load that keeps a fraction of a pool's slots in use: more than that
+// fraction, since tasks that find no slot are shed.
+func offeredLoad(utilization float64) float64 {
+	const bisections = 60
+	low, high := 0.0, 4.0*poolSlots
+	for range bisections {
+		load := (low + high) / 2
+		if load*(1-erlangB(load, poolSlots)) < utilization*poolSlots {
+			low = load
 		} else {
-			most = a
+			high = load
 		}
 	}
-	return least
+	return low
 }
 
-// erlangB is Erlang's loss formula: the share turned away at an offered load by so many slots.
+// erlangB is Erlang's loss formula: the fraction shed at an offered load by so many slots.
 func erlangB(load float64, slots int) float64 {
 	b := 1.0
 	for n := 1; n <= slots; n++ {
@@ -66,75 +67,96 @@
 	return b
 }
 
-// gangFitFraction is the closed form: the share of time in which so many slots are free.
-func gangFitFraction(use float64, gang int) float64 {
-	load := offeredLoad(use)
-	logs := make([]float64, poolSlots+1) // of load^n / n!
-	most := 0.0
+// gangFitFraction is the closed form: the fraction of time in which so many slots are free.
+func gangFitFraction(utilization float64, gang int) float64 {
+	load := offeredLoad(utilization)
+	logs := make([]float64, poolSlots+1) // of load^n / n!, for n slots in use
+	largest := 0.0
 	for n := 1; n <= poolSlots; n++ {
 		logs[n] = logs[n-1] + math.Log(load/float64(n))
-		most = max(most, logs[n])
+		largest = max(largest, logs[n])
 	}
-	sum, room := 0.0, 0.0
+	total, fits := 0.0, 0.0
 	for n, l := range logs {
-		part := math.Exp(l - most)
-		sum += part
+		weight := math.Exp(l - largest)
+		total += weight
 		if poolSlots-n >= gang {
-			room += part
+			fits += weight
 		}
 	}
-	return room / sum
+	return fits / total
 }
 
-// simulatedArrivals are those that come to a pool in one run, after as many to fill it.
-const simulatedArrivals = 40 * poolSlots
+const (
+	fillingArrivals   = 10 * poolSlots // tasks that fill a simulated pool
+	simulatedArrivals = 40 * poolSlots // tasks that come to it after these
+)
 
-// simulateFreeSlots returns the share of time in which each number of slots was free.
-func simulateFreeSlots(load float64, rng *rand.Rand) []float64 {
-	shares := make([]float64, poolSlots+1)
-	var ends finishTimes
-	now, spent := 0.0, 0.0
-	pass := func(to float64, counts bool) {
-		if counts {
-			shares[poolSlots-len(ends)] += to - now
-			spent += to - now
-		}
-		now = to
+// A simulatedPool is a pool of slots in which tasks run, in mean lengths of a task.
+type simulatedPool struct {
+	now      float64
+	running  finishTimes
+	measured bool      // it has been filled
+	time     []float64 // in which each number of slots was free
+	total    float64   // of time
+}
+
+// advance moves the clock and counts the time.
+func (s *simulatedPool) advance(to float64) {
+	if s.measured {
+		s.time[poolSlots-len(s.running)] += to - s.now
+		s.total += to - s.now
 	}
-	for i := range simulatedArrivals + 10*poolSlots {
-		counts := i >= 10*poolSlots
-		comes := now + rng.ExpFloat64()/load // in mean lengths of a task
-		for len(ends) > 0 && ends[0] <= comes {
-			pass(ends[0], counts)
-			heap.Pop(&ends)
+	s.now = to
+}
+
+// simulateFreeSlots returns the fraction of time in which each number of slots was free.
+func simulateFreeSlots(load float64, rng *rand.Rand) []float64 {
+	s := &simulatedPool{time: make([]float64, poolSlots+1)}
+	for i := range fillingArrivals + simulatedArrivals {
+		s.measured = i >= fillingArrivals
+		arrival := s.now + rng.ExpFloat64()/load
+		for len(s.running) > 0 && s.running[0] <= arrival {
+			s.advance(s.running[0])
+			heap.Pop(&s.running)
 		}
-		pass(comes, counts)
-		if len(ends) < poolSlots {
+		s.advance(arrival)
+		if len(s.running) < poolSlots {
 			length := math.Exp(rng.NormFloat64()*taskLengthSigma - taskLengthSigma*taskLengthSigma/2)
-			heap.Push(&ends, now+length)
+			heap.Push(&s.running, s.now+length)
 		}
 	}
-	for i := range shares {
-		shares[i] /= spent
+	for i := range s.time {
+		s.time[i] /= s.total
 	}
-	return shares
+	return s.time
 }
 
-// fractionWithFree returns the share of time in which so many slots were free.
-func fractionWithFree(shares []float64, gang int) (sum float64) {
-	for free := gang; free < len(shares); free++ {
-		sum += shares[free]
+// fractionWithFree returns the fraction of time in which a gang's slots were free.
+func fractionWithFree(fractions []float64, gang int) (sum float64) {
+	for free := gang; free < len(fractions); free++ {
+		sum += fractions[free]
 	}
 	return sum
 }
 
-// finishTimes holds the ends of running tasks, the next one first.
+// finishTimes holds the times at which running tasks finish. It implements heap.Interface, the
+// next one first.
 type finishTimes []float64
 
-func (h finishTimes) Len() int           { return len(h) }
+// Len implements sort.Interface.
+func (h finishTimes) Len() int { return len(h) }
+
+// Less implements sort.Interface.
 func (h finishTimes) Less(i, j int) bool { return h[i] < h[j] }
-func (h finishTimes) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *finishTimes) Push(x any)        { *h = append(*h, x.(float64)) }
+
+// Swap implements sort.Interface.
+func (h finishTimes) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+
+// Push implements heap.Interface.
+func (h *finishTimes) Push(x any) { *h = append(*h, x.(float64)) }
+
+// Pop implements heap.Interface.
 func (h *finishTimes) Pop() any {
 	last := len(*h) - 1
 	x := (*h)[last]
--- a/internal/lab/capacity/hollowmodule.go
+++ b/internal/lab/capacity/hollowmodule.go
@@ -53,7 +53,9 @@
 }
 
 // request brings a job and reports its first attempt, if it is sent at once.
-func (h *hollowModule) request(class, team int, key uint64, within time.Duration) (attempt foxlift.Action, sent bool) {
+func (h *hollowModule) request(
+	class, team int, key uint64, patience time.Duration,
+) (attempt foxlift.Action, sent bool) {
 	h.jobs++
 	actions := h.step(foxlift.Event{
 		Kind: foxlift.EventRequest,
@@ -62,7 +64,7 @@
 			Class:    class,
 			Tenant:   team,
 			Key:      key,
-			Deadline: h.now + int64(within),
+			Deadline: h.now + int64(patience),
 		},
 	})
 	for _, action := range actions {
--- a/internal/lab/capacity/run.go
+++ b/internal/lab/capacity/run.go
@@ -30,19 +30,20 @@
 	Processes     int     // that ran at a time
 }
 
-// memoryDivisor is the part of the machine's memory that the tool may take.
+// memoryDivisor is by how much the machine's memory is divided into what the tool may take.
 const memoryDivisor = 2
 
 // errTooMuchMemory says that the tool would take too much of the machine's memory.
 var errTooMuchMemory = errors.New("the machine's memory would not do: over half of it would be taken")
 
-// Run measures. It ends what it has started, also when ctx ends.
+// Run measures the chosen dimensions and prints each series. It ends what it has started, also when
+// ctx ends.
 func Run(ctx context.Context, out io.Writer, o Options) (*Result, error) {
 	chosen, err := chooseDimensions(o.Dimensions)
 	if err != nil {
 		return nil, err
 	}
-	r := &Result{Measured: Measured{Commit: currentCommit(), Short: o.Short}, Dimensions: len(chosen)}
+	r := &Result{Measured: Measured{Commit: currentCommit(ctx), Short: o.Short}, Dimensions: len(chosen)}
 	if r.MachineMemory, err = machineMemory(); err != nil {
 		return nil, err
 	}
@@ -68,16 +69,17 @@
 	return r, nil
 }
 
-// line tells a series in one line.
+// summary is the series in one line.
 func (s *Series) summary() string {
 	var points []string
 	for _, p := range s.Points {
 		points = append(points, fmt.Sprintf("%d: %.4g", p.Size, p.Median))
 	}
-	return fmt.Sprintf("%-26s %-40s slope %5.2f, residual %4.1f %% (%s by %s)", s.Name, strings.Join(points, ", "), s.Slope, s.Residual, s.Unit, s.Of)
+	return fmt.Sprintf("%-26s %-40s slope %5.2f, residual %4.1f %% (%s by %s)",
+		s.Name, strings.Join(points, ", "), s.Slope, s.Residual, s.Unit, s.Of)
 }
 
-// recordMemory notes what the tool has taken, and fails where that is too much.
+// recordMemory records what the tool has taken, and fails where that is too much.
 func (r *Result) recordMemory() error {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -97,16 +99,19 @@
 			worst = max(worst, r.Series[i].Residual)
 		}
 	}
-	carried, lines, wall := "-", "-", "not known, since not all was measured"
-	if t, err := newAssessment(&r.Measured); err == nil {
-		w := t.lowestLimit()
-		carried, lines = fmt.Sprint(t.metCount()), fmt.Sprint(len(t.requirements))
-		wall = fmt.Sprintf("%s at %.3g of the target", w.Name, w.Fraction)
+	metCount, requirements, limit := "-", "-", "not known, since not all was measured"
+	if a, err := newAssessment(&r.Measured); err == nil {
+		lowest := a.lowestLimit()
+		metCount, requirements = fmt.Sprint(a.metCount()), fmt.Sprint(len(a.requirements))
+		limit = fmt.Sprintf("%s at %.3g of the target", lowest.Name, lowest.Fraction)
 	}
-	return fmt.Sprintf("capacity: dimensions %d, slopes %d (worst residual %.1f %%), lines carried %s of %s, first wall %s, memory %.1f GB of %.1f, processes %d",
-		r.Dimensions, slopes, worst, carried, lines, wall, gigabytes(r.PeakMemory), gigabytes(r.MachineMemory), r.Processes)
+	return fmt.Sprintf("capacity: dimensions %d, slopes %d (worst residual %.1f %%), lines carried %s of %s, "+
+		"first wall %s, memory %.1f GB of %.1f, processes %d",
+		r.Dimensions, slopes, worst, metCount, requirements, limit,
+		gigabytes(r.PeakMemory), gigabytes(r.MachineMemory), r.Processes)
 }
 
+// gigabytes converts bytes; a GB is binary.
 func gigabytes(bytes float64) float64 { return bytes / (kilobyte * megabyte) }
 
 // machineMemory returns the machine's memory in bytes.
@@ -125,9 +130,9 @@
 	return float64(*info.MemTotalBytes), nil
 }
 
-// commit names the tree that is measured; "unknown" outside of a checkout.
-func currentCommit() string {
-	out, err := exec.Command("git", "rev-parse", "--short", "HEAD").Output()
+// currentCommit names the tree that is measured; "unknown" outside of a checkout.
+func currentCommit(ctx context.Context) string {
+	out, err := exec.CommandContext(ctx, "git", "rev-parse", "--short", "HEAD").Output()
 	if err != nil {
 		return "unknown"
 	}
--- a/internal/lab/capacity/runevents.go
+++ b/internal/lab/capacity/runevents.go
@@ -7,7 +7,7 @@
 	"github.com/vatu-meals/foxlift/internal/lab/fleet"
 )
 
-// A runEvent is what a process meets while the list changes.
+// A runEvent is what a process meets while the endpoint list changes.
 type runEvent int
 
 const (
@@ -16,22 +16,29 @@
 	connectionCut               // its connection to discovery is reset, and new ones are refused
 	connectionSilenced          // its connection to discovery hears nothing more
 	configReloaded              // SIGHUP amid it
-	zoneRemoved                 // a zone's workers go at once
-	versionRegressed            // discovery has lost what it wrote last
-	fleetReplaced               // so many changes that they are longer than any of today's whole lists
+	zoneRemoved                 // all workers of a zone leave at once
+	versionRegressed            // discovery has lost its last versions
+	fleetReplaced               // so many changes that they are longer than any complete list so far
 	runEventCount
 )
 
 var runEventNames = [runEventCount]string{
-	"ordinary changes", "a stop", "a cut", "a silence", "a reload", "a zone gone", "a version that goes back", "a release",
+	ordinaryChanges:    "ordinary changes",
+	processStopped:     "a stop",
+	connectionCut:      "a cut",
+	connectionSilenced: "a silence",
+	configReloaded:     "a reload",
+	zoneRemoved:        "a zone gone",
+	versionRegressed:   "a version that goes back",
+	fleetReplaced:      "a release",
 }
 
 const (
 	interruptionDuration = 2 * time.Second // that a process is stopped or cut off
-	regressedVersions    = 3               // versions
+	regressedVersions    = 3               // that discovery loses
 )
 
-// meet lets the list change amid an event, and ends the event.
+// injectEvent lets the endpoint list change amid an event, and ends the event.
 func (t *faultsTrial) injectEvent(event runEvent) error {
 	link := t.Links[0]
 	switch event {
@@ -61,13 +68,13 @@
 	case zoneRemoved:
 		t.removeWorkers(min(TargetWorkers/TargetZones, len(t.workers)/2))
 	case versionRegressed:
-		// By more versions than the next changes make: nobody can tell versions that have been overtaken.
+		// By more versions than the next changes make: versions that have been overtaken cannot be told apart.
 		if t.Discovery.Version() <= regressedVersions {
 			t.churnWorkers()
 			return nil
 		}
 		t.Discovery.GoBack(t.Discovery.Version() - regressedVersions)
-		t.changes = nil // what is kept of the lost versions must not be used
+		t.changes = nil // a checkpoint of the lost versions must not be used
 		t.churnWorkers()
 		<-time.After(interruptionDuration) // in which the process sees it
 	case fleetReplaced:
--- a/internal/lab/capacity/schedulers.go
+++ b/internal/lab/capacity/schedulers.go
@@ -50,13 +50,13 @@
 	worst := 0.0
 	for range startsPerRun {
 		seconds := map[int]int{}
-		most := 0
+		peak := 0
 		for range schedulers {
 			second := int(math.Floor(pollpacing.NewPacer(schedulers, 0, rng).InitialDelay().Seconds()))
 			seconds[second]++
-			most = max(most, seconds[second])
+			peak = max(peak, seconds[second])
 		}
-		worst = max(worst, float64(most))
+		worst = max(worst, float64(peak))
 	}
 	return worst
 }
--- a/internal/lab/capacity/series.go
+++ b/internal/lab/capacity/series.go
@@ -16,7 +16,7 @@
 	Size          int       `json:"size"`
 	Runs          []float64 `json:"runs"`
 	Median        float64   `json:"median"`
-	RelativeRange float64   `json:"spread"` // (most - least) / median
+	RelativeRange float64   `json:"spread"` // (largest - smallest) / median
 }
 
 // A Series is one cost by one size, the other sizes held.
@@ -37,13 +37,12 @@
 	Series []Series `json:"series"`
 }
 
-// addPoint takes in the runs at one size.
+// addPoint adds the runs at one size.
 func (s *Series) addPoint(size int, runs []float64) {
 	sorted := slices.Sorted(slices.Values(runs))
-	median := median(sorted)
-	p := Point{Size: size, Runs: runs, Median: median}
-	if median != 0 {
-		p.RelativeRange = (sorted[len(sorted)-1] - sorted[0]) / median
+	p := Point{Size: size, Runs: runs, Median: median(sorted)}
+	if p.Median != 0 {
+		p.RelativeRange = (sorted[len(sorted)-1] - sorted[0]) / p.Median
 	}
 	s.Points = append(s.Points, p)
 }
@@ -62,29 +61,30 @@
 		return
 	}
 	s.Offset, s.Slope = stat.LinearRegression(xs, ys, nil, false)
-	left := 0.0
+	meanSquare := 0.0
 	for i := range xs {
-		d := ys[i] - s.Offset - s.Slope*xs[i]
-		left += d * d / float64(len(xs))
+		residual := ys[i] - s.Offset - s.Slope*xs[i]
+		meanSquare += residual * residual / float64(len(xs))
 	}
-	s.Residual = 100 * math.Expm1(math.Sqrt(left))
+	s.Residual = percent * math.Expm1(math.Sqrt(meanSquare))
 }
 
 // logarithms returns those of the sizes and their medians.
 func (s *Series) logarithms() (xs, ys []float64) {
 	for _, p := range s.Points {
 		if p.Median > 0 {
-			xs, ys = append(xs, math.Log(float64(p.Size))), append(ys, math.Log(p.Median))
+			xs = append(xs, math.Log(float64(p.Size)))
+			ys = append(ys, math.Log(p.Median))
 		}
 	}
 	return xs, ys
 }
 
-// largest is how many of the largest sizes tell how a cost goes on beyond them: a part that does not
-// grow hides the slope at the smallest.
+// extrapolationSizes is how many of the largest sizes tell how a cost goes on beyond them: a part that
+// does not grow hides the slope at the smallest.
 const extrapolationSizes = 3
 
-// beyond returns the line through the largest sizes.
+// extrapolation returns the line through the largest sizes.
 func (s *Series) extrapolation() (offset, slope float64) {
 	xs, ys := s.logarithms()
 	if len(xs) < 2 {
@@ -94,7 +94,7 @@
 	return stat.LinearRegression(xs[from:], ys[from:], nil, false)
 }
 
-// at returns the cost at a size: as measured, by the line between the two sizes around it, or by the
+// costAt returns the cost at a size: as measured, by the line between the two sizes around it, or by the
 // line through the largest sizes beyond them.
 func (s *Series) costAt(size float64) float64 {
 	for i, p := range s.Points {
@@ -135,6 +135,7 @@
 // A missingSeriesError names a series that a page needs and a file lacks.
 type missingSeriesError string
 
+// Error implements error.
 func (e missingSeriesError) Error() string { return fmt.Sprintf("there is no series %q", string(e)) }
 
 // series returns a series by its name.
--- a/internal/lab/capacity/startfaults.go
+++ b/internal/lab/capacity/startfaults.go
@@ -9,29 +9,35 @@
 	"github.com/vatu-meals/foxlift/internal/platform"
 )
 
-// A trial of starts: a real process is ended or killed and started again and again, while the list goes
-// on changing and something happens to the file in which it keeps its list. What a start costs is
-// counted on the link to discovery, and each start has to come to the list as it is.
-
-// A startFault is what happens between the end of one life and the next.
+// A startFault is what happens between the end of one run of the process and the next.
 type startFault int
 
 const (
-	noFault startFault = iota
-	truncated
-	bitFlip
-	emptied
-	deleted
-	otherDiscovery
-	expired
-	futureTimestamp
-	compacted // discovery no longer has the changes since
+	noFault         startFault = iota
+	truncated                  // the checkpoint file, at any place
+	bitFlip                    // in the checkpoint file
+	emptied                    // the checkpoint file
+	deleted                    // the checkpoint file
+	otherDiscovery             // the checkpoint is of another discovery,
+	expired                    // too old,
+	futureTimestamp            // or from the future
+	compacted                  // discovery no longer has the changes since
 	startFaultCount
 )
 
-var startFaultNames = [startFaultCount]string{"none", "torn", "bit flip", "emptied", "removed", "of another discovery", "from long ago", "from the future", "compacted"}
+var startFaultNames = [startFaultCount]string{
+	noFault:         "none",
+	truncated:       "torn",
+	bitFlip:         "bit flip",
+	emptied:         "emptied",
+	deleted:         "removed",
+	otherDiscovery:  "of another discovery",
+	expired:         "from long ago",
+	futureTimestamp: "from the future",
+	compacted:       "compacted",
+}
 
-// spoil does a fault to what is kept, or to discovery.
+// injectFault does a fault to the checkpoint. Compaction is discovery's own, and comes later.
 func (t *faultsTrial) injectFault(fault startFault) error {
 	path := t.process.Checkpoint
 	t.checkpointUsable = t.checkpointUsable && fault == noFault
@@ -46,9 +52,13 @@
 	case fault == otherDiscovery:
 		return t.rewriteCheckpoint(func(s *platform.EndpointSnapshot) { s.Discovery = "127.0.0.9:1" })
 	case fault == expired:
-		return t.rewriteCheckpoint(func(s *platform.EndpointSnapshot) { s.TakenAt = s.TakenAt.Add(-checkpoint.MaxAge - time.Hour) })
+		return t.rewriteCheckpoint(func(s *platform.EndpointSnapshot) {
+			s.TakenAt = s.TakenAt.Add(-checkpoint.MaxAge - time.Hour)
+		})
 	case fault == futureTimestamp:
-		return t.rewriteCheckpoint(func(s *platform.EndpointSnapshot) { s.TakenAt = s.TakenAt.Add(checkpoint.MaxAge) })
+		return t.rewriteCheckpoint(func(s *platform.EndpointSnapshot) {
+			s.TakenAt = s.TakenAt.Add(checkpoint.MaxAge)
+		})
 	}
 	data, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -68,12 +78,12 @@
 	return os.WriteFile(path, data, 0o600)
 }
 
-// rewrite changes a list that is kept, in its own form.
+// rewriteCheckpoint changes a checkpoint in its own format, where there is one that can be read.
 func (t *faultsTrial) rewriteCheckpoint(change func(*platform.EndpointSnapshot)) error {
 	file := checkpoint.File(t.process.Checkpoint)
 	var saved platform.EndpointSnapshot
 	if err := file.Read(&saved); err != nil {
-		return nil // there is none, or it was spoilt before: the start is without one either way
+		return nil //nolint:nilerr // there is none, or it was damaged before: the start is without one either way
 	}
 	change(&saved)
 	return file.Write(saved)
--- a/internal/lab/capacity/target.go
+++ b/internal/lab/capacity/target.go
@@ -1,7 +1,11 @@
-// Package capacity measures how the cost of each part grows with the size of a deployment, and carries
-// the measured slopes to the size that the scheduler is designed for. Parts that one machine holds are
-// real: the decision module, the core, scheduler processes. What is beyond is hollow: schedulers without
-// sockets on a virtual clock, workers that are entries of the list only.
+// Package capacity measures how the cost of each part of a scheduler grows with the size of a
+// deployment, extrapolates the measured slopes to the size that the scheduler is designed for, and
+// writes the page of them. Parts that one machine holds are real: the decision module, the core,
+// scheduler processes. What is beyond is hollow: schedulers without sockets on a virtual clock, workers
+// that are entries of the endpoint list only.
+//
+// A run owns the processes that it starts, and ends them. Between runs the package's state is the file
+// of measurements, from which the page can be written anew.
 package capacity
 
 import "time"
--- a/internal/lab/capacity/urgent.go
+++ b/internal/lab/capacity/urgent.go
@@ -36,11 +36,15 @@
 	)
 }
 
-// slotWait returns the wait that the given share of urgent tasks stays under. Each slot is met at a
+// slotWait returns the wait that urgentQuantile of urgent tasks stays under. Each slot is met at a
 // random moment of a task: a long task is met the more likely, so its length is drawn by length.
 func slotWait(slots int, rng *rand.Rand) float64 {
 	// By length, a lognormal length is lognormal again, with its mean moved by the variance.
-	met := distuv.LogNormal{Mu: math.Log(taskSeconds) + taskLengthSigma*taskLengthSigma/2, Sigma: taskLengthSigma, Src: rng}
+	met := distuv.LogNormal{
+		Mu:    math.Log(taskSeconds) + taskLengthSigma*taskLengthSigma/2,
+		Sigma: taskLengthSigma,
+		Src:   rng,
+	}
 	waits := make([]float64, urgentDraws)
 	for i := range waits {
 		waits[i] = math.Inf(1)
@@ -55,5 +59,5 @@
 // urgentWait is the closed form: the ends of tasks on many slots are nearly a Poisson process.
 func urgentWait(slots float64) float64 { return -math.Log(1-urgentQuantile) * taskSeconds / slots }
 
-// urgentSlots is the least pool in which the given share starts within the bound.
+// urgentSlots is the smallest pool in which urgentQuantile of urgent tasks start within the bound.
 func urgentSlots() float64 { return urgentWait(1) / TargetUrgentStart.Seconds() }
--- a/internal/lab/capacity/workers.go
+++ b/internal/lab/capacity/workers.go
@@ -17,11 +17,11 @@
 
 // measureWorkers measures what the module, the core and the endpoint list cost by the number of workers.
 func measureWorkers(ctx context.Context, p plan) ([]Series, error) {
-	var turns drainTurns
+	var cycle drainCycle
 	return measureBySize(ctx, "workers", p.sizes(workerSizes...),
 		p.moduleGauge("module.idle_tick", func(h *hollowModule, _ int) { h.idleTick() }),
 		p.moduleGauge("module.change", func(h *hollowModule, workers int) {
-			i, state := turns.next()
+			i, state := cycle.next()
 			h.updateWorker(i%workers, state)
 		}),
 		p.moduleGauge("module.job", func(h *hollowModule, _ int) {
@@ -40,7 +40,7 @@
 			}
 			defer h.Stop()
 			return timeEach(p.runs, func() {
-				i, state := turns.next()
+				i, state := cycle.next()
 				h.updateWorker(i%workers, state)
 			}), nil
 		}},
@@ -70,11 +70,11 @@
 	}}
 }
 
-// drainTurns lets one worker after another drain and come back.
-type drainTurns int
+// drainCycle lets one worker after another drain and come back.
+type drainCycle int
 
 // next returns the next worker that changes, by its number, and its new state.
-func (t *drainTurns) next() (worker int, state foxlift.WorkerState) {
+func (t *drainCycle) next() (worker int, state foxlift.WorkerState) {
 	*t++
 	if *t%2 == 0 {
 		return int(*t) / 2, foxlift.Draining
