--- a/cmd/foxlift-lab/trials.go
+++ b/cmd/foxlift-lab/trials.go
@@ -45,7 +45,7 @@
 	cmd.Flags().Uint64Var(&o.Seed, "seed", o.Seed, "of the arrivals and the faults")
 	cmd.Flags().DurationVar(&o.Every, "every", o.Every, "between two faults")
 	cmd.Flags().BoolVar(&o.ShortWindow, "short-window", false, "pods drop repeats for less than the settings say")
-	cmd.Flags().BoolVar(&o.NoPods, "no-pods", false, "each node drops its own repeats only")
+	cmd.Flags().BoolVar(&o.NoGroups, "no-pods", false, "each node drops its own repeats only")
 	return cmd
 }
 
@@ -65,7 +65,7 @@
 	}
 	cmd.Flags().StringVar(&o.Program, "build", o.Program, "the scheduler's binary")
 	cmd.Flags().IntVar(&o.Schedulers, "schedulers", o.Schedulers, "processes")
-	cmd.Flags().IntVar(&o.Nodes, "nodes", o.Nodes, "execute nodes")
+	cmd.Flags().IntVar(&o.Workers, "nodes", o.Workers, "execute nodes")
 	cmd.Flags().Uint64Var(&o.Seed, "seed", o.Seed, "of the arrivals, and of which nodes are replaced")
 	cmd.Flags().DurationVar(&o.For, "for", o.For, "how long it is watched")
 	cmd.Flags().Float64Var(&o.Load, "load", o.Load, "jobs, against what the warm fleet can do")
--- a/internal/lab/fleet/configuration.go
+++ b/internal/lab/fleet/configuration.go
@@ -10,7 +10,7 @@
 )
 
 // add prepares process i: its view of discovery, its links and its configuration.
-func (f *Fleet) add(i int) error {
+func (f *Fleet) addProcess(i int) error {
 	view := fmt.Sprint("n", i)
 	f.workerLinks = append(f.workerLinks, map[string]*Link{})
 	l, err := standin.Listen()
@@ -59,7 +59,7 @@
 		config["admin"] = f.Processes[i].Admin
 	}
 	if f.Messaging != nil {
-		config["peer_listen"], config["peers"] = f.Messaging.listen[i], f.Messaging.faces[i]
+		config["peer_listen"], config["peers"] = f.Messaging.listen[i], f.Messaging.addresses[i]
 	}
 	text, err := json.Marshal(config)
 	if err != nil {
--- a/internal/lab/fleet/cut_test.go
+++ b/internal/lab/fleet/cut_test.go
@@ -16,7 +16,7 @@
 // Nodes are cut off from the schedulers under load, and the list says that they are gone. When they can
 // be reached again, no request that was written before reaches them: it would be a send to a node that
 // is gone, as late as the cut was long.
-func TestCutNodesGetNoLateRequests(t *testing.T) {
+func TestCutWorkersGetNoLateRequests(t *testing.T) {
 	f := small(t, 2, func(o *Options) {
 		o.WorkerLinks = true
 		for i := range o.Classes {
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -77,7 +77,7 @@
 		}
 	}
 	for i := range o.Schedulers {
-		if err := f.add(i); err != nil {
+		if err := f.addProcess(i); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -86,7 +86,7 @@
 // each other, the same judge says so.
 func TestKeyedJobsRunOnce(t *testing.T) {
 	for name, spoil := range map[string]func(*Keyed){
-		"": nil, "short window": func(o *Keyed) { o.ShortWindow = true }, "no pods": func(o *Keyed) { o.NoPods = true },
+		"": nil, "short window": func(o *Keyed) { o.ShortWindow = true }, "no pods": func(o *Keyed) { o.NoGroups = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -307,7 +307,7 @@
 
 // A node that is cut off from one process in silence, both ways, costs it no job that may
 // run elsewhere, and the others nothing.
-func TestNodeSilentForOne(t *testing.T) {
+func TestWorkerSilentForOne(t *testing.T) {
 	f := small(t, 4, func(o *Options) { o.WorkerLinks = true })
 	must(t, f.StartAll(20*time.Second))
 	awaitLists(t, f, f.Processes...)
@@ -341,7 +341,7 @@
 
 // The trial itself, small: it passes, and its result fails where a node fell.
 func TestSlowStartTrial(t *testing.T) {
-	r, err := SlowStartTrial{Program: program, Schedulers: 5, Nodes: 10, Seed: 1, For: 3 * time.Second, Load: 0.2, Replaced: 0.5}.Run(io.Discard)
+	r, err := SlowStartTrial{Program: program, Schedulers: 5, Workers: 10, Seed: 1, For: 3 * time.Second, Load: 0.2, Replaced: 0.5}.Run(io.Discard)
 	must(t, err)
 	// 10 nodes do 42 of these jobs a second; asked for are a fifth, and all must count.
 	if !r.OK() || r.Informed != 5 || !r.Drained || r.Tally.Sent < 15 {
--- a/internal/lab/fleet/keyed.go
+++ b/internal/lab/fleet/keyed.go
@@ -20,7 +20,7 @@
 
 	// Faults of the deployment itself, for which the judge must fail.
 	ShortWindow bool // pods drop repeats for less than the settings say
-	NoPods      bool // each node is a pod of its own, and discovery says that all are one
+	NoGroups      bool // each node is a pod of its own, and discovery says that all are one
 }
 
 // DefaultKeyed is the trial that the operators' page speaks of.
@@ -69,7 +69,7 @@
 	if o.ShortWindow {
 		options.GroupWindow = time.Millisecond
 	}
-	if o.NoPods {
+	if o.NoGroups {
 		options.Groups = 8
 	}
 	f, err := New(options)
@@ -77,7 +77,7 @@
 		return r, err
 	}
 	defer f.Close()
-	if o.NoPods {
+	if o.NoGroups {
 		for _, p := range f.groups {
 			p.Number = 0
 		}
--- a/internal/lab/fleet/load.go
+++ b/internal/lab/fleet/load.go
@@ -11,7 +11,7 @@
 
 // A Load is submitters at every process.
 type Load struct {
-	senders []*standin.Client
+	clients []*standin.Client
 	stop    chan struct{}
 	wait    sync.WaitGroup
 }
@@ -47,7 +47,7 @@
 				rates = append(rates, rate*c.JobFraction*t.QuotaFraction/float64(len(f.Processes)))
 			}
 		}
-		l.senders = append(l.senders, senders...)
+		l.clients = append(l.clients, senders...)
 		l.wait.Go(func() {
 			if p.AwaitReady(30*time.Second) != nil {
 				return
@@ -63,7 +63,7 @@
 // SentAt returns when each job was sent.
 func (l *Load) SentAt() map[string]time.Time {
 	all := map[string]time.Time{}
-	for _, s := range l.senders {
+	for _, s := range l.clients {
 		maps.Copy(all, s.SentAt())
 	}
 	return all
@@ -79,7 +79,7 @@
 // Take returns what became of the jobs that were answered since the last call.
 func (l *Load) ResetTally() standin.Tally {
 	var all []standin.Tally
-	for _, s := range l.senders {
+	for _, s := range l.clients {
 		all = append(all, s.ResetTally())
 	}
 	return standin.Total(all...)
--- a/internal/lab/fleet/messaging.go
+++ b/internal/lab/fleet/messaging.go
@@ -12,9 +12,9 @@
 // them. To each process every other has an address of its own, its face.
 type Messaging struct {
 	listen []string   // where each process receives
-	faces  [][]string // by process, then by the other one; its own is nobody's
+	addresses  [][]string // by process, then by the other one; its own is nobody's
 
-	lose, double, corruption atomic.Int64 // of each 100 datagrams
+	lost, duplicated, corrupted atomic.Int64 // of each 100 datagrams
 	delay                    atomic.Int64 // most, in nanoseconds
 
 	sockets []*net.UDPConn
@@ -25,9 +25,9 @@
 // Spoil sets how many of each 100 datagrams are lost, doubled and garbled, and how late they
 // come at most: each by another time, so that they overtake one another.
 func (t *Messaging) Corrupt(lost, doubled, garbled int, late time.Duration) {
-	t.lose.Store(int64(lost))
-	t.double.Store(int64(doubled))
-	t.corruption.Store(int64(garbled))
+	t.lost.Store(int64(lost))
+	t.duplicated.Store(int64(doubled))
+	t.corrupted.Store(int64(garbled))
 	t.delay.Store(int64(late))
 }
 
@@ -59,7 +59,7 @@
 			faces[i] = append(faces[i], c)
 			texts = append(texts, c.LocalAddr().String())
 		}
-		t.faces = append(t.faces, texts)
+		t.addresses = append(t.addresses, texts)
 	}
 	for i := range n {
 		for j := range n {
@@ -88,15 +88,15 @@
 			continue
 		}
 		at := func(every int64) bool { return k*every/100 != (k-1)*every/100 }
-		if at(t.lose.Load()) {
+		if at(t.lost.Load()) {
 			continue
 		}
 		data := append([]byte(nil), buf[:n]...)
-		if at(t.corruption.Load()) && n > 0 {
+		if at(t.corrupted.Load()) && n > 0 {
 			data[k%int64(n)] ^= byte(k) | 1
 		}
 		times := 1
-		if at(t.double.Load()) {
+		if at(t.duplicated.Load()) {
 			times = 2
 		}
 		for range times {
--- a/internal/lab/fleet/slowstart_trial.go
+++ b/internal/lab/fleet/slowstart_trial.go
@@ -17,7 +17,7 @@
 type SlowStartTrial struct {
 	Program    string
 	Schedulers int
-	Nodes      int
+	Workers      int
 	Seed       uint64
 	For        time.Duration // how long it is watched
 	Load       float64       // jobs asked for, against what the warm fleet can do
@@ -27,7 +27,7 @@
 
 // DefaultSlowStartTrial is the trial that the operators' page speaks of.
 var DefaultSlowStartTrial = SlowStartTrial{
-	Program: "bin/foxlift", Schedulers: 300, Nodes: 200, Seed: 1, For: 30 * time.Second, Load: 0.4, Replaced: 0.5,
+	Program: "bin/foxlift", Schedulers: 300, Workers: 200, Seed: 1, For: 30 * time.Second, Load: 0.4, Replaced: 0.5,
 }
 
 // A SlowStartResult is what a trial saw.
@@ -62,11 +62,11 @@
 // world is the trial's deployment: three kinds of node, two classes, in the proportions of
 // the platform's own.
 func (o SlowStartTrial) world() lab.Topology {
-	large, medium := max(1, o.Nodes*28/100), max(1, o.Nodes*36/100)
+	large, medium := max(1, o.Workers*28/100), max(1, o.Workers*36/100)
 	return lab.Topology{
 		Schedulers: o.Schedulers, Sockets: 512, Zones: []string{"east", "west"},
 		Kinds: []lab.WorkerKind{{Name: "large", Count: large, Slots: 4, Speed: 1.6}, {Name: "medium", Count: medium, Slots: 3, Speed: 1},
-			{Name: "old", Count: max(1, o.Nodes-large-medium), Slots: 5, Speed: 0.6}},
+			{Name: "old", Count: max(1, o.Workers-large-medium), Slots: 5, Speed: 0.6}},
 		Tenants: []lab.Tenant{{Name: "north", QuotaFraction: 0.6}, {Name: "south", QuotaFraction: 0.4}},
 		Classes: []lab.Class{
 			{Name: "reading", Effect: "idempotent", ServiceTime: 335 * time.Millisecond, JobFraction: 0.72, LatencyObjective: 500 * time.Millisecond, Deadline: 5 * time.Second},
@@ -101,7 +101,7 @@
 		}
 	}
 	r.Schedulers, r.Ended = o.Schedulers, true
-	r.Capacity = 1 / (price.Call + time.Duration(o.Nodes)*price.Line).Seconds()
+	r.Capacity = 1 / (price.Call + time.Duration(o.Workers)*price.Line).Seconds()
 	began := time.Now()
 	load := f.StartLoad("cold", o.Load*f.Capacity(), o.Seed)
 	if err := f.StartAll(30 * time.Second); err != nil {
--- a/internal/lab/fleet/workers.go
+++ b/internal/lab/fleet/workers.go
@@ -62,7 +62,7 @@
 // is its name, unless another is given: then another node has its address.
 func (f *Fleet) Restart(n *standin.Worker, name string) (*standin.Worker, error) {
 	k, addr := f.kind(n), n.Addr()
-	f.crash(n)
+	f.crashWorker(n)
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
@@ -75,7 +75,7 @@
 	return f.startWorker(l, name, n.Zone, k, time.Now()), nil
 }
 
-func (f *Fleet) crash(n *standin.Worker) {
+func (f *Fleet) crashWorker(n *standin.Worker) {
 	n.Crash()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -88,7 +88,7 @@
 
 // Replace takes a node away without a word and starts another, cold, in its place.
 func (f *Fleet) Replace(n *standin.Worker) (*standin.Worker, error) {
-	f.crash(n)
+	f.crashWorker(n)
 	f.Discovery.Put(n, "left")
 	return f.AddWorker(f.kind(n), time.Now())
 }
