--- a/admission.go
+++ b/admission.go
@@ -3,7 +3,7 @@
 // Admission control: which requests are held, for how long, and which are refused.
 
 func (d *Dispatcher) accept(r *Request) {
-	if r.Class < 0 || r.Class >= len(d.classes) || d.jobs[r.ID] != nil {
+	if r.Class < 0 || r.Class >= len(d.classes) || d.jobs.byID[r.ID] != nil {
 		return // the host broke the contract: there is nothing sensible to do
 	}
 	c := &d.classes[r.Class]
@@ -21,14 +21,15 @@
 	// worth nothing: where work is short it must not take the place of the rest.
 	c.patience = max(c.patience, r.Deadline-j.arrivedAt)
 	j.firstAttemptAt = r.Deadline - c.patience
-	d.jobs[r.ID] = j
-	d.recentKeys.Add(r.Key)
+	d.jobs.byID[r.ID] = j
+	d.keys.recent.Add(r.Key)
 	d.rate.RecordArrival()
 	j.tenant.quota.RecordArrival(r.Class)
 	age := d.now - j.firstAttemptAt
-	late := age >= max(d.maxQueueTime(j), 2*d.tickInterval) && d.occupiedSlots() >= d.startWindow.Slots()/2
+	filled := d.occupiedSlots() >= d.capacity.startWindow.Slots()/2
+	late := filled && age >= max(d.maxQueueTime(j), 2*d.tickInterval)
 	if late || r.Deadline-d.now <= 2*d.tickInterval {
-		d.urgentJobs = append(d.urgentJobs, j)
+		d.jobs.urgent = append(d.jobs.urgent, j)
 	} else if d.requestHealthChecks(j) {
 		return
 	}
@@ -41,13 +42,13 @@
 // has no time to wait for the next tick: a client's last try may come just before
 // its deadline, and would get no answer at all.
 func (d *Dispatcher) shedUrgent() {
-	for _, j := range d.urgentJobs {
+	for _, j := range d.jobs.urgent {
 		if len(j.attempts) == 0 {
 			d.abandon(j, d.cfg.MaxRetryAfter)
 		}
 	}
-	clear(d.urgentJobs)
-	d.urgentJobs = d.urgentJobs[:0]
+	clear(d.jobs.urgent)
+	d.jobs.urgent = d.jobs.urgent[:0]
 }
 
 // How long a few dispatchers hold jobs that do not tell each other of theirs. What each holds is a large
@@ -73,7 +74,7 @@
 	if j.tenant.quota.ExceedsQuota() {
 		return max(1, j.class.LatencyObjective/part)
 	}
-	return max(1, d.timelyLimit(j)-runs*j.class.runtimes.Median()-d.startDelays.Bound(2))
+	return max(1, d.timelyLimit(j)-runs*j.class.runtimes.Median()-d.capacity.startDelays.Bound(2))
 }
 
 // newestFirst says that of a tenant's queue the newest job goes first, which has its whole time
--- a/affinity.go
+++ b/affinity.go
@@ -6,7 +6,7 @@
 // of its key. Where crossings are free zones don't count. It also returns how many workers they are the
 // first of.
 func (d *Dispatcher) rankAffinity(j *job) (workers []*worker, of int) {
-	workers, of, examined := d.affinity.Rank(j.req.Key, j.class.Kind, d.now)
+	workers, of, examined := d.keys.index.Rank(j.req.Key, j.class.Kind, d.now)
 	d.candidatesExamined += examined
 	return workers, of
 }
@@ -14,5 +14,5 @@
 // indexAffinity brings the affinity sets up to date with a worker.
 func (d *Dispatcher) indexAffinity(w *worker) {
 	indexed := w.state == Live && (w.zone == d.cfg.Zone || d.cfg.Prices.CrossZone <= 0)
-	d.affinity.Update(w, w.hash, &w.affinity, indexed, w.kind, d.slowStart.Until(&w.warmup))
+	d.keys.index.Update(w, w.hash, &w.affinity, indexed, w.kind, d.capacity.slowStart.Until(&w.warmup))
 }
--- a/affinity_test.go
+++ b/affinity_test.go
@@ -103,7 +103,7 @@
 			h.d.rng.Uint64()
 		}
 		for id := uint64(1); id <= 200; id++ {
-			h.d.recentKeys.Add(7 + id%4*1000) // one in four
+			h.d.keys.recent.Add(7 + id%4*1000) // one in four
 		}
 		h.step(keyedRequest(h, 1, idempotent))
 		w := h.wantActions(ActionSend, 1)[0].Worker
@@ -129,7 +129,7 @@
 	preferred, _ := h.d.rankAffinity(&job{class: &h.d.classes[1], req: Request{Key: affinityKey}})
 	proven := firstOutside(h.d, preferred)
 	proven.setOutlier(func(s *health.OutlierState) { s.PromptStartAt = h.now })
-	h.d.markReported(proven)
+	h.d.capacity.reported.add(proven)
 	for class, want := range []string{preferred[0].id, proven.id} {
 		h.step(keyedRequest(h, uint64(1+class), class))
 		if a := h.wantActions(ActionSend, 1)[0]; a.Worker != want {
@@ -183,7 +183,7 @@
 			preferred, _ := h.d.rankAffinity(&job{class: c, req: Request{Key: affinityKey}})
 			met := firstOutside(h.d, preferred)
 			met.setOutlier(func(s *health.OutlierState) { s.PromptStartAt = h.now - 3*second })
-			h.d.markReported(met)
+			h.d.capacity.reported.add(met)
 			h.step(keyedRequest(h, 1, atMostOnce))
 			if a := h.wantActions(ActionSend, 1)[0]; (a.Worker == preferred[0].id) != wantHome {
 				t.Errorf("a job %d times as long goes to %s; preferred is %s, proven is %s",
--- a/attempts.go
+++ b/attempts.go
@@ -79,25 +79,25 @@
 func (d *Dispatcher) send(j *job, w *worker) {
 	a := &attempt{
 		job: j, worker: w, number: len(j.attempts),
-		sentAt: d.now, slots: j.req.Slots, index: len(d.inFlight),
+		sentAt: d.now, slots: j.req.Slots, index: len(d.jobs.inFlight),
 	}
 	a.path = d.pathTo(w)
 	j.attempts = append(j.attempts, a)
-	d.inFlight = append(d.inFlight, a)
+	d.jobs.inFlight = append(d.jobs.inFlight, a)
 	j.inFlight++
 	if j.mayHaveRun == nil {
 		j.mayHaveRun = a // until its outcome proves otherwise
 	}
 	if d.largeFleet() && d.cfg.StartNotes {
 		if a.unstarted = j.class.Effect == AtMostOnce; a.unstarted {
-			d.unstarted++
+			d.jobs.unstarted++
 		}
-		if at := d.now + d.startLimit(a); at < d.nextTickAt {
-			d.nextTickAt = at
+		if at := d.now + d.startLimit(a); at < d.timing.nextTickAt {
+			d.timing.nextTickAt = at
 			d.actions = append(d.actions, Action{Kind: ActionTimer, At: at, Token: 1})
 		}
 	}
-	d.hedgeBudget = min(d.hedgeBudget+hedgeFraction, maxHedgeBudget)
+	d.jobs.hedgeBudget = min(d.jobs.hedgeBudget+hedgeFraction, maxHedgeBudget)
 	d.actions = append(d.actions, Action{Kind: ActionSend, ID: j.id, Worker: w.id})
 	d.recordSend(w, a)
 }
@@ -123,10 +123,10 @@
 	a.done = true
 	d.recordStarted(a)
 	j.inFlight--
-	last := len(d.inFlight) - 1
-	d.inFlight[a.index] = d.inFlight[last]
-	d.inFlight[a.index].index = a.index
-	d.inFlight = d.inFlight[:last]
+	last := len(d.jobs.inFlight) - 1
+	d.jobs.inFlight[a.index] = d.jobs.inFlight[last]
+	d.jobs.inFlight[a.index].index = a.index
+	d.jobs.inFlight = d.jobs.inFlight[:last]
 	if e.Code.NeverRan() && j.mayHaveRun == a {
 		d.updateMayHaveRun(j)
 	}
@@ -156,7 +156,7 @@
 	}
 	if !j.retryQueued {
 		j.retryQueued = true
-		d.retryQueue = append(d.retryQueue, j)
+		d.jobs.retryQueue = append(d.jobs.retryQueue, j)
 	}
 }
 
@@ -164,8 +164,8 @@
 // worker gets nothing new until it is heard of (a hung worker answers nothing
 // and would look free), and the job goes elsewhere where its class allows it.
 func (d *Dispatcher) checkOverdue() {
-	for i := len(d.inFlight) - 1; i >= 0; i-- {
-		a := d.inFlight[i]
+	for i := len(d.jobs.inFlight) - 1; i >= 0; i-- {
+		a := d.jobs.inFlight[i]
 		j, age := a.job, d.now-a.sentAt
 		if !a.late && age > 2*j.objective {
 			a.late = true
@@ -186,12 +186,12 @@
 		a.overdue = true
 		a.worker.overdue++
 		d.updateLevel(a.worker)
-		if !j.ended && j.class.Effect != AtMostOnce && d.cfg.MayHedge && d.hedgeBudget >= 1 && !j.retryQueued {
+		if !j.ended && j.class.Effect != AtMostOnce && d.cfg.MayHedge && d.jobs.hedgeBudget >= 1 && !j.retryQueued {
 			// Where cancelled work runs on, and nobody says where, copies feed the very queues that made
 			// starts late; few sends may be copies.
-			d.hedgeBudget = max(0, d.hedgeBudget-1)
+			d.jobs.hedgeBudget = max(0, d.jobs.hedgeBudget-1)
 			j.retryQueued = true
-			d.retryQueue = append(d.retryQueue, j)
+			d.jobs.retryQueue = append(d.jobs.retryQueue, j)
 		}
 	}
 }
@@ -207,5 +207,5 @@
 	if !d.cfg.StartNotes {
 		limit = 2 * a.job.objective
 	}
-	return max(limit, d.startDelays.Bound(4))
+	return max(limit, d.capacity.startDelays.Bound(4))
 }
--- a/bench_test.go
+++ b/bench_test.go
@@ -67,8 +67,8 @@
 				now += d.tickInterval
 				d.Step(now, nil)
 			}
-			if len(d.jobs) != size.held {
-				b.Fatalf("%d jobs are left of %d", len(d.jobs), size.held)
+			if len(d.jobs.byID) != size.held {
+				b.Fatalf("%d jobs are left of %d", len(d.jobs.byID), size.held)
 			}
 		})
 	}
--- a/contract_test.go
+++ b/contract_test.go
@@ -23,8 +23,8 @@
 	h.step(outcome(1, 7, w, Served), outcome(1, -1, w, Served))
 	h.now += second
 	h.step(outcome(1, 0, w, Served), outcome(1, 0, w, Served))
-	if len(h.d.jobs) != 0 || h.d.inFlightSlots != 0 {
-		t.Errorf("%d jobs and %v slots left", len(h.d.jobs), h.d.inFlightSlots)
+	if len(h.d.jobs.byID) != 0 || h.d.capacity.inFlightSlots != 0 {
+		t.Errorf("%d jobs and %v slots left", len(h.d.jobs.byID), h.d.capacity.inFlightSlots)
 	}
 }
 
--- a/dispatch_order.go
+++ b/dispatch_order.go
@@ -22,7 +22,8 @@
 
 // mayBurst reports whether a job may be sent past its tenant's bands.
 func (d *Dispatcher) mayBurst() bool {
-	return (d.rate.Unthrottled() || d.quotas.HasBurstToken()) && d.occupiedSlots() < d.startWindow.Slots()
+	return (d.rate.Unthrottled() || d.quotas.HasBurstToken()) &&
+		d.occupiedSlots() < d.capacity.startWindow.Slots()
 }
 
 // maxUnstarted is how many of our jobs that cannot be moved may wait at the workers, so
@@ -30,8 +31,8 @@
 func (d *Dispatcher) maxUnstarted() int { return max(2, len(d.liveWorkers)/d.cfg.Dispatchers) }
 
 func (d *Dispatcher) sendRetries() {
-	kept := d.retryQueue[:0]
-	for _, j := range d.retryQueue {
+	kept := d.jobs.retryQueue[:0]
+	for _, j := range d.jobs.retryQueue {
 		if j.ended {
 			continue
 		}
@@ -48,8 +49,8 @@
 		d.cancelAttempts(j)
 		d.send(j, w)
 	}
-	clear(d.retryQueue[len(kept):])
-	d.retryQueue = kept
+	clear(d.jobs.retryQueue[len(kept):])
+	d.jobs.retryQueue = kept
 }
 
 // sendNext sends one job: within the bands, of the tenant furthest under them;
--- a/dispatcher.go
+++ b/dispatcher.go
@@ -19,14 +19,14 @@
 func (d *Dispatcher) Step(now int64, events []Event) []Action {
 	d.actions = d.actions[:0]
 	d.now = max(d.now, now)
-	if d.startedAt < 0 {
+	if d.timing.startedAt < 0 {
 		d.now = now
 		d.start()
 	}
 	for i := range events {
 		d.handle(&events[i])
 	}
-	if d.now >= d.nextTickAt {
+	if d.now >= d.timing.nextTickAt {
 		d.onTick()
 	}
 	d.pollEndpoints()
@@ -37,22 +37,22 @@
 }
 
 func (d *Dispatcher) start() {
-	d.startedAt, d.nextControlAt = d.now, d.now+second
+	d.timing.startedAt, d.timing.nextControlAt = d.now, d.now+second
 	d.quotas.Start(d.now)
-	d.lease.Start(d.now)
-	d.poll.Start(d.now, d.rng)
+	d.endpoints.lease.Start(d.now)
+	d.endpoints.poll.Start(d.now, d.rng)
 }
 
 // onTick looks after all that depends on time alone, and sets the next timer.
 func (d *Dispatcher) onTick() {
-	if d.now >= d.nextControlAt {
+	if d.now >= d.timing.nextControlAt {
 		d.runControlLoops()
-		d.nextControlAt = max(d.nextControlAt+second, d.now+second/2)
+		d.timing.nextControlAt = max(d.timing.nextControlAt+second, d.now+second/2)
 	}
 	d.checkOverdue()
 	d.finishHealthChecks(func(j *job) bool { return d.now-j.arrivedAt >= d.tickInterval })
 	d.expireQueued()
 	d.updatePending()
-	d.nextTickAt = d.now + d.tickInterval
-	d.actions = append(d.actions, Action{Kind: ActionTimer, At: d.nextTickAt, Token: 1})
+	d.timing.nextTickAt = d.now + d.tickInterval
+	d.actions = append(d.actions, Action{Kind: ActionTimer, At: d.timing.nextTickAt, Token: 1})
 }
--- a/fleet_index.go
+++ b/fleet_index.go
@@ -15,14 +15,17 @@
 
 // A fleetIndex holds the workers by what is asked of them. Each slice holds a worker once.
 type fleetIndex struct {
-	workersSeen        int64           // workers ever heard of
-	pending            []*worker       // to be placed anew at the next tick or list event
-	unsorted           bool            // pending is not in the order of the list
-	livenessChanged    []*worker       // those that became live, or are so no more, by the list event in hand
-	removed            []*worker       // with some that have come back since the last look
-	lost               []*worker       // the same
-	learnedLimits      capacity.Limits // of the live workers
-	candidatesExamined int             // workers that any step but one of a whole list has looked at, for tests of its cost
+	workers            map[string]*worker // by ID
+	workerOrder        []*worker          // in the order first heard of
+	liveWorkers        []*worker          // the live ones, in that order
+	workersSeen        int64              // workers ever heard of
+	pending            []*worker          // to be placed anew at the next tick or list event
+	unsorted           bool               // pending is not in the order of the list
+	livenessChanged    []*worker          // those that became live, or are so no more, by the list event in hand
+	removed            []*worker          // with some that have come back since the last look
+	lost               []*worker          // the same
+	learnedLimits      capacity.Limits    // of the live workers
+	candidatesExamined int                // by any step but one of a complete list, for tests of its cost
 }
 
 // maxIncremental is the most workers that are put into the live ones one by one.
@@ -34,7 +37,10 @@
 	h.Write([]byte(id))
 	d.workersSeen++
 	hash := h.Sum64() * 0xff51afd7ed558ccd
-	w := &worker{id: id, number: d.workersSeen, state: Removed, level: -1, hash: hash, warmup: health.NewWarmup(hash)}
+	w := &worker{
+		id: id, number: d.workersSeen, hash: hash, endpoint: endpoint{state: Removed}, level: -1,
+		warmup: health.NewWarmup(hash),
+	}
 	d.workers[id] = w
 	d.workerOrder = append(d.workerOrder, w)
 	return w
@@ -109,7 +115,7 @@
 // removeUnlisted lets the workers that a whole list does not name be gone.
 func (d *Dispatcher) removeUnlisted() {
 	for _, w := range d.workerOrder {
-		if w.lastSeenEvent != d.endpointEvents && w.state != Removed {
+		if w.lastSeenEvent != d.endpoints.events && w.state != Removed {
 			w.setState(Removed, d.now)
 			d.indexWorker(w)
 		}
@@ -197,9 +203,5 @@
 func (d *Dispatcher) forgetWorker(w *worker) {
 	w.forgotten, w.lost = true, false
 	delete(d.workers, w.id)
-	for i, f := range d.recentlyReported {
-		if f == w {
-			d.recentlyReported[i] = nil
-		}
-	}
+	d.capacity.reported.remove(w)
 }
--- a/fuzz_test.go
+++ b/fuzz_test.go
@@ -72,8 +72,8 @@
 			host.t.Fatalf("request %d got no answer", id)
 		}
 	}
-	if len(host.d.jobs) != 0 || host.d.inFlightSlots != 0 {
-		host.t.Fatalf("%d jobs and %v slots left at the end", len(host.d.jobs), host.d.inFlightSlots)
+	if len(host.d.jobs.byID) != 0 || host.d.capacity.inFlightSlots != 0 {
+		host.t.Fatalf("%d jobs and %v slots left at the end", len(host.d.jobs.byID), host.d.capacity.inFlightSlots)
 	}
 }
 
--- a/gossip.go
+++ b/gossip.go
@@ -38,7 +38,7 @@
 	w.report.CountSlots(by * a.slots)
 	w.usedMemory += by * a.job.req.Memory
 	w.inFlightJobs += int(by)
-	d.inFlightSlots += by * a.slots
+	d.capacity.inFlightSlots += by * a.slots
 	if d.exchangesUsage() && !w.dirty {
 		w.dirty = true
 		d.exchange.changed = append(d.exchange.changed, w)
--- a/health.go
+++ b/health.go
@@ -8,11 +8,11 @@
 // took counts a job just sent.
 func (d *Dispatcher) recordSend(w *worker, a *attempt) {
 	d.countAttempt(a, 1)
-	w.connections = max(w.connections, w.inFlightJobs)
-	w.connectionUsedAt = d.now
+	w.connections.open = max(w.connections.open, w.inFlightJobs)
+	w.connections.usedAt = d.now
 	w.cachedKeys.Record(a.job.req.Key)
 	class := a.job.class
-	d.slowStart.RecordSend(&w.warmup, d.now, health.Job{
+	d.capacity.slowStart.RecordSend(&w.warmup, d.now, health.Job{
 		Slots: a.slots, Runtime: class.runtimes.Median(), Objective: class.LatencyObjective,
 	}, d.rng)
 	d.updateLevel(w)
@@ -22,9 +22,9 @@
 // 'full': the worker had no room for it.
 func (d *Dispatcher) recordStart(a *attempt) {
 	w, delay := a.worker, d.now-a.sentAt
-	d.startDelays.Record(delay)
+	d.capacity.startDelays.Record(delay)
 	if d.largeFleet() { // a few learn each worker's room by itself
-		delay = d.startDelays.Excess(a.path, delay)
+		delay = d.capacity.startDelays.Excess(a.path, delay)
 	}
 	w.outlier.RecordStart(d.now, delay < d.tickInterval)
 	late := delay > 2*d.tickInterval
@@ -40,10 +40,10 @@
 func (d *Dispatcher) adjustCapacity(w *worker, late bool) {
 	if late {
 		w.limit.Decrease(w.usedSlots)
-		d.startWindow.RecordLate(d.occupiedSlots())
+		d.capacity.startWindow.RecordLate(d.occupiedSlots())
 	} else {
 		w.limit.Increase(w.usedSlots)
-		d.startWindow.RecordPrompt(d.occupiedSlots())
+		d.capacity.startWindow.RecordPrompt(d.occupiedSlots())
 	}
 	d.recountLimit(w)
 }
@@ -53,7 +53,7 @@
 	w, j := a.worker, a.job
 	a.mayHaveRun = !e.Code.NeverRan()
 	d.countAttempt(a, -1)
-	w.connectionUsedAt = d.now
+	w.connections.usedAt = d.now
 	if e.HasLoad {
 		d.recordLoad(w, e)
 	}
@@ -73,10 +73,10 @@
 		w.outlier.RecordSuccess()
 		if !d.inSlowStart(w) {
 			// Not what was sent: refused jobs are no measure of capacity.
-			d.slowStart.Rate().RecordServed(a.slots, run)
+			d.capacity.slowStart.Rate().RecordServed(a.slots, run)
 		}
 		if d.largeFleet() {
-			d.markReported(w) // a slot has just come free there, on a connection that stays open
+			d.capacity.reported.add(w) // a slot has just come free there, on a connection that stays open
 		}
 		if !d.cfg.StartNotes {
 			d.adjustCapacity(w, d.now-j.arrivedAt > j.objective)
@@ -86,7 +86,7 @@
 		d.adjustCapacity(w, true)
 		d.backoffWorker(w, j)
 	case Unreachable:
-		w.connections = w.inFlightJobs
+		w.connections.open = w.inFlightJobs
 		d.eject(w)
 	case WorkerError, Reset:
 		// Of many dispatchers each meets a worker seldom: it cannot wait for a run of errors.
@@ -113,7 +113,7 @@
 
 // eject keeps jobs from a worker that has failed for a while.
 func (d *Dispatcher) eject(w *worker) {
-	least := d.startDelays.Bound(4)
+	least := d.capacity.startDelays.Bound(4)
 	if d.largeFleet() {
 		least = max(least, second)
 	}
@@ -123,10 +123,14 @@
 }
 
 // inSlowStart reports whether a worker is still warming up.
-func (d *Dispatcher) inSlowStart(w *worker) bool { return d.slowStart.Active(&w.warmup, d.now) }
+func (d *Dispatcher) inSlowStart(w *worker) bool {
+	return d.capacity.slowStart.Active(&w.warmup, d.now)
+}
 
 // slowStartWeight is the fraction of its capacity that a worker is sure to have.
-func (d *Dispatcher) slowStartWeight(w *worker) float64 { return d.slowStart.Weight(&w.warmup, d.now) }
+func (d *Dispatcher) slowStartWeight(w *worker) float64 {
+	return d.capacity.slowStart.Weight(&w.warmup, d.now)
+}
 
 // lightest is the median running time of the class that has the least.
 func (d *Dispatcher) minMedianRuntime() int64 {
@@ -142,11 +146,11 @@
 	level := -1
 	if w.state == Live && w.overdue == 0 && !w.outlier.Ejected(d.now) &&
 		w.usedSlots < max(1, min(w.limit.Slots(), w.report.MaxSlots())) &&
-		!(w.outlier.OnTrial() && w.inFlightJobs > 0) && !d.slowStart.Holds(&w.warmup, d.now) {
+		!(w.outlier.OnTrial() && w.inFlightJobs > 0) && !d.capacity.slowStart.Holds(&w.warmup, d.now) {
 		level = int(w.usedSlots)
 	}
 	if level != w.level {
-		d.setLevel(w, level)
+		d.free.move(w, level)
 	}
 	if !w.pending && d.timeDependent(w) {
 		d.markPending(w)
--- a/latency_loop.go
+++ b/latency_loop.go
@@ -30,7 +30,7 @@
 		decay = max(decay, 2*c.runtimes.Median())
 		v = min(v, c.loop.Input())
 	}
-	d.reports.SetDecay(decay)
+	d.capacity.reports.SetDecay(decay)
 	d.rate.SetInput(v)
 	d.exchangeAdmissionRate()
 	d.updateQuotas()
@@ -41,7 +41,7 @@
 // updateWorkerRate follows the slots that each warm worker has at work.
 func (d *Dispatcher) updateWorkerRate() {
 	young, _ := d.slowStartTotals()
-	d.slowStart.Rate().Update(len(d.liveWorkers)-young, d.rate.Periods())
+	d.capacity.slowStart.Rate().Update(len(d.liveWorkers)-young, d.rate.Periods())
 }
 
 // exchangeAdmissionRate tells peers, where that is allowed, this dispatcher's admission rate, and takes
--- a/list_lease.go
+++ b/list_lease.go
@@ -30,7 +30,7 @@
 const exploreCandidates = 8 // workers looked at to find one that may be tried by a stale list
 
 // EndpointsUsable reports whether jobs may be sent by the list as it is known, if only to some workers.
-func (d *Dispatcher) EndpointsUsable() bool { return d.lease.Usable(d.now) }
+func (d *Dispatcher) EndpointsUsable() bool { return d.endpoints.lease.Usable(d.now) }
 
 // accepts notes that a worker has taken an attempt: when that was sent, it did not drain.
 func (d *Dispatcher) recordAccepted(a *attempt) {
@@ -39,17 +39,17 @@
 	if w.accepting {
 		return
 	}
-	if len(d.acceptingWorkers) > 2*len(d.liveWorkers) { // most of them have gone
+	if len(d.endpoints.accepting) > 2*len(d.liveWorkers) { // most of them have gone
 		d.pruneAccepting()
 	}
 	w.accepting = true
-	d.acceptingWorkers = append(d.acceptingWorkers, w)
+	d.endpoints.accepting = append(d.endpoints.accepting, w)
 }
 
 // pruneAccepting takes out the workers that have not accepted a job lately.
 func (d *Dispatcher) pruneAccepting() {
-	d.acceptingWorkers = slices.DeleteFunc(d.acceptingWorkers, func(w *worker) bool {
-		w.accepting = w.state == Live && d.lease.Covers(w.acceptedAt, d.now)
+	d.endpoints.accepting = slices.DeleteFunc(d.endpoints.accepting, func(w *worker) bool {
+		w.accepting = w.state == Live && d.endpoints.lease.Covers(w.acceptedAt, d.now)
 		return !w.accepting
 	})
 }
@@ -63,7 +63,7 @@
 	d.pruneAccepting()
 	var best *worker
 	bestCost := math.Inf(1)
-	for _, w := range d.acceptingWorkers {
+	for _, w := range d.endpoints.accepting {
 		if !d.eligible(j, w) {
 			continue
 		}
@@ -79,12 +79,12 @@
 
 // explore finds a worker of which nothing is known for a job; nil where that may not be yet.
 func (d *Dispatcher) explore(j *job) *worker {
-	if len(d.liveWorkers) == 0 || !d.lease.MayExplore(d.now) {
+	if len(d.liveWorkers) == 0 || !d.endpoints.lease.MayExplore(d.now) {
 		return nil
 	}
 	for range exploreCandidates {
 		if w := d.liveWorkers[d.rng.IntN(len(d.liveWorkers))]; d.eligible(j, w) {
-			d.lease.RecordExplored(d.now)
+			d.endpoints.lease.RecordExplored(d.now)
 			return w
 		}
 	}
--- a/machine_list.go
+++ b/machine_list.go
@@ -5,7 +5,7 @@
 import "github.com/vatu-meals/foxlift/internal/decision/affinity"
 
 func (d *Dispatcher) pollEndpoints() {
-	if d.cfg.PollEndpoints && d.poll.Begin(d.now) {
+	if d.cfg.PollEndpoints && d.endpoints.poll.Begin(d.now) {
 		d.actions = append(d.actions, Action{Kind: ActionWatchEndpoints})
 	}
 }
@@ -13,21 +13,21 @@
 func (d *Dispatcher) onEndpoints(e *Event) {
 	switch e.EndpointUpdate {
 	case EndpointsConfirmed:
-		d.lease.Confirm(d.now)
+		d.endpoints.lease.Confirm(d.now)
 	case DiscoveryChanged:
-		d.lease.ChangeDiscovery(d.now)
+		d.endpoints.lease.ChangeDiscovery(d.now)
 	case EndpointsPollFailed:
-		d.lease.RecordFailure(e.PollFailure)
-		d.poll.Fail(d.now, d.rng)
+		d.endpoints.lease.RecordFailure(e.PollFailure)
+		d.endpoints.poll.Fail(d.now, d.rng)
 	default:
-		d.poll.Succeed()
+		d.endpoints.poll.Succeed()
 		d.applyEndpoints(e.EndpointUpdate, e.Workers)
 	}
 }
 
 // applyEndpoints takes over a list or its changes.
 func (d *Dispatcher) applyEndpoints(kind EndpointUpdate, entries []Worker) {
-	d.endpointEvents++
+	d.endpoints.events++
 	for i := range entries {
 		d.applyEndpoint(&entries[i])
 	}
@@ -35,9 +35,9 @@
 		d.removeUnlisted()
 	}
 	d.updateLive()
-	if kind == EndpointsCached || d.startWindow.Slots() == 0 {
+	if kind == EndpointsCached || d.capacity.startWindow.Slots() == 0 {
 		// Nothing is known against it.
-		d.startWindow.Set(d.learnedLimits.Mean() * float64(len(d.liveWorkers)) / d.fleetScale)
+		d.capacity.startWindow.Set(d.learnedLimits.Mean() * float64(len(d.liveWorkers)) / d.fleetScale)
 	}
 	d.updatePending()
 }
@@ -48,13 +48,13 @@
 		w = d.addWorker(e.ID)
 		w.limit.Restore(d.learnedLimits.Mean(), false)
 	}
-	d.setLevel(w, -1) // its kind may change
+	d.free.move(w, -1) // its kind may change
 	w.setState(e.State, d.now)
 	d.recountLimit(w)
-	w.zone, w.kind, w.cell, w.lastSeenEvent = e.Zone, e.Kind, e.Cell, d.endpointEvents
-	d.externalSlots += e.ExternalSlots - w.externalSlots
+	w.zone, w.kind, w.cell, w.lastSeenEvent = e.Zone, e.Kind, e.Cell, d.endpoints.events
+	d.capacity.externalSlots += e.ExternalSlots - w.externalSlots
 	w.usedSlots, w.externalSlots = w.usedSlots+e.ExternalSlots-w.externalSlots, e.ExternalSlots
-	if w.kind+1 >= len(d.freeWorkers) {
+	if w.kind+1 >= len(d.free.byKind) {
 		w.kind = -1
 	}
 	if w.warmup.StartedAt() != e.StartedAt {
@@ -70,9 +70,9 @@
 	w.warmup.Restart(at)
 	w.latencyRatio = 0
 	w.report.Invalidate()
-	w.connections, w.cachedKeys = 0, affinity.CachedKeys{}
+	w.connections.open, w.cachedKeys = 0, affinity.CachedKeys{}
 	w.limit.Restore(d.learnedLimits.Mean(), false)
-	d.slowStart.DelayFirst(&w.warmup, d.now, d.minMedianRuntime(), d.rng)
+	d.capacity.slowStart.DelayFirst(&w.warmup, d.now, d.minMedianRuntime(), d.rng)
 }
 
 // removedRetention is how long a worker that is gone counts as lost and may come back as itself.
--- a/migration_test.go
+++ b/migration_test.go
@@ -145,11 +145,11 @@
 		workers[i].ExternalSlots = 2
 	}
 	h := newHarness(t, testConfig(), workers...)
-	window := h.d.startWindow.Slots()
+	window := h.d.capacity.startWindow.Slots()
 	h.step(h.request(1, idempotent))
 	w := h.wantActions(ActionSend, 1)[0].Worker
 	h.advance(50*ms, started(1, 0, w)) // late
-	if got := h.d.startWindow.Slots(); got < window*0.98 {
+	if got := h.d.capacity.startWindow.Slots(); got < window*0.98 {
 		t.Errorf("a window of %v becomes %v with 25 jobs in flight", window, got)
 	}
 	for i := range workers {
--- a/placement.go
+++ b/placement.go
@@ -1,77 +1,18 @@
 package foxlift
 
-// Placement, by late binding: which worker gets a job, and whether it is asked for its load before.
+// Placement, by late binding: which workers suit a job, and what each would cost it.
 
 import (
-	"math"
 	"slices"
-
-	"github.com/vatu-meals/foxlift/internal/decision/health"
 )
 
 const (
-	sampleSize     = 24   // workers looked at for one job, of those with as many
-	maxScanned     = 1024 // workers that are all looked at for a job that may go anywhere but where it failed
 	crossZoneJobs  = 40.0 // of our jobs, that a crossing at the price of a whole job weighs; one of many has few
 	heavyJobWeight = 0.3  // warmth from which a young worker gets other than the lightest jobs
 	fetchJobs      = 2.0  // that a worker's fetch of what a job needs weighs: it holds a slot meanwhile
 )
 
-// pick finds the worker for a job: of those with room, the one with the fewest
-// of our jobs, a crossing of zones and a fetch counting as some more, and ties
-// going to the one that promises most. It is nil if none may.
-func (d *Dispatcher) pickWorker(j *job) *worker {
-	if !d.lease.Fresh(d.now) {
-		return d.pickAccepting(j)
-	}
-	var best *worker
-	bestCost := math.Inf(1)
-	try := func(w *worker, extra float64, has bool) {
-		d.candidatesExamined++
-		if !d.eligible(j, w) {
-			return
-		}
-		if j.req.Key != 0 && !has && !w.cachedKeys.Contains(j.req.Key) {
-			extra += d.fetchCost(j)
-		}
-		if c := d.placementCost(j, w) + extra + d.rng.Float64()*1e-3; c < bestCost {
-			best, bestCost = w, c
-		}
-	}
-	if j.req.Key != 0 && (d.largeFleet() || d.cfg.Prices.Fetch > 0) {
-		ws := d.affinityWorkers(j)
-		for i, w := range ws {
-			if w.level >= 0 && (!w.report.Valid() || d.reports.Reported(&w.report, j.req.Slots) < 1) {
-				try(w, float64(w.level)-4*d.cfg.Prices.Fetch*(1-float64(i)/float64(len(ws))), true)
-			}
-		}
-		if j.class.Effect != AtMostOnce && d.largeFleet() && bestCost < health.UnprovenCost {
-			return best // it mostly has a slot free, or soon
-		}
-	}
-	for l := 0; l < d.freeLevels && float64(l) < bestCost; l++ {
-		ws := d.freeAt(j.class.Kind, l)
-		if ws.size <= sampleSize || j.mayHaveRun != nil && (ws.size <= maxScanned || j.class.Effect != Idempotent) {
-			for _, part := range ws.parts {
-				for _, w := range part {
-					try(w, float64(l), false)
-				}
-			}
-			continue
-		}
-		for range sampleSize {
-			try(ws.at(d.rng.IntN(ws.size)), float64(l), false)
-		}
-		for _, w := range d.recentlyReported {
-			if w != nil && w.level == l && (j.class.Kind < 0 || w.kind == j.class.Kind) {
-				try(w, float64(l), false)
-			}
-		}
-	}
-	return best
-}
-
-// fetch is the jobs that a fetch weighs. It takes less of a long job's time; many look for room first.
+// fetchCost is the jobs that a fetch weighs. It takes less of a long job's time; many look for room first.
 func (d *Dispatcher) fetchCost(j *job) float64 {
 	if !d.largeFleet() {
 		return fetchJobs
@@ -81,22 +22,22 @@
 
 const affinityHeadroom = 1.5 // workers of a key over what its fraction of the jobs would fill
 
-// affinityPool returns the workers that are likely to have what the jobs with a key need: all
+// affinityWorkers returns the workers that are likely to have what the jobs with a key need: all
 // dispatchers send them to the same few without speaking. Many spread a key over as many
 // as its part of the jobs seen here asks for, and over one more after each attempt.
 func (d *Dispatcher) affinityWorkers(j *job) []*worker {
-	if j.affinityEvent != d.endpointEvents {
+	if j.affinityEvent != d.endpoints.events {
 		j.affinity, j.affinityPool = d.rankAffinity(j)
-		j.affinityEvent = d.endpointEvents
+		j.affinityEvent = d.endpoints.events
 	}
 	if !d.largeFleet() {
 		return j.affinity
 	}
-	n := max(1+len(j.attempts), int(affinityHeadroom*d.recentKeys.Fraction(j.req.Key)*float64(j.affinityPool)))
+	n := max(1+len(j.attempts), int(affinityHeadroom*d.keys.recent.Fraction(j.req.Key)*float64(j.affinityPool)))
 	return j.affinity[:min(n, len(j.affinity))]
 }
 
-// fits says whether a worker in the room lists suits this job.
+// eligible says whether a worker in the room lists suits this job.
 func (d *Dispatcher) eligible(j *job, w *worker) bool {
 	if w.level < 0 || !d.maySend(j, w) {
 		return false
@@ -109,7 +50,7 @@
 		if d.inSlowStart(w) {
 			room *= 2 // it mostly has room, and is paced
 		}
-		if d.unstarted >= room {
+		if d.jobs.unstarted >= room {
 			return false
 		}
 	}
@@ -120,8 +61,7 @@
 	if w.outlier.OnTrial() && j.class.Effect == AtMostOnce && d.hasRepeatableClass {
 		return false // a worker that failed is tried with jobs that can be moved
 	}
-	if d.slowStart.NeedsSlot(&w.warmup, d.now) &&
-		!d.slowStart.Admits(&w.warmup, d.now, d.slowStart.Work(j.req.Slots, j.class.LatencyObjective)) {
+	if !d.slowStartAdmits(j, w) {
 		return false
 	}
 	for _, a := range j.attempts {
@@ -132,10 +72,17 @@
 	return true
 }
 
-// cost rates a worker among equals: the share of a job's worth that is likely
+// slowStartAdmits reports whether a worker bears a job, if it is warming up and no rate is known.
+func (d *Dispatcher) slowStartAdmits(j *job, w *worker) bool {
+	s := &d.capacity.slowStart
+	return !s.NeedsSlot(&w.warmup, d.now) ||
+		s.Admits(&w.warmup, d.now, s.Work(j.req.Slots, j.class.LatencyObjective))
+}
+
+// placementCost rates a worker among equals: the share of a job's worth that is likely
 // lost there, and the jobs that a crossing or a fetch stands for.
 func (d *Dispatcher) placementCost(j *job, w *worker) float64 {
-	c := d.reports.Pressure(&w.report, j.req.Slots, d.now) / 2
+	c := d.capacity.reports.Pressure(&w.report, j.req.Slots, d.now) / 2
 	if c >= 0.45 {
 		c = 1
 	}
@@ -158,34 +105,3 @@
 	}
 	return c
 }
-
-const saturatedPressure = 0.8 // usual pressure at which asking finds no room and only adds work
-
-// scout lets a job wait a moment while two workers are asked for their load, where
-// no two with room have reported lately: a quiet dispatcher knows of the fleet only what
-// was true many jobs ago. The answers make those workers the last that reported.
-func (d *Dispatcher) requestHealthChecks(j *job) bool {
-	if d.knowsAllUsage() || !d.cfg.MayHealthCheck || len(d.cfg.Gauges) == 0 ||
-		len(d.liveWorkers) <= len(d.recentlyReported) || d.reports.Usual().Average > saturatedPressure {
-		return false
-	}
-	known := 0
-	for _, w := range d.recentlyReported {
-		if w != nil && w.level == 0 && d.reports.Recent(&w.report, d.now) && d.reports.Reported(&w.report, 1) < 1 {
-			known++
-		}
-	}
-	if known >= 2 {
-		return false
-	}
-	for range 2 {
-		if w := d.liveWorkers[d.rng.IntN(len(d.liveWorkers))]; w.level == 0 && !d.inSlowStart(w) {
-			d.actions = append(d.actions, Action{Kind: ActionHealthCheck, Worker: w.id})
-			j.healthChecks++
-		}
-	}
-	if j.healthChecks > 0 {
-		d.awaitingHealthCheck = append(d.awaitingHealthCheck, j)
-	}
-	return j.healthChecks > 0
-}
--- a/placement_large_test.go
+++ b/placement_large_test.go
@@ -27,7 +27,7 @@
 			h.advance(h.d.tickInterval)
 			h.step(h.request(1, idempotent))
 			h.wantActions(ActionSend, 1)
-			for limit := h.now + h.d.jobs[1].objective/4; h.now < limit-ms; {
+			for limit := h.now + h.d.jobs.byID[1].objective/4; h.now < limit-ms; {
 				h.advance(ms)
 				h.wantActions(ActionSend, 0)
 				h.wantActions(ActionCancel, 0)
@@ -49,16 +49,16 @@
 		h.step(h.request(id, idempotent))
 		sent := h.wantActions(ActionSend, 1)[0]
 		h.advance(40*ms, started(id, 0, sent.Worker)) // 3 ticks
-		if got := h.d.startDelays.Least()[h.d.jobs[id].attempts[0].path]; got != 40*ms {
+		if got := h.d.capacity.startDelays.Least()[h.d.jobs.byID[id].attempts[0].path]; got != 40*ms {
 			t.Errorf("the way takes %d", got)
 		}
 		outlier := h.d.workers[sent.Worker].outlier.State()
-		if outlier.PromptStartAt == 0 || outlier.LastFaultAt != 0 || h.d.startWindow.Slots() < 1 {
+		if outlier.PromptStartAt == 0 || outlier.LastFaultAt != 0 || h.d.capacity.startWindow.Slots() < 1 {
 			t.Error("the worker counts as full for its distance")
 		}
 		h.advance(ms, outcome(id, 0, sent.Worker, Served))
 	}
-	h.d.startDelays.Restore(h.d.startDelays.Mean(), [4]int64{40 * ms, 40 * ms, 40 * ms, 40 * ms})
+	h.d.capacity.startDelays.Restore(h.d.capacity.startDelays.Mean(), [4]int64{40 * ms, 40 * ms, 40 * ms, 40 * ms})
 	h.step(h.request(3, idempotent))
 	sent := h.wantActions(ActionSend, 1)[0]
 	h.advance(70*ms, started(3, 0, sent.Worker))
@@ -77,7 +77,7 @@
 			t.Error("a third job is sent to wait")
 		}
 	}
-	h.advance(ms, started(1, 0, h.d.jobs[1].attempts[0].worker.id))
+	h.advance(ms, started(1, 0, h.d.jobs.byID[1].attempts[0].worker.id))
 	if a := h.wantActions(ActionSend, 1)[0]; a.ID != 3 {
 		t.Errorf("job %d is sent once another has started", a.ID)
 	}
--- a/placement_test.go
+++ b/placement_test.go
@@ -103,10 +103,10 @@
 	e := Event{Kind: EventHealthChecked, Worker: "w0", Code: Served, HasLoad: true}
 	h.step(e) // no free slots
 	setUsualPressure(h.d, 0.3)
-	fresh := h.d.reports.Pressure(&w.report, 1, h.d.now)
+	fresh := h.d.capacity.reports.Pressure(&w.report, 1, h.d.now)
 	h.now += 20 * second
 	h.step()
-	if old := h.d.reports.Pressure(&w.report, 1, h.d.now); fresh < 0.9 || math.Abs(old-0.3) > 0.01 {
+	if old := h.d.capacity.reports.Pressure(&w.report, 1, h.d.now); fresh < 0.9 || math.Abs(old-0.3) > 0.01 {
 		t.Errorf("pressure %v when fresh and %v when old, want about 1 and 0.3", fresh, old)
 	}
 }
--- a/queue.go
+++ b/queue.go
@@ -47,16 +47,3 @@
 func (t *tenant) hasQueued() bool {
 	return slices.ContainsFunc(t.queues, func(q classQueue) bool { return len(q.jobs) > 0 })
 }
-
-// finishHealthChecks holds the jobs whose scouting is done.
-func (d *Dispatcher) finishHealthChecks(done func(*job) bool) {
-	d.awaitingHealthCheck = slices.DeleteFunc(d.awaitingHealthCheck, func(j *job) bool {
-		if !j.ended && !done(j) {
-			return false
-		}
-		if !j.ended {
-			d.enqueue(j)
-		}
-		return true
-	})
-}
--- a/queue_test.go
+++ b/queue_test.go
@@ -47,7 +47,7 @@
 	h.advance(ms, disconnectEvent(1))
 	h.advance(ms, endpointsEvent(EndpointsComplete, testWorkers(2)...))
 	h.wantActions(ActionSend, 0)
-	if len(h.d.jobs) != 0 {
+	if len(h.d.jobs.byID) != 0 {
 		t.Error("the job is kept")
 	}
 }
@@ -59,7 +59,7 @@
 	h.step(h.request(1, atMostOnce))
 	h.advance(10*ms, h.request(2, atMostOnce))
 	tenant := h.d.tenantOf(0)
-	j := h.d.jobs[1]
+	j := h.d.jobs.byID[1]
 	long := h.d.maxQueueTime(j)
 	setTenant(h.d, 0, func(s *admission.TenantState) { s.OfferedRate, s.Rate = 50, 5 })
 	if short := h.d.maxQueueTime(j); short >= long || short != 50*ms {
@@ -67,7 +67,7 @@
 	}
 	h.d.onEndpoints(&Event{EndpointUpdate: EndpointsComplete, Workers: testWorkers(1)})
 	h.d.dispatchRound++
-	if h.d.sendFrom(tenant); h.d.jobs[1].inFlight != 0 || h.d.jobs[2].inFlight != 1 {
+	if h.d.sendFrom(tenant); h.d.jobs.byID[1].inFlight != 0 || h.d.jobs.byID[2].inFlight != 1 {
 		t.Error("the older job went first")
 	}
 }
@@ -92,8 +92,8 @@
 	}
 	h.step(next(101, 1980*ms))
 	h.wantActions(ActionShed, 0) // it may still be in time
-	hold := h.d.maxQueueTime(h.d.jobs[101])
-	for h.advance(20 * ms); h.d.jobs[101] != nil; h.advance(10 * ms) {
+	hold := h.d.maxQueueTime(h.d.jobs.byID[101])
+	for h.advance(20 * ms); h.d.jobs.byID[101] != nil; h.advance(10 * ms) {
 		if h.now-5*second > hold+40*ms {
 			t.Fatal("queued past its time")
 		}
@@ -118,7 +118,7 @@
 			h.d.classes[0].setRuntimes(80*ms, 80*ms)
 			h.step(h.request(1, idempotent), h.request(2, idempotent), h.request(3, idempotent))
 			tenant := h.d.tenantOf(0)
-			if got, want := h.d.maxQueueTime(h.d.jobs[1]), 100*ms+(3-c.runs)*80*ms; got != want {
+			if got, want := h.d.maxQueueTime(h.d.jobs.byID[1]), 100*ms+(3-c.runs)*80*ms; got != want {
 				t.Errorf("%d dispatchers: queue time %d, want %d", c.dispatchers, got, want)
 			}
 			queue, round := tenant.queues[0].jobs, h.d.dispatchRound+1
@@ -129,7 +129,7 @@
 				t.Errorf("%d dispatchers: of two queued jobs, %d goes first", c.dispatchers, j.id)
 			}
 			setTenant(h.d, 0, func(s *admission.TenantState) { s.OfferedRate, s.Rate = 500, 5 })
-			if got := h.d.maxQueueTime(h.d.jobs[1]); got != c.over {
+			if got := h.d.maxQueueTime(h.d.jobs.byID[1]); got != c.over {
 				t.Errorf("%d dispatchers: queue time %d when past the quota, want %d", c.dispatchers, got, c.over)
 			}
 		})
@@ -146,7 +146,7 @@
 			h := newHarness(t, cfg, testWorkers(8)...)
 			h.step(h.request(1, class))
 			h.wantActions(ActionSend, 1)
-			j := h.d.jobs[1]
+			j := h.d.jobs.byID[1]
 			for h.now < j.firstAttemptAt+j.objective-j.class.runtimes.Median() {
 				if h.advance(ms); h.now < j.firstAttemptAt+j.objective-j.class.runtimes.Median() {
 					h.wantActions(ActionShed, 0)
@@ -172,7 +172,7 @@
 			}
 			h.advance(2 * second)
 			h.step(h.request(1, idempotent))
-			if got := h.d.timelyLimit(h.d.jobs[1]); got != want*ms {
+			if got := h.d.timelyLimit(h.d.jobs.byID[1]); got != want*ms {
 				t.Errorf("%d dispatchers: timely is %d ms, want %d", dispatchers, got/ms, want)
 			}
 		})
--- a/retry_test.go
+++ b/retry_test.go
@@ -92,7 +92,7 @@
 	for id := uint64(1); id <= 400; id++ {
 		h.advance(5*ms, h.request(id, idempotent)) // no worker ever says that a job started
 		for _, a := range h.actionsOf(ActionSend) {
-			if len(h.d.jobs[a.ID].attempts) == 1 {
+			if len(h.d.jobs.byID[a.ID].attempts) == 1 {
 				first++
 			} else {
 				hedges++
--- a/slow_start_fleet_test.go
+++ b/slow_start_fleet_test.go
@@ -167,7 +167,7 @@
 		w.waiting = append(w.waiting, slowStartAttempt{
 			dispatcher: dispatcher,
 			send:       a,
-			number:     len(h.d.jobs[a.ID].attempts) - 1,
+			number:     len(h.d.jobs.byID[a.ID].attempts) - 1,
 			work:       work,
 			worker:     w,
 		})
@@ -178,7 +178,7 @@
 func (fleet *slowStartFleet) applyCancels(dispatcher int) {
 	h := fleet.harnesses[dispatcher]
 	for _, a := range h.actionsOf(ActionCancel) {
-		j := h.d.jobs[a.ID]
+		j := h.d.jobs.byID[a.ID]
 		if j == nil || a.Attempt >= len(j.attempts) {
 			continue
 		}
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -31,7 +31,7 @@
 				if a.Worker == "w1" {
 					sends++
 				}
-				full = append(full, outcome(a.ID, len(h.d.jobs[a.ID].attempts)-1, a.Worker, Saturated))
+				full = append(full, outcome(a.ID, len(h.d.jobs.byID[a.ID].attempts)-1, a.Worker, Saturated))
 			}
 			h.advance(0, full...)
 		}
@@ -46,14 +46,14 @@
 // Incident if1a1e4: the peak rate must not fall with the service, or workers in slow start get nothing.
 func TestPeakWorkerRateOutlastsIdleSeconds(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(2)...)
-	h.d.slowStart.Rate().RecordServed(200, second)
+	h.d.capacity.slowStart.Rate().RecordServed(200, second)
 	h.d.runControlLoops()
-	peak := h.d.slowStart.Rate().Peak()
+	peak := h.d.capacity.slowStart.Rate().Peak()
 	for range 5 {
 		h.d.runControlLoops()
 	}
-	if peak == 0 || h.d.slowStart.Rate().Peak() < peak*0.9 {
-		t.Errorf("peak rate %v five idle seconds after %v", h.d.slowStart.Rate().Peak(), peak)
+	if peak == 0 || h.d.capacity.slowStart.Rate().Peak() < peak*0.9 {
+		t.Errorf("peak rate %v five idle seconds after %v", h.d.capacity.slowStart.Rate().Peak(), peak)
 	}
 }
 
--- a/snapshot.go
+++ b/snapshot.go
@@ -94,11 +94,11 @@
 	s := &Snapshot{
 		Now: d.now, ControlPeriods: rate.Periods, AdmissionRate: rate.AdmissionRate, Unthrottled: rate.Unthrottled,
 		OfferedRate: rate.OfferedRate, TrafficFraction: d.quotas.TrafficFraction(), BurstTokens: d.quotas.BurstTokens(),
-		StartWindow: d.startWindow.Slots(), HedgeBudget: d.hedgeBudget,
-		FleetPressure: MeanSnapshot(d.reports.Usual()),
-		StartDelay:    MeanSnapshot(d.startDelays.Mean()), MinDelay: d.startDelays.Least(),
-		PressureDecay: d.reports.Decay(), PeakWorkerRate: d.slowStart.Rate().Peak(), RecentWorkerRate: d.slowStart.Rate().Recent(),
-		Keys: d.recentKeys.Keys(),
+		StartWindow: d.capacity.startWindow.Slots(), HedgeBudget: d.jobs.hedgeBudget,
+		FleetPressure: MeanSnapshot(d.capacity.reports.Usual()),
+		StartDelay:    MeanSnapshot(d.capacity.startDelays.Mean()), MinDelay: d.capacity.startDelays.Least(),
+		PressureDecay: d.capacity.reports.Decay(), PeakWorkerRate: d.capacity.slowStart.Rate().Peak(), RecentWorkerRate: d.capacity.slowStart.Rate().Recent(),
+		Keys: d.keys.recent.Keys(),
 	}
 	for i := range d.classes {
 		s.Classes = append(s.Classes, d.classes[i].snapshot())
@@ -122,12 +122,12 @@
 		Periods: s.ControlPeriods, AdmissionRate: s.AdmissionRate, Unthrottled: s.Unthrottled, OfferedRate: s.OfferedRate,
 	})
 	d.quotas.Restore(s.TrafficFraction, s.BurstTokens)
-	d.startWindow.Set(s.StartWindow)
-	d.startDelays.Restore(capacity.MovingMean(s.StartDelay), s.MinDelay)
-	d.reports.Restore(capacity.MovingMean(s.FleetPressure), max(s.PressureDecay, 1))
-	d.hedgeBudget = s.HedgeBudget
-	d.slowStart.Rate().Restore(s.PeakWorkerRate, s.RecentWorkerRate)
-	d.recentKeys.Restore(s.Keys)
+	d.capacity.startWindow.Set(s.StartWindow)
+	d.capacity.startDelays.Restore(capacity.MovingMean(s.StartDelay), s.MinDelay)
+	d.capacity.reports.Restore(capacity.MovingMean(s.FleetPressure), max(s.PressureDecay, 1))
+	d.jobs.hedgeBudget = s.HedgeBudget
+	d.capacity.slowStart.Rate().Restore(s.PeakWorkerRate, s.RecentWorkerRate)
+	d.keys.recent.Restore(s.Keys)
 	for i := range s.Classes {
 		for k := range d.classes {
 			if d.classes[k].Name == s.Classes[i].Name {
--- a/state.go
+++ b/state.go
@@ -17,52 +17,72 @@
 
 // A Dispatcher makes the decisions of one scheduler. It sees only its own traffic.
 type Dispatcher struct {
-	cfg                      Config
-	rng                      *rand.Rand
-	now                      int64
-	fleetScale               float64 // how many times more dispatchers there are than a few
-	startedAt                int64   // time of the first step; -1 before it
-	tickInterval, nextTickAt int64   // between looks at what is held and overdue; the next of them
-	nextControlAt            int64   // next run of the control loops
-	actions                  []Action
+	cfg                Config
+	rng                *rand.Rand // one source for all decisions, so that a seed fixes them
+	fleetScale         float64    // how many times more dispatchers there are than a few
+	tickInterval       int64      // between looks at what is queued and overdue
+	hasRepeatableClass bool       // some class may be repeated
 
-	jobs                map[uint64]*job
-	inFlight            []*attempt // in flight
-	retryQueue          []*job     // sent before, waiting to be sent again
-	hasRepeatableClass  bool       // some class may be repeated
-	hedgeBudget         float64    // of overdue jobs that may be sent
-	awaitingHealthCheck []*job     // waiting for news of some workers
-	urgentJobs          []*job     // came just before their deadline, or too late to be in time
+	now     int64
+	timing  timing
+	actions []Action // of this step
 
+	jobs          jobTable
 	classes       []class
+	tenants       []tenant // the last is for jobs of no known tenant
 	rate          admission.RateController
-	exchange      peerExchange
-	tenants       []tenant
 	quotas        *admission.Allocator
-	dispatchRound int64 // of dispatch
+	dispatchRound int64 // number of this round of dispatch
 
-	workers     map[string]*worker
-	workerOrder []*worker     // in the order first heard of
-	freeWorkers [][][]*worker // by kind+1, then by own count: workers that may get a job
-	freeLevels  int           // most levels of any kind
-	viewBuffer  [][]*worker   // for freeAt
-	liveWorkers []*worker     // the live ones, in the list's order
-	fleetIndex
-	affinity         *affinity.Indexes[*worker]
-	recentKeys       affinity.KeyLog // of the last jobs
-	inFlightSlots    float64         // slots of our jobs in flight,
-	externalSlots    float64         // and of those that the host sent past this dispatcher
-	unstarted        int             // attempts sent that have not started, on workers that may be well
-	startWindow      capacity.StartWindow
-	startDelays      capacity.StartDelays
-	reports          capacity.Reports
-	recentlyReported [4]*worker // the last that reported
-	nextReported     int
-	slowStart        health.SlowStart
-	poll             membership.PollSchedule
-	lease            membership.Lease
-	acceptingWorkers []*worker // that have accepted a job lately
-	endpointEvents   int64     // number of list events
+	fleetIndex           // the workers, by what is asked of them
+	free       freeLists // those that may get a job
+	keys       affinityState
+	capacity   fleetCapacity
+	endpoints  endpointState
+	exchange   peerExchange
+}
+
+// A timing is when a dispatcher looks at what depends on time alone.
+type timing struct {
+	startedAt     int64 // time of the first step; -1 before it
+	nextTickAt    int64
+	nextControlAt int64 // next run of the control loops
+}
+
+// A jobTable holds the jobs, by what they wait for.
+type jobTable struct {
+	byID                map[uint64]*job
+	inFlight            []*attempt
+	unstarted           int     // attempts that have not started, on workers that may be well
+	retryQueue          []*job  // sent before, waiting to be sent again
+	hedgeBudget         float64 // hedges of overdue jobs that may be sent
+	awaitingHealthCheck []*job  // waiting for the load of some workers
+	urgent              []*job  // came just before their deadline, or too late to be in time
+}
+
+// A fleetCapacity is what is learned of the capacity of the fleet, and what is in use of it.
+type fleetCapacity struct {
+	inFlightSlots float64 // slots of our jobs in flight,
+	externalSlots float64 // and of those that the host sent past this dispatcher
+	startWindow   capacity.StartWindow
+	startDelays   capacity.StartDelays
+	reports       capacity.Reports
+	reported      recentReports
+	slowStart     health.SlowStart
+}
+
+// An affinityState is where the affinity keys of jobs are.
+type affinityState struct {
+	index  *affinity.Indexes[*worker]
+	recent affinity.KeyLog // of the last jobs
+}
+
+// An endpointState is how the endpoint list is kept up to date.
+type endpointState struct {
+	poll      membership.PollSchedule
+	lease     membership.Lease
+	events    int64     // number of list events
+	accepting []*worker // that have accepted a job lately, and some that had
 }
 
 // A job is a request that is held, in flight, or ended with attempts still out.
@@ -109,37 +129,51 @@
 		return nil, err
 	}
 	d := &Dispatcher{
-		cfg: cfg, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), startedAt: -1,
-		jobs: map[uint64]*job{}, workers: map[string]*worker{}, hedgeBudget: maxHedgeBudget,
-		exchange: newPeerExchange(&cfg, seed), rate: admission.NewRateController(cfg.Dispatchers, cfg.Index),
-		poll: membership.NewPollSchedule(cfg.MaxPollInterval), lease: membership.NewLease(cfg.EndpointLease),
+		cfg: cfg, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), timing: timing{startedAt: -1},
+		jobs:       jobTable{byID: map[uint64]*job{}, hedgeBudget: maxHedgeBudget},
+		rate:       admission.NewRateController(cfg.Dispatchers, cfg.Index),
+		fleetIndex: fleetIndex{workers: map[string]*worker{}},
+		exchange:   newPeerExchange(&cfg, seed),
+		endpoints: endpointState{
+			poll: membership.NewPollSchedule(cfg.MaxPollInterval), lease: membership.NewLease(cfg.EndpointLease),
+		},
 	}
 	if !cfg.MayRetryAfter {
 		d.cfg.MaxRetryAfter = 0
 	}
-	aim, kinds := int64(math.MaxInt64), 0
+	minObjective, kinds := int64(math.MaxInt64), 0
 	for i := range cfg.Classes {
 		c := &cfg.Classes[i]
 		d.classes = append(d.classes, newClass(c))
 		d.hasRepeatableClass = d.hasRepeatableClass || c.Effect != AtMostOnce
-		aim, kinds = min(aim, c.LatencyObjective), max(kinds, c.Kind+1)
+		minObjective, kinds = min(minObjective, c.LatencyObjective), max(kinds, c.Kind+1)
 	}
-	d.tickInterval = max(aim/8, int64(1e6))
-	d.freeWorkers, d.affinity = make([][][]*worker, kinds+1), affinity.NewIndexes[*worker](kinds)
+	d.tickInterval = max(minObjective/8, int64(1e6))
+	d.free.byKind = make([][][]*worker, kinds+1)
+	d.keys.index = affinity.NewIndexes[*worker](kinds)
 	d.fleetScale = max(1, float64(cfg.Dispatchers)/smallFleetMax)
-	d.startWindow, d.reports = capacity.NewStartWindow(d.fleetScale), capacity.NewReports(cfg.Gauges)
-	bears := cfg.OverloadMultiple * cfg.SlowStartCapacity * d.learnedLimits.Mean() // slots, of a worker that has just started
-	minObjective := float64(aim)
-	slots := slowstart.NewSlots(cfg.OverloadWindow, cfg.Dispatchers, cfg.Index,
-		bears*float64(cfg.OverloadWindow)/minObjective)
-	d.slowStart = health.NewSlowStart(health.SlowStartConfig{
-		Capacity: cfg.SlowStartCapacity, Duration: cfg.SlowStartDuration, OverloadMultiple: cfg.OverloadMultiple,
-		MinObjective: minObjective, Slots: slots,
-	}, health.NewWorkerRate(d.fleetScale))
+	d.capacity = newFleetCapacity(&cfg, d.fleetScale, float64(minObjective), d.learnedLimits.Mean())
 	d.initTenants()
 	return d, nil
 }
 
+// newFleetCapacity returns the capacity of a fleet of which nothing is known but the least latency
+// objective of a class, and the slots that a worker counts at.
+func newFleetCapacity(cfg *Config, fleetScale, minObjective, limit float64) fleetCapacity {
+	freshLimit := cfg.OverloadMultiple * cfg.SlowStartCapacity * limit // slots that a worker that has just started bears
+	slots := slowstart.NewSlots(cfg.OverloadWindow, cfg.Dispatchers, cfg.Index,
+		freshLimit*float64(cfg.OverloadWindow)/minObjective)
+	return fleetCapacity{
+		startWindow: capacity.NewStartWindow(fleetScale),
+		reports:     capacity.NewReports(cfg.Gauges),
+		slowStart: health.NewSlowStart(health.SlowStartConfig{
+			Capacity: cfg.SlowStartCapacity, Duration: cfg.SlowStartDuration, OverloadMultiple: cfg.OverloadMultiple,
+			MinObjective: minObjective, Slots: slots,
+		}, health.NewWorkerRate(fleetScale)),
+	}
+}
+
+// handle takes an event in.
 func (d *Dispatcher) handle(e *Event) {
 	switch e.Kind {
 	case EventRequest:
@@ -151,7 +185,7 @@
 	case EventOutcome:
 		d.onOutcome(e)
 	case EventClientDisconnected:
-		if j := d.jobs[e.ID]; j != nil && !j.ended {
+		if j := d.jobs.byID[e.ID]; j != nil && !j.ended {
 			d.finish(j)
 		}
 	case EventHealthChecked:
@@ -163,22 +197,9 @@
 	}
 }
 
-// onHealthChecked ends the wait of the jobs that were waiting for an answer.
-func (d *Dispatcher) onHealthChecked(e *Event) {
-	w := d.workers[e.Worker]
-	if w == nil {
-		return
-	}
-	if e.Code == Served && e.HasLoad {
-		d.recordLoad(w, e)
-	}
-	d.markPending(w) // it may have more slots than was known
-	d.finishHealthChecks(func(j *job) bool { return true })
-}
-
 // attemptOf finds the attempt that an event is about, or nil.
 func (d *Dispatcher) attemptOf(e *Event) *attempt {
-	j := d.jobs[e.ID]
+	j := d.jobs.byID[e.ID]
 	if j == nil || e.Attempt < 0 || e.Attempt >= len(j.attempts) {
 		return nil
 	}
@@ -218,18 +239,20 @@
 
 // busy is the slots of all jobs in flight that the window bounds. What the host has sent past this
 // dispatcher fills the fleet as well: a process that has just taken over has few jobs of its own.
-func (d *Dispatcher) occupiedSlots() float64 { return d.inFlightSlots + d.externalSlots }
+func (d *Dispatcher) occupiedSlots() float64 {
+	return d.capacity.inFlightSlots + d.capacity.externalSlots
+}
 
 // dials reports whether the next job to a worker needs a new connection.
 func (d *Dispatcher) needsConnection(w *worker) bool {
-	return w.inFlightJobs >= w.connections || d.cfg.ConnIdle > 0 && d.now-w.connectionUsedAt > d.cfg.ConnIdle
+	return w.inFlightJobs >= w.connections.open || d.cfg.ConnIdle > 0 && d.now-w.connections.usedAt > d.cfg.ConnIdle
 }
 
 // waited ends an attempt's wait for its start.
 func (d *Dispatcher) recordStarted(a *attempt) {
 	if a.unstarted {
 		a.unstarted = false
-		d.unstarted--
+		d.jobs.unstarted--
 	}
 }
 
@@ -244,14 +267,14 @@
 // forget drops a job that has ended once all its attempts have.
 func (d *Dispatcher) forget(j *job) {
 	if j.ended && j.inFlight == 0 {
-		delete(d.jobs, j.id)
+		delete(d.jobs.byID, j.id)
 	}
 }
 
 // Idle reports whether the dispatcher holds no job and counts nothing in flight: so it
 // must be once every job is answered and every attempt has had its outcome.
 func (d *Dispatcher) Idle() bool {
-	if len(d.jobs)+len(d.inFlight) > 0 || math.Abs(d.inFlightSlots) > 1e-6 {
+	if len(d.jobs.byID)+len(d.jobs.inFlight) > 0 || math.Abs(d.capacity.inFlightSlots) > 1e-6 {
 		return false
 	}
 	for _, w := range d.workerOrder {
--- a/state_helpers_test.go
+++ b/state_helpers_test.go
@@ -38,12 +38,12 @@
 }
 
 func setPeakRate(d *Dispatcher, peak float64) {
-	d.slowStart.Rate().Restore(peak, d.slowStart.Rate().Recent())
+	d.capacity.slowStart.Rate().Restore(peak, d.capacity.slowStart.Rate().Recent())
 }
 
 // servedSlots is what the rate of warm workers takes into account of this second.
 func servedSlots(d *Dispatcher) float64 {
-	rate := *d.slowStart.Rate()
+	rate := *d.capacity.slowStart.Rate()
 	rate.Restore(0, 0)
 	rate.Update(1, 1)
 	return rate.Recent()
@@ -56,7 +56,7 @@
 }
 
 func setUsualPressure(d *Dispatcher, average float64) {
-	usual := d.reports.Usual()
+	usual := d.capacity.reports.Usual()
 	usual.Average = average
-	d.reports.Restore(usual, d.reports.Decay())
+	d.capacity.reports.Restore(usual, d.capacity.reports.Decay())
 }
--- a/workers.go
+++ b/workers.go
@@ -13,36 +13,53 @@
 
 // A worker is what this dispatcher knows of one.
 type worker struct {
-	id               string
-	number           int64 // in the order first heard of
+	id     string
+	number int64 // in the order first heard of
+	hash   uint64
+
+	endpoint
+	usage
+	connections connections
+
+	level, position int // place in Dispatcher.free; level -1: gets nothing now
+	overdue         int // jobs that it should have started
+
+	limit        capacity.Limit
+	report       capacity.LoadReport
+	outlier      health.Outlier
+	warmup       health.Warmup
+	latencyRatio float64 // its running times over the class medians
+	acceptedAt   int64   // when the last attempt that it accepted was sent
+	accepting    bool    // it is in endpointState.accepting
+
+	cachedKeys affinity.CachedKeys   // of our last jobs there
+	affinity   affinity.Registration // in affinityState.index
+	indexEntry                       // where it stands in Dispatcher.fleetIndex
+}
+
+// An endpoint is what the endpoint list says of a worker.
+type endpoint struct {
 	zone, kind, cell int
 	state            WorkerState
 	lastSeenEvent    int64 // number of the last list event that named it
 	lost             bool  // went without a drain, and is not back and warm
-	removedAt        int64 // when the list last named it otherwise than gone
-	hash             uint64
-
-	usedSlots        float64      // slots of our jobs there, and of the host's others
-	externalSlots    float64      // of these, what others sent
-	peerUsage        gossip.Usage // and what peers say that their jobs hold there
-	usedMemory       float64      // that all these jobs need
-	report           capacity.LoadReport
-	dirty            bool // peers have not been told of the last change
-	inFlightJobs     int
-	limit            capacity.Limit
-	level, position  int // place in Dispatcher.room; level -1: gets nothing now
-	overdue          int // jobs that it should have started
-	outlier          health.Outlier
-	warmup           health.Warmup
-	acceptedAt       int64                 // when the last attempt that it accepted was sent
-	accepting        bool                  // it is in Dispatcher.accepting
-	latencyRatio     float64               // its running times over the class medians
-	connections      int                   // connections thought open
-	connectionUsedAt int64                 // last use of a connection
-	cachedKeys       affinity.CachedKeys   // of our last jobs there
-	affinity         affinity.Registration // in Dispatcher.affinity
-
-	indexEntry // where it stands in Dispatcher.fleetIndex
+	removedAt        int64 // when the list last named it otherwise than removed
+}
+
+// A usage is what jobs hold at a worker.
+type usage struct {
+	usedSlots     float64      // slots of our jobs there, of the host's others, and of the peers' jobs
+	externalSlots float64      // of these, what the host sent past this dispatcher
+	peerUsage     gossip.Usage // and what peers say that their jobs hold there
+	usedMemory    float64      // that all these jobs need
+	inFlightJobs  int          // of ours
+	dirty         bool         // peers have not been told of the last change
+}
+
+// The connections to a worker, as far as this dispatcher can tell.
+type connections struct {
+	open   int   // thought open
+	usedAt int64 // last use of one
 }
 
 // indexed is what fleetIndex notes of a worker.
@@ -51,52 +68,58 @@
 	forgotten                        bool // no more in Dispatcher.workers
 }
 
-// setLevel puts a worker into another of the room lists, or, for a negative level,
-// in none.
-func (d *Dispatcher) setLevel(w *worker, level int) {
+// The freeLists hold the workers that may get a job, by kind and by the slots of ours that they have.
+type freeLists struct {
+	byKind     [][][]*worker // by kind+1, then by level
+	levels     int           // most levels of any kind
+	viewBuffer [][]*worker   // of the last view
+}
+
+// move puts a worker into another of the lists, or, for a negative level, in none.
+func (f *freeLists) move(w *worker, level int) {
 	k := w.kind + 1
-	if k >= len(d.freeWorkers) {
+	if k >= len(f.byKind) {
 		k = 0
 	}
 	if w.level >= 0 {
-		ws := d.freeWorkers[k][w.level]
+		ws := f.byKind[k][w.level]
 		last := ws[len(ws)-1]
 		ws[w.position] = last
 		last.position = w.position
-		d.freeWorkers[k][w.level] = ws[:len(ws)-1]
+		f.byKind[k][w.level] = ws[:len(ws)-1]
 	}
 	w.level = level
 	if level >= 0 {
-		for len(d.freeWorkers[k]) <= level {
-			d.freeWorkers[k] = append(d.freeWorkers[k], nil)
+		for len(f.byKind[k]) <= level {
+			f.byKind[k] = append(f.byKind[k], nil)
 		}
-		d.freeLevels = max(d.freeLevels, level+1)
-		w.position = len(d.freeWorkers[k][level])
-		d.freeWorkers[k][level] = append(d.freeWorkers[k][level], w)
+		f.levels = max(f.levels, level+1)
+		w.position = len(f.byKind[k][level])
+		f.byKind[k][level] = append(f.byKind[k][level], w)
 	}
 }
 
 // A workerView is the workers of one level, of one kind or of all. It is valid until the next call of
-// freeAt, and until a worker moves.
+// freeLists.at, and until a worker moves.
 type workerView struct {
 	parts [][]*worker // by kind
 	size  int
 }
 
-// freeAt returns the workers of one level, and of one kind if it is not negative.
-func (d *Dispatcher) freeAt(kind, level int) (v workerView) {
+// at returns the workers of one level, and of one kind if it is not negative.
+func (f *freeLists) at(kind, level int) (v workerView) {
 	from, to := kind+1, kind+2
 	if kind < 0 {
-		from, to = 0, len(d.freeWorkers)
+		from, to = 0, len(f.byKind)
 	}
-	d.viewBuffer = d.viewBuffer[:0]
-	for _, levels := range d.freeWorkers[from:to] {
+	f.viewBuffer = f.viewBuffer[:0]
+	for _, levels := range f.byKind[from:to] {
 		if level < len(levels) {
-			d.viewBuffer = append(d.viewBuffer, levels[level])
+			f.viewBuffer = append(f.viewBuffer, levels[level])
 			v.size += len(levels[level])
 		}
 	}
-	v.parts = d.viewBuffer
+	v.parts = f.viewBuffer
 	return v
 }
 
@@ -122,14 +145,29 @@
 
 // recordLoad keeps a worker's load report.
 func (d *Dispatcher) recordLoad(w *worker, e *Event) {
-	d.reports.Record(&w.report, e.Load, d.now)
-	d.markReported(w)
+	d.capacity.reports.Record(&w.report, e.Load, d.now)
+	d.capacity.reported.add(w)
+}
+
+// The recentReports are the workers that were last heard of, which pickWorker looks at whatever it samples.
+type recentReports struct {
+	workers [4]*worker
+	next    int // place of the next one
 }
 
-// heard makes a worker the last that was heard of: pick looks at it whatever it samples.
-func (d *Dispatcher) markReported(w *worker) {
-	d.recentlyReported[d.nextReported] = w
-	d.nextReported = (d.nextReported + 1) % len(d.recentlyReported)
+// add makes a worker the last that was heard of.
+func (r *recentReports) add(w *worker) {
+	r.workers[r.next] = w
+	r.next = (r.next + 1) % len(r.workers)
+}
+
+// remove forgets a worker.
+func (r *recentReports) remove(w *worker) {
+	for i := range r.workers {
+		if r.workers[i] == w {
+			r.workers[i] = nil
+		}
+	}
 }
 
 // memoryCapacity is the memory that a worker has for jobs.
