--- a/cmd/foxlift-sim/main.go
+++ b/cmd/foxlift-sim/main.go
@@ -83,7 +83,7 @@
 	h.emptyLength = len(h.reply)
 }
 
-func (h *host) comma() {
+func (h *host) separate() {
 	if len(h.reply) > h.emptyLength {
 		h.reply = append(h.reply, ',')
 	}
@@ -98,11 +98,11 @@
 	}
 	if err != nil {
 		// It is kept without a dispatcher, so that its events are swallowed.
-		h.comma()
+		h.separate()
 		h.reply = wire.AppendError(h.reply, name, err.Error())
 		names, gate = &wire.Names{Instance: name}, nil
 	}
-	h.forget(name)
+	h.remove(name)
 	inst := &instance{names: names, dispatcher: gate}
 	names.Owner = inst
 	h.running[name] = inst
@@ -114,11 +114,11 @@
 	if h.running[name] == nil {
 		return fmt.Errorf("instance %q does not run", name)
 	}
-	h.forget(name)
+	h.remove(name)
 	return nil
 }
 
-func (h *host) forget(name string) {
+func (h *host) remove(name string) {
 	old := h.running[name]
 	delete(h.running, name)
 	for i, t := range h.pending {
@@ -157,7 +157,7 @@
 	for _, inst := range h.pending {
 		actions := inst.dispatcher.Step(h.now, inst.events)
 		for i := range actions {
-			h.comma()
+			h.separate()
 			h.reply = wire.Append(h.reply, inst.names.Instance, &actions[i])
 		}
 		inst.events = inst.events[:0]
--- a/cmd/foxlift-sim/main_test.go
+++ b/cmd/foxlift-sim/main_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestSettingsThatCannotRun(t *testing.T) {
+func TestInvalidSettingsAreReported(t *testing.T) {
 	bad := strings.Replace(attach, `"effect":"idempotent"`, `"effect":"sometimes"`, 1)
 	got := play(t, batch("1", bad)+batch("2", ""))
 	if !strings.Contains(got, `["internalError","scheduler_0","grades[0]: unknown effect`) {
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -113,7 +113,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) { checkOperator(t, data) })
 }
 
-func TestFuzzOperator(t *testing.T) { fuzz.Play(t, 11, 8000, operatorSeeds(), checkOperator) }
+func TestFuzzOperator(t *testing.T) { fuzz.Run(t, 11, 8000, operatorSeeds(), checkOperator) }
 
 // checkSettings: settings are rejected with an error that has a text, or make tables that agree with the
 // module's configuration.
@@ -183,7 +183,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) { checkSettings(t, data) })
 }
 
-func TestFuzzSettings(t *testing.T) { fuzz.Play(t, 12, 10000, settingsSeeds(), checkSettings) }
+func TestFuzzSettings(t *testing.T) { fuzz.Run(t, 12, 10000, settingsSeeds(), checkSettings) }
 
 // The complete file, overridden by variables: an error names a key, what is accepted is within the
 // limits.
@@ -201,7 +201,7 @@
 		example, keyed, []byte(strings.Replace(string(example), `"memory_mb": 192`, `"memory_mb": 1e300`, 1)),
 		[]byte(strings.Replace(string(example), `"sockets": 1024`, `"sockets": -1`, 1)),
 	}
-	fuzz.Play(t, 13, 1500, seeds, func(t testing.TB, data []byte) {
+	fuzz.Run(t, 13, 1500, seeds, func(t testing.TB, data []byte) {
 		if err := os.WriteFile(path, data, 0o600); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/control/fuzz_test.go
+++ b/internal/control/fuzz_test.go
@@ -86,4 +86,4 @@
 	f.Fuzz(func(t *testing.T, data []byte) { checkCall(t, data) })
 }
 
-func TestFuzzCall(t *testing.T) { fuzz.Play(t, 31, 3000, callSeeds(), checkCall) }
+func TestFuzzCall(t *testing.T) { fuzz.Run(t, 31, 3000, callSeeds(), checkCall) }
--- a/internal/fuzz/fuzz.go
+++ b/internal/fuzz/fuzz.go
@@ -18,7 +18,7 @@
 }
 
 // Play checks a property on the seeds, and on n inputs that are made of them.
-func Play(t *testing.T, seed uint64, n int, seeds [][]byte, check func(testing.TB, []byte)) {
+func Run(t *testing.T, seed uint64, n int, seeds [][]byte, check func(testing.TB, []byte)) {
 	t.Helper()
 	for _, s := range seeds {
 		check(t, bytes.Clone(s))
--- a/internal/platform/fuzz_answers_test.go
+++ b/internal/platform/fuzz_answers_test.go
@@ -133,4 +133,4 @@
 	f.Fuzz(func(t *testing.T, data []byte) { checkAnswer(t, data) })
 }
 
-func TestFuzzAnswer(t *testing.T) { fuzz.Play(t, 2, 4000, answerSeeds(), checkAnswer) }
+func TestFuzzAnswer(t *testing.T) { fuzz.Run(t, 2, 4000, answerSeeds(), checkAnswer) }
--- a/internal/platform/fuzz_endpoints_test.go
+++ b/internal/platform/fuzz_endpoints_test.go
@@ -92,6 +92,6 @@
 }
 
 func TestFuzzEndpoints(t *testing.T) {
-	fuzz.Play(t, 3, 20000, endpointSeeds(), checkEndpoints)
-	fuzz.Play(t, 5, 20000, endpointSeeds(), checkDecoder)
+	fuzz.Run(t, 3, 20000, endpointSeeds(), checkEndpoints)
+	fuzz.Run(t, 5, 20000, endpointSeeds(), checkDecoder)
 }
--- a/internal/platform/fuzz_requests_test.go
+++ b/internal/platform/fuzz_requests_test.go
@@ -195,7 +195,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) { checkRequests(t, data) })
 }
 
-func TestFuzzRequests(t *testing.T) { fuzz.Play(t, 1, 4000, requestSeeds(), checkRequests) }
+func TestFuzzRequests(t *testing.T) { fuzz.Run(t, 1, 4000, requestSeeds(), checkRequests) }
 
 // Every message of both sides, cut at every byte boundary, and the short ones at every
 // pair of boundaries: the outcome is that of the whole.
--- a/internal/platform/fuzz_values_test.go
+++ b/internal/platform/fuzz_values_test.go
@@ -65,4 +65,4 @@
 	f.Fuzz(func(t *testing.T, data []byte) { checkValues(t, data) })
 }
 
-func TestFuzzValues(t *testing.T) { fuzz.Play(t, 4, 30000, valueSeeds(), checkValues) }
+func TestFuzzValues(t *testing.T) { fuzz.Run(t, 4, 30000, valueSeeds(), checkValues) }
--- a/internal/wire/decode_endpoints.go
+++ b/internal/wire/decode_endpoints.go
@@ -15,7 +15,7 @@
 	"warm_copy": foxlift.EndpointsCached, "lost": foxlift.EndpointsPollFailed,
 }
 
-var states = map[string]foxlift.WorkerState{
+var workerStates = map[string]foxlift.WorkerState{
 	"live": foxlift.Live, "quiescing": foxlift.Draining, "dead": foxlift.Removed,
 }
 
@@ -29,25 +29,25 @@
 		return fmt.Errorf("unknown scope %q", scope)
 	}
 	d.event.Kind, d.event.EndpointUpdate = foxlift.EventEndpoints, kind
-	d.entries = d.entries[:0]
+	d.workers = d.workers[:0]
 	if !absent(f[4]) {
 		items, err := array(f[4], "items")
 		if err != nil {
 			return err
 		}
 		for i, it := range items {
-			w, err := n.entry(it)
+			w, err := n.endpoint(it)
 			if err != nil {
 				return fmt.Errorf("entry %d: %w", i, err)
 			}
-			d.entries = append(d.entries, w)
+			d.workers = append(d.workers, w)
 		}
 	}
-	d.event.Workers = d.entries
+	d.event.Workers = d.workers
 	return nil
 }
 
-func (n *Names) entry(v *fastjson.Value) (w foxlift.Worker, err error) {
+func (n *Names) endpoint(v *fastjson.Value) (w foxlift.Worker, err error) {
 	f, err := array(v, "entry")
 	if err != nil {
 		return w, err
@@ -60,8 +60,8 @@
 		return w, err
 	}
 	w.ID = n.intern(id)
-	w.Zone, w.Kind = n.find(n.zones, f[1]), n.find(n.kinds, f[2])
-	cell, err := optional(f[3], "block")
+	w.Zone, w.Kind = n.indexOf(n.zones, f[1]), n.indexOf(n.kinds, f[2])
+	cell, err := optionalNumber(f[3], "block")
 	if err != nil {
 		return w, err
 	}
@@ -70,7 +70,7 @@
 	if err != nil {
 		return w, err
 	}
-	s, ok := states[string(state)]
+	s, ok := workerStates[string(state)]
 	if !ok {
 		return w, fmt.Errorf("unknown state %q", state)
 	}
@@ -81,7 +81,7 @@
 	return w, err
 }
 
-func (n *Names) find(table map[string]int, v *fastjson.Value) int {
+func (n *Names) indexOf(table map[string]int, v *fastjson.Value) int {
 	if v.Type() == fastjson.TypeString {
 		if i, ok := table[string(v.GetStringBytes())]; ok {
 			return i
@@ -99,7 +99,7 @@
 	return s
 }
 
-func (n *Names) worker(v *fastjson.Value) (string, error) {
+func (n *Names) workerID(v *fastjson.Value) (string, error) {
 	s, err := text(v, "worker")
 	if err != nil {
 		return "", err
--- a/internal/wire/decode_events.go
+++ b/internal/wire/decode_events.go
@@ -31,14 +31,14 @@
 		return fmt.Errorf("unknown class %q", class)
 	}
 	r.Class = c
-	if r.Key, err = key(f[5]); err != nil {
+	if r.Key, err = affinityKey(f[5]); err != nil {
 		return err
 	}
-	bits, err := optional(f[8], "stateBits")
+	bits, err := optionalNumber(f[8], "stateBits")
 	if err != nil {
 		return err
 	}
-	hint, err := optional(f[6], "hint")
+	hint, err := optionalNumber(f[6], "hint")
 	if err != nil {
 		return err
 	}
@@ -46,10 +46,10 @@
 		r.Size = int64(hint)
 	}
 	r.ClientRetry = int64(bits)&2 != 0
-	if r.Slots, err = optional(f[7], "slots"); err != nil {
+	if r.Slots, err = optionalNumber(f[7], "slots"); err != nil {
 		return err
 	}
-	if r.Memory, err = optional(f[10], "mem"); err != nil {
+	if r.Memory, err = optionalNumber(f[10], "mem"); err != nil {
 		return err
 	}
 	r.Tenant = -1
@@ -62,7 +62,7 @@
 }
 
 // key reads the subject of a request.
-func key(v *fastjson.Value) (uint64, error) {
+func affinityKey(v *fastjson.Value) (uint64, error) {
 	if absent(v) {
 		return 0, nil
 	}
@@ -70,11 +70,11 @@
 	return config.ParseKey(s), err
 }
 
-func (d *Decoder) attempt(n *Names, xid, worker, attempt *fastjson.Value) (err error) {
+func (d *Decoder) attemptOf(n *Names, xid, worker, attempt *fastjson.Value) (err error) {
 	if d.event.ID, err = unsigned(xid, "xid"); err != nil {
 		return err
 	}
-	if d.event.Worker, err = n.worker(worker); err != nil {
+	if d.event.Worker, err = n.workerID(worker); err != nil {
 		return err
 	}
 	a, err := integer(attempt, "go")
@@ -91,13 +91,13 @@
 	if kind == 1 {
 		d.event.Kind = foxlift.EventStarted
 	}
-	return d.attempt(n, f[2], f[5], f[6])
+	return d.attemptOf(n, f[2], f[5], f[6])
 }
 
 func (d *Decoder) outcome(n *Names, f []*fastjson.Value) (err error) {
 	e := &d.event
 	e.Kind = foxlift.EventOutcome
-	if err = d.attempt(n, f[2], f[3], f[6]); err != nil {
+	if err = d.attemptOf(n, f[2], f[3], f[6]); err != nil {
 		return err
 	}
 	if e.Took, err = integer(f[4], "took"); err != nil {
@@ -106,25 +106,25 @@
 	if e.Ended, err = boolean(f[5], "noMore"); err != nil {
 		return err
 	}
-	if e.Code, err = code(f[7]); err != nil {
+	if e.Code, err = outcomeCode(f[7]); err != nil {
 		return err
 	}
-	return d.load(f[9])
+	return d.loadReport(f[9])
 }
 
 func (d *Decoder) healthChecked(n *Names, f []*fastjson.Value) (err error) {
 	e := &d.event
 	e.Kind = foxlift.EventHealthChecked
-	if e.Worker, err = n.worker(f[2]); err != nil {
+	if e.Worker, err = n.workerID(f[2]); err != nil {
 		return err
 	}
-	if e.Code, err = code(f[3]); err != nil {
+	if e.Code, err = outcomeCode(f[3]); err != nil {
 		return err
 	}
 	if e.Took, err = integer(f[4], "took"); err != nil {
 		return err
 	}
-	return d.load(f[5])
+	return d.loadReport(f[5])
 }
 
 func (d *Decoder) peerMessage(f []*fastjson.Value) error {
@@ -144,7 +144,7 @@
 	return nil
 }
 
-func (d *Decoder) load(v *fastjson.Value) error {
+func (d *Decoder) loadReport(v *fastjson.Value) error {
 	if absent(v) {
 		return nil
 	}
@@ -164,7 +164,7 @@
 	return nil
 }
 
-func code(v *fastjson.Value) (foxlift.Code, error) {
+func outcomeCode(v *fastjson.Value) (foxlift.Code, error) {
 	c, err := integer(v, "rc")
 	if err != nil {
 		return 0, err
--- a/internal/wire/fuzz_test.go
+++ b/internal/wire/fuzz_test.go
@@ -11,12 +11,12 @@
 )
 
 // taker takes whatever a batch holds, as the adapter does.
-type taker struct {
+type collector struct {
 	names  map[string]*Names
 	events int
 }
 
-func (h *taker) Attach(instance string, seed uint64, settings *fastjson.Value) error {
+func (h *collector) Attach(instance string, seed uint64, settings *fastjson.Value) error {
 	cfg, names, err := Settings(instance, settings)
 	if err != nil {
 		h.names[instance] = &Names{Instance: instance}
@@ -28,16 +28,16 @@
 	h.names[instance] = names
 	return nil
 }
-func (h *taker) Down(instance string) error         { delete(h.names, instance); return nil }
-func (h *taker) Names(instance []byte) *Names       { return h.names[string(instance)] }
-func (h *taker) Event(*Names, *foxlift.Event) error { h.events++; return nil }
+func (h *collector) Down(instance string) error         { delete(h.names, instance); return nil }
+func (h *collector) Names(instance []byte) *Names       { return h.names[string(instance)] }
+func (h *collector) Event(*Names, *foxlift.Event) error { h.events++; return nil }
 
 // checkBatch: a line of the simulator's wire is taken or refused with words, and read
 // the same way twice.
 func checkBatch(t testing.TB, data []byte) {
 	var dec Decoder
 	once := func() (Batch, int, string) {
-		h := &taker{names: map[string]*Names{}}
+		h := &collector{names: map[string]*Names{}}
 		b, err := dec.Decode(bytes.Clone(data), func(Batch) {}, h)
 		if err != nil {
 			return b, h.events, err.Error()
@@ -71,4 +71,4 @@
 	f.Fuzz(func(t *testing.T, data []byte) { checkBatch(t, data) })
 }
 
-func TestFuzzBatch(t *testing.T) { fuzz.Play(t, 21, 20000, batchSeeds(), checkBatch) }
+func TestFuzzBatch(t *testing.T) { fuzz.Run(t, 21, 20000, batchSeeds(), checkBatch) }
--- a/internal/wire/values.go
+++ b/internal/wire/values.go
@@ -52,7 +52,7 @@
 	return v.Float64()
 }
 
-func optional(v *fastjson.Value, name string) (float64, error) { return number(v, name) }
+func optionalNumber(v *fastjson.Value, name string) (float64, error) { return number(v, name) }
 
 func boolean(v *fastjson.Value, name string) (bool, error) {
 	if v == nil || v.Type() != fastjson.TypeTrue && v.Type() != fastjson.TypeFalse {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -36,7 +36,7 @@
 type Decoder struct {
 	parser  fastjson.Parser
 	event   foxlift.Event
-	entries []foxlift.Worker
+	workers []foxlift.Worker
 }
 
 // A Batch is the frame of one line.
@@ -97,7 +97,7 @@
 	if len(f) < need {
 		return fmt.Errorf("%s: %d values, want %d", name, len(f), need)
 	}
-	if err := d.fields(string(name), instance, f, h); err != nil {
+	if err := d.dispatch(string(name), instance, f, h); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
 	return nil
@@ -108,7 +108,7 @@
 	"completed": 10, "clientLeft": 3, "deadlineHit": 3, "probeDone": 6, "neighbourSays": 4,
 }
 
-func (d *Decoder) fields(name string, instance []byte, f []*fastjson.Value, h Handler) error {
+func (d *Decoder) dispatch(name string, instance []byte, f []*fastjson.Value, h Handler) error {
 	switch name {
 	case "attach":
 		seed, err := unsigned(f[2], "rngSeed")
@@ -138,7 +138,7 @@
 		err = d.request(n, f)
 	case "flowing":
 		d.event.Kind, d.event.Stream = foxlift.EventStarted, true
-		err = d.attempt(n, f[2], f[3], f[4])
+		err = d.attemptOf(n, f[2], f[3], f[4])
 	case "interim":
 		err = d.progress(n, f)
 	case "completed":
