--- a/cmd/foxlift-lab/capacity.go
+++ b/cmd/foxlift-lab/capacity.go
@@ -13,25 +13,30 @@
 	"github.com/vatu-meals/foxlift/internal/lab/fleet"
 )
 
-// Where the measurements and the page of them are.
+// Default paths of the measurements and of the page of them.
 const (
 	measuredPath = "docs/capacity/measured.json"
 	pagePath     = "docs/CAPACITY.md"
 )
 
-// capacityFlags are those of the command besides what a run takes.
+// capacityFlags are the flags of the command.
 type capacityFlags struct {
 	capacity.Options
-	check, render  bool
-	faults         bool
-	trial          capacity.FaultsOptions
-	measured, page string // paths
+	check    bool // compare the page with the measurements
+	render   bool // write the page from the measurements
+	faults   bool // run the trial
+	trial    capacity.FaultsOptions
+	measured string // path of the measurements
+	page     string // path of the page
 }
 
+// capacityCommand measures how costs grow with the size of a deployment.
 func capacityCommand() *cobra.Command {
 	f := capacityFlags{trial: capacity.DefaultFaults}
 	cmd := &cobra.Command{
-		Use: "capacity", Short: "Measure how costs grow with the size of a deployment, and carry them to the size designed for", Args: cobra.NoArgs,
+		Use:   "capacity",
+		Short: "Measure how costs grow with the size of a deployment, and carry them to the size designed for",
+		Args:  cobra.NoArgs,
 		Long: `capacity measures decisions, the list, running tasks, calls to discovery and a scheduler process
 without a job at five sizes or more each. A whole run writes its measurements to --measured and the page
 of them to --page; a run of some dimensions, or a --short one, writes nothing. --check measures nothing:
@@ -40,7 +45,9 @@
 --faults starts a scheduler process again and again with the list that it has kept, while the list
 changes and the file is torn, spoilt or old; it exits with code 1 if a start took more from discovery
 than what has changed, or did not come to the list as it is. --without keeps no list, for comparison.`,
-		Example: "  go run ./cmd/foxlift-lab capacity --short\n  go run ./cmd/foxlift-lab capacity --check\n  go run ./cmd/foxlift-lab capacity --faults --seed 2",
+		Example: "  go run ./cmd/foxlift-lab capacity --short\n" +
+			"  go run ./cmd/foxlift-lab capacity --check\n" +
+			"  go run ./cmd/foxlift-lab capacity --faults --seed 2",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			switch {
 			case f.check:
--- a/cmd/foxlift-lab/cells.go
+++ b/cmd/foxlift-lab/cells.go
@@ -9,20 +9,31 @@
 	"github.com/vatu-meals/foxlift/internal/lab"
 )
 
+// errObjectiveMissed is what a cells measurement ends with that misses an objective of the product.
+var errObjectiveMissed = errors.New("an aim is missed")
+
+// demoCommand floods one tenant of a deployment with cells, and prints what the others get.
 func demoCommand() *cobra.Command {
 	var seed uint64
 	cmd := &cobra.Command{
-		Use: "demo", Short: "Flood one tenant of a small deployment with cells, and watch the others (25 s)", Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error { return lab.Demo(cmd.Context(), cmd.OutOrStdout(), seed) },
+		Use:   "demo",
+		Short: "Flood one tenant of a small deployment with cells, and watch the others (25 s)",
+		Args:  cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			return lab.Demo(cmd.Context(), cmd.OutOrStdout(), seed)
+		},
 	}
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "of the arrivals")
 	return cmd
 }
 
+// cellsCommand measures what a flood costs the others, without and with cells.
 func cellsCommand() *cobra.Command {
 	o := lab.DefaultCells
 	cmd := &cobra.Command{
-		Use: "cells", Short: "Measure what a flood costs the others without and with cells, lending, and live moves", Args: cobra.NoArgs,
+		Use:   "cells",
+		Short: "Measure what a flood costs the others without and with cells, lending, and live moves",
+		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			r, err := lab.Cells(cmd.Context(), cmd.OutOrStdout(), o)
 			if err != nil {
@@ -30,7 +41,7 @@
 			}
 			fmt.Fprintln(cmd.OutOrStdout(), r.Line())
 			if !r.OK(o.Migrations) {
-				return errors.New("an aim is missed")
+				return errObjectiveMissed
 			}
 			return nil
 		},
@@ -38,17 +49,23 @@
 	cmd.Flags().Uint64Var(&o.Seed, "seed", o.Seed, "of the arrivals")
 	cmd.Flags().DurationVar(&o.Normal, "normal", o.Normal, "how long the load is normal first")
 	cmd.Flags().DurationVar(&o.Flood, "flood", o.Flood, "how long one tenant floods")
-	cmd.Flags().DurationVar(&o.Lending, "lending", o.Lending, "how long a lone tenant asks for more than its share")
+	cmd.Flags().DurationVar(&o.Lending, "lending", o.Lending,
+		"how long a lone tenant asks for more than its share")
 	cmd.Flags().IntVar(&o.Migrations, "moves", o.Migrations, "moves under load")
 	return cmd
 }
 
+// loopsCommand measures what many cells cost the latency loops.
 func loopsCommand() *cobra.Command {
 	var seed uint64
 	var seconds int
 	cmd := &cobra.Command{
-		Use: "loops", Short: "Measure what many cells cost the regulator's loops, in virtual time", Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error { return lab.Loops(cmd.OutOrStdout(), seed, seconds) },
+		Use:   "loops",
+		Short: "Measure what many cells cost the regulator's loops, in virtual time",
+		Args:  cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			return lab.Loops(cmd.OutOrStdout(), seed, seconds)
+		},
 	}
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "of the arrivals")
 	cmd.Flags().IntVar(&seconds, "seconds", 120, "virtual seconds of each run")
--- a/cmd/foxlift-lab/fuzz.go
+++ b/cmd/foxlift-lab/fuzz.go
@@ -12,10 +12,18 @@
 	"github.com/vatu-meals/foxlift/internal/lab"
 )
 
+var (
+	errFinding        = errors.New("a rule is broken")    // the fuzz runner has a finding
+	errMutantSurvived = errors.New("a fault is not seen") // by the tests that should catch it
+)
+
+// fuzzCommand runs all fuzz targets in turn.
 func fuzzCommand() *cobra.Command {
 	var o lab.FuzzOptions
 	cmd := &cobra.Command{
-		Use: "fuzz", Short: "Go through all fuzz targets by turns, and store what they find", Args: cobra.NoArgs,
+		Use:   "fuzz",
+		Short: "Go through all fuzz targets by turns, and store what they find",
+		Args:  cobra.NoArgs,
 		Long: `fuzz runs in the module's folder and needs the go command. It gives more time to targets
 that still find new coverage. Findings and summary.json go to --dir. SIGINT ends it with
 what it has. It exits with code 1 if there is a finding.`,
@@ -29,7 +37,7 @@
 			}
 			fmt.Fprintln(cmd.OutOrStdout(), s.Line())
 			if len(s.Findings) > 0 {
-				return errors.New("a rule is broken")
+				return errFinding
 			}
 			return nil
 		},
@@ -42,11 +50,14 @@
 	return cmd
 }
 
+// mutantsCommand checks that the fuzz tests catch deliberate faults.
 func mutantsCommand() *cobra.Command {
 	var match string
 	var workers int
 	cmd := &cobra.Command{
-		Use: "mutants", Short: "Prove that the fuzzers see: put faults into a copy of the source, one by one", Args: cobra.NoArgs,
+		Use:   "mutants",
+		Short: "Prove that the fuzzers see: put faults into a copy of the source, one by one",
+		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			caught, all, err := lab.CheckMutants(cmd.Context(), cmd.OutOrStdout(), match, workers)
 			if err != nil {
@@ -54,7 +65,7 @@
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "mutants caught: %d of %d\n", caught, all)
 			if caught < all {
-				return errors.New("a fault is not seen")
+				return errMutantSurvived
 			}
 			return nil
 		},
--- a/cmd/foxlift-lab/main.go
+++ b/cmd/foxlift-lab/main.go
@@ -1,5 +1,5 @@
-// Command foxlift-lab shows and measures foxlift on loopback, among stand-ins. The
-// scheduler never links it.
+// Command foxlift-lab demonstrates and measures foxlift on loopback, among stand-ins for
+// discovery, the workers and the clients. The scheduler never links it.
 package main
 
 import (
@@ -16,11 +16,27 @@
 	}
 }
 
+// rootCommand is foxlift-lab with all its commands.
 func rootCommand() *cobra.Command {
 	cmd := &cobra.Command{
-		Use: "foxlift-lab", Short: "Demonstrations and measurements of foxlift on loopback",
-		SilenceErrors: true, SilenceUsage: true,
+		Use:           "foxlift-lab",
+		Short:         "Demonstrations and measurements of foxlift on loopback",
+		SilenceErrors: true,
+		SilenceUsage:  true,
 	}
-	cmd.AddCommand(demoCommand(), cellsCommand(), loopsCommand(), speedCommand(), standInCommand(), fuzzCommand(), mutantsCommand(), slowStartCommand(), keyedCommand(), upgradeCommand(), capacityCommand(), soakCommand())
+	cmd.AddCommand(
+		demoCommand(),
+		cellsCommand(),
+		loopsCommand(),
+		speedCommand(),
+		standInCommand(),
+		fuzzCommand(),
+		mutantsCommand(),
+		simultaneousStartCommand(),
+		keyedCommand(),
+		upgradeCommand(),
+		capacityCommand(),
+		soakCommand(),
+	)
 	return cmd
 }
--- a/cmd/foxlift-lab/soak.go
+++ b/cmd/foxlift-lab/soak.go
@@ -17,12 +17,15 @@
 // shortSoak is the length of one run with --short.
 const shortSoak = 10 * time.Second
 
+// soakCommand plays random faults that overlap in time, and judges by what others recorded.
 func soakCommand() *cobra.Command {
 	o := soak.Default
 	var seeds int
 	var short, build, mutants bool
 	cmd := &cobra.Command{
-		Use: "soak", Short: "Play random faults that overlap in time against many processes, and judge by what others recorded", Args: cobra.NoArgs,
+		Use:   "soak",
+		Short: "Play random faults that overlap in time against many processes, and judge by what others recorded",
+		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if short {
 				o.For, seeds = shortSoak, 1
@@ -49,11 +52,13 @@
 	cmd.Flags().IntVar(&o.Schedulers, "schedulers", o.Schedulers, "processes, 10 to 40")
 	cmd.Flags().StringVar(&o.Program, "build", o.Program, "the scheduler's binary")
 	cmd.Flags().BoolVar(&build, "fresh", false, "build the binary aside, in place of --build")
-	cmd.Flags().BoolVar(&mutants, "mutants", false, "play builds with one fault put in each, from the source in this folder")
+	cmd.Flags().BoolVar(&mutants, "mutants", false,
+		"play builds with one fault put in each, from the source in this folder")
 	cmd.Flags().BoolVar(&short, "short", false, "one short seed")
 	return cmd
 }
 
+// runSoak runs so many seeds one after another and prints their sum.
 func runSoak(cmd *cobra.Command, o soak.Options, seeds int) error {
 	var sum soak.Result
 	for range seeds {
--- a/cmd/foxlift-lab/speed.go
+++ b/cmd/foxlift-lab/speed.go
@@ -8,12 +8,15 @@
 	"github.com/vatu-meals/foxlift/internal/lab"
 )
 
+// speedCommand measures one scheduler process's throughput and latency.
 func speedCommand() *cobra.Command {
 	var program string
 	var connections []int
 	var each time.Duration
 	cmd := &cobra.Command{
-		Use: "speed", Short: "Measure one scheduler process: jobs a second and latency", Args: cobra.NoArgs,
+		Use:     "speed",
+		Short:   "Measure one scheduler process: jobs a second and latency",
+		Args:    cobra.NoArgs,
 		Example: "  foxlift-lab speed --program bin/foxlift --connections 1,16,64",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return lab.Speed(cmd.Context(), cmd.OutOrStdout(), program, connections, each)
--- a/cmd/foxlift-lab/standin.go
+++ b/cmd/foxlift-lab/standin.go
@@ -9,9 +9,12 @@
 	"github.com/vatu-meals/foxlift/internal/lab"
 )
 
+// standInCommand runs discovery and workers for examples/config.json.
 func standInCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "standin", Short: "Stand in for a deployment that fits examples/config.json, until SIGINT", Args: cobra.NoArgs,
+		Use:   "standin",
+		Short: "Stand in for a deployment that fits examples/config.json, until SIGINT",
+		Args:  cobra.NoArgs,
 		Long: `standin runs discovery on 127.0.0.1:8500 and two execute nodes on 127.0.0.1:3101 and
 3102, of two slots each. A reading takes 0.3 s, a ratify 1.5 s. SIGUSR1 makes the second
 node drain, and SIGUSR1 again brings it back.`,
--- a/cmd/foxlift-lab/trials.go
+++ b/cmd/foxlift-lab/trials.go
@@ -9,26 +9,34 @@
 	"github.com/vatu-meals/foxlift/internal/lab/fleet"
 )
 
-// judged prints a trial's last line, and fails where the trial did.
-func printResult(cmd *cobra.Command, r interface {
+// errTrialFailed is what a trial that saw something forbidden ends with.
+var errTrialFailed = errors.New("something happened that must not")
+
+// A trialResult is what a trial comes to.
+type trialResult interface {
 	Line() string
 	OK() bool
-}, err error,
-) error {
+}
+
+// printResult prints a trial's last line, and fails where the trial did.
+func printResult(cmd *cobra.Command, r trialResult, err error) error {
 	if err != nil {
 		return err
 	}
 	fmt.Fprintln(cmd.OutOrStdout(), r.Line())
 	if !r.OK() {
-		return errors.New("something happened that must not")
+		return errTrialFailed
 	}
 	return nil
 }
 
+// keyedCommand runs the trial of deduplicated jobs under connection faults.
 func keyedCommand() *cobra.Command {
 	o := fleet.DefaultKeyed
 	cmd := &cobra.Command{
-		Use: "keyed", Short: "Reset and silence connections amid keyed jobs, and see that none runs twice", Args: cobra.NoArgs,
+		Use:   "keyed",
+		Short: "Reset and silence connections amid keyed jobs, and see that none runs twice",
+		Args:  cobra.NoArgs,
 		Long: `keyed starts two scheduler processes among nodes in two pods that drop repeats of a keyed
 job for a time, and resets or silences one connection after another; messages between the
 schedulers are lost, doubled, garbled and late. It exits with code 1 if a keyed job ran twice, a
@@ -49,10 +57,13 @@
 	return cmd
 }
 
-func slowStartCommand() *cobra.Command {
+// simultaneousStartCommand runs the trial of many schedulers that start at once among workers in slow start.
+func simultaneousStartCommand() *cobra.Command {
 	o := fleet.DefaultSlowStartTrial
 	cmd := &cobra.Command{
-		Use: "coldstart", Short: "Start many scheduler processes at once on an old list, and watch lists, nodes and service", Args: cobra.NoArgs,
+		Use:   "coldstart",
+		Short: "Start many scheduler processes at once on an old list, and watch lists, nodes and service",
+		Args:  cobra.NoArgs,
 		Long: `coldstart starts real scheduler processes, all at once, with the machine list from before
 a release, under load, against a discovery that serves one call after another and nodes that
 start cold. It exits with code 1 if a node is pushed over, a job is lost, one that must not run
@@ -69,7 +80,9 @@
 	cmd.Flags().Uint64Var(&o.Seed, "seed", o.Seed, "of the arrivals, and of which nodes are replaced")
 	cmd.Flags().DurationVar(&o.For, "for", o.For, "how long it is watched")
 	cmd.Flags().Float64Var(&o.Load, "load", o.Load, "jobs, against what the warm fleet can do")
-	cmd.Flags().Float64Var(&o.Replaced, "replaced", o.Replaced, "part of the nodes that the known list does not have")
-	cmd.Flags().Float64Var(&o.Restarted, "restarted", o.Restarted, "part that started again, cold, and that the known list takes for warm")
+	cmd.Flags().Float64Var(&o.Replaced, "replaced", o.Replaced,
+		"part of the nodes that the known list does not have")
+	cmd.Flags().Float64Var(&o.Restarted, "restarted", o.Restarted,
+		"part that started again, cold, and that the known list takes for warm")
 	return cmd
 }
--- a/cmd/foxlift-lab/upgrade.go
+++ b/cmd/foxlift-lab/upgrade.go
@@ -9,12 +9,14 @@
 	"github.com/vatu-meals/foxlift/internal/lab/service"
 )
 
-// upgrade is the command that upgrades a scheduler under load, many times in a row.
+// upgradeCommand upgrades a scheduler under load, many times in a row.
 func upgradeCommand() *cobra.Command {
 	u := service.DefaultUpgrades
 	fault := string(u.Fault)
 	cmd := &cobra.Command{
-		Use: "upgrade", Short: "Replace a scheduler process under load, many times in a row, and watch its jobs", Args: cobra.NoArgs,
+		Use:   "upgrade",
+		Short: "Replace a scheduler process under load, many times in a row, and watch its jobs",
+		Args:  cobra.NoArgs,
 		Long: `upgrade starts a scheduler among stand-ins and replaces it as the platform does: a second
 process starts beside it, and once it says yes on its operators' address the old one has SIGTERM,
 and SIGKILL at the limit. It exits with code 1 if a job is lost, an at-most-once job ran twice,
--- a/internal/lab/capacity/control.go
+++ b/internal/lab/capacity/control.go
@@ -38,6 +38,7 @@
 	prefix, operator string
 }
 
+// variants are without and with a checkpoint of the endpoint list.
 var variants = []variant{{"control", ""}, {"keeping", checkpointOperator}}
 
 // series returns the empty series of a variant.
--- a/internal/lab/capacity/runevents.go
+++ b/internal/lab/capacity/runevents.go
@@ -22,6 +22,7 @@
 	runEventCount
 )
 
+// runEventNames are the names that a trial prints.
 var runEventNames = [runEventCount]string{
 	ordinaryChanges:    "ordinary changes",
 	processStopped:     "a stop",
--- a/internal/lab/capacity/startfaults.go
+++ b/internal/lab/capacity/startfaults.go
@@ -25,6 +25,7 @@
 	startFaultCount
 )
 
+// startFaultNames are the names that a trial prints.
 var startFaultNames = [startFaultCount]string{
 	noFault:         "none",
 	truncated:       "torn",
--- a/internal/lab/cells.go
+++ b/internal/lab/cells.go
@@ -67,7 +67,8 @@
 	loneCell = `(foxlift (control (socket %q)) (cells (cell all (share 0.99) (tenants lone away)) (cell rest)))`
 )
 
-var cellNames = []string{"north", "south", "east", "west"} // of fourCells
+// cellNames are the cells of fourCells.
+var cellNames = []string{"north", "south", "east", "west"}
 
 const (
 	flooder       = "glen"
--- a/internal/lab/cellsimulation.go
+++ b/internal/lab/cellsimulation.go
@@ -7,7 +7,8 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-const second = int64(1e9) // of virtual time
+// second is a second of virtual time.
+const second = int64(1e9)
 
 // Classes of the simulated cell: the index is foxlift.Request.Class.
 var (
