--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -17,9 +17,9 @@
 	"github.com/vatu-meals/foxlift/internal/counters"
 )
 
-// What follows from how a claim ended. A 503 promises that a retry is harmless: it
-// may not follow an at-most-once job that may have run; such a job is never sent
-// again, while one that proves never to have run, or may be repeated, is.
+// What follows from how an attempt ended. A 503 promises that a retry is harmless: it may not follow an
+// at-most-once job that may have run. Such a job is never sent again, while one that proves never to have run,
+// or may be repeated, is.
 func TestRetriesByEffect(t *testing.T) {
 	turnAway := func(c net.Conn, _ *http.Request, _ string) bool {
 		_, err := io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
@@ -49,44 +49,43 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			nodes := []*testWorker{
+			workers := []*testWorker{
 				newTestWorker(t, c.handle), newTestWorker(t, c.handle), newTestWorker(t, c.handle),
 				newTestWorker(t, c.handle),
 			}
-			p, _ := start(t, "", nodes...)
+			p, _ := start(t, "", workers...)
 			r, _ := connect(t, p).request(t, jobText(c.class, "j", "15000m", ""))
 			got := int64(0)
-			for _, n := range nodes {
+			for _, n := range workers {
 				got += n.Got.Load()
 			}
 			check(t, "status", r.StatusCode, c.status)
-			check(t, "requests at nodes", got, c.sent)
+			check(t, "requests at workers", got, c.sent)
 		})
 	}
 }
 
-// A node that breaks off once is not asked twice by the network code: the job goes
-// to the other node, where the module sends it.
+// A worker that closes a connection without an answer gets no second request from the pool: the job goes to the
+// other worker, where the module sends it.
 func TestRetriesAreTheModulesDecision(t *testing.T) {
-	bad, good := newTestWorker(t, closeUnanswered), newTestWorker(t, serveJob)
-	p, set := start(t, "", bad, good)
+	failing, healthy := newTestWorker(t, closeUnanswered), newTestWorker(t, serveJob)
+	p, set := start(t, "", failing, healthy)
 	s := connect(t, p)
 	for i := range 6 {
 		r, _ := s.request(t, jobText("reading", fmt.Sprint("j", i), "15000m", ""))
 		check(t, "status", r.StatusCode, 200)
 	}
-	check(t, "claims", set.Get("claims.sent"), bad.Got.Load()+good.Got.Load())
-	check(t, "resets", set.Get("claims.reset"), bad.Got.Load())
+	check(t, "claims", set.Get("claims.sent"), failing.Got.Load()+healthy.Got.Load())
+	check(t, "resets", set.Get("claims.reset"), failing.Got.Load())
 }
 
-// Nothing goes to a node that has begun to drain after the module chose it, even
-// during the dial.
+// Nothing goes to a worker that has begun to drain after the module chose it, even during the dial.
 func TestDrainingWorkerGetsNoFirstByte(t *testing.T) {
-	node := newTestWorker(t, serveJob)
+	worker := newTestWorker(t, serveJob)
 	looks := 0
 	find := func(string) (endpoint, bool) {
 		looks++
-		return endpoint{address: node.Addr().String()}, looks == 1 // the list changes after the first look
+		return endpoint{address: worker.Addr().String()}, looks == 1 // the list changes after the first look
 	}
 	n := &workerPool{
 		find: find, counters: &counters.Set{}, dialTimeout: patience, idleTimeout: time.Hour, budget: 9,
@@ -98,29 +97,29 @@
 		n.Send("n", job, core.AttemptLimits{Remaining: patience}, func(r core.Report) { reports <- r })
 		check(t, "code", (<-reports).Code, foxlift.NotSent)
 	}
-	await(t, "dialed", func() bool { return node.Conns.Load() == 1 }) // the first time only
-	check(t, "requests", node.Got.Load(), int64(0))
+	await(t, "dialed", func() bool { return worker.Conns.Load() == 1 }) // the first time only
+	check(t, "requests", worker.Got.Load(), int64(0))
 }
 
-// A silent node does not keep a submitter past its patience, however it words it.
+// A silent worker does not make a client wait past its deadline, whichever unit that is given in.
 func TestSilentWorker(t *testing.T) {
 	for i, c := range []struct {
 		class, remaining string
 		status           int
 	}{{"ratify", "400m", 502}, {"reading", "400000u", 503}} {
 		p, set := start(t, "", newTestWorker(t, neverAnswers))
-		began := time.Now()
+		startedAt := time.Now()
 		r, _ := connect(t, p).request(t, jobText(c.class, fmt.Sprint("j", i), c.remaining, ""))
 		check(t, "status", r.StatusCode, c.status)
-		if took := time.Since(began); took < 200*time.Millisecond {
+		if took := time.Since(startedAt); took < 200*time.Millisecond {
 			t.Errorf("%s was given up after %v", c.class, took)
 		}
 		check(t, "overdue", set.Get("jobs.overdue"), int64(0))
 	}
 }
 
-// A node starts on a request's last byte. A kept connection that it drops as the
-// next request comes proves that the job never ran, and nothing against the node.
+// A worker starts on a request's last byte. A reused connection that it drops as the next request comes proves
+// that the job never ran, and nothing against the worker.
 func TestResetBeforeTheLastByte(t *testing.T) {
 	served := 0
 	l := listen(t)
@@ -150,9 +149,9 @@
 	check(t, "served", served, 2)
 }
 
-// The last byte is held for jobs that must not run twice, and on connections that were
-// idle for a while; a connection in use a moment ago is looked at without a wait, and
-// one that has been dropped by then is seen all the same.
+// The last byte is held for jobs that must not run twice, and on connections that were idle for a while. A
+// connection in use a moment ago is looked at without a wait, and one that has been dropped by then is seen all
+// the same.
 func TestLastByteHold(t *testing.T) {
 	n := &workerPool{repeatable: map[string]bool{"reading": true}}
 	l := listen(t)
@@ -188,27 +187,27 @@
 	check(t, "deliver after the end", sendCode(err), foxlift.NotSent)
 }
 
-// Between a claim's looks at the list the node begins to drain, or the submitter goes: during the
-// dial, and while the last byte is held back. Nothing is begun then, whether or not the settings
-// allow to cancel what has.
+// Between an attempt's looks at the endpoint list the worker begins to drain, or the client disconnects: during
+// the dial, and while the last byte is held. Nothing is sent then, whether or not the settings allow to cancel
+// what was.
 func TestAttemptsWithdrawnBeforeTheLastByte(t *testing.T) {
 	for _, what := range []string{"drains", "leaves", "resets"} {
 		for look := 2; look <= 3; look++ { // after the dial; after the hold
-			node := newTestWorker(t, serveJob)
+			worker := newTestWorker(t, serveJob)
 			near, far := pipe(t)
 			looks := 0
 			find := func(string) (endpoint, bool) {
 				if looks++; looks == look {
 					switch what {
 					case "drains":
-						return endpoint{address: node.Addr().String()}, false
+						return endpoint{address: worker.Addr().String()}, false
 					case "resets":
 						_ = far.SetLinger(0)
 					}
 					_ = far.Close()
 					await(t, "gone", func() bool { return peerClosed(near) })
 				}
-				return endpoint{address: node.Addr().String()}, true
+				return endpoint{address: worker.Addr().String()}, true
 			}
 			n := &workerPool{
 				find: find, counters: &counters.Set{}, dialTimeout: patience, idleTimeout: time.Hour, budget: 9,
@@ -222,23 +221,23 @@
 			n.Send("n", job, core.AttemptLimits{Remaining: patience}, func(r core.Report) { reports <- r })
 			check(t, what+": code", (<-reports).Code, foxlift.NotSent)
 			check(t, what+": looks", looks, look)
-			check(t, what+": whole requests at the node", node.Got.Load(), int64(0))
+			check(t, what+": complete requests at the worker", worker.Got.Load(), int64(0))
 		}
 	}
 }
 
-// A keyed job's key reaches the node as it came, also one of a class that needs none; where
-// the class needs one, a job without is bad input and reaches no node.
+// A job's idempotency key reaches the worker as it came, also one of a class that needs none. Where the class
+// needs one, a job without is invalid input and reaches no worker.
 func TestIdempotencyKeysAreForwarded(t *testing.T) {
 	var mu sync.Mutex
 	var keys []string
-	node := newTestWorker(t, func(c net.Conn, r *http.Request, id string) bool {
+	worker := newTestWorker(t, func(c net.Conn, r *http.Request, id string) bool {
 		mu.Lock()
 		keys = append(keys, strings.Join(r.Header[headerKey], "+"))
 		mu.Unlock()
 		return writeStates(c, id, true, `"started"`, `"done","result":"r","load":{"backlog":0,"x0":1.5}`)
 	})
-	p, set := startKeyed(t, node)
+	p, set := startKeyed(t, worker)
 	s := connect(t, p)
 	for i, c := range []struct {
 		class, key string
@@ -253,22 +252,22 @@
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	check(t, "keys at the node", fmt.Sprint(keys), "[5c0f6e1a k-2 ]")
+	check(t, "keys at the worker", fmt.Sprint(keys), "[5c0f6e1a k-2 ]")
 	check(t, "bad jobs", set.Get("bad.job"), int64(1))
 	check(t, "faulty reports", set.Get("loads.faulty"), int64(0))
 }
 
-// A node that blames requests is no worse for it: the next job goes there as before, and
-// the blamed one is not tried elsewhere.
+// A worker that rejects jobs as invalid is no worse for it: the next job goes there as before, and the rejected
+// one is not sent elsewhere.
 func TestInvalidJobsDoNotBlameTheWorker(t *testing.T) {
-	node := newTestWorker(t, func(c net.Conn, r *http.Request, id string) bool {
+	worker := newTestWorker(t, func(c net.Conn, r *http.Request, id string) bool {
 		if strings.HasPrefix(id, "bad") {
 			_, err := fmt.Fprint(c, "HTTP/1.1 400 No\r\nX-Pressure: backlog=0,x0=1,x0=1\r\nContent-Length: 0\r\n\r\n")
 			return err == nil
 		}
 		return serveJob(c, r, id)
 	})
-	p, set := startKeyed(t, node)
+	p, set := startKeyed(t, worker)
 	s := connect(t, p)
 	for i := range 12 {
 		key := headerKey + ": k"
@@ -282,11 +281,11 @@
 	check(t, "faulty reports", set.Get("loads.faulty"), int64(12))
 }
 
-// A keyed job whose connection breaks goes on only to a node of the same pod.
+// A deduplicated job whose connection breaks is retried only on a worker of the same group.
 func TestRetriesStayInTheGroup(t *testing.T) {
 	var mu sync.Mutex
 	ran := map[string][]string{}
-	node := func(name string) *testWorker {
+	worker := func(name string) *testWorker {
 		return newTestWorker(t, func(c net.Conn, r *http.Request, id string) bool {
 			mu.Lock()
 			ran[id] = append(ran[id], name)
@@ -298,20 +297,20 @@
 			return serveJob(c, r, id)
 		})
 	}
-	nodes := []*testWorker{node("a0"), node("a1"), node("b0")}
-	p, _ := startKeyed(t, nodes...)
+	workers := []*testWorker{worker("a0"), worker("a1"), worker("b0")}
+	p, _ := startKeyed(t, workers...)
 	list := []string{
-		endpointJSON(0, nodes[0], healthActive), endpointJSON(1, nodes[1], healthActive),
-		strings.Replace(endpointJSON(2, nodes[2], healthActive), `"block":0`, `"block":1`, 1),
+		endpointJSON(0, workers[0], healthActive), endpointJSON(1, workers[1], healthActive),
+		strings.Replace(endpointJSON(2, workers[2], healthActive), `"block":0`, `"block":1`, 1),
 	}
 	l, err := parseEndpoints([]byte(`{"seq":2,"whole":true,"hosts":[` + strings.Join(list, ",") + `]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.endpoints.mu.Lock()
-	workers := p.endpoints.applyLocked(l)
+	updated := p.endpoints.applyLocked(l)
 	p.endpoints.mu.Unlock()
-	p.core.UpdateEndpoints(0, workers)
+	p.core.UpdateEndpoints(0, updated)
 	s := connect(t, p)
 	for i := range 30 {
 		id := fmt.Sprint("j", i)
--- a/internal/platform/client_conn_test.go
+++ b/internal/platform/client_conn_test.go
@@ -10,18 +10,17 @@
 	"time"
 )
 
-// A job reaches the node unchanged, is answered with what the node made for it,
-// and both connections serve the next.
+// A job reaches the worker unchanged, is answered with the worker's result, and both connections serve the next.
 func TestJobIsServed(t *testing.T) {
 	var seen [2]string
-	node := newTestWorker(t, func(c net.Conn, r *http.Request, id string) bool {
+	worker := newTestWorker(t, func(c net.Conn, r *http.Request, id string) bool {
 		body, _ := io.ReadAll(r.Body)
 		left, err := parseRemaining(r.Header.Get(headerRemaining))
 		seen[r.ContentLength%2] = fmt.Sprintf("%s %s %s %s %s %v", r.Method, r.RequestURI, id, body,
 			r.Header.Get(headerClass), err == nil && left > 0 && left <= 5*time.Second)
 		return serveJob(c, r, id)
 	})
-	p, set := start(t, "", node)
+	p, set := start(t, "", worker)
 	s := connect(t, p)
 	for i, text := range []string{
 		jobText("reading", "j0", "5000m", "ab"),
@@ -40,15 +39,15 @@
 	}
 	check(t, "first", seen[0], "POST /reading?user=7f3a9c21e0b4d655 j0 ab reading true")
 	check(t, "second", seen[1], "POST /reading?user=7f3a9c21e0b4d655 j1 abc reading true")
-	check(t, "connections to the node", node.Conns.Load(), int64(1))
+	check(t, "connections to the worker", worker.Conns.Load(), int64(1))
 	check(t, "jobs taken", set.Get("jobs.taken"), int64(2))
 	check(t, "jobs served", set.Get("jobs.served"), int64(2))
 }
 
-// Bad input gets a plain 4xx, never a refusal, is counted, and reaches no node.
+// Invalid input gets a plain 4xx, never a 503, is counted, and reaches no worker.
 func TestInvalidInput(t *testing.T) {
-	node := newTestWorker(t, serveJob)
-	p, set := start(t, "", node)
+	worker := newTestWorker(t, serveJob)
+	p, set := start(t, "", worker)
 	const r, m = "reading", "5000m"
 	chunked := jobText(r, "j", m, "", "-Content-Length", "Transfer-Encoding: chunked")
 	for name, c := range map[string]struct {
@@ -103,38 +102,38 @@
 			check(t, name+": next", resp.StatusCode, 200)
 		}
 	}
-	check(t, "requests at the node", node.Got.Load(), int64(0))
+	check(t, "requests at the worker", worker.Got.Load(), int64(0))
 }
 
-// An id that is in use is bad input; the job that has it goes on.
+// An id that is in use is invalid input; the job that has it goes on.
 func TestRepeatedID(t *testing.T) {
 	release := make(chan bool)
-	node := newTestWorker(t, func(c net.Conn, r *http.Request, id string) bool { <-release; return serveJob(c, r, id) })
-	p, _ := start(t, "", node)
+	worker := newTestWorker(t, func(c net.Conn, r *http.Request, id string) bool { <-release; return serveJob(c, r, id) })
+	p, _ := start(t, "", worker)
 	first, second := connect(t, p), connect(t, p)
 	first.send(t, jobText("ratify", "j", "9000m", ""))
-	await(t, "at the node", func() bool { return node.Got.Load() == 1 })
+	await(t, "at the worker", func() bool { return worker.Got.Load() == 1 })
 	r, _ := second.request(t, jobText("ratify", "j", "9000m", ""))
 	check(t, "repeat", r.StatusCode, 400)
 	second.Close()
 	close(release)
 	r, _ = first.answer(t)
 	check(t, "first", r.StatusCode, 200)
-	check(t, "requests at the node", node.Got.Load(), int64(1))
+	check(t, "requests at the worker", worker.Got.Load(), int64(1))
 }
 
-// When a submitter leaves, its job is withdrawn: the node's connection closes.
+// When a client disconnects, its job is withdrawn: the connection to the worker is closed.
 func TestClientDisconnects(t *testing.T) {
 	closed := make(chan bool, 1)
-	node := newTestWorker(t, func(c net.Conn, _ *http.Request, _ string) bool {
+	worker := newTestWorker(t, func(c net.Conn, _ *http.Request, _ string) bool {
 		_, _ = io.Copy(io.Discard, c)
 		closed <- true
 		return false
 	})
-	p, set := start(t, "", node)
+	p, set := start(t, "", worker)
 	s := connect(t, p)
 	s.send(t, jobText("ratify", "j", "19000m", ""))
-	await(t, "at the node", func() bool { return node.Got.Load() == 1 })
+	await(t, "at the worker", func() bool { return worker.Got.Load() == 1 })
 	s.Close()
 	select {
 	case <-closed:
@@ -144,14 +143,14 @@
 	await(t, "counted", func() bool { return set.Get("jobs.left") == 1 && set.Get("claims.cancelled") == 1 })
 }
 
-// A refusal says when to come back.
+// Retry-After is in seconds, as a decimal.
 func TestRetryAfterFormat(t *testing.T) {
 	for d, want := range map[time.Duration]string{1500 * time.Millisecond: "1.500", 50 * time.Millisecond: "0.050"} {
 		check(t, "Retry-After", retryAfter(d), want)
 	}
 }
 
-// Whoever sends nothing, or half a request, is told so or cut off before long.
+// A client that sends half a request gets an answer before long, and one that sends nothing is cut off.
 func TestIncompleteRequestsAreAnswered(t *testing.T) {
 	p, set := start(t, "", newTestWorker(t, serveJob))
 	silent, half := connect(t, p), connect(t, p)
@@ -165,8 +164,8 @@
 	check(t, "taken", set.Get("jobs.taken"), int64(0))
 }
 
-// A body that is too long is refused before it has come, and the answer arrives
-// though the other side has sent some of it.
+// A body that is too long is rejected before it has come, and the answer arrives though the other side has sent
+// some of it.
 func TestLongBodyIsRejectedUnread(t *testing.T) {
 	p, _ := start(t, "", newTestWorker(t, serveJob))
 	s := connect(t, p)
@@ -175,7 +174,7 @@
 	check(t, "status", r.StatusCode, 413)
 }
 
-// A request that crosses the end of an idle connection is read and answered.
+// A request that crosses the close of an idle connection is read and answered.
 func TestRequestCrossesIdleClose(t *testing.T) {
 	p, _ := start(t, "", newTestWorker(t, serveJob))
 	p.clients.lateRequestGrace = patience
@@ -188,13 +187,13 @@
 	check(t, "ends its connection", r.Close, true)
 }
 
-// Who floods and goes is noticed though none of the flood is taken.
+// The disconnect of a client that sends a flood is noticed though none of the flood is accepted.
 func TestFloodThenDisconnect(t *testing.T) {
-	node := newTestWorker(t, neverAnswers)
-	p, set := start(t, "", node)
+	worker := newTestWorker(t, neverAnswers)
+	p, set := start(t, "", worker)
 	s := connect(t, p)
 	s.send(t, jobText("ratify", "j", "19000m", ""))
-	await(t, "at the node", func() bool { return node.Got.Load() == 1 })
+	await(t, "at the worker", func() bool { return worker.Got.Load() == 1 })
 	s.send(t, strings.Repeat(jobText("ratify", "more", "19000m", ""), 3000)) // past every buffer on the way
 	s.Close()
 	await(t, "noticed", func() bool { return set.Get("jobs.left") == 1 && set.Get("claims.cancelled") == 1 })
--- a/internal/platform/client_server_test.go
+++ b/internal/platform/client_server_test.go
@@ -15,7 +15,7 @@
 	"github.com/vatu-meals/foxlift/internal/counters"
 )
 
-// A flaky listener fails as one does that is out of descriptors.
+// A failingListener fails as one does that is out of descriptors.
 type failingListener struct {
 	*net.TCPListener
 	fails int
@@ -40,7 +40,7 @@
 	check(t, "failed accepts", set.Get("accept.failed"), int64(3))
 }
 
-// Past the budget the longest idle connection makes way, a busy one does not.
+// Past the budget the longest idle connection is closed, a busy one is not.
 func TestClientConnBudget(t *testing.T) {
 	p, _ := start(t, "", newTestWorker(t, serveJob))
 	f := newClientServer(p.core, core.NewClock(), &counters.Set{}, zap.NewNop(), listen(t).(*net.TCPListener), 2)
@@ -60,7 +60,7 @@
 	check(t, "busy", r.StatusCode, 200)
 }
 
-// A flood of connections that bring no job does not cost others theirs.
+// A flood of connections that bring no job does not cost other clients theirs.
 func TestFloodOfConnections(t *testing.T) {
 	p, _ := start(t, "", newTestWorker(t, serveJob))
 	f := newClientServer(p.core, core.NewClock(), &counters.Set{}, zap.NewNop(), listen(t).(*net.TCPListener), 20)
@@ -90,8 +90,8 @@
 	}
 }
 
-// A flood of connections that brought one job each and stay makes way all at once: whoever waits
-// behind it must not wait for one batch of ends after the other.
+// A flood of connections that brought one job each and stay is closed all at once: a client behind it must not
+// wait for one batch of closes after the other.
 func TestFloodFreesCapacityAtOnce(t *testing.T) {
 	const budget = 20
 	p, _ := start(t, "", newTestWorker(t, serveJob))
@@ -126,8 +126,7 @@
 	check(t, "connections of more jobs that make way", more, 0)
 }
 
-// What waits unaccepted when the scheduler ends is served: the kernel has accepted
-// it.
+// The backlog at the shutdown is served: the kernel has accepted it.
 func TestBacklogIsServed(t *testing.T) {
 	p, _ := start(t, "", newTestWorker(t, serveJob))
 	f := newClientServer(p.core, core.NewClock(), &counters.Set{}, zap.NewNop(), listen(t).(*net.TCPListener), 1)
@@ -154,8 +153,8 @@
 	<-ended
 }
 
-// More submitters than there are descriptors for: what cannot be held is refused at
-// once, and none waits unread until its submitter gives up.
+// More clients than there are descriptors for: what cannot be queued is shed at once, and no request stays
+// unread until its client gives up.
 func TestMoreJobsThanDescriptors(t *testing.T) {
 	release := make(chan bool)
 	var atWorkers sync.Map // ids; other tests' schedulers may still call at a port that was theirs
@@ -165,11 +164,11 @@
 		<-release
 		return false
 	}
-	var nodes []*testWorker
+	var workers []*testWorker
 	for range 12 { // enough for none to be held
-		nodes = append(nodes, newTestWorker(t, handle))
+		workers = append(workers, newTestWorker(t, handle))
 	}
-	p, set := startWith(t, 80, "", nodes...)
+	p, set := startWith(t, 80, "", workers...)
 	var held []*testClient
 	for i := 0; len(held) < maxOpenJobs(p.clients.budget); i++ {
 		s := connect(t, p)
--- a/internal/platform/discovery_client_test.go
+++ b/internal/platform/discovery_client_test.go
@@ -10,8 +10,8 @@
 	"github.com/vatu-meals/foxlift/internal/pollpacing"
 )
 
-// A list of today's size has its call's limit and no more; a longer one is waited for as long as it
-// arrives fast enough and without a long pause.
+// The list of an ordinary fleet has its call's timeout and no more; a longer one is awaited for as long as it
+// arrives fast enough and without a long stall.
 func TestDeadlineOfArrivingResponse(t *testing.T) {
 	end := time.Now()
 	for _, c := range []struct {
@@ -33,11 +33,11 @@
 	}
 }
 
-// A long list that goes on arriving past its call's limit is taken; one that stops is given up.
+// A long list that goes on arriving past its call's timeout is applied; one that stops is given up.
 func TestResponseIsReadPastItsDeadline(t *testing.T) {
 	t.Parallel()
-	node := newTestWorker(t, serveJob)
-	text := longEndpoints(7, 4000, node, healthActive)
+	worker := newTestWorker(t, serveJob)
+	text := longEndpoints(7, 4000, worker, healthActive)
 	for _, whole := range []bool{true, false} {
 		addr, calls := newDiscovery(t)
 		c := &discoveryClient{addr: addr, dialTimeout: time.Second, onReading: func(bool) {}}
@@ -56,14 +56,14 @@
 				_, _ = io.WriteString(call.conn, text[len(text)-1:])
 			}
 		}()
-		began := time.Now()
+		startedAt := time.Now()
 		l, err := c.receive(processResponseBound())
 		switch {
 		case whole && (err != nil || len(l.Endpoints) != 4000):
 			t.Errorf("a list of 4000 entries that came whole after its limit: %v", err)
 		case !whole:
 			check(t, "a list that stops", callOutcome(err), pollpacing.Unanswered)
-			if took := time.Since(began); took < maxStall {
+			if took := time.Since(startedAt); took < maxStall {
 				t.Errorf("given up after %v", took)
 			}
 		}
@@ -71,20 +71,20 @@
 	}
 }
 
-// A list over the bound, whether its length is told or not, is refused and counted; the old one
-// holds, and it is asked for again after pauses that grow. Changes over the bound are given up for
-// the whole list. Once it is within the bound it is followed.
+// A list over the bound, whether its length is announced or not, is rejected and counted; the old one holds, and
+// it is asked for again after delays that grow. Changes over the bound are given up for the complete list. Once
+// it is within the bound it is applied.
 func TestOversizedResponseIsRejected(t *testing.T) {
 	t.Parallel()
-	node := newTestWorker(t, serveJob)
+	worker := newTestWorker(t, serveJob)
 	addr, calls := newDiscovery(t)
-	p, set := start(t, addr, node)
-	next(t, calls).answer(endpointsJSON(7, true, node))
+	p, set := start(t, addr, worker)
+	next(t, calls).answer(endpointsJSON(7, true, worker))
 	c := next(t, calls)
 	checkWatch(t, "watch", c.target, 7)
 	tooMany := processResponseBound().bytes + 1
 	for i := range 3 {
-		began := time.Now()
+		startedAt := time.Now()
 		if i == 1 {
 			go func() { // it is cut off
 				_, _ = io.WriteString(c.conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -95,7 +95,7 @@
 		}
 		c = next(t, calls)
 		check(t, "asked for", c.target, pathMembers)
-		if paused, least := time.Since(began), 500*time.Millisecond<<i; paused < least {
+		if paused, least := time.Since(startedAt), 500*time.Millisecond<<i; paused < least {
 			t.Errorf("asked for again after %v, want %v", paused, least)
 		}
 		check(t, "counted", set.Get("machines.failed"), int64(i+1))
@@ -103,7 +103,7 @@
 			t.Error("the old list does not hold")
 		}
 	}
-	c.answer(longEndpoints(8, 1200, node, healthActive))
+	c.answer(longEndpoints(8, 1200, worker, healthActive))
 	checkWatch(t, "followed again", next(t, calls).target, 8)
 	check(t, "entries", p.endpoints.entryCount(), 1200)
 }
--- a/internal/platform/drain_test.go
+++ b/internal/platform/drain_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// A drain turns the health at once, ends resting connections and those whose job is answered, loses
-// no job, and leaves the listener open; resume undoes it.
+// A drain turns the health at once, ends idle connections and those whose job is answered, loses no job, and
+// leaves the listener open; resume undoes it.
 func TestDrain(t *testing.T) {
 	release := make(chan struct{})
 	serve := func(c net.Conn, r *http.Request, id string) bool {
@@ -75,7 +75,7 @@
 	check(t, "the connection goes on", r.Close, false)
 }
 
-// A resume does not undo the end.
+// A resume does not undo a shutdown.
 func TestResumeDuringShutdown(t *testing.T) {
 	p, _ := start(t, "", newTestWorker(t, serveJob))
 	p.Quiesce()
@@ -90,7 +90,7 @@
 	<-over
 }
 
-// A request that stops half way in a drain is turned away and not held: it was never taken.
+// A request that stops half way in a drain is rejected: it was never accepted.
 func TestHalfRequestInDrain(t *testing.T) {
 	p, _ := start(t, "", newTestWorker(t, serveJob))
 	s := connect(t, p)
--- a/internal/platform/endpoint_snapshot_test.go
+++ b/internal/platform/endpoint_snapshot_test.go
@@ -7,16 +7,16 @@
 	"github.com/vatu-meals/foxlift/internal/config"
 )
 
-// A list that is saved and loaded again is the same list, of the same version: also nodes that leave,
-// and starts that were told in the future or before all time. Nodes that have left are not in it.
+// A list that is saved and loaded again is the same list, of the same version: also draining workers, and starts
+// that were announced in the future or before 1970. Removed workers are not in it.
 func TestSnapshotRestoresEndpoints(t *testing.T) {
 	t.Parallel()
-	node := newTestWorker(t, serveJob)
+	worker := newTestWorker(t, serveJob)
 	addr, calls := newDiscovery(t)
-	p, set := start(t, addr, node)
+	p, set := start(t, addr, worker)
 	next(t, calls).answer(endpointsJSON(1, false)) // the first watch
 	next(t, calls).answer(`{"seq":7,"whole":true,"hosts":[` +
-		endpointJSON(0, node, healthActive) + `,` + endpointJSON(1, node, healthLeaving) +
+		endpointJSON(0, worker, healthActive) + `,` + endpointJSON(1, worker, healthLeaving) +
 		`,{"host":"n2","dial":"10.0.0.2:3000","site":"b","class":"m","block":3,"health":"active","born_ms":-5}` +
 		`,{"host":"n3","dial":"10.0.0.3:3000","site":"b","class":"m","block":4,"health":"active","born_ms":9999999999999}]}`)
 	next(t, calls).answer(`{"seq":8,"whole":false,"hosts":[{"host":"n2","health":"left"}]}`)
@@ -44,18 +44,18 @@
 	check(t, "failed", set.Get("machines.failed"), int64(0))
 }
 
-// Before discovery has told a list since the start there is nothing to save, nor while another
-// discovery is gone over to: its versions are not those of the list that is held.
+// Until discovery has confirmed a list since the start there is nothing to save, nor while the watch switches to
+// another discovery: its versions are not those of the table.
 func TestUnconfirmedEndpointsAreNotSnapshotted(t *testing.T) {
 	t.Parallel()
-	node := newTestWorker(t, serveJob)
+	worker := newTestWorker(t, serveJob)
 	addr, calls := newDiscovery(t)
-	p, _ := start(t, addr, node)
+	p, _ := start(t, addr, worker)
 	c := next(t, calls)
 	if _, told := p.SnapshotEndpoints(); told {
 		t.Error("the list as last known is saved as new")
 	}
-	c.answer(endpointsJSON(2, true, node))
+	c.answer(endpointsJSON(2, true, worker))
 	next(t, calls)
 	if _, told := p.SnapshotEndpoints(); !told {
 		t.Error("a list that was told is not saved")
--- a/internal/platform/endpoint_watch_large_test.go
+++ b/internal/platform/endpoint_watch_large_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// longEndpoints writes a whole list of so many entries, the first of which is a test's node; the rest
-// is as long as an entry of the field is.
-func longEndpoints(seq, entries int, node *testWorker, health string) string {
-	b := fmt.Appendf(nil, `{"seq":%d,"whole":true,"hosts":[%s`, seq, endpointJSON(0, node, health))
+// longEndpoints writes a complete list of so many entries, the first of which is a test's worker; the others are
+// as long as entries usually are.
+func longEndpoints(seq, entries int, worker *testWorker, health string) string {
+	b := fmt.Appendf(nil, `{"seq":%d,"whole":true,"hosts":[%s`, seq, endpointJSON(0, worker, health))
 	for i := 1; i < entries; i++ {
 		b = fmt.Appendf(b, `,{"host":"n%d","dial":"10.%d.%d.%d:3000","site":"a","class":"k","block":%d,`+
 			`"health":"active","share":1.0,"born_ms":%d}`,
@@ -20,15 +20,15 @@
 	return string(append(b, "]}"...))
 }
 
-// entryCount returns how many entries the list has.
+// entryCount returns how many entries the table has.
 func (w *endpointWatch) entryCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.table.entries)
 }
 
-// A list as long as the fleet that a scheduler is designed for is followed, compact or indented,
-// and so are its changes.
+// A list as long as the fleet that a scheduler is designed for is read, compact or indented, and so are its
+// changes.
 func TestLongEndpointListsAreWatched(t *testing.T) {
 	t.Parallel()
 	for _, entries := range []int{1200, designEndpoints} {
@@ -64,16 +64,15 @@
 	}
 }
 
-// Of a long list a part does not count as told; its last byte does, before anything of it is in
-// the list.
+// A part of a long list is not binding; its last byte is, before anything of it is in the table.
 func TestAttemptsWaitForManyEndpoints(t *testing.T) {
 	t.Parallel()
-	node := newTestWorker(t, serveJob)
+	worker := newTestWorker(t, serveJob)
 	addr, calls := newDiscovery(t)
-	p, _ := start(t, addr, node)
+	p, _ := start(t, addr, worker)
 	next(t, calls).answer(endpointsJSON(1, false))
 	c := next(t, calls)
-	text := longEndpoints(7, designEndpoints, node, healthLeaving)
+	text := longEndpoints(7, designEndpoints, worker, healthLeaving)
 	last := len(text) - 1
 	fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text[:last])
 	await(t, "all but the last byte is read", func() bool {
@@ -92,9 +91,9 @@
 	p.Kill()
 }
 
-// A claim waits for as long as an answer is being read, and not without end.
+// An attempt waits for as long as a response is being read, but not without end.
 func TestUnreadDeadline(t *testing.T) {
-	began := time.Now()
+	startedAt := time.Now()
 	for _, c := range []struct{ read, wait time.Duration }{
 		{-time.Hour, unreadWait},
 		{0, unreadWait},
@@ -102,10 +101,10 @@
 		{2 * unreadWait, 3 * unreadWait},
 		{time.Hour, maxUnreadWait},
 	} {
-		unread := &unreadResponse{lastReadAt: began.Add(c.read)}
-		check(t, fmt.Sprint("last read after ", c.read), unread.deadline(began).Sub(began), c.wait)
+		unread := &unreadResponse{lastReadAt: startedAt.Add(c.read)}
+		check(t, fmt.Sprint("last read after ", c.read), unread.deadline(startedAt).Sub(startedAt), c.wait)
 	}
-	if most := newEndpointWatch(t.Context(), "", endpointSettings, nil, nil).pacer.Timeout(0); maxUnreadWait < most {
-		t.Errorf("waits %v for a call that may take %v", maxUnreadWait, most)
+	if limit := newEndpointWatch(t.Context(), "", endpointSettings, nil, nil).pacer.Timeout(0); maxUnreadWait < limit {
+		t.Errorf("waits %v for a call that may take %v", maxUnreadWait, limit)
 	}
 }
--- a/internal/platform/endpoint_watch_race_test.go
+++ b/internal/platform/endpoint_watch_race_test.go
@@ -15,8 +15,8 @@
 
 // Two events that cross, each pair forced into its bad order (docs/design/moments.md).
 
-// What discovery has written counts as told, read or not: a claim waits for it to be in the
-// list, and is not sent where that does not come to pass.
+// What discovery has written is binding, read or not: an attempt waits for it to be in the table, and is not
+// sent where it does not get there.
 func TestUnreadResponseHoldsAttempts(t *testing.T) {
 	t.Parallel()
 	m := newEndpointWatch(t.Context(), "", &config.Settings{}, nil, nil)
@@ -25,7 +25,7 @@
 	conn := &observedConn{near, m.setReading}
 	m.unread.conn = conn
 	if _, ok := m.find("n"); !ok {
-		t.Error("nothing unread, and yet the node is not to be had")
+		t.Error("nothing unread, and yet the worker is not to be had")
 	}
 	writeText(t, far, "HTTP/1.1 200 OK")
 	await(t, "arrived", func() bool { return hasInput(conn) })
@@ -71,22 +71,22 @@
 func (o *blockedObserver) ChangeDiscovery()                      {}
 func (o *blockedObserver) RecordPollFailure(foxlift.PollFailure) {}
 
-// startBusyCore follows a discovery with a core that is busy: it takes no news until free is closed, and
-// by then the discovery has answered the next call with a drain, which nobody has read.
+// startBusyCore watches a discovery with a core that is busy: it takes no update until free is closed, and by
+// then discovery has answered the next call with a drain, which nobody has read.
 func startBusyCore(t *testing.T) (m *endpointWatch, free chan bool) {
 	addr, calls := newDiscovery(t)
 	settings, err := config.ParseSettings([]byte(testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	node := newTestWorker(t, serveJob)
+	worker := newTestWorker(t, serveJob)
 	free = make(chan bool)
 	m = newEndpointWatch(t.Context(), addr, settings, &blockedObserver{free, t.Context()}, zap.NewNop())
 	m.finalReadTimeout = patience
 	t.Cleanup(m.stop)
 	m.Watch()
-	next(t, calls).answer(endpointsJSON(7, true, node))
-	next(t, calls).answer(`{"seq":8,"whole":false,"hosts":[` + endpointJSON(0, node, healthLeaving) + `]}`)
+	next(t, calls).answer(endpointsJSON(7, true, worker))
+	next(t, calls).answer(`{"seq":8,"whole":false,"hosts":[` + endpointJSON(0, worker, healthLeaving) + `]}`)
 	await(t, "it has arrived where claims look", func() bool {
 		m.mu.Lock()
 		defer m.mu.Unlock()
@@ -95,7 +95,7 @@
 	return m, free
 }
 
-// An answer that comes while the core is busy with the one before counts at once.
+// A response that comes while the core is busy with the one before is binding at once.
 func TestAnswerWhileTheCoreIsBusy(t *testing.T) {
 	t.Parallel()
 	m, free := startBusyCore(t)
@@ -110,8 +110,8 @@
 	})
 }
 
-// What the old discovery has written when a reload moves it counts as told: it is read before its
-// call ends. The new one's list is asked for whole all the same.
+// What the old discovery has written when a reload replaces it is binding: it is read before its call ends. The
+// new one's list is asked for complete all the same.
 func TestUnreadDrainAtReload(t *testing.T) {
 	t.Parallel()
 	m, free := startBusyCore(t)
@@ -121,13 +121,13 @@
 	c := next(t, calls)
 	check(t, "the new discovery's first call", c.target, pathMembers)
 	m.mu.Lock()
-	check(t, "the node", m.table.entries["n0"].state, foxlift.Draining)
+	check(t, "the worker", m.table.entries["n0"].state, foxlift.Draining)
 	check(t, "asked for at once until it has come", m.urgentUntil.IsZero(), false)
 	m.mu.Unlock()
 }
 
-// A pushed list counts once the agent has it, outage or not: an agent that is away for long is
-// asked again and again within the least grace for drains, whatever the number of schedulers.
+// A pushed list is binding once the agent has it, outage or not: an agent that is down for long is polled again
+// and again within the shortest grace for drains, whatever the number of schedulers.
 func TestAgentReturns(t *testing.T) {
 	t.Parallel()
 	l := listen(t).(*net.TCPListener)
--- a/internal/platform/endpoint_watch_test.go
+++ b/internal/platform/endpoint_watch_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// checkWatch checks a call for the changes since a version, which waits for 2.5 to 3.4 s.
+// checkWatch checks a call for the changes since a version, which is held for 2.5 to 3.4 s.
 func checkWatch(t *testing.T, what, target string, version int) {
 	t.Helper()
 	var wait int
@@ -71,10 +71,9 @@
 	}
 }
 
-// The watch: the changes since the list that is known, with the next call out at once;
-// after any failure or faulty answer those since the last good one, which holds. The
-// whole list costs discovery many times as much: it is asked for only where no version
-// is known that changes could go on from.
+// The watch asks for the changes since the known version, with the next call out at once. After a failure or an
+// invalid response it asks for those since the last valid one, which holds. The complete list costs discovery
+// many times as much: it is asked for only where no version is known that changes could go on from.
 func TestWatch(t *testing.T) {
 	first, second := newTestWorker(t, serveJob), newTestWorker(t, serveJob)
 	addr, calls := newDiscovery(t)
@@ -87,7 +86,7 @@
 		before := by.Got.Load()
 		r, _ := s.request(t, jobText("reading", id, "9000m", ""))
 		check(t, id, r.StatusCode, 200)
-		check(t, id+" is the node's", by.Got.Load(), before+1)
+		check(t, id+" is the worker's", by.Got.Load(), before+1)
 	}
 	told := func(n int64) {
 		t.Helper()
@@ -130,9 +129,8 @@
 	check(t, "health without machines", r.StatusCode, 503)
 }
 
-// At a switch to another discovery the call to the old one ends at once, the last
-// list holds while the new one cannot be had, and what the old one says late does
-// not count. A faulty configuration changes nothing.
+// At a switch to another discovery the call to the old one ends at once, the last list holds while the new one
+// cannot be had, and a late response of the old one does not count. An invalid configuration changes nothing.
 func TestReload(t *testing.T) {
 	first, second := newTestWorker(t, serveJob), newTestWorker(t, serveJob)
 	addr, calls := newDiscovery(t)
@@ -176,7 +174,7 @@
 	got := second.Got.Load()
 	r, _ := connect(t, p).request(t, jobText("reading", "after", "9000m", ""))
 	check(t, "after", r.StatusCode, 200)
-	check(t, "at the new list's node", second.Got.Load(), got+1)
+	check(t, "at the new list's worker", second.Got.Load(), got+1)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := p.endpoints.applyResponse(ctx, &endpointsResponse{Complete: true}); err == nil {
@@ -184,8 +182,8 @@
 	}
 }
 
-// Whatever the number of schedulers, a watch waits as the list's clock asks, not all as long;
-// one that knows no list takes the whole one.
+// Whatever the number of schedulers, a watch is held as the pacer asks, not all for the same time; one that
+// knows no list asks for the complete one.
 func TestWatchWait(t *testing.T) {
 	for _, dispatchers := range []int{1, 80, 300, 1000} {
 		m := newEndpointWatch(t.Context(), "", &config.Settings{Module: foxlift.Config{Dispatchers: dispatchers}}, nil, nil)
@@ -204,7 +202,7 @@
 	}
 }
 
-// Where lists are pushed the first call is made at once, whatever the number of schedulers.
+// Where endpoint lists are pushed the first call is made at once, whatever the number of schedulers.
 func TestPushedEndpointsArePolledAtOnce(t *testing.T) {
 	for how, spread := range map[string]bool{"subscribe": true, "automatic": false} {
 		settings := strings.NewReplacer(`"balancers":1`, `"balancers":900`, `"subscribe"`, `"`+how+`"`).Replace(testSettings)
@@ -223,16 +221,16 @@
 	}
 }
 
-// Of 300 schedulers one whose watch falls silent asks anew in seconds, on a new connection, and
-// goes on from the version that it has: what it missed it is held to soon.
+// Of 300 schedulers one whose watch falls silent polls anew within seconds, on a new connection, and goes on
+// from the version that it has.
 func TestSilentWatchIsPolledAnew(t *testing.T) {
 	t.Parallel()
-	node := newTestWorker(t, serveJob)
+	worker := newTestWorker(t, serveJob)
 	addr, calls := newDiscovery(t)
 	settings := strings.Replace(testSettings, `"balancers":1`, `"balancers":300`, 1)
-	_, set := startText(t, settings, 256, addr, node)
+	_, set := startText(t, settings, 256, addr, worker)
 	first := next(t, calls)
-	first.answer(endpointsJSON(7, true, node))
+	first.answer(endpointsJSON(7, true, worker))
 	silent := next(t, calls)
 	again := next(t, calls) // within 20 s; it was 56
 	if again.conn == silent.conn || !strings.HasPrefix(again.target, pathMembers+"?index=7&wait=") {
--- a/internal/platform/endpoints_response_test.go
+++ b/internal/platform/endpoints_response_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// The bound lets the design's fleet in, at the most memory and without a limit, and is smaller
-// where there is less; there no list has more entries than half of the memory can hold.
+// The bound admits the fleet of the design, at the most memory and without a limit, and is smaller where there
+// is less memory; there no list has more entries than half of the memory can hold.
 func TestResponseBound(t *testing.T) {
 	for _, memory := range []int64{96 << 20, math.MaxInt64} {
 		b := newResponseBound(memory)
@@ -56,7 +56,8 @@
 	check(t, "one too many", callOutcome(fmt.Errorf("%w: %w", errNotEndpoints, err)), pollpacing.Oversized)
 }
 
-// The decoder takes what json.Unmarshal takes, and the same of it, but for a second "hosts".
+// checkDecoder checks that the decoder accepts what json.Unmarshal accepts, and reads the same, but for a second
+// "hosts".
 func checkDecoder(t testing.TB, data []byte) {
 	var want endpointsResponse
 	wantErr := json.Unmarshal(data, &want)
@@ -88,9 +89,9 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			node := standin.Serve(l, serveJob)
-			defer node.Close()
-			text := longEndpoints(1, entries, node, healthActive)
+			worker := standin.Serve(l, serveJob)
+			defer worker.Close()
+			text := longEndpoints(1, entries, worker, healthActive)
 			m := newEndpointWatch(b.Context(), "", &config.Settings{}, nil, nil)
 			b.SetBytes(int64(len(text)))
 			b.ReportAllocs()
--- a/internal/platform/fuzz_answers_test.go
+++ b/internal/platform/fuzz_answers_test.go
@@ -14,8 +14,8 @@
 	"github.com/vatu-meals/foxlift/internal/fuzz"
 )
 
-// checkAnswer holds what the scheduler makes of an execute node's bytes against a
-// plain reading of them: one end of the claim, served only by a whole, proper answer.
+// checkAnswer compares what the scheduler makes of a worker's bytes with a plain reading of them: one end of the
+// attempt, served only by a complete, well-formed answer.
 func checkAnswer(t testing.TB, data []byte) {
 	receive := func(parts [][]byte) (string, core.Report, int) {
 		conn := &memConn{parts: parts}
--- a/internal/platform/fuzz_endpoints_test.go
+++ b/internal/platform/fuzz_endpoints_test.go
@@ -20,8 +20,8 @@
 	return s
 }()
 
-// checkEndpoints holds discovery's answers to be refused whole or taken whole, with
-// times that can be reckoned with, and the same again when printed and read.
+// checkEndpoints checks that discovery's responses are rejected or applied as a whole, with times that can be
+// computed with, and are the same again when printed and read.
 func checkEndpoints(t testing.TB, data []byte) {
 	l, err := parseEndpoints(data)
 	if err != nil {
@@ -38,7 +38,7 @@
 			t.Fatalf("%q: host %d is %+v", data, i, w)
 		}
 	}
-	// The same told again is no news: a start in the future must not look new each time.
+	// The same announced again is no change: a start in the future must not look new each time.
 	for i, w := range m.applyLocked(l) {
 		if w.StartedAt != workers[i].StartedAt && countHost(l, w.ID) == 1 {
 			t.Fatalf("%q: host %d started at %d, told again at %d", data, i, workers[i].StartedAt, w.StartedAt)
--- a/internal/platform/fuzz_requests_test.go
+++ b/internal/platform/fuzz_requests_test.go
@@ -34,7 +34,7 @@
 	return append(parts, bytes.Clone(data[last:]))
 }
 
-// A reading is what the front makes of a connection's bytes.
+// parsedRequests is what the client side makes of a connection's bytes.
 type parsedRequests struct {
 	requests []framedRequest
 	jobs     []string // of each request: the job, or what is wrong with it
@@ -49,7 +49,7 @@
 	return &clientConn{server: f, conn: conn, buf: buffer{conn: conn}, openedAt: time.Now()}, conn
 }
 
-// readAll reads requests as a submitter's goroutine does, without serving them.
+// readAll reads requests as a connection's goroutine does, without serving them.
 func readAll(parts [][]byte) (r parsedRequests) {
 	s, conn := newReader(parts)
 	for {
@@ -93,8 +93,8 @@
 	return b.String() + r.consumed
 }
 
-// checkRequests holds the front's reading against the rules of RFC 9112, against
-// net/http's, and against its own when the bytes come in other pieces.
+// checkRequests compares the client side's reading with the rules of RFC 9112, with net/http's, and with its own
+// when the bytes come in other pieces.
 func checkRequests(t testing.TB, data []byte) {
 	got := readAll(cut(data))
 	at := 0
@@ -102,8 +102,8 @@
 		want, whole, sound := frameRequest(data, at)
 		if !whole || !sound || want.length != q.length || want.method != q.method || want.target != q.target ||
 			!bytes.Equal(want.body, q.body) {
-			t.Fatalf("request %d at %d of %q:\nthe front reads %s\nthe rules %+v, whole %v, sound %v", i, at, data, got, want,
-				whole, sound)
+			t.Fatalf("request %d at %d of %q:\nthe client side reads %s\nthe rules %+v, whole %v, sound %v", i, at, data, got,
+				want, whole, sound)
 		}
 		r, err := http.ReadRequest(parserOf(data[at:]))
 		if err != nil {
@@ -113,13 +113,13 @@
 			t.Fatalf("request %d at %d of %q: net/http reads %q %q, %v", i, at, data, r.RequestURI, body, err)
 		}
 		if h := fmt.Sprint(r.Header); h != got.headers[i] {
-			t.Fatalf("request %d at %d of %q: the front reads %s, net/http %s", i, at, data, got.headers[i], h)
+			t.Fatalf("request %d at %d of %q: the client side reads %s, net/http %s", i, at, data, got.headers[i], h)
 		}
 		at = q.length
 	}
 	if got.consumed == "broken off" {
 		if want, whole, sound := frameRequest(data, at); whole && sound && want.length-at < maxHead {
-			t.Fatalf("%q: whole by the rules, %+v; the front reads %s", data, want, got)
+			t.Fatalf("%q: whole by the rules, %+v; the client side reads %s", data, want, got)
 		}
 	}
 	if got.buffered > 2*(maxHead+3*maxBody) {
@@ -144,8 +144,7 @@
 	return at
 }
 
-// requestSeeds are requests good and bad: what past findings were made of is among
-// them.
+// requestSeeds are valid and invalid requests, those of past findings among them.
 func requestSeeds() (seeds [][]byte) {
 	add := func(s ...string) {
 		for _, x := range s {
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -89,8 +89,8 @@
 	t.Parallel()
 	var said transcript
 	l := &recordedListener{Listener: listen(t)}
-	node := standin.Serve(l, serveJob)
-	p, _ := start(t, "", node)
+	worker := standin.Serve(l, serveJob)
+	p, _ := start(t, "", worker)
 	s := connect(t, p)
 	for _, c := range []struct{ title, request string }{
 		{"a job with all headers", jobText("reading", "j0", "5000m", "two words", "Idempotency-Key: key-1",
@@ -110,7 +110,7 @@
 		said.add(title, l.drain())
 	}
 	probe("a probe", p)
-	keyed, _ := startKeyed(t, node)
+	keyed, _ := startKeyed(t, worker)
 	probe("a probe that asks for the load", keyed)
 	golden.Check(t, "to-nodes.txt", []byte(said.text.String()))
 }
@@ -119,8 +119,8 @@
 func TestBytesToDiscovery(t *testing.T) {
 	t.Parallel()
 	var said transcript
-	node := newTestWorker(t, serveJob)
-	answers := []string{endpointsJSON(7, true, node), endpointsJSON(3, false, node), endpointsJSON(9, true, node)}
+	worker := newTestWorker(t, serveJob)
+	answers := []string{endpointsJSON(7, true, worker), endpointsJSON(3, false, worker), endpointsJSON(9, true, worker)}
 	calls := make(chan bool)
 	l := &recordedListener{Listener: listen(t)}
 	standin.Serve(l, func(c net.Conn, _ *http.Request, _ string) bool {
@@ -133,7 +133,7 @@
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		return true
 	})
-	start(t, l.Addr().String(), node)
+	start(t, l.Addr().String(), worker)
 	for _, title := range []string{"the first", "the changes", "the whole list, where versions went back", "the changes"} {
 		<-calls
 		said.add(title, l.drain())
@@ -141,7 +141,7 @@
 	golden.Check(t, "to-discovery.txt", []byte(said.text.String()))
 }
 
-// An exchange is what a submitter sends on a connection of its own.
+// An exchange is what a client sends on a connection of its own.
 type exchange struct{ title, request string }
 
 // answered returns the answer to a request, byte for byte.
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -57,11 +57,10 @@
   "connIdle":30000000000,"connectTimeout":5000000000,"maxOpen":1000},
  "familyInfo":{"tellsStart":true},"obligations":{"graceToAnswer":8000000,"mustAskIn":400000000}}`
 
-// A testWorker is an execute node whose answers a test writes.
+// A testWorker is a worker whose answers a test writes.
 type testWorker = standin.Server
 
-// newTestWorker serves each request, read in full, with handle, which returns whether
-// the connection goes on.
+// newTestWorker serves each request, read in full, with handle, which returns whether the connection goes on.
 func newTestWorker(t *testing.T, handle standin.Handler) *testWorker {
 	return standin.Serve(listen(t), handle)
 }
@@ -100,10 +99,10 @@
 	return false
 }
 
-// hosts writes a machine list of these nodes, all active.
-func endpointsJSON(seq int, whole bool, nodes ...*testWorker) string {
+// endpointsJSON writes an endpoint list of these workers, all live.
+func endpointsJSON(seq int, whole bool, workers ...*testWorker) string {
 	var b []string
-	for i, n := range nodes {
+	for i, n := range workers {
 		b = append(b, endpointJSON(i, n, healthActive))
 	}
 	return fmt.Sprintf(`{"seq":%d,"whole":%t,"hosts":[%s]}`, seq, whole, strings.Join(b, ","))
@@ -114,20 +113,20 @@
 		i, n.Addr(), health)
 }
 
-func start(t *testing.T, discovery string, nodes ...*testWorker) (*Platform, *counters.Set) {
-	return startWith(t, 256, discovery, nodes...)
+func start(t *testing.T, discovery string, workers ...*testWorker) (*Platform, *counters.Set) {
+	return startWith(t, 256, discovery, workers...)
 }
 
-// startWith runs a scheduler whose list names these nodes. Without a discovery of
-// the test's, calls to it are refused.
-func startWith(t *testing.T, sockets int, discovery string, nodes ...*testWorker) (*Platform, *counters.Set) {
-	return startText(t, testSettings, sockets, discovery, nodes...)
+// startWith runs a scheduler whose list names these workers. Without a discovery of the test's, calls to it are
+// refused.
+func startWith(t *testing.T, sockets int, discovery string, workers ...*testWorker) (*Platform, *counters.Set) {
+	return startText(t, testSettings, sockets, discovery, workers...)
 }
 
 func startText(
-	t *testing.T, settings string, sockets int, discovery string, nodes ...*testWorker,
+	t *testing.T, settings string, sockets int, discovery string, workers ...*testWorker,
 ) (*Platform, *counters.Set) {
-	return startKnown(t, settings, sockets, discovery, endpointsJSON(1, true, nodes...))
+	return startKnown(t, settings, sockets, discovery, endpointsJSON(1, true, workers...))
 }
 
 // refusingAddress returns an address that refuses connections and that nobody else gets meanwhile: the port
@@ -148,7 +147,7 @@
 	return fmt.Sprintf("127.0.0.1:%d", bound.(*unix.SockaddrInet4).Port)
 }
 
-func startKnown(t *testing.T, settings string, sockets int, discovery, known string) (*Platform, *counters.Set) {
+func startKnown(t *testing.T, settings string, sockets int, discovery, cached string) (*Platform, *counters.Set) {
 	s, err := config.ParseSettings([]byte(settings))
 	if err != nil {
 		t.Fatal(err)
@@ -158,7 +157,7 @@
 	}
 	cfg := &config.Scheduler{
 		Listen: "127.0.0.1:0", Discovery: discovery, Sockets: sockets,
-		Known: []byte(known), Settings: s,
+		Known: []byte(cached), Settings: s,
 	}
 	set, clock := &counters.Set{}, core.NewClock()
 	c, err := core.New(core.Config{Settings: s, Seed: 1, Clock: clock, Counters: set})
@@ -174,7 +173,7 @@
 	return p, set
 }
 
-// await waits until something is so.
+// await waits until a condition holds.
 func await(t *testing.T, what string, is func() bool) {
 	t.Helper()
 	for end := time.Now().Add(patience); !is(); {
@@ -265,12 +264,12 @@
 	return s.answer(t)
 }
 
-// keyedSettings is the test deployment with a keyed class, load reports and messages.
+// keyedSettings is the test deployment with a deduplicated class, load reports and gossip.
 var keyedSettings = strings.NewReplacer(
 	`"effect":"at_most_once"`, `"effect":"deduplicated","dedupScope":"cell","keyTtl":5000000000`,
 	`"bounds":{`, `"report":{"how":"answers","names":["backlog","x0"]},"bounds":{"probes":true,`,
 ).Replace(testSettings)
 
-func startKeyed(t *testing.T, nodes ...*testWorker) (*Platform, *counters.Set) {
-	return startText(t, keyedSettings, 256, "", nodes...)
+func startKeyed(t *testing.T, workers ...*testWorker) (*Platform, *counters.Set) {
+	return startText(t, keyedSettings, 256, "", workers...)
 }
--- a/internal/platform/job_request_test.go
+++ b/internal/platform/job_request_test.go
@@ -44,7 +44,7 @@
 }
 
 func TestParseJob(t *testing.T) {
-	good := func() *http.Request {
+	valid := func() *http.Request {
 		r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/reading?user=00000000000000ff", nil)
 		r.RequestURI = "/reading?user=00000000000000ff"
 		r.Header = http.Header{
@@ -53,7 +53,7 @@
 		}
 		return r
 	}
-	j, err := parseJob(good(), []byte("b"))
+	j, err := parseJob(valid(), []byte("b"))
 	if err != nil || j.ID != "j1" || j.Key != 255 || j.Slots != 2 || j.Memory != 3 || !j.ClientRetry ||
 		j.Remaining != 480*time.Millisecond || j.Tenant != "islands" {
 		t.Errorf("%+v, %v", j, err)
@@ -75,7 +75,7 @@
 		"key in words":  {func(h http.Header) { h.Set(headerKey, "a b") }, "bad.key"},
 		"bad labels":    {func(h http.Header) { h.Set(headerLabels, "slots=many") }, "bad.labels"},
 	} {
-		r := good()
+		r := valid()
 		c.spoil(r.Header)
 		_, err := parseJob(r, nil)
 		var input *inputError
--- a/internal/platform/load_report_test.go
+++ b/internal/platform/load_report_test.go
@@ -6,7 +6,7 @@
 
 func TestParseLoad(t *testing.T) {
 	names := []string{"backlog", "x0"}
-	for text, good := range map[string]bool{
+	for text, valid := range map[string]bool{
 		"x0=2.5, backlog=4,novel=1\n": true, "x0=2.5,backlog=4,novel=NaN,novel=2": true,
 		"": false, "backlog=4": false, "backlog=4,x0=much": false, "backlog=4,x0=2.5,x0=2.5": false,
 		"backlog=NaN,x0=2.5": false, "backlog=-1,x0=2.5": false, "backlog=4,x0=1e10": false, "backlog=Inf,x0=1": false,
@@ -20,7 +20,7 @@
 			parse = func(s string, names []string) (loadGauges, error) { return parseLoadObject([]byte(s), names) }
 		}
 		l, err := parse(text, names)
-		if (err == nil) != good || good && (l[0] != 4 || l[1] != 2.5) {
+		if (err == nil) != valid || valid && (l[0] != 4 || l[1] != 2.5) {
 			t.Errorf("%q: %v, %v", text, l, err)
 		}
 	}
--- a/internal/platform/process_start_test.go
+++ b/internal/platform/process_start_test.go
@@ -10,7 +10,7 @@
 	"github.com/vatu-meals/foxlift/internal/core"
 )
 
-// The wall clock is stepped before a node starts, between its start and the list that tells of it, or after
+// The wall clock is stepped before a worker starts, between its start and the list that announces it, or after
 // that: its age in the module's terms is real time, and connections from before its start are told from those
 // after it.
 func TestProcessStartAcrossClockSteps(t *testing.T) {
--- a/internal/platform/rfc9112_test.go
+++ b/internal/platform/rfc9112_test.go
@@ -8,10 +8,10 @@
 )
 
 // A second reading of requests by the rules of RFC 9112, written as tables and with
-// none of net/http. It says where each request ends; where the front thinks otherwise
+// none of net/http. It says where each request ends; where the client side thinks otherwise
 // a second request could hide in a body (request smuggling, RFC 9112, 11.2).
 
-// A framed is one request as the rules read it.
+// A framedRequest is one request as the rules read it.
 type framedRequest struct {
 	method, target string
 	body           []byte
@@ -47,8 +47,8 @@
 	return strings.TrimSuffix(string(data[at:at+i]), "\r"), at + i + 1, true
 }
 
-// frameRequest reads the request at offset at. whole is false where data ends before
-// it does; sound is false where the rules call it bad.
+// frameRequest reads the request at offset at. whole is false where data ends before it does; sound is false
+// where the rules call it invalid.
 func frameRequest(data []byte, at int) (f framedRequest, whole, sound bool) {
 	start, at, ok := line(data, at)
 	if !ok {
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -18,8 +18,8 @@
 	"github.com/vatu-meals/foxlift/internal/counters"
 )
 
-// The end: health turns 503, what comes in is still served, answers end their
-// connections, and what runs is finished, the backlog too.
+// During the shutdown the health is 503, what comes in is still served, answers end their connections, and what
+// runs is finished, the backlog too.
 func TestShutDown(t *testing.T) {
 	release := make(chan bool)
 	handle := func(c net.Conn, r *http.Request, id string) bool {
@@ -28,8 +28,8 @@
 		}
 		return serveJob(c, r, id)
 	}
-	node, other := newTestWorker(t, handle), newTestWorker(t, handle)
-	p, _ := start(t, "", node, other)
+	worker, other := newTestWorker(t, handle), newTestWorker(t, handle)
+	p, _ := start(t, "", worker, other)
 	slow, kept, idle, half := connect(t, p), connect(t, p), connect(t, p), connect(t, p)
 	half.send(t, jobText("reading", "half", "9000m", "abc")[:60])
 	slow.send(t, jobText("ratify", "slow", "19000m", ""))
@@ -37,7 +37,7 @@
 		r, _ := s.request(t, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
 		check(t, "health before", r.StatusCode, 200)
 	}
-	await(t, "at a node", func() bool { return node.Got.Load()+other.Got.Load() == 1 })
+	await(t, "at a worker", func() bool { return worker.Got.Load()+other.Got.Load() == 1 })
 	ended := make(chan bool)
 	go func() { p.ShutDown(); close(ended) }()
 	await(t, "ending", p.clients.unready.Load)
@@ -69,7 +69,7 @@
 	}
 }
 
-// A lateRequestConn calls a test's hook at a moment of a submitter's connection.
+// A lateRequestConn calls a test's hook as a client's connection begins to end.
 type lateRequestConn struct {
 	*net.TCPConn
 	shuttingDown func() // once, as the connection begins to end
@@ -86,15 +86,15 @@
 
 func (c *lateRequestConn) Close() error { c.hook(); return c.TCPConn.Close() }
 
-// A request that comes in the very moment in which a connection ends is not taken; nor does it
-// take along the answer before it, which is still on its way.
+// A request that comes at the moment at which a connection ends is not accepted; nor is the answer before it
+// lost, which is still on its way.
 func TestRequestDuringShutdown(t *testing.T) {
 	big := strings.Repeat("x", 60<<10)
-	node := newTestWorker(t, func(c net.Conn, _ *http.Request, id string) bool {
+	worker := newTestWorker(t, func(c net.Conn, _ *http.Request, id string) bool {
 		return writeStates(c, id, true, `"started"`, `"done","result":"`+big+`"`)
 	})
 	for _, how := range []string{"a last answer", "an idle one", "bad input"} {
-		p, set := start(t, "", node)
+		p, set := start(t, "", worker)
 		near, far := pipe(t)
 		if err := far.SetReadBuffer(4 << 10); err != nil { // most of the answer is still with the scheduler as it ends
 			t.Fatal(err)
@@ -108,7 +108,7 @@
 			await(t, "arrived", func() bool { return hasInput(near) })
 			close(ending)
 		}})
-		got, status := node.Got.Load(), 200
+		got, status := worker.Got.Load(), 200
 		switch how {
 		case "a last answer":
 			writeText(t, far, jobText("reading", "j", "9000m", "", "Connection: close"))
@@ -135,11 +135,11 @@
 		if _, err := br.ReadByte(); err != io.EOF {
 			t.Errorf("%s: %v behind the answer", how, err)
 		}
-		check(t, how+": sent on", node.Got.Load(), got+1)
+		check(t, how+": sent on", worker.Got.Load(), got+1)
 	}
 }
 
-// A stalledListener's deadlines are over when they are set, some times: the process stood still.
+// A stalledListener's deadlines have passed when they are set, some times: the process stood still.
 type stalledListener struct {
 	*net.TCPListener
 	stalls int
@@ -153,8 +153,7 @@
 	return l.TCPListener.SetDeadline(at)
 }
 
-// What the kernel has accepted at the end is served, though the process stands still past the
-// time that it takes for that.
+// The backlog at the shutdown is served, though the process stands still past the time for that.
 func TestBacklogAfterProcessStall(t *testing.T) {
 	p, _ := start(t, "", newTestWorker(t, serveJob))
 	f := newClientServer(p.core, core.NewClock(), &counters.Set{}, zap.NewNop(),
@@ -175,8 +174,8 @@
 	}
 }
 
-// Whatever the deadlines of the classes, all is answered, and the answers are read, before the
-// process may be killed; what comes in the first 0.7 s finds its connection open.
+// Whatever the deadlines of the classes, everything is answered, and the answers are read, before the process
+// may be killed; what comes in the first 0.7 s finds its connection open.
 func TestShutdownTimes(t *testing.T) {
 	for _, deadline := range []time.Duration{
 		300 * time.Millisecond, 800 * time.Millisecond, 2500 * time.Millisecond,
--- a/internal/platform/state_lines_test.go
+++ b/internal/platform/state_lines_test.go
@@ -11,7 +11,7 @@
 	"github.com/vatu-meals/foxlift/internal/core"
 )
 
-// A line that says a thing twice is garbled: no reading of it may be believed.
+// A line that repeats a name is garbled: no reading of it may be believed.
 func TestRepeatedNamesInStateLine(t *testing.T) {
 	for text, sound := range map[string]bool{
 		`{"id":"j","state":"done","result":"r"}`:                           true,
@@ -31,8 +31,8 @@
 	}
 }
 
-// What a node answers, and what that proves. A body that breaks off, or says what
-// does not belong to this job, serves nothing.
+// What a worker answers, and what that proves. A body that breaks off, or has a line of another job, serves
+// nothing.
 func TestWorkerAnswers(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	line := func(s string) string { return say1(`{"id":"j1","from":"n","state":` + s + "}\n") }
@@ -90,7 +90,7 @@
 
 func say1(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// scripted is a connection whose other side says text and takes everything.
+// scripted is a connection whose other side sends text and accepts everything.
 type scripted struct {
 	net.Conn
 	text io.Reader
--- a/internal/platform/worker_pool_test.go
+++ b/internal/platform/worker_pool_test.go
@@ -14,35 +14,34 @@
 	"github.com/vatu-meals/foxlift/internal/counters"
 )
 
-// An idle connection that the node has closed is not written to: an at-most-once
-// job on it would look as if it may have run.
+// An idle connection that the worker has closed is not written to: an at-most-once job on it would look as if it
+// may have run.
 func TestStaleIdleConnection(t *testing.T) {
 	closed := make(chan bool)
-	node := newTestWorker(t, func(c net.Conn, r *http.Request, id string) bool {
+	worker := newTestWorker(t, func(c net.Conn, r *http.Request, id string) bool {
 		serveJob(c, r, id)
 		c.Close()
 		closed <- true
 		return false
 	})
-	p, _ := start(t, "", node)
+	p, _ := start(t, "", worker)
 	s := connect(t, p)
 	for i := range 3 {
 		r, _ := s.request(t, jobText("ratify", fmt.Sprint("j", i), "9000m", ""))
 		check(t, "status", r.StatusCode, 200)
 		<-closed
 	}
-	check(t, "connections", node.Conns.Load(), int64(3))
+	check(t, "connections", worker.Conns.Load(), int64(3))
 }
 
-// Idle connections are reused newest first, make way for others past the budget,
-// and are dropped in time.
+// Idle connections are reused newest first, are closed for others past the budget, and after the idle timeout.
 func TestIdleConnections(t *testing.T) {
-	node := newTestWorker(t, serveJob)
+	worker := newTestWorker(t, serveJob)
 	n := &workerPool{
 		counters: &counters.Set{}, dialTimeout: patience, idleTimeout: time.Hour, budget: 2,
 		idle: map[string][]*workerConn{},
 	}
-	addr, to := node.Addr().String(), endpoint{address: node.Addr().String()}
+	addr, to := worker.Addr().String(), endpoint{address: worker.Addr().String()}
 	dial := func() *workerConn {
 		c, err := n.dial(t.Context(), addr)
 		if err != nil {
@@ -76,7 +75,7 @@
 	check(t, "open", n.open, 0)
 }
 
-// A connection that never comes up, or is refused, proves that the job never ran.
+// A connection that is never established, or is refused, proves that the job never ran.
 func TestUnreachable(t *testing.T) {
 	dead := newTestWorker(t, nil)
 	dead.Close()
@@ -95,7 +94,7 @@
 
 // answerTwice is a worker that answers the first request of a connection again before or behind the last byte of the
 // second. It sends the id of each request that has come in full to wholes.
-func answerTwice(c net.Conn, late string, wholes chan<- string) {
+func answerTwice(c net.Conn, late string, complete chan<- string) {
 	br := bufio.NewReader(c)
 	for n := 0; ; n++ {
 		if n == 1 && late == "before the last byte" {
@@ -108,7 +107,7 @@
 		}
 		_, _ = io.Copy(io.Discard, r.Body)
 		id := r.Header.Get(headerID)
-		wholes <- id
+		complete <- id
 		if n == 1 && late == "behind the last byte" {
 			writeStates(c, "j0", true, `"done","result":"again"`)
 		}
@@ -116,11 +115,11 @@
 	}
 }
 
-// Bytes of an earlier answer that come late on a kept connection: before the last byte they keep
-// the next job from it, which goes elsewhere; behind it the job may have run, and never runs twice.
+// Bytes of an earlier answer that come late on a reused connection: before the last byte they keep the next job
+// from it, which goes elsewhere; behind it the job may have run, and never runs twice.
 func TestLateBytesOfAnEarlierAnswer(t *testing.T) {
 	for _, late := range []string{"before the last byte", "behind the last byte"} {
-		wholes := make(chan string, 9)
+		complete := make(chan string, 9)
 		l := listen(t)
 		go func() {
 			for {
@@ -128,22 +127,22 @@
 				if err != nil {
 					return
 				}
-				go answerTwice(c, late, wholes)
+				go answerTwice(c, late, complete)
 			}
 		}()
 		entry := `{"host":"n%d","dial":%q,"site":"a","class":"k","block":0,"health":"active","born_ms":0}`
-		known := fmt.Sprintf(`{"seq":1,"whole":true,"hosts":[`+entry+","+entry+`]}`, 0, l.Addr(), 1, l.Addr())
-		p, _ := startKnown(t, testSettings, 256, "", known)
+		cached := fmt.Sprintf(`{"seq":1,"whole":true,"hosts":[`+entry+","+entry+`]}`, 0, l.Addr(), 1, l.Addr())
+		p, _ := startKnown(t, testSettings, 256, "", cached)
 		s := connect(t, p)
 		r, _ := s.request(t, jobText("reading", "j0", "9000m", ""))
 		check(t, "first", r.StatusCode, 200)
-		check(t, "first at the node", <-wholes, "j0") // whole, or the answer would not be there
+		check(t, "first at the node", <-complete, "j0") // whole, or the answer would not be there
 		r, body := s.request(t, jobText("ratify", "j1", "9000m", ""))
 		if late == "before the last byte" {
 			check(t, late, fmt.Sprint(r.StatusCode, body), "200for j1")
 		} else {
 			check(t, late, r.StatusCode, 502)
 		}
-		check(t, late+": whole requests since", len(wholes), 1)
+		check(t, late+": whole requests since", len(complete), 1)
 	}
 }
