--- a/internal/lab/fuzz.go
+++ b/internal/lab/fuzz.go
@@ -79,7 +79,7 @@
 		return nil, err
 	}
 	s := &FuzzSummary{Started: time.Now().UTC(), Workers: o.Workers, Targets: targets, Findings: []Finding{}}
-	run := &fuzzRun{FuzzOptions: o, out: w, end: s.Started.Add(o.Duration)}
+	run := &fuzzRun{FuzzOptions: o, writer: w, deadline: s.Started.Add(o.Duration)}
 	for first := true; len(targets) > 0 && run.goesOn(ctx); first = false {
 		if targets, err = run.round(ctx, s, targets, first); err != nil {
 			return s, err
@@ -103,13 +103,13 @@
 // A fuzzRun is a run of the long runner.
 type fuzzRun struct {
 	FuzzOptions
-	out io.Writer
-	end time.Time
+	writer   io.Writer
+	deadline time.Time
 }
 
 // goesOn reports whether there is time for another time slice.
 func (r *fuzzRun) goesOn(ctx context.Context) bool {
-	return ctx.Err() == nil && time.Until(r.end) >= minTimeSlice
+	return ctx.Err() == nil && time.Until(r.deadline) >= minTimeSlice
 }
 
 // round gives each target a time slice and returns the targets of the next round. A target
@@ -121,8 +121,8 @@
 		if !r.goesOn(ctx) {
 			break
 		}
-		slice := timeSlice(target, time.Until(r.end), len(targets)-i, first)
-		findings, err := target.fuzzFor(ctx, slice, r.FuzzOptions, r.out)
+		slice := timeSlice(target, time.Until(r.deadline), len(targets)-i, first)
+		findings, err := target.fuzzFor(ctx, slice, r.FuzzOptions, r.writer)
 		if err != nil {
 			return nil, err
 		}
