--- a/dispatcher.go
+++ b/dispatcher.go
@@ -36,6 +36,30 @@
 	return d.actions
 }
 
+// handle takes an event in.
+func (d *Dispatcher) handle(e *Event) {
+	switch e.Kind {
+	case EventRequest:
+		d.accept(&e.Request)
+	case EventEndpoints:
+		d.onEndpoints(e)
+	case EventStarted:
+		d.onStarted(e)
+	case EventOutcome:
+		d.onOutcome(e)
+	case EventClientDisconnected:
+		if j := d.jobs.byID[e.ID]; j != nil && !j.ended {
+			d.finish(j)
+		}
+	case EventHealthChecked:
+		d.onHealthChecked(e)
+	case EventMessage:
+		d.onMessage(e.From, e.Data)
+	case EventQuotas:
+		d.onQuotas(e.Quotas)
+	}
+}
+
 func (d *Dispatcher) start() {
 	d.timing.startedAt, d.timing.nextControlAt = d.now, d.now+second
 	d.quotas.Start(d.now)
--- a/internal/lab/mutants.go
+++ b/internal/lab/mutants.go
@@ -43,7 +43,7 @@
 	},
 	{
 		Name:    "drains are not heard",
-		File:    "machine_list.go",
+		File:    "endpoints.go",
 		Old:     "\tw.setState(e.State, d.now)\n",
 		New:     "\tif e.State != Draining {\n\t\tw.setState(e.State, d.now)\n\t}\n",
 		Package: "./internal/core",
--- a/internal/lab/soak/mutants.go
+++ b/internal/lab/soak/mutants.go
@@ -39,7 +39,7 @@
 	{lab.Mutant{Name: "nodes are told of a second more", File: "internal/platform/attempt.go", Old: "formatRemaining(remaining)", New: "formatRemaining(remaining+time.Second)"}, deadline},
 	{lab.Mutant{Name: "the time in the queue is not taken off", File: "internal/core/send.go", Old: "Remaining: remaining,", New: "Remaining: j.Remaining,"}, deadline},
 	{lab.Mutant{Name: "cold nodes count as warm", File: "internal/decision/health/slow_start.go", Old: "return w.startedAt != 0 && now-w.startedAt < s.config.Duration", New: "return false"}, startOverload},
-	{lab.Mutant{Name: "starts are not heard", File: "machine_list.go", Old: "if w.warmup.StartedAt() != e.StartedAt {", New: "if false {"}, startOverload},
+	{lab.Mutant{Name: "starts are not heard", File: "endpoints.go", Old: "if w.warmup.StartedAt() != e.StartedAt {", New: "if false {"}, startOverload},
 }
 
 const (
--- a/workers.go
+++ b/workers.go
@@ -134,6 +134,22 @@
 	return nil
 }
 
+// pathTo tells how an attempt goes to a worker now.
+func (d *Dispatcher) pathTo(w *worker) (way int) {
+	if d.needsConnection(w) {
+		way++
+	}
+	if w.zone != d.cfg.Zone {
+		way += 2
+	}
+	return way
+}
+
+// dials reports whether the next job to a worker needs a new connection.
+func (d *Dispatcher) needsConnection(w *worker) bool {
+	return w.inFlightJobs >= w.connections.open || d.cfg.ConnIdle > 0 && d.now-w.connections.usedAt > d.cfg.ConnIdle
+}
+
 // setState notes what the list says of a worker.
 func (w *worker) setState(s WorkerState, now int64) {
 	w.lost = w.lost || w.state == Live && s == Removed
