--- a/cmd/foxlift-sim/main.go
+++ b/cmd/foxlift-sim/main.go
@@ -1,5 +1,5 @@
-// Command foxlift-sim runs dispatchers on the simulator's wire: batches of
-// events on standard input, one line of actions for each on standard output.
+// Command foxlift-sim runs dispatchers for the simulator: it reads batches of events on standard input and
+// writes one line of actions for each on standard output.
 package main
 
 import (
@@ -23,46 +23,41 @@
 	}
 }
 
+// bufferSize is that of the reader and the writer; longer lines are read in pieces.
+const bufferSize = 1 << 20
+
 // An instance is one running dispatcher; instances share nothing.
 type instance struct {
 	names      *wire.Names
-	dispatcher *foxlift.Dispatcher
+	dispatcher *foxlift.Dispatcher // nil: its settings cannot run
 	events     []foxlift.Event
 }
 
-// A host runs the instances and gathers the reply to a batch.
+// A host runs the instances and makes the reply to a batch. It implements wire.Handler.
 type host struct {
 	running     map[string]*instance
 	pending     []*instance // those with events in this batch, in order of arrival
 	now         int64
 	reply       []byte
-	emptyLength int // length of a reply without actions
+	emptyLength int // of a reply without actions
 }
 
+// serve answers each line of in by one of out, until in ends.
 func serve(in io.Reader, out io.Writer) error {
-	r := bufio.NewReaderSize(in, 1<<20)
-	w := bufio.NewWriterSize(out, 1<<20)
+	lines := lineReader{reader: bufio.NewReaderSize(in, bufferSize)}
+	w := bufio.NewWriterSize(out, bufferSize)
 	h := &host{running: map[string]*instance{}}
-	var dec wire.Decoder
-	var long []byte
-	for n := 1; ; n++ {
-		line, err := r.ReadSlice('\n')
-		if errors.Is(err, bufio.ErrBufferFull) {
-			long = append(long[:0], line...)
-			for errors.Is(err, bufio.ErrBufferFull) {
-				line, err = r.ReadSlice('\n')
-				long = append(long, line...)
-			}
-			line = long
-		}
-		if err == io.EOF && len(line) == 0 {
+	var decoder wire.Decoder
+	for number := 1; ; number++ {
+		line, err := lines.next()
+		if errors.Is(err, io.EOF) && len(line) == 0 {
 			return nil
 		}
-		if err != nil && err != io.EOF {
+		if err != nil && !errors.Is(err, io.EOF) {
 			return err
 		}
-		if b, err := dec.Decode(line, h.begin, h); err != nil {
-			return fmt.Errorf("batch %d (line %d): %w", b.Number, n, err)
+		if batch, err := decoder.Decode(line, h.begin, h); err != nil {
+			return fmt.Errorf("batch %d (line %d): %w", batch.Number, number, err)
 		}
 		h.step()
 		h.reply = append(h.reply, "]}\n"...)
@@ -75,14 +70,36 @@
 	}
 }
 
-func (h *host) begin(b wire.Batch) {
-	h.now = b.Now
+// A lineReader reads lines of any length.
+type lineReader struct {
+	reader *bufio.Reader
+	long   []byte // a line that is longer than the reader's buffer
+}
+
+// next returns the next line, which is valid until the next call. The last one may end with io.EOF.
+func (r *lineReader) next() ([]byte, error) {
+	line, err := r.reader.ReadSlice('\n')
+	if !errors.Is(err, bufio.ErrBufferFull) {
+		return line, err
+	}
+	r.long = append(r.long[:0], line...)
+	for errors.Is(err, bufio.ErrBufferFull) {
+		line, err = r.reader.ReadSlice('\n')
+		r.long = append(r.long, line...)
+	}
+	return r.long, err
+}
+
+// begin starts the reply to a batch.
+func (h *host) begin(batch wire.Batch) {
+	h.now = batch.Now
 	h.reply = append(h.reply[:0], `{"batch":`...)
-	h.reply = strconv.AppendInt(h.reply, b.Number, 10)
+	h.reply = strconv.AppendInt(h.reply, batch.Number, 10)
 	h.reply = append(h.reply, `,"do":[`...)
 	h.emptyLength = len(h.reply)
 }
 
+// separate appends a comma before all actions but the first.
 func (h *host) separate() {
 	if len(h.reply) > h.emptyLength {
 		h.reply = append(h.reply, ',')
@@ -92,18 +109,18 @@
 // Attach starts an instance. Settings that cannot run are reported on the wire.
 func (h *host) Attach(name string, seed uint64, settings *fastjson.Value) error {
 	cfg, names, err := wire.Settings(name, settings)
-	var gate *foxlift.Dispatcher
+	var dispatcher *foxlift.Dispatcher
 	if err == nil {
-		gate, err = foxlift.New(*cfg, seed)
+		dispatcher, err = foxlift.New(*cfg, seed)
 	}
 	if err != nil {
-		// It is kept without a dispatcher, so that its events are swallowed.
+		// It is kept without a dispatcher, so that its events are ignored.
 		h.separate()
 		h.reply = wire.AppendError(h.reply, name, err.Error())
-		names, gate = &wire.Names{Instance: name}, nil
+		names, dispatcher = &wire.Names{Instance: name}, nil
 	}
 	h.remove(name)
-	inst := &instance{names: names, dispatcher: gate}
+	inst := &instance{names: names, dispatcher: dispatcher}
 	names.Owner = inst
 	h.running[name] = inst
 	return nil
@@ -118,6 +135,7 @@
 	return nil
 }
 
+// remove ends an instance and drops its events of this batch.
 func (h *host) remove(name string) {
 	old := h.running[name]
 	delete(h.running, name)
@@ -129,7 +147,7 @@
 	}
 }
 
-// Names finds the tables of a running instance.
+// Names returns the tables of a running instance, or nil.
 func (h *host) Names(name []byte) *wire.Names {
 	if inst := h.running[string(name)]; inst != nil {
 		return inst.names
@@ -153,6 +171,7 @@
 	return nil
 }
 
+// step passes each instance its events of the batch and appends its actions to the reply.
 func (h *host) step() {
 	for _, inst := range h.pending {
 		actions := inst.dispatcher.Step(h.now, inst.events)
--- a/cmd/foxlift-sim/main_test.go
+++ b/cmd/foxlift-sim/main_test.go
@@ -63,7 +63,7 @@
 		t.Errorf("a request outlived its scheduler: %q", got)
 	}
 	if strings.Count(got, `"notifyMe","scheduler_0"`) != 2 {
-		t.Errorf("the new life did not start: %q", got)
+		t.Errorf("the new instance did not start: %q", got)
 	}
 }
 
--- a/internal/fuzz/fuzz.go
+++ b/internal/fuzz/fuzz.go
@@ -1,7 +1,7 @@
-// Package fuzz plays a property of bytes from fixed seeds: the same inputs each time,
-// on every machine, so that plain go test holds what native fuzzing once found. It is
-// for tests alone. The inputs are seeds changed in the ways that break parsers: bits,
-// cuts, copies, joins, and the words and numbers that parsers mind.
+// Package fuzz checks properties of byte inputs that are drawn from fixed random seeds: the same inputs
+// each time, on every machine, so that plain go test covers what native fuzzing has found. It is for
+// tests alone and owns no state. The inputs are mutations of the test's own: bits, cuts, copies, joins,
+// and tokens and numbers at the limits of parsers.
 package fuzz
 
 import (
@@ -10,14 +10,17 @@
 	"testing"
 )
 
-// words are what parsers of this program mind.
+// tokens are those of this program's parsers, and values at their limits.
 var tokens = []string{
-	"\r\n", "\n", "\r", "\x00", " ", "\t", ":", ",", ";", "0", "-1", "+5", "1e400", "NaN", "9223372036854775807", "18446744073709551616",
-	"0x10", "{", "}", "[", "]", "\"", "null", "chunked", "Transfer-Encoding: chunked\r\n", "Content-Length: 5\r\n", "HTTP/1.1", "(", ")", "\\",
+	"\r\n", "\n", "\r", "\x00", " ", "\t", ":", ",", ";",
+	"0", "-1", "+5", "1e400", "NaN", "9223372036854775807", "18446744073709551616", "0x10",
+	"{", "}", "[", "]", "\"", "null",
+	"chunked", "Transfer-Encoding: chunked\r\n", "Content-Length: 5\r\n", "HTTP/1.1",
+	"(", ")", "\\",
 	"\xff", "é", `\u0000`,
 }
 
-// Play checks a property on the seeds, and on n inputs that are made of them.
+// Run checks a property on the seeds and on n mutations of them.
 func Run(t *testing.T, seed uint64, n int, seeds [][]byte, check func(testing.TB, []byte)) {
 	t.Helper()
 	for _, s := range seeds {
@@ -29,17 +32,21 @@
 	}
 }
 
-const maxInput = 8 << 10
+const (
+	maxInput     = 8 << 10 // bytes
+	maxMutations = 4
+	maxPiece     = 40 // bytes that one mutation changes
+)
 
-// Mutate makes an input of the seeds.
+// Mutate returns a mutation of one of the seeds.
 func Mutate(rng *rand.Rand, seeds [][]byte) []byte {
 	data := bytes.Clone(seeds[rng.IntN(len(seeds))])
 	if len(data) > maxInput {
 		data = data[:maxInput]
 	}
-	for range 1 + rng.IntN(4) {
+	for range 1 + rng.IntN(maxMutations) {
 		at := rng.IntN(len(data) + 1)
-		to := min(len(data), at+rng.IntN(1+min(40, len(data)-at)))
+		to := min(len(data), at+rng.IntN(1+min(maxPiece, len(data)-at)))
 		switch rng.IntN(8) {
 		case 0: // a byte changed
 			if at < len(data) {
@@ -49,17 +56,17 @@
 			if at < len(data) {
 				data[at] = byte(rng.IntN(256))
 			}
-		case 2: // a piece gone
+		case 2: // a piece removed
 			data = append(data[:at:at], data[to:]...)
-		case 3: // a piece twice
+		case 3: // a piece repeated
 			data = append(data[:to:to], data[at:]...)
-		case 4: // cut short
+		case 4: // truncated
 			data = data[:at]
-		case 5: // a word put in
+		case 5: // a token inserted
 			data = append(data[:at:at], append([]byte(tokens[rng.IntN(len(tokens))]), data[at:]...)...)
-		case 6: // a piece made a word
+		case 6: // a piece replaced by a token
 			data = append(data[:at:at], append([]byte(tokens[rng.IntN(len(tokens))]), data[to:]...)...)
-		case 7: // part of another seed behind it
+		case 7: // part of another seed in the place of the rest
 			other := seeds[rng.IntN(len(seeds))]
 			data = append(data[:at:at], other[min(len(other), rng.IntN(1+min(len(other), maxInput))):]...)
 		}
--- a/internal/wire/decode_endpoints.go
+++ b/internal/wire/decode_endpoints.go
@@ -1,7 +1,5 @@
 package wire
 
-// Decoding of the machine list, and the interning of workers' names.
-
 import (
 	"fmt"
 
@@ -10,6 +8,8 @@
 	"github.com/vatu-meals/foxlift"
 )
 
+const endpointFields = 7
+
 var endpointUpdates = map[string]foxlift.EndpointUpdate{
 	"incr": foxlift.EndpointsDelta, "total": foxlift.EndpointsComplete,
 	"warm_copy": foxlift.EndpointsCached, "lost": foxlift.EndpointsPollFailed,
@@ -19,24 +19,25 @@
 	"live": foxlift.Live, "quiescing": foxlift.Draining, "dead": foxlift.Removed,
 }
 
+// endpoints decodes ["registry", schedulerId, scope, version, items].
 func (d *Decoder) endpoints(n *Names, f []*fastjson.Value) error {
 	scope, err := text(f[2], "scope")
 	if err != nil {
 		return err
 	}
-	kind, ok := endpointUpdates[string(scope)]
+	update, ok := endpointUpdates[string(scope)]
 	if !ok {
 		return fmt.Errorf("unknown scope %q", scope)
 	}
-	d.event.Kind, d.event.EndpointUpdate = foxlift.EventEndpoints, kind
+	d.event.Kind, d.event.EndpointUpdate = foxlift.EventEndpoints, update
 	d.workers = d.workers[:0]
 	if !absent(f[4]) {
 		items, err := array(f[4], "items")
 		if err != nil {
 			return err
 		}
-		for i, it := range items {
-			w, err := n.endpoint(it)
+		for i, item := range items {
+			w, err := n.endpoint(item)
 			if err != nil {
 				return fmt.Errorf("entry %d: %w", i, err)
 			}
@@ -47,13 +48,14 @@
 	return nil
 }
 
+// endpoint decodes [worker, zone, kind, block, stageState, _, cameUp].
 func (n *Names) endpoint(v *fastjson.Value) (w foxlift.Worker, err error) {
 	f, err := array(v, "entry")
 	if err != nil {
 		return w, err
 	}
-	if len(f) < 7 {
-		return w, fmt.Errorf("%d values, want 7", len(f))
+	if len(f) < endpointFields {
+		return w, fmt.Errorf("%d values, want %d", len(f), endpointFields)
 	}
 	id, err := text(f[0], "worker")
 	if err != nil {
@@ -70,17 +72,18 @@
 	if err != nil {
 		return w, err
 	}
-	s, ok := workerStates[string(state)]
+	known, ok := workerStates[string(state)]
 	if !ok {
 		return w, fmt.Errorf("unknown state %q", state)
 	}
-	w.State = s
+	w.State = known
 	if !absent(f[6]) {
 		w.StartedAt, err = integer(f[6], "cameUp")
 	}
 	return w, err
 }
 
+// indexOf returns the index of a name in a table; -1 if it is not there.
 func (n *Names) indexOf(table map[string]int, v *fastjson.Value) int {
 	if v.Type() == fastjson.TypeString {
 		if i, ok := table[string(v.GetStringBytes())]; ok {
@@ -90,6 +93,7 @@
 	return -1
 }
 
+// intern returns one string for all mentions of a worker.
 func (n *Names) intern(id []byte) string {
 	s, ok := n.workers[string(id)]
 	if !ok {
@@ -99,6 +103,7 @@
 	return s
 }
 
+// workerID decodes the id of a worker.
 func (n *Names) workerID(v *fastjson.Value) (string, error) {
 	s, err := text(v, "worker")
 	if err != nil {
--- a/internal/wire/decode_events.go
+++ b/internal/wire/decode_events.go
@@ -1,7 +1,5 @@
 package wire
 
-// Decoding of requests, of what becomes of their attempts, and of messages from other schedulers.
-
 import (
 	"encoding/base64"
 	"fmt"
@@ -12,6 +10,22 @@
 	"github.com/vatu-meals/foxlift/internal/config"
 )
 
+// The bits of a request's stateBits.
+const (
+	stateBitSize  = 1 << iota // hint is the job's size
+	stateBitRetry             // the client sends the request again
+)
+
+// Codes of outcomes and health checks: served, and the failures in the order of foxlift's codes.
+const (
+	codeServed       = 100
+	codeFirstFailure = 301
+	codeLastFailure  = 307
+)
+
+const progressKindStarted = 1
+
+// request decodes ["accept", schedulerId, xid, deadline, cls, item, hint, slots, stateBits, tenant, mem].
 func (d *Decoder) request(n *Names, f []*fastjson.Value) (err error) {
 	e := &d.event
 	e.Kind = foxlift.EventRequest
@@ -26,11 +40,11 @@
 	if err != nil {
 		return err
 	}
-	c, ok := n.classes[string(class)]
+	index, ok := n.classes[string(class)]
 	if !ok {
 		return fmt.Errorf("unknown class %q", class)
 	}
-	r.Class = c
+	r.Class = index
 	if r.Key, err = affinityKey(f[5]); err != nil {
 		return err
 	}
@@ -42,10 +56,10 @@
 	if err != nil {
 		return err
 	}
-	if int64(bits)&1 != 0 {
+	if int64(bits)&stateBitSize != 0 {
 		r.Size = int64(hint)
 	}
-	r.ClientRetry = int64(bits)&2 != 0
+	r.ClientRetry = int64(bits)&stateBitRetry != 0
 	if r.Slots, err = optionalNumber(f[7], "slots"); err != nil {
 		return err
 	}
@@ -54,14 +68,14 @@
 	}
 	r.Tenant = -1
 	if f[9].Type() == fastjson.TypeString {
-		if t, ok := n.tenants[string(f[9].GetStringBytes())]; ok {
-			r.Tenant = t
+		if tenant, ok := n.tenants[string(f[9].GetStringBytes())]; ok {
+			r.Tenant = tenant
 		}
 	}
 	return nil
 }
 
-// key reads the subject of a request.
+// affinityKey decodes the affinity key of a request; 0 if it has none.
 func affinityKey(v *fastjson.Value) (uint64, error) {
 	if absent(v) {
 		return 0, nil
@@ -70,6 +84,7 @@
 	return config.ParseKey(s), err
 }
 
+// attemptOf decodes which attempt an event is of.
 func (d *Decoder) attemptOf(n *Names, xid, worker, attempt *fastjson.Value) (err error) {
 	if d.event.ID, err = unsigned(xid, "xid"); err != nil {
 		return err
@@ -77,23 +92,25 @@
 	if d.event.Worker, err = n.workerID(worker); err != nil {
 		return err
 	}
-	a, err := integer(attempt, "go")
-	d.event.Attempt = int(a)
+	number, err := integer(attempt, "go")
+	d.event.Attempt = int(number)
 	return err
 }
 
+// progress decodes ["interim", schedulerId, xid, share, kind, worker, go].
 func (d *Decoder) progress(n *Names, f []*fastjson.Value) error {
 	kind, err := integer(f[4], "kind")
 	if err != nil {
 		return err
 	}
 	d.event.Kind = foxlift.EventProgress
-	if kind == 1 {
+	if kind == progressKindStarted {
 		d.event.Kind = foxlift.EventStarted
 	}
 	return d.attemptOf(n, f[2], f[5], f[6])
 }
 
+// outcome decodes ["completed", schedulerId, xid, worker, took, noMore, go, rc, _, feedback].
 func (d *Decoder) outcome(n *Names, f []*fastjson.Value) (err error) {
 	e := &d.event
 	e.Kind = foxlift.EventOutcome
@@ -112,6 +129,7 @@
 	return d.loadReport(f[9])
 }
 
+// healthChecked decodes ["probeDone", schedulerId, worker, rc, took, feedback].
 func (d *Decoder) healthChecked(n *Names, f []*fastjson.Value) (err error) {
 	e := &d.event
 	e.Kind = foxlift.EventHealthChecked
@@ -127,6 +145,7 @@
 	return d.loadReport(f[5])
 }
 
+// peerMessage decodes ["neighbourSays", schedulerId, src, content].
 func (d *Decoder) peerMessage(f []*fastjson.Value) error {
 	from, err := integer(f[2], "src")
 	if err != nil {
@@ -138,12 +157,13 @@
 	}
 	data, err := base64.StdEncoding.DecodeString(string(s))
 	if err != nil {
-		return fmt.Errorf("content: %v", err)
+		return fmt.Errorf("content: %w", err)
 	}
 	d.event.Kind, d.event.From, d.event.Data = foxlift.EventMessage, int(from), data
 	return nil
 }
 
+// loadReport decodes a worker's load report, where there is one.
 func (d *Decoder) loadReport(v *fastjson.Value) error {
 	if absent(v) {
 		return nil
@@ -156,7 +176,7 @@
 		if i == foxlift.MaxGauges {
 			break
 		}
-		if d.event.Load[i], err = number(x, "feedback"); err != nil {
+		if d.event.Load[i], err = optionalNumber(x, "feedback"); err != nil {
 			return err
 		}
 	}
@@ -164,16 +184,17 @@
 	return nil
 }
 
+// outcomeCode decodes the code of an outcome or a health check.
 func outcomeCode(v *fastjson.Value) (foxlift.Code, error) {
-	c, err := integer(v, "rc")
+	code, err := integer(v, "rc")
 	if err != nil {
 		return 0, err
 	}
-	if c == 100 {
+	if code == codeServed {
 		return foxlift.Served, nil
 	}
-	if c < 301 || c > 307 {
-		return 0, fmt.Errorf("unknown rc %d", c)
+	if code < codeFirstFailure || code > codeLastFailure {
+		return 0, fmt.Errorf("unknown rc %d", code)
 	}
-	return foxlift.Code(c-301) + foxlift.WorkerError, nil
+	return foxlift.Code(code-codeFirstFailure) + foxlift.WorkerError, nil
 }
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -1,7 +1,5 @@
 package wire
 
-// Encoding of the module's actions.
-
 import (
 	"encoding/base64"
 	"strconv"
@@ -9,61 +7,65 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// Append writes one action of an instance as JSON.
+// Append appends an action of an instance in the simulator's JSON.
 func Append(b []byte, instance string, a *foxlift.Action) []byte {
-	open := func(name string) {
-		b = append(b, '[', '"')
+	begin := func(name string) {
+		b = append(b, `["`...)
 		b = append(b, name...)
-		b = append(b, '"', ',', '"')
+		b = append(b, `","`...)
 		b = append(b, instance...)
 		b = append(b, '"')
 	}
-	num := func(x int64) { b = strconv.AppendInt(append(b, ','), x, 10) }
-	id := func() { b = strconv.AppendUint(append(b, ','), a.ID, 10) }
-	str := func(s string) { b = append(append(append(b, ',', '"'), s...), '"') }
+	appendInt := func(x int64) { b = strconv.AppendInt(append(b, ','), x, 10) }
+	appendUint := func(x uint64) { b = strconv.AppendUint(append(b, ','), x, 10) }
+	appendString := func(s string) {
+		b = append(b, `,"`...)
+		b = append(b, s...)
+		b = append(b, '"')
+	}
 	switch a.Kind {
 	case foxlift.ActionSend:
-		open("try")
-		id()
-		str(a.Worker)
-		num(a.Timeout)
+		begin("try")
+		appendUint(a.ID)
+		appendString(a.Worker)
+		appendInt(a.Timeout)
 	case foxlift.ActionShed:
-		open("shed")
-		id()
-		num(a.RetryAfter)
+		begin("shed")
+		appendUint(a.ID)
+		appendInt(a.RetryAfter)
 	case foxlift.ActionFail:
-		open("finishError")
-		id()
+		begin("finishError")
+		appendUint(a.ID)
 	case foxlift.ActionCancel:
-		open("recall")
-		id()
-		num(int64(a.Attempt))
+		begin("recall")
+		appendUint(a.ID)
+		appendInt(int64(a.Attempt))
 	case foxlift.ActionTimer:
-		open("notifyMe")
-		num(a.At)
-		b = strconv.AppendUint(append(b, ','), a.Token, 10)
+		begin("notifyMe")
+		appendInt(a.At)
+		appendUint(a.Token)
 	case foxlift.ActionHealthCheck:
-		open("poll")
-		str(a.Worker)
+		begin("poll")
+		appendString(a.Worker)
 	case foxlift.ActionClose:
-		open("letGo")
-		str(a.Worker)
+		begin("letGo")
+		appendString(a.Worker)
 	case foxlift.ActionMessage:
-		open("post")
-		num(int64(a.To))
-		str(base64.StdEncoding.EncodeToString(a.Data))
+		begin("post")
+		appendInt(int64(a.To))
+		appendString(base64.StdEncoding.EncodeToString(a.Data))
 	case foxlift.ActionWatchEndpoints:
-		open("subscribe")
+		begin("subscribe")
 		b = append(b, ",true"...)
 	}
 	return append(b, ']')
 }
 
-// AppendError writes the report of an instance that cannot run.
-func AppendError(b []byte, instance, why string) []byte {
+// AppendError appends the report of an instance whose settings cannot run.
+func AppendError(b []byte, instance, message string) []byte {
 	b = append(b, `["internalError",`...)
 	b = strconv.AppendQuote(b, instance)
 	b = append(b, ',')
-	b = strconv.AppendQuote(b, why)
+	b = strconv.AppendQuote(b, message)
 	return append(b, ']')
 }
--- a/internal/wire/fuzz_test.go
+++ b/internal/wire/fuzz_test.go
@@ -10,7 +10,7 @@
 	"github.com/vatu-meals/foxlift/internal/fuzz"
 )
 
-// taker takes whatever a batch holds, as the adapter does.
+// A collector accepts whatever a batch holds, as the adapter does.
 type collector struct {
 	names  map[string]*Names
 	events int
@@ -20,7 +20,7 @@
 	cfg, names, err := Settings(instance, settings)
 	if err != nil {
 		h.names[instance] = &Names{Instance: instance}
-		return nil
+		return nil //nolint:nilerr // as the adapter: settings that cannot run are kept without tables
 	}
 	if _, err := foxlift.New(*cfg, seed); err != nil {
 		names = &Names{Instance: instance}
@@ -32,8 +32,8 @@
 func (h *collector) Names(instance []byte) *Names       { return h.names[string(instance)] }
 func (h *collector) Event(*Names, *foxlift.Event) error { h.events++; return nil }
 
-// checkBatch: a line of the simulator's wire is taken or refused with words, and read
-// the same way twice.
+// checkBatch: a line of the simulator's messages is accepted or rejected with an error, and read the same
+// way twice.
 func checkBatch(t testing.TB, data []byte) {
 	var dec Decoder
 	once := func() (Batch, int, string) {
@@ -52,11 +52,18 @@
 }
 
 func batchSeeds() (seeds [][]byte) {
-	const attach = `["attach","scheduler_3",7,{"grades":[{"name":"r","aim":1,"deadline":2,"effect":"idempotent"}],"dcs":["a"],"flavors":["k"],"projects":[{"name":"t","quotaRps":1}]}]`
+	const attach = `["attach","scheduler_3",7,{"grades":[{"name":"r","aim":1,"deadline":2,"effect":"idempotent"}],` +
+		`"dcs":["a"],"flavors":["k"],"projects":[{"name":"t","quotaRps":1}]}]`
 	for _, s := range []string{
 		`{"simTime":8412250000,"batch":1,"news":[]}`,
-		`{"simTime":1,"batch":2,"news":[` + attach + `,["registry","scheduler_3","warm_copy",41,[["10.18.74.7:8083","a","k",0,"live",1,null]]],["accept","scheduler_3",1564119492,8652250000,"r","91f03b7c55d20a64",12000000,2,1,"t",1.5]]}`,
-		`{"simTime":1,"batch":2,"news":[` + attach + `,["completed","scheduler_3",1,"10.18.74.7:8083",18500000,true,0,100,null,null],["interim","scheduler_3",1,0.4,2,"w",0],["flowing","scheduler_3",1,"w",0,5],["clientLeft","scheduler_3",1],["deadlineHit","scheduler_3",77],["probeDone","scheduler_3","w",100,5,null],["neighbourSays","scheduler_3",1,"aGkgNw=="],["down","scheduler_3"]]}`,
+		`{"simTime":1,"batch":2,"news":[` + attach +
+			`,["registry","scheduler_3","warm_copy",41,[["10.18.74.7:8083","a","k",0,"live",1,null]]],` +
+			`["accept","scheduler_3",1564119492,8652250000,"r","91f03b7c55d20a64",12000000,2,1,"t",1.5]]}`,
+		`{"simTime":1,"batch":2,"news":[` + attach +
+			`,["completed","scheduler_3",1,"10.18.74.7:8083",18500000,true,0,100,null,null],` +
+			`["interim","scheduler_3",1,0.4,2,"w",0],["flowing","scheduler_3",1,"w",0,5],` +
+			`["clientLeft","scheduler_3",1],["deadlineHit","scheduler_3",77],["probeDone","scheduler_3","w",100,5,null],` +
+			`["neighbourSays","scheduler_3",1,"aGkgNw=="],["down","scheduler_3"]]}`,
 		`{"simTime":-1,"batch":1e400,"news":{}}`, `[`, `{"simTime":1,"batch":2,"news":[["accept","nobody"]]}`,
 	} {
 		seeds = append(seeds, []byte(s))
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -7,7 +7,7 @@
 	"github.com/vatu-meals/foxlift/internal/config"
 )
 
-// Settings turns the settings of an instance into a Config and its tables.
+// Settings returns the module's configuration of an instance's settings, and the tables of its names.
 func Settings(instance string, v *fastjson.Value) (*foxlift.Config, *Names, error) {
 	s, err := config.ParseSettings(v.MarshalTo(nil))
 	if err != nil {
--- a/internal/wire/values.go
+++ b/internal/wire/values.go
@@ -1,15 +1,16 @@
 package wire
 
-// Readers of single JSON values, whose errors name the value.
-
 import (
 	"fmt"
 
 	"github.com/valyala/fastjson"
 )
 
+// absent reports whether a value is missing or null.
 func absent(v *fastjson.Value) bool { return v == nil || v.Type() == fastjson.TypeNull }
 
+// The readers below read one value; their errors name it.
+
 func array(v *fastjson.Value, name string) ([]*fastjson.Value, error) {
 	if v == nil || v.Type() != fastjson.TypeArray {
 		return nil, fmt.Errorf("%s is not an array", name)
@@ -42,7 +43,8 @@
 	return 0, fmt.Errorf("%s is not a whole number", name)
 }
 
-func number(v *fastjson.Value, name string) (float64, error) {
+// optionalNumber reads a number; 0 if it is absent.
+func optionalNumber(v *fastjson.Value, name string) (float64, error) {
 	if absent(v) {
 		return 0, nil
 	}
@@ -52,8 +54,6 @@
 	return v.Float64()
 }
 
-func optionalNumber(v *fastjson.Value, name string) (float64, error) { return number(v, name) }
-
 func boolean(v *fastjson.Value, name string) (bool, error) {
 	if v == nil || v.Type() != fastjson.TypeTrue && v.Type() != fastjson.TypeFalse {
 		return false, fmt.Errorf("%s is not true or false", name)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,6 @@
-// Package wire translates between the JSON dialect of the schedulers' bench and
-// the types of package foxlift. It decides nothing.
+// Package wire translates between the simulator's JSON messages and the types of package foxlift. It
+// decides nothing. A Decoder owns the buffers that it reuses from one message to the next; the names of an
+// instance belong to its handler.
 package wire
 
 import (
@@ -11,17 +12,19 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// A Handler receives the decoded messages of a batch in order. Its errors end
-// the decoding. The *Event passed to Event is valid only during the call.
+// A Handler receives the decoded messages of a batch in order. Its errors end the decoding.
 type Handler interface {
+	// Attach starts an instance with its settings.
 	Attach(instance string, seed uint64, settings *fastjson.Value) error
+	// Down ends an instance.
 	Down(instance string) error
 	// Names returns the tables of a running instance, or nil if there is none.
 	Names(instance []byte) *Names
+	// Event receives an event of a running instance. It is valid only during the call.
 	Event(n *Names, ev *foxlift.Event) error
 }
 
-// Names holds what one instance's messages are translated with.
+// Names are the tables by which the messages of one instance are translated.
 type Names struct {
 	Instance string
 	Owner    any // for the handler's own use
@@ -39,18 +42,18 @@
 	workers []foxlift.Worker
 }
 
-// A Batch is the frame of one line.
+// A Batch is the header of one line.
 type Batch struct {
 	Now    int64
 	Number int64
 }
 
-// Decode reads one line and passes its messages to h. begin is called with the
-// frame before the first message.
+// Decode reads one line and passes its messages to h. begin is called with the header before the first
+// message.
 func (d *Decoder) Decode(line []byte, begin func(Batch), h Handler) (b Batch, err error) {
 	v, err := d.parser.ParseBytes(line)
 	if err != nil {
-		return b, fmt.Errorf("not JSON: %v", err)
+		return b, fmt.Errorf("not JSON: %w", err)
 	}
 	if v.Type() != fastjson.TypeObject {
 		return b, errors.New("a batch is not an object")
@@ -74,6 +77,7 @@
 	return b, nil
 }
 
+// message decodes one message: an array of its name, the instance and its fields.
 func (d *Decoder) message(m *fastjson.Value, h Handler) error {
 	f, err := array(m, "message")
 	if err != nil {
@@ -90,12 +94,12 @@
 	if err != nil {
 		return err
 	}
-	need, ok := minFields[string(name)]
+	want, ok := minFields[string(name)]
 	if !ok {
 		return fmt.Errorf("unknown message %q", name)
 	}
-	if len(f) < need {
-		return fmt.Errorf("%s: %d values, want %d", name, len(f), need)
+	if len(f) < want {
+		return fmt.Errorf("%s: %d values, want %d", name, len(f), want)
 	}
 	if err := d.dispatch(string(name), instance, f, h); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
@@ -103,11 +107,13 @@
 	return nil
 }
 
+// minFields are the messages and how many values each has at least.
 var minFields = map[string]int{
 	"attach": 4, "down": 2, "registry": 5, "accept": 11, "flowing": 6, "interim": 7,
 	"completed": 10, "clientLeft": 3, "deadlineHit": 3, "probeDone": 6, "neighbourSays": 4,
 }
 
+// dispatch passes a message to the handler.
 func (d *Decoder) dispatch(name string, instance []byte, f []*fastjson.Value, h Handler) error {
 	switch name {
 	case "attach":
@@ -129,20 +135,27 @@
 	if n.workers == nil {
 		return nil // its settings could not be run; that was reported
 	}
+	if err := d.decodeEvent(name, n, f); err != nil {
+		return err
+	}
+	return h.Event(n, &d.event)
+}
+
+// decodeEvent decodes a message to a running instance into d.event.
+func (d *Decoder) decodeEvent(name string, n *Names, f []*fastjson.Value) (err error) {
 	d.event = foxlift.Event{}
-	var err error
 	switch name {
 	case "registry":
-		err = d.endpoints(n, f)
+		return d.endpoints(n, f)
 	case "accept":
-		err = d.request(n, f)
+		return d.request(n, f)
 	case "flowing":
 		d.event.Kind, d.event.Stream = foxlift.EventStarted, true
-		err = d.attemptOf(n, f[2], f[3], f[4])
+		return d.attemptOf(n, f[2], f[3], f[4])
 	case "interim":
-		err = d.progress(n, f)
+		return d.progress(n, f)
 	case "completed":
-		err = d.outcome(n, f)
+		return d.outcome(n, f)
 	case "clientLeft":
 		d.event.Kind = foxlift.EventClientDisconnected
 		d.event.ID, err = unsigned(f[2], "xid")
@@ -150,12 +163,9 @@
 		d.event.Kind = foxlift.EventTimer
 		d.event.Token, err = unsigned(f[2], "name")
 	case "probeDone":
-		err = d.healthChecked(n, f)
+		return d.healthChecked(n, f)
 	case "neighbourSays":
-		err = d.peerMessage(f)
+		return d.peerMessage(f)
 	}
-	if err != nil {
-		return err
-	}
-	return h.Event(n, &d.event)
+	return err
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -89,8 +89,10 @@
 
 func TestAppend(t *testing.T) {
 	for want, a := range map[string]foxlift.Action{
-		`["try","scheduler_3",5,"10.18.74.7:8083",80000000]`: {Kind: foxlift.ActionSend, ID: 5,
-			Worker: "10.18.74.7:8083", Timeout: 80000000},
+		`["try","scheduler_3",5,"10.18.74.7:8083",80000000]`: {
+			Kind: foxlift.ActionSend, ID: 5,
+			Worker: "10.18.74.7:8083", Timeout: 80000000,
+		},
 		`["shed","scheduler_3",5,250000000]`:   {Kind: foxlift.ActionShed, ID: 5, RetryAfter: 250000000},
 		`["finishError","scheduler_3",5]`:      {Kind: foxlift.ActionFail, ID: 5},
 		`["recall","scheduler_3",5,1]`:         {Kind: foxlift.ActionCancel, ID: 5, Attempt: 1},
@@ -118,8 +120,11 @@
 	if c.Dispatchers != 3 || c.Index != 2 || !c.PollEndpoints || c.Zone != 1 || c.MaxPollInterval != 10 {
 		t.Errorf("config %+v", c)
 	}
-	if k := c.Classes[0]; k.LatencyObjective != 5 || k.ObjectiveStretch != 1.75 || k.Kind != 0 || k.Effect != foxlift.AtMostOnce {
-		t.Errorf("class %+v", k)
+	want := foxlift.Class{
+		Name: "x", LatencyObjective: 5, ObjectiveStretch: 1.75, Deadline: 9, Effect: foxlift.AtMostOnce,
+	}
+	if c.Classes[0] != want {
+		t.Errorf("class %+v, want %+v", c.Classes[0], want)
 	}
 	g := []foxlift.Gauge{foxlift.GaugeBusy, foxlift.GaugeFreeSlots, foxlift.GaugeFreeMemory, 0}
 	for i := range g {
