--- a/dispatch_order.go
+++ b/dispatch_order.go
@@ -16,7 +16,7 @@
 	for d.sendNext(true) {
 	}
 	for d.mayBurst() && d.sendNext(false) {
-		d.quotas.TakeBurstToken()
+		d.quotas.ConsumeBurstToken()
 	}
 }
 
@@ -74,7 +74,7 @@
 		}
 		if d.sendFrom(best) {
 			if within {
-				best.quota.TakeToken()
+				best.quota.ConsumeToken()
 			} else {
 				best.quota.RecordExcessSend()
 			}
--- a/endpoint_lease_test.go
+++ b/endpoint_lease_test.go
@@ -24,7 +24,7 @@
 		after int64 // since the one before
 		event Event
 	}
-	const grace, changeLease = membership.CachedListGrace, membership.DiscoveryChangeLease
+	const grace, changeLease = membership.CachedEndpointsGrace, membership.DiscoveryChangeLease
 	confirmed, changed := pollEvent(EndpointsConfirmed, 0), pollEvent(DiscoveryChanged, 0)
 	busy := pollEvent(EndpointsPollFailed, FailureBusy)
 	down := pollEvent(EndpointsPollFailed, FailureDown)
--- a/health.go
+++ b/health.go
@@ -108,7 +108,7 @@
 
 // backoffWorker keeps jobs from a worker that has no room now.
 func (d *Dispatcher) backoffWorker(w *worker, j *job) {
-	w.outlier.BackOff(d.now, j.class.runtimes.Median(), d.rng)
+	w.outlier.Backoff(d.now, j.class.runtimes.Median(), d.rng)
 }
 
 // eject keeps jobs from a worker that has failed for a while.
--- a/health_checks.go
+++ b/health_checks.go
@@ -15,7 +15,7 @@
 func (d *Dispatcher) requestHealthChecks(j *job) bool {
 	if d.knowsAllUsage() || !d.cfg.MayHealthCheck || len(d.cfg.Gauges) == 0 ||
 		len(d.liveWorkers) <= len(d.capacity.reported.workers) ||
-		d.capacity.reports.Usual().Average > saturatedPressure ||
+		d.capacity.reports.FleetAverage().Average > saturatedPressure ||
 		d.recentlyFreeWorkers() >= checkedWorkers {
 		return false
 	}
--- a/internal/decision/admission/allocator.go
+++ b/internal/decision/admission/allocator.go
@@ -99,8 +99,8 @@
 // HasBurstToken reports whether a job may be sent past the bands.
 func (a *Allocator) HasBurstToken() bool { return a.burstTokens >= 1 }
 
-// TakeBurstToken counts a job that is sent past the bands.
-func (a *Allocator) TakeBurstToken() { a.burstTokens = max(0, a.burstTokens-1) }
+// ConsumeBurstToken counts a job that is sent past the bands.
+func (a *Allocator) ConsumeBurstToken() { a.burstTokens = max(0, a.burstTokens-1) }
 
 // Update sets the tenants' rates at the end of a second, from the admission rate, this dispatcher's
 // fraction of the traffic, and the remaining fraction of the fleet where workers were lost. While the
@@ -110,7 +110,7 @@
 		admissionRate = math.MaxFloat64
 	}
 	for i := range a.tenants {
-		a.tenants[i].endPeriod()
+		a.tenants[i].closePeriod()
 	}
 	// Slowly: a part lasts, while a burst of all tenants looks like one and passes.
 	gain := max(fractionGain, 1/float64(periods+1))
--- a/internal/decision/admission/tenant.go
+++ b/internal/decision/admission/tenant.go
@@ -44,8 +44,8 @@
 // HasToken reports whether a job may be sent within the bands.
 func (t *Tenant) HasToken() bool { return t.tokens >= 1 }
 
-// TakeToken counts a job that is sent within the bands.
-func (t *Tenant) TakeToken() { t.tokens-- }
+// ConsumeToken counts a job that is sent within the bands.
+func (t *Tenant) ConsumeToken() { t.tokens-- }
 
 // FillLevel returns how full the bucket is.
 func (t *Tenant) FillLevel() float64 { return t.tokens / t.burst() }
@@ -59,8 +59,8 @@
 // burst is the most tokens that the bucket holds.
 func (t *Tenant) burst() float64 { return max(2, t.rate) }
 
-// endPeriod takes the second's arrivals into what is followed.
-func (t *Tenant) endPeriod() {
+// closePeriod takes the second's arrivals into what is followed.
+func (t *Tenant) closePeriod() {
 	t.offeredRate += (float64(t.arrivals) - t.offeredRate) * RateGain
 	t.arrivals = 0
 	t.excessSends *= 1 - RateGain
--- a/internal/decision/capacity/capacity_test.go
+++ b/internal/decision/capacity/capacity_test.go
@@ -92,8 +92,8 @@
 			t.Errorf("excess %d of %d, want %d", got, c.delay, c.excess)
 		}
 	}
-	if s.Excess(0, 90) != 0 || s.Least() != [Paths]int64{90, 30, 0, 0} {
-		t.Errorf("least delays %v", s.Least())
+	if s.Excess(0, 90) != 0 || s.Min() != [Paths]int64{90, 30, 0, 0} {
+		t.Errorf("least delays %v", s.Min())
 	}
 	s.Record(8)
 	if s.Bound(4) != 24 {
--- a/internal/decision/capacity/report.go
+++ b/internal/decision/capacity/report.go
@@ -58,9 +58,9 @@
 
 // Reports reads the load reports of all workers, and follows the pressure that is usual.
 type Reports struct {
-	gauges []Gauge // what a report holds
-	usual  MovingMean
-	decay  int64 // time in which a report loses its meaning
+	gauges       []Gauge // what a report holds
+	fleetAverage MovingMean
+	decay        int64 // time in which a report loses its meaning
 }
 
 const second = int64(1e9)
@@ -68,8 +68,8 @@
 // NewReports returns the reader of reports that hold some gauges.
 func NewReports(gauges []Gauge) Reports { return Reports{gauges: gauges, decay: second} }
 
-// Usual returns the pressure that reports show, on average.
-func (p *Reports) Usual() MovingMean { return p.usual }
+// FleetAverage returns the pressure that all workers' reports show.
+func (p *Reports) FleetAverage() MovingMean { return p.fleetAverage }
 
 // Decay returns the time in which a report loses its meaning.
 func (p *Reports) Decay() int64 { return p.decay }
@@ -78,7 +78,7 @@
 func (p *Reports) SetDecay(decay int64) { p.decay = decay }
 
 // Restore takes over another's usual pressure and decay.
-func (p *Reports) Restore(usual MovingMean, decay int64) { p.usual, p.decay = usual, decay }
+func (p *Reports) Restore(usual MovingMean, decay int64) { p.fleetAverage, p.decay = usual, decay }
 
 // Record takes over what a worker reports.
 func (p *Reports) Record(r *LoadReport, gauges [MaxGauges]float64, now int64) {
@@ -95,17 +95,17 @@
 		total := math.Round(values[GaugeInFlight] - values[GaugeQueued] + values[GaugeFreeSlots])
 		r.totalSlots = max(r.totalSlots, total)
 	}
-	p.usual.Add(p.Reported(r, 1))
+	p.fleetAverage.Add(p.Reported(r, 1))
 }
 
 // Pressure guesses from a worker's report how likely a job of so many slots waits there: 0 to 1. An old
 // report tells little, since the jobs it counted have ended: it fades towards what is usual in the fleet.
 func (p *Reports) Pressure(r *LoadReport, slots float64, now int64) float64 {
 	if !r.valid {
-		return p.usual.Average
+		return p.fleetAverage.Average
 	}
 	age := float64(now-r.at) / float64(p.decay)
-	return p.usual.Average + (p.Reported(r, slots)-p.usual.Average)*math.Exp(-age)
+	return p.fleetAverage.Average + (p.Reported(r, slots)-p.fleetAverage.Average)*math.Exp(-age)
 }
 
 // Reported is the pressure that a report shows.
--- a/internal/decision/capacity/window.go
+++ b/internal/decision/capacity/window.go
@@ -42,18 +42,18 @@
 
 // StartDelays is the delay from sending an attempt to its start.
 type StartDelays struct {
-	mean  MovingMean
-	least [Paths]int64 // by way; 0: none yet
+	mean MovingMean
+	min  [Paths]int64 // by way; 0: none yet
 }
 
 // Mean returns the delay's average and deviation.
 func (s *StartDelays) Mean() MovingMean { return s.mean }
 
-// Least returns the least delay of each way.
-func (s *StartDelays) Least() [Paths]int64 { return s.least }
+// Min returns the least delay of each way.
+func (s *StartDelays) Min() [Paths]int64 { return s.min }
 
 // Restore takes over another's delays.
-func (s *StartDelays) Restore(mean MovingMean, least [Paths]int64) { s.mean, s.least = mean, least }
+func (s *StartDelays) Restore(mean MovingMean, least [Paths]int64) { s.mean, s.min = mean, least }
 
 // Bound returns the average delay and so many mean deviations.
 func (s *StartDelays) Bound(deviations float64) int64 { return s.mean.Bound(deviations) }
@@ -64,8 +64,8 @@
 // Excess returns a delay less the least that the same way has taken: a handshake with another zone may
 // take longer than a job waits.
 func (s *StartDelays) Excess(path int, delay int64) int64 {
-	if least := &s.least[path]; *least == 0 || delay < *least {
+	if least := &s.min[path]; *least == 0 || delay < *least {
 		*least = max(1, delay)
 	}
-	return delay - s.least[path]
+	return delay - s.min[path]
 }
--- a/internal/decision/gossip/message.go
+++ b/internal/decision/gossip/message.go
@@ -23,7 +23,7 @@
 	memoryUnits  = 32
 
 	// A message that is longer gets no more workers: 256 bytes have room for what a host puts around it.
-	fullSize = headerSize + rateSize + 40*usageSize
+	sizeLimit = headerSize + rateSize + 40*usageSize
 )
 
 // A Usage is what a dispatcher's jobs hold at a worker.
@@ -58,7 +58,7 @@
 
 // AddUsage adds a worker's usage, if there is still room for it.
 func (m *Message) AddUsage(tag uint32, u Usage) {
-	if m.size() <= fullSize {
+	if m.size() <= sizeLimit {
 		m.Usages = append(m.Usages, WorkerUsage{Tag: tag, Usage: u})
 	}
 }
--- a/internal/decision/gossip/table.go
+++ b/internal/decision/gossip/table.go
@@ -83,18 +83,18 @@
 // Silent reports whether a peer that holds something was not heard of lately.
 func (t *Table[W]) Silent(from int, now int64) bool {
 	p := &t.peers[from]
-	return p.usage != nil && !p.heard(now)
+	return p.usage != nil && !p.alive(now)
 }
 
-// heard reports whether the peer was lately heard of.
-func (p *peer[W]) heard(now int64) bool { return p.updatedAt != 0 && now-p.updatedAt < PeerTimeout }
+// alive reports whether the peer was lately heard of.
+func (p *peer[W]) alive(now int64) bool { return p.updatedAt != 0 && now-p.updatedAt < PeerTimeout }
 
 // MeanAdmissionRate returns the mean of this dispatcher's admission rate and those of the peers that were
 // lately heard of.
 func (t *Table[W]) MeanAdmissionRate(own float64, now int64) float64 {
 	sum, n := own, 1.0
 	for i := range t.peers {
-		if p := &t.peers[i]; p.heard(now) {
+		if p := &t.peers[i]; p.alive(now) {
 			sum += p.admissionRate
 			n++
 		}
--- a/internal/decision/health/health_test.go
+++ b/internal/decision/health/health_test.go
@@ -52,18 +52,18 @@
 }
 
 // The pauses after rejections in a row grow, and begin anew after a timely start.
-func TestBackOff(t *testing.T) {
+func TestBackoff(t *testing.T) {
 	var o Outlier
 	rng := newRand()
 	for i, most := range []int64{200, 400, 800, 800} {
-		if o.BackOff(1000, 800, rng); !o.Ejected(1000+most/2-1) || o.Ejected(1000+most) {
+		if o.Backoff(1000, 800, rng); !o.Ejected(1000+most/2-1) || o.Ejected(1000+most) {
 			t.Errorf("rejection %d: backs off until %d", i, o.State().EjectedUntil)
 		}
 	}
 	if o.RecordTimelyStart(); o.Rejections() != 0 {
 		t.Error("rejections count after a timely start")
 	}
-	o.BackOff(0, 800, rng)
+	o.Backoff(0, 800, rng)
 	if o.Reset(); o.State() != (OutlierState{ConsecutiveRejections: 1}) {
 		t.Errorf("%+v after a restart", o.State())
 	}
--- a/internal/decision/health/outlier.go
+++ b/internal/decision/health/outlier.go
@@ -90,9 +90,9 @@
 // Failing reports whether the worker's failures are no chance.
 func (o *Outlier) Failing() bool { return o.state.FailureRate >= maxFailureRate }
 
-// BackOff keeps jobs from a worker that has no room now: by our count it looks free, and would draw the
+// Backoff keeps jobs from a worker that has no room now: by our count it looks free, and would draw the
 // next one. The pause goes with a job's running time.
-func (o *Outlier) BackOff(now, runtime int64, rng *rand.Rand) {
+func (o *Outlier) Backoff(now, runtime int64, rng *rand.Rand) {
 	o.state.ConsecutiveRejections = min(o.state.ConsecutiveRejections+1, maxRejections)
 	pause := runtime / 8 << o.state.ConsecutiveRejections
 	o.state.LastFaultAt = now
--- a/internal/decision/membership/lease.go
+++ b/internal/decision/membership/lease.go
@@ -21,9 +21,9 @@
 const (
 	second = int64(1e9)
 
-	// CachedListGrace is how long a process that has just started waits for discovery's first answer before
+	// CachedEndpointsGrace is how long a process that has just started waits for discovery's first answer before
 	// it goes by the list that it was started with: by then discovery is most likely out of order.
-	CachedListGrace = 5 * second
+	CachedEndpointsGrace = 5 * second
 
 	// DiscoveryChangeLease is how long the list may be relied on after another discovery was named: what
 	// that one has counts as known then.
@@ -80,7 +80,7 @@
 	case l.confirmed:
 		return l.failure == FailureBusy
 	}
-	return l.failure != FailureInvalid && now-l.confirmedAt >= CachedListGrace
+	return l.failure != FailureInvalid && now-l.confirmedAt >= CachedEndpointsGrace
 }
 
 // Covers reports whether what was seen at a time still holds.
--- a/internal/decision/membership/lease_test.go
+++ b/internal/decision/membership/lease_test.go
@@ -22,8 +22,8 @@
 		fresh, usable bool
 	}{
 		{"just started", nil, 0, false, false},
-		{"just before the grace's end", nil, CachedListGrace - 1, false, false},
-		{"never answered", nil, CachedListGrace, false, true},
+		{"just before the grace's end", nil, CachedEndpointsGrace - 1, false, false},
+		{"never answered", nil, CachedEndpointsGrace, false, true},
 		{"never answered, invalid", []call{fail(second, FailureInvalid)}, 10 * second, false, false},
 		{"invalid and then busy", []call{fail(0, FailureInvalid), fail(0, FailureBusy)}, 10 * second, false, false},
 		{"invalid and then down", []call{fail(0, FailureInvalid), fail(0, FailureDown)}, 0, true, true},
--- a/internal/decision/membership/schedule.go
+++ b/internal/decision/membership/schedule.go
@@ -14,7 +14,7 @@
 
 const (
 	minBackoff  = second / 2
-	startSpread = second // over which the first polls of schedulers that start together are spread at most
+	startJitter = second // over which the first polls of schedulers that start together are spread at most
 )
 
 // NewPollSchedule returns the schedule of a scheduler that may go for no longer than maxInterval without
@@ -23,7 +23,7 @@
 
 // Start draws the time of the first poll: dispatchers that start together must not ask together.
 func (s *PollSchedule) Start(now int64, rng *rand.Rand) {
-	s.nextAt = now + rng.Int64N(max(1, min(s.maxInterval/4, startSpread)))
+	s.nextAt = now + rng.Int64N(max(1, min(s.maxInterval/4, startJitter)))
 }
 
 // Begin reports whether discovery is to be asked now, and if so notes that it is.
--- a/internal/decision/membership/schedule_test.go
+++ b/internal/decision/membership/schedule_test.go
@@ -6,7 +6,7 @@
 )
 
 // One poll is in progress at a time, and none once changes come by themselves.
-func TestPollScheduleAsksOnce(t *testing.T) {
+func TestPollScheduleHasOnePollInProgress(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	s := NewPollSchedule(20 * second)
 	s.Start(second, rng)
@@ -29,7 +29,7 @@
 }
 
 // A list that came unasked is no subscription.
-func TestPollScheduleUnaskedList(t *testing.T) {
+func TestPollScheduleUnsolicitedEndpoints(t *testing.T) {
 	s := NewPollSchedule(20 * second)
 	if s.Succeed(); !s.Begin(0) {
 		t.Error("does not ask after a list that came unasked")
@@ -37,7 +37,7 @@
 }
 
 // The pauses after failures grow to half of the longest interval, and begin anew after an answer.
-func TestPollScheduleBacksOff(t *testing.T) {
+func TestPollScheduleBackoff(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	s := NewPollSchedule(8 * second)
 	for _, most := range []int64{second / 2, second, 2 * second, 4 * second, 4 * second} {
--- a/internal/lab/soak/mutants.go
+++ b/internal/lab/soak/mutants.go
@@ -27,7 +27,7 @@
 
 // Mutants are the faults by which the soak is proved, two for each rule.
 var Mutants = []Mutant{
-	{lab.Mutant{Name: "a saved list is trusted at once", File: "internal/decision/membership/lease.go", Old: "now-l.confirmedAt >= CachedListGrace", New: "now >= l.confirmedAt"}, drain},
+	{lab.Mutant{Name: "a saved list is trusted at once", File: "internal/decision/membership/lease.go", Old: "now-l.confirmedAt >= CachedEndpointsGrace", New: "now >= l.confirmedAt"}, drain},
 	{lab.Mutant{Name: "drains are not heard", File: "internal/platform/endpoint_table.go", Old: "state := workerStates[h.Health]", New: "state := workerStates[h.Health]\n\t\tif state == foxlift.Draining {\n\t\t\tstate = foxlift.Live\n\t\t}"}, drain},
 	{lab.Mutant{Name: "unanswered attempts go on at nodes that are gone", File: "internal/platform/in_flight.go", Old: "if state == foxlift.Live {", New: "if true {"}, drain},
 	{lab.Mutant{Name: "some answers are never written", File: "internal/platform/client_reply.go", Old: "\t_, err := c.conn.Write(b)\n", New: "\tif len(b)%7 == 0 {\n\t\treturn false\n\t}\n\t_, err := c.conn.Write(b)\n"}, lost},
--- a/placement_large_test.go
+++ b/placement_large_test.go
@@ -49,7 +49,7 @@
 		h.step(h.request(id, idempotent))
 		sent := h.wantActions(ActionSend, 1)[0]
 		h.advance(40*ms, started(id, 0, sent.Worker)) // 3 ticks
-		if got := h.d.capacity.startDelays.Least()[h.d.jobs.byID[id].attempts[0].path]; got != 40*ms {
+		if got := h.d.capacity.startDelays.Min()[h.d.jobs.byID[id].attempts[0].path]; got != 40*ms {
 			t.Errorf("the way takes %d", got)
 		}
 		outlier := h.d.workers[sent.Worker].outlier.State()
--- a/placement_test.go
+++ b/placement_test.go
@@ -75,7 +75,7 @@
 	cfg := testConfig()
 	cfg.MayHealthCheck, cfg.Dispatchers = true, 2
 	h := newHarness(t, cfg, testWorkers(20)...)
-	setUsualPressure(h.d, 0.5)
+	setFleetPressure(h.d, 0.5)
 	h.step(h.request(1, idempotent))
 	h.wantActions(ActionSend, 0)
 	probes := h.wantActions(ActionHealthCheck, 2)
@@ -102,7 +102,7 @@
 	w := h.d.workerOrder[0]
 	e := Event{Kind: EventHealthChecked, Worker: "w0", Code: Served, HasLoad: true}
 	h.step(e) // no free slots
-	setUsualPressure(h.d, 0.3)
+	setFleetPressure(h.d, 0.3)
 	fresh := h.d.capacity.reports.Pressure(&w.report, 1, h.d.now)
 	h.now += 20 * second
 	h.step()
@@ -151,7 +151,7 @@
 	cfg := testConfig()
 	cfg.MayHealthCheck = true
 	h := newHarness(t, cfg, testWorkers(20)...)
-	setUsualPressure(h.d, 0.95)
+	setFleetPressure(h.d, 0.95)
 	h.step(h.request(1, idempotent))
 	h.wantActions(ActionHealthCheck, 0)
 	h.wantActions(ActionSend, 1)
--- a/snapshot.go
+++ b/snapshot.go
@@ -95,8 +95,8 @@
 		Now: d.now, ControlPeriods: rate.Periods, AdmissionRate: rate.AdmissionRate, Unthrottled: rate.Unthrottled,
 		OfferedRate: rate.OfferedRate, TrafficFraction: d.quotas.TrafficFraction(), BurstTokens: d.quotas.BurstTokens(),
 		StartWindow: d.capacity.startWindow.Slots(), HedgeBudget: d.jobs.hedgeBudget,
-		FleetPressure: MeanSnapshot(d.capacity.reports.Usual()),
-		StartDelay:    MeanSnapshot(d.capacity.startDelays.Mean()), MinDelay: d.capacity.startDelays.Least(),
+		FleetPressure: MeanSnapshot(d.capacity.reports.FleetAverage()),
+		StartDelay:    MeanSnapshot(d.capacity.startDelays.Mean()), MinDelay: d.capacity.startDelays.Min(),
 		PressureDecay: d.capacity.reports.Decay(), PeakWorkerRate: d.capacity.slowStart.Rate().Peak(), RecentWorkerRate: d.capacity.slowStart.Rate().Recent(),
 		Keys: d.keys.recent.Keys(),
 	}
--- a/state_helpers_test.go
+++ b/state_helpers_test.go
@@ -55,8 +55,8 @@
 	w.warmup.RestoreLastSend(at, 0)
 }
 
-func setUsualPressure(d *Dispatcher, average float64) {
-	usual := d.capacity.reports.Usual()
+func setFleetPressure(d *Dispatcher, average float64) {
+	usual := d.capacity.reports.FleetAverage()
 	usual.Average = average
 	d.capacity.reports.Restore(usual, d.capacity.reports.Decay())
 }
