--- a/internal/cells/assigner_test.go
+++ b/internal/cells/assigner_test.go
@@ -20,9 +20,9 @@
 
 func plan(t testing.TB, s *Spec, tenants ...Tenant) *Plan {
 	t.Helper()
-	p, faults := NewPlan(s, tenants, 2, []string{"large", "medium", "old"})
-	if faults != nil {
-		t.Fatal(faults)
+	p, specErrors := NewPlan(s, tenants, 2, []string{"large", "medium", "old"})
+	if specErrors != nil {
+		t.Fatal(specErrors)
 	}
 	return p
 }
@@ -81,9 +81,9 @@
 		s := spec(rapid.IntRange(1, 7).Draw(t, "cells"))
 		s.Weights = map[string]float64{"large": 5.6, "old": 3}
 		s.RequiredKinds = rapid.SampledFrom([][]int{nil, {0}, {0, 2}}).Draw(t, "needs")
-		p, faults := NewPlan(s, nil, 2, []string{"large", "medium", "old"})
-		if faults != nil {
-			t.Fatal(faults)
+		p, specErrors := NewPlan(s, nil, 2, []string{"large", "medium", "old"})
+		if specErrors != nil {
+			t.Fatal(specErrors)
 		}
 		a, here := NewAssigner(p), map[string]Worker{}
 		l := NewLayout(p)
--- a/internal/cells/bench_test.go
+++ b/internal/cells/bench_test.go
@@ -16,9 +16,9 @@
 	}
 	s.Weights = map[string]float64{"l": 5.6, "m": 2.9, "o": 3}
 	s.KeyWorkers = 3
-	p, faults := NewPlan(s, tenants, 2, []string{"l", "m", "o"})
-	if faults != nil {
-		b.Fatal(faults)
+	p, specErrors := NewPlan(s, tenants, 2, []string{"l", "m", "o"})
+	if specErrors != nil {
+		b.Fatal(specErrors)
 	}
 	var list []Worker
 	for i := range 10000 {
--- a/internal/cells/cells_test.go
+++ b/internal/cells/cells_test.go
@@ -123,25 +123,25 @@
 	a := NewAssigner(p)
 	list := fleet(rand.New(rand.NewPCG(5, 6)), 60)
 	l := NewLayout(p).WithChanges(a.Update(list))
-	gone := l.Workers(1)[3]
-	m := l.WithChanges([]Change{{gone, 1, -1}})
+	removed := l.Workers(1)[3]
+	m := l.WithChanges([]Change{{removed, 1, -1}})
 	used := map[string]int{}
 	for key := uint64(1); key <= 400; key++ {
-		nodes := l.KeyWorkers(1, key)
-		if len(nodes) != 2 || nodes[0] == nodes[1] {
-			t.Fatalf("key %d: %v", key, nodes)
+		workers := l.KeyWorkers(1, key)
+		if len(workers) != 2 || workers[0] == workers[1] {
+			t.Fatalf("key %d: %v", key, workers)
 		}
-		for _, n := range nodes {
+		for _, n := range workers {
 			used[n]++
 		}
-		kept := 0
+		shared := 0
 		for _, n := range m.KeyWorkers(1, key) {
-			if slices.Contains(nodes, n) {
-				kept++
+			if slices.Contains(workers, n) {
+				shared++
 			}
 		}
-		if want := 2; kept != want && !slices.Contains(nodes, gone) || kept < want-1 {
-			t.Errorf("key %d: %v, then %v", key, nodes, m.KeyWorkers(1, key))
+		if want := 2; shared != want && !slices.Contains(workers, removed) || shared < want-1 {
+			t.Errorf("key %d: %v, then %v", key, workers, m.KeyWorkers(1, key))
 		}
 	}
 	if len(used) != l.WorkerCount(1) {
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -40,12 +40,13 @@
 		}
 	}
 	op, err := ParseOperator("f", data, fuzzSettings)
-	if faults := OperatorErrors(nil); err != nil && (!errors.As(err, &faults) || len(faults) == 0) {
+	operatorErrors := OperatorErrors(nil)
+	if err != nil && (!errors.As(err, &operatorErrors) || len(operatorErrors) == 0) {
 		t.Fatalf("%q: %v", data, err)
 	} else if err != nil {
-		for i, f := range faults {
-			if f.Text == "" || f.File != "f" || i > 0 && f.Line < faults[i-1].Line {
-				t.Fatalf("%q: fault %d of %v", data, i, faults)
+		for i, f := range operatorErrors {
+			if f.Text == "" || f.File != "f" || i > 0 && f.Line < operatorErrors[i-1].Line {
+				t.Fatalf("%q: fault %d of %v", data, i, operatorErrors)
 			}
 		}
 		return
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -33,7 +33,7 @@
 func (nothing) Watch()                                {}
 
 // newServer returns a server, which does not listen yet, of a core with two cells and
-// eight nodes.
+// eight workers.
 func newServer(t testing.TB) *Server {
 	s, err := config.ParseSettings([]byte(`{"dcs":["a"],"flavors":["k"],
 		"grades":[{"name":"r","aim":1,"deadline":1,"effect":"idempotent"}],
--- a/internal/control/fuzz_test.go
+++ b/internal/control/fuzz_test.go
@@ -51,13 +51,13 @@
 	if err != nil {
 		t.Fatalf("%q: %v", data, err)
 	}
-	tenants, nodes := 0, 0
+	tenants, workers := 0, 0
 	for _, c := range r.Cells {
 		tenants += len(c.Tenants)
-		nodes += len(c.Nodes)
+		workers += len(c.Nodes)
 	}
-	if tenants != 2 || nodes != 8 {
-		t.Fatalf("%q: %d tenants and %d nodes are left of 2 and 8", data, tenants, nodes)
+	if tenants != 2 || workers != 8 {
+		t.Fatalf("%q: %d tenants and %d workers are left of 2 and 8", data, tenants, workers)
 	}
 }
 
--- a/internal/pollpacing/pacer_test.go
+++ b/internal/pollpacing/pacer_test.go
@@ -168,8 +168,8 @@
 				t.Logf("half %.2f s, all %.2f s, calls %d, refused %d, in a second %d; before: %.2f s, %.2f s, %d, %d, %d",
 					worst.half.Seconds(), worst.all.Seconds(), worst.calls, worst.rejected, worst.maxRate,
 					before.half.Seconds(), before.all.Seconds(), before.calls, before.rejected, before.maxRate)
-				least := down + time.Duration(n)*22*time.Millisecond
-				if limit := least + least/4 + 2*time.Second; worst.all > limit {
+				minimum := down + time.Duration(n)*22*time.Millisecond
+				if limit := minimum + minimum/4 + 2*time.Second; worst.all > limit {
 					t.Errorf("the last has its list after %v, want %v", worst.all, limit)
 				}
 				if worst.maxRate > 500 {
@@ -203,7 +203,7 @@
 		return sum
 	}
 	if one, three := mean(1), mean(3); three > one*3/5 || three < one*2/5 {
-		t.Errorf("pauses of %v after the first refusal, %v after the third", one, three)
+		t.Errorf("delays of %v after the first refusal, %v after the third", one, three)
 	}
 }
 
@@ -268,12 +268,12 @@
 	for range newEndpointAttempts {
 		a.NextDelay(Unreachable, 0)
 	}
-	var most time.Duration
+	var longest time.Duration
 	for range 200 {
-		most = max(most, a.NextDelay(Unreachable, 0))
+		longest = max(longest, a.NextDelay(Unreachable, 0))
 	}
-	if most < 2500*time.Millisecond {
-		t.Errorf("pauses up to %v", most)
+	if longest < 2500*time.Millisecond {
+		t.Errorf("delays up to %v", longest)
 	}
 }
 
@@ -331,8 +331,8 @@
 	a := NewAgentPacer(rand.New(rand.NewPCG(1, 1)))
 	for range 200 {
 		for _, o := range []Outcome{Unreachable, Unanswered, Overloaded, Invalid} {
-			if pause := a.NextDelay(o, time.Second); pause > 100*time.Millisecond {
-				t.Errorf("%d: asked again after %v", o, pause)
+			if delay := a.NextDelay(o, time.Second); delay > 100*time.Millisecond {
+				t.Errorf("%d: asked again after %v", o, delay)
 			}
 		}
 		limit := a.WatchHold() + a.Timeout(0)
@@ -351,15 +351,15 @@
 			for range 100 {
 				last := time.Duration(0)
 				for i := range 12 {
-					took := a.Timeout(0)
-					pause := a.NextDelay(Oversized, took)
-					if i < 2 && took+pause+answerDelay+schedulingDelay > MaxPropagationDelay {
-						t.Fatalf("%d schedulers: known after %v and a pause of %v", n, took, pause)
+					elapsed := a.Timeout(0)
+					delay := a.NextDelay(Oversized, elapsed)
+					if i < 2 && elapsed+delay+answerDelay+schedulingDelay > MaxPropagationDelay {
+						t.Fatalf("%d schedulers: known after %v and a delay of %v", n, elapsed, delay)
 					}
-					if pause < last/2 || i >= 7 && pause < 32*time.Second || pause > maxOversizedBackoff {
-						t.Fatalf("%d schedulers: pause %d is %v after one of %v", n, i, pause, last)
+					if delay < last/2 || i >= 7 && delay < 32*time.Second || delay > maxOversizedBackoff {
+						t.Fatalf("%d schedulers: delay %d is %v after one of %v", n, i, delay, last)
 					}
-					last = pause
+					last = delay
 				}
 				a.NextDelay(Answered, 0)
 			}
--- a/internal/slowstart/slots_test.go
+++ b/internal/slowstart/slots_test.go
@@ -15,7 +15,7 @@
 		worker, from := rapid.Uint64().Draw(t, "worker"), rapid.Int64Range(0, 1<<61).Draw(t, "now")
 		jobs := rapid.Float64Range(0, 20).Draw(t, "jobs")
 		slots := NewSlots(int64(time.Second), n, 0, jobs)
-		if most := max(1, jobs); float64(time.Second)/float64(slots.length) > most*1.001 {
+		if perSecond := max(1, jobs); float64(time.Second)/float64(slots.length) > perSecond*1.001 {
 			t.Fatalf("slots of %d ns for %g jobs a second", slots.length, jobs)
 		}
 		first := slots.At(from)
