--- a/internal/daemon/checkpoint_test.go
+++ b/internal/daemon/checkpoint_test.go
@@ -1,9 +1,20 @@
 package daemon
 
 import (
+	"context"
+	"encoding/json"
 	"os"
+	"path/filepath"
 	"strings"
 	"testing"
+	"time"
+
+	"go.uber.org/zap"
+	"go.uber.org/zap/zaptest/observer"
+
+	"github.com/vatu-meals/foxlift/internal/checkpoint"
+	"github.com/vatu-meals/foxlift/internal/counters"
+	"github.com/vatu-meals/foxlift/internal/platform"
 )
 
 const withCheckpoint = `(foxlift (list (checkpoint %q)))`
@@ -64,3 +75,35 @@
 		t.Error("a file was written")
 	}
 }
+
+// fixedEndpoints are a checkpoint source whose list does not change.
+type fixedEndpoints struct{}
+
+func (fixedEndpoints) EndpointsVersion() (int64, bool) { return 7, true }
+
+func (fixedEndpoints) SnapshotEndpoints() (*platform.EndpointSnapshot, bool) {
+	return &platform.EndpointSnapshot{TakenAt: time.Now(), Version: 7, Endpoints: json.RawMessage("{}")}, true
+}
+
+// A checkpointer writes the last checkpoint also when it starts during a shutdown; a failed write is
+// logged.
+func TestLastCheckpoint(t *testing.T) {
+	directory := t.TempDir()
+	shuttingDown, cancel := context.WithCancel(t.Context())
+	cancel()
+	for path, written := range map[string]int64{
+		filepath.Join(directory, "list"):         1,
+		filepath.Join(directory, "none", "list"): 0,
+	} {
+		core, logs := observer.New(zap.WarnLevel)
+		set := &counters.Set{}
+		c := &checkpointer{writer: checkpoint.New(path, set), log: zap.New(core)}
+		c.run(shuttingDown, fixedEndpoints{})
+		if got := set.Get("checkpoint.written"); got != written {
+			t.Errorf("%s: written %d times, want %d", path, got, written)
+		}
+		if got := int64(logs.FilterMessage("checkpoint: write failed").Len()); got != 1-written {
+			t.Errorf("%s: %d failures logged", path, got)
+		}
+	}
+}
