--- a/cmd/foxlift-lab/soak.go
+++ b/cmd/foxlift-lab/soak.go
@@ -31,7 +31,7 @@
 				o.For, seeds = shortSoak, 1
 			}
 			if build {
-				program, remove, err := fleet.BuildAside()
+				program, remove, err := fleet.BuildAside(cmd.Context())
 				if err != nil {
 					return err
 				}
--- a/internal/lab/fleet/configuration.go
+++ b/internal/lab/fleet/configuration.go
@@ -9,17 +9,11 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// add prepares process i: its view of discovery, its links and its configuration.
+// addProcess prepares process i: its view of discovery, its links and its configuration.
 func (f *Fleet) addProcess(i int) error {
-	view := fmt.Sprint("n", i)
+	name := fmt.Sprint("n", i)
 	f.workerLinks = append(f.workerLinks, map[string]*Link{})
-	l, err := standin.Listen()
-	if err != nil {
-		return err
-	}
-	server := f.Discovery.View(l, view, f.dial(i))
-	f.cleanups = append(f.cleanups, func() { server.Close(); server.Reset() })
-	link, err := newLink(l.Addr().String())
+	link, err := f.linkToDiscovery(i, name)
 	if err != nil {
 		return err
 	}
@@ -28,18 +22,22 @@
 	if err != nil {
 		return err
 	}
-	p := &Process{Name: view, Addr: addr, program: f.Program, counters: map[string]int64{}}
-	path := filepath.Join(f.dir, view+".json")
-	p.env = []string{"LB_CONFIG=" + path, "LB_LISTEN=" + addr}
+	p := &Process{Name: name, Addr: addr, program: f.Program, counters: map[string]int64{}}
+	p.env = []string{"LB_CONFIG=" + f.path(name, ".json"), "LB_LISTEN=" + addr}
 	if f.Admin {
 		if p.Admin, err = freeAddr(); err != nil {
 			return err
 		}
-		p.env = append(p.env, "LB_NAME="+view, "LB_DISCOVERY="+link.Addr().String(), "TMPDIR="+f.dir, adminVariable+p.Admin)
+		p.env = append(p.env,
+			"LB_NAME="+name,
+			"LB_DISCOVERY="+link.Addr().String(),
+			"TMPDIR="+f.dir,
+			adminVariable+p.Admin)
 	}
 	if f.Operator != "" {
-		operator := filepath.Join(f.dir, view+".sexp")
-		p.Checkpoint, p.args = filepath.Join(f.dir, view+".kept"), []string{"serve", "--operator", operator}
+		operator := f.path(name, ".sexp")
+		p.Checkpoint = f.path(name, ".kept")
+		p.args = []string{"serve", "--operator", operator}
 		if err := os.WriteFile(operator, fmt.Appendf(nil, f.Operator, p.Checkpoint), 0o600); err != nil {
 			return err
 		}
@@ -48,24 +46,49 @@
 	return f.Configure(i, f.Discovery.KnownAt(f.dial(i)))
 }
 
-// Configure writes the configuration of process i with this list as last known.
+// linkToDiscovery starts a link to a view of discovery that is of process i alone.
+func (f *Fleet) linkToDiscovery(i int, view string) (*Link, error) {
+	l, err := standin.Listen()
+	if err != nil {
+		return nil, err
+	}
+	server := f.Discovery.View(l, view, f.dial(i))
+	f.cleanups = append(f.cleanups, func() {
+		server.Close()
+		server.Reset()
+	})
+	return newLink(l.Addr().String())
+}
+
+// path is a file of a process in the fleet's folder.
+func (f *Fleet) path(process, extension string) string {
+	return filepath.Join(f.dir, process+extension)
+}
+
+// Configure writes the configuration of process i with this list as the cached one.
 func (f *Fleet) Configure(i int, known []byte) error {
+	p := f.Processes[i]
 	config := map[string]any{
-		"name": f.Processes[i].Name, "listen": f.Processes[i].Addr, "discovery": f.Links[i].Addr().String(),
-		"seed": fmt.Sprintf("%x", 1000+i), "limits": map[string]any{"memory_mb": 192, "sockets": f.Sockets},
-		"known": json.RawMessage(known), "settings": f.Settings(i),
+		"name":      p.Name,
+		"listen":    p.Addr,
+		"discovery": f.Links[i].Addr().String(),
+		"seed":      fmt.Sprintf("%x", 1000+i),
+		"limits":    map[string]any{"memory_mb": 192, "sockets": f.Sockets},
+		"known":     json.RawMessage(known),
+		"settings":  f.Settings(i),
 	}
 	if f.Admin {
-		config["admin"] = f.Processes[i].Admin
+		config["admin"] = p.Admin
 	}
 	if f.Messaging != nil {
-		config["peer_listen"], config["peers"] = f.Messaging.listen[i], f.Messaging.addresses[i]
+		config["peer_listen"] = f.Messaging.listen[i]
+		config["peers"] = f.Messaging.addresses[i]
 	}
 	text, err := json.Marshal(config)
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(filepath.Join(f.dir, f.Processes[i].Name+".json"), text, 0o600)
+	return os.WriteFile(f.path(p.Name, ".json"), text, 0o600)
 }
 
 // ChangeDiscovery names another address of discovery in the configuration of process i, which
@@ -80,12 +103,12 @@
 	return f.Configure(i, f.Discovery.KnownAt(f.dial(i)))
 }
 
-// dial returns how process i reaches each node, by its name and its own address.
+// dial returns how process i reaches each worker, by its name and its own address.
 func (f *Fleet) dial(i int) func(host, addr string) string {
 	return func(host, addr string) string { return f.via(i, host, addr) }
 }
 
-// via returns the address by which process i reaches a node.
+// via returns the address by which process i reaches a worker.
 func (f *Fleet) via(i int, host, addr string) string {
 	if !f.WorkerLinks {
 		return addr
@@ -94,18 +117,18 @@
 	defer f.mu.Unlock()
 	links := f.workerLinks[i]
 	if links[host] == nil {
-		l, err := newLink(addr)
+		link, err := newLink(addr)
 		if err != nil {
 			return addr
 		}
-		links[host] = l
+		links[host] = link
 	}
 	return links[host].Addr().String()
 }
 
-// WorkerLink returns the link of process i to a node; nil if there is none.
-func (f *Fleet) WorkerLink(i int, n *standin.Worker) *Link {
+// WorkerLink returns the link of process i to a worker; nil if there is none.
+func (f *Fleet) WorkerLink(i int, worker *standin.Worker) *Link {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.workerLinks[i][n.Name]
+	return f.workerLinks[i][worker.Name]
 }
--- a/internal/lab/fleet/cut_test.go
+++ b/internal/lab/fleet/cut_test.go
@@ -1,7 +1,6 @@
 package fleet
 
 import (
-	"net"
 	"sync"
 	"testing"
 	"time"
@@ -13,9 +12,9 @@
 // settings, and the slack of the rules on sockets.
 const drainGrace = 750*time.Millisecond + 50*time.Millisecond
 
-// Nodes are cut off from the schedulers under load, and the list says that they are gone. When they can
-// be reached again, no request that was written before reaches them: it would be a send to a node that
-// is gone, as late as the cut was long.
+// Workers are cut off from the schedulers under load, and the list says that they have left. When they can
+// be reached again, no request that was written before reaches them: it would be a send to a removed worker,
+// as late as the cut was long.
 func TestCutWorkersGetNoLateRequests(t *testing.T) {
 	f := small(t, 2, func(o *Options) {
 		o.WorkerLinks = true
@@ -24,58 +23,58 @@
 		}
 	})
 	must(t, f.StartAll(20*time.Second))
-	awaitLists(t, f, f.Processes...)
+	awaitEndpoints(t, f, f.Processes...)
 	cut := f.Workers()[:4]
-	for _, n := range cut {
-		silence(f, n)
+	for _, worker := range cut {
+		silence(f, worker)
 	}
 	l := f.StartLoad("cut", 200, 5)
-	for _, n := range cut {
-		await(t, n.Name+" has requests in the cut", func() bool { return waitingFor(f, n) > 0 })
+	for _, worker := range cut {
+		await(t, worker.Name+" has requests in the cut", func() bool { return waitingFor(f, worker) > 0 })
 	}
-	for _, n := range cut {
-		f.Discovery.Put(n, "left")
+	for _, worker := range cut {
+		f.Discovery.Put(worker, "left")
 	}
 	awaitVersion(t, f, f.Processes...)
-	told := time.Now()
+	notifiedAt := time.Now()
 	<-time.After(drainGrace)
-	for _, n := range cut {
-		heal(f, n)
+	for _, worker := range cut {
+		heal(f, worker)
 	}
-	for _, n := range cut {
-		await(t, n.Name+" gets what was held back", func() bool { return waitingFor(f, n) == 0 })
+	for _, worker := range cut {
+		await(t, worker.Name+" gets what was held back", func() bool { return waitingFor(f, worker) == 0 })
 	}
 	terminates(t, f, l, standin.Tally{})
-	for _, n := range cut {
-		if late := n.LastBegun().Sub(told); late > 0 {
-			t.Errorf("a request reaches %s %v after all schedulers were told that it is gone", n.Name, late)
+	for _, worker := range cut {
+		if late := worker.LastBegun().Sub(notifiedAt); late > 0 {
+			t.Errorf("a request reaches %s %v after all schedulers were told that it has left", worker.Name, late)
 		}
 	}
 }
 
-// silence holds back all that goes between the schedulers and a node.
-func silence(f *Fleet, n *standin.Worker) {
+// silence holds back all that goes between the schedulers and a worker.
+func silence(f *Fleet, worker *standin.Worker) {
 	for i := range f.Processes {
-		f.WorkerLink(i, n).Silence(ToTarget, FromTarget)
+		f.WorkerLink(i, worker).Silence(ToTarget, FromTarget)
 	}
 }
 
 // heal passes it on again.
-func heal(f *Fleet, n *standin.Worker) {
+func heal(f *Fleet, worker *standin.Worker) {
 	for i := range f.Processes {
-		f.WorkerLink(i, n).Heal()
+		f.WorkerLink(i, worker).Heal()
 	}
 }
 
-// waitingFor returns how many bytes for a node are held back.
-func waitingFor(f *Fleet, n *standin.Worker) (sum int) {
+// waitingFor returns how many bytes for a worker are held back.
+func waitingFor(f *Fleet, worker *standin.Worker) (sum int) {
 	for i := range f.Processes {
-		sum += f.WorkerLink(i, n).Waiting()
+		sum += f.WorkerLink(i, worker).Waiting()
 	}
 	return sum
 }
 
-// awaitVersion waits until each of these processes has been told the newest version of the list.
+// awaitVersion waits until each of these processes has had the newest version of the list.
 func awaitVersion(t *testing.T, f *Fleet, which ...*Process) {
 	t.Helper()
 	version := f.Discovery.Version()
@@ -84,17 +83,17 @@
 	}
 }
 
-// A scheduler is killed, nodes go off the list while it is down, and it starts again with the list as it was
+// A scheduler is killed, workers go off the list while it is down, and it starts again with the list as it was
 // before: it sends nothing there while discovery, which can be reached, is late with its answer.
-func TestExpiredListSendsNothingToRemovedWorkers(t *testing.T) {
+func TestExpiredEndpointsSendNothingToRemovedWorkers(t *testing.T) {
 	f := small(t, 2, nil)
 	must(t, f.StartAll(20*time.Second))
-	awaitLists(t, f, f.Processes...)
+	awaitEndpoints(t, f, f.Processes...)
 	p := f.Processes[0]
 	p.Kill()
 	left := f.Workers()[:4]
-	for i, n := range left {
-		f.Discovery.Put(n, []string{"left", "leaving"}[i%2])
+	for i, worker := range left {
+		f.Discovery.Put(worker, []string{"left", "leaving"}[i%2])
 	}
 	awaitVersion(t, f, f.Processes[1])
 	for _, l := range f.Links {
@@ -103,7 +102,13 @@
 	restarted := time.Now()
 	must(t, p.Start())
 	await(t, "it listens", func() bool { return reachable(p.Addr) })
-	early := &standin.Client{Addr: p.Addr, Tenant: "all", Class: "ratify", Remaining: 4 * time.Second, Name: "early/ratify/0"}
+	early := &standin.Client{
+		Addr:      p.Addr,
+		Tenant:    "all",
+		Class:     "ratify",
+		Remaining: 4 * time.Second,
+		Name:      "early/ratify/0",
+	}
 	var jobs sync.WaitGroup
 	for range 8 {
 		jobs.Go(func() { early.Send() })
@@ -113,16 +118,16 @@
 	if tally := early.ResetTally(); tally.Lost+tally.Failed > 0 {
 		t.Errorf("of the jobs that came before the answer: %+v", tally)
 	}
-	for _, n := range left {
-		if late := n.LastBegun().Sub(restarted); late > 0 {
-			t.Errorf("a request reaches %s, which left before, %v after the restart", n.Name, late)
+	for _, worker := range left {
+		if late := worker.LastBegun().Sub(restarted); late > 0 {
+			t.Errorf("a request reaches %s, which left before, %v after the restart", worker.Name, late)
 		}
 	}
 }
 
 // reachable reports whether somebody listens at an address.
 func reachable(addr string) bool {
-	c, err := net.Dial("tcp", addr)
+	c, err := standin.Dial(addr, 0)
 	if err != nil {
 		return false
 	}
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,6 +1,9 @@
-// Package fleet runs many processes of the program on one machine, with a link between
-// each of them and what it meets, so that parts of it can be made to fail. Everything is on
-// loopback, and everything ends with Close.
+// Package fleet runs many scheduler processes on one machine, among stand-ins for workers, discovery and clients,
+// with a link between each process and what it meets, so that parts of the network can be made to fail.
+//
+// A Fleet owns its processes, links, stand-ins and a folder for their files. Everything is on loopback, and
+// everything ends with Close. The trials SlowStartTrial and Keyed play a deployment's hard moments on a fleet and
+// judge by what the stand-ins recorded.
 package fleet
 
 import (
@@ -19,33 +22,34 @@
 	lab.Topology
 	Program     string             // the scheduler's binary
 	Price       standin.Price      // of calls to discovery
-	SlowStart   *standin.SlowStart // of nodes that start; nil: they are warm at once
-	GroupWindow time.Duration      // in which pods really drop repeats; 0: as the settings say
-	WorkerLinks bool               // a link between each scheduler and each node: only for small fleets
+	SlowStart   *standin.SlowStart // of workers that start; nil: they are warm at once
+	GroupWindow time.Duration      // in which groups really drop repeats; 0: as the settings say
+	WorkerLinks bool               // a link between each scheduler and each worker: only for small fleets
 	Admin       bool               // each process has a second address, for its operators
 	Operator    string             // text of each process's operator's file, with %s for a path of its own; "": none
 }
 
-// A Fleet is the running processes and what they meet.
+// A Fleet is scheduler processes and what they meet.
 type Fleet struct {
 	Options
 	Processes []*Process
 	Discovery *standin.Discovery
 	Links     []*Link    // of each process to discovery
-	Messaging *Messaging // between the processes; nil where they do not speak with each other
+	Messaging *Messaging // between the processes; nil: they send each other none
+
+	dir      string
+	cleanups []func()
+	groups   []*standin.DedupGroup
 
 	mu             sync.Mutex
 	workers        []*standin.Worker // all that ever were
 	running        map[string]*standin.Worker
-	workerLinks    []map[string]*Link // of each process, by the node's name
-	dir            string
-	cleanups       []func()
-	workersStarted int // nodes
-	groups         []*standin.DedupGroup
-	successors     []*Process // successors
+	workerLinks    []map[string]*Link // of each process, by the worker's name
+	workersStarted int
+	successors     []*Process
 }
 
-// New makes a fleet. Its processes have not been started yet: StartAll does.
+// New makes a fleet. Its stand-ins run; its processes have not been started yet: StartAll does.
 func New(o Options) (f *Fleet, err error) {
 	f = &Fleet{Options: o, running: map[string]*standin.Worker{}}
 	defer func() {
@@ -96,14 +100,18 @@
 
 // KillAll kills the processes at once.
 func (f *Fleet) KillAll() {
-	f.each(func(p *Process) error { p.Kill(); return nil })
+	_ = f.each(func(p *Process) error { // which never fails
+		p.Kill()
+		return nil
+	})
 }
 
-// TerminateAll ends the processes with SIGTERM and returns what they ended with.
+// TerminateAll ends the processes with SIGTERM and returns the errors that they ended with.
 func (f *Fleet) TerminateAll() error {
 	return f.each((*Process).Terminate)
 }
 
+// each does something with all processes at once, and waits for it.
 func (f *Fleet) each(do func(p *Process) error) error {
 	errs := make([]error, len(f.Processes))
 	var wait sync.WaitGroup
@@ -114,32 +122,32 @@
 	return errors.Join(errs...)
 }
 
-// Close ends everything: each process by its own id.
+// Close ends everything, and waits for the processes and the links.
 func (f *Fleet) Close() {
 	f.KillAll()
 	for _, p := range f.successors {
 		p.Kill()
 	}
 	for _, p := range slices.Concat(f.Processes, f.successors) {
-		p.wait.Wait()
+		p.running.Wait()
 	}
-	for _, l := range f.Links {
-		l.close()
+	for _, link := range f.Links {
+		link.close()
 	}
 	for _, links := range f.workerLinks {
-		for _, l := range links {
-			l.close()
+		for _, link := range links {
+			link.close()
 		}
 	}
-	for _, end := range f.cleanups {
-		end()
+	for _, cleanup := range f.cleanups {
+		cleanup()
 	}
 	if f.Discovery != nil {
 		f.Discovery.Close()
 		f.Discovery.Reset()
 	}
-	for _, n := range f.workers {
-		n.Crash()
+	for _, worker := range f.workers {
+		worker.Crash()
 	}
 	os.RemoveAll(f.dir)
 }
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"os"
 	"syscall"
@@ -23,27 +22,47 @@
 	}))
 }
 
-// small is a fleet of so many processes on eight nodes, with short jobs.
+// small is a fleet of so many processes with eight workers, and short jobs.
 func small(t *testing.T, schedulers int, change func(*Options)) *Fleet {
 	t.Helper()
 	o := Options{
 		Topology: lab.Topology{
-			Schedulers: schedulers, Sockets: 256, Zones: []string{"east"}, Kinds: []lab.WorkerKind{{Name: "k", Count: 8, Slots: 4, Speed: 1}},
-			Tenants: []lab.Tenant{{Name: "all", QuotaFraction: 1}},
+			Schedulers: schedulers,
+			Sockets:    256,
+			Zones:      []string{"east"},
+			Kinds:      []lab.WorkerKind{{Name: "k", Count: 8, Slots: 4, Speed: 1}},
+			Tenants:    []lab.Tenant{{Name: "all", QuotaFraction: 1}},
 			Classes: []lab.Class{
-				{Name: "reading", Effect: "idempotent", ServiceTime: 20 * time.Millisecond, JobFraction: 0.7, LatencyObjective: 500 * time.Millisecond, Deadline: 3 * time.Second},
-				{Name: "ratify", Effect: "at_most_once", ServiceTime: 60 * time.Millisecond, JobFraction: 0.3, LatencyObjective: time.Second, Deadline: 5 * time.Second},
+				{
+					Name:             "reading",
+					Effect:           "idempotent",
+					ServiceTime:      20 * time.Millisecond,
+					JobFraction:      0.7,
+					LatencyObjective: 500 * time.Millisecond,
+					Deadline:         3 * time.Second,
+				},
+				{
+					Name:             "ratify",
+					Effect:           "at_most_once",
+					ServiceTime:      60 * time.Millisecond,
+					JobFraction:      0.3,
+					LatencyObjective: time.Second,
+					Deadline:         5 * time.Second,
+				},
 			},
 		},
-		Program: program, Price: standin.Price{Call: time.Millisecond, Line: 100 * time.Microsecond, Patience: time.Second},
+		Program: program,
+		Price: standin.Price{
+			Call:     time.Millisecond,
+			Line:     100 * time.Microsecond,
+			Patience: time.Second,
+		},
 	}
 	if change != nil {
 		change(&o)
 	}
 	f, err := New(o)
-	if err != nil {
-		t.Fatal(err)
-	}
+	must(t, err)
 	t.Cleanup(f.Close)
 	return f
 }
@@ -65,9 +84,9 @@
 	}
 }
 
-// awaitLists waits until each process has had an answer from discovery since the last call.
-// Discovery has news for them: a watch with none is answered late.
-func awaitLists(t *testing.T, f *Fleet, which ...*Process) {
+// awaitEndpoints waits until each process has had an answer from discovery since the last call.
+// It makes a change for them: a watch without one is answered late.
+func awaitEndpoints(t *testing.T, f *Fleet, which ...*Process) {
 	t.Helper()
 	f.Discovery.Put(f.Workers()[0], "active")
 	awaitAnswers(t, f, which...)
@@ -81,39 +100,41 @@
 	}
 }
 
-// Connections are reset or silenced amid keyed jobs, and messages between the schedulers are
-// spoilt: none runs twice. Where the pods forget sooner than the settings say, or know nothing of
+// Connections are reset or silenced amid deduplicated jobs, and messages between the schedulers are
+// corrupted: none runs twice. Where the groups forget sooner than the settings say, or know nothing of
 // each other, the same judge says so.
 func TestKeyedJobsRunOnce(t *testing.T) {
-	for name, spoil := range map[string]func(*Keyed){
-		"": nil, "short window": func(o *Keyed) { o.ShortWindow = true }, "no pods": func(o *Keyed) { o.NoGroups = true },
+	for name, weaken := range map[string]func(*Keyed){
+		"":             nil,
+		"short window": func(o *Keyed) { o.ShortWindow = true },
+		"no groups":    func(o *Keyed) { o.NoGroups = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			o := DefaultKeyed
 			o.Program, o.Faults = program, 200
-			if spoil != nil {
-				spoil(&o)
+			if weaken != nil {
+				weaken(&o)
 			}
 			r, err := o.Run(io.Discard)
 			must(t, err)
-			if spoil == nil && !r.OK() || spoil != nil && r.Twice == 0 {
+			if weaken == nil && !r.OK() || weaken != nil && r.Twice == 0 {
 				t.Error(r.Line())
 			}
 		})
 	}
 }
 
-// learnsOf submits jobs until a node that they did not know runs some, and judges.
+// learnsOf submits jobs until a worker that they did not know runs some, and judges.
 func learnsOf(t *testing.T, f *Fleet, name string, fresh *standin.Worker) {
 	t.Helper()
 	l := f.StartLoad(name, 400, 2)
-	await(t, "the new node runs jobs", func() bool { return len(fresh.Runs()) > 0 })
+	await(t, "the new worker runs jobs", func() bool { return len(fresh.Runs()) > 0 })
 	terminates(t, f, l, standin.Tally{})
 }
 
 // serves submits jobs at every process until each has served some, and judges: each job
-// has one whole answer, none that must not run twice did, no node fell, discovery's queue
+// has one whole answer, none that must not run twice did, no worker was overloaded, discovery's queue
 // is empty in the end.
 func serves(t *testing.T, f *Fleet, name string) {
 	t.Helper()
@@ -126,7 +147,7 @@
 	terminates(t, f, l, sum)
 }
 
-// ends ends a load, some of whose jobs have been counted, and judges.
+// terminates ends a load, some of whose jobs have been counted, and judges.
 func terminates(t *testing.T, f *Fleet, l *Load, sum standin.Tally) {
 	t.Helper()
 	if sum = standin.Total(sum, l.Stop()); sum.Lost > 0 {
@@ -141,31 +162,31 @@
 		t.Errorf("ran twice: %v", ids)
 	}
 	if n := f.Fallen(); n > 0 {
-		t.Errorf("%d nodes pushed over", n)
+		t.Errorf("%d workers were overloaded", n)
 	}
 	await(t, "discovery's queue drains", func() bool { return f.Discovery.Calls().Waiting == 0 })
 }
 
-// All are killed at once, come back, and are killed again while they ask.
+// All are killed at once, come back, and are killed again while they poll.
 func TestAllKilledTwiceWhilePolling(t *testing.T) {
 	f := small(t, 12, nil)
 	must(t, f.StartAll(20*time.Second))
-	awaitLists(t, f, f.Processes...)
+	awaitEndpoints(t, f, f.Processes...)
 	f.KillAll()
 	for _, p := range f.Processes {
 		must(t, p.Start())
 	}
-	asked := f.Discovery.Calls().Received
-	await(t, "some ask", func() bool { return f.Discovery.Calls().Received > asked })
+	polled := f.Discovery.Calls().Received
+	await(t, "some poll", func() bool { return f.Discovery.Calls().Received > polled })
 	f.KillAll()
 	must(t, f.StartAll(20*time.Second))
 	serves(t, f, "after")
-	awaitLists(t, f, f.Processes...)
+	awaitEndpoints(t, f, f.Processes...)
 	must(t, f.TerminateAll())
 }
 
 // Discovery is down while they start: they serve from what they know; when it is back all
-// of them have the list, and with it nodes that they did not know.
+// of them have the list, and with it a worker that they did not know.
 func TestDiscoveryDownDuringTheStart(t *testing.T) {
 	for name, down := range map[string]func(*Link){
 		"refusing": (*Link).Cut,
@@ -187,7 +208,7 @@
 				l.Heal()
 				l.Reset()
 			}
-			awaitLists(t, f, f.Processes...)
+			awaitEndpoints(t, f, f.Processes...)
 			learnsOf(t, f, "back", fresh)
 		})
 	}
@@ -200,26 +221,26 @@
 		l.Silence(FromTarget)
 	}
 	must(t, f.StartAll(20*time.Second))
-	awaitLists(t, f, f.Processes[:4]...)
+	awaitEndpoints(t, f, f.Processes[:4]...)
 	serves(t, f, "half")
 	must(t, f.TerminateAll()) // which prints the counters
 	for i, p := range f.Processes {
-		if told := p.Counter("machines.told") > 1; told != (i < 4) { // the first is the known list
+		if told := p.Counter("machines.told") > 1; told != (i < 4) { // the first is the cached list
 			t.Errorf("%s was told of changes: %v", p.Name, told)
 		}
 	}
 }
 
-// All that they know is gone: jobs are answered at once, and served once the list is there.
-func TestCachedListWithEveryWorkerRemoved(t *testing.T) {
+// All workers that they know are removed: jobs are answered at once, and served once the list is there.
+func TestCachedEndpointsWithEveryWorkerRemoved(t *testing.T) {
 	f := small(t, 6, nil)
-	for _, n := range f.Workers() {
-		_, err := f.Replace(n)
+	for _, worker := range f.Workers() {
+		_, err := f.Replace(worker)
 		must(t, err)
 	}
 	must(t, f.StartAll(20*time.Second))
 	serves(t, f, "gone")
-	awaitLists(t, f, f.Processes...)
+	awaitEndpoints(t, f, f.Processes...)
 }
 
 // Nothing is known: they say that they are not ready, a front that sends jobs all the same
@@ -230,10 +251,16 @@
 		must(t, f.Configure(i, []byte("null")))
 		f.Links[i].Cut()
 		must(t, p.Start())
-		early := &standin.Client{Addr: p.Addr, Tenant: "all", Class: "ratify", Remaining: time.Second, Name: "early/ratify/" + p.Name}
+		early := &standin.Client{
+			Addr:      p.Addr,
+			Tenant:    "all",
+			Class:     "ratify",
+			Remaining: time.Second,
+			Name:      "early/ratify/" + p.Name,
+		}
 		await(t, p.Name+" answers", func() bool { return early.Send() == http.StatusServiceUnavailable })
 		if err := p.AwaitReady(0); err == nil {
-			t.Errorf("%s is ready and knows no node", p.Name)
+			t.Errorf("%s is ready and knows no worker", p.Name)
 		}
 	}
 	for _, l := range f.Links {
@@ -254,28 +281,28 @@
 	for _, l := range f.Links {
 		l.Heal()
 	}
-	awaitLists(t, f, f.Processes[1:]...)
+	awaitEndpoints(t, f, f.Processes[1:]...)
 	must(t, p.Signal(syscall.SIGCONT))
-	awaitLists(t, f, p)
+	awaitEndpoints(t, f, p)
 	serves(t, f, "stopped")
 }
 
-// A watch's answer is cut in the middle, for all at once: they ask again.
+// A watch's answer is cut in the middle, for all at once: they poll again.
 func TestWatchCutInTheMiddle(t *testing.T) {
 	f := small(t, 8, nil)
 	must(t, f.StartAll(20*time.Second))
-	awaitLists(t, f, f.Processes...)
+	awaitEndpoints(t, f, f.Processes...)
 	for _, l := range f.Links {
 		l.Throttle(0, 200) // an answer takes some seconds
 	}
-	asked := f.Discovery.Calls().Received
+	polled := f.Discovery.Calls().Received
 	fresh, err := f.AddWorker(f.Kinds[0], time.Time{})
 	must(t, err)
 	for _, l := range f.Links {
 		l.Reset()
 		l.Heal()
 	}
-	await(t, "all ask again", func() bool { return f.Discovery.Calls().Received >= asked+len(f.Processes) })
+	await(t, "all poll again", func() bool { return f.Discovery.Calls().Received >= polled+len(f.Processes) })
 	learnsOf(t, f, "cut", fresh)
 }
 
@@ -305,12 +332,12 @@
 	judge(t, f)
 }
 
-// A node that is cut off from one process in silence, both ways, costs it no job that may
+// A worker that is cut off from one process in silence, both ways, costs it no job that may
 // run elsewhere, and the others nothing.
 func TestWorkerSilentForOne(t *testing.T) {
 	f := small(t, 4, func(o *Options) { o.WorkerLinks = true })
 	must(t, f.StartAll(20*time.Second))
-	awaitLists(t, f, f.Processes...)
+	awaitEndpoints(t, f, f.Processes...)
 	f.WorkerLink(0, f.Workers()[0]).Silence(ToTarget, FromTarget)
 	l := f.StartLoad("silent", 120, 3)
 	sum := standin.Tally{}
@@ -321,35 +348,53 @@
 	terminates(t, f, l, sum)
 }
 
-// The oracle sees: a cold node that is sent too much falls, one that is not does not.
+// The oracle sees: a worker in slow start that is sent too much falls, one that is not does not.
 func TestSlowStartWorkerOverloads(t *testing.T) {
 	for jobs, falls := range map[int]bool{3: false, 60: true} {
 		f := small(t, 1, func(o *Options) {
-			o.SlowStart = &standin.SlowStart{InitialCapacity: 0.2, Duration: time.Hour, OverloadMultiple: 3, OverloadWindow: time.Second}
+			o.SlowStart = &standin.SlowStart{
+				InitialCapacity:  0.2,
+				Duration:         time.Hour,
+				OverloadMultiple: 3,
+				OverloadWindow:   time.Second,
+			}
 		})
-		n, err := f.AddWorker(f.Kinds[0], time.Now())
+		worker, err := f.AddWorker(f.Kinds[0], time.Now())
 		must(t, err)
 		for i := range jobs { // 0.06 s of work each: 2.4 s in a second are too much
-			c, err := net.Dial("tcp", n.Addr())
+			c, err := standin.Dial(worker.Addr(), 0)
 			must(t, err)
-			defer c.Close()
+			t.Cleanup(func() { c.Close() })
 			fmt.Fprintf(c, "POST /ratify HTTP/1.1\r\nHost: n\r\nX-Txn: a/ratify/%d\r\nContent-Length: 0\r\n\r\n", i)
 		}
-		await(t, "the jobs have arrived", func() bool { return falls == n.Fallen() && (falls || len(n.Runs()) == jobs) })
+		await(t, "the jobs have arrived", func() bool {
+			return falls == worker.Fallen() && (falls || len(worker.Runs()) == jobs)
+		})
 	}
 }
 
-// The trial itself, small: it passes, and its result fails where a node fell.
+// The trial itself, small: it passes, and its result fails where a worker was overloaded.
 func TestSlowStartTrial(t *testing.T) {
-	r, err := SlowStartTrial{Program: program, Schedulers: 5, Workers: 10, Seed: 1, For: 3 * time.Second, Load: 0.2, Replaced: 0.5}.Run(io.Discard)
+	trial := SlowStartTrial{
+		Program:    program,
+		Schedulers: 5,
+		Workers:    10,
+		Seed:       1,
+		For:        3 * time.Second,
+		Load:       0.2,
+		Replaced:   0.5,
+	}
+	r, err := trial.Run(io.Discard)
 	must(t, err)
-	// 10 nodes do 42 of these jobs a second; asked for are a fifth, and all must count.
+	// 10 workers do 42 of these jobs a second; asked for are a fifth, and all must count.
 	if !r.OK() || r.Informed != 5 || !r.Drained || r.Tally.Sent < 15 {
 		t.Errorf("%s (drained %v)", r.Line(), r.Drained)
 	}
 	for _, bad := range []func(*SlowStartResult){
-		func(r *SlowStartResult) { r.Fallen = 1 }, func(r *SlowStartResult) { r.Tally.Lost = 1 },
-		func(r *SlowStartResult) { r.Twice = 1 }, func(r *SlowStartResult) { r.Ended = false },
+		func(r *SlowStartResult) { r.Fallen = 1 },
+		func(r *SlowStartResult) { r.Tally.Lost = 1 },
+		func(r *SlowStartResult) { r.Twice = 1 },
+		func(r *SlowStartResult) { r.Ended = false },
 	} {
 		b := r
 		if bad(&b); b.OK() {
--- a/internal/lab/fleet/link.go
+++ b/internal/lab/fleet/link.go
@@ -8,11 +8,14 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// A Way is a direction of a link.
+// A Direction is a direction of a link.
 type Direction int
 
+// The directions of a link.
 const (
 	ToTarget   Direction = iota // from the scheduler
 	FromTarget                  // to it
@@ -24,6 +27,8 @@
 	net.Listener
 	target string
 
+	forwarding sync.WaitGroup
+
 	mu      sync.Mutex
 	refuses bool
 	silent  [2]bool
@@ -32,19 +37,26 @@
 	changed chan struct{}     // closed and replaced at each change
 	open    map[net.Conn]bool // true: the scheduler's side of a connection
 	closed  bool
-	carried [2]int64 // bytes that each way has passed on
-	wait    sync.WaitGroup
+	carried [2]int64 // bytes that each direction has passed on
 }
 
+// copyBuffer is how many bytes are read at once.
+const copyBuffer = 16 << 10
+
 // newLink starts a link to an address.
 func newLink(target string) (*Link, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := standin.Listen()
 	if err != nil {
 		return nil, err
 	}
-	k := &Link{Listener: l, target: target, changed: make(chan struct{}), open: map[net.Conn]bool{}}
-	k.wait.Go(k.accept)
-	return k, nil
+	link := &Link{
+		Listener: l,
+		target:   target,
+		changed:  make(chan struct{}),
+		open:     map[net.Conn]bool{},
+	}
+	link.forwarding.Go(link.accept)
+	return link, nil
 }
 
 // Cut ends what is open with a reset and refuses what is new, as a process that died.
@@ -53,56 +65,70 @@
 	l.Reset()
 }
 
-// Silence holds back what goes a way, as a network that loses it: connections stay open,
+// Silence holds back what goes in these directions, as a network that loses it: connections stay open,
 // new ones come up and hear nothing. What was held back is passed on after Heal.
-func (l *Link) Silence(ways ...Direction) {
+func (l *Link) Silence(directions ...Direction) {
 	l.change(func() {
-		for _, w := range ways {
-			l.silent[w] = true
+		for _, d := range directions {
+			l.silent[d] = true
 		}
 	})
 }
 
-// Slow passes each piece on this much later, and at most so many bytes a second; 0: as
+// Throttle passes each piece on this much later, and at most so many bytes a second; 0: as
 // they come.
 func (l *Link) Throttle(delay time.Duration, bytesEachSecond int) {
-	l.change(func() { l.delay, l.rate = [2]time.Duration{delay, delay}, bytesEachSecond })
+	l.change(func() {
+		l.delay = [2]time.Duration{delay, delay}
+		l.rate = bytesEachSecond
+	})
 }
 
 // Heal passes everything on again.
 func (l *Link) Heal() {
-	l.change(func() { l.refuses, l.silent, l.delay, l.rate = false, [2]bool{}, [2]time.Duration{}, 0 })
+	l.change(func() {
+		l.refuses = false
+		l.silent = [2]bool{}
+		l.delay = [2]time.Duration{}
+		l.rate = 0
+	})
 }
 
-// Carried returns how many bytes a way has passed on.
-func (l *Link) Carried(way Direction) int64 {
+// Carried returns how many bytes a direction has passed on.
+func (l *Link) Carried(d Direction) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.carried[way]
+	return l.carried[d]
 }
 
 // Waiting returns how many bytes from the scheduler wait to be passed on.
 func (l *Link) Waiting() (sum int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for c, toScheduler := range l.open {
-		if !toScheduler {
-			continue
-		}
-		if raw, err := c.(*net.TCPConn).SyscallConn(); err == nil {
-			raw.Control(func(fd uintptr) {
-				n, _ := unix.IoctlGetInt(int(fd), unix.TIOCINQ)
-				sum += n
-			})
+	for c, fromScheduler := range l.open {
+		if fromScheduler {
+			sum += unread(c)
 		}
 	}
 	return sum
 }
 
-func (l *Link) count(way Direction, bytes int) {
+// unread returns how many bytes the kernel holds that came on a connection; 0 where it has ended.
+func unread(c net.Conn) (bytes int) {
+	raw, err := c.(*net.TCPConn).SyscallConn()
+	if err != nil {
+		return 0
+	}
+	_ = raw.Control(func(fd uintptr) {
+		bytes, _ = unix.IoctlGetInt(int(fd), unix.TIOCINQ)
+	})
+	return bytes
+}
+
+func (l *Link) recordCarried(d Direction, bytes int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.carried[way] += int64(bytes)
+	l.carried[d] += int64(bytes)
 }
 
 // Reset ends the open connections with a reset; new ones are taken.
@@ -110,19 +136,19 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.open {
-		c.(*net.TCPConn).SetLinger(0)
-		c.Close()
+		standin.ResetConn(c)
 	}
 }
 
 // close ends the link and waits for all that it started.
 func (l *Link) close() {
 	l.change(func() { l.closed = true })
-	l.Listener.Close()
+	l.Close()
 	l.Reset()
-	l.wait.Wait()
+	l.forwarding.Wait()
 }
 
+// change makes a change that what is held back notices.
 func (l *Link) change(what func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -131,20 +157,19 @@
 	l.changed = make(chan struct{})
 }
 
-// hold opens a connection's place, unless the link takes none.
-func (l *Link) hold(c net.Conn, toScheduler bool) bool {
+// register keeps an open connection, unless the link refuses connections: then it resets it.
+func (l *Link) register(c net.Conn, fromScheduler bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.refuses || l.closed {
-		c.(*net.TCPConn).SetLinger(0)
-		c.Close()
+		standin.ResetConn(c)
 		return false
 	}
-	l.open[c] = toScheduler
+	l.open[c] = fromScheduler
 	return true
 }
 
-func (l *Link) drop(c net.Conn) {
+func (l *Link) unregister(c net.Conn) {
 	c.Close()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -153,40 +178,41 @@
 
 func (l *Link) accept() {
 	for {
-		c, err := l.Listener.Accept()
+		c, err := l.Accept()
 		if err != nil {
 			return
 		}
-		if l.hold(c, true) {
-			l.wait.Go(func() { l.join(c) })
+		if l.register(c, true) {
+			l.forwarding.Go(func() { l.forwardBoth(c) })
 		}
 	}
 }
 
-// join passes on what one connection carries until both directions have ended.
-func (l *Link) join(c net.Conn) {
-	defer l.drop(c)
-	d, err := net.Dial("tcp", l.target)
+// forwardBoth passes on what one connection carries until both directions have ended.
+func (l *Link) forwardBoth(scheduler net.Conn) {
+	defer l.unregister(scheduler)
+	target, err := standin.Dial(l.target, 0)
 	if err != nil {
-		c.(*net.TCPConn).SetLinger(0) // as it would have been refused
+		standin.ResetOnClose(scheduler) // as it would have been refused
 		return
 	}
-	if !l.hold(d, false) {
+	if !l.register(target, false) {
 		return
 	}
-	defer l.drop(d)
+	defer l.unregister(target)
 	var both sync.WaitGroup
-	both.Go(func() { l.pass(c, d, ToTarget) })
-	both.Go(func() { l.pass(d, c, FromTarget) })
+	both.Go(func() { l.forward(scheduler, target, ToTarget) })
+	both.Go(func() { l.forward(target, scheduler, FromTarget) })
 	both.Wait()
 }
 
-func (l *Link) pass(from, to net.Conn, way Direction) {
-	defer to.(*net.TCPConn).CloseWrite()
-	buf := make([]byte, 16<<10)
+// forward passes one direction of a connection on until it ends.
+func (l *Link) forward(from, to net.Conn, d Direction) {
+	defer standin.CloseWrite(to)
+	buf := make([]byte, copyBuffer)
 	for {
-		waited := l.silentNow(way)
-		if !l.mayPass(way, 0) {
+		waited := l.isSilent(d)
+		if !l.mayPass(d, 0) {
 			return
 		}
 		n, err := 0, error(nil)
@@ -194,38 +220,37 @@
 			n, err = from.Read(buf)
 		}
 		if n > 0 {
-			waited = waited || l.silentNow(way)
-			if !l.mayPass(way, n) {
+			waited = waited || l.isSilent(d)
+			if !l.mayPass(d, n) {
 				return
 			}
 		}
-		if waited && wasReset(from) { // what a silent way holds back can still be withdrawn with a reset
-			to.(*net.TCPConn).SetLinger(0)
-			to.Close()
+		if waited && wasReset(from) { // what a silent direction holds back can still be withdrawn with a reset
+			standin.ResetConn(to)
 			return
 		}
 		if n > 0 {
 			if _, err := to.Write(buf[:n]); err != nil {
 				return
 			}
-			l.count(way, n)
+			l.recordCarried(d, n)
 		}
-		if err != nil {
-			if !errors.Is(err, io.EOF) { // a reset is passed on as one, if anything is
-				l.mayPass(way, 0)
-				to.(*net.TCPConn).SetLinger(0)
-				to.Close()
-			}
+		if errors.Is(err, io.EOF) {
+			return
+		}
+		if err != nil { // a reset is passed on as one, if anything is
+			l.mayPass(d, 0)
+			standin.ResetConn(to)
 			return
 		}
 	}
 }
 
-// silentNow reports whether a way is silent.
-func (l *Link) silentNow(way Direction) bool {
+// isSilent reports whether a direction is silent.
+func (l *Link) isSilent(d Direction) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.silent[way]
+	return l.silent[d]
 }
 
 // wasReset reports whether the other side has reset a connection. The kernel still hands out what came before.
@@ -242,12 +267,13 @@
 	return reset || err != nil
 }
 
-// mayPass waits until so many bytes may go a way; false once the link is closed.
-func (l *Link) mayPass(way Direction, bytes int) bool {
+// mayPass waits until so many bytes may go in a direction; false once the link is closed.
+func (l *Link) mayPass(d Direction, bytes int) bool {
 	var due time.Time
 	for {
 		l.mu.Lock()
-		silent, delay, rate, changed, closed := l.silent[way], l.delay[way], l.rate, l.changed, l.closed
+		silent, delay, rate := l.silent[d], l.delay[d], l.rate
+		changed, closed := l.changed, l.closed
 		l.mu.Unlock()
 		if closed {
 			return false
--- a/internal/lab/fleet/load.go
+++ b/internal/lab/fleet/load.go
@@ -6,10 +6,11 @@
 	"sync"
 	"time"
 
+	"github.com/vatu-meals/foxlift/internal/lab"
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// A Load is submitters at every process.
+// A Load is clients at every process.
 type Load struct {
 	clients []*standin.Client
 	stop    chan struct{}
@@ -22,13 +23,13 @@
 	return f.StartLoadWith(name, rate, seed, Leniency{})
 }
 
-// A Leniency is what submitters allow for.
+// A Leniency is what clients allow for.
 type Leniency struct {
 	Grace  time.Duration                               // how late an answer may come
 	Excuse func(process int) func(sent time.Time) bool // see standin.Client; nil: nothing is excused
 }
 
-// StartLoadWith does so with submitters that allow for some things.
+// StartLoadWith does so with clients that allow for some things.
 func (f *Fleet) StartLoadWith(name string, rate float64, seed uint64, allow Leniency) *Load {
 	excuse := allow.Excuse
 	if excuse == nil {
@@ -36,35 +37,56 @@
 	}
 	l := &Load{stop: make(chan struct{})}
 	for i, p := range f.Processes {
-		var senders []*standin.Client
+		var clients []*standin.Client
 		var rates []float64
-		for _, c := range f.Classes {
-			for _, t := range f.Tenants {
-				senders = append(senders, &standin.Client{
-					Addr: p.Addr, Tenant: t.Name, Class: c.Name, Remaining: c.Deadline, LatencyObjective: c.LatencyObjective + 2*c.ServiceTime, HasIdempotencyKey: c.Effect == "deduplicated",
-					Name: fmt.Sprintf("%s/%s/%s/%d", name, t.Name, c.Name, i), Grace: allow.Grace, Excuse: excuse(i),
-				})
-				rates = append(rates, rate*c.JobFraction*t.QuotaFraction/float64(len(f.Processes)))
+		for _, class := range f.Classes {
+			for _, tenant := range f.Tenants {
+				client := newClient(p.Addr, class, tenant)
+				client.Name = fmt.Sprintf("%s/%s/%s/%d", name, tenant.Name, class.Name, i)
+				client.Grace = allow.Grace
+				client.Excuse = excuse(i)
+				clients = append(clients, client)
+				rates = append(rates, rate*class.JobFraction*tenant.QuotaFraction/float64(len(f.Processes)))
 			}
 		}
-		l.clients = append(l.clients, senders...)
+		l.clients = append(l.clients, clients...)
 		l.wait.Go(func() {
-			if p.AwaitReady(30*time.Second) != nil {
+			if p.AwaitReady(startLimit) != nil {
 				return
 			}
-			for k, s := range senders {
-				l.wait.Go(func() { s.Run(func() float64 { return rates[k] }, seed+uint64(i*1000+k), l.stop) })
+			for k, client := range clients {
+				l.wait.Go(func() {
+					client.Run(func() float64 { return rates[k] }, seed+uint64(i*seedsEachProcess+k), l.stop)
+				})
 			}
 		})
 	}
 	return l
 }
 
+const (
+	startLimit       = 30 * time.Second // for a process to take connections
+	seedsEachProcess = 1000             // of its clients
+)
+
+// newClient makes a client of a class and a tenant. Workers may be slower than a slot of speed 1, so two service
+// times beyond the class's latency objective still count as within it.
+func newClient(addr string, class lab.Class, tenant lab.Tenant) *standin.Client {
+	return &standin.Client{
+		Addr:              addr,
+		Tenant:            tenant.Name,
+		Class:             class.Name,
+		Remaining:         class.Deadline,
+		LatencyObjective:  class.LatencyObjective + 2*class.ServiceTime,
+		HasIdempotencyKey: class.Effect == "deduplicated",
+	}
+}
+
 // SentAt returns when each job was sent.
 func (l *Load) SentAt() map[string]time.Time {
 	all := map[string]time.Time{}
-	for _, s := range l.clients {
-		maps.Copy(all, s.SentAt())
+	for _, client := range l.clients {
+		maps.Copy(all, client.SentAt())
 	}
 	return all
 }
@@ -76,11 +98,11 @@
 	return l.ResetTally()
 }
 
-// Take returns what became of the jobs that were answered since the last call.
+// ResetTally returns what became of the jobs that were answered since the last call.
 func (l *Load) ResetTally() standin.Tally {
 	var all []standin.Tally
-	for _, s := range l.clients {
-		all = append(all, s.ResetTally())
+	for _, client := range l.clients {
+		all = append(all, client.ResetTally())
 	}
 	return standin.Total(all...)
 }
--- a/internal/lab/fleet/messaging.go
+++ b/internal/lab/fleet/messaging.go
@@ -3,120 +3,151 @@
 import (
 	"errors"
 	"net"
+	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
 )
 
-// Talk passes the datagrams between the processes on, and can lose, double, delay and spoil
-// them. To each process every other has an address of its own, its face.
+// Messaging passes the datagrams between the processes on, and can lose, duplicate, delay and corrupt
+// them. To each process every other has an address of its own.
 type Messaging struct {
-	listen []string   // where each process receives
-	addresses  [][]string // by process, then by the other one; its own is nobody's
+	listen    []string   // where each process receives
+	addresses [][]string // by process, then by the other one; its own is nobody's
 
 	lost, duplicated, corrupted atomic.Int64 // of each 100 datagrams
-	delay                    atomic.Int64 // most, in nanoseconds
+	delay                       atomic.Int64 // most, in nanoseconds
 
-	sockets []*net.UDPConn
-	wait    sync.WaitGroup
-	late    sync.WaitGroup
+	sockets    []*net.UDPConn
+	forwarding sync.WaitGroup
+	delayed    sync.WaitGroup // datagrams
 }
 
-// Spoil sets how many of each 100 datagrams are lost, doubled and garbled, and how late they
+const (
+	maxDatagram  = 2048
+	delayScatter = 7919 // a prime: neighbours among 100 datagrams have delays far apart
+)
+
+// Corrupt sets how many of each 100 datagrams are lost, duplicated and garbled, and how late they
 // come at most: each by another time, so that they overtake one another.
-func (t *Messaging) Corrupt(lost, doubled, garbled int, late time.Duration) {
-	t.lost.Store(int64(lost))
-	t.duplicated.Store(int64(doubled))
-	t.corrupted.Store(int64(garbled))
-	t.delay.Store(int64(late))
+func (m *Messaging) Corrupt(lost, duplicated, garbled int, delay time.Duration) {
+	m.lost.Store(int64(lost))
+	m.duplicated.Store(int64(duplicated))
+	m.corrupted.Store(int64(garbled))
+	m.delay.Store(int64(delay))
 }
 
-func newMessaging(n int) (*Messaging, error) {
-	t := &Messaging{}
-	open := func() (*net.UDPConn, error) {
-		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
-		if err == nil {
-			t.sockets = append(t.sockets, c)
-		}
-		return c, err
+// newMessaging connects so many processes.
+func newMessaging(processes int) (*Messaging, error) {
+	m := &Messaging{}
+	if err := m.connect(processes); err != nil {
+		m.close()
+		return nil, err
 	}
-	faces := make([][]*net.UDPConn, n) // faces[i][j] is what process i takes for j
-	for i := range n {
-		own, err := open() // keeps the port until the process takes it
-		if err != nil {
-			t.close()
-			return nil, err
+	return m, nil
+}
+
+// connect opens the sockets and begins to forward.
+func (m *Messaging) connect(processes int) error {
+	sockets := make([][]*net.UDPConn, processes) // sockets[i][j] is what process i takes for j
+	for i := range sockets {
+		if err := m.choosePort(); err != nil {
+			return err
 		}
-		t.listen = append(t.listen, own.LocalAddr().String())
-		own.Close()
-		var texts []string
-		for range n {
-			c, err := open()
+		addresses := make([]string, processes)
+		for j := range addresses {
+			socket, err := m.openSocket()
 			if err != nil {
-				t.close()
-				return nil, err
+				return err
 			}
-			faces[i] = append(faces[i], c)
-			texts = append(texts, c.LocalAddr().String())
+			sockets[i] = append(sockets[i], socket)
+			addresses[j] = socket.LocalAddr().String()
 		}
-		t.addresses = append(t.addresses, texts)
+		m.addresses = append(m.addresses, addresses)
 	}
-	for i := range n {
-		for j := range n {
+	for i := range processes {
+		for j := range processes {
 			if i == j {
 				continue
 			}
-			to, err := net.ResolveUDPAddr("udp", t.listen[j])
+			receiver, err := net.ResolveUDPAddr("udp", m.listen[j])
 			if err != nil {
-				t.close()
-				return nil, err
+				return err
 			}
-			// What i sends to its face of j comes to j from its face of i.
-			t.wait.Go(func() { t.pass(faces[i][j], faces[j][i], to) })
+			// What i sends to its address of j comes to j from j's address of i.
+			m.forwarding.Go(func() { m.forward(sockets[i][j], sockets[j][i], receiver) })
 		}
 	}
-	return t, nil
+	return nil
+}
+
+// openSocket opens a socket that close will close.
+func (m *Messaging) openSocket() (*net.UDPConn, error) {
+	socket, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		return nil, err
+	}
+	m.sockets = append(m.sockets, socket)
+	return socket, nil
 }
 
-func (t *Messaging) pass(from, by *net.UDPConn, to *net.UDPAddr) {
-	buf := make([]byte, 2048)
-	for k := int64(1); ; k++ {
+// choosePort finds a port on which the next process will listen.
+func (m *Messaging) choosePort() error {
+	socket, err := m.openSocket()
+	if err != nil {
+		return err
+	}
+	m.listen = append(m.listen, socket.LocalAddr().String())
+	return socket.Close()
+}
+
+// forward passes on what comes to a socket, by another one, until the socket is closed.
+func (m *Messaging) forward(from, by *net.UDPConn, receiver *net.UDPAddr) {
+	buf := make([]byte, maxDatagram)
+	for number := int64(1); ; number++ {
 		n, err := from.Read(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		} else if err != nil {
 			continue
 		}
-		at := func(every int64) bool { return k*every/100 != (k-1)*every/100 }
-		if at(t.lost.Load()) {
+		isOneOf := func(each100 int64) bool { return number*each100/100 != (number-1)*each100/100 }
+		if isOneOf(m.lost.Load()) {
 			continue
 		}
-		data := append([]byte(nil), buf[:n]...)
-		if at(t.corrupted.Load()) && n > 0 {
-			data[k%int64(n)] ^= byte(k) | 1
+		data := slices.Clone(buf[:n])
+		if isOneOf(m.corrupted.Load()) && n > 0 {
+			data[number%int64(n)] ^= byte(number) | 1
 		}
 		times := 1
-		if at(t.duplicated.Load()) {
+		if isOneOf(m.duplicated.Load()) {
 			times = 2
 		}
+		delay := time.Duration(number*delayScatter%100) * time.Duration(m.delay.Load()) / 100
 		for range times {
-			if late := t.delay.Load(); late > 0 {
-				t.late.Add(1)
-				time.AfterFunc(time.Duration(k*7919%100)*time.Duration(late)/100, func() {
-					defer t.late.Done()
-					by.WriteToUDP(data, to)
-				})
-			} else {
-				by.WriteToUDP(data, to)
-			}
+			m.send(by, receiver, data, delay)
 		}
 	}
 }
 
-func (t *Messaging) close() {
-	for _, c := range t.sockets {
-		c.Close()
+// send sends a datagram after a delay. An error loses it, as the network may.
+func (m *Messaging) send(by *net.UDPConn, receiver *net.UDPAddr, data []byte, delay time.Duration) {
+	if delay <= 0 {
+		_, _ = by.WriteToUDP(data, receiver)
+		return
+	}
+	m.delayed.Add(1)
+	time.AfterFunc(delay, func() {
+		defer m.delayed.Done()
+		_, _ = by.WriteToUDP(data, receiver)
+	})
+}
+
+// close ends the forwarding and waits for it, and for the datagrams that are delayed.
+func (m *Messaging) close() {
+	for _, socket := range m.sockets {
+		_ = socket.Close() // those of the chosen ports are closed already
 	}
-	t.wait.Wait()
-	t.late.Wait()
+	m.forwarding.Wait()
+	m.delayed.Wait()
 }
--- a/internal/lab/fleet/observe.go
+++ b/internal/lab/fleet/observe.go
@@ -12,52 +12,52 @@
 	return sum
 }
 
-// Fallen returns how many nodes were pushed over.
+// Fallen returns how many workers were overloaded in slow start.
 func (f *Fleet) Fallen() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, node := range f.workers {
-		if node.Fallen() {
+	for _, worker := range f.workers {
+		if worker.Fallen() {
 			n++
 		}
 	}
 	return n
 }
 
-// Twice returns the at-most-once jobs that were begun more than once on any nodes.
+// Twice returns the at-most-once jobs that were begun more than once, on any workers.
 func (f *Fleet) Twice() (ids []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	runs := map[string]int{}
-	for _, n := range f.workers {
-		for id, k := range n.Runs() {
-			runs[id] += k
+	for _, worker := range f.workers {
+		for id, times := range worker.Runs() {
+			runs[id] += times
 		}
 	}
-	for id, k := range runs {
-		if k > 1 && f.AtMostOnce(id) {
+	for id, times := range runs {
+		if times > 1 && f.AtMostOnce(id) {
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-// Requests returns how many whole requests with a job the nodes have read.
+// Requests returns how many whole requests with a job the workers have read.
 func (f *Fleet) Requests() (sum int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, n := range f.workers {
-		sum += n.Requests()
+	for _, worker := range f.workers {
+		sum += worker.Requests()
 	}
 	return sum
 }
 
-// Arrivals returns the requests with a job that have reached any node.
+// Arrivals returns the requests with a job that have reached any worker.
 func (f *Fleet) Arrivals() (all []standin.Arrival) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, n := range f.workers {
-		all = append(all, n.Arrivals()...)
+	for _, worker := range f.workers {
+		all = append(all, worker.Arrivals()...)
 	}
 	return all
 }
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -2,12 +2,14 @@
 
 import (
 	"bufio"
+	"context"
 	"errors"
 	"fmt"
 	"io"
 	"net/http"
 	"os"
 	"os/exec"
+	"slices"
 	"strconv"
 	"strings"
 	"sync"
@@ -19,7 +21,7 @@
 // started again after it has ended.
 type Process struct {
 	Name       string
-	Addr       string // where submitters reach it
+	Addr       string // where clients reach it
 	Admin      string // where its operators reach it; "": nowhere
 	Checkpoint string // path of its own that its operator's file has; "": there is no such file
 
@@ -27,18 +29,23 @@
 	args    []string
 	env     []string
 
+	running sync.WaitGroup // what reads the process's log and waits for its end
+
 	mu          sync.Mutex
-	cmd         *exec.Cmd
-	done        chan struct{} // closed when the process has ended
+	cmd         *exec.Cmd     // nil: it does not run
+	done        chan struct{} // closed when the process has ended; nil: it was never started
 	exit        error
-	killed      bool             // by the rig
-	counters    map[string]int64 // of all its lives, as printed at SIGUSR1 and at the end
-	incarnation map[string]int64 // of this life, as last printed
+	killed      bool             // with Kill, not by itself
+	counters    map[string]int64 // of its ended incarnations, as printed at SIGUSR1 and at the end
+	incarnation map[string]int64 // counters of this incarnation, as last printed
 	log         []string         // the last lines
-	wait        sync.WaitGroup
 }
 
-const maxLogLines = 200 // of a process's log
+const (
+	maxLogLines    = 200                  // of a process's log that are kept
+	healthInterval = 5 * time.Millisecond // between two health checks of a process that starts
+	healthTimeout  = time.Second
+)
 
 // Start starts the process; it may not be ready when Start returns.
 func (p *Process) Start() error {
@@ -47,47 +54,61 @@
 	if p.cmd != nil {
 		return fmt.Errorf("%s is running", p.Name)
 	}
-	cmd := exec.Command(p.program, p.args...)
+	cmd := exec.CommandContext(context.Background(), p.program, p.args...) // Terminate and Kill end it
 	cmd.Env = append(os.Environ(), p.env...)
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none stays when the rig itself is killed
-	out, err := cmd.StderrPipe()
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no process outlives the lab, also if it is killed
+	log, err := cmd.StderrPipe()
 	if err != nil {
 		return err
 	}
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	p.cmd, p.done, p.killed, p.incarnation = cmd, make(chan struct{}), false, map[string]int64{}
-	done := p.done
-	p.wait.Go(func() {
-		p.read(out)
-		err := cmd.Wait()
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		for name, n := range p.incarnation {
-			p.counters[name] += n
-		}
-		p.cmd, p.exit, p.incarnation = nil, err, nil
-		close(done)
+	p.cmd = cmd
+	p.done = make(chan struct{})
+	p.killed = false
+	p.incarnation = map[string]int64{}
+	p.running.Go(func() {
+		p.read(log)
+		p.recordExit(cmd.Wait())
 	})
 	return nil
 }
 
+// recordExit takes in what the process ended with.
+func (p *Process) recordExit(err error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for name, value := range p.incarnation {
+		p.counters[name] += value
+	}
+	p.cmd = nil
+	p.exit = err
+	p.incarnation = nil
+	close(p.done)
+}
+
 // read takes in the log: the last lines, and counters ("name value").
 func (p *Process) read(r io.Reader) {
-	for s := bufio.NewScanner(r); s.Scan(); {
-		line := s.Text()
-		p.mu.Lock()
-		if len(p.log) == maxLogLines {
-			p.log = p.log[1:]
-		}
-		p.log = append(p.log, line)
-		if f := strings.Fields(line); len(f) == 2 && strings.Contains(f[0], ".") {
-			if n, err := strconv.ParseInt(f[1], 10, 64); err == nil {
-				p.incarnation[f[0]] = n
-			}
-		}
-		p.mu.Unlock()
+	lines := bufio.NewScanner(r)
+	for lines.Scan() {
+		p.recordLine(lines.Text())
+	}
+}
+
+func (p *Process) recordLine(line string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if len(p.log) == maxLogLines {
+		p.log = p.log[1:]
+	}
+	p.log = append(p.log, line)
+	fields := strings.Fields(line)
+	if len(fields) != 2 || !strings.Contains(fields[0], ".") {
+		return
+	}
+	if value, err := strconv.ParseInt(fields[1], 10, 64); err == nil {
+		p.incarnation[fields[0]] = value
 	}
 }
 
@@ -107,12 +128,12 @@
 // Kill ends the process at once and waits for its end.
 func (p *Process) Kill() {
 	if p.Signal(syscall.SIGKILL) == nil {
-		p.Wait()
+		_ = p.Wait() // nil for a process that was killed
 	}
 }
 
 // Wait waits for the end of the process and returns what it ended with; nil for one that
-// the rig killed.
+// Kill ended.
 func (p *Process) Wait() error {
 	p.mu.Lock()
 	done := p.done
@@ -146,12 +167,12 @@
 	return p.cmd.Process.Pid
 }
 
-// End ends the process with SIGTERM and waits for its end.
+// Terminate ends the process with SIGTERM and waits for its end; nil for one that does not run.
 func (p *Process) Terminate() error {
-	if p.Signal(syscall.SIGTERM) != nil {
-		return nil
+	if p.Signal(syscall.SIGTERM) == nil {
+		return p.Wait()
 	}
-	return p.Wait()
+	return nil
 }
 
 // errNotReady is what AwaitReady returns when its time is up.
@@ -159,33 +180,50 @@
 
 // AwaitReady waits until the process's health is 200.
 func (p *Process) AwaitReady(limit time.Duration) error {
-	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: healthTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for end := time.Now().Add(limit); time.Now().Before(end); {
-		if r, err := client.Get("http://" + p.Addr + "/_health"); err == nil {
-			r.Body.Close()
-			if r.StatusCode == http.StatusOK {
-				return nil
-			}
+		if p.healthy(client) {
+			return nil
 		}
-		p.mu.Lock()
-		ended := p.cmd == nil && p.done != nil // not: yet to be started
-		p.mu.Unlock()
-		if ended {
-			return fmt.Errorf("%s ended: %v\n%s", p.Name, p.Wait(), strings.Join(p.Log(), "\n"))
+		if p.ended() {
+			exit, log := p.Wait(), strings.Join(p.Log(), "\n")
+			return fmt.Errorf("%s ended: %v\n%s", p.Name, exit, log) //nolint:errorlint // exit is nil after exit code 0
 		}
-		<-time.After(5 * time.Millisecond)
+		<-time.After(healthInterval)
 	}
 	return fmt.Errorf("%s: %w", p.Name, errNotReady)
 }
 
+// healthy reports whether the process says that it is ready.
+func (p *Process) healthy(client *http.Client) bool {
+	url := "http://" + p.Addr + "/_health"
+	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, url, nil)
+	if err != nil {
+		return false
+	}
+	response, err := client.Do(request)
+	if err != nil {
+		return false
+	}
+	defer response.Body.Close()
+	return response.StatusCode == http.StatusOK
+}
+
+// ended reports whether the process was started and does not run.
+func (p *Process) ended() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.cmd == nil && p.done != nil
+}
+
 // Log returns the last lines of the process's log.
 func (p *Process) Log() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]string(nil), p.log...)
+	return slices.Clone(p.log)
 }
 
-// Counter returns a counter's value over all lives that have printed it.
+// Counter returns a counter's value over all incarnations that have printed it.
 func (p *Process) Counter(name string) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/fleet/slowstart_trial.go
+++ b/internal/lab/fleet/slowstart_trial.go
@@ -12,17 +12,17 @@
 )
 
 // A SlowStartTrial is a trial: all schedulers of a fleet start at once with a list from before a
-// release that replaced a part of the nodes, under load, while discovery serves one call
+// release that replaced a part of the workers, under load, while discovery serves one call
 // after another.
 type SlowStartTrial struct {
 	Program    string
 	Schedulers int
-	Workers      int
+	Workers    int
 	Seed       uint64
 	For        time.Duration // how long it is watched
-	Load       float64       // jobs asked for, against what the warm fleet can do
-	Replaced   float64       // part of the nodes that the known list does not have: they started at the trial's start
-	Restarted  float64       // part that the known list takes for warm, but that started again, cold, at the trial's start
+	Load       float64       // jobs asked for, against what the fleet can do past slow start
+	Replaced   float64       // part of the workers that the cached list does not have: they started at the trial's start
+	Restarted  float64       // part that restarted at the trial's start, which the cached list does not say
 }
 
 // DefaultSlowStartTrial is the trial that the operators' page speaks of.
@@ -36,10 +36,10 @@
 	Half, All      time.Duration // until half, and all, of the schedulers had the list; 0: never
 	Informed       int           // schedulers that had it in the end
 	MaxCalls       int           // calls to discovery in one second
-	Capacity       float64       // whole lists that it can give in one
+	Capacity       float64       // complete lists that it can give in one
 	RejectedCalls  float64       // percent of its calls
-	Fallen         int           // nodes pushed over
-	SendsToRemoved float64       // percent of the sends that went to nodes that were gone
+	Fallen         int           // workers overloaded in slow start
+	SendsToRemoved float64       // percent of the sends that went to removed workers
 	Tally          standin.Tally
 	Twice          int     // at-most-once jobs that ran twice
 	Ended          bool    // all schedulers ended well after SIGTERM
@@ -49,9 +49,12 @@
 
 // Line is the result in one line.
 func (r SlowStartResult) Line() string {
-	return fmt.Sprintf("coldstart: schedulers %d, lists at half in %.2f s, at all in %.2f s (%d), calls a second at most %d of capacity %.0f, refused %.1f %%, nodes pushed over %d, sends to gone nodes %.1f %%, jobs lost %d, twice %d, service %.1f %% (last third %.1f %%)",
-		r.Schedulers, r.Half.Seconds(), r.All.Seconds(), r.Informed, r.MaxCalls, r.Capacity, r.RejectedCalls, r.Fallen, r.SendsToRemoved, r.Tally.Lost, r.Twice,
-		r.Tally.Service(), r.FinalService)
+	return fmt.Sprintf("coldstart: schedulers %d, lists at half in %.2f s, at all in %.2f s (%d), "+
+		"calls a second at most %d of capacity %.0f, refused %.1f %%, nodes pushed over %d, "+
+		"sends to gone nodes %.1f %%, jobs lost %d, twice %d, service %.1f %% (last third %.1f %%)",
+		r.Schedulers, r.Half.Seconds(), r.All.Seconds(), r.Informed,
+		r.MaxCalls, r.Capacity, r.RejectedCalls, r.Fallen,
+		r.SendsToRemoved, r.Tally.Lost, r.Twice, r.Tally.Service(), r.FinalService)
 }
 
 // OK reports whether what must never happen did not.
@@ -59,67 +62,142 @@
 	return r.Fallen == 0 && r.Tally.Lost == 0 && r.Twice == 0 && r.Ended && r.Tally.Sent > 0
 }
 
-// world is the trial's deployment: three kinds of node, two classes, in the proportions of
+// Of the workers, by kind; the others are old.
+const (
+	largePercent  = 28
+	mediumPercent = 36
+)
+
+const (
+	trialStartLimit = 30 * time.Second
+	shuffleRNG      = 11 // stream of the seed's random numbers
+	trialReports    = 3  // while the load lasts
+)
+
+// trialPrice is what the trial's discovery takes for its calls.
+var trialPrice = standin.Price{
+	Call:     2 * time.Millisecond,
+	Line:     100 * time.Microsecond,
+	Patience: 2 * time.Second,
+}
+
+// world is the trial's deployment: three kinds of worker, two classes, in the proportions of
 // the platform's own.
 func (o SlowStartTrial) world() lab.Topology {
-	large, medium := max(1, o.Workers*28/100), max(1, o.Workers*36/100)
+	large := max(1, o.Workers*largePercent/100)
+	medium := max(1, o.Workers*mediumPercent/100)
 	return lab.Topology{
-		Schedulers: o.Schedulers, Sockets: 512, Zones: []string{"east", "west"},
-		Kinds: []lab.WorkerKind{{Name: "large", Count: large, Slots: 4, Speed: 1.6}, {Name: "medium", Count: medium, Slots: 3, Speed: 1},
-			{Name: "old", Count: max(1, o.Workers-large-medium), Slots: 5, Speed: 0.6}},
-		Tenants: []lab.Tenant{{Name: "north", QuotaFraction: 0.6}, {Name: "south", QuotaFraction: 0.4}},
+		Schedulers: o.Schedulers,
+		Sockets:    512,
+		Zones:      []string{"east", "west"},
+		Kinds: []lab.WorkerKind{
+			{Name: "large", Count: large, Slots: 4, Speed: 1.6},
+			{Name: "medium", Count: medium, Slots: 3, Speed: 1},
+			{Name: "old", Count: max(1, o.Workers-large-medium), Slots: 5, Speed: 0.6},
+		},
+		Tenants: []lab.Tenant{
+			{Name: "north", QuotaFraction: 0.6},
+			{Name: "south", QuotaFraction: 0.4},
+		},
 		Classes: []lab.Class{
-			{Name: "reading", Effect: "idempotent", ServiceTime: 335 * time.Millisecond, JobFraction: 0.72, LatencyObjective: 500 * time.Millisecond, Deadline: 5 * time.Second},
-			{Name: "ratify", Effect: "at_most_once", ServiceTime: 2050 * time.Millisecond, JobFraction: 0.28, LatencyObjective: 2 * time.Second, Deadline: 25 * time.Second},
+			{
+				Name:             "reading",
+				Effect:           "idempotent",
+				ServiceTime:      335 * time.Millisecond,
+				JobFraction:      0.72,
+				LatencyObjective: 500 * time.Millisecond,
+				Deadline:         5 * time.Second,
+			},
+			{
+				Name:             "ratify",
+				Effect:           "at_most_once",
+				ServiceTime:      2050 * time.Millisecond,
+				JobFraction:      0.28,
+				LatencyObjective: 2 * time.Second,
+				Deadline:         25 * time.Second,
+			},
 		},
 	}
 }
 
 // Run plays the trial.
 func (o SlowStartTrial) Run(w io.Writer) (r SlowStartResult, err error) {
-	price := standin.Price{Call: 2 * time.Millisecond, Line: 100 * time.Microsecond, Patience: 2 * time.Second}
 	f, err := New(Options{
-		Topology: o.world(), Program: o.Program, Price: price,
-		SlowStart: &standin.SlowStart{InitialCapacity: 0.14, Duration: 24 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second},
+		Topology: o.world(),
+		Program:  o.Program,
+		Price:    trialPrice,
+		SlowStart: &standin.SlowStart{
+			InitialCapacity:  0.14,
+			Duration:         24 * time.Second,
+			OverloadMultiple: 3,
+			OverloadWindow:   time.Second,
+		},
 	})
 	if err != nil {
 		return r, err
 	}
 	defer f.Close()
-	rng := rand.New(rand.NewPCG(o.Seed, 11))
-	old := f.Workers()
-	rng.Shuffle(len(old), func(i, j int) { old[i], old[j] = old[j], old[i] })
-	replaced, restarted := int(o.Replaced*float64(len(old))), int(o.Restarted*float64(len(old)))
-	for i, n := range old[:min(replaced+restarted, len(old))] {
-		if i < replaced {
-			_, err = f.Replace(n)
-		} else {
-			_, err = f.Restart(n, "")
-		}
-		if err != nil {
-			return r, err
-		}
+	if err := o.release(f); err != nil {
+		return r, err
 	}
 	r.Schedulers, r.Ended = o.Schedulers, true
-	r.Capacity = 1 / (price.Call + time.Duration(o.Workers)*price.Line).Seconds()
+	r.Capacity = 1 / (trialPrice.Call + time.Duration(o.Workers)*trialPrice.Line).Seconds()
 	began := time.Now()
 	load := f.StartLoad("cold", o.Load*f.Capacity(), o.Seed)
-	if err := f.StartAll(30 * time.Second); err != nil {
+	if err := f.StartAll(trialStartLimit); err != nil {
 		close(load.stop)
 		return r, err
 	}
 	fmt.Fprintf(w, "%d schedulers are ready after %.1f s\n", o.Schedulers, time.Since(began).Seconds())
-	var last standin.Tally
-	for at := range 3 {
-		<-time.After(time.Until(began.Add(o.For * time.Duration(at+1) / 3)))
-		last = load.ResetTally()
-		r.Tally = standin.Total(r.Tally, last)
+	o.watch(w, f, load, began, &r)
+	r.Tally = standin.Total(r.Tally, load.Stop())
+	r.recordDiscovery(f, began)
+	if err := f.TerminateAll(); err != nil {
+		r.Ended = false
+		fmt.Fprintln(w, err)
+	}
+	r.SendsToRemoved = percent(f.Counter("claims.unreachable"), f.Counter("claims.sent"))
+	r.Fallen, r.Twice = f.Fallen(), len(f.Twice())
+	return r, nil
+}
+
+// release replaces a part of the workers and restarts another one.
+func (o SlowStartTrial) release(f *Fleet) (err error) {
+	rng := rand.New(rand.NewPCG(o.Seed, shuffleRNG))
+	workers := f.Workers()
+	rng.Shuffle(len(workers), func(i, j int) { workers[i], workers[j] = workers[j], workers[i] })
+	replaced := int(o.Replaced * float64(len(workers)))
+	restarted := int(o.Restarted * float64(len(workers)))
+	for i, worker := range workers[:min(replaced+restarted, len(workers))] {
+		if i < replaced {
+			_, err = f.Replace(worker)
+		} else {
+			_, err = f.Restart(worker, "")
+		}
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// watch reports on the load for as long as the trial lasts.
+func (o SlowStartTrial) watch(w io.Writer, f *Fleet, load *Load, began time.Time, r *SlowStartResult) {
+	for i := range trialReports {
+		<-time.After(time.Until(began.Add(o.For * time.Duration(i+1) / trialReports)))
+		tally := load.ResetTally()
+		r.Tally = standin.Total(r.Tally, tally)
+		r.FinalService = tally.Service()
 		calls := f.Discovery.Calls()
-		fmt.Fprintf(w, "%5.1f s: %d jobs, service %.1f %%, refused %d, late %d, failed %d; discovery: %d calls, %d refused, %d waiting\n",
-			time.Since(began).Seconds(), last.Sent, last.Service(), last.Shed, last.Late, last.Failed, calls.Received, calls.Rejected, calls.Waiting)
+		fmt.Fprintf(w, "%5.1f s: %d jobs, service %.1f %%, refused %d, late %d, failed %d; "+
+			"discovery: %d calls, %d refused, %d waiting\n",
+			time.Since(began).Seconds(), tally.Sent, tally.Service(), tally.Shed, tally.Late, tally.Failed,
+			calls.Received, calls.Rejected, calls.Waiting)
 	}
-	r.FinalService = last.Service()
-	r.Tally = standin.Total(r.Tally, load.Stop())
+}
+
+// recordDiscovery takes in when the schedulers had the list, and what that asked of discovery.
+func (r *SlowStartResult) recordDiscovery(f *Fleet, began time.Time) {
 	var first []time.Duration
 	for _, p := range f.Processes {
 		if at := f.Discovery.First(p.Name); !at.IsZero() {
@@ -128,19 +206,19 @@
 	}
 	slices.Sort(first)
 	r.Informed = len(first)
-	if half := (o.Schedulers+1)/2 - 1; half < len(first) {
+	if half := (r.Schedulers+1)/2 - 1; half < len(first) {
 		r.Half = first[half]
 	}
-	if len(first) == o.Schedulers {
+	if len(first) == r.Schedulers {
 		r.All = first[len(first)-1]
 	}
 	calls := f.Discovery.Calls()
-	r.MaxCalls, r.RejectedCalls, r.Drained = calls.MaxPerSecond, 100*float64(calls.Rejected)/float64(max(1, calls.Received)), calls.Waiting == 0
-	if err := f.TerminateAll(); err != nil {
-		r.Ended = false
-		fmt.Fprintln(w, err)
-	}
-	r.SendsToRemoved = 100 * float64(f.Counter("claims.unreachable")) / float64(max(1, f.Counter("claims.sent")))
-	r.Fallen, r.Twice = f.Fallen(), len(f.Twice())
-	return r, nil
+	r.MaxCalls = calls.MaxPerSecond
+	r.RejectedCalls = percent(int64(calls.Rejected), int64(calls.Received))
+	r.Drained = calls.Waiting == 0
+}
+
+// percent is a share in percent; of nothing it is 0.
+func percent(part, whole int64) float64 {
+	return 100 * float64(part) / float64(max(1, whole))
 }
--- a/internal/lab/fleet/start_test.go
+++ b/internal/lab/fleet/start_test.go
@@ -8,26 +8,32 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// Every node has started again, cold, under its name or with another at its address. Once all
-// have been told, and know no rate, no node falls under a load that is far over what they
+// Every worker has restarted under its name, or another one has its address: all are in slow start. Once all
+// schedulers have the list, and know no rate, no worker falls under a load that is far over what they
 // can do: jobs are served, and the rest is answered.
 func TestAllWorkersInSlowStart(t *testing.T) {
 	for name, other := range map[string]string{"the same names": "", "other names": "other-"} {
 		t.Run(name, func(t *testing.T) {
 			f := small(t, 12, func(o *Options) {
-				o.SlowStart = &standin.SlowStart{InitialCapacity: 0.14, Duration: 24 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second}
-				o.Classes[0].ServiceTime, o.Classes[1].ServiceTime = 50*time.Millisecond, 200*time.Millisecond
+				o.SlowStart = &standin.SlowStart{
+					InitialCapacity:  0.14,
+					Duration:         24 * time.Second,
+					OverloadMultiple: 3,
+					OverloadWindow:   time.Second,
+				}
+				o.Classes[0].ServiceTime = 50 * time.Millisecond
+				o.Classes[1].ServiceTime = 200 * time.Millisecond
 			})
-			for _, n := range f.Workers() {
+			for _, worker := range f.Workers() {
 				to := ""
 				if other != "" {
-					to = other + n.Name
+					to = other + worker.Name
 				}
-				_, err := f.Restart(n, to)
+				_, err := f.Restart(worker, to)
 				must(t, err)
 			}
 			must(t, f.StartAll(20*time.Second))
-			awaitLists(t, f, f.Processes...)
+			awaitEndpoints(t, f, f.Processes...)
 			l := f.StartLoad("cold", 300, 1)
 			sum := standin.Tally{}
 			await(t, "some are served", func() bool {
@@ -41,10 +47,10 @@
 
 // Discovery is down, and has lost its last changes when it is back: its list is believed, also
 // under a lower version, and so is what changes from there.
-func TestListVersionDecreases(t *testing.T) {
+func TestEndpointsVersionDecreases(t *testing.T) {
 	f := small(t, 6, nil)
 	must(t, f.StartAll(20*time.Second))
-	awaitLists(t, f, f.Processes...)
+	awaitEndpoints(t, f, f.Processes...)
 	for _, l := range f.Links {
 		l.Cut()
 	}
@@ -69,7 +75,7 @@
 		must(t, f.ChangeDiscovery(i))
 		must(t, p.Signal(syscall.SIGHUP))
 	}
-	awaitLists(t, f, f.Processes...)
+	awaitEndpoints(t, f, f.Processes...)
 	serves(t, f, "moved")
 	must(t, f.TerminateAll())
 }
--- a/internal/lab/fleet/successor.go
+++ b/internal/lab/fleet/successor.go
@@ -1,6 +1,9 @@
 package fleet
 
-import "fmt"
+import (
+	"fmt"
+	"slices"
+)
 
 // adminVariable begins the setting of the operators' address in a process's environment.
 const adminVariable = "LB_ADMIN="
@@ -21,7 +24,7 @@
 		program: f.Program, counters: map[string]int64{},
 	}
 	// Of a variable that is there twice, the last one holds.
-	next.env = append(append([]string{}, base.env...), adminVariable+admin)
+	next.env = append(slices.Clone(base.env), adminVariable+admin)
 	f.successors = append(f.successors, next)
 	return next, nil
 }
--- a/internal/lab/fleet/workers.go
+++ b/internal/lab/fleet/workers.go
@@ -10,7 +10,7 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// groupWindow is how long pods drop repeats: as long as the settings say, if nothing else is asked for.
+// groupWindow is how long groups drop repeats: as long as the settings say, if nothing else is asked for.
 func (f *Fleet) groupWindow() time.Duration {
 	if f.GroupWindow != 0 {
 		return f.GroupWindow
@@ -18,89 +18,94 @@
 	return f.DedupWindow
 }
 
-// AddWorker starts a node and has discovery tell of it; started is its start, zero: long ago.
-func (f *Fleet) AddWorker(k lab.WorkerKind, started time.Time) (*standin.Worker, error) {
+// AddWorker starts a worker and has discovery announce it; started is its start, zero: long ago.
+func (f *Fleet) AddWorker(kind lab.WorkerKind, started time.Time) (*standin.Worker, error) {
 	l, err := standin.Listen()
 	if err != nil {
 		return nil, err
 	}
 	f.mu.Lock()
-	name, zone := fmt.Sprintf("%s-%d", k.Name, f.workersStarted), f.Zones[f.workersStarted%len(f.Zones)]
+	name := fmt.Sprintf("%s-%d", kind.Name, f.workersStarted)
+	zone := f.Zones[f.workersStarted%len(f.Zones)]
 	f.workersStarted++
 	f.mu.Unlock()
-	return f.startWorker(l, name, zone, k, started), nil
+	return f.startWorker(l, name, zone, kind, started), nil
 }
 
-func (f *Fleet) startWorker(l net.Listener, name, zone string, k lab.WorkerKind, started time.Time) *standin.Worker {
-	work := map[string]time.Duration{}
-	for _, c := range f.Classes {
-		work[c.Name] = time.Duration(float64(c.ServiceTime) / k.Speed)
+func (f *Fleet) startWorker(
+	l net.Listener, name, zone string, kind lab.WorkerKind, started time.Time,
+) *standin.Worker {
+	serviceTimes := map[string]time.Duration{}
+	for _, class := range f.Classes {
+		serviceTimes[class.Name] = time.Duration(float64(class.ServiceTime) / kind.Speed)
 	}
-	n := standin.WorkerOn(l, standin.WorkerSpec{
+	worker := standin.WorkerOn(l, standin.WorkerSpec{
 		Name:        name,
 		Zone:        zone,
-		Kind:        k.Name,
-		Slots:       k.Slots,
-		Queue:       2 * k.Slots,
-		ServiceTime: func(class string) time.Duration { return work[class] },
+		Kind:        kind.Name,
+		Slots:       kind.Slots,
+		Queue:       2 * kind.Slots,
+		ServiceTime: func(class string) time.Duration { return serviceTimes[class] },
 	})
-	n.Started, n.SlowStart, n.Reports = started, f.SlowStart, f.LoadReports
+	worker.Started = started
+	worker.SlowStart = f.SlowStart
+	worker.Reports = f.LoadReports
+	f.mu.Lock()
 	if len(f.groups) > 0 {
-		f.mu.Lock()
-		n.Group = f.groups[len(f.workers)%len(f.groups)]
-		f.mu.Unlock()
+		worker.Group = f.groups[len(f.workers)%len(f.groups)]
 	}
-	f.mu.Lock()
-	f.workers = append(f.workers, n)
-	f.running[name] = n
+	f.workers = append(f.workers, worker)
+	f.running[name] = worker
 	f.mu.Unlock()
-	f.Discovery.Put(n, "active")
-	return n
+	f.Discovery.Put(worker, "active")
+	return worker
 }
 
-// Restart kills a node's process and starts it again, cold: its address is the same, and so
-// is its name, unless another is given: then another node has its address.
-func (f *Fleet) Restart(n *standin.Worker, name string) (*standin.Worker, error) {
-	k, addr := f.kind(n), n.Addr()
-	f.crashWorker(n)
-	l, err := net.Listen("tcp", addr)
+// Restart kills a worker's process and starts it again, in slow start: its address is the same, and so
+// is its name, unless another is given: then another worker has its address.
+func (f *Fleet) Restart(worker *standin.Worker, name string) (*standin.Worker, error) {
+	kind, addr := f.kind(worker), worker.Addr()
+	f.crashWorker(worker)
+	l, err := standin.ListenOn(addr)
 	if err != nil {
 		return nil, err
 	}
 	if name == "" {
-		name = n.Name
+		name = worker.Name
 	} else {
-		f.Discovery.Put(n, "left")
+		f.Discovery.Put(worker, "left")
 	}
-	return f.startWorker(l, name, n.Zone, k, time.Now()), nil
+	return f.startWorker(l, name, worker.Zone, kind, time.Now()), nil
 }
 
-func (f *Fleet) crashWorker(n *standin.Worker) {
-	n.Crash()
+func (f *Fleet) crashWorker(worker *standin.Worker) {
+	worker.Crash()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.running, n.Name)
+	delete(f.running, worker.Name)
 }
 
-func (f *Fleet) kind(n *standin.Worker) lab.WorkerKind {
-	return f.Kinds[slices.IndexFunc(f.Kinds, func(k lab.WorkerKind) bool { return k.Name == n.Kind })]
+// kind returns the kind of a worker.
+func (f *Fleet) kind(worker *standin.Worker) lab.WorkerKind {
+	isOf := func(kind lab.WorkerKind) bool { return kind.Name == worker.Kind }
+	return f.Kinds[slices.IndexFunc(f.Kinds, isOf)]
 }
 
-// Replace takes a node away without a word and starts another, cold, in its place.
-func (f *Fleet) Replace(n *standin.Worker) (*standin.Worker, error) {
-	f.crashWorker(n)
-	f.Discovery.Put(n, "left")
-	return f.AddWorker(f.kind(n), time.Now())
+// Replace takes a worker away without a drain and starts another, in slow start, in its place.
+func (f *Fleet) Replace(worker *standin.Worker) (*standin.Worker, error) {
+	f.crashWorker(worker)
+	f.Discovery.Put(worker, "left")
+	return f.AddWorker(f.kind(worker), time.Now())
 }
 
-// Nodes returns the nodes that are up, in the order of their starts.
+// Workers returns the workers that are up, in the order of their starts.
 func (f *Fleet) Workers() []*standin.Worker {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var up []*standin.Worker
-	for _, n := range f.workers {
-		if f.running[n.Name] == n {
-			up = append(up, n)
+	for _, worker := range f.workers {
+		if f.running[worker.Name] == worker {
+			up = append(up, worker)
 		}
 	}
 	return up
--- a/internal/lab/mutant.go
+++ b/internal/lab/mutant.go
@@ -149,8 +149,15 @@
 	if err := m.apply(dir); err != nil {
 		return "", err
 	}
-	program = filepath.Join(dir, "foxlift")
-	if err := runGo(ctx, dir, "build", "-o", program, "./cmd/foxlift"); err != nil {
+	return BuildScheduler(ctx, dir, dir)
+}
+
+// BuildScheduler builds the scheduler of the module in a folder, "" for the current one, into the folder to, and
+// returns the binary's path.
+func BuildScheduler(ctx context.Context, module, to string) (program string, err error) {
+	program = filepath.Join(to, "foxlift")
+	const scheduler = "github.com/vatu-meals/foxlift/cmd/foxlift"
+	if err := runGo(ctx, module, "build", "-o", program, scheduler); err != nil {
 		return "", err
 	}
 	return program, nil
