--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -171,7 +171,7 @@
 	for _, s := range sockets {
 		if err := upgrade.SteerToNewest(s); err != nil {
 			// Some connections go to the predecessor until it closes its listener.
-			p.log.Warn("the older process goes on getting new connections", zap.Error(err))
+			p.log.Warn("takeover: predecessor still gets new connections", zap.Error(err))
 		}
 	}
 }
