--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -112,7 +112,7 @@
 		key  string
 		time int64
 	}{
-		{"bounds.connectTimeout", s.ConnectTimeout},
+		{"bounds.connectTimeout", int64(s.ConnectTimeout)},
 		{"bounds.connIdle", c.ConnIdle},
 		{"bounds.maxRetryAfter", c.MaxRetryAfter},
 		{"obligations.graceToAnswer", c.AnswerGrace},
--- a/internal/config/keys_test.go
+++ b/internal/config/keys_test.go
@@ -3,6 +3,7 @@
 import (
 	"reflect"
 	"testing"
+	"time"
 
 	"github.com/vatu-meals/foxlift"
 )
@@ -59,11 +60,11 @@
 		{"bounds.maxAttempts", c.MaxAttempts, 22},
 		{"bounds.maxOpen", s.MaxOpen, 23},
 		{"bounds.connIdle", c.ConnIdle, int64(24)},
-		{"bounds.connectTimeout", s.ConnectTimeout, int64(25)},
+		{"bounds.connectTimeout", s.ConnectTimeout, 25 * time.Nanosecond},
 		{"bounds.streamsPerConn", c.JobsPerConn, 26},
 		{"obligations.graceToAnswer", c.AnswerGrace, int64(31)},
 		{"obligations.mustAskIn", c.MaxPollInterval, int64(32)},
-		{"obligations.drainGrace", s.DrainGrace, int64(33)},
+		{"obligations.drainGrace", s.DrainGrace, 33 * time.Nanosecond},
 		{"obligations.startCapacity", c.SlowStartCapacity, 0.5},
 		{"obligations.warmAfter", c.SlowStartDuration, int64(34)},
 		{"obligations.fallMultiple", c.OverloadMultiple, 5.5},
@@ -76,7 +77,7 @@
 			foxlift.GaugeInFlight, foxlift.GaugeFreeSlots, foxlift.GaugeFreeMemory, foxlift.GaugeBusy,
 		}},
 		{"familyInfo.memoryUnit", c.SlotMemory, 1.0},
-		{"familyInfo.progress", s.Progress, int64(43)},
+		{"familyInfo.progress", s.Progress, 43 * time.Nanosecond},
 	} {
 		if !reflect.DeepEqual(x.got, x.want) {
 			t.Errorf("%s: %v, want %v", x.key, x.got, x.want)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"hash/fnv"
 	"strings"
+	"time"
 
 	"github.com/vatu-meals/foxlift"
 )
@@ -19,13 +20,13 @@
 	Tenants        map[string]int
 	Zones          map[string]int
 	Kinds          map[string]int
-	GaugeNames     []string // of the values in a load report, in order
-	ConnectTimeout int64    // nanoseconds; 0 means not given
-	DrainGrace     int64    // nanoseconds in which sends to a draining worker have to stop
-	MaxOpen        int      // open jobs; 0 means no limit
-	Progress       int64    // nanoseconds between progress notes; 0 means none
-	Discovery      string   // one of discoveries, or ""
-	Zone           string   // of this scheduler
+	GaugeNames     []string      // of the values in a load report, in order
+	ConnectTimeout time.Duration // 0 means not given
+	DrainGrace     time.Duration // within which sends to a draining worker have to stop
+	MaxOpen        int           // open jobs; 0 means no limit
+	Progress       time.Duration // between progress notes; 0 means none
+	Discovery      string        // one of discoveries, or ""
+	Zone           string        // of this scheduler
 }
 
 // settingsFile is the settings as they stand in JSON. Times are nanoseconds.
@@ -147,10 +148,10 @@
 		Zones:          indexNames(f.Zones),
 		Kinds:          indexNames(f.Kinds),
 		GaugeNames:     f.Report.Names,
-		ConnectTimeout: f.Bounds.ConnectTimeout,
-		DrainGrace:     f.Obligations.DrainGrace,
+		ConnectTimeout: time.Duration(f.Bounds.ConnectTimeout),
+		DrainGrace:     time.Duration(f.Obligations.DrainGrace),
 		MaxOpen:        f.Bounds.MaxOpen,
-		Progress:       f.FamilyInfo.Progress,
+		Progress:       time.Duration(f.FamilyInfo.Progress),
 		Discovery:      f.Discovery,
 		Zone:           f.Zone,
 	}
--- a/internal/platform/worker_pool.go
+++ b/internal/platform/worker_pool.go
@@ -55,7 +55,7 @@
 	p := &workerPool{
 		find:        endpoints.find,
 		stateOf:     endpoints.stateOf,
-		drainGrace:  time.Duration(s.DrainGrace),
+		drainGrace:  s.DrainGrace,
 		log:         log,
 		counters:    set,
 		dialTimeout: defaultDialTimeout,
@@ -69,7 +69,7 @@
 		p.repeatable[class.Name] = class.Effect == foxlift.Idempotent
 	}
 	if s.ConnectTimeout > 0 {
-		p.dialTimeout = time.Duration(s.ConnectTimeout)
+		p.dialTimeout = s.ConnectTimeout
 	}
 	if idle := s.Module.ConnIdle; idle > 0 {
 		// Well before the worker's side drops it: a request written to a connection that is being dropped
