--- a/admission.go
+++ b/admission.go
@@ -1,7 +1,8 @@
 package foxlift
 
-// Admission control: which requests are held, for how long, and which are refused.
+// Admission control: which jobs are queued, for how long, and which are shed.
 
+// accept takes a new job in: it is queued, waits for health checks, or is urgent.
 func (d *Dispatcher) accept(r *Request) {
 	if r.Class < 0 || r.Class >= len(d.classes) || d.jobs.byID[r.ID] != nil {
 		return // the host broke the contract: there is nothing sensible to do
@@ -16,9 +17,9 @@
 		size = r.Size
 	}
 	j.objective = c.LatencyObjective + int64(c.ObjectiveStretch*float64(size))
-	// A client's next try brings what is left of its patience: the job is as old as
-	// the first. In time counts from there, and what comes too late for that is
-	// worth nothing: where work is short it must not take the place of the rest.
+	// A client's retry brings what is left of its patience: the job is as old as the first attempt. Its
+	// objective counts from there, and what is too late for it is worth nothing: where capacity is short
+	// it must not take the place of the rest.
 	c.patience = max(c.patience, r.Deadline-j.arrivedAt)
 	j.firstAttemptAt = r.Deadline - c.patience
 	d.jobs.byID[r.ID] = j
@@ -38,9 +39,9 @@
 	}
 }
 
-// shedUrgent refuses what came too late, and what has found no worker at once and
-// has no time to wait for the next tick: a client's last try may come just before
-// its deadline, and would get no answer at all.
+// shedUrgent sheds the jobs that came too late, and those that have found no worker at once and have no
+// time to wait for the next tick: a client's last retry may come just before its deadline, and would get
+// no answer at all.
 func (d *Dispatcher) shedUrgent() {
 	for _, j := range d.jobs.urgent {
 		if len(j.attempts) == 0 {
@@ -51,21 +52,20 @@
 	d.jobs.urgent = d.jobs.urgent[:0]
 }
 
-// How long a few dispatchers hold jobs that do not tell each other of theirs. What each holds is a large
-// part of the fleet's work, and a job sent with time for the median run is late at every worker that
+// How long a few dispatchers queue jobs that do not tell each other of their usage. What each queues is a
+// large part of the fleet's work, and a job sent with time for the median run is late at every worker that
 // has others' jobs.
 const (
 	remainingRuns     = 2 // median runs that fit after the longest time in the queue; 1 elsewhere
-	excessQueuePart   = 8 // part of its aim that a job of a tenant over its share is held; 2 elsewhere
-	newestFirstLength = 3 // jobs of one class held for a tenant, of which the newest goes first
+	excessQueuePart   = 8 // part of its objective that a job of a tenant over its quota is queued; 2 elsewhere
+	newestFirstLength = 3 // queued jobs of one class and tenant, of which the newest goes first
 )
 
-// unaware says that this is one of a few dispatchers, and that it does not know of the others' jobs.
+// lacksPeerUsage says that this is one of a few dispatchers, and does not know of the others' jobs.
 func (d *Dispatcher) lacksPeerUsage() bool { return !d.largeFleet() && !d.knowsAllUsage() }
 
-// maxQueueTime is how old a job may become that is held. That of a tenant over its
-// share is told early: what it sends past the share is nearly worthless, and a
-// queue of it would delay the rest.
+// maxQueueTime is how old a queued job may become. That of a tenant over its quota is shed early: what it
+// sends past the quota is nearly worthless, and a queue of it would delay the rest.
 func (d *Dispatcher) maxQueueTime(j *job) int64 {
 	part, runs := int64(2), int64(1)
 	if d.lacksPeerUsage() {
@@ -83,9 +83,9 @@
 	return t.quota.ExceedsQuota() || d.lacksPeerUsage() && len(q) >= newestFirstLength
 }
 
-// timely is the time in which a job without a hint is surely in time. The median that
-// stands for its own work has fetches and slow machines in it: what is wanted of a light job is
-// less, and many dispatchers have no queue to spare for those that fail it.
+// timelyLimit is the time in which a job without a size hint surely meets its objective. The median that
+// stands for its own work has fetches and slow workers in it: what is expected of a light job is less, and
+// many dispatchers have no queue to spare for those that miss it.
 func (d *Dispatcher) timelyLimit(j *job) int64 {
 	if !d.largeFleet() || j.req.Size > 0 {
 		return j.objective
@@ -93,12 +93,12 @@
 	return j.class.LatencyObjective + int64(j.class.ObjectiveStretch*float64(j.class.runtimes.LowerQuartile()))
 }
 
-// retryAfter is when a client should try again that was refused for want of room.
+// retryAfter is the advice to a client whose job was shed for want of capacity; with jitter.
 func (d *Dispatcher) retryAfter() int64 {
 	return d.cfg.MaxRetryAfter/2 + d.rng.Int64N(d.cfg.MaxRetryAfter/2+1)
 }
 
-// expireQueued refuses jobs that have waited too long to be in time.
+// expireQueued sheds jobs that have waited too long to meet their objective.
 func (d *Dispatcher) expireQueued() {
 	for i := range d.tenants {
 		t := &d.tenants[i]
--- a/api.go
+++ b/api.go
@@ -1,13 +1,14 @@
 // Package foxlift decides, for one dispatcher of jobs, what to do with each
-// request: hold it, send it to a worker, refuse it or fail it.
+// request: queue it, send it to a worker, shed it or fail it.
 //
 // A Dispatcher is a deterministic state machine. It reads no clock, starts no
 // goroutine and does no input or output: the host passes it the time and what
 // has happened, and carries out the actions that it returns. All times and
 // durations are in nanoseconds; the clock may begin anywhere but only advances.
 //
-// This file holds the whole interface; the files that deploy/balancer.toml lists under policy hold
-// every decision, dispatcher.go the step that calls them.
+// This file and snapshot.go hold the whole interface; the files that deploy/balancer.toml lists under
+// policy hold every decision, dispatcher.go the step that calls them. What can be decided or kept apart
+// from the rest is in the packages under internal/decision.
 //
 // The host carries out all actions, reports one outcome for each attempt, and
 // passes a timer's token when it is due. A host that breaks this gets no panic:
@@ -29,6 +30,7 @@
 // An Effect says what happens if a request runs more than once.
 type Effect uint8
 
+// The effects of a class.
 const (
 	Idempotent   Effect = iota // may be repeated freely
 	Deduplicated               // a group of workers drops repeats for a while
@@ -38,17 +40,18 @@
 // A Scope is the group of workers that drops repeats of a Deduplicated request.
 type Scope uint8
 
+// The groups of workers that drop repeats together.
 const (
-	ScopeAll Scope = iota
-	ScopeZone
-	ScopeCell
+	ScopeAll  Scope = iota // all workers
+	ScopeZone              // the workers of one zone
+	ScopeCell              // the workers of one Worker.Cell
 )
 
 // A Class is a kind of request.
 type Class struct {
 	Name             string
 	LatencyObjective int64   // an answer within this, plus ObjectiveStretch times the job's own work, has full worth
-	ObjectiveStretch float64 // see Aim
+	ObjectiveStretch float64 // see LatencyObjective
 	Deadline         int64   // how long a client waits in all
 	Effect           Effect
 	Scope            Scope // for Deduplicated
@@ -62,7 +65,7 @@
 // A Tenant is one of the parties that share the fleet.
 type Tenant struct {
 	Name  string
-	Quota float64 // requests a second within its share, over all dispatchers
+	Quota float64 // requests a second, over all dispatchers
 }
 
 // A Band is a slice of the fleet's throughput with the ratios by which tenants
@@ -109,7 +112,7 @@
 	Dispatchers int      // how many dispatchers share the fleet; at least 1
 	Index       int      // which of them this is, from 0
 
-	PollEndpoints   bool // the list of workers comes only when asked for
+	PollEndpoints   bool // the endpoint list comes only when polled for
 	MaxPollInterval int64
 	EndpointLease   int64 // how old the list may be where discovery is seen to answer others; 0: of any age
 
@@ -127,9 +130,9 @@
 	StartNotes bool    // workers say when a job starts
 
 	AnswerGrace       int64
-	SlowStartCapacity float64 // share of its capacity that a worker starts with
+	SlowStartCapacity float64 // fraction of its capacity that a worker starts with
 	SlotMemory        float64 // units of memory that a worker has for each slot; 0: not known
-	SlowStartDuration int64   // a worker is warm after this
+	SlowStartDuration int64   // slow start lasts this long
 	OverloadMultiple  float64
 	OverloadWindow    int64
 	Prices            Prices
@@ -188,8 +191,13 @@
 		name string
 		time int64
 	}{
-		{"MustAskIn", c.MaxPollInterval}, {"ListLease", c.EndpointLease}, {"WarmAfter", c.SlowStartDuration}, {"FallWindow", c.OverloadWindow},
-		{"MaxRetryAfter", c.MaxRetryAfter}, {"ConnIdle", c.ConnIdle}, {"AnswerGrace", c.AnswerGrace},
+		{"MustAskIn", c.MaxPollInterval},
+		{"ListLease", c.EndpointLease},
+		{"WarmAfter", c.SlowStartDuration},
+		{"FallWindow", c.OverloadWindow},
+		{"MaxRetryAfter", c.MaxRetryAfter},
+		{"ConnIdle", c.ConnIdle},
+		{"AnswerGrace", c.AnswerGrace},
 	} {
 		if f.time < 0 {
 			return fmt.Errorf("foxlift: %s is negative", f.name)
@@ -198,16 +206,17 @@
 	return nil
 }
 
-// A WorkerState is what the list says of a worker.
+// A WorkerState is what the endpoint list says of a worker.
 type WorkerState uint8
 
+// The states of a worker.
 const (
-	Live WorkerState = iota
-	Draining
-	Removed
+	Live     WorkerState = iota // may get jobs
+	Draining                    // gets none, and finishes those that it has
+	Removed                     // is not in the list any more
 )
 
-// A Worker is an entry of the list of workers.
+// A Worker is an entry of the endpoint list.
 type Worker struct {
 	ID            string
 	Zone          int // -1 if unknown
@@ -215,19 +224,20 @@
 	Cell          int
 	State         WorkerState
 	StartedAt     int64   // when it last started; 0 means long ago
-	ExternalSlots float64 // slots of jobs there that the host sent past this dispatcher and that are still out
+	ExternalSlots float64 // slots of jobs there that the host sent past this dispatcher and that are still in flight
 }
 
-// A EndpointUpdate says how a list event is to be read.
+// An EndpointUpdate says how a list event is to be read.
 type EndpointUpdate uint8
 
+// The kinds of list events.
 const (
 	EndpointsDelta      EndpointUpdate = iota // only changed entries
-	EndpointsComplete                         // the whole list
-	EndpointsCached                           // the whole list as last known before a restart
-	EndpointsPollFailed                       // an ask failed or the subscription broke; no entries; see Event.PollFailure
+	EndpointsComplete                         // the complete list
+	EndpointsCached                           // the complete list as last known before a restart
+	EndpointsPollFailed                       // a poll failed or the watch broke; no entries; see Event.PollFailure
 	EndpointsConfirmed                        // discovery has answered: the list is up to date; no entries
-	DiscoveryChanged                          // another discovery is to be asked; no entries
+	DiscoveryChanged                          // another discovery is to be polled; no entries
 )
 
 // A Request is a job that a client asks for.
@@ -246,19 +256,20 @@
 	AllowedWorkers []string // the only workers that it may go to; nil: any
 }
 
-// A Code says how an attempt or a probe ended.
+// A Code says how an attempt or a health check ended.
 type Code uint8
 
+// The outcomes of an attempt.
 const (
-	Served Code = iota
-	WorkerError
-	Saturated // turned away unseen
-	DeadlineExceeded
-	Unreachable // no connection could be made
-	Reset
-	Cancelled
-	NotSent
-	InvalidRequest // the worker says that the request is at fault; it may have run all the same
+	Served           Code = iota // with an answer
+	WorkerError                  // the worker has failed
+	Saturated                    // rejected by the worker, unseen
+	DeadlineExceeded             // no answer in time
+	Unreachable                  // no connection could be made
+	Reset                        // the connection broke
+	Cancelled                    // by ActionCancel
+	NotSent                      // by the host
+	InvalidRequest               // the worker says that the request is at fault; it may have run all the same
 )
 
 // NeverRan reports whether the code proves that the job did not run.
@@ -267,6 +278,7 @@
 // An EventKind says which fields of an Event hold.
 type EventKind uint8
 
+// The kinds of events, with the fields that hold.
 const (
 	EventRequest            EventKind = iota // Request
 	EventEndpoints                           // List, Workers
@@ -305,6 +317,7 @@
 // An ActionKind says which fields of an Action hold.
 type ActionKind uint8
 
+// The kinds of actions, with the fields that hold.
 const (
 	ActionSend           ActionKind = iota // ID, Worker, Timeout: attempts of a request count from 0
 	ActionShed                             // ID, RetryAfter: a final answer; the client may safely try again
@@ -314,7 +327,7 @@
 	ActionHealthCheck                      // Worker
 	ActionClose                            // Worker: give back its idle connections
 	ActionMessage                          // To (-1 for all), Data
-	ActionWatchEndpoints                   // ask for the list's changes from now on
+	ActionWatchEndpoints                   // poll for the list's changes from now on
 )
 
 // An Action is something that the host is to do.
--- a/api_names.go
+++ b/api_names.go
@@ -2,11 +2,11 @@
 
 import "strconv"
 
-// Names of the module's values, for logs. Nothing is decided here.
+// Names of the module's values in logs, in the words of the pages. Nothing is decided here.
 
 var codeNames = [...]string{
-	Served: "served", WorkerError: "error", Saturated: "turned away", DeadlineExceeded: "timed out", Unreachable: "unreachable",
-	Reset: "reset", Cancelled: "cancelled", NotSent: "not sent", InvalidRequest: "blamed",
+	Served: "served", WorkerError: "error", Saturated: "turned away", DeadlineExceeded: "timed out",
+	Unreachable: "unreachable", Reset: "reset", Cancelled: "cancelled", NotSent: "not sent", InvalidRequest: "blamed",
 }
 
 // String implements fmt.Stringer.
@@ -17,6 +17,7 @@
 // String implements fmt.Stringer.
 func (s WorkerState) String() string { return nameOf(workerStateNames[:], int(s)) }
 
+// nameOf returns the name of a value, or its number if it has none.
 func nameOf(names []string, i int) string {
 	if i < len(names) {
 		return names[i]
--- a/attempts.go
+++ b/attempts.go
@@ -1,6 +1,6 @@
 package foxlift
 
-// The life of a job's attempts: sends, retries, copies of overdue ones, the final answer, and the
+// The life of a job's attempts: sends, retries, hedges of overdue ones, the final answer, and the
 // rules on effects, which say whether a job may be sent again.
 
 // maySend is the one place that says whether a job may go to a worker now. The
@@ -33,7 +33,7 @@
 	return true
 }
 
-// mayShed says whether the client may be told that another try is harmless.
+// mayShed says whether the client may be told that a retry is harmless.
 func (d *Dispatcher) mayShed(j *job) bool {
 	return j.mayHaveRun == nil || j.class.Effect == Idempotent ||
 		j.class.Effect == Deduplicated && j.class.Scope == ScopeAll
@@ -53,8 +53,8 @@
 	d.finish(j)
 }
 
-// end marks a job as finally answered. Attempts still out are called off, and
-// the job is kept until they have reported.
+// finish marks a job as finally answered. Attempts in flight are cancelled, and the job is kept until
+// they have their outcomes.
 func (d *Dispatcher) finish(j *job) {
 	j.ended = true
 	if j.queued {
@@ -64,7 +64,7 @@
 	d.forget(j)
 }
 
-// cancelAttempts cancels the attempts of a job that are still out.
+// cancelAttempts cancels the attempts of a job that are in flight.
 func (d *Dispatcher) cancelAttempts(j *job) {
 	if !d.cfg.MayCancel || j.stream {
 		return
@@ -76,6 +76,7 @@
 	}
 }
 
+// send begins an attempt of a job at a worker.
 func (d *Dispatcher) send(j *job, w *worker) {
 	a := &attempt{
 		job: j, worker: w, number: len(j.attempts),
@@ -102,6 +103,7 @@
 	d.recordSend(w, a)
 }
 
+// onStarted notes that an attempt runs.
 func (d *Dispatcher) onStarted(e *Event) {
 	a := d.attemptOf(e)
 	if a == nil || a.done || a.startedAt != 0 {
@@ -114,6 +116,7 @@
 	d.recordStart(a)
 }
 
+// onOutcome ends an attempt, and with it its job, or retries that.
 func (d *Dispatcher) onOutcome(e *Event) {
 	a := d.attemptOf(e)
 	if a == nil || a.done {
@@ -187,8 +190,8 @@
 		a.worker.overdue++
 		d.updateLevel(a.worker)
 		if !j.ended && j.class.Effect != AtMostOnce && d.cfg.MayHedge && d.jobs.hedgeBudget >= 1 && !j.retryQueued {
-			// Where cancelled work runs on, and nobody says where, copies feed the very queues that made
-			// starts late; few sends may be copies.
+			// Where cancelled work runs on, and nobody says where, hedges feed the very queues that made
+			// starts late; few sends may be hedges.
 			d.jobs.hedgeBudget = max(0, d.jobs.hedgeBudget-1)
 			j.retryQueued = true
 			d.jobs.retryQueue = append(d.jobs.retryQueue, j)
@@ -197,7 +200,7 @@
 }
 
 const (
-	hedgeFraction  = 0.05 // copies of overdue jobs, as a share of sends
+	hedgeFraction  = 0.05 // hedges of overdue jobs, as a fraction of sends
 	maxHedgeBudget = 5.0  // that may be saved up, for the moment when workers hang
 )
 
--- a/dispatch_order.go
+++ b/dispatch_order.go
@@ -1,11 +1,11 @@
 package foxlift
 
-// The order of dispatch: which tenant's job is sent next while there is room.
+// The order of dispatch: which tenant's job is sent next while there is capacity.
 
 import "math"
 
-// dispatch sends what is waiting while there is room: first jobs that go again,
-// then tenants within their bands, then the rest evenly.
+// dispatch sends what is queued while there is capacity: first the retries, then the jobs of tenants
+// within their bands, then the rest evenly.
 func (d *Dispatcher) dispatch() {
 	d.dispatchRound++
 	d.quotas.Refill(d.now, max(1, d.rate.OfferedRate()/4))
@@ -30,6 +30,7 @@
 // that all dispatchers together keep the queues there short: about one at each.
 func (d *Dispatcher) maxUnstarted() int { return max(2, len(d.liveWorkers)/d.cfg.Dispatchers) }
 
+// sendRetries sends the jobs that were sent before, each if a worker is found for it.
 func (d *Dispatcher) sendRetries() {
 	kept := d.jobs.retryQueue[:0]
 	for _, j := range d.jobs.retryQueue {
@@ -84,9 +85,9 @@
 	}
 }
 
-// urgency orders the jobs of one tenant: by the share of its wait that a job has
-// spent, over the share of its class lately sent. A tenant's share is a share of
-// each class: one class must not eat it because its jobs may wait longest.
+// urgency orders the jobs of one tenant: by the fraction of its queue time that a job has spent, over the
+// fraction of its class lately sent. A tenant's quota is divided among its classes: one class must not use
+// it up because its jobs may wait longest.
 func (t *tenant) urgency(d *Dispatcher, j *job) float64 {
 	got := t.quota.SentFraction(j.req.Class)
 	if t.quota.ExceedsQuota() {
@@ -95,9 +96,8 @@
 	return float64(d.now-j.firstAttemptAt+1) / float64(d.maxQueueTime(j)) / (got * got)
 }
 
-// sendFrom sends the tenant's most urgent job that a worker has room for: of each
-// class the oldest, or, where most must be refused, the newest, which has its
-// whole time before it.
+// sendFrom sends the tenant's most urgent job for which a worker is found: of each class the oldest, or,
+// where most must be shed, the newest, which has its whole time before it.
 func (d *Dispatcher) sendFrom(t *tenant) bool {
 	for {
 		var best *job
--- a/dispatcher.go
+++ b/dispatcher.go
@@ -1,12 +1,12 @@
 package foxlift
 
 // The step of the decision module: it takes the events in, then looks at what time alone changes,
-// then dispatches. Each other kind of decision has a file of its own; deploy/balancer.toml lists them
-// under policy. The interface is in api.go, the types of the state are in state.go.
+// then dispatches. Each other kind of decision has a file or a package under internal/decision of its
+// own; deploy/balancer.toml lists them under policy. The interface is in api.go, the state in state.go.
 
 const second = int64(1e9)
 
-// few is the most dispatchers that learn enough from their own jobs. What each of many
+// smallFleetMax is the most dispatchers that learn enough from their own jobs. What each of many
 // does alone is harmful where all do it, and each sees little: see docs/design/fleet.md.
 const smallFleetMax = 4.0
 
@@ -60,6 +60,7 @@
 	}
 }
 
+// start begins the clock, at the first step.
 func (d *Dispatcher) start() {
 	d.timing.startedAt, d.timing.nextControlAt = d.now, d.now+second
 	d.quotas.Start(d.now)
--- a/endpoint_lease.go
+++ b/endpoint_lease.go
@@ -1,6 +1,6 @@
 package foxlift
 
-// How far the machine list can be trusted. A change counts as known some seconds after discovery had it,
+// Sending by a stale endpoint list. A change counts as notified some seconds after discovery had it,
 // whether or not it arrived here, and also while this process was down. By a list that may be older than
 // that nothing is sent, unless discovery may well be down, which tells nobody of changes: then jobs go to
 // workers that have accepted one lately. Some that drain accept jobs too, so that is a guess.
@@ -32,14 +32,14 @@
 // EndpointsUsable reports whether jobs may be sent by the list as it is known, if only to some workers.
 func (d *Dispatcher) EndpointsUsable() bool { return d.endpoints.lease.Usable(d.now) }
 
-// accepts notes that a worker has taken an attempt: when that was sent, it did not drain.
+// recordAccepted notes that a worker has accepted an attempt: when that was sent, it did not drain.
 func (d *Dispatcher) recordAccepted(a *attempt) {
 	w := a.worker
 	w.acceptedAt = max(w.acceptedAt, a.sentAt)
 	if w.accepting {
 		return
 	}
-	if len(d.endpoints.accepting) > 2*len(d.liveWorkers) { // most of them have gone
+	if len(d.endpoints.accepting) > 2*len(d.liveWorkers) { // most of them are removed
 		d.pruneAccepting()
 	}
 	w.accepting = true
--- a/endpoints.go
+++ b/endpoints.go
@@ -1,15 +1,17 @@
 package foxlift
 
-// The endpoint list: when to ask discovery for it, and what its news changes.
+// The endpoint list: when to poll discovery for it, and what its changes mean for the workers.
 
 import "github.com/vatu-meals/foxlift/internal/decision/affinity"
 
+// pollEndpoints asks for the list's changes, if it is time.
 func (d *Dispatcher) pollEndpoints() {
 	if d.cfg.PollEndpoints && d.endpoints.poll.Begin(d.now) {
 		d.actions = append(d.actions, Action{Kind: ActionWatchEndpoints})
 	}
 }
 
+// onEndpoints takes in what came of a poll.
 func (d *Dispatcher) onEndpoints(e *Event) {
 	switch e.EndpointUpdate {
 	case EndpointsConfirmed:
@@ -42,6 +44,7 @@
 	d.updatePending()
 }
 
+// applyEndpoint takes over an entry of the list.
 func (d *Dispatcher) applyEndpoint(e *Worker) {
 	w := d.workers[e.ID]
 	if w == nil {
@@ -63,8 +66,7 @@
 	d.indexWorker(w)
 }
 
-// restarted forgets what was learned of a process that is no more. The first
-// send to a young worker is put off at random, or all would send at once.
+// resetWorker forgets what was learned of a process that is no more.
 func (d *Dispatcher) resetWorker(w *worker, at int64) {
 	w.outlier.Reset()
 	w.warmup.Restart(at)
@@ -75,5 +77,5 @@
 	d.capacity.slowStart.DelayFirst(&w.warmup, d.now, d.minMedianRuntime(), d.rng)
 }
 
-// removedRetention is how long a worker that is gone counts as lost and may come back as itself.
+// removedRetention is how long a removed worker counts as lost and may come back as itself.
 const removedRetention = 60 * second
--- a/fleet_index.go
+++ b/fleet_index.go
@@ -1,8 +1,8 @@
 package foxlift
 
-// The fleet as a dispatcher looks for it: what time alone may move, who is live, gone or lost, and
-// the sum of the learned caps. All of it is kept as workers change, so that no step looks at every
-// worker but that which takes a whole list. Nothing is decided here.
+// The workers as a dispatcher looks for them: whose place time alone may change, which are live, removed
+// or lost, and the sum of the learned limits. All of it is kept as workers change, so that no step looks at
+// every worker but that which takes a complete list. Nothing is decided here.
 
 import (
 	"cmp"
@@ -49,7 +49,7 @@
 // byNumber orders workers as they were first heard of, which is the order of Dispatcher.list.
 func byNumber(a, b *worker) int { return cmp.Compare(a.number, b.number) }
 
-// revisit has a worker placed anew at the next tick or list event.
+// markPending has a worker placed anew at the next tick or list event.
 func (d *Dispatcher) markPending(w *worker) {
 	if w.pending {
 		return
@@ -61,7 +61,7 @@
 	d.pending = append(d.pending, w)
 }
 
-// timed reports whether time alone may move a worker.
+// timeDependent reports whether time alone may change a worker's place.
 func (d *Dispatcher) timeDependent(w *worker) bool {
 	return w.state == Live && (w.outlier.Ejected(d.now) || d.inSlowStart(w))
 }
@@ -112,7 +112,7 @@
 	}
 }
 
-// removeUnlisted lets the workers that a whole list does not name be gone.
+// removeUnlisted removes the workers that a complete list does not name.
 func (d *Dispatcher) removeUnlisted() {
 	for _, w := range d.workerOrder {
 		if w.lastSeenEvent != d.endpoints.events && w.state != Removed {
@@ -146,17 +146,17 @@
 	d.livenessChanged = d.livenessChanged[:0]
 }
 
-// slowStartTotals returns how many live workers are young, and the sum of their warmth.
-func (d *Dispatcher) slowStartTotals() (young int, warmth float64) {
+// slowStartTotals returns how many live workers are in slow start, and the sum of their weights.
+func (d *Dispatcher) slowStartTotals() (workers int, weight float64) {
 	d.sortPending()
-	for _, w := range d.pending { // a live worker that is young is timed
+	for _, w := range d.pending { // a live worker in slow start is among them
 		if w.state == Live && d.inSlowStart(w) {
-			young++
-			warmth += d.slowStartWeight(w)
+			workers++
+			weight += d.slowStartWeight(w)
 		}
 	}
 	d.candidatesExamined += len(d.pending)
-	return young, warmth
+	return workers, weight
 }
 
 // countLost returns how many workers are lost, and forgets those that are back and warm.
@@ -170,7 +170,7 @@
 	return len(d.lost)
 }
 
-// forgetRemoved drops the workers that have been gone since before a time, once nothing is
+// forgetRemoved drops the workers that have been removed since before a time, once nothing is
 // counted there: a fleet that replaces its workers for months must not cost more by the day.
 func (d *Dispatcher) forgetRemoved(before int64) {
 	d.candidatesExamined += len(d.removed)
--- a/gossip.go
+++ b/gossip.go
@@ -15,6 +15,7 @@
 	changed  []*worker      // where something changed that peers have not been told
 }
 
+// newPeerExchange returns the exchange of a process that has just started.
 func newPeerExchange(cfg *Config, seed uint64) peerExchange {
 	return peerExchange{
 		peers:  gossip.NewTable[*worker](cfg.Dispatchers, cfg.Index),
@@ -83,6 +84,7 @@
 	x.changed = x.changed[:0]
 }
 
+// onMessage takes in a peer's message. What is none is ignored.
 func (d *Dispatcher) onMessage(from int, data []byte) {
 	peers, m := &d.exchange.peers, &d.exchange.incoming
 	if !peers.IsPeer(from) || !m.Decode(data) {
--- a/health.go
+++ b/health.go
@@ -1,11 +1,10 @@
 package foxlift
 
-// Workers' health: what their answers teach, how many jobs each may have, pauses after failures, and
-// the slow start of young workers.
+// What attempts teach of their workers: capacity, failures that eject a worker, and slow start.
 
 import "github.com/vatu-meals/foxlift/internal/decision/health"
 
-// took counts a job just sent.
+// recordSend counts a job just sent.
 func (d *Dispatcher) recordSend(w *worker, a *attempt) {
 	d.countAttempt(a, 1)
 	w.connections.open = max(w.connections.open, w.inFlightJobs)
@@ -18,12 +17,12 @@
 	d.updateLevel(w)
 }
 
-// recordStart learns from the delay before a job started. A late start is a soft
-// 'full': the worker had no room for it.
+// recordStart learns from the delay before a job started. A late start is as a rejection: the worker had
+// no free slot for it.
 func (d *Dispatcher) recordStart(a *attempt) {
 	w, delay := a.worker, d.now-a.sentAt
 	d.capacity.startDelays.Record(delay)
-	if d.largeFleet() { // a few learn each worker's room by itself
+	if d.largeFleet() { // a few learn each worker's limit by itself
 		delay = d.capacity.startDelays.Excess(a.path, delay)
 	}
 	w.outlier.RecordStart(d.now, delay < d.tickInterval)
@@ -48,7 +47,7 @@
 	d.recountLimit(w)
 }
 
-// release takes the end of an attempt into the counts and judges its worker.
+// recordOutcome takes the end of an attempt into the counts and into what is known of its worker.
 func (d *Dispatcher) recordOutcome(a *attempt, e *Event) {
 	w, j := a.worker, a.job
 	a.mayHaveRun = !e.Code.NeverRan()
@@ -106,7 +105,7 @@
 	d.updateLevel(w)
 }
 
-// backoffWorker keeps jobs from a worker that has no room now.
+// backoffWorker keeps jobs from a worker that has no free slot now.
 func (d *Dispatcher) backoffWorker(w *worker, j *job) {
 	w.outlier.Backoff(d.now, j.class.runtimes.Median(), d.rng)
 }
@@ -132,7 +131,7 @@
 	return d.capacity.slowStart.Weight(&w.warmup, d.now)
 }
 
-// lightest is the median running time of the class that has the least.
+// minMedianRuntime is the median running time of the class that has the least.
 func (d *Dispatcher) minMedianRuntime() int64 {
 	run := d.classes[0].runtimes.Median()
 	for i := range d.classes {
@@ -141,12 +140,12 @@
 	return run
 }
 
-// place moves a worker to where it belongs in the room lists.
+// updateLevel moves a worker to where it belongs in the free lists.
 func (d *Dispatcher) updateLevel(w *worker) {
 	level := -1
 	if w.state == Live && w.overdue == 0 && !w.outlier.Ejected(d.now) &&
 		w.usedSlots < max(1, min(w.limit.Slots(), w.report.MaxSlots())) &&
-		!(w.outlier.OnTrial() && w.inFlightJobs > 0) && !d.capacity.slowStart.Holds(&w.warmup, d.now) {
+		(!w.outlier.OnTrial() || w.inFlightJobs == 0) && !d.capacity.slowStart.Holds(&w.warmup, d.now) {
 		level = int(w.usedSlots)
 	}
 	if level != w.level {
--- a/internal/decision/admission/allocator_test.go
+++ b/internal/decision/admission/allocator_test.go
@@ -9,8 +9,13 @@
 func TestSplitMatchesTriageTable1(t *testing.T) {
 	bands := []Band{{100, []float64{50, 50}}, {300, []float64{100, 0}}, {500, []float64{0, 100}}}
 	for _, c := range []struct{ u, w1, w2, past float64 }{
-		{60, 30, 30, 0}, {100, 50, 50, 0}, {250, 200, 50, 0}, {400, 350, 50, 0},
-		{500, 350, 150, 0}, {900, 350, 550, 0}, {1000, 350, 550, 100},
+		{60, 30, 30, 0},
+		{100, 50, 50, 0},
+		{250, 200, 50, 0},
+		{400, 350, 50, 0},
+		{500, 350, 150, 0},
+		{900, 350, 550, 0},
+		{1000, 350, 550, 100},
 	} {
 		got, past := split(c.u, bands, 2)
 		if math.Abs(got[0]-c.w1)+math.Abs(got[1]-c.w2)+math.Abs(past-c.past) > 1e-9 {
--- a/internal/decision/admission/model.go
+++ b/internal/decision/admission/model.go
@@ -15,6 +15,7 @@
 	covariance [3][3]float64
 }
 
+// newModel returns a model that knows nothing: both inputs count alike.
 func newModel() model {
 	m := model{parameters: [3]float64{0, 0.5, 0.5}}
 	for i := range m.covariance {
--- a/internal/decision/admission/tenant.go
+++ b/internal/decision/admission/tenant.go
@@ -20,6 +20,7 @@
 	Arrivals, Sends                                []float64 // lately, by class
 }
 
+// newTenant returns a tenant without tokens.
 func newTenant(classes int) Tenant {
 	return Tenant{classArrived: make([]float64, classes), classSent: make([]float64, classes)}
 }
--- a/internal/decision/affinity/index.go
+++ b/internal/decision/affinity/index.go
@@ -86,13 +86,16 @@
 	worker  W
 }
 
+// bucketOf returns the bucket of a hash.
 func bucketOf(hash uint64) int { return int(hash >> (64 - bucketBits)) }
 
+// add puts a worker in.
 func (x *index[W]) add(e entry[W]) {
 	b := &x[bucketOf(e.hash)]
 	*b = append(*b, e)
 }
 
+// remove takes a worker out.
 func (x *index[W]) remove(hash uint64, w W) {
 	b := &x[bucketOf(hash)]
 	i := slices.IndexFunc(*b, func(e entry[W]) bool { return e.worker == w })
@@ -126,6 +129,7 @@
 	return from, to
 }
 
+// rank is Indexes.Rank for one index.
 func (x *index[W]) rank(key uint64, now int64) (ranked []W, of, examined int) {
 	var scores [MaxWorkers]uint64
 	ranked = make([]W, 0, MaxWorkers)
--- a/internal/decision/gossip/message.go
+++ b/internal/decision/gossip/message.go
@@ -82,6 +82,7 @@
 	return data
 }
 
+// toByte rounds a count to what a byte holds.
 func toByte(x float64) uint32 { return uint32(min(max(math.Round(x), 0), 255)) }
 
 // Decode reads a message into m, whose Usages are overwritten. It reports whether the message is valid.
--- a/jobs.go
+++ b/jobs.go
@@ -4,7 +4,7 @@
 
 import "math"
 
-// A job is a request that is held, in flight, or ended with attempts still out.
+// A job is a request that is queued, in flight, or ended with attempts still in flight.
 type job struct {
 	id             uint64
 	class          *class
@@ -17,28 +17,29 @@
 	inFlight       int      // attempts in flight
 	mayHaveRun     *attempt // the first attempt that may have run
 	ended, queued  bool
-	healthChecks   int       // workers probed for it
-	retryQueued    bool      // in resend
+	healthChecks   int       // workers that are checked for it
+	retryQueued    bool      // in jobTable.retryQueue
 	stream         bool      // bound to a stream: no deadline any more
 	blockedRound   int64     // the round of dispatch that found no worker for it
-	affinity       []*worker // of its key, the nearest first,
-	affinityPool   int       // of so many workers,
+	affinity       []*worker // the workers of its key, the first in its order first,
+	affinityPool   int       // the first of so many workers,
 	affinityEvent  int64     // by the list event of this number
 }
 
+// An attempt is one run of a job on one worker.
 type attempt struct {
 	job               *job
 	worker            *worker
 	number            int
 	sentAt, startedAt int64
-	index             int // in Dispatcher.out
+	index             int // in jobTable.inFlight
 	path              int // how it went: over a new connection 1, to another zone 2 more
 	slots             float64
 	done              bool
 	mayHaveRun        bool // it ended, and may have run
 	overdue           bool // not started in time, and counted so
-	unstarted         bool // counted in Dispatcher.waits
-	late              bool // entered the regulator at its limit
+	unstarted         bool // counted in jobTable.unstarted
+	late              bool // counted as late in its class's loop
 }
 
 // attemptOf finds the attempt that an event is about, or nil.
@@ -70,7 +71,7 @@
 	return d.cfg.MaxAttempts - j.req.PriorAttempts - len(j.attempts)
 }
 
-// waited ends an attempt's wait for its start.
+// recordStarted ends an attempt's wait for its start.
 func (d *Dispatcher) recordStarted(a *attempt) {
 	if a.unstarted {
 		a.unstarted = false
--- a/latency_loop.go
+++ b/latency_loop.go
@@ -14,6 +14,7 @@
 	loop     admission.LatencyLoop
 }
 
+// newClass returns a class of which nothing is known.
 func newClass(c *Class) class {
 	return class{Class: c, runtimes: admission.NewRuntimes(c.LatencyObjective), loop: admission.NewLatencyLoop()}
 }
@@ -40,8 +41,8 @@
 
 // updateWorkerRate follows the slots that each warm worker has at work.
 func (d *Dispatcher) updateWorkerRate() {
-	young, _ := d.slowStartTotals()
-	d.capacity.slowStart.Rate().Update(len(d.liveWorkers)-young, d.rate.Periods())
+	inSlowStart, _ := d.slowStartTotals()
+	d.capacity.slowStart.Rate().Update(len(d.liveWorkers)-inSlowStart, d.rate.Periods())
 }
 
 // exchangeAdmissionRate tells peers, where that is allowed, this dispatcher's admission rate, and takes
--- a/placement.go
+++ b/placement.go
@@ -8,11 +8,12 @@
 
 const (
 	crossZoneJobs  = 40.0 // of our jobs, that a crossing at the price of a whole job weighs; one of many has few
-	heavyJobWeight = 0.3  // warmth from which a young worker gets other than the lightest jobs
-	fetchJobs      = 2.0  // that a worker's fetch of what a job needs weighs: it holds a slot meanwhile
+	heavyJobWeight = 0.3  // slow-start weight from which a worker gets other than the lightest jobs
+	fetchJobs      = 2.0  // that a worker's fetch of what a job needs weighs: it takes a slot meanwhile
 )
 
-// fetchCost is the jobs that a fetch weighs. It takes less of a long job's time; many look for room first.
+// fetchCost is the jobs that a fetch weighs. It takes less of a long job's time; many dispatchers look for
+// free slots first.
 func (d *Dispatcher) fetchCost(j *job) float64 {
 	if !d.largeFleet() {
 		return fetchJobs
@@ -24,7 +25,7 @@
 
 // affinityWorkers returns the workers that are likely to have what the jobs with a key need: all
 // dispatchers send them to the same few without speaking. Many spread a key over as many
-// as its part of the jobs seen here asks for, and over one more after each attempt.
+// as its fraction of the jobs seen here asks for, and over one more after each attempt.
 func (d *Dispatcher) affinityWorkers(j *job) []*worker {
 	if j.affinityEvent != d.endpoints.events {
 		j.affinity, j.affinityPool = d.rankAffinity(j)
@@ -37,7 +38,7 @@
 	return j.affinity[:min(n, len(j.affinity))]
 }
 
-// eligible says whether a worker in the room lists suits this job.
+// eligible says whether a worker suits this job.
 func (d *Dispatcher) eligible(j *job, w *worker) bool {
 	if w.level < 0 || !d.maySend(j, w) {
 		return false
@@ -48,7 +49,7 @@
 	if d.largeFleet() && j.class.Effect == AtMostOnce {
 		room := d.maxUnstarted()
 		if d.inSlowStart(w) {
-			room *= 2 // it mostly has room, and is paced
+			room *= 2 // it mostly has a free slot, and is paced
 		}
 		if d.jobs.unstarted >= room {
 			return false
@@ -79,7 +80,7 @@
 		s.Admits(&w.warmup, d.now, s.Work(j.req.Slots, j.class.LatencyObjective))
 }
 
-// placementCost rates a worker among equals: the share of a job's worth that is likely
+// placementCost rates a worker among equals: the fraction of a job's worth that is likely
 // lost there, and the jobs that a crossing or a fetch stands for.
 func (d *Dispatcher) placementCost(j *job, w *worker) float64 {
 	c := d.capacity.reports.Pressure(&w.report, j.req.Slots, d.now) / 2
--- a/queue.go
+++ b/queue.go
@@ -1,10 +1,10 @@
 package foxlift
 
-// The tenants' queues of held jobs. Nothing is decided here.
+// The tenants' queues. Nothing is decided here.
 
 import "slices"
 
-// tenantOf finds a tenant; requests of none share one of their own.
+// tenantOf finds a tenant; jobs of no known one have one of their own.
 func (d *Dispatcher) tenantOf(i int) *tenant {
 	if i < 0 || i >= len(d.cfg.Tenants) {
 		i = len(d.tenants) - 1
@@ -12,14 +12,14 @@
 	return &d.tenants[i]
 }
 
-// hold puts a job into its tenant's queue.
+// enqueue puts a job into its tenant's queue.
 func (d *Dispatcher) enqueue(j *job) {
 	j.queued = true
 	q := &j.tenant.queues[j.req.Class]
 	q.jobs = append(q.jobs, j)
 }
 
-// drop takes a job out of its tenant's queue.
+// dequeue takes a job out of its tenant's queue.
 func (t *tenant) dequeue(j *job) {
 	q := &t.queues[j.req.Class]
 	if i := slices.Index(q.jobs, j); i >= 0 {
@@ -28,7 +28,7 @@
 	j.queued = false
 }
 
-// next returns the oldest job of a queue, or the newest, of those that this round of dispatch has
+// nextInQueue returns the oldest job of a queue, or the newest, of those that this round of dispatch has
 // not found without a worker; nil if there is none.
 func nextInQueue(q []*job, newest bool, round int64) *job {
 	for i := range q {
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// waiting reports whether the tenant has jobs held.
+// hasQueued reports whether the tenant has queued jobs.
 func (t *tenant) hasQueued() bool {
 	return slices.ContainsFunc(t.queues, func(q classQueue) bool { return len(q.jobs) > 0 })
 }
--- a/quotas.go
+++ b/quotas.go
@@ -49,15 +49,15 @@
 }
 
 // remainingCapacity is the fraction of the fleet that is left after workers were lost: gone
-// without a drain, or back and still cold. Tenants' rates are shares of what the
-// whole fleet can do, and would admit more than the rest can bear. Workers that
-// drain are taken out on purpose, as traffic falls, and count for nothing.
+// without a drain, or back and in slow start. Tenants' rates are fractions of what the whole fleet can do,
+// and would admit more than the rest can bear. Workers that drain are taken out on purpose, as traffic
+// falls, and count for nothing.
 func (d *Dispatcher) remainingCapacity() float64 {
-	young, able := d.slowStartTotals()
-	warm := len(d.liveWorkers) - young
-	whole := warm + d.countLost()
-	if whole == 0 {
+	inSlowStart, weight := d.slowStartTotals()
+	warm := len(d.liveWorkers) - inSlowStart
+	total := warm + d.countLost()
+	if total == 0 {
 		return 1 // nothing is known yet
 	}
-	return min(1, (float64(warm)+able)/float64(whole))
+	return min(1, (float64(warm)+weight)/float64(total))
 }
--- a/snapshot.go
+++ b/snapshot.go
@@ -51,8 +51,8 @@
 	Ratios        []float64     `json:"Ratios"`
 	Parameters    [3]float64    `json:"Parameters"`
 	Covariance    [3][3]float64 `json:"Covariance"`
-	Input         float64       `json:"Input"`     // u(k-1), as a share of the most
-	PreviousInput float64       `json:"LastInput"` // u(k-2), as a share of the most
+	Input         float64       `json:"Input"`     // u(k-1), as a fraction of the greatest
+	PreviousInput float64       `json:"LastInput"` // u(k-2), as a fraction of the greatest
 	Output        float64       `json:"Output"`    // w(k-1)
 }
 
@@ -97,8 +97,9 @@
 		StartWindow: d.capacity.startWindow.Slots(), HedgeBudget: d.jobs.hedgeBudget,
 		FleetPressure: MeanSnapshot(d.capacity.reports.FleetAverage()),
 		StartDelay:    MeanSnapshot(d.capacity.startDelays.Mean()), MinDelay: d.capacity.startDelays.Min(),
-		PressureDecay: d.capacity.reports.Decay(), PeakWorkerRate: d.capacity.slowStart.Rate().Peak(), RecentWorkerRate: d.capacity.slowStart.Rate().Recent(),
-		Keys: d.keys.recent.Keys(),
+		PressureDecay: d.capacity.reports.Decay(), PeakWorkerRate: d.capacity.slowStart.Rate().Peak(),
+		RecentWorkerRate: d.capacity.slowStart.Rate().Recent(),
+		Keys:             d.keys.recent.Keys(),
 	}
 	for i := range d.classes {
 		s.Classes = append(s.Classes, d.classes[i].snapshot())
@@ -114,9 +115,8 @@
 	return s
 }
 
-// RestorePlacement takes over what another dispatcher with the same settings has learned. What the snapshot
-// says of classes, tenants or workers that are not known here, or of another run of a worker, is
-// left out.
+// Restore takes over what another dispatcher with the same settings has learned. What the snapshot says of
+// classes, tenants or workers that are not known here, or of another run of a worker, is left out.
 func (d *Dispatcher) Restore(s *Snapshot) {
 	d.rate.Restore(admission.RateState{
 		Periods: s.ControlPeriods, AdmissionRate: s.AdmissionRate, Unthrottled: s.Unthrottled, OfferedRate: s.OfferedRate,
--- a/state.go
+++ b/state.go
@@ -123,7 +123,7 @@
 // newFleetCapacity returns the capacity of a fleet of which nothing is known but the least latency
 // objective of a class, and the slots that a worker counts at.
 func newFleetCapacity(cfg *Config, fleetScale, minObjective, limit float64) fleetCapacity {
-	freshLimit := cfg.OverloadMultiple * cfg.SlowStartCapacity * limit // slots that a worker that has just started bears
+	freshLimit := cfg.OverloadMultiple * cfg.SlowStartCapacity * limit // slots that a fresh worker bears
 	slots := slowstart.NewSlots(cfg.OverloadWindow, cfg.Dispatchers, cfg.Index,
 		freshLimit*float64(cfg.OverloadWindow)/minObjective)
 	return fleetCapacity{
@@ -136,14 +136,14 @@
 	}
 }
 
-// busy is the slots of all jobs in flight that the window bounds. What the host has sent past this
+// occupiedSlots is the slots of all jobs in flight that the start window bounds. What the host has sent past this
 // dispatcher fills the fleet as well: a process that has just taken over has few jobs of its own.
 func (d *Dispatcher) occupiedSlots() float64 {
 	return d.capacity.inFlightSlots + d.capacity.externalSlots
 }
 
-// Idle reports whether the dispatcher holds no job and counts nothing in flight: so it
-// must be once every job is answered and every attempt has had its outcome.
+// Idle reports whether the dispatcher has no job and counts nothing in flight: so it must be once every
+// job is answered and every attempt has had its outcome.
 func (d *Dispatcher) Idle() bool {
 	if len(d.jobs.byID)+len(d.jobs.inFlight) > 0 || math.Abs(d.capacity.inFlightSlots) > 1e-6 {
 		return false
--- a/workers.go
+++ b/workers.go
@@ -62,7 +62,7 @@
 	usedAt int64 // last use of one
 }
 
-// indexed is what fleetIndex notes of a worker.
+// An indexEntry is what fleetIndex notes of a worker.
 type indexEntry struct {
 	pending, live, inRemoved, inLost bool // in the slice of that name
 	forgotten                        bool // no more in Dispatcher.workers
@@ -145,7 +145,7 @@
 	return way
 }
 
-// dials reports whether the next job to a worker needs a new connection.
+// needsConnection reports whether the next job to a worker needs a new connection.
 func (d *Dispatcher) needsConnection(w *worker) bool {
 	return w.inFlightJobs >= w.connections.open || d.cfg.ConnIdle > 0 && d.now-w.connections.usedAt > d.cfg.ConnIdle
 }
