--- a/internal/lab/soak/clients.go
+++ b/internal/lab/soak/clients.go
@@ -9,13 +9,13 @@
 )
 
 // leavers numbers the submitters that leave, and waits for them.
-type disconnecters struct {
+type disconnecting struct {
 	mu   sync.Mutex
 	last int
 	wait sync.WaitGroup
 }
 
-func (l *disconnecters) next() int {
+func (l *disconnecting) next() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.last++
@@ -23,11 +23,11 @@
 }
 
 const (
-	leaveAtOnce  = 12                     // submitters
-	leaveWithin  = 400 * time.Millisecond // of their jobs
-	halfAtOnce   = 8
-	leaverWaits  = 3 * time.Second
-	clientsLimit = time.Second
+	disconnectAtOnce  = 12                     // submitters
+	disconnectWithin  = 400 * time.Millisecond // of their jobs
+	halfRequestsAtOnce   = 8
+	disconnectingDeadline  = 3 * time.Second
+	connectTimeout = time.Second
 )
 
 // jobText is a whole job.
@@ -37,17 +37,17 @@
 }
 
 // leave lets some submitters send jobs and leave before they are answered.
-func (p *run) leave(rng *rand.Rand) func() {
-	for range leaveAtOnce {
+func (p *run) disconnectClients(rng *rand.Rand) func() {
+	for range disconnectAtOnce {
 		i, class := rng.IntN(p.Schedulers), []string{"reading", "ratify"}[rng.IntN(2)]
-		stays := time.Duration(rng.Int64N(int64(leaveWithin)))
-		id := fmt.Sprintf("leave/all/%s/%d-%d", class, i, p.disconnecters.next())
-		p.disconnecters.wait.Go(func() {
-			c, err := net.DialTimeout("tcp", p.f.Processes[i].Addr, clientsLimit)
+		stays := time.Duration(rng.Int64N(int64(disconnectWithin)))
+		id := fmt.Sprintf("leave/all/%s/%d-%d", class, i, p.disconnecting.next())
+		p.disconnecting.wait.Go(func() {
+			c, err := net.DialTimeout("tcp", p.f.Processes[i].Addr, connectTimeout)
 			if err != nil {
 				return
 			}
-			fmt.Fprint(c, jobText(id, class, leaverWaits))
+			fmt.Fprint(c, jobText(id, class, disconnectingDeadline))
 			<-time.After(stays)
 			c.Close()
 			p.record.disconnected(id, time.Now())
@@ -59,12 +59,12 @@
 // halfRequests opens connections that bring half a job and stay.
 func halfRequests(p *run, rng *rand.Rand) func() {
 	var open []net.Conn
-	for range halfAtOnce {
-		c, err := net.DialTimeout("tcp", p.f.Processes[rng.IntN(p.Schedulers)].Addr, clientsLimit)
+	for range halfRequestsAtOnce {
+		c, err := net.DialTimeout("tcp", p.f.Processes[rng.IntN(p.Schedulers)].Addr, connectTimeout)
 		if err != nil {
 			continue
 		}
-		text := jobText("half", "reading", leaverWaits)
+		text := jobText("half", "reading", disconnectingDeadline)
 		fmt.Fprint(c, text[:1+rng.IntN(len(text)-1)])
 		open = append(open, c)
 	}
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -23,14 +23,14 @@
 type kind struct {
 	name      string
 	weight    int
-	maxAtOnce time.Duration // that it lasts
+	maxLength time.Duration // that it lasts
 	begin     func(p *run, rng *rand.Rand) (end func())
 }
 
 const (
-	shortest    = 200 * time.Millisecond
-	faultsEach  = 700 * time.Millisecond // on average one fault begins in this time
-	discoveryIs = "discovery"            // as a target
+	minFaultLength    = 200 * time.Millisecond
+	meanFaultInterval  = 700 * time.Millisecond // on average one fault begins in this time
+	discoveryTarget = "discovery"            // as a target
 )
 
 var kinds = []kind{
@@ -38,23 +38,23 @@
 	{"discovery is slow", 3, 9 * time.Second, throttleDiscovery},
 	{"discovery is down", 2, 6 * time.Second, discoveryDown},
 	{"a scheduler hears nothing of discovery", 2, 6 * time.Second, discoverySilent},
-	{"a node drains and leaves", 6, 14 * time.Second, drainNode},
-	{"a node is killed and comes back cold", 3, 4 * time.Second, killNode},
-	{"a node hangs", 2, 3 * time.Second, hangNode},
-	{"a node is cut off and taken off the list", 4, 9 * time.Second, cutNode},
+	{"a node drains and leaves", 6, 14 * time.Second, drainWorker},
+	{"a node is killed and comes back cold", 3, 4 * time.Second, killWorker},
+	{"a node hangs", 2, 3 * time.Second, hangWorker},
+	{"a node is cut off and taken off the list", 4, 9 * time.Second, partitionWorker},
 	{"a link is silent", 3, 4 * time.Second, silentLink},
-	{"a link is reset", 3, shortest, resetLink},
+	{"a link is reset", 3, minFaultLength, resetLink},
 	{"a link is slow", 2, 3 * time.Second, throttleLink},
-	{"submitters leave", 3, time.Second, (*run).leave},
+	{"submitters leave", 3, time.Second, (*run).disconnectClients},
 	{"submitters stop half way", 1, 4 * time.Second, halfRequests},
 	{"a scheduler is killed and starts with its old list", 6, 9 * time.Second, killScheduler},
 	{"a scheduler is ended and starts again", 3, 2 * time.Second, terminateScheduler},
 	{"a scheduler stands still", 3, 150 * time.Millisecond, stopScheduler},
-	{"a scheduler reads its configuration again", 2, shortest, reloadScheduler},
+	{"a scheduler reads its configuration again", 2, minFaultLength, reloadScheduler},
 }
 
 // draw draws the faults of a run from its seed, in the order in which they begin.
-func (p *run) draw() (faults []fault) {
+func (p *run) drawFaults() (faults []fault) {
 	var by []int
 	for i, k := range kinds {
 		for range k.weight {
@@ -62,13 +62,13 @@
 		}
 	}
 	for at := time.Duration(0); ; {
-		at += time.Duration(p.rng.ExpFloat64() * float64(faultsEach))
+		at += time.Duration(p.rng.ExpFloat64() * float64(meanFaultInterval))
 		if at >= p.For {
 			return faults
 		}
 		k := by[p.rng.IntN(len(by))]
-		length := shortest + time.Duration(p.rng.Int64N(int64(max(1, kinds[k].maxAtOnce-shortest))))
-		faults = append(faults, fault{k, at, min(length, kinds[k].maxAtOnce), p.rng.Uint64()})
+		length := minFaultLength + time.Duration(p.rng.Int64N(int64(max(1, kinds[k].maxLength-minFaultLength))))
+		faults = append(faults, fault{k, at, min(length, kinds[k].maxLength), p.rng.Uint64()})
 	}
 }
 
@@ -85,7 +85,7 @@
 }
 
 // play makes the faults happen, each at its time, and returns when all have ended.
-func (p *run) play(faults []fault) {
+func (p *run) playFaults(faults []fault) {
 	for _, f := range faults {
 		p.wait.Go(func() {
 			<-time.After(time.Until(p.startedAt.Add(f.at)))
@@ -118,8 +118,8 @@
 	delete(p.busy, target)
 }
 
-// claimNode takes a node that is up and under no other fault; nil if the one that was drawn is.
-func (p *run) claimNode(rng *rand.Rand) *standin.Worker {
+// claimWorker takes a node that is up and under no other fault; nil if the one that was drawn is.
+func (p *run) claimWorker(rng *rand.Rand) *standin.Worker {
 	nodes := p.f.Workers()
 	n := nodes[rng.IntN(len(nodes))]
 	if !p.claim(n.Name) {
@@ -138,19 +138,19 @@
 }
 
 func corruptDiscovery(p *run, rng *rand.Rand) func() {
-	if !p.claim(discoveryIs) {
+	if !p.claim(discoveryTarget) {
 		return nil
 	}
 	p.f.Discovery.CorruptAnswers(standin.Corruptions[rng.IntN(len(standin.Corruptions))])
 	return func() {
 		p.f.Discovery.CorruptAnswers(standin.NoCorruption)
-		p.release(discoveryIs)
+		p.release(discoveryTarget)
 	}
 }
 
 // unreachable makes discovery unreachable for some schedulers.
 func (p *run) unreachable(which []int, begin func(*fleet.Link)) func() {
-	if !p.claim(discoveryIs) {
+	if !p.claim(discoveryTarget) {
 		return nil
 	}
 	from := time.Now()
@@ -162,13 +162,13 @@
 			p.f.Links[i].Heal()
 			p.record.unreachable(i, from, time.Now())
 		}
-		p.release(discoveryIs)
+		p.release(discoveryTarget)
 	}
 }
 
 // throttleDiscovery lets each answer arrive late, at all schedulers.
 func throttleDiscovery(p *run, rng *rand.Rand) func() {
-	if !p.claim(discoveryIs) {
+	if !p.claim(discoveryTarget) {
 		return nil
 	}
 	delay := 200*time.Millisecond + time.Duration(rng.Int64N(int64(500*time.Millisecond)))
@@ -179,7 +179,7 @@
 		for _, l := range p.f.Links {
 			l.Heal()
 		}
-		p.release(discoveryIs)
+		p.release(discoveryTarget)
 	}
 }
 
@@ -195,8 +195,8 @@
 	return p.unreachable([]int{rng.IntN(p.Schedulers)}, func(l *fleet.Link) { l.Silence(fleet.ToTarget, fleet.FromTarget) })
 }
 
-func drainNode(p *run, rng *rand.Rand) func() {
-	n := p.claimNode(rng)
+func drainWorker(p *run, rng *rand.Rand) func() {
+	n := p.claimWorker(rng)
 	if n == nil {
 		return nil
 	}
@@ -210,8 +210,8 @@
 	}
 }
 
-func killNode(p *run, rng *rand.Rand) func() {
-	n := p.claimNode(rng)
+func killWorker(p *run, rng *rand.Rand) func() {
+	n := p.claimWorker(rng)
 	if n == nil {
 		return nil
 	}
@@ -227,8 +227,8 @@
 	}
 }
 
-func hangNode(p *run, rng *rand.Rand) func() {
-	n := p.claimNode(rng)
+func hangWorker(p *run, rng *rand.Rand) func() {
+	n := p.claimWorker(rng)
 	if n == nil {
 		return nil
 	}
@@ -239,9 +239,9 @@
 	}
 }
 
-// cutNode cuts a node off from all schedulers, has discovery notice it after a while, and joins it again.
-func cutNode(p *run, rng *rand.Rand) func() {
-	n := p.claimNode(rng)
+// partitionWorker cuts a node off from all schedulers, has discovery notice it after a while, and joins it again.
+func partitionWorker(p *run, rng *rand.Rand) func() {
+	n := p.claimWorker(rng)
 	if n == nil {
 		return nil
 	}
@@ -266,7 +266,7 @@
 
 // onLink lets a fault befall the link of one scheduler to one node.
 func (p *run) onLink(rng *rand.Rand, begin func(*fleet.Link)) func() {
-	n := p.claimNode(rng)
+	n := p.claimWorker(rng)
 	if n == nil {
 		return nil
 	}
--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -134,7 +134,7 @@
 		if w.At.After(latest) {
 			break
 		}
-		if !p.apart(i, w.At.Add(-writeQuiet), w.At.Add(writeQuiet)) && !p.record.restarted(i, w.At.Add(-writeQuiet), at) {
+		if !p.partitionedFromDiscovery(i, w.At.Add(-writeQuiet), w.At.Add(writeQuiet)) && !p.record.restarted(i, w.At.Add(-writeQuiet), at) {
 			return w.At
 		}
 	}
@@ -143,7 +143,7 @@
 
 // reachableFrom returns from when on a scheduler could reach discovery for as long as it may take to be told.
 func (p *run) reachableFrom(i int, from time.Time) time.Time {
-	spans := append([]span(nil), p.record.apart[i]...)
+	spans := append([]span(nil), p.record.partitions[i]...)
 	sort.Slice(spans, func(a, b int) bool { return spans[a].from.Before(spans[b].from) })
 	for _, s := range spans {
 		if s.overlaps(from, from.Add(notifiedWithin)) {
@@ -154,8 +154,8 @@
 }
 
 // apart reports whether a scheduler could not reach discovery at some moment between two times.
-func (p *run) apart(i int, from, to time.Time) bool {
-	for _, s := range p.record.apart[i] {
+func (p *run) partitionedFromDiscovery(i int, from, to time.Time) bool {
+	for _, s := range p.record.partitions[i] {
 		if s.overlaps(from, to) {
 			return true
 		}
--- a/internal/lab/soak/record.go
+++ b/internal/lab/soak/record.go
@@ -14,7 +14,7 @@
 // changes what can be asked of it.
 type record struct {
 	mu           sync.Mutex
-	apart        map[int][]span            // when a scheduler could not reach discovery
+	partitions        map[int][]span            // when a scheduler could not reach discovery
 	links        map[int]map[string][]span // when its link to a node was faulty
 	kills        map[int][]time.Time
 	terminations map[int][]time.Time
@@ -31,10 +31,10 @@
 func (r *record) unreachable(i int, from, to time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.apart == nil {
-		r.apart = map[int][]span{}
+	if r.partitions == nil {
+		r.partitions = map[int][]span{}
 	}
-	r.apart[i] = append(r.apart[i], span{from, to})
+	r.partitions[i] = append(r.partitions[i], span{from, to})
 }
 
 func (r *record) link(i int, node string, from, to time.Time) {
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -102,7 +102,7 @@
 	log           io.Writer
 	startedAt     time.Time
 	record        record
-	disconnecters disconnecters
+	disconnecting disconnecting
 
 	mu   sync.Mutex
 	busy map[string]bool // nodes and processes under a fault that excludes others
@@ -127,10 +127,10 @@
 	load := f.StartLoadWith("soak", o.Load*float64(o.Schedulers), o.Seed, fleet.Leniency{Grace: answerGrace, Excuse: p.excuse})
 	<-time.After(settleTime)
 	p.startedAt = time.Now()
-	faults := p.draw()
-	p.play(faults)
+	faults := p.drawFaults()
+	p.playFaults(faults)
 	tally := load.Stop()
-	p.disconnecters.wait.Wait()
+	p.disconnecting.wait.Wait()
 	p.terminateAll(&r.Violations)
 	r.Seeds, r.Processes, r.Faults, r.Overlapping = 1, o.Schedulers, len(faults), overlapping(faults)
 	r.Tally = tally
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -38,7 +38,7 @@
 func TestSeedDrawsTheSameFaults(t *testing.T) {
 	draw := func(seed uint64) []fault {
 		p := run{Options: Default, rng: rand.New(rand.NewPCG(seed, 17))}
-		return p.draw()
+		return p.drawFaults()
 	}
 	if !reflect.DeepEqual(draw(3), draw(3)) || reflect.DeepEqual(draw(3), draw(4)) {
 		t.Error("the faults are not drawn from the seed alone")
