--- a/internal/lab/capacity/deployment.go
+++ b/internal/lab/capacity/deployment.go
@@ -7,6 +7,7 @@
 
 	"github.com/vatu-meals/foxlift"
 	"github.com/vatu-meals/foxlift/internal/config"
+	"github.com/vatu-meals/foxlift/internal/lab"
 )
 
 // A deployment is the size of what a hollow scheduler is told.
@@ -34,31 +35,17 @@
 		kinds = append(kinds, kindName(i))
 	}
 	return json.Marshal(map[string]any{
-		"balancers":  d.schedulers,
-		"slotNo":     0,
-		"discovery":  "subscribe",
-		"dcs":        zones,
-		"zone":       zones[0],
-		"flavors":    kinds,
-		"grades":     classes,
-		"projects":   teams,
-		"familyInfo": map[string]any{"classStretch": []float64{2, 2}, "tellsStart": true},
-		"bounds": map[string]any{
-			"cancel":         true,
-			"retryAfter":     true,
-			"maxRetryAfter":  2 * time.Second,
-			"maxAttempts":    3,
-			"connIdle":       30 * time.Second,
-			"connectTimeout": time.Second,
-			"streamsPerConn": 1,
-		},
-		"obligations": map[string]any{
-			"mustAskIn":     10 * time.Second,
-			"startCapacity": 0.14,
-			"warmAfter":     24 * time.Second,
-			"fallMultiple":  3,
-			"fall":          time.Second,
-		},
+		"balancers":   d.schedulers,
+		"slotNo":      0,
+		"discovery":   "subscribe",
+		"dcs":         zones,
+		"zone":        zones[0],
+		"flavors":     kinds,
+		"grades":      classes,
+		"projects":    teams,
+		"familyInfo":  map[string]any{"classStretch": []float64{2, 2}, "tellsStart": true},
+		"bounds":      lab.Bounds(),
+		"obligations": lab.Obligations(),
 	})
 }
 
--- a/internal/lab/topology.go
+++ b/internal/lab/topology.go
@@ -96,6 +96,12 @@
 	for range t.Classes {
 		stretches = append(stretches, objectiveStretch)
 	}
+	bounds := Bounds()
+	bounds["peerMessages"] = t.Gossip
+	bounds["secondCopies"] = true
+	obligations := Obligations()
+	obligations["drainGrace"] = 750 * time.Millisecond
+	obligations["graceToAnswer"] = 8 * time.Millisecond
 	return map[string]any{
 		"report":    t.reportSettings(),
 		"balancers": t.Schedulers,
@@ -111,27 +117,35 @@
 			"tellsStart":   true,
 			"reportX0":     "free slots",
 		},
-		"bounds": map[string]any{
-			"cancel":         true,
-			"peerMessages":   t.Gossip,
-			"secondCopies":   true,
-			"retryAfter":     true,
-			"maxRetryAfter":  2 * time.Second,
-			"maxAttempts":    3,
-			"connIdle":       30 * time.Second,
-			"connectTimeout": time.Second,
-			"streamsPerConn": 1,
-		},
-		"obligations": map[string]any{
-			"drainGrace":    750 * time.Millisecond,
-			"graceToAnswer": 8 * time.Millisecond,
-			"mustAskIn":     10 * time.Second,
-			"startCapacity": 0.14,
-			"warmAfter":     24 * time.Second,
-			"fallMultiple":  3,
-			"fall":          time.Second,
-		},
-		"prices": map[string]any{"crossZone": 0.01, "handshake": 0.02},
+		"bounds":      bounds,
+		"obligations": obligations,
+		"prices":      map[string]any{"crossZone": 0.01, "handshake": 0.02},
+	}
+}
+
+// Bounds returns the bounds on attempts and connections that the lab's deployments share, as the
+// settings have them.
+func Bounds() map[string]any {
+	return map[string]any{
+		"cancel":         true,
+		"retryAfter":     true,
+		"maxRetryAfter":  2 * time.Second,
+		"maxAttempts":    3,
+		"connIdle":       30 * time.Second,
+		"connectTimeout": time.Second,
+		"streamsPerConn": 1,
+	}
+}
+
+// Obligations returns the obligations towards discovery and workers in slow start that the lab's
+// deployments share, as the settings have them.
+func Obligations() map[string]any {
+	return map[string]any{
+		"mustAskIn":     10 * time.Second,
+		"startCapacity": 0.14,
+		"warmAfter":     24 * time.Second,
+		"fallMultiple":  3,
+		"fall":          time.Second,
 	}
 }
 
