--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -79,7 +79,7 @@
 func (s *Server) serve(log *zap.Logger) {
 	defer close(s.served)
 	if err := s.http.Serve(s.listener); err != nil && !errors.Is(err, http.ErrServerClosed) {
-		log.Error("the second address is no longer served", zap.Error(err))
+		log.Error("admin: the operators' address is no longer served", zap.Error(err))
 	}
 }
 
