--- a/internal/lab/soak/clients.go
+++ b/internal/lab/soak/clients.go
@@ -23,11 +23,11 @@
 }
 
 const (
-	disconnectAtOnce  = 12                     // submitters
-	disconnectWithin  = 400 * time.Millisecond // of their jobs
-	halfRequestsAtOnce   = 8
-	disconnectingDeadline  = 3 * time.Second
-	connectTimeout = time.Second
+	disconnectAtOnce      = 12                     // submitters
+	disconnectWithin      = 400 * time.Millisecond // of their jobs
+	halfRequestsAtOnce    = 8
+	disconnectingDeadline = 3 * time.Second
+	connectTimeout        = time.Second
 )
 
 // jobText is a whole job.
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -29,8 +29,8 @@
 
 const (
 	minFaultLength    = 200 * time.Millisecond
-	meanFaultInterval  = 700 * time.Millisecond // on average one fault begins in this time
-	discoveryTarget = "discovery"            // as a target
+	meanFaultInterval = 700 * time.Millisecond // on average one fault begins in this time
+	discoveryTarget   = "discovery"            // as a target
 )
 
 var kinds = []kind{
--- /dev/null
+++ b/internal/lab/soak/mutant.go
@@ -0,0 +1,81 @@
+package soak
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"os"
+	"sync"
+
+	"golang.org/x/sync/errgroup"
+
+	"github.com/vatu-meals/foxlift/internal/lab"
+)
+
+// A Mutant is a deliberate fault of the scheduler, and the count that has to show it.
+type Mutant struct {
+	lab.Mutant
+	Shows func(Violations) int
+}
+
+func drain(v Violations) int         { return v.Drain }
+func lost(v Violations) int          { return v.Lost }
+func duplicate(v Violations) int     { return v.Duplicate }
+func disconnected(v Violations) int  { return v.Disconnected }
+func deadline(v Violations) int      { return v.Deadline }
+func startOverload(v Violations) int { return v.StartOverload }
+
+const (
+	maxSeeds      = 10 // that the soak has to see a mutant
+	mutantsAtOnce = 3  // that are played side by side
+)
+
+// CheckMutants plays each mutant for at most so many seeds, until its rule is seen broken.
+func CheckMutants(ctx context.Context, w io.Writer, o Options) (caught int, err error) {
+	var mu sync.Mutex
+	var group errgroup.Group
+	group.SetLimit(mutantsAtOnce)
+	for i := range Mutants {
+		m := &Mutants[i]
+		group.Go(func() error {
+			seeds, err := m.check(ctx, o)
+			mu.Lock()
+			defer mu.Unlock()
+			switch {
+			case err != nil:
+				return fmt.Errorf("%s: %w", m.Name, err)
+			case seeds > maxSeeds:
+				fmt.Fprintf(w, "NOT SEEN in %d seeds  %s\n", maxSeeds, m.Name)
+			default:
+				caught++
+				fmt.Fprintf(w, "caught by seed %2d     %s\n", seeds, m.Name)
+			}
+			return nil
+		})
+	}
+	err = group.Wait()
+	return caught, err
+}
+
+// check returns by which seed, counted from 1, a mutant was seen.
+func (m *Mutant) check(ctx context.Context, o Options) (seeds int, err error) {
+	dir, err := os.MkdirTemp("", "foxlift-soak-mutant-")
+	if err != nil {
+		return 0, err
+	}
+	defer os.RemoveAll(dir)
+	if o.Program, err = m.BuildProgram(ctx, dir); err != nil {
+		return 0, err
+	}
+	for seeds = 1; seeds <= maxSeeds; seeds++ {
+		o.Seed = uint64(seeds)
+		r, err := o.Run(io.Discard)
+		if err != nil {
+			return 0, err
+		}
+		if m.Shows(r.Violations) > 0 {
+			break
+		}
+	}
+	return seeds, nil
+}
--- a/internal/lab/soak/record.go
+++ b/internal/lab/soak/record.go
@@ -14,7 +14,7 @@
 // changes what can be asked of it.
 type record struct {
 	mu           sync.Mutex
-	partitions        map[int][]span            // when a scheduler could not reach discovery
+	partitions   map[int][]span            // when a scheduler could not reach discovery
 	links        map[int]map[string][]span // when its link to a node was faulty
 	kills        map[int][]time.Time
 	terminations map[int][]time.Time
