--- a/internal/lab/service/connection.go
+++ b/internal/lab/service/connection.go
@@ -16,17 +16,17 @@
 )
 
 // A Fate is how one send of a job ended.
-type Fate int
+type Outcome int
 
 const (
-	Answered Fate = iota // a whole answer came
-	Unheard              // the scheduler cannot have read the whole request: it may be sent again
-	Cut                  // the request arrived and the connection ended without a whole answer
-	Silent               // nothing came until the time was up
+	Answered    Outcome = iota // a whole answer came
+	Unread                     // the scheduler cannot have read the whole request: it may be sent again
+	Interrupted                // the request arrived and the connection ended without a whole answer
+	TimedOut                   // nothing came until the time was up
 )
 
 // String names a fate in reports.
-func (f Fate) String() string {
+func (f Outcome) String() string {
 	return [...]string{"answered", "turned back unheard", "cut off", "without an answer in time"}[f]
 }
 
@@ -74,23 +74,23 @@
 
 // ask sends a request and waits for the answer. The error says in words what happened where
 // there is none.
-func (c *connection) exchange(request string, until time.Time) (answer, Fate, error) {
+func (c *connection) exchange(request string, until time.Time) (answer, Outcome, error) {
 	c.SetDeadline(until)
 	n, err := io.WriteString(c, request)
 	c.written += uint64(n)
 	if err != nil {
-		return answer{}, Unheard, fmt.Errorf("writing: %w", err)
+		return answer{}, Unread, fmt.Errorf("writing: %w", err)
 	}
 	if _, err := c.reader.Peek(1); err != nil {
-		return answer{}, c.fate(err), fmt.Errorf("awaiting the answer: %w", err)
+		return answer{}, c.outcome(err), fmt.Errorf("awaiting the answer: %w", err)
 	}
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
-		return answer{}, Cut, fmt.Errorf("within the answer's head: %w", err)
+		return answer{}, Interrupted, fmt.Errorf("within the answer's head: %w", err)
 	}
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return answer{}, Cut, fmt.Errorf("within the answer's body: %w", err)
+		return answer{}, Interrupted, fmt.Errorf("within the answer's body: %w", err)
 	}
 	c.closes = response.Close
 	return answer{response.StatusCode, string(body)}, Answered, nil
@@ -99,16 +99,16 @@
 // fate tells what became of a request that was written whole, when reading for the first byte
 // of its answer ended so. The kernel resets a connection that is closed with unread bytes, and
 // it acknowledges none that come after the close.
-func (c *connection) fate(err error) Fate {
+func (c *connection) outcome(err error) Outcome {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return Silent
+		return TimedOut
 	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE):
-		return Unheard
+		return Unread
 	case c.acknowledged() < c.written:
-		return Unheard
+		return Unread
 	}
-	return Cut
+	return Interrupted
 }
 
 // acknowledged is how many of the written bytes the scheduler's side has taken in.
--- a/internal/lab/service/connection_test.go
+++ b/internal/lab/service/connection_test.go
@@ -39,22 +39,22 @@
 }
 
 // The rig tells a job that was read from one that cannot have been.
-func TestFates(t *testing.T) {
+func TestOutcomes(t *testing.T) {
 	request := requestText("a/north/reading/1", DefaultWorld().Classes[0], "north")
 	for name, c := range map[string]struct {
 		first bool // the server is done with the connection before the request is sent
 		treat func(net.Conn)
-		fate  Fate
+		fate  Outcome
 	}{
 		"a whole answer":               {treat: func(c net.Conn) { readRequest(c); io.WriteString(c, completeAnswer) }, fate: Answered},
-		"read and closed":              {treat: func(c net.Conn) { readRequest(c); c.Close() }, fate: Cut},
-		"half an answer":               {treat: func(c net.Conn) { readRequest(c); io.WriteString(c, completeAnswer[:20]); c.Close() }, fate: Cut},
-		"an answer without all of it":  {treat: func(c net.Conn) { readRequest(c); io.WriteString(c, completeAnswer[:len(completeAnswer)-1]); c.Close() }, fate: Cut},
-		"half of it read and closed":   {treat: func(c net.Conn) { io.ReadFull(c, make([]byte, 10)); c.Close() }, fate: Unheard},
-		"closed before it came":        {first: true, treat: func(c net.Conn) { c.Close() }, fate: Unheard},
-		"reset before it came":         {first: true, treat: func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }, fate: Unheard},
-		"half-closed and read, unsaid": {treat: func(c net.Conn) { c.(*net.TCPConn).CloseWrite(); readRequest(c) }, fate: Cut},
-		"nothing":                      {treat: readRequest, fate: Silent},
+		"read and closed":              {treat: func(c net.Conn) { readRequest(c); c.Close() }, fate: Interrupted},
+		"half an answer":               {treat: func(c net.Conn) { readRequest(c); io.WriteString(c, completeAnswer[:20]); c.Close() }, fate: Interrupted},
+		"an answer without all of it":  {treat: func(c net.Conn) { readRequest(c); io.WriteString(c, completeAnswer[:len(completeAnswer)-1]); c.Close() }, fate: Interrupted},
+		"half of it read and closed":   {treat: func(c net.Conn) { io.ReadFull(c, make([]byte, 10)); c.Close() }, fate: Unread},
+		"closed before it came":        {first: true, treat: func(c net.Conn) { c.Close() }, fate: Unread},
+		"reset before it came":         {first: true, treat: func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }, fate: Unread},
+		"half-closed and read, unsaid": {treat: func(c net.Conn) { c.(*net.TCPConn).CloseWrite(); readRequest(c) }, fate: Interrupted},
+		"nothing":                      {treat: readRequest, fate: TimedOut},
 	} {
 		t.Run(name, func(t *testing.T) {
 			connected := make(chan struct{})
@@ -67,7 +67,7 @@
 				<-treated
 			}
 			limit := patience
-			if c.fate == Silent {
+			if c.fate == TimedOut {
 				limit = 100 * time.Millisecond
 			}
 			if _, fate, err := conn.exchange(request, time.Now().Add(limit)); fate != c.fate {
--- a/internal/lab/service/deployment.go
+++ b/internal/lab/service/deployment.go
@@ -18,7 +18,7 @@
 
 // The platform's rules for an upgrade.
 const (
-	YesLimit   = 6 * time.Second        // for a new process, from its start to its yes
+	ReadyLimit = 6 * time.Second        // for a new process, from its start to its yes
 	maxGrace   = 3 * time.Second        // longer deadlines count as this
 	killMargin = 700 * time.Millisecond // beyond the longest deadline, between SIGTERM and SIGKILL
 	pollEvery  = 5 * time.Millisecond   // between two questions to the operators' address
@@ -41,9 +41,9 @@
 // A Deployment is a scheduler in service: the process that the platform takes for it, and all
 // that it meets.
 type Deployment struct {
-	Fleet    *fleet.Fleet
-	Current  *fleet.Process
-	FirstYes time.Duration // of the first process, from its start
+	Fleet      *fleet.Fleet
+	Current    *fleet.Process
+	FirstReady time.Duration // of the first process, from its start
 }
 
 // Deploy starts a world's scheduler and waits for its yes. Close ends it.
@@ -61,7 +61,7 @@
 	if err := d.Current.Start(); err != nil {
 		return nil, err
 	}
-	d.FirstYes, err = AwaitYes(ctx, d.Current)
+	d.FirstReady, err = AwaitReady(ctx, d.Current)
 	return d, err
 }
 
@@ -91,14 +91,14 @@
 	return fmt.Sprintf("%s ended by itself; its log:\n%s", e.Process, strings.Join(e.Log, "\n"))
 }
 
-// ErrNoYes says that a process did not say in time that it is ready.
-var ErrNoYes = errors.New("no yes in time")
+// ErrNotReady says that a process did not say in time that it is ready.
+var ErrNotReady = errors.New("no yes in time")
 
-// AwaitYes waits until a process that was just started says that it is ready, and returns how
+// AwaitReady waits until a process that was just started says that it is ready, and returns how
 // long that took.
-func AwaitYes(ctx context.Context, process *fleet.Process) (time.Duration, error) {
+func AwaitReady(ctx context.Context, process *fleet.Process) (time.Duration, error) {
 	began := time.Now()
-	limited, cancel := context.WithTimeout(ctx, YesLimit)
+	limited, cancel := context.WithTimeout(ctx, ReadyLimit)
 	defer cancel()
 	operators := Operators{Addr: process.Admin}
 	var last error
@@ -113,7 +113,7 @@
 			if ctx.Err() != nil {
 				return 0, ctx.Err()
 			}
-			return 0, fmt.Errorf("%s: %w: %w; its log:\n%s", process.Name, ErrNoYes, last, strings.Join(process.Log(), "\n"))
+			return 0, fmt.Errorf("%s: %w: %w; its log:\n%s", process.Name, ErrNotReady, last, strings.Join(process.Log(), "\n"))
 		case <-time.After(pollEvery):
 		}
 	}
--- a/internal/lab/service/fault.go
+++ b/internal/lab/service/fault.go
@@ -16,14 +16,14 @@
 type Fault string
 
 const (
-	NoFault Fault = "none"
-	KillNew Fault = "kill-new" // a new process is killed before its yes, and another one started
-	StopNew Fault = "stop-new" // a new process stands still before its yes, is killed, and another one started
-	KillOld Fault = "kill-old" // the old process is killed at any moment of the upgrade
+	NoFault          Fault = "none"
+	KillSuccessor    Fault = "kill-new" // a new process is killed before its yes, and another one started
+	SuspendSuccessor Fault = "stop-new" // a new process stands still before its yes, is killed, and another one started
+	KillPredecessor  Fault = "kill-old" // the old process is killed at any moment of the upgrade
 )
 
 // Faults are all that a trial knows.
-var Faults = []Fault{NoFault, KillNew, StopNew, KillOld}
+var Faults = []Fault{NoFault, KillSuccessor, SuspendSuccessor, KillPredecessor}
 
 // The times of faults are drawn up to these.
 const (
@@ -58,7 +58,7 @@
 	if err := waitOrDone(ctx, moment); err != nil {
 		return nil, err
 	}
-	if err := standStill(next); err != nil {
+	if err := suspend(next); err != nil {
 		return nil, err
 	}
 	listens, err := Listens(next.ID(), d.Addr())
@@ -75,9 +75,9 @@
 	return nil, nil
 }
 
-// standStill stops a process, and waits until all of it has: a signal may come later than its
+// suspend stops a process, and waits until all of it has: a signal may come later than its
 // sending returns.
-func standStill(process *fleet.Process) error {
+func suspend(process *fleet.Process) error {
 	id := process.ID()
 	if err := process.Signal(syscall.SIGSTOP); err != nil {
 		return &EndedError{process.Name, process.Log()}
@@ -95,7 +95,7 @@
 type Step int
 
 const (
-	NewStarted Step = iota
+	SuccessorStarted Step = iota
 	SuccessorReady
 	PredecessorTerminated
 	steps
@@ -106,10 +106,10 @@
 	return [...]string{"the new process's start", "the new process's yes", "SIGTERM to the old process"}[s]
 }
 
-// UpgradeKillingOld upgrades while the old process is killed at a drawn time after a step.
-func (d *Deployment) UpgradeKillingOld(ctx context.Context, step Step, after time.Duration) (h Handover, o Outage, err error) {
+// UpgradeKillingPredecessor upgrades while the old process is killed at a drawn time after a step.
+func (d *Deployment) UpgradeKillingPredecessor(ctx context.Context, step Step, after time.Duration) (h Handover, o Outage, err error) {
 	old := d.Current
-	h.StartedAt, h.Old = time.Now(), old
+	h.StartedAt, h.Predecessor = time.Now(), old
 	next, err := d.StartNext()
 	if err != nil {
 		return h, o, err
@@ -121,18 +121,18 @@
 		o.To = time.Now()
 		return err
 	}
-	if step == NewStarted {
+	if step == SuccessorStarted {
 		if err := kill(); err != nil {
 			return h, o, err
 		}
 	}
-	if h.Yes, err = AwaitYes(ctx, next); err != nil {
+	if h.ReadyAfter, err = AwaitReady(ctx, next); err != nil {
 		return h, o, err
 	}
-	h.Yes = time.Since(h.StartedAt)
+	h.ReadyAfter = time.Since(h.StartedAt)
 	d.Current = next
 	switch step {
-	case NewStarted: // nobody served until now
+	case SuccessorStarted: // nobody served until now
 		o.To = time.Now()
 		return h, o, nil
 	case PredecessorTerminated:
--- a/internal/lab/service/handover.go
+++ b/internal/lab/service/handover.go
@@ -56,16 +56,16 @@
 // A Handover is one whole upgrade.
 type Handover struct {
 	StartedAt    time.Time
-	Yes          time.Duration // from the new process's start to its yes
+	ReadyAfter   time.Duration // from the new process's start to its yes
 	TerminatedAt time.Time     // when the old one had SIGTERM; zero: never, it was killed
 	Took         time.Duration // from SIGTERM to the old one's end
 	Forced       bool          // it was killed at the limit
-	Old          *fleet.Process
+	Predecessor  *fleet.Process
 }
 
 // Line tells the upgrade's steps, with times since a moment.
 func (h Handover) Line(since time.Time) string {
-	text := fmt.Sprintf("new process started at %.3f s, yes after %.3f s", h.StartedAt.Sub(since).Seconds(), h.Yes.Seconds())
+	text := fmt.Sprintf("new process started at %.3f s, yes after %.3f s", h.StartedAt.Sub(since).Seconds(), h.ReadyAfter.Seconds())
 	if h.TerminatedAt.IsZero() {
 		return text + ", old one killed"
 	}
@@ -78,12 +78,12 @@
 
 // Upgrade replaces the current process as the platform does, and waits for the old one's end.
 func (d *Deployment) Upgrade(ctx context.Context) (h Handover, err error) {
-	h.StartedAt, h.Old = time.Now(), d.Current
+	h.StartedAt, h.Predecessor = time.Now(), d.Current
 	next, err := d.StartNext()
 	if err != nil {
 		return h, err
 	}
-	if h.Yes, err = AwaitYes(ctx, next); err != nil {
+	if h.ReadyAfter, err = AwaitReady(ctx, next); err != nil {
 		return h, err
 	}
 	err = d.finish(ctx, &h, next)
--- a/internal/lab/service/judge_test.go
+++ b/internal/lab/service/judge_test.go
@@ -44,41 +44,41 @@
 // The judge sees each fault, and excuses only what died with a killed process.
 func TestUpgradesAreJudged(t *testing.T) {
 	at := func(ms int) time.Time { return time.UnixMilli(int64(ms)) }
-	failed := func(fate Fate, began, ended int) Record {
-		return Record{ID: "a/ratify/1", Class: "ratify", Sends: []Send{{StartedAt: at(began), Ended: at(ended), Fate: fate}}}
+	failed := func(fate Outcome, began, ended int) Record {
+		return Record{ID: "a/ratify/1", Class: "ratify", Sends: []Send{{StartedAt: at(began), Ended: at(ended), Outcome: fate}}}
 	}
 	good := func() UpgradesResult {
-		r := UpgradesResult{Sent: 2, Handovers: []Handover{{StartedAt: at(100), Yes: time.Second}, {StartedAt: at(900), Yes: time.Second}}, Tally: newTally()}
+		r := UpgradesResult{Sent: 2, Handovers: []Handover{{StartedAt: at(100), ReadyAfter: time.Second}, {StartedAt: at(900), ReadyAfter: time.Second}}, Tally: newTally()}
 		r.Tally.Answers["reading"] = Responses{OK: 1}
 		return r
 	}
 	turned := func(moments ...int) func(*UpgradesResult) {
 		return func(r *UpgradesResult) {
 			for _, m := range moments {
-				r.Tally.Returned = append(r.Tally.Returned, failed(Unheard, m, m+1))
+				r.Tally.Returned = append(r.Tally.Returned, failed(Unread, m, m+1))
 			}
 		}
 	}
 	killed := func(r *UpgradesResult) {
 		r.Outages = []Outage{{at(300), at(350)}}
-		r.Tally.Lost = append(r.Tally.Lost, failed(Cut, 250, 302))
+		r.Tally.Lost = append(r.Tally.Lost, failed(Interrupted, 250, 302))
 	}
 	for name, c := range map[string]struct {
 		ok     bool
 		change func(*UpgradesResult)
 	}{
 		"nothing":                          {true, func(*UpgradesResult) {}},
-		"lost":                             {false, func(r *UpgradesResult) { r.Tally.Lost = []Record{failed(Cut, 1, 2)} }},
+		"lost":                             {false, func(r *UpgradesResult) { r.Tally.Lost = []Record{failed(Interrupted, 1, 2)} }},
 		"wrong":                            {false, func(r *UpgradesResult) { r.Tally.Wrong = []Record{failed(Answered, 1, 2)} }},
 		"twice":                            {false, func(r *UpgradesResult) { r.Twice = []string{"a"} }},
-		"a late yes":                       {false, func(r *UpgradesResult) { r.Handovers[1].Yes = YesLimit + 1 }},
+		"a late yes":                       {false, func(r *UpgradesResult) { r.Handovers[1].ReadyAfter = ReadyLimit + 1 }},
 		"an upgrade missing":               {false, func(r *UpgradesResult) { r.Sent = 3 }},
 		"no job served":                    {false, func(r *UpgradesResult) { clear(r.Tally.Answers) }},
 		"two turned back in each":          {true, turned(150, 160, 950, 960)},
 		"three turned back in one":         {false, turned(150, 160, 170)},
 		"died with a killed process":       {true, killed},
-		"lost before the kill":             {false, func(r *UpgradesResult) { killed(r); r.Tally.Lost[0] = failed(Cut, 250, 299) }},
-		"lost after the kill":              {false, func(r *UpgradesResult) { killed(r); r.Tally.Lost[0] = failed(Cut, 351, 360) }},
+		"lost before the kill":             {false, func(r *UpgradesResult) { killed(r); r.Tally.Lost[0] = failed(Interrupted, 250, 299) }},
+		"lost after the kill":              {false, func(r *UpgradesResult) { killed(r); r.Tally.Lost[0] = failed(Interrupted, 351, 360) }},
 		"three turned back, one by a kill": {true, func(r *UpgradesResult) { killed(r); turned(150, 160, 310)(r) }},
 	} {
 		r := good()
--- a/internal/lab/service/load.go
+++ b/internal/lab/service/load.go
@@ -11,7 +11,7 @@
 )
 
 // sends is how often a job is sent at most: a second time only after it was turned back unheard.
-const sends = 2
+const maxSends = 2
 
 // grace is how long submitters wait beyond the time that a job has.
 const grace = 500 * time.Millisecond
@@ -103,7 +103,7 @@
 		case <-l.stop:
 			return
 		}
-		if !l.enter() {
+		if !l.admit() {
 			continue
 		}
 		id := fmt.Sprintf("%s/%s/%s/%d", l.Name, tenant.Name, class.Name, number)
@@ -130,7 +130,7 @@
 }
 
 // enter counts a job in, unless too many are open.
-func (l *Load) enter() bool {
+func (l *Load) admit() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.open >= l.MaxOpenJobs {
@@ -146,11 +146,11 @@
 	record := Record{ID: id, Class: class.Name}
 	until := time.Now().Add(class.Deadline + grace)
 	var got answer
-	for len(record.Sends) < sends {
+	for len(record.Sends) < maxSends {
 		var send Send
 		got, send = l.send(text, fresh || len(record.Sends) > 0, until)
 		record.Sends = append(record.Sends, send)
-		if send.Fate != Unheard {
+		if send.Outcome != Unread {
 			break
 		}
 	}
@@ -177,14 +177,14 @@
 	}
 	if s.Fresh = c == nil; s.Fresh {
 		if c, s.Err = dial(l.addr, until); s.Err != nil {
-			s.Fate, s.Ended = Unheard, time.Now()
+			s.Outcome, s.Ended = Unread, time.Now()
 			return got, s
 		}
 	}
 	s.Port = c.port()
-	got, s.Fate, s.Err = c.exchange(text, until)
+	got, s.Outcome, s.Err = c.exchange(text, until)
 	s.Ended = time.Now()
-	if s.Fate == Answered && !fresh {
+	if s.Outcome == Answered && !fresh {
 		l.release(c)
 	} else {
 		c.Close()
--- a/internal/lab/service/main_test.go
+++ b/internal/lab/service/main_test.go
@@ -57,23 +57,23 @@
 }
 
 // A scene is a deployment under load.
-type scene struct {
+type testbed struct {
 	*Deployment
 	load      *Load
 	startedAt time.Time
 }
 
 // underLoad starts a deployment and a load, and returns once jobs are being answered.
-func underLoad(t *testing.T) *scene {
+func underLoad(t *testing.T) *testbed {
 	t.Helper()
 	d := deploy(t, DefaultWorld())
-	s := &scene{d, StartLoad(d.Addr(), d.Fleet.Topology, DefaultLoad), time.Now()}
-	s.goesOn(t)
+	s := &testbed{d, StartLoad(d.Addr(), d.Fleet.Topology, DefaultLoad), time.Now()}
+	s.awaitProgress(t)
 	return s
 }
 
-// goesOn waits until some more jobs have ended.
-func (s *scene) goesOn(t *testing.T) {
+// awaitProgress waits until some more jobs have ended.
+func (s *testbed) awaitProgress(t *testing.T) {
 	t.Helper()
 	before, _ := s.load.Answered()
 	await(t, "jobs are answered", patience, func() bool {
@@ -84,7 +84,7 @@
 
 // ends ends the load and judges: no job is lost, none that must not ran twice, and in each
 // upgrade two at most were turned back unheard.
-func (s *scene) terminates(t *testing.T, upgrades int) {
+func (s *testbed) terminates(t *testing.T, upgrades int) {
 	t.Helper()
 	tally := s.load.Stop()
 	t.Log(tally.Line())
--- a/internal/lab/service/quiesce_test.go
+++ b/internal/lab/service/quiesce_test.go
@@ -17,22 +17,22 @@
 )
 
 // A guest is a connection that a client keeps for as long as the scheduler does.
-type guest struct {
+type keptConnection struct {
 	*connection
 	closed chan struct{} // when the scheduler has ended it
 }
 
-// newGuest connects; once it has run jobs on it, wait begins to watch for its end.
-func newGuest(t *testing.T, d *Deployment) *guest {
+// keepConnection connects; once it has run jobs on it, wait begins to watch for its end.
+func keepConnection(t *testing.T, d *Deployment) *keptConnection {
 	t.Helper()
 	c, err := dial(d.Addr(), time.Now().Add(patience))
 	must(t, err)
 	t.Cleanup(func() { c.Close() })
-	return &guest{c, make(chan struct{})}
+	return &keptConnection{c, make(chan struct{})}
 }
 
 // wait reads until the connection's end.
-func (g *guest) wait() {
+func (g *keptConnection) awaitClose() {
 	defer close(g.closed)
 	g.SetDeadline(time.Now().Add(patience))
 	g.reader.ReadByte()
@@ -55,7 +55,7 @@
 	t.Helper()
 	must(t, Operators{d.Current.Admin}.Resume(t.Context()))
 	await(t, "yes after the drain's end", resumeLimit, func() bool { return frontHealth(t, d) == nil })
-	g := newGuest(t, d)
+	g := keepConnection(t, d)
 	text := requestText("resumed/north/reading/"+g.port(), d.Fleet.Classes[0], "north")
 	if a, fate, err := g.exchange(text, time.Now().Add(patience)); fate != Answered || a.Status != http.StatusOK {
 		t.Errorf("after the drain a job is %v, status %d (%v)", fate, a.Status, err)
@@ -70,9 +70,9 @@
 	long := &world.Classes[1]
 	long.ServiceTime, long.LatencyObjective, long.Deadline = 1500*time.Millisecond, 4*time.Second, 6*time.Second
 	d := deploy(t, world)
-	var idle []*guest
+	var idle []*keptConnection
 	for i := range kept {
-		g := newGuest(t, d)
+		g := keepConnection(t, d)
 		text := requestText(fmt.Sprintf("kept/north/reading/%d", i), world.Classes[0], "north")
 		if a, fate, err := g.exchange(text, time.Now().Add(patience)); fate != Answered || a.Status != http.StatusOK {
 			t.Errorf("before the drain a job is %v, status %d (%v)", fate, a.Status, err)
@@ -80,23 +80,23 @@
 		idle = append(idle, g)
 	}
 	for range silent {
-		idle = append(idle, newGuest(t, d))
+		idle = append(idle, keepConnection(t, d))
 	}
 	var work sync.WaitGroup
 	for i := range working {
-		g := newGuest(t, d)
+		g := keepConnection(t, d)
 		text := requestText(fmt.Sprintf("working/north/ratify/%d", i), *long, "north")
 		work.Go(func() {
 			if a, fate, err := g.exchange(text, time.Now().Add(patience)); fate != Answered || a.Status != http.StatusOK {
 				t.Errorf("a job in work at the drain is %v, status %d (%v)", fate, a.Status, err)
 			}
-			g.wait()
+			g.awaitClose()
 		})
 		idle = append(idle, g)
 	}
 	await(t, "the jobs run", patience, func() bool { return runs(d) >= kept+working })
 	for _, g := range idle[:kept+silent] {
-		go g.wait()
+		go g.awaitClose()
 	}
 	began := quiesced(t, d)
 	for i, g := range idle {
@@ -107,13 +107,13 @@
 		}
 	}
 	work.Wait()
-	must(t, Operators{d.Current.Admin}.alive(t.Context()))
+	must(t, Operators{d.Current.Admin}.checkAlive(t.Context()))
 	resumed(t, d)
 	must(t, d.Terminate(context.Background()))
 }
 
 // alive reports whether the process still answers its operators, with yes or no.
-func (o Operators) alive(ctx context.Context) error {
+func (o Operators) checkAlive(ctx context.Context) error {
 	_, err := o.Stats(ctx)
 	return err
 }
@@ -127,7 +127,7 @@
 	busy.Add(clients)
 	quiesce := make(chan time.Time, clients)
 	for i := range clients {
-		g := newGuest(t, d)
+		g := keepConnection(t, d)
 		wait.Go(func() {
 			first := sync.OnceFunc(busy.Done)
 			defer first()
@@ -136,7 +136,7 @@
 				text := requestText(fmt.Sprintf("busy-%d/south/reading/%d", i, number), d.Fleet.Classes[0], "south")
 				a, fate, err := g.exchange(text, time.Now().Add(patience))
 				first()
-				if fate == Unheard || g.closes {
+				if fate == Unread || g.closes {
 					break
 				}
 				if last = time.Now(); fate != Answered {
--- a/internal/lab/service/stats_test.go
+++ b/internal/lab/service/stats_test.go
@@ -30,7 +30,7 @@
 }
 
 // After a load that is too much, with nodes that fail, the figures are the submitters' own.
-func TestFiguresAgreeWithSubmitters(t *testing.T) {
+func TestFiguresAgreeWithClients(t *testing.T) {
 	world := DefaultWorld()
 	world.Kinds[0].Count, world.Kinds[0].Slots = 4, 2
 	d := deploy(t, world)
@@ -82,7 +82,7 @@
 	before, _ := s.load.Answered()
 	_, err := s.Upgrade(t.Context())
 	must(t, err)
-	s.goesOn(t)
+	s.awaitProgress(t)
 	tally := s.load.Stop()
 	most := float64(tally.Sent-before) + slack
 	awaitFigures(t, s.Deployment, "it counts some, and none from before the upgrade", lateness, func(f Figures) bool {
--- a/internal/lab/service/tally.go
+++ b/internal/lab/service/tally.go
@@ -14,7 +14,7 @@
 	StartedAt, Ended time.Time
 	Port             string // the submitter's; "": no connection came up
 	Fresh            bool   // the connection had carried nothing before
-	Fate             Fate
+	Outcome          Outcome
 	Err              error // what happened, where there was no answer
 }
 
@@ -29,13 +29,13 @@
 func (r Record) last() Send { return r.Sends[len(r.Sends)-1] }
 
 // Lost reports whether the job has no whole answer.
-func (r Record) Lost() bool { return r.last().Fate != Answered }
+func (r Record) Lost() bool { return r.last().Outcome != Answered }
 
 // Text tells the job's sends, with times since a moment.
 func (r Record) Text(since time.Time) string {
 	var sends []string
 	for _, s := range r.Sends {
-		text := fmt.Sprintf("sent at %.3f s from port %q (fresh: %v), %s at %.3f s", s.StartedAt.Sub(since).Seconds(), s.Port, s.Fresh, s.Fate, s.Ended.Sub(since).Seconds())
+		text := fmt.Sprintf("sent at %.3f s from port %q (fresh: %v), %s at %.3f s", s.StartedAt.Sub(since).Seconds(), s.Port, s.Fresh, s.Outcome, s.Ended.Sub(since).Seconds())
 		if s.Err != nil {
 			text += " (" + s.Err.Error() + ")"
 		}
@@ -70,7 +70,7 @@
 func (t *Tally) add(r Record, body string) {
 	t.Sent++
 	for _, s := range r.Sends {
-		if s.Fate == Unheard {
+		if s.Outcome == Unread {
 			t.Returned = append(t.Returned, r)
 			break
 		}
--- a/internal/lab/service/upgrade_test.go
+++ b/internal/lab/service/upgrade_test.go
@@ -8,7 +8,7 @@
 )
 
 // plays a trial and judges it.
-func plays(t *testing.T, u Upgrades) UpgradesResult {
+func runTrial(t *testing.T, u Upgrades) UpgradesResult {
 	t.Helper()
 	u.Program = program
 	var report strings.Builder
@@ -25,17 +25,17 @@
 func TestUpgradesInARow(t *testing.T) {
 	u := DefaultUpgrades
 	u.Upgrades = size(3, 20)
-	plays(t, u)
+	runTrial(t, u)
 }
 
 // A new process that is killed before its yes, or stands still first, costs no job: the old
 // one goes on, and the next one takes over.
-func TestNewProcessFailsBeforeItsYes(t *testing.T) {
-	for _, fault := range []Fault{KillNew, StopNew} {
+func TestSuccessorFailsBeforeReady(t *testing.T) {
+	for _, fault := range []Fault{KillSuccessor, SuspendSuccessor} {
 		t.Run(string(fault), func(t *testing.T) {
 			u := DefaultUpgrades
 			u.Upgrades, u.Fault = size(3, 6), fault
-			if r := plays(t, u); r.Placed == 0 {
+			if r := runTrial(t, u); r.Placed == 0 {
 				t.Error("each new process listened before it could be stopped")
 			}
 		})
@@ -44,19 +44,19 @@
 
 // The old process is killed after each step of an upgrade: what it had is gone, all else is
 // answered, and none that must not runs twice.
-func TestOldProcessKilledAmidTheUpgrade(t *testing.T) {
+func TestPredecessorKilledDuringUpgrade(t *testing.T) {
 	u := DefaultUpgrades
-	u.Upgrades, u.Fault = int(steps)*size(1, 2), KillOld
-	plays(t, u)
+	u.Upgrades, u.Fault = int(steps)*size(1, 2), KillPredecessor
+	runTrial(t, u)
 }
 
 // Both processes are told to read their files again, before the old one is told to end and after.
-func TestReloadAmidTheUpgrade(t *testing.T) {
+func TestReloadDuringUpgrade(t *testing.T) {
 	s := underLoad(t)
 	old := s.Current
 	next, err := s.StartNext()
 	must(t, err)
-	_, err = AwaitYes(t.Context(), next)
+	_, err = AwaitReady(t.Context(), next)
 	must(t, err)
 	must(t, old.Signal(syscall.SIGHUP))
 	must(t, next.Signal(syscall.SIGHUP))
@@ -67,23 +67,23 @@
 		t.Fatal(err)
 	}
 	must(t, leaving.Await(t.Context()))
-	s.goesOn(t)
+	s.awaitProgress(t)
 	s.terminates(t, 1)
 }
 
 // The old process is drained while the new one starts.
-func TestQuiesceAmidTheUpgrade(t *testing.T) {
+func TestQuiesceDuringUpgrade(t *testing.T) {
 	s := underLoad(t)
 	old := Operators{s.Current.Admin}
 	next, err := s.StartNext()
 	must(t, err)
 	must(t, old.Quiesce(t.Context()))
-	_, err = AwaitYes(t.Context(), next)
+	_, err = AwaitReady(t.Context(), next)
 	must(t, err)
 	leaving, err := s.Promote(next)
 	must(t, err)
 	must(t, leaving.Await(t.Context()))
-	s.goesOn(t)
+	s.awaitProgress(t)
 	s.terminates(t, 1)
 }
 
@@ -94,7 +94,7 @@
 	for i := range leaving {
 		next, err := s.StartNext()
 		must(t, err)
-		_, err = AwaitYes(t.Context(), next)
+		_, err = AwaitReady(t.Context(), next)
 		must(t, err)
 		leaving[i], err = s.Promote(next)
 		must(t, err)
@@ -102,6 +102,6 @@
 	for _, l := range leaving {
 		must(t, l.Await(t.Context()))
 	}
-	s.goesOn(t)
+	s.awaitProgress(t)
 	s.terminates(t, len(leaving))
 }
--- a/internal/lab/service/upgrades.go
+++ b/internal/lab/service/upgrades.go
@@ -80,7 +80,7 @@
 // Slowest is the longest time until a yes.
 func (r UpgradesResult) Slowest() (slowest time.Duration) {
 	for _, h := range r.Handovers {
-		slowest = max(slowest, h.Yes)
+		slowest = max(slowest, h.ReadyAfter)
 	}
 	return slowest
 }
@@ -96,7 +96,7 @@
 func (r UpgradesResult) OK() bool {
 	_, most := r.Returned()
 	return len(r.Lost()) == 0 && len(r.Twice) == 0 && len(r.Tally.Wrong) == 0 && most <= maxReturned &&
-		r.Slowest() <= YesLimit && len(r.Handovers) == r.Sent && r.Tally.Total().OK > 0
+		r.Slowest() <= ReadyLimit && len(r.Handovers) == r.Sent && r.Tally.Total().OK > 0
 }
 
 // Run plays the trial. Where an upgrade fails, the result has what was seen until then.
@@ -137,7 +137,7 @@
 		if err := load.await(ctx, jobsBetween); err != nil {
 			return err
 		}
-		h, err := u.one(ctx, d, r, rng)
+		h, err := u.upgradeOnce(ctx, d, r, rng)
 		if err != nil {
 			return fmt.Errorf("upgrade %d of %d: %w", number+1, u.Upgrades, err)
 		}
@@ -148,13 +148,13 @@
 }
 
 // one does one upgrade with the trial's fault.
-func (u Upgrades) one(ctx context.Context, d *Deployment, r *UpgradesResult, rng *rand.Rand) (Handover, error) {
+func (u Upgrades) upgradeOnce(ctx context.Context, d *Deployment, r *UpgradesResult, rng *rand.Rand) (Handover, error) {
 	switch u.Fault {
-	case KillNew, StopNew:
-		return u.spoilt(ctx, d, r, rng)
-	case KillOld:
+	case KillSuccessor, SuspendSuccessor:
+		return u.upgradeAfterFailedSuccessor(ctx, d, r, rng)
+	case KillPredecessor:
 		step := Step(len(r.Handovers) % int(steps))
-		h, o, err := d.UpgradeKillingOld(ctx, step, drawn(rng, latestKill))
+		h, o, err := d.UpgradeKillingPredecessor(ctx, step, randomDuration(rng, latestKill))
 		r.Outages = append(r.Outages, o)
 		r.Placed++
 		return h, err
@@ -164,12 +164,12 @@
 
 // spoilt does one upgrade after a new process that fails before its yes. The moments of all
 // upgrades are spread over the time that a process takes to its yes, as seen so far.
-func (u Upgrades) spoilt(ctx context.Context, d *Deployment, r *UpgradesResult, rng *rand.Rand) (h Handover, err error) {
-	h.StartedAt, h.Old = time.Now(), d.Current
-	each := max(d.FirstYes, r.Slowest()) / time.Duration(u.Upgrades)
-	moment, still := time.Duration(len(r.Handovers))*each+drawn(rng, each), time.Duration(0)
-	if u.Fault == StopNew {
-		still = drawn(rng, maxStop)
+func (u Upgrades) upgradeAfterFailedSuccessor(ctx context.Context, d *Deployment, r *UpgradesResult, rng *rand.Rand) (h Handover, err error) {
+	h.StartedAt, h.Predecessor = time.Now(), d.Current
+	each := max(d.FirstReady, r.Slowest()) / time.Duration(u.Upgrades)
+	moment, still := time.Duration(len(r.Handovers))*each+randomDuration(rng, each), time.Duration(0)
+	if u.Fault == SuspendSuccessor {
+		still = randomDuration(rng, maxStop)
 	}
 	next, err := d.DisturbSuccessor(ctx, moment, still)
 	if err != nil {
@@ -179,16 +179,16 @@
 		r.Placed++
 		return d.Upgrade(ctx)
 	}
-	if _, err := AwaitYes(ctx, next); err != nil {
+	if _, err := AwaitReady(ctx, next); err != nil {
 		return h, err
 	}
-	h.Yes = time.Since(h.StartedAt)
+	h.ReadyAfter = time.Since(h.StartedAt)
 	err = d.finish(ctx, &h, next)
 	return h, err
 }
 
 // drawn is a time up to a limit.
-func drawn(rng *rand.Rand, limit time.Duration) time.Duration {
+func randomDuration(rng *rand.Rand, limit time.Duration) time.Duration {
 	return time.Duration(rng.Float64() * float64(limit))
 }
 
@@ -198,7 +198,7 @@
 		fmt.Fprintln(w, "lost:", record.Text(r.StartedAt))
 		if number := r.upgradeOf(record); number > 0 {
 			h := r.Handovers[number-1]
-			fmt.Fprintf(w, "  in upgrade %d, whose old process was %s; its log ends with\n    %s\n", number, h.Old.Name, strings.Join(h.Old.Log(), "\n    "))
+			fmt.Fprintf(w, "  in upgrade %d, whose old process was %s; its log ends with\n    %s\n", number, h.Predecessor.Name, strings.Join(h.Predecessor.Log(), "\n    "))
 		}
 	}
 	for _, record := range r.Tally.Wrong {
