--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -145,7 +145,9 @@
 	defer func() { <-w.admitted }()
 	w.slots <- struct{}{}
 	defer func() { <-w.slots }()
-	w.recordRun(id, r.Header.Get(headerTenant))
+	if id != "" { // a health check is no job
+		w.recordRun(id, r.Header.Get(headerTenant))
+	}
 	if behaviour.Fail {
 		return SayStates(c, id, true, `"failed"`)
 	}
