--- a/internal/lab/soak/clients.go
+++ b/internal/lab/soak/clients.go
@@ -6,24 +6,27 @@
 	"net"
 	"sync"
 	"time"
+
+	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// leavers numbers the submitters that leave, and waits for them.
+// disconnecting numbers the clients that disconnect before their answer, and waits for them.
 type disconnecting struct {
+	wait sync.WaitGroup
+
 	mu   sync.Mutex
 	last int
-	wait sync.WaitGroup
 }
 
-func (l *disconnecting) next() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.last++
-	return l.last
+func (d *disconnecting) next() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.last++
+	return d.last
 }
 
 const (
-	disconnectAtOnce      = 12                     // submitters
+	disconnectAtOnce      = 12                     // clients
 	disconnectWithin      = 400 * time.Millisecond // of their jobs
 	halfRequestsAtOnce    = 8
 	disconnectingDeadline = 3 * time.Second
@@ -31,19 +34,20 @@
 )
 
 // jobText is a whole job.
-func jobText(id, class string, waits time.Duration) string {
-	return fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: app.svc\r\nX-Txn: %s\r\nX-Lane: %s\r\nX-Org: all\r\nX-Remaining: %dm\r\nContent-Length: 4\r\n\r\nbody",
-		class, id, class, waits.Milliseconds())
+func jobText(id, class string, remaining time.Duration) string {
+	return fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: app.svc\r\nX-Txn: %s\r\nX-Lane: %s\r\nX-Org: all\r\n"+
+		"X-Remaining: %dm\r\nContent-Length: 4\r\n\r\nbody",
+		class, id, class, remaining.Milliseconds())
 }
 
-// leave lets some submitters send jobs and leave before they are answered.
+// disconnectClients lets some clients send jobs and disconnect before they are answered.
 func (p *run) disconnectClients(rng *rand.Rand) func() {
 	for range disconnectAtOnce {
 		i, class := rng.IntN(p.Schedulers), []string{"reading", "ratify"}[rng.IntN(2)]
 		stays := time.Duration(rng.Int64N(int64(disconnectWithin)))
 		id := fmt.Sprintf("leave/all/%s/%d-%d", class, i, p.disconnecting.next())
 		p.disconnecting.wait.Go(func() {
-			c, err := net.DialTimeout("tcp", p.f.Processes[i].Addr, connectTimeout)
+			c, err := standin.Dial(p.f.Processes[i].Addr, connectTimeout)
 			if err != nil {
 				return
 			}
@@ -60,7 +64,7 @@
 func halfRequests(p *run, rng *rand.Rand) func() {
 	var open []net.Conn
 	for range halfRequestsAtOnce {
-		c, err := net.DialTimeout("tcp", p.f.Processes[rng.IntN(p.Schedulers)].Addr, connectTimeout)
+		c, err := standin.Dial(p.f.Processes[rng.IntN(p.Schedulers)].Addr, connectTimeout)
 		if err != nil {
 			continue
 		}
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -19,7 +19,7 @@
 	pick   uint64 // draws its target and the like
 }
 
-// A kind is a kind of fault. begin makes it so and returns what ends it; nil if it did not come to it.
+// A kind is a kind of fault. begin injects it and returns what ends it; nil if the target is under another fault.
 type kind struct {
 	name      string
 	weight    int
@@ -38,18 +38,18 @@
 	{"discovery is slow", 3, 9 * time.Second, throttleDiscovery},
 	{"discovery is down", 2, 6 * time.Second, discoveryDown},
 	{"a scheduler hears nothing of discovery", 2, 6 * time.Second, discoverySilent},
-	{"a node drains and leaves", 6, 14 * time.Second, drainWorker},
-	{"a node is killed and comes back cold", 3, 4 * time.Second, killWorker},
-	{"a node hangs", 2, 3 * time.Second, hangWorker},
-	{"a node is cut off and taken off the list", 4, 9 * time.Second, partitionWorker},
+	{"a worker drains and leaves", 6, 14 * time.Second, drainWorker},
+	{"a worker is killed and comes back cold", 3, 4 * time.Second, killWorker},
+	{"a worker hangs", 2, 3 * time.Second, hangWorker},
+	{"a worker is cut off and taken off the list", 4, 9 * time.Second, partitionWorker},
 	{"a link is silent", 3, 4 * time.Second, silentLink},
 	{"a link is reset", 3, minFaultLength, resetLink},
 	{"a link is slow", 2, 3 * time.Second, throttleLink},
-	{"submitters leave", 3, time.Second, (*run).disconnectClients},
-	{"submitters stop half way", 1, 4 * time.Second, halfRequests},
+	{"clients leave", 3, time.Second, (*run).disconnectClients},
+	{"clients stop half way", 1, 4 * time.Second, halfRequests},
 	{"a scheduler is killed and starts with its old list", 6, 9 * time.Second, killScheduler},
 	{"a scheduler is ended and starts again", 3, 2 * time.Second, terminateScheduler},
-	{"a scheduler stands still", 3, 150 * time.Millisecond, stopScheduler},
+	{"a scheduler stands still", 3, standstill, stopScheduler},
 	{"a scheduler reads its configuration again", 2, minFaultLength, reloadScheduler},
 }
 
@@ -101,7 +101,7 @@
 	p.wait.Wait()
 }
 
-// claim takes a target for a fault that excludes others there.
+// claim reserves a target for a fault that excludes others there.
 func (p *run) claim(target string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -118,23 +118,26 @@
 	delete(p.busy, target)
 }
 
-// claimWorker takes a node that is up and under no other fault; nil if the one that was drawn is.
+// claimWorker draws a worker that is up; nil if it is under another fault.
 func (p *run) claimWorker(rng *rand.Rand) *standin.Worker {
-	nodes := p.f.Workers()
-	n := nodes[rng.IntN(len(nodes))]
-	if !p.claim(n.Name) {
+	workers := p.f.Workers()
+	worker := workers[rng.IntN(len(workers))]
+	if !p.claim(worker.Name) {
 		return nil
 	}
-	return n
+	return worker
 }
 
-// claimProcess takes a scheduler's process.
-func (p *run) claimProcess(rng *rand.Rand) (i int, target string) {
-	i = rng.IntN(p.Schedulers)
-	if target = fmt.Sprint("process ", i); !p.claim(target) {
-		return -1, ""
+// onProcess injects a fault into a scheduler's process that is drawn. Its end has to release the target.
+func (p *run) onProcess(
+	rng *rand.Rand, begin func(i int, process *fleet.Process, target string) (end func()),
+) func() {
+	i := rng.IntN(p.Schedulers)
+	target := fmt.Sprint("process ", i)
+	if !p.claim(target) {
+		return nil
 	}
-	return i, target
+	return begin(i, p.f.Processes[i], target)
 }
 
 func corruptDiscovery(p *run, rng *rand.Rand) func() {
@@ -148,17 +151,17 @@
 	}
 }
 
-// unreachable makes discovery unreachable for some schedulers.
-func (p *run) unreachable(which []int, begin func(*fleet.Link)) func() {
+// partition makes discovery unreachable for some schedulers.
+func (p *run) partition(schedulers []int, begin func(*fleet.Link)) func() {
 	if !p.claim(discoveryTarget) {
 		return nil
 	}
 	from := time.Now()
-	for _, i := range which {
+	for _, i := range schedulers {
 		begin(p.f.Links[i])
 	}
 	return func() {
-		for _, i := range which {
+		for _, i := range schedulers {
 			p.f.Links[i].Heal()
 			p.record.unreachable(i, from, time.Now())
 		}
@@ -166,12 +169,18 @@
 	}
 }
 
+// How late answers of a slow discovery come.
+const (
+	minAnswerDelay   = 200 * time.Millisecond
+	answerDelayRange = 500 * time.Millisecond
+)
+
 // throttleDiscovery lets each answer arrive late, at all schedulers.
 func throttleDiscovery(p *run, rng *rand.Rand) func() {
 	if !p.claim(discoveryTarget) {
 		return nil
 	}
-	delay := 200*time.Millisecond + time.Duration(rng.Int64N(int64(500*time.Millisecond)))
+	delay := minAnswerDelay + time.Duration(rng.Int64N(int64(answerDelayRange)))
 	for _, l := range p.f.Links {
 		l.Throttle(delay, 0)
 	}
@@ -188,123 +197,141 @@
 	for i := range p.Schedulers {
 		all = append(all, i)
 	}
-	return p.unreachable(all, (*fleet.Link).Cut)
+	return p.partition(all, (*fleet.Link).Cut)
 }
 
 func discoverySilent(p *run, rng *rand.Rand) func() {
-	return p.unreachable([]int{rng.IntN(p.Schedulers)}, func(l *fleet.Link) { l.Silence(fleet.ToTarget, fleet.FromTarget) })
+	return p.partition([]int{rng.IntN(p.Schedulers)}, func(link *fleet.Link) {
+		link.Silence(fleet.ToTarget, fleet.FromTarget)
+	})
 }
 
-func drainWorker(p *run, rng *rand.Rand) func() {
-	n := p.claimWorker(rng)
-	if n == nil {
+// onWorker injects a fault into a worker that is drawn; end releases it.
+func (p *run) onWorker(rng *rand.Rand, begin func(worker *standin.Worker) (end func())) func() {
+	worker := p.claimWorker(rng)
+	if worker == nil {
 		return nil
 	}
-	n.Behave(standin.Behaviour{Draining: true})
-	p.f.Discovery.Put(n, "leaving")
-	return func() { // its log is kept: it goes on listening
-		p.f.Discovery.Put(n, "left")
-		n.Behave(standin.Behaviour{})
-		p.f.Discovery.Put(n, "active")
-		p.release(n.Name)
+	end := begin(worker)
+	return func() {
+		end()
+		p.release(worker.Name)
 	}
 }
 
+func drainWorker(p *run, rng *rand.Rand) func() {
+	return p.onWorker(rng, func(worker *standin.Worker) func() {
+		worker.Behave(standin.Behaviour{Draining: true})
+		p.f.Discovery.Put(worker, "leaving")
+		return func() { // its log is kept: it goes on listening
+			p.f.Discovery.Put(worker, "left")
+			worker.Behave(standin.Behaviour{})
+			p.f.Discovery.Put(worker, "active")
+		}
+	})
+}
+
 func killWorker(p *run, rng *rand.Rand) func() {
-	n := p.claimWorker(rng)
-	if n == nil {
-		return nil
-	}
-	n.Crash()
-	if rng.IntN(2) == 0 {
-		p.f.Discovery.Put(n, "left")
-	}
-	return func() {
-		if _, err := p.f.Restart(n, ""); err != nil {
-			p.logf("restart of %s: %v", n.Name, err)
+	return p.onWorker(rng, func(worker *standin.Worker) func() {
+		worker.Crash()
+		if rng.IntN(2) == 0 {
+			p.f.Discovery.Put(worker, "left")
 		}
-		p.release(n.Name)
-	}
+		return func() {
+			if _, err := p.f.Restart(worker, ""); err != nil {
+				p.logf("restart of %s: %v", worker.Name, err)
+			}
+		}
+	})
 }
 
 func hangWorker(p *run, rng *rand.Rand) func() {
-	n := p.claimWorker(rng)
-	if n == nil {
-		return nil
-	}
-	n.Behave(standin.Behaviour{Hang: true})
-	return func() {
-		n.Behave(standin.Behaviour{})
-		p.release(n.Name)
-	}
+	return p.onWorker(rng, func(worker *standin.Worker) func() {
+		worker.Behave(standin.Behaviour{Hang: true})
+		return func() { worker.Behave(standin.Behaviour{}) }
+	})
 }
 
-// partitionWorker cuts a node off from all schedulers, has discovery notice it after a while, and joins it again.
+const (
+	maxNoticeDelay = 2 * time.Second // until discovery notices that a worker is cut off
+	rejoinDelay    = time.Second     // until it notices that the worker is back
+)
+
+// partitionWorker cuts a worker off from all schedulers, has discovery notice it after a while, and joins it again.
 func partitionWorker(p *run, rng *rand.Rand) func() {
-	n := p.claimWorker(rng)
-	if n == nil {
+	worker := p.claimWorker(rng)
+	if worker == nil {
 		return nil
 	}
 	from := time.Now()
 	for i := range p.Schedulers {
-		p.f.WorkerLink(i, n).Silence(fleet.ToTarget, fleet.FromTarget)
+		p.f.WorkerLink(i, worker).Silence(fleet.ToTarget, fleet.FromTarget)
 	}
-	notice := time.AfterFunc(time.Duration(rng.Int64N(int64(2*time.Second))), func() { p.f.Discovery.Put(n, "left") })
+	delay := time.Duration(rng.Int64N(int64(maxNoticeDelay)))
+	notice := time.AfterFunc(delay, func() { p.f.Discovery.Put(worker, "left") })
 	return func() {
 		notice.Stop()
 		for i := range p.Schedulers {
-			p.f.WorkerLink(i, n).Heal()
-			p.record.link(i, n.Name, from, time.Now())
+			p.f.WorkerLink(i, worker).Heal()
+			p.record.link(i, worker.Name, from, time.Now())
 		}
 		p.wait.Go(func() {
-			<-time.After(time.Second) // discovery notices later
-			p.f.Discovery.Put(n, "active")
-			p.release(n.Name)
+			<-time.After(rejoinDelay)
+			p.f.Discovery.Put(worker, "active")
+			p.release(worker.Name)
 		})
 	}
 }
 
-// onLink lets a fault befall the link of one scheduler to one node.
+// onLink injects a fault into the link of one scheduler to one worker.
 func (p *run) onLink(rng *rand.Rand, begin func(*fleet.Link)) func() {
-	n := p.claimWorker(rng)
-	if n == nil {
-		return nil
-	}
-	i, from := rng.IntN(p.Schedulers), time.Now()
-	l := p.f.WorkerLink(i, n)
-	begin(l)
-	return func() {
-		l.Heal()
-		p.record.link(i, n.Name, from, time.Now())
-		p.release(n.Name)
-	}
+	return p.onWorker(rng, func(worker *standin.Worker) func() {
+		i, from := rng.IntN(p.Schedulers), time.Now()
+		link := p.f.WorkerLink(i, worker)
+		begin(link)
+		return func() {
+			link.Heal()
+			p.record.link(i, worker.Name, from, time.Now())
+		}
+	})
+}
+
+// silences are the directions in which a link can be silent.
+var silences = [][]fleet.Direction{
+	{fleet.ToTarget},
+	{fleet.FromTarget},
+	{fleet.ToTarget, fleet.FromTarget},
 }
 
 func silentLink(p *run, rng *rand.Rand) func() {
-	ways := [][]fleet.Direction{{fleet.ToTarget}, {fleet.FromTarget}, {fleet.ToTarget, fleet.FromTarget}}[rng.IntN(3)]
-	return p.onLink(rng, func(l *fleet.Link) { l.Silence(ways...) })
+	directions := silences[rng.IntN(len(silences))]
+	return p.onLink(rng, func(link *fleet.Link) { link.Silence(directions...) })
 }
 
 func resetLink(p *run, rng *rand.Rand) func() { return p.onLink(rng, (*fleet.Link).Reset) }
 
+// The delay and the rate of a throttled link.
+const (
+	maxLinkDelay      = 50 * time.Millisecond
+	throttledLinkRate = 20_000 // bytes a second
+)
+
 func throttleLink(p *run, rng *rand.Rand) func() {
-	delay := time.Duration(rng.Int64N(int64(50 * time.Millisecond)))
-	return p.onLink(rng, func(l *fleet.Link) { l.Throttle(delay, 20_000) })
+	delay := time.Duration(rng.Int64N(int64(maxLinkDelay)))
+	return p.onLink(rng, func(link *fleet.Link) { link.Throttle(delay, throttledLinkRate) })
 }
 
-// killScheduler kills a process. It starts again with the list as it was at the run's start.
+// killScheduler kills a process. It starts again with the cached list as it was at the run's start.
 func killScheduler(p *run, rng *rand.Rand) func() {
-	i, target := p.claimProcess(rng)
-	if i < 0 {
-		return nil
-	}
-	process := p.f.Processes[i]
-	p.record.killed(i, time.Now())
-	process.Kill()
-	return func() { p.start(process, target) }
+	return p.onProcess(rng, func(i int, process *fleet.Process, target string) func() {
+		p.record.killed(i, time.Now())
+		process.Kill()
+		return func() { p.restart(process, target) }
+	})
 }
 
-func (p *run) start(process *fleet.Process, target string) {
+// restart starts a process again, and releases it once it is ready.
+func (p *run) restart(process *fleet.Process, target string) {
 	if err := process.Start(); err != nil {
 		p.logf("start of %s: %v", process.Name, err)
 	}
@@ -317,39 +344,32 @@
 }
 
 func terminateScheduler(p *run, rng *rand.Rand) func() {
-	i, target := p.claimProcess(rng)
-	if i < 0 {
-		return nil
-	}
-	process := p.f.Processes[i]
-	p.record.terminated(i, time.Now())
-	p.wait.Go(func() {
-		if err := process.Terminate(); err != nil {
-			p.record.failedExit()
-			p.logf("%s ended: %v", process.Name, err)
-		}
-		p.start(process, target)
+	return p.onProcess(rng, func(i int, process *fleet.Process, target string) func() {
+		p.record.terminated(i, time.Now())
+		p.wait.Go(func() {
+			if err := process.Terminate(); err != nil {
+				p.record.failedExit()
+				p.logf("%s ended: %v", process.Name, err)
+			}
+			p.restart(process, target)
+		})
+		return func() {}
 	})
-	return func() {}
 }
 
 func stopScheduler(p *run, rng *rand.Rand) func() {
-	i, target := p.claimProcess(rng)
-	if i < 0 {
-		return nil
-	}
-	p.f.Processes[i].Signal(syscall.SIGSTOP)
-	return func() {
-		p.f.Processes[i].Signal(syscall.SIGCONT)
-		p.release(target)
-	}
+	return p.onProcess(rng, func(_ int, process *fleet.Process, target string) func() {
+		_ = process.Signal(syscall.SIGSTOP) // fails on one that has ended, which its exit code tells
+		return func() {
+			_ = process.Signal(syscall.SIGCONT)
+			p.release(target)
+		}
+	})
 }
 
 func reloadScheduler(p *run, rng *rand.Rand) func() {
-	i, target := p.claimProcess(rng)
-	if i < 0 {
-		return nil
-	}
-	p.f.Processes[i].Signal(syscall.SIGHUP)
-	return func() { p.release(target) }
+	return p.onProcess(rng, func(_ int, process *fleet.Process, target string) func() {
+		_ = process.Signal(syscall.SIGHUP) // as in stopScheduler
+		return func() { p.release(target) }
+	})
 }
--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -1,7 +1,7 @@
 package soak
 
 import (
-	"sort"
+	"slices"
 	"strconv"
 	"strings"
 	"time"
@@ -10,8 +10,8 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// The rules' figures, as lab.World tells them in its settings, with the slack of 50 ms on sockets. A process
-// that stands still for up to 0.15 s is late by that, but for the grace of drains, which covers it.
+// The rules' figures, as the lab's topology has them in its settings, with the slack of 50 ms on sockets. A process
+// that stands still is late by up to standstill, but for the grace of drains, which covers it.
 const (
 	notifiedWithin  = 6 * time.Second // a change counts as known so long after discovery had it and could be reached
 	drainGrace      = 750 * time.Millisecond
@@ -20,7 +20,7 @@
 	disconnectSlack = 100 * time.Millisecond
 	deadlineSlack   = 150 * time.Millisecond
 	linkTime        = 100 * time.Millisecond // that a slow link may take, with the machine's own delays
-	writeQuiet      = time.Second            // an answer counts as told when written if its link was well so long after
+	writeQuiet      = time.Second            // an answer counts as heard when written if its link was well so long after
 )
 
 // judge counts the broken rules.
@@ -28,7 +28,7 @@
 	p.record.mu.Lock()
 	defer p.record.mu.Unlock()
 	v := &r.Violations
-	v.Exit += p.record.exits
+	v.Exit += p.record.failedExits
 	v.Lost += r.Tally.Lost + r.Tally.Rejected
 	if r.Tally.Lost+r.Tally.Rejected > 0 {
 		p.logf("lost: %d jobs without an answer in time, %d good ones answered with 4xx", r.Tally.Lost, r.Tally.Rejected)
@@ -39,35 +39,50 @@
 	}
 	v.StartOverload += p.f.Fallen()
 	sent := load.SentAt()
-	waits := map[string]time.Duration{}
+	deadlines := map[string]time.Duration{}
 	for _, c := range p.f.Classes {
-		waits[c.Name] = c.Deadline
+		deadlines[c.Name] = c.Deadline
 	}
-	leaves := map[string]time.Time{}
-	for _, l := range p.record.disconnects {
-		leaves[l.id] = l.at
+	disconnects := map[string]time.Time{}
+	for _, d := range p.record.disconnects {
+		disconnects[d.id] = d.at
 	}
-	off := p.unavailabilities()
+	unavailable := p.unavailabilities()
 	for _, a := range p.f.Arrivals() {
 		r.Sends++
 		class, i := origin(a.ID)
-		if p.violatesDrain(a, i, off[a.Worker]) {
+		if p.violatesDrain(a, i, unavailable[a.Worker]) {
 			v.Drain++
 		}
-		if at, left := leaves[a.ID]; left && a.Begun.Sub(at) > disconnectSlack+slack+linkTime && !p.record.linkFaulty(i, a.Worker, at, a.Begun) {
+		if at, ok := disconnects[a.ID]; ok && p.violatesDisconnect(a, i, at) {
 			v.Disconnected++
-			p.logf("gone: %s reaches %s %v after its submitter left", a.ID, a.Worker, a.Begun.Sub(at))
 		}
-		if at, known := sent[a.ID]; known {
-			left := at.Add(waits[class]).Sub(a.Begun)
-			if a.Remaining > left+deadlineSlack+slack+linkTime && !p.record.linkFaulty(i, a.Worker, at, a.Begun) {
-				v.Deadline++
-				p.logf("deadline: %s is told %v, and has %v", a.ID, a.Remaining, left)
-			}
+		if at, ok := sent[a.ID]; ok && p.violatesDeadline(a, i, at, deadlines[class]) {
+			v.Deadline++
 		}
 	}
 }
 
+// violatesDisconnect reports whether an arrival came too long after its client disconnected.
+func (p *run) violatesDisconnect(a standin.Arrival, i int, disconnectedAt time.Time) bool {
+	late := a.Begun.Sub(disconnectedAt)
+	if late <= disconnectSlack+slack+linkTime || p.record.linkFaulty(i, a.Worker, disconnectedAt, a.Begun) {
+		return false
+	}
+	p.logf("gone: %s reaches %s %v after its submitter left", a.ID, a.Worker, late)
+	return true
+}
+
+// violatesDeadline reports whether a worker was told of more time than its job had left.
+func (p *run) violatesDeadline(a standin.Arrival, i int, sentAt time.Time, deadline time.Duration) bool {
+	left := sentAt.Add(deadline).Sub(a.Begun)
+	if a.Remaining <= left+deadlineSlack+slack+linkTime || p.record.linkFaulty(i, a.Worker, sentAt, a.Begun) {
+		return false
+	}
+	p.logf("deadline: %s is told %v, and has %v", a.ID, a.Remaining, left)
+	return true
+}
+
 // origin returns a job's class and the number of its scheduler, as its id tells: name/tenant/class/i-n.
 func origin(id string) (class string, i int) {
 	parts := strings.Split(id, "/")
@@ -82,40 +97,41 @@
 	return parts[2], i
 }
 
-// An unavailability is a time in which a node was not live in the list.
+// An unavailability is a time in which a worker was not live in the list.
 type unavailability struct {
 	change standin.Change
 	until  time.Time // zero: to the end
 }
 
-// unavailabilities returns them by node.
+// unavailabilities returns them by worker.
 func (p *run) unavailabilities() map[string][]unavailability {
-	off := map[string][]unavailability{}
+	unavailable := map[string][]unavailability{}
 	open := map[string]bool{}
 	for _, c := range p.f.Discovery.Changes() {
-		all := off[c.Host]
+		all := unavailable[c.Host]
 		switch {
 		case c.Health == "active" && open[c.Host]:
 			all[len(all)-1].until = c.At
 			open[c.Host] = false
 		case c.Health != "active" && !open[c.Host]:
-			off[c.Host] = append(all, unavailability{change: c})
+			unavailable[c.Host] = append(all, unavailability{change: c})
 			open[c.Host] = true
 		}
 	}
-	return off
+	return unavailable
 }
 
-// drains reports whether an arrival came past the grace at a node that drains or is gone.
-func (p *run) violatesDrain(a standin.Arrival, i int, off []unavailability) bool {
-	for _, o := range off {
-		if a.Begun.Before(o.change.At) || !o.until.IsZero() && a.Begun.After(o.until) {
+// violatesDrain reports whether an arrival came past the grace at a worker that drains or is removed.
+func (p *run) violatesDrain(a standin.Arrival, i int, unavailable []unavailability) bool {
+	for _, u := range unavailable {
+		if a.Begun.Before(u.change.At) || !u.until.IsZero() && a.Begun.After(u.until) {
 			continue
 		}
-		known := p.notifiedAt(i, o.change, a.Begun)
+		known := p.notifiedAt(i, u.change, a.Begun)
 		if late := a.Begun.Sub(known) - drainGrace - slack; late > 0 {
 			p.logf("drain: %s reaches %s %.2f s after the list said %q (version %d), %.2f s after it counted as known",
-				a.ID, a.Worker, a.Begun.Sub(o.change.At).Seconds(), o.change.Health, o.change.Version, a.Begun.Sub(known).Seconds())
+				a.ID, a.Worker, a.Begun.Sub(u.change.At).Seconds(),
+				u.change.Health, u.change.Version, a.Begun.Sub(known).Seconds())
 			return true
 		}
 	}
@@ -134,7 +150,9 @@
 		if w.At.After(latest) {
 			break
 		}
-		if !p.partitionedFromDiscovery(i, w.At.Add(-writeQuiet), w.At.Add(writeQuiet)) && !p.record.restarted(i, w.At.Add(-writeQuiet), at) {
+		quietFrom := w.At.Add(-writeQuiet)
+		partitioned := p.partitionedFromDiscovery(i, quietFrom, w.At.Add(writeQuiet))
+		if !partitioned && !p.record.restarted(i, quietFrom, at) {
 			return w.At
 		}
 	}
@@ -143,8 +161,8 @@
 
 // reachableFrom returns from when on a scheduler could reach discovery for as long as it may take to be told.
 func (p *run) reachableFrom(i int, from time.Time) time.Time {
-	spans := append([]span(nil), p.record.partitions[i]...)
-	sort.Slice(spans, func(a, b int) bool { return spans[a].from.Before(spans[b].from) })
+	spans := slices.Clone(p.record.partitions[i])
+	slices.SortFunc(spans, func(a, b span) int { return a.from.Compare(b.from) })
 	for _, s := range spans {
 		if s.overlaps(from, from.Add(notifiedWithin)) {
 			from = s.to
@@ -155,10 +173,5 @@
 
 // apart reports whether a scheduler could not reach discovery at some moment between two times.
 func (p *run) partitionedFromDiscovery(i int, from, to time.Time) bool {
-	for _, s := range p.record.partitions[i] {
-		if s.overlaps(from, to) {
-			return true
-		}
-	}
-	return false
+	return anyOverlaps(p.record.partitions[i], from, to)
 }
--- a/internal/lab/soak/record.go
+++ b/internal/lab/soak/record.go
@@ -1,6 +1,7 @@
 package soak
 
 import (
+	"slices"
 	"sync"
 	"time"
 )
@@ -15,62 +16,61 @@
 type record struct {
 	mu           sync.Mutex
 	partitions   map[int][]span            // when a scheduler could not reach discovery
-	links        map[int]map[string][]span // when its link to a node was faulty
+	links        map[int]map[string][]span // when its link to a worker was faulty
 	kills        map[int][]time.Time
 	terminations map[int][]time.Time
-	exits        int // bad ones
+	failedExits  int
 	disconnects  []disconnect
 }
 
-// A leave is a submitter that left before its answer.
+// A disconnect is a client that disconnected before its answer.
 type disconnect struct {
 	id string
 	at time.Time
 }
 
+// newRecord makes an empty record.
+func newRecord() *record {
+	return &record{
+		partitions:   map[int][]span{},
+		links:        map[int]map[string][]span{},
+		kills:        map[int][]time.Time{},
+		terminations: map[int][]time.Time{},
+	}
+}
+
+// unreachable records that a scheduler could not reach discovery.
 func (r *record) unreachable(i int, from, to time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.partitions == nil {
-		r.partitions = map[int][]span{}
-	}
 	r.partitions[i] = append(r.partitions[i], span{from, to})
 }
 
-func (r *record) link(i int, node string, from, to time.Time) {
+// link records that a scheduler's link to a worker was faulty.
+func (r *record) link(i int, worker string, from, to time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.links == nil {
-		r.links = map[int]map[string][]span{}
-	}
 	if r.links[i] == nil {
 		r.links[i] = map[string][]span{}
 	}
-	r.links[i][node] = append(r.links[i][node], span{from, to})
+	r.links[i][worker] = append(r.links[i][worker], span{from, to})
 }
 
-func (r *record) killed(i int, at time.Time) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.kills == nil {
-		r.kills = map[int][]time.Time{}
-	}
-	r.kills[i] = append(r.kills[i], at)
-}
+func (r *record) killed(i int, at time.Time) { r.add(r.kills, i, at) }
+
+func (r *record) terminated(i int, at time.Time) { r.add(r.terminations, i, at) }
 
-func (r *record) terminated(i int, at time.Time) {
+// add adds a time of a scheduler to one of the record's tables.
+func (r *record) add(table map[int][]time.Time, i int, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.terminations == nil {
-		r.terminations = map[int][]time.Time{}
-	}
-	r.terminations[i] = append(r.terminations[i], at)
+	table[i] = append(table[i], at)
 }
 
 func (r *record) failedExit() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.exits++
+	r.failedExits++
 }
 
 func (r *record) disconnected(id string, at time.Time) {
@@ -91,21 +91,17 @@
 	return anyIn(r.kills[i], from, to) || anyIn(r.terminations[i], from, to)
 }
 
+// anyIn reports whether one of the times lies between two others.
 func anyIn(times []time.Time, from, to time.Time) bool {
-	for _, at := range times {
-		if at.After(from) && at.Before(to) {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(times, func(at time.Time) bool { return at.After(from) && at.Before(to) })
 }
 
-// linkFaulty reports whether a scheduler's link to a node was faulty at some moment between two times.
-func (r *record) linkFaulty(i int, node string, from, to time.Time) bool {
-	for _, s := range r.links[i][node] {
-		if s.overlaps(from, to) {
-			return true
-		}
-	}
-	return false
+// anyOverlaps reports whether one of the spans has a moment between two times.
+func anyOverlaps(spans []span, from, to time.Time) bool {
+	return slices.ContainsFunc(spans, func(s span) bool { return s.overlaps(from, to) })
+}
+
+// linkFaulty reports whether a scheduler's link to a worker was faulty at some moment between two times.
+func (r *record) linkFaulty(i int, worker string, from, to time.Time) bool {
+	return anyOverlaps(r.links[i][worker], from, to)
 }
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -1,5 +1,8 @@
 // Package soak plays faults that overlap in time against many real processes of the scheduler, drawn from a
-// seed, and judges by what execute nodes, discovery and submitters recorded (docs/operate/soak.md).
+// seed, and judges by what the stand-ins for workers, discovery and clients recorded (docs/operate/soak.md).
+//
+// A run owns its fleet, the schedule of faults and a record of what they did. The package's own mutants, deliberate
+// faults of the scheduler, prove that the judge sees each kind of violation.
 package soak
 
 import (
@@ -81,59 +84,109 @@
 	answerGrace = 500 * time.Millisecond // past a job's time: its answer earns nothing, but is one
 )
 
-// world is the deployment: two zones, two kinds of node, a class that may be repeated and one that may not.
+// world is the deployment: two zones, two kinds of worker, a class that may be repeated and one that may not.
 func (o Options) world() lab.Topology {
 	return lab.Topology{
-		Schedulers: o.Schedulers, Sockets: 512, Zones: []string{"east", "west"},
-		Kinds:   []lab.WorkerKind{{Name: "large", Count: o.Workers / 2, Slots: 6, Speed: 1.5}, {Name: "small", Count: o.Workers - o.Workers/2, Slots: 4, Speed: 1}},
+		Schedulers: o.Schedulers,
+		Sockets:    512,
+		Zones:      []string{"east", "west"},
+		Kinds: []lab.WorkerKind{
+			{Name: "large", Count: o.Workers / 2, Slots: 6, Speed: 1.5},
+			{Name: "small", Count: o.Workers - o.Workers/2, Slots: 4, Speed: 1},
+		},
 		Tenants: []lab.Tenant{{Name: "all", QuotaFraction: 1}},
 		Classes: []lab.Class{
-			{Name: "reading", Effect: "idempotent", ServiceTime: 60 * time.Millisecond, JobFraction: 0.7, LatencyObjective: 500 * time.Millisecond, Deadline: 3 * time.Second},
-			{Name: "ratify", Effect: "at_most_once", ServiceTime: 250 * time.Millisecond, JobFraction: 0.3, LatencyObjective: 2 * time.Second, Deadline: 12 * time.Second},
+			{
+				Name:             "reading",
+				Effect:           "idempotent",
+				ServiceTime:      60 * time.Millisecond,
+				JobFraction:      0.7,
+				LatencyObjective: 500 * time.Millisecond,
+				Deadline:         3 * time.Second,
+			},
+			{
+				Name:             "ratify",
+				Effect:           "at_most_once",
+				ServiceTime:      250 * time.Millisecond,
+				JobFraction:      0.3,
+				LatencyObjective: 2 * time.Second,
+				Deadline:         12 * time.Second,
+			},
 		},
 	}
 }
 
-// A run is one seed's play.
+// A run is the run of one seed.
 type run struct {
 	Options
 	f             *fleet.Fleet
 	rng           *rand.Rand
-	log           io.Writer
 	startedAt     time.Time
-	record        record
+	record        *record
 	disconnecting disconnecting
 
+	logMu sync.Mutex // faults log from goroutines of their own
+	log   io.Writer
+
 	mu   sync.Mutex
-	busy map[string]bool // nodes and processes under a fault that excludes others
+	busy map[string]bool // workers and processes under a fault that excludes others
 	wait sync.WaitGroup
 }
 
+// rngStream is the stream of a seed's random numbers that draws the faults.
+const rngStream = 17
+
+// newRun makes the run of the options' seed on a fleet.
+func (o Options) newRun(f *fleet.Fleet, log io.Writer) *run {
+	return &run{
+		Options: o,
+		f:       f,
+		rng:     rand.New(rand.NewPCG(o.Seed, rngStream)),
+		log:     log,
+		record:  newRecord(),
+		busy:    map[string]bool{},
+	}
+}
+
 // Run plays one seed. What it sees broken is written to log, a line each.
 func (o Options) Run(log io.Writer) (r Result, err error) {
 	f, err := fleet.New(fleet.Options{
-		Topology: o.world(), Program: o.Program, WorkerLinks: true,
-		Price:     standin.Price{Call: time.Millisecond, Line: 50 * time.Microsecond, Patience: 2 * time.Second},
-		SlowStart: &standin.SlowStart{InitialCapacity: 0.2, Duration: 10 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second},
+		Topology:    o.world(),
+		Program:     o.Program,
+		WorkerLinks: true,
+		Price: standin.Price{
+			Call:     time.Millisecond,
+			Line:     50 * time.Microsecond,
+			Patience: 2 * time.Second,
+		},
+		SlowStart: &standin.SlowStart{
+			InitialCapacity:  0.2,
+			Duration:         10 * time.Second,
+			OverloadMultiple: 3,
+			OverloadWindow:   time.Second,
+		},
 	})
 	if err != nil {
 		return r, err
 	}
 	defer f.Close()
-	p := &run{Options: o, f: f, rng: rand.New(rand.NewPCG(o.Seed, 17)), log: log, busy: map[string]bool{}}
+	p := o.newRun(f, log)
 	if err := f.StartAll(readyLimit); err != nil {
 		return r, err
 	}
-	load := f.StartLoadWith("soak", o.Load*float64(o.Schedulers), o.Seed, fleet.Leniency{Grace: answerGrace, Excuse: p.excuse})
+	allow := fleet.Leniency{Grace: answerGrace, Excuse: p.excuse}
+	load := f.StartLoadWith("soak", o.Load*float64(o.Schedulers), o.Seed, allow)
 	<-time.After(settleTime)
 	p.startedAt = time.Now()
 	faults := p.drawFaults()
 	p.playFaults(faults)
-	tally := load.Stop()
+	r.Tally = load.Stop()
 	p.disconnecting.wait.Wait()
 	p.terminateAll(&r.Violations)
-	r.Seeds, r.Processes, r.Faults, r.Overlapping = 1, o.Schedulers, len(faults), overlapping(faults)
-	r.Tally = tally
+	r.Seeds = 1
+	r.Processes = o.Schedulers
+	r.Faults = len(faults)
+	r.Overlapping = overlapping(faults)
 	p.judge(load, &r)
 	return r, nil
 }
@@ -151,6 +204,10 @@
 	}
 }
 
+// logf writes one line to the run's log.
 func (p *run) logf(format string, args ...any) {
-	fmt.Fprintf(p.log, "seed %d, %6.2f s: %s\n", p.Seed, time.Since(p.startedAt).Seconds(), fmt.Sprintf(format, args...))
+	at := time.Since(p.startedAt).Seconds()
+	p.logMu.Lock()
+	defer p.logMu.Unlock()
+	fmt.Fprintf(p.log, "seed %d, %6.2f s: %s\n", p.Seed, at, fmt.Sprintf(format, args...))
 }
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -1,7 +1,6 @@
 package soak
 
 import (
-	"math/rand/v2"
 	"os"
 	"reflect"
 	"strings"
@@ -37,8 +36,9 @@
 // A seed draws the same faults again, another one others.
 func TestSeedDrawsTheSameFaults(t *testing.T) {
 	draw := func(seed uint64) []fault {
-		p := run{Options: Default, rng: rand.New(rand.NewPCG(seed, 17))}
-		return p.drawFaults()
+		o := Default
+		o.Seed = seed
+		return o.newRun(nil, nil).drawFaults()
 	}
 	if !reflect.DeepEqual(draw(3), draw(3)) || reflect.DeepEqual(draw(3), draw(4)) {
 		t.Error("the faults are not drawn from the seed alone")
@@ -52,7 +52,7 @@
 func TestReachableFrom(t *testing.T) {
 	base := time.Now()
 	at := func(seconds float64) time.Time { return base.Add(time.Duration(seconds * float64(time.Second))) }
-	p := run{}
+	p := Default.newRun(nil, nil)
 	p.record.unreachable(0, at(10), at(14))
 	p.record.unreachable(0, at(15), at(16))
 	for from, want := range map[float64]float64{1: 1, 3.9: 3.9, 4.1: 16, 12: 16, 14.5: 16, 17: 17} {
