--- a/dispatch_order.go
+++ b/dispatch_order.go
@@ -66,7 +66,8 @@
 			if within {
 				rank = t.quota.FillLevel()
 			}
-			if t.blockedRound != d.dispatchRound && (!within || t.quota.HasToken()) && rank > most && t.hasQueued() {
+			blocked := t.blockedRound == d.dispatchRound || within && !t.quota.HasToken()
+			if !blocked && rank > most && t.hasQueued() {
 				best, most = t, rank
 			}
 		}
@@ -89,11 +90,11 @@
 // fraction of its class lately sent. A tenant's quota is divided among its classes: one class must not use
 // it up because its jobs may wait longest.
 func (t *tenant) urgency(d *Dispatcher, j *job) float64 {
-	got := t.quota.SentFraction(j.req.Class)
+	sent := t.quota.SentFraction(j.req.Class)
 	if t.quota.ExceedsQuota() {
-		return 1 / got
+		return 1 / sent
 	}
-	return float64(d.now-j.firstAttemptAt+1) / float64(d.maxQueueTime(j)) / (got * got)
+	return float64(d.now-j.firstAttemptAt+1) / float64(d.maxQueueTime(j)) / (sent * sent)
 }
 
 // sendFrom sends the tenant's most urgent job for which a worker is found: of each class the oldest, or,
@@ -111,8 +112,8 @@
 			if j == nil {
 				continue
 			}
-			if n := t.urgency(d, j); n > most {
-				best, most = j, n
+			if urgency := t.urgency(d, j); urgency > most {
+				best, most = j, urgency
 			}
 		}
 		if best == nil {
--- a/endpoints.go
+++ b/endpoints.go
@@ -51,7 +51,7 @@
 		w = d.addWorker(e.ID)
 		w.limit.Restore(d.learnedLimits.Mean(), false)
 	}
-	d.free.move(w, -1) // its kind may change
+	d.free.setLevel(w, -1) // its kind may change
 	w.setState(e.State, d.now)
 	d.recountLimit(w)
 	w.zone, w.kind, w.cell, w.lastSeenEvent = e.Zone, e.Kind, e.Cell, d.endpoints.events
--- a/health.go
+++ b/health.go
@@ -59,27 +59,7 @@
 	a.clearOverdue()
 	switch e.Code {
 	case Served:
-		d.recordAccepted(a)
-		run := e.Took
-		if a.startedAt != 0 {
-			run = max(1, d.now-a.startedAt)
-		}
-		j.class.runtimes.Record(run)
-		if !a.late {
-			j.class.loop.Sample(float64(d.now-j.arrivedAt) / float64(j.objective))
-		}
-		w.latencyRatio += (min(float64(run)/float64(max(1, j.class.runtimes.Median())), 4) - w.latencyRatio) / 16
-		w.outlier.RecordSuccess()
-		if !d.inSlowStart(w) {
-			// Not what was sent: refused jobs are no measure of capacity.
-			d.capacity.slowStart.Rate().RecordServed(a.slots, run)
-		}
-		if d.largeFleet() {
-			d.capacity.reported.add(w) // a slot has just come free there, on a connection that stays open
-		}
-		if !d.cfg.StartNotes {
-			d.adjustCapacity(w, d.now-j.arrivedAt > j.objective)
-		}
+		d.recordServed(a, e.Took)
 	case Saturated:
 		w.acceptedAt = 0 // it may be draining
 		d.adjustCapacity(w, true)
@@ -96,15 +76,49 @@
 			j.class.loop.SampleLate()
 		}
 	case DeadlineExceeded, Cancelled:
-		if a.startedAt == 0 && d.largeFleet() && w.outlier.Rejections() < 2 && d.now-a.sentAt < j.objective/4 {
+		if a.startedAt != 0 {
+			break // it was at work
+		}
+		if d.largeFleet() && w.outlier.Rejections() < 2 && d.now-a.sentAt < j.objective/4 {
 			d.backoffWorker(w, j) // it was moved early: the worker has a queue, or hangs
-		} else if a.startedAt == 0 {
+		} else {
 			d.eject(w)
 		}
 	}
 	d.updateLevel(w)
 }
 
+// recordServed learns from an attempt that was served.
+func (d *Dispatcher) recordServed(a *attempt, took int64) {
+	w, j := a.worker, a.job
+	d.recordAccepted(a)
+	if a.startedAt != 0 {
+		took = max(1, d.now-a.startedAt)
+	}
+	j.class.runtimes.Record(took)
+	if !a.late {
+		j.class.loop.Sample(float64(d.now-j.arrivedAt) / float64(j.objective))
+	}
+	ratio := min(float64(took)/float64(max(1, j.class.runtimes.Median())), maxLatencyRatio)
+	w.latencyRatio += (ratio - w.latencyRatio) / latencyRatioWeight
+	w.outlier.RecordSuccess()
+	if !d.inSlowStart(w) {
+		// Not what was sent: jobs that were shed are no measure of capacity.
+		d.capacity.slowStart.Rate().RecordServed(a.slots, took)
+	}
+	if d.largeFleet() {
+		d.capacity.reported.add(w) // a slot has just come free there, on a connection that stays open
+	}
+	if !d.cfg.StartNotes {
+		d.adjustCapacity(w, d.now-j.arrivedAt > j.objective)
+	}
+}
+
+const (
+	maxLatencyRatio    = 4  // that one job counts for in a worker's latency ratio
+	latencyRatioWeight = 16 // jobs after which the ratio has mostly followed
+)
+
 // backoffWorker keeps jobs from a worker that has no free slot now.
 func (d *Dispatcher) backoffWorker(w *worker, j *job) {
 	w.outlier.Backoff(d.now, j.class.runtimes.Median(), d.rng)
@@ -149,7 +163,7 @@
 		level = int(w.usedSlots)
 	}
 	if level != w.level {
-		d.free.move(w, level)
+		d.free.setLevel(w, level)
 	}
 	if !w.pending && d.timeDependent(w) {
 		d.markPending(w)
--- a/internal/decision/admission/tenant_test.go
+++ b/internal/decision/admission/tenant_test.go
@@ -40,7 +40,8 @@
 	a.Update(0, true, 0, 1)
 	a.Restore(0.5, 2)
 	a.SetQuotas([]float64{40, 0})
-	if first, second := a.Tenant(0).State(), a.Tenant(1).State(); first.Rate != 20 || second.Rate != 0 || first.Tokens != 0 {
+	first, second := a.Tenant(0).State(), a.Tenant(1).State()
+	if first.Rate != 20 || second.Rate != 0 || first.Tokens != 0 {
 		t.Errorf("rates %v and %v of half the traffic, %v tokens", first.Rate, second.Rate, first.Tokens)
 	}
 	if a.TrafficFraction() != 0.5 || a.BurstTokens() != 2 {
--- a/internal/decision/gossip/message_test.go
+++ b/internal/decision/gossip/message_test.go
@@ -113,3 +113,15 @@
 		t.Error("a peer that holds nothing is still to be cleared")
 	}
 }
+
+// Whatever bytes come, they are no message or exactly what the message that was read is written as.
+func FuzzDecode(f *testing.F) {
+	f.Add([]byte{kindDelta, 1, 2, 3, 4, 5, 6, 7, 8})
+	f.Add((&Message{Complete: true, AdmissionRate: 2.5, Usages: []WorkerUsage{{Tag: 9, Usage: Usage{1, 2}}}}).Encode())
+	f.Fuzz(func(t *testing.T, data []byte) {
+		var m Message
+		if m.Decode(data) && !bytes.Equal(m.Encode(), data) {
+			t.Errorf("% x is read as %+v, which is written as % x", data, m, m.Encode())
+		}
+	})
+}
--- a/workers.go
+++ b/workers.go
@@ -75,8 +75,8 @@
 	viewBuffer [][]*worker   // of the last view
 }
 
-// move puts a worker into another of the lists, or, for a negative level, in none.
-func (f *freeLists) move(w *worker, level int) {
+// setLevel puts a worker into another of the lists, or, for a negative level, in none.
+func (f *freeLists) setLevel(w *worker, level int) {
 	k := w.kind + 1
 	if k >= len(f.byKind) {
 		k = 0
