--- a/internal/lab/service/connection.go
+++ b/internal/lab/service/connection.go
@@ -15,68 +15,74 @@
 	"golang.org/x/sys/unix"
 )
 
-// A Fate is how one send of a job ended.
+// An Outcome is how one send of a job ended.
 type Outcome int
 
+// The outcomes of a send.
 const (
-	Answered    Outcome = iota // a whole answer came
-	Unread                     // the scheduler cannot have read the whole request: it may be sent again
-	Interrupted                // the request arrived and the connection ended without a whole answer
-	TimedOut                   // nothing came until the time was up
+	// Answered means that a whole answer came.
+	Answered Outcome = iota
+	// Unread means that the scheduler cannot have read the whole request: it may be sent again.
+	Unread
+	// Interrupted means that the request arrived and the connection ended without a whole answer.
+	Interrupted
+	// DeadlineExceeded means that nothing came before the deadline.
+	DeadlineExceeded
 )
 
-// String names a fate in reports.
-func (f Outcome) String() string {
-	return [...]string{"answered", "turned back unheard", "cut off", "without an answer in time"}[f]
+// String names an outcome in reports.
+func (o Outcome) String() string {
+	return [...]string{"answered", "turned back unheard", "cut off", "without an answer in time"}[o]
 }
 
 // synBytes is by how much the kernel's count of acknowledged bytes is ahead of what was written:
-// it counts the beginning of the connection as one byte.
+// it counts the connection's SYN as one byte.
 const synBytes = 1
 
-// An answer is a scheduler's whole answer to one request.
+// answer is a scheduler's whole answer to one request.
 type answer struct {
 	Status int
 	Body   string
 }
 
-// A connection is one submitter's connection to the scheduler.
+// connection is one client's connection to the scheduler. One goroutine at a time uses it.
 type connection struct {
-	*net.TCPConn
+	conn    net.Conn
 	reader  *bufio.Reader
 	written uint64 // bytes of all requests
 	closes  bool   // the scheduler has said that this was its last answer
 }
 
+// dial connects to the scheduler.
 func dial(addr string, until time.Time) (*connection, error) {
 	dialer := net.Dialer{Deadline: until}
 	conn, err := dialer.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	return &connection{TCPConn: conn.(*net.TCPConn), reader: bufio.NewReader(conn)}, nil
+	return &connection{conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-// usable reports whether an idle connection is still open: submitters send nothing on one
+// usable reports whether an idle connection is still open: clients send nothing on one
 // whose end they have seen.
 func (c *connection) usable() bool {
-	raw, err := c.SyscallConn()
+	raw, err := c.conn.(syscall.Conn).SyscallConn()
 	if err != nil || c.closes {
 		return false
 	}
 	open := false
-	raw.Control(func(fd uintptr) {
+	err = raw.Control(func(fd uintptr) {
 		_, _, err := unix.Recvfrom(int(fd), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		open = errors.Is(err, unix.EAGAIN) // neither its end nor a word that nobody asked for
+		open = errors.Is(err, unix.EAGAIN) // neither its end nor unexpected data
 	})
-	return open
+	return err == nil && open
 }
 
-// ask sends a request and waits for the answer. The error says in words what happened where
-// there is none.
+// exchange sends a request and waits for the answer. Where there is none, the error says what
+// happened.
 func (c *connection) exchange(request string, until time.Time) (answer, Outcome, error) {
-	c.SetDeadline(until)
-	n, err := io.WriteString(c, request)
+	c.conn.SetDeadline(until)
+	n, err := io.WriteString(c.conn, request)
 	c.written += uint64(n)
 	if err != nil {
 		return answer{}, Unread, fmt.Errorf("writing: %w", err)
@@ -88,6 +94,7 @@
 	if err != nil {
 		return answer{}, Interrupted, fmt.Errorf("within the answer's head: %w", err)
 	}
+	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		return answer{}, Interrupted, fmt.Errorf("within the answer's body: %w", err)
@@ -96,13 +103,13 @@
 	return answer{response.StatusCode, string(body)}, Answered, nil
 }
 
-// fate tells what became of a request that was written whole, when reading for the first byte
-// of its answer ended so. The kernel resets a connection that is closed with unread bytes, and
-// it acknowledges none that come after the close.
+// outcome tells what became of a request that was written whole, from the error with which reading
+// the first byte of its answer ended. The kernel resets a connection that is closed with unread
+// bytes, and it acknowledges none that come after the close.
 func (c *connection) outcome(err error) Outcome {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return TimedOut
+		return DeadlineExceeded
 	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE):
 		return Unread
 	case c.acknowledged() < c.written:
@@ -111,21 +118,25 @@
 	return Interrupted
 }
 
-// acknowledged is how many of the written bytes the scheduler's side has taken in.
+// acknowledged is how many of the written bytes the scheduler's kernel has acknowledged.
 func (c *connection) acknowledged() (bytes uint64) {
-	raw, err := c.SyscallConn()
+	raw, err := c.conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return 0
 	}
-	raw.Control(func(fd uintptr) {
-		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil && info.Bytes_acked > synBytes {
+	err = raw.Control(func(fd uintptr) {
+		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
+		if err == nil && info.Bytes_acked > synBytes {
 			bytes = info.Bytes_acked - synBytes
 		}
 	})
+	if err != nil {
+		return 0
+	}
 	return bytes
 }
 
 // port is the connection's own port, by which logs tell it from others.
 func (c *connection) port() string {
-	return strconv.Itoa(c.LocalAddr().(*net.TCPAddr).Port)
+	return strconv.Itoa(c.conn.LocalAddr().(*net.TCPAddr).Port)
 }
--- a/internal/lab/service/connection_test.go
+++ b/internal/lab/service/connection_test.go
@@ -6,6 +6,7 @@
 	"io"
 	"net"
 	"net/http"
+	"sync"
 	"syscall"
 	"testing"
 	"time"
@@ -15,13 +16,16 @@
 
 const completeAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// serveOnce accepts one connection, treats it, and closes treated.
+// serveOnce accepts one connection, treats it, and closes treated. The test ends only after that.
 func serveOnce(t *testing.T, treat func(net.Conn)) (addr string, treated chan struct{}) {
 	t.Helper()
 	l, err := standin.Listen()
 	must(t, err)
-	t.Cleanup(func() { l.Close() })
 	treated = make(chan struct{})
+	t.Cleanup(func() {
+		l.Close()
+		<-treated
+	})
 	go func() {
 		defer close(treated)
 		if c, err := l.Accept(); err == nil {
@@ -34,44 +38,103 @@
 // readRequest reads one whole request.
 func readRequest(c net.Conn) {
 	if r, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
-		io.Copy(io.Discard, r.Body)
+		_, _ = io.Copy(io.Discard, r.Body) // the client may go away
 	}
 }
 
-// The rig tells a job that was read from one that cannot have been.
+// readBytes reads so many bytes of the request, or less where the client goes away.
+func readBytes(c net.Conn, count int) {
+	_, _ = io.ReadFull(c, make([]byte, count))
+}
+
+// answerWith reads the request and writes an answer, of which the client may read less.
+func answerWith(c net.Conn, answer string) {
+	readRequest(c)
+	_, _ = io.WriteString(c, answer)
+}
+
+// How a server may treat a connection.
+
+func answerCompletely(c net.Conn) {
+	answerWith(c, completeAnswer)
+}
+
+func answerPartOfHead(c net.Conn) {
+	answerWith(c, completeAnswer[:20])
+	c.Close()
+}
+
+func answerPartOfBody(c net.Conn) {
+	answerWith(c, completeAnswer[:len(completeAnswer)-1])
+	c.Close()
+}
+
+func closeAfterRequest(c net.Conn) {
+	readRequest(c)
+	c.Close()
+}
+
+func closeAtOnce(c net.Conn) {
+	c.Close()
+}
+
+func closeUnread(c net.Conn) {
+	readBytes(c, 1)
+	c.Close()
+}
+
+func closeHalfRead(c net.Conn) {
+	readBytes(c, 10)
+	c.Close()
+}
+
+func resetAtOnce(c net.Conn) {
+	_ = c.(*net.TCPConn).SetLinger(0) // fails only on a connection that has ended already
+	c.Close()
+}
+
+func halfCloseAndRead(c net.Conn) {
+	standin.CloseWrite(c)
+	readRequest(c)
+}
+
+// The lab tells a job that was read from one that cannot have been.
 func TestOutcomes(t *testing.T) {
 	request := requestText("a/north/reading/1", DefaultWorld().Classes[0], "north")
 	for name, c := range map[string]struct {
-		first bool // the server is done with the connection before the request is sent
-		treat func(net.Conn)
-		fate  Outcome
+		first   bool // the server is done with the connection before the request is sent
+		treat   func(net.Conn)
+		outcome Outcome
 	}{
-		"a whole answer":               {treat: func(c net.Conn) { readRequest(c); io.WriteString(c, completeAnswer) }, fate: Answered},
-		"read and closed":              {treat: func(c net.Conn) { readRequest(c); c.Close() }, fate: Interrupted},
-		"half an answer":               {treat: func(c net.Conn) { readRequest(c); io.WriteString(c, completeAnswer[:20]); c.Close() }, fate: Interrupted},
-		"an answer without all of it":  {treat: func(c net.Conn) { readRequest(c); io.WriteString(c, completeAnswer[:len(completeAnswer)-1]); c.Close() }, fate: Interrupted},
-		"half of it read and closed":   {treat: func(c net.Conn) { io.ReadFull(c, make([]byte, 10)); c.Close() }, fate: Unread},
-		"closed before it came":        {first: true, treat: func(c net.Conn) { c.Close() }, fate: Unread},
-		"reset before it came":         {first: true, treat: func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }, fate: Unread},
-		"half-closed and read, unsaid": {treat: func(c net.Conn) { c.(*net.TCPConn).CloseWrite(); readRequest(c) }, fate: Interrupted},
-		"nothing":                      {treat: readRequest, fate: TimedOut},
+		"a whole answer":               {treat: answerCompletely, outcome: Answered},
+		"read and closed":              {treat: closeAfterRequest, outcome: Interrupted},
+		"half an answer":               {treat: answerPartOfHead, outcome: Interrupted},
+		"an answer without all of it":  {treat: answerPartOfBody, outcome: Interrupted},
+		"half of it read and closed":   {treat: closeHalfRead, outcome: Unread},
+		"closed before it came":        {first: true, treat: closeAtOnce, outcome: Unread},
+		"reset before it came":         {first: true, treat: resetAtOnce, outcome: Unread},
+		"half-closed and read, unsaid": {treat: halfCloseAndRead, outcome: Interrupted},
+		"nothing":                      {treat: readRequest, outcome: DeadlineExceeded},
 	} {
 		t.Run(name, func(t *testing.T) {
 			connected := make(chan struct{})
-			addr, treated := serveOnce(t, func(conn net.Conn) { <-connected; c.treat(conn) })
-			conn, err := dial(addr, time.Now().Add(patience))
+			addr, treated := serveOnce(t, func(conn net.Conn) {
+				<-connected
+				c.treat(conn)
+			})
+			client, err := dial(addr, time.Now().Add(patience))
 			must(t, err)
-			defer conn.Close()
+			defer client.conn.Close()
 			close(connected)
 			if c.first {
 				<-treated
 			}
 			limit := patience
-			if c.fate == TimedOut {
+			if c.outcome == DeadlineExceeded {
 				limit = 100 * time.Millisecond
 			}
-			if _, fate, err := conn.exchange(request, time.Now().Add(limit)); fate != c.fate {
-				t.Errorf("%v (%v), should be %v", fate, err, c.fate)
+			if _, outcome, err := client.exchange(request, time.Now().Add(limit)); outcome != c.outcome {
+				t.Errorf("%v (%v), should be %v", outcome, err, c.outcome)
 			}
 		})
 	}
@@ -80,39 +143,47 @@
 // A kept connection that the server has closed is not used again.
 func TestClosedConnectionIsNotUsable(t *testing.T) {
 	end := make(chan struct{})
-	addr, _ := serveOnce(t, func(c net.Conn) { <-end; c.Close() })
-	conn, err := dial(addr, time.Now().Add(patience))
+	addr, _ := serveOnce(t, func(c net.Conn) {
+		<-end
+		c.Close()
+	})
+	client, err := dial(addr, time.Now().Add(patience))
 	must(t, err)
-	defer conn.Close()
-	if !conn.usable() {
+	defer client.conn.Close()
+	if !client.usable() {
 		t.Error("an open connection is not usable")
 	}
 	close(end)
-	await(t, "the end is seen", patience, func() bool { return !conn.usable() })
+	await(t, "the end is seen", patience, func() bool { return !client.usable() })
 }
 
-// A job that was turned back unheard is sent once more; where that fails too, it is lost. One
+// A job that was not read is sent once more; where that fails too, it is lost. One
 // that was read is not sent again.
 func TestReturnedJobIsSentOnceMore(t *testing.T) {
 	for name, c := range map[string]struct {
 		treat            []func(net.Conn) // the connections in turn
 		lost, turnedBack int
 	}{
-		"answered then": {[]func(net.Conn){closeUnread, func(c net.Conn) { readRequest(c); io.WriteString(c, completeAnswer) }}, 0, 1},
+		"answered then": {[]func(net.Conn){closeUnread, answerCompletely}, 0, 1},
 		"and again":     {[]func(net.Conn){closeUnread, closeUnread}, 1, 1},
-		"read":          {[]func(net.Conn){func(c net.Conn) { readRequest(c); c.Close() }}, 1, 0},
+		"read":          {[]func(net.Conn){closeAfterRequest}, 1, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, err := standin.Listen()
 			must(t, err)
-			go func() {
+			var server sync.WaitGroup
+			t.Cleanup(func() {
+				l.Close()
+				server.Wait()
+			})
+			server.Go(func() {
 				defer l.Close()
 				for _, treat := range c.treat {
 					if conn, err := l.Accept(); err == nil {
 						treat(conn)
 					}
 				}
-			}()
+			})
 			load := &Load{LoadOptions: DefaultLoad, addr: l.Addr().String(), tally: newTally()}
 			load.submit("a/north/reading/1", DefaultWorld().Classes[0], "north", true)
 			if n := len(load.tally.Lost); n != c.lost {
@@ -125,11 +196,6 @@
 	}
 }
 
-func closeUnread(c net.Conn) {
-	io.ReadFull(c, make([]byte, 1))
-	c.Close()
-}
-
 // The kernel's table tells who listens where.
 func TestListens(t *testing.T) {
 	l, err := standin.Listen()
--- a/internal/lab/service/deployment.go
+++ b/internal/lab/service/deployment.go
@@ -1,7 +1,10 @@
-// Package service proves the daily operation of one scheduler: upgrades under load, draining,
-// and the figures on its operators' address. It runs the built program among stand-ins on
-// loopback, plays the platform and the submitters, and judges from the outside: from what the
-// submitters received and what the nodes ran.
+// Package service tests the operation of one scheduler: upgrades under load, quiescing, and the
+// figures on its operators' address. It runs the built program among stand-ins on loopback, takes
+// the part of the platform and of the clients, and judges from the outside: by what the clients
+// received and what the workers ran.
+//
+// A Deployment owns the scheduler's processes and the stand-ins, a Load owns the clients'
+// connections and the Tally of their jobs, and Upgrades is the trial that brings both together.
 package service
 
 import (
@@ -18,13 +21,13 @@
 
 // The platform's rules for an upgrade.
 const (
-	ReadyLimit = 6 * time.Second        // for a new process, from its start to its yes
+	ReadyLimit = 6 * time.Second        // for a new process, from its start until it is ready
 	maxGrace   = 3 * time.Second        // longer deadlines count as this
 	killMargin = 700 * time.Millisecond // beyond the longest deadline, between SIGTERM and SIGKILL
-	pollEvery  = 5 * time.Millisecond   // between two questions to the operators' address
+	pollEvery  = 5 * time.Millisecond   // between two calls to the operators' address
 )
 
-// DefaultWorld is one scheduler on eight nodes, with short idempotent and longer at-most-once
+// DefaultWorld is one scheduler with eight workers, short idempotent jobs and longer at-most-once
 // jobs.
 func DefaultWorld() lab.Topology {
 	return lab.Topology{
@@ -32,23 +35,38 @@
 		Kinds:   []lab.WorkerKind{{Name: "node", Count: 8, Slots: 4, Speed: 1}},
 		Tenants: []lab.Tenant{{Name: "north", QuotaFraction: 0.6}, {Name: "south", QuotaFraction: 0.4}},
 		Classes: []lab.Class{
-			{Name: "reading", Effect: "idempotent", ServiceTime: 20 * time.Millisecond, JobFraction: 0.7, LatencyObjective: 300 * time.Millisecond, Deadline: 800 * time.Millisecond},
-			{Name: "ratify", Effect: "at_most_once", ServiceTime: 150 * time.Millisecond, JobFraction: 0.3, LatencyObjective: 600 * time.Millisecond, Deadline: 1200 * time.Millisecond},
+			{
+				Name: "reading", Effect: "idempotent", JobFraction: 0.7,
+				ServiceTime:      20 * time.Millisecond,
+				LatencyObjective: 300 * time.Millisecond,
+				Deadline:         800 * time.Millisecond,
+			},
+			{
+				Name: "ratify", Effect: "at_most_once", JobFraction: 0.3,
+				ServiceTime:      150 * time.Millisecond,
+				LatencyObjective: 600 * time.Millisecond,
+				Deadline:         1200 * time.Millisecond,
+			},
 		},
 	}
 }
 
-// A Deployment is a scheduler in service: the process that the platform takes for it, and all
-// that it meets.
+// A Deployment is a scheduler in service: its current process, and the fleet of stand-ins that the
+// process works with.
 type Deployment struct {
 	Fleet      *fleet.Fleet
 	Current    *fleet.Process
-	FirstReady time.Duration // of the first process, from its start
+	FirstReady time.Duration // from the first process's start until it was ready
 }
 
-// Deploy starts a world's scheduler and waits for its yes. Close ends it.
+// Deploy starts a world's scheduler and waits until it is ready. Close ends it.
 func Deploy(ctx context.Context, program string, world lab.Topology) (d *Deployment, err error) {
-	f, err := fleet.New(fleet.Options{Topology: world, Program: program, Price: standin.Price{Call: time.Millisecond, Patience: time.Second}, Admin: true})
+	f, err := fleet.New(fleet.Options{
+		Topology: world,
+		Program:  program,
+		Price:    standin.Price{Call: time.Millisecond, Patience: time.Second},
+		Admin:    true,
+	})
 	if err != nil {
 		return nil, err
 	}
@@ -68,7 +86,7 @@
 // Close ends every process and stand-in.
 func (d *Deployment) Close() { d.Fleet.Close() }
 
-// Addr is where submitters reach the scheduler.
+// Addr is where clients reach the scheduler.
 func (d *Deployment) Addr() string { return d.Fleet.Processes[0].Addr }
 
 // KillAfter is how long a process has between SIGTERM and SIGKILL.
@@ -80,7 +98,7 @@
 	return min(longest, maxGrace) + killMargin
 }
 
-// An EndedError says that a process ended that should have gone on.
+// An EndedError reports that a process ended that should have gone on.
 type EndedError struct {
 	Process string
 	Log     []string
@@ -91,7 +109,7 @@
 	return fmt.Sprintf("%s ended by itself; its log:\n%s", e.Process, strings.Join(e.Log, "\n"))
 }
 
-// ErrNotReady says that a process did not say in time that it is ready.
+// ErrNotReady reports that a process did not say in time that it is ready.
 var ErrNotReady = errors.New("no yes in time")
 
 // AwaitReady waits until a process that was just started says that it is ready, and returns how
@@ -113,7 +131,8 @@
 			if ctx.Err() != nil {
 				return 0, ctx.Err()
 			}
-			return 0, fmt.Errorf("%s: %w: %w; its log:\n%s", process.Name, ErrNotReady, last, strings.Join(process.Log(), "\n"))
+			log := strings.Join(process.Log(), "\n")
+			return 0, fmt.Errorf("%s: %w: %w; its log:\n%s", process.Name, ErrNotReady, last, log)
 		case <-time.After(pollEvery):
 		}
 	}
--- a/internal/lab/service/descriptors_test.go
+++ b/internal/lab/service/descriptors_test.go
@@ -37,6 +37,7 @@
 	return sockets, files
 }
 
+// ofKernel reports whether a path is of the kernel, not of a disk.
 func ofKernel(path string) bool {
 	return slices.ContainsFunc(kernelPaths, func(prefix string) bool { return strings.HasPrefix(path, prefix) })
 }
@@ -61,7 +62,9 @@
 	s := underLoad(t)
 	_, err := s.Upgrade(t.Context())
 	must(t, err)
-	listening := inodes(t, tcpTable, inodeColumn, func(columns []string) bool { return columns[stateColumn] == listeningState })
+	listening := inodes(t, tcpTable, inodeColumn, func(columns []string) bool {
+		return columns[stateColumn] == listeningState
+	})
 	local := inodes(t, unixTable, unixInodeColumn, func([]string) bool { return true })
 	sockets, files := descriptors(t, s.Current.ID())
 	listeners := 0
--- a/internal/lab/service/duress_test.go
+++ b/internal/lab/service/duress_test.go
@@ -1,6 +1,7 @@
 package service
 
 import (
+	"context"
 	"errors"
 	"io"
 	"net"
@@ -27,18 +28,7 @@
 			first := sync.OnceFunc(held.Done)
 			defer first()
 			for {
-				if c, err := net.DialTimeout("tcp", addr, patience); err == nil {
-					io.WriteString(c, "GET /admin/hea")
-					first()
-					ended := make(chan struct{})
-					go func() { defer close(ended); io.Copy(io.Discard, c) }()
-					select {
-					case <-ended:
-					case <-stop:
-					}
-					c.Close()
-					<-ended
-				}
+				holdCall(t.Context(), addr, first, stop)
 				if !again {
 					return
 				}
@@ -50,10 +40,35 @@
 			}
 		})
 	}
-	t.Cleanup(func() { close(stop); wait.Wait() })
+	t.Cleanup(func() {
+		close(stop)
+		wait.Wait()
+	})
 	held.Wait()
 }
 
+// holdCall begins one call, reports that it is held, and returns once the other side or stop ends it.
+func holdCall(ctx context.Context, addr string, held func(), stop <-chan struct{}) {
+	dialer := net.Dialer{Timeout: patience}
+	c, err := dialer.DialContext(ctx, "tcp", addr)
+	if err != nil {
+		return
+	}
+	_, _ = io.WriteString(c, "GET /admin/hea") // a connection that is closed already ends below
+	held()
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		_, _ = io.Copy(io.Discard, c) // until the connection's end, whatever that is
+	}()
+	select {
+	case <-ended:
+	case <-stop:
+	}
+	c.Close()
+	<-ended
+}
+
 // Beside callers that do not finish their calls, and under load, each call has its answer in
 // time: also where they come again whenever their connection is closed.
 func TestOperatorsAreAnsweredBesideStalledCalls(t *testing.T) {
@@ -62,6 +77,7 @@
 	}
 }
 
+// answeredBesideStalledCalls checks the time of each kind of call beside the stalled ones.
 func answeredBesideStalledCalls(t *testing.T, again bool) {
 	s := underLoad(t)
 	holdCalls(t, s.Current.Admin, again)
@@ -90,18 +106,22 @@
 	s.terminates(t, 1)
 }
 
-// frontHealth asks for the health that the front sees; nil: yes.
+// frontHealth returns nil if the scheduler is healthy on the clients' address.
 func frontHealth(t *testing.T, d *Deployment) error {
 	_, err := Fetch(t.Context(), http.MethodGet, "http://"+d.Addr()+"/_health")
 	return err
 }
 
-// What is no call is answered with a no, and changes nothing.
+// What is no call is answered 4xx, and changes nothing.
 func TestWrongCallsAreRejected(t *testing.T) {
 	d := deploy(t, DefaultWorld())
 	for _, call := range []struct{ method, path string }{
-		{http.MethodGet, "/admin/quiesce"}, {http.MethodGet, "/admin/resume"}, {http.MethodPut, "/admin/health"},
-		{http.MethodPost, "/admin/stats"}, {http.MethodGet, "/"}, {http.MethodGet, "/admin/healthy"},
+		{http.MethodGet, "/admin/quiesce"},
+		{http.MethodGet, "/admin/resume"},
+		{http.MethodPut, "/admin/health"},
+		{http.MethodPost, "/admin/stats"},
+		{http.MethodGet, "/"},
+		{http.MethodGet, "/admin/healthy"},
 	} {
 		_, err := Fetch(t.Context(), call.method, "http://"+d.Current.Admin+call.path)
 		var status *StatusError
--- a/internal/lab/service/fault.go
+++ b/internal/lab/service/fault.go
@@ -15,19 +15,24 @@
 // A Fault is what goes wrong in each upgrade of a trial.
 type Fault string
 
+// The faults, by the names that the lab's flag gives them.
 const (
-	NoFault          Fault = "none"
-	KillSuccessor    Fault = "kill-new" // a new process is killed before its yes, and another one started
-	SuspendSuccessor Fault = "stop-new" // a new process stands still before its yes, is killed, and another one started
-	KillPredecessor  Fault = "kill-old" // the old process is killed at any moment of the upgrade
+	// NoFault leaves each upgrade alone.
+	NoFault Fault = "none"
+	// KillSuccessor kills a new process before it is ready, and another one is started.
+	KillSuccessor Fault = "kill-new"
+	// SuspendSuccessor stops a new process before it is ready, kills it later, and another one is started.
+	SuspendSuccessor Fault = "stop-new"
+	// KillPredecessor kills the old process at any moment of the upgrade.
+	KillPredecessor Fault = "kill-old"
 )
 
-// Faults are all that a trial knows.
+// Faults are all faults that a trial can inject.
 var Faults = []Fault{NoFault, KillSuccessor, SuspendSuccessor, KillPredecessor}
 
-// The times of faults are drawn up to these.
+// The upper limits of the random times of faults.
 const (
-	maxStop    = 400 * time.Millisecond // of a new process, until it is killed
+	maxStop    = 400 * time.Millisecond // for which a new process is stopped before it is killed
 	latestKill = 300 * time.Millisecond // of an old process, after a step of the upgrade
 )
 
@@ -37,25 +42,27 @@
 // covers reports whether a send was under way in the outage.
 func (o Outage) covers(s Send) bool { return !s.StartedAt.After(o.To) && !s.Ended.Before(o.From) }
 
-// pause waits for a drawn time.
-func waitOrDone(ctx context.Context, drawn time.Duration) error {
+// waitOrDone waits for a time, and returns the context's error if that is done first.
+func waitOrDone(ctx context.Context, delay time.Duration) error {
 	select {
-	case <-time.After(drawn):
+	case <-time.After(delay):
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// DisturbSuccessor starts a next process, stops it at a moment after its start and kills it, after a time
-// in which it stands still. A process that listens by then was too fast: it goes on, and is
-// returned.
-func (d *Deployment) DisturbSuccessor(ctx context.Context, moment, still time.Duration) (tooFast *fleet.Process, err error) {
+// DisturbSuccessor starts a successor, stops it some time after its start, and kills it once it has
+// been stopped for another time. A successor that listens when it is stopped was too fast: it goes
+// on, and is returned.
+func (d *Deployment) DisturbSuccessor(
+	ctx context.Context, afterStart, stopped time.Duration,
+) (tooFast *fleet.Process, err error) {
 	next, err := d.StartNext()
 	if err != nil {
 		return nil, err
 	}
-	if err := waitOrDone(ctx, moment); err != nil {
+	if err := waitOrDone(ctx, afterStart); err != nil {
 		return nil, err
 	}
 	if err := suspend(next); err != nil {
@@ -68,15 +75,15 @@
 	if listens {
 		return next, next.Signal(syscall.SIGCONT)
 	}
-	if err := waitOrDone(ctx, still); err != nil {
+	if err := waitOrDone(ctx, stopped); err != nil {
 		return nil, err
 	}
 	next.Kill()
 	return nil, nil
 }
 
-// suspend stops a process, and waits until all of it has: a signal may come later than its
-// sending returns.
+// suspend stops a process with SIGSTOP, and waits until it has stopped: the signal may arrive after
+// the call that sends it has returned.
 func suspend(process *fleet.Process) error {
 	id := process.ID()
 	if err := process.Signal(syscall.SIGSTOP); err != nil {
@@ -94,9 +101,13 @@
 // A Step is a step of an upgrade, after which the old process is killed.
 type Step int
 
+// The steps of an upgrade, in their order.
 const (
+	// SuccessorStarted is the start of the new process.
 	SuccessorStarted Step = iota
+	// SuccessorReady is the new process's first answer that it is ready.
 	SuccessorReady
+	// PredecessorTerminated is SIGTERM to the old process.
 	PredecessorTerminated
 	steps
 )
@@ -106,8 +117,11 @@
 	return [...]string{"the new process's start", "the new process's yes", "SIGTERM to the old process"}[s]
 }
 
-// UpgradeKillingPredecessor upgrades while the old process is killed at a drawn time after a step.
-func (d *Deployment) UpgradeKillingPredecessor(ctx context.Context, step Step, after time.Duration) (h Handover, o Outage, err error) {
+// UpgradeKillingPredecessor upgrades while the old process is killed at a given time after a
+// step.
+func (d *Deployment) UpgradeKillingPredecessor(
+	ctx context.Context, step Step, after time.Duration,
+) (h Handover, o Outage, err error) {
 	old := d.Current
 	h.StartedAt, h.Predecessor = time.Now(), old
 	next, err := d.StartNext()
@@ -145,5 +159,5 @@
 	return h, o, err
 }
 
-// errUnknownFault is the answer to a fault that no trial knows.
+// errUnknownFault reports a fault that is not among Faults.
 var errUnknownFault = errors.New("the fault is none of none, kill-new, stop-new and kill-old")
--- a/internal/lab/service/figures.go
+++ b/internal/lab/service/figures.go
@@ -10,7 +10,7 @@
 	"github.com/prometheus/common/model"
 )
 
-// The names of the figures.
+// The names of the figures in the scheduler's answer.
 const (
 	responsesName = "scheduler_responses_total"
 	attemptsName  = "scheduler_tries_total"
@@ -19,7 +19,7 @@
 	ejectedName   = "scheduler_pool_ejected"
 )
 
-// How far figures may be off: by a share of the true number or by this many.
+// How far figures may be off: by a fraction of the true number, or by slack where that is more.
 const (
 	JobsTolerance     = 0.01
 	AttemptsTolerance = 0.02
@@ -30,7 +30,7 @@
 // Responses are the jobs of a class by their answer.
 type Responses struct{ OK, Shed, Errors float64 }
 
-// Figures are what a scheduler tells of itself.
+// Figures are the metrics that a scheduler reports on its operators' address.
 type Figures struct {
 	Responses map[string]Responses // by class
 	Attempts  float64
@@ -47,7 +47,13 @@
 	if err != nil {
 		return f, err
 	}
-	for name, to := range map[string]*float64{attemptsName: &f.Attempts, activeName: &f.Active, poolSizeName: &f.PoolSize, ejectedName: &f.Ejected} {
+	single := map[string]*float64{
+		attemptsName: &f.Attempts,
+		activeName:   &f.Active,
+		poolSizeName: &f.PoolSize,
+		ejectedName:  &f.Ejected,
+	}
+	for name, to := range single {
 		metrics := families[name].GetMetric()
 		if len(metrics) != 1 {
 			return f, fmt.Errorf("the figures hold %s %d times", name, len(metrics))
@@ -63,6 +69,7 @@
 	return f, nil
 }
 
+// addResponses takes in the responses of one class and result.
 func (f *Figures) addResponses(metric *dto.Metric) error {
 	labels := map[string]string{}
 	for _, label := range metric.GetLabel() {
@@ -88,18 +95,20 @@
 	return metric.GetCounter().GetValue() + metric.GetGauge().GetValue() + metric.GetUntyped().GetValue()
 }
 
-// Within reports whether a figure is as close to the true number as is owed.
-func Within(figure, truth, share float64) bool {
-	return math.Abs(figure-truth) <= max(share*truth, slack)
+// Within reports whether a figure is as close to the true number as the tolerance, a fraction of the
+// true number, demands.
+func Within(figure, truth, tolerance float64) bool {
+	return math.Abs(figure-truth) <= max(tolerance*truth, slack)
 }
 
-// Disagreement returns in words how the responses differ from the submitters' own tally, and
-// "" where they agree.
+// Disagreement describes how the responses differ from the clients' own tally; it is empty where they
+// agree.
 func (f Figures) Disagreement(answers map[string]Responses) string {
 	var faults []string
 	check := func(class, result string, figure, truth float64) {
 		if !Within(figure, truth, JobsTolerance) {
-			faults = append(faults, fmt.Sprintf("%s %s: the figures say %.0f, submitters received %.0f", class, result, figure, truth))
+			faults = append(faults, fmt.Sprintf("%s %s: the figures say %.0f, clients received %.0f",
+				class, result, figure, truth))
 		}
 	}
 	for class, truth := range answers {
--- a/internal/lab/service/handover.go
+++ b/internal/lab/service/handover.go
@@ -9,7 +9,7 @@
 	"github.com/vatu-meals/foxlift/internal/lab/fleet"
 )
 
-// A Termination is a process that the platform has told to end.
+// A Termination is a process that has had SIGTERM.
 type Termination struct {
 	Process   *fleet.Process
 	limit     time.Duration
@@ -28,27 +28,27 @@
 	return next, next.Start()
 }
 
-// RestoreState makes a process that has said yes the current one, and tells the old one to end.
+// Promote makes a process that is ready the current one, and sends SIGTERM to the old one.
 func (d *Deployment) Promote(next *fleet.Process) (*Termination, error) {
 	old := d.Current
 	d.Current = next
-	leaving := &Termination{Process: old, limit: d.KillAfter(), startedAt: time.Now()}
-	return leaving, old.Signal(syscall.SIGTERM)
+	termination := &Termination{Process: old, limit: d.KillAfter(), startedAt: time.Now()}
+	return termination, old.Signal(syscall.SIGTERM)
 }
 
 // Await waits for the end of the process, and kills it at the limit.
-func (l *Termination) Await(ctx context.Context) error {
+func (t *Termination) Await(ctx context.Context) error {
 	select {
-	case <-l.Process.Done():
-	case <-time.After(time.Until(l.startedAt.Add(l.limit))):
-		l.Forced = true
-		l.Process.Kill()
+	case <-t.Process.Done():
+	case <-time.After(time.Until(t.startedAt.Add(t.limit))):
+		t.Forced = true
+		t.Process.Kill()
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	l.Took = time.Since(l.startedAt)
-	if err := l.Process.Wait(); err != nil {
-		return fmt.Errorf("%s ended with %w after SIGTERM", l.Process.Name, err)
+	t.Took = time.Since(t.startedAt)
+	if err := t.Process.Wait(); err != nil {
+		return fmt.Errorf("%s ended with %w after SIGTERM", t.Process.Name, err)
 	}
 	return nil
 }
@@ -56,8 +56,8 @@
 // A Handover is one whole upgrade.
 type Handover struct {
 	StartedAt    time.Time
-	ReadyAfter   time.Duration // from the new process's start to its yes
-	TerminatedAt time.Time     // when the old one had SIGTERM; zero: never, it was killed
+	ReadyAfter   time.Duration // from the new process's start until it was ready
+	TerminatedAt time.Time     // when the old one had SIGTERM; zero if it was killed
 	Took         time.Duration // from SIGTERM to the old one's end
 	Forced       bool          // it was killed at the limit
 	Predecessor  *fleet.Process
@@ -65,11 +65,13 @@
 
 // Line tells the upgrade's steps, with times since a moment.
 func (h Handover) Line(since time.Time) string {
-	text := fmt.Sprintf("new process started at %.3f s, yes after %.3f s", h.StartedAt.Sub(since).Seconds(), h.ReadyAfter.Seconds())
+	text := fmt.Sprintf("new process started at %.3f s, yes after %.3f s",
+		h.StartedAt.Sub(since).Seconds(), h.ReadyAfter.Seconds())
 	if h.TerminatedAt.IsZero() {
 		return text + ", old one killed"
 	}
-	text += fmt.Sprintf(", old one told at %.3f s, ended after %.3f s", h.TerminatedAt.Sub(since).Seconds(), h.Took.Seconds())
+	text += fmt.Sprintf(", old one told at %.3f s, ended after %.3f s",
+		h.TerminatedAt.Sub(since).Seconds(), h.Took.Seconds())
 	if h.Forced {
 		text += " by SIGKILL at the limit"
 	}
@@ -90,14 +92,14 @@
 	return h, err
 }
 
-// finish carries an upgrade on from the new process's yes.
+// finish does the rest of an upgrade once the new process is ready.
 func (d *Deployment) finish(ctx context.Context, h *Handover, next *fleet.Process) error {
 	h.TerminatedAt = time.Now()
-	leaving, err := d.Promote(next)
+	termination, err := d.Promote(next)
 	if err != nil {
-		return fmt.Errorf("%s was gone before its SIGTERM: %w", leaving.Process.Name, err)
+		return fmt.Errorf("%s was gone before its SIGTERM: %w", termination.Process.Name, err)
 	}
-	err = leaving.Await(ctx)
-	h.Took, h.Forced = leaving.Took, leaving.Forced
+	err = termination.Await(ctx)
+	h.Took, h.Forced = termination.Took, termination.Forced
 	return err
 }
--- a/internal/lab/service/judge_test.go
+++ b/internal/lab/service/judge_test.go
@@ -1,6 +1,7 @@
 package service
 
 import (
+	"errors"
 	"testing"
 	"time"
 )
@@ -41,18 +42,30 @@
 	}
 }
 
+// at is a moment of a trial.
+func at(milliseconds int64) time.Time { return time.UnixMilli(milliseconds) }
+
+// passingResult is a result of two upgrades that passes.
+func passingResult() UpgradesResult {
+	r := UpgradesResult{
+		Sent: 2,
+		Handovers: []Handover{
+			{StartedAt: at(100), ReadyAfter: time.Second},
+			{StartedAt: at(900), ReadyAfter: time.Second},
+		},
+		Tally: newTally(),
+	}
+	r.Tally.Answers["reading"] = Responses{OK: 1}
+	return r
+}
+
 // The judge sees each fault, and excuses only what died with a killed process.
 func TestUpgradesAreJudged(t *testing.T) {
-	at := func(ms int) time.Time { return time.UnixMilli(int64(ms)) }
-	failed := func(fate Outcome, began, ended int) Record {
-		return Record{ID: "a/ratify/1", Class: "ratify", Sends: []Send{{StartedAt: at(began), Ended: at(ended), Outcome: fate}}}
-	}
-	good := func() UpgradesResult {
-		r := UpgradesResult{Sent: 2, Handovers: []Handover{{StartedAt: at(100), ReadyAfter: time.Second}, {StartedAt: at(900), ReadyAfter: time.Second}}, Tally: newTally()}
-		r.Tally.Answers["reading"] = Responses{OK: 1}
-		return r
+	failed := func(outcome Outcome, began, ended int64) Record {
+		send := Send{StartedAt: at(began), Ended: at(ended), Outcome: outcome}
+		return Record{ID: "a/ratify/1", Class: "ratify", Sends: []Send{send}}
 	}
-	turned := func(moments ...int) func(*UpgradesResult) {
+	turned := func(moments ...int64) func(*UpgradesResult) {
 		return func(r *UpgradesResult) {
 			for _, m := range moments {
 				r.Tally.Returned = append(r.Tally.Returned, failed(Unread, m, m+1))
@@ -63,13 +76,25 @@
 		r.Outages = []Outage{{at(300), at(350)}}
 		r.Tally.Lost = append(r.Tally.Lost, failed(Interrupted, 250, 302))
 	}
+	lost := func(r *UpgradesResult) { r.Tally.Lost = []Record{failed(Interrupted, 1, 2)} }
+	wrong := func(r *UpgradesResult) { r.Tally.Wrong = []Record{failed(Answered, 1, 2)} }
+	lostAt := func(began, ended int64) func(*UpgradesResult) {
+		return func(r *UpgradesResult) {
+			killed(r)
+			r.Tally.Lost[0] = failed(Interrupted, began, ended)
+		}
+	}
+	turnedByKill := func(r *UpgradesResult) {
+		killed(r)
+		turned(150, 160, 310)(r)
+	}
 	for name, c := range map[string]struct {
 		ok     bool
 		change func(*UpgradesResult)
 	}{
 		"nothing":                          {true, func(*UpgradesResult) {}},
-		"lost":                             {false, func(r *UpgradesResult) { r.Tally.Lost = []Record{failed(Interrupted, 1, 2)} }},
-		"wrong":                            {false, func(r *UpgradesResult) { r.Tally.Wrong = []Record{failed(Answered, 1, 2)} }},
+		"lost":                             {false, lost},
+		"wrong":                            {false, wrong},
 		"twice":                            {false, func(r *UpgradesResult) { r.Twice = []string{"a"} }},
 		"a late yes":                       {false, func(r *UpgradesResult) { r.Handovers[1].ReadyAfter = ReadyLimit + 1 }},
 		"an upgrade missing":               {false, func(r *UpgradesResult) { r.Sent = 3 }},
@@ -77,22 +102,22 @@
 		"two turned back in each":          {true, turned(150, 160, 950, 960)},
 		"three turned back in one":         {false, turned(150, 160, 170)},
 		"died with a killed process":       {true, killed},
-		"lost before the kill":             {false, func(r *UpgradesResult) { killed(r); r.Tally.Lost[0] = failed(Interrupted, 250, 299) }},
-		"lost after the kill":              {false, func(r *UpgradesResult) { killed(r); r.Tally.Lost[0] = failed(Interrupted, 351, 360) }},
-		"three turned back, one by a kill": {true, func(r *UpgradesResult) { killed(r); turned(150, 160, 310)(r) }},
+		"lost before the kill":             {false, lostAt(250, 299)},
+		"lost after the kill":              {false, lostAt(351, 360)},
+		"three turned back, one by a kill": {true, turnedByKill},
 	} {
-		r := good()
+		r := passingResult()
 		if c.change(&r); r.OK() != c.ok {
 			t.Errorf("%s: passes: %v; %s", name, r.OK(), r.Line())
 		}
 	}
 }
 
-// A fault that no trial knows is said so.
+// A fault that no trial knows is an error.
 func TestUnknownFault(t *testing.T) {
 	u := DefaultUpgrades
 	u.Fault = "kill-all"
-	if _, err := u.Run(t.Context(), t.Output()); err != errUnknownFault {
+	if _, err := u.Run(t.Context(), t.Output()); !errors.Is(err, errUnknownFault) {
 		t.Error(err)
 	}
 }
--- a/internal/lab/service/listening.go
+++ b/internal/lab/service/listening.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// The columns of the kernel's table of TCP sockets, and its word for a listening one.
+// The columns of the kernel's table of TCP sockets, and its state of a listening one.
 const (
 	tcpTable       = "/proc/net/tcp"
 	localColumn    = 1
@@ -53,22 +53,27 @@
 	inodes := map[string]bool{}
 	lines := bufio.NewScanner(table)
 	for lines.Scan() {
-		if columns := strings.Fields(lines.Text()); len(columns) >= tcpColumns && columns[localColumn] == local && columns[stateColumn] == listeningState {
+		columns := strings.Fields(lines.Text())
+		if len(columns) < tcpColumns {
+			continue
+		}
+		if columns[localColumn] == local && columns[stateColumn] == listeningState {
 			inodes["socket:["+columns[inodeColumn]+"]"] = true
 		}
 	}
 	return inodes, lines.Err()
 }
 
-// tableAddress words an address as the kernel's table does: the IP address as a number in the
-// machine's own order of bytes.
+// tableAddress formats an address as the kernel's table does: the IP address as a hexadecimal number
+// in the machine's own byte order.
 func tableAddress(address string) (string, error) {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
 		return "", err
 	}
-	ip, number := net.ParseIP(host).To4(), 0
-	if number, err = strconv.Atoi(port); err != nil || ip == nil {
+	ip := net.ParseIP(host).To4()
+	number, err := strconv.Atoi(port)
+	if err != nil || ip == nil {
 		return "", fmt.Errorf("no IPv4 address with a port: %q", address)
 	}
 	return fmt.Sprintf("%02X%02X%02X%02X:%04X", ip[3], ip[2], ip[1], ip[0], number), nil
--- a/internal/lab/service/load.go
+++ b/internal/lab/service/load.go
@@ -10,10 +10,10 @@
 	"github.com/vatu-meals/foxlift/internal/lab"
 )
 
-// sends is how often a job is sent at most: a second time only after it was turned back unheard.
+// maxSends is how often a job is sent at most: a second time only if the first was Unread.
 const maxSends = 2
 
-// grace is how long submitters wait beyond the time that a job has.
+// grace is how long clients wait beyond a job's deadline.
 const grace = 500 * time.Millisecond
 
 // A LoadOptions is a steady, bounded load.
@@ -21,7 +21,7 @@
 	Name        string  // begins the jobs' ids
 	Rate        float64 // jobs a second, Poisson
 	Seed        uint64
-	Fresh       float64 // share of the jobs that come on a connection of their own
+	Fresh       float64 // fraction of the jobs that come on a connection of their own
 	MaxIdle     int     // idle connections that are kept at most; used in turn
 	MaxOpenJobs int     // jobs open at a time; arrivals beyond are left out
 }
@@ -29,7 +29,7 @@
 // DefaultLoad is a quarter of what DefaultWorld can do.
 var DefaultLoad = LoadOptions{Name: "load", Rate: 140, Seed: 1, Fresh: 0.4, MaxIdle: 24, MaxOpenJobs: 128}
 
-// A Load is submitters at one address, on kept and on fresh connections.
+// A Load is the clients of one address, on kept and on fresh connections. Stop ends its goroutines.
 type Load struct {
 	LoadOptions
 	addr    string
@@ -39,14 +39,21 @@
 	wait    sync.WaitGroup
 
 	mu    sync.Mutex
-	idle  []*connection // the one that was used last is the last
+	idle  []*connection // the one used last comes last
 	open  int           // jobs
 	tally Tally
 }
 
 // StartLoad begins jobs of a world's classes and tenants.
 func StartLoad(addr string, world lab.Topology, o LoadOptions) *Load {
-	l := &Load{LoadOptions: o, addr: addr, classes: world.Classes, tenants: world.Tenants, stop: make(chan struct{}), tally: newTally()}
+	l := &Load{
+		LoadOptions: o,
+		addr:        addr,
+		classes:     world.Classes,
+		tenants:     world.Tenants,
+		stop:        make(chan struct{}),
+		tally:       newTally(),
+	}
 	l.wait.Go(l.run)
 	return l
 }
@@ -58,13 +65,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, c := range l.idle {
-		c.Close()
+		c.conn.Close()
 	}
 	l.idle = nil
 	return l.tally
 }
 
-// Answered returns how many jobs have ended, and how many of them were turned back unheard.
+// Answered returns how many jobs have ended, and how many of them had an Unread send.
 func (l *Load) Answered() (ended, turnedBack int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -111,6 +118,7 @@
 	}
 }
 
+// class picks a class by the classes' fractions of the jobs, with a random number from 0 to 1.
 func (l *Load) class(drawn float64) lab.Class {
 	for _, c := range l.classes {
 		if drawn -= c.JobFraction; drawn < 0 {
@@ -120,6 +128,7 @@
 	return l.classes[0]
 }
 
+// tenant picks a tenant by the tenants' quotas, with a random number from 0 to 1.
 func (l *Load) tenant(drawn float64) lab.Tenant {
 	for _, t := range l.tenants {
 		if drawn -= t.QuotaFraction; drawn < 0 {
@@ -129,7 +138,7 @@
 	return l.tenants[0]
 }
 
-// enter counts a job in, unless too many are open.
+// admit counts a job as open, and reports false if too many are.
 func (l *Load) admit() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -161,10 +170,12 @@
 	l.tally.add(record, got.Body)
 }
 
-// requestText is a job as it goes over the wire.
+// requestText is a job's request as it is sent.
 func requestText(id string, class lab.Class, tenant string) string {
 	const body = "body"
-	return fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: app.svc\r\nX-Txn: %s\r\nX-Lane: %s\r\nX-Org: %s\r\nX-Remaining: %dm\r\nContent-Length: %d\r\n\r\n%s",
+	const head = "POST /%s HTTP/1.1\r\nHost: app.svc\r\nX-Txn: %s\r\nX-Lane: %s\r\nX-Org: %s\r\n" +
+		"X-Remaining: %dm\r\nContent-Length: %d\r\n\r\n"
+	return fmt.Sprintf(head+"%s",
 		class.Name, id, class.Name, tenant, class.Deadline.Milliseconds(), len(body), body)
 }
 
@@ -187,13 +198,13 @@
 	if s.Outcome == Answered && !fresh {
 		l.release(c)
 	} else {
-		c.Close()
+		c.conn.Close()
 	}
 	return got, s
 }
 
-// take returns the connection that has been idle for longest and is still open; nil: there is
-// none.
+// connection returns the connection that has been idle for longest and is still open, or nil if
+// there is none.
 func (l *Load) connection() *connection {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -203,17 +214,17 @@
 		if c.usable() {
 			return c
 		}
-		c.Close()
+		c.conn.Close()
 	}
 	return nil
 }
 
-// keep keeps a connection for a later job, while there is room.
+// release keeps a connection for a later job, or closes it if enough are idle.
 func (l *Load) release(c *connection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.idle) >= l.MaxIdle || c.closes {
-		c.Close()
+		c.conn.Close()
 		return
 	}
 	l.idle = append(l.idle, c)
--- a/internal/lab/service/main_test.go
+++ b/internal/lab/service/main_test.go
@@ -1,7 +1,6 @@
 package service
 
 import (
-	"context"
 	"os"
 	"testing"
 	"time"
@@ -56,7 +55,7 @@
 	return whole
 }
 
-// A scene is a deployment under load.
+// A testbed is a deployment under load.
 type testbed struct {
 	*Deployment
 	load      *Load
@@ -82,8 +81,8 @@
 	})
 }
 
-// ends ends the load and judges: no job is lost, none that must not ran twice, and in each
-// upgrade two at most were turned back unheard.
+// terminates ends the load and the scheduler, and judges: no job is lost, no at-most-once job ran
+// twice, and in each upgrade two at most were Unread.
 func (s *testbed) terminates(t *testing.T, upgrades int) {
 	t.Helper()
 	tally := s.load.Stop()
@@ -105,5 +104,5 @@
 	if sum := tally.Total(); sum.OK == 0 {
 		t.Error("no job was served")
 	}
-	must(t, s.Terminate(context.Background()))
+	must(t, s.Terminate(t.Context()))
 }
--- a/internal/lab/service/operators.go
+++ b/internal/lab/service/operators.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// AnswerLimit is within what time each call to the operators' address is owed its answer.
+// AnswerLimit is the time limit of each call to the operators' address.
 const AnswerLimit = time.Second
 
-// Operators calls a scheduler's second address, as the platform does: one call on each
+// Operators calls a scheduler's operators' address as the platform does: one call on each
 // connection.
 type Operators struct{ Addr string }
 
-// A StatusError is an answer that is not a yes.
+// A StatusError is an answer whose status is not 2xx.
 type StatusError struct {
 	Call   string
 	Status int
@@ -24,7 +24,7 @@
 // Error names the call and its answer.
 func (e *StatusError) Error() string { return fmt.Sprintf("%s was answered %d", e.Call, e.Status) }
 
-// Health asks whether the process is ready to serve; nil: it is.
+// Health returns nil if the process is ready to serve.
 func (o Operators) Health(ctx context.Context) error {
 	_, err := o.call(ctx, http.MethodGet, "/admin/health")
 	return err
@@ -39,18 +39,19 @@
 	return ParseFigures(text)
 }
 
-// Quiesce has the scheduler send its clients away.
+// Quiesce takes the scheduler out of service: it disconnects its clients.
 func (o Operators) Quiesce(ctx context.Context) error {
 	_, err := o.call(ctx, http.MethodPut, "/admin/quiesce")
 	return err
 }
 
-// Resume has it serve again.
+// Resume takes the scheduler back into service.
 func (o Operators) Resume(ctx context.Context) error {
 	_, err := o.call(ctx, http.MethodPut, "/admin/resume")
 	return err
 }
 
+// call makes one call and returns its body.
 func (o Operators) call(ctx context.Context, method, path string) (string, error) {
 	return Fetch(ctx, method, "http://"+o.Addr+path)
 }
--- a/internal/lab/service/quiesce_test.go
+++ b/internal/lab/service/quiesce_test.go
@@ -16,26 +16,26 @@
 	resumeLimit = 2 * time.Second // from the drain's end until yes is due
 )
 
-// A guest is a connection that a client keeps for as long as the scheduler does.
-type keptConnection struct {
+// A persistentConnection is one that a client keeps for as long as the scheduler does.
+type persistentConnection struct {
 	*connection
 	closed chan struct{} // when the scheduler has ended it
 }
 
-// keepConnection connects; once it has run jobs on it, wait begins to watch for its end.
-func keepConnection(t *testing.T, d *Deployment) *keptConnection {
+// openPersistent connects; awaitClose watches for the end once jobs have run on the connection.
+func openPersistent(t *testing.T, d *Deployment) *persistentConnection {
 	t.Helper()
 	c, err := dial(d.Addr(), time.Now().Add(patience))
 	must(t, err)
-	t.Cleanup(func() { c.Close() })
-	return &keptConnection{c, make(chan struct{})}
+	t.Cleanup(func() { c.conn.Close() })
+	return &persistentConnection{c, make(chan struct{})}
 }
 
-// wait reads until the connection's end.
-func (g *keptConnection) awaitClose() {
+// awaitClose reads until the connection's end.
+func (g *persistentConnection) awaitClose() {
 	defer close(g.closed)
-	g.SetDeadline(time.Now().Add(patience))
-	g.reader.ReadByte()
+	g.conn.SetDeadline(time.Now().Add(patience))
+	_, _ = g.reader.ReadByte() // the end, whatever it is
 }
 
 // quiesced drains a scheduler, and checks that its next health is a no.
@@ -55,10 +55,10 @@
 	t.Helper()
 	must(t, Operators{d.Current.Admin}.Resume(t.Context()))
 	await(t, "yes after the drain's end", resumeLimit, func() bool { return frontHealth(t, d) == nil })
-	g := keepConnection(t, d)
+	g := openPersistent(t, d)
 	text := requestText("resumed/north/reading/"+g.port(), d.Fleet.Classes[0], "north")
-	if a, fate, err := g.exchange(text, time.Now().Add(patience)); fate != Answered || a.Status != http.StatusOK {
-		t.Errorf("after the drain a job is %v, status %d (%v)", fate, a.Status, err)
+	if a, outcome, err := g.exchange(text, time.Now().Add(patience)); outcome != Answered || a.Status != http.StatusOK {
+		t.Errorf("after the drain a job is %v, status %d (%v)", outcome, a.Status, err)
 	}
 }
 
@@ -70,25 +70,25 @@
 	long := &world.Classes[1]
 	long.ServiceTime, long.LatencyObjective, long.Deadline = 1500*time.Millisecond, 4*time.Second, 6*time.Second
 	d := deploy(t, world)
-	var idle []*keptConnection
+	var idle []*persistentConnection
 	for i := range kept {
-		g := keepConnection(t, d)
+		g := openPersistent(t, d)
 		text := requestText(fmt.Sprintf("kept/north/reading/%d", i), world.Classes[0], "north")
-		if a, fate, err := g.exchange(text, time.Now().Add(patience)); fate != Answered || a.Status != http.StatusOK {
-			t.Errorf("before the drain a job is %v, status %d (%v)", fate, a.Status, err)
+		if a, outcome, err := g.exchange(text, time.Now().Add(patience)); outcome != Answered || a.Status != http.StatusOK {
+			t.Errorf("before the drain a job is %v, status %d (%v)", outcome, a.Status, err)
 		}
 		idle = append(idle, g)
 	}
 	for range silent {
-		idle = append(idle, keepConnection(t, d))
+		idle = append(idle, openPersistent(t, d))
 	}
 	var work sync.WaitGroup
 	for i := range working {
-		g := keepConnection(t, d)
+		g := openPersistent(t, d)
 		text := requestText(fmt.Sprintf("working/north/ratify/%d", i), *long, "north")
 		work.Go(func() {
-			if a, fate, err := g.exchange(text, time.Now().Add(patience)); fate != Answered || a.Status != http.StatusOK {
-				t.Errorf("a job in work at the drain is %v, status %d (%v)", fate, a.Status, err)
+			if a, outcome, err := g.exchange(text, time.Now().Add(patience)); outcome != Answered || a.Status != http.StatusOK {
+				t.Errorf("a job in work at the drain is %v, status %d (%v)", outcome, a.Status, err)
 			}
 			g.awaitClose()
 		})
@@ -96,20 +96,21 @@
 	}
 	await(t, "the jobs run", patience, func() bool { return runs(d) >= kept+working })
 	for _, g := range idle[:kept+silent] {
-		go g.awaitClose()
+		work.Go(g.awaitClose)
 	}
 	began := quiesced(t, d)
 	for i, g := range idle {
 		select {
 		case <-g.closed:
 		case <-time.After(time.Until(began.Add(drainLimit))):
-			t.Errorf("connection %d of %d kept, %d silent and %d working ones is open after %v", i, kept, silent, working, drainLimit)
+			t.Errorf("connection %d of %d kept, %d silent and %d working ones is open after %v",
+				i, kept, silent, working, drainLimit)
 		}
 	}
 	work.Wait()
 	must(t, Operators{d.Current.Admin}.checkAlive(t.Context()))
 	resumed(t, d)
-	must(t, d.Terminate(context.Background()))
+	must(t, d.Terminate(t.Context()))
 }
 
 // alive reports whether the process still answers its operators, with yes or no.
@@ -127,20 +128,20 @@
 	busy.Add(clients)
 	quiesce := make(chan time.Time, clients)
 	for i := range clients {
-		g := keepConnection(t, d)
+		g := openPersistent(t, d)
 		wait.Go(func() {
 			first := sync.OnceFunc(busy.Done)
 			defer first()
 			var last time.Time
 			for number := 0; ; number++ {
 				text := requestText(fmt.Sprintf("busy-%d/south/reading/%d", i, number), d.Fleet.Classes[0], "south")
-				a, fate, err := g.exchange(text, time.Now().Add(patience))
+				a, outcome, err := g.exchange(text, time.Now().Add(patience))
 				first()
-				if fate == Unread || g.closes {
+				if outcome == Unread || g.closes {
 					break
 				}
-				if last = time.Now(); fate != Answered {
-					t.Errorf("client %d, job %d: %v (%v)", i, number, fate, err)
+				if last = time.Now(); outcome != Answered {
+					t.Errorf("client %d, job %d: %v (%v)", i, number, outcome, err)
 					break
 				} else if a.Status != http.StatusOK && a.Status != http.StatusServiceUnavailable {
 					t.Errorf("client %d, job %d: status %d", i, number, a.Status)
@@ -158,7 +159,7 @@
 	}
 	wait.Wait()
 	resumed(t, d)
-	must(t, d.Terminate(context.Background()))
+	must(t, d.Terminate(t.Context()))
 }
 
 // A drain that is asked for twice is one, and so is its end.
@@ -168,5 +169,5 @@
 	quiesced(t, d)
 	resumed(t, d)
 	resumed(t, d)
-	must(t, d.Terminate(context.Background()))
+	must(t, d.Terminate(t.Context()))
 }
--- a/internal/lab/service/stats_test.go
+++ b/internal/lab/service/stats_test.go
@@ -1,7 +1,6 @@
 package service
 
 import (
-	"context"
 	"sync"
 	"testing"
 	"time"
@@ -29,7 +28,7 @@
 	})
 }
 
-// After a load that is too much, with nodes that fail, the figures are the submitters' own.
+// After too much load, with workers that fail, the figures agree with the clients' own.
 func TestFiguresAgreeWithClients(t *testing.T) {
 	world := DefaultWorld()
 	world.Kinds[0].Count, world.Kinds[0].Slots = 4, 2
@@ -53,13 +52,13 @@
 	var told Figures
 	defer func() {
 		t.Log(told.Disagreement(tally.Answers))
-		t.Logf("tries %.0f, the nodes have read %d", told.Attempts, d.Fleet.Requests())
+		t.Logf("tries %.0f, the workers have read %d", told.Attempts, d.Fleet.Requests())
 	}()
-	awaitFigures(t, d, "the responses are the submitters'", lateness, func(f Figures) bool {
+	awaitFigures(t, d, "the responses are the clients'", lateness, func(f Figures) bool {
 		told = f
 		return f.Disagreement(tally.Answers) == ""
 	})
-	awaitFigures(t, d, "the tries are the nodes'", lateness, func(f Figures) bool {
+	awaitFigures(t, d, "the tries are the workers'", lateness, func(f Figures) bool {
 		told = f
 		return Within(f.Attempts, float64(d.Fleet.Requests()), AttemptsTolerance)
 	})
@@ -88,10 +87,10 @@
 	awaitFigures(t, s.Deployment, "it counts some, and none from before the upgrade", lateness, func(f Figures) bool {
 		return f.served() > 0 && f.served() <= most
 	})
-	must(t, s.Terminate(context.Background()))
+	must(t, s.Terminate(t.Context()))
 }
 
-// While jobs run, and wait for a node, as many are active; once they are answered, none is.
+// While jobs run, and wait for a worker, as many are active; once they are answered, none is.
 func TestActiveJobsAreCounted(t *testing.T) {
 	const jobs = 24
 	world := DefaultWorld()
@@ -102,21 +101,24 @@
 	for range jobs {
 		c, err := dial(d.Addr(), time.Now().Add(patience))
 		must(t, err)
-		t.Cleanup(func() { c.Close() })
+		t.Cleanup(func() { c.conn.Close() })
 		text := requestText("active/north/ratify/"+c.port(), *class, "north")
 		wait.Go(func() {
-			if a, fate, err := c.exchange(text, time.Now().Add(patience)); fate != Answered || a.Status != 200 {
-				t.Errorf("%v, status %d (%v)", fate, a.Status, err)
+			if a, outcome, err := c.exchange(text, time.Now().Add(patience)); outcome != Answered || a.Status != 200 {
+				t.Errorf("%v, status %d (%v)", outcome, a.Status, err)
 			}
 		})
 	}
 	await(t, "the jobs run", patience, func() bool { return runs(d) >= jobs })
-	awaitFigures(t, d, "they are active", lateness, func(f Figures) bool { return Within(f.Active, jobs, ActiveTolerance) })
+	active := func(truth float64) func(Figures) bool {
+		return func(f Figures) bool { return Within(f.Active, truth, ActiveTolerance) }
+	}
+	awaitFigures(t, d, "they are active", lateness, active(jobs))
 	wait.Wait()
-	awaitFigures(t, d, "none is active", lateness, func(f Figures) bool { return Within(f.Active, 0, ActiveTolerance) })
+	awaitFigures(t, d, "none is active", lateness, active(0))
 }
 
-// runs is how many different jobs the nodes have begun.
+// runs is how many different jobs the workers have begun.
 func runs(d *Deployment) int {
 	ids := map[string]bool{}
 	for _, n := range d.Fleet.Workers() {
@@ -127,14 +129,14 @@
 	return len(ids)
 }
 
-// The pool is as large as the machine list, also as that changes, and nodes that went away
-// without a word are told as avoided.
+// The pool is as large as the endpoint list, also as that changes, and workers that crashed are
+// reported as ejected.
 func TestPoolIsReported(t *testing.T) {
 	d := deploy(t, DefaultWorld())
 	size := func(n float64) func(Figures) bool {
 		return func(f Figures) bool { return f.PoolSize == n && f.Ejected == 0 }
 	}
-	awaitFigures(t, d, "all nodes are in the pool", 2*time.Second, size(8))
+	awaitFigures(t, d, "all workers are in the pool", 2*time.Second, size(8))
 	added, err := d.Fleet.AddWorker(d.Fleet.Kinds[0], time.Time{})
 	must(t, err)
 	awaitFigures(t, d, "another one is", 2*time.Second, size(9))
@@ -144,9 +146,11 @@
 	for _, n := range d.Fleet.Workers()[:2] {
 		n.Crash()
 	}
-	awaitFigures(t, d, "two are avoided", 10*time.Second, func(f Figures) bool { return f.PoolSize == 8 && f.Ejected == 2 })
+	awaitFigures(t, d, "two are avoided", 10*time.Second, func(f Figures) bool {
+		return f.PoolSize == 8 && f.Ejected == 2
+	})
 	if tally := load.Stop(); tally.Total().OK == 0 {
 		t.Error(tally.Line())
 	}
-	must(t, d.Terminate(context.Background()))
+	must(t, d.Terminate(t.Context()))
 }
--- a/internal/lab/service/tally.go
+++ b/internal/lab/service/tally.go
@@ -9,23 +9,23 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// A Send is one try at handing a job to the scheduler.
+// A Send is one transmission of a job to the scheduler.
 type Send struct {
 	StartedAt, Ended time.Time
-	Port             string // the submitter's; "": no connection came up
+	Port             string // the client's; empty if no connection was made
 	Fresh            bool   // the connection had carried nothing before
 	Outcome          Outcome
-	Err              error // what happened, where there was no answer
+	Err              error // what happened, if there was no answer
 }
 
 // A Record is one job with all its sends.
 type Record struct {
 	ID, Class string
 	Sends     []Send
-	Status    int // of its answer; 0: none
+	Status    int // of its answer; 0 if there was none
 }
 
-// last is the send that decided what became of the job.
+// last is the send that decided the job's outcome.
 func (r Record) last() Send { return r.Sends[len(r.Sends)-1] }
 
 // Lost reports whether the job has no whole answer.
@@ -35,7 +35,8 @@
 func (r Record) Text(since time.Time) string {
 	var sends []string
 	for _, s := range r.Sends {
-		text := fmt.Sprintf("sent at %.3f s from port %q (fresh: %v), %s at %.3f s", s.StartedAt.Sub(since).Seconds(), s.Port, s.Fresh, s.Outcome, s.Ended.Sub(since).Seconds())
+		text := fmt.Sprintf("sent at %.3f s from port %q (fresh: %v), %s at %.3f s",
+			s.StartedAt.Sub(since).Seconds(), s.Port, s.Fresh, s.Outcome, s.Ended.Sub(since).Seconds())
 		if s.Err != nil {
 			text += " (" + s.Err.Error() + ")"
 		}
@@ -51,19 +52,22 @@
 	latencyDigits = 3
 )
 
-// A Tally is what became of jobs.
+// A Tally counts jobs by what became of them.
 type Tally struct {
 	Sent     int
 	Answers  map[string]Responses // by class
 	Rejected int                  // 4xx but 429: the scheduler did not take the job
-	Wrong    []Record             // answered as served, with another job's result or none
+	Wrong    []Record             // answered 200, with another job's result or none
 	Lost     []Record
-	Returned []Record // unheard at least once
+	Returned []Record // Unread at least once
 	Latency  *hdrhistogram.Histogram
 }
 
 func newTally() Tally {
-	return Tally{Answers: map[string]Responses{}, Latency: hdrhistogram.New(1, int64(maxLatency/latencyUnit), latencyDigits)}
+	return Tally{
+		Answers: map[string]Responses{},
+		Latency: hdrhistogram.New(1, int64(maxLatency/latencyUnit), latencyDigits),
+	}
 }
 
 // add counts a job that has ended, with the answer's body.
@@ -79,7 +83,8 @@
 		t.Lost = append(t.Lost, r)
 		return
 	}
-	t.Latency.RecordValue(int64(r.last().Ended.Sub(r.Sends[0].StartedAt) / latencyUnit))
+	latency := r.last().Ended.Sub(r.Sends[0].StartedAt)
+	_ = t.Latency.RecordValue(int64(latency / latencyUnit)) // fails beyond maxLatency: such jobs are left out
 	responses := t.Answers[r.Class]
 	switch {
 	case r.Status == http.StatusOK:
@@ -97,7 +102,7 @@
 	t.Answers[r.Class] = responses
 }
 
-// resultOf is how the result of a job begins that a stand-in node has run.
+// resultOf is the beginning of a job's result, as a stand-in worker words it.
 func resultOf(r Record) string { return fmt.Sprintf("%s of %s by ", r.ID, r.Class) }
 
 // Total is the sum of the answers over all classes.
@@ -110,12 +115,17 @@
 	return sum
 }
 
-// Line sums the tally up.
+// Line is the tally in one line.
 func (t Tally) Line() string {
 	sum := t.Total()
 	at := func(percent float64) float64 {
 		return (time.Duration(t.Latency.ValueAtQuantile(percent)) * latencyUnit).Seconds()
 	}
-	return fmt.Sprintf("jobs %d: ok %.0f, shed %.0f, errors %.0f, rejected %d, lost %d, wrong %d, turned back unheard %d; answered after %.3f s at the median, %.3f s at 99 %%, %.3f s at most",
-		t.Sent, sum.OK, sum.Shed, sum.Errors, t.Rejected, len(t.Lost), len(t.Wrong), len(t.Returned), at(50), at(99), at(100))
+	answers := fmt.Sprintf("jobs %d: ok %.0f, shed %.0f, errors %.0f, rejected %d",
+		t.Sent, sum.OK, sum.Shed, sum.Errors, t.Rejected)
+	failures := fmt.Sprintf("lost %d, wrong %d, turned back unheard %d",
+		len(t.Lost), len(t.Wrong), len(t.Returned))
+	latencies := fmt.Sprintf("answered after %.3f s at the median, %.3f s at 99 %%, %.3f s at most",
+		at(50), at(99), at(100))
+	return answers + ", " + failures + "; " + latencies
 }
--- a/internal/lab/service/upgrade_test.go
+++ b/internal/lab/service/upgrade_test.go
@@ -1,13 +1,14 @@
 package service
 
 import (
+	"errors"
 	"os"
 	"strings"
 	"syscall"
 	"testing"
 )
 
-// plays a trial and judges it.
+// runTrial runs a trial and judges it.
 func runTrial(t *testing.T, u Upgrades) UpgradesResult {
 	t.Helper()
 	u.Program = program
@@ -28,8 +29,8 @@
 	runTrial(t, u)
 }
 
-// A new process that is killed before its yes, or stands still first, costs no job: the old
-// one goes on, and the next one takes over.
+// A new process that is killed before it is ready, or stopped first, costs no job: the old one goes
+// on, and the next one takes over.
 func TestSuccessorFailsBeforeReady(t *testing.T) {
 	for _, fault := range []Fault{KillSuccessor, SuspendSuccessor} {
 		t.Run(string(fault), func(t *testing.T) {
@@ -60,13 +61,13 @@
 	must(t, err)
 	must(t, old.Signal(syscall.SIGHUP))
 	must(t, next.Signal(syscall.SIGHUP))
-	leaving, err := s.Promote(next)
+	terminations, err := s.Promote(next)
 	must(t, err)
 	must(t, next.Signal(syscall.SIGHUP))
-	if err := old.Signal(syscall.SIGHUP); err != nil && err != os.ErrProcessDone {
+	if err := old.Signal(syscall.SIGHUP); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		t.Fatal(err)
 	}
-	must(t, leaving.Await(t.Context()))
+	must(t, terminations.Await(t.Context()))
 	s.awaitProgress(t)
 	s.terminates(t, 1)
 }
@@ -80,28 +81,29 @@
 	must(t, old.Quiesce(t.Context()))
 	_, err = AwaitReady(t.Context(), next)
 	must(t, err)
-	leaving, err := s.Promote(next)
+	terminations, err := s.Promote(next)
 	must(t, err)
-	must(t, leaving.Await(t.Context()))
+	must(t, terminations.Await(t.Context()))
 	s.awaitProgress(t)
 	s.terminates(t, 1)
 }
 
-// The second upgrade begins at the first one's yes: three processes are there at a time.
+// The second upgrade begins when the first one's successor is ready: three processes are there at a
+// time.
 func TestTwoUpgradesInARow(t *testing.T) {
 	s := underLoad(t)
-	var leaving [2]*Termination
-	for i := range leaving {
+	var terminations [2]*Termination
+	for i := range terminations {
 		next, err := s.StartNext()
 		must(t, err)
 		_, err = AwaitReady(t.Context(), next)
 		must(t, err)
-		leaving[i], err = s.Promote(next)
+		terminations[i], err = s.Promote(next)
 		must(t, err)
 	}
-	for _, l := range leaving {
+	for _, l := range terminations {
 		must(t, l.Await(t.Context()))
 	}
 	s.awaitProgress(t)
-	s.terminates(t, len(leaving))
+	s.terminates(t, len(terminations))
 }
--- a/internal/lab/service/upgrades.go
+++ b/internal/lab/service/upgrades.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	maxReturned = 2  // jobs, unheard in one upgrade
-	jobsBetween = 10 // that end before each upgrade
+	maxReturned = 2  // Unread jobs in one upgrade
+	jobsBetween = 10 // jobs that end before each upgrade
 )
 
-// Upgrades is a trial: one upgrade after another, as the platform does them, under load.
+// Upgrades is a trial: one upgrade after another under load, each done as the platform does it.
 type Upgrades struct {
 	Program  string
 	Upgrades int
@@ -28,7 +28,7 @@
 // DefaultUpgrades is the trial that the operators' page speaks of.
 var DefaultUpgrades = Upgrades{Program: "bin/foxlift", Upgrades: 20, Seed: 1, Fault: NoFault, Load: DefaultLoad}
 
-// An UpgradesResult is what a trial saw.
+// An UpgradesResult is what a trial observed.
 type UpgradesResult struct {
 	StartedAt time.Time
 	Handovers []Handover
@@ -36,7 +36,7 @@
 	Placed    int      // faults
 	Outages   []Outage // by kills of a process that served
 	Tally     Tally
-	Twice     []string // at-most-once jobs that ran more than once
+	Twice     []string // identifiers of at-most-once jobs that ran more than once
 }
 
 // excused reports whether a send may have failed because its process was killed.
@@ -54,8 +54,8 @@
 	return lost
 }
 
-// Returned counts the jobs turned back unheard, and the most in one upgrade: each belongs to
-// the upgrade that began last before it was sent. What a killed process turned back counts not.
+// Returned counts the Unread jobs, and the most in one upgrade: each belongs to the upgrade that
+// began last before it was sent. Those of a killed process do not count.
 func (r UpgradesResult) Returned() (all, most int) {
 	counts := make([]int, len(r.Handovers)+1)
 	for _, record := range r.Tally.Returned {
@@ -67,7 +67,7 @@
 	return all, slices.Max(counts)
 }
 
-// upgradeOf is the number of the upgrade that began last before a job's first send ended; 0:
+// upgradeOf is the number of the upgrade that began last before a job's first send ended, or 0 if
 // there was none yet.
 func (r UpgradesResult) upgradeOf(record Record) int {
 	ended := record.Sends[0].Ended
@@ -77,7 +77,7 @@
 	return len(r.Handovers)
 }
 
-// Slowest is the longest time until a yes.
+// Slowest is the longest time that a new process took until it was ready.
 func (r UpgradesResult) Slowest() (slowest time.Duration) {
 	for _, h := range r.Handovers {
 		slowest = max(slowest, h.ReadyAfter)
@@ -88,18 +88,19 @@
 // Line is the result in one line.
 func (r UpgradesResult) Line() string {
 	all, most := r.Returned()
-	return fmt.Sprintf("upgrades %d, jobs %d, lost %d, ran twice %d, turned back unheard %d (most in one upgrade %d), slowest yes %.2f s",
+	return fmt.Sprintf("upgrades %d, jobs %d, lost %d, ran twice %d, "+
+		"turned back unheard %d (most in one upgrade %d), slowest yes %.2f s",
 		len(r.Handovers), r.Tally.Sent, len(r.Lost()), len(r.Twice), all, most, r.Slowest().Seconds())
 }
 
-// OK reports whether what must never happen did not, and there was something to see.
+// OK reports whether the trial passed: no rule was broken, each upgrade was done, and jobs were served.
 func (r UpgradesResult) OK() bool {
 	_, most := r.Returned()
 	return len(r.Lost()) == 0 && len(r.Twice) == 0 && len(r.Tally.Wrong) == 0 && most <= maxReturned &&
 		r.Slowest() <= ReadyLimit && len(r.Handovers) == r.Sent && r.Tally.Total().OK > 0
 }
 
-// Run plays the trial. Where an upgrade fails, the result has what was seen until then.
+// Run runs the trial. If an upgrade fails, the result has what was observed until then.
 func (u Upgrades) Run(ctx context.Context, w io.Writer) (r UpgradesResult, err error) {
 	if !slices.Contains(Faults, u.Fault) {
 		return r, errUnknownFault
@@ -121,13 +122,13 @@
 	return r, d.Terminate(ctx)
 }
 
-// End ends the current process, as the last one of its deployment.
+// Terminate ends the current process, as the last one of its deployment.
 func (d *Deployment) Terminate(ctx context.Context) error {
-	leaving := &Termination{Process: d.Current, limit: d.KillAfter(), startedAt: time.Now()}
+	termination := &Termination{Process: d.Current, limit: d.KillAfter(), startedAt: time.Now()}
 	if err := d.Current.Signal(syscall.SIGTERM); err != nil {
 		return &EndedError{d.Current.Name, d.Current.Log()}
 	}
-	return leaving.Await(ctx)
+	return termination.Await(ctx)
 }
 
 // upgrade does all upgrades of the trial, each with its fault.
@@ -147,7 +148,7 @@
 	return nil
 }
 
-// one does one upgrade with the trial's fault.
+// upgradeOnce does one upgrade with the trial's fault.
 func (u Upgrades) upgradeOnce(ctx context.Context, d *Deployment, r *UpgradesResult, rng *rand.Rand) (Handover, error) {
 	switch u.Fault {
 	case KillSuccessor, SuspendSuccessor:
@@ -162,16 +163,19 @@
 	return d.Upgrade(ctx)
 }
 
-// spoilt does one upgrade after a new process that fails before its yes. The moments of all
-// upgrades are spread over the time that a process takes to its yes, as seen so far.
-func (u Upgrades) upgradeAfterFailedSuccessor(ctx context.Context, d *Deployment, r *UpgradesResult, rng *rand.Rand) (h Handover, err error) {
+// upgradeAfterFailedSuccessor does one upgrade after a successor that fails before it is ready. The faults' times
+// after the start are spread over the upgrades, up to the longest time until ready observed so far.
+func (u Upgrades) upgradeAfterFailedSuccessor(
+	ctx context.Context, d *Deployment, r *UpgradesResult, rng *rand.Rand,
+) (h Handover, err error) {
 	h.StartedAt, h.Predecessor = time.Now(), d.Current
 	each := max(d.FirstReady, r.Slowest()) / time.Duration(u.Upgrades)
-	moment, still := time.Duration(len(r.Handovers))*each+randomDuration(rng, each), time.Duration(0)
+	afterStart := time.Duration(len(r.Handovers))*each + randomDuration(rng, each)
+	stopped := time.Duration(0)
 	if u.Fault == SuspendSuccessor {
-		still = randomDuration(rng, maxStop)
+		stopped = randomDuration(rng, maxStop)
 	}
-	next, err := d.DisturbSuccessor(ctx, moment, still)
+	next, err := d.DisturbSuccessor(ctx, afterStart, stopped)
 	if err != nil {
 		return h, err
 	}
@@ -187,18 +191,19 @@
 	return h, err
 }
 
-// drawn is a time up to a limit.
+// randomDuration draws a time up to a limit.
 func randomDuration(rng *rand.Rand, limit time.Duration) time.Duration {
 	return time.Duration(rng.Float64() * float64(limit))
 }
 
-// report tells what went wrong, job by job, and sums up.
+// report prints what went wrong, job by job, and a summary.
 func (r UpgradesResult) report(w io.Writer) {
 	for _, record := range r.Lost() {
 		fmt.Fprintln(w, "lost:", record.Text(r.StartedAt))
 		if number := r.upgradeOf(record); number > 0 {
 			h := r.Handovers[number-1]
-			fmt.Fprintf(w, "  in upgrade %d, whose old process was %s; its log ends with\n    %s\n", number, h.Predecessor.Name, strings.Join(h.Predecessor.Log(), "\n    "))
+			fmt.Fprintf(w, "  in upgrade %d, whose old process was %s; its log ends with\n    %s\n",
+				number, h.Predecessor.Name, strings.Join(h.Predecessor.Log(), "\n    "))
 		}
 	}
 	for _, record := range r.Tally.Wrong {
@@ -212,5 +217,7 @@
 	for _, id := range r.Twice {
 		fmt.Fprintln(w, "ran twice:", id)
 	}
-	fmt.Fprintf(w, "%s; faults placed %d; %d of the lost died with a killed process, which is no fault of the upgrade\n", r.Tally.Line(), r.Placed, len(r.Tally.Lost)-len(r.Lost()))
+	excused := len(r.Tally.Lost) - len(r.Lost())
+	fmt.Fprintf(w, "%s; faults placed %d; %d of the lost died with a killed process, which is no fault of the upgrade\n",
+		r.Tally.Line(), r.Placed, excused)
 }
