--- a/cmd/foxlift-lab/upgrade.go
+++ b/cmd/foxlift-lab/upgrade.go
@@ -11,7 +11,7 @@
 
 // upgradeCommand upgrades a scheduler under load, many times in a row.
 func upgradeCommand() *cobra.Command {
-	u := service.DefaultUpgrades
+	u := service.DefaultUpgradeTrial
 	fault := string(u.Fault)
 	cmd := &cobra.Command{
 		Use:   "upgrade",
--- a/internal/lab/service/deployment.go
+++ b/internal/lab/service/deployment.go
@@ -4,7 +4,7 @@
 // received and what the workers ran.
 //
 // A Deployment owns the scheduler's processes and the stand-ins, a Load owns the clients'
-// connections and the Tally of their jobs, and Upgrades is the trial that brings both together.
+// connections and the Tally of their jobs, and UpgradeTrial is the trial that brings both together.
 package service
 
 import (
--- a/internal/lab/service/fault.go
+++ b/internal/lab/service/fault.go
@@ -121,7 +121,7 @@
 // step.
 func (d *Deployment) UpgradeKillingPredecessor(
 	ctx context.Context, step Step, after time.Duration,
-) (h Handover, o Outage, err error) {
+) (h UpgradeReport, o Outage, err error) {
 	old := d.Current
 	h.StartedAt, h.Predecessor = time.Now(), old
 	next, err := d.StartNext()
--- a/internal/lab/service/handover.go
+++ b/internal/lab/service/handover.go
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// A Handover is one whole upgrade.
-type Handover struct {
+// A UpgradeReport is one whole upgrade.
+type UpgradeReport struct {
 	StartedAt    time.Time
 	ReadyAfter   time.Duration // from the new process's start until it was ready
 	TerminatedAt time.Time     // when the old one had SIGTERM; zero if it was killed
@@ -64,7 +64,7 @@
 }
 
 // Line tells the upgrade's steps, with times since a moment.
-func (h Handover) Line(since time.Time) string {
+func (h UpgradeReport) Line(since time.Time) string {
 	text := fmt.Sprintf("new process started at %.3f s, yes after %.3f s",
 		h.StartedAt.Sub(since).Seconds(), h.ReadyAfter.Seconds())
 	if h.TerminatedAt.IsZero() {
@@ -79,7 +79,7 @@
 }
 
 // Upgrade replaces the current process as the platform does, and waits for the old one's end.
-func (d *Deployment) Upgrade(ctx context.Context) (h Handover, err error) {
+func (d *Deployment) Upgrade(ctx context.Context) (h UpgradeReport, err error) {
 	h.StartedAt, h.Predecessor = time.Now(), d.Current
 	next, err := d.StartNext()
 	if err != nil {
@@ -88,12 +88,12 @@
 	if h.ReadyAfter, err = AwaitReady(ctx, next); err != nil {
 		return h, err
 	}
-	err = d.finish(ctx, &h, next)
+	err = d.completeUpgrade(ctx, &h, next)
 	return h, err
 }
 
 // finish does the rest of an upgrade once the new process is ready.
-func (d *Deployment) finish(ctx context.Context, h *Handover, next *fleet.Process) error {
+func (d *Deployment) completeUpgrade(ctx context.Context, h *UpgradeReport, next *fleet.Process) error {
 	h.TerminatedAt = time.Now()
 	termination, err := d.Promote(next)
 	if err != nil {
--- a/internal/lab/service/judge_test.go
+++ b/internal/lab/service/judge_test.go
@@ -46,10 +46,10 @@
 func at(milliseconds int64) time.Time { return time.UnixMilli(milliseconds) }
 
 // passingResult is a result of two upgrades that passes.
-func passingResult() UpgradesResult {
-	r := UpgradesResult{
-		Sent: 2,
-		Handovers: []Handover{
+func passingResult() UpgradeTrialResult {
+	r := UpgradeTrialResult{
+		Planned: 2,
+		Upgrades: []UpgradeReport{
 			{StartedAt: at(100), ReadyAfter: time.Second},
 			{StartedAt: at(900), ReadyAfter: time.Second},
 		},
@@ -65,40 +65,41 @@
 		send := Send{StartedAt: at(began), Ended: at(ended), Outcome: outcome}
 		return Record{ID: "a/ratify/1", Class: "ratify", Sends: []Send{send}}
 	}
-	turned := func(moments ...int64) func(*UpgradesResult) {
-		return func(r *UpgradesResult) {
+	turned := func(moments ...int64) func(*UpgradeTrialResult) {
+		return func(r *UpgradeTrialResult) {
 			for _, m := range moments {
 				r.Tally.Returned = append(r.Tally.Returned, failed(Unread, m, m+1))
 			}
 		}
 	}
-	killed := func(r *UpgradesResult) {
+	killed := func(r *UpgradeTrialResult) {
 		r.Outages = []Outage{{at(300), at(350)}}
 		r.Tally.Lost = append(r.Tally.Lost, failed(Interrupted, 250, 302))
 	}
-	lost := func(r *UpgradesResult) { r.Tally.Lost = []Record{failed(Interrupted, 1, 2)} }
-	wrong := func(r *UpgradesResult) { r.Tally.Wrong = []Record{failed(Answered, 1, 2)} }
-	lostAt := func(began, ended int64) func(*UpgradesResult) {
-		return func(r *UpgradesResult) {
+	lost := func(r *UpgradeTrialResult) { r.Tally.Lost = []Record{failed(Interrupted, 1, 2)} }
+	wrong := func(r *UpgradeTrialResult) { r.Tally.Wrong = []Record{failed(Answered, 1, 2)} }
+	late := func(r *UpgradeTrialResult) { r.Upgrades[1].ReadyAfter = ReadyLimit + 1 }
+	lostAt := func(began, ended int64) func(*UpgradeTrialResult) {
+		return func(r *UpgradeTrialResult) {
 			killed(r)
 			r.Tally.Lost[0] = failed(Interrupted, began, ended)
 		}
 	}
-	turnedByKill := func(r *UpgradesResult) {
+	turnedByKill := func(r *UpgradeTrialResult) {
 		killed(r)
 		turned(150, 160, 310)(r)
 	}
 	for name, c := range map[string]struct {
 		ok     bool
-		change func(*UpgradesResult)
+		change func(*UpgradeTrialResult)
 	}{
-		"nothing":                          {true, func(*UpgradesResult) {}},
+		"nothing":                          {true, func(*UpgradeTrialResult) {}},
 		"lost":                             {false, lost},
 		"wrong":                            {false, wrong},
-		"twice":                            {false, func(r *UpgradesResult) { r.Twice = []string{"a"} }},
-		"a late yes":                       {false, func(r *UpgradesResult) { r.Handovers[1].ReadyAfter = ReadyLimit + 1 }},
-		"an upgrade missing":               {false, func(r *UpgradesResult) { r.Sent = 3 }},
-		"no job served":                    {false, func(r *UpgradesResult) { clear(r.Tally.Answers) }},
+		"twice":                            {false, func(r *UpgradeTrialResult) { r.DuplicateRuns = []string{"a"} }},
+		"a late yes":                       {false, late},
+		"an upgrade missing":               {false, func(r *UpgradeTrialResult) { r.Planned = 3 }},
+		"no job served":                    {false, func(r *UpgradeTrialResult) { clear(r.Tally.Answers) }},
 		"two turned back in each":          {true, turned(150, 160, 950, 960)},
 		"three turned back in one":         {false, turned(150, 160, 170)},
 		"died with a killed process":       {true, killed},
@@ -115,7 +116,7 @@
 
 // A fault that no trial knows is an error.
 func TestUnknownFault(t *testing.T) {
-	u := DefaultUpgrades
+	u := DefaultUpgradeTrial
 	u.Fault = "kill-all"
 	if _, err := u.Run(t.Context(), t.Output()); !errors.Is(err, errUnknownFault) {
 		t.Error(err)
--- a/internal/lab/service/quiesce_test.go
+++ b/internal/lab/service/quiesce_test.go
@@ -39,7 +39,7 @@
 }
 
 // quiesced drains a scheduler, and checks that its next health is a no.
-func quiesced(t *testing.T, d *Deployment) (began time.Time) {
+func mustQuiesce(t *testing.T, d *Deployment) (began time.Time) {
 	t.Helper()
 	began = time.Now()
 	must(t, Operators{d.Current.Admin}.Quiesce(t.Context()))
@@ -51,7 +51,7 @@
 }
 
 // resumed ends a drain, checks that a yes comes in time, and that a job is served then.
-func resumed(t *testing.T, d *Deployment) {
+func mustResume(t *testing.T, d *Deployment) {
 	t.Helper()
 	must(t, Operators{d.Current.Admin}.Resume(t.Context()))
 	await(t, "yes after the drain's end", resumeLimit, func() bool { return frontHealth(t, d) == nil })
@@ -94,11 +94,11 @@
 		})
 		idle = append(idle, g)
 	}
-	await(t, "the jobs run", patience, func() bool { return runs(d) >= kept+working })
+	await(t, "the jobs run", patience, func() bool { return startedJobs(d) >= kept+working })
 	for _, g := range idle[:kept+silent] {
 		work.Go(g.awaitClose)
 	}
-	began := quiesced(t, d)
+	began := mustQuiesce(t, d)
 	for i, g := range idle {
 		select {
 		case <-g.closed:
@@ -109,7 +109,7 @@
 	}
 	work.Wait()
 	must(t, Operators{d.Current.Admin}.checkAlive(t.Context()))
-	resumed(t, d)
+	mustResume(t, d)
 	must(t, d.Terminate(t.Context()))
 }
 
@@ -153,21 +153,21 @@
 		})
 	}
 	busy.Wait()
-	began := quiesced(t, d)
+	began := mustQuiesce(t, d)
 	for range clients {
 		quiesce <- began
 	}
 	wait.Wait()
-	resumed(t, d)
+	mustResume(t, d)
 	must(t, d.Terminate(t.Context()))
 }
 
 // A drain that is asked for twice is one, and so is its end.
 func TestQuiesceAndResumeTwice(t *testing.T) {
 	d := deploy(t, DefaultWorld())
-	quiesced(t, d)
-	quiesced(t, d)
-	resumed(t, d)
-	resumed(t, d)
+	mustQuiesce(t, d)
+	mustQuiesce(t, d)
+	mustResume(t, d)
+	mustResume(t, d)
 	must(t, d.Terminate(t.Context()))
 }
--- a/internal/lab/service/stats_test.go
+++ b/internal/lab/service/stats_test.go
@@ -109,7 +109,7 @@
 			}
 		})
 	}
-	await(t, "the jobs run", patience, func() bool { return runs(d) >= jobs })
+	await(t, "the jobs run", patience, func() bool { return startedJobs(d) >= jobs })
 	active := func(truth float64) func(Figures) bool {
 		return func(f Figures) bool { return Within(f.Active, truth, ActiveTolerance) }
 	}
@@ -119,7 +119,7 @@
 }
 
 // runs is how many different jobs the workers have begun.
-func runs(d *Deployment) int {
+func startedJobs(d *Deployment) int {
 	ids := map[string]bool{}
 	for _, n := range d.Fleet.Workers() {
 		for id := range n.Runs() {
--- a/internal/lab/service/upgrade_test.go
+++ b/internal/lab/service/upgrade_test.go
@@ -9,7 +9,7 @@
 )
 
 // runTrial runs a trial and judges it.
-func runTrial(t *testing.T, u Upgrades) UpgradesResult {
+func runTrial(t *testing.T, u UpgradeTrial) UpgradeTrialResult {
 	t.Helper()
 	u.Program = program
 	var report strings.Builder
@@ -24,7 +24,7 @@
 
 // Under load, one upgrade after another costs no job.
 func TestUpgradesInARow(t *testing.T) {
-	u := DefaultUpgrades
+	u := DefaultUpgradeTrial
 	u.Upgrades = size(3, 20)
 	runTrial(t, u)
 }
@@ -34,9 +34,9 @@
 func TestSuccessorFailsBeforeReady(t *testing.T) {
 	for _, fault := range []Fault{KillSuccessor, SuspendSuccessor} {
 		t.Run(string(fault), func(t *testing.T) {
-			u := DefaultUpgrades
+			u := DefaultUpgradeTrial
 			u.Upgrades, u.Fault = size(3, 6), fault
-			if r := runTrial(t, u); r.Placed == 0 {
+			if r := runTrial(t, u); r.FaultsInjected == 0 {
 				t.Error("each new process listened before it could be stopped")
 			}
 		})
@@ -46,7 +46,7 @@
 // The old process is killed after each step of an upgrade: what it had is gone, all else is
 // answered, and none that must not runs twice.
 func TestPredecessorKilledDuringUpgrade(t *testing.T) {
-	u := DefaultUpgrades
+	u := DefaultUpgradeTrial
 	u.Upgrades, u.Fault = int(steps)*size(1, 2), KillPredecessor
 	runTrial(t, u)
 }
--- a/internal/lab/service/upgrades.go
+++ b/internal/lab/service/upgrades.go
@@ -16,8 +16,8 @@
 	jobsBetween = 10 // jobs that end before each upgrade
 )
 
-// Upgrades is a trial: one upgrade after another under load, each done as the platform does it.
-type Upgrades struct {
+// UpgradeTrial is a trial: one upgrade after another under load, each done as the platform does it.
+type UpgradeTrial struct {
 	Program  string
 	Upgrades int
 	Seed     uint64 // of the load and the faults
@@ -25,27 +25,27 @@
 	Load     LoadOptions
 }
 
-// DefaultUpgrades is the trial that the operators' page speaks of.
-var DefaultUpgrades = Upgrades{Program: "bin/foxlift", Upgrades: 20, Seed: 1, Fault: NoFault, Load: DefaultLoad}
+// DefaultUpgradeTrial is the trial that the operators' page speaks of.
+var DefaultUpgradeTrial = UpgradeTrial{Program: "bin/foxlift", Upgrades: 20, Seed: 1, Fault: NoFault, Load: DefaultLoad}
 
-// An UpgradesResult is what a trial observed.
-type UpgradesResult struct {
-	StartedAt time.Time
-	Handovers []Handover
-	Sent      int      // upgrades
-	Placed    int      // faults
-	Outages   []Outage // by kills of a process that served
-	Tally     Tally
-	Twice     []string // identifiers of at-most-once jobs that ran more than once
+// An UpgradeTrialResult is what a trial observed.
+type UpgradeTrialResult struct {
+	StartedAt      time.Time
+	Upgrades       []UpgradeReport
+	Planned        int      // upgrades
+	FaultsInjected int      // faults
+	Outages        []Outage // by kills of a process that served
+	Tally          Tally
+	DuplicateRuns  []string // identifiers of at-most-once jobs that ran more than once
 }
 
 // excused reports whether a send may have failed because its process was killed.
-func (r UpgradesResult) excused(s Send) bool {
+func (r UpgradeTrialResult) excused(s Send) bool {
 	return slices.ContainsFunc(r.Outages, func(o Outage) bool { return o.covers(s) })
 }
 
 // Lost are the jobs without an answer, but for those that died with a killed process.
-func (r UpgradesResult) Lost() (lost []Record) {
+func (r UpgradeTrialResult) Lost() (lost []Record) {
 	for _, record := range r.Tally.Lost {
 		if !r.excused(record.last()) {
 			lost = append(lost, record)
@@ -56,52 +56,53 @@
 
 // Returned counts the Unread jobs, and the most in one upgrade: each belongs to the upgrade that
 // began last before it was sent. Those of a killed process do not count.
-func (r UpgradesResult) Returned() (all, most int) {
-	counts := make([]int, len(r.Handovers)+1)
+func (r UpgradeTrialResult) Returned() (all, most int) {
+	counts := make([]int, len(r.Upgrades)+1)
 	for _, record := range r.Tally.Returned {
 		if !r.excused(record.Sends[0]) {
 			all++
-			counts[r.upgradeOf(record)]++
+			counts[r.upgradeNumber(record)]++
 		}
 	}
 	return all, slices.Max(counts)
 }
 
-// upgradeOf is the number of the upgrade that began last before a job's first send ended, or 0 if
+// upgradeNumber is the number of the upgrade that began last before a job's first send ended, or 0 if
 // there was none yet.
-func (r UpgradesResult) upgradeOf(record Record) int {
+func (r UpgradeTrialResult) upgradeNumber(record Record) int {
 	ended := record.Sends[0].Ended
-	if later := slices.IndexFunc(r.Handovers, func(h Handover) bool { return h.StartedAt.After(ended) }); later >= 0 {
+	later := slices.IndexFunc(r.Upgrades, func(h UpgradeReport) bool { return h.StartedAt.After(ended) })
+	if later >= 0 {
 		return later
 	}
-	return len(r.Handovers)
+	return len(r.Upgrades)
 }
 
 // Slowest is the longest time that a new process took until it was ready.
-func (r UpgradesResult) Slowest() (slowest time.Duration) {
-	for _, h := range r.Handovers {
+func (r UpgradeTrialResult) Slowest() (slowest time.Duration) {
+	for _, h := range r.Upgrades {
 		slowest = max(slowest, h.ReadyAfter)
 	}
 	return slowest
 }
 
 // Line is the result in one line.
-func (r UpgradesResult) Line() string {
+func (r UpgradeTrialResult) Line() string {
 	all, most := r.Returned()
 	return fmt.Sprintf("upgrades %d, jobs %d, lost %d, ran twice %d, "+
 		"turned back unheard %d (most in one upgrade %d), slowest yes %.2f s",
-		len(r.Handovers), r.Tally.Sent, len(r.Lost()), len(r.Twice), all, most, r.Slowest().Seconds())
+		len(r.Upgrades), r.Tally.Sent, len(r.Lost()), len(r.DuplicateRuns), all, most, r.Slowest().Seconds())
 }
 
 // OK reports whether the trial passed: no rule was broken, each upgrade was done, and jobs were served.
-func (r UpgradesResult) OK() bool {
+func (r UpgradeTrialResult) OK() bool {
 	_, most := r.Returned()
-	return len(r.Lost()) == 0 && len(r.Twice) == 0 && len(r.Tally.Wrong) == 0 && most <= maxReturned &&
-		r.Slowest() <= ReadyLimit && len(r.Handovers) == r.Sent && r.Tally.Total().OK > 0
+	return len(r.Lost()) == 0 && len(r.DuplicateRuns) == 0 && len(r.Tally.Wrong) == 0 && most <= maxReturned &&
+		r.Slowest() <= ReadyLimit && len(r.Upgrades) == r.Planned && r.Tally.Total().OK > 0
 }
 
 // Run runs the trial. If an upgrade fails, the result has what was observed until then.
-func (u Upgrades) Run(ctx context.Context, w io.Writer) (r UpgradesResult, err error) {
+func (u UpgradeTrial) Run(ctx context.Context, w io.Writer) (r UpgradeTrialResult, err error) {
 	if !slices.Contains(Faults, u.Fault) {
 		return r, errUnknownFault
 	}
@@ -110,11 +111,11 @@
 		return r, err
 	}
 	defer d.Close()
-	r.StartedAt, r.Sent, r.Tally = time.Now(), u.Upgrades, newTally()
+	r.StartedAt, r.Planned, r.Tally = time.Now(), u.Upgrades, newTally()
 	u.Load.Seed = u.Seed
 	load := StartLoad(d.Addr(), d.Fleet.Topology, u.Load)
-	err = u.upgrade(ctx, w, d, load, &r)
-	r.Tally, r.Twice = load.Stop(), d.Fleet.Twice()
+	err = u.runUpgrades(ctx, w, d, load, &r)
+	r.Tally, r.DuplicateRuns = load.Stop(), d.Fleet.Twice()
 	r.report(w)
 	if err != nil {
 		return r, err
@@ -132,7 +133,9 @@
 }
 
 // upgrade does all upgrades of the trial, each with its fault.
-func (u Upgrades) upgrade(ctx context.Context, w io.Writer, d *Deployment, load *Load, r *UpgradesResult) error {
+func (u UpgradeTrial) runUpgrades(
+	ctx context.Context, w io.Writer, d *Deployment, load *Load, r *UpgradeTrialResult,
+) error {
 	rng := rand.New(rand.NewPCG(u.Seed, 23))
 	for number := range u.Upgrades {
 		if err := load.await(ctx, jobsBetween); err != nil {
@@ -142,22 +145,24 @@
 		if err != nil {
 			return fmt.Errorf("upgrade %d of %d: %w", number+1, u.Upgrades, err)
 		}
-		r.Handovers = append(r.Handovers, h)
+		r.Upgrades = append(r.Upgrades, h)
 		fmt.Fprintf(w, "upgrade %d: %s\n", number+1, h.Line(r.StartedAt))
 	}
 	return nil
 }
 
 // upgradeOnce does one upgrade with the trial's fault.
-func (u Upgrades) upgradeOnce(ctx context.Context, d *Deployment, r *UpgradesResult, rng *rand.Rand) (Handover, error) {
+func (u UpgradeTrial) upgradeOnce(
+	ctx context.Context, d *Deployment, r *UpgradeTrialResult, rng *rand.Rand,
+) (UpgradeReport, error) {
 	switch u.Fault {
 	case KillSuccessor, SuspendSuccessor:
 		return u.upgradeAfterFailedSuccessor(ctx, d, r, rng)
 	case KillPredecessor:
-		step := Step(len(r.Handovers) % int(steps))
+		step := Step(len(r.Upgrades) % int(steps))
 		h, o, err := d.UpgradeKillingPredecessor(ctx, step, randomDuration(rng, latestKill))
 		r.Outages = append(r.Outages, o)
-		r.Placed++
+		r.FaultsInjected++
 		return h, err
 	}
 	return d.Upgrade(ctx)
@@ -165,12 +170,12 @@
 
 // upgradeAfterFailedSuccessor does one upgrade after a successor that fails before it is ready. The faults' times
 // after the start are spread over the upgrades, up to the longest time until ready observed so far.
-func (u Upgrades) upgradeAfterFailedSuccessor(
-	ctx context.Context, d *Deployment, r *UpgradesResult, rng *rand.Rand,
-) (h Handover, err error) {
+func (u UpgradeTrial) upgradeAfterFailedSuccessor(
+	ctx context.Context, d *Deployment, r *UpgradeTrialResult, rng *rand.Rand,
+) (h UpgradeReport, err error) {
 	h.StartedAt, h.Predecessor = time.Now(), d.Current
 	each := max(d.FirstReady, r.Slowest()) / time.Duration(u.Upgrades)
-	afterStart := time.Duration(len(r.Handovers))*each + randomDuration(rng, each)
+	afterStart := time.Duration(len(r.Upgrades))*each + randomDuration(rng, each)
 	stopped := time.Duration(0)
 	if u.Fault == SuspendSuccessor {
 		stopped = randomDuration(rng, maxStop)
@@ -180,14 +185,14 @@
 		return h, err
 	}
 	if next == nil {
-		r.Placed++
+		r.FaultsInjected++
 		return d.Upgrade(ctx)
 	}
 	if _, err := AwaitReady(ctx, next); err != nil {
 		return h, err
 	}
 	h.ReadyAfter = time.Since(h.StartedAt)
-	err = d.finish(ctx, &h, next)
+	err = d.completeUpgrade(ctx, &h, next)
 	return h, err
 }
 
@@ -197,11 +202,11 @@
 }
 
 // report prints what went wrong, job by job, and a summary.
-func (r UpgradesResult) report(w io.Writer) {
+func (r UpgradeTrialResult) report(w io.Writer) {
 	for _, record := range r.Lost() {
 		fmt.Fprintln(w, "lost:", record.Text(r.StartedAt))
-		if number := r.upgradeOf(record); number > 0 {
-			h := r.Handovers[number-1]
+		if number := r.upgradeNumber(record); number > 0 {
+			h := r.Upgrades[number-1]
 			fmt.Fprintf(w, "  in upgrade %d, whose old process was %s; its log ends with\n    %s\n",
 				number, h.Predecessor.Name, strings.Join(h.Predecessor.Log(), "\n    "))
 		}
@@ -214,10 +219,10 @@
 			fmt.Fprintln(w, "turned back:", record.Text(r.StartedAt))
 		}
 	}
-	for _, id := range r.Twice {
+	for _, id := range r.DuplicateRuns {
 		fmt.Fprintln(w, "ran twice:", id)
 	}
 	excused := len(r.Tally.Lost) - len(r.Lost())
 	fmt.Fprintf(w, "%s; faults placed %d; %d of the lost died with a killed process, which is no fault of the upgrade\n",
-		r.Tally.Line(), r.Placed, excused)
+		r.Tally.Line(), r.FaultsInjected, excused)
 }
