--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -83,6 +83,17 @@
 	}
 }
 
+// Figures are written with three digits that count; very small ones with an exponent.
+func TestFormatNumber(t *testing.T) {
+	for x, want := range map[float64]string{
+		0: "0", 1234.5: "1234", 12.345: "12.3", 0.012345: "0.0123", 1.26e-9: "1.3e-09", math.Inf(1): "never",
+	} {
+		if got := formatNumber(x); got != want {
+			t.Errorf("%v: %s, want %s", x, got, want)
+		}
+	}
+}
+
 // The median is the middle one, or the mean of the two in the middle.
 func TestMedian(t *testing.T) {
 	for _, c := range []struct {
@@ -184,9 +195,10 @@
 			t.Errorf("%s: %v", text, err)
 		}
 	}
+	name := m.Series[0].Name
 	m.Series = m.Series[1:]
-	if _, err := Page(m); !errors.As(err, new(missingSeriesError)) {
-		t.Errorf("without a series: %v", err)
+	if _, err := Page(m); !errors.As(err, new(missingSeriesError)) || !strings.Contains(err.Error(), name) {
+		t.Errorf("without the series %s: %v", name, err)
 	}
 }
 
@@ -239,6 +251,30 @@
 	}
 }
 
+// A full run measures a process longer and more often than a short one.
+func TestPlan(t *testing.T) {
+	full, short := plan{}, plan{short: true}
+	if full.controlRuns() <= short.controlRuns() || full.controlDuration() <= short.controlDuration() {
+		t.Errorf("%d runs of %v, short %d of %v",
+			full.controlRuns(), full.controlDuration(), short.controlRuns(), short.controlDuration())
+	}
+	if n := len(full.sizes(controlSizes...)); n <= len(short.sizes(controlSizes...)) || n != len(controlSizes) {
+		t.Errorf("%d sizes", n)
+	}
+}
+
+// A job that has no worker to go to is neither run nor started.
+func TestHollowModuleWithoutWorkers(t *testing.T) {
+	h, err := deployment{schedulers: 1, teams: 2}.module()
+	if err != nil {
+		t.Fatal(err)
+	}
+	h.runJob(0, 0)
+	if h.startTask(1) || h.jobs != 2 {
+		t.Errorf("a task started without a worker, %d jobs", h.jobs)
+	}
+}
+
 // A short run measures all dimensions, and its last line tells all that the page rests on.
 func TestShortRun(t *testing.T) {
 	var out strings.Builder
