--- a/internal/lab/fleet/cut_test.go
+++ b/internal/lab/fleet/cut_test.go
@@ -33,7 +33,7 @@
 		await(t, worker.Name+" has requests in the cut", func() bool { return waitingFor(f, worker) > 0 })
 	}
 	for _, worker := range cut {
-		f.Discovery.Put(worker, "left")
+		f.Discovery.Put(worker, standin.Left)
 	}
 	awaitVersion(t, f, f.Processes...)
 	notifiedAt := time.Now()
@@ -93,7 +93,7 @@
 	p.Kill()
 	left := f.Workers()[:4]
 	for i, worker := range left {
-		f.Discovery.Put(worker, []string{"left", "leaving"}[i%2])
+		f.Discovery.Put(worker, []string{standin.Left, standin.Leaving}[i%2])
 	}
 	awaitVersion(t, f, f.Processes[1])
 	for _, l := range f.Links {
--- a/internal/lab/fleet/helpers_test.go
+++ b/internal/lab/fleet/helpers_test.go
@@ -84,7 +84,7 @@
 // It makes a change for them: a watch without one is answered late.
 func awaitEndpoints(t *testing.T, f *Fleet, which ...*Process) {
 	t.Helper()
-	f.Discovery.Put(f.Workers()[0], "active")
+	f.Discovery.Put(f.Workers()[0], standin.Active)
 	awaitAnswers(t, f, which...)
 }
 
--- a/internal/lab/fleet/keyed.go
+++ b/internal/lab/fleet/keyed.go
@@ -163,7 +163,7 @@
 		group.Number = 0
 	}
 	for _, worker := range f.Workers() {
-		f.Discovery.Put(worker, "active")
+		f.Discovery.Put(worker, standin.Active)
 	}
 	for i := range f.Processes {
 		if err := f.Configure(i, f.Discovery.KnownAt(f.dial(i))); err != nil {
--- a/internal/lab/fleet/workers.go
+++ b/internal/lab/fleet/workers.go
@@ -57,7 +57,7 @@
 	f.workers = append(f.workers, worker)
 	f.running[name] = worker
 	f.mu.Unlock()
-	f.Discovery.Put(worker, "active")
+	f.Discovery.Put(worker, standin.Active)
 	return worker
 }
 
@@ -73,7 +73,7 @@
 	if name == "" {
 		name = worker.Name
 	} else {
-		f.Discovery.Put(worker, "left")
+		f.Discovery.Put(worker, standin.Left)
 	}
 	return f.startWorker(l, name, worker.Zone, kind, time.Now()), nil
 }
@@ -94,7 +94,7 @@
 // Replace takes a worker away without a drain and starts another, in slow start, in its place.
 func (f *Fleet) Replace(worker *standin.Worker) (*standin.Worker, error) {
 	f.crashWorker(worker)
-	f.Discovery.Put(worker, "left")
+	f.Discovery.Put(worker, standin.Left)
 	return f.AddWorker(f.kind(worker), time.Now())
 }
 
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -222,11 +222,11 @@
 func drainWorker(p *run, rng *rand.Rand) func() {
 	return p.onWorker(rng, func(worker *standin.Worker) func() {
 		worker.Behave(standin.Behaviour{Draining: true})
-		p.f.Discovery.Put(worker, "leaving")
+		p.f.Discovery.Put(worker, standin.Leaving)
 		return func() { // its log is kept: it goes on listening
-			p.f.Discovery.Put(worker, "left")
+			p.f.Discovery.Put(worker, standin.Left)
 			worker.Behave(standin.Behaviour{})
-			p.f.Discovery.Put(worker, "active")
+			p.f.Discovery.Put(worker, standin.Active)
 		}
 	})
 }
@@ -235,7 +235,7 @@
 	return p.onWorker(rng, func(worker *standin.Worker) func() {
 		worker.Crash()
 		if rng.IntN(2) == 0 {
-			p.f.Discovery.Put(worker, "left")
+			p.f.Discovery.Put(worker, standin.Left)
 		}
 		return func() {
 			if _, err := p.f.Restart(worker, ""); err != nil {
@@ -268,7 +268,7 @@
 		p.f.WorkerLink(i, worker).Silence(fleet.ToTarget, fleet.FromTarget)
 	}
 	delay := time.Duration(rng.Int64N(int64(maxNoticeDelay)))
-	notice := time.AfterFunc(delay, func() { p.f.Discovery.Put(worker, "left") })
+	notice := time.AfterFunc(delay, func() { p.f.Discovery.Put(worker, standin.Left) })
 	return func() {
 		notice.Stop()
 		for i := range p.Schedulers {
@@ -277,7 +277,7 @@
 		}
 		p.wait.Go(func() {
 			<-time.After(rejoinDelay)
-			p.f.Discovery.Put(worker, "active")
+			p.f.Discovery.Put(worker, standin.Active)
 			p.release(worker.Name)
 		})
 	}
--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -110,10 +110,10 @@
 	for _, c := range p.f.Discovery.Changes() {
 		all := unavailable[c.Host]
 		switch {
-		case c.Health == "active" && open[c.Host]:
+		case c.Health == standin.Active && open[c.Host]:
 			all[len(all)-1].until = c.At
 			open[c.Host] = false
-		case c.Health != "active" && !open[c.Host]:
+		case c.Health != standin.Active && !open[c.Host]:
 			unavailable[c.Host] = append(all, unavailability{change: c})
 			open[c.Host] = true
 		}
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -22,6 +22,13 @@
 	StartedMilli int64   `json:"born_ms"`
 }
 
+// What the list says of a worker's health, in discovery's words.
+const (
+	Active  = "active"
+	Leaving = "leaving"
+	Left    = "left"
+)
+
 // A Price is what discovery's calls cost: it serves them one after another. The zero
 // value costs nothing. A watch costs only when it is answered.
 type Price struct {
@@ -81,7 +88,7 @@
 		writes:       map[string][]Write{},
 	}
 	for _, w := range workers {
-		d.Put(w, "active")
+		d.Put(w, Active)
 	}
 	d.Server = d.View(l, "", nil)
 	return d
@@ -93,7 +100,7 @@
 	return Serve(l, func(c net.Conn, r *http.Request, _ string) bool { return d.handle(c, r, name, dial) })
 }
 
-// Put announces a worker's health: active, leaving, or left.
+// Put announces a worker's health: Active, Leaving or Left.
 func (d *Discovery) Put(w *Worker, health string) {
 	h := host{Host: w.Name, Dial: w.Addr(), Zone: w.Zone, Kind: w.Kind, Health: health, Weight: 1}
 	if w.Group != nil {
@@ -111,7 +118,7 @@
 // An Entry is a host of the list behind which there is no worker, as the capacity tool's fleets have them.
 type Entry struct {
 	Host, Dial, Zone, Kind string
-	Health                 string // active, leaving, or left
+	Health                 string // Active, Leaving or Left
 	StartedAt              time.Time
 }
 
@@ -135,7 +142,7 @@
 	for _, h := range hosts {
 		at, there := d.positions[h.Host]
 		switch {
-		case h.Health == "left" && there:
+		case h.Health == Left && there:
 			d.drop(at)
 		case there:
 			d.hosts[at] = h
@@ -262,7 +269,7 @@
 	}
 	for name, at := range d.changedIn {
 		if !answer.Complete && !here[name] && at > version {
-			answer.Hosts = append(answer.Hosts, host{Host: name, Health: "left"})
+			answer.Hosts = append(answer.Hosts, host{Host: name, Health: Left})
 		}
 	}
 	return answer
