--- a/dispatch_order.go
+++ b/dispatch_order.go
@@ -62,12 +62,14 @@
 		most := math.Inf(-1)
 		for i := range d.tenants {
 			t := &d.tenants[i]
+			if !t.hasQueued() || t.blockedRound == d.dispatchRound || within && !t.quota.HasToken() {
+				continue // before it is ranked: most tenants have no queued job
+			}
 			rank := -t.quota.ExcessSends()
 			if within {
 				rank = t.quota.FillLevel()
 			}
-			blocked := t.blockedRound == d.dispatchRound || within && !t.quota.HasToken()
-			if !blocked && rank > most && t.hasQueued() {
+			if rank > most {
 				best, most = t, rank
 			}
 		}
--- a/queue.go
+++ b/queue.go
@@ -45,5 +45,10 @@
 
 // hasQueued reports whether the tenant has queued jobs.
 func (t *tenant) hasQueued() bool {
-	return slices.ContainsFunc(t.queues, func(q classQueue) bool { return len(q.jobs) > 0 })
+	for k := range t.queues {
+		if len(t.queues[k].jobs) > 0 {
+			return true
+		}
+	}
+	return false
 }
