--- a/internal/lab/service/fault.go
+++ b/internal/lab/service/fault.go
@@ -121,42 +121,42 @@
 // step.
 func (d *Deployment) UpgradeKillingPredecessor(
 	ctx context.Context, step Step, after time.Duration,
-) (h UpgradeReport, o Outage, err error) {
+) (report UpgradeReport, outage Outage, err error) {
 	old := d.Current
-	h.StartedAt, h.Predecessor = time.Now(), old
+	report.StartedAt, report.Predecessor = time.Now(), old
 	next, err := d.StartNext()
 	if err != nil {
-		return h, o, err
+		return report, outage, err
 	}
 	kill := func() error {
 		err := waitOrDone(ctx, after)
-		o.From = time.Now()
+		outage.From = time.Now()
 		old.Kill()
-		o.To = time.Now()
+		outage.To = time.Now()
 		return err
 	}
 	if step == SuccessorStarted {
 		if err := kill(); err != nil {
-			return h, o, err
+			return report, outage, err
 		}
 	}
-	if h.ReadyAfter, err = AwaitReady(ctx, next); err != nil {
-		return h, o, err
+	if report.ReadyAfter, err = AwaitReady(ctx, next); err != nil {
+		return report, outage, err
 	}
-	h.ReadyAfter = time.Since(h.StartedAt)
+	report.ReadyAfter = time.Since(report.StartedAt)
 	d.Current = next
 	switch step {
 	case SuccessorStarted: // nobody served until now
-		o.To = time.Now()
-		return h, o, nil
+		outage.To = time.Now()
+		return report, outage, nil
 	case PredecessorTerminated:
-		h.TerminatedAt = time.Now()
+		report.TerminatedAt = time.Now()
 		if err := old.Signal(syscall.SIGTERM); err != nil {
-			return h, o, fmt.Errorf("%s was gone before its SIGTERM: %w", old.Name, err)
+			return report, outage, fmt.Errorf("%s was gone before its SIGTERM: %w", old.Name, err)
 		}
 	}
 	err = kill()
-	return h, o, err
+	return report, outage, err
 }
 
 // errUnknownFault reports a fault that is not among Faults.
--- a/internal/lab/service/load.go
+++ b/internal/lab/service/load.go
@@ -16,6 +16,9 @@
 // grace is how long clients wait beyond a job's deadline.
 const grace = 500 * time.Millisecond
 
+// arrivalStream is the random generator's stream of the arrivals.
+const arrivalStream = 17
+
 // A LoadOptions is a steady, bounded load.
 type LoadOptions struct {
 	Name        string  // begins the jobs' ids
@@ -100,7 +103,7 @@
 
 // run draws the arrivals until Stop.
 func (l *Load) run() {
-	rng := rand.New(rand.NewPCG(l.Seed, 17))
+	rng := rand.New(rand.NewPCG(l.Seed, arrivalStream))
 	next := time.Now()
 	for number := 1; ; number++ {
 		next = next.Add(time.Duration(rng.ExpFloat64() / l.Rate * float64(time.Second)))
--- a/internal/lab/service/quiesce_test.go
+++ b/internal/lab/service/quiesce_test.go
@@ -32,13 +32,22 @@
 }
 
 // awaitClose reads until the connection's end.
-func (g *persistentConnection) awaitClose() {
-	defer close(g.closed)
-	g.conn.SetDeadline(time.Now().Add(patience))
-	_, _ = g.reader.ReadByte() // the end, whatever it is
+func (c *persistentConnection) awaitClose() {
+	defer close(c.closed)
+	c.conn.SetDeadline(time.Now().Add(patience))
+	_, _ = c.reader.ReadByte() // the end, whatever it is
 }
 
-// quiesced drains a scheduler, and checks that its next health is a no.
+// checkServed runs a job on a connection, and checks that it is served.
+func checkServed(t *testing.T, client *connection, text, what string) {
+	t.Helper()
+	got, outcome, err := client.exchange(text, time.Now().Add(patience))
+	if outcome != Answered || got.Status != http.StatusOK {
+		t.Errorf("%s is %v, status %d (%v)", what, outcome, got.Status, err)
+	}
+}
+
+// mustQuiesce drains a scheduler, and checks that its next health is a no.
 func mustQuiesce(t *testing.T, d *Deployment) (began time.Time) {
 	t.Helper()
 	began = time.Now()
@@ -50,16 +59,14 @@
 	return began
 }
 
-// resumed ends a drain, checks that a yes comes in time, and that a job is served then.
+// mustResume ends a drain, and checks that health is a yes in time and that a job is served then.
 func mustResume(t *testing.T, d *Deployment) {
 	t.Helper()
 	must(t, Operators{d.Current.Admin}.Resume(t.Context()))
 	await(t, "yes after the drain's end", resumeLimit, func() bool { return frontHealth(t, d) == nil })
-	g := openPersistent(t, d)
-	text := requestText("resumed/north/reading/"+g.port(), d.Fleet.Classes[0], "north")
-	if a, outcome, err := g.exchange(text, time.Now().Add(patience)); outcome != Answered || a.Status != http.StatusOK {
-		t.Errorf("after the drain a job is %v, status %d (%v)", outcome, a.Status, err)
-	}
+	client := openPersistent(t, d)
+	text := requestText("resumed/north/reading/"+client.port(), d.Fleet.Classes[0], "north")
+	checkServed(t, client.connection, text, "after the drain a job")
 }
 
 // At a drain idle connections are closed, whether they have carried a job or nothing yet, jobs in
@@ -72,36 +79,32 @@
 	d := deploy(t, world)
 	var idle []*persistentConnection
 	for i := range kept {
-		g := openPersistent(t, d)
+		client := openPersistent(t, d)
 		text := requestText(fmt.Sprintf("kept/north/reading/%d", i), world.Classes[0], "north")
-		if a, outcome, err := g.exchange(text, time.Now().Add(patience)); outcome != Answered || a.Status != http.StatusOK {
-			t.Errorf("before the drain a job is %v, status %d (%v)", outcome, a.Status, err)
-		}
-		idle = append(idle, g)
+		checkServed(t, client.connection, text, "before the drain a job")
+		idle = append(idle, client)
 	}
 	for range silent {
 		idle = append(idle, openPersistent(t, d))
 	}
 	var work sync.WaitGroup
 	for i := range working {
-		g := openPersistent(t, d)
+		client := openPersistent(t, d)
 		text := requestText(fmt.Sprintf("working/north/ratify/%d", i), *long, "north")
 		work.Go(func() {
-			if a, outcome, err := g.exchange(text, time.Now().Add(patience)); outcome != Answered || a.Status != http.StatusOK {
-				t.Errorf("a job in work at the drain is %v, status %d (%v)", outcome, a.Status, err)
-			}
-			g.awaitClose()
+			checkServed(t, client.connection, text, "a job in work at the drain")
+			client.awaitClose()
 		})
-		idle = append(idle, g)
+		idle = append(idle, client)
 	}
 	await(t, "the jobs run", patience, func() bool { return startedJobs(d) >= kept+working })
-	for _, g := range idle[:kept+silent] {
-		work.Go(g.awaitClose)
+	for _, client := range idle[:kept+silent] {
+		work.Go(client.awaitClose)
 	}
 	began := mustQuiesce(t, d)
-	for i, g := range idle {
+	for i, client := range idle {
 		select {
-		case <-g.closed:
+		case <-client.closed:
 		case <-time.After(time.Until(began.Add(drainLimit))):
 			t.Errorf("connection %d of %d kept, %d silent and %d working ones is open after %v",
 				i, kept, silent, working, drainLimit)
@@ -113,7 +116,7 @@
 	must(t, d.Terminate(t.Context()))
 }
 
-// alive reports whether the process still answers its operators, with yes or no.
+// checkAlive returns nil if the process still answers its operators.
 func (o Operators) checkAlive(ctx context.Context) error {
 	_, err := o.Stats(ctx)
 	return err
@@ -128,16 +131,16 @@
 	busy.Add(clients)
 	quiesce := make(chan time.Time, clients)
 	for i := range clients {
-		g := openPersistent(t, d)
+		client := openPersistent(t, d)
 		wait.Go(func() {
 			first := sync.OnceFunc(busy.Done)
 			defer first()
 			var last time.Time
 			for number := 0; ; number++ {
 				text := requestText(fmt.Sprintf("busy-%d/south/reading/%d", i, number), d.Fleet.Classes[0], "south")
-				a, outcome, err := g.exchange(text, time.Now().Add(patience))
+				a, outcome, err := client.exchange(text, time.Now().Add(patience))
 				first()
-				if outcome == Unread || g.closes {
+				if outcome == Unread || client.closes {
 					break
 				}
 				if last = time.Now(); outcome != Answered {
--- a/internal/lab/service/stats_test.go
+++ b/internal/lab/service/stats_test.go
@@ -104,9 +104,7 @@
 		t.Cleanup(func() { c.conn.Close() })
 		text := requestText("active/north/ratify/"+c.port(), *class, "north")
 		wait.Go(func() {
-			if a, outcome, err := c.exchange(text, time.Now().Add(patience)); outcome != Answered || a.Status != 200 {
-				t.Errorf("%v, status %d (%v)", outcome, a.Status, err)
-			}
+			checkServed(t, c, text, "an active job")
 		})
 	}
 	await(t, "the jobs run", patience, func() bool { return startedJobs(d) >= jobs })
--- a/internal/lab/service/trial.go
+++ b/internal/lab/service/trial.go
@@ -7,13 +7,13 @@
 	"math/rand/v2"
 	"slices"
 	"strings"
-	"syscall"
 	"time"
 )
 
 const (
 	maxReturned = 2  // Unread jobs in one upgrade
 	jobsBetween = 10 // jobs that end before each upgrade
+	faultStream = 23 // the generator's stream of the faults' times
 )
 
 // UpgradeTrial is a trial: one upgrade after another under load, each done as the platform does it.
@@ -41,7 +41,7 @@
 
 // excused reports whether a send may have failed because its process was killed.
 func (r UpgradeTrialResult) excused(s Send) bool {
-	return slices.ContainsFunc(r.Outages, func(o Outage) bool { return o.covers(s) })
+	return slices.ContainsFunc(r.Outages, func(outage Outage) bool { return outage.covers(s) })
 }
 
 // Lost are the jobs without an answer, but for those that died with a killed process.
@@ -71,7 +71,7 @@
 // there was none yet.
 func (r UpgradeTrialResult) upgradeNumber(record Record) int {
 	ended := record.Sends[0].Ended
-	later := slices.IndexFunc(r.Upgrades, func(h UpgradeReport) bool { return h.StartedAt.After(ended) })
+	later := slices.IndexFunc(r.Upgrades, func(report UpgradeReport) bool { return report.StartedAt.After(ended) })
 	if later >= 0 {
 		return later
 	}
@@ -80,8 +80,8 @@
 
 // Slowest is the longest time that a new process took until it was ready.
 func (r UpgradeTrialResult) Slowest() (slowest time.Duration) {
-	for _, h := range r.Upgrades {
-		slowest = max(slowest, h.ReadyAfter)
+	for _, report := range r.Upgrades {
+		slowest = max(slowest, report.ReadyAfter)
 	}
 	return slowest
 }
@@ -123,30 +123,21 @@
 	return r, d.Terminate(ctx)
 }
 
-// Terminate ends the current process, as the last one of its deployment.
-func (d *Deployment) Terminate(ctx context.Context) error {
-	termination := &Termination{Process: d.Current, limit: d.KillAfter(), startedAt: time.Now()}
-	if err := d.Current.Signal(syscall.SIGTERM); err != nil {
-		return &EndedError{d.Current.Name, d.Current.Log()}
-	}
-	return termination.Await(ctx)
-}
-
-// upgrade does all upgrades of the trial, each with its fault.
+// runUpgrades does all upgrades of the trial, each with its fault.
 func (u UpgradeTrial) runUpgrades(
 	ctx context.Context, w io.Writer, d *Deployment, load *Load, r *UpgradeTrialResult,
 ) error {
-	rng := rand.New(rand.NewPCG(u.Seed, 23))
+	rng := rand.New(rand.NewPCG(u.Seed, faultStream))
 	for number := range u.Upgrades {
 		if err := load.await(ctx, jobsBetween); err != nil {
 			return err
 		}
-		h, err := u.upgradeOnce(ctx, d, r, rng)
+		report, err := u.upgradeOnce(ctx, d, r, rng)
 		if err != nil {
 			return fmt.Errorf("upgrade %d of %d: %w", number+1, u.Upgrades, err)
 		}
-		r.Upgrades = append(r.Upgrades, h)
-		fmt.Fprintf(w, "upgrade %d: %s\n", number+1, h.Line(r.StartedAt))
+		r.Upgrades = append(r.Upgrades, report)
+		fmt.Fprintf(w, "upgrade %d: %s\n", number+1, report.Line(r.StartedAt))
 	}
 	return nil
 }
@@ -160,20 +151,21 @@
 		return u.upgradeAfterFailedSuccessor(ctx, d, r, rng)
 	case KillPredecessor:
 		step := Step(len(r.Upgrades) % int(steps))
-		h, o, err := d.UpgradeKillingPredecessor(ctx, step, randomDuration(rng, latestKill))
-		r.Outages = append(r.Outages, o)
+		report, outage, err := d.UpgradeKillingPredecessor(ctx, step, randomDuration(rng, latestKill))
+		r.Outages = append(r.Outages, outage)
 		r.FaultsInjected++
-		return h, err
+		return report, err
 	}
 	return d.Upgrade(ctx)
 }
 
-// upgradeAfterFailedSuccessor does one upgrade after a successor that fails before it is ready. The faults' times
-// after the start are spread over the upgrades, up to the longest time until ready observed so far.
+// upgradeAfterFailedSuccessor does one upgrade after a successor that fails before it is ready. The
+// faults' times after the start are spread over the upgrades, up to the longest time until ready
+// observed so far.
 func (u UpgradeTrial) upgradeAfterFailedSuccessor(
 	ctx context.Context, d *Deployment, r *UpgradeTrialResult, rng *rand.Rand,
-) (h UpgradeReport, err error) {
-	h.StartedAt, h.Predecessor = time.Now(), d.Current
+) (report UpgradeReport, err error) {
+	report.StartedAt, report.Predecessor = time.Now(), d.Current
 	each := max(d.FirstReady, r.Slowest()) / time.Duration(u.Upgrades)
 	afterStart := time.Duration(len(r.Upgrades))*each + randomDuration(rng, each)
 	stopped := time.Duration(0)
@@ -182,18 +174,18 @@
 	}
 	next, err := d.DisturbSuccessor(ctx, afterStart, stopped)
 	if err != nil {
-		return h, err
+		return report, err
 	}
 	if next == nil {
 		r.FaultsInjected++
 		return d.Upgrade(ctx)
 	}
 	if _, err := AwaitReady(ctx, next); err != nil {
-		return h, err
+		return report, err
 	}
-	h.ReadyAfter = time.Since(h.StartedAt)
-	err = d.completeUpgrade(ctx, &h, next)
-	return h, err
+	report.ReadyAfter = time.Since(report.StartedAt)
+	err = d.completeUpgrade(ctx, &report, next)
+	return report, err
 }
 
 // randomDuration draws a time up to a limit.
@@ -206,9 +198,9 @@
 	for _, record := range r.Lost() {
 		fmt.Fprintln(w, "lost:", record.Text(r.StartedAt))
 		if number := r.upgradeNumber(record); number > 0 {
-			h := r.Upgrades[number-1]
+			report := r.Upgrades[number-1]
 			fmt.Fprintf(w, "  in upgrade %d, whose old process was %s; its log ends with\n    %s\n",
-				number, h.Predecessor.Name, strings.Join(h.Predecessor.Log(), "\n    "))
+				number, report.Predecessor.Name, strings.Join(report.Predecessor.Log(), "\n    "))
 		}
 	}
 	for _, record := range r.Tally.Wrong {
--- a/internal/lab/service/upgrade.go
+++ b/internal/lab/service/upgrade.go
@@ -53,7 +53,16 @@
 	return nil
 }
 
-// A UpgradeReport is one whole upgrade.
+// Terminate ends the current process, as the last one of its deployment.
+func (d *Deployment) Terminate(ctx context.Context) error {
+	termination := &Termination{Process: d.Current, limit: d.KillAfter(), startedAt: time.Now()}
+	if err := d.Current.Signal(syscall.SIGTERM); err != nil {
+		return &EndedError{d.Current.Name, d.Current.Log()}
+	}
+	return termination.Await(ctx)
+}
+
+// An UpgradeReport is what one upgrade took.
 type UpgradeReport struct {
 	StartedAt    time.Time
 	ReadyAfter   time.Duration // from the new process's start until it was ready
@@ -64,42 +73,42 @@
 }
 
 // Line tells the upgrade's steps, with times since a moment.
-func (h UpgradeReport) Line(since time.Time) string {
+func (r UpgradeReport) Line(since time.Time) string {
 	text := fmt.Sprintf("new process started at %.3f s, yes after %.3f s",
-		h.StartedAt.Sub(since).Seconds(), h.ReadyAfter.Seconds())
-	if h.TerminatedAt.IsZero() {
+		r.StartedAt.Sub(since).Seconds(), r.ReadyAfter.Seconds())
+	if r.TerminatedAt.IsZero() {
 		return text + ", old one killed"
 	}
 	text += fmt.Sprintf(", old one told at %.3f s, ended after %.3f s",
-		h.TerminatedAt.Sub(since).Seconds(), h.Took.Seconds())
-	if h.Forced {
+		r.TerminatedAt.Sub(since).Seconds(), r.Took.Seconds())
+	if r.Forced {
 		text += " by SIGKILL at the limit"
 	}
 	return text
 }
 
 // Upgrade replaces the current process as the platform does, and waits for the old one's end.
-func (d *Deployment) Upgrade(ctx context.Context) (h UpgradeReport, err error) {
-	h.StartedAt, h.Predecessor = time.Now(), d.Current
+func (d *Deployment) Upgrade(ctx context.Context) (report UpgradeReport, err error) {
+	report.StartedAt, report.Predecessor = time.Now(), d.Current
 	next, err := d.StartNext()
 	if err != nil {
-		return h, err
+		return report, err
 	}
-	if h.ReadyAfter, err = AwaitReady(ctx, next); err != nil {
-		return h, err
+	if report.ReadyAfter, err = AwaitReady(ctx, next); err != nil {
+		return report, err
 	}
-	err = d.completeUpgrade(ctx, &h, next)
-	return h, err
+	err = d.completeUpgrade(ctx, &report, next)
+	return report, err
 }
 
 // finish does the rest of an upgrade once the new process is ready.
-func (d *Deployment) completeUpgrade(ctx context.Context, h *UpgradeReport, next *fleet.Process) error {
-	h.TerminatedAt = time.Now()
+func (d *Deployment) completeUpgrade(ctx context.Context, report *UpgradeReport, next *fleet.Process) error {
+	report.TerminatedAt = time.Now()
 	termination, err := d.Promote(next)
 	if err != nil {
 		return fmt.Errorf("%s was gone before its SIGTERM: %w", termination.Process.Name, err)
 	}
 	err = termination.Await(ctx)
-	h.Took, h.Forced = termination.Took, termination.Forced
+	report.Took, report.Forced = termination.Took, termination.Forced
 	return err
 }
--- a/internal/lab/service/upgrade_test.go
+++ b/internal/lab/service/upgrade_test.go
@@ -61,13 +61,13 @@
 	must(t, err)
 	must(t, old.Signal(syscall.SIGHUP))
 	must(t, next.Signal(syscall.SIGHUP))
-	terminations, err := s.Promote(next)
+	termination, err := s.Promote(next)
 	must(t, err)
 	must(t, next.Signal(syscall.SIGHUP))
 	if err := old.Signal(syscall.SIGHUP); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		t.Fatal(err)
 	}
-	must(t, terminations.Await(t.Context()))
+	must(t, termination.Await(t.Context()))
 	s.awaitProgress(t)
 	s.terminates(t, 1)
 }
@@ -81,9 +81,9 @@
 	must(t, old.Quiesce(t.Context()))
 	_, err = AwaitReady(t.Context(), next)
 	must(t, err)
-	terminations, err := s.Promote(next)
+	termination, err := s.Promote(next)
 	must(t, err)
-	must(t, terminations.Await(t.Context()))
+	must(t, termination.Await(t.Context()))
 	s.awaitProgress(t)
 	s.terminates(t, 1)
 }
@@ -101,8 +101,8 @@
 		terminations[i], err = s.Promote(next)
 		must(t, err)
 	}
-	for _, l := range terminations {
-		must(t, l.Await(t.Context()))
+	for _, termination := range terminations {
+		must(t, termination.Await(t.Context()))
 	}
 	s.awaitProgress(t)
 	s.terminates(t, len(terminations))
