--- a/api.go
+++ b/api.go
@@ -78,9 +78,9 @@
 // The gauges that a load report may hold.
 const (
 	GaugeUnknown    = capacity.GaugeUnknown
-	GaugeInFlight   = capacity.GaugeInFlight   // requests the worker holds
+	GaugeInFlight   = capacity.GaugeInFlight   // requests that the worker has
 	GaugeQueued     = capacity.GaugeQueued     // requests waiting there
-	GaugeBusy       = capacity.GaugeBusy       // share of its cores busy
+	GaugeBusy       = capacity.GaugeBusy       // fraction of its cores that is busy
 	GaugeLatency    = capacity.GaugeLatency    // recent service time in milliseconds
 	GaugeThroughput = capacity.GaugeThroughput // requests served a second
 	GaugeErrors     = capacity.GaugeErrors     // errors a second
--- a/internal/decision/capacity/report.go
+++ b/internal/decision/capacity/report.go
@@ -8,9 +8,9 @@
 // The gauges that a load report may hold.
 const (
 	GaugeUnknown    Gauge = iota
-	GaugeInFlight         // requests the worker holds
+	GaugeInFlight         // requests that the worker has
 	GaugeQueued           // requests waiting there
-	GaugeBusy             // share of its cores busy
+	GaugeBusy             // fraction of its cores that is busy
 	GaugeLatency          // recent service time in milliseconds
 	GaugeThroughput       // requests served a second
 	GaugeErrors           // errors a second
