--- a/admission.go
+++ b/admission.go
@@ -62,7 +62,7 @@
 )
 
 // lacksPeerUsage says that this is one of a few dispatchers, and does not know of the others' jobs.
-func (d *Dispatcher) lacksPeerUsage() bool { return !d.largeFleet() && !d.knowsAllUsage() }
+func (d *Dispatcher) lacksPeerUsage() bool { return !d.manyDispatchers() && !d.knowsAllUsage() }
 
 // maxQueueTime is how old a queued job may become. That of a tenant over its quota is shed early: what it
 // sends past the quota is nearly worthless, and a queue of it would delay the rest.
@@ -87,7 +87,7 @@
 // stands for its own work has fetches and slow workers in it: what is expected of a light job is less, and
 // many dispatchers have no queue to spare for those that miss it.
 func (d *Dispatcher) timelyLimit(j *job) int64 {
-	if !d.largeFleet() || j.req.Size > 0 {
+	if !d.manyDispatchers() || j.req.Size > 0 {
 		return j.objective
 	}
 	return j.class.LatencyObjective + int64(j.class.ObjectiveStretch*float64(j.class.runtimes.LowerQuartile()))
--- a/attempts.go
+++ b/attempts.go
@@ -89,7 +89,7 @@
 	if j.mayHaveRun == nil {
 		j.mayHaveRun = a // until its outcome proves otherwise
 	}
-	if d.largeFleet() && d.cfg.StartNotes {
+	if d.manyDispatchers() && d.cfg.StartNotes {
 		if a.unstarted = j.class.Effect == AtMostOnce; a.unstarted {
 			d.jobs.unstarted++
 		}
@@ -174,7 +174,7 @@
 			a.late = true
 			j.class.loop.SampleLate()
 		}
-		if d.largeFleet() && a.startedAt == 0 && !j.ended && j.class.Effect == Idempotent &&
+		if d.manyDispatchers() && a.startedAt == 0 && !j.ended && j.class.Effect == Idempotent &&
 			d.now-j.firstAttemptAt >= d.timelyLimit(j)-j.class.runtimes.Median() {
 			// It can no more be in time: started late, it would make the next ones late.
 			d.abandon(j, d.retryAfter())
--- a/bench_test.go
+++ b/bench_test.go
@@ -52,7 +52,7 @@
 			d := benchDispatcher(b, size.workers, 8)
 			now := 2 * second
 			for _, w := range d.workerOrder {
-				w.setOutlier(func(s *health.OutlierState) { s.EjectedUntil = 1 << 62 })
+				w.setOutlier(func(s *health.OutlierState) { s.PausedUntil = 1 << 62 })
 				d.updateLevel(w)
 			}
 			var news []Event
--- a/dispatcher.go
+++ b/dispatcher.go
@@ -6,12 +6,12 @@
 
 const second = int64(1e9)
 
-// smallFleetMax is the most dispatchers that learn enough from their own jobs. What each of many
+// fewDispatchersMax is the most dispatchers that learn enough from their own jobs. What each of many
 // does alone is harmful where all do it, and each sees little: see docs/design/fleet.md.
-const smallFleetMax = 4.0
+const fewDispatchersMax = 4.0
 
-// largeFleet says that more dispatchers share the fleet than learn enough from their own jobs.
-func (d *Dispatcher) largeFleet() bool { return d.fleetScale > 1 }
+// manyDispatchers says that more dispatchers share the fleet than learn enough from their own jobs.
+func (d *Dispatcher) manyDispatchers() bool { return d.fleetScale > 1 }
 
 // Step takes the events since the last step and returns what to do. The time
 // must not go back (an earlier one counts as the last). The actions are valid
--- a/fleet_index.go
+++ b/fleet_index.go
@@ -63,7 +63,7 @@
 
 // timeDependent reports whether time alone may change a worker's place.
 func (d *Dispatcher) timeDependent(w *worker) bool {
-	return w.state == Live && (w.outlier.Ejected(d.now) || d.inSlowStart(w))
+	return w.state == Live && (w.outlier.Paused(d.now) || d.inSlowStart(w))
 }
 
 // sortPending puts the pending workers into the order of the list.
--- a/gossip.go
+++ b/gossip.go
@@ -26,7 +26,7 @@
 // exchangesUsage says that the dispatchers tell each other what their jobs hold. What it costs grows
 // with the square of their number, and many see too little of each worker to gain by it.
 func (d *Dispatcher) exchangesUsage() bool {
-	return d.cfg.MayGossip && d.cfg.Dispatchers > 1 && !d.largeFleet()
+	return d.cfg.MayGossip && d.cfg.Dispatchers > 1 && !d.manyDispatchers()
 }
 
 // knowsAllUsage says that this dispatcher knows of all jobs at the workers.
--- a/health.go
+++ b/health.go
@@ -22,7 +22,7 @@
 func (d *Dispatcher) recordStart(a *attempt) {
 	w, delay := a.worker, d.now-a.sentAt
 	d.capacity.startDelays.Record(delay)
-	if d.largeFleet() { // a few learn each worker's limit by itself
+	if d.manyDispatchers() { // a few learn each worker's limit by itself
 		delay = d.capacity.startDelays.Excess(a.path, delay)
 	}
 	w.outlier.RecordStart(d.now, delay < d.tickInterval)
@@ -79,7 +79,7 @@
 		if a.startedAt != 0 {
 			break // it was at work
 		}
-		if d.largeFleet() && w.outlier.Rejections() < 2 && d.now-a.sentAt < j.objective/4 {
+		if d.manyDispatchers() && w.outlier.Rejections() < 2 && d.now-a.sentAt < j.objective/4 {
 			d.backoffWorker(w, j) // it was moved early: the worker has a queue, or hangs
 		} else {
 			d.eject(w)
@@ -106,7 +106,7 @@
 		// Not what was sent: jobs that were shed are no measure of capacity.
 		d.capacity.slowStart.Rate().RecordServed(a.slots, took)
 	}
-	if d.largeFleet() {
+	if d.manyDispatchers() {
 		d.capacity.reported.add(w) // a slot has just come free there, on a connection that stays open
 	}
 	if !d.cfg.StartNotes {
@@ -127,7 +127,7 @@
 // eject keeps jobs from a worker that has failed for a while.
 func (d *Dispatcher) eject(w *worker) {
 	least := d.capacity.startDelays.Bound(4)
-	if d.largeFleet() {
+	if d.manyDispatchers() {
 		least = max(least, second)
 	}
 	// Trials add up over the dispatchers.
@@ -157,7 +157,7 @@
 // updateLevel moves a worker to where it belongs in the free lists.
 func (d *Dispatcher) updateLevel(w *worker) {
 	level := -1
-	if w.state == Live && w.overdue == 0 && !w.outlier.Ejected(d.now) &&
+	if w.state == Live && w.overdue == 0 && !w.outlier.Paused(d.now) &&
 		w.usedSlots < max(1, min(w.limit.Slots(), w.report.MaxSlots())) &&
 		(!w.outlier.OnTrial() || w.inFlightJobs == 0) && !d.capacity.slowStart.Holds(&w.warmup, d.now) {
 		level = int(w.usedSlots)
--- a/health_test.go
+++ b/health_test.go
@@ -56,16 +56,16 @@
 	h.step(h.request(1, idempotent))
 	h.wantActions(ActionSend, 1)
 	h.advance(ms, outcome(1, 0, "w0", WorkerError))
-	if w.outlier.State().EjectedUntil <= h.now {
+	if w.outlier.State().PausedUntil <= h.now {
 		t.Error("not ejected")
 	}
-	w.setOutlier(func(s *health.OutlierState) { s.EjectedUntil, s.Trial = 0, false })
+	w.setOutlier(func(s *health.OutlierState) { s.PausedUntil, s.Trial = 0, false })
 	for i := range 8 {
 		w.setOutlier(func(s *health.OutlierState) { s.FailureRate = 0.1 * float64(i) })
 		a := &attempt{job: &job{class: &h.d.classes[0]}, worker: w, slots: 1}
 		h.d.recordOutcome(a, &Event{Code: WorkerError})
 	}
-	if w.outlier.State().EjectedUntil <= h.now {
+	if w.outlier.State().PausedUntil <= h.now {
 		t.Error("a run of errors does not eject it")
 	}
 }
@@ -75,14 +75,14 @@
 	h := newHarness(t, testConfig(), testWorkers(1)...)
 	h.step(h.request(1, atMostOnce))
 	h.advance(ms, outcome(1, 0, "w0", Saturated))
-	first := h.d.workerOrder[0].outlier.State().EjectedUntil - h.now
+	first := h.d.workerOrder[0].outlier.State().PausedUntil - h.now
 	h.step(h.request(2, atMostOnce))
 	h.wantActions(ActionSend, 0)
 	for range 3 {
 		a := &attempt{job: &job{class: &h.d.classes[1]}, worker: h.d.workerOrder[0], slots: 1}
 		h.d.recordOutcome(a, &Event{Code: Saturated})
 	}
-	if again := h.d.workerOrder[0].outlier.State().EjectedUntil - h.now; first <= 0 || again <= first {
+	if again := h.d.workerOrder[0].outlier.State().PausedUntil - h.now; first <= 0 || again <= first {
 		t.Errorf("backed off for %d, after more rejections for %d", first, again)
 	}
 }
@@ -112,7 +112,7 @@
 			a := h.wantActions(ActionSend, 1)[0]
 			h.advance(ms, started(1, 0, a.Worker))
 			h.advance(ms, outcome(1, 0, a.Worker, WorkerError))
-			if w := h.d.workers[a.Worker]; (w.outlier.State().EjectedUntil > h.now) != ejected {
+			if w := h.d.workers[a.Worker]; (w.outlier.State().PausedUntil > h.now) != ejected {
 				t.Errorf("%d dispatchers: ejected %v", dispatchers, !ejected)
 			}
 		})
@@ -125,12 +125,12 @@
 	w := h.d.workerOrder[0]
 	before := int64(0)
 	for id := uint64(1); id <= 4; id++ {
-		h.now = max(h.now, w.outlier.State().EjectedUntil) + h.d.tickInterval
+		h.now = max(h.now, w.outlier.State().PausedUntil) + h.d.tickInterval
 		h.step(h.request(id, idempotent))
 		h.wantActions(ActionSend, 1)
 		h.advance(ms, started(id, 0, w.id))
 		h.advance(ms, outcome(id, 0, w.id, WorkerError))
-		if pause := w.outlier.State().EjectedUntil - h.now; pause < second || w.outlier.State().Backoff < 2*before {
+		if pause := w.outlier.State().PausedUntil - h.now; pause < second || w.outlier.State().Backoff < 2*before {
 			t.Errorf("error %d: backed off for %d, backoff %d after %d", id, pause, w.outlier.State().Backoff, before)
 		}
 		before = w.outlier.State().Backoff
--- a/internal/decision/health/health_test.go
+++ b/internal/decision/health/health_test.go
@@ -17,10 +17,10 @@
 	for _, want := range []int64{second, 2 * second, 4 * second, 4 * second} {
 		o.Eject(0, second, 4*second, rng)
 		s := o.State()
-		if s.Backoff != want || s.EjectedUntil < want || s.EjectedUntil > want*3/2 || !o.OnTrial() {
+		if s.Backoff != want || s.PausedUntil < want || s.PausedUntil > want*3/2 || !o.OnTrial() {
 			t.Fatalf("%+v, want a backoff of %d", s, want)
 		}
-		if !o.Ejected(s.EjectedUntil-1) || o.Ejected(s.EjectedUntil) {
+		if !o.Paused(s.PausedUntil-1) || o.Paused(s.PausedUntil) {
 			t.Error("it is not ejected until then")
 		}
 	}
@@ -56,8 +56,8 @@
 	var o Outlier
 	rng := newRand()
 	for i, most := range []int64{200, 400, 800, 800} {
-		if o.Backoff(1000, 800, rng); !o.Ejected(1000+most/2-1) || o.Ejected(1000+most) {
-			t.Errorf("rejection %d: backs off until %d", i, o.State().EjectedUntil)
+		if o.Backoff(1000, 800, rng); !o.Paused(1000+most/2-1) || o.Paused(1000+most) {
+			t.Errorf("rejection %d: backs off until %d", i, o.State().PausedUntil)
 		}
 	}
 	if o.RecordTimelyStart(); o.Rejections() != 0 {
--- a/internal/decision/health/outlier.go
+++ b/internal/decision/health/outlier.go
@@ -26,7 +26,7 @@
 
 // An OutlierState is what is known of a worker's health.
 type OutlierState struct {
-	EjectedUntil          int64 // it gets nothing before this
+	PausedUntil           int64 // it gets nothing before this
 	Backoff               int64 // the last one after a failure
 	Trial                 bool  // one job only, until it answers
 	ConsecutiveRejections int
@@ -46,8 +46,8 @@
 	o.state = OutlierState{ConsecutiveRejections: o.state.ConsecutiveRejections}
 }
 
-// Ejected reports whether the worker gets nothing now.
-func (o *Outlier) Ejected(now int64) bool { return now < o.state.EjectedUntil }
+// Paused reports whether the worker gets nothing now.
+func (o *Outlier) Paused(now int64) bool { return now < o.state.PausedUntil }
 
 // OnTrial reports whether the worker gets one job only, until it answers.
 func (o *Outlier) OnTrial() bool { return o.state.Trial }
@@ -96,14 +96,14 @@
 	o.state.ConsecutiveRejections = min(o.state.ConsecutiveRejections+1, maxRejections)
 	pause := runtime / 8 << o.state.ConsecutiveRejections
 	o.state.LastFaultAt = now
-	o.state.EjectedUntil = now + pause/2 + rng.Int64N(pause/2+1)
+	o.state.PausedUntil = now + pause/2 + rng.Int64N(pause/2+1)
 }
 
 // Eject keeps jobs from a worker for a while that doubles each time, between bounds, then lets one job
 // try it.
 func (o *Outlier) Eject(now, minBackoff, maxBackoff int64, rng *rand.Rand) {
 	o.state.Backoff = min(max(2*o.state.Backoff, minBackoff), maxBackoff)
-	o.state.EjectedUntil = now + o.state.Backoff + rng.Int64N(o.state.Backoff/2+1)
+	o.state.PausedUntil = now + o.state.Backoff + rng.Int64N(o.state.Backoff/2+1)
 	o.state.Trial, o.state.LastFaultAt = true, now
 }
 
--- a/placement.go
+++ b/placement.go
@@ -15,7 +15,7 @@
 // fetchCost is the jobs that a fetch weighs. It takes less of a long job's time; many dispatchers look for
 // free slots first.
 func (d *Dispatcher) fetchCost(j *job) float64 {
-	if !d.largeFleet() {
+	if !d.manyDispatchers() {
 		return fetchJobs
 	}
 	return fetchJobs * min(1, 2*float64(d.minMedianRuntime())/float64(max(1, j.class.runtimes.Median())))
@@ -31,7 +31,7 @@
 		j.affinity, j.affinityPool = d.rankAffinity(j)
 		j.affinityEvent = d.endpoints.events
 	}
-	if !d.largeFleet() {
+	if !d.manyDispatchers() {
 		return j.affinity
 	}
 	n := max(1+len(j.attempts), int(affinityHeadroom*d.keys.recent.Fraction(j.req.Key)*float64(j.affinityPool)))
@@ -46,7 +46,7 @@
 	if j.req.AllowedWorkers != nil && !slices.Contains(j.req.AllowedWorkers, w.id) {
 		return false
 	}
-	if d.largeFleet() && j.class.Effect == AtMostOnce {
+	if d.manyDispatchers() && j.class.Effect == AtMostOnce {
 		room := d.maxUnstarted()
 		if d.inSlowStart(w) {
 			room *= 2 // it mostly has a free slot, and is paced
@@ -95,7 +95,7 @@
 	}
 	c += (w.latencyRatio - 1) / 3
 	switch {
-	case !d.largeFleet():
+	case !d.manyDispatchers():
 	case d.inSlowStart(w) && d.slowStartWeight(w) < heavyJobWeight &&
 		j.class.runtimes.Median() > d.minMedianRuntime():
 		c += crossZoneJobs
--- a/quotas.go
+++ b/quotas.go
@@ -26,7 +26,7 @@
 		bands = admission.QuotaBand(d.cfg.quotas())
 	}
 	n := max(1, len(d.cfg.Tenants)) + 1
-	d.quotas = admission.NewAllocator(bands, n, len(d.classes), d.cfg.Dispatchers, d.largeFleet())
+	d.quotas = admission.NewAllocator(bands, n, len(d.classes), d.cfg.Dispatchers, d.manyDispatchers())
 	d.tenants = make([]tenant, n)
 	for i := range d.tenants {
 		d.tenants[i].quota = d.quotas.Tenant(i)
--- a/snapshot.go
+++ b/snapshot.go
@@ -75,7 +75,7 @@
 	ConcurrencyLimit      float64  `json:"Cap"`
 	LimitLearned          bool     `json:"Capped"`
 	ReportedSlots         float64  `json:"Most"`
-	EjectedUntil          int64    `json:"Shut"`
+	PausedUntil           int64    `json:"Shut"`
 	Backoff               int64    `json:"Backoff"`
 	Trial                 bool     `json:"Trial"`
 	ConsecutiveRejections int      `json:"Fulls"`
@@ -198,7 +198,7 @@
 	sentAt, work := w.warmup.LastSend()
 	return WorkerSnapshot{
 		ID: w.id, StartedAt: w.warmup.StartedAt(), ConcurrencyLimit: w.limit.Slots(), LimitLearned: w.limit.Learned(),
-		ReportedSlots: w.report.TotalSlots(), EjectedUntil: outlier.EjectedUntil, Backoff: outlier.Backoff,
+		ReportedSlots: w.report.TotalSlots(), PausedUntil: outlier.PausedUntil, Backoff: outlier.Backoff,
 		Trial: outlier.Trial, ConsecutiveRejections: outlier.ConsecutiveRejections,
 		PromptStartAt: outlier.PromptStartAt, LastFaultAt: outlier.LastFaultAt, FailureRate: outlier.FailureRate,
 		LatencyRatio: w.latencyRatio, SlowStartSentAt: sentAt, SlowStartWork: work,
@@ -210,7 +210,7 @@
 	w.limit.Restore(s.ConcurrencyLimit, s.LimitLearned)
 	w.report.RestoreTotalSlots(s.ReportedSlots)
 	w.outlier.Restore(health.OutlierState{
-		EjectedUntil: s.EjectedUntil, Backoff: s.Backoff, Trial: s.Trial,
+		PausedUntil: s.PausedUntil, Backoff: s.Backoff, Trial: s.Trial,
 		ConsecutiveRejections: s.ConsecutiveRejections,
 		PromptStartAt:         s.PromptStartAt, LastFaultAt: s.LastFaultAt, FailureRate: s.FailureRate,
 	})
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -78,7 +78,7 @@
 	to.d.Restore(snapshot)
 	after := *to.d.workers["w1"]
 	if after.limit.Slots() != before.limit.Slots() || after.latencyRatio != before.latencyRatio ||
-		after.outlier.State().EjectedUntil != before.outlier.State().EjectedUntil {
+		after.outlier.State().PausedUntil != before.outlier.State().PausedUntil {
 		t.Errorf("another run of a worker: %+v, want %+v", after, before)
 	}
 	if to.d.workers["w0"].limit.Slots() != snapshot.Workers[0].ConcurrencyLimit {
--- a/state.go
+++ b/state.go
@@ -114,7 +114,7 @@
 	d.tickInterval = max(minObjective/8, int64(1e6))
 	d.free.byKind = make([][][]*worker, kinds+1)
 	d.keys.index = affinity.NewIndexes[*worker](kinds)
-	d.fleetScale = max(1, float64(cfg.Dispatchers)/smallFleetMax)
+	d.fleetScale = max(1, float64(cfg.Dispatchers)/fewDispatchersMax)
 	d.capacity = newFleetCapacity(&cfg, d.fleetScale, float64(minObjective), d.learnedLimits.Mean())
 	d.initTenants()
 	return d, nil
--- a/worker_search.go
+++ b/worker_search.go
@@ -29,9 +29,9 @@
 		return d.pickAccepting(j)
 	}
 	s := workerSearch{d: d, j: j, bestCost: math.Inf(1)}
-	if j.req.Key != 0 && (d.largeFleet() || d.cfg.Prices.Fetch > 0) {
+	if j.req.Key != 0 && (d.manyDispatchers() || d.cfg.Prices.Fetch > 0) {
 		s.searchAffinity()
-		if j.class.Effect != AtMostOnce && d.largeFleet() && s.bestCost < health.UnprovenCost {
+		if j.class.Effect != AtMostOnce && d.manyDispatchers() && s.bestCost < health.UnprovenCost {
 			return s.best // it mostly has a slot free, or soon
 		}
 	}
