--- a/api.go
+++ b/api.go
@@ -12,7 +12,7 @@
 //
 // The host carries out all actions, reports one outcome for each attempt, and
 // passes a timer's token when it is due. A host that breaks this gets no panic:
-// New rejects a Config that cannot run and names the field; time that goes back
+// New rejects a Config that cannot run and names the field, or its key in the settings; time that goes back
 // counts as standing still; an event about an unknown request, attempt or worker,
 // a second outcome, a request whose class is unknown or whose ID is in use, and a
 // message from no peer are ignored.
@@ -187,6 +187,7 @@
 			return fmt.Errorf("foxlift: Bands[%d] does not fit Tenants", i)
 		}
 	}
+	// The messages keep the names that the settings' keys have (mustAskIn, warmAfter).
 	for _, f := range []struct {
 		name string
 		time int64
@@ -281,7 +282,7 @@
 // The kinds of events, with the fields that hold.
 const (
 	EventRequest            EventKind = iota // Request
-	EventEndpoints                           // List, Workers
+	EventEndpoints                           // EndpointUpdate, PollFailure, Workers
 	EventStarted                             // ID, Attempt: the job runs, or its stream flows (Stream)
 	EventProgress                            // ID, Attempt: the job makes progress
 	EventOutcome                             // ID, Attempt, Worker, Code, Took, Ended, Load
@@ -307,7 +308,7 @@
 	Load           [MaxGauges]float64
 	Token          uint64
 	EndpointUpdate EndpointUpdate
-	PollFailure    PollFailure // where List is EndpointsPollFailed
+	PollFailure    PollFailure // where EndpointUpdate is EndpointsPollFailed
 	Workers        []Worker
 	From           int
 	Data           []byte
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -9,7 +9,8 @@
 	openJobs   atomic.Int64
 }
 
-// Ready reports whether jobs can be accepted: the endpoint list has a live worker and can be relied on.
+// Ready reports whether jobs can be accepted: the endpoint list has a live worker, and discovery has
+// answered since the start or the cached list may be used. It stays so when the lease is over.
 func (c *Core) Ready() bool { return c.status.ready.Load() }
 
 // HasWorkers reports whether the endpoint list has a live worker, however old it is.
--- a/internal/decision/membership/lease.go
+++ b/internal/decision/membership/lease.go
@@ -37,7 +37,7 @@
 	duration    int64       // how old the list may be; 0: of any age
 	confirmed   bool        // a poll has been answered since the start
 	confirmedAt int64       // when the last one was; the start, before the first
-	failure     PollFailure // what the failed polls since tell
+	failure     PollFailure // what the failed polls since tell; FailureBusy before any: the list may be used
 	exploredAt  int64       // when a worker of which nothing is known was last tried by a stale list; 0: never
 }
 
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -20,7 +20,7 @@
 
 	// WorkerDrained: nothing is sent to a worker past the grace after it began to drain or was removed.
 	WorkerDrained Invariant = "drain"
-	// LeaseExpired: nothing is sent by an endpoint list that may be past its lease.
+	// LeaseExpired: nothing is sent by an endpoint list that may not be used any more.
 	LeaseExpired Invariant = "lease"
 	// ClientDisconnected: no attempt begins for a client that has disconnected.
 	ClientDisconnected Invariant = "gone"
@@ -73,7 +73,7 @@
 
 // A Repeat is what is known when a job is about to be handed to a worker.
 type Repeat struct {
-	EndpointsTrusted bool           // the endpoint list is within its lease
+	EndpointsTrusted bool           // the endpoint list may be used, if only for some workers
 	Effect           foxlift.Effect // of the job's class
 	MayHaveRun       bool           // an earlier attempt may have run, or may yet
 	SameGroup        bool           // the worker drops repeats of what that attempt's worker may have run
--- a/placement.go
+++ b/placement.go
@@ -7,9 +7,12 @@
 )
 
 const (
-	crossZoneJobs  = 40.0 // of our jobs, that a crossing at the price of a whole job weighs; one of many has few
-	heavyJobWeight = 0.3  // slow-start weight from which a worker gets other than the lightest jobs
-	fetchJobs      = 2.0  // that a worker's fetch of what a job needs weighs: it takes a slot meanwhile
+	// What a worker's cost counts, in jobs of ours that are in flight there.
+	crossZoneJobs = 40.0 // a crossing, at prices.crossZone 1; divided by fleetScale, by 8 at most
+	heavyJobCost  = 40.0 // a heavy job at a worker that has just begun its slow start
+	fetchJobs     = 2.0  // a worker's fetch of what a job needs: it takes a slot meanwhile
+
+	heavyJobWeight = 0.3 // slow-start weight from which a worker gets other than the lightest jobs
 )
 
 // fetchCost is the jobs that a fetch weighs. It takes less of a long job's time; many dispatchers look for
@@ -98,7 +101,7 @@
 	case !d.manyDispatchers():
 	case d.inSlowStart(w) && d.slowStartWeight(w) < heavyJobWeight &&
 		j.class.runtimes.Median() > d.minMedianRuntime():
-		c += crossZoneJobs
+		c += heavyJobCost
 	case j.class.Effect == AtMostOnce || d.remainingAttempts(j) == 1:
 		c += w.outlier.Cost(d.now) // it stays where it is sent: best where one of ours has just started
 	case !d.inSlowStart(w): // which are paced
