--- a/internal/lab/service/upgrade.go
+++ b/internal/lab/service/upgrade.go
@@ -101,7 +101,7 @@
 	return report, err
 }
 
-// finish does the rest of an upgrade once the new process is ready.
+// completeUpgrade does the rest of an upgrade once the new process is ready.
 func (d *Deployment) completeUpgrade(ctx context.Context, report *UpgradeReport, next *fleet.Process) error {
 	report.TerminatedAt = time.Now()
 	termination, err := d.Promote(next)
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -53,7 +53,7 @@
 	{"a scheduler reads its configuration again", 2, minFaultLength, reloadScheduler},
 }
 
-// draw draws the faults of a run from its seed, in the order in which they begin.
+// drawFaults draws the faults of a run from its seed, in the order in which they begin.
 func (p *run) drawFaults() (faults []fault) {
 	var by []int
 	for i, k := range kinds {
@@ -84,7 +84,7 @@
 	return n
 }
 
-// play makes the faults happen, each at its time, and returns when all have ended.
+// playFaults makes the faults happen, each at its time, and returns when all have ended.
 func (p *run) playFaults(faults []fault) {
 	for _, f := range faults {
 		p.wait.Go(func() {
--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -171,7 +171,7 @@
 	return from
 }
 
-// apart reports whether a scheduler could not reach discovery at some moment between two times.
+// partitionedFromDiscovery reports whether a scheduler could not reach discovery at some moment between two times.
 func (p *run) partitionedFromDiscovery(i int, from, to time.Time) bool {
 	return anyOverlaps(p.record.partitions[i], from, to)
 }
--- a/workers.go
+++ b/workers.go
@@ -194,7 +194,7 @@
 	return w.report.TotalSlots() * d.cfg.SlotMemory
 }
 
-// Paused returns how many live workers get nothing, or one trial job at most, since attempts
+// Ejected returns how many live workers get nothing, or one trial job at most, since attempts
 // there failed or were not started in time. Workers that are only full do not count.
 func (d *Dispatcher) Ejected() int {
 	n := 0
