--- a/internal/cells/assigner.go
+++ b/internal/cells/assigner.go
@@ -35,21 +35,21 @@
 // The zero value is not usable; see NewAssigner. An Assigner is not safe for concurrent use; the
 // layouts that are made of its changes are.
 type Assigner struct {
-	plan         *Plan
-	workers      map[string]*ringWorker
-	ordered      []*ringWorker    // by position on the ring
-	strata       map[int]*stratum // by kind
-	slotCapacity []float64        // capacity of the workers that slots hold, by cell
+	plan            *Plan
+	workers         map[string]*ringWorker
+	ordered         []*ringWorker     // by position on the ring
+	pools           map[int]*kindPool // by kind
+	slottedCapacity []float64         // capacity of the workers that slots hold, by cell
 
 	cellWeights    []float64 // for workers without a slot
 	weightsVersion int       // of cellWeights
 }
 
 const (
-	slotFraction           = 0.3 // of a kind's workers, for which there are slots
-	smallFleetSlotFraction = 0.6 // the same in a small fleet, where hashing alone is uneven,
-	smallFleetSlots        = 24  // up to this many slots
-	weightSteps            = 8   // in which cellWeights change
+	slotFraction            = 0.3 // of a kind's workers, for which there are slots
+	smallFleetSlotFraction  = 0.6 // the same in a small fleet, where hashing alone is uneven,
+	smallFleetSlots         = 24  // up to this many slots
+	weightQuantizationSteps = 8   // in which cellWeights change
 
 	// maxIncrementalChanges is the number of changed workers over which everything is assigned anew: it
 	// costs as much.
@@ -72,10 +72,10 @@
 // NewAssigner returns an Assigner without workers.
 func NewAssigner(p *Plan) *Assigner {
 	return &Assigner{
-		plan:         p,
-		workers:      map[string]*ringWorker{},
-		strata:       map[int]*stratum{},
-		slotCapacity: make([]float64, len(p.cells)),
+		plan:            p,
+		workers:         map[string]*ringWorker{},
+		pools:           map[int]*kindPool{},
+		slottedCapacity: make([]float64, len(p.cells)),
 	}
 }
 
@@ -185,22 +185,22 @@
 // its slots' workers do not make up. It changes in coarse steps, so that it seldom does.
 func (a *Assigner) updateWeights() {
 	total := 0.0
-	clear(a.slotCapacity)
+	clear(a.slottedCapacity)
 	for _, w := range a.ordered {
 		capacity := a.plan.kindWeight(w.Kind)
 		total += capacity
 		if w.slot >= 0 {
-			a.slotCapacity[a.strata[w.Kind].slots[w.slot].cell] += capacity
+			a.slottedCapacity[a.pools[w.Kind].slots[w.slot].cell] += capacity
 		}
 	}
-	same := a.cellWeights != nil
+	unchanged := a.cellWeights != nil
 	weights := make([]float64, len(a.plan.fractions))
 	for cell, fraction := range a.plan.fractions {
-		missing := 1 - a.slotCapacity[cell]/max(fraction*total, 1e-9)
-		weights[cell] = fraction * math.Round(max(0, missing)*weightSteps) / weightSteps
-		same = same && weights[cell] == a.cellWeights[cell]
+		missing := 1 - a.slottedCapacity[cell]/max(fraction*total, 1e-9)
+		weights[cell] = fraction * math.Round(max(0, missing)*weightQuantizationSteps) / weightQuantizationSteps
+		unchanged = unchanged && weights[cell] == a.cellWeights[cell]
 	}
-	if !same {
+	if !unchanged {
 		a.cellWeights = weights
 		a.weightsVersion++
 	}
@@ -209,7 +209,7 @@
 // cellOf returns the cell of a worker by the slots and weights of now.
 func (a *Assigner) cellOf(w *ringWorker) int {
 	if w.slot >= 0 {
-		return a.strata[w.Kind].slots[w.slot].cell
+		return a.pools[w.Kind].slots[w.slot].cell
 	}
 	if w.weightsVersion != a.weightsVersion {
 		w.preferredCell = a.plan.rendezvousWeighted(w.hash, a.cellWeights)
--- a/internal/cells/assigner_test.go
+++ b/internal/cells/assigner_test.go
@@ -10,7 +10,7 @@
 )
 
 // spec has n cells of even shares.
-func spec(n int) *Spec {
+func equalCellsSpec(n int) *Spec {
 	s := &Spec{}
 	for i := range n {
 		s.Cells = append(s.Cells, Cell{Name: fmt.Sprint("c", i), CapacityFraction: 1 / float64(n)})
@@ -18,7 +18,7 @@
 	return s
 }
 
-func plan(t testing.TB, s *Spec, tenants ...Tenant) *Plan {
+func mustNewPlan(t testing.TB, s *Spec, tenants ...Tenant) *Plan {
 	t.Helper()
 	p, specErrors := NewPlan(s, tenants, 2, []string{"large", "medium", "old"})
 	if specErrors != nil {
@@ -28,7 +28,7 @@
 }
 
 // fleet draws n workers of all kinds and zones.
-func fleet(rng *rand.Rand, n int) (list []Worker) {
+func randomWorkers(rng *rand.Rand, n int) (list []Worker) {
 	for i := range n {
 		list = append(list, Worker{fmt.Sprintf("s-%08x", rng.Uint32()), i % 2, i % 3})
 	}
@@ -50,18 +50,18 @@
 	for _, c := range []struct{ n, cells int }{
 		{6, 2}, {12, 2}, {12, 3}, {12, 4}, {20, 4}, {40, 8}, {200, 10}, {1000, 20},
 	} {
-		p, rng := plan(t, spec(c.cells)), rand.New(rand.NewPCG(1, 2))
+		p, rng := mustNewPlan(t, equalCellsSpec(c.cells)), rand.New(rand.NewPCG(1, 2))
 		migrations, events := 0, 0
 		for range 40 {
-			a, list := NewAssigner(p), fleet(rng, c.n)
+			a, list := NewAssigner(p), randomWorkers(rng, c.n)
 			a.Update(list)
 			for range 10 {
 				i := rng.IntN(len(list))
-				x := list[i]
+				replaced := list[i]
 				list = append(list[:i:i], list[i+1:]...)
 				migrations += countMigrated(a.Update(list))
-				x.ID = fmt.Sprintf("s-%08x", rng.Uint32())
-				list = append(list, x)
+				replaced.ID = fmt.Sprintf("s-%08x", rng.Uint32())
+				list = append(list, replaced)
 				migrations += countMigrated(a.Update(list))
 				events += 2
 			}
@@ -78,35 +78,35 @@
 // order, nor whether workers change one at a time or all at once.
 func TestLayoutHasNoHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := spec(rapid.IntRange(1, 7).Draw(t, "cells"))
+		s := equalCellsSpec(rapid.IntRange(1, 7).Draw(t, "cells"))
 		s.Weights = map[string]float64{"large": 5.6, "old": 3}
 		s.RequiredKinds = rapid.SampledFrom([][]int{nil, {0}, {0, 2}}).Draw(t, "needs")
 		p, specErrors := NewPlan(s, nil, 2, []string{"large", "medium", "old"})
 		if specErrors != nil {
 			t.Fatal(specErrors)
 		}
-		a, here := NewAssigner(p), map[string]Worker{}
-		l := NewLayout(p)
+		assigner, live := NewAssigner(p), map[string]Worker{}
+		layout := NewLayout(p)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			var changes []Change
 			for range rapid.IntRange(1, 12).Draw(t, "at once") {
 				id := fmt.Sprint("s-", rapid.IntRange(0, 40).Draw(t, "node"))
-				if _, ok := here[id]; ok {
-					delete(here, id)
+				if _, ok := live[id]; ok {
+					delete(live, id)
 				} else {
-					here[id] = Worker{id, rapid.IntRange(-1, 1).Draw(t, "zone"), rapid.IntRange(-1, 2).Draw(t, "kind")}
+					live[id] = Worker{id, rapid.IntRange(-1, 1).Draw(t, "zone"), rapid.IntRange(-1, 2).Draw(t, "kind")}
 				}
 			}
 			var list []Worker
-			for _, n := range here {
-				list = append(list, n)
+			for _, worker := range live {
+				list = append(list, worker)
 			}
-			changes = a.Update(list)
-			l = l.WithChanges(changes)
+			changes = assigner.Update(list)
+			layout = layout.WithChanges(changes)
 			fresh := NewAssigner(p)
 			want := NewLayout(p).WithChanges(fresh.Update(list))
-			if size := requireSameLayout(t, l, want); size != len(here) {
-				t.Fatalf("%d workers in cells of %d", size, len(here))
+			if size := requireSameLayout(t, layout, want); size != len(live) {
+				t.Fatalf("%d workers in cells of %d", size, len(live))
 			}
 		}
 	})
@@ -131,41 +131,41 @@
 
 // Workers that differ in kind, zone and speed. Each cell gets about its
 // fraction of the capacity, a worker in each zone, and every kind that is needed.
-func TestFractionsOfAnUnevenFleet(t *testing.T) {
+func TestCapacityFractionsInMixedFleet(t *testing.T) {
 	s := &Spec{Weights: map[string]float64{"large": 6.4, "medium": 3, "old": 3}, RequiredKinds: []int{0}}
 	for i, share := range []float64{.32, .23, .26, .19} {
 		s.Cells = append(s.Cells, Cell{Name: fmt.Sprint("c", i), CapacityFraction: share})
 	}
-	p := plan(t, s)
+	p := mustNewPlan(t, s)
 	for _, c := range []struct {
 		n           int
 		rms, lowest float64 // of capacity over fraction, less 1
 	}{{16, 0.3, -0.6}, {48, 0.22, -0.5}, {300, 0.12, -0.3}} {
 		rng := rand.New(rand.NewPCG(3, 4))
-		square, lowest, runs := 0.0, 0.0, 100
+		meanSquare, lowest, runs := 0.0, 0.0, 100
 		for range runs {
 			a := NewAssigner(p)
-			a.Update(fleet(rng, c.n))
-			capacity, all := make([]float64, 4), 0.0
+			a.Update(randomWorkers(rng, c.n))
+			capacity, totalCapacity := make([]float64, 4), 0.0
 			zones, large := make([][2]int, 4), make([]int, 4)
 			for _, x := range a.ordered {
 				capacity[x.cell] += p.kindWeight(x.Kind)
-				all += p.kindWeight(x.Kind)
+				totalCapacity += p.kindWeight(x.Kind)
 				zones[x.cell][x.Zone]++
 				if x.Kind == 0 {
 					large[x.cell]++
 				}
 			}
 			for i := range capacity {
-				off := capacity[i]/all/p.fractions[i] - 1
-				square += off * off / float64(4*runs)
-				lowest = min(lowest, off)
+				deviation := capacity[i]/totalCapacity/p.fractions[i] - 1
+				meanSquare += deviation * deviation / float64(4*runs)
+				lowest = min(lowest, deviation)
 				if zones[i][0] == 0 || zones[i][1] == 0 || large[i] == 0 {
 					t.Errorf("%d workers: cell %d has %v workers by zone, %d large", c.n, i, zones[i], large[i])
 				}
 			}
 		}
-		rms := math.Sqrt(square)
+		rms := math.Sqrt(meanSquare)
 		t.Logf("%d workers: capacity off its fraction by %.2f in the mean, %.2f at the lowest", c.n, rms, lowest)
 		if rms > c.rms || lowest < c.lowest {
 			t.Errorf("%d workers: capacity off its fraction by %.2f in the mean, %.2f at the lowest", c.n, rms, lowest)
--- a/internal/cells/bench_test.go
+++ b/internal/cells/bench_test.go
@@ -6,8 +6,8 @@
 )
 
 // large is the size that a layout must bear: 10,000 workers, 1,000 tenants, 100 cells.
-func large(b testing.TB) (*Plan, []Worker) {
-	s := spec(100)
+func largeFleet(b testing.TB) (*Plan, []Worker) {
+	s := equalCellsSpec(100)
 	var tenants []Tenant
 	for i := range 1000 {
 		name := fmt.Sprint("tenant-", i)
@@ -15,7 +15,7 @@
 		s.Cells[i%100].Tenants = append(s.Cells[i%100].Tenants, name)
 	}
 	s.Weights = map[string]float64{"l": 5.6, "m": 2.9, "o": 3}
-	s.KeyWorkers = 3
+	s.WorkersPerKey = 3
 	p, specErrors := NewPlan(s, tenants, 2, []string{"l", "m", "o"})
 	if specErrors != nil {
 		b.Fatal(specErrors)
@@ -29,7 +29,7 @@
 
 // The complete layout from nothing.
 func BenchmarkCompleteLayout(b *testing.B) {
-	p, list := large(b)
+	p, list := largeFleet(b)
 	b.ReportAllocs()
 	for b.Loop() {
 		NewLayout(p).WithChanges(NewAssigner(p).Update(list))
@@ -38,17 +38,17 @@
 
 // One worker leaves, or comes back.
 func BenchmarkOneWorker(b *testing.B) {
-	p, list := large(b)
+	p, list := largeFleet(b)
 	a := NewAssigner(p)
 	l := NewLayout(p).WithChanges(a.Update(list))
 	b.ReportAllocs()
 	i := 0
 	for b.Loop() {
-		x := list[i/2%len(list)]
+		worker := list[i/2%len(list)]
 		if i%2 == 0 {
-			l = l.WithChanges(a.Remove(x.ID))
+			l = l.WithChanges(a.Remove(worker.ID))
 		} else {
-			l = l.WithChanges(a.Add(x))
+			l = l.WithChanges(a.Add(worker))
 		}
 		i++
 	}
@@ -56,7 +56,7 @@
 
 // A job's cell and the workers of its key.
 func BenchmarkLookup(b *testing.B) {
-	p, list := large(b)
+	p, list := largeFleet(b)
 	l := NewLayout(p).WithChanges(NewAssigner(p).Update(list))
 	b.Run("cell", func(b *testing.B) {
 		b.ReportAllocs()
--- a/internal/cells/cells_test.go
+++ b/internal/cells/cells_test.go
@@ -9,23 +9,23 @@
 	"testing"
 )
 
-func threeCells(t *testing.T) *Plan {
-	return plan(t, &Spec{
+func threeCellPlan(t *testing.T) *Plan {
+	return mustNewPlan(t, &Spec{
 		Cells: []Cell{
-			{Name: "a", Tenants: []string{"t0"}, Spill: "b", SpillPart: 0.1},
-			{Name: "b", Tenants: []string{"t1"}, Spill: "a", SpillPart: 0.5},
-			{Name: "c", Jobs: 7},
+			{Name: "a", Tenants: []string{"t0"}, SpillCell: "b", SpillFraction: 0.1},
+			{Name: "b", Tenants: []string{"t1"}, SpillCell: "a", SpillFraction: 0.5},
+			{Name: "c", MaxJobs: 7},
 		},
-		Splits: []Split{{"t2", []string{"a", "c"}}}, KeyWorkers: 2, KeyJobs: 3,
+		Splits: []Split{{"t2", []string{"a", "c"}}}, WorkersPerKey: 2, MaxJobsPerKey: 3,
 	}, Tenant{"t0", 10}, Tenant{"t1", 30}, Tenant{"t2", 20}, Tenant{"t3", 1})
 }
 
 func TestSpecErrors(t *testing.T) {
 	_, specErrors := NewPlan(&Spec{
 		Cells: []Cell{
-			{Name: "a", Tenants: []string{"t0", "x"}, Spill: "a"},
+			{Name: "a", Tenants: []string{"t0", "x"}, SpillCell: "a"},
 			{Name: "a"},
-			{Name: "b", Tenants: []string{"t0"}, Spill: "z"},
+			{Name: "b", Tenants: []string{"t0"}, SpillCell: "z"},
 		},
 		Default: "d", Splits: []Split{{"t1", []string{"b", "q"}}}, Weights: map[string]float64{"w": 1},
 	}, []Tenant{{"t0", 1}, {"t1", 1}}, 1, []string{"k"})
@@ -46,7 +46,7 @@
 // A tenant's jobs go to its cell, a split one's to one of its cells by key, quotas
 // follow them, and a migration changes that tenant alone.
 func TestTenants(t *testing.T) {
-	p := threeCells(t)
+	p := threeCellPlan(t)
 	l := NewLayout(p)
 	if l.Cell(0, 1) != 0 || l.Cell(1, 9) != 1 || l.Cell(3, 1) != l.Cell(3, 2) || l.Cell(-1, 0) != l.Cell(99, 5) {
 		t.Error("tenants are not in their cells")
@@ -67,11 +67,11 @@
 	if sum < 60.99 || sum > 61.01 {
 		t.Errorf("the cells' quotas add up to %v, want 61", sum)
 	}
-	m := l.WithTenant(2, 1)
-	if m.Cell(2, 5) != 1 || !m.Migrated(2) || m.Migrated(0) || l.Migrated(2) || m.Cell(0, 1) != 0 {
+	migrated := l.WithMigration(2, 1)
+	if migrated.Cell(2, 5) != 1 || !migrated.Migrated(2) || migrated.Migrated(0) || l.Migrated(2) || migrated.Cell(0, 1) != 0 {
 		t.Error("a migration changes more or less than its tenant")
 	}
-	if r := m.Restored(2); r.Migrated(2) || r.Cell(2, 5) != l.Cell(2, 5) {
+	if restored := migrated.WithoutMigration(2); restored.Migrated(2) || restored.Cell(2, 5) != l.Cell(2, 5) {
 		t.Error("it is not restored")
 	}
 	for what, c := range map[string]struct {
@@ -92,7 +92,7 @@
 
 // A job spills once, into a healthy cell that has capacity, and never in a cycle.
 func TestRoute(t *testing.T) {
-	l := NewLayout(threeCells(t))
+	l := NewLayout(threeCellPlan(t))
 	for what, c := range map[string]struct {
 		conditions  [3]Condition
 		hasCapacity bool
@@ -119,12 +119,12 @@
 // A key's jobs go to few workers of the cell, other keys to others; one
 // worker less changes at most one of them.
 func TestKeyWorkers(t *testing.T) {
-	p := threeCells(t)
+	p := threeCellPlan(t)
 	a := NewAssigner(p)
-	list := fleet(rand.New(rand.NewPCG(5, 6)), 60)
+	list := randomWorkers(rand.New(rand.NewPCG(5, 6)), 60)
 	l := NewLayout(p).WithChanges(a.Update(list))
 	removed := l.Workers(1)[3]
-	m := l.WithChanges([]Change{{removed, 1, -1}})
+	withoutRemoved := l.WithChanges([]Change{{removed, 1, -1}})
 	used := map[string]int{}
 	for key := uint64(1); key <= 400; key++ {
 		workers := l.KeyWorkers(1, key)
@@ -135,13 +135,13 @@
 			used[n]++
 		}
 		shared := 0
-		for _, n := range m.KeyWorkers(1, key) {
+		for _, n := range withoutRemoved.KeyWorkers(1, key) {
 			if slices.Contains(workers, n) {
 				shared++
 			}
 		}
 		if want := 2; shared != want && !slices.Contains(workers, removed) || shared < want-1 {
-			t.Errorf("key %d: %v, then %v", key, workers, m.KeyWorkers(1, key))
+			t.Errorf("key %d: %v, then %v", key, workers, withoutRemoved.KeyWorkers(1, key))
 		}
 	}
 	if len(used) != l.WorkerCount(1) {
@@ -155,20 +155,20 @@
 // An evacuated cell's tenants go where they are accepted: into its spill cell, or what is left
 // of their own cells, or spread over the rest.
 func TestEvacuation(t *testing.T) {
-	p := threeCells(t)
+	p := threeCellPlan(t)
 	l := NewLayout(p)
 	all := func(int) bool { return true }
-	got, err := l.Evacuation(0, all)
+	got, err := l.PlanEvacuation(0, all)
 	if err != nil || !slices.Contains(got, Evacuee{0, 1}) || !slices.Contains(got, Evacuee{2, 2}) {
 		t.Errorf("%v, %v", got, err)
 	}
-	got, _ = l.Evacuation(0, func(c int) bool { return c == 2 })
+	got, _ = l.PlanEvacuation(0, func(c int) bool { return c == 2 })
 	for _, r := range got {
 		if r.To != 2 {
 			t.Errorf("%v: into a cell that accepts none", r)
 		}
 	}
-	if _, err := l.Evacuation(0, func(int) bool { return false }); !errors.Is(err, ErrNoTargetCell) {
+	if _, err := l.PlanEvacuation(0, func(int) bool { return false }); !errors.Is(err, ErrNoTargetCell) {
 		t.Errorf("nowhere to go: %v", err)
 	}
 }
@@ -177,14 +177,14 @@
 // its own cell leaves capacity to the others.
 func TestAdmission(t *testing.T) {
 	admission := NewAdmission([]int{10, 10}, 2)
-	flood := 0
+	admitted := 0
 	for range 100 {
 		if admission.Admit(0, 0) {
-			flood++
+			admitted++
 		}
 	}
-	if flood != 5 { // alone it has the half that is anyone's
-		t.Errorf("a flood has %d of 10 reservations", flood)
+	if admitted != 5 { // alone it has the half that is anyone's
+		t.Errorf("a flood has %d of 10 reservations", admitted)
 	}
 	for i := range 5 {
 		if !admission.Admit(0, 1) {
@@ -195,17 +195,17 @@
 		t.Error("a bound does not hold, or the other cell sheds")
 	}
 	admission.Transfer(0, 1, 1)
-	if open, bound, shed := admission.Open(0); open != 9 || bound != 10 || shed != 96 {
+	if open, bound, shed := admission.Usage(0); open != 9 || bound != 10 || shed != 96 {
 		t.Errorf("%d of %d open, %d shed", open, bound, shed)
 	}
 	admission.Reserve(0, -1) // past the bound: for what is open already
 	for range 5 {
 		admission.Release(0, 0)
 	}
-	if open, _, _ := admission.Open(0); open != 5 {
+	if open, _, _ := admission.Usage(0); open != 5 {
 		t.Errorf("%d open", open)
 	}
-	if p := threeCells(t); p.JobBound(2, 100) != 7 || p.JobBound(2, 5) != 5 || p.JobBound(0, 10) < minBound {
+	if p := threeCellPlan(t); p.JobBound(2, 100) != 7 || p.JobBound(2, 5) != 5 || p.JobBound(0, 10) < minCellBound {
 		t.Error("bounds of cells")
 	}
 	if !strings.Contains(SpecError{"cell a", "x"}.Error(), "cell a: x") {
--- a/internal/cells/golden_test.go
+++ b/internal/cells/golden_test.go
@@ -13,31 +13,31 @@
 // pin the maps of some fleets as they change.
 
 // mapPlan has every way in which tenants and workers are told where to be.
-func mapPlan(t *testing.T) *Plan {
-	return plan(t, &Spec{
+func goldenPlan(t *testing.T) *Plan {
+	return mustNewPlan(t, &Spec{
 		Cells: []Cell{
-			{Name: "north", CapacityFraction: 0.4, Tenants: []string{"t0"}, Spill: "south", SpillPart: 0.1, Jobs: 7},
-			{Name: "south", Tenants: []string{"t1"}, Spill: "north", SpillPart: 0.5, Connections: 9},
+			{Name: "north", CapacityFraction: 0.4, Tenants: []string{"t0"}, SpillCell: "south", SpillFraction: 0.1, MaxJobs: 7},
+			{Name: "south", Tenants: []string{"t1"}, SpillCell: "north", SpillFraction: 0.5, MaxConnections: 9},
 			{Name: "isles"},
 			{Name: "coast", CapacityFraction: 0.1},
 		},
-		Splits:     []Split{{"t2", []string{"north", "isles", "coast"}}},
-		KeyWorkers: 2, KeyJobs: 3, Weights: map[string]float64{"large": 2, "old": 0.5}, RequiredKinds: []int{0},
+		Splits:        []Split{{"t2", []string{"north", "isles", "coast"}}},
+		WorkersPerKey: 2, MaxJobsPerKey: 3, Weights: map[string]float64{"large": 2, "old": 0.5}, RequiredKinds: []int{0},
 	}, Tenant{"t0", 10}, Tenant{"t1", 30}, Tenant{"t2", 20}, Tenant{"t3", 1}, Tenant{"t4", 2}, Tenant{"t5", 3})
 }
 
 // mapFleet is some workers of all zones and kinds, of which none has a drawn name.
-func mapFleet(from, to int) (list []Worker) {
+func goldenWorkers(from, to int) (list []Worker) {
 	for i := from; i < to; i++ {
 		list = append(list, Worker{fmt.Sprintf("10.0.%d.%d:3000", i/16, i%16), i%3 - 1, i%4 - 1})
 	}
 	return list
 }
 
-// TestMapOfWorkers pins which cell each worker is in, as workers come and go.
-func TestMapOfWorkers(t *testing.T) {
+// TestWorkerAssignmentGolden pins which cell each worker is in, as workers come and go.
+func TestWorkerAssignmentGolden(t *testing.T) {
 	var b strings.Builder
-	p := mapPlan(t)
+	p := goldenPlan(t)
 	a, layout := NewAssigner(p), NewLayout(p)
 	apply := func(title string, changes []Change) {
 		layout = layout.WithChanges(changes)
@@ -47,11 +47,11 @@
 			fmt.Fprintf(&b, "%s from %d to %d\n", c.ID, c.From, c.To)
 		}
 	}
-	apply("a whole list", a.Update(mapFleet(0, 40)))
+	apply("a whole list", a.Update(goldenWorkers(0, 40)))
 	apply("one less", a.Remove("10.0.0.5:3000"))
 	apply("one more", a.Add(Worker{"10.0.0.99:3000", 1, 0}))
-	apply("a few changes", a.Update(mapFleet(2, 42)))
-	apply("another fleet", a.Update(mapFleet(30, 110)))
+	apply("a few changes", a.Update(goldenWorkers(2, 42)))
+	apply("another fleet", a.Update(goldenWorkers(30, 110)))
 	for cell := range p.CellCount() {
 		fmt.Fprintf(&b, "# cell %d\n%s\n", cell, strings.Join(layout.Workers(cell), "\n"))
 		for key := range uint64(6) {
@@ -61,17 +61,17 @@
 	golden.Check(t, "workers.txt", []byte(b.String()))
 }
 
-// TestMapOfTenants pins shares, bounds, quotas and the cells of tenants and keys, also after migrations.
-func TestMapOfTenants(t *testing.T) {
+// TestTenantAssignmentGolden pins shares, bounds, quotas and the cells of tenants and keys, also after migrations.
+func TestTenantAssignmentGolden(t *testing.T) {
 	var b strings.Builder
-	p := mapPlan(t)
+	p := goldenPlan(t)
 	for cell := range p.CellCount() {
 		fmt.Fprintf(&b, "cell %s: %v of the capacity, bounds %d and %d\n", p.CellName(cell), p.CapacityFraction(cell),
 			p.JobBound(cell, 1000), p.ConnectionBound(cell, 500))
 	}
-	file := NewLayout(p).WithChanges(NewAssigner(p).Update(mapFleet(0, 40)))
-	migrated := file.WithTenant(0, 2).WithTenant(2, 1)
-	for _, layout := range []*Layout{file, migrated, migrated.Restored(0)} {
+	configured := NewLayout(p).WithChanges(NewAssigner(p).Update(goldenWorkers(0, 40)))
+	migrated := configured.WithMigration(0, 2).WithMigration(2, 1)
+	for _, layout := range []*Layout{configured, migrated, migrated.WithoutMigration(0)} {
 		fmt.Fprintln(&b, "# a layout")
 		writeTenants(&b, layout)
 	}
@@ -84,14 +84,14 @@
 		fmt.Fprintf(b, "cell %d: quotas %v\n", cell, layout.Quotas(cell))
 	}
 	condition := func(cell int) Condition { return []Condition{Healthy, SlowStart, Unavailable}[cell%3] }
-	room := func(int) bool { return true }
+	hasCapacity := func(int) bool { return true }
 	for tenant := -1; tenant < layout.Plan().TenantCount(); tenant++ {
 		fmt.Fprintf(b, "tenant %d:", tenant)
 		for key := range uint64(12) {
-			fmt.Fprintf(b, " %d %v", layout.Cell(tenant, key), layout.Route(tenant, key, condition, room))
+			fmt.Fprintf(b, " %d %v", layout.Cell(tenant, key), layout.Route(tenant, key, condition, hasCapacity))
 		}
 		fmt.Fprintln(b)
 	}
-	evacuees, err := layout.Evacuation(0, func(int) bool { return true })
+	evacuees, err := layout.PlanEvacuation(0, func(int) bool { return true })
 	fmt.Fprintln(b, "evacuation:", evacuees, err)
 }
--- a/internal/cells/layout.go
+++ b/internal/cells/layout.go
@@ -38,7 +38,7 @@
 func (l *Layout) Plan() *Plan { return l.plan }
 
 // tenantSlot returns a tenant's index in the tables; unknown tenants share the last one.
-func (l *Layout) tenantSlot(tenant int) int {
+func (l *Layout) tenantIndex(tenant int) int {
 	if tenant < 0 || tenant >= len(l.tenants) {
 		return len(l.tenants) - 1
 	}
@@ -47,7 +47,7 @@
 
 // Cell returns the cell of a tenant's job. It does not allocate.
 func (l *Layout) Cell(tenant int, key uint64) int {
-	set := l.tenants[l.tenantSlot(tenant)]
+	set := l.tenants[l.tenantIndex(tenant)]
 	if len(set) == 1 {
 		return int(set[0])
 	}
@@ -56,21 +56,21 @@
 
 // ServedBy reports whether jobs of a tenant may have this cell as theirs.
 func (l *Layout) ServedBy(tenant, cell int) bool {
-	return slices.Contains(l.tenants[l.tenantSlot(tenant)], int32(cell))
+	return slices.Contains(l.tenants[l.tenantIndex(tenant)], int32(cell))
 }
 
 // Migrated reports whether a tenant has other cells than the file says.
-func (l *Layout) Migrated(tenant int) bool { return l.migrated[l.tenantSlot(tenant)] }
+func (l *Layout) Migrated(tenant int) bool { return l.migrated[l.tenantIndex(tenant)] }
 
 // ConfiguredIn reports whether the file has a tenant in a cell.
 func (l *Layout) ConfiguredIn(tenant, cell int) bool {
-	return slices.Contains(l.plan.tenants[l.tenantSlot(tenant)], int32(cell))
+	return slices.Contains(l.plan.tenants[l.tenantIndex(tenant)], int32(cell))
 }
 
 // SameCells reports whether a tenant has the cells, by name, that another layout has for it.
 func (l *Layout) SameCells(o *Layout, tenant int) bool {
-	own, other := l.tenants[l.tenantSlot(tenant)], o.tenants[o.tenantSlot(tenant)]
-	return slices.EqualFunc(own, other, func(a, b int32) bool {
+	tenantCells, otherCells := l.tenants[l.tenantIndex(tenant)], o.tenants[o.tenantIndex(tenant)]
+	return slices.EqualFunc(tenantCells, otherCells, func(a, b int32) bool {
 		return l.plan.cells[a].Name == o.plan.cells[b].Name
 	})
 }
@@ -119,7 +119,7 @@
 // KeyWorkers returns the workers of a cell to which the jobs with a key may go; nil means all. They are
 // those that rendezvous hashing ranks first, so that a worker more or less changes one of them at most.
 func (l *Layout) KeyWorkers(cell int, key uint64) []string {
-	limit := l.plan.keyWorkers
+	limit := l.plan.workersPerKey
 	if key == 0 || limit <= 0 || len(l.members[cell]) <= limit {
 		return nil
 	}
@@ -132,9 +132,9 @@
 	salt := mix(key ^ l.plan.cellHashes[cell])
 	for _, m := range l.members[cell] {
 		r := ranked{m.id, mix(salt ^ m.hash)}
-		at, _ := slices.BinarySearchFunc(best, r, descending)
-		if at < limit {
-			best = slices.Insert(best, at, r)[:min(len(best)+1, limit)]
+		rank, _ := slices.BinarySearchFunc(best, r, descending)
+		if rank < limit {
+			best = slices.Insert(best, rank, r)[:min(len(best)+1, limit)]
 		}
 	}
 	ids := make([]string, len(best))
--- a/internal/cells/layout_changes.go
+++ b/internal/cells/layout_changes.go
@@ -9,7 +9,7 @@
 )
 
 // bulkChanges is the number of changes over which a table is sorted or built once, not for each.
-const bulkChanges = 64
+const maxIncrementalLayoutChanges = 64
 
 // WithChanges returns the layout after workers have changed cells.
 func (l *Layout) WithChanges(changes []Change) *Layout {
@@ -24,7 +24,7 @@
 
 // workersAfter returns the cells of the workers after changes.
 func (l *Layout) workersAfter(changes []Change) *immutable.Map[string, int] {
-	if len(changes) <= bulkChanges {
+	if len(changes) <= maxIncrementalLayoutChanges {
 		workers := l.workers
 		for _, change := range changes {
 			if change.To < 0 {
@@ -82,7 +82,7 @@
 
 // addMembers adds the workers that have arrived to their cells, which may be changed in place.
 func addMembers(members [][]member, arrived []Change) {
-	bulk := len(arrived) > bulkChanges
+	bulk := len(arrived) > maxIncrementalLayoutChanges
 	unsorted := make([]bool, len(members))
 	for _, change := range arrived {
 		cell := change.To
@@ -105,16 +105,16 @@
 func byID(a, b member) int { return cmp.Compare(a.id, b.id) }
 
 // WithTenant returns the layout after a tenant has migrated to a cell.
-func (l *Layout) WithTenant(tenant, cell int) *Layout {
-	return l.withCells(tenant, cellSet{int32(cell)}, true)
+func (l *Layout) WithMigration(tenant, cell int) *Layout {
+	return l.withTenantCells(tenant, cellSet{int32(cell)}, true)
 }
 
 // Restored returns the layout with a tenant in the cells that the file says.
-func (l *Layout) Restored(tenant int) *Layout {
-	return l.withCells(tenant, l.plan.tenants[tenant], false)
+func (l *Layout) WithoutMigration(tenant int) *Layout {
+	return l.withTenantCells(tenant, l.plan.tenants[tenant], false)
 }
 
-func (l *Layout) withCells(tenant int, set cellSet, migrated bool) *Layout {
+func (l *Layout) withTenantCells(tenant int, set cellSet, migrated bool) *Layout {
 	next := *l
 	next.tenants, next.migrated = slices.Clone(l.tenants), slices.Clone(l.migrated)
 	next.tenants[tenant] = set
@@ -128,7 +128,7 @@
 // Evacuation says where the tenants of a cell go while it is evacuated: to the cell that it spills
 // into, or spread over the others by hash, of those that accept tenants. Where there is none it returns
 // ErrNoTargetCell.
-func (l *Layout) Evacuation(cell int, accepts func(cell int) bool) ([]Evacuee, error) {
+func (l *Layout) PlanEvacuation(cell int, accepts func(cell int) bool) ([]Evacuee, error) {
 	var targets cellSet
 	for c := range l.members {
 		if c != cell && accepts(c) {
@@ -138,7 +138,7 @@
 	if len(targets) == 0 {
 		return nil, ErrNoTargetCell
 	}
-	if spill := l.plan.spill[cell]; spill >= 0 && accepts(spill) {
+	if spill := l.plan.spillCells[cell]; spill >= 0 && accepts(spill) {
 		targets = cellSet{int32(spill)}
 	}
 	unusable := func(c int32) bool { return int(c) == cell || !accepts(int(c)) }
@@ -147,11 +147,11 @@
 		if !l.ServedBy(tenant, cell) {
 			continue
 		}
-		rest := slices.DeleteFunc(slices.Clone(l.tenants[tenant]), unusable)
-		if len(rest) == 0 {
-			rest = targets
+		candidates := slices.DeleteFunc(slices.Clone(l.tenants[tenant]), unusable)
+		if len(candidates) == 0 {
+			candidates = targets
 		}
-		to := l.plan.rendezvous(tenantHash(l.plan.tenantName(tenant)), rest)
+		to := l.plan.rendezvous(tenantHash(l.plan.tenantName(tenant)), candidates)
 		evacuees = append(evacuees, Evacuee{tenant, to})
 	}
 	return evacuees, nil
--- a/internal/cells/plan.go
+++ b/internal/cells/plan.go
@@ -19,8 +19,8 @@
 	Cells         []Cell
 	Default       string             // the cell of tenants that are not named; "": spread by hash
 	Splits        []Split            // tenants that are served by several cells, by key
-	KeyWorkers    int                // workers of its cell that a key's jobs may go to; 0: all
-	KeyJobs       int                // open jobs that one key may have in a cell; 0: no limit
+	WorkersPerKey int                // workers of its cell that a key's jobs may go to; 0: all
+	MaxJobsPerKey int                // open jobs that one key may have in a cell; 0: no limit
 	Weights       map[string]float64 // capacity of a worker kind against others; 1 if not named
 	RequiredKinds []int              // worker kinds without which some class cannot run
 }
@@ -30,10 +30,10 @@
 	Name             string
 	CapacityFraction float64 // of the fleet's capacity; 0: as its tenants' quotas are to all
 	Tenants          []string
-	Jobs             int     // open jobs; 0: its fraction of what the scheduler admits
-	Connections      int     // of its tenants' clients; 0: its fraction likewise
-	Spill            string  // the cell of its jobs while it has no warm worker; "": none
-	SpillPart        float64 // of that cell's Jobs, the most that spilled jobs may take
+	MaxJobs          int     // open jobs; 0: its fraction of what the scheduler admits
+	MaxConnections   int     // of its tenants' clients; 0: its fraction likewise
+	SpillCell        string  // the cell of its jobs while it has no warm worker; "": none
+	SpillFraction    float64 // of that cell's Jobs, the most that spilled jobs may take
 }
 
 // A Split spreads a tenant over several cells by key.
@@ -54,16 +54,16 @@
 	cellIndex     map[string]int
 	fractions     []float64 // of capacity, by cell; they sum to 1
 	cellHashes    []uint64  // of the cells' names
-	spill         []int     // -1: none
+	spillCells    []int     // -1: none
 	tenants       []cellSet // by tenant; the last is for jobs of no tenant
 	tenantNames   []string
 	quotas        []float64
 	tenantIndex   map[string]int
 	zones         int
-	weights       []float64 // by kind + 1; kind -1 is unknown
+	kindWeights   []float64 // by kind + 1; kind -1 is unknown
 	requiredKinds []int
-	keyWorkers    int
-	keyJobs       int
+	workersPerKey int
+	maxJobsPerKey int
 }
 
 // A cellSet is the cells that serve a tenant: one, or several by key.
@@ -77,17 +77,17 @@
 func (e SpecError) Error() string { return e.Subject + ": " + e.Text }
 
 // minBound is the least that a cell's bound is by its fraction.
-const minBound = 4
+const minCellBound = 4
 
 // requiresKind reports whether every cell must have a worker of a kind where it can.
 func (p *Plan) requiresKind(kind int) bool { return slices.Contains(p.requiredKinds, kind) }
 
 // kindWeight is the capacity of a worker of a kind.
 func (p *Plan) kindWeight(kind int) float64 {
-	if kind+1 < 0 || kind+1 >= len(p.weights) {
+	if kind+1 < 0 || kind+1 >= len(p.kindWeights) {
 		return 1
 	}
-	return p.weights[kind+1]
+	return p.kindWeights[kind+1]
 }
 
 // CellCount returns how many cells there are.
@@ -108,23 +108,23 @@
 func (p *Plan) CapacityFraction(cell int) float64 { return p.fractions[cell] }
 
 // KeyJobs returns how many open jobs one key may have in a cell; 0: no limit.
-func (p *Plan) KeyJobs() int { return p.keyJobs }
+func (p *Plan) MaxJobsPerKey() int { return p.maxJobsPerKey }
 
 // CellBound returns how many of total a cell may have: what the file says, given, or its fraction,
 // and a few at least.
-func (p *Plan) CellBound(cell, given, total int) int {
-	if given > 0 {
-		return min(given, total)
+func (p *Plan) CellBound(cell, configured, total int) int {
+	if configured > 0 {
+		return min(configured, total)
 	}
-	return min(total, max(minBound, int(p.fractions[cell]*float64(total))))
+	return min(total, max(minCellBound, int(p.fractions[cell]*float64(total))))
 }
 
 // JobBound returns how many jobs of a cell may be open of a total.
-func (p *Plan) JobBound(cell, total int) int { return p.CellBound(cell, p.cells[cell].Jobs, total) }
+func (p *Plan) JobBound(cell, total int) int { return p.CellBound(cell, p.cells[cell].MaxJobs, total) }
 
 // ConnectionBound returns how many connections of a cell may be open of a total.
 func (p *Plan) ConnectionBound(cell, total int) int {
-	return p.CellBound(cell, p.cells[cell].Connections, total)
+	return p.CellBound(cell, p.cells[cell].MaxConnections, total)
 }
 
 // TenantIndex returns a tenant's index, or -1.
@@ -139,7 +139,7 @@
 func (p *Plan) TenantCount() int { return len(p.tenantNames) }
 
 // TenantSlots returns the length of a table by tenant: one entry each, and one for jobs of no tenant.
-func (p *Plan) TenantSlots() int { return len(p.tenants) }
+func (p *Plan) TenantTableSize() int { return len(p.tenants) }
 
 // TenantNames returns the tenants' names in their order.
 func (p *Plan) TenantNames() []string { return p.tenantNames }
--- a/internal/cells/plan_build.go
+++ b/internal/cells/plan_build.go
@@ -11,8 +11,8 @@
 
 	// Cells that no tenant's quota asks for get a quarter of an even part of what the file leaves,
 	// or of minUnassigned where it leaves nothing.
-	minUnassigned    = 0.01
-	unassignedDivide = 4
+	minUnassignedFraction = 0.01
+	unassignedDivisor     = 4
 )
 
 // A planBuilder makes a Plan of a Spec and gathers what is wrong with it.
@@ -29,8 +29,8 @@
 		cellIndex:     map[string]int{},
 		tenantIndex:   map[string]int{},
 		zones:         zones,
-		keyWorkers:    spec.KeyWorkers,
-		keyJobs:       spec.KeyJobs,
+		workersPerKey: spec.WorkersPerKey,
+		maxJobsPerKey: spec.MaxJobsPerKey,
 		requiredKinds: spec.RequiredKinds,
 	}}
 	b.addCells()
@@ -50,7 +50,7 @@
 	return b.plan, nil
 }
 
-func (b *planBuilder) fail(subject, format string, args ...any) {
+func (b *planBuilder) addError(subject, format string, args ...any) {
 	b.errors = append(b.errors, SpecError{subject, fmt.Sprintf(format, args...)})
 }
 
@@ -58,7 +58,7 @@
 func (b *planBuilder) findCell(subject, name string) int {
 	i, ok := b.plan.cellIndex[name]
 	if !ok {
-		b.fail(subject, "there is no cell %q", name)
+		b.addError(subject, "there is no cell %q", name)
 	}
 	return i
 }
@@ -66,11 +66,11 @@
 func (b *planBuilder) addCells() {
 	p := b.plan
 	if len(p.cells) == 0 {
-		b.fail("cells", "no cell is given")
+		b.addError("cells", "no cell is given")
 	}
 	for i, cell := range p.cells {
 		if _, duplicate := p.cellIndex[cell.Name]; duplicate {
-			b.fail("cell "+cell.Name, "it is there twice")
+			b.addError("cell "+cell.Name, "it is there twice")
 		}
 		p.cellIndex[cell.Name] = i
 		p.cellHashes = append(p.cellHashes, xxhash.Sum64String("cell "+cell.Name))
@@ -94,13 +94,13 @@
 		for _, tenant := range cell.Tenants {
 			b.assignTenant(tenant, cellSet{int32(i)})
 		}
-		p.spill = append(p.spill, noCell)
-		if cell.Spill == "" {
+		p.spillCells = append(p.spillCells, noCell)
+		if cell.SpillCell == "" {
 			continue
 		}
-		p.spill[i] = b.findCell("spill "+cell.Name, cell.Spill)
-		if cell.Spill == cell.Name {
-			b.fail("spill "+cell.Name, "a cell cannot spill into itself")
+		p.spillCells[i] = b.findCell("spill "+cell.Name, cell.SpillCell)
+		if cell.SpillCell == cell.Name {
+			b.addError("spill "+cell.Name, "a cell cannot spill into itself")
 		}
 	}
 }
@@ -119,9 +119,9 @@
 	tenant, ok := b.plan.tenantIndex[name]
 	switch {
 	case !ok:
-		b.fail("tenant "+name, "the platform has no such tenant")
+		b.addError("tenant "+name, "the platform has no such tenant")
 	case b.plan.tenants[tenant] != nil:
-		b.fail("tenant "+name, "it has a place already")
+		b.addError("tenant "+name, "it has a place already")
 	default:
 		b.plan.tenants[tenant] = set
 	}
@@ -130,19 +130,19 @@
 // setWeights sets the capacity of each kind's workers.
 func (b *planBuilder) setWeights(weights map[string]float64, kinds []string) {
 	p := b.plan
-	p.weights = make([]float64, len(kinds)+1)
-	for i := range p.weights {
-		p.weights[i] = 1
+	p.kindWeights = make([]float64, len(kinds)+1)
+	for i := range p.kindWeights {
+		p.kindWeights[i] = 1
 	}
 	for name, weight := range weights {
 		known := false
 		for kind, kindName := range kinds {
 			if kindName == name {
-				known, p.weights[kind+1] = true, weight
+				known, p.kindWeights[kind+1] = true, weight
 			}
 		}
 		if !known {
-			b.fail("kind "+name, "the platform has no such machine kind")
+			b.addError("kind "+name, "the platform has no such machine kind")
 		}
 	}
 }
@@ -150,15 +150,15 @@
 // setFractions gives each cell its fraction of capacity: what the file says, and the rest in the
 // proportion of quotas, so that each tenant's part of the fleet stays what it was.
 func (p *Plan) setFractions(defaultCell int) {
-	quotaByCell, quotaSum := p.openQuotas(defaultCell)
-	given, open := 0.0, 0
+	quotaByCell, quotaSum := p.unconfiguredQuotas(defaultCell)
+	configuredSum, unconfiguredCells := 0.0, 0
 	for i := range p.cells {
-		given += p.cells[i].CapacityFraction
+		configuredSum += p.cells[i].CapacityFraction
 		if p.cells[i].CapacityFraction == 0 {
-			open++
+			unconfiguredCells++
 		}
 	}
-	left := max(0, 1-given)
+	remaining := max(0, 1-configuredSum)
 	sum := 0.0
 	p.fractions = make([]float64, len(p.cells))
 	for i := range p.cells {
@@ -166,9 +166,9 @@
 		case p.cells[i].CapacityFraction > 0:
 			p.fractions[i] = p.cells[i].CapacityFraction
 		case quotaSum > 0 && quotaByCell[i] > 0:
-			p.fractions[i] = left * quotaByCell[i] / quotaSum
+			p.fractions[i] = remaining * quotaByCell[i] / quotaSum
 		default:
-			p.fractions[i] = max(left, minUnassigned) / float64(open) / unassignedDivide
+			p.fractions[i] = max(remaining, minUnassignedFraction) / float64(unconfiguredCells) / unassignedDivisor
 		}
 		sum += p.fractions[i]
 	}
@@ -179,7 +179,7 @@
 
 // openQuotas returns the quotas of the tenants of each cell whose fraction the file leaves open, and
 // their sum.
-func (p *Plan) openQuotas(defaultCell int) (byCell []float64, sum float64) {
+func (p *Plan) unconfiguredQuotas(defaultCell int) (byCell []float64, sum float64) {
 	byCell = make([]float64, len(p.cells))
 	for tenant, quota := range p.quotas {
 		set := p.tenants[tenant]
--- a/internal/cells/ring.go
+++ b/internal/cells/ring.go
@@ -8,22 +8,22 @@
 // A ring is workers in the order of their positions, of which some are taken by slots. next[i] leads to
 // the first free one from i on, by union and find with path halving.
 type ring struct {
-	workers []*ringWorker
-	next    []int
+	workers     []*ringWorker
+	nextUntaken []int
 }
 
 func (r *ring) add(w *ringWorker) {
 	r.workers = append(r.workers, w)
-	r.next = append(r.next, len(r.next))
+	r.nextUntaken = append(r.nextUntaken, len(r.nextUntaken))
 }
 
 // nextFree returns the index of the first free worker from i on, or the ring's length.
 func (r *ring) nextFree(i int) int {
-	for i < len(r.next) && r.next[i] != i {
-		if j := r.next[i]; j < len(r.next) {
-			r.next[i] = r.next[j]
+	for i < len(r.nextUntaken) && r.nextUntaken[i] != i {
+		if j := r.nextUntaken[i]; j < len(r.nextUntaken) {
+			r.nextUntaken[i] = r.nextUntaken[j]
 		}
-		i = r.next[i]
+		i = r.nextUntaken[i]
 	}
 	return i
 }
@@ -47,5 +47,5 @@
 // markTaken takes a worker that a slot holds out of the search.
 func (r *ring) markTaken(w *ringWorker) {
 	i, _ := slices.BinarySearchFunc(r.workers, w, byPosition)
-	r.next[i] = i + 1
+	r.nextUntaken[i] = i + 1
 }
--- a/internal/cells/route.go
+++ b/internal/cells/route.go
@@ -41,7 +41,7 @@
 	if state == Healthy {
 		return Route{Cell: own}
 	}
-	target := l.plan.spill[own]
+	target := l.plan.spillCells[own]
 	if target >= 0 && condition(target) == Healthy && hasCapacity(target) {
 		return Route{Cell: target, Spilled: true}
 	}
@@ -51,7 +51,7 @@
 // SpillBound returns how many jobs that a cell spills may be open in the cell that they go to, of the
 // bound on that cell's jobs.
 func (l *Layout) SpillBound(from, bound int) int {
-	return max(1, int(l.plan.cells[from].SpillPart*float64(bound)))
+	return max(1, int(l.plan.cells[from].SpillFraction*float64(bound)))
 }
 
 // CheckMigration checks the migration of a tenant before anything is done.
--- a/internal/cells/slots.go
+++ b/internal/cells/slots.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // A stratum is the workers of one kind and the slots for them.
-type stratum struct {
+type kindPool struct {
 	kind        int
 	workers     int
 	slots       []slot
@@ -21,17 +21,17 @@
 const (
 	anyZone = -1
 	// requiredRank puts a cell without a worker of a required kind before all others.
-	requiredRank = 1e6
+	requiredKindRank = 1e6
 	// slotSalt tells the positions of a cell's slots apart.
 	slotSalt = 0xd1b54a32d192ed03
 )
 
 // stratumOf returns the stratum of a kind.
-func (a *Assigner) stratumOf(kind int) *stratum {
-	s := a.strata[kind]
+func (a *Assigner) poolOf(kind int) *kindPool {
+	s := a.pools[kind]
 	if s == nil {
-		s = &stratum{kind: kind, slotsByCell: make([]int, len(a.plan.cells))}
-		a.strata[kind] = s
+		s = &kindPool{kind: kind, slotsByCell: make([]int, len(a.plan.cells))}
+		a.pools[kind] = s
 	}
 	return s
 }
@@ -50,7 +50,7 @@
 // addSlot adds the next slot: the cell's that is furthest under its fraction of slots, by the divisors
 // of Webster. The order depends on fractions alone, so that one more worker means at most one more slot
 // and changes none before it.
-func (s *stratum) addSlot(p *Plan) *slot {
+func (s *kindPool) addSlot(p *Plan) *slot {
 	cell := s.nextSlotCell(p)
 	ordinal := s.slotsByCell[cell]
 	s.slotsByCell[cell]++
@@ -64,14 +64,14 @@
 }
 
 // nextSlotCell returns the cell of the next slot. Where cells are equal, kinds begin at different ones.
-func (s *stratum) nextSlotCell(p *Plan) int {
+func (s *kindPool) nextSlotCell(p *Plan) int {
 	best, bestRank := 0, -1.0
-	first := max(0, s.kind*max(1, len(p.cells)/max(1, len(p.weights)-1)))
+	first := max(0, s.kind*max(1, len(p.cells)/max(1, len(p.kindWeights)-1)))
 	for i := range p.cells {
 		cell := (i + first) % len(p.cells)
 		rank := p.fractions[cell] / float64(2*s.slotsByCell[cell]+1)
 		if s.slotsByCell[cell] == 0 && p.requiresKind(s.kind) {
-			rank += requiredRank
+			rank += requiredKindRank
 		}
 		if rank > bestRank {
 			best, bestRank = cell, rank
@@ -86,10 +86,10 @@
 	if y == nil {
 		return true
 	}
-	xElsewhere := s.zone >= 0 && x.Zone != s.zone
-	yElsewhere := s.zone >= 0 && y.Zone != s.zone
-	if xElsewhere != yElsewhere {
-		return yElsewhere
+	xOtherZone := s.zone >= 0 && x.Zone != s.zone
+	yOtherZone := s.zone >= 0 && y.Zone != s.zone
+	if xOtherZone != yOtherZone {
+		return yOtherZone
 	}
 	xDistance, yDistance := x.position-s.position, y.position-s.position
 	if xDistance != yDistance {
@@ -99,7 +99,7 @@
 }
 
 // assign gives slot i to a worker.
-func (s *stratum) assign(i int, w *ringWorker) {
+func (s *kindPool) assign(i int, w *ringWorker) {
 	s.slots[i].holder = w
 	w.slot = i
 }
@@ -110,14 +110,14 @@
 	added := a.register(w)
 	at, _ := slices.BinarySearchFunc(a.ordered, added, byPosition)
 	a.ordered = slices.Insert(a.ordered, at, added)
-	s := a.stratumOf(w.Kind)
+	s := a.poolOf(w.Kind)
 	s.workers++
-	passed := added
+	displaced := added
 	for i := range s.slots {
-		if holder := s.slots[i].holder; s.slots[i].prefers(passed, holder) {
-			s.assign(i, passed)
+		if holder := s.slots[i].holder; s.slots[i].prefers(displaced, holder) {
+			s.assign(i, displaced)
 			holder.slot = noSlot
-			passed = holder
+			displaced = holder
 		}
 	}
 	for len(s.slots) < a.slotCount(s.workers) {
@@ -132,7 +132,7 @@
 	delete(a.workers, w.ID)
 	at, _ := slices.BinarySearchFunc(a.ordered, w, byPosition)
 	a.ordered = slices.Delete(a.ordered, at, at+1)
-	s := a.stratumOf(w.Kind)
+	s := a.poolOf(w.Kind)
 	s.workers--
 	for len(s.slots) > a.slotCount(s.workers) {
 		last := &s.slots[len(s.slots)-1]
@@ -147,7 +147,7 @@
 
 // refill lets slot i choose among the workers that no earlier slot holds, and after it the slot that
 // lost its worker to it.
-func (a *Assigner) refill(s *stratum, i int) {
+func (a *Assigner) refill(s *kindPool, i int) {
 	for i >= 0 {
 		var best *ringWorker
 		for _, w := range a.ordered {
@@ -175,15 +175,15 @@
 		a.ordered = append(a.ordered, w)
 	}
 	slices.SortFunc(a.ordered, byPosition)
-	clear(a.strata)
+	clear(a.pools)
 	for _, w := range a.ordered {
-		a.stratumOf(w.Kind).workers++
+		a.poolOf(w.Kind).workers++
 	}
 	rings := ringsOf(a.ordered)
-	for kind, s := range a.strata {
+	for kind, s := range a.pools {
 		for len(s.slots) < a.slotCount(s.workers) {
 			added := s.addSlot(a.plan)
-			w := added.choose(rings[kind])
+			w := added.preferredFree(rings[kind])
 			rings[kind][w.Zone].markTaken(w)
 			s.assign(len(s.slots)-1, w)
 		}
@@ -208,7 +208,7 @@
 }
 
 // choose returns the free worker that a slot prefers, by the rings of its stratum's zones.
-func (s *slot) choose(zones map[int]*ring) *ringWorker {
+func (s *slot) preferredFree(zones map[int]*ring) *ringWorker {
 	if w := zones[s.zone].nearestFree(s.position); w != nil {
 		return w
 	}
--- a/internal/checkpoint/checkpoint_test.go
+++ b/internal/checkpoint/checkpoint_test.go
@@ -177,11 +177,11 @@
 // The bound on a checkpoint's age follows from the list's lease with the figures of the design.
 func TestMaxAge(t *testing.T) {
 	const (
-		changes, entry, traffic = 0.116, 141.0, 24 << 10 // a second, bytes, bytes a second
-		zone                    = 558
+		changeRate, changeSize, bandwidth = 0.116, 141.0, 24 << 10 // a second, bytes, bytes a second
+		zoneWorkers                       = 558
 	)
-	missed := (MaxAge+WriteInterval).Seconds()*changes + zone
-	if took := missed*entry/traffic + pollpacing.AnswerBudget.Seconds(); took > pollpacing.MaxPropagationDelay.Seconds() {
+	missed := (MaxAge+WriteInterval).Seconds()*changeRate + zoneWorkers
+	if took := missed*changeSize/bandwidth + pollpacing.AnswerBudget.Seconds(); took > pollpacing.MaxPropagationDelay.Seconds() {
 		t.Errorf("the changes since take %.2f s, the list's clock has %v", took, pollpacing.MaxPropagationDelay)
 	}
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -145,8 +145,8 @@
 // keyLimits reads what the jobs with one key may use.
 func (r *reader) keyLimits(f form, spec *cells.Spec) {
 	r.forms(f.key, f.args, map[string]rule{
-		"nodes": {read: func(f form) { spec.KeyWorkers = r.positiveInteger(f, r.singleValue(f), maxKeyWorkers) }},
-		"jobs":  {read: func(f form) { spec.KeyJobs = r.positiveInteger(f, r.singleValue(f), maxCount) }},
+		"nodes": {read: func(f form) { spec.WorkersPerKey = r.positiveInteger(f, r.singleValue(f), maxKeyWorkers) }},
+		"jobs":  {read: func(f form) { spec.MaxJobsPerKey = r.positiveInteger(f, r.singleValue(f), maxCount) }},
 	})
 }
 
@@ -187,8 +187,8 @@
 	r.forms(f.key+" "+name, rest, map[string]rule{
 		"share":       {read: func(f form) { c.CapacityFraction = r.number(f, r.singleValue(f), minFraction, 1) }},
 		"tenants":     {read: func(f form) { c.Tenants = r.names(f, "tenant ") }},
-		"jobs":        {read: func(f form) { c.Jobs = r.positiveInteger(f, r.singleValue(f), maxCount) }},
-		"connections": {read: func(f form) { c.Connections = r.positiveInteger(f, r.singleValue(f), maxCount) }},
+		"jobs":        {read: func(f form) { c.MaxJobs = r.positiveInteger(f, r.singleValue(f), maxCount) }},
+		"connections": {read: func(f form) { c.MaxConnections = r.positiveInteger(f, r.singleValue(f), maxCount) }},
 		"when-unable": {read: func(f form) { r.whenUnable(f, &c) }},
 	})
 	return c
@@ -211,7 +211,7 @@
 			return
 		}
 		r.subjects["spill "+c.Name] = form{f.args[1], f.key, nil}
-		c.Spill, c.SpillPart = r.text(f, f.args[1]), r.number(f, f.args[2], minFraction, 1)
+		c.SpillCell, c.SpillFraction = r.text(f, f.args[1]), r.number(f, f.args[2], minFraction, 1)
 	}
 }
 
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	plan := op.Cells
-	if op.ControlSocket != "/tmp/foxlift-control.sock" || plan.CellCount() != 2 || plan.KeyJobs() != 16 {
+	if op.ControlSocket != "/tmp/foxlift-control.sock" || plan.CellCount() != 2 || plan.MaxJobsPerKey() != 16 {
 		t.Errorf("%+v", op)
 	}
 	if fraction := plan.CapacityFraction(plan.CellIndex("isles")); fraction != 0.25 {
--- a/internal/core/accept.go
+++ b/internal/core/accept.go
@@ -47,7 +47,7 @@
 // countShed counts that a job was shed before it was validated: its class may be unknown.
 func (c *Core) countShed(j *Job) {
 	if _, known := c.settings.Classes[j.Class]; known {
-		c.counters.AddPart(VerdictCounters[Shed], j.Class)
+		c.counters.AddLabeled(VerdictCounters[Shed], j.Class)
 		return
 	}
 	c.counters.Add(VerdictCounters[Shed])
--- a/internal/core/cell_assign.go
+++ b/internal/core/cell_assign.go
@@ -49,7 +49,7 @@
 		c.counters.Add("jobs.spilled")
 	}
 	j.reservation.transfer(route.Cell)
-	if maxJobs := p.layout.Plan().KeyJobs(); maxJobs > 0 && j.Key != 0 && !c.cells.acquireKey(j, maxJobs) {
+	if maxJobs := p.layout.Plan().MaxJobsPerKey(); maxJobs > 0 && j.Key != 0 && !c.cells.acquireKey(j, maxJobs) {
 		c.counters.Add("jobs.key_full")
 		c.shedOrFail(j)
 		return
--- a/internal/core/cell_helpers_test.go
+++ b/internal/core/cell_helpers_test.go
@@ -25,7 +25,7 @@
 // twoCells has t in a and u and v in b; a spills into b.
 func twoCells() *cells.Spec {
 	return &cells.Spec{Cells: []cells.Cell{
-		{Name: "a", CapacityFraction: 0.5, Tenants: []string{"t"}, Spill: "b", SpillPart: 0.1},
+		{Name: "a", CapacityFraction: 0.5, Tenants: []string{"t"}, SpillCell: "b", SpillFraction: 0.1},
 		{Name: "b", CapacityFraction: 0.5, Tenants: []string{"u", "v"}},
 	}}
 }
@@ -75,7 +75,7 @@
 func (r *rig) migrate(t *testing.T, tenant string, to int) Migration {
 	t.Helper()
 	p := r.placement.Load()
-	layout := p.layout.WithTenant(p.layout.Plan().TenantIndex(tenant), to)
+	layout := p.layout.WithMigration(p.layout.Plan().TenantIndex(tenant), to)
 	m := r.adoptPlacement(p.layout, p.withLayout(layout))
 	r.dispatch()
 	return m
--- a/internal/core/cell_placement_test.go
+++ b/internal/core/cell_placement_test.go
@@ -107,7 +107,7 @@
 // tenant and class go past it.
 func TestKeyFlood(t *testing.T) {
 	spec := twoCells()
-	spec.KeyWorkers, spec.KeyJobs = 2, 12
+	spec.WorkersPerKey, spec.MaxJobsPerKey = 2, 12
 	r := newCellRig(t, spec)
 	used := map[string]bool{}
 	for i := range 20 {
@@ -158,7 +158,7 @@
 // back, the next slot that is free is that one's.
 func TestLentCapacityIsReturned(t *testing.T) {
 	spec := twoCells()
-	spec.Cells[1].Jobs = 60
+	spec.Cells[1].MaxJobs = 60
 	r := newCellRig(t, spec)
 	slots := r.saturate(t, "u") // all of the cell, far over what the tenant has tokens for
 	if slots < 8 {
--- a/internal/core/cell_state.go
+++ b/internal/core/cell_state.go
@@ -89,7 +89,7 @@
 	p := c.placement.Load()
 	plan := p.layout.Plan()
 	state.Fraction, state.Condition = plan.CapacityFraction(i), c.cellCondition(i)
-	_, state.Bound, state.Rejected = p.admission.Open(i)
+	_, state.Bound, state.Rejected = p.admission.Usage(i)
 	for t, name := range plan.TenantNames() {
 		if p.layout.ServedBy(t, i) {
 			tenant := TenantState{Name: name, Migrated: p.layout.Migrated(t), Quota: cl.quotas[t]}
--- a/internal/core/migration.go
+++ b/internal/core/migration.go
@@ -26,7 +26,7 @@
 		if c.cells.all[i].evacuated {
 			return nil, cells.ErrEvacuated
 		}
-		return layout.WithTenant(t, i), nil
+		return layout.WithMigration(t, i), nil
 	})
 }
 
@@ -37,14 +37,14 @@
 		if i < 0 {
 			return nil, cells.ErrUnknownCell
 		}
-		evacuees, err := layout.Evacuation(i, func(other int) bool {
+		evacuees, err := layout.PlanEvacuation(i, func(other int) bool {
 			return c.cellCondition(other) != cells.Unavailable
 		})
 		if err != nil {
 			return nil, err
 		}
 		for _, e := range evacuees {
-			layout = layout.WithTenant(e.Tenant, e.To)
+			layout = layout.WithMigration(e.Tenant, e.To)
 		}
 		c.cells.all[i].evacuated = true
 		return layout, nil
@@ -74,9 +74,9 @@
 
 // restoreTenants returns the layout with the migrated tenants that are selected where the plan has them.
 func restoreTenants(layout *cells.Layout, selected func(tenant int) bool) *cells.Layout {
-	for t := range layout.Plan().TenantSlots() {
+	for t := range layout.Plan().TenantTableSize() {
 		if selected(t) && layout.Migrated(t) {
-			layout = layout.Restored(t)
+			layout = layout.WithoutMigration(t)
 		}
 	}
 	return layout
--- a/internal/core/migration_load_test.go
+++ b/internal/core/migration_load_test.go
@@ -65,7 +65,7 @@
 func newMigrationLoad(t *testing.T) *migrationLoad {
 	t.Helper()
 	spec := twoCells()
-	spec.KeyWorkers, spec.KeyJobs = 2, 4
+	spec.WorkersPerKey, spec.MaxJobsPerKey = 2, 4
 	l := &migrationLoad{
 		rig: newCellRig(t, spec), random: rand.New(rand.NewPCG(8, 9)), mayHaveRun: map[string]int{},
 		// With more failures all workers would soon be ejected.
@@ -144,7 +144,7 @@
 		if cl.retired {
 			continue
 		}
-		if open, _, _ := l.placement.Load().admission.Open(i); open != 0 {
+		if open, _, _ := l.placement.Load().admission.Usage(i); open != 0 {
 			t.Errorf("%s: %d reservations stay", cl.name, open)
 		}
 	}
--- a/internal/core/migration_test.go
+++ b/internal/core/migration_test.go
@@ -18,7 +18,7 @@
 
 func testMigrationTransfersQueuedJobs(t *testing.T) {
 	spec := twoCells()
-	spec.Cells[0].Jobs, spec.Cells[1].Jobs = 60, 60
+	spec.Cells[0].MaxJobs, spec.Cells[1].MaxJobs = 60, 60
 	r := newCellRig(t, spec)
 	n := r.saturate(t, "t")
 	queued := r.jobs.open[fmt.Sprint("t-fill-", n)]
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -71,10 +71,10 @@
 	return []*cells.Spec{
 		{
 			Cells: []cells.Cell{
-				{Name: "a", Tenants: []string{"t"}, Spill: "b", SpillPart: 0.2},
+				{Name: "a", Tenants: []string{"t"}, SpillCell: "b", SpillFraction: 0.2},
 				{Name: "b", Tenants: []string{"u"}},
 			},
-			KeyWorkers: 1, KeyJobs: 3,
+			WorkersPerKey: 1, MaxJobsPerKey: 3,
 		},
 		{Cells: []cells.Cell{
 			{Name: "b", Tenants: []string{"t", "u"}},
@@ -190,7 +190,7 @@
 	}
 	if p := c.placement.Load(); p != nil {
 		for i := range p.jobBounds {
-			if open, _, _ := p.admission.Open(i); open != 0 {
+			if open, _, _ := p.admission.Usage(i); open != 0 {
 				w.violate("cell %d: %d reservations are left", i, open)
 			}
 		}
--- a/internal/core/record.go
+++ b/internal/core/record.go
@@ -38,7 +38,7 @@
 	j.cell.recordAnswer(a.Verdict)
 	j.clearSpill()
 	c.rememberID(j.ID, c.settings.Module.Classes[j.class].Effect != foxlift.Idempotent)
-	c.counters.AddPart(VerdictCounters[a.Verdict], j.Class)
+	c.counters.AddLabeled(VerdictCounters[a.Verdict], j.Class)
 	j.Client.Answer(a)
 	c.jobs.removeIfDone(j)
 }
--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -15,13 +15,13 @@
 
 // A Set holds named counters. The zero value is ready; any goroutine may use it.
 type Set struct {
-	mu     sync.Mutex
-	values map[string]int64
-	parts  map[part]int64
+	mu      sync.Mutex
+	values  map[string]int64
+	labeled map[labeledCounter]int64
 }
 
 // A part is the part of a counter that belongs to one label, such as a class.
-type part struct{ name, label string }
+type labeledCounter struct{ name, label string }
 
 // Add increments a counter.
 func (s *Set) Add(name string) {
@@ -32,14 +32,14 @@
 
 // AddPart increments a counter and the label's part of it. Labels are never forgotten: they must come
 // from the settings, never from input.
-func (s *Set) AddPart(name, label string) {
+func (s *Set) AddLabeled(name, label string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.addLocked(name)
-	if s.parts == nil {
-		s.parts = map[part]int64{}
+	if s.labeled == nil {
+		s.labeled = map[labeledCounter]int64{}
 	}
-	s.parts[part{name, label}]++
+	s.labeled[labeledCounter{name, label}]++
 }
 
 func (s *Set) addLocked(name string) {
@@ -50,10 +50,10 @@
 }
 
 // Part returns a label's part of a counter.
-func (s *Set) Part(name, label string) int64 {
+func (s *Set) GetLabeled(name, label string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.parts[part{name, label}]
+	return s.labeled[labeledCounter{name, label}]
 }
 
 // Get returns a counter's value.
--- a/internal/counters/counters_test.go
+++ b/internal/counters/counters_test.go
@@ -10,14 +10,14 @@
 func TestSet(t *testing.T) {
 	var set Set
 	set.Add("b")
-	set.AddPart("a", "x")
-	set.AddPart("a", "x")
-	set.AddPart("a", "y")
+	set.AddLabeled("a", "x")
+	set.AddLabeled("a", "x")
+	set.AddLabeled("a", "y")
 	if set.Get("a") != 3 || set.Get("b") != 1 || set.Get("c") != 0 {
 		t.Errorf("counters: %v", set.All())
 	}
-	if set.Part("a", "x") != 2 || set.Part("a", "y") != 1 || set.Part("b", "x") != 0 {
-		t.Errorf("parts of a: x %d, y %d", set.Part("a", "x"), set.Part("a", "y"))
+	if set.GetLabeled("a", "x") != 2 || set.GetLabeled("a", "y") != 1 || set.GetLabeled("b", "x") != 0 {
+		t.Errorf("parts of a: x %d, y %d", set.GetLabeled("a", "x"), set.GetLabeled("a", "y"))
 	}
 	all := set.All()
 	all["b"] = 9
--- a/internal/counters/names_test.go
+++ b/internal/counters/names_test.go
@@ -21,7 +21,7 @@
 	`nodes|peers|probes|reloads|upgrades)\.[a-z_]*$`)
 
 // notScheduler are the folders under internal that the scheduler does not link.
-var notScheduler = []string{"lab", "standin", "fuzz", "golden", "wire"}
+var excludedDirectories = []string{"lab", "standin", "fuzz", "golden", "wire"}
 
 // TestNames pins the names of all counters that the scheduler's code has: dashboards use them. The
 // second parts of names that are put together are pinned where they are counted.
@@ -32,7 +32,7 @@
 			switch {
 			case err != nil:
 				return err
-			case entry.IsDir() && slices.Contains(notScheduler, entry.Name()):
+			case entry.IsDir() && slices.Contains(excludedDirectories, entry.Name()):
 				return filepath.SkipDir
 			case !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go"):
 				return nil
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -95,13 +95,13 @@
 
 // A Close is what is known when the scheduler ends a client's connection.
 type Close struct {
-	Owed         bool // a job was accepted from it and not answered
-	Disconnected bool // the client has ended it
+	AnswerPending bool // a job was accepted from it and not answered
+	Disconnected  bool // the client has ended it
 }
 
 // Check returns the invariant that the close would violate.
 func (c Close) Check() Invariant {
-	if c.Owed && !c.Disconnected {
+	if c.AnswerPending && !c.Disconnected {
 		return Unanswered
 	}
 	return None
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -54,8 +54,8 @@
 
 func TestRepeat(t *testing.T) {
 	for _, c := range []struct {
-		r    Repeat
-		want Invariant
+		repeat Repeat
+		want   Invariant
 	}{
 		{Repeat{}, LeaseExpired},
 		{Repeat{EndpointsTrusted: true, Effect: foxlift.AtMostOnce}, None},
@@ -74,15 +74,15 @@
 			MayHaveRun: true, WindowRemaining: time.Hour,
 		}, DuplicateRun},
 	} {
-		if got := c.r.Check(); got != c.want {
-			t.Errorf("%+v: %q, want %q", c.r, got, c.want)
+		if got := c.repeat.Check(); got != c.want {
+			t.Errorf("%+v: %q, want %q", c.repeat, got, c.want)
 		}
 	}
 }
 
 func TestClose(t *testing.T) {
 	for c, want := range map[Close]Invariant{
-		{}: None, {Owed: true}: Unanswered, {Owed: true, Disconnected: true}: None, {Disconnected: true}: None,
+		{}: None, {AnswerPending: true}: Unanswered, {AnswerPending: true, Disconnected: true}: None, {Disconnected: true}: None,
 	} {
 		if got := c.Check(); got != want {
 			t.Errorf("%+v: %q, want %q", c, got, want)
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -77,7 +77,7 @@
 func (c *collector) Collect(out chan<- prometheus.Metric) {
 	for _, class := range c.classes {
 		for verdict, result := range results {
-			n := c.counters.Part(core.VerdictCounters[verdict], class)
+			n := c.counters.GetLabeled(core.VerdictCounters[verdict], class)
 			out <- prometheus.MustNewConstMetric(c.responses, prometheus.CounterValue, float64(n), class, result)
 		}
 	}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -20,13 +20,13 @@
 func (s *source) Active() int                                         { return 14 }
 func (s *source) WorkerPool(context.Context) (core.WorkerPool, error) { return s.pool, s.err }
 
-func TestFigures(t *testing.T) {
+func TestMetricValues(t *testing.T) {
 	set := &counters.Set{}
 	for range 812 {
-		set.AddPart("jobs.served", "C")
+		set.AddLabeled("jobs.served", "C")
 	}
-	set.AddPart("jobs.refused", `odd"name`)
-	set.AddPart("jobs.failed", "C")
+	set.AddLabeled("jobs.refused", `odd"name`)
+	set.AddLabeled("jobs.failed", "C")
 	set.Add(counters.ClaimsWritten)
 	s := &source{pool: core.WorkerPool{Size: 12, Ejected: 2}}
 	handler := Handler([]string{"C", `odd"name`}, set, s)
--- a/internal/platform/client_conn.go
+++ b/internal/platform/client_conn.go
@@ -79,7 +79,7 @@
 // the last answer for a while nothing can be lost, and other clients may need the descriptor.
 func (c *clientConn) close() {
 	defer c.conn.Close()
-	if rule := (guard.Close{Owed: c.owesAnswer, Disconnected: peerClosed(c.conn)}).Check(); rule != guard.None {
+	if rule := (guard.Close{AnswerPending: c.owesAnswer, Disconnected: peerClosed(c.conn)}).Check(); rule != guard.None {
 		c.server.counters.Add(rule.Counter())
 	}
 	if time.Since(c.answeredAt) >= c.server.lateRequestGrace && !hasUnsentBytes(c.conn) {
--- a/internal/pollpacing/pacer.go
+++ b/internal/pollpacing/pacer.go
@@ -84,18 +84,18 @@
 //     maxOversizedBackoff: each costs discovery the complete list and makes nothing known. The first
 //     two keep MaxPropagationDelay, should a length have been corrupted on the way.
 const (
-	maxFailedCallRate     = 100.0
-	maxFirstCallRate      = 300.0
-	firstCallJitter       = time.Second            // the window of the first calls of a small fleet
-	maxTimeoutBackoff     = 250 * time.Millisecond // after a call that timed out
-	minBackoff            = 50 * time.Millisecond  // between two calls of one scheduler
-	maxSmallFleetBackoff  = time.Second            // to which the backoff of a small fleet grows
-	maxNewEndpointBackoff = 500 * time.Millisecond // after another discovery has been named,
-	newEndpointAttempts   = 16                     // for so many failures
-	maxSchedulers         = 1_000_000
-	firstOversizedBackoff = time.Second // the upper bound after the first oversized answer
-	maxOversizedBackoff   = 64 * time.Second
-	oversizedInBudget     = 2 // oversized answers after which the backoff keeps MaxPropagationDelay
+	maxFailedCallRate        = 100.0
+	maxFirstCallRate         = 300.0
+	firstCallJitter          = time.Second            // the window of the first calls of a small fleet
+	maxTimeoutBackoff        = 250 * time.Millisecond // after a call that timed out
+	minBackoff               = 50 * time.Millisecond  // between two calls of one scheduler
+	maxSmallFleetBackoff     = time.Second            // to which the backoff of a small fleet grows
+	maxNewEndpointBackoff    = 500 * time.Millisecond // after another discovery has been named,
+	newEndpointAttempts      = 16                     // for so many failures
+	maxSchedulers            = 1_000_000
+	firstOversizedBackoff    = time.Second // the upper bound after the first oversized answer
+	maxOversizedBackoff      = 64 * time.Second
+	oversizedRetriesInBudget = 2 // oversized answers after which the backoff keeps MaxPropagationDelay
 
 	maxDoublings = 16 // of a backoff: more would overflow and change nothing
 )
@@ -229,7 +229,7 @@
 func (p *Pacer) oversizedDelay(fleetWindow, elapsed time.Duration) time.Duration {
 	backoff := min(maxOversizedBackoff, firstOversizedBackoff<<p.oversizedAnswers)
 	window := max(fleetWindow, backoff)
-	if p.oversizedAnswers < oversizedInBudget {
+	if p.oversizedAnswers < oversizedRetriesInBudget {
 		window = max(2*minBackoff, min(window, failureBudget-elapsed))
 	}
 	p.oversizedAnswers = min(p.oversizedAnswers+1, maxDoublings)
--- a/internal/pollpacing/pacer_test.go
+++ b/internal/pollpacing/pacer_test.go
@@ -12,36 +12,36 @@
 // A simulation is a fleet of pacers against one discovery that serves calls one after another, by
 // the order in which they came, and refuses what has waited for patience. It has no real clock.
 type simulation struct {
-	schedulers     int
-	cost, patience time.Duration
-	down           time.Duration // until then every call fails at once
-	naive          bool          // a backoff that knows nothing: half a second, doubled, half of it random
+	schedulers                int
+	serviceTime, queueTimeout time.Duration
+	downUntil                 time.Duration // until then every call fails at once
+	naive                     bool          // a backoff that knows nothing: half a second, doubled, half of it random
 
-	events   schedule
-	ticks    int
-	rng      *rand.Rand
-	perSec   map[time.Duration]int
-	queue    []func(now time.Duration)
-	busy     bool
-	answered int
-	result   result
+	pending        eventHeap
+	sequence       int
+	rng            *rand.Rand
+	callsPerSecond map[time.Duration]int
+	queue          []func(now time.Duration)
+	busy           bool
+	answered       int
+	result         result
 }
 
 type event struct {
-	at   time.Duration
-	do   func(now time.Duration)
-	tick int
+	at       time.Duration
+	do       func(now time.Duration)
+	sequence int
 }
 
-type schedule []event
+type eventHeap []event
 
-func (s schedule) Len() int { return len(s) }
-func (s schedule) Less(i, j int) bool {
-	return s[i].at < s[j].at || s[i].at == s[j].at && s[i].tick < s[j].tick
+func (s eventHeap) Len() int { return len(s) }
+func (s eventHeap) Less(i, j int) bool {
+	return s[i].at < s[j].at || s[i].at == s[j].at && s[i].sequence < s[j].sequence
 }
-func (s schedule) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
-func (s *schedule) Push(x any)   { *s = append(*s, x.(event)) }
-func (s *schedule) Pop() any {
+func (s eventHeap) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
+func (s *eventHeap) Push(x any)   { *s = append(*s, x.(event)) }
+func (s *eventHeap) Pop() any {
 	last := (*s)[len(*s)-1]
 	*s = (*s)[:len(*s)-1]
 	return last
@@ -55,7 +55,7 @@
 }
 
 // worst returns the greater of each figure.
-func (r result) worst(o result) result {
+func (r result) maximum(o result) result {
 	return result{
 		max(r.half, o.half), max(r.all, o.all),
 		max(r.calls, o.calls), max(r.rejected, o.rejected), max(r.maxRate, o.maxRate),
@@ -71,7 +71,7 @@
 
 func (s *simulation) run(seed uint64) result {
 	s.rng = rand.New(rand.NewPCG(seed, 3))
-	s.perSec = map[time.Duration]int{}
+	s.callsPerSecond = map[time.Duration]int{}
 	for range s.schedulers {
 		p := &simulatedPoller{
 			simulation: s, backoff: 250 * time.Millisecond,
@@ -79,16 +79,16 @@
 		}
 		s.after(p.pacer.InitialDelay(), p.poll)
 	}
-	for len(s.events) > 0 {
-		e := heap.Pop(&s.events).(event)
+	for len(s.pending) > 0 {
+		e := heap.Pop(&s.pending).(event)
 		e.do(e.at)
 	}
 	return s.result
 }
 
 func (s *simulation) after(at time.Duration, do func(now time.Duration)) {
-	s.ticks++
-	heap.Push(&s.events, event{at, do, s.ticks})
+	s.sequence++
+	heap.Push(&s.pending, event{at, do, s.sequence})
 }
 
 // serve begins with the next call in discovery's queue, if it is idle.
@@ -113,25 +113,25 @@
 func (p *simulatedPoller) poll(now time.Duration) {
 	s := p.simulation
 	s.result.calls++
-	s.perSec[now/time.Second]++
-	s.result.maxRate = max(s.result.maxRate, s.perSec[now/time.Second])
-	if now < s.down {
+	s.callsPerSecond[now/time.Second]++
+	s.result.maxRate = max(s.result.maxRate, s.callsPerSecond[now/time.Second])
+	if now < s.downUntil {
 		p.failed(now, 0, Unreachable)
 		return
 	}
-	waits := true
+	queued := true
 	s.queue = append(s.queue, func(now time.Duration) {
-		if !waits {
+		if !queued {
 			s.serve(now)
 			return
 		}
-		waits, s.busy = false, true
-		s.after(now+s.cost, s.answer)
+		queued, s.busy = false, true
+		s.after(now+s.serviceTime, s.answer)
 	})
-	s.after(now+s.patience, func(now time.Duration) {
-		if waits {
-			waits = false
-			p.failed(now, s.patience, Overloaded)
+	s.after(now+s.queueTimeout, func(now time.Duration) {
+		if queued {
+			queued = false
+			p.failed(now, s.queueTimeout, Overloaded)
 		}
 	})
 	s.serve(now)
@@ -150,24 +150,24 @@
 
 // One second's calls of all schedulers stay under a figure that does not grow with them, and
 // the last has its list soon after discovery could have answered all one after another.
-func TestFleetPollsDiscovery(t *testing.T) {
+func TestFleetCallRateIsBounded(t *testing.T) {
 	for _, n := range []int{1, 10, 100, 300, 1000} {
 		for _, down := range []time.Duration{0, 10 * time.Second} {
 			t.Run(fmt.Sprintf("%d, down %v", n, down), func(t *testing.T) {
-				var worst, before result
+				var worst, naiveWorst result
 				for seed := range uint64(10) {
 					run := func(naive bool) result {
 						s := simulation{
-							schedulers: n, cost: 22 * time.Millisecond, patience: 2 * time.Second, down: down, naive: naive,
+							schedulers: n, serviceTime: 22 * time.Millisecond, queueTimeout: 2 * time.Second, downUntil: down, naive: naive,
 						}
 						return s.run(seed)
 					}
-					worst = worst.worst(run(false))
-					before = before.worst(run(true))
+					worst = worst.maximum(run(false))
+					naiveWorst = naiveWorst.maximum(run(true))
 				}
 				t.Logf("half %.2f s, all %.2f s, calls %d, refused %d, in a second %d; before: %.2f s, %.2f s, %d, %d, %d",
 					worst.half.Seconds(), worst.all.Seconds(), worst.calls, worst.rejected, worst.maxRate,
-					before.half.Seconds(), before.all.Seconds(), before.calls, before.rejected, before.maxRate)
+					naiveWorst.half.Seconds(), naiveWorst.all.Seconds(), naiveWorst.calls, naiveWorst.rejected, naiveWorst.maxRate)
 				minimum := down + time.Duration(n)*22*time.Millisecond
 				if limit := minimum + minimum/4 + 2*time.Second; worst.all > limit {
 					t.Errorf("the last has its list after %v, want %v", worst.all, limit)
@@ -177,12 +177,12 @@
 				}
 				// Fewer calls are made than by the naive fleet, unless MaxPropagationDelay asks for more: a
 				// refused call costs discovery no work, and all have their lists sooner for it.
-				if n == 300 && down == 0 && 10*worst.calls > 9*before.calls {
-					t.Errorf("%d calls, %d before", worst.calls, before.calls)
+				if n == 300 && down == 0 && 10*worst.calls > 9*naiveWorst.calls {
+					t.Errorf("%d calls, %d before", worst.calls, naiveWorst.calls)
 				}
-				if n >= 300 && (worst.all > before.all || down == 0 && 10*worst.calls > 11*before.calls) {
+				if n >= 300 && (worst.all > naiveWorst.all || down == 0 && 10*worst.calls > 11*naiveWorst.calls) {
 					t.Errorf("all after %v and %d calls, %v and %d before",
-						worst.all, worst.calls, before.all, before.calls)
+						worst.all, worst.calls, naiveWorst.all, naiveWorst.calls)
 				}
 			})
 		}
@@ -194,11 +194,11 @@
 	mean := func(times int) (sum time.Duration) {
 		rng := rand.New(rand.NewPCG(1, 2))
 		for range 2000 {
-			a := NewPacer(300, 0, rng)
+			pacer := NewPacer(300, 0, rng)
 			for range times - 1 {
-				a.NextDelay(Overloaded, 2*time.Second)
+				pacer.NextDelay(Overloaded, 2*time.Second)
 			}
-			sum += a.NextDelay(Overloaded, 2*time.Second) / 2000
+			sum += pacer.NextDelay(Overloaded, 2*time.Second) / 2000
 		}
 		return sum
 	}
@@ -263,14 +263,14 @@
 
 // After another discovery was named and never answered, the fleet's bound holds again.
 func TestNewEndpointBoundExpires(t *testing.T) {
-	a := NewPacer(300, 0, rand.New(rand.NewPCG(1, 1)))
-	a.EndpointChanged()
+	pacer := NewPacer(300, 0, rand.New(rand.NewPCG(1, 1)))
+	pacer.EndpointChanged()
 	for range newEndpointAttempts {
-		a.NextDelay(Unreachable, 0)
+		pacer.NextDelay(Unreachable, 0)
 	}
 	var longest time.Duration
 	for range 200 {
-		longest = max(longest, a.NextDelay(Unreachable, 0))
+		longest = max(longest, pacer.NextDelay(Unreachable, 0))
 	}
 	if longest < 2500*time.Millisecond {
 		t.Errorf("delays up to %v", longest)
@@ -297,46 +297,46 @@
 		{Invalid, 0, true},
 	}
 	for _, n := range []int{1, 2, 5, 20, 80, 300, 1000} {
-		var try func(pacer *Pacer, depth int)
-		try = func(pacer *Pacer, depth int) {
-			for _, k := range calls {
-				elapsed, delay := k.elapsed, time.Duration(0)
-				if k.outcome == Unanswered && elapsed == 0 {
+		var explore func(pacer *Pacer, depth int)
+		explore = func(pacer *Pacer, depth int) {
+			for _, call := range calls {
+				elapsed, delay := call.elapsed, time.Duration(0)
+				if call.outcome == Unanswered && elapsed == 0 {
 					elapsed = pacer.Timeout(maxWatchHold) // it was broken as it began, and the change is as old
 				}
 				next := *pacer
 				for range 12 {
 					next = *pacer
-					delay = max(delay, next.NextDelay(k.outcome, elapsed))
+					delay = max(delay, next.NextDelay(call.outcome, elapsed))
 				}
-				known := delay + answerDelay + schedulingDelay
-				if k.reachable {
-					known += elapsed
+				propagation := delay + answerDelay + schedulingDelay
+				if call.reachable {
+					propagation += elapsed
 				}
-				if known > MaxPropagationDelay {
-					t.Fatalf("%d schedulers: after call %d (%+v) a change is known after %v", n, depth, k, known)
+				if propagation > MaxPropagationDelay {
+					t.Fatalf("%d schedulers: after call %d (%+v) a change is known after %v", n, depth, call, propagation)
 				}
 				if depth < 6 {
-					try(&next, depth+1)
+					explore(&next, depth+1)
 				}
 			}
 		}
-		try(NewPacer(n, 0, rand.New(rand.NewPCG(uint64(n), 1))), 1)
+		explore(NewPacer(n, 0, rand.New(rand.NewPCG(uint64(n), 1))), 1)
 	}
 }
 
 // An agent serves one scheduler: what it has at the end of an outage is known well within the
 // shortest drain grace, however many schedulers there are and however often it failed.
 func TestAgentIsPolledAtShortIntervals(t *testing.T) {
-	a := NewAgentPacer(rand.New(rand.NewPCG(1, 1)))
+	pacer := NewAgentPacer(rand.New(rand.NewPCG(1, 1)))
 	for range 200 {
-		for _, o := range []Outcome{Unreachable, Unanswered, Overloaded, Invalid} {
-			if delay := a.NextDelay(o, time.Second); delay > 100*time.Millisecond {
-				t.Errorf("%d: asked again after %v", o, delay)
+		for _, outcome := range []Outcome{Unreachable, Unanswered, Overloaded, Invalid} {
+			if delay := pacer.NextDelay(outcome, time.Second); delay > 100*time.Millisecond {
+				t.Errorf("%d: asked again after %v", outcome, delay)
 			}
 		}
-		limit := a.WatchHold() + a.Timeout(0)
-		if limit > 2500*time.Millisecond || a.InitialDelay() > 0 || a.DialTimeout() > 500*time.Millisecond {
+		limit := pacer.WatchHold() + pacer.Timeout(0)
+		if limit > 2500*time.Millisecond || pacer.InitialDelay() > 0 || pacer.DialTimeout() > 500*time.Millisecond {
 			t.Errorf("a watch without an answer is broken off after %v", limit)
 		}
 	}
@@ -344,15 +344,15 @@
 
 // An oversized list is polled after ever longer delays, by an agent's scheduler too; the first two
 // times within MaxPropagationDelay, and after an answer as if there had been none.
-func TestOversizedPausesGrow(t *testing.T) {
+func TestOversizedBackoffGrows(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for _, n := range []int{1, 300, 1000} {
-		for _, a := range []*Pacer{NewPacer(n, time.Second, rng), NewAgentPacer(rng)} {
+		for _, pacer := range []*Pacer{NewPacer(n, time.Second, rng), NewAgentPacer(rng)} {
 			for range 100 {
 				last := time.Duration(0)
 				for i := range 12 {
-					elapsed := a.Timeout(0)
-					delay := a.NextDelay(Oversized, elapsed)
+					elapsed := pacer.Timeout(0)
+					delay := pacer.NextDelay(Oversized, elapsed)
 					if i < 2 && elapsed+delay+answerDelay+schedulingDelay > MaxPropagationDelay {
 						t.Fatalf("%d schedulers: known after %v and a delay of %v", n, elapsed, delay)
 					}
@@ -361,7 +361,7 @@
 					}
 					last = delay
 				}
-				a.NextDelay(Answered, 0)
+				pacer.NextDelay(Answered, 0)
 			}
 		}
 	}
--- a/internal/slowstart/slots.go
+++ b/internal/slowstart/slots.go
@@ -43,6 +43,6 @@
 // light one. At most one slot in weight does, by powers of two: so no two such slots are adjacent,
 // even where schedulers differ in the weight they expect of a job.
 func (s Slots) AllowsHeavy(slot int64, worker uint64, weight float64) bool {
-	every := uint64(1) << min(maxHeavyExponent, max(1, bits.Len64(uint64(max(0, weight)))))
-	return (uint64(slot)+worker>>33)%every == 0
+	period := uint64(1) << min(maxHeavyExponent, max(1, bits.Len64(uint64(max(0, weight)))))
+	return (uint64(slot)+worker>>33)%period == 0
 }
--- a/internal/slowstart/slots_test.go
+++ b/internal/slowstart/slots_test.go
@@ -43,10 +43,10 @@
 func TestHeavySlotsAreSparse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		worker := rapid.Uint64().Draw(t, "worker")
-		one, other := rapid.Float64Range(1.0001, 1e6).Draw(t, "weight"), rapid.Float64Range(1.0001, 1e6).Draw(t, "other")
+		weight, otherWeight := rapid.Float64Range(1.0001, 1e6).Draw(t, "weight"), rapid.Float64Range(1.0001, 1e6).Draw(t, "other")
 		slot := rapid.Int64Range(0, 1<<33).Draw(t, "slot")
 		var slots Slots
-		if slots.AllowsHeavy(slot, worker, one) && slots.AllowsHeavy(slot+1, worker, other) {
+		if slots.AllowsHeavy(slot, worker, weight) && slots.AllowsHeavy(slot+1, worker, otherWeight) {
 			t.Fatal("two heavy slots side by side")
 		}
 		heavy := 0
--- a/internal/upgrade/socket.go
+++ b/internal/upgrade/socket.go
@@ -12,7 +12,7 @@
 // newestOfTwo is the index of the newest listener while two share a port: the kernel numbers them from
 // 0 in the order in which they began to listen. With an index that none has, the kernel chooses among
 // the listeners that exist.
-const newestOfTwo = 1
+const newestListenerIndex = 1
 
 // reusePortConfig sets SO_REUSEPORT, so that another process of the same user may listen on the address.
 func reusePortConfig() net.ListenConfig {
@@ -54,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	program := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: newestOfTwo}}
+	program := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: newestListenerIndex}}
 	return withDescriptor(raw, func(fd int) error {
 		err := unix.SetsockoptSockFprog(fd, unix.SOL_SOCKET, unix.SO_ATTACH_REUSEPORT_CBPF,
 			&unix.SockFprog{Len: uint16(len(program)), Filter: &program[0]})
--- a/internal/upgrade/socket_test.go
+++ b/internal/upgrade/socket_test.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	patience    = 20 * time.Second
+	ioTimeout   = 20 * time.Second
 	connections = 200
 )
 
@@ -45,11 +45,11 @@
 }
 
 // open opens connections that nobody accepts yet.
-func open(t *testing.T, l net.Listener) (opened []net.Conn) {
+func openConnections(t *testing.T, l net.Listener) (opened []net.Conn) {
 	t.Helper()
 	for range connections {
 		c := dial(t, "tcp", l.Addr())
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(ioTimeout))
 		opened = append(opened, c)
 	}
 	return opened
@@ -86,14 +86,14 @@
 
 // Two listeners share an address, all new connections go to the newer one, and nothing remains in the
 // older one's queue when it closes; through two upgrades, and when a successor exits.
-func TestSteer(t *testing.T) {
+func TestConnectionsGoToNewestListener(t *testing.T) {
 	predecessor := listen(t, "127.0.0.1:0")
-	before := open(t, predecessor)
+	before := openConnections(t, predecessor)
 	successor := listen(t, predecessor.Addr().String())
 	if err := SteerToNewest(successor); err != nil {
 		t.Fatal(err)
 	}
-	after := open(t, successor)
+	after := openConnections(t, successor)
 	check(t, "accepted by the predecessor", acceptAll(t, predecessor, "predecessor"), connections)
 	predecessor.Close()
 	expectNames(t, before, "predecessor")
@@ -104,18 +104,18 @@
 	if err := SteerToNewest(third); err != nil {
 		t.Fatal(err)
 	}
-	after = open(t, third)
+	after = openConnections(t, third)
 	check(t, "accepted by the one before", acceptAll(t, successor, "successor"), 0)
 	check(t, "accepted by the third", acceptAll(t, third, "third"), connections)
 	expectNames(t, after, "third")
 	third.Close() // the one before gets everything again
-	after = open(t, successor)
+	after = openConnections(t, successor)
 	check(t, "accepted after the third has closed", acceptAll(t, successor, "successor"), connections)
 	expectNames(t, after, "successor")
 }
 
 // Datagrams go to the newer of two sockets, too.
-func TestSteerDatagrams(t *testing.T) {
+func TestDatagramsGoToNewestSocket(t *testing.T) {
 	predecessor := listenPacket(t, "127.0.0.1:0")
 	successor := listenPacket(t, predecessor.LocalAddr().String())
 	if err := SteerToNewest(successor); err != nil {
@@ -126,7 +126,7 @@
 		if _, err := sender.Write([]byte{byte(i)}); err != nil {
 			t.Fatal(err)
 		}
-		if err := successor.SetReadDeadline(time.Now().Add(patience)); err != nil {
+		if err := successor.SetReadDeadline(time.Now().Add(ioTimeout)); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := successor.Read(make([]byte, 1)); err != nil {
