--- a/internal/lab/mutants.go
+++ b/internal/lab/mutants.go
@@ -237,8 +237,8 @@
 	{
 		Name:    "a start in the future is believed",
 		File:    "internal/platform/endpoint.go",
-		Old:     "age := max(0, wall.Sub(time.UnixMilli(bornMilli)))",
-		New:     "age := wall.Sub(time.UnixMilli(bornMilli))",
+		Old:     "age := max(0, wall.Sub(time.UnixMilli(startedMilli)))",
+		New:     "age := wall.Sub(time.UnixMilli(startedMilli))",
 		Package: "./internal/platform",
 		Run:     platformFuzz,
 	},
--- a/internal/lab/soak/mutants.go
+++ b/internal/lab/soak/mutants.go
@@ -18,8 +18,8 @@
 		Mutant: lab.Mutant{
 			Name: "drains are not heard",
 			File: "internal/platform/endpoint_table.go",
-			Old:  "state := workerStates[h.Health]",
-			New: "state := workerStates[h.Health]\n" +
+			Old:  "state := workerStates[entry.Health]",
+			New: "state := workerStates[entry.Health]\n" +
 				"\t\tif state == foxlift.Draining {\n" +
 				"\t\t\tstate = foxlift.Live\n" +
 				"\t\t}",
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -44,7 +44,7 @@
 	a.trace.startedAt = time.Now()
 	a.pool.inFlight.add(a)
 	defer a.pool.inFlight.remove(a)
-	target, ok := a.pool.find(a.worker)
+	target, ok := a.pool.findLive(a.worker)
 	if !ok {
 		return finalReport(foxlift.NotSent)
 	}
@@ -66,20 +66,20 @@
 		a.resetUnanswered()
 		conn.Close()
 	})
-	a.setAwaiting(conn)
+	a.setAwaitingConn(conn)
 	report, reusable := a.exchange(conn, target)
 	if !stop() || !reusable {
 		a.resetUnanswered()
 		a.pool.discard(conn)
 	} else {
-		a.setAwaiting(nil)
+		a.setAwaitingConn(nil)
 		a.pool.release(conn)
 	}
 	return report
 }
 
 // setAwaiting records the connection on which the answer is awaited; nil once the answer has begun.
-func (a *attempt) setAwaiting(conn *workerConn) {
+func (a *attempt) setAwaitingConn(conn *workerConn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.awaitingConn = conn
@@ -118,14 +118,14 @@
 // stillValid reports whether the attempt may still be sent: its worker's entry is as it was, and the client
 // is there. Settings may forbid to cancel an attempt that was sent; this one was not.
 func (a *attempt) stillValid(target endpoint) bool {
-	now, ok := a.pool.find(a.worker)
+	now, ok := a.pool.findLive(a.worker)
 	return ok && now == target && a.ctx.Err() == nil && !a.job.Finished()
 }
 
 // exchange writes the job and reads the worker's answer. reusable says that the connection is at the start
 // of a new request.
 func (a *attempt) exchange(conn *workerConn, target endpoint) (report core.Report, reusable bool) {
-	request, remaining := a.request()
+	request, remaining := a.formatRequest()
 	if !a.checkInvariants(remaining, false) {
 		return finalReport(foxlift.NotSent), true
 	}
@@ -165,18 +165,18 @@
 
 // receiveAnswer reads the worker's answer.
 func (a *attempt) receiveAnswer(conn *workerConn) (report core.Report, reusable bool) {
-	m := conn.buf.newMessage(maxResponse)
-	defer m.close()
-	resp, err := m.readResponse()
+	msg := conn.buf.newMessage(maxResponse)
+	defer msg.close()
+	resp, err := msg.readResponse()
 	if err != nil {
 		return finalReport(foxlift.Reset), false
 	}
 	a.trace.answeredAt = time.Now()
-	a.setAwaiting(nil)
-	load, hasLoad := a.pool.loadReports.header(resp.Header[headerLoad])
+	a.setAwaitingConn(nil)
+	load, hasLoad := a.pool.loadParser.parseHeader(resp.Header[headerLoad])
 	if resp.StatusCode != http.StatusOK {
 		_, err = io.Copy(io.Discard, resp.Body)
-		report = finalReport(statusCode(resp))
+		report = finalReport(codeForStatus(resp))
 		report.Load, report.HasLoad = load, hasLoad
 	} else {
 		report, err = a.readStates(resp.Body)
@@ -184,28 +184,28 @@
 			report.Load, report.HasLoad = load, hasLoad
 		}
 	}
-	return report, err == nil && !resp.Close && m.Buffered() == 0
+	return report, err == nil && !resp.Close && msg.Buffered() == 0
 }
 
 // request writes the job as the worker reads it, and returns the time that it announces: how long the client
 // still waits.
-func (a *attempt) request() (text []byte, remaining time.Duration) {
-	p := a.job.Payload.(*payload)
-	b := fmt.Appendf(nil, "%s %s HTTP/1.1\r\nHost: %s\r\n", p.method, p.target, a.worker)
-	for _, h := range []string{headerID, headerKey, headerClass, headerTenant, headerLabels, "Content-Type"} {
-		if v := p.header.Get(h); v != "" {
-			b = fmt.Appendf(b, "%s: %s\r\n", h, v)
+func (a *attempt) formatRequest() (text []byte, remaining time.Duration) {
+	jobPayload := a.job.Payload.(*payload)
+	request := fmt.Appendf(nil, "%s %s HTTP/1.1\r\nHost: %s\r\n", jobPayload.method, jobPayload.target, a.worker)
+	for _, name := range []string{headerID, headerKey, headerClass, headerTenant, headerLabels, "Content-Type"} {
+		if v := jobPayload.header.Get(name); v != "" {
+			request = fmt.Appendf(request, "%s: %s\r\n", name, v)
 		}
 	}
 	remaining = time.Until(a.clientDeadline)
-	b = fmt.Appendf(b, "%s: %s\r\nContent-Length: %d\r\n\r\n",
-		headerRemaining, formatRemaining(remaining), len(p.body))
-	return append(b, p.body...), remaining
+	request = fmt.Appendf(request, "%s: %s\r\nContent-Length: %d\r\n\r\n",
+		headerRemaining, formatRemaining(remaining), len(jobPayload.body))
+	return append(request, jobPayload.body...), remaining
 }
 
 // statusCode returns the code of an answer other than 200. Only the protocol's own header proves that the
 // job never ran: any other 503 may come from anywhere.
-func statusCode(resp *response) foxlift.Code {
+func codeForStatus(resp *response) foxlift.Code {
 	unavailable := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout
 	switch {
 	case unavailable && resp.Header.Get(headerRejected) == "1":
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -88,7 +88,7 @@
 		return endpoint{address: worker.Addr().String()}, looks == 1 // the list changes after the first look
 	}
 	n := &workerPool{
-		find: find, counters: &counters.Set{}, dialTimeout: patience, idleTimeout: time.Hour, budget: 9,
+		findLive: find, counters: &counters.Set{}, dialTimeout: patience, idleTimeout: time.Hour, budget: 9,
 		idle: map[string][]*workerConn{},
 	}
 	job := &core.Job{ID: "j", Payload: &payload{method: "POST", target: "/reading"}}
@@ -210,7 +210,7 @@
 				return endpoint{address: worker.Addr().String()}, true
 			}
 			n := &workerPool{
-				find: find, counters: &counters.Set{}, dialTimeout: patience, idleTimeout: time.Hour, budget: 9,
+				findLive: find, counters: &counters.Set{}, dialTimeout: patience, idleTimeout: time.Hour, budget: 9,
 				idle: map[string][]*workerConn{},
 			}
 			job := &core.Job{
--- a/internal/platform/attempt_trace.go
+++ b/internal/platform/attempt_trace.go
@@ -30,28 +30,28 @@
 
 // log writes a line for an attempt that met what should be rare: its worker was removed, or began to drain, before
 // its answer began, or its request was written or answered late.
-func (t *attemptTrace) log(log *zap.Logger, a *attempt, state foxlift.WorkerState, r core.Report) {
+func (t *attemptTrace) log(log *zap.Logger, a *attempt, state foxlift.WorkerState, report core.Report) {
 	end := time.Now()
-	late := !t.writtenAt.IsZero() && t.doneOr(t.answeredAt, end).Sub(t.writtenAt) > answerWarning
-	slow := !t.connectedAt.IsZero() && t.doneOr(t.writtenAt, end).Sub(t.connectedAt) > writeWarning
-	outlived := !t.connectedAt.IsZero() && t.answeredAt.IsZero() && state != foxlift.Live
-	if !slow && !outlived && !late {
+	answeredLate := !t.writtenAt.IsZero() && t.timeOrEnd(t.answeredAt, end).Sub(t.writtenAt) > answerWarning
+	writtenLate := !t.connectedAt.IsZero() && t.timeOrEnd(t.writtenAt, end).Sub(t.connectedAt) > writeWarning
+	unansweredNotLive := !t.connectedAt.IsZero() && t.answeredAt.IsZero() && state != foxlift.Live
+	if !writtenLate && !unansweredNotLive && !answeredLate {
 		return
 	}
 	log.Warn("attempt: worker no longer live before the answer, or written or answered late",
 		zap.String("id", a.job.ID), zap.String("class", a.job.Class), zap.String("node", a.worker),
 		zap.Stringer("state", state), zap.Bool("reused", t.reused),
 		zap.Duration("age", end.Sub(t.startedAt)),
-		zap.Duration("connect", t.doneOr(t.connectedAt, end).Sub(t.startedAt)),
-		zap.Duration("write", t.doneOr(t.writtenAt, end).Sub(t.connectedAt)),
-		zap.Duration("answer", t.doneOr(t.answeredAt, end).Sub(t.startedAt)),
+		zap.Duration("connect", t.timeOrEnd(t.connectedAt, end).Sub(t.startedAt)),
+		zap.Duration("write", t.timeOrEnd(t.writtenAt, end).Sub(t.connectedAt)),
+		zap.Duration("answer", t.timeOrEnd(t.answeredAt, end).Sub(t.startedAt)),
 		zap.Bool("written", !t.writtenAt.IsZero()), zap.Bool("answered", !t.answeredAt.IsZero()),
 		zap.Bool("withdrawn", t.withdrawn.Load()), zap.Bool("unacknowledged", t.unacknowledged.Load()),
-		zap.Stringer("outcome", r.Code))
+		zap.Stringer("outcome", report.Code))
 }
 
 // doneOr is when a step was done, or the end of the attempt if it never was.
-func (t *attemptTrace) doneOr(done, end time.Time) time.Time {
+func (t *attemptTrace) timeOrEnd(done, end time.Time) time.Time {
 	if done.IsZero() {
 		return end
 	}
--- a/internal/platform/call_deadline.go
+++ b/internal/platform/call_deadline.go
@@ -6,9 +6,9 @@
 // within minRateBytes and keeps to the timeout (internal/pollpacing). A longer one takes its time to send and
 // to decode: to break it off while it arrives would only begin it anew.
 const (
-	minRateBytes      = 128 << 10              // bytes of a list for which the timeout has to do
-	minBytesPerSecond = 24 << 10               // bytes a second, beyond these, that are waited for
-	maxStall          = 700 * time.Millisecond // most between two parts of a list that is past its call's timeout
+	bytesWithinTimeout = 128 << 10              // bytes of a list for which the timeout has to do
+	minBytesPerSecond  = 24 << 10               // bytes a second, beyond these, that are waited for
+	maxStall           = 700 * time.Millisecond // most between two parts of a list that is past its call's timeout
 )
 
 // A callDeadline says until when a call's response is awaited.
@@ -18,14 +18,14 @@
 }
 
 // addReceived records that more bytes were read.
-func (l *callDeadline) addReceived(bytes int) { l.received += int64(bytes) }
+func (d *callDeadline) addReceived(bytes int) { d.received += int64(bytes) }
 
 // next returns until when the next part is awaited after one that was read now.
-func (l *callDeadline) next(now time.Time) time.Time {
-	granted := time.Duration(max(0, l.received-minRateBytes)) * time.Second / minBytesPerSecond
-	extended := l.timeout.Add(granted)
-	if stall := now.Add(maxStall); stall.Before(extended) {
-		extended = stall
+func (d *callDeadline) next(now time.Time) time.Time {
+	extension := time.Duration(max(0, d.received-bytesWithinTimeout)) * time.Second / minBytesPerSecond
+	deadline := d.timeout.Add(extension)
+	if stall := now.Add(maxStall); stall.Before(deadline) {
+		deadline = stall
 	}
-	return later(l.timeout, extended)
+	return later(d.timeout, deadline)
 }
--- a/internal/platform/discovery_client.go
+++ b/internal/platform/discovery_client.go
@@ -15,7 +15,7 @@
 )
 
 // errNotEndpoints says that a response is not an endpoint list, or not one that was asked for.
-var errNotEndpoints = errors.New("not a list")
+var errInvalidEndpoints = errors.New("not a list")
 
 // A statusError is the status of a response that is no endpoint list.
 type statusError int
@@ -34,23 +34,23 @@
 		return pollpacing.Overloaded
 	case errors.As(err, &netErr) && netErr.Timeout():
 		return pollpacing.Unanswered
-	case errors.As(err, &status) || errors.Is(err, errNotEndpoints):
+	case errors.As(err, &status) || errors.Is(err, errInvalidEndpoints):
 		return pollpacing.Invalid
 	}
 	return pollpacing.Unreachable
 }
 
 // An answerError is a failure after discovery had begun to answer with an endpoint list: it can be reached.
-type answerError struct{ error }
+type responseError struct{ error }
 
 // Unwrap returns the cause.
-func (e answerError) Unwrap() error { return e.error }
+func (e responseError) Unwrap() error { return e.error }
 
 // pollFailure says what a failed call that took so long tells of the endpoint list's age. A refusal after a
 // wait may mean that discovery is down or has too many callers.
 func pollFailure(err error, took time.Duration) foxlift.PollFailure {
 	switch {
-	case errors.As(err, new(answerError)):
+	case errors.As(err, new(responseError)):
 		return foxlift.FailureInvalid
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return foxlift.FailureDown
@@ -97,8 +97,8 @@
 }
 
 // send writes a call; connect has succeeded before.
-func (c *discoveryClient) send(target string, limit time.Duration) error {
-	c.deadline = callDeadline{timeout: time.Now().Add(limit)}
+func (c *discoveryClient) send(target string, timeout time.Duration) error {
+	c.deadline = callDeadline{timeout: time.Now().Add(timeout)}
 	c.conn.SetDeadline(c.deadline.timeout)
 	_, err := fmt.Fprintf(c.conn, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", target, c.addr)
 	return err
@@ -124,17 +124,17 @@
 	}
 	msg.limit += 2 * int(bound.bytes) // the framing of chunks included
 	body := &boundedBody{body: resp.Body, maxBytes: bound.bytes, onRead: c.extendDeadline}
-	l, err := decodeResponse(body, bound.entries)
+	response, err := decodeResponse(body, bound.entries)
 	switch {
 	case body.err != nil:
-		return nil, answerError{body.err}
+		return nil, responseError{body.err}
 	case err != nil:
-		return nil, answerError{fmt.Errorf("%w: %w", errNotEndpoints, err)}
+		return nil, responseError{fmt.Errorf("%w: %w", errInvalidEndpoints, err)}
 	}
 	if resp.Close {
 		c.close()
 	}
-	return l, nil
+	return response, nil
 }
 
 // extendDeadline gives a list that is arriving the time that it takes.
@@ -146,24 +146,24 @@
 // A boundedBody reads a body of a bounded length, and reports each part. It keeps the error with which the
 // reading ended before the body's end: a decoder may report it as malformed input.
 type boundedBody struct {
-	body     io.Reader
-	maxBytes int64 // that it may have
-	onRead   func(bytes int)
-	read     int64
-	err      error
+	body      io.Reader
+	maxBytes  int64 // that it may have
+	onRead    func(bytes int)
+	bytesRead int64
+	err       error
 }
 
 // Read implements io.Reader.
-func (r *boundedBody) Read(p []byte) (int, error) {
-	n, err := r.body.Read(p)
-	if r.read += int64(n); r.read > r.maxBytes {
-		err = oversizedError{"bytes", r.maxBytes}
+func (b *boundedBody) Read(p []byte) (int, error) {
+	n, err := b.body.Read(p)
+	if b.bytesRead += int64(n); b.bytesRead > b.maxBytes {
+		err = oversizedError{"bytes", b.maxBytes}
 	}
 	if err != nil && !errors.Is(err, io.EOF) {
-		r.err = err
+		b.err = err
 	}
 	if n > 0 {
-		r.onRead(n)
+		b.onRead(n)
 	}
 	return n, err
 }
--- a/internal/platform/discovery_client_test.go
+++ b/internal/platform/discovery_client_test.go
@@ -19,13 +19,13 @@
 		now, limit time.Duration // after the call's limit
 	}{
 		{0, -time.Second, 0},
-		{minRateBytes, -time.Millisecond, 0},
-		{minRateBytes, time.Second, 0},
-		{minRateBytes + minBytesPerSecond/2, 0, time.Second / 2},
-		{minRateBytes + minBytesPerSecond, 0, maxStall},
-		{minRateBytes + minBytesPerSecond, -time.Second, 0},
-		{minRateBytes + 10*minBytesPerSecond, 5 * time.Second, 5*time.Second + maxStall},
-		{minRateBytes + 10*minBytesPerSecond, 9500 * time.Millisecond, 10 * time.Second},
+		{bytesWithinTimeout, -time.Millisecond, 0},
+		{bytesWithinTimeout, time.Second, 0},
+		{bytesWithinTimeout + minBytesPerSecond/2, 0, time.Second / 2},
+		{bytesWithinTimeout + minBytesPerSecond, 0, maxStall},
+		{bytesWithinTimeout + minBytesPerSecond, -time.Second, 0},
+		{bytesWithinTimeout + 10*minBytesPerSecond, 5 * time.Second, 5*time.Second + maxStall},
+		{bytesWithinTimeout + 10*minBytesPerSecond, 9500 * time.Millisecond, 10 * time.Second},
 	} {
 		l := callDeadline{timeout: end}
 		l.addReceived(int(c.read))
@@ -99,7 +99,7 @@
 			t.Errorf("asked for again after %v, want %v", paused, least)
 		}
 		check(t, "counted", set.Get("machines.failed"), int64(i+1))
-		if _, ok := p.endpoints.find("n0"); !ok {
+		if _, ok := p.endpoints.findLive("n0"); !ok {
 			t.Error("the old list does not hold")
 		}
 	}
--- a/internal/platform/endpoint.go
+++ b/internal/platform/endpoint.go
@@ -13,36 +13,36 @@
 	state            foxlift.WorkerState
 	unavailableSince time.Time // since when the list has had it as not live; zero: it is live
 	processStart
-	announcedStart int64 // its process's start as discovery wrote it
-	zone, kind     unique.Handle[string]
-	cell           int
+	announcedStartMilli int64 // its process's start as discovery wrote it
+	zone, kind          unique.Handle[string]
+	cell                int
 }
 
 // A processStart is when a worker's process started; its zero value: long ago.
 type processStart struct {
-	at       time.Time // on this process's monotonic clock
-	coreTime int64     // on the core's clock
+	startedAt time.Time // on this process's monotonic clock
+	coreTime  int64     // on the core's clock
 }
 
 // processStartOf turns a start by another machine's wall clock, Unix time in milliseconds, into the clocks of this
 // process, which no step of the wall clock moves. This is the one place where the two meet: wall is the wall
 // clock now, which all machines share. A start that is not positive counts as long ago, one in the future as
 // now: a worker would else be in slow start for as long as its clock is wrong.
-func processStartOf(bornMilli int64, wall time.Time, clock func() int64) processStart {
-	if bornMilli <= 0 {
+func processStartOf(startedMilli int64, wall time.Time, clock func() int64) processStart {
+	if startedMilli <= 0 {
 		return processStart{}
 	}
-	age := max(0, wall.Sub(time.UnixMilli(bornMilli)))
+	age := max(0, wall.Sub(time.UnixMilli(startedMilli)))
 	return processStart{time.Now().Add(-age), max(1, clock()-int64(age))}
 }
 
 // unavailableSince returns since when a worker is not live, from its entry before and its state now.
-func unavailableSince(before endpoint, state foxlift.WorkerState) time.Time {
+func unavailableSince(previous endpoint, state foxlift.WorkerState) time.Time {
 	switch {
 	case state == foxlift.Live:
 		return time.Time{}
-	case before.state != foxlift.Live:
-		return before.unavailableSince
+	case previous.state != foxlift.Live:
+		return previous.unavailableSince
 	}
 	return time.Now()
 }
--- a/internal/platform/endpoint_snapshot_test.go
+++ b/internal/platform/endpoint_snapshot_test.go
@@ -29,7 +29,7 @@
 		t.Fatalf("%+v, %v", saved, told)
 	}
 	again := newEndpointWatch(t.Context(), addr, &config.Settings{}, nil, nil)
-	workers, err := again.load(saved.Endpoints)
+	workers, err := again.loadCached(saved.Endpoints)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,8 +38,8 @@
 	check(t, "asks for", again.needComplete, false)
 	for _, name := range []string{"n0", "n1", "n3"} {
 		was, is := p.endpoints.table.entries[name], again.table.entries[name]
-		check(t, name, fmt.Sprint(is.address, is.state, is.announcedStart, is.zone.Value(), is.kind.Value(), is.cell),
-			fmt.Sprint(was.address, was.state, was.announcedStart, was.zone.Value(), was.kind.Value(), was.cell))
+		check(t, name, fmt.Sprint(is.address, is.state, is.announcedStartMilli, is.zone.Value(), is.kind.Value(), is.cell),
+			fmt.Sprint(was.address, was.state, was.announcedStartMilli, was.zone.Value(), was.kind.Value(), was.cell))
 	}
 	check(t, "failed", set.Get("machines.failed"), int64(0))
 }
--- a/internal/platform/endpoint_table.go
+++ b/internal/platform/endpoint_table.go
@@ -11,10 +11,10 @@
 
 // An endpointTable is the endpoint list as last applied. The watch guards it by its mutex.
 type endpointTable struct {
-	settings     *config.Settings
-	wall         func() time.Time                               // the wall clock, on which other machines report times
-	clock        func() int64                                   // the core's clock
-	stateChanged func(worker string, state foxlift.WorkerState) // for each worker that a response names or drops
+	settings      *config.Settings
+	wallNow       func() time.Time                               // the wall clock, on which other machines report times
+	coreNow       func() int64                                   // the core's clock
+	onWorkerState func(worker string, state foxlift.WorkerState) // for each worker that a response names or drops
 
 	entries map[string]endpoint
 	version int64
@@ -22,11 +22,11 @@
 
 func newEndpointTable(s *config.Settings) endpointTable {
 	return endpointTable{
-		settings:     s,
-		wall:         wallClock,
-		clock:        core.NewClock().Now,
-		stateChanged: func(string, foxlift.WorkerState) {},
-		entries:      map[string]endpoint{},
+		settings:      s,
+		wallNow:       wallClock,
+		coreNow:       core.NewClock().Now,
+		onWorkerState: func(string, foxlift.WorkerState) {},
+		entries:       map[string]endpoint{},
 	}
 }
 
@@ -35,36 +35,36 @@
 
 // apply brings the table up to a response of discovery and returns the response in the module's terms.
 func (t *endpointTable) apply(response *endpointsResponse) []foxlift.Worker {
-	before := t.entries
+	previous := t.entries
 	if response.Complete {
 		t.entries = make(map[string]endpoint, len(response.Endpoints))
-		defer t.reportRemoved(before)
+		defer t.reportRemoved(previous)
 	}
 	t.version = *response.Version
-	wall := t.wall()
+	wall := t.wallNow()
 	var workers []foxlift.Worker
-	for _, h := range response.Endpoints {
-		state := workerStates[h.Health]
-		start := processStartOf(h.StartedMilli, wall, t.clock)
-		if old, ok := before[h.ID]; ok && old.announcedStart == h.StartedMilli {
+	for _, entry := range response.Endpoints {
+		state := workerStates[entry.Health]
+		start := processStartOf(entry.StartedMilli, wall, t.coreNow)
+		if old, ok := previous[entry.ID]; ok && old.announcedStartMilli == entry.StartedMilli {
 			start = old.processStart // the same start announced again, wherever the wall clock is now
 		}
-		t.entries[h.ID] = endpoint{
-			address:          h.Address,
-			state:            state,
-			unavailableSince: unavailableSince(before[h.ID], state),
-			processStart:     start,
-			announcedStart:   h.StartedMilli,
-			zone:             unique.Make(h.Zone),
-			kind:             unique.Make(h.Kind),
-			cell:             h.Cell,
+		t.entries[entry.ID] = endpoint{
+			address:             entry.Address,
+			state:               state,
+			unavailableSince:    unavailableSince(previous[entry.ID], state),
+			processStart:        start,
+			announcedStartMilli: entry.StartedMilli,
+			zone:                unique.Make(entry.Zone),
+			kind:                unique.Make(entry.Kind),
+			cell:                entry.Cell,
 		}
-		t.stateChanged(h.ID, state)
+		t.onWorkerState(entry.ID, state)
 		workers = append(workers, foxlift.Worker{
-			ID:        h.ID,
-			Zone:      config.Find(t.settings.Zones, h.Zone),
-			Kind:      config.Find(t.settings.Kinds, h.Kind),
-			Cell:      h.Cell,
+			ID:        entry.ID,
+			Zone:      config.Find(t.settings.Zones, entry.Zone),
+			Kind:      config.Find(t.settings.Kinds, entry.Kind),
+			Cell:      entry.Cell,
 			State:     state,
 			StartedAt: start.coreTime,
 		})
@@ -73,10 +73,10 @@
 }
 
 // reportRemoved reports the workers that were in the table before and no longer are.
-func (t *endpointTable) reportRemoved(before map[string]endpoint) {
-	for worker := range before {
+func (t *endpointTable) reportRemoved(previous map[string]endpoint) {
+	for worker := range previous {
 		if _, present := t.entries[worker]; !present {
-			t.stateChanged(worker, foxlift.Removed)
+			t.onWorkerState(worker, foxlift.Removed)
 		}
 	}
 }
@@ -107,7 +107,7 @@
 			Kind:         e.kind.Value(),
 			Cell:         e.cell,
 			Health:       healthNames[e.state],
-			StartedMilli: e.announcedStart,
+			StartedMilli: e.announcedStartMilli,
 		})
 	}
 	return response
--- a/internal/platform/endpoint_watch.go
+++ b/internal/platform/endpoint_watch.go
@@ -20,10 +20,10 @@
 // After SIGHUP the new discovery's list is binding 4 s later: switchRetryTime is 0.5 s less, and a call
 // that is silent then is ended after switchCallTimeout, in time for another one.
 const (
-	firstWatchWait    = time.Millisecond        // that discovery may hold the first watch: a silent one shows soon
-	switchRetryTime   = 3500 * time.Millisecond // after a switch, in which calls that fail are made again
-	switchCallTimeout = 2 * time.Second         // for the complete list in that time
-	finalReadWait     = time.Second             // that a switch waits for the old discovery's last response
+	firstWatchHold          = time.Millisecond        // that discovery may hold the first watch: a silent one shows soon
+	switchRetryPeriod       = 3500 * time.Millisecond // after a switch, in which calls that fail are made again
+	switchCallTimeout       = 2 * time.Second         // for the complete list in that time
+	defaultFinalReadTimeout = time.Second             // that a switch waits for the old discovery's last response
 )
 
 // An endpointObserver learns what the watch finds out. *core.Core implements it.
@@ -45,16 +45,16 @@
 	pacer            *pollpacing.Pacer // of the loop alone
 	finalReadTimeout time.Duration
 
-	mu           sync.Mutex
-	table        endpointTable
-	unread       unreadResponse
-	discovery    string             // the address that is polled
-	cancelCalls  context.CancelFunc // ends the calls to discovery and the delays between them
-	urgentUntil  time.Time          // until then the first complete list of discovery is asked for without delay
-	switched     bool               // discovery has changed since the last call
-	answered     bool               // a call has been answered since the start
-	needComplete bool               // the next call asks for the complete list: no version is known to go on from
-	watching     bool               // the loop runs
+	mu               sync.Mutex
+	table            endpointTable
+	unread           unreadResponse
+	discovery        string             // the address that is polled
+	cancelCalls      context.CancelFunc // ends the calls to discovery and the delays between them
+	switchRetryUntil time.Time          // until then the first complete list of discovery is asked for without delay
+	switched         bool               // discovery has changed since the last call
+	answered         bool               // a call has been answered since the start
+	needComplete     bool               // the next call asks for the complete list: no version is known to go on from
+	watching         bool               // the loop runs
 }
 
 // newEndpointWatch returns a watch that has not begun. It ends with ctx or by stop.
@@ -75,7 +75,7 @@
 		observer:         observer,
 		log:              log,
 		pacer:            pacer,
-		finalReadTimeout: finalReadWait,
+		finalReadTimeout: defaultFinalReadTimeout,
 		table:            newEndpointTable(s),
 		discovery:        discovery,
 		needComplete:     true,
@@ -83,7 +83,7 @@
 }
 
 // load applies the cached list, from before the start.
-func (w *endpointWatch) load(cached []byte) ([]foxlift.Worker, error) {
+func (w *endpointWatch) loadCached(cached []byte) ([]foxlift.Worker, error) {
 	response, err := parseCached(cached)
 	if response == nil {
 		return nil, err
@@ -104,7 +104,7 @@
 // written it: where a response has arrived that is not in the table yet (the process stood still, the core
 // was busy, or the list is long), find waits for it, and if that takes too long nothing is sent. It must
 // not be called on the core's goroutine.
-func (w *endpointWatch) find(worker string) (endpoint, bool) {
+func (w *endpointWatch) findLive(worker string) (endpoint, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for startedAt := time.Now(); w.unread.exists(); {
@@ -155,7 +155,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.discovery, w.switched, w.needComplete = discovery, true, true
-	w.urgentUntil = time.Now().Add(switchRetryTime)
+	w.switchRetryUntil = time.Now().Add(switchRetryPeriod)
 	switch {
 	case w.cancelCalls == nil:
 	case w.unread.exists():
@@ -194,13 +194,13 @@
 		}
 		calledAt, err := session.run(ctx)
 		cancelled := ctx.Err() != nil
-		urgent := w.closeSession()
+		retryingSwitch := w.closeSession()
 		if cancelled {
 			continue
 		}
 		// A watch is held by discovery: that wait is not one for the next call.
 		delay = w.pacer.NextDelay(callOutcome(err), min(time.Since(calledAt), w.pacer.Timeout(0)))
-		if !urgent {
+		if !retryingSwitch {
 			w.log.Warn("endpoint watch: call to discovery failed", zap.String("discovery", session.discovery),
 				zap.Error(err), zap.Duration("next", delay))
 			w.observer.RecordPollFailure(pollFailure(err, time.Since(calledAt)))
@@ -225,13 +225,13 @@
 
 // closeSession ends the calls of a session. It reports whether its failure is urgent to retry and not
 // reported, since a discovery that has just been switched to may not be there yet.
-func (w *endpointWatch) closeSession() (urgent bool) {
+func (w *endpointWatch) closeSession() (retryingSwitch bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.cancelCalls()
 	w.cancelCalls = nil
 	w.unread.clear()
-	return time.Now().Before(w.urgentUntil)
+	return time.Now().Before(w.switchRetryUntil)
 }
 
 // applyResponse applies the response to a call, unless the watch has switched to another discovery since:
@@ -250,7 +250,7 @@
 		w.needComplete = true
 		return workers, nil
 	}
-	w.urgentUntil, w.answered = time.Time{}, true
+	w.switchRetryUntil, w.answered = time.Time{}, true
 	return w.applyLocked(response), nil
 }
 
@@ -265,7 +265,7 @@
 func (w *endpointWatch) completeTimeout() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if time.Now().Before(w.urgentUntil) {
+	if time.Now().Before(w.switchRetryUntil) {
 		return min(switchCallTimeout, w.pacer.Timeout(0))
 	}
 	return w.pacer.Timeout(0)
@@ -287,7 +287,7 @@
 
 // requireComplete makes the next call one for the complete list if a call failed by its response's size:
 // the changes since the last version can be larger than the complete list.
-func (w *endpointWatch) requireComplete(err error) {
+func (w *endpointWatch) requireCompleteIfOversized(err error) {
 	if errors.As(err, &oversizedError{}) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
--- a/internal/platform/endpoint_watch_large_test.go
+++ b/internal/platform/endpoint_watch_large_test.go
@@ -55,8 +55,8 @@
 			next(t, calls)
 			check(t, "entries after a change", p.endpoints.entryCount(), entries+1)
 			await(t, "told", func() bool { return set.Get("machines.told") == 4 })
-			_, leaving := p.endpoints.find("n0")
-			_, added := p.endpoints.find(fmt.Sprint("n", entries))
+			_, leaving := p.endpoints.findLive("n0")
+			_, added := p.endpoints.findLive(fmt.Sprint("n", entries))
 			check(t, "sent to one that leaves, and to one that came", fmt.Sprint(leaving, added), "false true")
 			check(t, "failed", set.Get("machines.failed"), int64(0))
 			p.Kill()
@@ -81,11 +81,11 @@
 		defer m.mu.Unlock()
 		return !m.unread.lastReadAt.IsZero() && !m.unread.exists()
 	})
-	if _, ok := p.endpoints.find("n0"); !ok {
+	if _, ok := p.endpoints.findLive("n0"); !ok {
 		t.Error("a part of a list counts as told")
 	}
 	writeText(t, c.conn, text[last:])
-	if _, ok := p.endpoints.find("n0"); ok {
+	if _, ok := p.endpoints.findLive("n0"); ok {
 		t.Error("sent on the old list after the new one had been written")
 	}
 	p.Kill()
--- a/internal/platform/endpoint_watch_race_test.go
+++ b/internal/platform/endpoint_watch_race_test.go
@@ -24,12 +24,12 @@
 	near, far := pipe(t)
 	conn := &observedConn{near, m.setReading}
 	m.unread.conn = conn
-	if _, ok := m.find("n"); !ok {
+	if _, ok := m.findLive("n"); !ok {
 		t.Error("nothing unread, and yet the worker is not to be had")
 	}
 	writeText(t, far, "HTTP/1.1 200 OK")
 	await(t, "arrived", func() bool { return hasInput(conn) })
-	if _, ok := m.find("n"); ok {
+	if _, ok := m.findLive("n"); ok {
 		t.Error("sent on the old list, with an answer unread")
 	}
 	// Read, and not in the list yet: nothing is left in the kernel that find could see.
@@ -37,7 +37,7 @@
 		t.Fatalf("%v: not all of it is read", err)
 	}
 	found := make(chan bool)
-	go func() { _, ok := m.find("n"); found <- ok }()
+	go func() { _, ok := m.findLive("n"); found <- ok }()
 	m.mu.Lock()
 	check(t, "reading", m.unread.reading, true)
 	m.table.entries["n"], m.unread.conn, m.unread.reading = endpoint{state: foxlift.Draining}, nil, false
@@ -49,7 +49,7 @@
 	_, _ = conn.Read(make([]byte, 100))
 	go func() { _, _ = conn.Read(make([]byte, 100)) }()
 	await(t, "the rest is awaited", func() bool { m.mu.Lock(); defer m.mu.Unlock(); return !m.unread.reading })
-	if _, ok := m.find("n"); !ok {
+	if _, ok := m.findLive("n"); !ok {
 		t.Error("half an answer counts as told")
 	}
 }
@@ -99,7 +99,7 @@
 func TestAnswerWhileTheCoreIsBusy(t *testing.T) {
 	t.Parallel()
 	m, free := startBusyCore(t)
-	if _, ok := m.find("n0"); ok {
+	if _, ok := m.findLive("n0"); ok {
 		t.Error("sent on the old list, with an answer unread")
 	}
 	close(free)
@@ -122,7 +122,7 @@
 	check(t, "the new discovery's first call", c.target, pathMembers)
 	m.mu.Lock()
 	check(t, "the worker", m.table.entries["n0"].state, foxlift.Draining)
-	check(t, "asked for at once until it has come", m.urgentUntil.IsZero(), false)
+	check(t, "asked for at once until it has come", m.switchRetryUntil.IsZero(), false)
 	m.mu.Unlock()
 }
 
--- a/internal/platform/endpoint_watch_test.go
+++ b/internal/platform/endpoint_watch_test.go
@@ -170,7 +170,7 @@
 		t.Fatalf("%v, %v: not the whole list", r, err)
 	}
 	call{"", c}.answer(endpointsJSON(2, true, second))
-	await(t, "the new list", func() bool { _, ok := p.endpoints.find("n0"); return ok && set.Get("machines.told") == 3 })
+	await(t, "the new list", func() bool { _, ok := p.endpoints.findLive("n0"); return ok && set.Get("machines.told") == 3 })
 	got := second.Got.Load()
 	r, _ := connect(t, p).request(t, jobText("reading", "after", "9000m", ""))
 	check(t, "after", r.StatusCode, 200)
@@ -195,7 +195,7 @@
 			t.Errorf("%d schedulers wait %v to %v", dispatchers, low, high)
 		}
 		check(t, "whole without a list", m.needComplete, true)
-		if _, err := m.load([]byte(`{"seq":4,"whole":true,"hosts":[]}`)); err != nil {
+		if _, err := m.loadCached([]byte(`{"seq":4,"whole":true,"hosts":[]}`)); err != nil {
 			t.Fatal(err)
 		}
 		check(t, "whole with a list", m.needComplete, false)
--- a/internal/platform/endpoints_response.go
+++ b/internal/platform/endpoints_response.go
@@ -16,11 +16,11 @@
 // The bound of an endpoint list. A list within it is decoded as it arrives, so that its text is never in memory as a
 // whole; one over it is rejected, since a process that runs out of memory serves nobody.
 const (
-	designEndpoints = 19_000 // of the fleet that one scheduler is designed for (docs/capacity)
-	entryBytes      = 512    // of one entry's text; about 126 in a compact list, about 220 in an indented one
-	entryMemory     = 2048   // bytes that an entry takes in the table, the core and the module together
-	textDivisor     = 8      // of the memory limit that a list's text may come to,
-	entryDivisor    = 2      // and that its entries may take
+	designEndpoints      = 19_000 // of the fleet that one scheduler is designed for (docs/capacity)
+	bytesPerEntry        = 512    // of one entry's text; about 126 in a compact list, about 220 in an indented one
+	memoryPerEntry       = 2048   // bytes that an entry takes in the table, the core and the module together
+	textMemoryDivisor    = 8      // of the memory limit that a list's text may come to,
+	entriesMemoryDivisor = 2      // and that its entries may take
 )
 
 // A responseBound is the most that an endpoint list may have.
@@ -31,8 +31,8 @@
 // newResponseBound returns the bound for a process with a memory limit in bytes.
 func newResponseBound(memory int64) responseBound {
 	return responseBound{
-		bytes:   min(designEndpoints*entryBytes, memory/textDivisor),
-		entries: memory / entryDivisor / entryMemory,
+		bytes:   min(designEndpoints*bytesPerEntry, memory/textMemoryDivisor),
+		entries: memory / entriesMemoryDivisor / memoryPerEntry,
 	}
 }
 
@@ -41,12 +41,14 @@
 
 // An oversizedError says that a list is over its bound. It will be so again at the next call.
 type oversizedError struct {
-	unit string // "bytes" or "entries"
-	max  int64
+	unit  string // "bytes" or "entries"
+	limit int64
 }
 
 // Error implements error.
-func (e oversizedError) Error() string { return fmt.Sprintf("the list has over %d %s", e.max, e.unit) }
+func (e oversizedError) Error() string {
+	return fmt.Sprintf("the list has over %d %s", e.limit, e.unit)
+}
 
 // An endpointsResponse is discovery's response: a complete endpoint list, or a delta.
 type endpointsResponse struct {
@@ -91,27 +93,27 @@
 
 // decodeResponse reads a response of at most so many entries up to its end, one entry after another. One that is
 // invalid anywhere is rejected altogether. It accepts what json.Unmarshal does, except for a second "hosts".
-func decodeResponse(r io.Reader, entries int64) (*endpointsResponse, error) {
+func decodeResponse(r io.Reader, maxEntries int64) (*endpointsResponse, error) {
 	dec := json.NewDecoder(r)
 	if err := expectDelim(dec, '{'); err != nil {
 		return nil, err
 	}
-	var l endpointsResponse
-	for hosts := false; dec.More(); {
+	var response endpointsResponse
+	for seenHosts := false; dec.More(); {
 		key, err := dec.Token()
 		if err != nil {
 			return nil, err
 		}
 		switch name := key.(string); {
 		case strings.EqualFold(name, "seq"):
-			err = dec.Decode(&l.Version)
+			err = dec.Decode(&response.Version)
 		case strings.EqualFold(name, "whole"):
-			err = dec.Decode(&l.Complete)
-		case strings.EqualFold(name, "hosts") && hosts:
+			err = dec.Decode(&response.Complete)
+		case strings.EqualFold(name, "hosts") && seenHosts:
 			err = errors.New("hosts is there twice")
 		case strings.EqualFold(name, "hosts"):
-			hosts = true
-			err = l.decodeEndpoints(dec, entries)
+			seenHosts = true
+			err = response.decodeEndpoints(dec, maxEntries)
 		default:
 			err = dec.Decode(&json.RawMessage{})
 		}
@@ -128,28 +130,28 @@
 		}
 		return nil, err
 	}
-	if l.Version == nil {
+	if response.Version == nil {
 		return nil, errors.New("seq is missing")
 	}
-	return &l, nil
+	return &response, nil
 }
 
 // decodeEndpoints reads the entries, at most max; null counts as none.
-func (l *endpointsResponse) decodeEndpoints(dec *json.Decoder, max int64) error {
+func (r *endpointsResponse) decodeEndpoints(dec *json.Decoder, maxEntries int64) error {
 	if token, err := dec.Token(); err != nil || token == nil {
 		return err
 	} else if token != json.Delim('[') {
 		return fmt.Errorf("hosts is %v", token)
 	}
 	for i := int64(0); dec.More(); i++ {
-		if i >= max {
-			return oversizedError{"entries", max}
+		if i >= maxEntries {
+			return oversizedError{"entries", maxEntries}
 		}
-		l.Endpoints = append(l.Endpoints, endpointEntry{})
-		e := &l.Endpoints[i]
-		err := dec.Decode(e)
+		r.Endpoints = append(r.Endpoints, endpointEntry{})
+		entry := &r.Endpoints[i]
+		err := dec.Decode(entry)
 		if err == nil {
-			err = e.validate()
+			err = entry.validate()
 		}
 		if err != nil {
 			return fmt.Errorf("hosts[%d]: %w", i, err)
@@ -172,12 +174,12 @@
 	if len(cached) == 0 || string(cached) == "null" {
 		return nil, nil
 	}
-	l, err := parseEndpoints(cached)
+	response, err := parseEndpoints(cached)
 	if err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
-	l.Complete = true
-	return l, nil
+	response.Complete = true
+	return response, nil
 }
 
 // ValidateCachedEndpoints checks a cached list, from before the start.
--- a/internal/platform/endpoints_response_test.go
+++ b/internal/platform/endpoints_response_test.go
@@ -40,7 +40,7 @@
 func TestResponseBound(t *testing.T) {
 	for _, memory := range []int64{96 << 20, math.MaxInt64} {
 		b := newResponseBound(memory)
-		check(t, "bytes", b.bytes, int64(designEndpoints*entryBytes))
+		check(t, "bytes", b.bytes, int64(designEndpoints*bytesPerEntry))
 		if b.entries < designEndpoints {
 			t.Errorf("%d entries", b.entries)
 		}
@@ -53,7 +53,7 @@
 		t.Error(err)
 	}
 	_, err := decodeResponse(strings.NewReader(text), 9)
-	check(t, "one too many", callOutcome(fmt.Errorf("%w: %w", errNotEndpoints, err)), pollpacing.Oversized)
+	check(t, "one too many", callOutcome(fmt.Errorf("%w: %w", errInvalidEndpoints, err)), pollpacing.Oversized)
 }
 
 // checkDecoder checks that the decoder accepts what json.Unmarshal accepts, and reads the same, but for a second
--- a/internal/platform/fuzz_values_test.go
+++ b/internal/platform/fuzz_values_test.go
@@ -36,14 +36,14 @@
 	} {
 		if l, err := parse(s, []string{"a", "b"}); err == nil {
 			for _, x := range l {
-				if !(x >= 0 && x <= maxGauge) {
+				if !(x >= 0 && x <= maxGaugeValue) {
 					t.Fatalf("%q: %v", s, l)
 				}
 			}
 		}
 	}
 	seen := peerReceiver{}
-	_, _ = seen.open(1e15, data)
+	_, _ = seen.decode(1e15, data)
 	config.ParseKey(data)
 }
 
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -239,9 +239,9 @@
 		sent = 1_700_000_000_123_456 // microseconds
 		want = "f0160a2418202240" + "666f786c696674" + "27c8a644"
 	)
-	datagram := sealPeer(sent, []byte("foxlift"))
+	datagram := encodeDatagram(sent, []byte("foxlift"))
 	check(t, "datagram", fmt.Sprintf("%x", datagram), want)
-	data, err := (&peerReceiver{}).open(sent, datagram)
+	data, err := (&peerReceiver{}).decode(sent, datagram)
 	check(t, "read", string(data), "foxlift")
 	check(t, "error", err, error(nil))
 }
@@ -252,7 +252,7 @@
 		`{"host":"n1","dial":"10.0.0.1:3000","site":"a","class":"k","block":1,"health":"active","born_ms":5},` +
 		`{"host":"n2","dial":"10.0.0.2:3000","site":"b","class":"m","block":2,"health":"leaving","born_ms":-6}]}`
 	m := newEndpointWatch(t.Context(), "10.0.0.9:8500", &config.Settings{}, nil, nil)
-	if _, err := m.load([]byte(kept)); err != nil {
+	if _, err := m.loadCached([]byte(kept)); err != nil {
 		t.Fatal(err)
 	}
 	m.answered = true
--- a/internal/platform/health_check.go
+++ b/internal/platform/health_check.go
@@ -19,7 +19,7 @@
 }
 
 func (p *workerPool) healthCheck(worker string) core.Report {
-	target, ok := p.find(worker)
+	target, ok := p.findLive(worker)
 	if !ok {
 		return finalReport(foxlift.NotSent)
 	}
@@ -42,7 +42,7 @@
 // reusable says that the connection is at the start of a new request.
 func (p *workerPool) exchangeHealthCheck(conn *workerConn, worker string) (report core.Report, reusable bool) {
 	path := pathPing
-	if len(p.loadReports.names) > 0 {
+	if len(p.loadParser.names) > 0 {
 		path = pathLoad
 	}
 	if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", path, worker); err != nil {
@@ -63,8 +63,8 @@
 		return finalReport(foxlift.WorkerError), reusable
 	}
 	report = finalReport(foxlift.Served)
-	if len(p.loadReports.names) > 0 {
-		report.Load, report.HasLoad = p.loadReports.body(body)
+	if len(p.loadParser.names) > 0 {
+		report.Load, report.HasLoad = p.loadParser.parseBody(body)
 	}
 	return report, reusable
 }
--- a/internal/platform/in_flight.go
+++ b/internal/platform/in_flight.go
@@ -46,7 +46,7 @@
 }
 
 // workerChanged takes in a worker's state in the endpoint list. It may be called with the list locked.
-func (f *inFlightAttempts) workerChanged(worker string, state foxlift.WorkerState) {
+func (f *inFlightAttempts) scheduleAborts(worker string, state foxlift.WorkerState) {
 	if state == foxlift.Live {
 		return
 	}
--- a/internal/platform/load_report.go
+++ b/internal/platform/load_report.go
@@ -22,41 +22,41 @@
 }
 
 // maxGauge is the most that a gauge of a report may be: no worker has as much of anything.
-const maxGauge = 1e9
+const maxGaugeValue = 1e9
 
 type loadGauges = [foxlift.MaxGauges]float64
 
 // header reads a report in the head of an answer; false if there is none.
-func (l loadParser) header(values []string) (loadGauges, bool) {
+func (p loadParser) parseHeader(values []string) (loadGauges, bool) {
 	switch {
-	case len(l.names) == 0 || len(values) == 0:
+	case len(p.names) == 0 || len(values) == 0:
 		return loadGauges{}, false
 	case len(values) > 1:
-		return l.counted(loadGauges{}, errors.New("it is there twice"))
+		return p.countInvalid(loadGauges{}, errors.New("it is there twice"))
 	}
-	return l.counted(parseLoad(values[0], l.names))
+	return p.countInvalid(parseLoad(values[0], p.names))
 }
 
 // object reads a report in the last line of an answer; false if there is none.
-func (l loadParser) object(text json.RawMessage) (loadGauges, bool) {
-	if len(l.names) == 0 || len(text) == 0 || string(text) == "null" {
+func (p loadParser) parseObject(text json.RawMessage) (loadGauges, bool) {
+	if len(p.names) == 0 || len(text) == 0 || string(text) == "null" {
 		return loadGauges{}, false
 	}
-	return l.counted(parseLoadObject(text, l.names))
+	return p.countInvalid(parseLoadObject(text, p.names))
 }
 
 // body reads a report that is the body of an answer to a health check, in either form.
-func (l loadParser) body(text []byte) (loadGauges, bool) {
+func (p loadParser) parseBody(text []byte) (loadGauges, bool) {
 	if text = bytes.TrimSpace(text); bytes.HasPrefix(text, []byte("{")) {
-		return l.object(text)
+		return p.parseObject(text)
 	}
-	return l.counted(parseLoad(string(text), l.names))
+	return p.countInvalid(parseLoad(string(text), p.names))
 }
 
 // counted counts an invalid report.
-func (l loadParser) counted(values loadGauges, err error) (loadGauges, bool) {
+func (p loadParser) countInvalid(values loadGauges, err error) (loadGauges, bool) {
 	if err != nil {
-		l.counters.Add("loads.faulty")
+		p.counters.Add("loads.faulty")
 	}
 	return values, err == nil
 }
@@ -69,42 +69,42 @@
 	present [foxlift.MaxGauges]bool
 }
 
-func (s *loadReport) set(name, value string) error {
-	i := slices.Index(s.names, name)
-	if i < 0 || i >= len(s.values) {
+func (r *loadReport) set(name, value string) error {
+	i := slices.Index(r.names, name)
+	if i < 0 || i >= len(r.values) {
 		return nil
 	}
-	if s.present[i] {
+	if r.present[i] {
 		return fmt.Errorf("%q is there twice", name)
 	}
-	x, err := strconv.ParseFloat(value, 64)
-	if err != nil || !(x >= 0 && x <= maxGauge) {
-		return fmt.Errorf("%q is not a number from 0 to %g", name, maxGauge)
+	gauge, err := strconv.ParseFloat(value, 64)
+	if err != nil || !(gauge >= 0 && gauge <= maxGaugeValue) {
+		return fmt.Errorf("%q is not a number from 0 to %g", name, maxGaugeValue)
 	}
-	s.values[i], s.present[i] = x, true
+	r.values[i], r.present[i] = gauge, true
 	return nil
 }
 
 // complete returns the values, if all of them are there.
-func (s *loadReport) complete() (loadGauges, error) {
-	for i, name := range s.names[:min(len(s.names), len(s.values))] {
-		if !s.present[i] {
+func (r *loadReport) complete() (loadGauges, error) {
+	for i, name := range r.names[:min(len(r.names), len(r.values))] {
+		if !r.present[i] {
 			return loadGauges{}, fmt.Errorf("%q is missing", name)
 		}
 	}
-	return s.values, nil
+	return r.values, nil
 }
 
 // parseLoad reads name=value,name=value.
 func parseLoad(text string, names []string) (loadGauges, error) {
-	s := loadReport{names: names}
+	report := loadReport{names: names}
 	for part := range strings.SplitSeq(strings.TrimSpace(text), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
-		if err := s.set(name, value); err != nil {
+		if err := report.set(name, value); err != nil {
 			return loadGauges{}, err
 		}
 	}
-	return s.complete()
+	return report.complete()
 }
 
 // parseLoadObject reads {"name":value,...}.
@@ -113,7 +113,7 @@
 	if t, err := dec.Token(); err != nil || t != json.Delim('{') {
 		return loadGauges{}, errors.New("not an object")
 	}
-	s := loadReport{names: names}
+	report := loadReport{names: names}
 	for dec.More() {
 		name, err := dec.Token()
 		if err != nil {
@@ -123,7 +123,7 @@
 		if err := dec.Decode(&value); err != nil {
 			return loadGauges{}, err
 		}
-		if err := s.set(name.(string), string(value)); err != nil {
+		if err := report.set(name.(string), string(value)); err != nil {
 			return loadGauges{}, err
 		}
 	}
@@ -133,5 +133,5 @@
 	if _, err := dec.Token(); err != io.EOF {
 		return loadGauges{}, errors.New("more than an object")
 	}
-	return s.complete()
+	return report.complete()
 }
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -19,18 +19,18 @@
 // A datagram between schedulers: a mark with the format's version and the time at which it was sent (12 and 52 bits
 // of one number, the time in Unix microseconds; no two have the same), the message, and a CRC-32C over both.
 const (
-	peerMark        = 0xf01
-	timeBits        = 52
-	maxPeerDatagram = 256 // bytes, by the protocol
-	peerFrame       = 8 + 4
-	maxPeerAge      = 3_000_000 // microseconds; older messages are dropped
-	peerQueue       = 64        // messages queued to be sent; more are dropped
-	peerRate        = 1000      // messages a second that are accepted from a peer,
-	peerBurst       = 200       // and so many at once: a peer sends two for each job
-	peerHistory     = 64        // last messages of a peer, to recognize a duplicate
+	peerMagic         = 0xf01
+	peerTimeBits      = 52
+	maxPeerDatagram   = 256 // bytes, by the protocol
+	peerOverhead      = 8 + 4
+	maxPeerAgeMicros  = 3_000_000 // microseconds; older messages are dropped
+	peerQueueLength   = 64        // messages queued to be sent; more are dropped
+	maxPeerRate       = 1000      // messages a second that are accepted from a peer,
+	maxPeerBurst      = 200       // and so many at once: a peer sends two for each job
+	peerHistoryLength = 64        // last messages of a peer, to recognize a duplicate
 )
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
 // A datagramError is why a datagram is dropped. Each has a counter.
 type datagramError struct {
@@ -42,58 +42,58 @@
 func (e *datagramError) Error() string { return e.text }
 
 var (
-	errGarbled = &datagramError{"peers.garbled", "the datagram is garbled"}
-	errLate    = &datagramError{"peers.late", "the datagram is too old"}
-	errDoubled = &datagramError{"peers.doubled", "the datagram is a duplicate"}
-	errTooMany = &datagramError{"peers.too_many", "the peer sends too many datagrams"}
+	errCorruptDatagram   = &datagramError{"peers.garbled", "the datagram is garbled"}
+	errStaleDatagram     = &datagramError{"peers.late", "the datagram is too old"}
+	errDuplicateDatagram = &datagramError{"peers.doubled", "the datagram is a duplicate"}
+	errPeerRateExceeded  = &datagramError{"peers.too_many", "the peer sends too many datagrams"}
 )
 
 // sealPeer makes a datagram; nil if the message is too long for one.
-func sealPeer(sent int64, data []byte) []byte {
-	if len(data) > maxPeerDatagram-peerFrame {
+func encodeDatagram(sentAt int64, data []byte) []byte {
+	if len(data) > maxPeerDatagram-peerOverhead {
 		return nil
 	}
-	head := peerMark<<timeBits | uint64(sent)&(1<<timeBits-1)
-	b := binary.BigEndian.AppendUint64(make([]byte, 0, peerFrame+len(data)), head)
+	head := peerMagic<<peerTimeBits | uint64(sentAt)&(1<<peerTimeBits-1)
+	b := binary.BigEndian.AppendUint64(make([]byte, 0, peerOverhead+len(data)), head)
 	b = append(b, data...)
-	return binary.BigEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
+	return binary.BigEndian.AppendUint32(b, crc32.Checksum(b, castagnoliTable))
 }
 
 // A peerReceiver is what was last received from a peer.
 type peerReceiver struct {
-	tokens    float64 // messages that it may send at once
-	updatedAt int64   // time of the last one, in microseconds
-	lastSent  [peerHistory]int64
-	next      int
+	tokens          float64 // messages that it may send at once
+	updatedAt       int64   // time of the last one, in microseconds
+	recentSendTimes [peerHistoryLength]int64
+	nextSlot        int
 }
 
 // open reads a datagram that came at now (Unix microseconds) and returns its message. The messages may be in
 // another order than they were sent. Its error is a *datagramError.
-func (p *peerReceiver) open(now int64, b []byte) ([]byte, error) {
-	p.tokens = min(peerBurst, p.tokens+float64(now-p.updatedAt)*peerRate/1e6)
+func (p *peerReceiver) decode(now int64, packet []byte) ([]byte, error) {
+	p.tokens = min(maxPeerBurst, p.tokens+float64(now-p.updatedAt)*maxPeerRate/1e6)
 	p.updatedAt = now
 	if p.tokens < 1 {
-		return nil, errTooMany
+		return nil, errPeerRateExceeded
 	}
 	p.tokens--
-	if len(b) < peerFrame || len(b) > maxPeerDatagram {
-		return nil, errGarbled
+	if len(packet) < peerOverhead || len(packet) > maxPeerDatagram {
+		return nil, errCorruptDatagram
 	}
-	head, body, sum := binary.BigEndian.Uint64(b), b[:len(b)-4], binary.BigEndian.Uint32(b[len(b)-4:])
-	if head>>timeBits != peerMark || crc32.Checksum(body, castagnoli) != sum {
-		return nil, errGarbled
+	head, body, sum := binary.BigEndian.Uint64(packet), packet[:len(packet)-4], binary.BigEndian.Uint32(packet[len(packet)-4:])
+	if head>>peerTimeBits != peerMagic || crc32.Checksum(body, castagnoliTable) != sum {
+		return nil, errCorruptDatagram
 	}
-	sent := int64(head & (1<<timeBits - 1))
+	sentAt := int64(head & (1<<peerTimeBits - 1))
 	switch {
-	case sent > now+maxPeerAge: // all clocks are the same
-		return nil, errGarbled
-	case sent < now-maxPeerAge:
-		return nil, errLate
-	case slices.Contains(p.lastSent[:], sent):
-		return nil, errDoubled
+	case sentAt > now+maxPeerAgeMicros: // all clocks are the same
+		return nil, errCorruptDatagram
+	case sentAt < now-maxPeerAgeMicros:
+		return nil, errStaleDatagram
+	case slices.Contains(p.recentSendTimes[:], sentAt):
+		return nil, errDuplicateDatagram
 	}
-	p.lastSent[p.next] = sent
-	p.next = (p.next + 1) % peerHistory
+	p.recentSendTimes[p.nextSlot] = sentAt
+	p.nextSlot = (p.nextSlot + 1) % peerHistoryLength
 	return append([]byte(nil), body[8:]...), nil
 }
 
@@ -121,11 +121,11 @@
 }
 
 func newPeers(
-	c config.Peers, own int, clock core.Clock, set *counters.Set, receive func(from int, data []byte),
+	c config.Peers, ownIndex int, clock core.Clock, set *counters.Set, receive func(from int, data []byte),
 ) (*peers, error) {
 	p := &peers{
-		listen: c.Listen, ownIndex: own, clock: clock, counters: set, receive: receive,
-		outgoing: make(chan datagram, peerQueue), stopped: make(chan struct{}),
+		listen: c.Listen, ownIndex: ownIndex, clock: clock, counters: set, receive: receive,
+		outgoing: make(chan datagram, peerQueueLength), stopped: make(chan struct{}),
 	}
 	for i, text := range append([]string{c.All}, c.Each...) {
 		addr, err := netip.ParseAddrPort(text)
@@ -164,7 +164,7 @@
 // Send implements core.Peers.
 func (p *peers) Send(to int, data []byte) {
 	p.lastSent = max(p.lastSent+1, p.clock.Now()/1000)
-	b := sealPeer(p.lastSent, data)
+	b := encodeDatagram(p.lastSent, data)
 	switch {
 	case b == nil:
 		p.counters.Add("peers.too_long")
@@ -181,9 +181,9 @@
 	}
 }
 
-func (p *peers) enqueue(to netip.AddrPort, b []byte) {
+func (p *peers) enqueue(to netip.AddrPort, packet []byte) {
 	select {
-	case p.outgoing <- datagram{to, b}:
+	case p.outgoing <- datagram{to, packet}:
 	default:
 		p.counters.Add("peers.dropped")
 	}
@@ -213,7 +213,7 @@
 			indexByAddr[addr] = i
 		}
 	}
-	seen := make([]peerReceiver, len(p.peerAddrs))
+	receivers := make([]peerReceiver, len(p.peerAddrs))
 	buf := make([]byte, maxPeerDatagram+1)
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
@@ -228,7 +228,7 @@
 			p.counters.Add("peers.stranger")
 			continue
 		}
-		data, err := seen[i].open(p.clock.Now()/1000, buf[:n])
+		data, err := receivers[i].decode(p.clock.Now()/1000, buf[:n])
 		if err != nil {
 			var dropped *datagramError
 			if errors.As(err, &dropped) {
--- a/internal/platform/peers_test.go
+++ b/internal/platform/peers_test.go
@@ -52,21 +52,21 @@
 		}
 	}
 	at := p.clock.Now() / 1000
-	second, first := sealPeer(at, []byte("second")), sealPeer(at-5000, []byte("first"))
+	second, first := encodeDatagram(at, []byte("second")), encodeDatagram(at-5000, []byte("first"))
 	say(stranger, second)
 	say(peer, second)
 	say(peer, first)
 	say(peer, second)
 	say(peer, append(slices.Clone(second), make([]byte, maxPeerDatagram)...))
-	say(peer, sealPeer(at-2*maxPeerAge, []byte("old")))
-	say(peer, sealPeer(at+2*maxPeerAge, []byte("of the future")))
+	say(peer, encodeDatagram(at-2*maxPeerAgeMicros, []byte("old")))
+	say(peer, encodeDatagram(at+2*maxPeerAgeMicros, []byte("of the future")))
 	for i := range second {
 		b := slices.Clone(second)
 		b[i] ^= 0x10
 		say(peer, b)
 		say(peer, b[:i])
 	}
-	say(peer, sealPeer(at+1, []byte("last")))
+	say(peer, encodeDatagram(at+1, []byte("last")))
 	for _, want := range []string{"1second", "1first", "1last"} {
 		select {
 		case got := <-heard:
@@ -89,11 +89,11 @@
 	seen := peerReceiver{updatedAt: at}
 	passed := 0
 	for i := range 10000 { // in 10 ms
-		if _, err := seen.open(at+int64(i), sealPeer(at+int64(i), nil)); err == nil {
+		if _, err := seen.decode(at+int64(i), encodeDatagram(at+int64(i), nil)); err == nil {
 			passed++
 		}
 	}
-	if passed > peerRate/50 {
+	if passed > maxPeerRate/50 {
 		t.Errorf("%d of a flood of 10,000 pass", passed)
 	}
 }
@@ -110,7 +110,7 @@
 	if err := peer.SetReadDeadline(time.Now().Add(patience)); err != nil {
 		t.Fatal(err)
 	}
-	if n, err := peer.Read(b); err != nil || n != len("to all")+peerFrame {
+	if n, err := peer.Read(b); err != nil || n != len("to all")+peerOverhead {
 		t.Errorf("%d bytes, %v", n, err)
 	}
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -74,14 +74,14 @@
 	log = logging.Limited(log) // clients and workers can cause all that is logged from here on
 	// The watch ends by closeOutbound, at the platform's end, and by nothing else.
 	endpoints := newEndpointWatch(context.Background(), cfg.Discovery, cfg.Settings, c, log)
-	endpoints.table.clock = clock.Now
-	workers, err := endpoints.load(cfg.Known)
+	endpoints.table.coreNow = clock.Now
+	workers, err := endpoints.loadCached(cfg.Known)
 	if err != nil {
 		return nil, err
 	}
 	half := (cfg.Sockets - max(minSpareDescriptors, cfg.Sockets/spareDivisor) - AdminConnections(cfg)) / 2
 	pool := newWorkerPool(endpoints, cfg.Settings, set, log, half)
-	endpoints.table.stateChanged = pool.inFlight.workerChanged
+	endpoints.table.onWorkerState = pool.inFlight.scheduleAborts
 	p := &Platform{
 		clients:    newClientServer(c, clock, set, log, nil, half),
 		endpoints:  endpoints,
--- a/internal/platform/process_start_test.go
+++ b/internal/platform/process_start_test.go
@@ -21,11 +21,11 @@
 				clock := core.NewClock()
 				offset := time.Duration(0)
 				m := newEndpointWatch(t.Context(), "", &config.Settings{}, nil, nil)
-				m.table.clock, m.table.wall = clock.Now, func() time.Time { return wallClock().Add(offset) }
+				m.table.coreNow, m.table.wallNow = clock.Now, func() time.Time { return wallClock().Add(offset) }
 				if when == "before" {
 					offset = step
 				}
-				born := m.table.wall().Add(-age).UnixMilli()
+				born := m.table.wallNow().Add(-age).UnixMilli()
 				tell := func(version int) foxlift.Worker {
 					l, err := parseEndpoints(fmt.Appendf(nil,
 						`{"seq":%d,"whole":true,"hosts":[{"host":"n","dial":"h:1","health":"active","born_ms":%d}]}`, version, born))
@@ -44,11 +44,11 @@
 				if again := tell(2); again.StartedAt != first.StartedAt {
 					t.Errorf("told again, its start moves by %v", time.Duration(again.StartedAt-first.StartedAt))
 				}
-				to, _ := m.find("n")
-				if old := time.Now().Add(-age - time.Second); !old.Before(to.at) {
+				to, _ := m.findLive("n")
+				if old := time.Now().Add(-age - time.Second); !old.Before(to.startedAt) {
 					t.Error("a connection from before its start counts as newer")
 				}
-				if fresh := time.Now(); fresh.Before(to.at) {
+				if fresh := time.Now(); fresh.Before(to.startedAt) {
 					t.Error("a connection from now counts as older than its start")
 				}
 			})
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -98,7 +98,7 @@
 // closeOutbound ends what the scheduler has open to others than its clients.
 func (p *Platform) closeOutbound() {
 	p.endpoints.stop()
-	p.pool.closeAll()
+	p.pool.closeAllIdle()
 	if p.peers != nil {
 		p.peers.stop()
 	}
--- a/internal/platform/state_lines.go
+++ b/internal/platform/state_lines.go
@@ -117,7 +117,7 @@
 			if code == foxlift.Served {
 				final.Result = []byte(n.Result)
 			}
-			final.Load, final.HasLoad = a.pool.loadReports.object(n.Load)
+			final.Load, final.HasLoad = a.pool.loadParser.parseObject(n.Load)
 		case n.State == stateStarted:
 			if time.Since(a.trace.answeredAt) > minAnswerLead {
 				a.pool.answersBeforeStart.Store(true)
--- a/internal/platform/watch_session.go
+++ b/internal/platform/watch_session.go
@@ -18,9 +18,9 @@
 	afterSwitch bool // the watch has just switched to this discovery
 	client      *discoveryClient
 
-	complete bool            // the next call asks for the complete list
-	synced   bool            // a response has been applied, and discovery has not lost count since
-	update   *endpointUpdate // what the core has to be told; nil: nothing but that the list is confirmed
+	complete      bool            // the next call asks for the complete list
+	synced        bool            // a response has been applied, and discovery has not lost count since
+	pendingUpdate *endpointUpdate // what the core has to be told; nil: nothing but that the list is confirmed
 }
 
 // An endpointUpdate is a response in the module's terms.
@@ -58,12 +58,12 @@
 	}
 	response, err := s.receive()
 	if err != nil {
-		s.watch.requireComplete(err)
+		s.watch.requireCompleteIfOversized(err)
 		return err
 	}
 	version, answered := s.watch.progress()
 	if !response.Complete && *response.Version < version { // discovery has lost count
-		s.complete, s.update, s.synced = true, nil, false
+		s.complete, s.pendingUpdate, s.synced = true, nil, false
 		return nil
 	}
 	if !s.synced {
@@ -74,12 +74,12 @@
 	if err != nil {
 		return err
 	}
-	s.complete, s.synced, s.update = false, true, nil
+	s.complete, s.synced, s.pendingUpdate = false, true, nil
 	switch {
 	case response.Complete:
-		s.update = &endpointUpdate{foxlift.EndpointsComplete, workers}
+		s.pendingUpdate = &endpointUpdate{foxlift.EndpointsComplete, workers}
 	case len(response.Endpoints) > 0 || !answered:
-		s.update = &endpointUpdate{foxlift.EndpointsDelta, workers}
+		s.pendingUpdate = &endpointUpdate{foxlift.EndpointsDelta, workers}
 	}
 	s.watch.pacer.NextDelay(pollpacing.Answered, time.Since(calledAt))
 	return nil
@@ -106,7 +106,7 @@
 	hold := s.watch.pacer.WatchHold()
 	version, answered := s.watch.progress()
 	if !answered {
-		hold = firstWatchWait // a discovery that is silent shows soon after the start
+		hold = firstWatchHold // a discovery that is silent shows soon after the start
 	}
 	target = fmt.Sprintf("%s?%s=%d&%s=%d", pathMembers, queryIndex, version, queryWait, hold.Milliseconds())
 	return target, s.watch.pacer.Timeout(hold)
@@ -115,8 +115,8 @@
 // report tells the core of the last response.
 func (s *watchSession) report() {
 	switch {
-	case s.update != nil:
-		s.watch.observer.UpdateEndpoints(s.update.kind, s.update.workers)
+	case s.pendingUpdate != nil:
+		s.watch.observer.UpdateEndpoints(s.pendingUpdate.kind, s.pendingUpdate.workers)
 	case s.synced:
 		s.watch.observer.ConfirmEndpoints()
 	}
@@ -126,7 +126,7 @@
 func (s *watchSession) receive() (*endpointsResponse, error) {
 	response, err := s.client.receive(processResponseBound())
 	if err == nil && s.complete && !response.Complete {
-		return nil, answerError{fmt.Errorf("%w: the response is not the complete list", errNotEndpoints)}
+		return nil, responseError{fmt.Errorf("%w: the response is not the complete list", errInvalidEndpoints)}
 	}
 	return response, err
 }
--- a/internal/platform/worker_conn.go
+++ b/internal/platform/worker_conn.go
@@ -57,9 +57,9 @@
 }
 
 var (
-	errConnBroken   = errors.New("the connection has ended")
-	errNotPermitted = errors.New("the attempt is no longer permitted")
-	errTooLate      = errors.New("the write deadline has passed")
+	errConnBroken          = errors.New("the connection has ended")
+	errNotPermitted        = errors.New("the attempt is no longer permitted")
+	errWriteDeadlinePassed = errors.New("the write deadline has passed")
 )
 
 // deliver writes a request. A worker starts on a request's last byte, so that byte is held back until it is
@@ -79,7 +79,7 @@
 	}
 	if !deadline.IsZero() && !time.Now().Before(deadline) {
 		// The workers that would have recognized it as a repeat may have forgotten it.
-		return &sendError{foxlift.NotSent, errTooLate}
+		return &sendError{foxlift.NotSent, errWriteDeadlinePassed}
 	}
 	n, err := c.Write(request[last:])
 	switch {
@@ -107,13 +107,13 @@
 	minLastByteHold = time.Millisecond
 	maxLastByteHold = 3 * time.Millisecond
 	holdRoundTrips  = 2
-	usedRecently    = 5 * time.Millisecond
+	maxRecentIdle   = 5 * time.Millisecond
 )
 
 // lastByteHold is how long the next last byte on a connection is held back; 0 where it was in use a moment
 // ago and a job of the class may run twice, so that a look without a wait will do.
 func (p *workerPool) lastByteHold(c *workerConn, class string) time.Duration {
-	if p.repeatable[class] && c.reused() && time.Since(c.idleSince) < usedRecently {
+	if p.repeatable[class] && c.reused() && time.Since(c.idleSince) < maxRecentIdle {
 		return 0
 	}
 	return min(maxLastByteHold, max(minLastByteHold, holdRoundTrips*roundTrip(c.Conn)))
--- a/internal/platform/worker_pool.go
+++ b/internal/platform/worker_pool.go
@@ -28,7 +28,7 @@
 // A workerPool holds the connections to workers, and sends attempts on them. It implements core.Workers.
 type workerPool struct {
 	// find returns a worker's entry, if new work may go there now.
-	find func(worker string) (endpoint, bool)
+	findLive func(worker string) (endpoint, bool)
 	// stateOf returns a worker's state in the endpoint list, and since when it is not live.
 	stateOf     func(worker string) (foxlift.WorkerState, time.Time)
 	drainGrace  time.Duration // in which sends to a worker that is no longer live have to stop
@@ -36,7 +36,7 @@
 	counters    *counters.Set
 	dialTimeout time.Duration
 	idleTimeout time.Duration // after which an idle connection is closed
-	loadReports loadParser
+	loadParser  loadParser
 
 	repeatable map[string]bool // classes whose jobs may run twice
 
@@ -53,14 +53,14 @@
 	endpoints *endpointWatch, s *config.Settings, set *counters.Set, log *zap.Logger, budget int,
 ) *workerPool {
 	p := &workerPool{
-		find:        endpoints.find,
+		findLive:    endpoints.findLive,
 		stateOf:     endpoints.stateOf,
 		drainGrace:  s.DrainGrace,
 		log:         log,
 		counters:    set,
 		dialTimeout: defaultDialTimeout,
 		idleTimeout: defaultIdleTimeout,
-		loadReports: loadParser{s.GaugeNames, set},
+		loadParser:  loadParser{s.GaugeNames, set},
 		repeatable:  map[string]bool{},
 		budget:      budget,
 		idle:        map[string][]*workerConn{},
@@ -93,7 +93,7 @@
 		p.mu.Unlock()
 		// A worker that has dropped the connection has mostly said so already, and one that vanished and is
 		// back has a new start; a request on the old connection would look like a job that may have run.
-		if c.buf.fillAvailable() && c.buf.buffered() == 0 && !c.openedAt.Before(target.at) {
+		if c.buf.fillAvailable() && c.buf.buffered() == 0 && !c.openedAt.Before(target.startedAt) {
 			return c
 		}
 		p.discard(c)
@@ -218,7 +218,7 @@
 // CloseIdle implements core.Workers.
 func (p *workerPool) CloseIdle(worker string) {
 	go func() {
-		target, _ := p.find(worker)
+		target, _ := p.findLive(worker)
 		p.mu.Lock()
 		stack := slices.Clone(p.idle[target.address])
 		p.mu.Unlock()
@@ -229,7 +229,7 @@
 }
 
 // closeAll closes the idle connections to all workers.
-func (p *workerPool) closeAll() {
+func (p *workerPool) closeAllIdle() {
 	p.mu.Lock()
 	var all []*workerConn
 	for _, stack := range p.idle {
--- a/internal/platform/worker_pool_test.go
+++ b/internal/platform/worker_pool_test.go
@@ -68,7 +68,7 @@
 	check(t, "kept", n.reuse(to), b)
 	n.idleTimeout = time.Hour
 	n.release(b)
-	to.at = time.Now() // the node has restarted since: the connection led to its former process
+	to.startedAt = time.Now() // the node has restarted since: the connection led to its former process
 	if c := n.reuse(to); c != nil {
 		t.Error("a connection to a former process was reused")
 	}
