--- a/admission.go
+++ b/admission.go
@@ -62,7 +62,7 @@
 )
 
 // lacksPeerUsage says that this is one of a few dispatchers, and does not know of the others' jobs.
-func (d *Dispatcher) lacksPeerUsage() bool { return !d.manyDispatchers() && !d.knowsAllUsage() }
+func (d *Dispatcher) lacksPeerUsage() bool { return !d.manyDispatchers() && !d.hasCompleteUsage() }
 
 // maxQueueTime is how old a queued job may become. That of a tenant over its quota is shed early: what it
 // sends past the quota is nearly worthless, and a queue of it would delay the rest.
--- a/affinity.go
+++ b/affinity.go
@@ -5,10 +5,10 @@
 // rankAffinity returns the warm workers of the own zone and of the job's kind that come first in the order
 // of its key. Where crossings are free zones don't count. It also returns how many workers they are the
 // first of.
-func (d *Dispatcher) rankAffinity(j *job) (workers []*worker, of int) {
-	workers, of, examined := d.keys.index.Rank(j.req.Key, j.class.Kind, d.now)
+func (d *Dispatcher) rankAffinity(j *job) (workers []*worker, candidates int) {
+	workers, candidates, examined := d.keys.index.Rank(j.req.Key, j.class.Kind, d.now)
 	d.candidatesExamined += examined
-	return workers, of
+	return workers, candidates
 }
 
 // indexAffinity brings the affinity sets up to date with a worker.
--- a/endpoint_lease.go
+++ b/endpoint_lease.go
@@ -27,7 +27,7 @@
 	FailureInvalid = membership.FailureInvalid
 )
 
-const exploreCandidates = 8 // workers looked at to find one that may be tried by a stale list
+const maxExploreSamples = 8 // workers looked at to find one that may be tried by a stale list
 
 // EndpointsUsable reports whether jobs may be sent by the list as it is known, if only to some workers.
 func (d *Dispatcher) EndpointsUsable() bool { return d.endpoints.lease.Usable(d.now) }
@@ -67,8 +67,8 @@
 		if !d.eligible(j, w) {
 			continue
 		}
-		if c := float64(w.level) + d.placementCost(j, w); c < bestCost {
-			best, bestCost = w, c
+		if cost := float64(w.level) + d.placementCost(j, w); cost < bestCost {
+			best, bestCost = w, cost
 		}
 	}
 	if best == nil {
@@ -82,7 +82,7 @@
 	if len(d.liveWorkers) == 0 || !d.endpoints.lease.MayExplore(d.now) {
 		return nil
 	}
-	for range exploreCandidates {
+	for range maxExploreSamples {
 		if w := d.liveWorkers[d.rng.IntN(len(d.liveWorkers))]; d.eligible(j, w) {
 			d.endpoints.lease.RecordExplored(d.now)
 			return w
--- a/endpoints.go
+++ b/endpoints.go
@@ -67,9 +67,9 @@
 }
 
 // resetWorker forgets what was learned of a process that is no more.
-func (d *Dispatcher) resetWorker(w *worker, at int64) {
+func (d *Dispatcher) resetWorker(w *worker, startedAt int64) {
 	w.outlier.Reset()
-	w.warmup.Restart(at)
+	w.warmup.Restart(startedAt)
 	w.latencyRatio = 0
 	w.report.Invalidate()
 	w.connections.open, w.cachedKeys = 0, affinity.CachedKeys{}
--- a/gossip.go
+++ b/gossip.go
@@ -29,17 +29,17 @@
 	return d.cfg.MayGossip && d.cfg.Dispatchers > 1 && !d.manyDispatchers()
 }
 
-// knowsAllUsage says that this dispatcher knows of all jobs at the workers.
-func (d *Dispatcher) knowsAllUsage() bool { return d.cfg.Dispatchers == 1 || d.exchangesUsage() }
+// hasCompleteUsage says that this dispatcher knows of all jobs at the workers.
+func (d *Dispatcher) hasCompleteUsage() bool { return d.cfg.Dispatchers == 1 || d.exchangesUsage() }
 
 // countAttempt takes an attempt that begins (1) or has ended (-1) into what its worker holds.
-func (d *Dispatcher) countAttempt(a *attempt, by float64) {
+func (d *Dispatcher) countAttempt(a *attempt, sign float64) {
 	w := a.worker
-	w.usedSlots += by * a.slots
-	w.report.CountSlots(by * a.slots)
-	w.usedMemory += by * a.job.req.Memory
-	w.inFlightJobs += int(by)
-	d.capacity.inFlightSlots += by * a.slots
+	w.usedSlots += sign * a.slots
+	w.report.CountSlots(sign * a.slots)
+	w.usedMemory += sign * a.job.req.Memory
+	w.inFlightJobs += int(sign)
+	d.capacity.inFlightSlots += sign * a.slots
 	if d.exchangesUsage() && !w.dirty {
 		w.dirty = true
 		d.exchange.changed = append(d.exchange.changed, w)
@@ -73,15 +73,15 @@
 
 // gossipChanges tells the peers what has changed since they were last told.
 func (d *Dispatcher) gossipChanges() {
-	x := &d.exchange
-	if len(x.changed) == 0 {
+	exchange := &d.exchange
+	if len(exchange.changed) == 0 {
 		return
 	}
-	d.sendGossip(false, x.changed)
-	for _, w := range x.changed {
+	d.sendGossip(false, exchange.changed)
+	for _, w := range exchange.changed {
 		w.dirty = false
 	}
-	x.changed = x.changed[:0]
+	exchange.changed = exchange.changed[:0]
 }
 
 // onMessage takes in a peer's message. What is none is ignored.
@@ -98,8 +98,8 @@
 		return
 	}
 	for _, w := range d.workerOrder {
-		usage, told := m.UsageOf(gossip.TagOf(w.hash))
-		if !told {
+		usage, included := m.UsageOf(gossip.TagOf(w.hash))
+		if !included {
 			continue
 		}
 		if change, changed := peers.RecordUsage(from, w, usage, m.Sequence); changed {
@@ -125,7 +125,7 @@
 			d.applyPeerUsage(w, change)
 		}
 	}
-	peers.Forget(from)
+	peers.DropUsage(from)
 }
 
 // meanAdmissionRate is the mean of the admission rate here and at the peers that were lately heard of.
@@ -133,7 +133,7 @@
 func (d *Dispatcher) meanAdmissionRate() float64 {
 	peers := &d.exchange.peers
 	for from := range peers.Len() {
-		if peers.Silent(from, d.now) {
+		if peers.Expired(from, d.now) {
 			d.clearPeerUsage(from)
 		}
 	}
--- a/health_checks.go
+++ b/health_checks.go
@@ -13,7 +13,7 @@
 // with room have reported lately: a quiet dispatcher knows of the fleet only what was true many jobs ago.
 // The answers make those workers the last that reported. It reports whether the job waits.
 func (d *Dispatcher) requestHealthChecks(j *job) bool {
-	if d.knowsAllUsage() || !d.cfg.MayHealthCheck || len(d.cfg.Gauges) == 0 ||
+	if d.hasCompleteUsage() || !d.cfg.MayHealthCheck || len(d.cfg.Gauges) == 0 ||
 		len(d.liveWorkers) <= len(d.capacity.reported.workers) ||
 		d.capacity.reports.FleetAverage().Average > saturatedPressure ||
 		d.recentlyFreeWorkers() >= checkedWorkers {
--- a/internal/decision/affinity/index.go
+++ b/internal/decision/affinity/index.go
@@ -12,8 +12,8 @@
 	// MaxCompared is the most workers that a key's are searched among, unless one bucket holds more.
 	MaxCompared = 1024
 
-	bucketBits = 6
-	buckets    = 1 << bucketBits
+	bucketBits  = 6
+	bucketCount = 1 << bucketBits
 )
 
 // Score returns the place of the worker with a hash in a key's order: the greatest comes first.
@@ -69,7 +69,7 @@
 
 // Rank returns the workers that are ready and of a kind (-1: of any) that come first in a key's order. It
 // also returns how many workers they are the first of, and how many it has looked at.
-func (x *Indexes[W]) Rank(key uint64, kind int, now int64) (ranked []W, of, examined int) {
+func (x *Indexes[W]) Rank(key uint64, kind int, now int64) (ranked []W, candidates, examined int) {
 	if kind < 0 {
 		return x.all.rank(key, now)
 	}
@@ -77,7 +77,7 @@
 }
 
 // An index holds workers by the first bits of their hashes.
-type index[W comparable] [buckets][]entry[W]
+type index[W comparable] [bucketCount][]entry[W]
 
 // An entry is a worker; what the search asks of it stands beside it.
 type entry[W comparable] struct {
@@ -116,11 +116,11 @@
 // search returns the buckets that a key's workers are searched in: all, or while these hold more than
 // MaxCompared workers the half that the key draws by the next bit of its hash. That is hierarchical
 // rendezvous hashing: where a half is divided, the keys that have drawn it keep half of their workers.
-func (x *index[W]) search(key uint64) (from, to int) {
-	from, to = 0, buckets
-	for draw := mixBits(key); to-from > 1 && x.size(from, to) > MaxCompared; draw >>= 1 {
+func (x *index[W]) searchRange(key uint64) (from, to int) {
+	from, to = 0, bucketCount
+	for hashBits := mixBits(key); to-from > 1 && x.size(from, to) > MaxCompared; hashBits >>= 1 {
 		middle := (from + to) / 2
-		if draw&1 == 0 {
+		if hashBits&1 == 0 {
 			to = middle
 		} else {
 			from = middle
@@ -130,10 +130,10 @@
 }
 
 // rank is Indexes.Rank for one index.
-func (x *index[W]) rank(key uint64, now int64) (ranked []W, of, examined int) {
+func (x *index[W]) rank(key uint64, now int64) (ranked []W, candidates, examined int) {
 	var scores [MaxWorkers]uint64
 	ranked = make([]W, 0, MaxWorkers)
-	from, to := x.search(key)
+	from, to := x.searchRange(key)
 	for _, bucket := range x[from:to] {
 		examined += len(bucket)
 		for i := range bucket {
@@ -141,22 +141,22 @@
 			if now < e.readyAt {
 				continue
 			}
-			of++
+			candidates++
 			score := Score(e.hash, key)
-			i := len(ranked)
-			if i < MaxWorkers {
+			position := len(ranked)
+			if position < MaxWorkers {
 				ranked = append(ranked, e.worker)
-			} else if i--; score <= scores[i] {
+			} else if position--; score <= scores[position] {
 				continue
 			}
-			for ; i > 0 && scores[i-1] < score; i-- {
-				scores[i], ranked[i] = scores[i-1], ranked[i-1]
+			for ; position > 0 && scores[position-1] < score; position-- {
+				scores[position], ranked[position] = scores[position-1], ranked[position-1]
 			}
-			scores[i], ranked[i] = score, e.worker
+			scores[position], ranked[position] = score, e.worker
 		}
 	}
-	if from > 0 || to < buckets { // as many are ready elsewhere
-		of = of * x.size(0, buckets) / max(1, examined)
+	if from > 0 || to < bucketCount { // as many are ready elsewhere
+		candidates = candidates * x.size(0, bucketCount) / max(1, examined)
 	}
-	return ranked, of, examined
+	return ranked, candidates, examined
 }
--- a/internal/decision/affinity/keys.go
+++ b/internal/decision/affinity/keys.go
@@ -53,13 +53,13 @@
 // Fraction returns the fraction of the last jobs that had a key, and of a few more that had not: of the
 // first jobs one says little.
 func (l *KeyLog) Fraction(key uint64) float64 {
-	n := 0
+	count := 0
 	for _, k := range l.keys {
 		if k == key {
-			n++
+			count++
 		}
 	}
-	return float64(n) / float64(min(l.added, len(l.keys))+16)
+	return float64(count) / float64(min(l.added, len(l.keys))+16)
 }
 
 // Keys returns the keys in the log, the oldest first.
--- a/internal/decision/gossip/message.go
+++ b/internal/decision/gossip/message.go
@@ -20,7 +20,7 @@
 	rateSize     = 8
 	usageSize    = 5 // three bytes of the worker's hash, the slots, the memory in units
 	tagMask      = 1<<24 - 1
-	memoryUnits  = 32
+	memoryScale  = 32
 
 	// A message that is longer gets no more workers: 256 bytes have room for what a host puts around it.
 	sizeLimit = headerSize + rateSize + 40*usageSize
@@ -76,14 +76,14 @@
 	}
 	for i := range m.Usages {
 		u := &m.Usages[i]
-		data = binary.LittleEndian.AppendUint32(data, u.Tag|toByte(u.Slots)<<24)
-		data = append(data, byte(toByte(u.Memory*memoryUnits)))
+		data = binary.LittleEndian.AppendUint32(data, u.Tag|roundToByte(u.Slots)<<24)
+		data = append(data, byte(roundToByte(u.Memory*memoryScale)))
 	}
 	return data
 }
 
 // toByte rounds a count to what a byte holds.
-func toByte(x float64) uint32 { return uint32(min(max(math.Round(x), 0), 255)) }
+func roundToByte(x float64) uint32 { return uint32(min(max(math.Round(x), 0), 255)) }
 
 // Decode reads a message into m, whose Usages are overwritten. It reports whether the message is valid.
 func (m *Message) Decode(data []byte) bool {
@@ -108,7 +108,7 @@
 	for ; len(rest) > 0; rest = rest[usageSize:] {
 		tagged := binary.LittleEndian.Uint32(rest)
 		m.Usages = append(m.Usages, WorkerUsage{
-			Tag: tagged & tagMask, Usage: Usage{Slots: float64(tagged >> 24), Memory: float64(rest[4]) / memoryUnits},
+			Tag: tagged & tagMask, Usage: Usage{Slots: float64(tagged >> 24), Memory: float64(rest[4]) / memoryScale},
 		})
 	}
 	return true
@@ -116,14 +116,14 @@
 
 // UsageOf returns what the message tells of the worker with a tag: nothing is held where a complete one
 // does not name it.
-func (m *Message) UsageOf(tag uint32) (u Usage, told bool) {
-	told = m.Complete
+func (m *Message) UsageOf(tag uint32) (u Usage, included bool) {
+	included = m.Complete
 	for i := range m.Usages {
 		if m.Usages[i].Tag == tag {
-			u, told = m.Usages[i].Usage, true
+			u, included = m.Usages[i].Usage, true
 		}
 	}
-	return u, told
+	return u, included
 }
 
 // A Sender numbers the messages of one incarnation of a dispatcher.
--- a/internal/decision/gossip/message_test.go
+++ b/internal/decision/gossip/message_test.go
@@ -32,7 +32,7 @@
 		var m, got Message
 		s.Begin(&m, complete, 31)
 		for tag := range uint32(100) {
-			m.AddUsage(tag, Usage{Slots: float64(tag), Memory: float64(tag) / memoryUnits})
+			m.AddUsage(tag, Usage{Slots: float64(tag), Memory: float64(tag) / memoryScale})
 		}
 		data := m.Encode()
 		if len(data) != m.size() || len(data) > 256-12-usageSize {
@@ -100,7 +100,7 @@
 			t.Errorf("%+v: changed %v by %v", c, changed, change.Slots)
 		}
 	}
-	if table.Silent(0, second) || !table.Silent(0, second+PeerTimeout) {
+	if table.Expired(0, second) || !table.Expired(0, second+PeerTimeout) {
 		t.Error("a peer falls silent after its timeout, and only then")
 	}
 	if mean := table.MeanAdmissionRate(31, second+PeerTimeout); mean != 31 {
@@ -109,7 +109,7 @@
 	if change, changed := table.ClearUsage(0, "w"); change.Slots != -4 || !changed {
 		t.Errorf("cleared %v, want 4", change.Slots)
 	}
-	if table.Forget(0); table.Silent(0, 1<<62) {
+	if table.DropUsage(0); table.Expired(0, 1<<62) {
 		t.Error("a peer that holds nothing is still to be cleared")
 	}
 }
--- a/internal/decision/gossip/table.go
+++ b/internal/decision/gossip/table.go
@@ -56,8 +56,8 @@
 // by how much that has changed.
 func (t *Table[W]) RecordUsage(from int, w W, u Usage, sequence uint16) (change Usage, changed bool) {
 	p := &t.peers[from]
-	old, there := p.usage[w]
-	if there && int16(sequence-old.sequence) < 0 {
+	old, exists := p.usage[w]
+	if exists && int16(sequence-old.sequence) < 0 {
 		return Usage{}, false
 	}
 	if p.usage == nil {
@@ -69,8 +69,8 @@
 
 // ClearUsage lets a peer hold nothing at a worker. It returns by how much that has changed.
 func (t *Table[W]) ClearUsage(from int, w W) (change Usage, changed bool) {
-	old, there := t.peers[from].usage[w]
-	if !there {
+	old, exists := t.peers[from].usage[w]
+	if !exists {
 		return Usage{}, false
 	}
 	delete(t.peers[from].usage, w)
@@ -78,10 +78,10 @@
 }
 
 // Forget drops all that a peer holds. What it held is to be cleared before.
-func (t *Table[W]) Forget(from int) { t.peers[from].usage = nil }
+func (t *Table[W]) DropUsage(from int) { t.peers[from].usage = nil }
 
 // Silent reports whether a peer that holds something was not heard of lately.
-func (t *Table[W]) Silent(from int, now int64) bool {
+func (t *Table[W]) Expired(from int, now int64) bool {
 	p := &t.peers[from]
 	return p.usage != nil && !p.alive(now)
 }
--- a/internal/lab/mutants.go
+++ b/internal/lab/mutants.go
@@ -141,8 +141,8 @@
 	{
 		Name:    "an ended claim's place is not freed in the module",
 		File:    "gossip.go",
-		Old:     "\tw.usedSlots += by * a.slots\n",
-		New:     "\tif by > 0 {\n\t\tw.usedSlots += by * a.slots\n\t}\n",
+		Old:     "\tw.usedSlots += sign * a.slots\n",
+		New:     "\tif sign > 0 {\n\t\tw.usedSlots += sign * a.slots\n\t}\n",
 		Package: "./internal/core",
 		Run:     modelFuzz,
 	},
--- a/placement.go
+++ b/placement.go
@@ -8,20 +8,20 @@
 
 const (
 	// What a worker's cost counts, in jobs of ours that are in flight there.
-	crossZoneJobs = 40.0 // a crossing, at prices.crossZone 1; divided by fleetScale, by 8 at most
+	crossZoneCost = 40.0 // a crossing, at prices.crossZone 1; divided by fleetScale, by 8 at most
 	heavyJobCost  = 40.0 // a heavy job at a worker that has just begun its slow start
-	fetchJobs     = 2.0  // a worker's fetch of what a job needs: it takes a slot meanwhile
+	baseFetchCost = 2.0  // a worker's fetch of what a job needs: it takes a slot meanwhile
 
-	heavyJobWeight = 0.3 // slow-start weight from which a worker gets other than the lightest jobs
+	minHeavyJobWeight = 0.3 // slow-start weight from which a worker gets other than the lightest jobs
 )
 
 // fetchCost is the jobs that a fetch weighs. It takes less of a long job's time; many dispatchers look for
 // free slots first.
 func (d *Dispatcher) fetchCost(j *job) float64 {
 	if !d.manyDispatchers() {
-		return fetchJobs
+		return baseFetchCost
 	}
-	return fetchJobs * min(1, 2*float64(d.minMedianRuntime())/float64(max(1, j.class.runtimes.Median())))
+	return baseFetchCost * min(1, 2*float64(d.minMedianRuntime())/float64(max(1, j.class.runtimes.Median())))
 }
 
 const affinityHeadroom = 1.5 // workers of a key over what its fraction of the jobs would fill
@@ -50,15 +50,15 @@
 		return false
 	}
 	if d.manyDispatchers() && j.class.Effect == AtMostOnce {
-		room := d.maxUnstarted()
+		limit := d.maxUnstarted()
 		if d.inSlowStart(w) {
-			room *= 2 // it mostly has a free slot, and is paced
+			limit *= 2 // it mostly has a free slot, and is paced
 		}
-		if d.jobs.unstarted >= room {
+		if d.jobs.unstarted >= limit {
 			return false
 		}
 	}
-	if d.knowsAllUsage() && w.usedSlots > 0 && j.req.Memory > 0 &&
+	if d.hasCompleteUsage() && w.usedSlots > 0 && j.req.Memory > 0 &&
 		w.usedMemory+j.req.Memory > d.memoryCapacity(w) {
 		return false // it would wait at the head of the queue, and the others behind it
 	}
@@ -86,26 +86,26 @@
 // placementCost rates a worker among equals: the fraction of a job's worth that is likely
 // lost there, and the jobs that a crossing or a fetch stands for.
 func (d *Dispatcher) placementCost(j *job, w *worker) float64 {
-	c := d.capacity.reports.Pressure(&w.report, j.req.Slots, d.now) / 2
-	if c >= 0.45 {
-		c = 1
+	cost := d.capacity.reports.Pressure(&w.report, j.req.Slots, d.now) / 2
+	if cost >= 0.45 {
+		cost = 1
 	}
 	if w.zone != d.cfg.Zone {
-		c += crossZoneJobs * d.cfg.Prices.CrossZone / min(d.fleetScale, 8)
+		cost += crossZoneCost * d.cfg.Prices.CrossZone / min(d.fleetScale, 8)
 	}
 	if d.needsConnection(w) {
-		c += 3 * d.cfg.Prices.Handshake
+		cost += 3 * d.cfg.Prices.Handshake
 	}
-	c += (w.latencyRatio - 1) / 3
+	cost += (w.latencyRatio - 1) / 3
 	switch {
 	case !d.manyDispatchers():
-	case d.inSlowStart(w) && d.slowStartWeight(w) < heavyJobWeight &&
+	case d.inSlowStart(w) && d.slowStartWeight(w) < minHeavyJobWeight &&
 		j.class.runtimes.Median() > d.minMedianRuntime():
-		c += heavyJobCost
+		cost += heavyJobCost
 	case j.class.Effect == AtMostOnce || d.remainingAttempts(j) == 1:
-		c += w.outlier.Cost(d.now) // it stays where it is sent: best where one of ours has just started
+		cost += w.outlier.Cost(d.now) // it stays where it is sent: best where one of ours has just started
 	case !d.inSlowStart(w): // which are paced
-		c += w.outlier.Cost(d.now) / 10
+		cost += w.outlier.Cost(d.now) / 10
 	}
-	return c
+	return cost
 }
--- a/worker_search.go
+++ b/worker_search.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	sampleSize = 24   // workers looked at for one job, of those with as many slots of ours
-	maxScanned = 1024 // workers that are all looked at for a job that may go anywhere but where it failed
+	sampleSize  = 24   // workers looked at for one job, of those with as many slots of ours
+	maxFullScan = 1024 // workers that are all looked at for a job that may go anywhere but where it failed
 )
 
 // A workerSearch finds the worker that costs a job least.
@@ -43,16 +43,16 @@
 
 // consider looks at a worker, at a cost beside that of its own; cached says that it surely has what the
 // job needs.
-func (s *workerSearch) consider(w *worker, extra float64, cached bool) {
+func (s *workerSearch) consider(w *worker, extraCost float64, cached bool) {
 	d, j := s.d, s.j
 	d.candidatesExamined++
 	if !d.eligible(j, w) {
 		return
 	}
 	if j.req.Key != 0 && !cached && !w.cachedKeys.Contains(j.req.Key) {
-		extra += d.fetchCost(j)
+		extraCost += d.fetchCost(j)
 	}
-	if cost := d.placementCost(j, w) + extra + d.rng.Float64()*1e-3; cost < s.bestCost {
+	if cost := d.placementCost(j, w) + extraCost + d.rng.Float64()*1e-3; cost < s.bestCost {
 		s.best, s.bestCost = w, cost
 	}
 }
@@ -63,8 +63,8 @@
 	workers := d.affinityWorkers(s.j)
 	for i, w := range workers {
 		if w.level >= 0 && (!w.report.Valid() || d.capacity.reports.Reported(&w.report, s.j.req.Slots) < 1) {
-			saved := 4 * d.cfg.Prices.Fetch * (1 - float64(i)/float64(len(workers)))
-			s.consider(w, float64(w.level)-saved, true)
+			fetchSaving := 4 * d.cfg.Prices.Fetch * (1 - float64(i)/float64(len(workers)))
+			s.consider(w, float64(w.level)-fetchSaving, true)
 		}
 	}
 }
@@ -75,7 +75,7 @@
 	d, j := s.d, s.j
 	workers := d.free.at(j.class.Kind, level)
 	if workers.size <= sampleSize ||
-		j.mayHaveRun != nil && (workers.size <= maxScanned || j.class.Effect != Idempotent) {
+		j.mayHaveRun != nil && (workers.size <= maxFullScan || j.class.Effect != Idempotent) {
 		for _, part := range workers.parts {
 			for _, w := range part {
 				s.consider(w, float64(level), false)
