--- a/admission.go
+++ b/admission.go
@@ -3,33 +3,33 @@
 // Admission control: which jobs are queued, for how long, and which are shed.
 
 // accept takes a new job in: it is queued, waits for health checks, or is urgent.
-func (d *Dispatcher) accept(r *Request) {
-	if r.Class < 0 || r.Class >= len(d.classes) || d.jobs.byID[r.ID] != nil {
+func (d *Dispatcher) onRequest(req *Request) {
+	if req.Class < 0 || req.Class >= len(d.classes) || d.jobs.byID[req.ID] != nil {
 		return // the host broke the contract: there is nothing sensible to do
 	}
-	c := &d.classes[r.Class]
-	j := &job{id: r.ID, class: c, tenant: d.tenantOf(r.Tenant), req: *r, arrivedAt: d.now - r.Waited}
+	c := &d.classes[req.Class]
+	j := &job{id: req.ID, class: c, tenant: d.tenantOf(req.Tenant), req: *req, arrivedAt: d.now - req.Waited}
 	if j.req.Slots <= 0 {
 		j.req.Slots = 1
 	}
 	size := c.runtimes.Median()
-	if r.Size > 0 {
-		size = r.Size
+	if req.Size > 0 {
+		size = req.Size
 	}
 	j.objective = c.LatencyObjective + int64(c.ObjectiveStretch*float64(size))
 	// A client's retry brings what is left of its patience: the job is as old as the first attempt. Its
 	// objective counts from there, and what is too late for it is worth nothing: where capacity is short
 	// it must not take the place of the rest.
-	c.patience = max(c.patience, r.Deadline-j.arrivedAt)
-	j.firstAttemptAt = r.Deadline - c.patience
-	d.jobs.byID[r.ID] = j
-	d.keys.recent.Add(r.Key)
+	c.maxClientWait = max(c.maxClientWait, req.Deadline-j.arrivedAt)
+	j.firstAttemptAt = req.Deadline - c.maxClientWait
+	d.jobs.byID[req.ID] = j
+	d.keys.recent.Add(req.Key)
 	d.rate.RecordArrival()
-	j.tenant.quota.RecordArrival(r.Class)
+	j.tenant.quota.RecordArrival(req.Class)
 	age := d.now - j.firstAttemptAt
-	filled := d.occupiedSlots() >= d.capacity.startWindow.Slots()/2
-	late := filled && age >= max(d.maxQueueTime(j), 2*d.tickInterval)
-	if late || r.Deadline-d.now <= 2*d.tickInterval {
+	halfFull := d.occupiedSlots() >= d.capacity.startWindow.Slots()/2
+	late := halfFull && age >= max(d.maxQueueTime(j), 2*d.tickInterval)
+	if late || req.Deadline-d.now <= 2*d.tickInterval {
 		d.jobs.urgent = append(d.jobs.urgent, j)
 	} else if d.requestHealthChecks(j) {
 		return
@@ -56,9 +56,9 @@
 // large part of the fleet's work, and a job sent with time for the median run is late at every worker that
 // has others' jobs.
 const (
-	remainingRuns     = 2 // median runs that fit after the longest time in the queue; 1 elsewhere
-	excessQueuePart   = 8 // part of its objective that a job of a tenant over its quota is queued; 2 elsewhere
-	newestFirstLength = 3 // queued jobs of one class and tenant, of which the newest goes first
+	remainingRuns      = 2 // median runs that fit after the longest time in the queue; 1 elsewhere
+	excessQueueDivisor = 8 // part of its objective that a job of a tenant over its quota is queued; 2 elsewhere
+	newestFirstLength  = 3 // queued jobs of one class and tenant, of which the newest goes first
 )
 
 // lacksPeerUsage says that this is one of a few dispatchers, and does not know of the others' jobs.
@@ -67,12 +67,12 @@
 // maxQueueTime is how old a queued job may become. That of a tenant over its quota is shed early: what it
 // sends past the quota is nearly worthless, and a queue of it would delay the rest.
 func (d *Dispatcher) maxQueueTime(j *job) int64 {
-	part, runs := int64(2), int64(1)
+	divisor, runs := int64(2), int64(1)
 	if d.lacksPeerUsage() {
-		part, runs = excessQueuePart, remainingRuns
+		divisor, runs = excessQueueDivisor, remainingRuns
 	}
 	if j.tenant.quota.ExceedsQuota() {
-		return max(1, j.class.LatencyObjective/part)
+		return max(1, j.class.LatencyObjective/divisor)
 	}
 	return max(1, d.timelyLimit(j)-runs*j.class.runtimes.Median()-d.capacity.startDelays.Bound(2))
 }
--- a/api.go
+++ b/api.go
@@ -148,7 +148,7 @@
 }
 
 // check reports the first field that makes c impossible to run.
-func (c *Config) check() error {
+func (c *Config) validate() error {
 	if len(c.Classes) == 0 {
 		return errors.New("foxlift: Classes is empty")
 	}
--- a/attempts.go
+++ b/attempts.go
@@ -61,7 +61,7 @@
 		j.tenant.dequeue(j)
 	}
 	d.cancelAttempts(j)
-	d.forget(j)
+	d.removeFinished(j)
 }
 
 // cancelAttempts cancels the attempts of a job that are in flight.
@@ -98,7 +98,7 @@
 			d.actions = append(d.actions, Action{Kind: ActionTimer, At: at, Token: 1})
 		}
 	}
-	d.jobs.hedgeBudget = min(d.jobs.hedgeBudget+hedgeFraction, maxHedgeBudget)
+	d.jobs.hedgeBudget = min(d.jobs.hedgeBudget+hedgesPerSend, maxHedgeBudget)
 	d.actions = append(d.actions, Action{Kind: ActionSend, ID: j.id, Worker: w.id})
 	d.recordSend(w, a)
 }
@@ -111,7 +111,7 @@
 	}
 	a.startedAt = d.now
 	d.recordAccepted(a)
-	d.recordStarted(a)
+	d.clearUnstarted(a)
 	a.job.stream = a.job.stream || e.Stream
 	d.recordStart(a)
 }
@@ -124,7 +124,7 @@
 	}
 	j := a.job
 	a.done = true
-	d.recordStarted(a)
+	d.clearUnstarted(a)
 	j.inFlight--
 	last := len(d.jobs.inFlight) - 1
 	d.jobs.inFlight[a.index] = d.jobs.inFlight[last]
@@ -138,7 +138,7 @@
 		d.finish(j)
 	}
 	if j.ended {
-		d.forget(j)
+		d.removeFinished(j)
 		return
 	}
 	if e.Code == Served {
@@ -152,8 +152,8 @@
 	if j.inFlight > 0 {
 		return // another attempt may still serve it
 	}
-	closed := j.class.Effect == AtMostOnce && j.mayHaveRun != nil
-	if d.remainingAttempts(j) <= 0 || closed || c == InvalidRequest || d.now+d.tickInterval >= j.req.Deadline {
+	noRepeat := j.class.Effect == AtMostOnce && j.mayHaveRun != nil
+	if d.remainingAttempts(j) <= 0 || noRepeat || c == InvalidRequest || d.now+d.tickInterval >= j.req.Deadline {
 		d.abandon(j, 0)
 		return
 	}
@@ -181,7 +181,7 @@
 			continue
 		}
 		if age > j.objective/2 {
-			d.recordStarted(a) // the worker may hang: others need not wait for that
+			d.clearUnstarted(a) // the worker may hang: others need not wait for that
 		}
 		if a.overdue || a.startedAt != 0 || age < d.startLimit(a) {
 			continue
@@ -200,7 +200,7 @@
 }
 
 const (
-	hedgeFraction  = 0.05 // hedges of overdue jobs, as a fraction of sends
+	hedgesPerSend  = 0.05 // hedges of overdue jobs, as a fraction of sends
 	maxHedgeBudget = 5.0  // that may be saved up, for the moment when workers hang
 )
 
--- a/config_golden_test.go
+++ b/config_golden_test.go
@@ -13,7 +13,7 @@
 // TestConfigErrors pins what New says of each Config that cannot run: the simulator is told it.
 func TestConfigErrors(t *testing.T) {
 	var b strings.Builder
-	for _, spoil := range []func(*foxlift.Config){
+	for _, invalidate := range []func(*foxlift.Config){
 		func(c *foxlift.Config) { c.Classes = nil },
 		func(c *foxlift.Config) { c.Dispatchers = 0 },
 		func(c *foxlift.Config) { c.Dispatchers = foxlift.MaxDispatchers + 1 },
@@ -38,7 +38,7 @@
 		func(c *foxlift.Config) { c.AnswerGrace = -1 },
 	} {
 		cfg := baseConfig()
-		spoil(&cfg)
+		invalidate(&cfg)
 		_, err := foxlift.New(cfg, 1)
 		fmt.Fprintln(&b, err)
 	}
--- a/config_test.go
+++ b/config_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestConfigErrorsNameTheField(t *testing.T) {
-	for want, spoil := range map[string]func(*Config){
+	for want, invalidate := range map[string]func(*Config){
 		"Classes is empty":      func(c *Config) { c.Classes = nil },
 		"negative time":         func(c *Config) { c.Classes[1].LatencyObjective = -1 },
 		"Effect is unknown":     func(c *Config) { c.Classes[0].Effect = 9 },
@@ -21,7 +21,7 @@
 	} {
 		t.Run(want, func(t *testing.T) {
 			cfg := testConfig()
-			spoil(&cfg)
+			invalidate(&cfg)
 			if _, err := New(cfg, 1); err == nil || !strings.Contains(err.Error(), want) {
 				t.Errorf("error %v, want one with %q", err, want)
 			}
--- a/dispatch_order.go
+++ b/dispatch_order.go
@@ -56,28 +56,28 @@
 
 // sendNext sends one job: within the bands, of the tenant furthest under them;
 // past the bands, of the tenant that had fewest such jobs.
-func (d *Dispatcher) sendNext(within bool) bool {
+func (d *Dispatcher) sendNext(withinBands bool) bool {
 	for {
 		var best *tenant
-		most := math.Inf(-1)
+		highest := math.Inf(-1)
 		for i := range d.tenants {
 			t := &d.tenants[i]
-			if !t.hasQueued() || t.blockedRound == d.dispatchRound || within && !t.quota.HasToken() {
+			if !t.hasQueued() || t.blockedRound == d.dispatchRound || withinBands && !t.quota.HasToken() {
 				continue // before it is ranked: most tenants have no queued job
 			}
 			rank := -t.quota.ExcessSends()
-			if within {
+			if withinBands {
 				rank = t.quota.FillLevel()
 			}
-			if rank > most {
-				best, most = t, rank
+			if rank > highest {
+				best, highest = t, rank
 			}
 		}
 		if best == nil {
 			return false
 		}
-		if d.sendFrom(best) {
-			if within {
+		if d.sendMostUrgent(best) {
+			if withinBands {
 				best.quota.ConsumeToken()
 			} else {
 				best.quota.RecordExcessSend()
@@ -92,19 +92,19 @@
 // fraction of its class lately sent. A tenant's quota is divided among its classes: one class must not use
 // it up because its jobs may wait longest.
 func (t *tenant) urgency(d *Dispatcher, j *job) float64 {
-	sent := t.quota.SentFraction(j.req.Class)
+	sentFraction := t.quota.SentFraction(j.req.Class)
 	if t.quota.ExceedsQuota() {
-		return 1 / sent
+		return 1 / sentFraction
 	}
-	return float64(d.now-j.firstAttemptAt+1) / float64(d.maxQueueTime(j)) / (sent * sent)
+	return float64(d.now-j.firstAttemptAt+1) / float64(d.maxQueueTime(j)) / (sentFraction * sentFraction)
 }
 
 // sendFrom sends the tenant's most urgent job for which a worker is found: of each class the oldest, or,
 // where most must be shed, the newest, which has its whole time before it.
-func (d *Dispatcher) sendFrom(t *tenant) bool {
+func (d *Dispatcher) sendMostUrgent(t *tenant) bool {
 	for {
 		var best *job
-		most := -1.0
+		highestUrgency := -1.0
 		for k := range t.queues {
 			q := &t.queues[k]
 			if len(q.jobs) == 0 || q.blockedRound == d.dispatchRound {
@@ -114,8 +114,8 @@
 			if j == nil {
 				continue
 			}
-			if urgency := t.urgency(d, j); urgency > most {
-				best, most = j, urgency
+			if urgency := t.urgency(d, j); urgency > highestUrgency {
+				best, highestUrgency = j, urgency
 			}
 		}
 		if best == nil {
--- a/dispatcher.go
+++ b/dispatcher.go
@@ -40,7 +40,7 @@
 func (d *Dispatcher) handle(e *Event) {
 	switch e.Kind {
 	case EventRequest:
-		d.accept(&e.Request)
+		d.onRequest(&e.Request)
 	case EventEndpoints:
 		d.onEndpoints(e)
 	case EventStarted:
--- a/fuzz_test.go
+++ b/fuzz_test.go
@@ -128,25 +128,25 @@
 		events, host.healthChecks = append(events, e), host.healthChecks[1:]
 	}
 	kept := host.inFlight[:0]
-	for _, try := range host.inFlight {
-		r := host.requests[try.id]
-		if try.finishesAt > host.now && r.deadline > host.now {
+	for _, attempt := range host.inFlight {
+		r := host.requests[attempt.id]
+		if attempt.finishesAt > host.now && r.deadline > host.now {
 			if host.rng.IntN(20) == 0 {
-				events = append(events, started(try.id, try.number, try.worker))
+				events = append(events, started(attempt.id, attempt.number, attempt.worker))
 			}
-			kept = append(kept, try)
+			kept = append(kept, attempt)
 			continue
 		}
-		code := try.code
-		if r.deadline <= host.now && try.finishesAt > host.now {
+		code := attempt.code
+		if r.deadline <= host.now && attempt.finishesAt > host.now {
 			code = DeadlineExceeded
 		}
-		e := outcome(try.id, try.number, try.worker, code)
+		e := outcome(attempt.id, attempt.number, attempt.worker, code)
 		if code == Served && !r.answered {
 			r.answered = true
 		}
 		e.Ended = r.answered
-		r.attempts[try.number].reported, r.attempts[try.number].code = true, code
+		r.attempts[attempt.number].reported, r.attempts[attempt.number].code = true, code
 		events = append(events, e)
 	}
 	host.inFlight = kept
@@ -171,8 +171,8 @@
 			host.healthChecks = append(host.healthChecks, a.Worker)
 		case ActionCancel:
 			r := host.requests[a.ID]
-			for i, try := range host.inFlight {
-				if try.id == a.ID && try.number == a.Attempt {
+			for i, attempt := range host.inFlight {
+				if attempt.id == a.ID && attempt.number == a.Attempt {
 					host.inFlight[i].code, host.inFlight[i].finishesAt = Cancelled, host.now+ms
 				}
 			}
@@ -214,31 +214,31 @@
 	if len(r.attempts) >= host.cfg.MaxAttempts {
 		host.t.Fatalf("request %d sent too often", a.ID)
 	}
-	for _, try := range r.attempts {
-		if try.reported && try.code.NeverRan() {
+	for _, attempt := range r.attempts {
+		if attempt.reported && attempt.code.NeverRan() {
 			continue
 		}
 		if c.Effect == AtMostOnce {
-			host.t.Fatalf("request %d sent again after attempt %d, which may have run", a.ID, try.number)
+			host.t.Fatalf("request %d sent again after attempt %d, which may have run", a.ID, attempt.number)
 		}
 		if c.Effect == Deduplicated {
-			first := host.findWorker(try.worker)
-			in := c.Scope == ScopeAll || c.Scope == ScopeZone && first.Zone == w.Zone ||
+			first := host.findWorker(attempt.worker)
+			inScope := c.Scope == ScopeAll || c.Scope == ScopeZone && first.Zone == w.Zone ||
 				c.Scope == ScopeCell && first.Cell == w.Cell
-			if !in || host.now-try.sentAt > c.KeyTTL {
+			if !inScope || host.now-attempt.sentAt > c.KeyTTL {
 				host.t.Fatalf("request %d left its group or its time", a.ID)
 			}
 			break
 		}
 	}
 	code := randomCodes[host.rng.IntN(len(randomCodes))]
-	try := randomAttempt{id: a.ID, number: len(r.attempts), worker: a.Worker, sentAt: host.now, code: code}
-	try.finishesAt = host.now + host.rng.Int64N(400*ms)
+	attempt := randomAttempt{id: a.ID, number: len(r.attempts), worker: a.Worker, sentAt: host.now, code: code}
+	attempt.finishesAt = host.now + host.rng.Int64N(400*ms)
 	if host.rng.IntN(10) == 0 {
-		try.finishesAt = host.now + 10*second // a hung worker
+		attempt.finishesAt = host.now + 10*second // a hung worker
 	}
-	r.attempts = append(r.attempts, try)
-	host.inFlight = append(host.inFlight, try)
+	r.attempts = append(r.attempts, attempt)
+	host.inFlight = append(host.inFlight, attempt)
 }
 
 func (host *randomHost) checkAnswer(a Action) {
@@ -252,10 +252,10 @@
 		return
 	}
 	c := host.cfg.Classes[r.class]
-	for _, try := range r.attempts {
-		ran := !try.reported || !try.code.NeverRan()
+	for _, attempt := range r.attempts {
+		ran := !attempt.reported || !attempt.code.NeverRan()
 		if ran && (c.Effect == AtMostOnce || c.Effect == Deduplicated && c.Scope != ScopeAll) {
-			host.t.Fatalf("request %d shed though attempt %d may have run", a.ID, try.number)
+			host.t.Fatalf("request %d shed though attempt %d may have run", a.ID, attempt.number)
 		}
 	}
 }
--- a/internal/decision/admission/allocator.go
+++ b/internal/decision/admission/allocator.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	fractionGain = 0.05 // weight of the newest second in this dispatcher's fraction of the traffic
+	trafficFractionGain = 0.05 // weight of the newest second in this dispatcher's fraction of the traffic
 
 	second = int64(1e9)
 )
@@ -30,10 +30,10 @@
 
 // split divides u among n tenants: whole bands first, then a part of the next by
 // its ratios, then what is left past the last band, which is returned apart.
-func split(u float64, bands []Band, n int) (rates []float64, past float64) {
-	rates = make([]float64, n)
+func splitRate(total float64, bands []Band, tenants int) (rates []float64, excess float64) {
+	rates = make([]float64, tenants)
 	for _, b := range bands {
-		sum, width := 0.0, min(u, b.Width)
+		sum, width := 0.0, min(total, b.Width)
 		for _, r := range b.Ratio {
 			sum += r
 		}
@@ -43,9 +43,9 @@
 		for i, r := range b.Ratio {
 			rates[i] += width * r / sum
 		}
-		u -= width
+		total -= width
 	}
-	return rates, u
+	return rates, total
 }
 
 // An Allocator divides what is admitted among the tenants: each has a token bucket, which is filled at
@@ -53,7 +53,7 @@
 type Allocator struct {
 	bands           []Band
 	dispatchers     int
-	largeFleet      bool
+	manyDispatchers bool
 	tenants         []Tenant
 	trafficFraction float64 // of the fleet's traffic, that comes here; slowly followed
 	burstTokens     float64 // past the bands, and unused ones, for any tenant
@@ -63,8 +63,8 @@
 
 // NewAllocator returns the allocator of one of so many dispatchers, for tenants that send jobs of so many
 // classes. LargeFleet says that more dispatchers share the fleet than learn enough from their own jobs.
-func NewAllocator(bands []Band, tenants, classes, dispatchers int, largeFleet bool) *Allocator {
-	a := &Allocator{bands: bands, dispatchers: dispatchers, largeFleet: largeFleet}
+func NewAllocator(bands []Band, tenants, classes, dispatchers int, manyDispatchers bool) *Allocator {
+	a := &Allocator{bands: bands, dispatchers: dispatchers, manyDispatchers: manyDispatchers}
 	for range tenants {
 		a.tenants = append(a.tenants, newTenant(classes))
 	}
@@ -81,7 +81,7 @@
 func (a *Allocator) FillBuckets() {
 	for i := range a.tenants {
 		t := &a.tenants[i]
-		t.tokens = t.burst()
+		t.tokens = t.maxTokens()
 	}
 }
 
@@ -113,14 +113,14 @@
 		a.tenants[i].closePeriod()
 	}
 	// Slowly: a part lasts, while a burst of all tenants looks like one and passes.
-	gain := max(fractionGain, 1/float64(periods+1))
+	gain := max(trafficFractionGain, 1/float64(periods+1))
 	a.trafficFraction += (a.measuredFraction() - a.trafficFraction) * gain
 	fraction := a.ownFraction()
-	rates, past := split(admissionRate, a.bands, len(a.tenants))
+	rates, excess := splitRate(admissionRate, a.bands, len(a.tenants))
 	for i := range a.tenants {
-		a.tenants[i].setRate(rates[i]*fraction*remaining, a.largeFleet)
+		a.tenants[i].setRate(rates[i]*fraction*remaining, a.manyDispatchers)
 	}
-	a.burstRate = past * fraction
+	a.burstRate = excess * fraction
 }
 
 // ownFraction is the fraction of every tenant's rate that is this dispatcher's: at least an even one.
@@ -132,7 +132,7 @@
 // tenants send against that one tells which of them are over theirs.
 func (a *Allocator) measuredFraction() float64 {
 	even := 1 / float64(a.dispatchers)
-	full, _ := split(math.MaxFloat64, a.bands, len(a.tenants))
+	full, _ := splitRate(math.MaxFloat64, a.bands, len(a.tenants))
 	var ratios [][2]float64 // what is offered here over the full rate, and that rate
 	sum := 0.0
 	for i, f := range full {
@@ -152,19 +152,19 @@
 
 // Refill adds the tokens of the time gone by. What a tenant does not use passes to those that wait.
 func (a *Allocator) Refill(now int64, maxBurst float64) {
-	dt := float64(now-a.refilledAt) / float64(second)
+	seconds := float64(now-a.refilledAt) / float64(second)
 	a.refilledAt = now
 	for i := range a.tenants {
-		a.burstTokens += a.tenants[i].refill(dt)
+		a.burstTokens += a.tenants[i].refill(seconds)
 	}
-	a.burstTokens += a.burstRate * dt
+	a.burstTokens += a.burstRate * seconds
 	a.burstTokens = min(a.burstTokens, maxBurst)
 }
 
 // SetQuotas takes over new quotas, one for each tenant. Tokens stay as they are: nobody gains by a change.
 func (a *Allocator) SetQuotas(quotas []float64) {
 	a.bands = QuotaBand(quotas)
-	full, _ := split(math.MaxFloat64, a.bands, len(a.tenants))
+	full, _ := splitRate(math.MaxFloat64, a.bands, len(a.tenants))
 	for i := range a.tenants {
 		a.tenants[i].rate = full[i] * a.ownFraction()
 	}
--- a/internal/decision/admission/allocator_test.go
+++ b/internal/decision/admission/allocator_test.go
@@ -17,30 +17,30 @@
 		{900, 350, 550, 0},
 		{1000, 350, 550, 100},
 	} {
-		got, past := split(c.u, bands, 2)
+		got, past := splitRate(c.u, bands, 2)
 		if math.Abs(got[0]-c.w1)+math.Abs(got[1]-c.w2)+math.Abs(past-c.past) > 1e-9 {
 			t.Errorf("u %v: %v and %v past the bands, want %v %v and %v", c.u, got, past, c.w1, c.w2, c.past)
 		}
 	}
 }
 
-func TestTrafficFractionFollowsTheTraffic(t *testing.T) {
+func TestMeasuredFractionOfTraffic(t *testing.T) {
 	quotas := []float64{300, 100, 100, 100, 100} // the first is the big one
 	a := NewAllocator(QuotaBand(quotas), 6, 3, 10, true)
-	set := func(offered ...float64) {
+	setOffered := func(offered ...float64) {
 		for i, o := range offered {
 			a.tenants[i].offeredRate = o
 		}
 	}
-	set(20, 5, 5, 5, 5)
+	setOffered(20, 5, 5, 5, 5)
 	if p := a.measuredFraction(); p != 0.1 {
 		t.Errorf("part %v of a quiet dispatcher, want an even 0.1", p)
 	}
-	set(180, 20, 20, 20, 20) // twice an even part of the traffic; big sends three times its share
+	setOffered(180, 20, 20, 20, 20) // twice an even part of the traffic; big sends three times its share
 	if p := a.measuredFraction(); p != 0.2 {
 		t.Errorf("part %v of a busy dispatcher, want 0.2", p)
 	}
-	set(180, 20, 20, 20, 120) // one more tenant bursts: it must not count as traffic of all
+	setOffered(180, 20, 20, 20, 120) // one more tenant bursts: it must not count as traffic of all
 	if p := a.measuredFraction(); p != 0.2 {
 		t.Errorf("part %v while a tenant bursts, want 0.2", p)
 	}
--- a/internal/decision/admission/loop.go
+++ b/internal/decision/admission/loop.go
@@ -9,8 +9,8 @@
 package admission
 
 const (
-	minJobs   = 6   // finished jobs that make a second count (paper, 4.2)
-	lateRatio = 2.0 // failed and late attempts enter w as this
+	minSamples = 6   // finished jobs that make a second count (paper, 4.2)
+	lateRatio  = 2.0 // failed and late attempts enter w as this
 )
 
 // A LatencyLoop is the regulator of one class. Its input v is the admission rate as a fraction of the
@@ -46,7 +46,7 @@
 
 // Run runs one period if enough jobs were sampled since the last, or in any case if it is forced.
 func (l *LatencyLoop) Run(force bool) {
-	if len(l.ratios) >= minJobs || force {
+	if len(l.ratios) >= minSamples || force {
 		l.step(l.meanRatio())
 		l.ratios = l.ratios[:0]
 	}
@@ -64,18 +64,18 @@
 // step runs one period with the measured w and returns the new input.
 func (l *LatencyLoop) step(w float64) float64 {
 	next := l.fit.update([3]float64{l.previousOutput, l.input, l.previousInput}, w)
-	v := 1.0
+	input := 1.0
 	if next.differsFrom(l.fit) {
 		l.fit = newModel()
 	} else {
 		if next.parameters[1] > 0 {
 			l.fit = next
 		}
-		v = (1 - l.fit.parameters[0]*w - l.fit.parameters[2]*l.input) / l.fit.parameters[1]
-		v = min(max(v, 0), 1)
+		input = (1 - l.fit.parameters[0]*w - l.fit.parameters[2]*l.input) / l.fit.parameters[1]
+		input = min(max(input, 0), 1)
 	}
-	l.previousOutput, l.previousInput, l.input = w, l.input, v
-	return v
+	l.previousOutput, l.previousInput, l.input = w, l.input, input
+	return input
 }
 
 // State returns what the loop has learned.
--- a/internal/decision/admission/loop_test.go
+++ b/internal/decision/admission/loop_test.go
@@ -19,44 +19,44 @@
 	}
 }
 
-func TestRegulatorControlLaw(t *testing.T) {
+func TestLatencyLoopControlLaw(t *testing.T) {
 	// With s1 0.2, r1 0.5, r2 0.3 and w 1.2 after u 0.8 the next u is
 	// (1 - 0.2*1.2 - 0.3*0.8) / 0.5 = 1.04: clamped to 1. With w 2 it is 0.72.
-	c := LatencyLoop{fit: model{parameters: [3]float64{0.2, 0.5, 0.3}}, input: 0.8}
-	if v := c.step(1.2); v != 1 {
+	loop := LatencyLoop{fit: model{parameters: [3]float64{0.2, 0.5, 0.3}}, input: 0.8}
+	if v := loop.step(1.2); v != 1 {
 		t.Errorf("u %v, want 1", v)
 	}
-	c = LatencyLoop{fit: model{parameters: [3]float64{0.2, 0.5, 0.3}}, input: 0.8}
-	if v := c.step(2); math.Abs(v-0.72) > 1e-12 {
+	loop = LatencyLoop{fit: model{parameters: [3]float64{0.2, 0.5, 0.3}}, input: 0.8}
+	if v := loop.step(2); math.Abs(v-0.72) > 1e-12 {
 		t.Errorf("u %v, want 0.72", v)
 	}
 }
 
-func TestRegulatorReset(t *testing.T) {
-	c := LatencyLoop{fit: newModel(), input: 0.5, previousInput: 0.5}
-	c.fit.parameters = [3]float64{0, 0.2, 0.2}
-	if v := c.step(2); v != 1 || c.fit.parameters != newModel().parameters {
-		t.Errorf("u %v and model %v after a jump, want a reset", v, c.fit.parameters)
+func TestLatencyLoopResetsModelAfterJump(t *testing.T) {
+	loop := LatencyLoop{fit: newModel(), input: 0.5, previousInput: 0.5}
+	loop.fit.parameters = [3]float64{0, 0.2, 0.2}
+	if v := loop.step(2); v != 1 || loop.fit.parameters != newModel().parameters {
+		t.Errorf("u %v and model %v after a jump, want a reset", v, loop.fit.parameters)
 	}
 }
 
-func TestRegulatorDropsNegativeR1(t *testing.T) {
-	c := LatencyLoop{fit: newModel(), input: 1, previousInput: 0}
-	c.fit.parameters = [3]float64{0, 0.05, 0.5}
-	before := c.fit
-	c.step(0) // drives r1 under 0, by less than the reset share
-	if next := before.update([3]float64{0, 1, 0}, 0); next.parameters[1] <= 0 && c.fit != before {
-		t.Errorf("model %v kept", c.fit.parameters)
+func TestLatencyLoopRejectsNonPositiveR1(t *testing.T) {
+	loop := LatencyLoop{fit: newModel(), input: 1, previousInput: 0}
+	loop.fit.parameters = [3]float64{0, 0.05, 0.5}
+	before := loop.fit
+	loop.step(0) // drives r1 under 0, by less than the reset share
+	if next := before.update([3]float64{0, 1, 0}, 0); next.parameters[1] <= 0 && loop.fit != before {
+		t.Errorf("model %v kept", loop.fit.parameters)
 	}
-	c.fit.covariance[1][1] = 100
-	c.fit.parameters[1] = 0.01
-	kept := c.fit
-	c.previousOutput, c.input, c.previousInput = 0.1, 0.1, 1
+	loop.fit.covariance[1][1] = 100
+	loop.fit.parameters[1] = 0.01
+	kept := loop.fit
+	loop.previousOutput, loop.input, loop.previousInput = 0.1, 0.1, 1
 	if next := kept.update([3]float64{0.1, 0.1, 1}, 0.3); next.parameters[1] > 0 || next.differsFrom(kept) {
 		t.Fatalf("the case does not drive r1 under 0: %v", next.parameters)
 	}
-	if c.step(0.3); c.fit != kept {
-		t.Errorf("a model with r1 <= 0 was taken: %v", c.fit.parameters)
+	if loop.step(0.3); loop.fit != kept {
+		t.Errorf("a model with r1 <= 0 was taken: %v", loop.fit.parameters)
 	}
 }
 
@@ -67,7 +67,7 @@
 		m = m.update([3]float64{0.4, 1, 1}, 0.4)
 	}
 	trace := m.covariance[0][0] + m.covariance[1][1] + m.covariance[2][2]
-	if trace > covMax*1.2 || math.IsNaN(trace) {
+	if trace > maxCovarianceTrace*1.2 || math.IsNaN(trace) {
 		t.Errorf("trace %v after 500 seconds alike", trace)
 	}
 }
--- a/internal/decision/admission/runtimes.go
+++ b/internal/decision/admission/runtimes.go
@@ -34,7 +34,7 @@
 
 // Update takes the quantiles anew, if there are enough running times to tell.
 func (r *Runtimes) Update() {
-	if len(r.recent) < minJobs {
+	if len(r.recent) < minSamples {
 		return
 	}
 	var buffer [maxRuntimes]int64
--- a/internal/decision/admission/tenant.go
+++ b/internal/decision/admission/tenant.go
@@ -49,7 +49,7 @@
 func (t *Tenant) ConsumeToken() { t.tokens-- }
 
 // FillLevel returns how full the bucket is.
-func (t *Tenant) FillLevel() float64 { return t.tokens / t.burst() }
+func (t *Tenant) FillLevel() float64 { return t.tokens / t.maxTokens() }
 
 // ExcessSends returns how many jobs were lately sent past the bands.
 func (t *Tenant) ExcessSends() float64 { return t.excessSends }
@@ -58,7 +58,7 @@
 func (t *Tenant) RecordExcessSend() { t.excessSends++ }
 
 // burst is the most tokens that the bucket holds.
-func (t *Tenant) burst() float64 { return max(2, t.rate) }
+func (t *Tenant) maxTokens() float64 { return max(2, t.rate) }
 
 // closePeriod takes the second's arrivals into what is followed.
 func (t *Tenant) closePeriod() {
@@ -74,17 +74,17 @@
 // setRate sets the tenant's rate. Where many dispatchers share the fleet a single job is over a rate of
 // one in ten seconds, by chance: the offered rate strays by the margin from the rate of a tenant within
 // its quota.
-func (t *Tenant) setRate(rate float64, largeFleet bool) {
+func (t *Tenant) setRate(rate float64, manyDispatchers bool) {
 	t.rate = rate
-	if t.margin = 0; largeFleet {
+	if t.margin = 0; manyDispatchers {
 		t.margin = 3 * math.Sqrt(t.rate*RateGain/(2-RateGain))
 	}
 }
 
 // refill adds the tokens of a time in seconds and returns those that the bucket does not hold.
-func (t *Tenant) refill(dt float64) (excess float64) {
-	t.tokens += t.rate * dt
-	if excess = t.tokens - t.burst(); excess > 0 {
+func (t *Tenant) refill(seconds float64) (excess float64) {
+	t.tokens += t.rate * seconds
+	if excess = t.tokens - t.maxTokens(); excess > 0 {
 		t.tokens -= excess
 		return excess
 	}
--- a/internal/decision/admission/tenant_test.go
+++ b/internal/decision/admission/tenant_test.go
@@ -50,7 +50,7 @@
 }
 
 // A tenant exceeds its quota by what it lately offered; the sends of its classes are followed.
-func TestTenantFollowsItsJobs(t *testing.T) {
+func TestTenantTracksOfferedRateAndSends(t *testing.T) {
 	tenant := newTenant(2)
 	tenant.setRate(5, false)
 	for range 100 {
@@ -118,7 +118,7 @@
 // The quantiles are those of the last running times, once there are enough.
 func TestRuntimes(t *testing.T) {
 	r := NewRuntimes(100)
-	for range minJobs - 1 {
+	for range minSamples - 1 {
 		r.Record(5)
 	}
 	if r.Update(); r.Median() != 100 || r.LowerQuartile() != 100 {
@@ -138,14 +138,14 @@
 // A loop runs when it has seen enough jobs, or when it must; its state is restored.
 func TestLatencyLoopRuns(t *testing.T) {
 	l := NewLatencyLoop()
-	for range minJobs - 1 {
+	for range minSamples - 1 {
 		l.Sample(1.5)
 	}
-	if l.Run(false); l.State().Output != 0 || len(l.Ratios()) != minJobs-1 {
+	if l.Run(false); l.State().Output != 0 || len(l.Ratios()) != minSamples-1 {
 		t.Error("it ran on too few jobs")
 	}
 	l.SampleLate()
-	if l.Run(false); math.Abs(l.State().Output-(1.5*(minJobs-1)+lateRatio)/minJobs) > 1e-12 || len(l.Ratios()) != 0 {
+	if l.Run(false); math.Abs(l.State().Output-(1.5*(minSamples-1)+lateRatio)/minSamples) > 1e-12 || len(l.Ratios()) != 0 {
 		t.Errorf("output %v", l.State().Output)
 	}
 	if l.Run(true); l.State().Output != 0 {
--- a/jobs.go
+++ b/jobs.go
@@ -6,24 +6,24 @@
 
 // A job is a request that is queued, in flight, or ended with attempts still in flight.
 type job struct {
-	id             uint64
-	class          *class
-	tenant         *tenant
-	req            Request
-	arrivedAt      int64
-	firstAttemptAt int64 // when its client first asked, as far as its deadline tells
-	objective      int64 // it should take no longer than this
-	attempts       []*attempt
-	inFlight       int      // attempts in flight
-	mayHaveRun     *attempt // the first attempt that may have run
-	ended, queued  bool
-	healthChecks   int       // workers that are checked for it
-	retryQueued    bool      // in jobTable.retryQueue
-	stream         bool      // bound to a stream: no deadline any more
-	blockedRound   int64     // the round of dispatch that found no worker for it
-	affinity       []*worker // the workers of its key, the first in its order first,
-	affinityPool   int       // the first of so many workers,
-	affinityEvent  int64     // by the list event of this number
+	id               uint64
+	class            *class
+	tenant           *tenant
+	req              Request
+	arrivedAt        int64
+	firstAttemptAt   int64 // when its client first asked, as far as its deadline tells
+	objective        int64 // it should take no longer than this
+	attempts         []*attempt
+	inFlight         int      // attempts in flight
+	mayHaveRun       *attempt // the first attempt that may have run
+	ended, queued    bool
+	healthChecks     int       // workers that are checked for it
+	retryQueued      bool      // in jobTable.retryQueue
+	stream           bool      // bound to a stream: no deadline any more
+	blockedRound     int64     // the round of dispatch that found no worker for it
+	affinity         []*worker // the workers of its key, the first in its order first,
+	affinityPool     int       // the first of so many workers,
+	affinityRankedAt int64     // by the list event of this number
 }
 
 // An attempt is one run of a job on one worker.
@@ -72,7 +72,7 @@
 }
 
 // recordStarted ends an attempt's wait for its start.
-func (d *Dispatcher) recordStarted(a *attempt) {
+func (d *Dispatcher) clearUnstarted(a *attempt) {
 	if a.unstarted {
 		a.unstarted = false
 		d.jobs.unstarted--
@@ -88,7 +88,7 @@
 }
 
 // forget drops a job that has ended once all its attempts have.
-func (d *Dispatcher) forget(j *job) {
+func (d *Dispatcher) removeFinished(j *job) {
 	if j.ended && j.inFlight == 0 {
 		delete(d.jobs.byID, j.id)
 	}
--- a/latency_loop.go
+++ b/latency_loop.go
@@ -9,9 +9,9 @@
 // A class is a kind of job with what is learned of its jobs.
 type class struct {
 	*Class
-	patience int64 // the longest that a client waits, as seen
-	runtimes admission.Runtimes
-	loop     admission.LatencyLoop
+	maxClientWait int64 // the longest that a client waits, as seen
+	runtimes      admission.Runtimes
+	loop          admission.LatencyLoop
 }
 
 // newClass returns a class of which nothing is known.
@@ -22,17 +22,17 @@
 // runControlLoops runs the loops of all classes once and takes the lowest admission rate.
 func (d *Dispatcher) runControlLoops() {
 	turn := d.rate.BeginPeriod()
-	v := 1.0
+	input := 1.0
 	decay := int64(1)
 	for i := range d.classes {
 		c := &d.classes[i]
 		c.loop.Run(turn && !d.exchangesUsage())
 		c.runtimes.Update()
 		decay = max(decay, 2*c.runtimes.Median())
-		v = min(v, c.loop.Input())
+		input = min(input, c.loop.Input())
 	}
 	d.capacity.reports.SetDecay(decay)
-	d.rate.SetInput(v)
+	d.rate.SetInput(input)
 	d.exchangeAdmissionRate()
 	d.updateQuotas()
 	d.updateWorkerRate()
--- a/migration_test.go
+++ b/migration_test.go
@@ -9,11 +9,11 @@
 // endpoint list: the start window must not stay at 0.
 func TestLoneTenantUsesAnIdleFleet(t *testing.T) {
 	const arrivals, warmUp = 61, 10 // jobs a second, and seconds before they count
-	for name, first := range map[string][]Worker{"list known": testWorkers(8), "no list known": nil} {
+	for name, initial := range map[string][]Worker{"list known": testWorkers(8), "no list known": nil} {
 		t.Run(name, func(t *testing.T) {
 			cfg := testConfig()
 			cfg.Tenants = []Tenant{{"lone", 2}, {"away", 100}}
-			h := newHarness(t, cfg, first...)
+			h := newHarness(t, cfg, initial...)
 			h.step(endpointsEvent(EndpointsComplete, testWorkers(8)...))
 			var running []Action
 			arrived, sent := 0, 0
--- a/placement.go
+++ b/placement.go
@@ -30,9 +30,9 @@
 // dispatchers send them to the same few without speaking. Many spread a key over as many
 // as its fraction of the jobs seen here asks for, and over one more after each attempt.
 func (d *Dispatcher) affinityWorkers(j *job) []*worker {
-	if j.affinityEvent != d.endpoints.events {
+	if j.affinityRankedAt != d.endpoints.events {
 		j.affinity, j.affinityPool = d.rankAffinity(j)
-		j.affinityEvent = d.endpoints.events
+		j.affinityRankedAt = d.endpoints.events
 	}
 	if !d.manyDispatchers() {
 		return j.affinity
--- a/queue_test.go
+++ b/queue_test.go
@@ -60,14 +60,14 @@
 	h.advance(10*ms, h.request(2, atMostOnce))
 	tenant := h.d.tenantOf(0)
 	j := h.d.jobs.byID[1]
-	long := h.d.maxQueueTime(j)
+	withinQuota := h.d.maxQueueTime(j)
 	setTenant(h.d, 0, func(s *admission.TenantState) { s.OfferedRate, s.Rate = 50, 5 })
-	if short := h.d.maxQueueTime(j); short >= long || short != 50*ms {
-		t.Errorf("queue time %d when past the quota, %d when not", short, long)
+	if pastQuota := h.d.maxQueueTime(j); pastQuota >= withinQuota || pastQuota != 50*ms {
+		t.Errorf("queue time %d when past the quota, %d when not", pastQuota, withinQuota)
 	}
 	h.d.onEndpoints(&Event{EndpointUpdate: EndpointsComplete, Workers: testWorkers(1)})
 	h.d.dispatchRound++
-	if h.d.sendFrom(tenant); h.d.jobs.byID[1].inFlight != 0 || h.d.jobs.byID[2].inFlight != 1 {
+	if h.d.sendMostUrgent(tenant); h.d.jobs.byID[1].inFlight != 0 || h.d.jobs.byID[2].inFlight != 1 {
 		t.Error("the older job went first")
 	}
 }
@@ -76,25 +76,25 @@
 // queued job counts from the client's first attempt.
 func TestLateClientRetriesAreShed(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(2)...)
-	next := func(id uint64, left int64) Event {
+	withDeadline := func(id uint64, left int64) Event {
 		e := h.request(id, idempotent)
 		e.Request.Deadline = h.now + left
 		return e
 	}
-	h.step(h.request(1, idempotent), next(2, 1000*ms)) // with capacity the second is served, late or not
+	h.step(h.request(1, idempotent), withDeadline(2, 1000*ms)) // with capacity the second is served, late or not
 	h.wantActions(ActionSend, 2)
 	for id := uint64(3); len(h.actionsOf(ActionSend)) > 0; id++ { // until there is none
 		h.step(h.request(id, idempotent))
 	}
-	h.step(next(100, 1000*ms))
+	h.step(withDeadline(100, 1000*ms))
 	if a := h.wantActions(ActionShed, 1)[0]; a.ID != 100 || a.RetryAfter != 0 {
 		t.Errorf("%+v", a) // these settings allow no advice
 	}
-	h.step(next(101, 1980*ms))
+	h.step(withDeadline(101, 1980*ms))
 	h.wantActions(ActionShed, 0) // it may still be in time
-	hold := h.d.maxQueueTime(h.d.jobs.byID[101])
+	maxQueueTime := h.d.maxQueueTime(h.d.jobs.byID[101])
 	for h.advance(20 * ms); h.d.jobs.byID[101] != nil; h.advance(10 * ms) {
-		if h.now-5*second > hold+40*ms {
+		if h.now-5*second > maxQueueTime+40*ms {
 			t.Fatal("queued past its time")
 		}
 	}
@@ -106,7 +106,7 @@
 func TestQueueTimeByNumberOfDispatchers(t *testing.T) {
 	for _, c := range []struct {
 		dispatchers int
-		over        int64
+		pastQuota   int64
 		runs        int64
 		first       uint64 // of three that are queued
 	}{{1, 50 * ms, 1, 1}, {2, 100 * ms / 8, 2, 3}, {300, 50 * ms, 1, 1}} {
@@ -129,8 +129,8 @@
 				t.Errorf("%d dispatchers: of two queued jobs, %d goes first", c.dispatchers, j.id)
 			}
 			setTenant(h.d, 0, func(s *admission.TenantState) { s.OfferedRate, s.Rate = 500, 5 })
-			if got := h.d.maxQueueTime(h.d.jobs.byID[1]); got != c.over {
-				t.Errorf("%d dispatchers: queue time %d when past the quota, want %d", c.dispatchers, got, c.over)
+			if got := h.d.maxQueueTime(h.d.jobs.byID[1]); got != c.pastQuota {
+				t.Errorf("%d dispatchers: queue time %d when past the quota, want %d", c.dispatchers, got, c.pastQuota)
 			}
 		})
 	}
--- a/quotas.go
+++ b/quotas.go
@@ -25,9 +25,9 @@
 	if len(bands) == 0 && len(d.cfg.Tenants) > 0 {
 		bands = admission.QuotaBand(d.cfg.quotas())
 	}
-	n := max(1, len(d.cfg.Tenants)) + 1
-	d.quotas = admission.NewAllocator(bands, n, len(d.classes), d.cfg.Dispatchers, d.manyDispatchers())
-	d.tenants = make([]tenant, n)
+	count := max(1, len(d.cfg.Tenants)) + 1
+	d.quotas = admission.NewAllocator(bands, count, len(d.classes), d.cfg.Dispatchers, d.manyDispatchers())
+	d.tenants = make([]tenant, count)
 	for i := range d.tenants {
 		d.tenants[i].quota = d.quotas.Tenant(i)
 		d.tenants[i].queues = make([]classQueue, len(d.classes))
--- a/regulator_test.go
+++ b/regulator_test.go
@@ -6,7 +6,7 @@
 	"github.com/vatu-meals/foxlift/internal/decision/admission"
 )
 
-func TestRegulatorKeepsModelWithoutSamples(t *testing.T) {
+func TestLatencyLoopKeepsModelWithoutSamples(t *testing.T) {
 	cfg := testConfig()
 	cfg.Dispatchers, cfg.Index = 4, 1
 	h := newHarness(t, cfg, testWorkers(4)...)
@@ -30,7 +30,7 @@
 
 // At two jobs a second a loop never has 6 samples in a second: they accumulate until it runs, or its
 // model would stay stale.
-func TestRegulatorAccumulatesSamples(t *testing.T) {
+func TestLatencyLoopAccumulatesSamples(t *testing.T) {
 	cfg := testConfig()
 	cfg.Dispatchers, cfg.Index = 50, 49
 	h := newHarness(t, cfg, testWorkers(1)...)
--- a/retry_test.go
+++ b/retry_test.go
@@ -103,7 +103,7 @@
 			h.d.markPending(w)
 		}
 	}
-	if first < 100 || float64(hedges) > maxHedgeBudget+hedgeFraction*float64(first+hedges)+1 {
+	if first < 100 || float64(hedges) > maxHedgeBudget+hedgesPerSend*float64(first+hedges)+1 {
 		t.Errorf("%d hedged requests of %d jobs", hedges, first)
 	}
 }
--- a/snapshot.go
+++ b/snapshot.go
@@ -162,7 +162,7 @@
 func (c *class) snapshot() ClassSnapshot {
 	s := c.loop.State()
 	return ClassSnapshot{
-		Name: c.Name, Patience: c.patience, Median: c.runtimes.Median(), LowerQuartile: c.runtimes.LowerQuartile(),
+		Name: c.Name, Patience: c.maxClientWait, Median: c.runtimes.Median(), LowerQuartile: c.runtimes.LowerQuartile(),
 		Runs: slices.Clone(c.runtimes.Recent()), Ratios: slices.Clone(c.loop.Ratios()),
 		Parameters: s.Parameters, Covariance: s.Covariance,
 		Input: s.Input, PreviousInput: s.PreviousInput, Output: s.Output,
@@ -170,7 +170,7 @@
 }
 
 func (c *class) restore(s *ClassSnapshot) {
-	c.patience = s.Patience
+	c.maxClientWait = s.Patience
 	c.runtimes.Restore(s.Median, s.LowerQuartile, slices.Clone(s.Runs))
 	c.loop.Restore(admission.LoopState{
 		Parameters: s.Parameters, Covariance: s.Covariance,
--- a/state.go
+++ b/state.go
@@ -88,7 +88,7 @@
 // New returns a Dispatcher for cfg, or an error naming the field that makes cfg
 // impossible to run. All randomness comes from seed.
 func New(cfg Config, seed uint64) (*Dispatcher, error) {
-	if err := cfg.check(); err != nil {
+	if err := cfg.validate(); err != nil {
 		return nil, err
 	}
 	d := &Dispatcher{
