--- a/admission.go
+++ b/admission.go
@@ -23,7 +23,7 @@
 	c.maxClientWait = max(c.maxClientWait, req.Deadline-j.arrivedAt)
 	j.firstAttemptAt = req.Deadline - c.maxClientWait
 	d.jobs.byID[req.ID] = j
-	d.keys.recent.Add(req.Key)
+	d.keys.keyLog.Add(req.Key)
 	d.rate.RecordArrival()
 	j.tenant.quota.RecordArrival(req.Class)
 	age := d.now - j.firstAttemptAt
--- a/affinity.go
+++ b/affinity.go
@@ -7,12 +7,12 @@
 // first of.
 func (d *Dispatcher) rankAffinity(j *job) (workers []*worker, candidates int) {
 	workers, candidates, examined := d.keys.index.Rank(j.req.Key, j.class.Kind, d.now)
-	d.candidatesExamined += examined
+	d.workersExamined += examined
 	return workers, candidates
 }
 
 // indexAffinity brings the affinity sets up to date with a worker.
 func (d *Dispatcher) indexAffinity(w *worker) {
 	indexed := w.state == Live && (w.zone == d.cfg.Zone || d.cfg.Prices.CrossZone <= 0)
-	d.keys.index.Update(w, w.hash, &w.affinity, indexed, w.kind, d.capacity.slowStart.Until(&w.warmup))
+	d.keys.index.Update(w, w.hash, &w.affinity, indexed, w.kind, d.capacity.slowStart.EndsAt(&w.warmup))
 }
--- a/affinity_test.go
+++ b/affinity_test.go
@@ -103,7 +103,7 @@
 			h.d.rng.Uint64()
 		}
 		for id := uint64(1); id <= 200; id++ {
-			h.d.keys.recent.Add(7 + id%4*1000) // one in four
+			h.d.keys.keyLog.Add(7 + id%4*1000) // one in four
 		}
 		h.step(keyedRequest(h, 1, idempotent))
 		w := h.wantActions(ActionSend, 1)[0].Worker
--- a/bench_scale_test.go
+++ b/bench_scale_test.go
@@ -40,9 +40,9 @@
 	for i := range scaleTenants {
 		cfg.Tenants = append(cfg.Tenants, Tenant{fmt.Sprint("t", i), 1e6})
 	}
-	one := cfg.Classes[0]
-	one.Kind = scaleKinds - 1
-	cfg.Classes = append(cfg.Classes, one)
+	singleKind := cfg.Classes[0]
+	singleKind.Kind = scaleKinds - 1
+	cfg.Classes = append(cfg.Classes, singleKind)
 	d, err := New(cfg, 1)
 	if err != nil {
 		tb.Fatal(err)
@@ -90,8 +90,8 @@
 	}
 	offset, slope := stat.LinearRegression(sizes, times, nil, false)
 	for i := range sizes {
-		left := times[i] - offset - slope*sizes[i]
-		residual += left * left / float64(len(sizes))
+		deviation := times[i] - offset - slope*sizes[i]
+		residual += deviation * deviation / float64(len(sizes))
 	}
 	return slope, math.Sqrt(residual)
 }
--- a/endpoints.go
+++ b/endpoints.go
@@ -39,7 +39,7 @@
 	d.updateLive()
 	if kind == EndpointsCached || d.capacity.startWindow.Slots() == 0 {
 		// Nothing is known against it.
-		d.capacity.startWindow.Set(d.learnedLimits.Mean() * float64(len(d.liveWorkers)) / d.fleetScale)
+		d.capacity.startWindow.Set(d.limitSum.Mean() * float64(len(d.liveWorkers)) / d.fleetScale)
 	}
 	d.updatePending()
 }
@@ -49,12 +49,12 @@
 	w := d.workers[e.ID]
 	if w == nil {
 		w = d.addWorker(e.ID)
-		w.limit.Restore(d.learnedLimits.Mean(), false)
+		w.limit.Restore(d.limitSum.Mean(), false)
 	}
 	d.free.setLevel(w, -1) // its kind may change
 	w.setState(e.State, d.now)
-	d.recountLimit(w)
-	w.zone, w.kind, w.cell, w.lastSeenEvent = e.Zone, e.Kind, e.Cell, d.endpoints.events
+	d.updateLimitSum(w)
+	w.zone, w.kind, w.cell, w.lastListEvent = e.Zone, e.Kind, e.Cell, d.endpoints.events
 	d.capacity.externalSlots += e.ExternalSlots - w.externalSlots
 	w.usedSlots, w.externalSlots = w.usedSlots+e.ExternalSlots-w.externalSlots, e.ExternalSlots
 	if w.kind+1 >= len(d.free.byKind) {
@@ -73,8 +73,8 @@
 	w.latencyRatio = 0
 	w.report.Invalidate()
 	w.connections.open, w.cachedKeys = 0, affinity.CachedKeys{}
-	w.limit.Restore(d.learnedLimits.Mean(), false)
-	d.capacity.slowStart.DelayFirst(&w.warmup, d.now, d.minMedianRuntime(), d.rng)
+	w.limit.Restore(d.limitSum.Mean(), false)
+	d.capacity.slowStart.DelayFirstSend(&w.warmup, d.now, d.minMedianRuntime(), d.rng)
 }
 
 // removedRetention is how long a removed worker counts as lost and may come back as itself.
--- a/fleet_index_test.go
+++ b/fleet_index_test.go
@@ -36,9 +36,9 @@
 		cfg.Prices.CrossZone = float64(i%2) / 20
 		cfg.SlowStartDuration = []int64{20 * second, second, second / 3}[i%3]
 		cfg.Gauges = []Gauge{GaugeInFlight, GaugeQueued, GaugeFreeSlots}
-		one := cfg.Classes[0]
-		one.Kind = 1
-		cfg.Classes = append(cfg.Classes, one)
+		singleKind := cfg.Classes[0]
+		singleKind.Kind = 1
+		cfg.Classes = append(cfg.Classes, singleKind)
 		host := newRandomHost(t, uint64(i), cfg)
 		host.workers = testWorkers(40)
 		host.step([]Event{{Kind: EventEndpoints, EndpointUpdate: EndpointsComplete, Workers: slices.Clone(host.workers)}})
@@ -62,7 +62,7 @@
 // A workerScan is what a look at all workers finds.
 type workerScan struct {
 	live, removed    []*worker
-	learnedLimits    capacity.Limits
+	learnedLimits    capacity.LimitSum
 	available, total float64 // capacity: what the live workers have, and what the fleet had
 }
 
@@ -84,7 +84,7 @@
 		}
 		var limit capacity.Limit // counted in no sum yet
 		limit.Restore(w.limit.Slots(), w.limit.Learned())
-		scan.learnedLimits.Recount(&limit, live)
+		scan.learnedLimits.Update(&limit, live)
 		if w.lost && (w.state == Removed || d.inSlowStart(w)) || live && !d.inSlowStart(w) {
 			scan.total++
 		}
@@ -112,12 +112,12 @@
 		t.Fatalf("%d live workers of %d, want %d", len(d.liveWorkers), len(d.workerOrder), len(scan.live))
 	}
 	for _, w := range scan.removed {
-		if !slices.Contains(d.removed, w) {
+		if !slices.Contains(d.removedWorkers, w) {
 			t.Fatalf("%s is removed and would never be forgotten", w.id)
 		}
 	}
-	if scan.learnedLimits != d.learnedLimits {
-		t.Fatalf("learned limits %+v, want %+v", d.learnedLimits, scan.learnedLimits)
+	if scan.learnedLimits != d.limitSum {
+		t.Fatalf("learned limits %+v, want %+v", d.limitSum, scan.learnedLimits)
 	}
 	want := min(1, scan.available/max(1, scan.total))
 	if scan.total > 0 && math.Abs(d.remainingCapacity()-want) > 1e-12 {
@@ -154,17 +154,17 @@
 // The number of workers that a step examines does not grow with the fleet: none at a tick without a job,
 // the named ones at a change, a sample for a job. A loop over all would meet a nil worker.
 func TestStepExaminesABoundedSample(t *testing.T) {
-	const keyed = affinity.MaxCompared + 4*sampleSize
+	const maxExaminedKeyed = affinity.MaxCompared + 4*sampleSize
 	for _, n := range []int{600, 19000} {
 		d := scaleDispatcher(t, n)
 		d.workerOrder[1], d.liveWorkers[1] = nil, nil
 		now := 3 * second
-		step := func(what string, most int, events ...Event) []Action {
+		step := func(input string, maxExamined int, events ...Event) []Action {
 			t.Helper()
-			d.candidatesExamined = 0
+			d.workersExamined = 0
 			actions := d.Step(now, events)
-			if d.candidatesExamined > most {
-				t.Errorf("%d workers: %s looks at %d, want %d at most", n, what, d.candidatesExamined, most)
+			if d.workersExamined > maxExamined {
+				t.Errorf("%d workers: %s looks at %d, want %d at most", n, input, d.workersExamined, maxExamined)
 			}
 			return actions
 		}
@@ -179,7 +179,7 @@
 			r.ID, r.Deadline = id, now+2*second
 			most := 2 * sampleSize
 			if r.Key != 0 {
-				most = keyed
+				most = maxExaminedKeyed
 			}
 			for _, a := range step(fmt.Sprint("job ", i), most, Event{Kind: EventRequest, Request: r}) {
 				if a.Kind == ActionSend {
@@ -212,25 +212,25 @@
 		return ws[0]
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
-	before, most := map[uint64]*worker{}, map[*worker]int{}
+	before, keysByWorker := map[uint64]*worker{}, map[*worker]int{}
 	for range keys {
 		key := rng.Uint64()
 		before[key] = firstWorker(key)
-		most[before[key]]++
+		keysByWorker[before[key]]++
 	}
-	if len(most) < workers*99/100 {
-		t.Errorf("only %d workers are first for a key", len(most))
+	if len(keysByWorker) < workers*99/100 {
+		t.Errorf("only %d workers are first for a key", len(keysByWorker))
 	}
-	for w, n := range most {
+	for w, n := range keysByWorker {
 		if n > 40 { // of 10 on average
 			t.Errorf("%s is first for %d keys of %d", w.id, n, keys)
 		}
 	}
-	lost := d.liveWorkers[7]
-	d.Step(3*second, []Event{endpointsEvent(EndpointsDelta, Worker{ID: lost.id, State: Removed})})
+	removed := d.liveWorkers[7]
+	d.Step(3*second, []Event{endpointsEvent(EndpointsDelta, Worker{ID: removed.id, State: Removed})})
 	for key, w := range before {
-		if now := firstWorker(key); (now != w) != (w == lost) {
-			t.Errorf("key %d moved from %s to %s when %s went", key, w.id, now.id, lost.id)
+		if now := firstWorker(key); (now != w) != (w == removed) {
+			t.Errorf("key %d moved from %s to %s when %s went", key, w.id, now.id, removed.id)
 		}
 	}
 }
--- a/gossip.go
+++ b/gossip.go
@@ -36,7 +36,7 @@
 func (d *Dispatcher) countAttempt(a *attempt, sign float64) {
 	w := a.worker
 	w.usedSlots += sign * a.slots
-	w.report.CountSlots(sign * a.slots)
+	w.report.AddSentSlots(sign * a.slots)
 	w.usedMemory += sign * a.job.req.Memory
 	w.inFlightJobs += int(sign)
 	d.capacity.inFlightSlots += sign * a.slots
--- a/health.go
+++ b/health.go
@@ -8,7 +8,7 @@
 func (d *Dispatcher) recordSend(w *worker, a *attempt) {
 	d.countAttempt(a, 1)
 	w.connections.open = max(w.connections.open, w.inFlightJobs)
-	w.connections.usedAt = d.now
+	w.connections.lastUsedAt = d.now
 	w.cachedKeys.Record(a.job.req.Key)
 	class := a.job.class
 	d.capacity.slowStart.RecordSend(&w.warmup, d.now, health.Job{
@@ -44,7 +44,7 @@
 		w.limit.Increase(w.usedSlots)
 		d.capacity.startWindow.RecordPrompt(d.occupiedSlots())
 	}
-	d.recountLimit(w)
+	d.updateLimitSum(w)
 }
 
 // recordOutcome takes the end of an attempt into the counts and into what is known of its worker.
@@ -52,7 +52,7 @@
 	w, j := a.worker, a.job
 	a.mayHaveRun = !e.Code.NeverRan()
 	d.countAttempt(a, -1)
-	w.connections.usedAt = d.now
+	w.connections.lastUsedAt = d.now
 	if e.HasLoad {
 		d.recordLoad(w, e)
 	}
@@ -126,13 +126,13 @@
 
 // eject keeps jobs from a worker that has failed for a while.
 func (d *Dispatcher) eject(w *worker) {
-	least := d.capacity.startDelays.Bound(4)
+	minBackoff := d.capacity.startDelays.Bound(4)
 	if d.manyDispatchers() {
-		least = max(least, second)
+		minBackoff = max(minBackoff, second)
 	}
 	// Trials add up over the dispatchers.
-	most := 4 * int64(min(d.fleetScale, 4)) * second
-	w.outlier.Eject(d.now, max(least, d.tickInterval), most, d.rng)
+	maxBackoff := 4 * int64(min(d.fleetScale, 4)) * second
+	w.outlier.Eject(d.now, max(minBackoff, d.tickInterval), maxBackoff, d.rng)
 }
 
 // inSlowStart reports whether a worker is still warming up.
@@ -147,11 +147,11 @@
 
 // minMedianRuntime is the median running time of the class that has the least.
 func (d *Dispatcher) minMedianRuntime() int64 {
-	run := d.classes[0].runtimes.Median()
+	runtime := d.classes[0].runtimes.Median()
 	for i := range d.classes {
-		run = min(run, d.classes[i].runtimes.Median())
+		runtime = min(runtime, d.classes[i].runtimes.Median())
 	}
-	return run
+	return runtime
 }
 
 // updateLevel moves a worker to where it belongs in the free lists.
@@ -159,7 +159,7 @@
 	level := -1
 	if w.state == Live && w.overdue == 0 && !w.outlier.Paused(d.now) &&
 		w.usedSlots < max(1, min(w.limit.Slots(), w.report.MaxSlots())) &&
-		(!w.outlier.OnTrial() || w.inFlightJobs == 0) && !d.capacity.slowStart.Holds(&w.warmup, d.now) {
+		(!w.outlier.OnTrial() || w.inFlightJobs == 0) && !d.capacity.slowStart.Defers(&w.warmup, d.now) {
 		level = int(w.usedSlots)
 	}
 	if level != w.level {
--- a/health_checks.go
+++ b/health_checks.go
@@ -6,7 +6,7 @@
 
 const (
 	saturatedPressure = 0.8 // usual pressure at which asking finds no room and only adds work
-	checkedWorkers    = 2   // workers that are asked for one job
+	workersPerCheck   = 2   // workers that are asked for one job
 )
 
 // requestHealthChecks lets a job wait a moment while two workers are asked for their load, where no two
@@ -15,11 +15,11 @@
 func (d *Dispatcher) requestHealthChecks(j *job) bool {
 	if d.hasCompleteUsage() || !d.cfg.MayHealthCheck || len(d.cfg.Gauges) == 0 ||
 		len(d.liveWorkers) <= len(d.capacity.reported.workers) ||
-		d.capacity.reports.FleetAverage().Average > saturatedPressure ||
-		d.recentlyFreeWorkers() >= checkedWorkers {
+		d.capacity.reports.FleetPressure().Average > saturatedPressure ||
+		d.recentlyFreeWorkers() >= workersPerCheck {
 		return false
 	}
-	for range checkedWorkers {
+	for range workersPerCheck {
 		if w := d.liveWorkers[d.rng.IntN(len(d.liveWorkers))]; w.level == 0 && !d.inSlowStart(w) {
 			d.actions = append(d.actions, Action{Kind: ActionHealthCheck, Worker: w.id})
 			j.healthChecks++
@@ -35,7 +35,7 @@
 func (d *Dispatcher) recentlyFreeWorkers() (n int) {
 	reports := &d.capacity.reports
 	for _, w := range d.capacity.reported.workers {
-		if w != nil && w.level == 0 && reports.Recent(&w.report, d.now) && reports.Reported(&w.report, 1) < 1 {
+		if w != nil && w.level == 0 && reports.Fresh(&w.report, d.now) && reports.ReportPressure(&w.report, 1) < 1 {
 			n++
 		}
 	}
--- a/health_test.go
+++ b/health_test.go
@@ -8,19 +8,19 @@
 )
 
 // A hung worker starts nothing and reports nothing; it must get no further job.
-func TestHungWorkerGetsNothingNew(t *testing.T) {
+func TestHungWorkerGetsNoNewJobs(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(2)...)
 	h.step(h.request(1, atMostOnce), h.request(2, atMostOnce))
 	sent := h.wantActions(ActionSend, 2)
-	hung, good := sent[0], sent[1]
-	h.advance(2*ms, started(good.ID, 0, good.Worker))
+	hung, healthy := sent[0], sent[1]
+	h.advance(2*ms, started(healthy.ID, 0, healthy.Worker))
 	for id := uint64(10); id < 60; id++ {
 		h.advance(20*ms, h.request(id, atMostOnce))
 		for _, a := range h.actionsOf(ActionSend) {
 			if a.Worker == hung.Worker && id > 25 {
 				t.Fatalf("request %d sent to the hung worker", id)
 			}
-			if a.Worker == good.Worker {
+			if a.Worker == healthy.Worker {
 				h.advance(ms, started(a.ID, 0, a.Worker))
 				h.advance(ms, outcome(a.ID, 0, a.Worker, Served))
 			}
@@ -31,25 +31,25 @@
 // A worker that fails every job at once always has the fewest in flight; it must not attract the others.
 func TestFastFailingWorkerIsEjected(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(5)...)
-	bad := 0
+	sentToFailing := 0
 	for id := uint64(1); id <= 200; id++ {
 		h.advance(10*ms, h.request(id, atMostOnce))
 		for _, a := range h.actionsOf(ActionSend) {
 			h.advance(ms, started(a.ID, 0, a.Worker))
 			if a.Worker == "w0" {
-				bad++
+				sentToFailing++
 				h.advance(ms, outcome(a.ID, 0, a.Worker, WorkerError))
 			} else {
 				h.advance(ms, outcome(a.ID, 0, a.Worker, Served))
 			}
 		}
 	}
-	if bad == 0 || bad > 20 {
-		t.Errorf("%d of 200 jobs went to the erring worker", bad)
+	if sentToFailing == 0 || sentToFailing > 20 {
+		t.Errorf("%d of 200 jobs went to the erring worker", sentToFailing)
 	}
 }
 
-func TestFailedTrialEjectsAtOnce(t *testing.T) {
+func TestFailedTrialOrErrorRunEjects(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(1)...)
 	w := h.d.workerOrder[0]
 	w.setOutlier(func(s *health.OutlierState) { s.Trial = true })
@@ -123,16 +123,16 @@
 func TestStartsDoNotResetAFailingWorkersBackoff(t *testing.T) {
 	h := newHarness(t, manyConfig(), testWorkers(1)...)
 	w := h.d.workerOrder[0]
-	before := int64(0)
+	previousBackoff := int64(0)
 	for id := uint64(1); id <= 4; id++ {
 		h.now = max(h.now, w.outlier.State().PausedUntil) + h.d.tickInterval
 		h.step(h.request(id, idempotent))
 		h.wantActions(ActionSend, 1)
 		h.advance(ms, started(id, 0, w.id))
 		h.advance(ms, outcome(id, 0, w.id, WorkerError))
-		if pause := w.outlier.State().PausedUntil - h.now; pause < second || w.outlier.State().Backoff < 2*before {
-			t.Errorf("error %d: backed off for %d, backoff %d after %d", id, pause, w.outlier.State().Backoff, before)
+		if pause := w.outlier.State().PausedUntil - h.now; pause < second || w.outlier.State().Backoff < 2*previousBackoff {
+			t.Errorf("error %d: backed off for %d, backoff %d after %d", id, pause, w.outlier.State().Backoff, previousBackoff)
 		}
-		before = w.outlier.State().Backoff
+		previousBackoff = w.outlier.State().Backoff
 	}
 }
--- a/helpers_test.go
+++ b/helpers_test.go
@@ -152,6 +152,6 @@
 // makeRare lets a hundred jobs with other keys arrive, so that the affinity key is rare.
 func makeRare(h *harness) {
 	for key := uint64(1000); key < 1100; key++ {
-		h.d.keys.recent.Add(key)
+		h.d.keys.keyLog.Add(key)
 	}
 }
--- a/internal/decision/capacity/capacity_test.go
+++ b/internal/decision/capacity/capacity_test.go
@@ -36,24 +36,24 @@
 }
 
 // The sum holds the limits that were learned, of live workers, in any order.
-func TestLimits(t *testing.T) {
-	var s Limits
+func TestLimitSum(t *testing.T) {
+	var s LimitSum
 	limits := make([]Limit, 3)
 	for i := range limits {
 		limits[i].Restore(float64(i+1), i > 0)
-		s.Recount(&limits[i], true)
+		s.Update(&limits[i], true)
 	}
 	if s.Mean() != 2.5 {
 		t.Errorf("mean %v of 2 and 3", s.Mean())
 	}
 	limits[2].Restore(1e9, true)
-	if s.Recount(&limits[2], true); s.Mean() != (2+maxCountedLimit)/2.0 {
+	if s.Update(&limits[2], true); s.Mean() != (2+maxSummedLimit)/2.0 {
 		t.Errorf("mean %v with one that is bounded", s.Mean())
 	}
 	for i := range limits {
-		s.Recount(&limits[i], false)
+		s.Update(&limits[i], false)
 	}
-	if s != (Limits{}) || s.Mean() != unknownLimit {
+	if s != (LimitSum{}) || s.Mean() != defaultLimit {
 		t.Errorf("%+v without a live worker", s)
 	}
 }
@@ -92,7 +92,7 @@
 			t.Errorf("excess %d of %d, want %d", got, c.delay, c.excess)
 		}
 	}
-	if s.Excess(0, 90) != 0 || s.Min() != [Paths]int64{90, 30, 0, 0} {
+	if s.Excess(0, 90) != 0 || s.Min() != [NumPaths]int64{90, 30, 0, 0} {
 		t.Errorf("least delays %v", s.Min())
 	}
 	s.Record(8)
@@ -109,10 +109,10 @@
 		t.Error("something is known without a report")
 	}
 	p.Record(&r, [MaxGauges]float64{1, 3, 0}, second)
-	if r.TotalSlots() != 2 || r.MaxSlots() != 2 || !r.Valid() || r.At() != second {
+	if r.TotalSlots() != 2 || r.MaxSlots() != 2 || !r.Valid() || r.ReceivedAt() != second {
 		t.Errorf("%+v", r)
 	}
-	if got := p.Reported(&r, 1); got != 1 {
+	if got := p.ReportPressure(&r, 1); got != 1 {
 		t.Errorf("pressure %v where no slot is free", got)
 	}
 	p.Restore(MovingMean{Average: 0.25}, second)
@@ -122,21 +122,21 @@
 	if got := p.Pressure(&r, 1, 100*second); math.Abs(got-0.25) > 1e-9 {
 		t.Errorf("pressure %v when old, want what is usual", got)
 	}
-	if !p.Recent(&r, second+second/8-1) || p.Recent(&r, second+second/8) {
+	if !p.Fresh(&r, second+second/8-1) || p.Fresh(&r, second+second/8) {
 		t.Error("recent for another time than an eighth of the decay")
 	}
 	p.Record(&r, [MaxGauges]float64{0, 0, 2}, second)
-	if got := p.Reported(&r, 1); got != 1.0/3 {
+	if got := p.ReportPressure(&r, 1); got != 1.0/3 {
 		t.Errorf("pressure %v with two free slots", got)
 	}
-	if r.CountSlots(2); p.Reported(&r, 1) != 1 {
-		t.Errorf("pressure %v with two free slots and two sent since", p.Reported(&r, 1))
+	if r.AddSentSlots(2); p.ReportPressure(&r, 1) != 1 {
+		t.Errorf("pressure %v with two free slots and two sent since", p.ReportPressure(&r, 1))
 	}
 	if r.Invalidate(); r.Valid() || r.TotalSlots() != 2 {
 		t.Error("a worker that restarts has other slots, or its old report")
 	}
 	busy := NewReports([]Gauge{GaugeBusy})
-	if busy.Record(&r, [MaxGauges]float64{0.5}, 0); busy.Reported(&r, 1) != 0.25 {
-		t.Errorf("pressure %v at half the cores", busy.Reported(&r, 1))
+	if busy.Record(&r, [MaxGauges]float64{0.5}, 0); busy.ReportPressure(&r, 1) != 0.25 {
+		t.Errorf("pressure %v at half the cores", busy.ReportPressure(&r, 1))
 	}
 }
--- a/internal/decision/capacity/limit.go
+++ b/internal/decision/capacity/limit.go
@@ -6,7 +6,7 @@
 package capacity
 
 const (
-	unknownLimit = 4 // slots that a worker counts at while no limit has been learned
+	defaultLimit = 4 // slots that a worker counts at while no limit has been learned
 
 	limitDecrease = 0.5  // slots that a limit falls by under what the worker held when a job had to wait
 	limitIncrease = 0.25 // slots that a limit grows by when a job did not, at the limit
@@ -14,10 +14,10 @@
 
 // A Limit is a worker's concurrency limit: the most of our slots that it takes without delay.
 type Limit struct {
-	slots        float64
-	learned      bool  // from the worker's own answers
-	counted      bool  // it is in the sum of Limits,
-	countedParts int64 // as so much
+	slots       float64
+	learned     bool  // from the worker's own answers
+	inSum       bool  // it is in the sum of Limits,
+	summedParts int64 // as so much
 }
 
 // Slots returns the limit.
@@ -42,38 +42,38 @@
 }
 
 const (
-	limitUnit       = 1 << 30 // parts of a slot
-	maxCountedLimit = 1 << 14 // slots that a limit counts for at most: half a million such workers fit the sum
+	partsPerSlot   = 1 << 30 // parts of a slot
+	maxSummedLimit = 1 << 14 // slots that a limit counts for at most: half a million such workers fit the sum
 )
 
 // Limits is an exact sum of the limits that were learned, so that it depends on no order and never drifts:
 // a limit is counted in parts of a slot, to which every one that was learned from whole slots is exact.
-type Limits struct {
+type LimitSum struct {
 	parts int64
 	count int
 }
 
 // Recount brings the sum up to date with a limit, which counts only if its worker is live.
-func (s *Limits) Recount(l *Limit, live bool) {
-	if l.counted {
-		s.add(l.countedParts, -1)
+func (s *LimitSum) Update(l *Limit, live bool) {
+	if l.inSum {
+		s.add(l.summedParts, -1)
 	}
-	if l.counted = l.learned && live; l.counted {
-		l.countedParts = int64(min(l.slots, maxCountedLimit) * limitUnit)
-		s.add(l.countedParts, 1)
+	if l.inSum = l.learned && live; l.inSum {
+		l.summedParts = int64(min(l.slots, maxSummedLimit) * partsPerSlot)
+		s.add(l.summedParts, 1)
 	}
 }
 
 // add takes a limit into the sum (1) or out of it (-1).
-func (s *Limits) add(parts int64, by int) {
-	s.parts += int64(by) * parts
-	s.count += by
+func (s *LimitSum) add(parts int64, sign int) {
+	s.parts += int64(sign) * parts
+	s.count += sign
 }
 
 // Mean returns the mean of the limits: what a worker counts at until it answers.
-func (s *Limits) Mean() float64 {
+func (s *LimitSum) Mean() float64 {
 	if s.count == 0 {
-		return unknownLimit
+		return defaultLimit
 	}
-	return float64(s.parts) / float64(s.count) / limitUnit
+	return float64(s.parts) / float64(s.count) / partsPerSlot
 }
--- a/internal/decision/capacity/mean.go
+++ b/internal/decision/capacity/mean.go
@@ -10,13 +10,13 @@
 type MovingMean struct{ Average, Deviation float64 }
 
 // Add takes a value into the mean.
-func (m *MovingMean) Add(x float64) {
+func (m *MovingMean) Add(value float64) {
 	if m.Average == 0 {
-		m.Average, m.Deviation = x, x/2
+		m.Average, m.Deviation = value, value/2
 		return
 	}
-	m.Deviation += (math.Abs(x-m.Average) - m.Deviation) / meanWeight
-	m.Average += (x - m.Average) / meanWeight
+	m.Deviation += (math.Abs(value-m.Average) - m.Deviation) / meanWeight
+	m.Average += (value - m.Average) / meanWeight
 }
 
 // Bound returns the average and so many mean deviations.
--- a/internal/decision/capacity/report.go
+++ b/internal/decision/capacity/report.go
@@ -25,8 +25,8 @@
 type LoadReport struct {
 	gauges     [MaxGauges]float64
 	valid      bool    // there is a report of this run of the worker
-	slotsSince float64 // slots sent since then
-	at         int64
+	sentSlots  float64 // slots sent since then
+	receivedAt int64
 	totalSlots float64 // that the worker has, as its reports tell; 0: unknown
 }
 
@@ -34,13 +34,13 @@
 func (r *LoadReport) Valid() bool { return r.valid }
 
 // At returns when it came.
-func (r *LoadReport) At() int64 { return r.at }
+func (r *LoadReport) ReceivedAt() int64 { return r.receivedAt }
 
 // CountSlots notes slots that are sent to the worker, or with a negative count are free again.
-func (r *LoadReport) CountSlots(slots float64) { r.slotsSince += slots }
+func (r *LoadReport) AddSentSlots(slots float64) { r.sentSlots += slots }
 
 // Invalidate forgets the report of a process that is no more.
-func (r *LoadReport) Invalidate() { r.valid, r.slotsSince = false, 0 }
+func (r *LoadReport) Invalidate() { r.valid, r.sentSlots = false, 0 }
 
 // TotalSlots returns the slots that the worker has, as its reports tell; 0: unknown.
 func (r *LoadReport) TotalSlots() float64 { return r.totalSlots }
@@ -58,70 +58,72 @@
 
 // Reports reads the load reports of all workers, and follows the pressure that is usual.
 type Reports struct {
-	gauges       []Gauge // what a report holds
-	fleetAverage MovingMean
-	decay        int64 // time in which a report loses its meaning
+	gauges        []Gauge // what a report holds
+	fleetPressure MovingMean
+	decayTime     int64 // time in which a report loses its meaning
 }
 
 const second = int64(1e9)
 
 // NewReports returns the reader of reports that hold some gauges.
-func NewReports(gauges []Gauge) Reports { return Reports{gauges: gauges, decay: second} }
+func NewReports(gauges []Gauge) Reports { return Reports{gauges: gauges, decayTime: second} }
 
 // FleetAverage returns the pressure that all workers' reports show.
-func (p *Reports) FleetAverage() MovingMean { return p.fleetAverage }
+func (p *Reports) FleetPressure() MovingMean { return p.fleetPressure }
 
 // Decay returns the time in which a report loses its meaning.
-func (p *Reports) Decay() int64 { return p.decay }
+func (p *Reports) DecayTime() int64 { return p.decayTime }
 
 // SetDecay sets the time in which a report loses its meaning.
-func (p *Reports) SetDecay(decay int64) { p.decay = decay }
+func (p *Reports) SetDecayTime(decayTime int64) { p.decayTime = decayTime }
 
 // Restore takes over another's usual pressure and decay.
-func (p *Reports) Restore(usual MovingMean, decay int64) { p.fleetAverage, p.decay = usual, decay }
+func (p *Reports) Restore(fleetPressure MovingMean, decayTime int64) {
+	p.fleetPressure, p.decayTime = fleetPressure, decayTime
+}
 
 // Record takes over what a worker reports.
 func (p *Reports) Record(r *LoadReport, gauges [MaxGauges]float64, now int64) {
-	r.gauges, r.valid, r.slotsSince, r.at = gauges, true, 0, now
+	r.gauges, r.valid, r.sentSlots, r.receivedAt = gauges, true, 0, now
 	var values [GaugeFreeMemory + 1]float64
-	known := 0
+	slotGauges := 0
 	for i, g := range p.gauges {
 		values[g] = gauges[i]
 		if g == GaugeInFlight || g == GaugeQueued || g == GaugeFreeSlots {
-			known++
+			slotGauges++
 		}
 	}
-	if known == 3 {
+	if slotGauges == 3 {
 		total := math.Round(values[GaugeInFlight] - values[GaugeQueued] + values[GaugeFreeSlots])
 		r.totalSlots = max(r.totalSlots, total)
 	}
-	p.fleetAverage.Add(p.Reported(r, 1))
+	p.fleetPressure.Add(p.ReportPressure(r, 1))
 }
 
 // Pressure guesses from a worker's report how likely a job of so many slots waits there: 0 to 1. An old
 // report tells little, since the jobs it counted have ended: it fades towards what is usual in the fleet.
 func (p *Reports) Pressure(r *LoadReport, slots float64, now int64) float64 {
 	if !r.valid {
-		return p.fleetAverage.Average
+		return p.fleetPressure.Average
 	}
-	age := float64(now-r.at) / float64(p.decay)
-	return p.fleetAverage.Average + (p.Reported(r, slots)-p.fleetAverage.Average)*math.Exp(-age)
+	age := float64(now-r.receivedAt) / float64(p.decayTime)
+	return p.fleetPressure.Average + (p.ReportPressure(r, slots)-p.fleetPressure.Average)*math.Exp(-age)
 }
 
 // Reported is the pressure that a report shows.
-func (p *Reports) Reported(r *LoadReport, slots float64) float64 {
-	pressure, known := 0.0, false
+func (p *Reports) ReportPressure(r *LoadReport, slots float64) float64 {
+	pressure, queueKnown := 0.0, false
 	for i, g := range p.gauges {
-		x := r.gauges[i]
+		value := r.gauges[i]
 		switch g {
 		case GaugeFreeSlots:
-			free := x - r.slotsSince
-			pressure, known = max(pressure, 1/max(1, 2+free-slots)), true
+			free := value - r.sentSlots
+			pressure, queueKnown = max(pressure, 1/max(1, 2+free-slots)), true
 		case GaugeQueued:
-			pressure, known = max(pressure, x/(1+x)), true
+			pressure, queueKnown = max(pressure, value/(1+value)), true
 		case GaugeBusy:
-			if !known {
-				pressure = max(pressure, x*x)
+			if !queueKnown {
+				pressure = max(pressure, value*value)
 			}
 		}
 	}
@@ -129,4 +131,4 @@
 }
 
 // Recent reports whether a report still tells almost as much as when it came.
-func (p *Reports) Recent(r *LoadReport, now int64) bool { return now-r.at < p.decay/8 }
+func (p *Reports) Fresh(r *LoadReport, now int64) bool { return now-r.receivedAt < p.decayTime/8 }
--- a/internal/decision/health/health_test.go
+++ b/internal/decision/health/health_test.go
@@ -101,15 +101,15 @@
 			t.Errorf("weight %v at %d s, want %v", got, at, want)
 		}
 	}
-	if s.Until(&w) != 120*second || s.Active(&w, 120*second) || !s.Active(&w, 120*second-1) {
-		t.Errorf("slow start until %d", s.Until(&w))
+	if s.EndsAt(&w) != 120*second || s.Active(&w, 120*second) || !s.Active(&w, 120*second-1) {
+		t.Errorf("slow start until %d", s.EndsAt(&w))
 	}
 	w.Restart(0)
-	if s.Active(&w, 0) || s.Until(&w) != math.MinInt64 {
+	if s.Active(&w, 0) || s.EndsAt(&w) != math.MinInt64 {
 		t.Error("a worker that started long ago is in slow start")
 	}
 	w.Restart(math.MaxInt64)
-	if s.Until(&w) != math.MaxInt64 {
+	if s.EndsAt(&w) != math.MaxInt64 {
 		t.Error("the end of slow start overflows")
 	}
 }
@@ -119,7 +119,7 @@
 	s := newTestSlowStart(NewWorkerRate(1))
 	w := NewWarmup(0)
 	w.Restart(100 * second)
-	light := s.Work(1, second/10)
+	light := s.EstimatedWork(1, second/10)
 	if light != float64(second/10) {
 		t.Fatalf("a light job counts for %v", light)
 	}
@@ -153,7 +153,7 @@
 		t.Error("ready at once, or not in the end")
 	}
 	w.Restart(200 * second)
-	s.DelayFirst(&w, 200*second, second, newRand())
+	s.DelayFirstSend(&w, 200*second, second, newRand())
 	if at, work := w.LastSend(); at != 200*second || work <= 0 || work >= float64(second) {
 		t.Errorf("the first send is put off by %v after %d", work, at)
 	}
@@ -173,7 +173,7 @@
 	}
 	r.RecordServed(100, second)
 	r.Update(0, 3)
-	if r.Recent() != 1 || r.served != 0 {
+	if r.Recent() != 1 || r.servedSlots != 0 {
 		t.Error("learned without a warm worker")
 	}
 }
--- a/internal/decision/health/outlier.go
+++ b/internal/decision/health/outlier.go
@@ -13,11 +13,11 @@
 const (
 	second = int64(1e9)
 
-	maxFailureRate = 0.4 // fraction of failures among a worker's late attempts that is no chance
-	maxRejections  = 3   // in a row, that lengthen a backoff
+	maxFailureRate       = 0.4 // fraction of failures among a worker's late attempts that is no chance
+	maxCountedRejections = 3   // in a row, that lengthen a backoff
 
 	// UnprovenCost is what a worker weighs, in jobs there, where our last job found no room.
-	UnprovenCost = 3.0
+	NoFreeSlotCost = 3.0
 )
 
 // An Outlier is what a worker's answers tell of its health. It gets nothing while it is ejected, and then
@@ -93,7 +93,7 @@
 // Backoff keeps jobs from a worker that has no room now: by our count it looks free, and would draw the
 // next one. The pause goes with a job's running time.
 func (o *Outlier) Backoff(now, runtime int64, rng *rand.Rand) {
-	o.state.ConsecutiveRejections = min(o.state.ConsecutiveRejections+1, maxRejections)
+	o.state.ConsecutiveRejections = min(o.state.ConsecutiveRejections+1, maxCountedRejections)
 	pause := runtime / 8 << o.state.ConsecutiveRejections
 	o.state.LastFaultAt = now
 	o.state.PausedUntil = now + pause/2 + rng.Int64N(pause/2+1)
@@ -113,9 +113,9 @@
 func (o *Outlier) Cost(now int64) float64 {
 	switch {
 	case o.state.LastFaultAt > o.state.PromptStartAt:
-		return UnprovenCost
+		return NoFreeSlotCost
 	case o.state.PromptStartAt == 0:
-		return 0.85 * UnprovenCost
+		return 0.85 * NoFreeSlotCost
 	}
-	return 0.4 * UnprovenCost * (1 - math.Exp(-float64(now-o.state.PromptStartAt)/float64(2*second)))
+	return 0.4 * NoFreeSlotCost * (1 - math.Exp(-float64(now-o.state.PromptStartAt)/float64(2*second)))
 }
--- a/internal/decision/health/slow_start.go
+++ b/internal/decision/health/slow_start.go
@@ -9,10 +9,10 @@
 
 // A Warmup is the slow start of one run of a worker.
 type Warmup struct {
-	hash      uint64  // of the worker's ID
-	startedAt int64   // when it started; 0: long ago; -1: not known yet
-	sentAt    int64   // the last send while it was in slow start,
-	work      float64 // and the work that it must have had time for before the next
+	hash       uint64  // of the worker's ID
+	startedAt  int64   // when it started; 0: long ago; -1: not known yet
+	lastSentAt int64   // the last send while it was in slow start,
+	work       float64 // and the work that it must have had time for before the next
 }
 
 // NewWarmup returns the warmup of a worker of which only the hash of its ID is known.
@@ -26,10 +26,10 @@
 
 // LastSend returns when the worker was last sent work in slow start, and the work that it must have had
 // time for before the next.
-func (w *Warmup) LastSend() (at int64, work float64) { return w.sentAt, w.work }
+func (w *Warmup) LastSend() (at int64, work float64) { return w.lastSentAt, w.work }
 
 // RestoreLastSend takes over what LastSend has returned.
-func (w *Warmup) RestoreLastSend(at int64, work float64) { w.sentAt, w.work = at, work }
+func (w *Warmup) RestoreLastSend(at int64, work float64) { w.lastSentAt, w.work = at, work }
 
 // A SlowStartConfig says how workers warm up. From the moment that a worker starts its capacity grows
 // evenly to the whole.
@@ -67,7 +67,7 @@
 }
 
 // Until returns from when on a worker is not in slow start.
-func (s *SlowStart) Until(w *Warmup) int64 {
+func (s *SlowStart) EndsAt(w *Warmup) int64 {
 	switch {
 	case w.startedAt == 0:
 		return math.MinInt64
@@ -92,14 +92,14 @@
 	if s.NeedsSlot(w, now) {
 		return s.Admits(w, now, s.config.MinObjective)
 	}
-	from, to := float64(max(w.sentAt-w.startedAt, 0)), float64(max(now-w.startedAt, 0))
-	first, grown := s.config.Capacity, (to+from)/(2*float64(s.config.Duration))
-	done := (to - from) * (first + (1-first)*grown)
-	return s.rate.peak*max(1, s.config.OverloadMultiple/2)*done >= w.work
+	sentAge, age := float64(max(w.lastSentAt-w.startedAt, 0)), float64(max(now-w.startedAt, 0))
+	startCapacity, meanProgress := s.config.Capacity, (age+sentAge)/(2*float64(s.config.Duration))
+	possibleWork := (age - sentAge) * (startCapacity + (1-startCapacity)*meanProgress)
+	return s.rate.peak*max(1, s.config.OverloadMultiple/2)*possibleWork >= w.work
 }
 
 // Holds reports whether a worker is warming up and may not get our next job yet.
-func (s *SlowStart) Holds(w *Warmup, now int64) bool { return s.Active(w, now) && !s.Ready(w, now) }
+func (s *SlowStart) Defers(w *Warmup, now int64) bool { return s.Active(w, now) && !s.Ready(w, now) }
 
 // NeedsSlot reports whether a worker is still warming up and no rate is known for it: then each scheduler
 // may send to it in time slots of its own.
@@ -109,14 +109,14 @@
 // light job, as it warms up more, in some slots a heavier one.
 func (s *SlowStart) Admits(w *Warmup, now int64, work float64) bool {
 	sent, slot := s.sentInSlot(w, now), s.config.Slots.At(now)
-	most := s.config.MinObjective * s.Weight(w, now) / s.config.Capacity // in a slot
+	maxWork := s.config.MinObjective * s.Weight(w, now) / s.config.Capacity // in a slot
 	return s.config.Slots.Owned(slot, w.hash) &&
-		(sent+work <= most || sent == 0 && s.config.Slots.AllowsHeavy(slot, w.hash, work/most))
+		(sent+work <= maxWork || sent == 0 && s.config.Slots.AllowsHeavy(slot, w.hash, work/maxWork))
 }
 
 // sentInSlot is the work that a worker that needs a slot has been sent in this one; 0 for others.
 func (s *SlowStart) sentInSlot(w *Warmup, now int64) float64 {
-	if !s.NeedsSlot(w, now) || s.config.Slots.At(w.sentAt) != s.config.Slots.At(now) {
+	if !s.NeedsSlot(w, now) || s.config.Slots.At(w.lastSentAt) != s.config.Slots.At(now) {
 		return 0
 	}
 	return w.work
@@ -125,7 +125,7 @@
 // Work is what a job of so many slots counts for at a worker that needs a slot. It goes by the job's
 // latency objective: running times are long where a worker is cold. Objectives tell little of how much
 // heavier one is than another, so the rest counts twice.
-func (s *SlowStart) Work(slots float64, objective int64) float64 {
+func (s *SlowStart) EstimatedWork(slots float64, objective int64) float64 {
 	return 2*slots*float64(objective) - s.config.MinObjective
 }
 
@@ -136,17 +136,17 @@
 	}
 	work := 0.0
 	if s.NeedsSlot(w, now) {
-		work = s.sentInSlot(w, now) + s.Work(j.Slots, j.Objective)
+		work = s.sentInSlot(w, now) + s.EstimatedWork(j.Slots, j.Objective)
 	} else {
 		work = j.Slots * float64(j.Runtime) * (0.75 + rng.Float64()/2)
 	}
-	w.sentAt, w.work = now, work
+	w.lastSentAt, w.work = now, work
 }
 
 // DelayFirst puts the first send to a worker that has just started off at random, within the running time
 // of a light job, or all would send at once.
-func (s *SlowStart) DelayFirst(w *Warmup, now, runtime int64, rng *rand.Rand) {
+func (s *SlowStart) DelayFirstSend(w *Warmup, now, runtime int64, rng *rand.Rand) {
 	if s.Active(w, now) && s.sentInSlot(w, now) == 0 {
-		w.sentAt, w.work = w.startedAt, float64(runtime)*rng.Float64()
+		w.lastSentAt, w.work = w.startedAt, float64(runtime)*rng.Float64()
 	}
 }
--- a/latency_loop.go
+++ b/latency_loop.go
@@ -31,12 +31,12 @@
 		decay = max(decay, 2*c.runtimes.Median())
 		input = min(input, c.loop.Input())
 	}
-	d.capacity.reports.SetDecay(decay)
+	d.capacity.reports.SetDecayTime(decay)
 	d.rate.SetInput(input)
 	d.exchangeAdmissionRate()
 	d.updateQuotas()
 	d.updateWorkerRate()
-	d.forgetRemoved(d.now - removedRetention)
+	d.deleteRemoved(d.now - removedRetention)
 }
 
 // updateWorkerRate follows the slots that each warm worker has at work.
--- a/peers_test.go
+++ b/peers_test.go
@@ -181,7 +181,7 @@
 		receiver.step(e)
 	}
 	pair.checkPeerSlots("from no peer", 1)
-	receiver.d.forgetRemoved(receiver.now + second)
+	receiver.d.deleteRemoved(receiver.now + second)
 	for range 5 {
 		receiver.advance(second, timerEvent(1))
 	}
--- a/placement.go
+++ b/placement.go
@@ -37,7 +37,7 @@
 	if !d.manyDispatchers() {
 		return j.affinity
 	}
-	n := max(1+len(j.attempts), int(affinityHeadroom*d.keys.recent.Fraction(j.req.Key)*float64(j.affinityPool)))
+	n := max(1+len(j.attempts), int(affinityHeadroom*d.keys.keyLog.Fraction(j.req.Key)*float64(j.affinityPool)))
 	return j.affinity[:min(n, len(j.affinity))]
 }
 
@@ -80,7 +80,7 @@
 func (d *Dispatcher) slowStartAdmits(j *job, w *worker) bool {
 	s := &d.capacity.slowStart
 	return !s.NeedsSlot(&w.warmup, d.now) ||
-		s.Admits(&w.warmup, d.now, s.Work(j.req.Slots, j.class.LatencyObjective))
+		s.Admits(&w.warmup, d.now, s.EstimatedWork(j.req.Slots, j.class.LatencyObjective))
 }
 
 // placementCost rates a worker among equals: the fraction of a job's worth that is likely
--- a/placement_test.go
+++ b/placement_test.go
@@ -51,7 +51,7 @@
 	if w.limit.Slots() >= 3 {
 		t.Errorf("limit %v after a rejection at 3", w.limit.Slots())
 	}
-	if m := h.d.learnedLimits.Mean(); m != w.limit.Slots() {
+	if m := h.d.limitSum.Mean(); m != w.limit.Slots() {
 		t.Errorf("a new worker counts at %v, want %v", m, w.limit.Slots())
 	}
 }
--- a/slow_start_fleet_test.go
+++ b/slow_start_fleet_test.go
@@ -45,7 +45,7 @@
 
 const slowStartStep = 20 * ms
 
-func drawSlowStartFleet(t *testing.T, n int, seed uint64) *slowStartFleet {
+func newRandomSlowStartFleet(t *testing.T, n int, seed uint64) *slowStartFleet {
 	rng := rand.New(rand.NewPCG(seed, uint64(n)))
 	fleet := &slowStartFleet{
 		rng:      rng,
@@ -73,7 +73,7 @@
 	for i := range n {
 		fleet.arrivalRates[i] *= (0.5 + 0.4*rng.Float64()) * total / (float64(fleet.meanWork) / 1e9) / weights
 		fleet.notifyAt = append(fleet.notifyAt, 0)
-		fleet.harnesses = append(fleet.harnesses, fleet.start(t, i))
+		fleet.harnesses = append(fleet.harnesses, fleet.startDispatcher(t, i))
 	}
 	for i := range fleet.cfg.Tenants {
 		fleet.cfg.Tenants[i].Quota = total / (float64(fleet.meanWork) / 1e9)
@@ -82,7 +82,7 @@
 }
 
 // start starts a dispatcher, which knows the endpoint list.
-func (fleet *slowStartFleet) start(t *testing.T, i int) *harness {
+func (fleet *slowStartFleet) startDispatcher(t *testing.T, i int) *harness {
 	cfg := fleet.cfg
 	cfg.Index, cfg.Zone = i, i%2
 	return newSeededHarness(t, cfg, fleet.rng.Uint64(), fleet.endpoints()...)
@@ -90,7 +90,7 @@
 
 // play runs the fleet from one time to another. Where the workers' starts are announced, each
 // dispatcher learns of them at its own moment.
-func (fleet *slowStartFleet) play(from, to int64, announced bool) {
+func (fleet *slowStartFleet) run(from, to int64, announced bool) {
 	for now := from; now < to; now += slowStartStep {
 		inboxes := make([][]Event, len(fleet.harnesses))
 		fleet.finishAttempts(now, inboxes)
@@ -229,9 +229,9 @@
 				first++
 				continue
 			}
-			sum += fleet.jobs(s.work)
+			sum += fleet.meanJobs(s.work)
 			for ; w.sent[first].at <= s.at-fleet.cfg.OverloadWindow; first++ {
-				sum -= fleet.jobs(w.sent[first].work)
+				sum -= fleet.meanJobs(w.sent[first].work)
 			}
 			budget := fleet.cfg.OverloadMultiple * fleet.capacityFraction(w, w.sent[first].at) *
 				float64(w.slots) * float64(fleet.cfg.OverloadWindow) / float64(fleet.meanWork)
@@ -246,7 +246,9 @@
 }
 
 // jobs is an amount of work in mean jobs.
-func (fleet *slowStartFleet) jobs(work int64) float64 { return float64(work) / float64(fleet.meanWork) }
+func (fleet *slowStartFleet) meanJobs(work int64) float64 {
+	return float64(work) / float64(fleet.meanWork)
+}
 
 // What all dispatchers of a fleet together send to a worker in slow start stays within its budget,
 // whatever the fleet's size: no failure in 1,000 drawn fleets.
@@ -264,8 +266,8 @@
 			t.Parallel()
 			failed, worst, where := 0, math.Inf(-1), ""
 			for seed := range uint64(c.fleets) {
-				fleet := drawSlowStartFleet(t, c.dispatchers, seed)
-				fleet.playRestarts(t, seed)
+				fleet := newRandomSlowStartFleet(t, c.dispatchers, seed)
+				fleet.runRestarts(t, seed)
 				excess, which := fleet.worstOverload()
 				if excess > worst {
 					worst, where = excess, which
@@ -284,37 +286,37 @@
 
 // playRestarts restarts workers, and some dispatchers: amid the slow start, or most of them before it,
 // and the others have their traffic until they are back.
-func (fleet *slowStartFleet) playRestarts(t *testing.T, seed uint64) {
-	from, release := 5*second, 9*second
-	restarts, down, back := 0.2, release+2*second, release+2*second
+func (fleet *slowStartFleet) runRestarts(t *testing.T, seed uint64) {
+	from, workersRestartAt := 5*second, 9*second
+	restartProbability, stopAt, resumeAt := 0.2, workersRestartAt+2*second, workersRestartAt+2*second
 	if seed%2 == 0 {
-		restarts, down, back = 0.7, release-2*second, release+second
+		restartProbability, stopAt, resumeAt = 0.7, workersRestartAt-2*second, workersRestartAt+second
 	}
 	rates := slices.Clone(fleet.arrivalRates)
-	restarting := fleet.drawRestarts(restarts)
-	fleet.play(from, min(down, release), false)
-	fleet.stopDispatchers(restarting, down < back)
-	fleet.play(min(down, release), release, false)
+	restarting := fleet.pickRestarting(restartProbability)
+	fleet.run(from, min(stopAt, workersRestartAt), false)
+	fleet.stopDispatchers(restarting, stopAt < resumeAt)
+	fleet.run(min(stopAt, workersRestartAt), workersRestartAt, false)
 	for i, w := range fleet.workers {
 		if kind := seed % 3; kind == 0 || kind == 1 && i%4 < 2 || kind == 2 && w.Zone == 0 {
-			w.StartedAt, w.sent = release, nil
+			w.StartedAt, w.sent = workersRestartAt, nil
 		}
 	}
 	for i := range fleet.notifyAt {
-		fleet.notifyAt[i] = release + 1 + fleet.rng.Int64N(second)
+		fleet.notifyAt[i] = workersRestartAt + 1 + fleet.rng.Int64N(second)
 	}
-	fleet.play(release, back, true)
+	fleet.run(workersRestartAt, resumeAt, true)
 	for i, rate := range rates {
 		fleet.arrivalRates[i] = rate
 		if restarting[i] {
-			fleet.harnesses[i], fleet.notifyAt[i] = fleet.start(t, i), 0
+			fleet.harnesses[i], fleet.notifyAt[i] = fleet.startDispatcher(t, i), 0
 		}
 	}
-	fleet.play(back, release+8*second, true)
+	fleet.run(resumeAt, workersRestartAt+8*second, true)
 }
 
 // drawRestarts says which dispatchers restart; a single one does not.
-func (fleet *slowStartFleet) drawRestarts(probability float64) []bool {
+func (fleet *slowStartFleet) pickRestarting(probability float64) []bool {
 	restarting := make([]bool, len(fleet.harnesses))
 	for i := range restarting {
 		restarting[i] = len(restarting) > 1 && fleet.rng.Float64() < probability
@@ -333,7 +335,7 @@
 	}
 	for i := range restarting {
 		if restarting[i] {
-			fleet.stop(i)
+			fleet.stopDispatcher(i)
 		} else if rerouted {
 			fleet.arrivalRates[i] *= total / remaining
 		}
@@ -341,7 +343,7 @@
 }
 
 // stop kills a dispatcher: its attempts are dropped, and no job arrives at it.
-func (fleet *slowStartFleet) stop(i int) {
+func (fleet *slowStartFleet) stopDispatcher(i int) {
 	fleet.harnesses[i], fleet.arrivalRates[i] = nil, 0
 	fleet.running = withoutDispatcher(fleet.running, i)
 	for _, w := range fleet.workers {
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -44,7 +44,7 @@
 }
 
 // Incident if1a1e4: the peak rate must not fall with the service, or workers in slow start get nothing.
-func TestPeakWorkerRateOutlastsIdleSeconds(t *testing.T) {
+func TestPeakWorkerRatePersistsWhenIdle(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(2)...)
 	h.d.capacity.slowStart.Rate().RecordServed(200, second)
 	h.d.runControlLoops()
@@ -59,9 +59,9 @@
 
 // What 80 dispatchers together send to a worker in slow start is what it can do: it is neither overloaded
 // nor idle.
-func TestSlowStartWorkOfManyDispatchersAddsUp(t *testing.T) {
+func TestSlowStartTotalWorkOfManyDispatchers(t *testing.T) {
 	cfg := manyConfig()
-	const warm = 10 // slots of a worker past slow start, at work for all dispatchers: 800 jobs of 100 ms a second on 8
+	const warmSlots = 10 // slots in use at a warm worker over all dispatchers: 800 jobs of 100 ms a second on 8
 	workers := testWorkers(8)
 	for i := range workers {
 		workers[i].Zone = 0
@@ -79,7 +79,7 @@
 		for i, h := range harnesses {
 			h.now = 6*second + now
 			if now == 0 {
-				setPeakRate(h.d, warm/float64(cfg.Dispatchers))
+				setPeakRate(h.d, warmSlots/float64(cfg.Dispatchers))
 				h.step(endpointsEvent(EndpointsDelta, workers[:1]...))
 			}
 			if (now/(20*ms)+int64(i))%5 != 0 {
@@ -98,9 +98,9 @@
 		}
 	}
 	for s, w := range work {
-		able := warm * (cfg.SlowStartCapacity + (1-cfg.SlowStartCapacity)*(float64(s)+0.5)/20)
-		if w > cfg.OverloadMultiple*able || s > 2 && w < able/2 {
-			t.Errorf("second %d: %.1f slots of work sent, it can do %.1f", s, w, able)
+		possibleWork := warmSlots * (cfg.SlowStartCapacity + (1-cfg.SlowStartCapacity)*(float64(s)+0.5)/20)
+		if w > cfg.OverloadMultiple*possibleWork || s > 2 && w < possibleWork/2 {
+			t.Errorf("second %d: %.1f slots of work sent, it can do %.1f", s, w, possibleWork)
 		}
 	}
 }
@@ -114,7 +114,7 @@
 			cfg.Dispatchers = dispatchers
 			total := 0.0
 			budget := cfg.OverloadMultiple * cfg.SlowStartCapacity * 1.4 * 4 * float64(cfg.OverloadWindow)
-			for worker, list := range sentAfterARestart(t, cfg) {
+			for worker, list := range simulateRestart(t, cfg) {
 				slices.SortFunc(list, func(a, b sentWork) int { return cmp.Compare(a.at, b.at) })
 				for i := range list {
 					if work := workInWindow(list[i:], cfg.OverloadWindow); work > budget {
@@ -123,8 +123,8 @@
 					total += float64(list[i].work)
 				}
 			}
-			if able := 20 * 8 * cfg.SlowStartCapacity * 4 * float64(cfg.OverloadWindow); total < able/10 {
-				t.Errorf("%.1f s of work sent, the workers can do %.1f", total/1e9, able/1e9)
+			if possibleWork := 20 * 8 * cfg.SlowStartCapacity * 4 * float64(cfg.OverloadWindow); total < possibleWork/10 {
+				t.Errorf("%.1f s of work sent, the workers can do %.1f", total/1e9, possibleWork/1e9)
 			}
 		})
 	}
@@ -132,7 +132,7 @@
 
 // sentAfterARestart is what each of 20 workers is sent in eight windows after all dispatchers and
 // workers have started together.
-func sentAfterARestart(t *testing.T, cfg Config) map[string][]sentWork {
+func simulateRestart(t *testing.T, cfg Config) map[string][]sentWork {
 	workers := testWorkers(20)
 	for i := range workers {
 		workers[i].StartedAt = 5 * second
--- a/snapshot.go
+++ b/snapshot.go
@@ -95,11 +95,11 @@
 		Now: d.now, ControlPeriods: rate.Periods, AdmissionRate: rate.AdmissionRate, Unthrottled: rate.Unthrottled,
 		OfferedRate: rate.OfferedRate, TrafficFraction: d.quotas.TrafficFraction(), BurstTokens: d.quotas.BurstTokens(),
 		StartWindow: d.capacity.startWindow.Slots(), HedgeBudget: d.jobs.hedgeBudget,
-		FleetPressure: MeanSnapshot(d.capacity.reports.FleetAverage()),
+		FleetPressure: MeanSnapshot(d.capacity.reports.FleetPressure()),
 		StartDelay:    MeanSnapshot(d.capacity.startDelays.Mean()), MinDelay: d.capacity.startDelays.Min(),
-		PressureDecay: d.capacity.reports.Decay(), PeakWorkerRate: d.capacity.slowStart.Rate().Peak(),
+		PressureDecay: d.capacity.reports.DecayTime(), PeakWorkerRate: d.capacity.slowStart.Rate().Peak(),
 		RecentWorkerRate: d.capacity.slowStart.Rate().Recent(),
-		Keys:             d.keys.recent.Keys(),
+		Keys:             d.keys.keyLog.Keys(),
 	}
 	for i := range d.classes {
 		s.Classes = append(s.Classes, d.classes[i].snapshot())
@@ -127,7 +127,7 @@
 	d.capacity.reports.Restore(capacity.MovingMean(s.FleetPressure), max(s.PressureDecay, 1))
 	d.jobs.hedgeBudget = s.HedgeBudget
 	d.capacity.slowStart.Rate().Restore(s.PeakWorkerRate, s.RecentWorkerRate)
-	d.keys.recent.Restore(s.Keys)
+	d.keys.keyLog.Restore(s.Keys)
 	for i := range s.Classes {
 		for k := range d.classes {
 			if d.classes[k].Name == s.Classes[i].Name {
@@ -145,7 +145,7 @@
 	for i := range s.Workers {
 		if w := d.workers[s.Workers[i].ID]; w != nil && w.warmup.StartedAt() == s.Workers[i].StartedAt {
 			w.restore(&s.Workers[i])
-			d.recountLimit(w)
+			d.updateLimitSum(w)
 			d.updateLevel(w)
 		}
 	}
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -88,7 +88,7 @@
 		t.Error("a class of another name was restored")
 	}
 	restored := snapshot.Workers[0]
-	if mean, want := to.d.learnedLimits.Mean(), restored.ConcurrencyLimit; restored.LimitLearned && mean != want {
+	if mean, want := to.d.limitSum.Mean(), restored.ConcurrencyLimit; restored.LimitLearned && mean != want {
 		t.Errorf("the mean limit is %v, want that of the one worker that was restored, %v", mean, want)
 	}
 	if len(to.d.workers) != 2 {
--- a/state.go
+++ b/state.go
@@ -74,7 +74,7 @@
 // An affinityState is where the affinity keys of jobs are.
 type affinityState struct {
 	index  *affinity.Indexes[*worker]
-	recent affinity.KeyLog // of the last jobs
+	keyLog affinity.KeyLog // of the last jobs
 }
 
 // An endpointState is how the endpoint list is kept up to date.
@@ -115,17 +115,17 @@
 	d.free.byKind = make([][][]*worker, kinds+1)
 	d.keys.index = affinity.NewIndexes[*worker](kinds)
 	d.fleetScale = max(1, float64(cfg.Dispatchers)/fewDispatchersMax)
-	d.capacity = newFleetCapacity(&cfg, d.fleetScale, float64(minObjective), d.learnedLimits.Mean())
+	d.capacity = newFleetCapacity(&cfg, d.fleetScale, float64(minObjective), d.limitSum.Mean())
 	d.initTenants()
 	return d, nil
 }
 
 // newFleetCapacity returns the capacity of a fleet of which nothing is known but the least latency
 // objective of a class, and the slots that a worker counts at.
-func newFleetCapacity(cfg *Config, fleetScale, minObjective, limit float64) fleetCapacity {
-	freshLimit := cfg.OverloadMultiple * cfg.SlowStartCapacity * limit // slots that a fresh worker bears
+func newFleetCapacity(cfg *Config, fleetScale, minObjective, meanLimit float64) fleetCapacity {
+	newWorkerLimit := cfg.OverloadMultiple * cfg.SlowStartCapacity * meanLimit // slots that a fresh worker bears
 	slots := slowstart.NewSlots(cfg.OverloadWindow, cfg.Dispatchers, cfg.Index,
-		freshLimit*float64(cfg.OverloadWindow)/minObjective)
+		newWorkerLimit*float64(cfg.OverloadWindow)/minObjective)
 	return fleetCapacity{
 		startWindow: capacity.NewStartWindow(fleetScale),
 		reports:     capacity.NewReports(cfg.Gauges),
--- a/state_helpers_test.go
+++ b/state_helpers_test.go
@@ -56,7 +56,7 @@
 }
 
 func setFleetPressure(d *Dispatcher, average float64) {
-	usual := d.capacity.reports.FleetAverage()
+	usual := d.capacity.reports.FleetPressure()
 	usual.Average = average
-	d.capacity.reports.Restore(usual, d.capacity.reports.Decay())
+	d.capacity.reports.Restore(usual, d.capacity.reports.DecayTime())
 }
--- a/worker_search.go
+++ b/worker_search.go
@@ -31,11 +31,11 @@
 	s := workerSearch{d: d, j: j, bestCost: math.Inf(1)}
 	if j.req.Key != 0 && (d.manyDispatchers() || d.cfg.Prices.Fetch > 0) {
 		s.searchAffinity()
-		if j.class.Effect != AtMostOnce && d.manyDispatchers() && s.bestCost < health.UnprovenCost {
+		if j.class.Effect != AtMostOnce && d.manyDispatchers() && s.bestCost < health.NoFreeSlotCost {
 			return s.best // it mostly has a slot free, or soon
 		}
 	}
-	for level := 0; level < d.free.levels && float64(level) < s.bestCost; level++ {
+	for level := 0; level < d.free.numLevels && float64(level) < s.bestCost; level++ {
 		s.searchLevel(level)
 	}
 	return s.best
@@ -45,7 +45,7 @@
 // job needs.
 func (s *workerSearch) consider(w *worker, extraCost float64, cached bool) {
 	d, j := s.d, s.j
-	d.candidatesExamined++
+	d.workersExamined++
 	if !d.eligible(j, w) {
 		return
 	}
@@ -62,7 +62,7 @@
 	d := s.d
 	workers := d.affinityWorkers(s.j)
 	for i, w := range workers {
-		if w.level >= 0 && (!w.report.Valid() || d.capacity.reports.Reported(&w.report, s.j.req.Slots) < 1) {
+		if w.level >= 0 && (!w.report.Valid() || d.capacity.reports.ReportPressure(&w.report, s.j.req.Slots) < 1) {
 			fetchSaving := 4 * d.cfg.Prices.Fetch * (1 - float64(i)/float64(len(workers)))
 			s.consider(w, float64(w.level)-fetchSaving, true)
 		}
@@ -73,7 +73,7 @@
 // have reported last.
 func (s *workerSearch) searchLevel(level int) {
 	d, j := s.d, s.j
-	workers := d.free.at(j.class.Kind, level)
+	workers := d.free.view(j.class.Kind, level)
 	if workers.size <= sampleSize ||
 		j.mayHaveRun != nil && (workers.size <= maxFullScan || j.class.Effect != Idempotent) {
 		for _, part := range workers.parts {
--- a/workers.go
+++ b/workers.go
@@ -41,7 +41,7 @@
 type endpoint struct {
 	zone, kind, cell int
 	state            WorkerState
-	lastSeenEvent    int64 // number of the last list event that named it
+	lastListEvent    int64 // number of the last list event that named it
 	lost             bool  // went without a drain, and is not back and warm
 	removedAt        int64 // when the list last named it otherwise than removed
 }
@@ -58,44 +58,44 @@
 
 // The connections to a worker, as far as this dispatcher can tell.
 type connections struct {
-	open   int   // thought open
-	usedAt int64 // last use of one
+	open       int   // thought open
+	lastUsedAt int64 // last use of one
 }
 
 // An indexEntry is what fleetIndex notes of a worker.
 type indexEntry struct {
 	pending, live, inRemoved, inLost bool // in the slice of that name
-	forgotten                        bool // no more in Dispatcher.workers
+	deleted                          bool // no more in Dispatcher.workers
 }
 
 // The freeLists hold the workers that may get a job, by kind and by the slots of ours that they have.
 type freeLists struct {
 	byKind     [][][]*worker // by kind+1, then by level
-	levels     int           // most levels of any kind
+	numLevels  int           // most levels of any kind
 	viewBuffer [][]*worker   // of the last view
 }
 
 // setLevel puts a worker into another of the lists, or, for a negative level, in none.
 func (f *freeLists) setLevel(w *worker, level int) {
-	k := w.kind + 1
-	if k >= len(f.byKind) {
-		k = 0
+	kindIndex := w.kind + 1
+	if kindIndex >= len(f.byKind) {
+		kindIndex = 0
 	}
 	if w.level >= 0 {
-		ws := f.byKind[k][w.level]
-		last := ws[len(ws)-1]
-		ws[w.position] = last
+		workers := f.byKind[kindIndex][w.level]
+		last := workers[len(workers)-1]
+		workers[w.position] = last
 		last.position = w.position
-		f.byKind[k][w.level] = ws[:len(ws)-1]
+		f.byKind[kindIndex][w.level] = workers[:len(workers)-1]
 	}
 	w.level = level
 	if level >= 0 {
-		for len(f.byKind[k]) <= level {
-			f.byKind[k] = append(f.byKind[k], nil)
+		for len(f.byKind[kindIndex]) <= level {
+			f.byKind[kindIndex] = append(f.byKind[kindIndex], nil)
 		}
-		f.levels = max(f.levels, level+1)
-		w.position = len(f.byKind[k][level])
-		f.byKind[k][level] = append(f.byKind[k][level], w)
+		f.numLevels = max(f.numLevels, level+1)
+		w.position = len(f.byKind[kindIndex][level])
+		f.byKind[kindIndex][level] = append(f.byKind[kindIndex][level], w)
 	}
 }
 
@@ -107,7 +107,7 @@
 }
 
 // at returns the workers of one level, and of one kind if it is not negative.
-func (f *freeLists) at(kind, level int) (v workerView) {
+func (f *freeLists) view(kind, level int) (v workerView) {
 	from, to := kind+1, kind+2
 	if kind < 0 {
 		from, to = 0, len(f.byKind)
@@ -135,19 +135,19 @@
 }
 
 // pathTo tells how an attempt goes to a worker now.
-func (d *Dispatcher) pathTo(w *worker) (way int) {
+func (d *Dispatcher) pathTo(w *worker) (path int) {
 	if d.needsConnection(w) {
-		way++
+		path++
 	}
 	if w.zone != d.cfg.Zone {
-		way += 2
+		path += 2
 	}
-	return way
+	return path
 }
 
 // needsConnection reports whether the next job to a worker needs a new connection.
 func (d *Dispatcher) needsConnection(w *worker) bool {
-	return w.inFlightJobs >= w.connections.open || d.cfg.ConnIdle > 0 && d.now-w.connections.usedAt > d.cfg.ConnIdle
+	return w.inFlightJobs >= w.connections.open || d.cfg.ConnIdle > 0 && d.now-w.connections.lastUsedAt > d.cfg.ConnIdle
 }
 
 // setState notes what the list says of a worker.
