--- a/internal/cells/admission.go
+++ b/internal/cells/admission.go
@@ -2,21 +2,21 @@
 
 import "sync"
 
-// An Admission bounds the open jobs of each cell before anything is queued for it, so that a flood of
-// one cell's tenants takes no memory and no dispatch from the rest. Within a cell the first half of the
-// bound is for any tenant; past it each tenant with open jobs may have an even part, so that one cannot
-// shut out the others. It is safe for concurrent use.
+// An Admission limits the number of open jobs of each cell before a job is queued, so that a flood from the
+// tenants of one cell uses no memory or dispatch capacity of the other cells. Within a cell the first half
+// of the bound is available to any tenant. Beyond it, each tenant with open jobs is limited to an equal
+// share of the bound, so that one tenant cannot exclude the others. It is safe for concurrent use.
 type Admission struct {
 	mu            sync.Mutex
-	bounds        []int   // by cell
-	openByCell    []int   // by cell
-	openByTenant  [][]int // open, by cell and tenant
-	activeTenants []int   // tenants with open jobs, by cell
-	shed          []int64 // by cell
+	bounds        []int   // maximum open jobs, by cell
+	openByCell    []int   // open jobs, by cell
+	openByTenant  [][]int // open jobs, by cell and tenant
+	activeTenants []int   // number of tenants with open jobs, by cell
+	shed          []int64 // number of rejected jobs, by cell
 }
 
-// NewAdmission returns an Admission with a bound for each cell, for n tenants (and one more for jobs of
-// none).
+// NewAdmission returns an Admission with the given bound for each cell, for n tenants and one extra entry
+// for jobs without a tenant.
 func NewAdmission(bounds []int, n int) *Admission {
 	a := &Admission{
 		bounds:        bounds,
@@ -30,7 +30,7 @@
 	return a
 }
 
-// tenantSlot returns a tenant's index in the tables; unknown tenants share the last one.
+// tenantIndex returns a tenant's index in the tables. Unknown tenants share the last index.
 func (a *Admission) tenantIndex(tenant int) int {
 	if n := len(a.openByTenant[0]) - 1; tenant < 0 || tenant > n {
 		return n
@@ -38,7 +38,8 @@
 	return tenant
 }
 
-// Admit takes a reservation in a cell for a tenant, if its bound allows one.
+// Admit reserves capacity for one job of a tenant in a cell. It returns false, and counts the job as shed,
+// if the bounds of the cell or the tenant do not allow another job.
 func (a *Admission) Admit(cell, tenant int) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -59,22 +60,22 @@
 	return true
 }
 
-// Reserve takes a reservation past the bound if need be: for a job that is open already.
+// Reserve reserves capacity for a job that is already open, even if the cell then exceeds its bound.
 func (a *Admission) Reserve(cell, tenant int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.addLocked(cell, a.tenantIndex(tenant), 1)
 }
 
-// Release gives a reservation back.
+// Release returns a reservation of Admit or Reserve.
 func (a *Admission) Release(cell, tenant int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.addLocked(cell, a.tenantIndex(tenant), -1)
 }
 
-// Transfer moves a reservation from one cell to another, past its bound if need be: a job that was
-// admitted stays so.
+// Transfer moves a reservation from one cell to another, even if the other cell then exceeds its bound: a
+// job that was admitted is not rejected later.
 func (a *Admission) Transfer(from, to, tenant int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -83,6 +84,7 @@
 	a.addLocked(to, slot, 1)
 }
 
+// addLocked changes the open jobs of a tenant in a cell by delta. The caller holds mu.
 func (a *Admission) addLocked(cell, tenantIndex, delta int) {
 	if a.openByTenant[cell][tenantIndex] == 0 {
 		a.activeTenants[cell]++
@@ -94,7 +96,7 @@
 	}
 }
 
-// Open returns a cell's open jobs, its bound, and how many jobs it has shed.
+// Usage returns the number of open jobs of a cell, its bound, and the number of jobs that it has shed.
 func (a *Admission) Usage(cell int) (open, bound int, shed int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/cells/assigner.go
+++ b/internal/cells/assigner.go
@@ -7,52 +7,52 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A Worker is a live worker.
+// A Worker describes a live worker of the endpoint list.
 type Worker struct {
 	ID   string
-	Zone int // -1 if unknown
-	Kind int // -1 if unknown
+	Zone int // index of its zone; -1 if unknown
+	Kind int // index of its machine kind; -1 if unknown
 }
 
-// A Change is a worker whose cell is another than before; -1 stands for none.
+// A Change records that a worker moved from one cell to another; cell -1 means no cell.
 type Change struct {
 	ID       string
 	From, To int
 }
 
-// An Assigner gives each worker a cell. Each cell has slots for each worker kind, by its fraction of
-// capacity; of a required kind, one for every cell before a second for any. A slot has a position on
-// the hash ring and a preferred zone; the slots choose in a fixed order, each the first free worker
-// clockwise of it, of its zone if there is one. There are slots for part of the workers only. The rest
-// go by weighted rendezvous hashing to the cells whose slots hold less than their fraction.
+// An Assigner assigns each worker to a cell. Each cell has slots for each worker kind, in proportion to its
+// fraction of capacity; for a required kind, every cell gets one slot before any cell gets a second. A slot
+// has a position on the hash ring and a preferred zone. The slots choose in a fixed order: each takes the
+// first free worker clockwise of its position, from its preferred zone if possible. Only a part of the
+// workers is assigned by slots. The others are assigned by weighted rendezvous hashing to the cells whose
+// slots hold less than the cell's fraction of capacity.
 //
-// One worker more goes down the order of the slots, and each slot that prefers it passes on the one
-// that it had. With n workers the i-th slot does so with a probability of 1/(n-i+2), so that with a
-// slot for each about ln(n) change cells; with slots for a fraction s of them it is ln(1/(1-s)),
-// whatever n is. So few slots keep changes small, and as many as there are cells keep small fleets
-// even.
+// A new worker is offered to the slots in order, and each slot that prefers it releases its previous worker
+// to the later slots. With n workers the i-th slot does so with probability 1/(n-i+2): with a slot for each
+// worker about ln(n) workers change cells, with slots for a fraction s of them ln(1/(1-s)), independently
+// of n. Few slots therefore keep changes small, and at least one slot per cell keeps small fleets balanced.
 //
-// The zero value is not usable; see NewAssigner. An Assigner is not safe for concurrent use; the
-// layouts that are made of its changes are.
+// The zero value is not usable; see NewAssigner. An Assigner is not safe for concurrent use; the layouts
+// that are built from its changes are.
 type Assigner struct {
 	plan            *Plan
 	workers         map[string]*ringWorker
-	ordered         []*ringWorker     // by position on the ring
-	pools           map[int]*kindPool // by kind
-	slottedCapacity []float64         // capacity of the workers that slots hold, by cell
+	ordered         []*ringWorker     // sorted by position on the ring
+	pools           map[int]*kindPool // by worker kind
+	slottedCapacity []float64         // capacity of the workers that are assigned by slots, by cell
 
-	cellWeights    []float64 // for workers without a slot
-	weightsVersion int       // of cellWeights
+	cellWeights    []float64 // rendezvous weights for workers without a slot, by cell
+	weightsVersion int       // incremented with each change of cellWeights
 }
 
 const (
-	slotFraction            = 0.3 // of a kind's workers, for which there are slots
-	smallFleetSlotFraction  = 0.6 // the same in a small fleet, where hashing alone is uneven,
-	smallFleetSlots         = 24  // up to this many slots
-	weightQuantizationSteps = 8   // in which cellWeights change
+	slotFraction            = 0.3 // slots of a kind, as a fraction of its workers
+	smallFleetSlotFraction  = 0.6 // the same in a small fleet, which hashing alone leaves unbalanced,
+	smallFleetSlots         = 24  // up to this number of slots
+	weightQuantizationSteps = 8   // cellWeights are rounded to this part of a cell's fraction
 
-	// maxIncrementalChanges is the number of changed workers over which everything is assigned anew: it
-	// costs as much.
+	// maxIncrementalChanges is the largest number of changed workers that are applied one by one. Beyond it
+	// a complete rebuild costs no more.
 	maxIncrementalChanges = 8
 
 	noSlot = -1
@@ -63,10 +63,10 @@
 	Worker
 	position       uint64
 	hash           uint64
-	slot           int // that holds it in its stratum, or noSlot
+	slot           int // index of its slot in the kindPool of its kind, or noSlot
 	preferredCell  int // by rendezvous hashing
-	weightsVersion int // with which preferredCell was computed
-	cell           int // noCell: not yet assigned
+	weightsVersion int // version of cellWeights that preferredCell was computed with
+	cell           int // noCell until it is assigned
 }
 
 // NewAssigner returns an Assigner without workers.
@@ -79,8 +79,8 @@
 	}
 }
 
-// Update takes the complete list of live workers and returns which workers change cell. The assignment
-// is the same whatever came before.
+// Update replaces the complete list of live workers and returns the workers whose cell changes. The
+// assignment depends only on the list, not on earlier calls.
 func (a *Assigner) Update(list []Worker) []Change {
 	departed, arrived := a.diff(list)
 	if len(departed)+len(arrived) == 0 {
@@ -109,8 +109,8 @@
 	return changes
 }
 
-// diff compares a list of live workers with those that are known. One whose kind or zone has changed
-// has both departed and arrived.
+// diff compares a list of live workers with the registered ones. A worker whose kind or zone has changed is
+// returned both as departed and as arrived.
 func (a *Assigner) diff(list []Worker) (departed []*ringWorker, arrived []Worker) {
 	listed := make(map[string]bool, len(list))
 	for _, w := range list {
@@ -131,7 +131,8 @@
 	return departed, arrived
 }
 
-// Add adds one worker. It costs far less than Update.
+// Add adds one worker and returns the workers whose cell changes; nil if the worker is already registered.
+// It costs far less than Update.
 func (a *Assigner) Add(w Worker) []Change {
 	if a.workers[w.ID] != nil {
 		return nil
@@ -140,7 +141,7 @@
 	return a.assignCells(nil)
 }
 
-// Remove removes one worker.
+// Remove removes one worker and returns the workers whose cell changes; nil if the worker is unknown.
 func (a *Assigner) Remove(id string) []Change {
 	w := a.workers[id]
 	if w == nil {
@@ -150,7 +151,7 @@
 	return append(a.assignCells(nil), Change{id, w.cell, noCell})
 }
 
-// register makes a worker known.
+// register adds a worker without a slot or a cell to the table of workers.
 func (a *Assigner) register(w Worker) *ringWorker {
 	hash := xxhash.Sum64String(w.ID)
 	added := &ringWorker{Worker: w, position: mix(hash), hash: hash, slot: noSlot, cell: noCell}
@@ -158,13 +159,15 @@
 	return added
 }
 
+// byPosition orders workers by their position on the ring, and by id where positions are equal.
 func byPosition(a, b *ringWorker) int {
 	return cmp.Or(cmp.Compare(a.position, b.position), cmp.Compare(a.ID, b.ID))
 }
 
-// assignCells gives each worker its cell: its slot's, or for the rest the one that rendezvous hashing
-// by cellWeights gives; no worker's cell depends on another's. It returns the changes. Workers that
-// were removed and added again are looked up in previousCells, and deleted there.
+// assignCells sets the cell of each worker and returns the changes. A worker with a slot gets the cell of
+// its slot, any other worker the cell that rendezvous hashing with cellWeights selects; apart from the slots
+// and weights, no worker's cell depends on another worker. The previous cells of workers that were removed
+// and added again are taken from previousCells and deleted there.
 func (a *Assigner) assignCells(previousCells map[string]int) (changes []Change) {
 	a.updateWeights()
 	for _, w := range a.ordered {
@@ -181,8 +184,9 @@
 	return changes
 }
 
-// updateWeights sets the weight of each cell for workers without a slot: the part of its capacity that
-// its slots' workers do not make up. It changes in coarse steps, so that it seldom does.
+// updateWeights sets the weight of each cell for workers without a slot: the part of the cell's fraction of
+// capacity that the workers of its slots do not provide. Weights are rounded to coarse steps, so that they
+// rarely change.
 func (a *Assigner) updateWeights() {
 	total := 0.0
 	clear(a.slottedCapacity)
@@ -206,7 +210,7 @@
 	}
 }
 
-// cellOf returns the cell of a worker by the slots and weights of now.
+// cellOf returns the cell of a worker according to the current slots and weights.
 func (a *Assigner) cellOf(w *ringWorker) int {
 	if w.slot >= 0 {
 		return a.pools[w.Kind].slots[w.slot].cell
--- a/internal/cells/assigner_test.go
+++ b/internal/cells/assigner_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// spec has n cells of even shares.
+// equalCellsSpec returns a Spec with n cells of equal capacity.
 func equalCellsSpec(n int) *Spec {
 	s := &Spec{}
 	for i := range n {
@@ -18,6 +18,7 @@
 	return s
 }
 
+// mustNewPlan returns the plan of a spec for two zones and three worker kinds.
 func mustNewPlan(t testing.TB, s *Spec, tenants ...Tenant) *Plan {
 	t.Helper()
 	p, specErrors := NewPlan(s, tenants, 2, []string{"large", "medium", "old"})
@@ -27,7 +28,7 @@
 	return p
 }
 
-// fleet draws n workers of all kinds and zones.
+// randomWorkers returns n workers of two zones and three kinds, with random ids.
 func randomWorkers(rng *rand.Rand, n int) (list []Worker) {
 	for i := range n {
 		list = append(list, Worker{fmt.Sprintf("s-%08x", rng.Uint32()), i % 2, i % 3})
@@ -35,6 +36,7 @@
 	return list
 }
 
+// countMigrated returns the number of changes from one cell to another.
 func countMigrated(changes []Change) (n int) {
 	for _, c := range changes {
 		if c.From >= 0 && c.To >= 0 {
@@ -44,8 +46,8 @@
 	return n
 }
 
-// When one of n workers leaves, or returns with a new id, no more than 1.5
-// of the others change cell in the mean, from 6 workers to 1,000.
+// When one worker leaves, or returns with a new id, at most 1.5 other workers change cell on average, for
+// fleets of 6 to 1,000 workers.
 func TestChurnKeepsAssignments(t *testing.T) {
 	for _, c := range []struct{ n, cells int }{
 		{6, 2}, {12, 2}, {12, 3}, {12, 4}, {20, 4}, {40, 8}, {200, 10}, {1000, 20},
@@ -67,15 +69,16 @@
 			}
 		}
 		mean := float64(migrations) / float64(events)
-		t.Logf("%d workers, %d cells: %.2f others migrate", c.n, c.cells, mean)
+		t.Logf("%d workers, %d cells: %.2f other workers change cell per event", c.n, c.cells, mean)
 		if mean > 1.5 {
-			t.Errorf("%d workers, %d cells: %.2f others migrate in the mean", c.n, c.cells, mean)
+			t.Errorf("%d workers, %d cells: %.2f other workers change cell per event, want at most 1.5", c.n, c.cells, mean)
 		}
 	}
 }
 
-// All schedulers reach the same layout: the list of now decides, not how it came to be so, nor its
-// order, nor whether workers change one at a time or all at once.
+// All schedulers must compute the same layout from the same list of workers. The layout after a random
+// sequence of updates is compared with that of a new Assigner: it must not depend on earlier lists, on the
+// order of the list, or on how many workers change at once.
 func TestLayoutHasNoHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := equalCellsSpec(rapid.IntRange(1, 7).Draw(t, "cells"))
@@ -106,31 +109,31 @@
 			fresh := NewAssigner(p)
 			want := NewLayout(p).WithChanges(fresh.Update(list))
 			if size := requireSameLayout(t, layout, want); size != len(live) {
-				t.Fatalf("%d workers in cells of %d", size, len(live))
+				t.Fatalf("%d workers are in a cell, want %d", size, len(live))
 			}
 		}
 	})
 }
 
-// requireSameLayout checks that each cell has the workers that it should, and that they are looked up
-// there. It returns how many there are.
+// requireSameLayout checks that each cell has the same workers in both layouts, and that WorkerCell returns
+// that cell for them. It returns the number of workers.
 func requireSameLayout(t *rapid.T, got, want *Layout) (size int) {
 	for c := range got.plan.CellCount() {
 		size += got.WorkerCount(c)
 		if fmt.Sprint(got.Workers(c)) != fmt.Sprint(want.Workers(c)) {
-			t.Fatalf("cell %d: %v, but from nothing %v", c, got.Workers(c), want.Workers(c))
+			t.Fatalf("cell %d has workers %v, a new Assigner assigns %v", c, got.Workers(c), want.Workers(c))
 		}
 		for _, id := range got.Workers(c) {
 			if at, ok := got.WorkerCell(id); !ok || at != c {
-				t.Fatalf("%s is in cell %d, looked up as %d", id, c, at)
+				t.Fatalf("worker %s is in cell %d, but WorkerCell() = %d", id, c, at)
 			}
 		}
 	}
 	return size
 }
 
-// Workers that differ in kind, zone and speed. Each cell gets about its
-// fraction of the capacity, a worker in each zone, and every kind that is needed.
+// In a fleet of workers that differ in kind, zone and capacity, each cell gets about its fraction of the
+// capacity, at least one worker in each zone, and at least one worker of the required kind.
 func TestCapacityFractionsInMixedFleet(t *testing.T) {
 	s := &Spec{Weights: map[string]float64{"large": 6.4, "medium": 3, "old": 3}, RequiredKinds: []int{0}}
 	for i, share := range []float64{.32, .23, .26, .19} {
@@ -139,7 +142,7 @@
 	p := mustNewPlan(t, s)
 	for _, c := range []struct {
 		n           int
-		rms, lowest float64 // of capacity over fraction, less 1
+		rms, lowest float64 // bounds on a cell's capacity relative to its fraction, minus 1
 	}{{16, 0.3, -0.6}, {48, 0.22, -0.5}, {300, 0.12, -0.3}} {
 		rng := rand.New(rand.NewPCG(3, 4))
 		meanSquare, lowest, runs := 0.0, 0.0, 100
@@ -161,14 +164,16 @@
 				meanSquare += deviation * deviation / float64(4*runs)
 				lowest = min(lowest, deviation)
 				if zones[i][0] == 0 || zones[i][1] == 0 || large[i] == 0 {
-					t.Errorf("%d workers: cell %d has %v workers by zone, %d large", c.n, i, zones[i], large[i])
+					t.Errorf("%d workers: cell %d has %v workers by zone and %d large ones, want at least 1 of each",
+						c.n, i, zones[i], large[i])
 				}
 			}
 		}
 		rms := math.Sqrt(meanSquare)
-		t.Logf("%d workers: capacity off its fraction by %.2f in the mean, %.2f at the lowest", c.n, rms, lowest)
+		t.Logf("%d workers: capacity deviates from its fraction by %.2f (RMS), lowest %.2f", c.n, rms, lowest)
 		if rms > c.rms || lowest < c.lowest {
-			t.Errorf("%d workers: capacity off its fraction by %.2f in the mean, %.2f at the lowest", c.n, rms, lowest)
+			t.Errorf("%d workers: capacity deviates from its fraction by %.2f (RMS, want at most %.2f), lowest %.2f (want %.2f)",
+				c.n, rms, c.rms, lowest, c.lowest)
 		}
 	}
 }
--- a/internal/cells/bench_test.go
+++ b/internal/cells/bench_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// large is the size that a layout must bear: 10,000 workers, 1,000 tenants, 100 cells.
+// largeFleet returns a plan and workers of the largest supported size: 10,000 workers, 1,000 tenants and 100
+// cells.
 func largeFleet(b testing.TB) (*Plan, []Worker) {
 	s := equalCellsSpec(100)
 	var tenants []Tenant
@@ -27,7 +28,7 @@
 	return p, list
 }
 
-// The complete layout from nothing.
+// BenchmarkCompleteLayout computes a layout of all workers from scratch.
 func BenchmarkCompleteLayout(b *testing.B) {
 	p, list := largeFleet(b)
 	b.ReportAllocs()
@@ -36,7 +37,7 @@
 	}
 }
 
-// One worker leaves, or comes back.
+// BenchmarkOneWorker removes one worker from the layout, or adds it again.
 func BenchmarkOneWorker(b *testing.B) {
 	p, list := largeFleet(b)
 	a := NewAssigner(p)
@@ -54,7 +55,7 @@
 	}
 }
 
-// A job's cell and the workers of its key.
+// BenchmarkLookup looks up the cell of a job, the cell of a worker, and the workers of an affinity key.
 func BenchmarkLookup(b *testing.B) {
 	p, list := largeFleet(b)
 	l := NewLayout(p).WithChanges(NewAssigner(p).Update(list))
--- a/internal/cells/cells_test.go
+++ b/internal/cells/cells_test.go
@@ -9,6 +9,8 @@
 	"testing"
 )
 
+// threeCellPlan returns a plan with two cells that spill into each other, and a third one that shares the
+// split tenant t2 with the first.
 func threeCellPlan(t *testing.T) *Plan {
 	return mustNewPlan(t, &Spec{
 		Cells: []Cell{
@@ -20,6 +22,7 @@
 	}, Tenant{"t0", 10}, Tenant{"t1", 30}, Tenant{"t2", 20}, Tenant{"t3", 1})
 }
 
+// NewPlan reports each error of a spec under its subject.
 func TestSpecErrors(t *testing.T) {
 	_, specErrors := NewPlan(&Spec{
 		Cells: []Cell{
@@ -36,27 +39,27 @@
 	slices.Sort(got)
 	want := []string{"cell a", "default", "kind w", "spill a", "spill b", "split t1", "tenant t0", "tenant x"}
 	if fmt.Sprint(got) != fmt.Sprint(want) {
-		t.Errorf("%v\nwant %v", got, want)
+		t.Errorf("NewPlan() reports errors of %v\nwant %v", got, want)
 	}
 	if _, specErrors := NewPlan(&Spec{}, nil, 0, nil); len(specErrors) != 1 || specErrors[0].Subject != "cells" {
-		t.Errorf("no cells: %v", specErrors)
+		t.Errorf("NewPlan() without cells reports %v, want one error of \"cells\"", specErrors)
 	}
 }
 
-// A tenant's jobs go to its cell, a split one's to one of its cells by key, quotas
-// follow them, and a migration changes that tenant alone.
+// A tenant's jobs go to its cell, those of a split tenant to one of its cells by key. Quotas are divided in
+// the same way. A migration changes only the cells of its tenant, and can be undone.
 func TestTenants(t *testing.T) {
 	p := threeCellPlan(t)
 	l := NewLayout(p)
 	if l.Cell(0, 1) != 0 || l.Cell(1, 9) != 1 || l.Cell(3, 1) != l.Cell(3, 2) || l.Cell(-1, 0) != l.Cell(99, 5) {
-		t.Error("tenants are not in their cells")
+		t.Error("Cell() does not return the configured cells of the tenants")
 	}
 	seen := map[int]int{}
 	for key := range uint64(1000) {
 		seen[l.Cell(2, key)]++
 	}
 	if len(seen) != 2 || seen[0] < 200 || seen[2] < 100 {
-		t.Errorf("the split tenant's keys: %v", seen)
+		t.Errorf("keys of the split tenant by cell: %v, want at least 200 in cell 0, 100 in cell 2, none elsewhere", seen)
 	}
 	sum := 0.0
 	for c := range p.CellCount() {
@@ -65,14 +68,15 @@
 		}
 	}
 	if sum < 60.99 || sum > 61.01 {
-		t.Errorf("the cells' quotas add up to %v, want 61", sum)
+		t.Errorf("the quotas of all cells add up to %v, want 61", sum)
 	}
 	migrated := l.WithMigration(2, 1)
-	if migrated.Cell(2, 5) != 1 || !migrated.Migrated(2) || migrated.Migrated(0) || l.Migrated(2) || migrated.Cell(0, 1) != 0 {
-		t.Error("a migration changes more or less than its tenant")
+	if migrated.Cell(2, 5) != 1 || !migrated.Migrated(2) || migrated.Migrated(0) ||
+		l.Migrated(2) || migrated.Cell(0, 1) != 0 {
+		t.Error("WithMigration(2, 1) does not move exactly tenant 2 to cell 1")
 	}
 	if restored := migrated.WithoutMigration(2); restored.Migrated(2) || restored.Cell(2, 5) != l.Cell(2, 5) {
-		t.Error("it is not restored")
+		t.Error("WithoutMigration(2) does not restore the configured cells of tenant 2")
 	}
 	for what, c := range map[string]struct {
 		tenant, to int
@@ -85,12 +89,13 @@
 		"empty":             {0, 1, ErrNoWorkers},
 	} {
 		if err := l.CheckMigration(c.tenant, c.to); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v", what, err)
+			t.Errorf("%s: CheckMigration(%d, %d) = %v, want %v", what, c.tenant, c.to, err, c.want)
 		}
 	}
 }
 
-// A job spills once, into a healthy cell that has capacity, and never in a cycle.
+// A job spills at most once, into a healthy cell that has capacity; two cells that spill into each other
+// must not pass a job back and forth.
 func TestRoute(t *testing.T) {
 	l := NewLayout(threeCellPlan(t))
 	for what, c := range map[string]struct {
@@ -108,16 +113,16 @@
 	} {
 		got := l.Route(0, 7, func(cell int) Condition { return c.conditions[cell] }, func(int) bool { return c.hasCapacity })
 		if got != c.want {
-			t.Errorf("%s: %+v, want %+v", what, got, c.want)
+			t.Errorf("%s: Route() = %+v, want %+v", what, got, c.want)
 		}
 	}
 	if l.SpillBound(0, 100) != 10 || l.SpillBound(0, 3) != 1 {
-		t.Error("bounds of spills")
+		t.Errorf("SpillBound(0, 100) = %d, want 10; SpillBound(0, 3) = %d, want 1", l.SpillBound(0, 100), l.SpillBound(0, 3))
 	}
 }
 
-// A key's jobs go to few workers of the cell, other keys to others; one
-// worker less changes at most one of them.
+// The jobs with one key go to a limited number of a cell's workers, and the keys together use all of them.
+// Removing a worker changes at most one worker of each key.
 func TestKeyWorkers(t *testing.T) {
 	p := threeCellPlan(t)
 	a := NewAssigner(p)
@@ -129,7 +134,7 @@
 	for key := uint64(1); key <= 400; key++ {
 		workers := l.KeyWorkers(1, key)
 		if len(workers) != 2 || workers[0] == workers[1] {
-			t.Fatalf("key %d: %v", key, workers)
+			t.Fatalf("KeyWorkers(1, %d) = %v, want two different workers", key, workers)
 		}
 		for _, n := range workers {
 			used[n]++
@@ -141,40 +146,41 @@
 			}
 		}
 		if want := 2; shared != want && !slices.Contains(workers, removed) || shared < want-1 {
-			t.Errorf("key %d: %v, then %v", key, workers, withoutRemoved.KeyWorkers(1, key))
+			t.Errorf("KeyWorkers(1, %d) = %v, and %v without %s: more workers change than the removed one",
+				key, workers, withoutRemoved.KeyWorkers(1, key), removed)
 		}
 	}
 	if len(used) != l.WorkerCount(1) {
-		t.Errorf("%d of %d workers have keys", len(used), l.WorkerCount(1))
+		t.Errorf("400 keys use %d workers of the cell, want all %d", len(used), l.WorkerCount(1))
 	}
 	if l.KeyWorkers(1, 0) != nil {
-		t.Error("jobs without a key are confined")
+		t.Error("KeyWorkers(1, 0) restricts jobs without a key, want nil")
 	}
 }
 
-// An evacuated cell's tenants go where they are accepted: into its spill cell, or what is left
-// of their own cells, or spread over the rest.
+// The tenants of an evacuated cell go only to cells that accept tenants: to their other own cells, to the
+// spill cell, or to the remaining cells.
 func TestEvacuation(t *testing.T) {
 	p := threeCellPlan(t)
 	l := NewLayout(p)
 	all := func(int) bool { return true }
 	got, err := l.PlanEvacuation(0, all)
 	if err != nil || !slices.Contains(got, Evacuee{0, 1}) || !slices.Contains(got, Evacuee{2, 2}) {
-		t.Errorf("%v, %v", got, err)
+		t.Errorf("PlanEvacuation(0) = %v, %v; want tenant 0 in cell 1 and tenant 2 in cell 2", got, err)
 	}
 	got, _ = l.PlanEvacuation(0, func(c int) bool { return c == 2 })
 	for _, r := range got {
 		if r.To != 2 {
-			t.Errorf("%v: into a cell that accepts none", r)
+			t.Errorf("PlanEvacuation(0) sends tenant %d to cell %d, but only cell 2 accepts tenants", r.Tenant, r.To)
 		}
 	}
 	if _, err := l.PlanEvacuation(0, func(int) bool { return false }); !errors.Is(err, ErrNoTargetCell) {
-		t.Errorf("nowhere to go: %v", err)
+		t.Errorf("PlanEvacuation(0) without an accepting cell: error %v, want %v", err, ErrNoTargetCell)
 	}
 }
 
-// Ten times a tenant's quota takes no reservation of another cell's, and within
-// its own cell leaves capacity to the others.
+// A tenant that floods its cell with ten times the cell's bound uses no reservations of another cell, and
+// leaves reservations for the other tenants of its own cell.
 func TestAdmission(t *testing.T) {
 	admission := NewAdmission([]int{10, 10}, 2)
 	admitted := 0
@@ -183,32 +189,33 @@
 			admitted++
 		}
 	}
-	if admitted != 5 { // alone it has the half that is anyone's
-		t.Errorf("a flood has %d of 10 reservations", admitted)
+	if admitted != 5 { // the first half of the bound is available to any tenant
+		t.Errorf("Admit() accepts %d jobs of the only tenant at a bound of 10, want 5", admitted)
 	}
 	for i := range 5 {
 		if !admission.Admit(0, 1) {
-			t.Errorf("reservation %d of the tenant beside it is refused", i)
+			t.Errorf("Admit(0, 1) refuses job %d of the second tenant", i)
 		}
 	}
 	if admission.Admit(0, 1) || !admission.Admit(1, 0) {
-		t.Error("a bound does not hold, or the other cell sheds")
+		t.Error("Admit() exceeds the bound of cell 0, or refuses a job in the empty cell 1")
 	}
 	admission.Transfer(0, 1, 1)
 	if open, bound, shed := admission.Usage(0); open != 9 || bound != 10 || shed != 96 {
-		t.Errorf("%d of %d open, %d shed", open, bound, shed)
+		t.Errorf("Usage(0) = %d, %d, %d; want 9 open, bound 10, 96 shed", open, bound, shed)
 	}
-	admission.Reserve(0, -1) // past the bound: for what is open already
+	admission.Reserve(0, -1) // a job that is already open may exceed the bound
 	for range 5 {
 		admission.Release(0, 0)
 	}
 	if open, _, _ := admission.Usage(0); open != 5 {
-		t.Errorf("%d open", open)
+		t.Errorf("Usage(0): %d open jobs, want 5", open)
 	}
 	if p := threeCellPlan(t); p.JobBound(2, 100) != 7 || p.JobBound(2, 5) != 5 || p.JobBound(0, 10) < minCellBound {
-		t.Error("bounds of cells")
+		t.Errorf("JobBound(2, 100) = %d, want 7; JobBound(2, 5) = %d, want 5; JobBound(0, 10) = %d, want at least %d",
+			p.JobBound(2, 100), p.JobBound(2, 5), p.JobBound(0, 10), minCellBound)
 	}
 	if !strings.Contains(SpecError{"cell a", "x"}.Error(), "cell a: x") {
-		t.Error("an error without its subject")
+		t.Error("SpecError.Error() does not contain its subject and text")
 	}
 }
--- a/internal/cells/golden_test.go
+++ b/internal/cells/golden_test.go
@@ -9,10 +9,10 @@
 	"github.com/vatu-meals/foxlift/internal/golden"
 )
 
-// Schedulers of different versions must reach the same map without a word between them: these tests
-// pin the maps of some fleets as they change.
+// Schedulers of different versions must compute the same assignment without exchanging messages: these tests
+// compare the assignments of some fleets, as they change, with golden files.
 
-// mapPlan has every way in which tenants and workers are told where to be.
+// goldenPlan returns a plan that uses every setting that affects the cells of tenants and workers.
 func goldenPlan(t *testing.T) *Plan {
 	return mustNewPlan(t, &Spec{
 		Cells: []Cell{
@@ -26,7 +26,7 @@
 	}, Tenant{"t0", 10}, Tenant{"t1", 30}, Tenant{"t2", 20}, Tenant{"t3", 1}, Tenant{"t4", 2}, Tenant{"t5", 3})
 }
 
-// mapFleet is some workers of all zones and kinds, of which none has a drawn name.
+// goldenWorkers returns workers of all zones and kinds, unknown ones included, with fixed ids.
 func goldenWorkers(from, to int) (list []Worker) {
 	for i := from; i < to; i++ {
 		list = append(list, Worker{fmt.Sprintf("10.0.%d.%d:3000", i/16, i%16), i%3 - 1, i%4 - 1})
@@ -34,7 +34,7 @@
 	return list
 }
 
-// TestWorkerAssignmentGolden pins which cell each worker is in, as workers come and go.
+// TestWorkerAssignmentGolden compares the cell of each worker with a golden file, as workers come and go.
 func TestWorkerAssignmentGolden(t *testing.T) {
 	var b strings.Builder
 	p := goldenPlan(t)
@@ -61,7 +61,8 @@
 	golden.Check(t, "workers.txt", []byte(b.String()))
 }
 
-// TestTenantAssignmentGolden pins shares, bounds, quotas and the cells of tenants and keys, also after migrations.
+// TestTenantAssignmentGolden compares capacity fractions, bounds, quotas and the cells of tenants and keys
+// with a golden file, also after migrations.
 func TestTenantAssignmentGolden(t *testing.T) {
 	var b strings.Builder
 	p := goldenPlan(t)
@@ -78,7 +79,8 @@
 	golden.Check(t, "tenants.txt", []byte(b.String()))
 }
 
-// writeTenants writes where the jobs of each tenant go, of one that is not known too.
+// writeTenants writes the quotas of each cell and the routes of each tenant's jobs, including an unknown
+// tenant.
 func writeTenants(b *strings.Builder, layout *Layout) {
 	for cell := range layout.Plan().CellCount() {
 		fmt.Fprintf(b, "cell %d: quotas %v\n", cell, layout.Quotas(cell))
--- a/internal/cells/layout.go
+++ b/internal/cells/layout.go
@@ -7,23 +7,23 @@
 	"github.com/benbjohnson/immutable"
 )
 
-// A Layout is the mapping of tenants and workers to cells at one moment. It is immutable; a change
-// makes another that shares what has not changed.
+// A Layout is the mapping of tenants and workers to cells at one moment. It is immutable; a change returns
+// a new Layout that shares the unchanged parts.
 type Layout struct {
 	plan     *Plan
-	tenants  []cellSet // by tenant, the last for jobs of none
-	migrated []bool    // by tenant: its cells are not the file's
-	workers  *immutable.Map[string, int]
-	members  [][]member // by cell, ordered by id
+	tenants  []cellSet                   // by tenant; the last entry is for jobs without a tenant
+	migrated []bool                      // by tenant: whether its cells differ from the configured ones
+	workers  *immutable.Map[string, int] // cell of each worker, by worker id
+	members  [][]member                  // workers of each cell, sorted by id
 }
 
-// A member is a worker of a cell.
+// A member is a worker of a cell, with the hash of its id.
 type member struct {
 	id   string
 	hash uint64
 }
 
-// NewLayout returns a plan's layout without workers.
+// NewLayout returns the layout of a plan, without workers.
 func NewLayout(p *Plan) *Layout {
 	return &Layout{
 		plan:     p,
@@ -37,7 +37,7 @@
 // Plan returns the plan of the layout.
 func (l *Layout) Plan() *Plan { return l.plan }
 
-// tenantSlot returns a tenant's index in the tables; unknown tenants share the last one.
+// tenantIndex returns a tenant's index in the tables. Unknown tenants share the last index.
 func (l *Layout) tenantIndex(tenant int) int {
 	if tenant < 0 || tenant >= len(l.tenants) {
 		return len(l.tenants) - 1
@@ -45,7 +45,7 @@
 	return tenant
 }
 
-// Cell returns the cell of a tenant's job. It does not allocate.
+// Cell returns the cell that serves a tenant's jobs with an affinity key. It does not allocate.
 func (l *Layout) Cell(tenant int, key uint64) int {
 	set := l.tenants[l.tenantIndex(tenant)]
 	if len(set) == 1 {
@@ -54,20 +54,20 @@
 	return l.plan.rendezvous(mix(key+goldenRatio), set)
 }
 
-// ServedBy reports whether jobs of a tenant may have this cell as theirs.
+// ServedBy reports whether a cell is among the cells that serve a tenant.
 func (l *Layout) ServedBy(tenant, cell int) bool {
 	return slices.Contains(l.tenants[l.tenantIndex(tenant)], int32(cell))
 }
 
-// Migrated reports whether a tenant has other cells than the file says.
+// Migrated reports whether a tenant's cells differ from the configured ones.
 func (l *Layout) Migrated(tenant int) bool { return l.migrated[l.tenantIndex(tenant)] }
 
-// ConfiguredIn reports whether the file has a tenant in a cell.
+// ConfiguredIn reports whether a cell is among the configured cells of a tenant.
 func (l *Layout) ConfiguredIn(tenant, cell int) bool {
 	return slices.Contains(l.plan.tenants[l.tenantIndex(tenant)], int32(cell))
 }
 
-// SameCells reports whether a tenant has the cells, by name, that another layout has for it.
+// SameCells reports whether a tenant's cells have the same names, in the same order, in another layout.
 func (l *Layout) SameCells(o *Layout, tenant int) bool {
 	tenantCells, otherCells := l.tenants[l.tenantIndex(tenant)], o.tenants[o.tenantIndex(tenant)]
 	return slices.EqualFunc(tenantCells, otherCells, func(a, b int32) bool {
@@ -75,8 +75,8 @@
 	})
 }
 
-// Quotas returns the tenants' quotas within a cell: all of it where the cell alone serves the tenant, a
-// part in proportion to the cells' fractions where it is split, 0 elsewhere.
+// Quotas returns each tenant's quota within a cell: the whole quota if only this cell serves the tenant, a
+// part in proportion to the cells' fractions if several do, and 0 if the cell does not serve the tenant.
 func (l *Layout) Quotas(cell int) []float64 {
 	quotas := make([]float64, len(l.plan.quotas))
 	for tenant, quota := range l.plan.quotas {
@@ -92,13 +92,13 @@
 	return quotas
 }
 
-// WorkerCell returns the cell of a worker; ok is false for one that is in none.
+// WorkerCell returns the cell of a worker; ok is false if the worker is in no cell.
 func (l *Layout) WorkerCell(id string) (cell int, ok bool) { return l.workers.Get(id) }
 
-// WorkerCount returns how many workers a cell has.
+// WorkerCount returns the number of workers of a cell.
 func (l *Layout) WorkerCount(cell int) int { return len(l.members[cell]) }
 
-// EachWorker calls f with the workers of a cell, in order, until it returns false.
+// EachWorker calls f with the id of each worker of a cell, sorted by id, until f returns false.
 func (l *Layout) EachWorker(cell int, f func(id string) bool) {
 	for _, m := range l.members[cell] {
 		if !f(m.id) {
@@ -107,7 +107,7 @@
 	}
 }
 
-// Workers returns the ids of a cell's workers, in order.
+// Workers returns the sorted ids of a cell's workers.
 func (l *Layout) Workers(cell int) []string {
 	ids := make([]string, len(l.members[cell]))
 	for i, m := range l.members[cell] {
@@ -116,8 +116,9 @@
 	return ids
 }
 
-// KeyWorkers returns the workers of a cell to which the jobs with a key may go; nil means all. They are
-// those that rendezvous hashing ranks first, so that a worker more or less changes one of them at most.
+// KeyWorkers returns the workers of a cell that may receive the jobs with an affinity key; nil means all
+// workers. They are the workers that rendezvous hashing ranks first, so that adding or removing one worker
+// of the cell changes at most one of them.
 func (l *Layout) KeyWorkers(cell int, key uint64) []string {
 	limit := l.plan.workersPerKey
 	if key == 0 || limit <= 0 || len(l.members[cell]) <= limit {
--- a/internal/cells/layout_changes.go
+++ b/internal/cells/layout_changes.go
@@ -8,10 +8,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// bulkChanges is the number of changes over which a table is sorted or built once, not for each.
+// maxIncrementalLayoutChanges is the largest number of changes that are applied to a table one by one. With
+// more changes the table is built or sorted once.
 const maxIncrementalLayoutChanges = 64
 
-// WithChanges returns the layout after workers have changed cells.
+// WithChanges returns the layout after the given changes of workers' cells.
 func (l *Layout) WithChanges(changes []Change) *Layout {
 	if len(changes) == 0 {
 		return l
@@ -22,7 +23,7 @@
 	return &next
 }
 
-// workersAfter returns the cells of the workers after changes.
+// workersAfter returns the cell of each worker after the changes.
 func (l *Layout) workersAfter(changes []Change) *immutable.Map[string, int] {
 	if len(changes) <= maxIncrementalLayoutChanges {
 		workers := l.workers
@@ -50,8 +51,8 @@
 	return builder.Map()
 }
 
-// membersAfter returns the workers of each cell after changes. Cells without a change share their list
-// with the layout of before.
+// membersAfter returns the workers of each cell after the changes. Cells without a change share their list
+// with the previous layout.
 func (l *Layout) membersAfter(changes []Change) [][]member {
 	members := slices.Clone(l.members)
 	changed := make([]bool, len(members))
@@ -80,7 +81,7 @@
 	return members
 }
 
-// addMembers adds the workers that have arrived to their cells, which may be changed in place.
+// addMembers adds the arrived workers to the lists of their cells, in place.
 func addMembers(members [][]member, arrived []Change) {
 	bulk := len(arrived) > maxIncrementalLayoutChanges
 	unsorted := make([]bool, len(members))
@@ -102,18 +103,21 @@
 	}
 }
 
+// byID orders the workers of a cell.
 func byID(a, b member) int { return cmp.Compare(a.id, b.id) }
 
-// WithTenant returns the layout after a tenant has migrated to a cell.
+// WithMigration returns the layout after a tenant has migrated to a cell.
 func (l *Layout) WithMigration(tenant, cell int) *Layout {
 	return l.withTenantCells(tenant, cellSet{int32(cell)}, true)
 }
 
-// Restored returns the layout with a tenant in the cells that the file says.
+// WithoutMigration returns the layout with a tenant in its configured cells.
 func (l *Layout) WithoutMigration(tenant int) *Layout {
 	return l.withTenantCells(tenant, l.plan.tenants[tenant], false)
 }
 
+// withTenantCells returns the layout with a set of cells for a tenant. The tenant counts as migrated only if
+// the set differs from its configured cells.
 func (l *Layout) withTenantCells(tenant int, set cellSet, migrated bool) *Layout {
 	next := *l
 	next.tenants, next.migrated = slices.Clone(l.tenants), slices.Clone(l.migrated)
@@ -122,12 +126,13 @@
 	return &next
 }
 
-// An Evacuee is a tenant of an evacuated cell, and the cell that it goes to.
+// An Evacuee is a tenant of an evacuated cell and the cell that it migrates to.
 type Evacuee struct{ Tenant, To int }
 
-// Evacuation says where the tenants of a cell go while it is evacuated: to the cell that it spills
-// into, or spread over the others by hash, of those that accept tenants. Where there is none it returns
-// ErrNoTargetCell.
+// PlanEvacuation returns the target cell of each tenant of a cell that is evacuated. A tenant that other
+// accepting cells serve too stays in these. Any other tenant goes to the cell that the evacuated cell spills
+// into if that accepts tenants, otherwise to one of the accepting cells by hash. If no other cell accepts
+// tenants the error is ErrNoTargetCell.
 func (l *Layout) PlanEvacuation(cell int, accepts func(cell int) bool) ([]Evacuee, error) {
 	var targets cellSet
 	for c := range l.members {
--- a/internal/cells/plan_build.go
+++ b/internal/cells/plan_build.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	noCell = -1
+	noCell = -1 // index for no cell
 
-	// Cells that no tenant's quota asks for get a quarter of an even part of what the file leaves,
-	// or of minUnassigned where it leaves nothing.
+	// A cell without a configured fraction whose tenants have no quota gets 1/unassignedDivisor of an equal
+	// share of the capacity that the file leaves unassigned, or of minUnassignedFraction if that is larger.
 	minUnassignedFraction = 0.01
 	unassignedDivisor     = 4
 )
 
-// A planBuilder makes a Plan of a Spec and gathers what is wrong with it.
+// A planBuilder builds a Plan from a Spec and collects all errors of the Spec.
 type planBuilder struct {
 	plan   *Plan
 	errors []SpecError
 }
 
-// NewPlan checks a spec against the platform's tenants, its number of zones and the names of its worker
-// kinds in their order. It returns all errors.
+// NewPlan validates a spec against the platform's tenants, its number of zones and the names of its worker
+// kinds, in order of their indexes. If the spec has errors it returns a nil plan and all errors.
 func NewPlan(spec *Spec, tenants []Tenant, zones int, kinds []string) (*Plan, []SpecError) {
 	b := &planBuilder{plan: &Plan{
 		cells:         spec.Cells,
@@ -50,11 +50,12 @@
 	return b.plan, nil
 }
 
+// addError records an error of the Spec.
 func (b *planBuilder) addError(subject, format string, args ...any) {
 	b.errors = append(b.errors, SpecError{subject, fmt.Sprintf(format, args...)})
 }
 
-// findCell returns the index of the cell that a subject names.
+// findCell returns the index of the cell with a name, and records an error of the subject if there is none.
 func (b *planBuilder) findCell(subject, name string) int {
 	i, ok := b.plan.cellIndex[name]
 	if !ok {
@@ -63,20 +64,22 @@
 	return i
 }
 
+// addCells indexes the cells of the Spec by name.
 func (b *planBuilder) addCells() {
 	p := b.plan
 	if len(p.cells) == 0 {
-		b.addError("cells", "no cell is given")
+		b.addError("cells", "no cell is configured")
 	}
 	for i, cell := range p.cells {
 		if _, duplicate := p.cellIndex[cell.Name]; duplicate {
-			b.addError("cell "+cell.Name, "it is there twice")
+			b.addError("cell "+cell.Name, "the cell is configured more than once")
 		}
 		p.cellIndex[cell.Name] = i
 		p.cellHashes = append(p.cellHashes, xxhash.Sum64String("cell "+cell.Name))
 	}
 }
 
+// addTenants adds the platform's tenants, without cells.
 func (b *planBuilder) addTenants(tenants []Tenant) {
 	p := b.plan
 	for i, tenant := range tenants {
@@ -87,7 +90,8 @@
 	p.tenants = make([]cellSet, len(tenants)+1)
 }
 
-// assignNamedTenants gives the tenants that cells name to them, and each cell the one it spills into.
+// assignNamedTenants assigns the tenants that a cell names to this cell, and sets the cell that each cell
+// spills into.
 func (b *planBuilder) assignNamedTenants() {
 	p := b.plan
 	for i, cell := range p.cells {
@@ -105,6 +109,7 @@
 	}
 }
 
+// assignSplits assigns the split tenants to their sets of cells.
 func (b *planBuilder) assignSplits(splits []Split) {
 	for _, split := range splits {
 		var set cellSet
@@ -115,19 +120,20 @@
 	}
 }
 
+// assignTenant sets the cells of a tenant. It records an error if the tenant is unknown or already assigned.
 func (b *planBuilder) assignTenant(name string, set cellSet) {
 	tenant, ok := b.plan.tenantIndex[name]
 	switch {
 	case !ok:
 		b.addError("tenant "+name, "the platform has no such tenant")
 	case b.plan.tenants[tenant] != nil:
-		b.addError("tenant "+name, "it has a place already")
+		b.addError("tenant "+name, "the tenant is already assigned to a cell or split")
 	default:
 		b.plan.tenants[tenant] = set
 	}
 }
 
-// setWeights sets the capacity of each kind's workers.
+// setWeights sets the relative capacity of the workers of each kind, 1 for kinds without a weight.
 func (b *planBuilder) setWeights(weights map[string]float64, kinds []string) {
 	p := b.plan
 	p.kindWeights = make([]float64, len(kinds)+1)
@@ -147,8 +153,9 @@
 	}
 }
 
-// setFractions gives each cell its fraction of capacity: what the file says, and the rest in the
-// proportion of quotas, so that each tenant's part of the fleet stays what it was.
+// setFractions sets each cell's fraction of capacity: the configured one, or for the other cells a part of
+// the remaining capacity in proportion to the quotas of their tenants, so that each tenant keeps the part of
+// the fleet that it has without cells. The fractions are then scaled to a sum of 1.
 func (p *Plan) setFractions(defaultCell int) {
 	quotaByCell, quotaSum := p.unconfiguredQuotas(defaultCell)
 	configuredSum, unconfiguredCells := 0.0, 0
@@ -177,8 +184,8 @@
 	}
 }
 
-// openQuotas returns the quotas of the tenants of each cell whose fraction the file leaves open, and
-// their sum.
+// unconfiguredQuotas returns, for each cell without a configured fraction, the sum of its tenants' quotas,
+// and the total over these cells.
 func (p *Plan) unconfiguredQuotas(defaultCell int) (byCell []float64, sum float64) {
 	byCell = make([]float64, len(p.cells))
 	for tenant, quota := range p.quotas {
@@ -196,7 +203,8 @@
 	return byCell, sum
 }
 
-// assignUnnamed gives each tenant that the file does not name a cell: the default one, or one by hash.
+// assignUnnamed assigns each tenant that no cell or split names to the default cell, or to one by hash if
+// there is no default cell.
 func (p *Plan) assignUnnamed(defaultCell int) {
 	for tenant := range p.tenants {
 		if p.tenants[tenant] != nil {
@@ -210,4 +218,5 @@
 	}
 }
 
+// tenantHash returns the hash of a tenant's name for rendezvous hashing.
 func tenantHash(name string) uint64 { return xxhash.Sum64String("tenant " + name) }
--- a/internal/cells/rendezvous.go
+++ b/internal/cells/rendezvous.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// rendezvous picks one of a set of cells (nil: of all) by weighted rendezvous hashing: the probability
-// of each is its fraction of capacity, and a cell more or less moves only the hashes that it wins or
-// loses. The score of a pair is -w / ln(u) with u uniform in (0, 1) (Schindelhauer and Schomaker,
-// 2005).
+// rendezvous selects one of a set of cells (nil: of all cells) by weighted rendezvous hashing: the
+// probability of each cell is proportional to its fraction of capacity, and adding or removing a cell moves
+// only the hashes that the cell gains or loses. The score of a cell is -w / ln(u), with its weight w and u
+// uniform in (0, 1) (Schindelhauer and Schomaker, 2005).
 func (p *Plan) rendezvous(hash uint64, among cellSet) int {
 	best, bestScore := 0, 0.0
 	n := len(among)
@@ -19,7 +19,7 @@
 		}
 		u := uniform(hash ^ p.cellHashes[cell])
 		if p.fractions[cell] <= bestScore*(1-u) {
-			continue // as -ln(u) >= 1-u: most need no logarithm
+			continue // -ln(u) >= 1-u, so that most cells need no logarithm
 		}
 		if score := -p.fractions[cell] / math.Log(u); score > bestScore {
 			best, bestScore = cell, score
@@ -28,8 +28,8 @@
 	return best
 }
 
-// rendezvousWeighted is rendezvous among all cells with other weights than their fractions; where all
-// weights are 0 the fractions count.
+// rendezvousWeighted is rendezvous over all cells with the given weights instead of the cells' fractions. If
+// all weights are 0 it uses the fractions.
 func (p *Plan) rendezvousWeighted(hash uint64, weights []float64) int {
 	best, bestScore := noCell, 0.0
 	for cell, weight := range weights {
@@ -47,10 +47,10 @@
 	return best
 }
 
-// uniform maps a hash to a number over 0 and under 1.
+// uniform maps a hash to a number greater than 0 and less than 1.
 func uniform(hash uint64) float64 { return (float64(mix(hash)>>11) + 0.5) / (1 << 53) }
 
-// mix is the finalizer of MurmurHash3: every bit of x affects every bit of the result.
+// mix is the 64-bit finalizer of MurmurHash3: every bit of x affects every bit of the result.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -59,6 +59,6 @@
 	return x ^ x>>33
 }
 
-// goldenRatio is 2^64 divided by the golden ratio: multiples of it hash numbers that follow each other
-// to values far apart.
+// goldenRatio is 2^64 divided by the golden ratio. Multiplying or offsetting by it spreads consecutive
+// numbers over the whole range (Fibonacci hashing).
 const goldenRatio = 0x9e3779b97f4a7c15
--- a/internal/cells/ring.go
+++ b/internal/cells/ring.go
@@ -5,19 +5,20 @@
 	"slices"
 )
 
-// A ring is workers in the order of their positions, of which some are taken by slots. next[i] leads to
-// the first free one from i on, by union and find with path halving.
+// A ring lists workers sorted by position, some of which are taken by slots. nextUntaken[i] is i if worker i
+// is free, otherwise an index nearer to the next free worker: a union-find structure with path halving.
 type ring struct {
 	workers     []*ringWorker
 	nextUntaken []int
 }
 
+// add appends a free worker. Workers are added in order of their positions.
 func (r *ring) add(w *ringWorker) {
 	r.workers = append(r.workers, w)
 	r.nextUntaken = append(r.nextUntaken, len(r.nextUntaken))
 }
 
-// nextFree returns the index of the first free worker from i on, or the ring's length.
+// nextFree returns the index of the first free worker at or after i, or the ring's length if there is none.
 func (r *ring) nextFree(i int) int {
 	for i < len(r.nextUntaken) && r.nextUntaken[i] != i {
 		if j := r.nextUntaken[i]; j < len(r.nextUntaken) {
@@ -28,7 +29,8 @@
 	return i
 }
 
-// nearestFree returns the first free worker clockwise of a position, or nil.
+// nearestFree returns the first free worker clockwise of a position, or nil if there is none. A nil ring has
+// no workers.
 func (r *ring) nearestFree(position uint64) *ringWorker {
 	if r == nil {
 		return nil
@@ -44,7 +46,7 @@
 	return nil
 }
 
-// markTaken takes a worker that a slot holds out of the search.
+// markTaken excludes a worker that a slot has taken from later searches.
 func (r *ring) markTaken(w *ringWorker) {
 	i, _ := slices.BinarySearchFunc(r.workers, w, byPosition)
 	r.nextUntaken[i] = i + 1
--- a/internal/cells/route.go
+++ b/internal/cells/route.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// Errors of migrations, as operators read them.
+// Errors of migrations and evacuations. Their texts are shown to operators.
 var (
 	ErrUnknownTenant = errors.New("there is no such tenant")
 	ErrUnknownCell   = errors.New("there is no such cell")
@@ -12,27 +12,27 @@
 	ErrNoTargetCell  = errors.New("no other cell has a live node")
 )
 
-// A Condition is what a cell can do now.
+// A Condition describes whether a cell can run jobs now.
 type Condition uint8
 
 // The conditions of a cell.
 const (
-	Healthy     Condition = iota // it has a warm worker
+	Healthy     Condition = iota // it has a warm worker, which is not in slow start
 	SlowStart                    // all its workers are in slow start
 	Unavailable                  // it has no worker
 )
 
-// A Route is where a job goes.
+// A Route is the decision which cell receives a job.
 type Route struct {
 	Cell    int
-	Spilled bool // to another cell than its own, which cannot take it
-	Shed    bool // it goes to none
+	Spilled bool // Cell is not the job's own cell, which is not healthy
+	Shed    bool // the job is rejected
 }
 
-// Route says where a job goes: to its cell; while that is not healthy, to the one it spills into, if
-// that one is: never further, so that spills form no cycle or chain. A cell in slow start without such
-// a target takes its jobs itself, paced; an unavailable one sheds them. hasCapacity says whether the
-// other cell takes one more spilled job.
+// Route returns the cell that receives a job: its own cell, or, while that is not healthy, the cell that it
+// spills into if that one is healthy. A spilled job is not spilled again, so that spills form no cycle or
+// chain. Without such a target, a cell in slow start receives its jobs itself, at a limited rate, and an
+// unavailable cell sheds them. hasCapacity reports whether the target cell accepts one more spilled job.
 func (l *Layout) Route(
 	tenant int, key uint64, condition func(cell int) Condition, hasCapacity func(cell int) bool,
 ) Route {
@@ -48,13 +48,13 @@
 	return Route{Cell: own, Shed: state == Unavailable}
 }
 
-// SpillBound returns how many jobs that a cell spills may be open in the cell that they go to, of the
-// bound on that cell's jobs.
+// SpillBound returns the maximum number of open jobs that a cell may have spilled into its target cell, given
+// the target's bound on open jobs. It is at least 1.
 func (l *Layout) SpillBound(from, bound int) int {
 	return max(1, int(l.plan.cells[from].SpillFraction*float64(bound)))
 }
 
-// CheckMigration checks the migration of a tenant before anything is done.
+// CheckMigration returns an error if a tenant cannot migrate to a cell. It changes nothing.
 func (l *Layout) CheckMigration(tenant, to int) error {
 	switch {
 	case tenant < 0 || tenant >= len(l.plan.tenantNames):
--- a/internal/cells/slots.go
+++ b/internal/cells/slots.go
@@ -2,31 +2,32 @@
 
 import "slices"
 
-// A stratum is the workers of one kind and the slots for them.
+// A kindPool holds the slots for the workers of one kind.
 type kindPool struct {
 	kind        int
-	workers     int
-	slots       []slot
-	slotsByCell []int
+	workers     int    // number of workers of the kind
+	slots       []slot // in the order in which they choose
+	slotsByCell []int  // number of slots, by cell
 }
 
-// A slot is a cell's claim to a worker of the slot's stratum.
+// A slot assigns one worker of the slot's kindPool to a cell.
 type slot struct {
 	cell     int
-	position uint64
-	zone     int // that it prefers; -1: any
-	holder   *ringWorker
+	position uint64      // on the hash ring
+	zone     int         // preferred zone; anyZone: no preference
+	holder   *ringWorker // the worker that the slot has taken
 }
 
 const (
 	anyZone = -1
-	// requiredRank puts a cell without a worker of a required kind before all others.
+	// requiredKindRank is added to the rank of a cell without a slot of a required kind, and exceeds any
+	// rank by fraction, so that such cells come first.
 	requiredKindRank = 1e6
-	// slotSalt tells the positions of a cell's slots apart.
+	// slotSalt is multiplied by a slot's ordinal, to give the slots of a cell different positions.
 	slotSalt = 0xd1b54a32d192ed03
 )
 
-// stratumOf returns the stratum of a kind.
+// poolOf returns the kindPool of a kind, and creates it if there is none.
 func (a *Assigner) poolOf(kind int) *kindPool {
 	s := a.pools[kind]
 	if s == nil {
@@ -36,8 +37,8 @@
 	return s
 }
 
-// slotCount returns how many slots there are for so many workers of a kind: as many as there are cells
-// before anything is left to hashing.
+// slotCount returns the number of slots for a number of workers of one kind. There are at least as many
+// slots as cells before any worker is left to hashing.
 func (a *Assigner) slotCount(workers int) int {
 	n := float64(workers)
 	return max(
@@ -47,9 +48,9 @@
 	)
 }
 
-// addSlot adds the next slot: the cell's that is furthest under its fraction of slots, by the divisors
-// of Webster. The order depends on fractions alone, so that one more worker means at most one more slot
-// and changes none before it.
+// addSlot adds the next slot, for the cell that is furthest below its fraction of the slots by Webster's
+// method. The order of slots depends only on the cells' fractions and the required kinds, so that one more
+// worker adds at most one slot and changes no earlier one.
 func (s *kindPool) addSlot(p *Plan) *slot {
 	cell := s.nextSlotCell(p)
 	ordinal := s.slotsByCell[cell]
@@ -63,7 +64,8 @@
 	return &s.slots[len(s.slots)-1]
 }
 
-// nextSlotCell returns the cell of the next slot. Where cells are equal, kinds begin at different ones.
+// nextSlotCell returns the cell of the next slot. Among cells of equal rank, each kind begins with a
+// different cell.
 func (s *kindPool) nextSlotCell(p *Plan) int {
 	best, bestRank := 0, -1.0
 	first := max(0, s.kind*max(1, len(p.cells)/max(1, len(p.kindWeights)-1)))
@@ -80,8 +82,8 @@
 	return best
 }
 
-// prefers reports whether a slot prefers worker x to y, which may be nil: one of its zone, then the one
-// nearer on the ring.
+// prefers reports whether a slot prefers worker x to y, which may be nil: first the worker in the slot's
+// zone, then the one nearer on the ring, then the one with the smaller id.
 func (s *slot) prefers(x, y *ringWorker) bool {
 	if y == nil {
 		return true
@@ -98,14 +100,14 @@
 	return x.ID < y.ID
 }
 
-// assign gives slot i to a worker.
+// assign assigns a worker to slot i.
 func (s *kindPool) assign(i int, w *ringWorker) {
 	s.slots[i].holder = w
 	w.slot = i
 }
 
-// insert adds one worker: it goes down the slots, and each that prefers it to the one it has passes
-// that one on.
+// insert adds one worker. The worker is offered to the slots in order; a slot that prefers it to its own
+// worker takes it, and the displaced worker is offered to the slots after it.
 func (a *Assigner) insert(w Worker) {
 	added := a.register(w)
 	at, _ := slices.BinarySearchFunc(a.ordered, added, byPosition)
@@ -126,8 +128,8 @@
 	}
 }
 
-// remove removes one worker: its slot chooses again among those that later slots or none hold, and so
-// on down the order.
+// remove removes one worker. Its slot chooses again among the workers without a slot or with a later slot,
+// and a later slot that loses its worker chooses again in the same way.
 func (a *Assigner) remove(w *ringWorker) {
 	delete(a.workers, w.ID)
 	at, _ := slices.BinarySearchFunc(a.ordered, w, byPosition)
@@ -145,8 +147,8 @@
 	}
 }
 
-// refill lets slot i choose among the workers that no earlier slot holds, and after it the slot that
-// lost its worker to it.
+// refill assigns to slot i the worker that it prefers among those that no earlier slot holds, and then
+// refills the slot that lost this worker.
 func (a *Assigner) refill(s *kindPool, i int) {
 	for i >= 0 {
 		var best *ringWorker
@@ -161,7 +163,7 @@
 	}
 }
 
-// rebuild assigns everything anew, for all slots of a stratum together.
+// rebuild applies the departed and arrived workers and assigns the workers of all slots from scratch.
 func (a *Assigner) rebuild(departed []*ringWorker, arrived []Worker) {
 	for _, w := range departed {
 		delete(a.workers, w.ID)
@@ -190,7 +192,7 @@
 	}
 }
 
-// ringsOf returns the rings of workers by kind and zone.
+// ringsOf returns a ring of workers for each kind and zone, given the workers sorted by position.
 func ringsOf(ordered []*ringWorker) map[int]map[int]*ring {
 	rings := map[int]map[int]*ring{}
 	for _, w := range ordered {
@@ -207,7 +209,8 @@
 	return rings
 }
 
-// choose returns the free worker that a slot prefers, by the rings of its stratum's zones.
+// preferredFree returns the free worker that a slot prefers, given the rings of its kind by zone; nil if no
+// worker is free.
 func (s *slot) preferredFree(zones map[int]*ring) *ringWorker {
 	if w := zones[s.zone].nearestFree(s.position); w != nil {
 		return w
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -67,12 +67,12 @@
 f:5:20: cells.cell a.share: 1.5 is not a number from 0.001 to 1
 f:5:42: cells.cell a.tenants nobody: the platform has no such tenant
 f:5:69: cells.cell a.when-unable: a cell cannot spill into itself
-f:6:6: cells.cell a: it is there twice
+f:6:6: cells.cell a: the cell is configured more than once
 f:6:19: cells.cell a.jobs: -1 is not a whole number from 1 to 1000000
 f:6:36: cells.cell a.when-unable: wait is not one of: refuse, spill
 f:7:6: cells.kind huge: the platform has no such machine kind
 f:8:6: cells.split islands: it needs two cells or more, and (by key)
-f:8:6: cells.split islands: it has a place already
+f:8:6: cells.split islands: the tenant is already assigned to a cell or split
 f:9:6: cells.colour: unknown key; known here: cell, default, key, kind, split`},
 		"no checkpoint": {`(foxlift (list))`, `f:1:11: list: checkpoint is missing`},
 		"a relative path": {
@@ -88,7 +88,7 @@
 			`(foxlift (control (socket "/a")) (control (socket "/b")))`,
 			`f:1:35: control: it is there twice`,
 		},
-		"no cells": {`(foxlift (cells))`, `f:1:11: cells: no cell is given`},
+		"no cells": {`(foxlift (cells))`, `f:1:11: cells: no cell is configured`},
 		"shares": {
 			`(foxlift (cells (cell a (share 0.9)) (cell b (share 0.2))))`,
 			`f:1:11: cells: the shares add up to 1.1, more than 1`,
