--- a/endpoint_lease.go
+++ b/endpoint_lease.go
@@ -1,9 +1,10 @@
 package foxlift
 
-// Sending by a stale endpoint list. A change counts as notified some seconds after discovery had it,
-// whether or not it arrived here, and also while this process was down. By a list that may be older than
-// that nothing is sent, unless discovery may well be down, which tells nobody of changes: then jobs go to
-// workers that have accepted one lately. Some that drain accept jobs too, so that is a guess.
+// Sending while the endpoint list is stale. A change of the list counts as notified some seconds after
+// discovery has it, even if it did not arrive here or this process was down. A list that may be older than
+// that is stale, and no job is sent by it unless discovery is probably down and so notifies nobody of
+// changes. Jobs then go to workers that accepted one lately. This is a guess: some draining workers accept
+// jobs too.
 
 import (
 	"math"
@@ -12,41 +13,41 @@
 	"github.com/vatu-meals/foxlift/internal/decision/membership"
 )
 
-// A PollFailure is what a failed call tells of discovery.
+// A PollFailure says what a failed poll shows about discovery.
 type PollFailure = membership.PollFailure
 
-// What a failed call may tell of discovery.
+// The kinds of poll failures.
 const (
-	// FailureBusy is a refusal after a wait: discovery is down, or has too many callers.
+	// FailureBusy is a refusal after a wait: discovery is down or overloaded.
 	FailureBusy = membership.FailureBusy
-	// FailureUnanswered is a refusal at once, silence, or a reset: it may be there for others.
+	// FailureUnanswered is an immediate refusal, a timeout or a reset: discovery may still serve others.
 	FailureUnanswered = membership.FailureUnanswered
-	// FailureDown says that nobody listens there: it tells nobody of changes.
+	// FailureDown means that nothing listens at the address: discovery notifies nobody of changes.
 	FailureDown = membership.FailureDown
-	// FailureInvalid is an answer with nothing of use: what discovery has counts as known.
+	// FailureInvalid is an unusable answer: discovery runs, so its changes count as notified.
 	FailureInvalid = membership.FailureInvalid
 )
 
-const maxExploreSamples = 8 // workers looked at to find one that may be tried by a stale list
+const maxExploreSamples = 8 // random workers examined to find one to explore
 
-// EndpointsUsable reports whether jobs may be sent by the list as it is known, if only to some workers.
+// EndpointsUsable reports whether jobs may be sent with the current endpoint list, if only to some workers.
 func (d *Dispatcher) EndpointsUsable() bool { return d.endpoints.lease.Usable(d.now) }
 
-// recordAccepted notes that a worker has accepted an attempt: when that was sent, it did not drain.
+// recordAccepted records that a worker accepted an attempt: it was not draining when the attempt was sent.
 func (d *Dispatcher) recordAccepted(a *attempt) {
 	w := a.worker
 	w.acceptedAt = max(w.acceptedAt, a.sentAt)
 	if w.accepting {
 		return
 	}
-	if len(d.endpoints.accepting) > 2*len(d.liveWorkers) { // most of them are removed
+	if len(d.endpoints.accepting) > 2*len(d.liveWorkers) { // most entries are of removed workers
 		d.pruneAccepting()
 	}
 	w.accepting = true
 	d.endpoints.accepting = append(d.endpoints.accepting, w)
 }
 
-// pruneAccepting takes out the workers that have not accepted a job lately.
+// pruneAccepting removes the workers that are not live or have not accepted a job within the lease.
 func (d *Dispatcher) pruneAccepting() {
 	d.endpoints.accepting = slices.DeleteFunc(d.endpoints.accepting, func(w *worker) bool {
 		w.accepting = w.state == Live && d.endpoints.lease.Covers(w.acceptedAt, d.now)
@@ -54,8 +55,8 @@
 	})
 }
 
-// pickAccepting finds the worker for a job while the list is old: one that has accepted a job lately, or,
-// now and then, one of which nothing is known.
+// pickAccepting returns the worker for a job while the list is stale: the cheapest one that accepted a job
+// within the lease, or else one to explore. It returns nil if there is none.
 func (d *Dispatcher) pickAccepting(j *job) *worker {
 	if !d.EndpointsUsable() {
 		return nil
@@ -77,7 +78,8 @@
 	return best
 }
 
-// explore finds a worker of which nothing is known for a job; nil where that may not be yet.
+// explore returns a random eligible worker that need not have accepted a job, or nil if the lease's explore
+// interval has not passed or no sampled worker is eligible.
 func (d *Dispatcher) explore(j *job) *worker {
 	if len(d.liveWorkers) == 0 || !d.endpoints.lease.MayExplore(d.now) {
 		return nil
--- a/endpoints.go
+++ b/endpoints.go
@@ -1,17 +1,17 @@
 package foxlift
 
-// The endpoint list: when to poll discovery for it, and what its changes mean for the workers.
+// The endpoint list: polling discovery for it and applying its changes to the workers.
 
 import "github.com/vatu-meals/foxlift/internal/decision/affinity"
 
-// pollEndpoints asks for the list's changes, if it is time.
+// pollEndpoints starts a poll of discovery if one is due.
 func (d *Dispatcher) pollEndpoints() {
 	if d.cfg.PollEndpoints && d.endpoints.poll.Begin(d.now) {
 		d.actions = append(d.actions, Action{Kind: ActionWatchEndpoints})
 	}
 }
 
-// onEndpoints takes in what came of a poll.
+// onEndpoints handles the result of a poll or a change of discovery.
 func (d *Dispatcher) onEndpoints(e *Event) {
 	switch e.EndpointUpdate {
 	case EndpointsConfirmed:
@@ -27,7 +27,7 @@
 	}
 }
 
-// applyEndpoints takes over a list or its changes.
+// applyEndpoints applies a complete endpoint list or its changed entries.
 func (d *Dispatcher) applyEndpoints(kind EndpointUpdate, entries []Worker) {
 	d.endpoints.events++
 	for i := range entries {
@@ -38,20 +38,20 @@
 	}
 	d.updateLive()
 	if kind == EndpointsCached || d.capacity.startWindow.Slots() == 0 {
-		// Nothing is known against it.
+		// Start with this dispatcher's part of the fleet's capacity: nothing has shown yet that it is less.
 		d.capacity.startWindow.Set(d.limitSum.Mean() * float64(len(d.liveWorkers)) / d.fleetScale)
 	}
 	d.updatePending()
 }
 
-// applyEndpoint takes over an entry of the list.
+// applyEndpoint applies one entry of the list.
 func (d *Dispatcher) applyEndpoint(e *Worker) {
 	w := d.workers[e.ID]
 	if w == nil {
 		w = d.addWorker(e.ID)
 		w.limit.Restore(d.limitSum.Mean(), false)
 	}
-	d.free.setLevel(w, -1) // its kind may change
+	d.free.setLevel(w, -1) // the lists are by kind, which may change below
 	w.setState(e.State, d.now)
 	d.updateLimitSum(w)
 	w.zone, w.kind, w.cell, w.lastListEvent = e.Zone, e.Kind, e.Cell, d.endpoints.events
@@ -66,7 +66,7 @@
 	d.indexWorker(w)
 }
 
-// resetWorker forgets what was learned of a process that is no more.
+// resetWorker discards the state learned from a worker's former process; the new one started at startedAt.
 func (d *Dispatcher) resetWorker(w *worker, startedAt int64) {
 	w.outlier.Reset()
 	w.warmup.Restart(startedAt)
@@ -77,5 +77,5 @@
 	d.capacity.slowStart.DelayFirstSend(&w.warmup, d.now, d.minMedianRuntime(), d.rng)
 }
 
-// removedRetention is how long a removed worker counts as lost and may come back as itself.
+// removedRetention is how long a removed worker counts as lost and keeps its state in case it comes back.
 const removedRetention = 60 * second
--- a/gossip.go
+++ b/gossip.go
@@ -1,21 +1,22 @@
 package foxlift
 
-// What dispatchers tell each other, and what the workers hold by it. Nothing is decided here.
+// The exchange of admission rates and worker usage with peers, and the accounting of usage at the workers.
+// Nothing is decided here.
 
 import (
 	"github.com/vatu-meals/foxlift/internal/decision/gossip"
 )
 
-// A peerExchange is the state of the messages to and from the other dispatchers.
+// A peerExchange holds the state of the messages to and from the peers.
 type peerExchange struct {
 	peers    gossip.Table[*worker]
 	sender   gossip.Sender
-	outgoing gossip.Message // the last one; its space is used again
-	incoming gossip.Message // the same
-	changed  []*worker      // where something changed that peers have not been told
+	outgoing gossip.Message // the last message sent, reused as a buffer
+	incoming gossip.Message // the last message received, reused as a buffer
+	changed  []*worker      // workers whose usage changed since the last message to the peers
 }
 
-// newPeerExchange returns the exchange of a process that has just started.
+// newPeerExchange returns the exchange of a newly started process. The incarnation number comes from seed.
 func newPeerExchange(cfg *Config, seed uint64) peerExchange {
 	return peerExchange{
 		peers:  gossip.NewTable[*worker](cfg.Dispatchers, cfg.Index),
@@ -23,16 +24,16 @@
 	}
 }
 
-// exchangesUsage says that the dispatchers tell each other what their jobs hold. What it costs grows
-// with the square of their number, and many see too little of each worker to gain by it.
+// exchangesUsage reports whether the dispatchers exchange the usage of their jobs. With many dispatchers they
+// do not: the cost grows with the square of their number, and each sees too little of a worker to gain by it.
 func (d *Dispatcher) exchangesUsage() bool {
 	return d.cfg.MayGossip && d.cfg.Dispatchers > 1 && !d.manyDispatchers()
 }
 
-// hasCompleteUsage says that this dispatcher knows of all jobs at the workers.
+// hasCompleteUsage reports whether this dispatcher has the usage of all jobs at the workers, also of its peers'.
 func (d *Dispatcher) hasCompleteUsage() bool { return d.cfg.Dispatchers == 1 || d.exchangesUsage() }
 
-// countAttempt takes an attempt that begins (1) or has ended (-1) into what its worker holds.
+// countAttempt adds an attempt that begins (sign 1) to its worker's usage, or subtracts an ended one (sign -1).
 func (d *Dispatcher) countAttempt(a *attempt, sign float64) {
 	w := a.worker
 	w.usedSlots += sign * a.slots
@@ -46,7 +47,8 @@
 	}
 }
 
-// sendGossip sends the peers a message about some workers.
+// sendGossip sends the peers a message with this dispatcher's usage at some workers. A complete message leaves
+// out workers without jobs of this dispatcher.
 func (d *Dispatcher) sendGossip(complete bool, workers []*worker) {
 	m := &d.exchange.outgoing
 	d.exchange.sender.Begin(m, complete, d.rate.AdmissionRate())
@@ -62,7 +64,7 @@
 	d.actions = append(d.actions, Action{Kind: ActionMessage, To: -1, Data: m.Encode()})
 }
 
-// gossipAll tells the peers the admission rate and what is held everywhere.
+// gossipAll sends the peers a complete message: the admission rate and, if exchanged, the usage at all workers.
 func (d *Dispatcher) gossipAll() {
 	var workers []*worker
 	if d.exchangesUsage() {
@@ -71,7 +73,7 @@
 	d.sendGossip(true, workers)
 }
 
-// gossipChanges tells the peers what has changed since they were last told.
+// gossipChanges sends the peers the usage that changed since the last message.
 func (d *Dispatcher) gossipChanges() {
 	exchange := &d.exchange
 	if len(exchange.changed) == 0 {
@@ -84,7 +86,7 @@
 	exchange.changed = exchange.changed[:0]
 }
 
-// onMessage takes in a peer's message. What is none is ignored.
+// onMessage handles a peer's message. Invalid messages and unknown senders are ignored.
 func (d *Dispatcher) onMessage(from int, data []byte) {
 	peers, m := &d.exchange.peers, &d.exchange.incoming
 	if !peers.IsPeer(from) || !m.Decode(data) {
@@ -108,7 +110,7 @@
 	}
 }
 
-// applyPeerUsage takes a change of what peers hold at a worker into what it holds in all.
+// applyPeerUsage adds a change of the peers' usage at a worker to the worker's total usage.
 func (d *Dispatcher) applyPeerUsage(w *worker, change gossip.Usage) {
 	w.usedSlots += change.Slots
 	w.peerUsage.Slots += change.Slots
@@ -117,7 +119,7 @@
 	d.updateLevel(w)
 }
 
-// clearPeerUsage forgets what a peer holds.
+// clearPeerUsage removes all usage of a peer.
 func (d *Dispatcher) clearPeerUsage(from int) {
 	peers := &d.exchange.peers
 	for _, w := range d.workerOrder {
@@ -128,8 +130,8 @@
 	peers.DropUsage(from)
 }
 
-// meanAdmissionRate is the mean of the admission rate here and at the peers that were lately heard of.
-// One that fell silent holds nothing any more.
+// meanAdmissionRate returns the mean of this dispatcher's admission rate and those of the peers that sent a
+// complete message within gossip.PeerTimeout. It removes the usage of the other peers.
 func (d *Dispatcher) meanAdmissionRate() float64 {
 	peers := &d.exchange.peers
 	for from := range peers.Len() {
--- a/internal/decision/affinity/keys.go
+++ b/internal/decision/affinity/keys.go
@@ -1,22 +1,22 @@
-// Package affinity keeps where the affinity keys of jobs are: which keys a worker was lately sent
-// (CachedKeys), which keys came lately (KeyLog), and the order of workers that belongs to each key
-// (Indexes, by rendezvous hashing). Nothing is decided here.
+// Package affinity tracks the affinity keys of jobs: the keys of the last jobs sent to a worker (CachedKeys),
+// the keys of the last jobs that arrived (KeyLog), and the order of workers for each key (Indexes, by
+// rendezvous hashing). Nothing is decided here.
 package affinity
 
 import "slices"
 
-// MaxCachedKeys is how many keys a worker keeps: on more than these it has mostly given up the first.
+// MaxCachedKeys bounds the keys recorded for a worker: with more keys it has mostly evicted the oldest one's data.
 const MaxCachedKeys = 5
 
-// CachedKeys are the keys of the last jobs at a worker.
+// CachedKeys holds the distinct keys of the last jobs sent to a worker, at most MaxCachedKeys.
 type CachedKeys struct {
-	keys []uint64 // the newest first
+	keys []uint64 // most recently used first
 }
 
-// Contains reports whether the worker is likely to have what jobs with a key need.
+// Contains reports whether the worker is likely to have cached the data of a key's jobs.
 func (c *CachedKeys) Contains(key uint64) bool { return slices.Contains(c.keys, key) }
 
-// Record notes that a job with a key goes to the worker; 0 is none.
+// Record records that a job with a key is sent to the worker. Key 0 means no key and is ignored.
 func (c *CachedKeys) Record(key uint64) {
 	if key == 0 {
 		return
@@ -29,29 +29,29 @@
 	c.keys = slices.Insert(c.keys, 0, key)
 }
 
-// Keys returns the keys, the newest first. They are valid until the next Record.
+// Keys returns the keys, most recently used first. The slice is valid until the next Record.
 func (c *CachedKeys) Keys() []uint64 { return c.keys }
 
-// Restore takes over a worker's keys, the newest first.
+// Restore replaces the keys by the first MaxCachedKeys of keys, which are most recently used first.
 func (c *CachedKeys) Restore(keys []uint64) {
 	c.keys = slices.Clone(keys)
 	c.keys = c.keys[:min(len(c.keys), MaxCachedKeys)]
 }
 
-// A KeyLog holds the keys of the last jobs that came, the newest over the oldest.
+// A KeyLog is a ring buffer of the keys of the last jobs that arrived.
 type KeyLog struct {
 	keys  [256]uint64
-	added int // that were ever added
+	added int // total number of Add calls
 }
 
-// Add notes a job's key; 0 is none.
+// Add records a job's key. Key 0 stands for a job without a key.
 func (l *KeyLog) Add(key uint64) {
 	l.keys[l.added%len(l.keys)] = key
 	l.added++
 }
 
-// Fraction returns the fraction of the last jobs that had a key, and of a few more that had not: of the
-// first jobs one says little.
+// Fraction returns the fraction of the logged jobs that have a key. 16 jobs with other keys are added to the
+// count, so that a key of the very first jobs does not get a large fraction.
 func (l *KeyLog) Fraction(key uint64) float64 {
 	count := 0
 	for _, k := range l.keys {
@@ -62,7 +62,7 @@
 	return float64(count) / float64(min(l.added, len(l.keys))+16)
 }
 
-// Keys returns the keys in the log, the oldest first.
+// Keys returns the keys in the log, oldest first.
 func (l *KeyLog) Keys() []uint64 {
 	var keys []uint64
 	for i := max(0, l.added-len(l.keys)); i < l.added; i++ {
@@ -71,7 +71,7 @@
 	return keys
 }
 
-// Restore takes over a log's keys, the oldest first.
+// Restore replaces the log by keys, oldest first.
 func (l *KeyLog) Restore(keys []uint64) {
 	*l = KeyLog{}
 	for _, key := range keys {
--- a/internal/decision/gossip/message.go
+++ b/internal/decision/gossip/message.go
@@ -1,9 +1,9 @@
-// Package gossip is what the dispatchers of one fleet tell each other: the messages' form (Message), their
-// numbering (Sender), and what was last heard of every peer (Table).
+// Package gossip implements the state exchange between the dispatchers of one fleet: the message format
+// (Message), sequence numbers (Sender), and the last state received from every peer (Table).
 //
-// Once a second a dispatcher tells its admission rate, with what its jobs hold at each worker; of the
-// workers where that has changed, the same at the end of each step. All of it is absolute: what is lost,
-// late, doubled or in another order is made good by the next message. Nothing is decided here.
+// Once a second a dispatcher sends a complete message: its admission rate and the usage of its jobs at each
+// worker. At the end of each step it sends the usage of the workers where it changed. All values are absolute,
+// so the next message corrects lost, late, duplicated or reordered ones. Nothing is decided here.
 package gossip
 
 import (
@@ -11,43 +11,44 @@
 	"math"
 )
 
-// The form of a message, little endian: a header (kind, incarnation, sequence), the admission rate if it
-// is complete, and the usage of any number of workers (tag, slots, memory).
+// The message format, little endian: a header (kind, incarnation, sequence), the admission rate in a complete
+// message, and the usage of any number of workers (tag, slots, memory).
 const (
 	kindDelta    = 1
 	kindComplete = 2
 	headerSize   = 4
 	rateSize     = 8
-	usageSize    = 5 // three bytes of the worker's hash, the slots, the memory in units
+	usageSize    = 5 // three bytes of the worker's hash, one of slots, one of memory
 	tagMask      = 1<<24 - 1
-	memoryScale  = 32
+	memoryScale  = 32 // encoded memory is in 1/32 of a unit of memory
 
-	// A message that is longer gets no more workers: 256 bytes have room for what a host puts around it.
+	// sizeLimit is the size in bytes above which AddUsage adds no more workers, so that a message and what a
+	// host adds around it fit into 256 bytes.
 	sizeLimit = headerSize + rateSize + 40*usageSize
 )
 
-// A Usage is what a dispatcher's jobs hold at a worker.
+// A Usage is the slots and the memory that a dispatcher's jobs occupy at a worker.
 type Usage struct{ Slots, Memory float64 }
 
-// A WorkerUsage is the usage of the worker with a tag.
+// A WorkerUsage is the usage at the worker with a tag.
 type WorkerUsage struct {
 	Tag uint32 // see TagOf
 	Usage
 }
 
-// TagOf returns what a worker with such a hash of its ID is known by in messages.
+// TagOf returns the tag that identifies a worker in messages: the highest 24 bits of the hash of its ID.
 func TagOf(hash uint64) uint32 { return uint32(hash >> 40) }
 
-// A Message tells of one dispatcher's admission rate and usage.
+// A Message carries one dispatcher's usage at workers and, if complete, its admission rate.
 type Message struct {
-	Complete      bool    // all that the dispatcher's jobs hold, with its admission rate
-	Incarnation   byte    // of the process, new with each start
-	Sequence      uint16  // number of the message
-	AdmissionRate float64 // of a complete one
+	Complete      bool    // has the admission rate and the usage at all workers, not only changes
+	Incarnation   byte    // of the sending process, new with each start
+	Sequence      uint16  // number of the message; wraps around
+	AdmissionRate float64 // of a complete message, else not encoded
 	Usages        []WorkerUsage
 }
 
-// size returns the length of the encoded message.
+// size returns the length of the encoded message in bytes.
 func (m *Message) size() int {
 	n := headerSize + usageSize*len(m.Usages)
 	if m.Complete {
@@ -56,14 +57,14 @@
 	return n
 }
 
-// AddUsage adds a worker's usage, if there is still room for it.
+// AddUsage adds a worker's usage, or drops it if the message is longer than sizeLimit.
 func (m *Message) AddUsage(tag uint32, u Usage) {
 	if m.size() <= sizeLimit {
 		m.Usages = append(m.Usages, WorkerUsage{Tag: tag, Usage: u})
 	}
 }
 
-// Encode returns the message's bytes. Slots and memory are rounded, to 255 units at most.
+// Encode returns the encoded message. Slots and memory are rounded and limited to what one byte can hold.
 func (m *Message) Encode() []byte {
 	kind := byte(kindDelta)
 	if m.Complete {
@@ -82,10 +83,11 @@
 	return data
 }
 
-// toByte rounds a count to what a byte holds.
+// roundToByte rounds x to the nearest integer from 0 to 255.
 func roundToByte(x float64) uint32 { return uint32(min(max(math.Round(x), 0), 255)) }
 
-// Decode reads a message into m, whose Usages are overwritten. It reports whether the message is valid.
+// Decode decodes data into m, reusing the space of m.Usages. It reports whether the message is valid; if not,
+// the contents of m are undefined.
 func (m *Message) Decode(data []byte) bool {
 	if len(data) < headerSize {
 		return false
@@ -102,7 +104,7 @@
 	case kind != kindDelta:
 		return false
 	}
-	if !(m.AdmissionRate >= 0) || len(rest)%usageSize != 0 { // it may be no number
+	if !(m.AdmissionRate >= 0) || len(rest)%usageSize != 0 { // also rejects NaN
 		return false
 	}
 	for ; len(rest) > 0; rest = rest[usageSize:] {
@@ -114,8 +116,8 @@
 	return true
 }
 
-// UsageOf returns what the message tells of the worker with a tag: nothing is held where a complete one
-// does not name it.
+// UsageOf returns the usage at the worker with a tag, and whether the message includes it. A complete message
+// includes every worker: the usage is zero at those not listed.
 func (m *Message) UsageOf(tag uint32) (u Usage, included bool) {
 	included = m.Complete
 	for i := range m.Usages {
@@ -132,13 +134,13 @@
 	sequence    uint16
 }
 
-// NewSender returns the sender of a process that has just started.
+// NewSender returns the sender of a newly started process.
 func NewSender(incarnation byte) Sender { return Sender{incarnation: incarnation} }
 
-// Incarnation returns the number by which peers know this run of the process.
+// Incarnation returns the number that identifies this run of the process to its peers.
 func (s *Sender) Incarnation() byte { return s.incarnation }
 
-// Begin makes m the next message, without any usage.
+// Begin resets m to the next message of the sender, without any usage.
 func (s *Sender) Begin(m *Message, complete bool, admissionRate float64) {
 	s.sequence++
 	*m = Message{
--- a/internal/decision/gossip/table.go
+++ b/internal/decision/gossip/table.go
@@ -1,15 +1,15 @@
 package gossip
 
-// What was last heard of the peers. Nothing is decided here.
+// The last state received from the peers. Nothing is decided here.
 
 const (
 	second = int64(1e9)
 
-	// PeerTimeout is how long a peer counts that is not heard of; then it holds nothing.
+	// PeerTimeout is how long a peer's state is valid after its last complete message, in nanoseconds.
 	PeerTimeout = 3 * second
 )
 
-// A Table is what was last heard from the other dispatchers of a fleet, whose workers are of type W.
+// A Table holds the last state received from the other dispatchers of a fleet. W identifies a worker.
 type Table[W comparable] struct {
 	self  int
 	peers []peer[W]
@@ -17,33 +17,33 @@
 
 type peer[W comparable] struct {
 	admissionRate float64
-	updatedAt     int64 // when it last told all; 0: never
+	updatedAt     int64 // time of its last complete message; 0: none
 	incarnation   byte
 	usage         map[W]sequencedUsage
 }
 
 type sequencedUsage struct {
 	Usage
-	sequence uint16 // of the message that told it
+	sequence uint16 // of the message that it came with
 }
 
-// NewTable returns the table of one of so many dispatchers, by its index.
+// NewTable returns the table of the dispatcher with index self in a fleet of the given number of dispatchers.
 func NewTable[W comparable](dispatchers, self int) Table[W] {
 	return Table[W]{self: self, peers: make([]peer[W], dispatchers)}
 }
 
-// Len returns the number of dispatchers.
+// Len returns the number of dispatchers, including this one.
 func (t *Table[W]) Len() int { return len(t.peers) }
 
-// IsPeer reports whether there is another dispatcher with such an index.
+// IsPeer reports whether from is the index of another dispatcher.
 func (t *Table[W]) IsPeer(from int) bool { return from >= 0 && from < len(t.peers) && from != t.self }
 
-// Restarted reports whether a message is of another incarnation of its sender than the last one.
+// Restarted reports whether a message has another incarnation than the last one of its sender.
 func (t *Table[W]) Restarted(from int, m *Message) bool {
 	return t.peers[from].incarnation != m.Incarnation
 }
 
-// Record notes a message's sender and admission rate.
+// Record stores a message's incarnation and, if it is complete, its admission rate and the time.
 func (t *Table[W]) Record(from int, m *Message, now int64) {
 	p := &t.peers[from]
 	p.incarnation = m.Incarnation
@@ -52,8 +52,8 @@
 	}
 }
 
-// RecordUsage notes what a peer holds at a worker, unless something newer was heard of it. It returns
-// by how much that has changed.
+// RecordUsage stores a peer's usage at a worker and returns the change from the stored one. It returns false,
+// and stores nothing, if the stored usage has a newer sequence number; equal numbers are stored.
 func (t *Table[W]) RecordUsage(from int, w W, u Usage, sequence uint16) (change Usage, changed bool) {
 	p := &t.peers[from]
 	old, exists := p.usage[w]
@@ -67,7 +67,7 @@
 	return Usage{Slots: u.Slots - old.Slots, Memory: u.Memory - old.Memory}, true
 }
 
-// ClearUsage lets a peer hold nothing at a worker. It returns by how much that has changed.
+// ClearUsage removes a peer's usage at a worker and returns the change, or false if there was none.
 func (t *Table[W]) ClearUsage(from int, w W) (change Usage, changed bool) {
 	old, exists := t.peers[from].usage[w]
 	if !exists {
@@ -77,20 +77,20 @@
 	return Usage{Slots: 0 - old.Slots, Memory: 0 - old.Memory}, true
 }
 
-// Forget drops all that a peer holds. What it held is to be cleared before.
+// DropUsage removes all usage of a peer. The caller clears it before with ClearUsage for each worker.
 func (t *Table[W]) DropUsage(from int) { t.peers[from].usage = nil }
 
-// Silent reports whether a peer that holds something was not heard of lately.
+// Expired reports whether a peer has stored usage but sent no complete message within PeerTimeout.
 func (t *Table[W]) Expired(from int, now int64) bool {
 	p := &t.peers[from]
 	return p.usage != nil && !p.alive(now)
 }
 
-// alive reports whether the peer was lately heard of.
+// alive reports whether the peer sent a complete message within PeerTimeout.
 func (p *peer[W]) alive(now int64) bool { return p.updatedAt != 0 && now-p.updatedAt < PeerTimeout }
 
-// MeanAdmissionRate returns the mean of this dispatcher's admission rate and those of the peers that were
-// lately heard of.
+// MeanAdmissionRate returns the mean of own, this dispatcher's admission rate, and the rates of the peers that
+// sent a complete message within PeerTimeout.
 func (t *Table[W]) MeanAdmissionRate(own float64, now int64) float64 {
 	sum, n := own, 1.0
 	for i := range t.peers {
--- a/internal/decision/membership/schedule.go
+++ b/internal/decision/membership/schedule.go
@@ -2,31 +2,32 @@
 
 import "math/rand/v2"
 
-// A PollSchedule says when discovery is to be asked for the endpoint list, where the list must be asked
-// for, and backs off while polls fail.
+// A PollSchedule decides when to poll discovery for the endpoint list, and backs off while polls fail. It is
+// used where discovery does not send the list unasked.
 type PollSchedule struct {
 	maxInterval int64
-	nextAt      int64 // when to ask; only while not subscribed
-	inProgress  bool  // a poll is unanswered
-	subscribed  bool  // changes come by themselves
+	nextAt      int64 // time of the next poll; only while not subscribed
+	inProgress  bool  // a poll is awaiting its answer
+	subscribed  bool  // discovery sends changes unasked
 	backoff     int64
 }
 
 const (
 	minBackoff  = second / 2
-	startJitter = second // over which the first polls of schedulers that start together are spread at most
+	startJitter = second // longest delay of the first poll, which spreads schedulers that start together
 )
 
-// NewPollSchedule returns the schedule of a scheduler that may go for no longer than maxInterval without
-// a poll.
+// NewPollSchedule returns the schedule of a scheduler that must poll at least every maxInterval nanoseconds
+// while it is not subscribed.
 func NewPollSchedule(maxInterval int64) PollSchedule { return PollSchedule{maxInterval: maxInterval} }
 
-// Start draws the time of the first poll: dispatchers that start together must not ask together.
+// Start draws the time of the first poll at random, so that dispatchers that start together do not poll
+// together.
 func (s *PollSchedule) Start(now int64, rng *rand.Rand) {
 	s.nextAt = now + rng.Int64N(max(1, min(s.maxInterval/4, startJitter)))
 }
 
-// Begin reports whether discovery is to be asked now, and if so notes that it is.
+// Begin reports whether to poll discovery now, and if so records that a poll is in progress.
 func (s *PollSchedule) Begin(now int64) bool {
 	if s.subscribed || s.inProgress || now < s.nextAt {
 		return false
@@ -35,15 +36,16 @@
 	return true
 }
 
-// Succeed notes that a list or its changes have come.
+// Succeed records that a list or its changes arrived. If a poll was in progress, this begins the
+// subscription.
 func (s *PollSchedule) Succeed() {
 	s.subscribed = s.subscribed || s.inProgress
 	s.inProgress = false
 	s.backoff = 0
 }
 
-// Fail notes that a poll has failed or the subscription broke, and draws the time of the next. That
-// happens to all dispatchers together: they spread out, within what counts as not asking.
+// Fail records that a poll failed or the subscription broke, and draws the time of the next poll at random,
+// since all dispatchers fail together. The backoff stays within maxInterval.
 func (s *PollSchedule) Fail(now int64, rng *rand.Rand) {
 	s.subscribed, s.inProgress = false, false
 	s.backoff = min(max(2*s.backoff, minBackoff), max(s.maxInterval/2, minBackoff))
--- a/placement.go
+++ b/placement.go
@@ -1,22 +1,22 @@
 package foxlift
 
-// Placement, by late binding: which workers suit a job, and what each would cost it.
+// Placement by late binding: the eligibility of a worker for a job and the cost of placing the job there.
 
 import (
 	"slices"
 )
 
 const (
-	// What a worker's cost counts, in jobs of ours that are in flight there.
-	crossZoneCost = 40.0 // a crossing, at prices.crossZone 1; divided by fleetScale, by 8 at most
-	heavyJobCost  = 40.0 // a heavy job at a worker that has just begun its slow start
-	baseFetchCost = 2.0  // a worker's fetch of what a job needs: it takes a slot meanwhile
+	// Placement costs, in units of one job of this dispatcher in flight at the worker.
+	crossZoneCost = 40.0 // a worker of another zone, at prices.crossZone 1; divided by min(fleetScale, 8)
+	heavyJobCost  = 40.0 // a heavy job at a worker early in its slow start
+	baseFetchCost = 2.0  // a worker's fetch of a job's data, which occupies a slot meanwhile
 
-	minHeavyJobWeight = 0.3 // slow-start weight from which a worker gets other than the lightest jobs
+	minHeavyJobWeight = 0.3 // slow-start weight below which only jobs of the lightest class avoid heavyJobCost
 )
 
-// fetchCost is the jobs that a fetch weighs. It takes less of a long job's time; many dispatchers look for
-// free slots first.
+// fetchCost returns the cost of a fetch, in jobs in flight. With many dispatchers it falls for long jobs, as
+// a fetch is then a small part of the run time and a free slot matters more.
 func (d *Dispatcher) fetchCost(j *job) float64 {
 	if !d.manyDispatchers() {
 		return baseFetchCost
@@ -24,11 +24,11 @@
 	return baseFetchCost * min(1, 2*float64(d.minMedianRuntime())/float64(max(1, j.class.runtimes.Median())))
 }
 
-const affinityHeadroom = 1.5 // workers of a key over what its fraction of the jobs would fill
+const affinityHeadroom = 1.5 // workers of a key's affinity set over those that its fraction of the jobs fills
 
-// affinityWorkers returns the workers that are likely to have what the jobs with a key need: all
-// dispatchers send them to the same few without speaking. Many spread a key over as many
-// as its fraction of the jobs seen here asks for, and over one more after each attempt.
+// affinityWorkers returns the affinity set of a job's key: the workers that are likely to have cached the
+// data of the key's jobs. All dispatchers compute the same order without communicating. With many dispatchers
+// the set grows with the key's fraction of the jobs seen here, and by one worker after each attempt.
 func (d *Dispatcher) affinityWorkers(j *job) []*worker {
 	if j.affinityRankedAt != d.endpoints.events {
 		j.affinity, j.affinityPool = d.rankAffinity(j)
@@ -41,7 +41,7 @@
 	return j.affinity[:min(n, len(j.affinity))]
 }
 
-// eligible says whether a worker suits this job.
+// eligible reports whether a job may be placed on a worker now.
 func (d *Dispatcher) eligible(j *job, w *worker) bool {
 	if w.level < 0 || !d.maySend(j, w) {
 		return false
@@ -52,7 +52,7 @@
 	if d.manyDispatchers() && j.class.Effect == AtMostOnce {
 		limit := d.maxUnstarted()
 		if d.inSlowStart(w) {
-			limit *= 2 // it mostly has a free slot, and is paced
+			limit *= 2 // it mostly has a free slot, and sends to it are paced
 		}
 		if d.jobs.unstarted >= limit {
 			return false
@@ -60,10 +60,10 @@
 	}
 	if d.hasCompleteUsage() && w.usedSlots > 0 && j.req.Memory > 0 &&
 		w.usedMemory+j.req.Memory > d.memoryCapacity(w) {
-		return false // it would wait at the head of the queue, and the others behind it
+		return false // it would wait at the head of the worker's queue and block the jobs behind it
 	}
 	if w.outlier.OnTrial() && j.class.Effect == AtMostOnce && d.hasRepeatableClass {
-		return false // a worker that failed is tried with jobs that can be moved
+		return false // a worker that failed gets its trial job from the classes that can be sent again
 	}
 	if !d.slowStartAdmits(j, w) {
 		return false
@@ -76,15 +76,16 @@
 	return true
 }
 
-// slowStartAdmits reports whether a worker bears a job, if it is warming up and no rate is known.
+// slowStartAdmits reports whether slow start lets a worker take a job. Only workers in slow start for which
+// no rate is known are restricted here.
 func (d *Dispatcher) slowStartAdmits(j *job, w *worker) bool {
 	s := &d.capacity.slowStart
 	return !s.NeedsSlot(&w.warmup, d.now) ||
 		s.Admits(&w.warmup, d.now, s.EstimatedWork(j.req.Slots, j.class.LatencyObjective))
 }
 
-// placementCost rates a worker among equals: the fraction of a job's worth that is likely
-// lost there, and the jobs that a crossing or a fetch stands for.
+// placementCost returns the cost of a worker relative to others of its level, in jobs in flight there. It
+// adds up the worker's pressure, its zone, a new connection, its latency and the risk that no slot is free.
 func (d *Dispatcher) placementCost(j *job, w *worker) float64 {
 	cost := d.capacity.reports.Pressure(&w.report, j.req.Slots, d.now) / 2
 	if cost >= 0.45 {
@@ -103,8 +104,8 @@
 		j.class.runtimes.Median() > d.minMedianRuntime():
 		cost += heavyJobCost
 	case j.class.Effect == AtMostOnce || d.remainingAttempts(j) == 1:
-		cost += w.outlier.Cost(d.now) // it stays where it is sent: best where one of ours has just started
-	case !d.inSlowStart(w): // which are paced
+		cost += w.outlier.Cost(d.now) // it cannot be moved, so a recent prompt start weighs in full
+	case !d.inSlowStart(w): // sends to workers in slow start are paced
 		cost += w.outlier.Cost(d.now) / 10
 	}
 	return cost
--- a/snapshot.go
+++ b/snapshot.go
@@ -1,6 +1,6 @@
 package foxlift
 
-// What a dispatcher has learned, so that another process of the same scheduler can go on from it.
+// Snapshots of a dispatcher's learned state, with which another process of the same scheduler can continue.
 // Nothing is decided here.
 
 import (
@@ -11,11 +11,11 @@
 	"github.com/vatu-meals/foxlift/internal/decision/health"
 )
 
-// A Snapshot is what a Dispatcher has learned, without its jobs. Times are on its clock, in
-// nanoseconds. It is stored and sent as JSON: the tags keep the names of its first form.
+// A Snapshot holds the learned state of a Dispatcher without its jobs. Times are in nanoseconds on the
+// dispatcher's clock. It is stored and sent as JSON: the tags keep the field names of its first version.
 type Snapshot struct {
-	Now              int64            `json:"Now"`    // when it was taken
-	ControlPeriods   int64            `json:"Period"` // of the regulator
+	Now              int64            `json:"Now"`    // time of the snapshot
+	ControlPeriods   int64            `json:"Period"` // control periods of the rate controller
 	AdmissionRate    float64          `json:"U"`
 	Unthrottled      bool             `json:"Open"`
 	OfferedRate      float64          `json:"Offered"` // jobs a second
@@ -27,21 +27,21 @@
 	StartDelay       MeanSnapshot     `json:"Starts"`
 	MinDelay         [4]int64         `json:"Least"`
 	PressureDecay    int64            `json:"Fade"`
-	PeakWorkerRate   float64          `json:"Rate"`    // slots that each warm worker has at work, the held peak
-	RecentWorkerRate float64          `json:"RateNow"` // and the same lately
+	PeakWorkerRate   float64          `json:"Rate"`    // slots in use at each warm worker, held peak
+	RecentWorkerRate float64          `json:"RateNow"` // recent average of the same
 	Keys             []uint64         `json:"Keys"`
 	Classes          []ClassSnapshot  `json:"Classes"`
 	Tenants          []TenantSnapshot `json:"Tenants"`
 	Workers          []WorkerSnapshot `json:"Workers"`
 }
 
-// A MeanSnapshot is a followed average with its mean deviation.
+// A MeanSnapshot holds a moving average and its mean deviation.
 type MeanSnapshot struct {
 	Average   float64 `json:"Average"`
 	Deviation float64 `json:"Deviation"`
 }
 
-// A ClassSnapshot is the state of a class's regulator.
+// A ClassSnapshot holds the state of a class's latency control loop and its recent run times.
 type ClassSnapshot struct {
 	Name          string        `json:"Name"`
 	Patience      int64         `json:"Patience"`
@@ -51,12 +51,12 @@
 	Ratios        []float64     `json:"Ratios"`
 	Parameters    [3]float64    `json:"Parameters"`
 	Covariance    [3][3]float64 `json:"Covariance"`
-	Input         float64       `json:"Input"`     // u(k-1), as a fraction of the greatest
-	PreviousInput float64       `json:"LastInput"` // u(k-2), as a fraction of the greatest
+	Input         float64       `json:"Input"`     // u(k-1), as a fraction of the maximum
+	PreviousInput float64       `json:"LastInput"` // u(k-2), as a fraction of the maximum
 	Output        float64       `json:"Output"`    // w(k-1)
 }
 
-// A TenantSnapshot is the state of a tenant's admission.
+// A TenantSnapshot holds the admission state of a tenant.
 type TenantSnapshot struct {
 	Name        string    `json:"Name"`
 	Rate        float64   `json:"Rate"`
@@ -68,10 +68,10 @@
 	Sends       []float64 `json:"Sent"` // by class
 }
 
-// A WorkerSnapshot is what is known of one run of a worker.
+// A WorkerSnapshot holds the state learned of one process of a worker.
 type WorkerSnapshot struct {
 	ID                    string   `json:"ID"`
-	StartedAt             int64    `json:"Started"` // the start of its process; what is learned holds for no other
+	StartedAt             int64    `json:"Started"` // start of the process, to which alone the state applies
 	ConcurrencyLimit      float64  `json:"Cap"`
 	LimitLearned          bool     `json:"Capped"`
 	ReportedSlots         float64  `json:"Most"`
@@ -88,7 +88,7 @@
 	Keys                  []uint64 `json:"Keys"`
 }
 
-// Snapshot returns what the dispatcher has learned.
+// Snapshot returns the learned state of the dispatcher, without removed workers.
 func (d *Dispatcher) Snapshot() *Snapshot {
 	rate := d.rate.State()
 	s := &Snapshot{
@@ -115,8 +115,8 @@
 	return s
 }
 
-// Restore takes over what another dispatcher with the same settings has learned. What the snapshot says of
-// classes, tenants or workers that are not known here, or of another run of a worker, is left out.
+// Restore replaces the learned state by that of another dispatcher with the same settings. Entries for
+// classes, tenants or workers that this dispatcher does not have, or for another process of a worker, are skipped.
 func (d *Dispatcher) Restore(s *Snapshot) {
 	d.rate.Restore(admission.RateState{
 		Periods: s.ControlPeriods, AdmissionRate: s.AdmissionRate, Unthrottled: s.Unthrottled, OfferedRate: s.OfferedRate,
@@ -151,7 +151,7 @@
 	}
 }
 
-// tenantName returns the name of a tenant by its index; "" for the requests of no known one.
+// tenantName returns the name of the tenant with an index, or "" for the entry of requests without a known tenant.
 func (d *Dispatcher) tenantName(i int) string {
 	if i < len(d.cfg.Tenants) {
 		return d.cfg.Tenants[i].Name
--- a/worker_search.go
+++ b/worker_search.go
@@ -1,6 +1,6 @@
 package foxlift
 
-// The search for a job's worker: which of them are looked at.
+// The search for a job's worker: which workers are examined.
 
 import (
 	"math"
@@ -9,11 +9,11 @@
 )
 
 const (
-	sampleSize  = 24   // workers looked at for one job, of those with as many slots of ours
-	maxFullScan = 1024 // workers that are all looked at for a job that may go anywhere but where it failed
+	sampleSize  = 24   // workers sampled for one job at each level of Dispatcher.free
+	maxFullScan = 1024 // most workers all examined for a retry that may go anywhere but where it failed
 )
 
-// A workerSearch finds the worker that costs a job least.
+// A workerSearch finds the worker with the least cost for a job.
 type workerSearch struct {
 	d        *Dispatcher
 	j        *job
@@ -21,9 +21,9 @@
 	bestCost float64
 }
 
-// pickWorker finds the worker for a job: of those with room, the one with the fewest slots of ours, a
-// crossing of zones and a fetch counting as some more, and ties going to the one that promises most. It
-// is nil if none may.
+// pickWorker returns the worker for a job, or nil if no worker is eligible. It chooses the least cost: the
+// worker's level, which is the slots in use there, plus placementCost and the cost of a fetch. While the
+// endpoint list is stale it chooses among workers that accepted a job lately (pickAccepting).
 func (d *Dispatcher) pickWorker(j *job) *worker {
 	if !d.endpoints.lease.Fresh(d.now) {
 		return d.pickAccepting(j)
@@ -32,7 +32,7 @@
 	if j.req.Key != 0 && (d.manyDispatchers() || d.cfg.Prices.Fetch > 0) {
 		s.searchAffinity()
 		if j.class.Effect != AtMostOnce && d.manyDispatchers() && s.bestCost < health.NoFreeSlotCost {
-			return s.best // it mostly has a slot free, or soon
+			return s.best // the worker mostly has a free slot, or soon will
 		}
 	}
 	for level := 0; level < d.free.numLevels && float64(level) < s.bestCost; level++ {
@@ -41,8 +41,8 @@
 	return s.best
 }
 
-// consider looks at a worker, at a cost beside that of its own; cached says that it surely has what the
-// job needs.
+// consider examines a worker and keeps it if it is the cheapest so far. extraCost is added to its
+// placementCost; unless cached is true, so is the cost of a fetch where the worker lacks the job's key.
 func (s *workerSearch) consider(w *worker, extraCost float64, cached bool) {
 	d, j := s.d, s.j
 	d.workersExamined++
@@ -57,7 +57,7 @@
 	}
 }
 
-// searchAffinity looks at the workers that are likely to have what jobs with the key need.
+// searchAffinity examines the affinity set of the job's key, except workers that report no free slots.
 func (s *workerSearch) searchAffinity() {
 	d := s.d
 	workers := d.affinityWorkers(s.j)
@@ -69,8 +69,8 @@
 	}
 }
 
-// searchLevel looks at the workers of one level: at all if they are few, or at a sample and at those that
-// have reported last.
+// searchLevel examines the workers of one level: all of them if they are few or if the job may have run
+// already, else a random sample and the workers that reported last.
 func (s *workerSearch) searchLevel(level int) {
 	d, j := s.d, s.j
 	workers := d.free.view(j.class.Kind, level)
