--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,8 +1,8 @@
-// Package guard holds the platform's rules as invariants of single actions: what is known just before
-// the scheduler sends, repeats or closes goes in, the invariant that the action would violate comes out.
-// The checks are pure and own no state; the caller gives up the action and counts the violation. Other
-// code is written so that none is ever violated: a count over zero is a defect there
-// (docs/operate/service.md).
+// Package guard checks the platform's rules as invariants of single actions. The input of a check is what is
+// known just before the scheduler sends bytes, repeats a job or closes a connection; the result is the
+// invariant that the action would violate. The checks are pure functions without state. The caller cancels
+// the action and counts the violation. The rest of the scheduler is written so that no invariant is ever
+// violated: a count above zero is a defect there (docs/operate/service.md).
 package guard
 
 import (
@@ -11,54 +11,55 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// An Invariant is one of the platform's rules, by the name under which its violations are counted.
+// An Invariant is one of the platform's rules. Its value is the name under which violations are counted.
 type Invariant string
 
 // The invariants.
 const (
-	None Invariant = "" // nothing is violated
+	None Invariant = "" // no invariant is violated
 
-	// WorkerDrained: nothing is sent to a worker past the grace after it began to drain or was removed.
+	// WorkerDrained: no attempt is sent to a worker later than the grace period after it began draining or
+	// was removed.
 	WorkerDrained Invariant = "drain"
-	// LeaseExpired: nothing is sent by an endpoint list that may not be used any more.
+	// LeaseExpired: no attempt is sent on the basis of an endpoint list that may no longer be used.
 	LeaseExpired Invariant = "lease"
-	// ClientDisconnected: no attempt begins for a client that has disconnected.
+	// ClientDisconnected: no attempt is started for a client that has disconnected.
 	ClientDisconnected Invariant = "gone"
-	// DeadlineExceeded: a worker is told of no more time than the client's deadline leaves.
+	// DeadlineExceeded: the time announced to a worker does not exceed the time until the client's deadline.
 	DeadlineExceeded Invariant = "deadline"
-	// DuplicateRun: what may have run is repeated only as its class allows.
+	// DuplicateRun: a job that may already have run is repeated only if its class allows that.
 	DuplicateRun Invariant = "duplicate"
-	// Unanswered: a client whose job was accepted gets an answer before the connection is closed.
+	// Unanswered: a connection is not closed before the client has an answer to each accepted job.
 	Unanswered Invariant = "lost"
 )
 
-// Counter returns the name of the counter of an invariant's violations.
+// Counter returns the name of the counter of the invariant's violations.
 func (i Invariant) Counter() string { return "invariant." + string(i) }
 
-// Invariants are all invariants, in the order of their checks.
+// Invariants lists all invariants, in the order in which they are checked.
 var Invariants = []Invariant{
 	WorkerDrained, LeaseExpired, ClientDisconnected, DeadlineExceeded, DuplicateRun, Unanswered,
 }
 
 const (
-	// DisconnectTolerance is how long after a client has disconnected an attempt may still begin.
+	// DisconnectTolerance is how long after a client's disconnection an attempt may still be started.
 	DisconnectTolerance = 100 * time.Millisecond
-	// DeadlineTolerance is by how much the time that a worker is told may exceed what is left.
+	// DeadlineTolerance is by how much the time announced to a worker may exceed the remaining time.
 	DeadlineTolerance = 150 * time.Millisecond
 )
 
-// A Send is what is known when bytes of an attempt are about to be written.
+// A Send describes a write of bytes of an attempt that is about to happen.
 type Send struct {
-	State           foxlift.WorkerState // of its worker in the endpoint list
-	UnavailableFor  time.Duration       // since the list has had the worker in this state, if not live
-	Grace           time.Duration       // after which nothing more may begin there
-	DisconnectedFor time.Duration       // since the client was seen to have disconnected; 0: it has not
-	AnnouncedTime   time.Duration       // that the worker is told until the deadline
-	RemainingTime   time.Duration       // that really remains
-	LastByte        bool                // all but the last byte was written within the grace
+	State           foxlift.WorkerState // of the worker in the endpoint list
+	UnavailableFor  time.Duration       // how long the list has had the worker in State, if not Live
+	Grace           time.Duration       // how long attempts may be sent in such a state
+	DisconnectedFor time.Duration       // time since the client disconnected; 0: it is connected
+	AnnouncedTime   time.Duration       // time until the deadline as announced to the worker
+	RemainingTime   time.Duration       // actual time until the deadline
+	LastByte        bool                // all bytes but the last were written within the grace period
 }
 
-// Check returns the invariant that the write would violate.
+// Check returns the first invariant that the write would violate, or None.
 func (s Send) Check() Invariant {
 	switch {
 	case s.State != foxlift.Live && s.UnavailableFor > s.Grace && !s.LastByte:
@@ -71,16 +72,16 @@
 	return None
 }
 
-// A Repeat is what is known when a job is about to be handed to a worker.
+// A Repeat describes an attempt of a job that is about to be assigned to a worker.
 type Repeat struct {
-	EndpointsTrusted bool           // the endpoint list may be used, if only for some workers
+	EndpointsTrusted bool           // the endpoint list may be used, at least for some workers
 	Effect           foxlift.Effect // of the job's class
-	MayHaveRun       bool           // an earlier attempt may have run, or may yet
-	SameGroup        bool           // the worker drops repeats of what that attempt's worker may have run
-	WindowRemaining  time.Duration  // for which it does so
+	MayHaveRun       bool           // an earlier attempt may have run or may still run
+	SameGroup        bool           // the worker rejects duplicates of jobs that the earlier attempt's worker may have run
+	WindowRemaining  time.Duration  // remaining time during which it does so
 }
 
-// Check returns the invariant that the attempt would violate.
+// Check returns the first invariant that the attempt would violate, or None.
 func (r Repeat) Check() Invariant {
 	switch {
 	case !r.EndpointsTrusted:
@@ -93,13 +94,13 @@
 	return DuplicateRun
 }
 
-// A Close is what is known when the scheduler ends a client's connection.
+// A Close describes a client's connection that the scheduler is about to close.
 type Close struct {
-	AnswerPending bool // a job was accepted from it and not answered
-	Disconnected  bool // the client has ended it
+	AnswerPending bool // an accepted job of the client is not answered
+	Disconnected  bool // the client has closed the connection
 }
 
-// Check returns the invariant that the close would violate.
+// Check returns the invariant that closing the connection would violate, or None.
 func (c Close) Check() Invariant {
 	if c.AnswerPending && !c.Disconnected {
 		return Unanswered
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -9,6 +9,8 @@
 
 const grace = 750 * time.Millisecond
 
+// Send.Check reports a write outside the grace period, the disconnect tolerance or the deadline tolerance,
+// and accepts the limits themselves.
 func TestSend(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -16,42 +18,44 @@
 		want   Invariant
 	}{
 		{"live", func(*Send) {}, None},
-		{"draining, within the grace", func(s *Send) {
+		{"draining, within the grace period", func(s *Send) {
 			s.State, s.UnavailableFor = foxlift.Draining, grace
 		}, None},
-		{"draining, past it", func(s *Send) {
+		{"draining, after the grace period", func(s *Send) {
 			s.State, s.UnavailableFor = foxlift.Draining, grace+1
 		}, WorkerDrained},
-		{"removed, past it", func(s *Send) {
+		{"removed, after the grace period", func(s *Send) {
 			s.State, s.UnavailableFor = foxlift.Removed, time.Hour
 		}, WorkerDrained},
-		{"its last byte", func(s *Send) {
+		{"removed, last byte of the attempt", func(s *Send) {
 			s.State, s.UnavailableFor, s.LastByte = foxlift.Removed, time.Hour, true
 		}, None},
-		{"disconnected just now", func(s *Send) {
+		{"disconnected, within the tolerance", func(s *Send) {
 			s.DisconnectedFor = DisconnectTolerance
 		}, None},
-		{"disconnected", func(s *Send) {
+		{"disconnected, beyond the tolerance", func(s *Send) {
 			s.DisconnectedFor = DisconnectTolerance + 1
 		}, ClientDisconnected},
-		{"told of a little more", func(s *Send) {
+		{"announced time within the tolerance", func(s *Send) {
 			s.AnnouncedTime += DeadlineTolerance
 		}, None},
-		{"told of more", func(s *Send) {
+		{"announced time beyond the tolerance", func(s *Send) {
 			s.AnnouncedTime += DeadlineTolerance + 1
 		}, DeadlineExceeded},
-		{"its time is over", func(s *Send) {
+		{"deadline in the past", func(s *Send) {
 			s.AnnouncedTime, s.RemainingTime = DeadlineTolerance+1, -time.Second
 		}, DeadlineExceeded},
 	} {
 		send := Send{Grace: grace, AnnouncedTime: time.Second, RemainingTime: time.Second}
 		c.change(&send)
 		if got := send.Check(); got != c.want {
-			t.Errorf("%s: %q, want %q", c.name, got, c.want)
+			t.Errorf("%s: Check() = %q, want %q", c.name, got, c.want)
 		}
 	}
 }
 
+// Repeat.Check accepts a repeat of a job that may have run only for idempotent classes, or for deduplicated
+// classes within the window of the same group of workers.
 func TestRepeat(t *testing.T) {
 	for _, c := range []struct {
 		repeat Repeat
@@ -75,33 +79,37 @@
 		}, DuplicateRun},
 	} {
 		if got := c.repeat.Check(); got != c.want {
-			t.Errorf("%+v: %q, want %q", c.repeat, got, c.want)
+			t.Errorf("%+v: Check() = %q, want %q", c.repeat, got, c.want)
 		}
 	}
 }
 
+// Close.Check reports only a close that leaves a connected client without an answer.
 func TestClose(t *testing.T) {
 	for c, want := range map[Close]Invariant{
-		{}: None, {AnswerPending: true}: Unanswered, {AnswerPending: true, Disconnected: true}: None, {Disconnected: true}: None,
+		{}:                    None,
+		{AnswerPending: true}: Unanswered,
+		{AnswerPending: true, Disconnected: true}: None,
+		{Disconnected: true}:                      None,
 	} {
 		if got := c.Check(); got != want {
-			t.Errorf("%+v: %q, want %q", c, got, want)
+			t.Errorf("%+v: Check() = %q, want %q", c, got, want)
 		}
 	}
 }
 
-// The counters' names are what pages and alerts name.
+// Documentation and alerts use the names of the counters, so that they must not change.
 func TestCounterNames(t *testing.T) {
 	want := []string{
 		"invariant.drain", "invariant.lease", "invariant.gone",
 		"invariant.deadline", "invariant.duplicate", "invariant.lost",
 	}
 	if len(Invariants) != len(want) {
-		t.Fatalf("%d invariants, want %d", len(Invariants), len(want))
+		t.Fatalf("Invariants has %d elements, want %d", len(Invariants), len(want))
 	}
 	for i, invariant := range Invariants {
 		if got := invariant.Counter(); got != want[i] {
-			t.Errorf("%q, want %q", got, want[i])
+			t.Errorf("Counter() = %q, want %q", got, want[i])
 		}
 	}
 }
--- a/internal/pollpacing/pacer.go
+++ b/internal/pollpacing/pacer.go
@@ -1,10 +1,10 @@
-// Package pollpacing decides when a scheduler polls discovery: how long a watch may be held, when
-// a call that is silent is broken off, and the backoff before the next one. Schedulers neither see
-// nor message each other here; each draws its delays from bounds that depend on how many schedulers
-// the fleet has, so that all of them together do not overload discovery.
+// Package pollpacing decides when a scheduler polls discovery: how long discovery may hold a watch, when a
+// call without an answer is canceled, and the backoff before the next call. The schedulers exchange no
+// messages for this; each draws its delays at random from bounds that depend on the number of schedulers in
+// the fleet, so that all of them together do not overload discovery.
 //
-// The package has no I/O and no clock. A Pacer owns the counts of recent failures of one
-// scheduler's calls; the caller reports each call's outcome and waits as it is told.
+// The package has no I/O and no clock. A Pacer owns the counts of recent failures of one scheduler's calls;
+// the caller reports the outcome of each call and waits for the returned delay.
 package pollpacing
 
 import (
@@ -17,117 +17,118 @@
 
 // The outcomes of a call.
 const (
-	Answered    Outcome = iota // with an endpoint list or its changes
-	Overloaded                 // refused by discovery itself, after a wait in its queue or at once
-	Unanswered                 // no answer within the time allowed
-	Unreachable                // no connection, or it ended without an answer
+	Answered    Outcome = iota // answered with an endpoint list or its changes
+	Overloaded                 // refused by discovery, after a wait in its queue or at once
+	Unanswered                 // no answer within the timeout
+	Unreachable                // no connection, or the connection ended without an answer
 	Invalid                    // an answer that cannot be used
-	Oversized                  // an answer over the size bound: the next one will be, too
+	Oversized                  // an answer above the size limit; the next answer is expected to be as large
 )
 
-// Bounds of single calls. Once discovery has a change and can be reached, the change is in force
-// here within MaxPropagationDelay, whatever became of the calls before. The longest sequence is a
-// call that is lost, the backoff after it, and a call that is answered:
+// Bounds of single calls. Once discovery has a change and is reachable, the scheduler applies the change
+// within MaxPropagationDelay, whatever the outcomes of the earlier calls. The longest sequence is a call that
+// fails, the backoff after it, and a call that is answered:
 //
-//	timeout of the lost call + backoff + answerDelay + schedulingDelay <= MaxPropagationDelay
+//	timeout of the failed call + backoff + answerDelay + schedulingDelay <= MaxPropagationDelay
 //
-//	a watch that times out     3.4 s + 0.7 s  + 0.25 s + 1.3 s + 0.25 s = 5.9 s
-//	a list that never comes    3.4 s          + 0.25 s + 1.3 s + 0.25 s = 5.2 s
-//	refused after w in the queue, at most 3 s: w + (4.45 s - w)  + ...  = 6.0 s
-//	no connection, at once or after 1 s:  1 s + 3.45 s           + ...  = 6.0 s
+//	watch that times out          3.4 s + 0.7 s + 0.25 s + 1.3 s + 0.25 s = 5.9 s
+//	complete list that times out  3.4 s         + 0.25 s + 1.3 s + 0.25 s = 5.2 s
+//	refused after w in the queue, at most 3 s:  w + (4.45 s - w) + ...    = 6.0 s
+//	no connection, at once or after 1 s:      1 s + 3.45 s       + ...    = 6.0 s
 //
-// Calls that are refused again and again can exceed it: nobody can tell then whether discovery has
-// too many callers or is down. To send nothing by a list that old costs more jobs than it saves
-// (docs/design/moments.md).
+// Repeatedly refused calls can exceed the bound: a scheduler cannot distinguish then whether discovery has
+// too many callers or is down. Sending no jobs on the basis of a list of that age would lose more jobs than
+// it saves (docs/design/moments.md).
 const (
-	// MaxPropagationDelay is how long a change that discovery has may take to be in force here.
+	// MaxPropagationDelay is the maximum time from a change at discovery until this scheduler applies it.
 	MaxPropagationDelay = 6 * time.Second
-	// AnswerBudget is the part of MaxPropagationDelay from the start of a call that is answered
-	// until its change is in force.
+	// AnswerBudget is the part of MaxPropagationDelay from the start of a call that is answered until the
+	// scheduler applies the change.
 	AnswerBudget = answerDelay + schedulingDelay
-	// DialTimeout bounds a connection to a discovery that schedulers share.
+	// DialTimeout bounds the time to connect to a discovery service that schedulers share.
 	DialTimeout = time.Second
-	// MinQueueWait is the shortest wait in discovery's queue: a call refused sooner was not queued.
+	// MinQueueWait is the shortest wait in discovery's queue: a call that is refused sooner was not queued.
 	MinQueueWait = 250 * time.Millisecond
 
-	answerDelay     = 1300 * time.Millisecond // for a call's wait in discovery's queue and its answer
-	schedulingDelay = 250 * time.Millisecond  // lost by a scheduler that has a fraction of a core
+	answerDelay     = 1300 * time.Millisecond // for the wait of a call in discovery's queue and its answer
+	schedulingDelay = 250 * time.Millisecond  // delay of a scheduler process that has only a fraction of a core
 	failureBudget   = MaxPropagationDelay - answerDelay - schedulingDelay
 
 	maxWatchHold           = 3400 * time.Millisecond // how long discovery may hold a watch
-	watchHoldJitterDivisor = 4                       // up to this part less, so that watches do not end together
-	watchAnswerGrace       = 700 * time.Millisecond  // for the answer after a watch's hold
-	pollTimeout            = 3400 * time.Millisecond // for the complete list: discovery gives up after 3 s
+	watchHoldJitterDivisor = 4                       // holds vary by up to 1/4, so that watches do not end together
+	watchAnswerGrace       = 700 * time.Millisecond  // for the answer after the hold of a watch
+	pollTimeout            = 3400 * time.Millisecond // for the complete list; discovery refuses a call after 3 s
 )
 
-// Bounds of calls to an agent. It serves one scheduler alone, so that polling it often costs nobody.
+// Bounds of calls to an agent. An agent serves only one scheduler, so that frequent polls affect no other.
 const (
 	agentWatchHold = 2 * time.Second
-	agentTimeout   = 400 * time.Millisecond // for its answer, and for a connection to it
+	agentTimeout   = 400 * time.Millisecond // for its answer, and for connecting to it
 	agentBackoff   = 100 * time.Millisecond
 )
 
-// Bounds of all schedulers' calls together. With n schedulers:
+// Bounds of the calls of all schedulers together. With n schedulers:
 //
-//   - calls that fail at once are repeated within n/maxFailedCallRate seconds, on average after half
-//     of that: 2 x maxFailedCallRate calls a second in sum, up to the n at which MaxPropagationDelay
-//     asks for more;
-//   - calls that were refused after a wait w are repeated within max(w, n/maxFailedCallRate) at
-//     first, or as MaxPropagationDelay asks: a refused call costs discovery a place in its queue, no
-//     work;
-//   - calls that were refused at once met a discovery that no longer queues: each costs it work, and
-//     the backoff doubles;
-//   - first calls come at most maxFirstCallRate a second;
-//   - calls that timed out are repeated within maxTimeoutBackoff: they ended after holds that the
-//     schedulers draw at random, and a discovery that does not answer has no queue;
-//   - calls whose answer was oversized are repeated after a backoff that doubles up to
-//     maxOversizedBackoff: each costs discovery the complete list and makes nothing known. The first
-//     two keep MaxPropagationDelay, should a length have been corrupted on the way.
+//   - Calls that fail at once are repeated within n/maxFailedCallRate seconds, on average after half of that:
+//     2 x maxFailedCallRate calls per second in total, up to the n at which MaxPropagationDelay requires
+//     more.
+//   - Calls that were refused after a wait w are repeated within max(w, n/maxFailedCallRate) at first, or
+//     sooner if MaxPropagationDelay requires it: a refused call uses a place in discovery's queue but no
+//     work.
+//   - A call that is refused at once shows that discovery no longer queues calls: each such call costs it
+//     work, and the backoff doubles.
+//   - First calls arrive at a rate of at most maxFirstCallRate per second.
+//   - Calls that timed out are repeated within maxTimeoutBackoff: they ended after holds that the schedulers
+//     draw at random, and a discovery service that does not answer has no queue.
+//   - Calls with an oversized answer are repeated after a backoff that doubles up to maxOversizedBackoff:
+//     each makes discovery send the complete list without any use. The first two repetitions keep
+//     MaxPropagationDelay, in case a length was corrupted in transit.
 const (
-	maxFailedCallRate        = 100.0
-	maxFirstCallRate         = 300.0
-	firstCallJitter          = time.Second            // the window of the first calls of a small fleet
+	maxFailedCallRate        = 100.0                  // calls per second, see above
+	maxFirstCallRate         = 300.0                  // calls per second
+	firstCallJitter          = time.Second            // window of the first calls of a small fleet
 	maxTimeoutBackoff        = 250 * time.Millisecond // after a call that timed out
-	minBackoff               = 50 * time.Millisecond  // between two calls of one scheduler
-	maxSmallFleetBackoff     = time.Second            // to which the backoff of a small fleet grows
-	maxNewEndpointBackoff    = 500 * time.Millisecond // after another discovery has been named,
-	newEndpointAttempts      = 16                     // for so many failures
-	maxSchedulers            = 1_000_000
-	firstOversizedBackoff    = time.Second // the upper bound after the first oversized answer
-	maxOversizedBackoff      = 64 * time.Second
-	oversizedRetriesInBudget = 2 // oversized answers after which the backoff keeps MaxPropagationDelay
+	minBackoff               = 50 * time.Millisecond  // between two calls of one scheduler, after a failure
+	maxSmallFleetBackoff     = time.Second            // limit of the growing backoff of a small fleet
+	maxNewEndpointBackoff    = 500 * time.Millisecond // after the address of discovery has changed,
+	newEndpointAttempts      = 16                     // for this number of failed calls
+	maxSchedulers            = 1_000_000              // a larger fleet is paced like one of this size
+	firstOversizedBackoff    = time.Second            // upper bound after the first oversized answer
+	maxOversizedBackoff      = 64 * time.Second       // upper bound after any oversized answer
+	oversizedRetriesInBudget = 2                      // oversized answers whose backoff keeps MaxPropagationDelay
 
-	maxDoublings = 16 // of a backoff: more would overflow and change nothing
+	maxDoublings = 16 // limit of the exponent of a backoff: more would overflow, and have no effect
 )
 
-// A Pacer says how long to wait before each call to discovery. It is not safe for concurrent use.
+// A Pacer computes the delay before each call to discovery, and the timeouts of the call. It is not safe for
+// concurrent use.
 type Pacer struct {
-	schedulers int
-	maxBackoff time.Duration // 0: no bound
+	schedulers int           // number of schedulers that share discovery
+	maxBackoff time.Duration // limit of every delay but those after oversized answers; 0: no limit
 	rng        *rand.Rand
-	agent      bool
+	agent      bool // whether an agent is called
 
-	queuedRejections    int // calls in a row that were refused after a wait in the queue
-	failures            int // calls in a row that failed at once
-	immediateRejections int // since the last answer, calls that were refused at once
-	oversizedAnswers    int // since the last answer within the size bound
-	newEndpointCalls    int // calls left for which the discovery counts as just named
+	queuedRejections    int // consecutive calls that were refused after a wait in the queue
+	failures            int // consecutive calls that failed at once
+	immediateRejections int // calls that were refused at once since the last answer
+	oversizedAnswers    int // oversized answers since the last usable one
+	newEndpointCalls    int // remaining failed calls for which the address of discovery counts as new
 }
 
-// NewPacer returns the pacer of one of n schedulers that share a discovery. No delay is longer than
-// maxBackoff: the time that may pass without a call until the endpoint list counts as known; 0 for
-// no bound.
+// NewPacer returns the pacer of one of a number of schedulers that share a discovery service. maxBackoff is
+// the time that may pass without a call while the endpoint list counts as known. It limits every delay but
+// those after oversized answers; 0 means no limit.
 func NewPacer(schedulers int, maxBackoff time.Duration, rng *rand.Rand) *Pacer {
 	return &Pacer{schedulers: min(max(1, schedulers), maxSchedulers), maxBackoff: maxBackoff, rng: rng}
 }
 
-// NewAgentPacer returns the pacer of a scheduler to which lists are pushed: of calls to an agent
-// that serves no other.
+// NewAgentPacer returns the pacer of a scheduler that receives its lists from an agent, which serves no other
+// scheduler.
 func NewAgentPacer(rng *rand.Rand) *Pacer {
 	return &Pacer{schedulers: 1, rng: rng, agent: true}
 }
 
-// WatchHold returns how long discovery may hold the next watch.
+// WatchHold returns how long discovery may hold the next watch, drawn at random.
 func (p *Pacer) WatchHold() time.Duration {
 	hold := maxWatchHold
 	if p.agent {
@@ -136,19 +137,19 @@
 	return hold - time.Duration(p.rng.Int64N(int64(hold/watchHoldJitterDivisor)))
 }
 
-// Timeout returns how long a call may take that discovery may hold for hold; 0 for one that asks for
-// the complete list.
+// Timeout returns the timeout of a call that discovery may hold for the given time. The hold of a call for
+// the complete list is 0.
 func (p *Pacer) Timeout(hold time.Duration) time.Duration {
 	switch {
 	case p.agent:
 		return hold + agentTimeout
-	case hold <= pollTimeout-watchAnswerGrace: // it may be queued for as long as a complete list
+	case hold <= pollTimeout-watchAnswerGrace: // such a call may be queued for as long as one for the complete list
 		return pollTimeout
 	}
 	return hold + watchAnswerGrace
 }
 
-// DialTimeout returns how long a connection to discovery may take.
+// DialTimeout returns the timeout of connecting to discovery.
 func (p *Pacer) DialTimeout() time.Duration {
 	if p.agent {
 		return agentTimeout
@@ -156,8 +157,8 @@
 	return DialTimeout
 }
 
-// InitialDelay returns the delay before the first call after a start. No call has failed yet: it is
-// shorter than those that follow may be.
+// InitialDelay returns the delay before the first call after a start. As no call has failed yet, it is at
+// most an eighth of maxBackoff.
 func (p *Pacer) InitialDelay() time.Duration {
 	if p.agent {
 		return 0
@@ -170,14 +171,15 @@
 	return delay
 }
 
-// EndpointChanged notes that another discovery is called from now on, at once: the failures of the
-// last one say nothing of it.
+// EndpointChanged records that the address of discovery has changed and is called without delay. The failures
+// of the previous address are discarded.
 func (p *Pacer) EndpointChanged() {
 	p.resetFailures()
 	p.newEndpointCalls = newEndpointAttempts
 }
 
-// NextDelay notes the outcome of a call that took elapsed and returns the delay before the next one.
+// NextDelay records the outcome of a call that took the elapsed time, and returns the delay before the next
+// call; 0 after an answer.
 func (p *Pacer) NextDelay(outcome Outcome, elapsed time.Duration) time.Duration {
 	fleetWindow := seconds(float64(p.schedulers) / maxFailedCallRate)
 	low, high := minBackoff, time.Duration(0)
@@ -191,8 +193,8 @@
 	case p.agent:
 		return p.jitter(minBackoff, agentBackoff)
 	case outcome == Unanswered:
-		// The queue is not the cause: a call that waits too long there is refused before it is
-		// broken off. A change that was missed has to be known soon.
+		// The queue is not the cause: a call that waits too long there is refused before its timeout. A
+		// change that was missed has to arrive soon.
 		p.queuedRejections, p.failures = 0, 0
 		high = min(fleetWindow, maxTimeoutBackoff)
 	case outcome == Overloaded && (p.immediateRejections > 0 || elapsed < MinQueueWait):
@@ -202,9 +204,9 @@
 		backoff := max(fleetWindow, maxSmallFleetBackoff/2) << p.immediateRejections
 		high = min(failureBudget-elapsed, backoff)
 	case outcome == Overloaded:
-		// The first time, a call that waited w is repeated within w: by then the queue that had no
-		// room has been served. A scheduler that was refused more often comes back sooner than the
-		// others, else some are never served.
+		// The first time, a call that waited w is repeated within w: by then discovery has served the queue
+		// that was full. A scheduler that was refused more often calls again sooner than the other
+		// schedulers; otherwise some would never be served.
 		p.failures = 0
 		p.queuedRejections++
 		backoff := min(max(elapsed, fleetWindow), failureBudget-elapsed)
@@ -213,19 +215,20 @@
 		low, high = p.failureBounds(fleetWindow)
 	}
 	if p.newEndpointCalls > 0 {
-		// What the new discovery has binds 4 s after the change: all schedulers call it at first.
+		// The list of the new address is binding 4 s after the change, and all schedulers call it at first.
 		low, high = minBackoff, min(fleetWindow, maxNewEndpointBackoff)
 		p.newEndpointCalls--
 	}
 	return p.jitter(low, high)
 }
 
-// resetFailures forgets what is known of a discovery's failures.
+// resetFailures sets the counts of failures to 0.
 func (p *Pacer) resetFailures() {
 	p.queuedRejections, p.failures, p.immediateRejections, p.oversizedAnswers = 0, 0, 0, 0
 }
 
-// oversizedDelay returns the delay after an oversized answer: half of the window at least.
+// oversizedDelay returns the delay after an oversized answer: at random from half of the backoff window up to
+// the whole window.
 func (p *Pacer) oversizedDelay(fleetWindow, elapsed time.Duration) time.Duration {
 	backoff := min(maxOversizedBackoff, firstOversizedBackoff<<p.oversizedAnswers)
 	window := max(fleetWindow, backoff)
@@ -236,9 +239,9 @@
 	return window/2 + time.Duration(p.rng.Int64N(int64(window/2)))
 }
 
-// failureBounds returns the bounds of the delay after a call that failed at once. A discovery that is
-// down costs nothing to call and says nothing of its queue; without a backoff few schedulers would
-// call all the time, and many all at once.
+// failureBounds returns the bounds of the delay after a call that failed at once. A call to a discovery
+// service that is down costs it nothing and gives no information on its queue. Without a backoff a small
+// fleet would call continuously, and a large fleet all at the same time.
 func (p *Pacer) failureBounds(fleetWindow time.Duration) (low, high time.Duration) {
 	p.failures = min(p.failures+1, maxDoublings)
 	window := max(fleetWindow, min(maxSmallFleetBackoff, minBackoff<<p.failures))
@@ -247,7 +250,8 @@
 	return low, min(window, budget)
 }
 
-// jitter draws a delay from low up to high. It is full jitter, since the schedulers fail together.
+// jitter returns a random delay from low up to high, limited by maxBackoff. The whole range is random (full
+// jitter), since the calls of all schedulers fail together.
 func (p *Pacer) jitter(low, high time.Duration) time.Duration {
 	delay := low
 	if high > low {
@@ -259,4 +263,5 @@
 	return delay
 }
 
+// seconds converts seconds to a Duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/pollpacing/pacer_test.go
+++ b/internal/pollpacing/pacer_test.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// A simulation is a fleet of pacers against one discovery that serves calls one after another, by
-// the order in which they came, and refuses what has waited for patience. It has no real clock.
+// A simulation runs a fleet of pacers against one discovery service that serves calls one at a time, in the
+// order of their arrival, and refuses a call that has waited for queueTimeout. It uses virtual time.
 type simulation struct {
 	schedulers                int
 	serviceTime, queueTimeout time.Duration
-	downUntil                 time.Duration // until then every call fails at once
-	naive                     bool          // a backoff that knows nothing: half a second, doubled, half of it random
+	downUntil                 time.Duration // before this time every call fails at once
+	naive                     bool          // use backoff from 0.5 s, doubled up to 5 s, half of it random, not the pacers
 
 	pending        eventHeap
 	sequence       int
@@ -27,12 +27,14 @@
 	result         result
 }
 
+// An event is an action at a virtual time. Events of the same time run in the order of their sequence.
 type event struct {
 	at       time.Duration
 	do       func(now time.Duration)
 	sequence int
 }
 
+// An eventHeap orders events by time; it implements heap.Interface.
 type eventHeap []event
 
 func (s eventHeap) Len() int { return len(s) }
@@ -47,14 +49,14 @@
 	return last
 }
 
-// A result is what a simulation measured.
+// A result holds the measurements of a simulation.
 type result struct {
-	half, all       time.Duration // until half, and all, had an answer
+	half, all       time.Duration // time until half of the schedulers, and all, had an answer
 	calls, rejected int
-	maxRate         int // calls in one second
+	maxRate         int // most calls in one second
 }
 
-// worst returns the greater of each figure.
+// maximum returns the larger value of each measurement.
 func (r result) maximum(o result) result {
 	return result{
 		max(r.half, o.half), max(r.all, o.all),
@@ -66,9 +68,10 @@
 type simulatedPoller struct {
 	simulation *simulation
 	pacer      *Pacer
-	backoff    time.Duration // of the naive fleet
+	backoff    time.Duration // last backoff in the naive mode
 }
 
+// run simulates until every scheduler has an answer, and returns the measurements.
 func (s *simulation) run(seed uint64) result {
 	s.rng = rand.New(rand.NewPCG(seed, 3))
 	s.callsPerSecond = map[time.Duration]int{}
@@ -86,12 +89,13 @@
 	return s.result
 }
 
+// after schedules an action for a virtual time.
 func (s *simulation) after(at time.Duration, do func(now time.Duration)) {
 	s.sequence++
 	heap.Push(&s.pending, event{at, do, s.sequence})
 }
 
-// serve begins with the next call in discovery's queue, if it is idle.
+// serve starts to serve the next call in discovery's queue, if discovery is idle.
 func (s *simulation) serve(now time.Duration) {
 	if !s.busy && len(s.queue) > 0 {
 		next := s.queue[0]
@@ -100,7 +104,7 @@
 	}
 }
 
-// answer ends the call that discovery serves.
+// answer completes the call that discovery serves.
 func (s *simulation) answer(now time.Duration) {
 	s.busy = false
 	if s.answered++; s.answered == (s.schedulers+1)/2 {
@@ -110,6 +114,7 @@
 	s.serve(now)
 }
 
+// poll starts a call to discovery: it fails at once, is queued and answered, or is refused after queueTimeout.
 func (p *simulatedPoller) poll(now time.Duration) {
 	s := p.simulation
 	s.result.calls++
@@ -137,6 +142,7 @@
 	s.serve(now)
 }
 
+// failed schedules the next call after a failed one.
 func (p *simulatedPoller) failed(now, elapsed time.Duration, outcome Outcome) {
 	s := p.simulation
 	s.result.rejected++
@@ -148,8 +154,9 @@
 	s.after(now+delay, p.poll)
 }
 
-// One second's calls of all schedulers stay under a figure that does not grow with them, and
-// the last has its list soon after discovery could have answered all one after another.
+// After a start or an outage of discovery all schedulers call it together. The calls per second must stay
+// below a limit that does not grow with the fleet, and the last scheduler must have its list soon after the
+// time that discovery needs to answer all calls one after another.
 func TestFleetCallRateIsBounded(t *testing.T) {
 	for _, n := range []int{1, 10, 100, 300, 1000} {
 		for _, down := range []time.Duration{0, 10 * time.Second} {
@@ -165,23 +172,23 @@
 					worst = worst.maximum(run(false))
 					naiveWorst = naiveWorst.maximum(run(true))
 				}
-				t.Logf("half %.2f s, all %.2f s, calls %d, refused %d, in a second %d; before: %.2f s, %.2f s, %d, %d, %d",
+				t.Logf("half %.2f s, all %.2f s, calls %d, refused %d, per second %d; naive: %.2f s, %.2f s, %d, %d, %d",
 					worst.half.Seconds(), worst.all.Seconds(), worst.calls, worst.rejected, worst.maxRate,
 					naiveWorst.half.Seconds(), naiveWorst.all.Seconds(), naiveWorst.calls, naiveWorst.rejected, naiveWorst.maxRate)
 				minimum := down + time.Duration(n)*22*time.Millisecond
 				if limit := minimum + minimum/4 + 2*time.Second; worst.all > limit {
-					t.Errorf("the last has its list after %v, want %v", worst.all, limit)
+					t.Errorf("the last scheduler has its list after %v, want at most %v", worst.all, limit)
 				}
 				if worst.maxRate > 500 {
-					t.Errorf("%d calls in a second", worst.maxRate)
+					t.Errorf("%d calls in one second, want at most 500", worst.maxRate)
 				}
-				// Fewer calls are made than by the naive fleet, unless MaxPropagationDelay asks for more: a
-				// refused call costs discovery no work, and all have their lists sooner for it.
+				// The fleet makes fewer calls than the naive one, unless MaxPropagationDelay requires more: a
+				// refused call costs discovery no work, and all schedulers have their lists sooner.
 				if n == 300 && down == 0 && 10*worst.calls > 9*naiveWorst.calls {
-					t.Errorf("%d calls, %d before", worst.calls, naiveWorst.calls)
+					t.Errorf("%d calls, want at most 90%% of the %d calls of the naive fleet", worst.calls, naiveWorst.calls)
 				}
 				if n >= 300 && (worst.all > naiveWorst.all || down == 0 && 10*worst.calls > 11*naiveWorst.calls) {
-					t.Errorf("all after %v and %d calls, %v and %d before",
+					t.Errorf("all schedulers have lists after %v and %d calls, in the naive fleet after %v and %d",
 						worst.all, worst.calls, naiveWorst.all, naiveWorst.calls)
 				}
 			})
@@ -189,7 +196,8 @@
 	}
 }
 
-// A scheduler that was rejected more often calls again sooner, on average.
+// A scheduler that was refused more often calls again sooner, on average; otherwise some schedulers would
+// never be served.
 func TestRejectedCallsRetrySooner(t *testing.T) {
 	mean := func(times int) (sum time.Duration) {
 		rng := rand.New(rand.NewPCG(1, 2))
@@ -203,11 +211,11 @@
 		return sum
 	}
 	if one, three := mean(1), mean(3); three > one*3/5 || three < one*2/5 {
-		t.Errorf("delays of %v after the first refusal, %v after the third", one, three)
+		t.Errorf("mean delay %v after the first refusal and %v after the third, want 2/5 to 3/5 of the first", one, three)
 	}
 }
 
-// Delays are within their bounds and use nearly the whole range.
+// The delays after each outcome stay within their bounds and use nearly the whole range.
 func TestDelays(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct {
@@ -220,26 +228,26 @@
 		low, high   time.Duration
 	}{
 		{"answered", 300, []Outcome{Overloaded, Overloaded}, false, Answered, time.Second, 0, 0},
-		{"a few, down", 3, nil, false, Unreachable, 0, 50 * ms, 100 * ms},
+		{"small fleet, down", 3, nil, false, Unreachable, 0, 50 * ms, 100 * ms},
 		{
-			"a few, down for long", 3, slices.Repeat([]Outcome{Unreachable}, 20), false,
+			"small fleet, down for long", 3, slices.Repeat([]Outcome{Unreachable}, 20), false,
 			Unreachable, 0, 50 * ms, time.Second,
 		},
-		{"many, down", 300, nil, false, Unreachable, 0, 50 * ms, 3 * time.Second},
-		{"many, rejected", 300, nil, false, Overloaded, 2 * time.Second, 50 * ms, 2450 * ms},
-		{"many, after a long wait", 300, nil, false, Overloaded, 3 * time.Second, 50 * ms, 1450 * ms},
-		{"many, refused at once", 1000, nil, false, Overloaded, 0, 50 * ms, 4450 * ms},
-		{"some, refused at once", 60, nil, false, Overloaded, 20 * ms, 50 * ms, 1200 * ms},
+		{"large fleet, down", 300, nil, false, Unreachable, 0, 50 * ms, 3 * time.Second},
+		{"large fleet, refused after a wait", 300, nil, false, Overloaded, 2 * time.Second, 50 * ms, 2450 * ms},
+		{"large fleet, refused after a long wait", 300, nil, false, Overloaded, 3 * time.Second, 50 * ms, 1450 * ms},
+		{"large fleet, refused at once", 1000, nil, false, Overloaded, 0, 50 * ms, 4450 * ms},
+		{"medium fleet, refused at once", 60, nil, false, Overloaded, 20 * ms, 50 * ms, 1200 * ms},
 		{
-			"many, after no answer", 300,
+			"large fleet, no answer", 300,
 			[]Outcome{Overloaded, Overloaded},
 			false,
 			Unanswered, 4 * time.Second, 50 * ms, 250 * ms,
 		},
-		{"a fleet without end", 1 << 40, nil, false, Unreachable, 0, 1725 * ms, 3450 * ms},
-		{"a few, new endpoint", 3, nil, true, Unreachable, 0, 50 * ms, 50 * ms},
-		{"many, new endpoint", 300, nil, true, Unreachable, 0, 50 * ms, 500 * ms},
-		{"invalid", 300, nil, false, Invalid, 0, 50 * ms, 3 * time.Second},
+		{"fleet larger than maxSchedulers", 1 << 40, nil, false, Unreachable, 0, 1725 * ms, 3450 * ms},
+		{"small fleet, new endpoint", 3, nil, true, Unreachable, 0, 50 * ms, 50 * ms},
+		{"large fleet, new endpoint", 300, nil, true, Unreachable, 0, 50 * ms, 500 * ms},
+		{"large fleet, invalid answer", 300, nil, false, Invalid, 0, 50 * ms, 3 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var low, high time.Duration = time.Hour, 0
@@ -255,13 +263,14 @@
 				low, high = min(low, delay), max(high, delay)
 			}
 			if low < c.low || high > c.high || high < c.high*4/5 {
-				t.Errorf("delays from %v to %v, want %v to %v", low, high, c.low, c.high)
+				t.Errorf("NextDelay() returns delays from %v to %v, want %v to %v", low, high, c.low, c.high)
 			}
 		})
 	}
 }
 
-// After another discovery was named and never answered, the fleet's bound holds again.
+// The short backoff after a change of discovery's address ends after newEndpointAttempts failed calls: if the
+// new address never answers, the bound for the whole fleet applies again.
 func TestNewEndpointBoundExpires(t *testing.T) {
 	pacer := NewPacer(300, 0, rand.New(rand.NewPCG(1, 1)))
 	pacer.EndpointChanged()
@@ -273,19 +282,19 @@
 		longest = max(longest, pacer.NextDelay(Unreachable, 0))
 	}
 	if longest < 2500*time.Millisecond {
-		t.Errorf("delays up to %v", longest)
+		t.Errorf("longest delay after %d failed calls is %v, want at least 2.5s", newEndpointAttempts, longest)
 	}
 }
 
-// Once discovery has a change and can be reached, a scheduler has it within MaxPropagationDelay: over
-// every sequence of outcomes of up to six calls, on virtual time, with each call as long as it can be,
-// each delay the longest of many draws, and the change made at the worst moment of the last call that
-// failed.
+// Once discovery has a change and is reachable, a scheduler has the change within MaxPropagationDelay. The
+// test tries every sequence of outcomes of up to six calls, without a clock: each call takes as long as
+// possible, each delay is the longest of 12 draws, and the change occurs at the worst moment of the last
+// failed call.
 func TestPropagationDelay(t *testing.T) {
 	calls := []struct {
 		outcome   Outcome
-		elapsed   time.Duration // 0 for Unanswered: the longest
-		reachable bool          // from its beginning; else it proves that discovery was not
+		elapsed   time.Duration // for Unanswered, 0 means the longest timeout
+		reachable bool          // whether discovery may have been reachable since the start of the call
 	}{
 		{Unanswered, 0, true},
 		{Unanswered, DialTimeout, true},
@@ -302,7 +311,7 @@
 			for _, call := range calls {
 				elapsed, delay := call.elapsed, time.Duration(0)
 				if call.outcome == Unanswered && elapsed == 0 {
-					elapsed = pacer.Timeout(maxWatchHold) // it was broken as it began, and the change is as old
+					elapsed = pacer.Timeout(maxWatchHold) // the call was lost at its start, when the change occurred
 				}
 				next := *pacer
 				for range 12 {
@@ -314,7 +323,8 @@
 					propagation += elapsed
 				}
 				if propagation > MaxPropagationDelay {
-					t.Fatalf("%d schedulers: after call %d (%+v) a change is known after %v", n, depth, call, propagation)
+					t.Fatalf("%d schedulers: after call %d (%+v) a change arrives after %v, want at most %v",
+						n, depth, call, propagation, MaxPropagationDelay)
 				}
 				if depth < 6 {
 					explore(&next, depth+1)
@@ -325,25 +335,26 @@
 	}
 }
 
-// An agent serves one scheduler: what it has at the end of an outage is known well within the
-// shortest drain grace, however many schedulers there are and however often it failed.
+// An agent serves one scheduler: after an outage its list must arrive well within the shortest drain grace
+// period, however many schedulers there are and however many calls have failed.
 func TestAgentIsPolledAtShortIntervals(t *testing.T) {
 	pacer := NewAgentPacer(rand.New(rand.NewPCG(1, 1)))
 	for range 200 {
 		for _, outcome := range []Outcome{Unreachable, Unanswered, Overloaded, Invalid} {
 			if delay := pacer.NextDelay(outcome, time.Second); delay > 100*time.Millisecond {
-				t.Errorf("%d: asked again after %v", outcome, delay)
+				t.Errorf("NextDelay(%d) = %v, want at most 100ms", outcome, delay)
 			}
 		}
 		limit := pacer.WatchHold() + pacer.Timeout(0)
 		if limit > 2500*time.Millisecond || pacer.InitialDelay() > 0 || pacer.DialTimeout() > 500*time.Millisecond {
-			t.Errorf("a watch without an answer is broken off after %v", limit)
+			t.Errorf("watch hold and timeout %v, want at most 2.5s; initial delay %v, want 0; dial timeout %v, want at most 500ms",
+				limit, pacer.InitialDelay(), pacer.DialTimeout())
 		}
 	}
 }
 
-// An oversized list is polled after ever longer delays, by an agent's scheduler too; the first two
-// times within MaxPropagationDelay, and after an answer as if there had been none.
+// After oversized answers the delays grow, also with an agent: each such answer costs discovery the complete
+// list without any use. The first two delays keep MaxPropagationDelay, and a usable answer resets them.
 func TestOversizedBackoffGrows(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for _, n := range []int{1, 300, 1000} {
@@ -354,10 +365,10 @@
 					elapsed := pacer.Timeout(0)
 					delay := pacer.NextDelay(Oversized, elapsed)
 					if i < 2 && elapsed+delay+answerDelay+schedulingDelay > MaxPropagationDelay {
-						t.Fatalf("%d schedulers: known after %v and a delay of %v", n, elapsed, delay)
+						t.Fatalf("%d schedulers: a call of %v and a delay of %v exceed MaxPropagationDelay", n, elapsed, delay)
 					}
 					if delay < last/2 || i >= 7 && delay < 32*time.Second || delay > maxOversizedBackoff {
-						t.Fatalf("%d schedulers: delay %d is %v after one of %v", n, i, delay, last)
+						t.Fatalf("%d schedulers: delay %d is %v after a delay of %v", n, i, delay, last)
 					}
 					last = delay
 				}
--- a/internal/slowstart/slots.go
+++ b/internal/slowstart/slots.go
@@ -1,26 +1,27 @@
-// Package slowstart divides the time of a worker in slow start among the schedulers of a fleet, so
-// that what all of them send to it is bounded though they exchange no messages. It is arithmetic on
-// a shared clock and owns no state.
+// Package slowstart divides the time of a worker in slow start into slots and the slots among the schedulers
+// of a fleet, so that the total load on the worker is bounded although the schedulers exchange no messages.
+// It computes with a shared clock and has no state.
 package slowstart
 
 import "math/bits"
 
 const (
-	maxSlotsPerWindow = 8
-	maxHeavyExponent  = 16 // a heavy job has one slot in 2^16 at least
+	maxSlotsPerWindow = 8  // number of time slots in a window
+	maxHeavyExponent  = 16 // jobs of any weight may use at least one slot in 2^16
 )
 
-// Slots are the time slots in which schedulers may send to a worker in slow start while no rate of
-// it is known. Each slot at a worker belongs to one scheduler. All read the same clock: a scheduler
-// whose clock is off by a good part of a slot sends in another's.
+// Slots are the time slots in which schedulers may send to a worker in slow start while its service rate is
+// unknown. Each slot at a worker belongs to one scheduler. The schedulers' clocks must agree: a scheduler
+// whose clock is off by a large part of a slot sends in the slot of another scheduler.
 type Slots struct {
-	length            int64 // of a slot, nanoseconds
-	schedulers, index uint64
+	length            int64  // of a slot, in nanoseconds
+	schedulers, index uint64 // number of schedulers, and index of this one
 }
 
-// NewSlots returns the slots of one of a fleet's schedulers, with its index counting from 0. A worker
-// in slow start is overloaded by more than jobs light jobs, less the heaviest, within a window
-// (nanoseconds). A slot is for one light job: there are as many in a window.
+// NewSlots returns the slots of the scheduler with the given index, counted from 0, in a fleet. A worker in
+// slow start is overloaded by more than jobs light jobs, minus the heaviest job, within a window (in
+// nanoseconds). A slot allows one light job, so that a window has that number of slots, from 1 to
+// maxSlotsPerWindow.
 func NewSlots(window int64, schedulers, index int, jobs float64) Slots {
 	perWindow := int64(min(maxSlotsPerWindow, max(1, jobs)))
 	return Slots{
@@ -30,18 +31,18 @@
 	}
 }
 
-// At returns the number of the slot at a time in nanoseconds.
+// At returns the number of the slot that contains a time, in nanoseconds.
 func (s Slots) At(now int64) int64 { return now / s.length }
 
-// Owned reports whether a slot at a worker, given by its hash, belongs to this scheduler. Schedulers
-// take turns; which is first differs by worker.
+// Owned reports whether a slot at a worker, given by the worker's hash, belongs to this scheduler. The slots
+// belong to the schedulers in rotation, with a different start for each worker.
 func (s Slots) Owned(slot int64, worker uint64) bool {
 	return (uint64(slot)+worker>>1)%s.schedulers == s.index
 }
 
-// AllowsHeavy reports whether a worker may be sent, in this slot, a single job that is weight times a
-// light one. At most one slot in weight does, by powers of two: so no two such slots are adjacent,
-// even where schedulers differ in the weight they expect of a job.
+// AllowsHeavy reports whether a worker may receive, in a slot, a single job with weight times the work of a
+// light one. At most one slot in weight allows this, with the distance rounded to a power of two: no two
+// such slots are adjacent, even if schedulers estimate different weights for a job.
 func (s Slots) AllowsHeavy(slot int64, worker uint64, weight float64) bool {
 	period := uint64(1) << min(maxHeavyExponent, max(1, bits.Len64(uint64(max(0, weight)))))
 	return (uint64(slot)+worker>>33)%period == 0
--- a/internal/slowstart/slots_test.go
+++ b/internal/slowstart/slots_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// A slot at a worker belongs to one scheduler, and each owns one in as many as there are
-// schedulers; a window has no more slots than the worker may be sent light jobs.
+// Each slot at a worker belongs to exactly one scheduler: of n consecutive slots, each of n schedulers owns
+// one. A window has no more slots than the number of light jobs that the worker may receive in it.
 func TestSlotOwnership(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 400).Draw(t, "schedulers")
@@ -16,7 +16,7 @@
 		jobs := rapid.Float64Range(0, 20).Draw(t, "jobs")
 		slots := NewSlots(int64(time.Second), n, 0, jobs)
 		if perSecond := max(1, jobs); float64(time.Second)/float64(slots.length) > perSecond*1.001 {
-			t.Fatalf("slots of %d ns for %g jobs a second", slots.length, jobs)
+			t.Fatalf("NewSlots() has slots of %d ns for %g jobs per second", slots.length, jobs)
 		}
 		first := slots.At(from)
 		owned := map[int]int{}
@@ -25,29 +25,30 @@
 				if slots.index = uint64(i); slots.Owned(slot, worker) {
 					owned[i]++
 					if slots.At(slot*slots.length) != slot || slots.At((slot+1)*slots.length-1) != slot {
-						t.Fatalf("slot %d is not from its start to its end", slot)
+						t.Fatalf("At() does not return slot %d from its start to its end", slot)
 					}
 				}
 			}
 		}
 		for i := range n {
 			if owned[i] != 1 {
-				t.Fatalf("scheduler %d has %d of %d slots", i, owned[i], n)
+				t.Fatalf("scheduler %d owns %d of %d slots, want 1", i, owned[i], n)
 			}
 		}
 	})
 }
 
-// Whatever weight two schedulers expect of their jobs, slots for heavy ones are not adjacent,
-// and they come as often as the worker bears.
+// Slots for heavy jobs are never adjacent, even if two schedulers estimate different weights for a job, and
+// are as frequent as the weight allows.
 func TestHeavySlotsAreSparse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		worker := rapid.Uint64().Draw(t, "worker")
-		weight, otherWeight := rapid.Float64Range(1.0001, 1e6).Draw(t, "weight"), rapid.Float64Range(1.0001, 1e6).Draw(t, "other")
+		weight, otherWeight := rapid.Float64Range(1.0001, 1e6).Draw(t, "weight"),
+			rapid.Float64Range(1.0001, 1e6).Draw(t, "other")
 		slot := rapid.Int64Range(0, 1<<33).Draw(t, "slot")
 		var slots Slots
 		if slots.AllowsHeavy(slot, worker, weight) && slots.AllowsHeavy(slot+1, worker, otherWeight) {
-			t.Fatal("two heavy slots side by side")
+			t.Fatal("AllowsHeavy() is true for two adjacent slots")
 		}
 		heavy := 0
 		for i := range int64(1 << 10) {
@@ -56,7 +57,7 @@
 			}
 		}
 		if heavy != 1<<10/8 {
-			t.Fatalf("%d heavy slots in %d for jobs of 5 slots' work", heavy, 1<<10)
+			t.Fatalf("AllowsHeavy() is true for %d of %d slots at weight 5, want one in 8", heavy, 1<<10)
 		}
 	})
 }
