--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -14,21 +14,20 @@
 	"github.com/vatu-meals/foxlift/internal/guard"
 )
 
-// An attempt is one run of a job on one worker: it connects, writes the job and reports what comes back.
-// It never sends a second time, not even on a connection that turns out to be stale: whether to retry is
-// the decision module's choice.
+// attempt sends a job to one worker once: it gets a connection, writes the request and reports the worker's answer.
+// It never sends the request again, not even after a stale connection: the decision module decides about retries.
 type attempt struct {
 	pool           *workerPool
-	ctx            context.Context // ends when the core withdraws the attempt
+	ctx            context.Context // done once the core withdraws the attempt
 	worker         string
 	job            *core.Job
-	clientDeadline time.Time // the client waits until then
-	writeDeadline  time.Time // the last byte is written by then or never; zero: no such limit
+	clientDeadline time.Time // when the client stops waiting
+	writeDeadline  time.Time // the last byte of the request is not written after it; zero means no limit
 	report         func(core.Report)
 	trace          attemptTrace
 
 	mu           sync.Mutex
-	awaitingConn *workerConn // from before the first byte is written until the answer begins; else nil
+	awaitingConn *workerConn // set from before the first byte is written until the answer begins, otherwise nil
 }
 
 func (a *attempt) run() {
@@ -53,13 +52,13 @@
 		return finalReport(sendCode(err))
 	}
 	a.trace.connectedAt, a.trace.reused = time.Now(), conn.reused()
-	// The list may have changed since the module decided, above all during a dial: nothing new goes to a
-	// worker that is draining or removed.
+	// The endpoint list may have changed since the module chose the worker, most likely during a dial. No new
+	// request may go to a worker that is draining or removed.
 	if !a.stillValid(target) {
 		a.pool.release(conn)
 		return finalReport(foxlift.NotSent)
 	}
-	// A withdrawal closes the connection: that is how the worker learns of it.
+	// A withdrawal closes the connection, which cancels the job at the worker.
 	stop := context.AfterFunc(a.ctx, func() {
 		a.trace.withdrawn.Store(true)
 		a.trace.unacknowledged.Store(hasUnsentBytes(conn.Conn))
@@ -78,15 +77,15 @@
 	return report
 }
 
-// setAwaiting records the connection on which the answer is awaited; nil once the answer has begun.
+// setAwaitingConn records the connection on which the answer is awaited; nil means that the answer has begun.
 func (a *attempt) setAwaitingConn(conn *workerConn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.awaitingConn = conn
 }
 
-// resetUnanswered resets the attempt's connection if no answer has begun: what is still on its way then
-// never arrives. It reports whether there was such a connection.
+// resetUnanswered resets the attempt's connection if no answer has begun, so that request bytes that the kernel
+// still holds never arrive at the worker. It reports whether it has reset a connection.
 func (a *attempt) resetUnanswered() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -98,32 +97,36 @@
 	return true
 }
 
-// abortUnavailable ends the attempt, whose worker is no longer live, unless its answer has begun.
+// abortUnavailable ends the attempt unless its answer has begun. state is the worker's state, which is not live.
+// An attempt at a draining worker goes on if all of its request was acknowledged and workers answer only when
+// the job starts.
 func (a *attempt) abortUnavailable(state foxlift.WorkerState) {
 	if state == foxlift.Draining && !a.pool.answersBeforeStart.Load() && !a.hasUnsentRequest() {
-		return // its request may be queued there: such workers answer when the job starts
+		return // the job may be in the worker's queue, without an answer until it starts
 	}
 	if a.resetUnanswered() {
 		a.pool.counters.Add("claims.unanswered_off_list")
 	}
 }
 
-// hasUnsentRequest reports whether some of the request has not reached the worker's machine.
+// hasUnsentRequest reports whether no answer has begun and the worker's machine has not acknowledged all of the
+// request.
 func (a *attempt) hasUnsentRequest() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.awaitingConn != nil && hasUnsentBytes(a.awaitingConn.Conn)
 }
 
-// stillValid reports whether the attempt may still be sent: its worker's entry is as it was, and the client
-// is there. Settings may forbid to cancel an attempt that was sent; this one was not.
+// stillValid reports whether the attempt may still be sent: the worker's entry in the endpoint table is unchanged
+// and live, the core has not withdrawn the attempt and its client has not disconnected. The settings may forbid
+// cancelling attempts, but only those whose request was sent.
 func (a *attempt) stillValid(target endpoint) bool {
 	now, ok := a.pool.findLive(a.worker)
 	return ok && now == target && a.ctx.Err() == nil && !a.job.Finished()
 }
 
-// exchange writes the job and reads the worker's answer. reusable says that the connection is at the start
-// of a new request.
+// exchange writes the request and reads the worker's answer. reusable reports whether the connection can be used
+// for another request.
 func (a *attempt) exchange(conn *workerConn, target endpoint) (report core.Report, reusable bool) {
 	request, remaining := a.formatRequest()
 	if !a.checkInvariants(remaining, false) {
@@ -139,8 +142,9 @@
 	return a.receiveAnswer(conn)
 }
 
-// checkInvariants reports whether bytes of the request may be written now, and counts the invariant that
-// they would violate. remaining is the time that the request announces to the worker.
+// checkInvariants reports whether bytes of the request may be written now without violating an invariant of package
+// guard; it counts a violation. remaining is the time to the deadline that the request announces to the worker.
+// lastByte is set for the check before the last byte.
 func (a *attempt) checkInvariants(remaining time.Duration, lastByte bool) bool {
 	if a.pool.stateOf == nil {
 		return true
@@ -163,7 +167,8 @@
 	return rule == guard.None
 }
 
-// receiveAnswer reads the worker's answer.
+// receiveAnswer reads the worker's answer. It returns the final report of the attempt, and whether the connection
+// can be used for another request.
 func (a *attempt) receiveAnswer(conn *workerConn) (report core.Report, reusable bool) {
 	msg := conn.buf.newMessage(maxResponse)
 	defer msg.close()
@@ -187,8 +192,8 @@
 	return report, err == nil && !resp.Close && msg.Buffered() == 0
 }
 
-// request writes the job as the worker reads it, and returns the time that it announces: how long the client
-// still waits.
+// formatRequest returns the HTTP request for the worker, and the remaining time until the client's deadline that
+// the request announces.
 func (a *attempt) formatRequest() (text []byte, remaining time.Duration) {
 	jobPayload := a.job.Payload.(*payload)
 	request := fmt.Appendf(nil, "%s %s HTTP/1.1\r\nHost: %s\r\n", jobPayload.method, jobPayload.target, a.worker)
@@ -203,8 +208,8 @@
 	return append(request, jobPayload.body...), remaining
 }
 
-// statusCode returns the code of an answer other than 200. Only the protocol's own header proves that the
-// job never ran: any other 503 may come from anywhere.
+// codeForStatus returns the code for an answer whose status is not 200. Only a 503 or 504 with the protocol's
+// rejection header proves that the job never ran: one without it may come from a component that does not know.
 func codeForStatus(resp *response) foxlift.Code {
 	unavailable := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout
 	switch {
@@ -216,5 +221,5 @@
 	return foxlift.WorkerError
 }
 
-// finalReport is the report of an attempt that has ended without a result.
+// finalReport returns the report of an attempt that has ended without a result.
 func finalReport(code foxlift.Code) core.Report { return core.Report{Ended: true, Code: code} }
--- a/internal/platform/attempt_trace.go
+++ b/internal/platform/attempt_trace.go
@@ -10,26 +10,30 @@
 	"github.com/vatu-meals/foxlift/internal/core"
 )
 
-// An attemptTrace records when the steps of an attempt were done; zero: not done. It tells, after an incident, on
-// which step the time was spent.
+// attemptTrace records when each step of an attempt was completed, so that the log shows on which step a slow
+// attempt spent its time. A zero time means that the step was not completed.
 type attemptTrace struct {
 	startedAt      time.Time
-	connectedAt    time.Time // a connection was there
-	writtenAt      time.Time // the last byte was written
-	answeredAt     time.Time // the first bytes of the answer had come
+	connectedAt    time.Time // a connection was available
+	writtenAt      time.Time // the last byte of the request was written
+	answeredAt     time.Time // the head of the answer was read
 	reused         bool      // the connection had served an earlier request
 	withdrawn      atomic.Bool
-	unacknowledged atomic.Bool // when it was withdrawn, the worker's machine had not acknowledged all of it
+	unacknowledged atomic.Bool // the worker's machine had not acknowledged all of the request at the withdrawal
 }
 
-// An attempt that takes longer is logged.
+// Durations above which an attempt is logged.
 const (
-	writeWarning  = 100 * time.Millisecond // from its connection to its last byte, which is held for a few milliseconds
-	answerWarning = 3 * time.Second        // from its last byte to the beginning of the answer
+	// writeWarning bounds the time from the connection to the last byte of the request, which is held back for up
+	// to maxLastByteHold.
+	writeWarning = 100 * time.Millisecond
+	// answerWarning bounds the time from the last byte of the request to the head of the answer.
+	answerWarning = 3 * time.Second
 )
 
-// log writes a line for an attempt that met what should be rare: its worker was removed, or began to drain, before
-// its answer began, or its request was written or answered late.
+// log logs an attempt whose worker was draining or removed before the answer began, whose request was written later
+// than writeWarning, or whose answer began later than answerWarning. All of these should be rare. state is the
+// worker's state now.
 func (t *attemptTrace) log(log *zap.Logger, a *attempt, state foxlift.WorkerState, report core.Report) {
 	end := time.Now()
 	answeredLate := !t.writtenAt.IsZero() && t.timeOrEnd(t.answeredAt, end).Sub(t.writtenAt) > answerWarning
@@ -38,7 +42,7 @@
 	if !writtenLate && !unansweredNotLive && !answeredLate {
 		return
 	}
-	log.Warn("attempt: worker no longer live before the answer, or written or answered late",
+	log.Warn("attempt: worker not live before its answer began, or request written or answered late",
 		zap.String("id", a.job.ID), zap.String("class", a.job.Class), zap.String("node", a.worker),
 		zap.Stringer("state", state), zap.Bool("reused", t.reused),
 		zap.Duration("age", end.Sub(t.startedAt)),
@@ -50,7 +54,7 @@
 		zap.Stringer("outcome", report.Code))
 }
 
-// doneOr is when a step was done, or the end of the attempt if it never was.
+// timeOrEnd returns done, the time at which a step was completed, or end if the step was not completed.
 func (t *attemptTrace) timeOrEnd(done, end time.Time) time.Time {
 	if done.IsZero() {
 		return end
--- a/internal/platform/call_deadline.go
+++ b/internal/platform/call_deadline.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// How long the reading of an endpoint list may go on past the timeout of its call. The list of an ordinary fleet is
-// within minRateBytes and keeps to the timeout (internal/pollpacing). A longer one takes its time to send and
-// to decode: to break it off while it arrives would only begin it anew.
+// Limits of how long an endpoint list may be read past the timeout of its call (internal/pollpacing). The list of an
+// ordinary fleet is shorter than bytesWithinTimeout and gets no extension. A longer list takes more time to send and
+// to decode; cancelling it while it arrives would only start the same transfer again.
 const (
-	bytesWithinTimeout = 128 << 10              // bytes of a list for which the timeout has to do
-	minBytesPerSecond  = 24 << 10               // bytes a second, beyond these, that are waited for
-	maxStall           = 700 * time.Millisecond // most between two parts of a list that is past its call's timeout
+	bytesWithinTimeout = 128 << 10              // bytes of a list that extend the deadline by nothing
+	minBytesPerSecond  = 24 << 10               // transfer rate that the extension allows for the bytes beyond them
+	maxStall           = 700 * time.Millisecond // longest wait for the next part of a list past its call's timeout
 )
 
-// A callDeadline says until when a call's response is awaited.
+// callDeadline computes until when the response to a call is awaited.
 type callDeadline struct {
-	timeout  time.Time // until then, however little has arrived
-	received int64     // bytes of the list so far
+	timeout  time.Time // the earliest deadline, whatever has been received
+	received int64     // bytes of the list received so far
 }
 
-// addReceived records that more bytes were read.
+// addReceived records that bytes more bytes of the list were read.
 func (d *callDeadline) addReceived(bytes int) { d.received += int64(bytes) }
 
-// next returns until when the next part is awaited after one that was read now.
+// next returns the deadline for the next part of the list, after a part that was read at now. It is never before the
+// call's timeout.
 func (d *callDeadline) next(now time.Time) time.Time {
 	extension := time.Duration(max(0, d.received-bytesWithinTimeout)) * time.Second / minBytesPerSecond
 	deadline := d.timeout.Add(extension)
--- a/internal/platform/discovery_client.go
+++ b/internal/platform/discovery_client.go
@@ -14,16 +14,16 @@
 	"github.com/vatu-meals/foxlift/internal/pollpacing"
 )
 
-// errNotEndpoints says that a response is not an endpoint list, or not one that was asked for.
-var errInvalidEndpoints = errors.New("not a list")
+// errInvalidEndpoints is the error for a response that is not an endpoint list, or not the kind that was requested.
+var errInvalidEndpoints = errors.New("invalid endpoint list")
 
-// A statusError is the status of a response that is no endpoint list.
+// statusError is the HTTP status of a response that is not 200.
 type statusError int
 
 // Error implements error.
-func (e statusError) Error() string { return fmt.Sprintf("status %d", int(e)) }
+func (e statusError) Error() string { return fmt.Sprintf("discovery returned status %d", int(e)) }
 
-// callOutcome says what a failed call tells of discovery.
+// callOutcome returns the outcome of a failed call to discovery for the pacer.
 func callOutcome(err error) pollpacing.Outcome {
 	var status statusError
 	var netErr net.Error
@@ -40,14 +40,15 @@
 	return pollpacing.Unreachable
 }
 
-// An answerError is a failure after discovery had begun to answer with an endpoint list: it can be reached.
+// responseError is a failure after discovery had begun to answer with status 200, so discovery is reachable.
 type responseError struct{ error }
 
 // Unwrap returns the cause.
 func (e responseError) Unwrap() error { return e.error }
 
-// pollFailure says what a failed call that took so long tells of the endpoint list's age. A refusal after a
-// wait may mean that discovery is down or has too many callers.
+// pollFailure returns the kind of failure that the module is told of a failed call, from its error and its duration.
+// The module uses it to judge the age of the endpoint list. A 503 after a wait of at least pollpacing.MinQueueWait may
+// mean that discovery is down or that it has too many callers.
 func pollFailure(err error, took time.Duration) foxlift.PollFailure {
 	switch {
 	case errors.As(err, new(responseError)):
@@ -60,16 +61,16 @@
 	return foxlift.FailureUnanswered
 }
 
-// A discoveryClient makes calls to discovery, on one connection while it lasts.
+// discoveryClient makes calls to discovery, one at a time. It keeps one connection across calls.
 type discoveryClient struct {
 	addr   string
 	conn   net.Conn
 	buf    buffer
-	detach func() bool // conn no longer ends with ctx
+	detach func() bool // stops the closing of conn when the context of connect is done
 
 	dialTimeout time.Duration
-	deadline    callDeadline // of the call in flight
-	onReading   func(bool)   // what has arrived is about to be read; or nothing more has
+	deadline    callDeadline // deadline of the call in flight
+	onReading   func(bool)   // called before each read: true if input has arrived, false if the read has to wait for it
 }
 
 func (c *discoveryClient) close() {
@@ -80,7 +81,7 @@
 	}
 }
 
-// connect dials, unless the connection of an earlier call is there. The connection ends with ctx.
+// connect dials discovery unless the connection of an earlier call is open. The connection is closed when ctx is done.
 func (c *discoveryClient) connect(ctx context.Context) error {
 	if c.conn != nil {
 		return nil
@@ -96,7 +97,7 @@
 	return nil
 }
 
-// send writes a call; connect has succeeded before.
+// send writes a call for target, whose response has to begin within timeout. connect must have succeeded before.
 func (c *discoveryClient) send(target string, timeout time.Duration) error {
 	c.deadline = callDeadline{timeout: time.Now().Add(timeout)}
 	c.conn.SetDeadline(c.deadline.timeout)
@@ -104,10 +105,11 @@
 	return err
 }
 
-// receive reads a response and decodes the endpoint list as it arrives, within a bound.
+// receive reads the response to a call and decodes the endpoint list as it arrives. A list over bound is rejected with
+// an oversizedError.
 func (c *discoveryClient) receive(bound responseBound) (*endpointsResponse, error) {
 	msg := c.buf.newMessage(maxHead)
-	msg.releaseEarly = true // what is decoded need not stay
+	msg.releaseEarly = true // decoded bytes are not needed any more
 	defer msg.close()
 	resp, err := msg.readResponse()
 	if err != nil {
@@ -122,7 +124,7 @@
 	if resp.ContentLength > bound.bytes {
 		return nil, oversizedError{"bytes", bound.bytes}
 	}
-	msg.limit += 2 * int(bound.bytes) // the framing of chunks included
+	msg.limit += 2 * int(bound.bytes) // the factor leaves room for chunked framing
 	body := &boundedBody{body: resp.Body, maxBytes: bound.bytes, onRead: c.extendDeadline}
 	response, err := decodeResponse(body, bound.entries)
 	switch {
@@ -137,17 +139,17 @@
 	return response, nil
 }
 
-// extendDeadline gives a list that is arriving the time that it takes.
+// extendDeadline records that bytes more bytes of the list were read and sets the deadline for the next part.
 func (c *discoveryClient) extendDeadline(bytes int) {
 	c.deadline.addReceived(bytes)
 	c.conn.SetReadDeadline(c.deadline.next(time.Now()))
 }
 
-// A boundedBody reads a body of a bounded length, and reports each part. It keeps the error with which the
-// reading ended before the body's end: a decoder may report it as malformed input.
+// boundedBody reads a body of at most maxBytes bytes and calls onRead after each read. It keeps an error that ended
+// the reading before the end of the body, because a decoder may report that error as malformed input.
 type boundedBody struct {
 	body      io.Reader
-	maxBytes  int64 // that it may have
+	maxBytes  int64 // a longer body is rejected
 	onRead    func(bytes int)
 	bytesRead int64
 	err       error
@@ -168,8 +170,8 @@
 	return n, err
 }
 
-// An observedConn reports what has arrived before it is read: whoever looks at the connection in between
-// would else find nothing there, and nothing of it in the endpoint table.
+// observedConn calls onReading before each read. Without that call, a goroutine that checks the connection between the
+// read and the update of the endpoint table would see neither unread input nor the new entries.
 type observedConn struct {
 	*net.TCPConn
 	onReading func(bool)
@@ -181,8 +183,8 @@
 	if err != nil {
 		return 0, err
 	}
-	// After an error, such as a deadline that has passed, what has arrived is read as well, and the read below
-	// returns the error again.
+	// raw.Read fails, for example, after the deadline has passed. The error is ignored because the read below
+	// returns it again.
 	_ = raw.Read(func(fd uintptr) bool {
 		ready := readable(int(fd))
 		c.onReading(ready)
--- a/internal/platform/endpoint.go
+++ b/internal/platform/endpoint.go
@@ -7,27 +7,28 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// An endpoint is a worker's entry in the endpoint table.
+// endpoint is a worker's entry in the endpoint table.
 type endpoint struct {
 	address          string
 	state            foxlift.WorkerState
-	unavailableSince time.Time // since when the list has had it as not live; zero: it is live
+	unavailableSince time.Time // when the list first reported it as not live; zero means that it is live
 	processStart
-	announcedStartMilli int64 // its process's start as discovery wrote it
+	announcedStartMilli int64 // start of its process as discovery announced it, in Unix milliseconds
 	zone, kind          unique.Handle[string]
 	cell                int
 }
 
-// A processStart is when a worker's process started; its zero value: long ago.
+// processStart is the time at which a worker's process started. The zero value means long ago.
 type processStart struct {
 	startedAt time.Time // on this process's monotonic clock
-	coreTime  int64     // on the core's clock
+	coreTime  int64     // on the core's clock, in nanoseconds
 }
 
-// processStartOf turns a start by another machine's wall clock, Unix time in milliseconds, into the clocks of this
-// process, which no step of the wall clock moves. This is the one place where the two meet: wall is the wall
-// clock now, which all machines share. A start that is not positive counts as long ago, one in the future as
-// now: a worker would else be in slow start for as long as its clock is wrong.
+// processStartOf converts a start time on another machine's wall clock, in Unix milliseconds, to the clocks of this
+// process, which steps of the wall clock do not change. wall is the current wall-clock time, which is the same on all
+// machines; clock returns the time on the core's clock. No other function converts between these clocks. A start that
+// is not positive counts as long ago. A start in the future counts as now: the worker would otherwise stay in slow
+// start until that time is reached.
 func processStartOf(startedMilli int64, wall time.Time, clock func() int64) processStart {
 	if startedMilli <= 0 {
 		return processStart{}
@@ -36,7 +37,8 @@
 	return processStart{time.Now().Add(-age), max(1, clock()-int64(age))}
 }
 
-// unavailableSince returns since when a worker is not live, from its entry before and its state now.
+// unavailableSince returns the time since which a worker has not been live, from its previous entry and its new state;
+// zero if the new state is live.
 func unavailableSince(previous endpoint, state foxlift.WorkerState) time.Time {
 	switch {
 	case state == foxlift.Live:
--- a/internal/platform/endpoint_snapshot.go
+++ b/internal/platform/endpoint_snapshot.go
@@ -9,28 +9,28 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// An EndpointSnapshot is a scheduler's endpoint list at one time, in the form in which a configuration has the cached
-// list. The changes since its version can be asked for.
+// EndpointSnapshot is a scheduler's endpoint list at one time, in the format of the cached list in a configuration.
+// A scheduler that loads it can request the changes since its version.
 type EndpointSnapshot struct {
-	TakenAt   time.Time       `json:"At"`        // when it was taken
-	Discovery string          `json:"Discovery"` // whose versions the list has
-	Version   int64           `json:"Version"`   // of the list
-	Endpoints json.RawMessage `json:"List"`      // in discovery's form
+	TakenAt   time.Time       `json:"At"`        // time of the snapshot
+	Discovery string          `json:"Discovery"` // address of the discovery that assigned the version
+	Version   int64           `json:"Version"`   // version of the list
+	Endpoints json.RawMessage `json:"List"`      // the list, in the format of a response of discovery
 }
 
-// healthNames are the states in discovery's form.
+// healthNames maps worker states to their names in discovery's protocol.
 var healthNames = map[foxlift.WorkerState]string{
 	foxlift.Live: healthActive, foxlift.Draining: healthLeaving, foxlift.Removed: healthRemoved,
 }
 
-// EndpointsVersion returns the version of the endpoint list, and whether the discovery that is polled now
-// has confirmed a list since the start.
+// EndpointsVersion returns the version of the endpoint list, and whether the discovery that is polled now has
+// confirmed the list since the start of this process.
 func (p *Platform) EndpointsVersion() (version int64, confirmed bool) {
 	return p.endpoints.confirmedVersion()
 }
 
-// SnapshotEndpoints returns the endpoint list as it is now; false if discovery has not confirmed one since
-// the start.
+// SnapshotEndpoints returns the current endpoint list; false if the discovery that is polled now has not confirmed a
+// list since the start of this process.
 func (p *Platform) SnapshotEndpoints() (*EndpointSnapshot, bool) { return p.endpoints.snapshot() }
 
 func (w *endpointWatch) confirmedVersion() (version int64, confirmed bool) {
@@ -39,7 +39,8 @@
 	return w.table.version, w.confirmedLocked()
 }
 
-// confirmedLocked reports whether the table is of the discovery that is polled now, and of this run.
+// confirmedLocked reports whether the table comes from a response that the discovery that is polled now has sent to
+// this process.
 func (w *endpointWatch) confirmedLocked() bool { return w.answered && !w.switched && !w.needComplete }
 
 func (w *endpointWatch) snapshot() (*EndpointSnapshot, bool) {
@@ -53,7 +54,7 @@
 	slices.SortFunc(response.Endpoints, func(a, b endpointEntry) int { return strings.Compare(a.ID, b.ID) })
 	text, err := json.Marshal(response)
 	if err != nil {
-		return nil, false // not reached: all of its fields have a JSON form
+		return nil, false // not reached: every field of the response can be encoded as JSON
 	}
 	return &EndpointSnapshot{
 		TakenAt: time.Now(), Discovery: discovery, Version: *response.Version, Endpoints: text,
--- a/internal/platform/endpoint_table.go
+++ b/internal/platform/endpoint_table.go
@@ -9,7 +9,7 @@
 	"github.com/vatu-meals/foxlift/internal/core"
 )
 
-// An endpointTable is the endpoint list as last applied. The watch guards it by its mutex.
+// endpointTable holds the endpoint list after the last applied response. The mutex of the endpointWatch guards it.
 type endpointTable struct {
 	settings      *config.Settings
 	wallNow       func() time.Time                               // the wall clock, on which other machines report times
@@ -17,7 +17,7 @@
 	onWorkerState func(worker string, state foxlift.WorkerState) // for each worker that a response names or drops
 
 	entries map[string]endpoint
-	version int64
+	version int64 // version of the last applied response
 }
 
 func newEndpointTable(s *config.Settings) endpointTable {
@@ -30,10 +30,11 @@
 	}
 }
 
-// wallClock reads the wall clock, without the monotonic one.
+// wallClock returns the wall-clock time without a monotonic reading.
 func wallClock() time.Time { return time.Now().Round(0) }
 
-// apply brings the table up to a response of discovery and returns the response in the module's terms.
+// apply updates the table from a response of discovery and returns the workers of the response as the decision module
+// represents them.
 func (t *endpointTable) apply(response *endpointsResponse) []foxlift.Worker {
 	previous := t.entries
 	if response.Complete {
@@ -47,7 +48,7 @@
 		state := workerStates[entry.Health]
 		start := processStartOf(entry.StartedMilli, wall, t.coreNow)
 		if old, ok := previous[entry.ID]; ok && old.announcedStartMilli == entry.StartedMilli {
-			start = old.processStart // the same start announced again, wherever the wall clock is now
+			start = old.processStart // the same start announced again: steps of the wall clock must not change it
 		}
 		t.entries[entry.ID] = endpoint{
 			address:             entry.Address,
@@ -72,7 +73,7 @@
 	return workers
 }
 
-// reportRemoved reports the workers that were in the table before and no longer are.
+// reportRemoved calls onWorkerState for the workers that were in the previous table and are not in this one.
 func (t *endpointTable) reportRemoved(previous map[string]endpoint) {
 	for worker := range previous {
 		if _, present := t.entries[worker]; !present {
@@ -81,8 +82,8 @@
 	}
 }
 
-// state returns a worker's state, and since when it is not live. One that the table does not name is
-// removed, since an unknown time.
+// state returns a worker's state, and the time since which it has not been live; zero for a live worker. A worker that
+// is not in the table counts as removed, with a zero time.
 func (t *endpointTable) state(worker string) (state foxlift.WorkerState, since time.Time) {
 	if e, ok := t.entries[worker]; ok {
 		return e.state, e.unavailableSince
@@ -90,7 +91,7 @@
 	return foxlift.Removed, time.Time{}
 }
 
-// snapshot returns the table as a complete response, without the workers that are removed.
+// snapshot returns the table as a complete response, without removed workers.
 func (t *endpointTable) snapshot() *endpointsResponse {
 	version := t.version
 	response := &endpointsResponse{
--- a/internal/platform/endpoint_watch.go
+++ b/internal/platform/endpoint_watch.go
@@ -14,19 +14,20 @@
 	"github.com/vatu-meals/foxlift/internal/pollpacing"
 )
 
-// When calls are made, how long a watch is held and when a silent call is broken off is decided in
-// internal/pollpacing. A watch that falls silent delays every change by as long as it may last.
+// Timeouts of the endpoint watch. Package pollpacing decides when calls are made, how long discovery holds a watch and
+// after which time a call without a response is cancelled. A watch that gets no response delays every change of the
+// endpoint list until its timeout.
 //
-// After SIGHUP the new discovery's list is binding 4 s later: switchRetryTime is 0.5 s less, and a call
-// that is silent then is ended after switchCallTimeout, in time for another one.
+// The list of a new discovery must be in force 4 s after SIGHUP. switchRetryPeriod is 0.5 s shorter, and a call
+// without a response is cancelled in that period after switchCallTimeout, which leaves time for another call.
 const (
-	firstWatchHold          = time.Millisecond        // that discovery may hold the first watch: a silent one shows soon
-	switchRetryPeriod       = 3500 * time.Millisecond // after a switch, in which calls that fail are made again
-	switchCallTimeout       = 2 * time.Second         // for the complete list in that time
-	defaultFinalReadTimeout = time.Second             // that a switch waits for the old discovery's last response
+	firstWatchHold          = time.Millisecond        // hold of the first watch: a silent discovery is detected soon
+	switchRetryPeriod       = 3500 * time.Millisecond // after a switch, in which failed calls are repeated at once
+	switchCallTimeout       = 2 * time.Second         // of a call for the complete list in switchRetryPeriod
+	defaultFinalReadTimeout = time.Second             // how long a switch waits for the old discovery's last response
 )
 
-// An endpointObserver learns what the watch finds out. *core.Core implements it.
+// endpointObserver receives the results of the calls to discovery. *core.Core implements it.
 type endpointObserver interface {
 	UpdateEndpoints(kind foxlift.EndpointUpdate, workers []foxlift.Worker)
 	ConfirmEndpoints()                             // discovery has answered that nothing has changed
@@ -34,34 +35,35 @@
 	RecordPollFailure(failure foxlift.PollFailure) // a call has failed
 }
 
-// An endpointWatch keeps the endpoint table by watching discovery. Attempts look at the table just before
-// they send, so that they see a change before the core has processed it.
+// endpointWatch keeps the endpoint table up to date by watching discovery. Attempts read the table just before they
+// send, so that a change is in force for them before the core has processed it.
 type endpointWatch struct {
-	ctx              context.Context // ends with the watch
+	ctx              context.Context // done once the watch is stopped
 	cancel           context.CancelFunc
-	loop             sync.WaitGroup // the goroutine that makes the calls
+	loop             sync.WaitGroup // waits for the goroutine of run
 	observer         endpointObserver
 	log              *zap.Logger
-	pacer            *pollpacing.Pacer // of the loop alone
-	finalReadTimeout time.Duration
+	pacer            *pollpacing.Pacer // used only by the goroutine of run
+	finalReadTimeout time.Duration     // how long a switch waits for the old discovery's last response
 
 	mu               sync.Mutex
 	table            endpointTable
 	unread           unreadResponse
-	discovery        string             // the address that is polled
-	cancelCalls      context.CancelFunc // ends the calls to discovery and the delays between them
-	switchRetryUntil time.Time          // until then the first complete list of discovery is asked for without delay
-	switched         bool               // discovery has changed since the last call
-	answered         bool               // a call has been answered since the start
-	needComplete     bool               // the next call asks for the complete list: no version is known to go on from
-	watching         bool               // the loop runs
+	discovery        string             // address of the discovery that is polled
+	cancelCalls      context.CancelFunc // cancels the current session's calls and delays; nil if there is no session
+	switchRetryUntil time.Time          // until then, failed calls to a new discovery are repeated at once; zero: never
+	switched         bool               // discovery has changed since the last session was opened
+	answered         bool               // a call has been answered since the start of this process
+	needComplete     bool               // the next session requests the complete list, not the changes since a version
+	watching         bool               // the goroutine of run has been started
 }
 
-// newEndpointWatch returns a watch that has not begun. It ends with ctx or by stop.
+// newEndpointWatch returns a watch that makes no calls before Watch or switchTo. It ends when ctx is done or stop is
+// called.
 func newEndpointWatch(
 	ctx context.Context, discovery string, s *config.Settings, observer endpointObserver, log *zap.Logger,
 ) *endpointWatch {
-	// After a failed call four times as long may go by as without any: half of that is kept.
+	// After a failed call the time between calls may be four times MaxPollInterval. Half of that is used.
 	maxDelay := 2 * time.Duration(s.Module.MaxPollInterval)
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	pacer := pollpacing.NewPacer(s.Module.Dispatchers, maxDelay, rng)
@@ -82,7 +84,8 @@
 	}
 }
 
-// load applies the cached list, from before the start.
+// loadCached applies the cached list, which was saved before the start of this process, and returns its workers; nil
+// if there is no cached list.
 func (w *endpointWatch) loadCached(cached []byte) ([]foxlift.Worker, error) {
 	response, err := parseCached(cached)
 	if response == nil {
@@ -93,17 +96,18 @@
 	return w.applyLocked(response), nil
 }
 
-// applyLocked applies a response, which then is unread no longer.
+// applyLocked applies a response to the table and clears the record of an unread response. It returns the response's
+// workers.
 func (w *endpointWatch) applyLocked(response *endpointsResponse) []foxlift.Worker {
 	w.needComplete = false
 	w.unread.clear()
 	return w.table.apply(response)
 }
 
-// find returns a worker's entry, if new work may go there now. A change is binding once discovery has
-// written it: where a response has arrived that is not in the table yet (the process stood still, the core
-// was busy, or the list is long), find waits for it, and if that takes too long nothing is sent. It must
-// not be called on the core's goroutine.
+// findLive returns a worker's entry, and whether new work may be sent to the worker now. A change is in force as soon
+// as discovery has written it. If a response has arrived that is not in the table yet (the process was suspended, the
+// core was busy, or the list is long), findLive waits until the response is applied. It returns false if that takes
+// longer than unreadResponse.deadline allows. Because it may block, it must not be called on the core's goroutine.
 func (w *endpointWatch) findLive(worker string) (endpoint, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -119,14 +123,14 @@
 	return e, ok && e.state == foxlift.Live
 }
 
-// stateOf returns a worker's state, and since when it is not live.
+// stateOf returns a worker's state in the table, and the time since which it has not been live; zero for a live worker.
 func (w *endpointWatch) stateOf(worker string) (state foxlift.WorkerState, since time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.table.state(worker)
 }
 
-// hasSynced reports whether discovery has answered since the start.
+// hasSynced reports whether discovery has answered a call since the start of this process.
 func (w *endpointWatch) hasSynced() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -148,9 +152,9 @@
 	w.loop.Go(w.run)
 }
 
-// switchTo polls another discovery from now on: the call to the old one is ended, and the new one's list is
-// asked for complete until it is there. Until then the last list holds. What the old one has written by now
-// is binding: it is read before the call ends.
+// switchTo makes the watch poll another discovery. It cancels the call to the old discovery, and the next calls request
+// the new discovery's complete list until it has arrived; the current list stays in force until then. A response that
+// the old discovery has already written is in force too, so it is read before its call is cancelled.
 func (w *endpointWatch) switchTo(discovery string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -167,7 +171,7 @@
 	go w.observer.ChangeDiscovery() // the core may be busy
 }
 
-// stop ends the watch for good, and waits for its goroutine.
+// stop ends the watch permanently and waits for its goroutine.
 func (w *endpointWatch) stop() {
 	w.mu.Lock()
 	w.cancel()
@@ -175,8 +179,8 @@
 	w.loop.Wait()
 }
 
-// run makes calls until the watch is stopped. After a failure it calls again when the pacer says so, which
-// has the sum of all schedulers' calls in view: an end of the watch comes to all of them at once.
+// run makes calls until the watch is stopped. After a failure it waits for the delay of the pacer. That delay accounts
+// for the calls of all schedulers together, because a failure of discovery ends the watches of all of them at once.
 func (w *endpointWatch) run() {
 	delay := w.pacer.InitialDelay()
 	for {
@@ -198,7 +202,8 @@
 		if cancelled {
 			continue
 		}
-		// A watch is held by discovery: that wait is not one for the next call.
+		// The time for which discovery held a watch is not part of the delay before the next call, so the duration
+		// of the call is limited to a timeout without a hold.
 		delay = w.pacer.NextDelay(callOutcome(err), min(time.Since(calledAt), w.pacer.Timeout(0)))
 		if !retryingSwitch {
 			w.log.Warn("endpoint watch: call to discovery failed", zap.String("discovery", session.discovery),
@@ -208,7 +213,7 @@
 	}
 }
 
-// openSession returns a session with the discovery that is to be polled; nil if the watch has been stopped.
+// openSession returns a session with the current discovery, and its context; nil if the watch has been stopped.
 func (w *endpointWatch) openSession() (context.Context, *watchSession) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -223,8 +228,8 @@
 	return ctx, session
 }
 
-// closeSession ends the calls of a session. It reports whether its failure is urgent to retry and not
-// reported, since a discovery that has just been switched to may not be there yet.
+// closeSession cancels the calls of the session. It reports whether the watch is in the retry period after a switch.
+// In that period failures are not logged or reported, because the new discovery may not be running yet.
 func (w *endpointWatch) closeSession() (retryingSwitch bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -234,8 +239,8 @@
 	return time.Now().Before(w.switchRetryUntil)
 }
 
-// applyResponse applies the response to a call, unless the watch has switched to another discovery since:
-// the old one's last response must not replace the new list.
+// applyResponse applies the response to a call and returns its workers. It fails if ctx, the session's context, is
+// done: a late response of an old discovery must not replace the list of the new one.
 func (w *endpointWatch) applyResponse(
 	ctx context.Context, response *endpointsResponse,
 ) ([]foxlift.Worker, error) {
@@ -244,7 +249,7 @@
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
-	if w.switched { // the final response of the old discovery: the next list is the new one's
+	if w.switched { // the last response of the old discovery; the next session requests the new one's complete list
 		w.cancelCalls()
 		workers := w.applyLocked(response)
 		w.needComplete = true
@@ -254,14 +259,14 @@
 	return w.applyLocked(response), nil
 }
 
-// progress returns the list's version, and whether a call has been answered since the start.
+// progress returns the list's version, and whether a call has been answered since the start of this process.
 func (w *endpointWatch) progress() (version int64, answered bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.table.version, w.answered
 }
 
-// completeTimeout is how long a call for the complete list may take.
+// completeTimeout returns the timeout of a call for the complete list.
 func (w *endpointWatch) completeTimeout() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -271,8 +276,8 @@
 	return w.pacer.Timeout(0)
 }
 
-// setReading records, before anything of a response that has arrived is read, that it is; or that all of
-// what had arrived was a part only, and the rest is awaited.
+// setReading records whether input of a response is being read. true means that input has arrived and is about to be
+// read; false means that all input so far was read and is only a part of the response, and more is awaited.
 func (w *endpointWatch) setReading(reading bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -285,8 +290,8 @@
 	}
 }
 
-// requireComplete makes the next call one for the complete list if a call failed by its response's size:
-// the changes since the last version can be larger than the complete list.
+// requireCompleteIfOversized makes the next session request the complete list if err is an oversizedError: the changes
+// since the last version can be larger than the complete list.
 func (w *endpointWatch) requireCompleteIfOversized(err error) {
 	if errors.As(err, &oversizedError{}) {
 		w.mu.Lock()
--- a/internal/platform/endpoints_response.go
+++ b/internal/platform/endpoints_response.go
@@ -13,22 +13,22 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// The bound of an endpoint list. A list within it is decoded as it arrives, so that its text is never in memory as a
-// whole; one over it is rejected, since a process that runs out of memory serves nobody.
+// Parameters of the bound on an endpoint list. A list within the bound is decoded as it arrives, so that its text is
+// never in memory as a whole. A list over it is rejected, because it could make the process run out of memory.
 const (
-	designEndpoints      = 19_000 // of the fleet that one scheduler is designed for (docs/capacity)
-	bytesPerEntry        = 512    // of one entry's text; about 126 in a compact list, about 220 in an indented one
+	designEndpoints      = 19_000 // workers of the fleet that one scheduler is designed for (docs/capacity)
+	bytesPerEntry        = 512    // bound per entry; a compact entry has about 126 bytes, an indented one about 220
 	memoryPerEntry       = 2048   // bytes that an entry takes in the table, the core and the module together
-	textMemoryDivisor    = 8      // of the memory limit that a list's text may come to,
-	entriesMemoryDivisor = 2      // and that its entries may take
+	textMemoryDivisor    = 8      // the text of a list may have at most 1/8 as many bytes as the memory limit
+	entriesMemoryDivisor = 2      // the entries of a list may take at most 1/2 of the memory limit
 )
 
-// A responseBound is the most that an endpoint list may have.
+// responseBound holds the maximum size of an endpoint list.
 type responseBound struct {
 	bytes, entries int64
 }
 
-// newResponseBound returns the bound for a process with a memory limit in bytes.
+// newResponseBound returns the bound for a process whose memory limit is memory bytes.
 func newResponseBound(memory int64) responseBound {
 	return responseBound{
 		bytes:   min(designEndpoints*bytesPerEntry, memory/textMemoryDivisor),
@@ -36,10 +36,10 @@
 	}
 }
 
-// processResponseBound returns the bound that follows from the runtime's memory limit.
+// processResponseBound returns the bound for the memory limit of the Go runtime.
 func processResponseBound() responseBound { return newResponseBound(debug.SetMemoryLimit(-1)) }
 
-// An oversizedError says that a list is over its bound. It will be so again at the next call.
+// oversizedError is the error for a list over its bound. The next call is expected to fail in the same way.
 type oversizedError struct {
 	unit  string // "bytes" or "entries"
 	limit int64
@@ -47,17 +47,17 @@
 
 // Error implements error.
 func (e oversizedError) Error() string {
-	return fmt.Sprintf("the list has over %d %s", e.limit, e.unit)
+	return fmt.Sprintf("endpoint list exceeds the limit of %d %s", e.limit, e.unit)
 }
 
-// An endpointsResponse is discovery's response: a complete endpoint list, or a delta.
+// endpointsResponse is discovery's response: a complete endpoint list, or the entries changed since a version.
 type endpointsResponse struct {
 	Version   *int64          `json:"seq"`
 	Complete  bool            `json:"whole"`
 	Endpoints []endpointEntry `json:"hosts"`
 }
 
-// An endpointEntry is a worker in discovery's response.
+// endpointEntry is a worker's entry in discovery's response.
 type endpointEntry struct {
 	ID           string `json:"host"`
 	Address      string `json:"dial"`
@@ -68,31 +68,34 @@
 	StartedMilli int64  `json:"born_ms"`
 }
 
+// workerStates maps the health names in discovery's protocol to worker states.
 var workerStates = map[string]foxlift.WorkerState{
 	healthActive: foxlift.Live, healthLeaving: foxlift.Draining, healthRemoved: foxlift.Removed,
 }
 
-// validate returns what is wrong with an entry.
+// validate returns an error if the entry lacks a worker ID, has an unknown health or, unless the worker is removed,
+// has no valid address.
 func (e *endpointEntry) validate() error {
 	if e.ID == "" {
-		return errors.New("host is empty")
+		return errors.New(`"host" is missing or empty`)
 	}
 	if _, ok := workerStates[e.Health]; !ok {
-		return fmt.Errorf("health is %q", e.Health)
+		return fmt.Errorf(`"health" has unknown value %q`, e.Health)
 	}
 	if _, _, err := net.SplitHostPort(e.Address); err != nil && e.Health != healthRemoved {
-		return fmt.Errorf("dial is %q", e.Address)
+		return fmt.Errorf(`"dial" is %q, want host:port`, e.Address)
 	}
 	return nil
 }
 
-// parseEndpoints reads a response that is in memory.
+// parseEndpoints decodes a response that is in memory, without a bound on its entries that matters in practice.
 func parseEndpoints(text []byte) (*endpointsResponse, error) {
 	return decodeResponse(bytes.NewReader(text), newResponseBound(1<<62).entries)
 }
 
-// decodeResponse reads a response of at most so many entries up to its end, one entry after another. One that is
-// invalid anywhere is rejected altogether. It accepts what json.Unmarshal does, except for a second "hosts".
+// decodeResponse decodes a response of at most maxEntries entries from r up to the end of r, entry by entry. It
+// returns an error if any part of the response is invalid. It accepts the same JSON as json.Unmarshal, except that
+// "hosts" may appear only once.
 func decodeResponse(r io.Reader, maxEntries int64) (*endpointsResponse, error) {
 	dec := json.NewDecoder(r)
 	if err := expectDelim(dec, '{'); err != nil {
@@ -110,7 +113,7 @@
 		case strings.EqualFold(name, "whole"):
 			err = dec.Decode(&response.Complete)
 		case strings.EqualFold(name, "hosts") && seenHosts:
-			err = errors.New("hosts is there twice")
+			err = errors.New(`"hosts" appears twice`)
 		case strings.EqualFold(name, "hosts"):
 			seenHosts = true
 			err = response.decodeEndpoints(dec, maxEntries)
@@ -126,22 +129,22 @@
 	}
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
 		if err == nil {
-			err = errors.New("something follows the list")
+			err = errors.New("unexpected data after the endpoint list")
 		}
 		return nil, err
 	}
 	if response.Version == nil {
-		return nil, errors.New("seq is missing")
+		return nil, errors.New(`"seq" is missing`)
 	}
 	return &response, nil
 }
 
-// decodeEndpoints reads the entries, at most max; null counts as none.
+// decodeEndpoints decodes the array of entries, of which there may be at most maxEntries; null counts as no entries.
 func (r *endpointsResponse) decodeEndpoints(dec *json.Decoder, maxEntries int64) error {
 	if token, err := dec.Token(); err != nil || token == nil {
 		return err
 	} else if token != json.Delim('[') {
-		return fmt.Errorf("hosts is %v", token)
+		return fmt.Errorf(`"hosts" begins with %v, want an array`, token)
 	}
 	for i := int64(0); dec.More(); i++ {
 		if i >= maxEntries {
@@ -160,16 +163,17 @@
 	return expectDelim(dec, ']')
 }
 
-// expectDelim reads a token that has to be want.
+// expectDelim reads the next token and returns an error if it is not want.
 func expectDelim(dec *json.Decoder, want json.Delim) error {
 	token, err := dec.Token()
 	if err == nil && token != want {
-		err = fmt.Errorf("%v where %v should be", token, want)
+		err = fmt.Errorf("unexpected JSON token %v, want %v", token, want)
 	}
 	return err
 }
 
-// parseCached reads the cached list, from before the start; nil if there is none.
+// parseCached decodes the cached list, which was saved before the start of this process; nil if there is none. The
+// result counts as a complete list.
 func parseCached(cached []byte) (*endpointsResponse, error) {
 	if len(cached) == 0 || string(cached) == "null" {
 		return nil, nil
@@ -182,7 +186,8 @@
 	return response, nil
 }
 
-// ValidateCachedEndpoints checks a cached list, from before the start.
+// ValidateCachedEndpoints returns an error if cached, an endpoint list that was saved before the start of this process,
+// is invalid. An empty list or null is valid.
 func ValidateCachedEndpoints(cached []byte) error {
 	_, err := parseCached(cached)
 	return err
--- a/internal/platform/health_check.go
+++ b/internal/platform/health_check.go
@@ -11,7 +11,7 @@
 	"github.com/vatu-meals/foxlift/internal/core"
 )
 
-const healthCheckTimeout = 500 * time.Millisecond // for the answer, the connection not included
+const healthCheckTimeout = 500 * time.Millisecond // for the request and its answer, without the dial
 
 // HealthCheck implements core.Workers.
 func (p *workerPool) HealthCheck(worker string, report func(core.Report)) {
@@ -23,14 +23,14 @@
 	if !ok {
 		return finalReport(foxlift.NotSent)
 	}
-	conn, err := p.acquire(context.Background(), target) // a dial has a time limit of its own
+	conn, err := p.acquire(context.Background(), target) // dialTimeout bounds a dial
 	if err != nil {
 		return finalReport(sendCode(err))
 	}
 	conn.SetDeadline(time.Now().Add(healthCheckTimeout))
 	report, reusable := p.exchangeHealthCheck(conn, worker)
 	if conn.SetDeadline(time.Time{}) != nil || !reusable {
-		conn.reset() // a request that is still on its way must not arrive later
+		conn.reset() // a request that is not delivered yet must not arrive later
 		p.discard(conn)
 	} else {
 		p.release(conn)
@@ -38,8 +38,8 @@
 	return report
 }
 
-// exchangeHealthCheck asks for a worker's sign of life, or for its load where the settings name gauges.
-// reusable says that the connection is at the start of a new request.
+// exchangeHealthCheck sends a health check request and reads the answer. If the settings name gauges, it requests the
+// worker's load report instead of a ping. reusable reports whether the connection can be used for another request.
 func (p *workerPool) exchangeHealthCheck(conn *workerConn, worker string) (report core.Report, reusable bool) {
 	path := pathPing
 	if len(p.loadParser.names) > 0 {
--- a/internal/platform/in_flight.go
+++ b/internal/platform/in_flight.go
@@ -7,18 +7,19 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// answerGrace is how long an attempt without an answer may go on after its worker has become draining or
-// removed. The rule on drains allows for 0.75 s in the shortest settings known; the change may have come up
-// to 0.15 s late.
+// answerGrace is how long an attempt without an answer may go on after this process has received the change of its
+// worker to draining or removed. The platform's rule on drains allows 0.75 s in the shortest settings known, and the
+// change may arrive up to 0.15 s late.
 const answerGrace = 300 * time.Millisecond
 
-// inFlightAttempts are the attempts in flight, by worker. Its zero value is ready for use.
+// inFlightAttempts holds the attempts in flight by worker and aborts unanswered attempts whose worker is no longer
+// live. Its zero value is ready for use.
 //
-// It aborts those whose worker is no longer live. A worker answers with a status as soon as it has taken a
-// request. Where none has come, the request may still be on its way: a network that was cut delivers it once
-// it works again, as late as the cut was long. To the worker that is a send after the endpoint list said that
-// it drains or is removed. So an attempt without an answer ends shortly after its worker's change, with a
-// reset of the connection, which also discards what the kernel would send again.
+// A worker answers with a status as soon as it has accepted a request. Without an answer, the request may not have
+// arrived yet: after a network partition it is delivered when the network works again, however long that takes. The
+// worker then receives a request after the endpoint list has reported it as draining or removed, which the platform's
+// rule on drains forbids. An attempt without an answer is therefore ended answerGrace after the change. It resets the
+// connection, which also discards the bytes that the kernel would retransmit.
 type inFlightAttempts struct {
 	mu       sync.Mutex
 	byWorker map[string]map[*attempt]struct{}
@@ -45,7 +46,8 @@
 	}
 }
 
-// workerChanged takes in a worker's state in the endpoint list. It may be called with the list locked.
+// scheduleAborts schedules the abort of the worker's attempts in flight after answerGrace, unless its state is live.
+// It may be called with the mutex of the endpointWatch locked.
 func (f *inFlightAttempts) scheduleAborts(worker string, state foxlift.WorkerState) {
 	if state == foxlift.Live {
 		return
--- a/internal/platform/load_report.go
+++ b/internal/platform/load_report.go
@@ -14,30 +14,31 @@
 	"github.com/vatu-meals/foxlift/internal/counters"
 )
 
-// A loadParser reads workers' load reports: the gauges that the settings name, in their order. An invalid report
-// counts as none, and the answer that brought it stands.
+// loadParser parses workers' load reports. It returns the gauges that the settings name, in the order of the settings.
+// An invalid report is counted and treated as missing; the answer that contains it stays valid.
 type loadParser struct {
-	names    []string
+	names    []string // gauge names of the settings; without any, reports are ignored
 	counters *counters.Set
 }
 
-// maxGauge is the most that a gauge of a report may be: no worker has as much of anything.
+// maxGaugeValue is the maximum valid value of a gauge. No real gauge reaches it.
 const maxGaugeValue = 1e9
 
+// loadGauges holds the gauge values of a load report, in the order of the settings.
 type loadGauges = [foxlift.MaxGauges]float64
 
-// header reads a report in the head of an answer; false if there is none.
+// parseHeader parses a report in the headers of an answer; false if there is no valid report.
 func (p loadParser) parseHeader(values []string) (loadGauges, bool) {
 	switch {
 	case len(p.names) == 0 || len(values) == 0:
 		return loadGauges{}, false
 	case len(values) > 1:
-		return p.countInvalid(loadGauges{}, errors.New("it is there twice"))
+		return p.countInvalid(loadGauges{}, errors.New("load report header appears twice"))
 	}
 	return p.countInvalid(parseLoad(values[0], p.names))
 }
 
-// object reads a report in the last line of an answer; false if there is none.
+// parseObject parses a report in the final line of an answer; false if there is no valid report.
 func (p loadParser) parseObject(text json.RawMessage) (loadGauges, bool) {
 	if len(p.names) == 0 || len(text) == 0 || string(text) == "null" {
 		return loadGauges{}, false
@@ -45,7 +46,8 @@
 	return p.countInvalid(parseLoadObject(text, p.names))
 }
 
-// body reads a report that is the body of an answer to a health check, in either form.
+// parseBody parses the body of an answer to a health check, which is a JSON object or has the form of the header;
+// false if it is not a valid report.
 func (p loadParser) parseBody(text []byte) (loadGauges, bool) {
 	if text = bytes.TrimSpace(text); bytes.HasPrefix(text, []byte("{")) {
 		return p.parseObject(text)
@@ -53,7 +55,7 @@
 	return p.countInvalid(parseLoad(string(text), p.names))
 }
 
-// counted counts an invalid report.
+// countInvalid counts an invalid report if err is not nil. It returns values and whether the report is valid.
 func (p loadParser) countInvalid(values loadGauges, err error) (loadGauges, bool) {
 	if err != nil {
 		p.counters.Add("loads.faulty")
@@ -61,41 +63,42 @@
 	return values, err == nil
 }
 
-// A loadReport is a report that is being read: each name of the settings once, with a number within bounds. Other
-// names may have any value.
+// loadReport collects the gauges of a report while it is parsed. A valid report has each name of the settings exactly
+// once, with a number from 0 to maxGaugeValue; other names are ignored.
 type loadReport struct {
 	names   []string
 	values  loadGauges
 	present [foxlift.MaxGauges]bool
 }
 
+// set records the value of a gauge, or ignores it if the settings do not name the gauge.
 func (r *loadReport) set(name, value string) error {
 	i := slices.Index(r.names, name)
 	if i < 0 || i >= len(r.values) {
 		return nil
 	}
 	if r.present[i] {
-		return fmt.Errorf("%q is there twice", name)
+		return fmt.Errorf("gauge %q appears twice", name)
 	}
 	gauge, err := strconv.ParseFloat(value, 64)
 	if err != nil || !(gauge >= 0 && gauge <= maxGaugeValue) {
-		return fmt.Errorf("%q is not a number from 0 to %g", name, maxGaugeValue)
+		return fmt.Errorf("gauge %q has value %q, want a number from 0 to %g", name, value, maxGaugeValue)
 	}
 	r.values[i], r.present[i] = gauge, true
 	return nil
 }
 
-// complete returns the values, if all of them are there.
+// complete returns the values, or an error if a gauge is missing.
 func (r *loadReport) complete() (loadGauges, error) {
 	for i, name := range r.names[:min(len(r.names), len(r.values))] {
 		if !r.present[i] {
-			return loadGauges{}, fmt.Errorf("%q is missing", name)
+			return loadGauges{}, fmt.Errorf("gauge %q is missing", name)
 		}
 	}
 	return r.values, nil
 }
 
-// parseLoad reads name=value,name=value.
+// parseLoad parses a report of the form name=value,name=value.
 func parseLoad(text string, names []string) (loadGauges, error) {
 	report := loadReport{names: names}
 	for part := range strings.SplitSeq(strings.TrimSpace(text), ",") {
@@ -107,11 +110,11 @@
 	return report.complete()
 }
 
-// parseLoadObject reads {"name":value,...}.
+// parseLoadObject parses a report of the form {"name":value,...}.
 func parseLoadObject(text []byte, names []string) (loadGauges, error) {
 	dec := json.NewDecoder(bytes.NewReader(text))
 	if t, err := dec.Token(); err != nil || t != json.Delim('{') {
-		return loadGauges{}, errors.New("not an object")
+		return loadGauges{}, errors.New("load report is not a JSON object")
 	}
 	report := loadReport{names: names}
 	for dec.More() {
@@ -131,7 +134,7 @@
 		return loadGauges{}, err
 	}
 	if _, err := dec.Token(); err != io.EOF {
-		return loadGauges{}, errors.New("more than an object")
+		return loadGauges{}, errors.New("unexpected data after the load report")
 	}
 	return report.complete()
 }
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -16,25 +16,26 @@
 	"github.com/vatu-meals/foxlift/internal/upgrade"
 )
 
-// A datagram between schedulers: a mark with the format's version and the time at which it was sent (12 and 52 bits
-// of one number, the time in Unix microseconds; no two have the same), the message, and a CRC-32C over both.
+// Format of a datagram between schedulers and limits of the exchange. A datagram has a big-endian 64-bit header, the
+// message, and a CRC-32C of both. The upper 12 bits of the header are peerMagic, which identifies the version of the
+// format; the lower 52 bits are the send time in Unix microseconds, which is unique among a sender's datagrams.
 const (
 	peerMagic         = 0xf01
 	peerTimeBits      = 52
-	maxPeerDatagram   = 256 // bytes, by the protocol
-	peerOverhead      = 8 + 4
-	maxPeerAgeMicros  = 3_000_000 // microseconds; older messages are dropped
+	maxPeerDatagram   = 256       // bytes, by the protocol
+	peerOverhead      = 8 + 4     // bytes of the header and the checksum
+	maxPeerAgeMicros  = 3_000_000 // maximum difference of the send time from the receiver's clock, in microseconds
 	peerQueueLength   = 64        // messages queued to be sent; more are dropped
-	maxPeerRate       = 1000      // messages a second that are accepted from a peer,
-	maxPeerBurst      = 200       // and so many at once: a peer sends two for each job
-	peerHistoryLength = 64        // last messages of a peer, to recognize a duplicate
+	maxPeerRate       = 1000      // messages per second accepted from a peer, which sends two for each job
+	maxPeerBurst      = 200       // messages accepted from a peer at once
+	peerHistoryLength = 64        // number of send times kept for each peer to recognize duplicates
 )
 
 var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
-// A datagramError is why a datagram is dropped. Each has a counter.
+// datagramError is the reason why a received datagram is dropped.
 type datagramError struct {
-	counter string
+	counter string // name of the counter of datagrams dropped for this reason
 	text    string
 }
 
@@ -42,13 +43,14 @@
 func (e *datagramError) Error() string { return e.text }
 
 var (
-	errCorruptDatagram   = &datagramError{"peers.garbled", "the datagram is garbled"}
-	errStaleDatagram     = &datagramError{"peers.late", "the datagram is too old"}
-	errDuplicateDatagram = &datagramError{"peers.doubled", "the datagram is a duplicate"}
-	errPeerRateExceeded  = &datagramError{"peers.too_many", "the peer sends too many datagrams"}
+	errCorruptDatagram   = &datagramError{"peers.garbled", "datagram is malformed"}
+	errStaleDatagram     = &datagramError{"peers.late", "datagram is too old"}
+	errDuplicateDatagram = &datagramError{"peers.doubled", "datagram is a duplicate"}
+	errPeerRateExceeded  = &datagramError{"peers.too_many", "peer exceeds its rate limit"}
 )
 
-// sealPeer makes a datagram; nil if the message is too long for one.
+// encodeDatagram returns a datagram with the message data and the send time sentAt in Unix microseconds; nil if the
+// message is too long.
 func encodeDatagram(sentAt int64, data []byte) []byte {
 	if len(data) > maxPeerDatagram-peerOverhead {
 		return nil
@@ -59,33 +61,33 @@
 	return binary.BigEndian.AppendUint32(b, crc32.Checksum(b, castagnoliTable))
 }
 
-// A peerReceiver is what was last received from a peer.
+// peerReceiver checks the datagrams received from one peer: it limits their rate and rejects duplicates.
 type peerReceiver struct {
-	tokens          float64 // messages that it may send at once
-	updatedAt       int64   // time of the last one, in microseconds
+	tokens          float64 // messages that the peer may send now without exceeding its rate
+	updatedAt       int64   // time of the last datagram, in Unix microseconds
 	recentSendTimes [peerHistoryLength]int64
 	nextSlot        int
 }
 
-// open reads a datagram that came at now (Unix microseconds) and returns its message. The messages may be in
-// another order than they were sent. Its error is a *datagramError.
-func (p *peerReceiver) decode(now int64, packet []byte) ([]byte, error) {
+// decode checks a datagram received at now, in Unix microseconds, and returns its message. Datagrams may arrive in
+// another order than they were sent. The error is a *datagramError.
+func (p *peerReceiver) decode(now int64, raw []byte) ([]byte, error) {
 	p.tokens = min(maxPeerBurst, p.tokens+float64(now-p.updatedAt)*maxPeerRate/1e6)
 	p.updatedAt = now
 	if p.tokens < 1 {
 		return nil, errPeerRateExceeded
 	}
 	p.tokens--
-	if len(packet) < peerOverhead || len(packet) > maxPeerDatagram {
+	if len(raw) < peerOverhead || len(raw) > maxPeerDatagram {
 		return nil, errCorruptDatagram
 	}
-	head, body, sum := binary.BigEndian.Uint64(packet), packet[:len(packet)-4], binary.BigEndian.Uint32(packet[len(packet)-4:])
+	head, body, sum := binary.BigEndian.Uint64(raw), raw[:len(raw)-4], binary.BigEndian.Uint32(raw[len(raw)-4:])
 	if head>>peerTimeBits != peerMagic || crc32.Checksum(body, castagnoliTable) != sum {
 		return nil, errCorruptDatagram
 	}
 	sentAt := int64(head & (1<<peerTimeBits - 1))
 	switch {
-	case sentAt > now+maxPeerAgeMicros: // all clocks are the same
+	case sentAt > now+maxPeerAgeMicros: // all machines share a clock: the time is invalid
 		return nil, errCorruptDatagram
 	case sentAt < now-maxPeerAgeMicros:
 		return nil, errStaleDatagram
@@ -97,22 +99,22 @@
 	return append([]byte(nil), body[8:]...), nil
 }
 
-// peers carries the decision module's gossip over UDP. One goroutine reads and one writes; neither can hold up the
-// core.
+// peers exchanges the decision module's gossip messages with other schedulers over UDP. One goroutine reads and one
+// writes, so that neither blocks the core.
 type peers struct {
 	listen    string
 	conn      *net.UDPConn
 	peerAddrs []netip.AddrPort
-	broadcast netip.AddrPort // not valid: there is none
+	broadcast netip.AddrPort // address that reaches all peers; not valid if there is none
 	ownIndex  int
 	clock     core.Clock
 	counters  *counters.Set
 	receive   func(from int, data []byte)
 	outgoing  chan datagram
-	lastSent  int64 // when the last message was sent, so that the next is later; of the core's goroutine
+	lastSent  int64 // send time of the last message in Unix microseconds; used only by the core's goroutine
 	stopped   chan struct{}
 	stopOnce  sync.Once
-	loops     sync.WaitGroup // read and write
+	loops     sync.WaitGroup // waits for the goroutines of read and write
 }
 
 type datagram struct {
@@ -142,8 +144,8 @@
 	return p, nil
 }
 
-// open opens the socket, which another process may have open too if it is shared. Before that,
-// messages to others are dropped.
+// open opens the socket and starts reading and writing. If shared is set, another process may have the same address
+// open. Until open is called, outgoing messages are queued, and dropped once the queue is full.
 func (p *peers) open(shared bool) (err error) {
 	if shared {
 		p.conn, err = upgrade.ListenPacket(p.listen)
@@ -204,8 +206,8 @@
 	}
 }
 
-// read receives datagrams until the socket is closed. What comes from an unknown address, is garbled, too long, late,
-// a duplicate or one of a flood is counted and dropped.
+// read receives datagrams until the socket is closed. It counts and drops a datagram that comes from an unknown
+// address, is corrupt, too long, too old or a duplicate, or exceeds the peer's rate.
 func (p *peers) read() {
 	indexByAddr := map[netip.AddrPort]int{}
 	for i, addr := range p.peerAddrs {
@@ -222,7 +224,7 @@
 		}
 		i, known := indexByAddr[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		switch {
-		case err != nil: // an ICMP answer to a datagram that reached nobody, most likely
+		case err != nil: // most likely an ICMP error for an earlier datagram to a port without a socket
 			continue
 		case !known:
 			p.counters.Add("peers.stranger")
@@ -241,7 +243,7 @@
 	}
 }
 
-// stop ends both goroutines and waits for them; nothing is sent or received any more.
+// stop closes the socket, ends both goroutines and waits for them. No message is sent or received after it returns.
 func (p *peers) stop() {
 	p.stopOnce.Do(func() {
 		close(p.stopped)
--- a/internal/platform/unread_response.go
+++ b/internal/platform/unread_response.go
@@ -5,28 +5,29 @@
 	"time"
 )
 
-// How long an attempt waits for a response that has arrived to be in the table. After that it is not sent.
+// Limits of how long an attempt waits until a response that has arrived is in the endpoint table. The attempt is not
+// sent if the wait ends before that.
 const (
-	unreadWait    = time.Second     // after something was last read of the response
-	maxUnreadWait = 4 * time.Second // in all; longer than a call for the complete list may take
+	unreadWait    = time.Second     // since the last read of a part of the response
+	maxUnreadWait = 4 * time.Second // in total; longer than the timeout of a call for the complete list
 )
 
-// An unreadResponse tells whether discovery has written something that is not in the table yet. The watch
-// guards it by its mutex.
+// unreadResponse records whether a response of discovery has arrived that is not in the endpoint table yet. The mutex
+// of the endpointWatch guards it.
 type unreadResponse struct {
-	conn       net.Conn  // the watch's connection, while a response is awaited
-	reading    bool      // what arrived on conn is being read, and is not in the table yet
-	lastReadAt time.Time // when some of it was last read
+	conn       net.Conn  // the watch's connection while a response is awaited, otherwise nil
+	reading    bool      // bytes that arrived on conn are being read, and are not in the table yet
+	lastReadAt time.Time // when a part of a response was last about to be read
 }
 
-// exists reports whether something has arrived that is not in the table.
+// exists reports whether bytes of a response have arrived that are not in the table.
 func (u *unreadResponse) exists() bool { return u.reading || u.conn != nil && hasInput(u.conn) }
 
-// clear says that no response is awaited: the last one is in the table, or its connection is given up.
+// clear records that no response is awaited, because the last one is in the table or its connection was closed.
 func (u *unreadResponse) clear() { u.conn, u.reading = nil, false }
 
-// deadline returns until when an attempt that began to wait at startedAt waits for the response to be in
-// the table. While it is being read the wait goes on, since a long list takes time to decode.
+// deadline returns until when an attempt that began to wait at startedAt waits for the response to be in the table. It
+// moves on while the response is being read, up to maxUnreadWait, since a long list takes time to decode.
 func (u *unreadResponse) deadline(startedAt time.Time) time.Time {
 	deadline := later(startedAt, u.lastReadAt).Add(unreadWait)
 	if limit := startedAt.Add(maxUnreadWait); deadline.After(limit) {
--- a/internal/platform/watch_session.go
+++ b/internal/platform/watch_session.go
@@ -11,32 +11,32 @@
 	"github.com/vatu-meals/foxlift/internal/pollpacing"
 )
 
-// A watchSession is a sequence of calls to one discovery, up to the first that fails.
+// watchSession makes calls to one discovery until a call fails.
 type watchSession struct {
 	watch       *endpointWatch
 	discovery   string
 	afterSwitch bool // the watch has just switched to this discovery
 	client      *discoveryClient
 
-	complete      bool            // the next call asks for the complete list
-	synced        bool            // a response has been applied, and discovery has not lost count since
-	pendingUpdate *endpointUpdate // what the core has to be told; nil: nothing but that the list is confirmed
+	complete      bool            // the next call requests the complete list
+	synced        bool            // a response has been applied, and discovery has not returned a lower version since
+	pendingUpdate *endpointUpdate // update to report to the core; nil: a synced session only confirms the list
 }
 
-// An endpointUpdate is a response in the module's terms.
+// endpointUpdate is a response as the decision module represents it.
 type endpointUpdate struct {
 	kind    foxlift.EndpointUpdate
 	workers []foxlift.Worker
 }
 
-// run makes calls until one fails or ctx ends, and returns when that one was made.
+// run makes calls until one fails or ctx is done. It returns the time at which the failed call was made, and its error.
 func (s *watchSession) run(ctx context.Context) (calledAt time.Time, err error) {
 	s.client = &discoveryClient{
 		addr: s.discovery, dialTimeout: s.watch.pacer.DialTimeout(), onReading: s.watch.setReading,
 	}
 	defer s.client.close()
-	// Discovery has little time for each of many schedulers, and a call costs it by the entry: only a
-	// scheduler that has no list at all asks for the complete one.
+	// Discovery serves many schedulers, and the cost of a response grows with its entries. So a session requests
+	// the complete list only if the watch needs it.
 	s.watch.mu.Lock()
 	s.complete = s.watch.needComplete
 	s.watch.mu.Unlock()
@@ -51,7 +51,8 @@
 // poll makes one call and applies its response.
 func (s *watchSession) poll(ctx context.Context, calledAt time.Time) error {
 	err := s.call(ctx)
-	// The core is told of a response once the next call is out: nothing that happens here may delay that.
+	// The last response is reported to the core after the next call was sent, because the core may be busy and
+	// must not delay that call.
 	s.report()
 	if err != nil {
 		return err
@@ -62,7 +63,7 @@
 		return err
 	}
 	version, answered := s.watch.progress()
-	if !response.Complete && *response.Version < version { // discovery has lost count
+	if !response.Complete && *response.Version < version { // discovery has lost its versions: request the complete list
 		s.complete, s.pendingUpdate, s.synced = true, nil, false
 		return nil
 	}
@@ -85,8 +86,8 @@
 	return nil
 }
 
-// call sends the next call to discovery. Its connection is recorded before that: the response may be there
-// as soon as the call is out, and is binding from then on, however long the core is busy.
+// call sends the next call to discovery. It records the connection before that, because the response may arrive as
+// soon as the call is sent. From then on the response is in force for attempts, however long the core is busy.
 func (s *watchSession) call(ctx context.Context) error {
 	target, timeout := s.nextCall()
 	if err := s.client.connect(ctx); err != nil {
@@ -98,7 +99,7 @@
 	return s.client.send(target, timeout)
 }
 
-// nextCall returns the next call's target, and how long it may take.
+// nextCall returns the request target of the next call, and its timeout.
 func (s *watchSession) nextCall() (target string, timeout time.Duration) {
 	if s.complete {
 		return pathMembers, s.watch.completeTimeout()
@@ -106,13 +107,13 @@
 	hold := s.watch.pacer.WatchHold()
 	version, answered := s.watch.progress()
 	if !answered {
-		hold = firstWatchHold // a discovery that is silent shows soon after the start
+		hold = firstWatchHold // detects a silent discovery soon after the start
 	}
 	target = fmt.Sprintf("%s?%s=%d&%s=%d", pathMembers, queryIndex, version, queryWait, hold.Milliseconds())
 	return target, s.watch.pacer.Timeout(hold)
 }
 
-// report tells the core of the last response.
+// report reports the last response to the observer. It does nothing if the session is not synced.
 func (s *watchSession) report() {
 	switch {
 	case s.pendingUpdate != nil:
@@ -122,7 +123,7 @@
 	}
 }
 
-// receive reads the response to the last call.
+// receive reads the response to the last call. It fails if a call for the complete list returns only changes.
 func (s *watchSession) receive() (*endpointsResponse, error) {
 	response, err := s.client.receive(processResponseBound())
 	if err == nil && s.complete && !response.Complete {
--- a/internal/platform/worker_conn.go
+++ b/internal/platform/worker_conn.go
@@ -12,20 +12,20 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// A workerConn is a connection to a worker. It carries one request at a time.
+// workerConn is a connection to a worker. It transfers one request at a time.
 type workerConn struct {
 	net.Conn
 	addr      string
 	buf       buffer
-	idleTimer *time.Timer // closes the connection, while it is idle
-	idleSince time.Time   // when it last became idle; zero: it has not carried a request yet
+	idleTimer *time.Timer // closes the connection after idleTimeout, unless it is reused before
+	idleSince time.Time   // when it last became idle; zero for a connection that has served no request yet
 	openedAt  time.Time
 }
 
-// reused reports whether the connection has carried an earlier request.
+// reused reports whether the connection has served an earlier request.
 func (c *workerConn) reused() bool { return !c.idleSince.IsZero() }
 
-// reset ends a connection at once: what it has not delivered is discarded.
+// reset closes the connection with a TCP reset, which discards bytes that are not delivered yet.
 func (c *workerConn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0) // fails on a connection that is closed already
@@ -33,9 +33,9 @@
 	c.Close()
 }
 
-// A sendError is why a request was not delivered.
+// sendError is the reason why a request was not delivered.
 type sendError struct {
-	code  foxlift.Code // what the core is told
+	code  foxlift.Code // reported to the core
 	cause error
 }
 
@@ -47,7 +47,7 @@
 // Unwrap returns the cause.
 func (e *sendError) Unwrap() error { return e.cause }
 
-// sendCode returns the code that the core is told of a request that was not delivered.
+// sendCode returns the code that is reported to the core for an error of acquire or deliver.
 func sendCode(err error) foxlift.Code {
 	var failure *sendError
 	if errors.As(err, &failure) {
@@ -57,15 +57,16 @@
 }
 
 var (
-	errConnBroken          = errors.New("the connection has ended")
-	errNotPermitted        = errors.New("the attempt is no longer permitted")
-	errWriteDeadlinePassed = errors.New("the write deadline has passed")
+	errConnBroken          = errors.New("connection was closed or received unexpected bytes before the last byte")
+	errNotPermitted        = errors.New("attempt is no longer permitted")
+	errWriteDeadlinePassed = errors.New("write deadline has passed")
 )
 
-// deliver writes a request. A worker starts on a request's last byte, so that byte is held back until it is
-// known, as far as can be, that the other side has not refused the rest: a connection that the worker has
-// dropped, or drops now, answers the first bytes with a reset, and where the last byte was not written the
-// job never ran. In that time too the list may change or the client disconnect: proceed is asked last.
+// deliver writes a request. A worker starts the job when it receives the last byte of the request, so deliver holds
+// that byte back for hold and checks that the worker has not closed the connection. A connection that the worker has
+// closed, or closes now, answers the first bytes with a reset, and a job whose last byte was not written never ran.
+// The endpoint list may change or the client disconnect during the hold, so proceed is called after it; if it returns
+// false, or deadline (unless zero) has passed, the last byte is not written. The error is a *sendError.
 func (c *workerConn) deliver(request []byte, hold time.Duration, deadline time.Time, proceed func() bool) error {
 	last := len(request) - 1
 	if _, err := c.Write(request[:last]); err != nil {
@@ -78,7 +79,7 @@
 		return &sendError{foxlift.NotSent, errNotPermitted}
 	}
 	if !deadline.IsZero() && !time.Now().Before(deadline) {
-		// The workers that would have recognized it as a repeat may have forgotten it.
+		// The workers may no longer recognize the request as a repeat of an earlier one.
 		return &sendError{foxlift.NotSent, errWriteDeadlinePassed}
 	}
 	n, err := c.Write(request[last:])
@@ -91,8 +92,8 @@
 	return nil
 }
 
-// brokenError is the error of a connection that breaks before a request's last byte. A new one says that the
-// worker cannot be reached; one that was kept from an earlier request says nothing.
+// brokenError returns the error for a connection that breaks before the last byte of a request. A new connection that
+// breaks means that the worker is unreachable; a reused one proves nothing about the worker.
 func (c *workerConn) brokenError(cause error) error {
 	if c.reused() {
 		return &sendError{foxlift.NotSent, cause}
@@ -100,18 +101,17 @@
 	return &sendError{foxlift.Unreachable, cause}
 }
 
-// How long a last byte is held back. Resets of dropped connections were seen to come within 0.3 ms of the
-// first bytes on loopback; between machines one takes a round trip. The runtime's timers are no finer than
-// the minimum.
+// Parameters of lastByteHold. On loopback the reset of a closed connection arrived within 0.3 ms of the first bytes;
+// between machines it takes a round trip. The Go runtime's timers are not finer than minLastByteHold.
 const (
 	minLastByteHold = time.Millisecond
 	maxLastByteHold = 3 * time.Millisecond
-	holdRoundTrips  = 2
-	maxRecentIdle   = 5 * time.Millisecond
+	holdRoundTrips  = 2                    // the hold is this many round trips, within the two limits
+	maxRecentIdle   = 5 * time.Millisecond // a connection idle for less counts as in use recently
 )
 
-// lastByteHold is how long the next last byte on a connection is held back; 0 where it was in use a moment
-// ago and a job of the class may run twice, so that a look without a wait will do.
+// lastByteHold returns how long the last byte of the next request on a connection is held back. It is 0 if the
+// connection was in use recently and jobs of the class may run twice: a check without a wait is enough then.
 func (p *workerPool) lastByteHold(c *workerConn, class string) time.Duration {
 	if p.repeatable[class] && c.reused() && time.Since(c.idleSince) < maxRecentIdle {
 		return 0
@@ -119,8 +119,9 @@
 	return min(maxLastByteHold, max(minLastByteHold, holdRoundTrips*roundTrip(c.Conn)))
 }
 
-// confirmOpen reports whether, by the end of a wait, nothing has come on the connection and it has not
-// ended. An answer to half a request is of no use either.
+// confirmOpen reports whether the connection is still open after wait, and has received nothing. A wait of 0 checks
+// without blocking. Bytes that arrive before the request is complete cannot be its answer, so they also make the
+// connection unusable for it.
 func (c *workerConn) confirmOpen(wait time.Duration) bool {
 	if wait == 0 {
 		return c.buf.fillAvailable() && c.buf.buffered() == 0
@@ -131,7 +132,7 @@
 	return errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// roundTrip is the round-trip time that the kernel has measured of a connection; 0 if it cannot tell.
+// roundTrip returns the minimum round-trip time that the kernel has measured on a connection; 0 if it is unknown.
 func roundTrip(conn net.Conn) (rtt time.Duration) {
 	withDescriptor(conn, func(fd int) {
 		if info, err := unix.GetsockoptTCPInfo(fd, unix.SOL_TCP, unix.TCP_INFO); err == nil {
--- a/internal/platform/worker_pool.go
+++ b/internal/platform/worker_pool.go
@@ -18,35 +18,36 @@
 	"github.com/vatu-meals/foxlift/internal/counters"
 )
 
+// Timeouts for settings that give none.
 const (
-	defaultDialTimeout = 200 * time.Millisecond // where the settings give no limit
+	defaultDialTimeout = 200 * time.Millisecond
 	defaultIdleTimeout = 10 * time.Second
 )
 
-var errNoDescriptor = errors.New("no descriptor left for workers")
+var errNoDescriptor = errors.New("no file descriptor left for worker connections")
 
-// A workerPool holds the connections to workers, and sends attempts on them. It implements core.Workers.
+// workerPool manages the connections to workers and sends attempts on them. It implements core.Workers.
 type workerPool struct {
-	// find returns a worker's entry, if new work may go there now.
+	// findLive returns a worker's entry, and whether new work may be sent to the worker now.
 	findLive func(worker string) (endpoint, bool)
-	// stateOf returns a worker's state in the endpoint list, and since when it is not live.
+	// stateOf returns a worker's state in the endpoint list, and the time since which it has not been live.
 	stateOf     func(worker string) (foxlift.WorkerState, time.Time)
-	drainGrace  time.Duration // in which sends to a worker that is no longer live have to stop
+	drainGrace  time.Duration // after which nothing may be sent to a worker that is no longer live
 	log         *zap.Logger
 	counters    *counters.Set
 	dialTimeout time.Duration
 	idleTimeout time.Duration // after which an idle connection is closed
 	loadParser  loadParser
 
-	repeatable map[string]bool // classes whose jobs may run twice
+	repeatable map[string]bool // by class name: whether jobs of the class may run twice
 
 	inFlight           inFlightAttempts
-	answersBeforeStart atomic.Bool // workers have been seen to answer before the job starts
+	answersBeforeStart atomic.Bool // a worker has answered before it started the job
 
 	mu     sync.Mutex
-	budget int                      // most that may be open
-	open   int                      // connections and dials
-	idle   map[string][]*workerConn // by address, the newest last
+	budget int                      // maximum of open
+	open   int                      // number of open connections and dials in progress
+	idle   map[string][]*workerConn // by address, the most recently used last
 }
 
 func newWorkerPool(
@@ -72,14 +73,15 @@
 		p.dialTimeout = s.ConnectTimeout
 	}
 	if idle := s.Module.ConnIdle; idle > 0 {
-		// Well before the worker's side drops it: a request written to a connection that is being dropped
-		// may have run.
+		// ConnIdle is the time after which workers close an idle connection. Half of it keeps requests off
+		// connections that are about to be closed: a request written to such a connection may have run.
 		p.idleTimeout = time.Duration(idle) / 2
 	}
 	return p
 }
 
-// reuse takes the newest idle connection to a worker that is still usable; nil if there is none.
+// reuse removes the most recently used idle connection to a worker from the pool and returns it; nil if none is usable.
+// It closes unusable ones.
 func (p *workerPool) reuse(target endpoint) *workerConn {
 	for {
 		p.mu.Lock()
@@ -91,8 +93,9 @@
 		c := stack[len(stack)-1]
 		p.removeIdleLocked(c)
 		p.mu.Unlock()
-		// A worker that has dropped the connection has mostly said so already, and one that vanished and is
-		// back has a new start; a request on the old connection would look like a job that may have run.
+		// If the worker has closed the connection, the FIN or RST has mostly arrived. If the worker has crashed and
+		// restarted, its start is later than the connection. In both cases a request on the connection would fail
+		// as if the job might have run.
 		if c.buf.fillAvailable() && c.buf.buffered() == 0 && !c.openedAt.Before(target.startedAt) {
 			return c
 		}
@@ -100,7 +103,7 @@
 	}
 }
 
-// removeIdleLocked removes a connection from the idle ones; false if it is not there.
+// removeIdleLocked removes a connection from the idle connections; false if it is not among them.
 func (p *workerPool) removeIdleLocked(c *workerConn) bool {
 	stack := p.idle[c.addr]
 	for i := len(stack) - 1; i >= 0; i-- {
@@ -116,7 +119,7 @@
 	return false
 }
 
-// release puts a connection among the idle ones.
+// release makes a connection idle, so that it can be reused until the idle timeout.
 func (p *workerPool) release(c *workerConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -142,7 +145,8 @@
 	p.mu.Unlock()
 }
 
-// reserve takes a descriptor from the budget; the longest idle connection is closed for it.
+// reserve counts one more open connection. If the budget is used up, it closes the connection that has been idle
+// longest; if there is none, it returns errNoDescriptor.
 func (p *workerPool) reserve() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -153,7 +157,7 @@
 	return nil
 }
 
-// shrinkLocked closes the longest idle connections until at most limit are open; false if more are in use.
+// shrinkLocked closes idle connections, the longest idle first, until at most limit are open; false if more are in use.
 func (p *workerPool) shrinkLocked(limit int) bool {
 	for p.open > limit {
 		var oldest *workerConn
@@ -172,7 +176,7 @@
 	return true
 }
 
-// setBudget changes how many connections there may be.
+// setBudget changes the maximum number of open connections and closes idle connections over it.
 func (p *workerPool) setBudget(budget int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -180,8 +184,8 @@
 	p.shrinkLocked(budget)
 }
 
-// acquire returns a connection to a worker, an idle one if there is any. Its error is a *sendError: a lack of
-// descriptors is no fault of the worker.
+// acquire returns an idle connection to a worker, or dials one. The error is a *sendError. A lack of file descriptors
+// is reported as NotSent, since it is not a fault of the worker.
 func (p *workerPool) acquire(ctx context.Context, target endpoint) (*workerConn, error) {
 	if c := p.reuse(target); c != nil {
 		return c, nil
@@ -198,7 +202,7 @@
 	return nil, &sendError{foxlift.Unreachable, err}
 }
 
-// dial opens a connection. It does not block longer than the settings' limit.
+// dial opens a connection within dialTimeout.
 func (p *workerPool) dial(ctx context.Context, addr string) (*workerConn, error) {
 	if err := p.reserve(); err != nil {
 		return nil, err
@@ -228,7 +232,7 @@
 	}()
 }
 
-// closeAll closes the idle connections to all workers.
+// closeAllIdle closes the idle connections to all workers.
 func (p *workerPool) closeAllIdle() {
 	p.mu.Lock()
 	var all []*workerConn
@@ -241,8 +245,8 @@
 	}
 }
 
-// Send implements core.Workers. The core ends the attempt, by the function that Send returns: it outlasts
-// whatever the platform has begun to shut down.
+// Send implements core.Workers. Only the core ends the attempt early, by calling withdraw: the attempt does not depend
+// on a context of the platform, so it continues while the platform shuts down.
 func (p *workerPool) Send(
 	worker string, job *core.Job, limits core.AttemptLimits, report func(core.Report),
 ) (withdraw func()) {
