--- a/internal/checkpoint/checkpoint.go
+++ b/internal/checkpoint/checkpoint.go
@@ -1,12 +1,13 @@
-// Package checkpoint stores a scheduler's endpoint list on its own disk, so that a start costs the
-// changes since and not the complete list. It is off unless the operator's file names a path for it.
+// Package checkpoint stores a scheduler's endpoint list on the local disk, so that a restarted scheduler
+// polls only the changes since then and not the complete list. It is disabled unless the operator's file
+// configures a path.
 //
-// At a start a checkpoint serves as the cached list that a configuration may give: the first poll asks
-// for the changes since its version, and a discovery service that no longer has them answers with the
-// complete list. A checkpoint is not used if it is torn, of another form, of another discovery service or
-// too old.
+// At a start a checkpoint is used like the cached list that a configuration may contain: the first poll asks
+// for the changes since its version, and a discovery service that no longer has these changes answers with
+// the complete list. A checkpoint is not used if it is truncated or corrupt, has another format, belongs to
+// another discovery service, or is too old.
 //
-// The package owns the checkpoint file, and knows in memory which version the file has.
+// The package owns the checkpoint file, and keeps in memory which version of the list the file contains.
 package checkpoint
 
 import (
@@ -18,38 +19,38 @@
 	"github.com/vatu-meals/foxlift/internal/statefile"
 )
 
-// How often a checkpoint is written, and how old it may be. What has changed since it was written has to
-// arrive within the list's lease, or the start is no better off than with the complete list; a zone may
-// have been removed in that time:
+// How often a checkpoint is written, and how old it may be. The changes since the checkpoint have to arrive
+// within the lease of the list; otherwise the start is no faster than with the complete list. The changes may
+// include the removal of a whole zone:
 //
-//	((MaxAge + WriteInterval) x changes a second + a zone) x bytes a change / bytes a second + answer <= lease
+//	((MaxAge + WriteInterval) x changes/s + workers of a zone) x bytes per change / (bytes/s) + answer <= lease
 //
-// With the figures of docs/CAPACITY.md (0.116 changes/s of 141 bytes, a zone of 558 workers, 24 KB/s;
-// 1.55 s for a poll and its answer of the lease's 6 s, see internal/pollpacing) that is 5.97 s.
+// With the figures of docs/CAPACITY.md (0.116 changes/s of 141 bytes, a zone of 558 workers, 24 KB/s; 1.55 s
+// for a poll and its answer, a lease of 6 s, see internal/pollpacing) the left side is 5.97 s.
 const (
-	PollInterval    = time.Second      // between two checks of the list's version
-	WriteInterval   = 30 * time.Second // between two writes of a list that changes
-	RefreshInterval = MaxAge / 8       // between two writes of a list that does not change
-	MaxAge          = 30 * time.Minute
+	PollInterval    = time.Second      // interval between checks of the list's version
+	WriteInterval   = 30 * time.Second // minimum interval between writes of a list that changes
+	RefreshInterval = MaxAge / 8       // interval between writes of a list that does not change
+	MaxAge          = 30 * time.Minute // a checkpoint that is older is not used
 
-	// MaxClockSkew is how far in the future a checkpoint may be. One beyond it was written before the
-	// clock was set, and may be of any age.
+	// MaxClockSkew is how far in the future the time of a checkpoint may be. A checkpoint beyond that was
+	// written before the clock was set, and may have any age.
 	MaxClockSkew = time.Minute
 )
 
 const (
 	magic   = "foxlift list 1\n"
-	maxSize = 16 << 20 // bytes: as many as the longest list that is followed
+	maxSize = 16 << 20 // bytes; the size limit of an endpoint list
 )
 
-// Errors of a checkpoint that exists and is not used.
+// Errors of a checkpoint that exists but cannot be used.
 var (
 	ErrStale          = errors.New("the checkpoint is too old")
-	ErrOtherDiscovery = errors.New("the checkpoint is of another discovery service")
+	ErrOtherDiscovery = errors.New("the checkpoint belongs to another discovery service")
 )
 
-// A Source has the endpoint list that is written. Both methods return false as long as discovery has not
-// confirmed a list since the start: an old list must never look like a new one.
+// A Source provides the endpoint list to write. Both methods return false until discovery has confirmed a
+// list since the start: otherwise the old list of a checkpoint would be written with a new time.
 type Source interface {
 	// EndpointsVersion returns the version of the list.
 	EndpointsVersion() (version int64, notified bool)
@@ -57,7 +58,7 @@
 	SnapshotEndpoints() (*platform.EndpointSnapshot, bool)
 }
 
-// A Counter counts checkpoints that were written and those that failed.
+// A Counter counts successful and failed writes of checkpoints.
 type Counter interface{ Add(name string) }
 
 // A Writer loads and writes the checkpoint of one scheduler. It is not safe for concurrent use.
@@ -65,22 +66,22 @@
 	file    statefile.File
 	counter Counter
 
-	persisted        bool      // whether the file has a list that can be used
+	persisted        bool      // whether the file contains a list that can be used
 	persistedVersion int64     // of that list
-	persistedAt      time.Time // when that list was current
-	lastVersion      int64     // of the list when it was last checked
+	persistedAt      time.Time // time at which that list was current
+	lastVersion      int64     // version of the source's list at the last check
 }
 
-// File returns the checkpoint file at a path.
+// File describes the checkpoint file at a path.
 func File(path string) statefile.File {
 	return statefile.File{Path: path, Magic: magic, MaxSize: maxSize, Sync: true}
 }
 
-// New returns a writer of the checkpoint at a path.
+// New returns a Writer of the checkpoint at a path.
 func New(path string, counter Counter) *Writer { return &Writer{file: File(path), counter: counter} }
 
-// Load returns the list in the checkpoint, in discovery's form, if it can be used now with the discovery
-// service at an address. The error is os.ErrNotExist if there is no checkpoint.
+// Load returns the list of the checkpoint, encoded as discovery sends it, if it can be used now with the
+// discovery service at the given address. The error is os.ErrNotExist if there is no checkpoint.
 func (w *Writer) Load(discovery string, now time.Time) ([]byte, error) {
 	var saved platform.EndpointSnapshot
 	if err := w.file.Read(&saved); err != nil {
@@ -90,7 +91,7 @@
 		return nil, ErrOtherDiscovery
 	}
 	if age := now.Sub(saved.TakenAt); age > MaxAge || age < -MaxClockSkew {
-		return nil, fmt.Errorf("%w: by %v", ErrStale, age.Round(time.Second))
+		return nil, fmt.Errorf("%w: age %v, limit %v", ErrStale, age.Round(time.Second), MaxAge)
 	}
 	if err := platform.ValidateCachedEndpoints(saved.Endpoints); err != nil {
 		return nil, fmt.Errorf("%w: %w", statefile.ErrUnreadable, err)
@@ -100,16 +101,16 @@
 	return saved.Endpoints, nil
 }
 
-// WriteIfDue checks the list's version, and writes the list if that is due. After a failed write the next
-// call tries again.
+// WriteIfDue checks the version of the source's list, and writes the list if a write is due. After a failed
+// write the next call retries it.
 func (w *Writer) WriteIfDue(source Source, now time.Time) error {
 	version, notified := source.EndpointsVersion()
 	if !notified {
 		return nil
 	}
 	if version < w.lastVersion {
-		// Discovery has lost its last versions. Those that follow may be other changes under the same
-		// numbers, and once they have passed the checkpoint's version nothing would show that.
+		// Discovery has lost its latest versions. It may reuse their numbers for other changes, and once
+		// its version exceeds that of the checkpoint the difference could not be detected.
 		w.file.Remove()
 		w.persisted = false
 	}
@@ -120,7 +121,7 @@
 	return w.write(source, now)
 }
 
-// isDue reports whether a list of a version is to be written.
+// isDue reports whether a list of the given version is due to be written.
 func (w *Writer) isDue(version int64, now time.Time) bool {
 	age := now.Sub(w.persistedAt)
 	switch {
@@ -133,7 +134,7 @@
 	}
 }
 
-// Flush writes the list at the scheduler's shutdown, if it has changed since the last write.
+// Flush writes the list at the scheduler's shutdown, if its version has changed since the last write.
 func (w *Writer) Flush(source Source, now time.Time) error {
 	version, notified := source.EndpointsVersion()
 	if !notified {
@@ -145,6 +146,7 @@
 	return w.write(source, now)
 }
 
+// write writes the source's list to the file and counts the result.
 func (w *Writer) write(source Source, now time.Time) error {
 	snapshot, notified := source.SnapshotEndpoints()
 	if !notified {
@@ -159,7 +161,7 @@
 	return nil
 }
 
-// recordPersisted records which list the file has.
+// recordPersisted records the version of the list in the file, and the time at which the list was current.
 func (w *Writer) recordPersisted(version int64, at time.Time) {
 	w.persisted = true
 	w.persistedVersion = version
--- a/internal/checkpoint/checkpoint_test.go
+++ b/internal/checkpoint/checkpoint_test.go
@@ -20,7 +20,7 @@
 		`"block":1,"health":"active","born_ms":5}]}`
 )
 
-// A source is an endpoint list with a version.
+// A source is a Source with a fixed endpoint list.
 type source struct {
 	version  int64
 	notified bool
@@ -37,14 +37,15 @@
 	return snapshot, s.notified
 }
 
-// A checkpoint is used by the next start with the same discovery service until it is too old.
+// A checkpoint is loaded at the next start with the same discovery service, unless it is too old, too far in
+// the future, or contains an invalid list.
 func TestLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list")
 	now := time.Now()
 	set := &counters.Set{}
 	writer := New(path, set)
 	if _, err := writer.Load(discovery, now); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("no checkpoint: %v", err)
+		t.Errorf("Load() without a checkpoint: error %v, want %v", err, os.ErrNotExist)
 	}
 	if err := writer.WriteIfDue(&source{version: 7, notified: true, at: now, text: endpoints}, now); err != nil {
 		t.Fatal(err)
@@ -64,10 +65,10 @@
 	} {
 		text, err := New(path, set).Load(c.discovery, now.Add(c.after))
 		if !errors.Is(err, c.want) || (err == nil) != (c.want == nil) {
-			t.Errorf("%v later, of %s: %v, want %v", c.after, c.discovery, err, c.want)
+			t.Errorf("Load() %v later, for discovery %s: error %v, want %v", c.after, c.discovery, err, c.want)
 		}
 		if err == nil && string(text) != endpoints {
-			t.Errorf("loaded %s", text)
+			t.Errorf("Load() = %s, want %s", text, endpoints)
 		}
 	}
 	invalid := &source{version: 8, notified: true, at: now, text: `{"seq":8,"hosts":[{"host":""}]}`}
@@ -75,12 +76,12 @@
 		t.Fatal(err)
 	}
 	if _, err := writer.Load(discovery, now); !errors.Is(err, statefile.ErrUnreadable) {
-		t.Errorf("an invalid list: %v", err)
+		t.Errorf("Load() of an invalid list: error %v, want %v", err, statefile.ErrUnreadable)
 	}
 }
 
-// A list is written when it has changed and the last write was some time ago, or when the checkpoint gets
-// old; and never before discovery has confirmed one since the start: an old list would look like a new one.
+// A changed list is written after WriteInterval, an unchanged one after RefreshInterval. No list is written
+// before discovery has confirmed one since the start: the old list would get a new time.
 func TestWriteIfDue(t *testing.T) {
 	set := &counters.Set{}
 	path := filepath.Join(t.TempDir(), "list")
@@ -88,7 +89,7 @@
 	s := &source{version: 0, text: endpoints}
 	startedAt := time.Now()
 	if err := writer.Flush(s, startedAt); err != nil || set.Get("checkpoint.written") != 0 {
-		t.Errorf("flushed before discovery has confirmed a list: %v", err)
+		t.Errorf("Flush() before discovery has confirmed a list: error %v, or the list is written", err)
 	}
 	for i, c := range []struct {
 		version  int64
@@ -110,23 +111,24 @@
 			t.Fatal(err)
 		}
 		if got := set.Get("checkpoint.written"); got != c.written {
-			t.Errorf("step %d: written %d times, want %d", i, got, c.written)
+			t.Errorf("step %d: list written %d times, want %d", i, got, c.written)
 		}
 	}
-	// At the shutdown the list is written if it has changed, however short ago the last write was.
+	// At the shutdown a changed list is written, however recent the last write is.
 	for _, version := range []int64{9, 9} {
 		s.version = version
 		if err := writer.Flush(s, s.at); err != nil {
 			t.Fatal(err)
 		}
 		if got := set.Get("checkpoint.written"); got != 5 {
-			t.Errorf("at the shutdown: written %d times, want 5", got)
+			t.Errorf("after Flush(): list written %d times, want 5", got)
 		}
 	}
 }
 
-// A version that goes back removes the checkpoint at once, also that of an earlier process, and also where
-// no other can be written: the versions that follow may be other changes.
+// If discovery loses its latest versions, the numbers that it uses next may stand for other changes. A
+// version below the last one therefore removes the checkpoint at once, also one that an earlier process
+// wrote, and also if no new checkpoint can be written.
 func TestVersionRegression(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list")
 	set := &counters.Set{}
@@ -142,16 +144,16 @@
 	if err := writer.WriteIfDue(notDue, now); err != nil {
 		t.Fatal(err)
 	}
-	writer.file.MaxSize = 0 // nothing can be written
+	writer.file.MaxSize = 0 // every write fails
 	if err := writer.WriteIfDue(&source{version: 9, notified: true, at: now, text: endpoints}, now); err == nil {
-		t.Error("a list over the bound is written")
+		t.Error("WriteIfDue() of a list larger than MaxSize returns no error")
 	}
 	if _, err := New(path, set).Load(discovery, now); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("the list of the lost versions is still there: %v", err)
+		t.Errorf("Load() after the version went back: error %v, want %v", err, os.ErrNotExist)
 	}
 }
 
-// A failed write is counted, and tried again by the next call.
+// A failed write is counted, and the next call of WriteIfDue retries it.
 func TestFailedWriteIsRetried(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "directory")
 	set := &counters.Set{}
@@ -160,11 +162,11 @@
 	s := &source{version: 7, notified: true, text: endpoints}
 	for range 2 {
 		if err := writer.WriteIfDue(s, now); err == nil {
-			t.Error("written to a directory that does not exist")
+			t.Error("WriteIfDue() to a directory that does not exist returns no error")
 		}
 	}
 	if got := set.Get("checkpoint.failed"); got != 2 {
-		t.Errorf("counted %d times", got)
+		t.Errorf("checkpoint.failed is %d, want 2", got)
 	}
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
@@ -174,14 +176,16 @@
 	}
 }
 
-// The bound on a checkpoint's age follows from the list's lease with the figures of the design.
+// The changes since a checkpoint of the maximum age, including a removed zone, must arrive within the lease of
+// the list; see MaxAge for the formula and its figures.
 func TestMaxAge(t *testing.T) {
 	const (
-		changeRate, changeSize, bandwidth = 0.116, 141.0, 24 << 10 // a second, bytes, bytes a second
+		changeRate, changeSize, bandwidth = 0.116, 141.0, 24 << 10 // changes per second, bytes, bytes per second
 		zoneWorkers                       = 558
 	)
 	missed := (MaxAge+WriteInterval).Seconds()*changeRate + zoneWorkers
-	if took := missed*changeSize/bandwidth + pollpacing.AnswerBudget.Seconds(); took > pollpacing.MaxPropagationDelay.Seconds() {
-		t.Errorf("the changes since take %.2f s, the list's clock has %v", took, pollpacing.MaxPropagationDelay)
+	if took := missed*changeSize/bandwidth +
+		pollpacing.AnswerBudget.Seconds(); took > pollpacing.MaxPropagationDelay.Seconds() {
+		t.Errorf("the changes since the checkpoint take %.2f s, want at most %v", took, pollpacing.MaxPropagationDelay)
 	}
 }
--- a/internal/checkpoint/golden_test.go
+++ b/internal/checkpoint/golden_test.go
@@ -10,8 +10,8 @@
 	"github.com/vatu-meals/foxlift/internal/golden"
 )
 
-// TestCheckpointFile pins the bytes of a checkpoint file, and reads them as another version has written
-// them.
+// TestCheckpointFile compares the bytes of a checkpoint file with a golden file, and loads the golden file as
+// a checkpoint that another version has written.
 func TestCheckpointFile(t *testing.T) {
 	at := time.Date(2026, time.March, 4, 5, 6, 7, 8000, time.UTC)
 	path := filepath.Join(t.TempDir(), "list")
@@ -27,6 +27,6 @@
 
 	text, err := New("testdata/list", &counters.Set{}).Load(discovery, at)
 	if err != nil || string(text) != endpoints {
-		t.Errorf("read %s, %v; want %s", text, err, endpoints)
+		t.Errorf("Load() = %s, %v; want %s", text, err, endpoints)
 	}
 }
--- a/internal/pollpacing/pacer_test.go
+++ b/internal/pollpacing/pacer_test.go
@@ -347,7 +347,7 @@
 		}
 		limit := pacer.WatchHold() + pacer.Timeout(0)
 		if limit > 2500*time.Millisecond || pacer.InitialDelay() > 0 || pacer.DialTimeout() > 500*time.Millisecond {
-			t.Errorf("watch hold and timeout %v, want at most 2.5s; initial delay %v, want 0; dial timeout %v, want at most 500ms",
+			t.Errorf("watch hold and timeout %v, want <= 2.5s; initial delay %v, want 0; dial timeout %v, want <= 500ms",
 				limit, pacer.InitialDelay(), pacer.DialTimeout())
 		}
 	}
--- a/internal/statefile/statefile.go
+++ b/internal/statefile/statefile.go
@@ -1,8 +1,8 @@
-// Package statefile stores one value in a file that a reader sees complete or not at all.
+// Package statefile stores one value in a file that is replaced atomically.
 //
-// A file holds a magic string with the version of its form, the length of the payload as a big-endian
-// uint32, the payload as JSON, and the payload's CRC-32C. It is written to a temporary file in the same
-// directory and renamed. The package has no state of its own.
+// A file consists of a magic string with the version of the format, the length of the payload as a big-endian
+// uint32, the payload as JSON, and the CRC-32C of the payload. It is written to a temporary file in the same
+// directory, which is then renamed. The package has no state.
 package statefile
 
 import (
@@ -15,35 +15,37 @@
 )
 
 const (
-	lengthSize   = 4 // bytes of the payload's length
+	lengthSize   = 4 // bytes of the payload's length field
 	checksumSize = 4 // bytes of the payload's CRC-32C
 
 	ownerOnly = 0o600 // permissions of a new file
 )
 
-// ErrUnreadable means that a file is torn, of another form, or written by another version of the program.
+// ErrUnreadable means that a file is truncated or corrupt, or has another format or format version.
 var ErrUnreadable = errors.New("the file cannot be read")
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// A File describes where a value is stored. Its methods may be called by several processes at once.
+// A File describes where and how a value is stored. Several processes may call its methods concurrently.
 type File struct {
 	Path    string
-	Magic   string // names the form and its version; a file that begins otherwise is not read
-	MaxSize int    // bytes of the complete file
+	Magic   string // identifies the format and its version; a file without this prefix is unreadable
+	MaxSize int    // maximum size of the complete file, in bytes
 	Sync    bool   // whether a written value must survive a crash of the machine
 }
 
-// Write replaces the stored value by another one, as JSON. With an error the stored value is unchanged.
+// Write replaces the stored value by another one, encoded as JSON. If it returns an error the stored value is
+// unchanged.
 func (f File) Write(value any) error {
 	payload, err := json.Marshal(value)
 	if err != nil {
 		return err
 	}
 	if len(payload) > f.MaxSize-len(f.Magic)-lengthSize-checksumSize {
-		return fmt.Errorf("a value of %d bytes is over %d", len(payload), f.MaxSize)
+		return fmt.Errorf("state file %s: a value of %d bytes exceeds the file size limit of %d bytes",
+			f.Path, len(payload), f.MaxSize)
 	}
-	// The process id keeps apart the temporary files of two processes that write at once.
+	// The process id gives two processes that write concurrently different temporary files.
 	temporary := fmt.Sprintf("%s.%d.new", f.Path, os.Getpid())
 	if err := f.writeTemporary(temporary, f.encode(payload)); err != nil {
 		os.Remove(temporary)
@@ -52,6 +54,7 @@
 	return os.Rename(temporary, f.Path)
 }
 
+// writeTemporary writes a new file, and flushes it to the disk if f.Sync is set.
 func (f File) writeTemporary(path string, data []byte) (err error) {
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, ownerOnly)
 	if err != nil {
@@ -67,11 +70,11 @@
 	return nil
 }
 
-// Read reads the stored value. The error is os.ErrNotExist if there is none, and ErrUnreadable if the
-// file cannot be used.
+// Read decodes the stored value into value, a pointer. The error is os.ErrNotExist if there is no file, and
+// ErrUnreadable if the file cannot be used.
 func (f File) Read(value any) error {
 	if info, err := os.Stat(f.Path); err == nil && info.Size() > int64(f.MaxSize) {
-		return fmt.Errorf("%w: too long", ErrUnreadable)
+		return fmt.Errorf("%w: it has %d bytes, the limit is %d", ErrUnreadable, info.Size(), f.MaxSize)
 	}
 	data, err := os.ReadFile(f.Path)
 	if err != nil {
@@ -87,7 +90,7 @@
 	return nil
 }
 
-// encode returns the bytes of the file that stores a payload.
+// encode returns the content of the file that stores a payload.
 func (f File) encode(payload []byte) []byte {
 	data := []byte(f.Magic)
 	data = binary.BigEndian.AppendUint32(data, uint32(len(payload)))
@@ -95,20 +98,20 @@
 	return binary.BigEndian.AppendUint32(data, crc32.Checksum(payload, castagnoli))
 }
 
-// decode returns the payload in a file's bytes.
+// decode returns the payload of a file with the given content, or ErrUnreadable.
 func (f File) decode(data []byte) ([]byte, error) {
 	headerSize := len(f.Magic) + lengthSize
 	if len(data) < headerSize+checksumSize || string(data[:len(f.Magic)]) != f.Magic {
-		return nil, fmt.Errorf("%w: not of this form", ErrUnreadable)
+		return nil, fmt.Errorf("%w: it does not have the expected format", ErrUnreadable)
 	}
 	length := int(binary.BigEndian.Uint32(data[len(f.Magic):]))
 	if len(data) != headerSize+length+checksumSize {
-		return nil, fmt.Errorf("%w: torn", ErrUnreadable)
+		return nil, fmt.Errorf("%w: its size differs from the recorded length", ErrUnreadable)
 	}
 	payload := data[headerSize : headerSize+length]
 	checksum := binary.BigEndian.Uint32(data[headerSize+length:])
 	if crc32.Checksum(payload, castagnoli) != checksum {
-		return nil, fmt.Errorf("%w: its checksum differs", ErrUnreadable)
+		return nil, fmt.Errorf("%w: checksum mismatch", ErrUnreadable)
 	}
 	return payload, nil
 }
--- a/internal/statefile/statefile_test.go
+++ b/internal/statefile/statefile_test.go
@@ -7,18 +7,19 @@
 	"testing"
 )
 
-// A file from which any byte is cut off, or in which one is flipped or added, is unreadable.
+// A crash or a disk error may leave a truncated or corrupt file. Read must return ErrUnreadable for a file that
+// is truncated at any byte, has any single bit flipped, or has an additional byte.
 func TestCorruptFilesAreUnreadable(t *testing.T) {
 	f := File{Path: filepath.Join(t.TempDir(), "value"), Magic: "test 1\n", MaxSize: 1 << 10}
 	var got []string
 	if err := f.Read(&got); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("no file: %v", err)
+		t.Errorf("Read() without a file: error %v, want %v", err, os.ErrNotExist)
 	}
 	if err := f.Write([]string{"a", "b"}); err != nil {
 		t.Fatal(err)
 	}
 	if err := f.Read(&got); err != nil || len(got) != 2 {
-		t.Fatalf("%v, %v", got, err)
+		t.Fatalf("Read() = %v, %v; want 2 elements", got, err)
 	}
 	intact, err := os.ReadFile(f.Path)
 	if err != nil {
@@ -30,22 +31,22 @@
 			t.Fatal(err)
 		}
 		if err := f.Read(&got); !errors.Is(err, ErrUnreadable) {
-			t.Errorf("%s at %d: %v", what, at, err)
+			t.Errorf("Read() of a file %s at byte %d: error %v, want %v", what, at, err, ErrUnreadable)
 		}
 	}
 	for at := range intact {
-		expectUnreadable("torn", at, intact[:at])
+		expectUnreadable("truncated", at, intact[:at])
 		for bit := range 8 {
 			data := append([]byte(nil), intact...)
 			data[at] ^= 1 << bit
-			expectUnreadable("flipped", at, data)
+			expectUnreadable("with a bit flipped", at, data)
 		}
 	}
-	expectUnreadable("longer", len(intact), append(append([]byte(nil), intact...), 0))
-	expectUnreadable("too long", f.MaxSize, make([]byte, f.MaxSize+1))
+	expectUnreadable("with a byte added", len(intact), append(append([]byte(nil), intact...), 0))
+	expectUnreadable("that exceeds MaxSize", f.MaxSize, make([]byte, f.MaxSize+1))
 }
 
-// A failed write leaves the stored value as it was, and no temporary file.
+// A failed write leaves the stored value unchanged and no temporary file behind.
 func TestFailedWritePreservesOldValue(t *testing.T) {
 	dir := t.TempDir()
 	f := File{Path: filepath.Join(dir, "value"), Magic: "test 1\n", MaxSize: 64, Sync: true}
@@ -53,20 +54,20 @@
 		t.Fatal(err)
 	}
 	if err := f.Write(string(make([]byte, 100))); err == nil {
-		t.Error("a value over the bound is written")
+		t.Error("Write() of a value larger than MaxSize returns no error")
 	}
 	if err := f.Write(func() {}); err == nil {
-		t.Error("a value that JSON cannot encode is written")
+		t.Error("Write() of a value that JSON cannot encode returns no error")
 	}
 	if err := (File{Path: filepath.Join(dir, "no", "folder"), MaxSize: 64}).Write("new"); err == nil {
-		t.Error("written into a folder that is not there")
+		t.Error("Write() to a directory that does not exist returns no error")
 	}
 	var got string
 	if err := f.Read(&got); err != nil || got != "old" {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("Read() after failed writes = %q, %v; want \"old\"", got, err)
 	}
 	f.Remove()
 	if remaining, err := os.ReadDir(dir); err != nil || len(remaining) != 0 {
-		t.Errorf("remaining files: %v, %v", remaining, err)
+		t.Errorf("files in the directory: %v, %v; want none", remaining, err)
 	}
 }
