--- a/affinity_test.go
+++ b/affinity_test.go
@@ -12,7 +12,7 @@
 func TestAffinityAgreesAcrossDispatchers(t *testing.T) {
 	cfg := testConfig()
 	cfg.Prices.Fetch = 0.1
-	seen := map[string]int{}
+	workersUsed := map[string]int{}
 	for seed := range uint64(40) { // dispatchers that know nothing of one another
 		d, err := New(cfg, seed)
 		if err != nil {
@@ -22,12 +22,12 @@
 		actions := d.Step(second, []Event{{Kind: EventRequest, Request: Request{ID: 1, Deadline: 3 * second, Key: 99}}})
 		for _, a := range actions {
 			if a.Kind == ActionSend {
-				seen[a.Worker]++
+				workersUsed[a.Worker]++
 			}
 		}
 	}
-	if len(seen) != 1 {
-		t.Errorf("one key went to %d workers: %v", len(seen), seen)
+	if len(workersUsed) != 1 {
+		t.Errorf("one key went to %d workers: %v", len(workersUsed), workersUsed)
 	}
 }
 
@@ -35,23 +35,23 @@
 // jobs.
 func TestJobsFollowCachedKeys(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(3)...)
-	ask := func(id, key uint64) string {
+	sendJob := func(id, key uint64) string {
 		e := h.request(id, idempotent)
 		e.Request.Key = key
 		return h.step(e)[0].Worker
 	}
-	first := ask(1, 7)
-	if other, next := ask(2, 8), ask(3, 7); other == first || next != first {
+	first := sendJob(1, 7)
+	if other, next := sendJob(2, 8), sendJob(3, 7); other == first || next != first {
 		t.Errorf("key 7 goes to %s, 8 to %s, 7 to %s", first, other, next)
 	}
-	again := 0
+	repeated := 0
 	for id := uint64(4); id <= 7; id++ {
-		if ask(id, 7) == first {
-			again++
+		if sendJob(id, 7) == first {
+			repeated++
 		}
 	}
-	if again > 2 {
-		t.Errorf("%d of 4 more pile up at the first worker", again)
+	if repeated > 2 {
+		t.Errorf("%d of 4 more pile up at the first worker", repeated)
 	}
 	w := h.d.workers[first]
 	for key := uint64(20); key < 20+affinity.MaxCachedKeys; key++ {
@@ -96,7 +96,7 @@
 // The affinity set of a key with a large part of the jobs has as many workers as the key fills, not one;
 // a dispatcher keeps to a worker that started its job promptly.
 func TestBusyKeyUsesMoreWorkers(t *testing.T) {
-	seen := map[string]bool{}
+	workersUsed := map[string]bool{}
 	for index := range 40 {
 		h := newHarness(t, manyConfig(), testWorkers(60)...)
 		for range index {
@@ -107,7 +107,7 @@
 		}
 		h.step(keyedRequest(h, 1, idempotent))
 		w := h.wantActions(ActionSend, 1)[0].Worker
-		seen[w] = true
+		workersUsed[w] = true
 		h.advance(ms, started(1, 0, w))
 		h.advance(ms, outcome(1, 0, w, Served))
 		h.step(keyedRequest(h, 2, idempotent))
@@ -115,8 +115,8 @@
 			t.Errorf("it had room at %s and goes to %s", w, a.Worker)
 		}
 	}
-	if len(seen) < 10 || len(seen) > affinity.MaxWorkers {
-		t.Errorf("a key of a quarter of the jobs on 60 workers has an affinity set of %d", len(seen))
+	if len(workersUsed) < 10 || len(workersUsed) > affinity.MaxWorkers {
+		t.Errorf("a key of a quarter of the jobs on 60 workers has an affinity set of %d", len(workersUsed))
 	}
 }
 
@@ -126,11 +126,11 @@
 	makeRare(h)
 	h.now += 60 * second
 	h.step()
-	preferred, _ := h.d.rankAffinity(&job{class: &h.d.classes[1], req: Request{Key: affinityKey}})
-	proven := firstOutside(h.d, preferred)
+	affinitySet, _ := h.d.rankAffinity(&job{class: &h.d.classes[1], req: Request{Key: affinityKey}})
+	proven := firstOutside(h.d, affinitySet)
 	proven.setOutlier(func(s *health.OutlierState) { s.PromptStartAt = h.now })
 	h.d.capacity.reported.add(proven)
-	for class, want := range []string{preferred[0].id, proven.id} {
+	for class, want := range []string{affinitySet[0].id, proven.id} {
 		h.step(keyedRequest(h, uint64(1+class), class))
 		if a := h.wantActions(ActionSend, 1)[0]; a.Worker != want {
 			t.Errorf("class %d goes to %s, want %s", class, a.Worker, want)
@@ -142,29 +142,29 @@
 func TestRendezvousReassignsOnlyKeysOfARemovedWorker(t *testing.T) {
 	h := newHarness(t, manyConfig(), testWorkers(60)...)
 	d := h.d
-	first := func(key uint64) *worker {
-		workers, of := d.rankAffinity(&job{class: &d.classes[0], req: Request{Key: key}})
-		if of != len(d.liveWorkers) {
-			t.Fatalf("of %d workers", of)
+	firstRanked := func(key uint64) *worker {
+		workers, candidates := d.rankAffinity(&job{class: &d.classes[0], req: Request{Key: key}})
+		if candidates != len(d.liveWorkers) {
+			t.Fatalf("of %d workers", candidates)
 		}
 		return workers[0]
 	}
 	before := map[uint64]*worker{}
-	most := map[*worker]int{}
+	firstCounts := map[*worker]int{}
 	for key := uint64(1); key <= 6000; key++ {
-		before[key] = first(key)
-		most[before[key]]++
+		before[key] = firstRanked(key)
+		firstCounts[before[key]]++
 	}
-	for w, n := range most {
+	for w, n := range firstCounts {
 		if n < 50 || n > 150 { // five deviations of chance from 100
 			t.Errorf("%s is first for %d keys in 6000", w.id, n)
 		}
 	}
-	lost := d.liveWorkers[7]
-	h.step(endpointsEvent(EndpointsDelta, Worker{ID: lost.id, State: Removed}))
+	removed := d.liveWorkers[7]
+	h.step(endpointsEvent(EndpointsDelta, Worker{ID: removed.id, State: Removed}))
 	for key, w := range before {
-		if now := first(key); (now != w) != (w == lost) {
-			t.Errorf("key %d moved from %s to %s when %s went", key, w.id, now.id, lost.id)
+		if now := firstRanked(key); (now != w) != (w == removed) {
+			t.Errorf("key %d moved from %s to %s when %s went", key, w.id, now.id, removed.id)
 		}
 	}
 }
@@ -172,7 +172,7 @@
 // The price of a fetch weighs less for a long job: it goes to a worker that started one some seconds ago
 // rather than to a preferred one of which nothing is known; a light job goes to the preferred one.
 func TestFetchPriceIsRelativeToRunTime(t *testing.T) {
-	for median, wantHome := range map[int64]bool{1: true, 10: false} {
+	for median, wantPreferred := range map[int64]bool{1: true, 10: false} {
 		t.Run(fmt.Sprintf("runtime=%dx", median), func(t *testing.T) {
 			h := newHarness(t, manyConfig(), testWorkers(60)...)
 			makeRare(h)
@@ -180,14 +180,14 @@
 			h.step()
 			c := &h.d.classes[1]
 			c.setRuntimes(median*h.d.classes[0].runtimes.Median(), c.runtimes.LowerQuartile())
-			preferred, _ := h.d.rankAffinity(&job{class: c, req: Request{Key: affinityKey}})
-			met := firstOutside(h.d, preferred)
-			met.setOutlier(func(s *health.OutlierState) { s.PromptStartAt = h.now - 3*second })
-			h.d.capacity.reported.add(met)
+			affinitySet, _ := h.d.rankAffinity(&job{class: c, req: Request{Key: affinityKey}})
+			proven := firstOutside(h.d, affinitySet)
+			proven.setOutlier(func(s *health.OutlierState) { s.PromptStartAt = h.now - 3*second })
+			h.d.capacity.reported.add(proven)
 			h.step(keyedRequest(h, 1, atMostOnce))
-			if a := h.wantActions(ActionSend, 1)[0]; (a.Worker == preferred[0].id) != wantHome {
+			if a := h.wantActions(ActionSend, 1)[0]; (a.Worker == affinitySet[0].id) != wantPreferred {
 				t.Errorf("a job %d times as long goes to %s; preferred is %s, proven is %s",
-					median, a.Worker, preferred[0].id, met.id)
+					median, a.Worker, affinitySet[0].id, proven.id)
 			}
 		})
 	}
--- a/docs_test.go
+++ b/docs_test.go
@@ -19,14 +19,14 @@
 	pathName    = regexp.MustCompile(`^(cmd|deploy|docs|examples|internal)/[\w./-]+$|^\w+\.(go|md|toml)$`)
 	counterName = regexp.MustCompile(`^(accept|cells|checkpoint|claims|jobs|machines|nodes|probes|reloads)\.\w+$`)
 	metricName  = regexp.MustCompile(`^scheduler_\w+$`)
-	pictureName = regexp.MustCompile(`\b(?:cmd|internal)/[\w./-]*\w`)
-	link        = regexp.MustCompile(`\]\(([^)#:\s]+)(?:#[^)\s]*)?\)`)
+	diagramPath = regexp.MustCompile(`\b(?:cmd|internal)/[\w./-]*\w`)
+	linkTarget  = regexp.MustCompile(`\]\(([^)#:\s]+)(?:#[^)\s]*)?\)`)
 )
 
 // The architecture page and the README name files and packages by their paths from the root. Each must
 // exist, so that a move reaches the pages.
 func TestPagesNamePathsThatExist(t *testing.T) {
-	for page, fewest := range map[string]int{architecturePage: 40, "README.md": 20} {
+	for page, minPaths := range map[string]int{architecturePage: 40, "README.md": 20} {
 		paths := 0
 		for _, name := range quotedNames(readPage(t, page)) {
 			if !pathName.MatchString(name) {
@@ -37,8 +37,8 @@
 				t.Errorf("%s names %s, which does not exist", page, name)
 			}
 		}
-		if paths < fewest {
-			t.Errorf("%s names %d paths, want %d at least", page, paths, fewest)
+		if paths < minPaths {
+			t.Errorf("%s names %d paths, want %d at least", page, paths, minPaths)
 		}
 	}
 }
@@ -102,7 +102,7 @@
 func quotedNames(page string) (names []string) {
 	for i, part := range strings.Split(page, "```") {
 		if i%2 == 1 {
-			names = append(names, pictureName.FindAllString(part, -1)...)
+			names = append(names, diagramPath.FindAllString(part, -1)...)
 			continue
 		}
 		for _, m := range quoted.FindAllStringSubmatch(part, -1) {
@@ -133,7 +133,7 @@
 }
 
 // Links of the pages lead to files that exist.
-func TestLinksOfThePages(t *testing.T) {
+func TestPageLinksResolve(t *testing.T) {
 	pages, err := filepath.Glob("docs/*.md")
 	if err != nil {
 		t.Fatal(err)
@@ -147,7 +147,7 @@
 	}
 	links := 0
 	for _, page := range pages {
-		for _, m := range link.FindAllStringSubmatch(readPage(t, page), -1) {
+		for _, m := range linkTarget.FindAllStringSubmatch(readPage(t, page), -1) {
 			links++
 			if _, err := os.Stat(filepath.Join(filepath.Dir(page), m[1])); err != nil {
 				t.Errorf("%s links to %s, which does not exist", page, m[1])
--- a/endpoint_lease_test.go
+++ b/endpoint_lease_test.go
@@ -29,13 +29,13 @@
 	busy := pollEvent(EndpointsPollFailed, FailureBusy)
 	down := pollEvent(EndpointsPollFailed, FailureDown)
 	invalid := pollEvent(EndpointsPollFailed, FailureInvalid)
-	silent := pollEvent(EndpointsPollFailed, FailureUnanswered)
+	unanswered := pollEvent(EndpointsPollFailed, FailureUnanswered)
 	for _, c := range []struct {
-		name   string
-		calls  []call
-		wait   int64
-		sends  int // of three jobs, to workers that have accepted none
-		usable bool
+		name    string
+		calls   []call
+		elapsed int64
+		sends   int // of three jobs, to workers that have accepted none
+		usable  bool
 	}{
 		{"just started", nil, 0, 0, false},
 		{"just before the grace ends", nil, grace - ms, 0, false},
@@ -56,10 +56,10 @@
 		{"invalid, within the lease", []call{{second, confirmed}, {second, invalid}}, testLease - second - ms, 3, true},
 		{"invalid, past it", []call{{second, confirmed}, {second, invalid}}, testLease - second, 0, false},
 		{"invalid, busy, past it", []call{{second, confirmed}, {second, invalid}, {second, busy}}, 10 * second, 0, false},
-		{"silent, within the lease", []call{{second, confirmed}, {second, silent}}, testLease - second - ms, 3, true},
-		{"silent, past it", []call{{second, confirmed}, {second, silent}}, testLease - second, 0, false},
-		{"silent and then busy, past it", []call{{second, confirmed}, {second, silent}, {second, busy}}, testLease, 1, true},
-		{"never answered, silent", []call{{second, silent}}, grace, 1, true},
+		{"unanswered, within the lease", []call{{second, confirmed}, {second, unanswered}}, testLease - second - ms, 3, true},
+		{"unanswered, past it", []call{{second, confirmed}, {second, unanswered}}, testLease - second, 0, false},
+		{"unanswered, busy, past it", []call{{second, confirmed}, {second, unanswered}, {second, busy}}, testLease, 1, true},
+		{"never answered, unanswered", []call{{second, unanswered}}, grace, 1, true},
 		{"down, past it", []call{{second, confirmed}, {second, down}}, 10 * second, 3, true},
 		{"answered again", []call{{second, confirmed}, {10 * second, invalid}, {second, confirmed}}, 0, 3, true},
 	} {
@@ -68,7 +68,7 @@
 			for _, e := range c.calls {
 				h.advance(e.after, e.event)
 			}
-			h.advance(c.wait)
+			h.advance(c.elapsed)
 			h.step(h.request(1, idempotent), h.request(2, idempotent), h.request(3, idempotent))
 			h.wantActions(ActionSend, c.sends)
 			if got := h.d.EndpointsUsable(); got != c.usable {
--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -54,14 +54,14 @@
 	busy := h.wantActions(ActionSend, 1)[0].Worker
 	h.step(endpointsEvent(EndpointsComplete, Worker{ID: "new"}))
 	for _, c := range []struct {
-		after int64
-		left  int
+		after       int64
+		wantWorkers int
 	}{{removedRetention - 2*second, 4}, {4 * second, 2}} {
 		for end := h.now + c.after; h.now < end; {
 			h.advance(second)
 		}
-		if len(h.d.workerOrder) != c.left || len(h.d.workers) != c.left {
-			t.Errorf("after %d s %d workers, want %d", (h.now-5*second)/second, len(h.d.workerOrder), c.left)
+		if len(h.d.workerOrder) != c.wantWorkers || len(h.d.workers) != c.wantWorkers {
+			t.Errorf("after %d s %d workers, want %d", (h.now-5*second)/second, len(h.d.workerOrder), c.wantWorkers)
 		}
 	}
 	h.step(outcome(1, 0, busy, Reset))
--- a/export_test.go
+++ b/export_test.go
@@ -11,14 +11,14 @@
 func RandomHostConfigs() []Config { return randomConfigs() }
 
 // PlayRandomHost plays the random host for some steps, and calls each with every step.
-func PlayRandomHost(t *testing.T, seed uint64, cfg Config, steps int, each func(int64, []Event, []Action)) {
+func RunRandomHost(t *testing.T, seed uint64, cfg Config, steps int, onStep func(int64, []Event, []Action)) {
 	host := newRandomHost(t, seed, cfg)
 	first := Event{Kind: EventEndpoints, EndpointUpdate: EndpointsCached, Workers: slices.Clone(host.workers)}
-	each(host.now, []Event{first}, host.log)
+	onStep(host.now, []Event{first}, host.log)
 	step := func(events []Event) {
 		before := len(host.log)
 		host.step(events)
-		each(host.now, events, host.log[before:])
+		onStep(host.now, events, host.log[before:])
 	}
 	for range steps {
 		host.now += 1 + host.rng.Int64N(6*ms)
--- a/internal/decision/gossip/message_test.go
+++ b/internal/decision/gossip/message_test.go
@@ -26,7 +26,7 @@
 }
 
 // A message has a bounded length, and what it holds is read back.
-func TestMessageIsReadBack(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	for _, complete := range []bool{false, true} {
 		s := NewSender(7)
 		var m, got Message
@@ -42,26 +42,26 @@
 			got.Incarnation != 7 || got.Sequence != 1 {
 			t.Errorf("%+v, want %+v", got, m)
 		}
-		if u, told := got.UsageOf(9); u.Slots != 9 || !told {
+		if u, included := got.UsageOf(9); u.Slots != 9 || !included {
 			t.Errorf("usage %+v of a worker that it names", u)
 		}
-		if u, told := got.UsageOf(99); u.Slots != 0 || told != complete {
-			t.Errorf("usage %+v, told %v of a worker that it does not name", u, told)
+		if u, included := got.UsageOf(99); u.Slots != 0 || included != complete {
+			t.Errorf("usage %+v, told %v of a worker that it does not name", u, included)
 		}
 	}
 }
 
-func TestSpoiltMessages(t *testing.T) {
-	whole := Message{Complete: true, AdmissionRate: 1}
-	noNumber, negative := whole, whole
-	noNumber.AdmissionRate, negative.AdmissionRate = math.NaN(), -1
+func TestDecodeRejectsInvalidMessages(t *testing.T) {
+	valid := Message{Complete: true, AdmissionRate: 1}
+	notANumber, negative := valid, valid
+	notANumber.AdmissionRate, negative.AdmissionRate = math.NaN(), -1
 	for name, data := range map[string][]byte{
 		"empty":             {},
 		"half a header":     {1, 2, 3},
 		"unknown kind":      {3, 0, 0, 0},
-		"half a rate":       whole.Encode()[:headerSize+rateSize-1],
+		"half a rate":       valid.Encode()[:headerSize+rateSize-1],
 		"half a usage":      {1, 0, 0, 0, 9, 9},
-		"rate is no number": noNumber.Encode(),
+		"rate is no number": notANumber.Encode(),
 		"negative rate":     negative.Encode(),
 	} {
 		var m Message
--- a/internal/decision/membership/lease_test.go
+++ b/internal/decision/membership/lease_test.go
@@ -18,7 +18,7 @@
 	for _, c := range []struct {
 		name          string
 		calls         []call
-		wait          int64
+		elapsed       int64
 		fresh, usable bool
 	}{
 		{"just started", nil, 0, false, false},
@@ -45,7 +45,7 @@
 				now += step.after
 				step.do(&l, now)
 			}
-			now += c.wait
+			now += c.elapsed
 			if fresh, usable := l.Fresh(now), l.Usable(now); fresh != c.fresh || usable != c.usable {
 				t.Errorf("fresh %v, usable %v; want %v, %v", fresh, usable, c.fresh, c.usable)
 			}
--- a/internal/decision/membership/schedule_test.go
+++ b/internal/decision/membership/schedule_test.go
@@ -40,10 +40,10 @@
 func TestPollScheduleBackoff(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	s := NewPollSchedule(8 * second)
-	for _, most := range []int64{second / 2, second, 2 * second, 4 * second, 4 * second} {
+	for _, maxBackoff := range []int64{second / 2, second, 2 * second, 4 * second, 4 * second} {
 		s.Fail(0, rng)
-		if s.backoff != most || s.nextAt < most/2 || s.nextAt > most {
-			t.Fatalf("backs off for %d of %d, want up to %d", s.nextAt, s.backoff, most)
+		if s.backoff != maxBackoff || s.nextAt < maxBackoff/2 || s.nextAt > maxBackoff {
+			t.Fatalf("backs off for %d of %d, want up to %d", s.nextAt, s.backoff, maxBackoff)
 		}
 	}
 	s.Succeed()
--- a/peers_test.go
+++ b/peers_test.go
@@ -65,16 +65,16 @@
 	sent := map[string]int{}
 	var last Action
 	for id := uint64(1); id <= 4; id++ {
-		from, to := a, b
+		sender, receiver := a, b
 		if id%2 == 0 {
-			from, to = b, a
+			sender, receiver = b, a
 		}
-		from.advance(ms, from.request(id, idempotent))
-		last = from.wantActions(ActionSend, 1)[0]
+		sender.advance(ms, sender.request(id, idempotent))
+		last = sender.wantActions(ActionSend, 1)[0]
 		sent[last.Worker]++
-		msg := from.gossipEvent()
-		to.now = from.now
-		to.step(msg)
+		msg := sender.gossipEvent()
+		receiver.now = sender.now
+		receiver.step(msg)
 	}
 	if sent["w0"] != 2 || sent["w1"] != 2 {
 		t.Fatalf("sent to %v, want two to each", sent)
@@ -93,22 +93,22 @@
 func TestMemoryBoundsAWorker(t *testing.T) {
 	harnesses := newPeers(t, 2)
 	a, b := harnesses[0], harnesses[1]
-	heavy := func(h *harness, id uint64, memory float64) []Action {
+	sendHeavy := func(h *harness, id uint64, memory float64) []Action {
 		e := h.request(id, int(id)/4) // the last of another class: those of one wait for each other
 		e.Request.Memory = memory
 		h.step(e)
 		return h.actionsOf(ActionSend)
 	}
-	first := heavy(a, 1, 1.5)[0].Worker
+	first := sendHeavy(a, 1, 1.5)[0].Worker
 	b.step(a.gossipEvent())
-	if second := heavy(b, 2, 1.5)[0].Worker; second == first {
+	if second := sendHeavy(b, 2, 1.5)[0].Worker; second == first {
 		t.Errorf("both on %s", first)
 	}
 	a.step(b.gossipEvent())
-	if got := heavy(a, 3, 1); len(got) != 0 {
+	if got := sendHeavy(a, 3, 1); len(got) != 0 {
 		t.Errorf("%+v, where no worker has the memory", got)
 	}
-	if got := heavy(a, 4, 0.4); len(got) != 1 {
+	if got := sendHeavy(a, 4, 0.4); len(got) != 1 {
 		t.Error("a job that fits does not go")
 	}
 }
--- a/placement_large_test.go
+++ b/placement_large_test.go
@@ -12,12 +12,12 @@
 // is wasted work.
 func TestUnstartedJobsStayAtTheirWorker(t *testing.T) {
 	for _, dispatchers := range []int{3, 80} {
-		for _, cold := range []int64{0, 4 * second} {
+		for _, startedAt := range []int64{0, 4 * second} {
 			cfg := manyConfig()
 			cfg.Dispatchers = dispatchers
 			workers := testWorkers(8)
 			for i := range workers {
-				workers[i].StartedAt = cold
+				workers[i].StartedAt = startedAt
 			}
 			h := newHarness(t, cfg, workers...)
 			setPeakRate(h.d, 1)
@@ -27,7 +27,7 @@
 			h.advance(h.d.tickInterval)
 			h.step(h.request(1, idempotent))
 			h.wantActions(ActionSend, 1)
-			for limit := h.now + h.d.jobs.byID[1].objective/4; h.now < limit-ms; {
+			for end := h.now + h.d.jobs.byID[1].objective/4; h.now < end-ms; {
 				h.advance(ms)
 				h.wantActions(ActionSend, 0)
 				h.wantActions(ActionCancel, 0)
@@ -103,24 +103,24 @@
 // Each of many dispatchers samples a small part of the workers. A worker that has just served one of its
 // jobs has a free slot and an open connection: it is examined whatever the sample holds.
 func TestManyDispatchersReuseAFreedSlot(t *testing.T) {
-	for dispatchers, least := range map[int]int{80: 15, 3: 0} {
+	for dispatchers, minReuses := range map[int]int{80: 15, 3: 0} {
 		t.Run(fmt.Sprintf("dispatchers=%d", dispatchers), func(t *testing.T) {
 			cfg := manyConfig()
 			cfg.Dispatchers, cfg.StartNotes = dispatchers, false
 			cfg.Prices.Handshake = 0.02
 			h := newHarness(t, cfg, testWorkers(200)...)
-			last, again := "", 0
+			last, reuses := "", 0
 			for id := uint64(1); id <= 20; id++ {
 				h.advance(ms, h.request(id, idempotent))
 				a := h.wantActions(ActionSend, 1)[0]
 				if a.Worker == last {
-					again++
+					reuses++
 				}
 				last = a.Worker
 				h.advance(ms, outcome(id, a.Attempt, a.Worker, Served))
 			}
-			if again < least || dispatchers <= 4 && again > 10 {
-				t.Errorf("%d dispatchers: %d of 20 jobs went where the last was served", dispatchers, again)
+			if reuses < minReuses || dispatchers <= 4 && reuses > 10 {
+				t.Errorf("%d dispatchers: %d of 20 jobs went where the last was served", dispatchers, reuses)
 			}
 		})
 	}
@@ -130,15 +130,15 @@
 // which nothing is known, that to one that was saturated, and the more the newer the prompt start.
 func TestManyDispatchersPreferPromptWorkers(t *testing.T) {
 	h := newHarness(t, manyConfig(), testWorkers(4)...)
-	good, unmet, bad, old := h.d.workerOrder[0], h.d.workerOrder[1], h.d.workerOrder[2], h.d.workerOrder[3]
-	good.setOutlier(func(s *health.OutlierState) { s.PromptStartAt = h.now })
-	bad.setOutlier(func(s *health.OutlierState) { s.LastFaultAt = h.now })
-	old.setOutlier(func(s *health.OutlierState) { s.PromptStartAt = h.now })
+	prompt, unproven, faulty, stalePrompt := h.d.workerOrder[0], h.d.workerOrder[1], h.d.workerOrder[2], h.d.workerOrder[3]
+	prompt.setOutlier(func(s *health.OutlierState) { s.PromptStartAt = h.now })
+	faulty.setOutlier(func(s *health.OutlierState) { s.LastFaultAt = h.now })
+	stalePrompt.setOutlier(func(s *health.OutlierState) { s.PromptStartAt = h.now })
 	h.now += 20 * second
 	h.step()
-	good.setOutlier(func(s *health.OutlierState) { s.PromptStartAt = h.now })
-	bad.setOutlier(func(s *health.OutlierState) { s.PromptStartAt = h.now - 30*second })
-	order := []*worker{good, old, unmet, bad}
+	prompt.setOutlier(func(s *health.OutlierState) { s.PromptStartAt = h.now })
+	faulty.setOutlier(func(s *health.OutlierState) { s.PromptStartAt = h.now - 30*second })
+	order := []*worker{prompt, stalePrompt, unproven, faulty}
 	for i, w := range order[1:] {
 		if d := order[i].outlier.Cost(h.d.now); d >= w.outlier.Cost(h.d.now) {
 			t.Errorf("%s is doubted by %.2f, %s by %.2f", order[i].id, d, w.id, w.outlier.Cost(h.d.now))
@@ -156,7 +156,7 @@
 // Each of many dispatchers has few jobs at a worker: the cross-zone price must not outweigh any number of
 // them, or a zone with more than its part of the traffic sheds jobs while others have capacity.
 func TestManyDispatchersCrossZonesUnderLoad(t *testing.T) {
-	for dispatchers, crosses := range map[int]bool{3: false, 80: true} {
+	for dispatchers, wantCrossing := range map[int]bool{3: false, 80: true} {
 		t.Run(fmt.Sprintf("dispatchers=%d", dispatchers), func(t *testing.T) {
 			cfg := manyConfig()
 			cfg.Dispatchers, cfg.Prices.CrossZone = dispatchers, 0.1
@@ -168,8 +168,8 @@
 				t.Errorf("%d dispatchers: the first job crosses zones", dispatchers)
 			}
 			h.step(started(1, 0, workers[0].ID), h.request(2, idempotent))
-			if a := h.wantActions(ActionSend, 1)[0]; (a.Worker != workers[0].ID) != crosses {
-				t.Errorf("%d dispatchers: the second job crosses zones: %v", dispatchers, !crosses)
+			if a := h.wantActions(ActionSend, 1)[0]; (a.Worker != workers[0].ID) != wantCrossing {
+				t.Errorf("%d dispatchers: the second job crosses zones: %v", dispatchers, !wantCrossing)
 			}
 		})
 	}
--- a/placement_test.go
+++ b/placement_test.go
@@ -33,13 +33,13 @@
 
 func TestPlacementPrefersIdleWorkers(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(3)...)
-	seen := map[string]bool{}
+	workersUsed := map[string]bool{}
 	h.step(h.request(1, atMostOnce), h.request(2, atMostOnce), h.request(3, atMostOnce))
 	for _, a := range h.wantActions(ActionSend, 3) {
-		seen[a.Worker] = true
+		workersUsed[a.Worker] = true
 	}
-	if len(seen) != 3 {
-		t.Errorf("three jobs on %d workers", len(seen))
+	if len(workersUsed) != 3 {
+		t.Errorf("three jobs on %d workers", len(workersUsed))
 	}
 }
 
@@ -129,20 +129,20 @@
 func TestServedSlotsExcludeFailuresAndSlowStart(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(2)...)
 	w := h.d.workerOrder[0]
-	end := func(c Code) {
+	recordOutcome := func(c Code) {
 		a := &attempt{job: &job{class: &h.d.classes[0], objective: 1}, worker: w, slots: 1}
 		h.d.recordOutcome(a, &Event{Code: c, Took: second})
 	}
-	end(Saturated)
+	recordOutcome(Saturated)
 	if servedSlots(h.d) != 0 {
 		t.Error("a rejection counts as served")
 	}
-	end(Served)
+	recordOutcome(Served)
 	if servedSlots(h.d) != 1 {
 		t.Error("a served job does not count")
 	}
 	w.warmup.Restart(h.now)
-	if end(Served); servedSlots(h.d) != 1 {
+	if recordOutcome(Served); servedSlots(h.d) != 1 {
 		t.Error("a job of a worker in slow start counts")
 	}
 }
--- a/record_faults_test.go
+++ b/record_faults_test.go
@@ -11,22 +11,22 @@
 
 // A scheduledFault happens at a time after a recording's start.
 type scheduledFault struct {
-	after int64
+	delay int64
 	fault fault
 }
 
 // scheduleFault lets one of the plan's faults happen, and the next one later.
 func (h *fleetHost) scheduleFault() {
-	h.after(h.plan.every/2+h.rng.Int64N(h.plan.every), func() {
+	h.scheduleAfter(h.plan.faultInterval/2+h.rng.Int64N(h.plan.faultInterval), func() {
 		h.plan.faults[h.rng.IntN(len(h.plan.faults))](h)
 		h.scheduleFault()
 	})
 }
 
 // pick draws some workers.
-func (h *fleetHost) pick(share float64) (workers []*simWorker) {
+func (h *fleetHost) sampleWorkers(fraction float64) (workers []*simWorker) {
 	for _, w := range h.workers {
-		if h.chance(share) {
+		if h.randomBool(fraction) {
 			workers = append(workers, w)
 		}
 	}
@@ -34,7 +34,7 @@
 }
 
 // change sets a worker's state in the list.
-func (h *fleetHost) change(w *simWorker, state foxlift.WorkerState) {
+func (h *fleetHost) setState(w *simWorker, state foxlift.WorkerState) {
 	if w.entry.State == foxlift.Removed && state == foxlift.Live {
 		w.entry.StartedAt = h.now
 	}
@@ -43,31 +43,31 @@
 }
 
 // vanish ends a worker's process with all that it has.
-func (h *fleetHost) vanish(w *simWorker) {
+func (h *fleetHost) removeProcess(w *simWorker) {
 	for _, a := range append(slices.Clone(w.running), w.queue...) {
 		a.report(foxlift.Reset)
 	}
 	w.running, w.queue, w.keys = nil, nil, nil
-	h.change(w, foxlift.Removed)
+	h.setState(w, foxlift.Removed)
 }
 
 // faultDrain drains workers; they go and come back anew.
 func faultDrain(h *fleetHost) {
-	for _, w := range h.pick(0.15) {
-		h.change(w, foxlift.Draining)
-		h.after(2*second, func() { h.vanish(w) })
-		h.after(5*second, func() { h.change(w, foxlift.Live) })
+	for _, w := range h.sampleWorkers(0.15) {
+		h.setState(w, foxlift.Draining)
+		h.scheduleAfter(2*second, func() { h.removeProcess(w) })
+		h.scheduleAfter(5*second, func() { h.setState(w, foxlift.Live) })
 	}
 }
 
 // faultRetirement takes a worker out for good.
-func faultRetirement(h *fleetHost) { h.vanish(h.workers[len(h.workers)-1]) }
+func faultRetirement(h *fleetHost) { h.removeProcess(h.workers[len(h.workers)-1]) }
 
 // faultCrash kills workers, of which the dispatchers learn late; they come back cold.
 func faultCrash(h *fleetHost) {
-	for _, w := range h.pick(0.25) {
-		h.vanish(w)
-		h.after(h.exponential(3*second), func() { h.change(w, foxlift.Live) })
+	for _, w := range h.sampleWorkers(0.25) {
+		h.removeProcess(w)
+		h.scheduleAfter(h.exponential(3*second), func() { h.setState(w, foxlift.Live) })
 	}
 }
 
@@ -84,12 +84,12 @@
 
 // faultHang lets workers hang for a while.
 func faultHang(h *fleetHost) {
-	for _, w := range h.pick(0.15) {
-		w.hangs = true
-		h.after(h.exponential(3*second), func() {
-			w.hangs = false
+	for _, w := range h.sampleWorkers(0.15) {
+		w.hanging = true
+		h.scheduleAfter(h.exponential(3*second), func() {
+			w.hanging = false
 			for _, a := range w.running {
-				h.after(1, func() { w.finish(a) })
+				h.scheduleAfter(1, func() { w.finish(a) })
 			}
 			w.startNext()
 		})
@@ -98,32 +98,32 @@
 
 // faultErrors lets workers fail jobs for a while.
 func faultErrors(h *fleetHost) {
-	for _, w := range h.pick(0.15) {
-		w.errs = true
-		h.after(h.exponential(4*second), func() { w.errs = false })
+	for _, w := range h.sampleWorkers(0.15) {
+		w.failing = true
+		h.scheduleAfter(h.exponential(4*second), func() { w.failing = false })
 	}
 }
 
 // faultSaturation lets workers turn all jobs away for a while.
 func faultSaturation(h *fleetHost) {
-	for _, w := range h.pick(0.2) {
-		w.saturated = true
-		h.after(h.exponential(2*second), func() { w.saturated = false })
+	for _, w := range h.sampleWorkers(0.2) {
+		w.rejecting = true
+		h.scheduleAfter(h.exponential(2*second), func() { w.rejecting = false })
 	}
 }
 
 // faultFleetSaturation lets all workers turn all jobs away for a while.
 func faultFleetSaturation(h *fleetHost) {
 	for _, w := range h.workers {
-		w.saturated = true
-		h.after(3*second, func() { w.saturated = false })
+		w.rejecting = true
+		h.scheduleAfter(3*second, func() { w.rejecting = false })
 	}
 }
 
 // faultFlood lets a tenant send far more than its share for a while.
 func faultFlood(h *fleetHost) {
-	h.flooding = h.rng.IntN(max(1, len(h.plan.weights)))
-	h.after(4*second, func() { h.flooding = -1 })
+	h.flooding = h.rng.IntN(max(1, len(h.plan.tenantWeights)))
+	h.scheduleAfter(4*second, func() { h.flooding = -1 })
 }
 
 // faultQuotas changes the tenants' shares; now and then by a list of the wrong length.
@@ -139,7 +139,7 @@
 
 // faultDiscovery lets calls to discovery fail for some seconds, in all ways that are told apart.
 func faultDiscovery(h *fleetHost) {
-	if h.discoveryFails {
+	if h.discoveryFailing {
 		return
 	}
 	h.drawFailure()
@@ -147,18 +147,18 @@
 }
 
 // faultOutage lets calls to discovery fail for some time, all in one way.
-func faultOutage(failure foxlift.PollFailure, length int64) fault {
+func faultOutage(failure foxlift.PollFailure, duration int64) fault {
 	return func(h *fleetHost) {
-		h.failure, h.failureLasts = failure, true
-		h.failDiscovery(length)
+		h.failure, h.failureFixed = failure, true
+		h.failDiscovery(duration)
 	}
 }
 
 // failDiscovery lets calls to discovery fail for some time.
-func (h *fleetHost) failDiscovery(length int64) {
-	h.discoveryFails = true
-	h.after(length, func() {
-		h.discoveryFails, h.failureLasts = false, false
+func (h *fleetHost) failDiscovery(duration int64) {
+	h.discoveryFailing = true
+	h.scheduleAfter(duration, func() {
+		h.discoveryFailing, h.failureFixed = false, false
 		for _, m := range h.members {
 			m.subscribed = m.subscribed || !m.config.PollEndpoints
 			m.receiveEndpoints(foxlift.EndpointsConfirmed, nil)
@@ -189,7 +189,7 @@
 
 // faultExternalUsage changes how many slots others of the host have out at workers.
 func faultExternalUsage(h *fleetHost) {
-	for _, w := range h.pick(0.2) {
+	for _, w := range h.sampleWorkers(0.2) {
 		w.entry.ExternalSlots = float64(h.rng.IntN(4))
 		h.notifyChange(w.entry)
 	}
@@ -199,10 +199,10 @@
 func faultTakeover(h *fleetHost) { h.members[h.rng.IntN(len(h.members))].takeover() }
 
 // faultProcessRestart lets a new process of a scheduler begin, which knows nothing.
-func faultProcessRestart(h *fleetHost) { h.members[h.rng.IntN(len(h.members))].begin() }
+func faultProcessRestart(h *fleetHost) { h.members[h.rng.IntN(len(h.members))].start() }
 
 // faultFirstRestart does so in the first dispatcher's place.
-func faultFirstRestart(h *fleetHost) { h.members[0].begin() }
+func faultFirstRestart(h *fleetHost) { h.members[0].start() }
 
 // faultBrokenContract passes events about things that there are not.
 func faultBrokenContract(h *fleetHost) {
--- a/record_member_test.go
+++ b/record_member_test.go
@@ -34,7 +34,7 @@
 }
 
 // begin starts a dispatcher with the list as last known; one that was there before is forgotten.
-func (m *member) begin() {
+func (m *member) start() {
 	m.incarnation++
 	m.subscribed = !m.config.PollEndpoints
 	m.inbox, m.jobs = nil, map[uint64]*simJob{}
@@ -52,10 +52,10 @@
 // attempts count as external usage until they have ended.
 func (m *member) takeover() {
 	snapshot := m.host.record.snapshot(m.index, m.dispatcher)
-	m.begin()
+	m.start()
 	m.host.record.restore(m.index, m.dispatcher, snapshot)
 	m.host.record.inspect(m.index, m.dispatcher)
-	m.host.after(second, func() { m.receiveEndpoints(foxlift.EndpointsDelta, m.endpoints()) })
+	m.host.scheduleAfter(second, func() { m.receiveEndpoints(foxlift.EndpointsDelta, m.endpoints()) })
 }
 
 // list is the list with the slots of an earlier incarnation's attempts.
@@ -77,9 +77,9 @@
 	e := foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: kind, Workers: workers}
 	switch {
 	case kind == foxlift.DiscoveryChanged:
-	case m.host.discoveryFails:
+	case m.host.discoveryFailing:
 		m.subscribed = false
-		if !m.host.failureLasts && m.host.chance(0.2) {
+		if !m.host.failureFixed && m.host.randomBool(0.2) {
 			m.host.drawFailure()
 		}
 		e.EndpointUpdate, e.PollFailure, e.Workers = foxlift.EndpointsPollFailed, m.host.failure, nil
@@ -94,18 +94,18 @@
 	m.jobs[r.ID] = &simJob{request: r}
 	m.receive(foxlift.Event{Kind: foxlift.EventRequest, Request: r})
 	incarnation := m.incarnation
-	m.host.at(r.Deadline, func() {
+	m.host.scheduleAt(r.Deadline, func() {
 		if j := m.jobs[r.ID]; incarnation == m.incarnation && j != nil {
 			m.expire(j)
 		}
 	})
-	if m.host.chance(m.host.plan.leaving) {
-		m.host.after(m.host.rng.Int64N(second), func() { m.leave(r.ID) })
+	if m.host.randomBool(m.host.plan.disconnects) {
+		m.host.scheduleAfter(m.host.rng.Int64N(second), func() { m.disconnect(r.ID) })
 	}
 }
 
 // leave lets a client go away that has no answer yet.
-func (m *member) leave(id uint64) {
+func (m *member) disconnect(id uint64) {
 	if j := m.jobs[id]; j != nil && !j.answered {
 		j.answered = true
 		m.receive(foxlift.Event{Kind: foxlift.EventClientDisconnected, ID: id})
@@ -134,22 +134,22 @@
 	case foxlift.ActionSend:
 		m.send(m.jobs[a.ID], a.Worker)
 	case foxlift.ActionShed, foxlift.ActionFail:
-		m.answer(m.jobs[a.ID], a)
+		m.handleRejection(m.jobs[a.ID], a)
 	case foxlift.ActionCancel:
 		attempt := m.jobs[a.ID].attempts[a.Attempt]
-		h.after(millisecond, attempt.cancel)
+		h.scheduleAfter(millisecond, attempt.cancel)
 	case foxlift.ActionTimer:
-		h.at(a.At, func() {
+		h.scheduleAt(a.At, func() {
 			if incarnation == m.incarnation {
 				m.receive(foxlift.Event{Kind: foxlift.EventTimer, Token: a.Token})
 			}
 		})
 	case foxlift.ActionHealthCheck:
-		m.checkHealth(h.find(a.Worker))
+		m.checkHealth(h.findWorker(a.Worker))
 	case foxlift.ActionMessage:
 		m.broadcast(slices.Clone(a.Data))
 	case foxlift.ActionWatchEndpoints:
-		h.after(h.exponential(20*millisecond), func() {
+		h.scheduleAfter(h.exponential(20*millisecond), func() {
 			if incarnation == m.incarnation {
 				m.answerSubscription()
 			}
@@ -167,25 +167,25 @@
 }
 
 // answer takes a final answer. Some refused clients try again with the time that they have left.
-func (m *member) answer(j *simJob, a foxlift.Action) {
+func (m *member) handleRejection(j *simJob, a foxlift.Action) {
 	j.answered = true
-	if a.Kind == foxlift.ActionFail || m.host.chance(0.5) {
+	if a.Kind == foxlift.ActionFail || m.host.randomBool(0.5) {
 		return
 	}
 	wait := a.RetryAfter + m.host.exponential(100*millisecond)
 	if m.host.now+wait >= j.request.Deadline {
 		return
 	}
-	again := j.request
-	again.ID, again.ClientRetry = m.host.nextID(), true
-	m.host.after(wait, func() { m.accept(again) })
+	retry := j.request
+	retry.ID, retry.ClientRetry = m.host.nextID(), true
+	m.host.scheduleAfter(wait, func() { m.accept(retry) })
 }
 
 func (m *member) checkHealth(w *simWorker) {
-	m.host.after(w.distance(m)*2, func() {
+	m.host.scheduleAfter(w.networkDelay(m)*2, func() {
 		e := foxlift.Event{Kind: foxlift.EventHealthChecked, Worker: w.entry.ID, Code: foxlift.DeadlineExceeded}
-		if w.entry.State != foxlift.Removed && !w.hangs {
-			e.Code, e.Took, e.HasLoad, e.Load = foxlift.Served, 2*w.distance(m), true, w.load()
+		if w.entry.State != foxlift.Removed && !w.hanging {
+			e.Code, e.Took, e.HasLoad, e.Load = foxlift.Served, 2*w.networkDelay(m), true, w.load()
 		}
 		m.receive(e)
 	})
@@ -198,16 +198,16 @@
 			continue
 		}
 		copies := 1
-		if m.host.chance(0.05) {
+		if m.host.randomBool(0.05) {
 			copies = m.host.rng.IntN(3)
 		}
 		for range copies {
 			e := foxlift.Event{Kind: foxlift.EventMessage, From: m.index, Data: data}
-			if m.host.chance(0.01) {
+			if m.host.randomBool(0.01) {
 				e.Data = slices.Clone(data)
 				e.Data[m.host.rng.IntN(len(data))] ^= byte(1 + m.host.rng.IntN(255))
 			}
-			m.host.after(m.host.exponential(2*millisecond), func() { peer.receive(e) })
+			m.host.scheduleAfter(m.host.exponential(2*millisecond), func() { peer.receive(e) })
 		}
 	}
 }
--- a/record_plans_test.go
+++ b/record_plans_test.go
@@ -33,10 +33,11 @@
 // basePlan is a small fleet with a configuration, under all faults.
 func basePlan(name string, cfg foxlift.Config, seed uint64) fleetPlan {
 	return fleetPlan{
-		name: name, config: cfg, seed: seed, played: cfg.Dispatchers, workers: 8, slots: 2, length: 45 * second,
-		load: 0.9, work: []int64{90 * millisecond, 140 * millisecond, 110 * millisecond}, weights: []float64{6, 3, 1, 0.1},
-		keys: 30, strange: 0.02, leaving: 0.02,
-		faultPlan: faultPlan{every: 3 * second, faults: []fault{
+		name: name, config: cfg, seed: seed, recorded: cfg.Dispatchers, workers: 8, slots: 2, duration: 45 * second,
+		loadFactor: 0.9, runtimes: []int64{90 * millisecond, 140 * millisecond, 110 * millisecond},
+		tenantWeights: []float64{6, 3, 1, 0.1},
+		keyCount:      30, abnormalOutcomes: 0.02, disconnects: 0.02,
+		faultPlan: faultPlan{faultInterval: 3 * second, faults: []fault{
 			faultDrain, faultCrash, faultZoneRestart, faultHang, faultErrors, faultSaturation, faultFlood, faultFlood,
 			faultQuotas,
 			faultResync, faultExternalUsage, faultTakeover, faultProcessRestart, faultBrokenContract, faultDiscovery,
@@ -47,14 +48,14 @@
 // fleetPlans are the fleets that are recorded.
 func fleetPlans() []fleetPlan {
 	return []fleetPlan{
-		lonePlan(), overloadPlan(), peersPlan(), unawarePlan(), bandsPlan(), throttledPlan(),
-		leasePlan(), outagesPlan(), plainPlan(),
-		manyPlan(), manySlowStartPlan(), manyKeysPlan(), manyWorkersPlan(), impatientPlan(),
+		singleDispatcherPlan(), overloadPlan(), peersPlan(), withoutGossipPlan(), bandsPlan(), throttledPlan(),
+		leasePlan(), outagesPlan(), minimalPlan(),
+		manyPlan(), manySlowStartPlan(), manyKeysPlan(), manyWorkersPlan(), disconnectsPlan(),
 	}
 }
 
 // lonePlan is one dispatcher. One of its classes has clients that leave before its jobs are late.
-func lonePlan() fleetPlan {
+func singleDispatcherPlan() fleetPlan {
 	cfg := baseConfig()
 	cfg.Classes[2].LatencyObjective, cfg.Classes[2].Deadline = 900*millisecond, 500*millisecond
 	return basePlan("lone", cfg, 1)
@@ -63,7 +64,7 @@
 // overloadPlan gets more than its workers can do for most of the time.
 func overloadPlan() fleetPlan {
 	p := basePlan("overload", baseConfig(), 2)
-	p.load, p.length = 1.4, 30*second
+	p.loadFactor, p.duration = 1.4, 30*second
 	p.config.Tenants = []foxlift.Tenant{{Name: "a", Quota: 90}, {Name: "b", Quota: 50}, {Name: "c", Quota: 40}}
 	p.faults = []fault{faultFlood, faultTakeover, faultZoneRestart, faultCrash}
 	return p
@@ -76,18 +77,18 @@
 	cfg.Gauges = []foxlift.Gauge{foxlift.GaugeQueued, foxlift.GaugeInFlight, foxlift.GaugeFreeSlots}
 	cfg.Classes[2].Scope = foxlift.ScopeZone
 	p := basePlan("peers", cfg, 3)
-	p.varied, p.length = true, 20*second
+	p.mixedRequests, p.duration = true, 20*second
 	return p
 }
 
 // unawarePlan is three dispatchers that know nothing of each other, and ask workers for their load.
-func unawarePlan() fleetPlan {
+func withoutGossipPlan() fleetPlan {
 	cfg := baseConfig()
 	cfg.Dispatchers, cfg.MayHealthCheck, cfg.PollEndpoints = 3, true, true
 	cfg.Gauges = []foxlift.Gauge{foxlift.GaugeBusy, foxlift.GaugeThroughput, foxlift.GaugeQueued}
 	cfg.Classes[2].Scope, cfg.Classes[0].Stream = foxlift.ScopeAll, true
 	p := basePlan("unaware", cfg, 4)
-	p.workers, p.length, p.varied = 12, 20*second, true
+	p.workers, p.duration, p.mixedRequests = 12, 20*second, true
 	return p
 }
 
@@ -101,7 +102,7 @@
 		{Width: 50, Ratio: []float64{0, 2, 0}},
 	}
 	p := basePlan("bands", cfg, 5)
-	p.load, p.length = 1.2, 25*second
+	p.loadFactor, p.duration = 1.2, 25*second
 	p.faults = []fault{faultFlood, faultFlood, faultCrash, faultTakeover, faultQuotas}
 	return p
 }
@@ -114,7 +115,7 @@
 		cfg.Classes[i].LatencyObjective, cfg.Classes[i].ObjectiveStretch = 130*millisecond, 0
 	}
 	p := basePlan("throttled", cfg, 12)
-	p.load, p.length, p.weights = 0.8, 40*second, []float64{8, 3, 0.1, 0}
+	p.loadFactor, p.duration, p.tenantWeights = 0.8, 40*second, []float64{8, 3, 0.1, 0}
 	p.faults = []fault{faultFlood, faultQuotas, faultTakeover, faultErrors}
 	return p
 }
@@ -124,7 +125,7 @@
 	cfg := baseConfig()
 	cfg.EndpointLease, cfg.PollEndpoints, cfg.MaxPollInterval, cfg.ConnIdle = 6*second, true, 3*second, second
 	p := basePlan("lease", cfg, 6)
-	p.load, p.length, p.every = 0.5, 60*second, 2*second
+	p.loadFactor, p.duration, p.faultInterval = 0.5, 60*second, 2*second
 	p.faults = []fault{
 		faultDiscovery, faultDiscovery, faultDiscovery, faultDiscoveryChange, faultProcessRestart, faultDrain,
 		faultSaturation,
@@ -135,9 +136,9 @@
 // outagesPlan has each kind of outage of discovery for as long as the list's age matters.
 func outagesPlan() fleetPlan {
 	p := leasePlan()
-	p.name, p.seed, p.load, p.length, p.faults = "outages", 13, 0.3, 70*second, nil
-	p.config.Dispatchers, p.played = 2, 2
-	p.script = []scheduledFault{
+	p.name, p.seed, p.loadFactor, p.duration, p.faults = "outages", 13, 0.3, 70*second, nil
+	p.config.Dispatchers, p.recorded = 2, 2
+	p.scheduled = []scheduledFault{
 		{second, faultRetirement},
 		{3 * second, faultOutage(foxlift.FailureBusy, 15*second)},
 		{11 * second, faultFleetSaturation},
@@ -153,12 +154,12 @@
 }
 
 // plainPlan allows and tells a dispatcher as little as can be.
-func plainPlan() fleetPlan {
+func minimalPlan() fleetPlan {
 	cfg := baseConfig()
 	cfg.Dispatchers, cfg.MayCancel, cfg.MayHedge, cfg.MayRetryAfter, cfg.StartNotes = 2, false, false, false, false
 	cfg.Gauges, cfg.Tenants, cfg.Prices, cfg.MaxAttempts = nil, nil, foxlift.Prices{}, 0
 	p := basePlan("plain", cfg, 7)
-	p.weights, p.length = nil, 40*second
+	p.tenantWeights, p.duration = nil, 40*second
 	return p
 }
 
@@ -175,9 +176,10 @@
 // manyPlan is some of many dispatchers, which have few jobs each.
 func manyPlan() fleetPlan {
 	p := basePlan("many", manyConfig(), 8)
-	p.played, p.workers, p.kinds, p.load, p.length, p.externalUsage, p.keys = 4, 40, 3, 0.12, 30*second, 0.3, 0
-	p.work = []int64{60 * millisecond, 90 * millisecond, 80 * millisecond, 200 * millisecond}
-	p.broken = true
+	p.recorded, p.workers, p.kinds, p.loadFactor, p.duration, p.externalUsage, p.keyCount =
+		4, 40, 3, 0.12, 30*second, 0.3, 0
+	p.runtimes = []int64{60 * millisecond, 90 * millisecond, 80 * millisecond, 200 * millisecond}
+	p.unreachableWorker = true
 	return p
 }
 
@@ -187,8 +189,9 @@
 	cfg.Dispatchers, cfg.MayGossip, cfg.SlowStartDuration = 20, true, 20*second
 	cfg.Classes[3].Effect = foxlift.AtMostOnce
 	p := basePlan("many-slow-start", cfg, 9)
-	p.played, p.workers, p.kinds, p.load, p.length, p.slowStart, p.externalUsage = 5, 20, 2, 0.4, 25*second, true, 0.5
-	p.work = []int64{60 * millisecond, 90 * millisecond, 80 * millisecond, 200 * millisecond}
+	p.recorded, p.workers, p.kinds, p.loadFactor, p.duration, p.slowStart, p.externalUsage =
+		5, 20, 2, 0.4, 25*second, true, 0.5
+	p.runtimes = []int64{60 * millisecond, 90 * millisecond, 80 * millisecond, 200 * millisecond}
 	p.faults = []fault{faultZoneRestart, faultCrash, faultTakeover, faultProcessRestart, faultDrain}
 	return p
 }
@@ -196,28 +199,30 @@
 // manyKeysPlan is some of many dispatchers whose jobs have keys.
 func manyKeysPlan() fleetPlan {
 	p := manyPlan()
-	p.name, p.seed, p.keys, p.varied = "many-keys", 10, 40, true
+	p.name, p.seed, p.keyCount, p.mixedRequests = "many-keys", 10, 40, true
 	return p
 }
 
 // impatientPlan is some of many dispatchers with few workers, which are often full, and clients that often
 // leave before their jobs have started.
-func impatientPlan() fleetPlan {
+func disconnectsPlan() fleetPlan {
 	cfg := manyConfig()
 	cfg.Dispatchers = 20
 	p := basePlan("impatient", cfg, 14)
-	p.played, p.workers, p.kinds, p.load, p.length, p.externalUsage, p.leaving = 2, 4, 2, 0.6, 30*second, 0.6, 0.6
-	p.work = []int64{60 * millisecond, 90 * millisecond, 80 * millisecond, 200 * millisecond}
-	p.faults, p.every = []fault{faultSaturation, faultSaturation, faultHang}, second
+	p.recorded, p.workers, p.kinds, p.loadFactor, p.duration, p.externalUsage, p.disconnects =
+		2, 4, 2, 0.6, 30*second, 0.6, 0.6
+	p.runtimes = []int64{60 * millisecond, 90 * millisecond, 80 * millisecond, 200 * millisecond}
+	p.faults, p.faultInterval = []fault{faultSaturation, faultSaturation, faultHang}, second
 	return p
 }
 
 // manyWorkersPlan is one of many dispatchers with more workers than it looks at for one job.
 func manyWorkersPlan() fleetPlan {
 	p := manyPlan()
-	p.name, p.seed, p.played, p.workers, p.load, p.length, p.keys = "many-workers", 11, 1, 2035, 0.0025, 20*second, 500
+	p.name, p.seed, p.recorded, p.workers, p.loadFactor, p.duration, p.keyCount =
+		"many-workers", 11, 1, 2035, 0.0025, 20*second, 500
 	p.config.Prices.CrossZone = 0 // all workers may be homes of keys: half of them are about as many as are compared
 	p.faults = []fault{faultDrain, faultResync, faultErrors, faultZoneRestart, faultTakeover}
-	p.every = 5 * second
+	p.faultInterval = 5 * second
 	return p
 }
--- a/record_test.go
+++ b/record_test.go
@@ -21,7 +21,7 @@
 		return // it writes files, and is asked for by -record
 	}
 	for _, plan := range fleetPlans() {
-		writeRecording(t, plan.name, func(r *recorder) { playFleet(r, plan) })
+		writeRecording(t, plan.name, func(r *recorder) { recordFleet(r, plan) })
 	}
 	for i, cfg := range foxlift.RandomHostConfigs() {
 		if i%2 == 0 { // each file has two, of different numbers of dispatchers
@@ -29,19 +29,19 @@
 		}
 		other := foxlift.RandomHostConfigs()[i-1]
 		writeRecording(t, "random-"+string(rune('a'+i/2)), func(r *recorder) {
-			playRandomHost(t, r, uint64(i), cfg)
-			playRandomHost(t, r, uint64(i+100), other)
+			recordRandomHost(t, r, uint64(i), cfg)
+			recordRandomHost(t, r, uint64(i+100), other)
 		})
 	}
 }
 
-func writeRecording(t *testing.T, name string, play func(*recorder)) {
+func writeRecording(t *testing.T, name string, runPlan func(*recorder)) {
 	t.Helper()
 	r := &recorder{t: t, archive: newWriter()}
-	play(r)
+	runPlan(r)
 	r.write(&operation{kind: operationEOF})
-	var packed bytes.Buffer
-	w, err := gzip.NewWriterLevel(&packed, gzip.BestCompression)
+	var compressed bytes.Buffer
+	w, err := gzip.NewWriterLevel(&compressed, gzip.BestCompression)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,10 +55,10 @@
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(path, packed.Bytes(), 0o644); err != nil {
+	if err := os.WriteFile(path, compressed.Bytes(), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%s: %d steps, %d events, %d actions, %d bytes of %d", name, r.steps, r.events, r.actions, packed.Len(),
+	t.Logf("%s: %d steps, %d events, %d actions, %d bytes of %d", name, r.steps, r.events, r.actions, compressed.Len(),
 		len(r.archive.data))
 }
 
@@ -132,11 +132,11 @@
 }
 
 // playRandomHost records the random host of the fuzz tests.
-func playRandomHost(t *testing.T, r *recorder, seed uint64, cfg foxlift.Config) {
+func recordRandomHost(t *testing.T, r *recorder, seed uint64, cfg foxlift.Config) {
 	const steps = 700
 	index := r.nextIndex()
 	r.start(index, cfg, seed)
-	foxlift.PlayRandomHost(t, seed, cfg, steps, func(now int64, events []foxlift.Event, actions []foxlift.Action) {
+	foxlift.RunRandomHost(t, seed, cfg, steps, func(now int64, events []foxlift.Event, actions []foxlift.Action) {
 		r.log(index, now, events, actions)
 	})
 }
--- a/record_worker_test.go
+++ b/record_worker_test.go
@@ -17,8 +17,8 @@
 	keys    []uint64 // what the last jobs needed is there
 	served  int
 
-	hangs, errs, saturated bool
-	slowness               float64
+	hanging, failing, rejecting bool
+	slowness                    float64
 }
 
 // A simAttempt is an attempt of a job at a worker.
@@ -34,7 +34,7 @@
 }
 
 const (
-	maxQueue      = 6 // past this a worker turns jobs away
+	maxQueuedJobs = 6 // past this a worker turns jobs away
 	maxCachedKeys = 5 // keys whose data a worker keeps
 )
 
@@ -51,12 +51,12 @@
 	return w
 }
 
-func (h *fleetHost) find(id string) *simWorker {
+func (h *fleetHost) findWorker(id string) *simWorker {
 	return h.workers[slices.IndexFunc(h.workers, func(w *simWorker) bool { return w.entry.ID == id })]
 }
 
 // distance is how long a message takes between a dispatcher and a worker.
-func (w *simWorker) distance(m *member) int64 {
+func (w *simWorker) networkDelay(m *member) int64 {
 	if w.entry.Zone != m.config.Zone {
 		return 3 * millisecond
 	}
@@ -64,7 +64,7 @@
 }
 
 // capacity is the share of its full speed that a worker has.
-func (w *simWorker) capacity() float64 {
+func (w *simWorker) speed() float64 {
 	c := &w.host.plan.config
 	if w.entry.StartedAt == 0 || c.SlowStartDuration == 0 {
 		return 1
@@ -75,11 +75,11 @@
 
 // load is a load report.
 func (w *simWorker) load() (values [foxlift.MaxGauges]float64) {
-	held := float64(len(w.running) + len(w.queue))
+	inFlight := float64(len(w.running) + len(w.queue))
 	for i, g := range w.host.plan.config.Gauges {
 		switch g {
 		case foxlift.GaugeInFlight:
-			values[i] = held
+			values[i] = inFlight
 		case foxlift.GaugeQueued:
 			values[i] = float64(len(w.queue))
 		case foxlift.GaugeBusy:
@@ -95,30 +95,30 @@
 
 // send begins an attempt. Some never reach their worker.
 func (m *member) send(j *simJob, id string) {
-	w := m.host.find(id)
+	w := m.host.findWorker(id)
 	a := &simAttempt{member: m, incarnation: m.incarnation, job: j, number: len(j.attempts), worker: w, sent: m.host.now}
 	j.attempts = append(j.attempts, a)
 	m.inFlight = append(m.inFlight, a)
-	if m.host.chance(m.host.plan.strange) {
+	if m.host.randomBool(m.host.plan.abnormalOutcomes) {
 		codes := []foxlift.Code{
 			foxlift.NotSent, foxlift.Reset, foxlift.InvalidRequest, foxlift.WorkerError, foxlift.Saturated,
 		}
 		code := codes[m.host.rng.IntN(len(codes))]
-		m.host.after(w.distance(m), func() { a.report(code) })
+		m.host.scheduleAfter(w.networkDelay(m), func() { a.report(code) })
 		return
 	}
-	m.host.after(w.distance(m), func() { w.arrive(a) })
+	m.host.scheduleAfter(w.networkDelay(m), func() { w.arrive(a) })
 }
 
 func (w *simWorker) arrive(a *simAttempt) {
 	switch {
 	case a.done:
-	case w.entry.State == foxlift.Removed || w.host.plan.broken && w.index == 0:
+	case w.entry.State == foxlift.Removed || w.host.plan.unreachableWorker && w.index == 0:
 		a.report(foxlift.Unreachable)
-	case w.saturated || len(w.queue) >= maxQueue || w.entry.State == foxlift.Draining && w.index%2 == 0:
+	case w.rejecting || len(w.queue) >= maxQueuedJobs || w.entry.State == foxlift.Draining && w.index%2 == 0:
 		a.report(foxlift.Saturated)
-	case w.host.chance(w.host.plan.externalUsage):
-		w.host.after(w.host.exponential(60*millisecond), func() { w.enqueue(a) })
+	case w.host.randomBool(w.host.plan.externalUsage):
+		w.host.scheduleAfter(w.host.exponential(60*millisecond), func() { w.enqueue(a) })
 	default:
 		w.enqueue(a)
 	}
@@ -133,7 +133,7 @@
 
 // startNext starts what waits while there are slots.
 func (w *simWorker) startNext() {
-	for len(w.running) < w.host.plan.slots && len(w.queue) > 0 && !w.hangs {
+	for len(w.running) < w.host.plan.slots && len(w.queue) > 0 && !w.hanging {
 		a := w.queue[0]
 		w.queue = w.queue[1:]
 		w.running = append(w.running, a)
@@ -148,21 +148,21 @@
 		stream := h.plan.config.Classes[r.Class].Stream
 		a.notify(foxlift.Event{Kind: foxlift.EventStarted, ID: r.ID, Attempt: a.number, Worker: w.entry.ID, Stream: stream})
 	}
-	work := h.plan.work[r.Class]
+	work := h.plan.runtimes[r.Class]
 	if r.Size > 0 {
 		work = r.Size
 	}
-	took := float64(work) * (0.4 + 0.6*h.rng.ExpFloat64()) * w.slowness / w.capacity()
-	if w.errs {
-		took /= 10
+	runtime := float64(work) * (0.4 + 0.6*h.rng.ExpFloat64()) * w.slowness / w.speed()
+	if w.failing {
+		runtime /= 10
 	}
 	if r.Key != 0 && !slices.Contains(w.keys, r.Key) {
-		took += float64(work) / 2
+		runtime += float64(work) / 2
 		w.keys = append([]uint64{r.Key}, w.keys[:min(len(w.keys), maxCachedKeys-1)]...)
 	}
-	h.after(int64(took), func() { w.finish(a) })
-	if took > float64(second) {
-		h.after(second/2, func() {
+	h.scheduleAfter(int64(runtime), func() { w.finish(a) })
+	if runtime > float64(second) {
+		h.scheduleAfter(second/2, func() {
 			a.notify(foxlift.Event{Kind: foxlift.EventProgress, ID: r.ID, Attempt: a.number, Worker: w.entry.ID})
 		})
 	}
@@ -177,8 +177,8 @@
 	w.running = slices.Delete(w.running, i, i+1)
 	w.served++
 	switch {
-	case w.hangs:
-	case w.errs && w.host.chance(0.8):
+	case w.hanging:
+	case w.failing && w.host.randomBool(0.8):
 		a.report(foxlift.WorkerError)
 	default:
 		a.report(foxlift.Served)
@@ -187,7 +187,7 @@
 }
 
 // drop takes an attempt from the worker.
-func (w *simWorker) drop(a *simAttempt) {
+func (w *simWorker) removeAttempt(a *simAttempt) {
 	if i := slices.Index(w.queue, a); i >= 0 {
 		w.queue = slices.Delete(w.queue, i, i+1)
 	}
@@ -202,7 +202,7 @@
 		return
 	}
 	if a.started == 0 || a.worker.index%2 == 0 {
-		a.worker.drop(a)
+		a.worker.removeAttempt(a)
 		a.worker.startNext()
 	}
 	a.report(foxlift.Cancelled)
--- a/replay_amd64_test.go
+++ b/replay_amd64_test.go
@@ -7,15 +7,15 @@
 )
 
 // fewestRecordings guards against an empty directory, with which nothing would be compared.
-const fewestRecordings = 10
+const minRecordings = 10
 
 // TestReplay plays the recordings to new dispatchers: every step must return the recorded actions,
 // and every snapshot the recorded bytes. The recordings, and so this file, are of amd64:
 // other processors may round a product and a sum as one.
 func TestReplay(t *testing.T) {
 	paths, err := filepath.Glob(recordings)
-	if err != nil || len(paths) < fewestRecordings {
-		t.Fatalf("%d recordings, want %d at least; %v", len(paths), fewestRecordings, err)
+	if err != nil || len(paths) < minRecordings {
+		t.Fatalf("%d recordings, want %d at least; %v", len(paths), minRecordings, err)
 	}
 	for _, path := range paths {
 		t.Run(strings.TrimSuffix(filepath.Base(path), ".gz"), func(t *testing.T) {
@@ -25,10 +25,10 @@
 				t.Fatal(err)
 			}
 			r := replayer{archive: newReader(data)}
-			if err := r.play(); err != nil {
-				t.Errorf("after %d operations: %v", r.played, err)
+			if err := r.run(); err != nil {
+				t.Errorf("after %d operations: %v", r.operations, err)
 			}
-			t.Logf("%d operations, %d events, %d actions", r.played, r.events, r.actions)
+			t.Logf("%d operations, %d events, %d actions", r.operations, r.events, r.actions)
 		})
 	}
 }
--- a/replay_archive_test.go
+++ b/replay_archive_test.go
@@ -20,7 +20,7 @@
 	err     error  // the first fault of reading
 
 	now       int64          // what times are stored against
-	newestID  uint64         // what the ids of requests are stored against
+	lastID    uint64         // what the ids of requests are stored against
 	strings   []string       // seen so far: each is stored once
 	positions map[string]int // of strings, when writing
 }
@@ -93,8 +93,8 @@
 
 // time stores a time as its distance from now. Zero stays zero: it mostly means that there is none.
 func (a *archive) time(v *int64) {
-	none := *v == 0
-	if a.bool(&none); none {
+	zero := *v == 0
+	if a.bool(&zero); zero {
 		*v = 0
 		return
 	}
@@ -105,14 +105,14 @@
 
 // id stores the id of a request as its distance from that of the newest.
 func (a *archive) id(v *uint64) {
-	distance := int64(*v - a.newestID)
+	distance := int64(*v - a.lastID)
 	a.int64(&distance)
-	*v = a.newestID + uint64(distance)
+	*v = a.lastID + uint64(distance)
 }
 
 // optional stores whether some fields are there, and the fields if so.
-func (a *archive) optional(there bool, fields func()) {
-	if a.bool(&there); there {
+func (a *archive) optional(present bool, fields func()) {
+	if a.bool(&present); present {
 		fields()
 	}
 }
--- a/replay_format_test.go
+++ b/replay_format_test.go
@@ -11,8 +11,8 @@
 		foxlift.GaugeUnknown, foxlift.GaugeInFlight, foxlift.GaugeQueued, foxlift.GaugeBusy, foxlift.GaugeLatency,
 		foxlift.GaugeThroughput, foxlift.GaugeErrors, foxlift.GaugeFreeSlots, foxlift.GaugeFreeMemory,
 	}
-	storedStates = []foxlift.WorkerState{foxlift.Live, foxlift.Draining, foxlift.Removed}
-	storedLists  = []foxlift.EndpointUpdate{
+	storedStates          = []foxlift.WorkerState{foxlift.Live, foxlift.Draining, foxlift.Removed}
+	storedEndpointUpdates = []foxlift.EndpointUpdate{
 		foxlift.EndpointsDelta, foxlift.EndpointsComplete, foxlift.EndpointsCached, foxlift.EndpointsPollFailed,
 		foxlift.EndpointsConfirmed, foxlift.DiscoveryChanged,
 	}
@@ -90,7 +90,7 @@
 
 func (a *archive) request(r *foxlift.Request) {
 	a.id(&r.ID)
-	a.newestID = r.ID
+	a.lastID = r.ID
 	a.int(&r.Class)
 	a.int(&r.Tenant)
 	a.time(&r.Deadline)
@@ -121,7 +121,7 @@
 	case foxlift.EventRequest:
 		a.request(&e.Request)
 	case foxlift.EventEndpoints:
-		enum(a, &e.EndpointUpdate, storedLists)
+		enum(a, &e.EndpointUpdate, storedEndpointUpdates)
 		enum(a, &e.PollFailure, storedFailures)
 		slice(a, &e.Workers, a.worker)
 	case foxlift.EventStarted, foxlift.EventProgress:
@@ -187,9 +187,9 @@
 	events  []foxlift.Event
 	actions []foxlift.Action
 
-	idle, trusted bool // operationInspect
-	ejected       int
-	digest        uint64 // of the snapshot as JSON
+	idle, endpointsUsable bool // operationInspect
+	ejected               int
+	digest                uint64 // of the snapshot as JSON
 
 	snapshot []byte         // operationSnapshot: as JSON
 	config   foxlift.Config // operationStart: a dispatcher begins in this place
@@ -225,7 +225,7 @@
 		slice(a, &o.actions, a.action)
 	case operationInspect:
 		a.bool(&o.idle)
-		a.bool(&o.trusted)
+		a.bool(&o.endpointsUsable)
 		a.int(&o.ejected)
 		a.uint64(&o.digest)
 	case operationSnapshot:
--- a/replay_test.go
+++ b/replay_test.go
@@ -37,11 +37,11 @@
 	dispatchers []*foxlift.Dispatcher
 	snapshot    []byte // the last that was compared, as JSON
 
-	played, events, actions int
+	operations, events, actions int
 }
 
 // play returns the first difference.
-func (r *replayer) play() error {
+func (r *replayer) run() error {
 	for {
 		var o operation
 		r.archive.operation(&o)
@@ -54,7 +54,7 @@
 		if err := r.apply(&o); err != nil {
 			return fmt.Errorf("dispatcher %d: %w", o.dispatcher, err)
 		}
-		r.played++
+		r.operations++
 	}
 }
 
@@ -125,8 +125,8 @@
 	if !reflect.DeepEqual(got, *want) {
 		text, err := json.Marshal(d.Snapshot())
 		return fmt.Errorf("idle %v, list trusted %v, ejected %d, digest of the snapshot %x, want %v, %v, %d and %x: "+
-			"snapshot %s, %v", got.idle, got.trusted, got.ejected, got.digest,
-			want.idle, want.trusted, want.ejected, want.digest, text, err)
+			"snapshot %s, %v", got.idle, got.endpointsUsable, got.ejected, got.digest,
+			want.idle, want.endpointsUsable, want.ejected, want.digest, text, err)
 	}
 	return nil
 }
@@ -140,7 +140,8 @@
 	digest := fnv.New64a()
 	digest.Write(text)
 	return operation{
-		kind: operationInspect, idle: d.Idle(), trusted: d.EndpointsUsable(), ejected: d.Ejected(), digest: digest.Sum64(),
+		kind: operationInspect, idle: d.Idle(), endpointsUsable: d.EndpointsUsable(), ejected: d.Ejected(),
+		digest: digest.Sum64(),
 	}, nil
 }
 
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -9,7 +9,7 @@
 )
 
 // playRandomLoad lets a dispatcher serve, shed and fail jobs for some seconds.
-func playRandomLoad(h *harness, seed uint64) {
+func runRandomLoad(h *harness, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	id := uint64(0)
 	for range 400 {
@@ -37,7 +37,7 @@
 func TestSnapshotIsRestored(t *testing.T) {
 	for seed := range uint64(5) {
 		from := newSeededHarness(t, testConfig(), seed, testWorkers(6)...)
-		playRandomLoad(from, seed)
+		runRandomLoad(from, seed)
 		text, err := json.Marshal(from.d.Snapshot())
 		if err != nil {
 			t.Fatal(err)
@@ -46,15 +46,15 @@
 		if err := json.Unmarshal(text, &snapshot); err != nil {
 			t.Fatal(err)
 		}
-		to := newSeededHarness(t, testConfig(), seed+100, testWorkers(6)...)
-		to.now = from.now
-		to.step()
-		to.d.Restore(&snapshot)
-		got := to.d.Snapshot()
+		restored := newSeededHarness(t, testConfig(), seed+100, testWorkers(6)...)
+		restored.now = from.now
+		restored.step()
+		restored.d.Restore(&snapshot)
+		got := restored.d.Snapshot()
 		if !reflect.DeepEqual(*got, snapshot) {
 			t.Errorf("seed %d: restored\n%+v\nwant\n%+v", seed, *got, snapshot)
 		}
-		playRandomLoad(to, seed+7) // it goes on from there
+		runRandomLoad(restored, seed+7) // it goes on from there
 	}
 }
 
@@ -64,7 +64,7 @@
 // worker, are skipped. An empty snapshot changes no worker.
 func TestSnapshotSkipsUnknownEntries(t *testing.T) {
 	from := newHarness(t, testConfig(), testWorkers(3)...)
-	playRandomLoad(from, 1)
+	runRandomLoad(from, 1)
 	snapshot := from.d.Snapshot()
 	if len(snapshot.Workers) != 3 || !slices.ContainsFunc(snapshot.Workers, limitLearned) {
 		t.Fatalf("nothing was learned: %+v", snapshot.Workers)
