--- a/admission.go
+++ b/admission.go
@@ -2,10 +2,11 @@
 
 // Admission control: which jobs are queued, for how long, and which are shed.
 
-// accept takes a new job in: it is queued, waits for health checks, or is urgent.
+// onRequest adds a new job. The job is queued or waits for health checks. If it is late, or has no time to
+// wait for the next tick, it is added to the urgent jobs, which shedUrgent answers at the end of the step.
 func (d *Dispatcher) onRequest(req *Request) {
 	if req.Class < 0 || req.Class >= len(d.classes) || d.jobs.byID[req.ID] != nil {
-		return // the host broke the contract: there is nothing sensible to do
+		return // the host violates its contract: see the package comment
 	}
 	c := &d.classes[req.Class]
 	j := &job{id: req.ID, class: c, tenant: d.tenantOf(req.Tenant), req: *req, arrivedAt: d.now - req.Waited}
@@ -17,9 +18,9 @@
 		size = req.Size
 	}
 	j.objective = c.LatencyObjective + int64(c.ObjectiveStretch*float64(size))
-	// A client's retry brings what is left of its patience: the job is as old as the first attempt. Its
-	// objective counts from there, and what is too late for it is worth nothing: where capacity is short
-	// it must not take the place of the rest.
+	// A client's retry has the deadline of the client's first attempt, and its objective counts from that
+	// attempt: a retry that is late already is worth nothing, and must not displace other jobs when capacity is
+	// short. The time of the first attempt is estimated from the deadline and the longest wait of any client.
 	c.maxClientWait = max(c.maxClientWait, req.Deadline-j.arrivedAt)
 	j.firstAttemptAt = req.Deadline - c.maxClientWait
 	d.jobs.byID[req.ID] = j
@@ -39,9 +40,9 @@
 	}
 }
 
-// shedUrgent sheds the jobs that came too late, and those that have found no worker at once and have no
-// time to wait for the next tick: a client's last retry may come just before its deadline, and would get
-// no answer at all.
+// shedUrgent sheds the urgent jobs that were not sent in this step: those that arrived too late to meet their
+// objective, and those whose deadline is too close to wait for the next tick. Without it a client's last
+// retry, which may arrive just before its deadline, would get no answer at all.
 func (d *Dispatcher) shedUrgent() {
 	for _, j := range d.jobs.urgent {
 		if len(j.attempts) == 0 {
@@ -52,20 +53,21 @@
 	d.jobs.urgent = d.jobs.urgent[:0]
 }
 
-// How long a few dispatchers queue jobs that do not tell each other of their usage. What each queues is a
-// large part of the fleet's work, and a job sent with time for the median run is late at every worker that
-// has others' jobs.
+// Bounds on queuing for a few dispatchers that do not exchange their usage. Each queues a large part of the
+// fleet's work, and a job that is sent with just enough time for a median run is late at every worker that
+// also has jobs of other dispatchers.
 const (
-	remainingRuns      = 2 // median runs that fit after the longest time in the queue; 1 elsewhere
-	excessQueueDivisor = 8 // part of its objective that a job of a tenant over its quota is queued; 2 elsewhere
-	newestFirstLength  = 3 // queued jobs of one class and tenant, of which the newest goes first
+	remainingRuns      = 2 // median runs that must fit between the longest queue time and the objective; else 1
+	excessQueueDivisor = 8 // a job over its tenant's quota is queued for its class's objective over this; else 2
+	newestFirstLength  = 3 // queue length of a class of a tenant from which the newest job is sent first
 )
 
-// lacksPeerUsage says that this is one of a few dispatchers, and does not know of the others' jobs.
+// lacksPeerUsage reports whether this is one of a few dispatchers that do not exchange their usage.
 func (d *Dispatcher) lacksPeerUsage() bool { return !d.manyDispatchers() && !d.hasCompleteUsage() }
 
-// maxQueueTime is how old a queued job may become. That of a tenant over its quota is shed early: what it
-// sends past the quota is nearly worthless, and a queue of it would delay the rest.
+// maxQueueTime returns the age at which a queued job is shed, at least 1 ns. The age counts from the client's
+// first attempt. Jobs of a tenant that exceeds its quota are shed early: jobs over the quota are worth almost
+// nothing, and a long queue of them would delay the tenant's other jobs.
 func (d *Dispatcher) maxQueueTime(j *job) int64 {
 	divisor, runs := int64(2), int64(1)
 	if d.lacksPeerUsage() {
@@ -77,15 +79,17 @@
 	return max(1, d.timelyLimit(j)-runs*j.class.runtimes.Median()-d.capacity.startDelays.Bound(2))
 }
 
-// newestFirst says that of a tenant's queue the newest job goes first, which has its whole time
-// before it: most must be refused, or more wait than can all be in time.
+// newestFirst reports whether the newest job of a tenant's queue is sent first. It is the one with the most
+// time left, which matters where most jobs of the queue must be shed or where more jobs are queued than can
+// all meet their objective.
 func (d *Dispatcher) newestFirst(t *tenant, q []*job) bool {
 	return t.quota.ExceedsQuota() || d.lacksPeerUsage() && len(q) >= newestFirstLength
 }
 
-// timelyLimit is the time in which a job without a size hint surely meets its objective. The median that
-// stands for its own work has fetches and slow workers in it: what is expected of a light job is less, and
-// many dispatchers have no queue to spare for those that miss it.
+// timelyLimit returns the age up to which a job counts as able to meet its objective. With many dispatchers
+// the limit of a job without a size estimate is based on the lower quartile of the running times: the median
+// includes fetches and slow workers, so a light job has a shorter objective, and many dispatchers cannot
+// afford to queue jobs that miss it.
 func (d *Dispatcher) timelyLimit(j *job) int64 {
 	if !d.manyDispatchers() || j.req.Size > 0 {
 		return j.objective
@@ -93,12 +97,13 @@
 	return j.class.LatencyObjective + int64(j.class.ObjectiveStretch*float64(j.class.runtimes.LowerQuartile()))
 }
 
-// retryAfter is the advice to a client whose job was shed for want of capacity; with jitter.
+// retryAfter returns the time after which a client should retry a job that was shed because capacity is
+// short: a random time from half of MaxRetryAfter to the whole, so that clients do not all retry at once.
 func (d *Dispatcher) retryAfter() int64 {
 	return d.cfg.MaxRetryAfter/2 + d.rng.Int64N(d.cfg.MaxRetryAfter/2+1)
 }
 
-// expireQueued sheds jobs that have waited too long to meet their objective.
+// expireQueued sheds the queued jobs that have reached their maximum queue time or are near their deadline.
 func (d *Dispatcher) expireQueued() {
 	for i := range d.tenants {
 		t := &d.tenants[i]
--- a/api.go
+++ b/api.go
@@ -1,21 +1,20 @@
 // Package foxlift decides, for one dispatcher of jobs, what to do with each
 // request: queue it, send it to a worker, shed it or fail it.
 //
-// A Dispatcher is a deterministic state machine. It reads no clock, starts no
-// goroutine and does no input or output: the host passes it the time and what
-// has happened, and carries out the actions that it returns. All times and
-// durations are in nanoseconds; the clock may begin anywhere but only advances.
+// A Dispatcher is a deterministic state machine. It reads no clock, starts no goroutine and does no input or
+// output: the host passes the current time and the events to Step and executes the actions that Step returns.
+// All times and durations are in nanoseconds. The clock may start at any value but must not go back.
 //
-// This file and snapshot.go hold the whole interface; the files that deploy/balancer.toml lists under
-// policy hold every decision, dispatcher.go the step that calls them. What can be decided or kept apart
-// from the rest is in the packages under internal/decision.
+// This file and snapshot.go declare the public interface. The files listed under policy in
+// deploy/balancer.toml contain all decisions, and dispatcher.go contains Step, which calls them. Decisions and
+// state that do not need the whole Dispatcher are in the packages under internal/decision.
 //
-// The host carries out all actions, reports one outcome for each attempt, and
-// passes a timer's token when it is due. A host that breaks this gets no panic:
-// New rejects a Config that cannot run and names the field, or its key in the settings; time that goes back
-// counts as standing still; an event about an unknown request, attempt or worker,
-// a second outcome, a request whose class is unknown or whose ID is in use, and a
-// message from no peer are ignored.
+// The host must execute all actions, report exactly one outcome for each attempt, and deliver an EventTimer
+// with the token of each timer when the timer is due. Violations of this contract do not cause a panic: New
+// rejects an invalid Config with an error that names the field or its key in the settings; a time before the
+// last one counts as the last one; and the Dispatcher ignores events about an unknown request, attempt or
+// worker, a second outcome of an attempt, a request with an unknown class or an ID in use, and a message from
+// an unknown peer.
 package foxlift
 
 import (
@@ -27,36 +26,36 @@
 	"github.com/vatu-meals/foxlift/internal/decision/capacity"
 )
 
-// An Effect says what happens if a request runs more than once.
+// An Effect is the consequence of running a request more than once.
 type Effect uint8
 
 // The effects of a class.
 const (
-	Idempotent   Effect = iota // may be repeated freely
-	Deduplicated               // a group of workers drops repeats for a while
+	Idempotent   Effect = iota // may run any number of times
+	Deduplicated               // a group of workers (Class.Scope) drops repeats for a time (Class.KeyTTL)
 	AtMostOnce                 // must never run twice
 )
 
 // A Scope is the group of workers that drops repeats of a Deduplicated request.
 type Scope uint8
 
-// The groups of workers that drop repeats together.
+// The groups of workers that share their record of the requests that have run.
 const (
 	ScopeAll  Scope = iota // all workers
-	ScopeZone              // the workers of one zone
-	ScopeCell              // the workers of one Worker.Cell
+	ScopeZone              // the workers in the same zone
+	ScopeCell              // the workers with the same Worker.Cell
 )
 
 // A Class is a kind of request.
 type Class struct {
 	Name             string
-	LatencyObjective int64   // an answer within this, plus ObjectiveStretch times the job's own work, has full worth
-	ObjectiveStretch float64 // see LatencyObjective
-	Deadline         int64   // how long a client waits in all
+	LatencyObjective int64   // part of the latency objective that does not depend on the size of the job
+	ObjectiveStretch float64 // the objective also includes this multiple of the running time expected of the job
+	Deadline         int64   // how long a client waits in total
 	Effect           Effect
-	Scope            Scope // for Deduplicated
+	Scope            Scope // for Deduplicated: the group of workers that drops repeats
 	KeyTTL           int64 // for Deduplicated: how long repeats are dropped
-	Kind             int   // the machine kind it needs, or -1 for any
+	Kind             int   // required machine kind, or -1 for any
 	Priority         int
 	PriorityWeight   float64
 	Stream           bool
@@ -65,80 +64,80 @@
 // A Tenant is one of the parties that share the fleet.
 type Tenant struct {
 	Name  string
-	Quota float64 // requests a second, over all dispatchers
+	Quota float64 // requests per second, over all dispatchers
 }
 
-// A Band is a slice of the fleet's throughput with the ratios by which tenants
-// share it, as in Table 1 of the Triage paper.
+// A Band is a part of the fleet's throughput and the ratios by which tenants share it, as in Table 1 of the
+// Triage paper.
 type Band = admission.Band
 
-// A Gauge is one value of a worker's load report.
+// A Gauge identifies one value of a worker's load report.
 type Gauge = capacity.Gauge
 
-// The gauges that a load report may hold.
+// The gauges that a load report may contain.
 const (
 	GaugeUnknown    = capacity.GaugeUnknown
-	GaugeInFlight   = capacity.GaugeInFlight   // requests that the worker has
-	GaugeQueued     = capacity.GaugeQueued     // requests waiting there
-	GaugeBusy       = capacity.GaugeBusy       // fraction of its cores that is busy
+	GaugeInFlight   = capacity.GaugeInFlight   // requests at the worker
+	GaugeQueued     = capacity.GaugeQueued     // requests queued at the worker
+	GaugeBusy       = capacity.GaugeBusy       // fraction of the worker's cores that is busy
 	GaugeLatency    = capacity.GaugeLatency    // recent service time in milliseconds
-	GaugeThroughput = capacity.GaugeThroughput // requests served a second
-	GaugeErrors     = capacity.GaugeErrors     // errors a second
+	GaugeThroughput = capacity.GaugeThroughput // requests served per second
+	GaugeErrors     = capacity.GaugeErrors     // errors per second
 	GaugeFreeSlots  = capacity.GaugeFreeSlots
 	GaugeFreeMemory = capacity.GaugeFreeMemory
 )
 
-// MaxGauges is the most values that a load report may hold.
+// MaxGauges is the maximum number of values in a load report.
 const MaxGauges = capacity.MaxGauges
 
-// MaxDispatchers is the most dispatchers that may share a fleet: each keeps a little of
-// every other.
+// MaxDispatchers is the maximum number of dispatchers that may share a fleet. It bounds the state that each
+// dispatcher keeps for every other one.
 const MaxDispatchers = 1000
 
-// Prices say what each unit costs, as a fraction of a request's worth.
+// Prices are the costs of operations, each as a fraction of the worth of a request.
 type Prices struct {
-	CrossZone float64 // an attempt that leaves the zone
+	CrossZone float64 // an attempt at a worker in another zone
 	Handshake float64 // opening a connection
-	Fetch     float64 // a worker's fetch of what a job needs
+	Fetch     float64 // a worker's fetch of the data that a job needs
 }
 
-// Config is what a Dispatcher is told at its start. The zero value of an
-// optional field means that the thing does not exist or is not limited.
+// Config is the configuration of a Dispatcher. The zero value of an optional field means that the feature is
+// absent or that the quantity is not limited.
 type Config struct {
 	Classes     []Class  // at least one
 	Tenants     []Tenant // optional
 	Bands       []Band   // optional; by default one band made of the tenants' quotas
 	Zone        int      // the zone of this dispatcher
-	Dispatchers int      // how many dispatchers share the fleet; at least 1
-	Index       int      // which of them this is, from 0
+	Dispatchers int      // number of dispatchers that share the fleet; at least 1
+	Index       int      // index of this dispatcher among them, from 0
 
-	PollEndpoints   bool // the endpoint list comes only when polled for
-	MaxPollInterval int64
-	EndpointLease   int64 // how old the list may be where discovery is seen to answer others; 0: of any age
+	PollEndpoints   bool  // the endpoint list must be polled; it is not pushed
+	MaxPollInterval int64 // longest time between polls
+	EndpointLease   int64 // maximum age of the endpoint list while discovery answers other clients; 0: no maximum
 
 	MayCancel      bool
 	MayHealthCheck bool
-	MayHedge       bool // two attempts of a request may be out at once
-	MayGossip      bool // peers can be sent messages
-	MayRetryAfter  bool // clients can be told when to come back
-	MaxRetryAfter  int64
-	MaxAttempts    int // attempts for each request; 0 means no limit
-	ConnIdle       int64
-	JobsPerConn    int // attempts that one connection carries at once
+	MayHedge       bool  // two attempts of a request may be in flight at once
+	MayGossip      bool  // messages can be sent to peers
+	MayRetryAfter  bool  // a shed request may carry the time after which the client should retry
+	MaxRetryAfter  int64 // longest such time
+	MaxAttempts    int   // maximum number of attempts of a request; 0 means no limit
+	ConnIdle       int64 // idle time after which a connection counts as closed; 0: never
+	JobsPerConn    int   // attempts that one connection carries at once
 
-	Gauges     []Gauge // what a load report holds, at most MaxGauges
-	StartNotes bool    // workers say when a job starts
+	Gauges     []Gauge // values of a load report, in order; at most MaxGauges
+	StartNotes bool    // workers report when a job starts
 
 	AnswerGrace       int64
-	SlowStartCapacity float64 // fraction of its capacity that a worker starts with
-	SlotMemory        float64 // units of memory that a worker has for each slot; 0: not known
-	SlowStartDuration int64   // slow start lasts this long
-	OverloadMultiple  float64
-	OverloadWindow    int64
+	SlowStartCapacity float64 // fraction of its capacity that a worker has when it starts
+	SlotMemory        float64 // units of memory per slot of a worker; 0: unknown
+	SlowStartDuration int64   // time from the start of a worker until it has its whole capacity
+	OverloadMultiple  float64 // load, as a multiple of a worker's capacity in slow start, that overloads it
+	OverloadWindow    int64   // time over which that load is measured
 	Prices            Prices
 }
 
-// quotas returns the tenants' quotas, in order.
+// quotas returns the quotas of the tenants, in the order of c.Tenants.
 func (c *Config) quotas() []float64 {
 	q := make([]float64, len(c.Tenants))
 	for i, t := range c.Tenants {
@@ -147,7 +146,7 @@
 	return q
 }
 
-// check reports the first field that makes c impossible to run.
+// validate returns an error that names the first invalid field of c, or nil if c is valid.
 func (c *Config) validate() error {
 	if len(c.Classes) == 0 {
 		return errors.New("foxlift: Classes is empty")
@@ -187,7 +186,7 @@
 			return fmt.Errorf("foxlift: Bands[%d] does not fit Tenants", i)
 		}
 	}
-	// The messages keep the names that the settings' keys have (mustAskIn, warmAfter).
+	// The messages use the names of the settings' keys (mustAskIn, warmAfter), not those of the fields.
 	for _, f := range []struct {
 		name string
 		time int64
@@ -207,14 +206,14 @@
 	return nil
 }
 
-// A WorkerState is what the endpoint list says of a worker.
+// A WorkerState is the state of a worker in the endpoint list.
 type WorkerState uint8
 
 // The states of a worker.
 const (
-	Live     WorkerState = iota // may get jobs
-	Draining                    // gets none, and finishes those that it has
-	Removed                     // is not in the list any more
+	Live     WorkerState = iota // accepts jobs
+	Draining                    // accepts no new jobs and finishes its current ones
+	Removed                     // no longer in the endpoint list
 )
 
 // A Worker is an entry of the endpoint list.
@@ -224,76 +223,76 @@
 	Kind          int // -1 if unknown
 	Cell          int
 	State         WorkerState
-	StartedAt     int64   // when it last started; 0 means long ago
-	ExternalSlots float64 // slots of jobs there that the host sent past this dispatcher and that are still in flight
+	StartedAt     int64   // time of its last start; 0 means long ago
+	ExternalSlots float64 // slots of the jobs in flight there that the host sent without this dispatcher
 }
 
-// An EndpointUpdate says how a list event is to be read.
+// An EndpointUpdate is the kind of an EventEndpoints event.
 type EndpointUpdate uint8
 
-// The kinds of list events.
+// The kinds of endpoint updates.
 const (
-	EndpointsDelta      EndpointUpdate = iota // only changed entries
-	EndpointsComplete                         // the complete list
-	EndpointsCached                           // the complete list as last known before a restart
+	EndpointsDelta      EndpointUpdate = iota // Workers has only the changed entries
+	EndpointsComplete                         // Workers is the complete list
+	EndpointsCached                           // Workers is the complete list as recorded before a restart
 	EndpointsPollFailed                       // a poll failed or the watch broke; no entries; see Event.PollFailure
-	EndpointsConfirmed                        // discovery has answered: the list is up to date; no entries
-	DiscoveryChanged                          // another discovery is to be polled; no entries
+	EndpointsConfirmed                        // discovery answered that the list is up to date; no entries
+	DiscoveryChanged                          // another discovery must be polled from now on; no entries
 )
 
-// A Request is a job that a client asks for.
+// A Request is a client's request for one job.
 type Request struct {
 	ID             uint64
-	Class          int // index into Config.Classes
-	Tenant         int // index into Config.Tenants, or -1
-	Deadline       int64
-	Key            uint64  // what the job is about; 0 if nothing
-	Size           int64   // a guess of its work; 0 if there is none
-	Slots          float64 // slots it needs; 0 counts as 1
+	Class          int     // index into Config.Classes
+	Tenant         int     // index into Config.Tenants, or -1
+	Deadline       int64   // time at which the client stops waiting
+	Key            uint64  // affinity key of the data that the job needs; 0 if none
+	Size           int64   // estimated running time; 0 if there is no estimate
+	Slots          float64 // slots that the job occupies; 0 counts as 1
 	Memory         float64
-	ClientRetry    bool     // the client says that it tried before
-	Waited         int64    // how long it has waited with another dispatcher of the host
-	PriorAttempts  int      // attempts that another made: none may have run, unless the class is Idempotent
-	AllowedWorkers []string // the only workers that it may go to; nil: any
+	ClientRetry    bool     // the client reports an earlier try
+	Waited         int64    // time that the request has already waited at another dispatcher of the host
+	PriorAttempts  int      // attempts by another dispatcher: none may have run unless the class is Idempotent
+	AllowedWorkers []string // IDs of the only workers that may run the job; nil: any
 }
 
-// A Code says how an attempt or a health check ended.
+// A Code is the outcome of an attempt or of a health check.
 type Code uint8
 
 // The outcomes of an attempt.
 const (
-	Served           Code = iota // with an answer
-	WorkerError                  // the worker has failed
-	Saturated                    // rejected by the worker, unseen
+	Served           Code = iota // the worker answered
+	WorkerError                  // the worker failed
+	Saturated                    // the worker rejected the job without running it
 	DeadlineExceeded             // no answer in time
-	Unreachable                  // no connection could be made
+	Unreachable                  // no connection could be opened
 	Reset                        // the connection broke
-	Cancelled                    // by ActionCancel
-	NotSent                      // by the host
-	InvalidRequest               // the worker says that the request is at fault; it may have run all the same
+	Cancelled                    // cancelled by an ActionCancel
+	NotSent                      // the host did not send the job
+	InvalidRequest               // the worker reports that the request is invalid; the job may still have run
 )
 
 // NeverRan reports whether the code proves that the job did not run.
 func (c Code) NeverRan() bool { return c == Saturated || c == Unreachable || c == NotSent }
 
-// An EventKind says which fields of an Event hold.
+// An EventKind is the kind of an Event. It determines which fields of the Event are set.
 type EventKind uint8
 
-// The kinds of events, with the fields that hold.
+// The kinds of events, with the fields that are set.
 const (
 	EventRequest            EventKind = iota // Request
 	EventEndpoints                           // EndpointUpdate, PollFailure, Workers
-	EventStarted                             // ID, Attempt: the job runs, or its stream flows (Stream)
+	EventStarted                             // ID, Attempt, Stream: the job runs, or with Stream its stream flows
 	EventProgress                            // ID, Attempt: the job makes progress
 	EventOutcome                             // ID, Attempt, Worker, Code, Took, Ended, Load
 	EventClientDisconnected                  // ID
 	EventTimer                               // Token
 	EventHealthChecked                       // Worker, Code, Took, Load
 	EventMessage                             // From, Data
-	EventQuotas                              // Quotas: the tenants' shares have changed
+	EventQuotas                              // Quotas: the quotas of the tenants have changed
 )
 
-// An Event is something that the dispatcher learns of.
+// An Event is an input of Dispatcher.Step.
 type Event struct {
 	Kind           EventKind
 	Request        Request
@@ -301,46 +300,46 @@
 	Attempt        int
 	Worker         string
 	Code           Code
-	Took           int64
-	Ended          bool // the request has its final answer
-	Stream         bool
-	HasLoad        bool
-	Load           [MaxGauges]float64
+	Took           int64              // time from send to outcome
+	Ended          bool               // the request has its final answer
+	Stream         bool               // the job streams its answer
+	HasLoad        bool               // Load is set
+	Load           [MaxGauges]float64 // in the order of Config.Gauges
 	Token          uint64
 	EndpointUpdate EndpointUpdate
-	PollFailure    PollFailure // where EndpointUpdate is EndpointsPollFailed
+	PollFailure    PollFailure // set if EndpointUpdate is EndpointsPollFailed
 	Workers        []Worker
-	From           int
+	From           int // index of the peer that sent the message
 	Data           []byte
 	Quotas         []float64 // one for each tenant
 }
 
-// An ActionKind says which fields of an Action hold.
+// An ActionKind is the kind of an Action. It determines which fields of the Action are set.
 type ActionKind uint8
 
-// The kinds of actions, with the fields that hold.
+// The kinds of actions, with the fields that are set.
 const (
-	ActionSend           ActionKind = iota // ID, Worker, Timeout: attempts of a request count from 0
-	ActionShed                             // ID, RetryAfter: a final answer; the client may safely try again
-	ActionFail                             // ID: a final answer without any promise
+	ActionSend           ActionKind = iota // ID, Worker, Timeout; the attempts of a request are numbered from 0
+	ActionShed                             // ID, RetryAfter: a final answer; the client may safely retry
+	ActionFail                             // ID: a final answer; the job may have run, so a retry may not be safe
 	ActionCancel                           // ID, Attempt
 	ActionTimer                            // At, Token
 	ActionHealthCheck                      // Worker
-	ActionClose                            // Worker: give back its idle connections
-	ActionMessage                          // To (-1 for all), Data
-	ActionWatchEndpoints                   // poll for the list's changes from now on
+	ActionClose                            // Worker: close the idle connections to it
+	ActionMessage                          // To (-1 for all peers), Data
+	ActionWatchEndpoints                   // poll for changes of the endpoint list from now on
 )
 
-// An Action is something that the host is to do.
+// An Action is an instruction to the host, returned by Dispatcher.Step.
 type Action struct {
 	Kind       ActionKind
 	ID         uint64
 	Worker     string
 	Attempt    int
-	Timeout    int64 // 0 means as long as the client waits
-	RetryAfter int64 // 0 means no advice
-	At         int64
+	Timeout    int64 // 0 means until the client's deadline
+	RetryAfter int64 // time after which the client should retry; 0 means no advice
+	At         int64 // time at which the timer is due
 	Token      uint64
-	To         int
+	To         int // index of the receiving peer, or -1 for all
 	Data       []byte
 }
--- a/api_names.go
+++ b/api_names.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// Names of the module's values in logs, in the words of the pages. Nothing is decided here.
+// Names of codes and worker states in logs, as the documentation has them. Nothing is decided here.
 
 var codeNames = [...]string{
 	Served: "served", WorkerError: "error", Saturated: "turned away", DeadlineExceeded: "timed out",
@@ -17,7 +17,7 @@
 // String implements fmt.Stringer.
 func (s WorkerState) String() string { return nameOf(workerStateNames[:], int(s)) }
 
-// nameOf returns the name of a value, or its number if it has none.
+// nameOf returns names[i], or i in decimal if there is no such name.
 func nameOf(names []string, i int) string {
 	if i < len(names) {
 		return names[i]
--- a/attempts.go
+++ b/attempts.go
@@ -1,10 +1,10 @@
 package foxlift
 
-// The life of a job's attempts: sends, retries, hedges of overdue ones, the final answer, and the
-// rules on effects, which say whether a job may be sent again.
+// Attempts of jobs: sends, outcomes, retries, hedges of overdue attempts, final answers, and the rules by
+// which the effect of a class allows a job to be sent again.
 
-// maySend is the one place that says whether a job may go to a worker now. The
-// rules on effects are kept here, whatever the reason for sending.
+// maySend reports whether a job may be sent to a worker now. Every send is checked here, whatever its reason,
+// so that this function alone enforces the rules on effects.
 func (d *Dispatcher) maySend(j *job, w *worker) bool {
 	if j.ended || j.stream || d.now >= j.req.Deadline || w.state != Live {
 		return false
@@ -33,13 +33,14 @@
 	return true
 }
 
-// mayShed says whether the client may be told that a retry is harmless.
+// mayShed reports whether the job may be shed, which tells the client that it may safely retry.
 func (d *Dispatcher) mayShed(j *job) bool {
 	return j.mayHaveRun == nil || j.class.Effect == Idempotent ||
 		j.class.Effect == Deduplicated && j.class.Scope == ScopeAll
 }
 
-// abandon gives the final answer of a job that will not be served.
+// abandon ends a job that will not be served. It sheds the job with the given retry time, at most
+// MaxRetryAfter, or fails it if a retry by the client may not be safe.
 func (d *Dispatcher) abandon(j *job, retryAfter int64) {
 	if j.ended {
 		return
@@ -53,8 +54,8 @@
 	d.finish(j)
 }
 
-// finish marks a job as finally answered. Attempts in flight are cancelled, and the job is kept until
-// they have their outcomes.
+// finish marks a job as ended and cancels its attempts in flight. The job is kept until they have their
+// outcomes.
 func (d *Dispatcher) finish(j *job) {
 	j.ended = true
 	if j.queued {
@@ -64,7 +65,8 @@
 	d.removeFinished(j)
 }
 
-// cancelAttempts cancels the attempts of a job that are in flight.
+// cancelAttempts cancels the attempts of a job that are in flight. It does nothing if the host cannot cancel,
+// or if the answer of the job streams.
 func (d *Dispatcher) cancelAttempts(j *job) {
 	if !d.cfg.MayCancel || j.stream {
 		return
@@ -76,7 +78,7 @@
 	}
 }
 
-// send begins an attempt of a job at a worker.
+// send starts an attempt of a job at a worker.
 func (d *Dispatcher) send(j *job, w *worker) {
 	a := &attempt{
 		job: j, worker: w, number: len(j.attempts),
@@ -103,7 +105,7 @@
 	d.recordSend(w, a)
 }
 
-// onStarted notes that an attempt runs.
+// onStarted records that the worker has started an attempt.
 func (d *Dispatcher) onStarted(e *Event) {
 	a := d.attemptOf(e)
 	if a == nil || a.done || a.startedAt != 0 {
@@ -116,7 +118,7 @@
 	d.recordStart(a)
 }
 
-// onOutcome ends an attempt, and with it its job, or retries that.
+// onOutcome ends an attempt, and ends or retries its job.
 func (d *Dispatcher) onOutcome(e *Event) {
 	a := d.attemptOf(e)
 	if a == nil || a.done {
@@ -142,12 +144,13 @@
 		return
 	}
 	if e.Code == Served {
-		return // an ok that did not end the request is no news of it
+		return // served, but the host has not answered the client with it: the job stays as it is
 	}
 	d.retry(j, e.Code)
 }
 
-// retry decides on a job whose attempt has failed.
+// retry queues a job for a retry after an attempt of it failed, or abandons the job if it may not be sent
+// again or has no time left.
 func (d *Dispatcher) retry(j *job, c Code) {
 	if j.inFlight > 0 {
 		return // another attempt may still serve it
@@ -163,9 +166,9 @@
 	}
 }
 
-// checkOverdue finds attempts that should have started or ended by now. Their
-// worker gets nothing new until it is heard of (a hung worker answers nothing
-// and would look free), and the job goes elsewhere where its class allows it.
+// checkOverdue finds attempts that should have started or ended by now. A worker with an overdue attempt gets
+// no new jobs until it reports a start or an outcome, because a hung worker answers nothing and would look
+// free. The job of an overdue attempt is hedged at another worker if its class allows that.
 func (d *Dispatcher) checkOverdue() {
 	for i := len(d.jobs.inFlight) - 1; i >= 0; i-- {
 		a := d.jobs.inFlight[i]
@@ -176,12 +179,12 @@
 		}
 		if d.manyDispatchers() && a.startedAt == 0 && !j.ended && j.class.Effect == Idempotent &&
 			d.now-j.firstAttemptAt >= d.timelyLimit(j)-j.class.runtimes.Median() {
-			// It can no more be in time: started late, it would make the next ones late.
+			// The job can no longer meet its objective, and starting it now would make later jobs late.
 			d.abandon(j, d.retryAfter())
 			continue
 		}
 		if age > j.objective/2 {
-			d.clearUnstarted(a) // the worker may hang: others need not wait for that
+			d.clearUnstarted(a) // the worker may hang: it must not hold back jobs for other workers
 		}
 		if a.overdue || a.startedAt != 0 || age < d.startLimit(a) {
 			continue
@@ -190,8 +193,8 @@
 		a.worker.overdue++
 		d.updateLevel(a.worker)
 		if !j.ended && j.class.Effect != AtMostOnce && d.cfg.MayHedge && d.jobs.hedgeBudget >= 1 && !j.retryQueued {
-			// Where cancelled work runs on, and nobody says where, hedges feed the very queues that made
-			// starts late; few sends may be hedges.
+			// The budget keeps hedges a small fraction of all sends: where workers do not stop cancelled jobs,
+			// hedges lengthen the very queues that made the starts late.
 			d.jobs.hedgeBudget = max(0, d.jobs.hedgeBudget-1)
 			j.retryQueued = true
 			d.jobs.retryQueue = append(d.jobs.retryQueue, j)
@@ -200,11 +203,11 @@
 }
 
 const (
-	hedgesPerSend  = 0.05 // hedges of overdue jobs, as a fraction of sends
-	maxHedgeBudget = 5.0  // that may be saved up, for the moment when workers hang
+	hedgesPerSend  = 0.05 // hedges of overdue attempts that each send adds to the budget
+	maxHedgeBudget = 5.0  // maximum budget, in hedges, for the moment when workers hang
 )
 
-// startLimit is how long an attempt may go without word of its start.
+// startLimit returns the time after its send at which an attempt that is not reported as started is overdue.
 func (d *Dispatcher) startLimit(a *attempt) int64 {
 	limit := a.job.objective / 4
 	if !d.cfg.StartNotes {
--- a/dispatch_order.go
+++ b/dispatch_order.go
@@ -1,11 +1,11 @@
 package foxlift
 
-// The order of dispatch: which tenant's job is sent next while there is capacity.
+// The order of dispatch: which job of which tenant is sent next while there is capacity.
 
 import "math"
 
-// dispatch sends what is queued while there is capacity: first the retries, then the jobs of tenants
-// within their bands, then the rest evenly.
+// dispatch sends queued jobs while there is capacity: first the retries, then the jobs of tenants within
+// their bands, then the remaining jobs, evenly among the tenants.
 func (d *Dispatcher) dispatch() {
 	d.dispatchRound++
 	d.quotas.Refill(d.now, max(1, d.rate.OfferedRate()/4))
@@ -20,17 +20,18 @@
 	}
 }
 
-// mayBurst reports whether a job may be sent past its tenant's bands.
+// mayBurst reports whether a job may be sent beyond its tenant's bands.
 func (d *Dispatcher) mayBurst() bool {
 	return (d.rate.Unthrottled() || d.quotas.HasBurstToken()) &&
 		d.occupiedSlots() < d.capacity.startWindow.Slots()
 }
 
-// maxUnstarted is how many of our jobs that cannot be moved may wait at the workers, so
-// that all dispatchers together keep the queues there short: about one at each.
+// maxUnstarted returns the maximum number of this dispatcher's attempts of AtMostOnce jobs, which cannot be
+// moved, that may wait for their start. It gives all dispatchers together about one such attempt per worker,
+// which keeps the queues at the workers short.
 func (d *Dispatcher) maxUnstarted() int { return max(2, len(d.liveWorkers)/d.cfg.Dispatchers) }
 
-// sendRetries sends the jobs that were sent before, each if a worker is found for it.
+// sendRetries sends the jobs of the retry queue for which a worker is found.
 func (d *Dispatcher) sendRetries() {
 	kept := d.jobs.retryQueue[:0]
 	for _, j := range d.jobs.retryQueue {
@@ -54,8 +55,8 @@
 	d.jobs.retryQueue = kept
 }
 
-// sendNext sends one job: within the bands, of the tenant furthest under them;
-// past the bands, of the tenant that had fewest such jobs.
+// sendNext sends one job and reports whether it did. Within the bands the job is of the tenant with the
+// fullest token bucket; beyond them it is of the tenant with the fewest recent sends beyond its bands.
 func (d *Dispatcher) sendNext(withinBands bool) bool {
 	for {
 		var best *tenant
@@ -63,7 +64,7 @@
 		for i := range d.tenants {
 			t := &d.tenants[i]
 			if !t.hasQueued() || t.blockedRound == d.dispatchRound || withinBands && !t.quota.HasToken() {
-				continue // before it is ranked: most tenants have no queued job
+				continue // skipped before the ranking, as most tenants have no queued job
 			}
 			rank := -t.quota.ExcessSends()
 			if withinBands {
@@ -88,9 +89,10 @@
 	}
 }
 
-// urgency orders the jobs of one tenant: by the fraction of its queue time that a job has spent, over the
-// fraction of its class lately sent. A tenant's quota is divided among its classes: one class must not use
-// it up because its jobs may wait longest.
+// urgency ranks the jobs of one tenant; the highest is sent first. It grows with the fraction of its maximum
+// queue time that the job has waited, and falls with the fraction of its class's jobs that were recently
+// sent. The second term divides the tenant's quota among its classes, so that a class whose jobs may wait
+// longest does not use up the quota. For a tenant over its quota only the second term counts.
 func (t *tenant) urgency(d *Dispatcher, j *job) float64 {
 	sentFraction := t.quota.SentFraction(j.req.Class)
 	if t.quota.ExceedsQuota() {
@@ -99,8 +101,8 @@
 	return float64(d.now-j.firstAttemptAt+1) / float64(d.maxQueueTime(j)) / (sentFraction * sentFraction)
 }
 
-// sendFrom sends the tenant's most urgent job for which a worker is found: of each class the oldest, or,
-// where most must be shed, the newest, which has its whole time before it.
+// sendMostUrgent sends the tenant's most urgent job for which a worker is found, and reports whether it did.
+// The candidate of each class is its oldest job, or the newest one where newestFirst holds.
 func (d *Dispatcher) sendMostUrgent(t *tenant) bool {
 	for {
 		var best *job
@@ -129,6 +131,6 @@
 		}
 		if best.blockedRound = d.dispatchRound; best.req.AllowedWorkers == nil {
 			t.queues[best.req.Class].blockedRound = d.dispatchRound
-		} // others of its class may go to other workers
+		} // if only this job is confined to certain workers, other jobs of its class may still be sent
 	}
 }
--- a/dispatcher.go
+++ b/dispatcher.go
@@ -1,21 +1,22 @@
 package foxlift
 
-// The step of the decision module: it takes the events in, then looks at what time alone changes,
-// then dispatches. Each other kind of decision has a file or a package under internal/decision of its
-// own; deploy/balancer.toml lists them under policy. The interface is in api.go, the state in state.go.
+// Dispatcher.Step and its phases: it handles the events, runs the periodic work that is due, and dispatches
+// jobs. Each kind of decision has its own file here or its own package under internal/decision;
+// deploy/balancer.toml lists them under policy. The interface is in api.go, the state in state.go.
 
 const second = int64(1e9)
 
-// fewDispatchersMax is the most dispatchers that learn enough from their own jobs. What each of many
-// does alone is harmful where all do it, and each sees little: see docs/design/fleet.md.
+// fewDispatchersMax is the maximum number of dispatchers at which each sees enough jobs of its own to
+// estimate the state of the fleet. With more dispatchers each sees too few jobs, and what is harmless when
+// one dispatcher does it is harmful when all do it at once: see docs/design/fleet.md.
 const fewDispatchersMax = 4.0
 
-// manyDispatchers says that more dispatchers share the fleet than learn enough from their own jobs.
+// manyDispatchers reports whether more than fewDispatchersMax dispatchers share the fleet.
 func (d *Dispatcher) manyDispatchers() bool { return d.fleetScale > 1 }
 
-// Step takes the events since the last step and returns what to do. The time
-// must not go back (an earlier one counts as the last). The actions are valid
-// until the next Step.
+// Step handles the events since the last step and returns the actions that the host must execute. A time
+// before that of the last step counts as the time of the last step. The actions are valid until the next
+// call of Step.
 func (d *Dispatcher) Step(now int64, events []Event) []Action {
 	d.actions = d.actions[:0]
 	d.now = max(d.now, now)
@@ -36,7 +37,8 @@
 	return d.actions
 }
 
-// handle takes an event in.
+// handle passes an event to the function for its kind. Kinds without a function, such as EventTimer, need no
+// work of their own: Step runs what is due.
 func (d *Dispatcher) handle(e *Event) {
 	switch e.Kind {
 	case EventRequest:
@@ -60,7 +62,7 @@
 	}
 }
 
-// start begins the clock, at the first step.
+// start initializes the times that depend on the clock, at the first step.
 func (d *Dispatcher) start() {
 	d.timing.startedAt, d.timing.nextControlAt = d.now, d.now+second
 	d.quotas.Start(d.now)
@@ -68,7 +70,7 @@
 	d.endpoints.poll.Start(d.now, d.rng)
 }
 
-// onTick looks after all that depends on time alone, and sets the next timer.
+// onTick runs the periodic work and sets the timer of the next tick.
 func (d *Dispatcher) onTick() {
 	if d.now >= d.timing.nextControlAt {
 		d.runControlLoops()
--- a/internal/decision/admission/allocator.go
+++ b/internal/decision/admission/allocator.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	trafficFractionGain = 0.05 // weight of the newest second in this dispatcher's fraction of the traffic
+	trafficFractionGain = 0.05 // weight of the newest second in Allocator.trafficFraction
 
 	second = int64(1e9)
 )
 
-// A Band is a slice of the fleet's throughput with the ratios by which tenants
-// share it, as in Table 1 of the Triage paper.
+// A Band is a part of the fleet's throughput and the ratios by which tenants share it, as in Table 1 of the
+// Triage paper.
 type Band struct {
-	Width float64   // requests a second in this band, over all dispatchers
-	Ratio []float64 // one for each tenant; need not sum to 1
+	Width float64   // requests per second in this band, over all dispatchers
+	Ratio []float64 // one for each tenant; the sum need not be 1
 }
 
-// QuotaBand returns the band made of the tenants' quotas.
+// QuotaBand returns one band as wide as the sum of the quotas, shared in their ratio.
 func QuotaBand(quotas []float64) []Band {
 	b := Band{Ratio: quotas}
 	for _, q := range quotas {
@@ -28,8 +28,8 @@
 	return []Band{b}
 }
 
-// split divides u among n tenants: whole bands first, then a part of the next by
-// its ratios, then what is left past the last band, which is returned apart.
+// splitRate divides a total rate among tenants by filling the bands in order and dividing what goes into each
+// by its ratios. It returns the rates of the tenants and the excess over all bands.
 func splitRate(total float64, bands []Band, tenants int) (rates []float64, excess float64) {
 	rates = make([]float64, tenants)
 	for _, b := range bands {
@@ -48,21 +48,23 @@
 	return rates, total
 }
 
-// An Allocator divides what is admitted among the tenants: each has a token bucket, which is filled at
-// its rate within the bands; what is left past the bands, or not used, is for any of them.
+// An Allocator divides the admission rate among the tenants. Each tenant has a token bucket, which is filled
+// at the tenant's rate within the bands. The rate beyond the bands, and the tokens that a full bucket cannot
+// take, become burst tokens, which any tenant may use.
 type Allocator struct {
 	bands           []Band
 	dispatchers     int
 	manyDispatchers bool
 	tenants         []Tenant
-	trafficFraction float64 // of the fleet's traffic, that comes here; slowly followed
-	burstTokens     float64 // past the bands, and unused ones, for any tenant
-	burstRate       float64 // at which they come, a second
+	trafficFraction float64 // smoothed fraction of the fleet's traffic that arrives at this dispatcher
+	burstTokens     float64 // jobs that may be sent beyond the bands, of any tenant
+	burstRate       float64 // rate beyond the bands, burst tokens per second
 	refilledAt      int64
 }
 
-// NewAllocator returns the allocator of one of so many dispatchers, for tenants that send jobs of so many
-// classes. LargeFleet says that more dispatchers share the fleet than learn enough from their own jobs.
+// NewAllocator returns the allocator of one dispatcher for the given numbers of tenants, of classes, and of
+// dispatchers that share the fleet. Set manyDispatchers if there are so many that each sees too few jobs of
+// its own to measure a tenant's rate well.
 func NewAllocator(bands []Band, tenants, classes, dispatchers int, manyDispatchers bool) *Allocator {
 	a := &Allocator{bands: bands, dispatchers: dispatchers, manyDispatchers: manyDispatchers}
 	for range tenants {
@@ -71,10 +73,10 @@
 	return a
 }
 
-// Tenant returns a tenant by its index. It stays the same.
+// Tenant returns a tenant by its index. The pointer stays valid for the life of the allocator.
 func (a *Allocator) Tenant(i int) *Tenant { return &a.tenants[i] }
 
-// Start notes the time of the first step, with all buckets full.
+// Start sets the time from which the first Refill adds tokens.
 func (a *Allocator) Start(now int64) { a.refilledAt = now }
 
 // FillBuckets fills all buckets.
@@ -85,26 +87,26 @@
 	}
 }
 
-// TrafficFraction returns the fraction of the fleet's traffic that comes here, slowly followed.
+// TrafficFraction returns the smoothed fraction of the fleet's traffic that arrives at this dispatcher.
 func (a *Allocator) TrafficFraction() float64 { return a.trafficFraction }
 
-// BurstTokens returns the tokens that are there for any tenant.
+// BurstTokens returns the number of tokens that any tenant may use.
 func (a *Allocator) BurstTokens() float64 { return a.burstTokens }
 
-// Restore takes over what another allocator has learned, its tenants aside.
+// Restore sets the values that another allocator has measured, except those of its tenants.
 func (a *Allocator) Restore(trafficFraction, burstTokens float64) {
 	a.trafficFraction, a.burstTokens = trafficFraction, burstTokens
 }
 
-// HasBurstToken reports whether a job may be sent past the bands.
+// HasBurstToken reports whether there is a token for a job beyond its tenant's bands.
 func (a *Allocator) HasBurstToken() bool { return a.burstTokens >= 1 }
 
-// ConsumeBurstToken counts a job that is sent past the bands.
+// ConsumeBurstToken removes the token of a job that is sent beyond its tenant's bands.
 func (a *Allocator) ConsumeBurstToken() { a.burstTokens = max(0, a.burstTokens-1) }
 
-// Update sets the tenants' rates at the end of a second, from the admission rate, this dispatcher's
-// fraction of the traffic, and the remaining fraction of the fleet where workers were lost. While the
-// loops do not throttle the bands are full. Periods counts the calls before.
+// Update ends a period of one second and sets the tenants' rates for the next from the admission rate of the
+// fleet, this dispatcher's fraction of the traffic, and the fraction of the fleet's capacity that remains
+// after workers were lost. If unthrottled is set, all bands are full. Periods is the number of earlier calls.
 func (a *Allocator) Update(admissionRate float64, unthrottled bool, periods int64, remaining float64) {
 	if unthrottled {
 		admissionRate = math.MaxFloat64
@@ -112,7 +114,8 @@
 	for i := range a.tenants {
 		a.tenants[i].closePeriod()
 	}
-	// Slowly: a part lasts, while a burst of all tenants looks like one and passes.
+	// A low gain: a dispatcher's fraction of the traffic is stable, but a short burst of all tenants looks the
+	// same as a larger fraction.
 	gain := max(trafficFractionGain, 1/float64(periods+1))
 	a.trafficFraction += (a.measuredFraction() - a.trafficFraction) * gain
 	fraction := a.ownFraction()
@@ -123,17 +126,19 @@
 	a.burstRate = excess * fraction
 }
 
-// ownFraction is the fraction of every tenant's rate that is this dispatcher's: at least an even one.
+// ownFraction returns the fraction of every tenant's rate that this dispatcher may admit: its fraction of the
+// traffic, but at least an even share.
 func (a *Allocator) ownFraction() float64 { return max(a.trafficFraction, 1/float64(a.dispatchers)) }
 
-// measuredFraction is the fraction of every tenant's rate that this second's traffic would make this
-// dispatcher's: an even one, or more where more of the traffic comes here (an uneven front, a heavy
-// client, dead peers). Then the tenant in the middle, by quota, is taken to be within its quota; what
-// tenants send against that one tells which of them are over theirs.
+// measuredFraction returns this dispatcher's fraction of the fleet's traffic as estimated from the current
+// offered rates: an even share, or more if more of the traffic arrives here (because of an uneven load
+// balancer, a client that sends much, or dead peers). It orders the tenants by offered rate over full rate
+// and assumes that the tenant at a third of the total rate is within its quota, so that this tenant's ratio
+// is the fraction of the traffic. Tenants with a higher ratio exceed their quotas.
 func (a *Allocator) measuredFraction() float64 {
 	even := 1 / float64(a.dispatchers)
 	full, _ := splitRate(math.MaxFloat64, a.bands, len(a.tenants))
-	var ratios [][2]float64 // what is offered here over the full rate, and that rate
+	var ratios [][2]float64 // offered rate over full rate, and the full rate
 	sum := 0.0
 	for i, f := range full {
 		if f > 0 {
@@ -150,7 +155,8 @@
 	return even
 }
 
-// Refill adds the tokens of the time gone by. What a tenant does not use passes to those that wait.
+// Refill adds the tokens for the time since the last call. Tokens that a full bucket cannot take become burst
+// tokens, of which there are at most maxBurst.
 func (a *Allocator) Refill(now int64, maxBurst float64) {
 	seconds := float64(now-a.refilledAt) / float64(second)
 	a.refilledAt = now
@@ -161,7 +167,8 @@
 	a.burstTokens = min(a.burstTokens, maxBurst)
 }
 
-// SetQuotas takes over new quotas, one for each tenant. Tokens stay as they are: nobody gains by a change.
+// SetQuotas replaces the bands by one made of new quotas, one for each tenant, and sets the tenants' rates.
+// The tokens stay as they are, so that no tenant gains tokens by a change.
 func (a *Allocator) SetQuotas(quotas []float64) {
 	a.bands = QuotaBand(quotas)
 	full, _ := splitRate(math.MaxFloat64, a.bands, len(a.tenants))
--- a/internal/decision/admission/loop.go
+++ b/internal/decision/admission/loop.go
@@ -1,4 +1,5 @@
-// Package admission decides how much of the offered load is admitted, and whose. It owns
+// Package admission decides how much of the offered load is admitted and how that is divided among the
+// tenants. It contains
 //
 //   - the latency loops (LatencyLoop), one self-tuning regulator for each class (paper, section 4),
 //   - the admission rate that follows from them (RateController),
@@ -9,21 +10,21 @@
 package admission
 
 const (
-	minSamples = 6   // finished jobs that make a second count (paper, 4.2)
-	lateRatio  = 2.0 // failed and late attempts enter w as this
+	minSamples = 6   // jobs that a period needs to run the loop (paper, 4.2)
+	lateRatio  = 2.0 // ratio of failed and late attempts in w; larger ratios are reduced to it
 )
 
-// A LatencyLoop is the regulator of one class. Its input v is the admission rate as a fraction of the
-// greatest, so that model and reset law do not depend on the size of the fleet; its output w is the mean
-// of the jobs' times over their objectives.
+// A LatencyLoop is the self-tuning regulator of one class. Its input v is the admission rate as a fraction of
+// the highest rate, so that the model and the reset rule do not depend on the size of the fleet. Its output w
+// is the mean ratio of the jobs' latencies to their objectives; the loop controls it to 1.
 type LatencyLoop struct {
-	ratios               []float64 // job time over objective, of the jobs that no period has used yet
+	ratios               []float64 // latency over objective of the jobs sampled since the last period
 	fit                  model
 	input, previousInput float64 // v(k-1) and v(k-2)
 	previousOutput       float64 // w(k-1)
 }
 
-// A LoopState is what a LatencyLoop has learned, the ratios of its last jobs aside.
+// A LoopState is the state of a LatencyLoop without the ratios of the jobs sampled since the last period.
 type LoopState struct {
 	Parameters    [3]float64
 	Covariance    [3][3]float64
@@ -32,19 +33,20 @@
 	Output        float64 // w(k-1)
 }
 
-// NewLatencyLoop returns the loop of a class of which nothing is known: it does not throttle.
+// NewLatencyLoop returns a loop without measurements, which does not throttle.
 func NewLatencyLoop() LatencyLoop { return LatencyLoop{fit: newModel(), input: 1} }
 
-// Input returns the admission rate that the loop asks for, as a fraction of the greatest.
+// Input returns the admission rate that the loop has computed, as a fraction of the highest rate.
 func (l *LatencyLoop) Input() float64 { return l.input }
 
-// Sample notes a finished job's time over its objective.
+// Sample records the ratio of a finished job's latency to its objective.
 func (l *LatencyLoop) Sample(ratio float64) { l.ratios = append(l.ratios, min(ratio, lateRatio)) }
 
-// SampleLate notes a job that failed or that is late.
+// SampleLate records a job that failed or is late.
 func (l *LatencyLoop) SampleLate() { l.Sample(lateRatio) }
 
-// Run runs one period if enough jobs were sampled since the last, or in any case if it is forced.
+// Run runs one period if at least minSamples jobs were sampled since the last one, or if force is set. If it
+// does not run, the samples are kept for the next call.
 func (l *LatencyLoop) Run(force bool) {
 	if len(l.ratios) >= minSamples || force {
 		l.step(l.meanRatio())
@@ -52,7 +54,7 @@
 	}
 }
 
-// meanRatio is w(k): the mean over the sampled jobs, 0 if there were none.
+// meanRatio returns w(k), the mean ratio of the sampled jobs; 0 if there are none.
 func (l *LatencyLoop) meanRatio() float64 {
 	sum := 0.0
 	for _, r := range l.ratios {
@@ -61,7 +63,9 @@
 	return sum / max(1, float64(len(l.ratios)))
 }
 
-// step runs one period with the measured w and returns the new input.
+// step updates the model with the measured output w and returns the new input, which the model expects to
+// bring the output to 1. It resets the model if a parameter jumps, and keeps the old one if the new one has
+// r1 <= 0.
 func (l *LatencyLoop) step(w float64) float64 {
 	next := l.fit.update([3]float64{l.previousOutput, l.input, l.previousInput}, w)
 	input := 1.0
@@ -78,7 +82,7 @@
 	return input
 }
 
-// State returns what the loop has learned.
+// State returns the state of the loop.
 func (l *LatencyLoop) State() LoopState {
 	return LoopState{
 		Parameters: l.fit.parameters, Covariance: l.fit.covariance,
@@ -86,10 +90,11 @@
 	}
 }
 
-// Ratios returns the ratios of the jobs that no period has used yet. They are valid until the next call.
+// Ratios returns the ratios of the jobs sampled since the last period. They are valid until the next call of
+// another method.
 func (l *LatencyLoop) Ratios() []float64 { return l.ratios }
 
-// Restore takes over what another loop has learned, and its jobs' ratios.
+// Restore sets the state and the sampled ratios of another loop.
 func (l *LatencyLoop) Restore(s LoopState, ratios []float64) {
 	l.fit = model{parameters: s.Parameters, covariance: s.Covariance}
 	l.input, l.previousInput, l.previousOutput = s.Input, s.PreviousInput, s.Output
--- a/internal/decision/admission/model.go
+++ b/internal/decision/admission/model.go
@@ -3,19 +3,20 @@
 import "math"
 
 const (
-	forgettingFactor   = 0.9  // lambda: a model remembers about ten seconds
-	resetFraction      = 0.3  // a parameter moving further resets the model (paper, 4.2)
-	initialCovariance  = 10.0 // covariance of a new model: little trust in it
-	maxCovarianceTrace = 100.0
+	forgettingFactor   = 0.9   // lambda: the model averages over about ten seconds
+	resetFraction      = 0.3   // change of a parameter beyond which the model is reset (paper, 4.2)
+	initialCovariance  = 10.0  // variance of each parameter of a new model: its parameters are uncertain
+	maxCovarianceTrace = 100.0 // trace of the covariance up to which the model forgets old observations
 )
 
-// A model is w(k) = s1 w(k-1) + r1 u(k-1) + r2 u(k-2), fitted by recursive least squares with forgetting.
+// A model predicts w(k) = s1 w(k-1) + r1 v(k-1) + r2 v(k-2). It is fitted by recursive least squares with a
+// forgetting factor.
 type model struct {
 	parameters [3]float64 // s1, r1, r2
 	covariance [3][3]float64
 }
 
-// newModel returns a model that knows nothing: both inputs count alike.
+// newModel returns a model without observations, in which both inputs have the same weight.
 func newModel() model {
 	m := model{parameters: [3]float64{0, 0.5, 0.5}}
 	for i := range m.covariance {
@@ -24,8 +25,8 @@
 	return m
 }
 
-// differsFrom reports whether a parameter differs by more than the reset fraction, of itself or, near zero,
-// of the target (which is 1, as is the largest input).
+// differsFrom reports whether a parameter differs from that of the old model by more than resetFraction of
+// its old value, or of 1 if that is larger; 1 is the target of the output and the largest input.
 func (m model) differsFrom(old model) bool {
 	for i := range m.parameters {
 		if math.Abs(m.parameters[i]-old.parameters[i]) > resetFraction*max(math.Abs(old.parameters[i]), 1) {
@@ -35,7 +36,8 @@
 	return false
 }
 
-// update returns the model after one more observation.
+// update returns the model after one more observation: the regressors x = (w(k-1), v(k-1), v(k-2)) and the
+// output w(k).
 func (m model) update(x [3]float64, w float64) model {
 	var px [3]float64
 	denominator, residual := forgettingFactor, w
@@ -54,8 +56,8 @@
 		}
 		trace += m.covariance[i][i]
 	}
-	// Without excitation forgetting would let the covariance grow for ever; then
-	// noise alone would move the parameters far enough to reset them.
+	// While the input does not change, forgetting would let the covariance grow without bound, and then noise
+	// alone would move the parameters far enough to reset the model.
 	if trace < maxCovarianceTrace*forgettingFactor {
 		for i := range m.covariance {
 			for k := range m.covariance {
--- a/internal/decision/admission/rate.go
+++ b/internal/decision/admission/rate.go
@@ -1,57 +1,58 @@
 package admission
 
 const (
-	// RateGain is the weight of the newest second in rates that are followed.
+	// RateGain is the weight of the newest second in the exponential averages of rates.
 	RateGain = 0.3
 
-	headroom            = 2.0 // the greatest admission rate over the offered load
-	unthrottledFraction = 0.7 // of an unthrottled rate, that the peers' mean may fall to
+	headroom            = 2.0 // ratio of the highest admission rate to the offered load
+	unthrottledFraction = 0.7 // fraction of this dispatcher's rate below which the peers' mean throttles it
 )
 
-// A RateController sets the admission rate of the whole fleet once a second, from the load that is offered
-// here and from what the classes' loops ask for.
+// A RateController computes the admission rate of the whole fleet once a second, from the load offered to
+// this dispatcher and the inputs of the classes' latency loops.
 type RateController struct {
 	dispatchers, index int
 	arrivals           int
 	state              RateState
 }
 
-// A RateState is what a RateController has learned.
+// A RateState is the state of a RateController.
 type RateState struct {
-	Periods       int64   // number of the last period
-	AdmissionRate float64 // of the whole fleet, jobs a second
-	Unthrottled   bool    // the rate is at its greatest: the loops do not throttle
-	OfferedRate   float64 // jobs a second that arrive here
+	Periods       int64   // number of the last period; the first is 1
+	AdmissionRate float64 // of the whole fleet, jobs per second
+	Unthrottled   bool    // the loops do not throttle: the rate is at its highest
+	OfferedRate   float64 // smoothed arrivals at this dispatcher, jobs per second
 }
 
-// NewRateController returns the controller of one dispatcher, by its index, of so many.
+// NewRateController returns the controller of the dispatcher with an index among a number of dispatchers.
 func NewRateController(dispatchers, index int) RateController {
 	return RateController{dispatchers: dispatchers, index: index, state: RateState{Unthrottled: true}}
 }
 
-// State returns what the controller has learned.
+// State returns the state of the controller.
 func (c *RateController) State() RateState { return c.state }
 
-// Restore takes over what another controller has learned.
+// Restore sets the state of another controller.
 func (c *RateController) Restore(s RateState) { c.state = s }
 
-// AdmissionRate returns the admission rate of the whole fleet, jobs a second.
+// AdmissionRate returns the admission rate of the whole fleet, in jobs per second.
 func (c *RateController) AdmissionRate() float64 { return c.state.AdmissionRate }
 
-// Unthrottled reports whether the rate is at its greatest: the loops do not throttle.
+// Unthrottled reports whether the rate is at its highest, which means that the loops do not throttle.
 func (c *RateController) Unthrottled() bool { return c.state.Unthrottled }
 
-// OfferedRate returns the jobs a second that arrive here.
+// OfferedRate returns the smoothed rate of arrivals at this dispatcher, in jobs per second.
 func (c *RateController) OfferedRate() float64 { return c.state.OfferedRate }
 
 // Periods returns the number of the last period.
 func (c *RateController) Periods() int64 { return c.state.Periods }
 
-// RecordArrival notes a job that came.
+// RecordArrival counts a job that has arrived.
 func (c *RateController) RecordArrival() { c.arrivals++ }
 
-// BeginPeriod takes the second's arrivals into the offered rate. It reports whether this is the period in
-// which this dispatcher, one after another, runs its loops however few jobs they saw.
+// BeginPeriod begins a period and updates the offered rate with the arrivals of the last second. It reports
+// whether it is this dispatcher's turn to run its loops even if they have few samples. The dispatchers take
+// turns, one in each period.
 func (c *RateController) BeginPeriod() (turn bool) {
 	c.state.OfferedRate += (float64(c.arrivals) - c.state.OfferedRate) * RateGain
 	c.state.OfferedRate = max(c.state.OfferedRate, float64(c.arrivals)/headroom)
@@ -60,14 +61,15 @@
 	return int(c.state.Periods%int64(c.dispatchers)) == c.index
 }
 
-// SetInput sets the rate to a fraction of the greatest: the lowest that the classes' loops ask for.
+// SetInput sets the admission rate to the fraction v of the highest rate. The caller passes the lowest input
+// of the classes' loops.
 func (c *RateController) SetInput(v float64) {
 	c.state.Unthrottled = v >= 1
 	c.state.AdmissionRate = v * (headroom * c.state.OfferedRate * float64(c.dispatchers))
 }
 
-// ApplyMean takes the mean of all dispatchers' rates if that is lower: each follows few jobs, and the
-// lowest of several is lowest by chance.
+// ApplyMean lowers the admission rate to the mean of all dispatchers' rates if that is lower. The mean is
+// used, not the minimum: each dispatcher measures few jobs, so the lowest of several rates is low by chance.
 func (c *RateController) ApplyMean(mean float64) {
 	if mean < c.state.AdmissionRate {
 		c.state.Unthrottled = c.state.Unthrottled && mean >= unthrottledFraction*c.state.AdmissionRate
--- a/internal/decision/admission/runtimes.go
+++ b/internal/decision/admission/runtimes.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-const maxRuntimes = 64 // running times that the quantiles are taken of
+const maxRuntimes = 64 // recent running times of which the quantiles are computed
 
 // Runtimes are the recent running times of a class's jobs, with their quantiles as of the last Update.
 type Runtimes struct {
-	recent                []int64 // the oldest first
+	recent                []int64 // oldest first
 	median, lowerQuartile int64
 }
 
-// NewRuntimes returns the running times of a class of which nothing is known but what to expect.
+// NewRuntimes returns the running times of a class without jobs yet. Its quantiles are the expected time.
 func NewRuntimes(expected int64) Runtimes { return Runtimes{median: expected, lowerQuartile: expected} }
 
 // Median returns the median of the recent running times.
@@ -19,10 +19,10 @@
 // LowerQuartile returns the lower quartile of the recent running times.
 func (r *Runtimes) LowerQuartile() int64 { return r.lowerQuartile }
 
-// Recent returns the recent running times, the oldest first. They are valid until the next Record.
+// Recent returns the recent running times, oldest first. They are valid until the next Record.
 func (r *Runtimes) Recent() []int64 { return r.recent }
 
-// Record notes a job's running time.
+// Record adds the running time of a job, and drops the oldest one if there are maxRuntimes.
 func (r *Runtimes) Record(took int64) {
 	if len(r.recent) < maxRuntimes {
 		r.recent = append(r.recent, took)
@@ -32,7 +32,7 @@
 	r.recent[maxRuntimes-1] = took
 }
 
-// Update takes the quantiles anew, if there are enough running times to tell.
+// Update recomputes the quantiles if there are at least minSamples running times.
 func (r *Runtimes) Update() {
 	if len(r.recent) < minSamples {
 		return
@@ -44,7 +44,7 @@
 	r.lowerQuartile = sorted[int(0.25*float64(len(sorted)))]
 }
 
-// Restore takes over another's running times and quantiles.
+// Restore sets the quantiles, each to at least 1 ns, and the recent running times.
 func (r *Runtimes) Restore(median, lowerQuartile int64, recent []int64) {
 	r.median, r.lowerQuartile, r.recent = max(median, 1), max(lowerQuartile, 1), recent
 }
--- a/internal/decision/admission/tenant.go
+++ b/internal/decision/admission/tenant.go
@@ -2,22 +2,22 @@
 
 import "math"
 
-// A Tenant is one tenant's token bucket, with what it lately offered and was sent.
+// A Tenant is the token bucket of one tenant, with the recent rates of its arrivals and sends.
 type Tenant struct {
-	rate         float64 // its part of the admission rate here, within the bands, jobs a second
-	tokens       float64
-	arrivals     int     // in this second
-	offeredRate  float64 // jobs a second that it sends here
-	margin       float64 // that the offered rate may be over the rate by chance
-	excessSends  float64 // jobs lately sent past its bands
-	classArrived []float64
-	classSent    []float64
+	rate         float64   // share of the admission rate at this dispatcher, within the bands, jobs per second
+	tokens       float64   // jobs that may be sent within the bands
+	arrivals     int       // in the current second
+	offeredRate  float64   // smoothed arrivals at this dispatcher, jobs per second
+	margin       float64   // excess of offeredRate over rate that may be due to chance
+	excessSends  float64   // decaying count of the jobs sent beyond the bands
+	classArrived []float64 // decaying count of arrivals, by class
+	classSent    []float64 // decaying count of first sends, by class
 }
 
-// A TenantState is what is known of a tenant.
+// A TenantState is the state of a Tenant, except the arrivals in the current second.
 type TenantState struct {
 	Rate, Tokens, OfferedRate, Margin, ExcessSends float64
-	Arrivals, Sends                                []float64 // lately, by class
+	Arrivals, Sends                                []float64 // decaying counts, by class
 }
 
 // newTenant returns a tenant without tokens.
@@ -25,42 +25,42 @@
 	return Tenant{classArrived: make([]float64, classes), classSent: make([]float64, classes)}
 }
 
-// RecordArrival notes a job that came.
+// RecordArrival counts a job that has arrived.
 func (t *Tenant) RecordArrival(class int) {
 	t.arrivals++
 	t.classArrived[class]++
 }
 
-// RecordSend notes a job that is sent for the first time.
+// RecordSend counts a job that is sent for the first time.
 func (t *Tenant) RecordSend(class int) { t.classSent[class]++ }
 
-// SentFraction returns the fraction of a class's jobs that was lately sent; of a class without jobs all.
+// SentFraction returns the fraction of a class's recent jobs that was sent; 1 for a class without jobs.
 func (t *Tenant) SentFraction(class int) float64 {
 	return (t.classSent[class] + 1) / (t.classArrived[class] + 1)
 }
 
-// ExceedsQuota reports whether the tenant sends more here than its bands give it.
+// ExceedsQuota reports whether more of the tenant's jobs arrive here than its bands allow.
 func (t *Tenant) ExceedsQuota() bool { return t.offeredRate > t.rate+t.margin }
 
-// HasToken reports whether a job may be sent within the bands.
+// HasToken reports whether there is a token for a job within the bands.
 func (t *Tenant) HasToken() bool { return t.tokens >= 1 }
 
-// ConsumeToken counts a job that is sent within the bands.
+// ConsumeToken removes the token of a job that is sent within the bands.
 func (t *Tenant) ConsumeToken() { t.tokens-- }
 
-// FillLevel returns how full the bucket is.
+// FillLevel returns the fraction of the bucket that is full.
 func (t *Tenant) FillLevel() float64 { return t.tokens / t.maxTokens() }
 
-// ExcessSends returns how many jobs were lately sent past the bands.
+// ExcessSends returns the decaying count of the jobs that were sent beyond the bands.
 func (t *Tenant) ExcessSends() float64 { return t.excessSends }
 
-// RecordExcessSend counts a job that is sent past the bands.
+// RecordExcessSend counts a job that is sent beyond the bands.
 func (t *Tenant) RecordExcessSend() { t.excessSends++ }
 
-// burst is the most tokens that the bucket holds.
+// maxTokens returns the size of the bucket: the tokens of one second, but at least 2.
 func (t *Tenant) maxTokens() float64 { return max(2, t.rate) }
 
-// closePeriod takes the second's arrivals into what is followed.
+// closePeriod ends a period of one second: it updates the offered rate and decays the counts.
 func (t *Tenant) closePeriod() {
 	t.offeredRate += (float64(t.arrivals) - t.offeredRate) * RateGain
 	t.arrivals = 0
@@ -71,9 +71,9 @@
 	}
 }
 
-// setRate sets the tenant's rate. Where many dispatchers share the fleet a single job is over a rate of
-// one in ten seconds, by chance: the offered rate strays by the margin from the rate of a tenant within
-// its quota.
+// setRate sets the tenant's rate and the margin. With many dispatchers a tenant's rate at one of them may be
+// as low as one job in ten seconds, and a single job would exceed it by chance. The margin is three standard
+// deviations of the offered rate of a tenant that sends at its rate.
 func (t *Tenant) setRate(rate float64, manyDispatchers bool) {
 	t.rate = rate
 	if t.margin = 0; manyDispatchers {
@@ -81,7 +81,7 @@
 	}
 }
 
-// refill adds the tokens of a time in seconds and returns those that the bucket does not hold.
+// refill adds the tokens for a time in seconds and returns those that the full bucket cannot take.
 func (t *Tenant) refill(seconds float64) (excess float64) {
 	t.tokens += t.rate * seconds
 	if excess = t.tokens - t.maxTokens(); excess > 0 {
@@ -91,7 +91,7 @@
 	return 0
 }
 
-// State returns what is known of the tenant. The slices are valid until the next call.
+// State returns the state of the tenant. Its slices are valid until the next call of another method.
 func (t *Tenant) State() TenantState {
 	return TenantState{
 		Rate: t.rate, Tokens: t.tokens, OfferedRate: t.offeredRate, Margin: t.margin, ExcessSends: t.excessSends,
@@ -99,7 +99,7 @@
 	}
 }
 
-// Restore takes over what was known of a tenant. Classes that are not known here are left out.
+// Restore sets the state of a tenant. It ignores the classes that this tenant does not have.
 func (t *Tenant) Restore(s TenantState) {
 	t.rate, t.tokens = s.Rate, s.Tokens
 	t.offeredRate, t.margin, t.excessSends = s.OfferedRate, s.Margin, s.ExcessSends
--- a/jobs.go
+++ b/jobs.go
@@ -1,29 +1,29 @@
 package foxlift
 
-// The jobs and their attempts. Nothing is decided here.
+// Jobs and their attempts. Nothing is decided here.
 
 import "math"
 
-// A job is a request that is queued, in flight, or ended with attempts still in flight.
+// A job is a request that is queued or in flight, or that has ended and still has attempts in flight.
 type job struct {
 	id               uint64
 	class            *class
 	tenant           *tenant
 	req              Request
 	arrivedAt        int64
-	firstAttemptAt   int64 // when its client first asked, as far as its deadline tells
-	objective        int64 // it should take no longer than this
+	firstAttemptAt   int64 // time when the client first sent the request, estimated from its deadline
+	objective        int64 // latency objective of this job, counted from firstAttemptAt
 	attempts         []*attempt
-	inFlight         int      // attempts in flight
-	mayHaveRun       *attempt // the first attempt that may have run
-	ended, queued    bool
-	healthChecks     int       // workers that are checked for it
+	inFlight         int       // number of attempts in flight
+	mayHaveRun       *attempt  // first attempt that may have run; nil if none
+	ended, queued    bool      // ended: answered, or its client has disconnected; queued: in its tenant's queue
+	healthChecks     int       // number of health checks requested for it
 	retryQueued      bool      // in jobTable.retryQueue
-	stream           bool      // bound to a stream: no deadline any more
-	blockedRound     int64     // the round of dispatch that found no worker for it
-	affinity         []*worker // the workers of its key, the first in its order first,
-	affinityPool     int       // the first of so many workers,
-	affinityRankedAt int64     // by the list event of this number
+	stream           bool      // its answer streams: it is neither cancelled nor sent again
+	blockedRound     int64     // last round of dispatch that found no worker for it
+	affinity         []*worker // first workers in the order of its affinity key
+	affinityPool     int       // number of workers in that order, of which affinity has the first
+	affinityRankedAt int64     // number of the endpoint list event after which affinity was ranked
 }
 
 // An attempt is one run of a job on one worker.
@@ -32,17 +32,17 @@
 	worker            *worker
 	number            int
 	sentAt, startedAt int64
-	index             int // in jobTable.inFlight
-	path              int // how it went: over a new connection 1, to another zone 2 more
+	index             int // position in jobTable.inFlight
+	path              int // bit 0: it needed a new connection; bit 1: its worker is in another zone
 	slots             float64
 	done              bool
-	mayHaveRun        bool // it ended, and may have run
-	overdue           bool // not started in time, and counted so
-	unstarted         bool // counted in jobTable.unstarted
-	late              bool // counted as late in its class's loop
+	mayHaveRun        bool // it has ended, and the job may have run
+	overdue           bool // it has not started in time, and counts in worker.overdue
+	unstarted         bool // it counts in jobTable.unstarted
+	late              bool // its class's latency loop has counted it as late
 }
 
-// attemptOf finds the attempt that an event is about, or nil.
+// attemptOf returns the attempt that an event is about, or nil if it is unknown.
 func (d *Dispatcher) attemptOf(e *Event) *attempt {
 	j := d.jobs.byID[e.ID]
 	if j == nil || e.Attempt < 0 || e.Attempt >= len(j.attempts) {
@@ -51,8 +51,7 @@
 	return j.attempts[e.Attempt]
 }
 
-// updateMayHaveRun finds the first attempt that may have run, now that one is proved
-// never to have.
+// updateMayHaveRun finds the first attempt of a job that may have run, after another was proved not to have.
 func (d *Dispatcher) updateMayHaveRun(j *job) {
 	j.mayHaveRun = nil
 	for _, a := range j.attempts {
@@ -63,7 +62,7 @@
 	}
 }
 
-// remainingAttempts is how many more attempts a job may have.
+// remainingAttempts returns how many more attempts a job may have; math.MaxInt if there is no limit.
 func (d *Dispatcher) remainingAttempts(j *job) int {
 	if d.cfg.MaxAttempts <= 0 {
 		return math.MaxInt
@@ -71,7 +70,7 @@
 	return d.cfg.MaxAttempts - j.req.PriorAttempts - len(j.attempts)
 }
 
-// recordStarted ends an attempt's wait for its start.
+// clearUnstarted removes an attempt from the count of those that wait for their start.
 func (d *Dispatcher) clearUnstarted(a *attempt) {
 	if a.unstarted {
 		a.unstarted = false
@@ -79,7 +78,7 @@
 	}
 }
 
-// clearOverdue ends an attempt's being overdue.
+// clearOverdue removes an attempt from its worker's count of overdue ones.
 func (a *attempt) clearOverdue() {
 	if a.overdue {
 		a.overdue = false
@@ -87,7 +86,7 @@
 	}
 }
 
-// forget drops a job that has ended once all its attempts have.
+// removeFinished deletes a job that has ended and has no attempt in flight.
 func (d *Dispatcher) removeFinished(j *job) {
 	if j.ended && j.inFlight == 0 {
 		delete(d.jobs.byID, j.id)
--- a/latency_loop.go
+++ b/latency_loop.go
@@ -1,25 +1,27 @@
 package foxlift
 
-// The control loops: once a second each class's latency loop says how much the fleet may admit.
+// The control loops: once a second the latency loop of each class computes an admission rate for the fleet,
+// and the lowest one applies.
 
 import (
 	"github.com/vatu-meals/foxlift/internal/decision/admission"
 )
 
-// A class is a kind of job with what is learned of its jobs.
+// A class is one of Config.Classes with what the dispatcher has measured of its jobs.
 type class struct {
 	*Class
-	maxClientWait int64 // the longest that a client waits, as seen
+	maxClientWait int64 // longest time seen from the arrival of a request to its deadline
 	runtimes      admission.Runtimes
 	loop          admission.LatencyLoop
 }
 
-// newClass returns a class of which nothing is known.
+// newClass returns a class without measurements.
 func newClass(c *Class) class {
 	return class{Class: c, runtimes: admission.NewRuntimes(c.LatencyObjective), loop: admission.NewLatencyLoop()}
 }
 
-// runControlLoops runs the loops of all classes once and takes the lowest admission rate.
+// runControlLoops runs one control period: it runs the latency loops of all classes, sets the admission rate
+// to the lowest that a loop computes, and updates everything that depends on it.
 func (d *Dispatcher) runControlLoops() {
 	turn := d.rate.BeginPeriod()
 	input := 1.0
@@ -39,14 +41,14 @@
 	d.deleteRemoved(d.now - removedRetention)
 }
 
-// updateWorkerRate follows the slots that each warm worker has at work.
+// updateWorkerRate updates the average number of busy slots of a worker that is not in slow start.
 func (d *Dispatcher) updateWorkerRate() {
 	inSlowStart, _ := d.slowStartTotals()
 	d.capacity.slowStart.Rate().Update(len(d.liveWorkers)-inSlowStart, d.rate.Periods())
 }
 
-// exchangeAdmissionRate tells peers, where that is allowed, this dispatcher's admission rate, and takes
-// the mean of all if that is lower.
+// exchangeAdmissionRate sends this dispatcher's admission rate to the peers and lowers it to the mean of all
+// dispatchers' rates if that is lower. It does nothing without gossip.
 func (d *Dispatcher) exchangeAdmissionRate() {
 	if !d.cfg.MayGossip {
 		return
--- a/queue.go
+++ b/queue.go
@@ -1,10 +1,10 @@
 package foxlift
 
-// The tenants' queues. Nothing is decided here.
+// The queues of the tenants. Nothing is decided here.
 
 import "slices"
 
-// tenantOf finds a tenant; jobs of no known one have one of their own.
+// tenantOf returns the tenant with an index. Jobs with an unknown index share the last tenant.
 func (d *Dispatcher) tenantOf(i int) *tenant {
 	if i < 0 || i >= len(d.cfg.Tenants) {
 		i = len(d.tenants) - 1
@@ -12,14 +12,14 @@
 	return &d.tenants[i]
 }
 
-// enqueue puts a job into its tenant's queue.
+// enqueue appends a job to its tenant's queue for the job's class.
 func (d *Dispatcher) enqueue(j *job) {
 	j.queued = true
 	q := &j.tenant.queues[j.req.Class]
 	q.jobs = append(q.jobs, j)
 }
 
-// dequeue takes a job out of its tenant's queue.
+// dequeue removes a job from its tenant's queue, if it is there.
 func (t *tenant) dequeue(j *job) {
 	q := &t.queues[j.req.Class]
 	if i := slices.Index(q.jobs, j); i >= 0 {
@@ -28,8 +28,8 @@
 	j.queued = false
 }
 
-// nextInQueue returns the oldest job of a queue, or the newest, of those that this round of dispatch has
-// not found without a worker; nil if there is none.
+// nextInQueue returns the oldest job of a queue, or the newest if newest is set. It skips the jobs for which
+// this round of dispatch has found no worker, and returns nil if no other job is left.
 func nextInQueue(q []*job, newest bool, round int64) *job {
 	for i := range q {
 		j := q[i]
--- a/quotas.go
+++ b/quotas.go
@@ -1,25 +1,26 @@
 package foxlift
 
-// The tenants' quotas: what is admitted is divided among them, and how much of that the fleet can serve.
+// The quotas of the tenants: the division of the admission rate among the tenants, and the fraction of the
+// fleet's capacity that is left after workers were lost.
 
 import (
 	"github.com/vatu-meals/foxlift/internal/decision/admission"
 )
 
-// A tenant is one of Config.Tenants as seen here.
+// A tenant is the state of one of Config.Tenants, or of the jobs of no known tenant.
 type tenant struct {
 	quota        *admission.Tenant
-	blockedRound int64        // the round of dispatch that found no worker for it
-	queues       []classQueue // by class
+	blockedRound int64        // last round of dispatch that found no worker for any of its jobs
+	queues       []classQueue // by class index
 }
 
 // A classQueue holds a tenant's queued jobs of one class.
 type classQueue struct {
-	jobs         []*job // the oldest first
-	blockedRound int64  // the round of dispatch that found no worker for it
+	jobs         []*job // oldest first
+	blockedRound int64  // last round of dispatch that found no worker for its jobs
 }
 
-// initTenants makes the tenants, with full buckets; the last is for jobs of no known tenant.
+// initTenants creates the tenants with full token buckets. The last one is for jobs of no known tenant.
 func (d *Dispatcher) initTenants() {
 	bands := d.cfg.Bands
 	if len(bands) == 0 && len(d.cfg.Tenants) > 0 {
@@ -41,23 +42,23 @@
 	d.quotas.Update(d.rate.AdmissionRate(), d.rate.Unthrottled(), d.rate.Periods(), d.remainingCapacity())
 }
 
-// onQuotas takes over new quotas.
+// onQuotas replaces the quotas. A list of the wrong length is ignored.
 func (d *Dispatcher) onQuotas(quotas []float64) {
 	if len(quotas) == len(d.cfg.Tenants) {
 		d.quotas.SetQuotas(quotas)
 	}
 }
 
-// remainingCapacity is the fraction of the fleet that is left after workers were lost: gone
-// without a drain, or back and in slow start. Tenants' rates are fractions of what the whole fleet can do,
-// and would admit more than the rest can bear. Workers that drain are taken out on purpose, as traffic
-// falls, and count for nothing.
+// remainingCapacity returns the fraction of the fleet's capacity that is left after workers were lost; 1 if
+// none was. A worker is lost if it was removed without draining, until it is back and its slow start is over.
+// The tenants' rates are fractions of what the whole fleet can serve, and would overload the remaining
+// workers. Draining workers do not count as lost: they are removed on purpose, as traffic falls.
 func (d *Dispatcher) remainingCapacity() float64 {
 	inSlowStart, weight := d.slowStartTotals()
 	warm := len(d.liveWorkers) - inSlowStart
 	total := warm + d.countLost()
 	if total == 0 {
-		return 1 // nothing is known yet
+		return 1 // no worker is known yet
 	}
 	return min(1, (float64(warm)+weight)/float64(total))
 }
