--- a/fleet_index.go
+++ b/fleet_index.go
@@ -1,8 +1,9 @@
 package foxlift
 
-// The workers as a dispatcher looks for them: whose place time alone may change, which are live, removed
-// or lost, and the sum of the learned limits. All of it is kept as workers change, so that no step looks at
-// every worker but that which takes a complete list. Nothing is decided here.
+// The index of the fleet: which workers are live, removed or lost, which may change their level by time
+// alone, and the sum of the learned limits. It is updated as workers change, so that only a complete
+// endpoint list makes a step examine every worker.
+// Nothing is decided here.
 
 import (
 	"cmp"
@@ -13,25 +14,26 @@
 	"github.com/vatu-meals/foxlift/internal/decision/health"
 )
 
-// A fleetIndex holds the workers by what is asked of them. Each slice holds a worker once.
+// A fleetIndex indexes the workers by ID and by state. No slice holds a worker twice.
 type fleetIndex struct {
 	workers         map[string]*worker // by ID
-	workerOrder     []*worker          // in the order first heard of
-	liveWorkers     []*worker          // the live ones, in that order
-	workersSeen     int64              // workers ever heard of
-	pendingWorkers  []*worker          // to be placed anew at the next tick or list event
-	pendingUnsorted bool               // pending is not in the order of the list
-	livenessChanges []*worker          // those that became live, or are so no more, by the list event in hand
-	removedWorkers  []*worker          // with some that have come back since the last look
-	lostWorkers     []*worker          // the same
-	limitSum        capacity.LimitSum  // of the live workers
-	workersExamined int                // by any step but one of a complete list, for tests of its cost
+	workerOrder     []*worker          // in order of first appearance, by worker.number
+	liveWorkers     []*worker          // in the same order
+	workersSeen     int64              // number of workers ever added
+	pendingWorkers  []*worker          // to get a new level at the next tick or endpoint event
+	pendingUnsorted bool               // pendingWorkers is not in the order of workerOrder
+	livenessChanges []*worker          // workers that became live or ceased to be in the current endpoint event
+	removedWorkers  []*worker          // removed workers, and some that came back since the last deleteRemoved
+	lostWorkers     []*worker          // lost workers, and some that came back since the last countLost
+	limitSum        capacity.LimitSum  // sum of the learned limits of live workers
+	workersExamined int                // total of all steps without the scans of complete lists; read by tests
 }
 
-// maxIncremental is the most workers that are put into the live ones one by one.
+// maxIncrementalUpdates bounds the workers that are inserted into or deleted from an ordered slice one by one;
+// for more, the slice is rebuilt.
 const maxIncrementalUpdates = 64
 
-// addWorker takes a worker that is heard of for the first time into the list.
+// addWorker adds a worker that is not in the index yet, as removed and in no free list.
 func (d *Dispatcher) addWorker(id string) *worker {
 	hasher := fnv.New64a()
 	hasher.Write([]byte(id))
@@ -46,10 +48,10 @@
 	return w
 }
 
-// byNumber orders workers as they were first heard of, which is the order of Dispatcher.list.
+// compareByNumber orders workers by their first appearance, as Dispatcher.workerOrder does.
 func compareByNumber(a, b *worker) int { return cmp.Compare(a.number, b.number) }
 
-// markPending has a worker placed anew at the next tick or list event.
+// markPending marks a worker for an update of its level at the next tick or endpoint event.
 func (d *Dispatcher) markPending(w *worker) {
 	if w.pending {
 		return
@@ -61,12 +63,12 @@
 	d.pendingWorkers = append(d.pendingWorkers, w)
 }
 
-// timeDependent reports whether time alone may change a worker's place.
+// timeDependent reports whether time alone may change a worker's level.
 func (d *Dispatcher) timeDependent(w *worker) bool {
 	return w.state == Live && (w.outlier.Paused(d.now) || d.inSlowStart(w))
 }
 
-// sortPending puts the pending workers into the order of the list.
+// sortPending sorts the pending workers in the order of workerOrder.
 func (d *Dispatcher) sortPending() {
 	if d.pendingUnsorted {
 		slices.SortFunc(d.pendingWorkers, compareByNumber)
@@ -74,8 +76,8 @@
 	}
 }
 
-// updatePending places the workers that are pending, in the order of the list. Those that time alone
-// may move stay pending.
+// updatePending updates the levels of the pending workers, in the order of workerOrder. Workers whose level
+// time alone may change stay pending.
 func (d *Dispatcher) updatePending() {
 	d.sortPending()
 	d.workersExamined += len(d.pendingWorkers)
@@ -90,10 +92,10 @@
 	d.pendingWorkers = stillPending
 }
 
-// recountLimit brings the sum of limits up to date with a worker.
+// updateLimitSum updates the sum of learned limits for a worker.
 func (d *Dispatcher) updateLimitSum(w *worker) { d.limitSum.Update(&w.limit, w.state == Live) }
 
-// indexWorker brings the index up to date with what a list event says of a worker.
+// indexWorker updates the index for a worker whose entry an endpoint event has changed.
 func (d *Dispatcher) indexWorker(w *worker) {
 	d.markPending(w)
 	d.updateLimitSum(w)
@@ -112,7 +114,7 @@
 	}
 }
 
-// removeUnlisted removes the workers that a complete list does not name.
+// removeUnlisted sets the workers that a complete endpoint list does not name to Removed.
 func (d *Dispatcher) removeUnlisted() {
 	for _, w := range d.workerOrder {
 		if w.lastListEvent != d.endpoints.events && w.state != Removed {
@@ -122,7 +124,7 @@
 	}
 }
 
-// updateLive brings the live workers up to date at the end of a list event.
+// updateLive updates liveWorkers from livenessChanges at the end of an endpoint event.
 func (d *Dispatcher) updateLive() {
 	if len(d.livenessChanges) > maxIncrementalUpdates {
 		d.liveWorkers = d.liveWorkers[:0]
@@ -149,7 +151,7 @@
 // slowStartTotals returns how many live workers are in slow start, and the sum of their weights.
 func (d *Dispatcher) slowStartTotals() (workers int, weight float64) {
 	d.sortPending()
-	for _, w := range d.pendingWorkers { // a live worker in slow start is among them
+	for _, w := range d.pendingWorkers { // every live worker in slow start is pending
 		if w.state == Live && d.inSlowStart(w) {
 			workers++
 			weight += d.slowStartWeight(w)
@@ -159,7 +161,8 @@
 	return workers, weight
 }
 
-// countLost returns how many workers are lost, and forgets those that are back and warm.
+// countLost returns how many workers are lost, and drops from lostWorkers those that are back and past
+// slow start.
 func (d *Dispatcher) countLost() int {
 	d.workersExamined += len(d.lostWorkers)
 	d.lostWorkers = slices.DeleteFunc(d.lostWorkers, func(w *worker) bool {
@@ -170,8 +173,8 @@
 	return len(d.lostWorkers)
 }
 
-// forgetRemoved drops the workers that have been removed since before a time, once nothing is
-// counted there: a fleet that replaces its workers for months must not cost more by the day.
+// deleteRemoved deletes the workers that were removed before a time and have neither attempts in flight nor
+// external slots. Otherwise a fleet that replaces its workers for months would cost more every day.
 func (d *Dispatcher) deleteRemoved(before int64) {
 	d.workersExamined += len(d.removedWorkers)
 	var expired []*worker
@@ -199,7 +202,7 @@
 	}
 }
 
-// forgetWorker drops a worker from all but the list.
+// deleteWorker deletes a worker from the index, except from workerOrder and removedWorkers.
 func (d *Dispatcher) deleteWorker(w *worker) {
 	w.deleted, w.lost = true, false
 	delete(d.workers, w.id)
--- a/health.go
+++ b/health.go
@@ -1,10 +1,11 @@
 package foxlift
 
-// What attempts teach of their workers: capacity, failures that eject a worker, and slow start.
+// How attempts update the state of their workers: concurrency limit, ejection after failures, slow start.
 
 import "github.com/vatu-meals/foxlift/internal/decision/health"
 
-// recordSend counts a job just sent.
+// recordSend counts an attempt that was just sent: in the usage, connections, cached keys and slow start of
+// its worker.
 func (d *Dispatcher) recordSend(w *worker, a *attempt) {
 	d.countAttempt(a, 1)
 	w.connections.open = max(w.connections.open, w.inFlightJobs)
@@ -17,12 +18,12 @@
 	d.updateLevel(w)
 }
 
-// recordStart learns from the delay before a job started. A late start is as a rejection: the worker had
-// no free slot for it.
+// recordStart updates a worker's capacity and health from the delay between sending an attempt and its
+// start. A late start counts like a rejection: the worker had no free slot for the job.
 func (d *Dispatcher) recordStart(a *attempt) {
 	w, delay := a.worker, d.now-a.sentAt
 	d.capacity.startDelays.Record(delay)
-	if d.manyDispatchers() { // a few learn each worker's limit by itself
+	if d.manyDispatchers() { // few dispatchers learn the limit of each worker separately
 		delay = d.capacity.startDelays.Excess(a.path, delay)
 	}
 	w.outlier.RecordStart(d.now, delay < d.tickInterval)
@@ -35,7 +36,8 @@
 	d.updateLevel(w)
 }
 
-// adjustCapacity moves the worker's limit and the fleet's window after an answer.
+// adjustCapacity lowers the worker's concurrency limit and the fleet's start window if a job was late or
+// rejected, and raises them if it was not and they were nearly used up.
 func (d *Dispatcher) adjustCapacity(w *worker, late bool) {
 	if late {
 		w.limit.Decrease(w.usedSlots)
@@ -47,7 +49,7 @@
 	d.updateLimitSum(w)
 }
 
-// recordOutcome takes the end of an attempt into the counts and into what is known of its worker.
+// recordOutcome updates the usage, capacity and health of an attempt's worker when the attempt ends.
 func (d *Dispatcher) recordOutcome(a *attempt, e *Event) {
 	w, j := a.worker, a.job
 	a.mayHaveRun = !e.Code.NeverRan()
@@ -61,14 +63,15 @@
 	case Served:
 		d.recordServed(a, e.Took)
 	case Saturated:
-		w.acceptedAt = 0 // it may be draining
+		w.acceptedAt = 0 // the worker may be draining
 		d.adjustCapacity(w, true)
 		d.backoffWorker(w, j)
 	case Unreachable:
 		w.connections.open = w.inFlightJobs
 		d.eject(w)
 	case WorkerError, Reset:
-		// Of many dispatchers each meets a worker seldom: it cannot wait for a run of errors.
+		// Each of many dispatchers sends to a worker too seldom to wait for a run of errors, so each
+		// failure weighs more.
 		if w.outlier.RecordFailure(min(0.2*d.fleetScale, 0.5)) {
 			d.eject(w)
 		}
@@ -77,10 +80,10 @@
 		}
 	case DeadlineExceeded, Cancelled:
 		if a.startedAt != 0 {
-			break // it was at work
+			break // the worker was running the job
 		}
 		if d.manyDispatchers() && w.outlier.Rejections() < 2 && d.now-a.sentAt < j.objective/4 {
-			d.backoffWorker(w, j) // it was moved early: the worker has a queue, or hangs
+			d.backoffWorker(w, j) // the job was moved early: the worker has a queue, or hangs
 		} else {
 			d.eject(w)
 		}
@@ -88,7 +91,8 @@
 	d.updateLevel(w)
 }
 
-// recordServed learns from an attempt that was served.
+// recordServed updates the class's running times and latency loop, and the worker's health and capacity,
+// from an attempt that was served. took is the running time in nanoseconds, used if no start was reported.
 func (d *Dispatcher) recordServed(a *attempt, took int64) {
 	w, j := a.worker, a.job
 	d.recordAccepted(a)
@@ -103,11 +107,11 @@
 	w.latencyRatio += (ratio - w.latencyRatio) / latencyRatioWeight
 	w.outlier.RecordSuccess()
 	if !d.inSlowStart(w) {
-		// Not what was sent: jobs that were shed are no measure of capacity.
+		// The rate counts jobs served rather than sent: jobs that were shed do not show capacity.
 		d.capacity.slowStart.Rate().RecordServed(a.slots, took)
 	}
 	if d.manyDispatchers() {
-		d.capacity.reported.add(w) // a slot has just come free there, on a connection that stays open
+		d.capacity.reported.add(w) // it has just freed a slot, on a connection that stays open
 	}
 	if !d.cfg.StartNotes {
 		d.adjustCapacity(w, d.now-j.arrivedAt > j.objective)
@@ -115,37 +119,38 @@
 }
 
 const (
-	maxLatencyRatio    = 4  // that one job counts for in a worker's latency ratio
-	latencyRatioWeight = 16 // jobs after which the ratio has mostly followed
+	maxLatencyRatio    = 4  // most that one job counts in a worker's latency ratio
+	latencyRatioWeight = 16 // a job moves the ratio by 1/16 of its difference from it
 )
 
-// backoffWorker keeps jobs from a worker that has no free slot now.
+// backoffWorker pauses a worker that has no free slot now, for a time based on the class's running time.
 func (d *Dispatcher) backoffWorker(w *worker, j *job) {
 	w.outlier.Backoff(d.now, j.class.runtimes.Median(), d.rng)
 }
 
-// eject keeps jobs from a worker that has failed for a while.
+// eject pauses a worker that has failed, then allows it one trial job. The backoff is at least the usual
+// start delay, and a second for many dispatchers.
 func (d *Dispatcher) eject(w *worker) {
 	minBackoff := d.capacity.startDelays.Bound(4)
 	if d.manyDispatchers() {
 		minBackoff = max(minBackoff, second)
 	}
-	// Trials add up over the dispatchers.
+	// Each dispatcher sends trial jobs of its own: the more there are, the longer each backs off.
 	maxBackoff := 4 * int64(min(d.fleetScale, 4)) * second
 	w.outlier.Eject(d.now, max(minBackoff, d.tickInterval), maxBackoff, d.rng)
 }
 
-// inSlowStart reports whether a worker is still warming up.
+// inSlowStart reports whether a worker is in slow start.
 func (d *Dispatcher) inSlowStart(w *worker) bool {
 	return d.capacity.slowStart.Active(&w.warmup, d.now)
 }
 
-// slowStartWeight is the fraction of its capacity that a worker is sure to have.
+// slowStartWeight returns the fraction of its capacity that a worker is sure to have: 1 after slow start.
 func (d *Dispatcher) slowStartWeight(w *worker) float64 {
 	return d.capacity.slowStart.Weight(&w.warmup, d.now)
 }
 
-// minMedianRuntime is the median running time of the class that has the least.
+// minMedianRuntime returns the shortest median running time of any class, in nanoseconds.
 func (d *Dispatcher) minMedianRuntime() int64 {
 	runtime := d.classes[0].runtimes.Median()
 	for i := range d.classes {
@@ -154,7 +159,8 @@
 	return runtime
 }
 
-// updateLevel moves a worker to where it belongs in the free lists.
+// updateLevel moves a worker to the free list of its used slots, or out of the lists if it may get no job
+// now. A worker whose level time alone may change is marked pending.
 func (d *Dispatcher) updateLevel(w *worker) {
 	level := -1
 	if w.state == Live && w.overdue == 0 && !w.outlier.Paused(d.now) &&
--- a/health_checks.go
+++ b/health_checks.go
@@ -1,17 +1,17 @@
 package foxlift
 
-// Health checks before placement: whether workers are asked for their load while a job waits.
+// Health checks before placement: when a job waits while some workers are asked for their load.
 
 import "slices"
 
 const (
-	saturatedPressure = 0.8 // usual pressure at which asking finds no room and only adds work
-	workersPerCheck   = 2   // workers that are asked for one job
+	saturatedPressure = 0.8 // fleet pressure above which checks find no free slot and only add load
+	workersPerCheck   = 2   // workers that are checked for one job
 )
 
-// requestHealthChecks lets a job wait a moment while two workers are asked for their load, where no two
-// with room have reported lately: a quiet dispatcher knows of the fleet only what was true many jobs ago.
-// The answers make those workers the last that reported. It reports whether the job waits.
+// requestHealthChecks asks two random workers for their load while a job waits, unless two workers with a
+// free slot have reported lately. A dispatcher with little traffic has only outdated load reports. The
+// answers put the workers into recentReports, which placement considers. It reports whether the job waits.
 func (d *Dispatcher) requestHealthChecks(j *job) bool {
 	if d.hasCompleteUsage() || !d.cfg.MayHealthCheck || len(d.cfg.Gauges) == 0 ||
 		len(d.liveWorkers) <= len(d.capacity.reported.workers) ||
@@ -31,7 +31,8 @@
 	return j.healthChecks > 0
 }
 
-// recentlyFreeWorkers returns how many of the workers that reported last have room and none of our jobs.
+// recentlyFreeWorkers returns how many workers of recentReports have a fresh report that shows a free slot,
+// and run no job of this dispatcher.
 func (d *Dispatcher) recentlyFreeWorkers() (n int) {
 	reports := &d.capacity.reports
 	for _, w := range d.capacity.reported.workers {
@@ -42,7 +43,8 @@
 	return n
 }
 
-// onHealthChecked ends the wait of the jobs that were waiting for an answer.
+// onHealthChecked records the load that a checked worker reports, and ends the wait of all jobs that wait
+// for a check.
 func (d *Dispatcher) onHealthChecked(e *Event) {
 	w := d.workers[e.Worker]
 	if w == nil {
@@ -51,11 +53,11 @@
 	if e.Code == Served && e.HasLoad {
 		d.recordLoad(w, e)
 	}
-	d.markPending(w) // it may have more slots than was known
+	d.markPending(w) // it may have reported more slots than before
 	d.finishHealthChecks(func(j *job) bool { return true })
 }
 
-// finishHealthChecks queues the jobs whose health checks are done.
+// finishHealthChecks queues the waiting jobs for which done returns true, and drops those that have ended.
 func (d *Dispatcher) finishHealthChecks(done func(*job) bool) {
 	d.jobs.awaitingHealthCheck = slices.DeleteFunc(d.jobs.awaitingHealthCheck, func(j *job) bool {
 		if !j.ended && !done(j) {
--- a/internal/decision/capacity/mean.go
+++ b/internal/decision/capacity/mean.go
@@ -1,15 +1,15 @@
 package capacity
 
-// A mean that follows its values. Nothing is decided here.
+// An exponentially weighted moving mean. Nothing is decided here.
 
 import "math"
 
-const meanWeight = 64 // values after which a mean has mostly followed
+const meanWeight = 64 // a new value has weight 1/64
 
-// A MovingMean follows an average and the mean deviation from it.
+// A MovingMean is an exponentially weighted average and mean absolute deviation. The zero value is empty.
 type MovingMean struct{ Average, Deviation float64 }
 
-// Add takes a value into the mean.
+// Add adds a value. The first one sets the average, and the deviation to half of it.
 func (m *MovingMean) Add(value float64) {
 	if m.Average == 0 {
 		m.Average, m.Deviation = value, value/2
@@ -19,7 +19,7 @@
 	m.Average += (value - m.Average) / meanWeight
 }
 
-// Bound returns the average and so many mean deviations.
+// Bound returns the average plus a number of mean deviations, truncated.
 func (m *MovingMean) Bound(deviations float64) int64 {
 	return int64(m.Average + deviations*m.Deviation)
 }
--- a/internal/decision/capacity/report.go
+++ b/internal/decision/capacity/report.go
@@ -8,47 +8,47 @@
 // The gauges that a load report may hold.
 const (
 	GaugeUnknown    Gauge = iota
-	GaugeInFlight         // requests that the worker has
-	GaugeQueued           // requests waiting there
-	GaugeBusy             // fraction of its cores that is busy
+	GaugeInFlight         // requests at the worker, queued or running
+	GaugeQueued           // requests queued at the worker
+	GaugeBusy             // fraction of its cores in use, 0 to 1
 	GaugeLatency          // recent service time in milliseconds
-	GaugeThroughput       // requests served a second
-	GaugeErrors           // errors a second
+	GaugeThroughput       // requests served per second
+	GaugeErrors           // errors per second
 	GaugeFreeSlots
 	GaugeFreeMemory
 )
 
-// MaxGauges is the most values that a load report may hold.
+// MaxGauges is the maximum number of values in a load report.
 const MaxGauges = 4
 
-// A LoadReport is the last that a worker has reported of its load.
+// A LoadReport is the last load report of a worker.
 type LoadReport struct {
 	gauges     [MaxGauges]float64
-	valid      bool    // there is a report of this run of the worker
-	sentSlots  float64 // slots sent since then
+	valid      bool    // there is a report from the current process of the worker
+	sentSlots  float64 // slots sent since the report, less those freed
 	receivedAt int64
-	totalSlots float64 // that the worker has, as its reports tell; 0: unknown
+	totalSlots float64 // total slots of the worker, from its reports; 0: unknown
 }
 
-// Valid reports whether there is a report.
+// Valid reports whether there is a report from the current process of the worker.
 func (r *LoadReport) Valid() bool { return r.valid }
 
-// At returns when it came.
+// ReceivedAt returns when the last report was received.
 func (r *LoadReport) ReceivedAt() int64 { return r.receivedAt }
 
-// CountSlots notes slots that are sent to the worker, or with a negative count are free again.
+// AddSentSlots counts slots of jobs sent to the worker since the report; a negative count is of slots freed.
 func (r *LoadReport) AddSentSlots(slots float64) { r.sentSlots += slots }
 
-// Invalidate forgets the report of a process that is no more.
+// Invalidate discards the report after the worker's process has ended. The total slots stay.
 func (r *LoadReport) Invalidate() { r.valid, r.sentSlots = false, 0 }
 
-// TotalSlots returns the slots that the worker has, as its reports tell; 0: unknown.
+// TotalSlots returns the slots that the worker has according to its reports; 0: unknown.
 func (r *LoadReport) TotalSlots() float64 { return r.totalSlots }
 
-// RestoreTotalSlots sets the slots that the worker has.
+// RestoreTotalSlots sets the total slots of the worker.
 func (r *LoadReport) RestoreTotalSlots(slots float64) { r.totalSlots = slots }
 
-// MaxSlots is the most that the worker can have at work.
+// MaxSlots returns the most slots that the worker can have in use: TotalSlots, or infinity if unknown.
 func (r *LoadReport) MaxSlots() float64 {
 	if r.totalSlots == 0 {
 		return math.Inf(1)
@@ -56,33 +56,34 @@
 	return r.totalSlots
 }
 
-// Reports reads the load reports of all workers, and follows the pressure that is usual.
+// Reports interprets the load reports of all workers and keeps the average pressure of the fleet.
 type Reports struct {
-	gauges        []Gauge // what a report holds
+	gauges        []Gauge // the values of a report, in order
 	fleetPressure MovingMean
-	decayTime     int64 // time in which a report loses its meaning
+	decayTime     int64 // time in which the weight of a report falls to 1/e, nanoseconds
 }
 
 const second = int64(1e9)
 
-// NewReports returns the reader of reports that hold some gauges.
+// NewReports returns Reports for load reports that hold the given gauges, in this order.
 func NewReports(gauges []Gauge) Reports { return Reports{gauges: gauges, decayTime: second} }
 
-// FleetAverage returns the pressure that all workers' reports show.
+// FleetPressure returns the moving mean of the pressure in all workers' reports.
 func (p *Reports) FleetPressure() MovingMean { return p.fleetPressure }
 
-// Decay returns the time in which a report loses its meaning.
+// DecayTime returns the time in which the weight of a report falls to 1/e.
 func (p *Reports) DecayTime() int64 { return p.decayTime }
 
-// SetDecay sets the time in which a report loses its meaning.
+// SetDecayTime sets the time in which the weight of a report falls to 1/e.
 func (p *Reports) SetDecayTime(decayTime int64) { p.decayTime = decayTime }
 
-// Restore takes over another's usual pressure and decay.
+// Restore sets the average pressure and the decay time.
 func (p *Reports) Restore(fleetPressure MovingMean, decayTime int64) {
 	p.fleetPressure, p.decayTime = fleetPressure, decayTime
 }
 
-// Record takes over what a worker reports.
+// Record stores a worker's report in r and updates the fleet's average pressure. If the report holds the
+// requests in flight, queued requests and free slots, it raises the worker's total slots to what they give.
 func (p *Reports) Record(r *LoadReport, gauges [MaxGauges]float64, now int64) {
 	r.gauges, r.valid, r.sentSlots, r.receivedAt = gauges, true, 0, now
 	var values [GaugeFreeMemory + 1]float64
@@ -100,8 +101,9 @@
 	p.fleetPressure.Add(p.ReportPressure(r, 1))
 }
 
-// Pressure guesses from a worker's report how likely a job of so many slots waits there: 0 to 1. An old
-// report tells little, since the jobs it counted have ended: it fades towards what is usual in the fleet.
+// Pressure estimates how likely a job of so many slots has to wait at a worker, 0 to 1, from the worker's
+// report. With the report's age the estimate decays to the fleet's average, since the jobs that the report
+// counted have ended.
 func (p *Reports) Pressure(r *LoadReport, slots float64, now int64) float64 {
 	if !r.valid {
 		return p.fleetPressure.Average
@@ -110,7 +112,7 @@
 	return p.fleetPressure.Average + (p.ReportPressure(r, slots)-p.fleetPressure.Average)*math.Exp(-age)
 }
 
-// Reported is the pressure that a report shows.
+// ReportPressure returns the pressure that a report shows for a job of so many slots, 0 to 1, at any age.
 func (p *Reports) ReportPressure(r *LoadReport, slots float64) float64 {
 	pressure, queueKnown := 0.0, false
 	for i, g := range p.gauges {
@@ -130,5 +132,5 @@
 	return min(pressure, 1)
 }
 
-// Recent reports whether a report still tells almost as much as when it came.
+// Fresh reports whether a report is younger than an eighth of the decay time: it has lost little weight.
 func (p *Reports) Fresh(r *LoadReport, now int64) bool { return now-r.receivedAt < p.decayTime/8 }
--- a/internal/decision/capacity/window.go
+++ b/internal/decision/capacity/window.go
@@ -1,70 +1,71 @@
 package capacity
 
 const (
-	targetLateFraction = 0.25 // fraction of late starts at which the window stays
-	windowGain         = 0.01 // fraction of the window that one start moves it by, at most
-	maxGainScale       = 8    // times the gain of few dispatchers
+	targetLateFraction = 0.25 // fraction of late starts at which the window is stable
+	windowGain         = 0.01 // fraction of the window that a late start takes off, with few dispatchers
+	maxGainScale       = 8    // largest multiple of windowGain, for many dispatchers
 )
 
-// A StartWindow is how many slots the whole fleet starts without delay, as learned from each start.
+// A StartWindow estimates how many slots the whole fleet can have in use without delaying starts. Each start
+// updates it.
 type StartWindow struct {
 	slots float64
 	gain  float64
 }
 
-// NewStartWindow returns the window in a fleet that has fleetScale times more dispatchers than learn
-// enough from their own jobs: each of many sees fewer starts.
+// NewStartWindow returns an unknown window. fleetScale is how many times more dispatchers the fleet has than
+// can each learn enough from their own jobs: with more dispatchers each sees fewer starts, so the gain is
+// higher.
 func NewStartWindow(fleetScale float64) StartWindow {
 	return StartWindow{gain: windowGain * min(fleetScale, maxGainScale)}
 }
 
-// Slots returns the window; 0: nothing is known yet.
+// Slots returns the window in slots; 0: not known yet.
 func (w *StartWindow) Slots() float64 { return w.slots }
 
-// Set sets the window.
+// Set sets the window in slots.
 func (w *StartWindow) Set(slots float64) { w.slots = slots }
 
-// RecordLate notes that a job had to wait while so many slots were in flight.
+// RecordLate shrinks the window after a job had to wait while occupied slots were in flight.
 func (w *StartWindow) RecordLate(occupied float64) {
 	w.slots = max(1, min(w.slots, 2*occupied)*(1-w.gain))
 }
 
-// RecordPrompt notes that a job did not wait while so many slots were in flight.
+// RecordPrompt grows the window after a job did not wait, if at least half of the window was in flight.
 func (w *StartWindow) RecordPrompt(occupied float64) {
 	if occupied >= w.slots/2 {
 		w.slots += w.slots * w.gain * targetLateFraction / (1 - targetLateFraction)
 	}
 }
 
-// Paths is the number of ways that an attempt may go: over a new connection or not, to another zone or
-// not.
+// NumPaths is the number of paths of an attempt: over a new connection or not, to another zone or not.
 const NumPaths = 4
 
-// StartDelays is the delay from sending an attempt to its start.
+// StartDelays keeps statistics of the delay from sending an attempt to its start, in nanoseconds.
 type StartDelays struct {
 	mean MovingMean
-	min  [NumPaths]int64 // by way; 0: none yet
+	min  [NumPaths]int64 // by path; 0: none yet
 }
 
-// Mean returns the delay's average and deviation.
+// Mean returns the average delay and its mean deviation.
 func (s *StartDelays) Mean() MovingMean { return s.mean }
 
-// Min returns the least delay of each way.
+// Min returns the shortest delay of each path; 0: none yet.
 func (s *StartDelays) Min() [NumPaths]int64 { return s.min }
 
-// Restore takes over another's delays.
+// Restore sets the mean and the shortest delay of each path.
 func (s *StartDelays) Restore(mean MovingMean, minimum [NumPaths]int64) {
 	s.mean, s.min = mean, minimum
 }
 
-// Bound returns the average delay and so many mean deviations.
+// Bound returns the average delay plus a number of mean deviations.
 func (s *StartDelays) Bound(deviations float64) int64 { return s.mean.Bound(deviations) }
 
-// Record notes an attempt's delay to its start.
+// Record adds an attempt's delay to the mean.
 func (s *StartDelays) Record(delay int64) { s.mean.Add(float64(delay)) }
 
-// Excess returns a delay less the least that the same way has taken: a handshake with another zone may
-// take longer than a job waits.
+// Excess returns a delay less the shortest one of the same path, which it updates. Without this a handshake
+// with another zone, which may take longer than a job waits for a slot, would count as waiting.
 func (s *StartDelays) Excess(path int, delay int64) int64 {
 	if minimum := &s.min[path]; *minimum == 0 || delay < *minimum {
 		*minimum = max(1, delay)
--- a/internal/decision/health/outlier.go
+++ b/internal/decision/health/outlier.go
@@ -1,6 +1,6 @@
-// Package health judges single workers by what became of the attempts there: outliers are ejected for a
-// backoff (Outlier), and workers in slow start are sent no more than they bear (SlowStart, with the Warmup
-// of each worker and the WorkerRate of the warm ones).
+// Package health tracks the health of single workers from the outcomes of attempts there. Workers that fail
+// are ejected for a backoff (Outlier). Workers in slow start are sent no more work than they can do without
+// overload (SlowStart, with the Warmup of each worker and the WorkerRate of warm workers).
 //
 // Times are in nanoseconds on the dispatcher's clock; they and the source of randomness are passed in.
 package health
@@ -13,49 +13,50 @@
 const (
 	second = int64(1e9)
 
-	maxFailureRate       = 0.4 // fraction of failures among a worker's late attempts that is no chance
-	maxCountedRejections = 3   // in a row, that lengthen a backoff
+	maxFailureRate       = 0.4 // moving fraction of failed attempts above which a worker is an outlier
+	maxCountedRejections = 3   // consecutive rejections up to which the backoff doubles
 
-	// UnprovenCost is what a worker weighs, in jobs there, where our last job found no room.
+	// NoFreeSlotCost is the cost of a worker, in jobs in flight there, where this dispatcher's last job found no
+	// free slot or failed.
 	NoFreeSlotCost = 3.0
 )
 
-// An Outlier is what a worker's answers tell of its health. It gets nothing while it is ejected, and then
-// one trial job, until it answers.
+// An Outlier tracks a worker's health from its responses. An ejected worker is paused, and then gets one
+// trial job at a time until it proves healthy.
 type Outlier struct{ state OutlierState }
 
-// An OutlierState is what is known of a worker's health.
+// An OutlierState is the health state of a worker.
 type OutlierState struct {
-	PausedUntil           int64 // it gets nothing before this
-	Backoff               int64 // the last one after a failure
-	Trial                 bool  // one job only, until it answers
+	PausedUntil           int64 // it gets no job before this time
+	Backoff               int64 // length of the last ejection; 0: none since it was healthy
+	Trial                 bool  // it gets one job at a time
 	ConsecutiveRejections int
-	PromptStartAt         int64 // when it last started one of our jobs at once,
-	LastFaultAt           int64 // and when it last had no room for one, or failed it
+	PromptStartAt         int64 // when it last started a job of this dispatcher at once
+	LastFaultAt           int64 // when it last had no free slot for one, or failed one
 	FailureRate           float64
 }
 
-// State returns what is known.
+// State returns the health state.
 func (o *Outlier) State() OutlierState { return o.state }
 
-// Restore takes over what was known.
+// Restore sets the health state.
 func (o *Outlier) Restore(s OutlierState) { o.state = s }
 
-// Reset forgets what was learned of a process that is no more.
+// Reset discards the state of a process that has ended, except for the count of consecutive rejections.
 func (o *Outlier) Reset() {
 	o.state = OutlierState{ConsecutiveRejections: o.state.ConsecutiveRejections}
 }
 
-// Paused reports whether the worker gets nothing now.
+// Paused reports whether the worker gets no job now.
 func (o *Outlier) Paused(now int64) bool { return now < o.state.PausedUntil }
 
-// OnTrial reports whether the worker gets one job only, until it answers.
+// OnTrial reports whether the worker was ejected and gets one job at a time until it proves healthy.
 func (o *Outlier) OnTrial() bool { return o.state.Trial }
 
-// Rejections returns how many jobs in a row the worker has rejected, up to a bound.
+// Rejections returns the number of consecutive rejections, at most maxCountedRejections.
 func (o *Outlier) Rejections() int { return o.state.ConsecutiveRejections }
 
-// RecordStart notes that a job has started, at once or after it has waited there.
+// RecordStart records that a job has started, either at once (prompt) or after it waited at the worker.
 func (o *Outlier) RecordStart(now int64, prompt bool) {
 	if prompt {
 		o.state.PromptStartAt = now
@@ -64,8 +65,8 @@
 	}
 }
 
-// RecordTimelyStart notes that a job has not started late. A worker that fails what it starts shows its
-// health at the end.
+// RecordTimelyStart records that a job did not start late. It ends a trial and resets the backoff only if the
+// failure rate is low: a worker that fails the jobs that it starts shows its health only at their end.
 func (o *Outlier) RecordTimelyStart() {
 	o.state.ConsecutiveRejections = 0
 	if o.state.FailureRate <= maxFailureRate {
@@ -73,25 +74,26 @@
 	}
 }
 
-// RecordSuccess notes that a job was served.
+// RecordSuccess records that a job was served, which ends a trial and resets the backoff.
 func (o *Outlier) RecordSuccess() {
 	o.state.FailureRate *= 0.8
 	o.state.Trial, o.state.Backoff = false, 0
 }
 
-// RecordFailure notes that a job has failed, which counts for so much of the failure rate. It reports
-// whether the worker is an outlier: one error is chance; a run of them is a worker that empties its count
-// fast and so would draw every job.
+// RecordFailure records that a job has failed, with a weight (0 to 1) in the failure rate. It reports whether
+// the worker is an outlier and should be ejected. One error may be chance, but a worker that fails every job
+// fast has few in flight and would attract all jobs. On trial one failure is enough.
 func (o *Outlier) RecordFailure(weight float64) (outlier bool) {
 	o.state.FailureRate += (1 - o.state.FailureRate) * weight
 	return o.state.FailureRate > maxFailureRate || o.state.Trial
 }
 
-// Failing reports whether the worker's failures are no chance.
+// Failing reports whether the failure rate is too high to be chance.
 func (o *Outlier) Failing() bool { return o.state.FailureRate >= maxFailureRate }
 
-// Backoff keeps jobs from a worker that has no room now: by our count it looks free, and would draw the
-// next one. The pause goes with a job's running time.
+// Backoff pauses a worker that has no free slot now: by this dispatcher's own count it looks free and would
+// attract the next job. The pause is proportional to a job's running time and doubles with each consecutive
+// rejection, up to a bound.
 func (o *Outlier) Backoff(now, runtime int64, rng *rand.Rand) {
 	o.state.ConsecutiveRejections = min(o.state.ConsecutiveRejections+1, maxCountedRejections)
 	pause := runtime / 8 << o.state.ConsecutiveRejections
@@ -99,17 +101,18 @@
 	o.state.PausedUntil = now + pause/2 + rng.Int64N(pause/2+1)
 }
 
-// Eject keeps jobs from a worker for a while that doubles each time, between bounds, then lets one job
-// try it.
+// Eject pauses a worker for a backoff that doubles each time, between bounds, plus a random part of up to
+// half of it. Then the worker is on trial.
 func (o *Outlier) Eject(now, minBackoff, maxBackoff int64, rng *rand.Rand) {
 	o.state.Backoff = min(max(2*o.state.Backoff, minBackoff), maxBackoff)
 	o.state.PausedUntil = now + o.state.Backoff + rng.Int64N(o.state.Backoff/2+1)
 	o.state.Trial, o.state.LastFaultAt = true, now
 }
 
-// Cost rates, in jobs there, how likely a job finds no slot free at the worker. What the last of ours
-// found holds for long: of jobs sent where it had started at once 65 in 100 did in the next second and 45
-// later on, 24 where none of ours had been, 12 where it had not.
+// Cost estimates how likely a job finds no free slot at the worker, as an equivalent number of jobs in flight
+// there. It is based on this dispatcher's last job at the worker, which predicts for long. If that job had
+// started at once, 65 in 100 jobs did so in the next second and 45 in 100 later on. Where no job had been
+// sent, 24 in 100 did, and where the last job had not started at once, 12 in 100.
 func (o *Outlier) Cost(now int64) float64 {
 	switch {
 	case o.state.LastFaultAt > o.state.PromptStartAt:
--- a/internal/decision/health/slow_start.go
+++ b/internal/decision/health/slow_start.go
@@ -7,66 +7,66 @@
 	"github.com/vatu-meals/foxlift/internal/slowstart"
 )
 
-// A Warmup is the slow start of one run of a worker.
+// A Warmup is the slow-start state of one process of a worker.
 type Warmup struct {
 	hash       uint64  // of the worker's ID
-	startedAt  int64   // when it started; 0: long ago; -1: not known yet
-	lastSentAt int64   // the last send while it was in slow start,
-	work       float64 // and the work that it must have had time for before the next
+	startedAt  int64   // when the process started; 0: long ago; -1: not known yet
+	lastSentAt int64   // time of the last send in slow start
+	work       float64 // work that the worker must have had time for before the next send
 }
 
-// NewWarmup returns the warmup of a worker of which only the hash of its ID is known.
+// NewWarmup returns the state of a worker whose start is not known yet; hash is that of its ID.
 func NewWarmup(hash uint64) Warmup { return Warmup{hash: hash, startedAt: -1} }
 
-// StartedAt returns when the worker started; 0: long ago.
+// StartedAt returns when the worker started; 0: long ago; -1: not known yet.
 func (w *Warmup) StartedAt() int64 { return w.startedAt }
 
-// Restart notes that the worker has started at a time.
+// Restart sets the time at which the worker started.
 func (w *Warmup) Restart(at int64) { w.startedAt = at }
 
 // LastSend returns when the worker was last sent work in slow start, and the work that it must have had
 // time for before the next.
 func (w *Warmup) LastSend() (at int64, work float64) { return w.lastSentAt, w.work }
 
-// RestoreLastSend takes over what LastSend has returned.
+// RestoreLastSend sets the values that LastSend returns.
 func (w *Warmup) RestoreLastSend(at int64, work float64) { w.lastSentAt, w.work = at, work }
 
-// A SlowStartConfig says how workers warm up. From the moment that a worker starts its capacity grows
-// evenly to the whole.
+// A SlowStartConfig describes how workers warm up. From its start a worker's capacity grows linearly to its
+// full capacity.
 type SlowStartConfig struct {
-	Capacity         float64 // fraction that a worker starts with
-	Duration         int64
-	OverloadMultiple float64         // of what a worker can do, that overloads it
-	MinObjective     float64         // the least latency objective: the work of a light job
-	Slots            slowstart.Slots // in which this scheduler may send where no rate is known
+	Capacity         float64         // fraction of the full capacity at the start of a worker
+	Duration         int64           // of slow start, nanoseconds
+	OverloadMultiple float64         // multiple of its current capacity that overloads a worker
+	MinObjective     float64         // shortest latency objective, nanoseconds: the work of a light job
+	Slots            slowstart.Slots // slots in which this scheduler may send while no rate is known
 }
 
-// A SlowStart says what workers bear that are warming up.
+// A SlowStart limits the work that is sent to workers in slow start.
 type SlowStart struct {
 	config SlowStartConfig
 	rate   WorkerRate
 }
 
-// A Job is what a job weighs at a worker in slow start.
+// A Job holds the properties of a job that determine its work at a worker in slow start.
 type Job struct {
 	Slots              float64
-	Runtime, Objective int64 // the median running time and the latency objective of its class
+	Runtime, Objective int64 // of its class: median running time and latency objective
 }
 
-// NewSlowStart returns the slow start of workers where no rate is known yet.
+// NewSlowStart returns a SlowStart. rate is the rate of warm workers; its peak is 0 while none is known.
 func NewSlowStart(c SlowStartConfig, rate WorkerRate) SlowStart {
 	return SlowStart{config: c, rate: rate}
 }
 
-// Rate returns the rate of the workers that are not in slow start.
+// Rate returns the rate of warm workers, those past slow start.
 func (s *SlowStart) Rate() *WorkerRate { return &s.rate }
 
-// Active reports whether a worker is still warming up.
+// Active reports whether a worker is in slow start.
 func (s *SlowStart) Active(w *Warmup, now int64) bool {
 	return w.startedAt != 0 && now-w.startedAt < s.config.Duration
 }
 
-// Until returns from when on a worker is not in slow start.
+// EndsAt returns when a worker's slow start ends: math.MinInt64 if it started long ago. It does not overflow.
 func (s *SlowStart) EndsAt(w *Warmup) int64 {
 	switch {
 	case w.startedAt == 0:
@@ -77,7 +77,7 @@
 	return w.startedAt + s.config.Duration
 }
 
-// Weight is the fraction of its capacity that a worker is sure to have.
+// Weight returns the fraction of its full capacity that a worker is sure to have: 1 after slow start.
 func (s *SlowStart) Weight(w *Warmup, now int64) float64 {
 	if !s.Active(w, now) {
 		return 1
@@ -86,8 +86,10 @@
 	return s.config.Capacity + (1-s.config.Capacity)*min(max(age, 0), 1)
 }
 
-// Ready reports whether a worker in slow start may get our next job: it has had time, since our last,
-// for our part of what it can do while it warms up, and more: all send about what it bears.
+// Ready reports whether a worker in slow start may get this dispatcher's next job. If a rate is known, the
+// worker must have had time since the last send for the work sent. It is taken to do this dispatcher's part
+// of its current capacity, times half of OverloadMultiple if that is more than 1: so all dispatchers together
+// send about what it tolerates.
 func (s *SlowStart) Ready(w *Warmup, now int64) bool {
 	if s.NeedsSlot(w, now) {
 		return s.Admits(w, now, s.config.MinObjective)
@@ -98,23 +100,24 @@
 	return s.rate.peak*max(1, s.config.OverloadMultiple/2)*possibleWork >= w.work
 }
 
-// Holds reports whether a worker is warming up and may not get our next job yet.
+// Defers reports whether a worker is in slow start and may not get this dispatcher's next job yet.
 func (s *SlowStart) Defers(w *Warmup, now int64) bool { return s.Active(w, now) && !s.Ready(w, now) }
 
-// NeedsSlot reports whether a worker is still warming up and no rate is known for it: then each scheduler
-// may send to it in time slots of its own.
+// NeedsSlot reports whether a worker is in slow start while no rate of warm workers is known. Then each
+// scheduler may send to the worker only in its own time slots.
 func (s *SlowStart) NeedsSlot(w *Warmup, now int64) bool { return s.rate.peak <= 0 && s.Active(w, now) }
 
-// Admits reports whether a worker that needs a slot may get so much work: in a slot of this scheduler one
-// light job, as it warms up more, in some slots a heavier one.
+// Admits reports whether a worker that needs a time slot may get a job of so much work now. A slot of this
+// scheduler admits one light job, more work as the worker warms up, and in some slots a single heavier job.
 func (s *SlowStart) Admits(w *Warmup, now int64, work float64) bool {
 	sent, slot := s.sentInSlot(w, now), s.config.Slots.At(now)
-	maxWork := s.config.MinObjective * s.Weight(w, now) / s.config.Capacity // in a slot
+	maxWork := s.config.MinObjective * s.Weight(w, now) / s.config.Capacity // per slot
 	return s.config.Slots.Owned(slot, w.hash) &&
 		(sent+work <= maxWork || sent == 0 && s.config.Slots.AllowsHeavy(slot, w.hash, work/maxWork))
 }
 
-// sentInSlot is the work that a worker that needs a slot has been sent in this one; 0 for others.
+// sentInSlot returns the work that this scheduler has sent in the current time slot to a worker that needs
+// one; 0 for other workers.
 func (s *SlowStart) sentInSlot(w *Warmup, now int64) float64 {
 	if !s.NeedsSlot(w, now) || s.config.Slots.At(w.lastSentAt) != s.config.Slots.At(now) {
 		return 0
@@ -122,14 +125,15 @@
 	return w.work
 }
 
-// Work is what a job of so many slots counts for at a worker that needs a slot. It goes by the job's
-// latency objective: running times are long where a worker is cold. Objectives tell little of how much
-// heavier one is than another, so the rest counts twice.
+// EstimatedWork returns the work of a job of so many slots, in slot-nanoseconds, at a worker that needs a
+// time slot. It is based on the job's latency objective, since running times are long at a cold worker. As
+// objectives show little of how much heavier one job is than another, the excess over a light job counts
+// twice.
 func (s *SlowStart) EstimatedWork(slots float64, objective int64) float64 {
 	return 2*slots*float64(objective) - s.config.MinObjective
 }
 
-// RecordSend notes a job that is sent to a worker, if that is in slow start.
+// RecordSend records a job that is sent to a worker, if the worker is in slow start.
 func (s *SlowStart) RecordSend(w *Warmup, now int64, j Job, rng *rand.Rand) {
 	if !s.Active(w, now) {
 		return
@@ -143,8 +147,8 @@
 	w.lastSentAt, w.work = now, work
 }
 
-// DelayFirst puts the first send to a worker that has just started off at random, within the running time
-// of a light job, or all would send at once.
+// DelayFirstSend delays the first send to a worker that has just started by a random part of a light job's
+// running time. Otherwise all dispatchers would send at once.
 func (s *SlowStart) DelayFirstSend(w *Warmup, now, runtime int64, rng *rand.Rand) {
 	if s.Active(w, now) && s.sentInSlot(w, now) == 0 {
 		w.lastSentAt, w.work = w.startedAt, float64(runtime)*rng.Float64()
--- a/state.go
+++ b/state.go
@@ -1,6 +1,6 @@
 package foxlift
 
-// The state that the decisions are made on, and the containers that hold it.
+// The state of a Dispatcher, on which its decisions are based, and the types that hold it.
 // Nothing is decided here.
 
 import (
@@ -19,51 +19,51 @@
 type Dispatcher struct {
 	cfg                Config
 	rng                *rand.Rand // one source for all decisions, so that a seed fixes them
-	fleetScale         float64    // how many times more dispatchers there are than a few
-	tickInterval       int64      // between looks at what is queued and overdue
-	hasRepeatableClass bool       // some class may be repeated
+	fleetScale         float64    // dispatchers divided by fewDispatchersMax, at least 1
+	tickInterval       int64      // nanoseconds between ticks, which check queued and overdue jobs
+	hasRepeatableClass bool       // some class allows a job to run more than once
 
 	now     int64
 	timing  timing
-	actions []Action // of this step
+	actions []Action // the result of the current step
 
 	jobs          jobTable
 	classes       []class
-	tenants       []tenant // the last is for jobs of no known tenant
+	tenants       []tenant // the last is for jobs of unknown tenants
 	rate          admission.RateController
 	quotas        *admission.Allocator
-	dispatchRound int64 // number of this round of dispatch
+	dispatchRound int64 // number of the current round of dispatch
 
-	fleetIndex           // the workers, by what is asked of them
-	free       freeLists // those that may get a job
+	fleetIndex           // the workers, by ID and by state
+	free       freeLists // the workers that may get a job
 	keys       affinityState
 	capacity   fleetCapacity
 	endpoints  endpointState
 	exchange   peerExchange
 }
 
-// A timing is when a dispatcher looks at what depends on time alone.
+// A timing holds when the next ticks and control loops run.
 type timing struct {
 	startedAt     int64 // time of the first step; -1 before it
 	nextTickAt    int64
 	nextControlAt int64 // next run of the control loops
 }
 
-// A jobTable holds the jobs, by what they wait for.
+// A jobTable holds the jobs by ID and by what they wait for.
 type jobTable struct {
 	byID                map[uint64]*job
 	inFlight            []*attempt
 	unstarted           int     // attempts that have not started, on workers that may be well
 	retryQueue          []*job  // sent before, waiting to be sent again
-	hedgeBudget         float64 // hedges of overdue jobs that may be sent
-	awaitingHealthCheck []*job  // waiting for the load of some workers
-	urgent              []*job  // came just before their deadline, or too late to be in time
+	hedgeBudget         float64 // hedges of overdue jobs that may be sent now
+	awaitingHealthCheck []*job  // waiting for health checks of workers
+	urgent              []*job  // arrived just before their deadline, or too late to meet their objective
 }
 
-// A fleetCapacity is what is learned of the capacity of the fleet, and what is in use of it.
+// A fleetCapacity holds the estimates of the fleet's capacity, and the slots in use.
 type fleetCapacity struct {
-	inFlightSlots float64 // slots of our jobs in flight,
-	externalSlots float64 // and of those that the host sent past this dispatcher
+	inFlightSlots float64 // slots of this dispatcher's jobs in flight
+	externalSlots float64 // slots of jobs that the host sent past this dispatcher
 	startWindow   capacity.StartWindow
 	startDelays   capacity.StartDelays
 	reports       capacity.Reports
@@ -71,22 +71,23 @@
 	slowStart     health.SlowStart
 }
 
-// An affinityState is where the affinity keys of jobs are.
+// An affinityState holds the index of workers by affinity key, and the keys of recent jobs.
 type affinityState struct {
 	index  *affinity.Indexes[*worker]
-	keyLog affinity.KeyLog // of the last jobs
+	keyLog affinity.KeyLog // keys of the last jobs
 }
 
-// An endpointState is how the endpoint list is kept up to date.
+// An endpointState holds the schedule of polls for the endpoint list, its lease, and the workers that may get
+// jobs while it is stale.
 type endpointState struct {
 	poll      membership.PollSchedule
 	lease     membership.Lease
-	events    int64     // number of list events
-	accepting []*worker // that have accepted a job lately, and some that had
+	events    int64     // number of endpoint events that carried a list or a change
+	accepting []*worker // workers that accepted a job lately, and some that did so earlier
 }
 
-// New returns a Dispatcher for cfg, or an error naming the field that makes cfg
-// impossible to run. All randomness comes from seed.
+// New returns a Dispatcher for cfg, or an error that names the invalid field of cfg. All randomness
+// comes from seed.
 func New(cfg Config, seed uint64) (*Dispatcher, error) {
 	if err := cfg.validate(); err != nil {
 		return nil, err
@@ -120,10 +121,10 @@
 	return d, nil
 }
 
-// newFleetCapacity returns the capacity of a fleet of which nothing is known but the least latency
-// objective of a class, and the slots that a worker counts at.
+// newFleetCapacity returns the initial estimates for a fleet. minObjective is the shortest latency objective
+// of any class in nanoseconds; meanLimit is the assumed concurrency limit of a worker in slots.
 func newFleetCapacity(cfg *Config, fleetScale, minObjective, meanLimit float64) fleetCapacity {
-	newWorkerLimit := cfg.OverloadMultiple * cfg.SlowStartCapacity * meanLimit // slots that a fresh worker bears
+	newWorkerLimit := cfg.OverloadMultiple * cfg.SlowStartCapacity * meanLimit // slots that overload a new worker
 	slots := slowstart.NewSlots(cfg.OverloadWindow, cfg.Dispatchers, cfg.Index,
 		newWorkerLimit*float64(cfg.OverloadWindow)/minObjective)
 	return fleetCapacity{
@@ -136,13 +137,13 @@
 	}
 }
 
-// occupiedSlots is the slots of all jobs in flight that the start window bounds. What the host has sent past this
-// dispatcher fills the fleet as well: a process that has just taken over has few jobs of its own.
+// occupiedSlots returns the slots of all jobs in flight, which the start window bounds. Jobs that the host
+// sent past this dispatcher count too: a process that has just taken over has few jobs of its own.
 func (d *Dispatcher) occupiedSlots() float64 {
 	return d.capacity.inFlightSlots + d.capacity.externalSlots
 }
 
-// Idle reports whether the dispatcher has no job and counts nothing in flight: so it must be once every
+// Idle reports whether the dispatcher has no job and counts nothing in flight, which must hold once every
 // job is answered and every attempt has had its outcome.
 func (d *Dispatcher) Idle() bool {
 	if len(d.jobs.byID)+len(d.jobs.inFlight) > 0 || math.Abs(d.capacity.inFlightSlots) > 1e-6 {
--- a/workers.go
+++ b/workers.go
@@ -1,6 +1,7 @@
 package foxlift
 
-// What is known of workers, and where they stand. Nothing is decided here.
+// The state that is kept for each worker, and the free lists that index workers by used slots.
+// Nothing is decided here.
 
 import (
 	"math"
@@ -11,71 +12,71 @@
 	"github.com/vatu-meals/foxlift/internal/decision/health"
 )
 
-// A worker is what this dispatcher knows of one.
+// A worker holds this dispatcher's state of one worker.
 type worker struct {
 	id     string
-	number int64 // in the order first heard of
-	hash   uint64
+	number int64  // sequence number, in order of first appearance in the endpoint list
+	hash   uint64 // of id
 
 	endpoint
 	usage
 	connections connections
 
-	level, position int // place in Dispatcher.free; level -1: gets nothing now
-	overdue         int // jobs that it should have started
+	level, position int // list and index in Dispatcher.free; level -1: in no list, gets no job
+	overdue         int // attempts in flight that it should have started by now
 
 	limit        capacity.Limit
 	report       capacity.LoadReport
 	outlier      health.Outlier
 	warmup       health.Warmup
-	latencyRatio float64 // its running times over the class medians
-	acceptedAt   int64   // when the last attempt that it accepted was sent
-	accepting    bool    // it is in endpointState.accepting
+	latencyRatio float64 // moving mean of its running times over the class medians
+	acceptedAt   int64   // send time of the last attempt that it accepted; 0: none
+	accepting    bool    // in endpointState.accepting
 
-	cachedKeys affinity.CachedKeys   // of our last jobs there
-	affinity   affinity.Registration // in affinityState.index
-	indexEntry                       // where it stands in Dispatcher.fleetIndex
+	cachedKeys affinity.CachedKeys   // affinity keys of the last jobs sent there
+	affinity   affinity.Registration // entry in affinityState.index
+	indexEntry                       // membership in the slices of Dispatcher.fleetIndex
 }
 
-// An endpoint is what the endpoint list says of a worker.
+// An endpoint holds a worker's entry of the endpoint list.
 type endpoint struct {
 	zone, kind, cell int
 	state            WorkerState
-	lastListEvent    int64 // number of the last list event that named it
-	lost             bool  // went without a drain, and is not back and warm
-	removedAt        int64 // when the list last named it otherwise than removed
+	lastListEvent    int64 // number of the last endpoint event that named the worker
+	lost             bool  // removed while live, without draining, and not back and past slow start
+	removedAt        int64 // time of the endpoint event that removed it; until then, of the last one
 }
 
-// A usage is what jobs hold at a worker.
+// A usage counts the slots and memory that jobs use at a worker.
 type usage struct {
-	usedSlots     float64      // slots of our jobs there, of the host's others, and of the peers' jobs
-	externalSlots float64      // of these, what the host sent past this dispatcher
-	peerUsage     gossip.Usage // and what peers say that their jobs hold there
-	usedMemory    float64      // that all these jobs need
-	inFlightJobs  int          // of ours
-	dirty         bool         // peers have not been told of the last change
+	usedSlots     float64      // slots of this dispatcher's jobs, plus externalSlots and peerUsage
+	externalSlots float64      // slots of jobs that the host sent past this dispatcher
+	peerUsage     gossip.Usage // what peers report that their jobs use
+	usedMemory    float64      // memory that all these jobs need
+	inFlightJobs  int          // attempts of this dispatcher in flight
+	dirty         bool         // changed since the last message to the peers
 }
 
-// The connections to a worker, as far as this dispatcher can tell.
+// A connections is this dispatcher's estimate of the host's connections to a worker.
 type connections struct {
-	open       int   // thought open
-	lastUsedAt int64 // last use of one
+	open       int   // estimated number of open connections
+	lastUsedAt int64 // when an attempt last used one
 }
 
-// An indexEntry is what fleetIndex notes of a worker.
+// An indexEntry records which slices of fleetIndex a worker is in.
 type indexEntry struct {
-	pending, live, inRemoved, inLost bool // in the slice of that name
-	deleted                          bool // no more in Dispatcher.workers
+	pending, live, inRemoved, inLost bool // in pendingWorkers, liveWorkers, removedWorkers, lostWorkers
+	deleted                          bool // removed from Dispatcher.workers
 }
 
-// The freeLists hold the workers that may get a job, by kind and by the slots of ours that they have.
+// The freeLists hold the workers that may get a job, by kind and by level: their used slots, rounded down.
 type freeLists struct {
-	byKind     [][][]*worker // by kind+1, then by level
-	numLevels  int           // most levels of any kind
-	viewBuffer [][]*worker   // of the last view
+	byKind     [][][]*worker // by kind+1, 0 for no kind, then by level
+	numLevels  int           // largest number of levels of any kind
+	viewBuffer [][]*worker   // backs the parts of the last view
 }
 
-// setLevel puts a worker into another of the lists, or, for a negative level, in none.
+// setLevel moves a worker to the list of a level of its kind, or out of the lists if level is negative.
 func (f *freeLists) setLevel(w *worker, level int) {
 	kindIndex := w.kind + 1
 	if kindIndex >= len(f.byKind) {
@@ -99,14 +100,14 @@
 	}
 }
 
-// A workerView is the workers of one level, of one kind or of all. It is valid until the next call of
-// freeLists.at, and until a worker moves.
+// A workerView lists the workers of one level, of one kind or of all kinds. It is valid until the next call
+// of freeLists.view or freeLists.setLevel.
 type workerView struct {
 	parts [][]*worker // by kind
 	size  int
 }
 
-// at returns the workers of one level, and of one kind if it is not negative.
+// view returns the workers of one level, of all kinds if kind is negative.
 func (f *freeLists) view(kind, level int) (v workerView) {
 	from, to := kind+1, kind+2
 	if kind < 0 {
@@ -123,7 +124,7 @@
 	return v
 }
 
-// at returns the worker of an index under size.
+// at returns the worker at an index, or nil if it is not less than size.
 func (v workerView) at(i int) *worker {
 	for _, part := range v.parts {
 		if i < len(part) {
@@ -134,7 +135,7 @@
 	return nil
 }
 
-// pathTo tells how an attempt goes to a worker now.
+// pathTo returns the path of an attempt sent to a worker now: 1 for a new connection plus 2 for another zone.
 func (d *Dispatcher) pathTo(w *worker) (path int) {
 	if d.needsConnection(w) {
 		path++
@@ -150,7 +151,7 @@
 	return w.inFlightJobs >= w.connections.open || d.cfg.ConnIdle > 0 && d.now-w.connections.lastUsedAt > d.cfg.ConnIdle
 }
 
-// setState notes what the list says of a worker.
+// setState records the state that the endpoint list gives a worker.
 func (w *worker) setState(s WorkerState, now int64) {
 	w.lost = w.lost || w.state == Live && s == Removed
 	if w.state != Removed {
@@ -159,25 +160,26 @@
 	w.state = s
 }
 
-// recordLoad keeps a worker's load report.
+// recordLoad stores a worker's load report and adds the worker to recentReports.
 func (d *Dispatcher) recordLoad(w *worker, e *Event) {
 	d.capacity.reports.Record(&w.report, e.Load, d.now)
 	d.capacity.reported.add(w)
 }
 
-// The recentReports are the workers that were last heard of, which pickWorker looks at whatever it samples.
+// recentReports holds the workers that reported or freed a slot last. pickWorker considers them in addition
+// to its sample.
 type recentReports struct {
 	workers [4]*worker
-	next    int // place of the next one
+	next    int // index that the next worker overwrites
 }
 
-// add makes a worker the last that was heard of.
+// add adds a worker in place of the oldest.
 func (r *recentReports) add(w *worker) {
 	r.workers[r.next] = w
 	r.next = (r.next + 1) % len(r.workers)
 }
 
-// remove forgets a worker.
+// remove removes a worker.
 func (r *recentReports) remove(w *worker) {
 	for i := range r.workers {
 		if r.workers[i] == w {
@@ -186,7 +188,7 @@
 	}
 }
 
-// memoryCapacity is the memory that a worker has for jobs.
+// memoryCapacity returns the memory that a worker has for jobs, in units of memory; infinity if unknown.
 func (d *Dispatcher) memoryCapacity(w *worker) float64 {
 	if d.cfg.SlotMemory == 0 || w.report.TotalSlots() == 0 {
 		return math.Inf(1)
@@ -194,8 +196,8 @@
 	return w.report.TotalSlots() * d.cfg.SlotMemory
 }
 
-// Ejected returns how many live workers get nothing, or one trial job at most, since attempts
-// there failed or were not started in time. Workers that are only full do not count.
+// Ejected returns how many live workers get no job, or one trial job at most, because attempts there failed
+// or were not started in time. Workers that only have no free slot do not count.
 func (d *Dispatcher) Ejected() int {
 	n := 0
 	for _, w := range d.workerOrder {
