--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -1,5 +1,5 @@
-// Package counters holds named counters of what the scheduler accepts, sends and answers. A Set owns its
-// values; whoever counts and whoever shows them share one.
+// Package counters implements named counters of the jobs that the scheduler accepts, sends and answers, and
+// of other events. A Set owns its values; the code that counts and the code that displays counters share one.
 package counters
 
 import (
@@ -10,17 +10,17 @@
 	"sync"
 )
 
-// ClaimsWritten counts the attempts whose last byte was written.
+// ClaimsWritten is the name of the counter of attempts that were written completely.
 const ClaimsWritten = "claims.written"
 
-// A Set holds named counters. The zero value is ready; any goroutine may use it.
+// A Set holds named counters. The zero value is an empty Set. It is safe for concurrent use.
 type Set struct {
 	mu      sync.Mutex
-	values  map[string]int64
-	labeled map[labeledCounter]int64
+	values  map[string]int64         // by counter name, including the labeled counts
+	labeled map[labeledCounter]int64 // the part of each label
 }
 
-// A part is the part of a counter that belongs to one label, such as a class.
+// A labeledCounter identifies the part of a counter that was counted with one label, such as a class.
 type labeledCounter struct{ name, label string }
 
 // Add increments a counter.
@@ -30,8 +30,8 @@
 	s.addLocked(name)
 }
 
-// AddPart increments a counter and the label's part of it. Labels are never forgotten: they must come
-// from the settings, never from input.
+// AddLabeled increments a counter and its part for a label. Labels are never removed: to bound the memory,
+// they must come from the settings, never from input.
 func (s *Set) AddLabeled(name, label string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,6 +42,7 @@
 	s.labeled[labeledCounter{name, label}]++
 }
 
+// addLocked increments a counter. The caller holds mu.
 func (s *Set) addLocked(name string) {
 	if s.values == nil {
 		s.values = map[string]int64{}
@@ -49,14 +50,14 @@
 	s.values[name]++
 }
 
-// Part returns a label's part of a counter.
+// GetLabeled returns the part of a counter that was counted with a label, 0 if there is none.
 func (s *Set) GetLabeled(name, label string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.labeled[labeledCounter{name, label}]
 }
 
-// Get returns a counter's value.
+// Get returns the value of a counter, 0 if it was never incremented.
 func (s *Set) Get(name string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,7 +71,7 @@
 	return maps.Clone(s.values)
 }
 
-// Print writes a line for each counter that is not zero, sorted by name.
+// Print writes a line with name and value for each counter that is not zero, sorted by name.
 func (s *Set) Print(w io.Writer) {
 	values := s.All()
 	for _, name := range slices.Sorted(maps.Keys(values)) {
--- a/internal/counters/counters_test.go
+++ b/internal/counters/counters_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// A counter holds the sum of its parts; Print shows what is not zero, sorted.
+// A counter includes the counts of its labels, All returns a copy, and Print writes the counters that are not
+// zero, sorted by name.
 func TestSet(t *testing.T) {
 	var set Set
 	set.Add("b")
@@ -14,19 +15,20 @@
 	set.AddLabeled("a", "x")
 	set.AddLabeled("a", "y")
 	if set.Get("a") != 3 || set.Get("b") != 1 || set.Get("c") != 0 {
-		t.Errorf("counters: %v", set.All())
+		t.Errorf("All() = %v, want a 3 and b 1", set.All())
 	}
 	if set.GetLabeled("a", "x") != 2 || set.GetLabeled("a", "y") != 1 || set.GetLabeled("b", "x") != 0 {
-		t.Errorf("parts of a: x %d, y %d", set.GetLabeled("a", "x"), set.GetLabeled("a", "y"))
+		t.Errorf("GetLabeled(\"a\") = %d for x, %d for y; want 2 and 1, and 0 for b",
+			set.GetLabeled("a", "x"), set.GetLabeled("a", "y"))
 	}
 	all := set.All()
 	all["b"] = 9
 	if !maps.Equal(set.All(), map[string]int64{"a": 3, "b": 1}) {
-		t.Errorf("a copy changes the set: %v", set.All())
+		t.Errorf("All() = %v after a change of its earlier result, want a 3 and b 1", set.All())
 	}
 	var text strings.Builder
 	set.Print(&text)
 	if text.String() != "a 3\nb 1\n" {
-		t.Errorf("printed %q", text.String())
+		t.Errorf("Print() writes %q, want %q", text.String(), "a 3\nb 1\n")
 	}
 }
--- a/internal/counters/names_test.go
+++ b/internal/counters/names_test.go
@@ -16,15 +16,15 @@
 	"github.com/vatu-meals/foxlift/internal/golden"
 )
 
-// counterName matches a counter's name, or the beginning of names that are put together from two parts.
+// counterName matches the name of a counter, or the prefix of counter names that are composed at run time.
 var counterName = regexp.MustCompile(`^(accept|bad|cells|checkpoint|claims|drains|invariant|jobs|loads|machines|` +
 	`nodes|peers|probes|reloads|upgrades)\.[a-z_]*$`)
 
-// notScheduler are the folders under internal that the scheduler does not link.
+// excludedDirectories lists the directories under internal that are not part of the scheduler binary.
 var excludedDirectories = []string{"lab", "standin", "fuzz", "golden", "wire"}
 
-// TestNames pins the names of all counters that the scheduler's code has: dashboards use them. The
-// second parts of names that are put together are pinned where they are counted.
+// TestNames compares the names of all counters in the scheduler's code with a golden file, since dashboards
+// use them. The suffixes of names that are composed at run time are tested in the packages that count them.
 func TestNames(t *testing.T) {
 	names := map[string]bool{}
 	for _, root := range []string{"../../cmd/foxlift", ".."} {
@@ -46,7 +46,7 @@
 	golden.Check(t, "names.txt", []byte(strings.Join(slices.Sorted(maps.Keys(names)), "\n")+"\n"))
 }
 
-// collectNames adds the counters' names among the strings of a file.
+// collectNames adds the string literals of a source file that are counter names.
 func collectNames(path string, names map[string]bool) error {
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 	if err != nil {
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging makes the program's loggers. Lines go to standard error; at the default level none is
-// written for a job. The package has no state.
+// Package logging creates the program's loggers. The program logs to standard error; at the default level it
+// writes no line per job. The package has no state.
 package logging
 
 import (
@@ -16,14 +16,14 @@
 	formatJSON    = "json"
 )
 
-// Formats are the names of the formats of lines.
+// Formats lists the names of the log formats.
 var Formats = []string{formatConsole, formatJSON}
 
-// Levels are the names of the levels of lines, the least severe first.
+// Levels lists the names of the log levels, the least severe first.
 var Levels = []string{"debug", "info", "warn", "error"}
 
-// New returns a logger that writes lines of a level or a more severe one to w. The error names the flag
-// whose value is not one of Formats or Levels.
+// New returns a logger that writes lines of the given level and of more severe levels to w. If format is not
+// one of Formats, or level not one of Levels, the error names the flag.
 func New(w io.Writer, format, level string) (*zap.Logger, error) {
 	minLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
@@ -36,6 +36,7 @@
 	return zap.New(zapcore.NewCore(encoder, zapcore.Lock(zapcore.AddSync(w)), minLevel)), nil
 }
 
+// newEncoder returns the encoder of a log format.
 func newEncoder(format string) (zapcore.Encoder, error) {
 	config := zap.NewProductionEncoderConfig()
 	config.EncodeTime = zapcore.RFC3339NanoTimeEncoder
@@ -51,14 +52,14 @@
 	}
 }
 
-// The limits of lines with the same message.
+// Limits on lines with the same message.
 const (
-	linesPerSecond = 3    // that are all written
-	sampleInterval = 1000 // of those past them, one in so many is written
+	linesPerSecond = 3    // lines per second that are all written
+	sampleInterval = 1000 // beyond that, one line of this number is written
 )
 
-// Limited returns a logger for lines that input can cause. However much input comes, only some of the
-// lines with the same message are written in a second.
+// Limited returns a logger for lines that input can cause. In each second it writes only a sample of the lines
+// with the same message, however much input arrives.
 func Limited(log *zap.Logger) *zap.Logger {
 	return log.WithOptions(zap.WrapCore(func(core zapcore.Core) zapcore.Core {
 		return zapcore.NewSamplerWithOptions(core, time.Second, linesPerSecond, sampleInterval)
--- a/internal/metrics/golden_test.go
+++ b/internal/metrics/golden_test.go
@@ -10,7 +10,8 @@
 	"github.com/vatu-meals/foxlift/internal/golden"
 )
 
-// TestExposition pins the names, help texts, types and labels of all figures.
+// TestExposition compares the names, help texts, types and labels of all metrics with a golden file, since
+// dashboards and alerts use them.
 func TestExposition(t *testing.T) {
 	w := httptest.NewRecorder()
 	handler := Handler([]string{"first", "second"}, &counters.Set{}, &source{pool: core.WorkerPool{Size: 3, Ejected: 1}})
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metrics exposes a scheduler's metrics in the text format of Prometheus. It counts nothing
-// itself: the values are read from the counters that the log prints, and from the core. Its only state
-// is the worker pool as last read.
+// Package metrics exposes a scheduler's metrics in the Prometheus text format. It counts nothing itself: the
+// values are read from the counters that the log also prints, and from the core. Its only state is the last
+// known state of the worker pool.
 package metrics
 
 import (
@@ -17,21 +17,21 @@
 	"github.com/vatu-meals/foxlift/internal/guard"
 )
 
-const namespace = "scheduler" // the prefix of every metric's name
+const namespace = "scheduler" // prefix of the name of every metric
 
-// poolTimeout is how long a request waits for the core to report the worker pool. Responses are due
-// within 1 s; of a core that is busier than this the last report is shown.
+// poolTimeout limits how long a request waits for the core to report the worker pool. A response is due
+// within 1 s; if the core does not report in time, the last report is used.
 const poolTimeout = 250 * time.Millisecond
 
-// results are the values of the label "result", by the verdict that they count.
+// results maps each verdict to the value of the label "result" that counts it.
 var results = map[core.Verdict]string{core.Served: "ok", core.Shed: "shed", core.Failed: "errors"}
 
-// A Source reports what the counters do not hold.
+// A Source provides the values that are not counters.
 type Source interface {
-	// Active returns how many jobs are accepted and not yet answered.
+	// Active returns the number of jobs that are accepted and not yet answered.
 	Active() int
-	// WorkerPool returns what is known of the workers, or an error if that is not available by the end
-	// of the context.
+	// WorkerPool returns the state of the worker pool, or an error if that is not available before the
+	// context ends.
 	WorkerPool(context.Context) (core.WorkerPool, error)
 }
 
@@ -40,12 +40,12 @@
 	classes  []string
 	counters *counters.Set
 	source   Source
-	pool     atomic.Value // core.WorkerPool, as last reported
+	pool     atomic.Value // the last reported core.WorkerPool
 
 	responses, attempts, active, size, ejected, violations *prometheus.Desc
 }
 
-// Handler returns a handler that exposes the metrics of the jobs of all classes.
+// Handler returns an HTTP handler that exposes the metrics, with one series per class and result for jobs.
 func Handler(classes []string, set *counters.Set, source Source) http.Handler {
 	describe := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc(prometheus.BuildFQName(namespace, "", name), help, labels, nil)
@@ -93,8 +93,9 @@
 	out <- prometheus.MustNewConstMetric(c.ejected, prometheus.GaugeValue, float64(pool.Ejected))
 }
 
-// workerPool returns the state of the pool, the last known one where the core is too busy. A
-// prometheus.Collector has no context of the request: the timeout bounds the wait.
+// workerPool returns the state of the worker pool, or its last known state if the core does not report within
+// poolTimeout. A prometheus.Collector does not receive the context of the request, so that only the timeout
+// limits the wait.
 func (c *collector) workerPool() core.WorkerPool {
 	ctx, cancel := context.WithTimeout(context.Background(), poolTimeout)
 	defer cancel()
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -12,6 +12,7 @@
 	"github.com/vatu-meals/foxlift/internal/counters"
 )
 
+// A source is a Source with fixed values.
 type source struct {
 	pool core.WorkerPool
 	err  error
@@ -20,6 +21,8 @@
 func (s *source) Active() int                                         { return 14 }
 func (s *source) WorkerPool(context.Context) (core.WorkerPool, error) { return s.pool, s.err }
 
+// The metrics have the values of the counters and of the core, with label values escaped. While the core does
+// not report, the worker pool keeps its last values.
 func TestMetricValues(t *testing.T) {
 	set := &counters.Set{}
 	for range 812 {
@@ -45,15 +48,15 @@
 		"scheduler_tries_total 1", "scheduler_active 14", "scheduler_pool_size 12", "scheduler_pool_ejected 2",
 	} {
 		if !strings.Contains("\n"+text, "\n"+line+"\n") {
-			t.Errorf("no line %q in\n%s", line, text)
+			t.Errorf("line %q is missing in\n%s", line, text)
 		}
 	}
 	if set.Get("jobs.served") != 812 {
-		t.Errorf("the log's counter says %d", set.Get("jobs.served"))
+		t.Errorf("counter jobs.served is %d, want 812", set.Get("jobs.served"))
 	}
-	// A core that is too busy to report leaves the pool's last figures.
+	// If the core is too busy to report, the last values of the worker pool remain.
 	s.pool, s.err = core.WorkerPool{}, errors.New("busy")
 	if text := read(); !strings.Contains(text, "scheduler_pool_size 12\n") {
-		t.Errorf("the pool's last size is not there:\n%s", text)
+		t.Errorf("without a report of the core, scheduler_pool_size is not 12:\n%s", text)
 	}
 }
--- a/internal/upgrade/golden_test.go
+++ b/internal/upgrade/golden_test.go
@@ -13,14 +13,15 @@
 	"github.com/vatu-meals/foxlift/internal/golden"
 )
 
-// What two processes of different versions must agree on: the names of the files, the bytes that are
-// locked, and the form of the state file.
+// Two processes of different versions must agree on the names of the files, the locked bytes, and the format
+// of the state file.
 const (
 	lockName  = "foxlift-127.0.0.1_3000.lock"
 	stateName = lockName + ".state"
 )
 
-// TestStateFile pins the bytes of a state file, and reads them as another version has written them.
+// TestStateFile compares the bytes of a state file with a golden file, and loads the golden file as a state
+// that another version has written.
 func TestStateFile(t *testing.T) {
 	var full core.State
 	golden.Fill(&full)
@@ -44,11 +45,12 @@
 	}
 	var got core.State
 	if err := acquire(t, other).LoadState(&got); err != nil || !reflect.DeepEqual(got, full) {
-		t.Errorf("read %+v, %v; want %+v", got, err, full)
+		t.Errorf("LoadState() reads %+v, %v; want %+v", got, err, full)
 	}
 }
 
-// TestLockedBytes pins which bytes of the file each process locks, as another version sees them.
+// TestLockedBytes checks which bytes of the file each process locks, through another descriptor as a process
+// of another version would see them.
 func TestLockedBytes(t *testing.T) {
 	const serving, successor, listening = 0, 1, 2
 	directory := t.TempDir()
@@ -66,7 +68,7 @@
 				t.Fatal(err)
 			}
 			if got := r.Type != unix.F_UNLCK; got != want[at] {
-				t.Errorf("%s: byte %d is locked: %v", what, at, got)
+				t.Errorf("%s: byte %d is locked: %v, want %v", what, at, got, want[at])
 			}
 		}
 	}
--- a/internal/upgrade/socket.go
+++ b/internal/upgrade/socket.go
@@ -9,26 +9,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// newestOfTwo is the index of the newest listener while two share a port: the kernel numbers them from
-// 0 in the order in which they began to listen. With an index that none has, the kernel chooses among
-// the listeners that exist.
+// newestListenerIndex is the index of the newer listener while two share a port: the kernel numbers the
+// listeners from 0 in the order in which they began to listen. If no listener has this index, the kernel
+// selects one of the existing listeners.
 const newestListenerIndex = 1
 
-// reusePortConfig sets SO_REUSEPORT, so that another process of the same user may listen on the address.
+// reusePortConfig returns a ListenConfig that sets SO_REUSEPORT, so that another process of the same user may
+// listen on the same address.
 func reusePortConfig() net.ListenConfig {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return withDescriptor(raw, func(fd int) error {
 			return unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 		})
 	}}
-	config.SetMultipathTCP(false) // the kernel attaches no steering program to such sockets
+	config.SetMultipathTCP(false) // the kernel does not attach a steering program to MPTCP sockets
 	return config
 }
 
-// Listen listens on a TCP address that another process may listen on too.
+// Listen returns a TCP listener on an address that another process may listen on at the same time.
 func Listen(address string) (*net.TCPListener, error) {
 	config := reusePortConfig()
-	// The context only bounds the resolution of names.
+	// The context only limits name resolution.
 	listener, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, err
@@ -36,10 +37,10 @@
 	return listener.(*net.TCPListener), nil
 }
 
-// ListenPacket opens a UDP socket on an address that another process may have open too.
+// ListenPacket returns a UDP socket on an address that another process may use at the same time.
 func ListenPacket(address string) (*net.UDPConn, error) {
 	config := reusePortConfig()
-	// The context only bounds the resolution of names.
+	// The context only limits name resolution.
 	conn, err := config.ListenPacket(context.Background(), "udp", address)
 	if err != nil {
 		return nil, err
@@ -47,8 +48,8 @@
 	return conn.(*net.UDPConn), nil
 }
 
-// SteerToNewest directs new connections and datagrams to the newer of the two sockets that share an
-// address. Either socket may be given.
+// SteerToNewest makes the kernel send new connections and datagrams to the newer of two sockets that share an
+// address. The argument may be either of them.
 func SteerToNewest(socket syscall.Conn) error {
 	raw, err := socket.SyscallConn()
 	if err != nil {
@@ -59,13 +60,13 @@
 		err := unix.SetsockoptSockFprog(fd, unix.SOL_SOCKET, unix.SO_ATTACH_REUSEPORT_CBPF,
 			&unix.SockFprog{Len: uint16(len(program)), Filter: &program[0]})
 		if err != nil {
-			return fmt.Errorf("new connections cannot be steered: %w", err)
+			return fmt.Errorf("cannot attach the steering program for new connections: %w", err)
 		}
 		return nil
 	})
 }
 
-// withDescriptor calls f with a socket's descriptor and returns its error.
+// withDescriptor calls f with the file descriptor of a socket and returns the error of f.
 func withDescriptor(raw syscall.RawConn, f func(fd int) error) error {
 	var result error
 	if err := raw.Control(func(fd uintptr) { result = f(int(fd)) }); err != nil {
--- a/internal/upgrade/socket_test.go
+++ b/internal/upgrade/socket_test.go
@@ -8,10 +8,11 @@
 )
 
 const (
-	ioTimeout   = 20 * time.Second
-	connections = 200
+	ioTimeout   = 20 * time.Second // of one read on a connection or socket
+	connections = 200              // opened in each step
 )
 
+// listen returns a listener that is closed at the end of the test.
 func listen(t *testing.T, address string) *net.TCPListener {
 	t.Helper()
 	l, err := Listen(address)
@@ -22,6 +23,7 @@
 	return l
 }
 
+// listenPacket returns a UDP socket that is closed at the end of the test.
 func listenPacket(t *testing.T, address string) *net.UDPConn {
 	t.Helper()
 	c, err := ListenPacket(address)
@@ -32,7 +34,7 @@
 	return c
 }
 
-// dial opens a connection to an address.
+// dial opens a connection that is closed at the end of the test.
 func dial(t *testing.T, network string, address net.Addr) net.Conn {
 	t.Helper()
 	var dialer net.Dialer
@@ -44,7 +46,7 @@
 	return c
 }
 
-// open opens connections that nobody accepts yet.
+// openConnections opens connections to a listener, which remain in its accept queue.
 func openConnections(t *testing.T, l net.Listener) (opened []net.Conn) {
 	t.Helper()
 	for range connections {
@@ -55,7 +57,8 @@
 	return opened
 }
 
-// acceptAll accepts the connections that wait at a listener, writes a name to each, and returns their number.
+// acceptAll accepts the connections in a listener's accept queue, writes a name to each, and returns their
+// number.
 func acceptAll(t *testing.T, l *net.TCPListener, name string) (n int) {
 	t.Helper()
 	for {
@@ -74,18 +77,19 @@
 	}
 }
 
-// expectNames checks that every connection was accepted by the listener with a name.
+// expectNames checks that every connection received the name of the listener that should have accepted it.
 func expectNames(t *testing.T, opened []net.Conn, name string) {
 	t.Helper()
 	for i, c := range opened {
 		if text, err := io.ReadAll(c); string(text) != name {
-			t.Fatalf("connection %d: %q, %v; want %q", i, text, err, name)
+			t.Fatalf("connection %d received %q, %v; want %q", i, text, err, name)
 		}
 	}
 }
 
-// Two listeners share an address, all new connections go to the newer one, and nothing remains in the
-// older one's queue when it closes; through two upgrades, and when a successor exits.
+// A connection that the kernel queues at a listener that is about to close is lost. While two listeners share
+// an address, all new connections must go to the newer one, through two upgrades; if the newest closes, they
+// must go to the remaining one.
 func TestConnectionsGoToNewestListener(t *testing.T) {
 	predecessor := listen(t, "127.0.0.1:0")
 	before := openConnections(t, predecessor)
@@ -105,16 +109,16 @@
 		t.Fatal(err)
 	}
 	after = openConnections(t, third)
-	check(t, "accepted by the one before", acceptAll(t, successor, "successor"), 0)
+	check(t, "accepted by the older listener", acceptAll(t, successor, "successor"), 0)
 	check(t, "accepted by the third", acceptAll(t, third, "third"), connections)
 	expectNames(t, after, "third")
-	third.Close() // the one before gets everything again
+	third.Close() // all new connections go to the older listener again
 	after = openConnections(t, successor)
 	check(t, "accepted after the third has closed", acceptAll(t, successor, "successor"), connections)
 	expectNames(t, after, "successor")
 }
 
-// Datagrams go to the newer of two sockets, too.
+// Datagrams also go to the newer of two sockets that share an address.
 func TestDatagramsGoToNewestSocket(t *testing.T) {
 	predecessor := listenPacket(t, "127.0.0.1:0")
 	successor := listenPacket(t, predecessor.LocalAddr().String())
--- a/internal/upgrade/state.go
+++ b/internal/upgrade/state.go
@@ -2,27 +2,27 @@
 
 import "github.com/vatu-meals/foxlift/internal/statefile"
 
-// The state file of a takeover lock.
+// Properties of the state file, which belongs to a takeover lock.
 const (
 	stateMagic   = "foxlift state 1\n"
-	stateSuffix  = ".state" // of its name, after the lock's
-	maxStateSize = 8 << 20  // bytes; the directory may count as the process's memory
+	stateSuffix  = ".state" // appended to the path of the lock file
+	maxStateSize = 8 << 20  // bytes; the directory may be in memory that is charged to the process
 )
 
-// ErrStateUnreadable means that a state file is torn, of another form, or written by another version of
-// the program.
+// ErrStateUnreadable means that a state file is truncated or corrupt, or has another format or format version.
 var ErrStateUnreadable = statefile.ErrUnreadable
 
+// stateFile describes the state file of the lock.
 func (l *TakeoverLock) stateFile() statefile.File {
 	return statefile.File{Path: l.path + stateSuffix, Magic: stateMagic, MaxSize: maxStateSize}
 }
 
-// SaveState writes the predecessor's state as JSON, in place of the one before.
+// SaveState writes the predecessor's state as JSON, and replaces the previous state.
 func (l *TakeoverLock) SaveState(state any) error { return l.stateFile().Write(state) }
 
-// LoadState reads the state that the predecessor has saved last. The error is os.ErrNotExist if there is
-// none, and ErrStateUnreadable if it cannot be used.
+// LoadState reads the state that the predecessor saved last into state, a pointer. The error is
+// os.ErrNotExist if there is no state, and ErrStateUnreadable if it cannot be used.
 func (l *TakeoverLock) LoadState(state any) error { return l.stateFile().Read(state) }
 
-// DiscardState removes the state, so that no later process reads it.
+// DiscardState removes the saved state, so that no later process reads it.
 func (l *TakeoverLock) DiscardState() { l.stateFile().Remove() }
--- a/internal/upgrade/takeover_lock.go
+++ b/internal/upgrade/takeover_lock.go
@@ -1,12 +1,11 @@
-// Package upgrade lets a successor process take over from the process that serves, without losing a job.
+// Package upgrade lets a successor process take over from the serving process without losing a job.
 //
-// Both processes agree on who is predecessor and who is successor by locks in one file, the takeover
-// lock. They listen on the same address, and the kernel steers what comes to the newer socket. The
-// predecessor passes on what it has learned in a state file beside the lock.
+// Locks in one file, the takeover lock, determine which process is the predecessor and which the successor.
+// Both processes listen on the same address, and the kernel sends new connections and datagrams to the newer
+// socket. The predecessor passes its state to the successor in a state file next to the lock file.
 //
-// The locks are open file description locks on single bytes of the file. The kernel releases them with
-// the process that holds them, so that a process that has exited never holds one. The package owns both
-// files.
+// The locks are open file description locks on single bytes of the file. The kernel releases them when the
+// process exits, so that a process that has exited never holds one. The package owns both files.
 package upgrade
 
 import (
@@ -23,30 +22,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// The bytes of the file that are locked. Programs of other versions lock the same.
+// Offsets of the locked bytes in the file. All versions of the program must use the same offsets.
 const (
-	servingByte   = 0 // by the process that serves, until it exits
-	successorByte = 1 // by its successor
-	listeningByte = 2 // by its successor, once that listens
+	servingByte   = 0 // locked by the serving process until it exits
+	successorByte = 1 // locked by the successor
+	listeningByte = 2 // locked by the successor once it listens
 )
 
-const ownerOnly = 0o600 // permissions of the lock's file
+const ownerOnly = 0o600 // permissions of the lock file
 
 // ErrTakeoverInProgress means that a serving process and its successor exist already.
 var ErrTakeoverInProgress = errors.New("two processes serve this address already: an upgrade is under way")
 
-// A TakeoverLock says which of the processes that share an address serves, and which is its successor.
-// Its methods may be called by several goroutines, except where they say otherwise.
+// A TakeoverLock determines which of two processes that share an address is the serving process, and which is
+// its successor. Its methods are safe for concurrent use unless their comments state otherwise.
 type TakeoverLock struct {
-	path        string
-	mu          sync.Mutex
-	file        *os.File    // nil once released
-	isSuccessor atomic.Bool // whether this process is to take over
+	path        string      // of the lock file
+	mu          sync.Mutex  // guards file
+	file        *os.File    // nil after Release
+	isSuccessor atomic.Bool // whether this process waits to become the serving process
 }
 
-// AcquireTakeover acquires the takeover lock of an address in a directory: the serving process's part if
-// that is free, else the successor's. While other processes hold both it tries again every interval, and
-// returns ErrTakeoverInProgress after the timeout.
+// AcquireTakeover acquires the takeover lock of an address in a directory: the role of the serving process if
+// that is free, otherwise the role of its successor. While other processes hold both roles it retries at the
+// given interval, and returns ErrTakeoverInProgress after the timeout.
 func AcquireTakeover(directory, address string, timeout, interval time.Duration) (*TakeoverLock, error) {
 	path := filepath.Join(directory, fileName(address))
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, ownerOnly)
@@ -71,13 +70,13 @@
 	}
 }
 
-// fileName returns the name of the lock's file of an address.
+// fileName returns the name of the lock file of an address.
 func fileName(address string) string {
 	return "foxlift-" + strings.NewReplacer(":", "_", "/", "_").Replace(address) + ".lock"
 }
 
-// acquireFree acquires the serving process's part or, if another process has that, the successor's. It
-// returns false if both are held.
+// acquireFree acquires the role of the serving process or, if another process has it, that of the successor.
+// It returns false if other processes have both roles.
 func (l *TakeoverLock) acquireFree() (bool, error) {
 	if acquired, err := l.lockByte(servingByte); acquired || err != nil {
 		return acquired, err
@@ -87,10 +86,10 @@
 	return acquired, err
 }
 
-// IsSuccessor reports whether this process is the successor of one that has not exited.
+// IsSuccessor reports whether this process is a successor that has not been promoted.
 func (l *TakeoverLock) IsSuccessor() bool { return l.isSuccessor.Load() }
 
-// Promote makes a successor the serving process once its predecessor has exited, and reports whether it
+// Promote makes a successor the serving process if its predecessor has exited. It returns whether this process
 // is the serving process now. Only one goroutine may call it at a time.
 func (l *TakeoverLock) Promote() (bool, error) {
 	if !l.isSuccessor.Load() {
@@ -104,7 +103,8 @@
 	return true, errors.Join(l.unlockByte(listeningByte), l.unlockByte(successorByte))
 }
 
-// AnnounceListening tells the predecessor, if there is one, that this process listens.
+// AnnounceListening signals to the predecessor that this process listens. Without a predecessor it does
+// nothing.
 func (l *TakeoverLock) AnnounceListening() error {
 	if !l.isSuccessor.Load() {
 		return nil
@@ -113,17 +113,17 @@
 	return err
 }
 
-// HasSuccessor reports whether a successor of this process exists.
+// HasSuccessor reports whether this process is the serving process and a successor exists.
 func (l *TakeoverLock) HasSuccessor() bool {
 	return !l.isSuccessor.Load() && l.lockedByOther(successorByte)
 }
 
-// SuccessorListening reports whether a successor of this process exists and listens.
+// SuccessorListening reports whether this process is the serving process and a successor exists and listens.
 func (l *TakeoverLock) SuccessorListening() bool {
 	return !l.isSuccessor.Load() && l.lockedByOther(listeningByte)
 }
 
-// Release releases the lock.
+// Release releases the lock. Further calls have no effect.
 func (l *TakeoverLock) Release() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -133,7 +133,7 @@
 	}
 }
 
-// lockByte locks a byte. It returns false if another process has locked it.
+// lockByte locks the byte at an offset. It returns false if another process has locked it.
 func (l *TakeoverLock) lockByte(offset int64) (bool, error) {
 	err := l.fcntl(unix.F_OFD_SETLK, byteRange(unix.F_WRLCK, offset))
 	if errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EACCES) {
@@ -142,18 +142,19 @@
 	return err == nil, err
 }
 
+// unlockByte unlocks the byte at an offset.
 func (l *TakeoverLock) unlockByte(offset int64) error {
 	return l.fcntl(unix.F_OFD_SETLK, byteRange(unix.F_UNLCK, offset))
 }
 
-// lockedByOther reports whether another process has locked a byte.
+// lockedByOther reports whether another process has locked the byte at an offset.
 func (l *TakeoverLock) lockedByOther(offset int64) bool {
 	query := byteRange(unix.F_WRLCK, offset)
 	return l.fcntl(unix.F_OFD_GETLK, query) == nil && query.Type != unix.F_UNLCK
 }
 
-// fcntl runs a command for locks on the file. It returns os.ErrClosed after Release: the number of a
-// closed descriptor may be another file's.
+// fcntl executes a lock command on the file. It returns os.ErrClosed after Release, since the number of the
+// closed descriptor may then refer to another file.
 func (l *TakeoverLock) fcntl(command int, r *unix.Flock_t) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -163,6 +164,7 @@
 	return unix.FcntlFlock(l.file.Fd(), command, r)
 }
 
+// byteRange describes a lock of the given kind on the byte at an offset.
 func byteRange(kind int16, offset int64) *unix.Flock_t {
 	return &unix.Flock_t{Type: kind, Whence: io.SeekStart, Start: offset, Len: 1}
 }
--- a/internal/upgrade/takeover_lock_test.go
+++ b/internal/upgrade/takeover_lock_test.go
@@ -11,6 +11,7 @@
 
 const address = "127.0.0.1:3000"
 
+// acquire acquires the takeover lock of address without a retry, and releases it at the end of the test.
 func acquire(t *testing.T, directory string) *TakeoverLock {
 	t.Helper()
 	lock, err := AcquireTakeover(directory, address, 0, time.Millisecond)
@@ -21,6 +22,7 @@
 	return lock
 }
 
+// check reports an error if a value differs from the wanted one.
 func check(t *testing.T, what string, got, want any) {
 	t.Helper()
 	if got != want {
@@ -28,8 +30,8 @@
 	}
 }
 
-// One process serves, a second is its successor and is promoted when the first has released its lock; a
-// third cannot acquire it.
+// The first process serves and the second is its successor, which is promoted only after the first has
+// released its lock. A third process cannot acquire the lock while two hold it.
 func TestTakeoverLock(t *testing.T) {
 	directory := t.TempDir()
 	first := acquire(t, directory)
@@ -41,7 +43,7 @@
 	check(t, "the first has a successor", first.HasSuccessor(), true)
 	check(t, "the successor listens", first.SuccessorListening(), false)
 	if _, err := AcquireTakeover(directory, address, 0, time.Millisecond); !errors.Is(err, ErrTakeoverInProgress) {
-		t.Errorf("a third process: %v, want %v", err, ErrTakeoverInProgress)
+		t.Errorf("AcquireTakeover() of a third process: error %v, want %v", err, ErrTakeoverInProgress)
 	}
 	if err := second.AnnounceListening(); err != nil {
 		t.Fatal(err)
@@ -49,12 +51,12 @@
 	check(t, "the successor listens", first.SuccessorListening(), true)
 	check(t, "the second has a successor", second.HasSuccessor() || second.SuccessorListening(), false)
 	if promoted, err := second.Promote(); promoted || err != nil {
-		t.Errorf("promoted beside the first: %v, %v", promoted, err)
+		t.Errorf("Promote() while the first process serves = %v, %v; want false", promoted, err)
 	}
 
 	first.Release()
 	if promoted, err := second.Promote(); !promoted || err != nil {
-		t.Fatalf("not promoted: %v, %v", promoted, err)
+		t.Fatalf("Promote() after the first process released its lock = %v, %v; want true", promoted, err)
 	}
 	check(t, "the second is a successor", second.IsSuccessor(), false)
 	check(t, "the second has a successor", second.HasSuccessor() || second.SuccessorListening(), false)
@@ -63,7 +65,8 @@
 	check(t, "the second has a successor", second.HasSuccessor(), true)
 }
 
-// After a successor has released its lock, the serving process has none, and another may follow.
+// After a successor has released its lock, the serving process has no successor, and another process can
+// become its successor.
 func TestSuccessorStops(t *testing.T) {
 	directory := t.TempDir()
 	first, second := acquire(t, directory), acquire(t, directory)
@@ -75,19 +78,19 @@
 	check(t, "the next one is a successor", acquire(t, directory).IsSuccessor(), true)
 }
 
-// A lock that was released answers that it is closed, and releases nothing else.
+// A released lock returns os.ErrClosed, and a second Release does not affect the lock of another process.
 func TestReleased(t *testing.T) {
 	directory := t.TempDir()
 	first, second := acquire(t, directory), acquire(t, directory)
 	second.Release()
 	second.Release()
 	if promoted, err := second.Promote(); promoted || !errors.Is(err, os.ErrClosed) {
-		t.Errorf("promoted after the release: %v, %v; want %v", promoted, err, os.ErrClosed)
+		t.Errorf("Promote() after Release() = %v, %v; want false, %v", promoted, err, os.ErrClosed)
 	}
 	check(t, "the first is a successor", first.IsSuccessor(), false)
 }
 
-// Schedulers with other addresses have takeover locks of their own.
+// Schedulers with different addresses in one directory have separate takeover locks.
 func TestOtherAddress(t *testing.T) {
 	directory := t.TempDir()
 	acquire(t, directory)
@@ -99,21 +102,23 @@
 	check(t, "it is a successor", other.IsSuccessor(), false)
 }
 
+// AcquireTakeover returns the error of a directory that does not exist.
 func TestDirectoryMissing(t *testing.T) {
 	if _, err := AcquireTakeover(t.TempDir()+"/none", address, 0, 0); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("error %v, want %v", err, os.ErrNotExist)
+		t.Errorf("AcquireTakeover() without a directory: error %v, want %v", err, os.ErrNotExist)
 	}
 }
 
 type savedState struct{ Figures []int }
 
-// A saved state is loaded; a torn or corrupt one, or one of another form, is unreadable.
+// LoadState loads the state that was saved last. A state file that is truncated or corrupt, or has another
+// format or version, is unreadable.
 func TestState(t *testing.T) {
 	directory := t.TempDir()
 	predecessor, successor := acquire(t, directory), acquire(t, directory)
 	var got savedState
 	if err := successor.LoadState(&got); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("no state: %v, want %v", err, os.ErrNotExist)
+		t.Errorf("LoadState() without a state: error %v, want %v", err, os.ErrNotExist)
 	}
 	for _, figures := range [][]int{{9}, {1, 2, 3}} {
 		if err := predecessor.SaveState(savedState{figures}); err != nil {
@@ -121,7 +126,7 @@
 		}
 	}
 	if err := successor.LoadState(&got); err != nil || len(got.Figures) != 3 {
-		t.Fatalf("read %v, %v", got, err)
+		t.Fatalf("LoadState() reads %v, %v; want 3 figures", got, err)
 	}
 	intact, err := os.ReadFile(predecessor.stateFile().Path)
 	if err != nil {
@@ -136,7 +141,7 @@
 	}
 	for name, data := range map[string][]byte{
 		"empty":           {},
-		"torn":            intact[:len(intact)-1],
+		"truncated":       intact[:len(intact)-1],
 		"longer":          append(append([]byte(nil), intact...), 0),
 		"no length":       intact[:lengthOffset],
 		"foreign":         []byte(strings.Repeat("x", len(intact))),
@@ -150,11 +155,11 @@
 			t.Fatal(err)
 		}
 		if err := successor.LoadState(&got); !errors.Is(err, ErrStateUnreadable) {
-			t.Errorf("%s: %v, want %v", name, err, ErrStateUnreadable)
+			t.Errorf("%s: LoadState() error %v, want %v", name, err, ErrStateUnreadable)
 		}
 	}
 	successor.DiscardState()
 	if err := successor.LoadState(&got); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("discarded: %v, want %v", err, os.ErrNotExist)
+		t.Errorf("LoadState() after DiscardState(): error %v, want %v", err, os.ErrNotExist)
 	}
 }
