--- a/internal/cells/assigner_test.go
+++ b/internal/cells/assigner_test.go
@@ -55,16 +55,16 @@
 		p, rng := mustNewPlan(t, equalCellsSpec(c.cells)), rand.New(rand.NewPCG(1, 2))
 		migrations, events := 0, 0
 		for range 40 {
-			a, list := NewAssigner(p), randomWorkers(rng, c.n)
-			a.Update(list)
+			assigner, list := NewAssigner(p), randomWorkers(rng, c.n)
+			assigner.Update(list)
 			for range 10 {
 				i := rng.IntN(len(list))
 				replaced := list[i]
 				list = append(list[:i:i], list[i+1:]...)
-				migrations += countMigrated(a.Update(list))
+				migrations += countMigrated(assigner.Update(list))
 				replaced.ID = fmt.Sprintf("s-%08x", rng.Uint32())
 				list = append(list, replaced)
-				migrations += countMigrated(a.Update(list))
+				migrations += countMigrated(assigner.Update(list))
 				events += 2
 			}
 		}
--- a/internal/cells/bench_test.go
+++ b/internal/cells/bench_test.go
@@ -41,15 +41,15 @@
 func BenchmarkOneWorker(b *testing.B) {
 	p, list := largeFleet(b)
 	a := NewAssigner(p)
-	l := NewLayout(p).WithChanges(a.Update(list))
+	layout := NewLayout(p).WithChanges(a.Update(list))
 	b.ReportAllocs()
 	i := 0
 	for b.Loop() {
 		worker := list[i/2%len(list)]
 		if i%2 == 0 {
-			l = l.WithChanges(a.Remove(worker.ID))
+			layout = layout.WithChanges(a.Remove(worker.ID))
 		} else {
-			l = l.WithChanges(a.Add(worker))
+			layout = layout.WithChanges(a.Add(worker))
 		}
 		i++
 	}
@@ -58,12 +58,12 @@
 // BenchmarkLookup looks up the cell of a job, the cell of a worker, and the workers of an affinity key.
 func BenchmarkLookup(b *testing.B) {
 	p, list := largeFleet(b)
-	l := NewLayout(p).WithChanges(NewAssigner(p).Update(list))
+	layout := NewLayout(p).WithChanges(NewAssigner(p).Update(list))
 	b.Run("cell", func(b *testing.B) {
 		b.ReportAllocs()
 		i := 0
 		for b.Loop() {
-			l.Cell(i%1000, uint64(i))
+			layout.Cell(i%1000, uint64(i))
 			i++
 		}
 	})
@@ -71,7 +71,7 @@
 		b.ReportAllocs()
 		i := 0
 		for b.Loop() {
-			l.WorkerCell(list[i%len(list)].ID)
+			layout.WorkerCell(list[i%len(list)].ID)
 			i++
 		}
 	})
@@ -80,7 +80,7 @@
 		i := uint64(0)
 		for b.Loop() {
 			i++
-			l.KeyWorkers(7, i)
+			layout.KeyWorkers(7, i)
 		}
 	})
 }
--- a/internal/cells/cells_test.go
+++ b/internal/cells/cells_test.go
@@ -50,32 +50,33 @@
 // the same way. A migration changes only the cells of its tenant, and can be undone.
 func TestTenants(t *testing.T) {
 	p := threeCellPlan(t)
-	l := NewLayout(p)
-	if l.Cell(0, 1) != 0 || l.Cell(1, 9) != 1 || l.Cell(3, 1) != l.Cell(3, 2) || l.Cell(-1, 0) != l.Cell(99, 5) {
+	layout := NewLayout(p)
+	if layout.Cell(0, 1) != 0 || layout.Cell(1, 9) != 1 || layout.Cell(3, 1) != layout.Cell(3, 2) ||
+		layout.Cell(-1, 0) != layout.Cell(99, 5) {
 		t.Error("Cell() does not return the configured cells of the tenants")
 	}
 	seen := map[int]int{}
 	for key := range uint64(1000) {
-		seen[l.Cell(2, key)]++
+		seen[layout.Cell(2, key)]++
 	}
 	if len(seen) != 2 || seen[0] < 200 || seen[2] < 100 {
 		t.Errorf("keys of the split tenant by cell: %v, want at least 200 in cell 0, 100 in cell 2, none elsewhere", seen)
 	}
 	sum := 0.0
 	for c := range p.CellCount() {
-		for _, q := range l.Quotas(c) {
+		for _, q := range layout.Quotas(c) {
 			sum += q
 		}
 	}
 	if sum < 60.99 || sum > 61.01 {
 		t.Errorf("the quotas of all cells add up to %v, want 61", sum)
 	}
-	migrated := l.WithMigration(2, 1)
+	migrated := layout.WithMigration(2, 1)
 	if migrated.Cell(2, 5) != 1 || !migrated.Migrated(2) || migrated.Migrated(0) ||
-		l.Migrated(2) || migrated.Cell(0, 1) != 0 {
+		layout.Migrated(2) || migrated.Cell(0, 1) != 0 {
 		t.Error("WithMigration(2, 1) does not move exactly tenant 2 to cell 1")
 	}
-	if restored := migrated.WithoutMigration(2); restored.Migrated(2) || restored.Cell(2, 5) != l.Cell(2, 5) {
+	if restored := migrated.WithoutMigration(2); restored.Migrated(2) || restored.Cell(2, 5) != layout.Cell(2, 5) {
 		t.Error("WithoutMigration(2) does not restore the configured cells of tenant 2")
 	}
 	for what, c := range map[string]struct {
@@ -88,7 +89,7 @@
 		"same":              {0, 0, ErrSameCell},
 		"empty":             {0, 1, ErrNoWorkers},
 	} {
-		if err := l.CheckMigration(c.tenant, c.to); !errors.Is(err, c.want) {
+		if err := layout.CheckMigration(c.tenant, c.to); !errors.Is(err, c.want) {
 			t.Errorf("%s: CheckMigration(%d, %d) = %v, want %v", what, c.tenant, c.to, err, c.want)
 		}
 	}
@@ -97,7 +98,7 @@
 // A job spills at most once, into a healthy cell that has capacity; two cells that spill into each other
 // must not pass a job back and forth.
 func TestRoute(t *testing.T) {
-	l := NewLayout(threeCellPlan(t))
+	layout := NewLayout(threeCellPlan(t))
 	for what, c := range map[string]struct {
 		conditions  [3]Condition
 		hasCapacity bool
@@ -111,13 +112,15 @@
 		"both unavailable: no cycle": {[3]Condition{Unavailable, Unavailable, Healthy}, true, Route{Cell: 0, Shed: true}},
 		"the other in slow start":    {[3]Condition{Unavailable, SlowStart, Healthy}, true, Route{Cell: 0, Shed: true}},
 	} {
-		got := l.Route(0, 7, func(cell int) Condition { return c.conditions[cell] }, func(int) bool { return c.hasCapacity })
+		got := layout.Route(0, 7, func(cell int) Condition { return c.conditions[cell] },
+			func(int) bool { return c.hasCapacity })
 		if got != c.want {
 			t.Errorf("%s: Route() = %+v, want %+v", what, got, c.want)
 		}
 	}
-	if l.SpillBound(0, 100) != 10 || l.SpillBound(0, 3) != 1 {
-		t.Errorf("SpillBound(0, 100) = %d, want 10; SpillBound(0, 3) = %d, want 1", l.SpillBound(0, 100), l.SpillBound(0, 3))
+	if layout.SpillBound(0, 100) != 10 || layout.SpillBound(0, 3) != 1 {
+		t.Errorf("SpillBound(0, 100) = %d, want 10; SpillBound(0, 3) = %d, want 1",
+			layout.SpillBound(0, 100), layout.SpillBound(0, 3))
 	}
 }
 
@@ -125,14 +128,14 @@
 // Removing a worker changes at most one worker of each key.
 func TestKeyWorkers(t *testing.T) {
 	p := threeCellPlan(t)
-	a := NewAssigner(p)
+	assigner := NewAssigner(p)
 	list := randomWorkers(rand.New(rand.NewPCG(5, 6)), 60)
-	l := NewLayout(p).WithChanges(a.Update(list))
-	removed := l.Workers(1)[3]
-	withoutRemoved := l.WithChanges([]Change{{removed, 1, -1}})
+	layout := NewLayout(p).WithChanges(assigner.Update(list))
+	removed := layout.Workers(1)[3]
+	withoutRemoved := layout.WithChanges([]Change{{removed, 1, -1}})
 	used := map[string]int{}
 	for key := uint64(1); key <= 400; key++ {
-		workers := l.KeyWorkers(1, key)
+		workers := layout.KeyWorkers(1, key)
 		if len(workers) != 2 || workers[0] == workers[1] {
 			t.Fatalf("KeyWorkers(1, %d) = %v, want two different workers", key, workers)
 		}
@@ -150,10 +153,10 @@
 				key, workers, withoutRemoved.KeyWorkers(1, key), removed)
 		}
 	}
-	if len(used) != l.WorkerCount(1) {
-		t.Errorf("400 keys use %d workers of the cell, want all %d", len(used), l.WorkerCount(1))
+	if len(used) != layout.WorkerCount(1) {
+		t.Errorf("400 keys use %d workers of the cell, want all %d", len(used), layout.WorkerCount(1))
 	}
-	if l.KeyWorkers(1, 0) != nil {
+	if layout.KeyWorkers(1, 0) != nil {
 		t.Error("KeyWorkers(1, 0) restricts jobs without a key, want nil")
 	}
 }
@@ -162,19 +165,19 @@
 // spill cell, or to the remaining cells.
 func TestEvacuation(t *testing.T) {
 	p := threeCellPlan(t)
-	l := NewLayout(p)
+	layout := NewLayout(p)
 	all := func(int) bool { return true }
-	got, err := l.PlanEvacuation(0, all)
+	got, err := layout.PlanEvacuation(0, all)
 	if err != nil || !slices.Contains(got, Evacuee{0, 1}) || !slices.Contains(got, Evacuee{2, 2}) {
 		t.Errorf("PlanEvacuation(0) = %v, %v; want tenant 0 in cell 1 and tenant 2 in cell 2", got, err)
 	}
-	got, _ = l.PlanEvacuation(0, func(c int) bool { return c == 2 })
+	got, _ = layout.PlanEvacuation(0, func(c int) bool { return c == 2 })
 	for _, r := range got {
 		if r.To != 2 {
 			t.Errorf("PlanEvacuation(0) sends tenant %d to cell %d, but only cell 2 accepts tenants", r.Tenant, r.To)
 		}
 	}
-	if _, err := l.PlanEvacuation(0, func(int) bool { return false }); !errors.Is(err, ErrNoTargetCell) {
+	if _, err := layout.PlanEvacuation(0, func(int) bool { return false }); !errors.Is(err, ErrNoTargetCell) {
 		t.Errorf("PlanEvacuation(0) without an accepting cell: error %v, want %v", err, ErrNoTargetCell)
 	}
 }
--- a/internal/cells/layout.go
+++ b/internal/cells/layout.go
@@ -68,10 +68,10 @@
 }
 
 // SameCells reports whether a tenant's cells have the same names, in the same order, in another layout.
-func (l *Layout) SameCells(o *Layout, tenant int) bool {
-	tenantCells, otherCells := l.tenants[l.tenantIndex(tenant)], o.tenants[o.tenantIndex(tenant)]
+func (l *Layout) SameCells(other *Layout, tenant int) bool {
+	tenantCells, otherCells := l.tenants[l.tenantIndex(tenant)], other.tenants[other.tenantIndex(tenant)]
 	return slices.EqualFunc(tenantCells, otherCells, func(a, b int32) bool {
-		return l.plan.cells[a].Name == o.plan.cells[b].Name
+		return l.plan.cells[a].Name == other.plan.cells[b].Name
 	})
 }
 
--- a/internal/cells/rendezvous.go
+++ b/internal/cells/rendezvous.go
@@ -6,16 +6,16 @@
 // probability of each cell is proportional to its fraction of capacity, and adding or removing a cell moves
 // only the hashes that the cell gains or loses. The score of a cell is -w / ln(u), with its weight w and u
 // uniform in (0, 1) (Schindelhauer and Schomaker, 2005).
-func (p *Plan) rendezvous(hash uint64, among cellSet) int {
+func (p *Plan) rendezvous(hash uint64, candidates cellSet) int {
 	best, bestScore := 0, 0.0
-	n := len(among)
-	if among == nil {
+	n := len(candidates)
+	if candidates == nil {
 		n = len(p.cells)
 	}
 	for i := range n {
 		cell := i
-		if among != nil {
-			cell = int(among[i])
+		if candidates != nil {
+			cell = int(candidates[i])
 		}
 		u := uniform(hash ^ p.cellHashes[cell])
 		if p.fractions[cell] <= bestScore*(1-u) {
--- a/internal/cells/slots.go
+++ b/internal/cells/slots.go
@@ -29,12 +29,12 @@
 
 // poolOf returns the kindPool of a kind, and creates it if there is none.
 func (a *Assigner) poolOf(kind int) *kindPool {
-	s := a.pools[kind]
-	if s == nil {
-		s = &kindPool{kind: kind, slotsByCell: make([]int, len(a.plan.cells))}
-		a.pools[kind] = s
+	pool := a.pools[kind]
+	if pool == nil {
+		pool = &kindPool{kind: kind, slotsByCell: make([]int, len(a.plan.cells))}
+		a.pools[kind] = pool
 	}
-	return s
+	return pool
 }
 
 // slotCount returns the number of slots for a number of workers of one kind. There are at least as many
@@ -51,28 +51,28 @@
 // addSlot adds the next slot, for the cell that is furthest below its fraction of the slots by Webster's
 // method. The order of slots depends only on the cells' fractions and the required kinds, so that one more
 // worker adds at most one slot and changes no earlier one.
-func (s *kindPool) addSlot(p *Plan) *slot {
-	cell := s.nextSlotCell(p)
-	ordinal := s.slotsByCell[cell]
-	s.slotsByCell[cell]++
+func (pool *kindPool) addSlot(p *Plan) *slot {
+	cell := pool.nextSlotCell(p)
+	ordinal := pool.slotsByCell[cell]
+	pool.slotsByCell[cell]++
 	zone := anyZone
 	if p.zones > 1 {
-		zone = (ordinal + cell + max(0, s.kind)) % p.zones
+		zone = (ordinal + cell + max(0, pool.kind)) % p.zones
 	}
-	position := mix(p.cellHashes[cell] + uint64(s.kind+1)*goldenRatio + uint64(ordinal)*slotSalt)
-	s.slots = append(s.slots, slot{cell: cell, position: position, zone: zone})
-	return &s.slots[len(s.slots)-1]
+	position := mix(p.cellHashes[cell] + uint64(pool.kind+1)*goldenRatio + uint64(ordinal)*slotSalt)
+	pool.slots = append(pool.slots, slot{cell: cell, position: position, zone: zone})
+	return &pool.slots[len(pool.slots)-1]
 }
 
 // nextSlotCell returns the cell of the next slot. Among cells of equal rank, each kind begins with a
 // different cell.
-func (s *kindPool) nextSlotCell(p *Plan) int {
+func (pool *kindPool) nextSlotCell(p *Plan) int {
 	best, bestRank := 0, -1.0
-	first := max(0, s.kind*max(1, len(p.cells)/max(1, len(p.kindWeights)-1)))
+	first := max(0, pool.kind*max(1, len(p.cells)/max(1, len(p.kindWeights)-1)))
 	for i := range p.cells {
 		cell := (i + first) % len(p.cells)
-		rank := p.fractions[cell] / float64(2*s.slotsByCell[cell]+1)
-		if s.slotsByCell[cell] == 0 && p.requiresKind(s.kind) {
+		rank := p.fractions[cell] / float64(2*pool.slotsByCell[cell]+1)
+		if pool.slotsByCell[cell] == 0 && p.requiresKind(pool.kind) {
 			rank += requiredKindRank
 		}
 		if rank > bestRank {
@@ -101,8 +101,8 @@
 }
 
 // assign assigns a worker to slot i.
-func (s *kindPool) assign(i int, w *ringWorker) {
-	s.slots[i].holder = w
+func (pool *kindPool) assign(i int, w *ringWorker) {
+	pool.slots[i].holder = w
 	w.slot = i
 }
 
@@ -112,19 +112,19 @@
 	added := a.register(w)
 	at, _ := slices.BinarySearchFunc(a.ordered, added, byPosition)
 	a.ordered = slices.Insert(a.ordered, at, added)
-	s := a.poolOf(w.Kind)
-	s.workers++
+	pool := a.poolOf(w.Kind)
+	pool.workers++
 	displaced := added
-	for i := range s.slots {
-		if holder := s.slots[i].holder; s.slots[i].prefers(displaced, holder) {
-			s.assign(i, displaced)
+	for i := range pool.slots {
+		if holder := pool.slots[i].holder; pool.slots[i].prefers(displaced, holder) {
+			pool.assign(i, displaced)
 			holder.slot = noSlot
 			displaced = holder
 		}
 	}
-	for len(s.slots) < a.slotCount(s.workers) {
-		s.addSlot(a.plan)
-		a.refill(s, len(s.slots)-1)
+	for len(pool.slots) < a.slotCount(pool.workers) {
+		pool.addSlot(a.plan)
+		a.refill(pool, len(pool.slots)-1)
 	}
 }
 
@@ -134,31 +134,31 @@
 	delete(a.workers, w.ID)
 	at, _ := slices.BinarySearchFunc(a.ordered, w, byPosition)
 	a.ordered = slices.Delete(a.ordered, at, at+1)
-	s := a.poolOf(w.Kind)
-	s.workers--
-	for len(s.slots) > a.slotCount(s.workers) {
-		last := &s.slots[len(s.slots)-1]
-		s.slotsByCell[last.cell]--
+	pool := a.poolOf(w.Kind)
+	pool.workers--
+	for len(pool.slots) > a.slotCount(pool.workers) {
+		last := &pool.slots[len(pool.slots)-1]
+		pool.slotsByCell[last.cell]--
 		last.holder.slot = noSlot
-		s.slots = s.slots[:len(s.slots)-1]
+		pool.slots = pool.slots[:len(pool.slots)-1]
 	}
 	if w.slot >= 0 {
-		a.refill(s, w.slot)
+		a.refill(pool, w.slot)
 	}
 }
 
 // refill assigns to slot i the worker that it prefers among those that no earlier slot holds, and then
 // refills the slot that lost this worker.
-func (a *Assigner) refill(s *kindPool, i int) {
+func (a *Assigner) refill(pool *kindPool, i int) {
 	for i >= 0 {
 		var best *ringWorker
 		for _, w := range a.ordered {
-			if w.Kind == s.kind && (w.slot < 0 || w.slot > i) && s.slots[i].prefers(w, best) {
+			if w.Kind == pool.kind && (w.slot < 0 || w.slot > i) && pool.slots[i].prefers(w, best) {
 				best = w
 			}
 		}
 		next := best.slot
-		s.assign(i, best)
+		pool.assign(i, best)
 		i = next
 	}
 }
@@ -182,12 +182,12 @@
 		a.poolOf(w.Kind).workers++
 	}
 	rings := ringsOf(a.ordered)
-	for kind, s := range a.pools {
-		for len(s.slots) < a.slotCount(s.workers) {
-			added := s.addSlot(a.plan)
+	for kind, pool := range a.pools {
+		for len(pool.slots) < a.slotCount(pool.workers) {
+			added := pool.addSlot(a.plan)
 			w := added.preferredFree(rings[kind])
 			rings[kind][w.Zone].markTaken(w)
-			s.assign(len(s.slots)-1, w)
+			pool.assign(len(pool.slots)-1, w)
 		}
 	}
 }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -58,9 +58,9 @@
 	sampleInterval = 1000 // beyond that, one line of this number is written
 )
 
-// Limited returns a logger for lines that input can cause. In each second it writes only a sample of the lines
+// RateLimited returns a logger for lines that input can cause. In each second it writes only a sample of the lines
 // with the same message, however much input arrives.
-func Limited(log *zap.Logger) *zap.Logger {
+func RateLimited(log *zap.Logger) *zap.Logger {
 	return log.WithOptions(zap.WrapCore(func(core zapcore.Core) zapcore.Core {
 		return zapcore.NewSamplerWithOptions(core, time.Second, linesPerSecond, sampleInterval)
 	}))
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -9,13 +9,13 @@
 
 // Input could flood the log. A limited logger writes only a sample of the lines with the same message, each as
 // one JSON object.
-func TestLimited(t *testing.T) {
+func TestRateLimited(t *testing.T) {
 	var out bytes.Buffer
 	log, err := New(&out, "json", "info")
 	if err != nil {
 		t.Fatal(err)
 	}
-	limited := Limited(log)
+	limited := RateLimited(log)
 	for range 900 {
 		limited.Warn("bad input")
 	}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -42,7 +42,7 @@
 	source   Source
 	pool     atomic.Value // the last reported core.WorkerPool
 
-	responses, attempts, active, size, ejected, violations *prometheus.Desc
+	responses, attempts, active, poolSize, poolEjected, violations *prometheus.Desc
 }
 
 // Handler returns an HTTP handler that exposes the metrics, with one series per class and result for jobs.
@@ -52,11 +52,11 @@
 	}
 	c := &collector{
 		classes: classes, counters: set, source: source,
-		responses: describe("responses_total", "Jobs answered, by class and result.", "kind", "result"),
-		attempts:  describe("tries_total", "Attempts written whole to execute nodes."),
-		active:    describe("active", "Jobs taken and not yet answered."),
-		size:      describe("pool_size", "Execute nodes in the machine list."),
-		ejected:   describe("pool_ejected", "Listed execute nodes that are avoided."),
+		responses:   describe("responses_total", "Jobs answered, by class and result.", "kind", "result"),
+		attempts:    describe("tries_total", "Attempts written whole to execute nodes."),
+		active:      describe("active", "Jobs taken and not yet answered."),
+		poolSize:    describe("pool_size", "Execute nodes in the machine list."),
+		poolEjected: describe("pool_ejected", "Listed execute nodes that are avoided."),
 
 		violations: describe("invariant_violations_total", "Actions given up since they would have broken a rule.", "rule"),
 	}
@@ -68,7 +68,7 @@
 
 // Describe implements prometheus.Collector.
 func (c *collector) Describe(out chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{c.responses, c.attempts, c.active, c.size, c.ejected, c.violations} {
+	for _, d := range []*prometheus.Desc{c.responses, c.attempts, c.active, c.poolSize, c.poolEjected, c.violations} {
 		out <- d
 	}
 }
@@ -89,8 +89,8 @@
 	attempts := c.counters.Get(counters.ClaimsWritten)
 	out <- prometheus.MustNewConstMetric(c.attempts, prometheus.CounterValue, float64(attempts))
 	out <- prometheus.MustNewConstMetric(c.active, prometheus.GaugeValue, float64(c.source.Active()))
-	out <- prometheus.MustNewConstMetric(c.size, prometheus.GaugeValue, float64(pool.Size))
-	out <- prometheus.MustNewConstMetric(c.ejected, prometheus.GaugeValue, float64(pool.Ejected))
+	out <- prometheus.MustNewConstMetric(c.poolSize, prometheus.GaugeValue, float64(pool.Size))
+	out <- prometheus.MustNewConstMetric(c.poolEjected, prometheus.GaugeValue, float64(pool.Ejected))
 }
 
 // workerPool returns the state of the worker pool, or its last known state if the core does not report within
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -71,7 +71,7 @@
 func New(
 	cfg *config.Scheduler, c *core.Core, clock core.Clock, set *counters.Set, log *zap.Logger,
 ) (*Platform, error) {
-	log = logging.Limited(log) // clients and workers can cause all that is logged from here on
+	log = logging.RateLimited(log) // clients and workers can cause all that is logged from here on
 	// The watch ends by closeOutbound, at the platform's end, and by nothing else.
 	endpoints := newEndpointWatch(context.Background(), cfg.Discovery, cfg.Settings, c, log)
 	endpoints.table.coreNow = clock.Now
--- a/internal/upgrade/takeover_lock.go
+++ b/internal/upgrade/takeover_lock.go
@@ -55,7 +55,7 @@
 	l := &TakeoverLock{path: path, file: file}
 	deadline := time.Now().Add(timeout)
 	for {
-		acquired, err := l.acquireFree()
+		acquired, err := l.tryAcquire()
 		switch {
 		case err != nil:
 			file.Close()
@@ -75,9 +75,9 @@
 	return "foxlift-" + strings.NewReplacer(":", "_", "/", "_").Replace(address) + ".lock"
 }
 
-// acquireFree acquires the role of the serving process or, if another process has it, that of the successor.
+// tryAcquire acquires the role of the serving process or, if another process has it, that of the successor.
 // It returns false if other processes have both roles.
-func (l *TakeoverLock) acquireFree() (bool, error) {
+func (l *TakeoverLock) tryAcquire() (bool, error) {
 	if acquired, err := l.lockByte(servingByte); acquired || err != nil {
 		return acquired, err
 	}
