--- a/internal/platform/endpoint_snapshot_test.go
+++ b/internal/platform/endpoint_snapshot_test.go
@@ -21,25 +21,28 @@
 		`,{"host":"n3","dial":"10.0.0.3:3000","site":"b","class":"m","block":4,"health":"active","born_ms":9999999999999}]}`)
 	next(t, calls).answer(`{"seq":8,"whole":false,"hosts":[{"host":"n2","health":"left"}]}`)
 	next(t, calls)
-	if version, told := p.EndpointsVersion(); version != 8 || !told {
-		t.Errorf("version %d, told %v", version, told)
+	if version, confirmed := p.EndpointsVersion(); version != 8 || !confirmed {
+		t.Errorf("version %d, told %v", version, confirmed)
 	}
-	saved, told := p.SnapshotEndpoints()
-	if !told || saved.Discovery != addr {
-		t.Fatalf("%+v, %v", saved, told)
+	snapshot, confirmed := p.SnapshotEndpoints()
+	if !confirmed || snapshot.Discovery != addr {
+		t.Fatalf("%+v, %v", snapshot, confirmed)
 	}
-	again := newEndpointWatch(t.Context(), addr, &config.Settings{}, nil, nil)
-	workers, err := again.loadCached(saved.Endpoints)
+	restored := newEndpointWatch(t.Context(), addr, &config.Settings{}, nil, nil)
+	workers, err := restored.loadCached(snapshot.Endpoints)
 	if err != nil {
 		t.Fatal(err)
 	}
 	check(t, "workers", len(workers), 3)
-	check(t, "version", again.table.version, int64(8))
-	check(t, "asks for", again.needComplete, false)
+	check(t, "version", restored.table.version, int64(8))
+	check(t, "asks for", restored.needComplete, false)
 	for _, name := range []string{"n0", "n1", "n3"} {
-		was, is := p.endpoints.table.entries[name], again.table.entries[name]
-		check(t, name, fmt.Sprint(is.address, is.state, is.announcedStartMilli, is.zone.Value(), is.kind.Value(), is.cell),
-			fmt.Sprint(was.address, was.state, was.announcedStartMilli, was.zone.Value(), was.kind.Value(), was.cell))
+		before, after := p.endpoints.table.entries[name], restored.table.entries[name]
+		check(t, "restored entry of "+name,
+			fmt.Sprint(after.address, after.state, after.announcedStartMilli,
+				after.zone.Value(), after.kind.Value(), after.cell),
+			fmt.Sprint(before.address, before.state, before.announcedStartMilli,
+				before.zone.Value(), before.kind.Value(), before.cell))
 	}
 	check(t, "failed", set.Get("machines.failed"), int64(0))
 }
@@ -52,20 +55,20 @@
 	addr, calls := newDiscovery(t)
 	p, _ := start(t, addr, worker)
 	c := next(t, calls)
-	if _, told := p.SnapshotEndpoints(); told {
+	if _, confirmed := p.SnapshotEndpoints(); confirmed {
 		t.Error("the list as last known is saved as new")
 	}
 	c.answer(endpointsJSON(2, true, worker))
 	next(t, calls)
-	if _, told := p.SnapshotEndpoints(); !told {
+	if _, confirmed := p.SnapshotEndpoints(); !confirmed {
 		t.Error("a list that was told is not saved")
 	}
 	other, _ := newDiscovery(t)
 	p.endpoints.switchTo(other)
-	if _, told := p.EndpointsVersion(); told {
+	if _, confirmed := p.EndpointsVersion(); confirmed {
 		t.Error("the old discovery's version counts for the new one")
 	}
-	if _, told := p.SnapshotEndpoints(); told {
+	if _, confirmed := p.SnapshotEndpoints(); confirmed {
 		t.Error("the old discovery's list is saved for the new one")
 	}
 }
--- a/internal/platform/endpoint_watch_large_test.go
+++ b/internal/platform/endpoint_watch_large_test.go
@@ -10,8 +10,8 @@
 
 // longEndpoints writes a complete list of so many entries, the first of which is a test's worker; the others are
 // as long as entries usually are.
-func longEndpoints(seq, entries int, worker *testWorker, health string) string {
-	b := fmt.Appendf(nil, `{"seq":%d,"whole":true,"hosts":[%s`, seq, endpointJSON(0, worker, health))
+func longEndpoints(version, entries int, worker *testWorker, health string) string {
+	b := fmt.Appendf(nil, `{"seq":%d,"whole":true,"hosts":[%s`, version, endpointJSON(0, worker, health))
 	for i := 1; i < entries; i++ {
 		b = fmt.Appendf(b, `,{"host":"n%d","dial":"10.%d.%d.%d:3000","site":"a","class":"k","block":%d,`+
 			`"health":"active","share":1.0,"born_ms":%d}`,
@@ -65,7 +65,7 @@
 }
 
 // A part of a long list is not binding; its last byte is, before anything of it is in the table.
-func TestAttemptsWaitForManyEndpoints(t *testing.T) {
+func TestAttemptsWaitForLongEndpointList(t *testing.T) {
 	t.Parallel()
 	worker := newTestWorker(t, serveJob)
 	addr, calls := newDiscovery(t)
@@ -76,10 +76,10 @@
 	last := len(text) - 1
 	fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text[:last])
 	await(t, "all but the last byte is read", func() bool {
-		m := p.endpoints
-		m.mu.Lock()
-		defer m.mu.Unlock()
-		return !m.unread.lastReadAt.IsZero() && !m.unread.exists()
+		watch := p.endpoints
+		watch.mu.Lock()
+		defer watch.mu.Unlock()
+		return !watch.unread.lastReadAt.IsZero() && !watch.unread.exists()
 	})
 	if _, ok := p.endpoints.findLive("n0"); !ok {
 		t.Error("a part of a list counts as told")
@@ -94,15 +94,15 @@
 // An attempt waits for as long as a response is being read, but not without end.
 func TestUnreadDeadline(t *testing.T) {
 	startedAt := time.Now()
-	for _, c := range []struct{ read, wait time.Duration }{
+	for _, tc := range []struct{ lastRead, wait time.Duration }{
 		{-time.Hour, unreadWait},
 		{0, unreadWait},
 		{unreadWait / 2, unreadWait * 3 / 2},
 		{2 * unreadWait, 3 * unreadWait},
 		{time.Hour, maxUnreadWait},
 	} {
-		unread := &unreadResponse{lastReadAt: startedAt.Add(c.read)}
-		check(t, fmt.Sprint("last read after ", c.read), unread.deadline(startedAt).Sub(startedAt), c.wait)
+		unread := &unreadResponse{lastReadAt: startedAt.Add(tc.lastRead)}
+		check(t, fmt.Sprint("last read after ", tc.lastRead), unread.deadline(startedAt).Sub(startedAt), tc.wait)
 	}
 	if limit := newEndpointWatch(t.Context(), "", endpointSettings, nil, nil).pacer.Timeout(0); maxUnreadWait < limit {
 		t.Errorf("waits %v for a call that may take %v", maxUnreadWait, limit)
--- a/internal/platform/endpoint_watch_race_test.go
+++ b/internal/platform/endpoint_watch_race_test.go
@@ -19,17 +19,17 @@
 // sent where it does not get there.
 func TestUnreadResponseHoldsAttempts(t *testing.T) {
 	t.Parallel()
-	m := newEndpointWatch(t.Context(), "", &config.Settings{}, nil, nil)
-	m.table.entries["n"] = endpoint{}
+	watch := newEndpointWatch(t.Context(), "", &config.Settings{}, nil, nil)
+	watch.table.entries["n"] = endpoint{}
 	near, far := pipe(t)
-	conn := &observedConn{near, m.setReading}
-	m.unread.conn = conn
-	if _, ok := m.findLive("n"); !ok {
+	conn := &observedConn{near, watch.setReading}
+	watch.unread.conn = conn
+	if _, ok := watch.findLive("n"); !ok {
 		t.Error("nothing unread, and yet the worker is not to be had")
 	}
 	writeText(t, far, "HTTP/1.1 200 OK")
 	await(t, "arrived", func() bool { return hasInput(conn) })
-	if _, ok := m.findLive("n"); ok {
+	if _, ok := watch.findLive("n"); ok {
 		t.Error("sent on the old list, with an answer unread")
 	}
 	// Read, and not in the list yet: nothing is left in the kernel that find could see.
@@ -37,32 +37,32 @@
 		t.Fatalf("%v: not all of it is read", err)
 	}
 	found := make(chan bool)
-	go func() { _, ok := m.findLive("n"); found <- ok }()
-	m.mu.Lock()
-	check(t, "reading", m.unread.reading, true)
-	m.table.entries["n"], m.unread.conn, m.unread.reading = endpoint{state: foxlift.Draining}, nil, false
-	m.mu.Unlock()
+	go func() { _, ok := watch.findLive("n"); found <- ok }()
+	watch.mu.Lock()
+	check(t, "reading", watch.unread.reading, true)
+	watch.table.entries["n"], watch.unread.conn, watch.unread.reading = endpoint{state: foxlift.Draining}, nil, false
+	watch.mu.Unlock()
 	check(t, "found", <-found, false)
 	// What has come is a part: until the rest does, the list holds.
-	m.table.entries["n"], m.unread.conn = endpoint{}, conn
+	watch.table.entries["n"], watch.unread.conn = endpoint{}, conn
 	writeText(t, far, "half a")
 	_, _ = conn.Read(make([]byte, 100))
 	go func() { _, _ = conn.Read(make([]byte, 100)) }()
-	await(t, "the rest is awaited", func() bool { m.mu.Lock(); defer m.mu.Unlock(); return !m.unread.reading })
-	if _, ok := m.findLive("n"); !ok {
+	await(t, "the rest is awaited", func() bool { watch.mu.Lock(); defer watch.mu.Unlock(); return !watch.unread.reading })
+	if _, ok := watch.findLive("n"); !ok {
 		t.Error("half an answer counts as told")
 	}
 }
 
 // A blockedObserver is a core that is busy until free is closed or the test ends.
 type blockedObserver struct {
-	free chan bool
-	test context.Context
+	release chan bool
+	test    context.Context
 }
 
 func (o *blockedObserver) UpdateEndpoints(foxlift.EndpointUpdate, []foxlift.Worker) {
 	select {
-	case <-o.free:
+	case <-o.release:
 	case <-o.test.Done():
 	}
 }
@@ -73,40 +73,40 @@
 
 // startBusyCore watches a discovery with a core that is busy: it takes no update until free is closed, and by
 // then discovery has answered the next call with a drain, which nobody has read.
-func startBusyCore(t *testing.T) (m *endpointWatch, free chan bool) {
+func startBusyCore(t *testing.T) (watch *endpointWatch, release chan bool) {
 	addr, calls := newDiscovery(t)
 	settings, err := config.ParseSettings([]byte(testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
 	worker := newTestWorker(t, serveJob)
-	free = make(chan bool)
-	m = newEndpointWatch(t.Context(), addr, settings, &blockedObserver{free, t.Context()}, zap.NewNop())
-	m.finalReadTimeout = patience
-	t.Cleanup(m.stop)
-	m.Watch()
+	release = make(chan bool)
+	watch = newEndpointWatch(t.Context(), addr, settings, &blockedObserver{release, t.Context()}, zap.NewNop())
+	watch.finalReadTimeout = patience
+	t.Cleanup(watch.stop)
+	watch.Watch()
 	next(t, calls).answer(endpointsJSON(7, true, worker))
 	next(t, calls).answer(`{"seq":8,"whole":false,"hosts":[` + endpointJSON(0, worker, healthLeaving) + `]}`)
 	await(t, "it has arrived where claims look", func() bool {
-		m.mu.Lock()
-		defer m.mu.Unlock()
-		return m.unread.exists()
+		watch.mu.Lock()
+		defer watch.mu.Unlock()
+		return watch.unread.exists()
 	})
-	return m, free
+	return watch, release
 }
 
 // A response that comes while the core is busy with the one before is binding at once.
-func TestAnswerWhileTheCoreIsBusy(t *testing.T) {
+func TestResponseWhileTheCoreIsBusy(t *testing.T) {
 	t.Parallel()
-	m, free := startBusyCore(t)
-	if _, ok := m.findLive("n0"); ok {
+	watch, release := startBusyCore(t)
+	if _, ok := watch.findLive("n0"); ok {
 		t.Error("sent on the old list, with an answer unread")
 	}
-	close(free)
+	close(release)
 	await(t, "the drain is in the list", func() bool {
-		m.mu.Lock()
-		defer m.mu.Unlock()
-		return m.table.entries["n0"].state == foxlift.Draining
+		watch.mu.Lock()
+		defer watch.mu.Unlock()
+		return watch.table.entries["n0"].state == foxlift.Draining
 	})
 }
 
@@ -114,21 +114,21 @@
 // new one's list is asked for complete all the same.
 func TestUnreadDrainAtReload(t *testing.T) {
 	t.Parallel()
-	m, free := startBusyCore(t)
-	later, calls := newDiscovery(t)
-	m.switchTo(later)
-	close(free)
+	watch, release := startBusyCore(t)
+	newAddr, calls := newDiscovery(t)
+	watch.switchTo(newAddr)
+	close(release)
 	c := next(t, calls)
 	check(t, "the new discovery's first call", c.target, pathMembers)
-	m.mu.Lock()
-	check(t, "the worker", m.table.entries["n0"].state, foxlift.Draining)
-	check(t, "asked for at once until it has come", m.switchRetryUntil.IsZero(), false)
-	m.mu.Unlock()
+	watch.mu.Lock()
+	check(t, "the worker", watch.table.entries["n0"].state, foxlift.Draining)
+	check(t, "asked for at once until it has come", watch.switchRetryUntil.IsZero(), false)
+	watch.mu.Unlock()
 }
 
 // A pushed list is binding once the agent has it, outage or not: an agent that is down for long is polled again
 // and again within the shortest grace for drains, whatever the number of schedulers.
-func TestAgentReturns(t *testing.T) {
+func TestUnreachableAgentIsPolledOften(t *testing.T) {
 	t.Parallel()
 	l := listen(t).(*net.TCPListener)
 	if err := l.SetDeadline(time.Now().Add(patience)); err != nil {
--- a/internal/platform/endpoint_watch_test.go
+++ b/internal/platform/endpoint_watch_test.go
@@ -78,17 +78,17 @@
 	first, second := newTestWorker(t, serveJob), newTestWorker(t, serveJob)
 	addr, calls := newDiscovery(t)
 	// A start that the machine delays is a late one, and the module then holds jobs for a shorter time.
-	patient := strings.Replace(testSettings, `"aim":500000000`, `"aim":10000000000`, 1)
-	p, set := startText(t, patient, 256, addr, first)
-	s := connect(t, p)
+	settings := strings.Replace(testSettings, `"aim":500000000`, `"aim":10000000000`, 1)
+	p, set := startText(t, settings, 256, addr, first)
+	client := connect(t, p)
 	serve := func(id string, by *testWorker) {
 		t.Helper()
 		before := by.Got.Load()
-		r, _ := s.request(t, jobText("reading", id, "9000m", ""))
+		r, _ := client.request(t, jobText("reading", id, "9000m", ""))
 		check(t, id, r.StatusCode, 200)
 		check(t, id+" is the worker's", by.Got.Load(), before+1)
 	}
-	told := func(n int64) {
+	awaitUpdates := func(n int64) {
 		t.Helper()
 		await(t, "told", func() bool { return set.Get("machines.told") == n })
 	}
@@ -98,22 +98,22 @@
 	c.answer(endpointsJSON(7, true, first))
 	c = next(t, calls)
 	checkWatch(t, "watch", c.target, 7)
-	told(2)
+	awaitUpdates(2)
 	c.answer(`{"seq":8,"whole":false,"hosts":[` + endpointJSON(0, first, healthLeaving) + `,` +
 		endpointJSON(1, second, healthActive) + `]}`)
 	c = next(t, calls)
 	checkWatch(t, "next", c.target, 8)
-	told(3)
+	awaitUpdates(3)
 	serve("changed", second)
-	for i, faulty := range []string{`{"seq":9,"whole":tr`, `{"seq":9,"hosts":[{"host":"x","health":"?"}]}`} {
-		c.answer(faulty)
+	for i, invalid := range []string{`{"seq":9,"whole":tr`, `{"seq":9,"hosts":[{"host":"x","health":"?"}]}`} {
+		c.answer(invalid)
 		c = next(t, calls)
 		checkWatch(t, "after a faulty answer", c.target, 8+i)
 		serve(fmt.Sprint("old", i), second)
 		c.answer(endpointsJSON(9, true, first, second))
 		c = next(t, calls)
 		checkWatch(t, "watch", c.target, 9)
-		told(int64(4 + i))
+		awaitUpdates(int64(4 + i))
 	}
 	c.answer(endpointsJSON(3, false, first)) // discovery has lost count
 	c = next(t, calls)
@@ -124,8 +124,8 @@
 	checkWatch(t, "after a reset", c.target, 9)
 	c.answer(`{"seq":12,"whole":true,"hosts":[]}`)
 	next(t, calls)
-	told(7)
-	r, _ := s.request(t, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
+	awaitUpdates(7)
+	r, _ := client.request(t, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
 	check(t, "health without machines", r.StatusCode, 503)
 }
 
@@ -137,13 +137,13 @@
 	p, set := start(t, addr, first)
 	next(t, calls).answer(endpointsJSON(7, true, first))
 	old := next(t, calls)
-	later, _ := newDiscovery(t)
-	cfg := &config.Scheduler{Discovery: later, Known: []byte(`{"seq":"x"}`)}
+	newAddr, _ := newDiscovery(t)
+	cfg := &config.Scheduler{Discovery: newAddr, Known: []byte(`{"seq":"x"}`)}
 	if err := p.Reload(cfg); err == nil {
 		t.Error("a faulty list is taken")
 	}
-	l := listen(t)
-	cfg.Discovery, cfg.Known = l.Addr().String(), nil
+	newDiscoveryListener := listen(t)
+	cfg.Discovery, cfg.Known = newDiscoveryListener.Addr().String(), nil
 	if err := p.Reload(cfg); err != nil {
 		t.Fatal(err)
 	}
@@ -152,7 +152,7 @@
 		t.Errorf("the old call goes on: %v", err)
 	}
 	for i := range 3 { // it breaks off, and is asked again at once
-		c, err := l.Accept()
+		c, err := newDiscoveryListener.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -161,7 +161,7 @@
 		c.Close()
 	}
 	check(t, "the module hears of failures", set.Get("machines.failed"), int64(0))
-	c, err := l.Accept()
+	c, err := newDiscoveryListener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -170,11 +170,14 @@
 		t.Fatalf("%v, %v: not the whole list", r, err)
 	}
 	call{"", c}.answer(endpointsJSON(2, true, second))
-	await(t, "the new list", func() bool { _, ok := p.endpoints.findLive("n0"); return ok && set.Get("machines.told") == 3 })
-	got := second.Got.Load()
+	await(t, "the new discovery's list is applied", func() bool {
+		_, ok := p.endpoints.findLive("n0")
+		return ok && set.Get("machines.told") == 3
+	})
+	before := second.Got.Load()
 	r, _ := connect(t, p).request(t, jobText("reading", "after", "9000m", ""))
 	check(t, "after", r.StatusCode, 200)
-	check(t, "at the new list's worker", second.Got.Load(), got+1)
+	check(t, "at the new list's worker", second.Got.Load(), before+1)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := p.endpoints.applyResponse(ctx, &endpointsResponse{Complete: true}); err == nil {
@@ -184,28 +187,29 @@
 
 // Whatever the number of schedulers, a watch is held as the pacer asks, not all for the same time; one that
 // knows no list asks for the complete one.
-func TestWatchWait(t *testing.T) {
+func TestWatchHold(t *testing.T) {
 	for _, dispatchers := range []int{1, 80, 300, 1000} {
-		m := newEndpointWatch(t.Context(), "", &config.Settings{Module: foxlift.Config{Dispatchers: dispatchers}}, nil, nil)
+		watch := newEndpointWatch(
+			t.Context(), "", &config.Settings{Module: foxlift.Config{Dispatchers: dispatchers}}, nil, nil)
 		low, high := time.Hour, time.Duration(0)
 		for range 200 {
-			low, high = min(low, m.pacer.WatchHold()), max(high, m.pacer.WatchHold())
+			low, high = min(low, watch.pacer.WatchHold()), max(high, watch.pacer.WatchHold())
 		}
 		if low < 2550*time.Millisecond || high > 3400*time.Millisecond || high-low < 400*time.Millisecond {
 			t.Errorf("%d schedulers wait %v to %v", dispatchers, low, high)
 		}
-		check(t, "whole without a list", m.needComplete, true)
-		if _, err := m.loadCached([]byte(`{"seq":4,"whole":true,"hosts":[]}`)); err != nil {
+		check(t, "whole without a list", watch.needComplete, true)
+		if _, err := watch.loadCached([]byte(`{"seq":4,"whole":true,"hosts":[]}`)); err != nil {
 			t.Fatal(err)
 		}
-		check(t, "whole with a list", m.needComplete, false)
+		check(t, "whole with a list", watch.needComplete, false)
 	}
 }
 
 // Where endpoint lists are pushed the first call is made at once, whatever the number of schedulers.
 func TestPushedEndpointsArePolledAtOnce(t *testing.T) {
-	for how, spread := range map[string]bool{"subscribe": true, "automatic": false} {
-		settings := strings.NewReplacer(`"balancers":1`, `"balancers":900`, `"subscribe"`, `"`+how+`"`).Replace(testSettings)
+	for mode, delayed := range map[string]bool{"subscribe": true, "automatic": false} {
+		settings := strings.NewReplacer(`"balancers":1`, `"balancers":900`, `"subscribe"`, `"`+mode+`"`).Replace(testSettings)
 		s, err := config.ParseSettings([]byte(settings))
 		if err != nil {
 			t.Fatal(err)
@@ -215,15 +219,15 @@
 		for range 20 {
 			longest = max(longest, newEndpointWatch(t.Context(), "", s, nil, zap.NewNop()).pacer.InitialDelay())
 		}
-		if longest > 0 != spread {
-			t.Errorf("%s: the first call waits up to %v", how, longest)
+		if longest > 0 != delayed {
+			t.Errorf("%s: the first call waits up to %v", mode, longest)
 		}
 	}
 }
 
 // Of 300 schedulers one whose watch falls silent polls anew within seconds, on a new connection, and goes on
 // from the version that it has.
-func TestSilentWatchIsPolledAnew(t *testing.T) {
+func TestSilentWatchIsRepeated(t *testing.T) {
 	t.Parallel()
 	worker := newTestWorker(t, serveJob)
 	addr, calls := newDiscovery(t)
@@ -232,9 +236,9 @@
 	first := next(t, calls)
 	first.answer(endpointsJSON(7, true, worker))
 	silent := next(t, calls)
-	again := next(t, calls) // within 20 s; it was 56
-	if again.conn == silent.conn || !strings.HasPrefix(again.target, pathMembers+"?index=7&wait=") {
-		t.Errorf("%s on the same connection", again.target)
+	repeated := next(t, calls) // within 20 s; it was 56
+	if repeated.conn == silent.conn || !strings.HasPrefix(repeated.target, pathMembers+"?index=7&wait=") {
+		t.Errorf("%s on the same connection", repeated.target)
 	}
 	check(t, "failed", set.Get("machines.failed"), int64(1))
 }
--- a/internal/platform/endpoints_response_test.go
+++ b/internal/platform/endpoints_response_test.go
@@ -15,13 +15,13 @@
 )
 
 func TestParseEndpoints(t *testing.T) {
-	const good = `{"host":"h","dial":"1.2.3.4:5","site":"a","class":"k","block":3,"health":"leaving",` +
+	const validEntry = `{"host":"h","dial":"1.2.3.4:5","site":"a","class":"k","block":3,"health":"leaving",` +
 		`"share":1.0,"born_ms":7}`
-	for text, ok := range map[string]bool{
-		`{"seq":4,"whole":true,"hosts":[` + good + `]}`:                               true,
+	for text, valid := range map[string]bool{
+		`{"seq":4,"whole":true,"hosts":[` + validEntry + `]}`:                         true,
 		`{"seq":4,"whole":false,"hosts":[]}`:                                          true,
 		`{"seq":4,"hosts":[{"host":"h","health":"left"}]}`:                            true,
-		`{"seq":4,"whole":true,"hosts":[` + good:                                      false,
+		`{"seq":4,"whole":true,"hosts":[` + validEntry:                                false,
 		`{"whole":true,"hosts":[]}`:                                                   false,
 		`{"seq":4,"hosts":[{"host":"","dial":"1.2.3.4:5","health":"active"}]}`:        false,
 		`{"seq":4,"hosts":[{"host":"h","dial":"1.2.3.4","health":"active"}]}`:         false,
@@ -29,7 +29,7 @@
 		`{"seq":"4","hosts":[]}`:                                                      false,
 		`{"seq":4,"hosts":[{"host":"h","dial":"1.2.3.4:5","health":"active"}]} extra`: false,
 	} {
-		if _, err := parseEndpoints([]byte(text)); (err == nil) != ok {
+		if _, err := parseEndpoints([]byte(text)); (err == nil) != valid {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
@@ -39,15 +39,15 @@
 // is less memory; there no list has more entries than half of the memory can hold.
 func TestResponseBound(t *testing.T) {
 	for _, memory := range []int64{96 << 20, math.MaxInt64} {
-		b := newResponseBound(memory)
-		check(t, "bytes", b.bytes, int64(designEndpoints*bytesPerEntry))
-		if b.entries < designEndpoints {
-			t.Errorf("%d entries", b.entries)
+		bound := newResponseBound(memory)
+		check(t, "bytes", bound.bytes, int64(designEndpoints*bytesPerEntry))
+		if bound.entries < designEndpoints {
+			t.Errorf("%d entries", bound.entries)
 		}
 	}
-	b := newResponseBound(16 << 20)
-	check(t, "bytes in 16 MB", b.bytes, int64(2<<20))
-	check(t, "entries in 16 MB", b.entries, int64(4096))
+	bound := newResponseBound(16 << 20)
+	check(t, "bytes in 16 MB", bound.bytes, int64(2<<20))
+	check(t, "entries in 16 MB", bound.entries, int64(4096))
 	text := longEndpoints(1, 10, newTestWorker(t, serveJob), healthActive)
 	if _, err := decodeResponse(strings.NewReader(text), 10); err != nil {
 		t.Error(err)
@@ -92,15 +92,15 @@
 			worker := standin.Serve(l, serveJob)
 			defer worker.Close()
 			text := longEndpoints(1, entries, worker, healthActive)
-			m := newEndpointWatch(b.Context(), "", &config.Settings{}, nil, nil)
+			watch := newEndpointWatch(b.Context(), "", &config.Settings{}, nil, nil)
 			b.SetBytes(int64(len(text)))
 			b.ReportAllocs()
 			for b.Loop() {
-				l, err := decodeResponse(strings.NewReader(text), int64(entries))
+				response, err := decodeResponse(strings.NewReader(text), int64(entries))
 				if err != nil {
 					b.Fatal(err)
 				}
-				m.applyLocked(l)
+				watch.applyLocked(response)
 			}
 		})
 	}
--- a/internal/platform/fuzz_answers_test.go
+++ b/internal/platform/fuzz_answers_test.go
@@ -20,33 +20,33 @@
 	receive := func(parts [][]byte) (string, core.Report, int) {
 		conn := &memConn{parts: parts}
 		c := &workerConn{Conn: conn, buf: buffer{conn: conn}}
-		notes := 0
+		reports := 0
 		a := &attempt{pool: &workerPool{}, job: &core.Job{ID: "j"}, report: func(r core.Report) {
 			if r.Ended {
 				t.Fatalf("%q: an end among the notes", data)
 			}
-			notes++
+			reports++
 		}}
 		r, reusable := a.receiveAnswer(c)
 		if reusable && c.buf.buffered() != 0 {
 			t.Fatalf("%q: the connection is kept with %d bytes in it", data, c.buf.buffered())
 		}
-		return fmt.Sprintf("%v %q, %d notes", r.Code, r.Result, notes), r, conn.read
+		return fmt.Sprintf("%v %q, %d notes", r.Code, r.Result, reports), r, conn.read
 	}
-	got, r, read := receive(cut(data))
-	if !r.Ended {
+	got, report, read := receive(cut(data))
+	if !report.Ended {
 		t.Fatalf("%q: the claim does not end", data)
 	}
 	if read > 2*maxResponse { // what the buffer had room for when the limit was reached
 		t.Fatalf("%d bytes are read", read)
 	}
-	if r.Code == foxlift.Served {
-		id, result, ok := plainAnswer(data)
-		if !ok || id != "j" || result != string(r.Result) {
-			t.Fatalf("%q: served with %q; plainly %q of %q, whole and proper %v", data, r.Result, result, id, ok)
+	if report.Code == foxlift.Served {
+		id, result, ok := referenceAnswer(data)
+		if !ok || id != "j" || result != string(report.Result) {
+			t.Fatalf("%q: served with %q; plainly %q of %q, whole and proper %v", data, report.Result, result, id, ok)
 		}
 	}
-	if r.Code.NeverRan() && !bytes.Contains(bytes.ToLower(data), []byte("turned-away")) &&
+	if report.Code.NeverRan() && !bytes.Contains(bytes.ToLower(data), []byte("turned-away")) &&
 		!bytes.Contains(data, []byte("returned")) && !bytes.Contains(data, []byte(`\u`)) {
 		t.Fatalf("%q: proved never to have run, by nothing that says so", data)
 	}
@@ -57,7 +57,7 @@
 
 // plainAnswer reads an answer with the library alone: ok where it is a 200 whose body
 // ends properly and whose lines are sound, all of one id, the last one alone "done".
-func plainAnswer(data []byte) (id, result string, ok bool) {
+func referenceAnswer(data []byte) (id, result string, ok bool) {
 	br := parserOf(data)
 	resp, err := http.ReadResponse(br, nil)
 	for err == nil && resp.StatusCode < 200 && resp.StatusCode != http.StatusSwitchingProtocols {
@@ -80,46 +80,47 @@
 		if text = bytes.TrimSpace(text); len(text) == 0 {
 			continue
 		}
-		var n struct{ ID, State, Result string }
+		var line struct{ ID, State, Result string }
 		keys := map[string]json.RawMessage{}
-		if json.Unmarshal(text, &n) != nil || json.Unmarshal(text, &keys) != nil || done || id != "" && n.ID != id {
+		if json.Unmarshal(text, &line) != nil || json.Unmarshal(text, &keys) != nil || done || id != "" && line.ID != id {
 			return "", "", false
 		}
-		id, done, result = n.ID, n.State == "done", n.Result
+		id, done, result = line.ID, line.State == "done", line.Result
 	}
 	return id, result, done
 }
 
 func answerSeeds() (seeds [][]byte) {
-	line := func(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
+	chunk := func(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 	head := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-	note := func(id, state string) string {
-		return line(fmt.Sprintf(`{"id":%q,"from":"n","state":%q,"result":"r"}`+"\n", id, state))
+	stateChunk := func(id, state string) string {
+		return chunk(fmt.Sprintf(`{"id":%q,"from":"n","state":%q,"result":"r"}`+"\n", id, state))
 	}
 	for _, s := range []string{
-		head + note("j", "started") + note("j", "running") + note("j", "done") + "0\r\n\r\n",
-		"HTTP/1.1 100 Continue\r\n\r\n" + head + note("j", "done") + "0\r\n\r\n",
-		head + note("j", "done"), head + note("j", "done") + note("j", "done") + "0\r\n\r\n",
-		head + note("k", "done") + "0\r\n\r\n",
-		head + note("j", "done") + note("j", "running") + "0\r\n\r\n", head + note("j", "failed") + "0\r\n\r\n",
-		head + note("j", "returned") + "0\r\n\r\n",
-		head + note("j", "lost") + "0\r\n\r\n", head + note("j", "later") + "0\r\n\r\n", head + "0\r\n\r\n",
-		head + line("not JSON\n") + "0\r\n\r\n",
-		head + line(`{"id":"j","state":"failed","state":"done","result":"r"}`+"\n") + "0\r\n\r\n",
-		head + line(`{"id":"j","state":"done","State":"failed","result":"r"}`+"\n") + "0\r\n\r\n",
-		head + line(`{"id":"k","id":"j","state":"done","result":"r"}`+"\n") + "0\r\n\r\n",
-		head + line(`{"id":"j","state":"running","share":1e400}`+"\n") + note("j", "done") + "0\r\n\r\n",
-		head + line(strings.Repeat("[", 11000)+"\n") + "0\r\n\r\n",
-		head + line(`{"id":"j","state":"done","result":"`+strings.Repeat("x", 200<<10)+`"}`+"\n") + "0\r\n\r\n",
+		head + stateChunk("j", "started") + stateChunk("j", "running") + stateChunk("j", "done") + "0\r\n\r\n",
+		"HTTP/1.1 100 Continue\r\n\r\n" + head + stateChunk("j", "done") + "0\r\n\r\n",
+		head + stateChunk("j", "done"), head + stateChunk("j", "done") + stateChunk("j", "done") + "0\r\n\r\n",
+		head + stateChunk("k", "done") + "0\r\n\r\n",
+		head + stateChunk("j", "done") + stateChunk("j", "running") + "0\r\n\r\n",
+		head + stateChunk("j", "failed") + "0\r\n\r\n",
+		head + stateChunk("j", "returned") + "0\r\n\r\n",
+		head + stateChunk("j", "lost") + "0\r\n\r\n", head + stateChunk("j", "later") + "0\r\n\r\n", head + "0\r\n\r\n",
+		head + chunk("not JSON\n") + "0\r\n\r\n",
+		head + chunk(`{"id":"j","state":"failed","state":"done","result":"r"}`+"\n") + "0\r\n\r\n",
+		head + chunk(`{"id":"j","state":"done","State":"failed","result":"r"}`+"\n") + "0\r\n\r\n",
+		head + chunk(`{"id":"k","id":"j","state":"done","result":"r"}`+"\n") + "0\r\n\r\n",
+		head + chunk(`{"id":"j","state":"running","share":1e400}`+"\n") + stateChunk("j", "done") + "0\r\n\r\n",
+		head + chunk(strings.Repeat("[", 11000)+"\n") + "0\r\n\r\n",
+		head + chunk(`{"id":"j","state":"done","result":"`+strings.Repeat("x", 200<<10)+`"}`+"\n") + "0\r\n\r\n",
 		head + "5;" + strings.Repeat("e", 60<<10) + "\r\nabcde\r\n0\r\n\r\n",
 		"HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n",
 		"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n",
 		"HTTP/1.1 504 Full\r\nX-Turned-Away: 1\r\nContent-Length: 5\r\n\r\nab", "HTTP/1.1 500 Failed\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nContent-Length: 36\r\n\r\n" + `{"id":"j","state":"done","result":""}`,
 		"HTTP/1.1 101 Switching\r\n\r\n",
-		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n" + note("j", "done") + "0\r\n\r\n",
+		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n" + stateChunk("j", "done") + "0\r\n\r\n",
 		strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 50), "garbage",
-		head + note("j", "done") + "0\r\n\r\nHTTP/1.1 200 OK\r\n\r\n",
+		head + stateChunk("j", "done") + "0\r\n\r\nHTTP/1.1 200 OK\r\n\r\n",
 	} {
 		seeds = append(seeds, []byte(s))
 	}
--- a/internal/platform/fuzz_endpoints_test.go
+++ b/internal/platform/fuzz_endpoints_test.go
@@ -23,14 +23,14 @@
 // checkEndpoints checks that discovery's responses are rejected or applied as a whole, with times that can be
 // computed with, and are the same again when printed and read.
 func checkEndpoints(t testing.TB, data []byte) {
-	l, err := parseEndpoints(data)
+	response, err := parseEndpoints(data)
 	if err != nil {
 		return
 	}
-	m := newEndpointWatch(t.Context(), "", endpointSettings, nil, zap.NewNop())
-	workers := m.applyLocked(l)
-	if len(workers) != len(l.Endpoints) {
-		t.Fatalf("%q: %d of %d hosts", data, len(workers), len(l.Endpoints))
+	watch := newEndpointWatch(t.Context(), "", endpointSettings, nil, zap.NewNop())
+	workers := watch.applyLocked(response)
+	if len(workers) != len(response.Endpoints) {
+		t.Fatalf("%q: %d of %d hosts", data, len(workers), len(response.Endpoints))
 	}
 	latest := time.Now().Add(time.Minute).UnixNano()
 	for i, w := range workers {
@@ -39,27 +39,27 @@
 		}
 	}
 	// The same announced again is no change: a start in the future must not look new each time.
-	for i, w := range m.applyLocked(l) {
-		if w.StartedAt != workers[i].StartedAt && countHost(l, w.ID) == 1 {
+	for i, w := range watch.applyLocked(response) {
+		if w.StartedAt != workers[i].StartedAt && countHost(response, w.ID) == 1 {
 			t.Fatalf("%q: host %d started at %d, told again at %d", data, i, workers[i].StartedAt, w.StartedAt)
 		}
 	}
-	printed, err := json.Marshal(l)
+	printed, err := json.Marshal(response)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := parseEndpoints(printed)
+	reparsed, err := parseEndpoints(printed)
 	if err != nil {
 		t.Fatalf("%q, printed %q: %v", data, printed, err)
 	}
-	if twice, _ := json.Marshal(again); !bytes.Equal(printed, twice) {
-		t.Fatalf("%q is printed as %q, then %q", data, printed, twice)
+	if reprinted, _ := json.Marshal(reparsed); !bytes.Equal(printed, reprinted) {
+		t.Fatalf("%q is printed as %q, then %q", data, printed, reprinted)
 	}
 }
 
-func countHost(l *endpointsResponse, id string) (n int) {
-	for _, h := range l.Endpoints {
-		if h.ID == id {
+func countHost(response *endpointsResponse, id string) (n int) {
+	for _, entry := range response.Endpoints {
+		if entry.ID == id {
 			n++
 		}
 	}
--- a/internal/platform/load_report_test.go
+++ b/internal/platform/load_report_test.go
@@ -19,9 +19,9 @@
 		if text != "" && text[0] != 'x' && text[0] != 'b' {
 			parse = func(s string, names []string) (loadGauges, error) { return parseLoadObject([]byte(s), names) }
 		}
-		l, err := parse(text, names)
-		if (err == nil) != valid || valid && (l[0] != 4 || l[1] != 2.5) {
-			t.Errorf("%q: %v, %v", text, l, err)
+		gauges, err := parse(text, names)
+		if (err == nil) != valid || valid && (gauges[0] != 4 || gauges[1] != 2.5) {
+			t.Errorf("%q: %v, %v", text, gauges, err)
 		}
 	}
 }
--- a/internal/platform/peers_test.go
+++ b/internal/platform/peers_test.go
@@ -24,11 +24,11 @@
 }
 
 // startPeers opens the side of scheduler 0, with a peer at index 1.
-func startPeers(t *testing.T, peer *net.UDPConn, heard func(from int, data []byte)) (*peers, *counters.Set) {
+func startPeers(t *testing.T, peer *net.UDPConn, receive func(from int, data []byte)) (*peers, *counters.Set) {
 	t.Helper()
 	set := &counters.Set{}
 	c := config.Peers{Listen: "127.0.0.1:0", Each: []string{"127.0.0.1:9", peer.LocalAddr().String()}}
-	p, err := newPeers(c, 0, core.NewClock(), set, heard)
+	p, err := newPeers(c, 0, core.NewClock(), set, receive)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,34 +42,34 @@
 // What comes from an unknown address, is too long, garbled, late or a duplicate is counted and dropped; what
 // a peer sends arrives, in any order.
 func TestPeerDatagrams(t *testing.T) {
-	peer, stranger := listenUDP(t), listenUDP(t)
-	heard := make(chan string, 1000)
-	p, set := startPeers(t, peer, func(from int, data []byte) { heard <- fmt.Sprint(from, string(data)) })
-	to := p.conn.LocalAddr()
-	say := func(from *net.UDPConn, b []byte) {
-		if _, err := from.WriteTo(b, to); err != nil {
+	peer, unknown := listenUDP(t), listenUDP(t)
+	received := make(chan string, 1000)
+	p, set := startPeers(t, peer, func(from int, data []byte) { received <- fmt.Sprint(from, string(data)) })
+	addr := p.conn.LocalAddr()
+	send := func(from *net.UDPConn, b []byte) {
+		if _, err := from.WriteTo(b, addr); err != nil {
 			t.Fatal(err)
 		}
 	}
-	at := p.clock.Now() / 1000
-	second, first := encodeDatagram(at, []byte("second")), encodeDatagram(at-5000, []byte("first"))
-	say(stranger, second)
-	say(peer, second)
-	say(peer, first)
-	say(peer, second)
-	say(peer, append(slices.Clone(second), make([]byte, maxPeerDatagram)...))
-	say(peer, encodeDatagram(at-2*maxPeerAgeMicros, []byte("old")))
-	say(peer, encodeDatagram(at+2*maxPeerAgeMicros, []byte("of the future")))
+	now := p.clock.Now() / 1000
+	second, first := encodeDatagram(now, []byte("second")), encodeDatagram(now-5000, []byte("first"))
+	send(unknown, second)
+	send(peer, second)
+	send(peer, first)
+	send(peer, second)
+	send(peer, append(slices.Clone(second), make([]byte, maxPeerDatagram)...))
+	send(peer, encodeDatagram(now-2*maxPeerAgeMicros, []byte("old")))
+	send(peer, encodeDatagram(now+2*maxPeerAgeMicros, []byte("of the future")))
 	for i := range second {
 		b := slices.Clone(second)
 		b[i] ^= 0x10
-		say(peer, b)
-		say(peer, b[:i])
+		send(peer, b)
+		send(peer, b[:i])
 	}
-	say(peer, encodeDatagram(at+1, []byte("last")))
+	send(peer, encodeDatagram(now+1, []byte("last")))
 	for _, want := range []string{"1second", "1first", "1last"} {
 		select {
-		case got := <-heard:
+		case got := <-received:
 			check(t, "heard", got, want)
 		case <-time.After(patience):
 			t.Fatal("nothing is heard")
@@ -84,17 +84,17 @@
 }
 
 // A peer that sends more than its rate is cut to it.
-func TestPeerFlood(t *testing.T) {
-	at := core.NewClock().Now() / 1000
-	seen := peerReceiver{updatedAt: at}
-	passed := 0
+func TestPeerRateLimit(t *testing.T) {
+	now := core.NewClock().Now() / 1000
+	receiver := peerReceiver{updatedAt: now}
+	accepted := 0
 	for i := range 10000 { // in 10 ms
-		if _, err := seen.decode(at+int64(i), encodeDatagram(at+int64(i), nil)); err == nil {
-			passed++
+		if _, err := receiver.decode(now+int64(i), encodeDatagram(now+int64(i), nil)); err == nil {
+			accepted++
 		}
 	}
-	if passed > maxPeerRate/50 {
-		t.Errorf("%d of a flood of 10,000 pass", passed)
+	if accepted > maxPeerRate/50 {
+		t.Errorf("%d of a flood of 10,000 pass", accepted)
 	}
 }
 
