--- a/internal/decision/gossip/message_test.go
+++ b/internal/decision/gossip/message_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The bytes of a message are what other versions of the program read.
+// The encoding must not change: other versions of the program decode it.
 func TestMessageBytes(t *testing.T) {
 	s := NewSender(0xab)
 	var m Message
@@ -16,16 +16,16 @@
 	m.AddUsage(0xfedcba, Usage{Slots: 300, Memory: -1})
 	want := []byte{2, 0xab, 1, 0, 0, 0, 0, 0, 0, 0, 4, 0x40, 0x56, 0x34, 0x12, 3, 16, 0xba, 0xdc, 0xfe, 255, 0}
 	if got := m.Encode(); !bytes.Equal(got, want) {
-		t.Errorf("complete: % x, want % x", got, want)
+		t.Errorf("Encode() of a complete message = % x, want % x", got, want)
 	}
 	s.Begin(&m, false, 2.5)
 	m.AddUsage(1, Usage{Slots: 1})
 	if got, want := m.Encode(), []byte{1, 0xab, 2, 0, 1, 0, 0, 1, 0}; !bytes.Equal(got, want) {
-		t.Errorf("delta: % x, want % x", got, want)
+		t.Errorf("Encode() of a delta = % x, want % x", got, want)
 	}
 }
 
-// A message has a bounded length, and what it holds is read back.
+// Encode must bound the length of a message, and Decode must return what was encoded.
 func TestMessageRoundTrip(t *testing.T) {
 	for _, complete := range []bool{false, true} {
 		s := NewSender(7)
@@ -36,21 +36,22 @@
 		}
 		data := m.Encode()
 		if len(data) != m.size() || len(data) > 256-12-usageSize {
-			t.Errorf("%d bytes, size %d", len(data), m.size())
+			t.Errorf("Encode() returned %d bytes, want size() %d and at most %d", len(data), m.size(), 256-12-usageSize)
 		}
 		if !got.Decode(data) || !slices.Equal(got.Usages, m.Usages) || got.Complete != complete ||
 			got.Incarnation != 7 || got.Sequence != 1 {
-			t.Errorf("%+v, want %+v", got, m)
+			t.Errorf("Decode() read %+v, want %+v", got, m)
 		}
 		if u, included := got.UsageOf(9); u.Slots != 9 || !included {
-			t.Errorf("usage %+v of a worker that it names", u)
+			t.Errorf("UsageOf(9) = %+v, %v for a listed worker, want 9 slots, true", u, included)
 		}
 		if u, included := got.UsageOf(99); u.Slots != 0 || included != complete {
-			t.Errorf("usage %+v, told %v of a worker that it does not name", u, included)
+			t.Errorf("UsageOf(99) = %+v, %v for a worker not listed, want 0 slots, %v", u, included, complete)
 		}
 	}
 }
 
+// Decode must reject truncated messages, unknown kinds and invalid rates.
 func TestDecodeRejectsInvalidMessages(t *testing.T) {
 	valid := Message{Complete: true, AdmissionRate: 1}
 	notANumber, negative := valid, valid
@@ -66,28 +67,28 @@
 	} {
 		var m Message
 		if m.Decode(data) {
-			t.Errorf("%s: read as %+v", name, m)
+			t.Errorf("%s: Decode() = true with %+v, want false", name, m)
 		}
 	}
 }
 
-// A peer's usage is counted once, in the order of its messages, and until it is silent.
+// A peer's usage must be counted once, by the newest sequence number, and its state only until PeerTimeout.
 func TestTable(t *testing.T) {
 	table := NewTable[string](3, 1)
 	for from, want := range map[int]bool{-1: false, 0: true, 1: false, 2: true, 3: false} {
 		if table.IsPeer(from) != want {
-			t.Errorf("%d is a peer: %v", from, !want)
+			t.Errorf("IsPeer(%d) = %v, want %v", from, !want, want)
 		}
 	}
 	m := Message{Complete: true, Incarnation: 5, AdmissionRate: 7}
 	if !table.Restarted(0, &m) {
-		t.Error("the first message is of no new incarnation")
+		t.Error("Restarted() = false for the first message, want true")
 	}
 	if table.Record(0, &m, second); table.Restarted(0, &m) {
-		t.Error("the next message is of a new incarnation")
+		t.Error("Restarted() = true for the next message of the same incarnation, want false")
 	}
 	if mean := table.MeanAdmissionRate(31, second); mean != 19 {
-		t.Errorf("mean %v, want 19", mean)
+		t.Errorf("MeanAdmissionRate() = %v, want 19", mean)
 	}
 	for _, c := range []struct {
 		slots    float64
@@ -97,31 +98,31 @@
 	}{{2, 65535, 2, true}, {5, 1, 3, true}, {9, 65535, 0, false}, {4, 1, -1, true}} {
 		change, changed := table.RecordUsage(0, "w", Usage{Slots: c.slots}, c.sequence)
 		if change.Slots != c.change || changed != c.changed {
-			t.Errorf("%+v: changed %v by %v", c, changed, change.Slots)
+			t.Errorf("RecordUsage() = %v, %v, want %v, %v for %+v", change.Slots, changed, c.change, c.changed, c)
 		}
 	}
 	if table.Expired(0, second) || !table.Expired(0, second+PeerTimeout) {
-		t.Error("a peer falls silent after its timeout, and only then")
+		t.Error("Expired() is not false before PeerTimeout and true from then on")
 	}
 	if mean := table.MeanAdmissionRate(31, second+PeerTimeout); mean != 31 {
-		t.Errorf("mean %v with a silent peer, want 31", mean)
+		t.Errorf("MeanAdmissionRate() = %v with an expired peer, want 31", mean)
 	}
 	if change, changed := table.ClearUsage(0, "w"); change.Slots != -4 || !changed {
-		t.Errorf("cleared %v, want 4", change.Slots)
+		t.Errorf("ClearUsage() = %v, %v, want -4, true", change.Slots, changed)
 	}
 	if table.DropUsage(0); table.Expired(0, 1<<62) {
-		t.Error("a peer that holds nothing is still to be cleared")
+		t.Error("Expired() = true after DropUsage(), want false")
 	}
 }
 
-// Whatever bytes come, they are no message or exactly what the message that was read is written as.
+// Decode must reject any input that Encode would not write for the decoded message.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte{kindDelta, 1, 2, 3, 4, 5, 6, 7, 8})
 	f.Add((&Message{Complete: true, AdmissionRate: 2.5, Usages: []WorkerUsage{{Tag: 9, Usage: Usage{1, 2}}}}).Encode())
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var m Message
 		if m.Decode(data) && !bytes.Equal(m.Encode(), data) {
-			t.Errorf("% x is read as %+v, which is written as % x", data, m, m.Encode())
+			t.Errorf("Decode(% x) read %+v, which Encode() writes as % x", data, m, m.Encode())
 		}
 	})
 }
--- a/internal/decision/membership/lease_test.go
+++ b/internal/decision/membership/lease_test.go
@@ -4,10 +4,11 @@
 
 const testDuration = 6 * second
 
-// What a list may be relied on for after each history of polls. The process has started with a cached list.
+// Fresh and Usable must follow the history of polls of a process that started with a cached list. A wrong result
+// sends jobs to workers that drain, or holds back all jobs while discovery is down.
 func TestLease(t *testing.T) {
 	type call struct {
-		after int64 // since the one before
+		after int64 // since the previous call
 		do    func(l *Lease, now int64)
 	}
 	confirm := func(after int64) call { return call{after, (*Lease).Confirm} }
@@ -47,29 +48,29 @@
 			}
 			now += c.elapsed
 			if fresh, usable := l.Fresh(now), l.Usable(now); fresh != c.fresh || usable != c.usable {
-				t.Errorf("fresh %v, usable %v; want %v, %v", fresh, usable, c.fresh, c.usable)
+				t.Errorf("Fresh() = %v, Usable() = %v, want %v, %v", fresh, usable, c.fresh, c.usable)
 			}
 		})
 	}
 	if l := NewLease(0); !l.Fresh(1<<62) || !l.Usable(1<<62) {
-		t.Error("a list that may be of any age is not fresh")
+		t.Errorf("Fresh() = %v, Usable() = %v without a duration, want true, true", l.Fresh(1<<62), l.Usable(1<<62))
 	}
 }
 
-// Workers of which nothing is known are tried now and then; a confirmed list begins anew.
+// Unproven workers may be tried once in an explore interval; Confirm resets the interval.
 func TestLeaseExplores(t *testing.T) {
 	l := NewLease(testDuration)
 	if !l.MayExplore(second) {
-		t.Error("the first may not be tried")
+		t.Error("MayExplore() = false before any send, want true")
 	}
 	l.RecordExplored(second)
 	if l.MayExplore(2*second-1) || !l.MayExplore(2*second) {
-		t.Error("the next may not be tried an interval later, and only then")
+		t.Error("MayExplore() is not false before the end of the interval and true from then on")
 	}
 	if l.Confirm(second); !l.MayExplore(second) {
-		t.Error("a confirmed list does not begin anew")
+		t.Error("MayExplore() = false after Confirm(), want true")
 	}
 	if !l.Covers(second, second+testDuration-1) || l.Covers(second, second+testDuration) {
-		t.Error("what was seen does not hold for the lease's duration")
+		t.Error("Covers() is not true within the lease's duration and false after it")
 	}
 }
