--- a/docs_test.go
+++ b/docs_test.go
@@ -13,7 +13,7 @@
 
 const architecturePage = "docs/ARCHITECTURE.md"
 
-// How the pages name what the tests look up.
+// Patterns of the names on the pages that the tests look up.
 var (
 	quoted      = regexp.MustCompile("`([^`\n]+)`")
 	pathName    = regexp.MustCompile(`^(cmd|deploy|docs|examples|internal)/[\w./-]+$|^\w+\.(go|md|toml)$`)
@@ -23,8 +23,8 @@
 	linkTarget  = regexp.MustCompile(`\]\(([^)#:\s]+)(?:#[^)\s]*)?\)`)
 )
 
-// The architecture page and the README name files and packages by their paths from the root. Each must
-// exist, so that a move reaches the pages.
+// Each file or package that the architecture page and the README name by its path from the root must exist. The
+// test fails when a file is moved and the pages are not updated.
 func TestPagesNamePathsThatExist(t *testing.T) {
 	for page, minPaths := range map[string]int{architecturePage: 40, "README.md": 20} {
 		paths := 0
@@ -43,8 +43,8 @@
 	}
 }
 
-// Each package of the scheduler is on one of the two pages, and each part of the decision module on the
-// architecture page.
+// Each package of the scheduler must be named on one of the two pages, and each package of the decision module on
+// the architecture page.
 func TestPagesNameEveryPackage(t *testing.T) {
 	architecture := quotedNames(readPage(t, architecturePage))
 	named := append(quotedNames(readPage(t, "README.md")), architecture...)
@@ -66,7 +66,7 @@
 	}
 }
 
-// The architecture page names counters as they are counted, and metrics as they are served.
+// Each counter and metric that the architecture page names must be in the source under this name.
 func TestArchitecturePageNamesCountersAndMetrics(t *testing.T) {
 	source := programSource(t)
 	counters, metrics := 0, 0
@@ -75,17 +75,17 @@
 		case counterName.MatchString(name):
 			counters++
 			if !strings.Contains(source, `"`+name+`"`) {
-				t.Errorf("%s names the counter %s, which nothing counts", architecturePage, name)
+				t.Errorf("%s names the counter %s, which is not in the source", architecturePage, name)
 			}
 		case metricName.MatchString(name):
 			metrics++
 			if !strings.Contains(source, `"`+strings.TrimPrefix(name, "scheduler_")+`"`) {
-				t.Errorf("%s names the metric %s, which is not served", architecturePage, name)
+				t.Errorf("%s names the metric %s, which is not in the source", architecturePage, name)
 			}
 		}
 	}
 	if counters < 10 || metrics < 4 {
-		t.Errorf("%d counters and %d metrics are named", counters, metrics)
+		t.Errorf("%s names %d counters and %d metrics, want at least 10 and 4", architecturePage, counters, metrics)
 	}
 }
 
@@ -98,7 +98,7 @@
 	return string(text)
 }
 
-// quotedNames are the names in backquotes, and the paths in the pictures.
+// quotedNames returns the names in backquotes and the paths in the diagrams, which are fenced by three backquotes.
 func quotedNames(page string) (names []string) {
 	for i, part := range strings.Split(page, "```") {
 		if i%2 == 1 {
@@ -112,7 +112,7 @@
 	return names
 }
 
-// programSource is the text of all files of the programs, without tests.
+// programSource returns the source of all Go files under cmd and internal, without tests.
 func programSource(t *testing.T) string {
 	t.Helper()
 	var text strings.Builder
@@ -132,7 +132,7 @@
 	return text.String()
 }
 
-// Links of the pages lead to files that exist.
+// Each relative link of the pages must lead to a file that exists.
 func TestPageLinksResolve(t *testing.T) {
 	pages, err := filepath.Glob("docs/*.md")
 	if err != nil {
@@ -155,6 +155,6 @@
 		}
 	}
 	if links < 10 {
-		t.Errorf("%d links looked at", links)
+		t.Errorf("%d links found in %d pages, want at least 10", links, len(pages))
 	}
 }
--- a/endpoint_lease_test.go
+++ b/endpoint_lease_test.go
@@ -8,6 +8,7 @@
 
 const testLease = 6 * second
 
+// leaseConfig returns testConfig with an endpoint lease.
 func leaseConfig() Config {
 	cfg := testConfig()
 	cfg.EndpointLease = testLease
@@ -18,10 +19,11 @@
 	return Event{Kind: EventEndpoints, EndpointUpdate: kind, PollFailure: failure}
 }
 
-// What a scheduler may send after each history of calls to discovery. It has begun with a cached list.
+// A scheduler that started with a cached list must send jobs only as the history of its polls allows. Otherwise
+// it sends to draining workers by a stale list, or sheds all jobs while discovery is down.
 func TestEndpointLease(t *testing.T) {
 	type call struct {
-		after int64 // since the one before
+		after int64 // since the previous call
 		event Event
 	}
 	const grace, changeLease = membership.CachedEndpointsGrace, membership.DiscoveryChangeLease
@@ -34,7 +36,7 @@
 		name    string
 		calls   []call
 		elapsed int64
-		sends   int // of three jobs, to workers that have accepted none
+		sends   int // sends for three jobs, where no worker has accepted a job
 		usable  bool
 	}{
 		{"just started", nil, 0, 0, false},
@@ -72,14 +74,14 @@
 			h.step(h.request(1, idempotent), h.request(2, idempotent), h.request(3, idempotent))
 			h.wantActions(ActionSend, c.sends)
 			if got := h.d.EndpointsUsable(); got != c.usable {
-				t.Errorf("usable: %v", got)
+				t.Errorf("EndpointsUsable() = %v, want %v", got, c.usable)
 			}
 		})
 	}
 }
 
-// Past the lease jobs go to workers that have accepted one since, as long as that is not old either, and
-// not to one that has rejected a job.
+// After the lease has expired, jobs must go to workers that accepted one within the lease, and not to a worker
+// that rejected one. A confirmed list lifts the restriction.
 func TestExpiredLeaseUsesWorkersThatAccept(t *testing.T) {
 	h := newHarness(t, leaseConfig(), testWorkers(9)...)
 	h.step(pollEvent(EndpointsConfirmed, 0))
@@ -91,7 +93,7 @@
 	h.advance(2 * second)
 	h.step(h.request(2, idempotent))
 	if got := h.wantActions(ActionSend, 1)[0].Worker; got != w {
-		t.Errorf("sent to %s, which accepted nothing, and not to %s", got, w)
+		t.Errorf("job 2 sent to %s, want %s, the only worker that accepted a job", got, w)
 	}
 	h.advance(50*ms, outcome(2, 0, w, Saturated))
 	retries := h.actionsOf(ActionSend)
@@ -99,18 +101,18 @@
 	h.step(h.request(3, idempotent))
 	for _, a := range append(retries, h.actionsOf(ActionSend)...) {
 		if a.Worker == w {
-			t.Errorf("sent to %s, which has rejected a job", w)
+			t.Errorf("job %d sent to %s, which rejected a job", a.ID, w)
 		}
 	}
 	h.step(pollEvent(EndpointsConfirmed, 0))
 	h.advance(100 * ms)
 	h.step(h.request(4, idempotent))
 	if len(h.actionsOf(ActionSend)) == 0 {
-		t.Error("nothing is sent by a list that has been confirmed")
+		t.Error("job 4 is not sent after the list was confirmed")
 	}
 }
 
-// A worker's acceptance is as old as the send that it accepted.
+// A worker's acceptance must count from the time of the send: the worker may have begun to drain after that.
 func TestAcceptanceIsAsOldAsTheSend(t *testing.T) {
 	h := newHarness(t, leaseConfig(), testWorkers(1)...)
 	h.step(pollEvent(EndpointsConfirmed, 0))
--- a/export_test.go
+++ b/export_test.go
@@ -5,12 +5,13 @@
 	"testing"
 )
 
-// What the tests of package foxlift_test use of the random host.
+// Access to the random host of the fuzz tests for package foxlift_test.
 
-// RandomHostConfigs are the configurations that the random host plays.
+// RandomHostConfigs returns the configurations that the random host runs with.
 func RandomHostConfigs() []Config { return randomConfigs() }
 
-// PlayRandomHost plays the random host for some steps, and calls each with every step.
+// RunRandomHost runs the random host for the given number of steps and then until all its jobs have ended. It calls
+// onStep with the time, the events and the actions of every step.
 func RunRandomHost(t *testing.T, seed uint64, cfg Config, steps int, onStep func(int64, []Event, []Action)) {
 	host := newRandomHost(t, seed, cfg)
 	first := Event{Kind: EventEndpoints, EndpointUpdate: EndpointsCached, Workers: slices.Clone(host.workers)}
--- a/placement_test.go
+++ b/placement_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// Under light load each job must be sent in the step in which it arrives.
 func TestLightLoadIsNotDelayed(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(4)...)
 	for id := uint64(1); id < 200; id++ {
@@ -18,6 +19,7 @@
 	}
 }
 
+// Jobs over a worker's limit must stay queued here until a job there has ended.
 func TestLateBindingQueuesWithoutCapacity(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(1)...)
 	h.d.workerOrder[0].limit.Restore(2, h.d.workerOrder[0].limit.Learned())
@@ -31,6 +33,7 @@
 	}
 }
 
+// Jobs that arrive together must be spread over idle workers.
 func TestPlacementPrefersIdleWorkers(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(3)...)
 	workersUsed := map[string]bool{}
@@ -39,23 +42,25 @@
 		workersUsed[a.Worker] = true
 	}
 	if len(workersUsed) != 3 {
-		t.Errorf("three jobs on %d workers", len(workersUsed))
+		t.Errorf("three jobs sent to %d workers, want 3", len(workersUsed))
 	}
 }
 
+// A rejection must lower the worker's concurrency limit and the limit that new workers start with.
 func TestConcurrencyLimitLearnedFromSaturation(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(2)...)
 	w := h.d.workerOrder[0]
 	w.usedSlots = 3
 	h.d.adjustCapacity(w, true)
 	if w.limit.Slots() >= 3 {
-		t.Errorf("limit %v after a rejection at 3", w.limit.Slots())
+		t.Errorf("limit %v after a rejection at 3 slots, want less than 3", w.limit.Slots())
 	}
 	if m := h.d.limitSum.Mean(); m != w.limit.Slots() {
-		t.Errorf("a new worker counts at %v, want %v", m, w.limit.Slots())
+		t.Errorf("mean limit %v, want the one learned limit %v", m, w.limit.Slots())
 	}
 }
 
+// A class with a kind must be sent only to workers of that kind.
 func TestPlacementMatchesKind(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[1].Kind = 1
@@ -66,11 +71,12 @@
 	h := newHarness(t, cfg, workers...)
 	h.step(h.request(1, atMostOnce))
 	if a := h.wantActions(ActionSend, 1)[0]; a.Worker != "w3" {
-		t.Errorf("sent to %s, the only worker of the kind is w3", a.Worker)
+		t.Errorf("job sent to %s, want w3, the only worker of the kind", a.Worker)
 	}
 }
 
-// At two jobs a second nothing is known of a large fleet: the job waits for a health check.
+// A dispatcher with few jobs has no recent reports of a large fleet. Its job must wait for health checks, go to the
+// worker that reports free slots, and not wait long if the checks are not answered.
 func TestQuietDispatcherChecksHealthFirst(t *testing.T) {
 	cfg := testConfig()
 	cfg.MayHealthCheck, cfg.Dispatchers = true, 2
@@ -83,20 +89,20 @@
 	e.Load[0] = 6
 	h.advance(2*ms, e)
 	if a := h.wantActions(ActionSend, 1)[0]; a.Worker != probes[1].Worker {
-		t.Errorf("sent to %s, not to the worker known to be free", a.Worker)
+		t.Errorf("job sent to %s, want %s, which reports free slots", a.Worker, probes[1].Worker)
 	}
 	h.now += 5 * second
 	h.step(h.request(2, idempotent))
 	h.wantActions(ActionSend, 0)
-	for range 4 { // no health check is answered: the wait is short all the same
+	for range 4 { // no health check is answered, but the wait is short
 		if h.advance(h.d.tickInterval, timerEvent(1)); len(h.actionsOf(ActionSend)) == 1 {
 			return
 		}
 	}
-	t.Error("the job waits for health checks that do not answer")
+	t.Error("the job is not sent within 4 ticks without answers to the health checks")
 }
 
-// An old load report must not keep a worker that was busy once unused for ever.
+// A load report must lose weight with age, or a worker that was busy once is never used again.
 func TestLoadReportsDecay(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(1)...)
 	w := h.d.workerOrder[0]
@@ -107,25 +113,25 @@
 	h.now += 20 * second
 	h.step()
 	if old := h.d.capacity.reports.Pressure(&w.report, 1, h.d.now); fresh < 0.9 || math.Abs(old-0.3) > 0.01 {
-		t.Errorf("pressure %v when fresh and %v when old, want about 1 and 0.3", fresh, old)
+		t.Errorf("Pressure() = %v of a fresh and %v of an old report, want about 1 and 0.3", fresh, old)
 	}
 }
 
-// A worker with an overdue start is at no level of the index.
+// A worker with an overdue start must be at no level of the free lists, until the job has started.
 func TestOverdueWorkerHasNoCapacity(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(1)...)
 	w := h.d.workerOrder[0]
 	w.overdue = 1
 	if h.d.updateLevel(w); w.level >= 0 {
-		t.Error("a worker with an overdue job may get more")
+		t.Errorf("level %d with an overdue job, want -1", w.level)
 	}
 	w.overdue = 0
 	if h.d.updateLevel(w); w.level < 0 {
-		t.Error("a worker heard of again gets nothing")
+		t.Errorf("level %d without an overdue job, want at least 0", w.level)
 	}
 }
 
-// Shed jobs are no measure of capacity (incident if801ee), nor are jobs at workers in slow start.
+// Rejected jobs must not count as served capacity (incident if801ee), nor must jobs at workers in slow start.
 func TestServedSlotsExcludeFailuresAndSlowStart(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(2)...)
 	w := h.d.workerOrder[0]
@@ -135,18 +141,19 @@
 	}
 	recordOutcome(Saturated)
 	if servedSlots(h.d) != 0 {
-		t.Error("a rejection counts as served")
+		t.Errorf("servedSlots() = %v after a rejection, want 0", servedSlots(h.d))
 	}
 	recordOutcome(Served)
 	if servedSlots(h.d) != 1 {
-		t.Error("a served job does not count")
+		t.Errorf("servedSlots() = %v after a served job, want 1", servedSlots(h.d))
 	}
 	w.warmup.Restart(h.now)
 	if recordOutcome(Served); servedSlots(h.d) != 1 {
-		t.Error("a job of a worker in slow start counts")
+		t.Errorf("servedSlots() = %v after a job at a worker in slow start, want 1", servedSlots(h.d))
 	}
 }
 
+// In a saturated fleet health checks find no free slots and only add work: the job must be sent without them.
 func TestNoHealthChecksInASaturatedFleet(t *testing.T) {
 	cfg := testConfig()
 	cfg.MayHealthCheck = true
@@ -157,38 +164,39 @@
 	h.wantActions(ActionSend, 1)
 }
 
-// maySend keeps the invariants of a send, whatever calls it.
+// maySend must reject a send that breaks an invariant: one of a job that may have run, has ended or is past its
+// deadline, or one to a worker that is not live.
 func TestMaySend(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(2)...)
 	w := h.d.workerOrder[0]
 	j := &job{class: &h.d.classes[1], req: Request{Deadline: h.now + second}}
 	if !h.d.maySend(j, w) {
-		t.Fatal("a new job may not be sent")
+		t.Fatal("maySend() = false for a new job, want true")
 	}
 	j.mayHaveRun = &attempt{worker: w, sentAt: h.now, done: true, mayHaveRun: true}
 	if h.d.maySend(j, w) {
-		t.Error("an unsafe job that may have run may be sent")
+		t.Error("maySend() = true for an at-most-once job that may have run, want false")
 	}
 	j.mayHaveRun = nil
 	for _, s := range []WorkerState{Draining, Removed} {
 		if w.state = s; h.d.maySend(j, w) {
-			t.Errorf("a job may be sent to a worker in state %d", s)
+			t.Errorf("maySend() = true for a worker in state %d, want false", s)
 		}
 	}
 	w.state = Live
 	if j.ended = true; h.d.maySend(j, w) {
-		t.Error("a job that ended may be sent")
+		t.Error("maySend() = true for a job that has ended, want false")
 	}
 	j.ended = false
 	if h.now = j.req.Deadline; h.d.maySend(j, w) {
 		h.step()
 		if h.d.maySend(j, w) {
-			t.Error("a job may be sent at its deadline")
+			t.Error("maySend() = true at the deadline, want false")
 		}
 	}
 }
 
-// Jobs stay in their zone until a worker of another has four fewer of this dispatcher's jobs.
+// Jobs must stay in their zone until a worker of another zone has four fewer of this dispatcher's jobs.
 func TestCrossZonePriceCountsAsJobs(t *testing.T) {
 	cfg := testConfig()
 	cfg.Prices.CrossZone = 0.1
@@ -201,6 +209,6 @@
 		got[h.step(h.request(id, idempotent))[0].Worker]++
 	}
 	if got["w0"] != 5 || got["w1"] != 1 {
-		t.Errorf("jobs by worker: %v", got)
+		t.Errorf("jobs by worker: %v, want 5 at w0 and 1 at w1", got)
 	}
 }
--- a/record_test.go
+++ b/record_test.go
@@ -12,19 +12,19 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-var record = flag.Bool("record", false, "write the recordings anew from what the program decides now")
+var record = flag.Bool("record", false, "overwrite the recordings with the decisions of the current program")
 
-// TestRecord writes the recordings that TestReplay plays. They are written only when decisions are
-// meant to change: go test -run TestRecord -record .
+// TestRecord writes the recordings that TestReplay replays. Run it only when decisions are meant to change:
+// go test -run TestRecord -record .
 func TestRecord(t *testing.T) {
 	if !*record {
-		return // it writes files, and is asked for by -record
+		return // it writes files, and so runs only with -record
 	}
 	for _, plan := range fleetPlans() {
 		writeRecording(t, plan.name, func(r *recorder) { recordFleet(r, plan) })
 	}
 	for i, cfg := range foxlift.RandomHostConfigs() {
-		if i%2 == 0 { // each file has two, of different numbers of dispatchers
+		if i%2 == 0 { // each file has two configurations with different numbers of dispatchers
 			continue
 		}
 		other := foxlift.RandomHostConfigs()[i-1]
@@ -35,6 +35,7 @@
 	}
 }
 
+// writeRecording runs a plan and writes its recording to a compressed file.
 func writeRecording(t *testing.T, name string, runPlan func(*recorder)) {
 	t.Helper()
 	r := &recorder{t: t, archive: newWriter()}
@@ -62,7 +63,7 @@
 		len(r.archive.data))
 }
 
-// A recorder starts dispatchers, steps them and writes down all of it.
+// A recorder starts and steps dispatchers and writes each operation to an archive.
 type recorder struct {
 	t           *testing.T
 	archive     *archive
@@ -73,13 +74,13 @@
 
 func (r *recorder) write(o *operation) { r.archive.operation(o) }
 
-// nextIndex returns the index of one more dispatcher of the recording.
+// nextIndex returns the index of a new dispatcher of the recording.
 func (r *recorder) nextIndex() int {
 	r.dispatchers++
 	return r.dispatchers - 1
 }
 
-// start begins a dispatcher at an index, new or used before.
+// start records and returns a new dispatcher at an index, which may replace an earlier one.
 func (r *recorder) start(index int, cfg foxlift.Config, seed uint64) *foxlift.Dispatcher {
 	d, err := foxlift.New(cfg, seed)
 	if err != nil {
@@ -89,14 +90,14 @@
 	return d
 }
 
-// step returns a dispatcher's actions, which are valid until its next step.
+// step steps a dispatcher, records the step and returns the actions, which are valid until the next step.
 func (r *recorder) step(index int, d *foxlift.Dispatcher, now int64, events []foxlift.Event) []foxlift.Action {
 	actions := d.Step(now, events)
 	r.log(index, now, events, actions)
 	return actions
 }
 
-// log writes a step that has been made.
+// log records a step that was made.
 func (r *recorder) log(index int, now int64, events []foxlift.Event, actions []foxlift.Action) {
 	r.write(&operation{kind: operationStep, dispatcher: index, now: now, events: events, actions: actions})
 	r.steps++
@@ -104,6 +105,7 @@
 	r.actions += len(actions)
 }
 
+// inspect records the results of the dispatcher's query methods.
 func (r *recorder) inspect(index int, d *foxlift.Dispatcher) {
 	o, err := inspect(d)
 	if err != nil {
@@ -113,7 +115,7 @@
 	r.write(&o)
 }
 
-// snapshot writes a dispatcher's snapshot and returns it as JSON.
+// snapshot records a dispatcher's snapshot and returns it as JSON.
 func (r *recorder) snapshot(index int, d *foxlift.Dispatcher) []byte {
 	text, err := json.Marshal(d.Snapshot())
 	if err != nil {
@@ -123,7 +125,7 @@
 	return text
 }
 
-// restore lets a dispatcher go on from the snapshot that was written last.
+// restore restores a dispatcher from text, which must be the snapshot that was recorded last.
 func (r *recorder) restore(index int, d *foxlift.Dispatcher, text []byte) {
 	if err := restore(d, text); err != nil {
 		r.t.Fatal(err)
@@ -131,7 +133,7 @@
 	r.write(&operation{kind: operationRestore, dispatcher: index})
 }
 
-// playRandomHost records the random host of the fuzz tests.
+// recordRandomHost records a run of the random host of the fuzz tests.
 func recordRandomHost(t *testing.T, r *recorder, seed uint64, cfg foxlift.Config) {
 	const steps = 700
 	index := r.nextIndex()
--- a/snapshot_golden_test.go
+++ b/snapshot_golden_test.go
@@ -12,8 +12,8 @@
 
 const snapshotFile = "snapshot.json"
 
-// filledSnapshot is a snapshot in which no field is zero, but for the name of the tenant that stands
-// for requests of no known one.
+// filledSnapshot returns a snapshot in which no field is zero except the name of the last tenant, the entry of
+// requests without a known tenant.
 func filledSnapshot() *foxlift.Snapshot {
 	s := &foxlift.Snapshot{}
 	golden.Fill(s)
@@ -21,7 +21,7 @@
 	return s
 }
 
-// TestSnapshotJSON pins the JSON of a snapshot, in which a process hands over to one of another version.
+// TestSnapshotJSON checks that the JSON form of a snapshot does not change: processes of other versions read it.
 func TestSnapshotJSON(t *testing.T) {
 	text, err := json.Marshal(filledSnapshot())
 	if err != nil {
@@ -30,8 +30,8 @@
 	golden.Check(t, snapshotFile, text)
 }
 
-// TestStoredSnapshotIsRestored restores the stored snapshot: every field goes to where the same field
-// is taken from again.
+// TestStoredSnapshotIsRestored checks that a dispatcher restored from the stored snapshot returns the same snapshot,
+// so that Restore and Snapshot agree on every field.
 func TestStoredSnapshotIsRestored(t *testing.T) {
 	text, err := os.ReadFile("testdata/" + snapshotFile)
 	if err != nil {
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	if want := filledSnapshot(); !reflect.DeepEqual(stored, want) {
-		t.Fatalf("read %+v, want %+v", stored, want)
+		t.Fatalf("%s decodes to %+v, want %+v", snapshotFile, stored, want)
 	}
 	d := dispatcherOf(t, stored)
 	d.Restore(stored)
@@ -51,11 +51,11 @@
 		t.Fatal(err)
 	}
 	if string(got) != string(text) {
-		t.Errorf("after the restore the snapshot is\n%s\nwant\n%s", got, text)
+		t.Errorf("Snapshot() after Restore() is\n%s\nwant\n%s", got, text)
 	}
 }
 
-// dispatcherOf starts a dispatcher that has the classes, tenants and workers of a snapshot.
+// dispatcherOf returns a dispatcher that has the classes, tenants and workers of a snapshot.
 func dispatcherOf(t *testing.T, s *foxlift.Snapshot) *foxlift.Dispatcher {
 	t.Helper()
 	cfg := foxlift.Config{Dispatchers: 1}
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// playRandomLoad lets a dispatcher serve, shed and fail jobs for some seconds.
+// runRandomLoad sends a dispatcher 400 random jobs, which are served, rejected or failed, or hang.
 func runRandomLoad(h *harness, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	id := uint64(0)
@@ -33,7 +33,8 @@
 	}
 }
 
-// A snapshot carries all that a dispatcher has learned to another, through JSON.
+// A snapshot must transfer all learned state to another dispatcher through JSON: the restored dispatcher's snapshot
+// is equal, and it can continue to work.
 func TestSnapshotIsRestored(t *testing.T) {
 	for seed := range uint64(5) {
 		from := newSeededHarness(t, testConfig(), seed, testWorkers(6)...)
@@ -54,20 +55,20 @@
 		if !reflect.DeepEqual(*got, snapshot) {
 			t.Errorf("seed %d: restored\n%+v\nwant\n%+v", seed, *got, snapshot)
 		}
-		runRandomLoad(restored, seed+7) // it goes on from there
+		runRandomLoad(restored, seed+7) // it continues from the restored state
 	}
 }
 
 func limitLearned(w WorkerSnapshot) bool { return w.LimitLearned }
 
-// Entries of a snapshot for workers, classes and tenants that are not known, or for an earlier run of a
-// worker, are skipped. An empty snapshot changes no worker.
+// Restore must skip entries for unknown workers, classes and tenants, and for an earlier process of a worker. It
+// must accept an empty snapshot.
 func TestSnapshotSkipsUnknownEntries(t *testing.T) {
 	from := newHarness(t, testConfig(), testWorkers(3)...)
 	runRandomLoad(from, 1)
 	snapshot := from.d.Snapshot()
 	if len(snapshot.Workers) != 3 || !slices.ContainsFunc(snapshot.Workers, limitLearned) {
-		t.Fatalf("nothing was learned: %+v", snapshot.Workers)
+		t.Fatalf("snapshot has workers %+v, want 3 with a learned limit", snapshot.Workers)
 	}
 	workers := testWorkers(2)
 	workers[1].StartedAt = 4 * second
@@ -79,17 +80,17 @@
 	after := *to.d.workers["w1"]
 	if after.limit.Slots() != before.limit.Slots() || after.latencyRatio != before.latencyRatio ||
 		after.outlier.State().PausedUntil != before.outlier.State().PausedUntil {
-		t.Errorf("another run of a worker: %+v, want %+v", after, before)
+		t.Errorf("Restore() changed another process of w1: %+v, want %+v", after, before)
 	}
 	if to.d.workers["w0"].limit.Slots() != snapshot.Workers[0].ConcurrencyLimit {
-		t.Errorf("limit %v, want %v", to.d.workers["w0"].limit.Slots(), snapshot.Workers[0].ConcurrencyLimit)
+		t.Errorf("limit of w0 = %v, want %v", to.d.workers["w0"].limit.Slots(), snapshot.Workers[0].ConcurrencyLimit)
 	}
 	if to.d.classes[2].runtimes.Median() == snapshot.Classes[2].Median {
-		t.Error("a class of another name was restored")
+		t.Error("Restore() changed a class that has another name than the snapshot's")
 	}
 	restored := snapshot.Workers[0]
 	if mean, want := to.d.limitSum.Mean(), restored.ConcurrencyLimit; restored.LimitLearned && mean != want {
-		t.Errorf("the mean limit is %v, want that of the one worker that was restored, %v", mean, want)
+		t.Errorf("mean limit %v, want %v of the one restored worker", mean, want)
 	}
 	if len(to.d.workers) != 2 {
 		t.Errorf("%d workers, want 2", len(to.d.workers))
@@ -97,23 +98,23 @@
 	newHarness(t, testConfig(), testWorkers(2)...).d.Restore(&Snapshot{})
 }
 
-// Only failures eject a worker; saturation does not.
+// Ejected must count live workers that failed or have an overdue start, but not saturated ones.
 func TestEjected(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(3)...)
 	if n := h.d.Ejected(); n != 0 {
-		t.Fatalf("%d ejected, want 0", n)
+		t.Fatalf("Ejected() = %d, want 0", n)
 	}
 	h.d.backoffWorker(h.d.workers["w0"], &job{class: &h.d.classes[0]})
 	if n := h.d.Ejected(); n != 0 {
-		t.Errorf("%d ejected when one is full, want 0", n)
+		t.Errorf("Ejected() = %d with a saturated worker, want 0", n)
 	}
 	h.d.eject(h.d.workers["w1"])
 	h.d.workers["w2"].overdue = 1
 	if n := h.d.Ejected(); n != 2 {
-		t.Errorf("%d ejected, want 2", n)
+		t.Errorf("Ejected() = %d with a failed worker and one with an overdue start, want 2", n)
 	}
 	h.d.workers["w2"].setState(Draining, h.now)
 	if n := h.d.Ejected(); n != 1 {
-		t.Errorf("%d ejected when one of them drains, want 1", n)
+		t.Errorf("Ejected() = %d after one of them drains, want 1", n)
 	}
 }
