--- a/internal/cells/plan.go
+++ b/internal/cells/plan.go
@@ -32,7 +32,7 @@
 	MaxJobs          int     // maximum open jobs; 0: its fraction of the scheduler's limit
 	MaxConnections   int     // maximum connections of its tenants' clients; 0: its fraction of the limit
 	SpillCell        string  // the cell that receives its jobs while it has no warm worker; "": none
-	SpillFraction    float64 // maximum fraction of that cell's open jobs that spilled jobs may use
+	SpillFraction    float64 // maximum part of that cell's job bound that spilled jobs may use
 }
 
 // A Split distributes a tenant's jobs over several cells by affinity key.
--- a/internal/cells/rendezvous.go
+++ b/internal/cells/rendezvous.go
@@ -59,6 +59,6 @@
 	return x ^ x>>33
 }
 
-// goldenRatio is 2^64 divided by the golden ratio. Multiplying or offsetting by it spreads consecutive
-// numbers over the whole range (Fibonacci hashing).
+// goldenRatio is 2^64 divided by the golden ratio. Its products with consecutive numbers are far apart
+// (Fibonacci hashing).
 const goldenRatio = 0x9e3779b97f4a7c15
