--- a/bench_scale_test.go
+++ b/bench_scale_test.go
@@ -8,9 +8,9 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Benchmarks of what a dispatcher does by the number of workers, from the smallest fleet to the one
-// it is designed for. Each ends with the slope of the logarithms of time and workers, by least
-// squares, and its residual: 0 is a cost that does not grow, 1 one that grows as the workers do.
+// Benchmarks of a dispatcher's operations over the number of workers, from the smallest fleet to the largest
+// that the dispatcher is designed for. Each reports the slope of log(time) over log(workers), fitted by least
+// squares, and its residual. A slope of 0 is a constant cost, a slope of 1 a cost that grows linearly.
 
 var scaleSizes = []int{60, 200, 600, 2000, 6000, 19000}
 
@@ -20,7 +20,7 @@
 	scaleKinds   = 4
 )
 
-// scaleWorkers are the workers of a fleet with several zones and kinds, none in slow start.
+// scaleWorkers returns the workers of a fleet with several zones and kinds, none in slow start.
 func scaleWorkers(n int) (workers []Worker) {
 	for i := range n {
 		workers = append(workers, Worker{
@@ -33,7 +33,8 @@
 	return workers
 }
 
-// scaleDispatcher is one of many dispatchers of such a fleet: classes 0 to 2 run on any kind, 3 on one.
+// scaleDispatcher returns one of 300 dispatchers of such a fleet. Classes 0 to 2 run on any kind of worker, class 3
+// on a single kind.
 func scaleDispatcher(tb testing.TB, workers int) *Dispatcher {
 	cfg := testConfig()
 	cfg.Dispatchers, cfg.Gauges, cfg.Tenants = 300, nil, nil
@@ -52,7 +53,7 @@
 	return d
 }
 
-// benchmarkBySize runs a benchmark at each size and reports the slope. run returns what to repeat.
+// benchmarkBySize runs a benchmark at each size and reports the slope. run returns the operation to measure.
 func benchmarkBySize(b *testing.B, run func(b *testing.B, workers int) func()) {
 	var sizes, times []float64
 	for _, n := range scaleSizes {
@@ -62,7 +63,7 @@
 			for b.Loop() {
 				once()
 			}
-			if len(sizes) == 0 || sizes[len(sizes)-1] != float64(n) { // the last of several counts
+			if len(sizes) == 0 || sizes[len(sizes)-1] != float64(n) { // of several runs at a size, the last one counts
 				sizes, times = append(sizes, float64(n)), append(times, 0)
 			}
 			times[len(times)-1] = float64(b.Elapsed().Nanoseconds()) / float64(b.N)
@@ -70,7 +71,7 @@
 	}
 	b.Run("slope", func(b *testing.B) {
 		if len(sizes) < 2 {
-			b.Skip("of one size")
+			b.Skip("a slope needs at least two sizes")
 		}
 		slope, residual := logSlope(sizes, times)
 		for b.Loop() {
@@ -81,8 +82,8 @@
 	})
 }
 
-// logSlope fits log y = a + slope * log x by least squares and returns the slope and the root mean
-// square of what is left, in natural logarithms.
+// logSlope fits log y = a + slope * log x by least squares. It returns the slope and the root mean square of
+// the deviations, in natural logarithms.
 func logSlope(xs, ys []float64) (slope, residual float64) {
 	var sizes, times []float64
 	for i := range xs {
@@ -96,7 +97,7 @@
 	return slope, math.Sqrt(residual)
 }
 
-// BenchmarkScaleCompleteEndpoints is a dispatcher's first complete endpoint list.
+// BenchmarkScaleCompleteEndpoints measures a dispatcher's first complete endpoint list.
 func BenchmarkScaleCompleteEndpoints(b *testing.B) {
 	benchmarkBySize(b, func(b *testing.B, n int) func() {
 		d := scaleDispatcher(b, 0)
@@ -111,7 +112,7 @@
 	})
 }
 
-// BenchmarkScaleRepeatedEndpoints is a complete endpoint list without a change.
+// BenchmarkScaleRepeatedEndpoints measures a complete endpoint list without a change.
 func BenchmarkScaleRepeatedEndpoints(b *testing.B) {
 	benchmarkBySize(b, func(b *testing.B, n int) func() {
 		d, workers, now := scaleDispatcher(b, n), scaleWorkers(n), 3*second
@@ -122,7 +123,7 @@
 	})
 }
 
-// BenchmarkScaleChange is a delta with one worker that drains, or is live again.
+// BenchmarkScaleChange measures a delta with one worker that starts draining or becomes live again.
 func BenchmarkScaleChange(b *testing.B) {
 	benchmarkBySize(b, func(b *testing.B, n int) func() {
 		d, now, i := scaleDispatcher(b, n), 3*second, 0
@@ -137,7 +138,7 @@
 	})
 }
 
-// BenchmarkScaleTick is a tick without a job.
+// BenchmarkScaleTick measures a tick without a job.
 func BenchmarkScaleTick(b *testing.B) {
 	benchmarkBySize(b, func(b *testing.B, n int) func() {
 		d, now := scaleDispatcher(b, n), 3*second
@@ -148,7 +149,8 @@
 	})
 }
 
-// scaleJob is all steps of a job but the ticks between: it arrives, is sent, starts and is served.
+// scaleJob returns an operation that runs all steps of a job without the ticks between: it arrives, is sent, starts
+// and is served.
 func scaleJob(b *testing.B, n int, request func(id uint64) Request) func() {
 	d, now, id := scaleDispatcher(b, n), 3*second, uint64(0)
 	return func() {
@@ -166,19 +168,21 @@
 	}
 }
 
+// BenchmarkScaleJob measures a job that may run on any kind of worker.
 func BenchmarkScaleJob(b *testing.B) {
 	benchmarkBySize(b, func(b *testing.B, n int) func() {
 		return scaleJob(b, n, func(uint64) Request { return Request{} })
 	})
 }
 
+// BenchmarkScaleKindJob measures a job that may run on one kind of worker.
 func BenchmarkScaleKindJob(b *testing.B) {
 	benchmarkBySize(b, func(b *testing.B, n int) func() {
 		return scaleJob(b, n, func(uint64) Request { return Request{Class: 3} })
 	})
 }
 
-// BenchmarkScaleKeyedJob is the same with a key that is new each time.
+// BenchmarkScaleKeyedJob measures a job with an affinity key that is new each time.
 func BenchmarkScaleKeyedJob(b *testing.B) {
 	benchmarkBySize(b, func(b *testing.B, n int) func() {
 		return scaleJob(b, n, func(id uint64) Request { return Request{Key: id} })
--- a/bench_test.go
+++ b/bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/vatu-meals/foxlift/internal/decision/health"
 )
 
-// benchDispatcher is one of 80 dispatchers, with workers that are not in slow start.
+// benchDispatcher returns one of 80 dispatchers, with workers that are not in slow start.
 func benchDispatcher(b *testing.B, workers, tenants int) *Dispatcher {
 	cfg := testConfig()
 	cfg.Dispatchers, cfg.Gauges, cfg.Tenants = 80, nil, nil
@@ -22,7 +22,7 @@
 	return d
 }
 
-// BenchmarkJob is all steps of a job: it arrives, is sent, starts and is served.
+// BenchmarkJob measures all steps of one job: it arrives, is sent, starts and is served.
 func BenchmarkJob(b *testing.B) {
 	for _, size := range []struct{ workers, tenants int }{{15, 8}, {60, 8}, {600, 8}, {60, 80}} {
 		b.Run(fmt.Sprintf("workers=%d/tenants=%d", size.workers, size.tenants), func(b *testing.B) {
@@ -45,7 +45,7 @@
 	}
 }
 
-// BenchmarkTick is a tick with queued jobs that no worker has capacity for.
+// BenchmarkTick measures a tick while jobs are queued and all workers are paused.
 func BenchmarkTick(b *testing.B) {
 	for _, size := range []struct{ workers, held int }{{15, 0}, {60, 0}, {600, 0}, {60, 100}, {60, 1000}} {
 		b.Run(fmt.Sprintf("workers=%d/held=%d", size.workers, size.held), func(b *testing.B) {
@@ -61,14 +61,14 @@
 					ID: uint64(id) + 1, Tenant: id % 8, Deadline: 1 << 62,
 				}})
 			}
-			d.classes[0].LatencyObjective = 1 << 60 // they may wait for ever
+			d.classes[0].LatencyObjective = 1 << 60 // no job becomes too old to wait
 			d.Step(now, news)
 			for b.Loop() {
 				now += d.tickInterval
 				d.Step(now, nil)
 			}
 			if len(d.jobs.byID) != size.held {
-				b.Fatalf("%d jobs are left of %d", len(d.jobs.byID), size.held)
+				b.Fatalf("%d jobs are queued at the end, want %d", len(d.jobs.byID), size.held)
 			}
 		})
 	}
--- a/fleet_index_test.go
+++ b/fleet_index_test.go
@@ -28,8 +28,9 @@
 	return endpointsEvent(EndpointsDelta, changed...)
 }
 
-// Over random histories the index holds what a look at all workers would find, and the workers that a
-// tick does not examine are those whose level would not change.
+// The index is updated incrementally, so a missed update would leave it wrong. After every step of random event
+// sequences it must equal the result of a full scan, and workers that are not pending must be at the level that an
+// update would give them.
 func TestIndexAgreesWithAFullScan(t *testing.T) {
 	for i, cfg := range randomConfigs() {
 		cfg.Dispatchers, cfg.MayGossip = []int{1, 5, 80}[i%3], false
@@ -51,7 +52,7 @@
 			host.step(events)
 			checkIndex(t, host.d)
 		}
-		for range 40 { // until those that are gone are forgotten
+		for range 40 { // until removed workers are deleted
 			host.now += 2 * second
 			host.step(host.dueEvents())
 			checkIndex(t, host.d)
@@ -59,19 +60,19 @@
 	}
 }
 
-// A workerScan is what a look at all workers finds.
+// A workerScan is the result of a scan of all workers.
 type workerScan struct {
 	live, removed    []*worker
-	learnedLimits    capacity.LimitSum
-	available, total float64 // capacity: what the live workers have, and what the fleet had
+	limitSum         capacity.LimitSum
+	available, total float64 // capacity in workers: of the live ones now, and of the fleet without losses and slow start
 }
 
-// scanWorkers looks at all workers, and checks that each is in its place in the lists.
+// scanWorkers scans all workers, and checks their order, their entry by ID and their level.
 func scanWorkers(t *testing.T, d *Dispatcher) (scan workerScan) {
 	t.Helper()
 	for i, w := range d.workerOrder {
 		if i > 0 && d.workerOrder[i-1].number >= w.number || d.workers[w.id] != w {
-			t.Fatalf("%s is out of order in the list, or not known by its id", w.id)
+			t.Fatalf("worker %s with number %d is out of order in workerOrder, or missing in workers", w.id, w.number)
 		}
 		checkLevel(t, d, w)
 		live := w.state == Live
@@ -82,9 +83,9 @@
 			scan.live = append(scan.live, w)
 			scan.available += d.slowStartWeight(w)
 		}
-		var limit capacity.Limit // counted in no sum yet
+		var limit capacity.Limit // a copy that is in no sum yet
 		limit.Restore(w.limit.Slots(), w.limit.Learned())
-		scan.learnedLimits.Update(&limit, live)
+		scan.limitSum.Update(&limit, live)
 		if w.lost && (w.state == Removed || d.inSlowStart(w)) || live && !d.inSlowStart(w) {
 			scan.total++
 		}
@@ -92,7 +93,7 @@
 	return scan
 }
 
-// checkLevel checks that a worker that is not pending is at the level where an update would put it.
+// checkLevel checks that a worker that is not pending is at the level that an update would give it.
 func checkLevel(t *testing.T, d *Dispatcher, w *worker) {
 	t.Helper()
 	if w.pending {
@@ -100,40 +101,42 @@
 	}
 	level := w.level
 	if d.updateLevel(w); w.level != level || w.pending {
-		t.Fatalf("%s is not pending at level %d, and belongs to %d", w.id, level, w.level)
+		t.Fatalf("worker %s is at level %d and not pending, want level %d", w.id, level, w.level)
 	}
 }
 
-// checkIndex compares the index with a look at all workers.
+// checkIndex compares the index with a scan of all workers.
 func checkIndex(t *testing.T, d *Dispatcher) {
 	t.Helper()
 	scan := scanWorkers(t, d)
 	if !slices.Equal(scan.live, d.liveWorkers) || len(d.workers) != len(d.workerOrder) {
-		t.Fatalf("%d live workers of %d, want %d", len(d.liveWorkers), len(d.workerOrder), len(scan.live))
+		t.Fatalf("%d live workers, want %d; %d workers by ID, want %d",
+			len(d.liveWorkers), len(scan.live), len(d.workers), len(d.workerOrder))
 	}
 	for _, w := range scan.removed {
 		if !slices.Contains(d.removedWorkers, w) {
-			t.Fatalf("%s is removed and would never be forgotten", w.id)
+			t.Fatalf("removed worker %s is not in removedWorkers and would never be deleted", w.id)
 		}
 	}
-	if scan.learnedLimits != d.limitSum {
-		t.Fatalf("learned limits %+v, want %+v", d.limitSum, scan.learnedLimits)
+	if scan.limitSum != d.limitSum {
+		t.Fatalf("limitSum = %+v, want %+v", d.limitSum, scan.limitSum)
 	}
 	want := min(1, scan.available/max(1, scan.total))
 	if scan.total > 0 && math.Abs(d.remainingCapacity()-want) > 1e-12 {
-		t.Fatalf("remaining capacity %v, want %v", d.remainingCapacity(), want)
+		t.Fatalf("remainingCapacity() = %v, want %v", d.remainingCapacity(), want)
 	}
 	for k := range d.classes {
 		j := &job{class: &d.classes[k], req: Request{Key: uint64(d.now)}}
 		set, of := d.rankAffinity(j)
 		wantSet, wantOf := affinityByScan(d, j)
 		if of != wantOf || !slices.Equal(set, wantSet) {
-			t.Fatalf("affinity set of a key: %d of %d, want %d of %d", len(set), of, len(wantSet), wantOf)
+			t.Fatalf("rankAffinity() returned other workers than a scan: %d of %d, want %d of %d",
+				len(set), of, len(wantSet), wantOf)
 		}
 	}
 }
 
-// affinityByScan is what rankAffinity returns, by a look at all workers.
+// affinityByScan computes the result of rankAffinity by a scan of all live workers.
 func affinityByScan(d *Dispatcher, j *job) (set []*worker, of int) {
 	for _, w := range d.liveWorkers {
 		if !d.inSlowStart(w) && (j.class.Kind < 0 || w.kind == j.class.Kind) &&
@@ -151,8 +154,9 @@
 	return set[:min(affinity.MaxWorkers, len(set))], len(set)
 }
 
-// The number of workers that a step examines does not grow with the fleet: none at a tick without a job,
-// the named ones at a change, a sample for a job. A loop over all would meet a nil worker.
+// The number of workers that a step examines must not grow with the fleet: none at a tick without a job, the
+// named workers at a change of the endpoint list, and a sample for a job. Two entries are nil, so that a loop over
+// all workers panics.
 func TestStepExaminesABoundedSample(t *testing.T) {
 	const maxExaminedKeyed = affinity.MaxCompared + 4*sampleSize
 	for _, n := range []int{600, 19000} {
@@ -164,11 +168,11 @@
 			d.workersExamined = 0
 			actions := d.Step(now, events)
 			if d.workersExamined > maxExamined {
-				t.Errorf("%d workers: %s looks at %d, want %d at most", n, input, d.workersExamined, maxExamined)
+				t.Errorf("%d workers: %s examined %d workers, want %d at most", n, input, d.workersExamined, maxExamined)
 			}
 			return actions
 		}
-		for range 200 { // with some runs of the regulator
+		for range 200 { // including some runs of the control loops
 			now += d.tickInterval
 			step("an idle tick", 0)
 		}
@@ -192,22 +196,24 @@
 			w := Worker{ID: fmt.Sprintf("worker-%05d", n/2), State: state}
 			step(fmt.Sprint("change ", i), 4, endpointsEvent(EndpointsDelta, w))
 		}
-		for range 70 { // until one that is gone is forgotten
+		for range 70 { // until a removed worker is deleted
 			now += second
 			step("a tick after a change", 4)
 		}
 	}
 }
 
-// In a fleet in a part of which the affinity set of a key is searched, every worker is first for about as
-// many keys, and the removal of one reassigns its own keys alone.
+// In a large fleet the affinity set of a key is chosen from a part of the workers. Still every worker must be
+// first for about the same number of keys, and the removal of a worker must reassign only the keys that it was
+// first for.
 func TestAffinityInALargeFleet(t *testing.T) {
 	const workers, keys = 6000, 60000
 	d := scaleDispatcher(t, workers)
 	firstWorker := func(key uint64) *worker {
 		ws, of := d.rankAffinity(&job{class: &d.classes[0], req: Request{Key: key}})
 		if len(ws) != affinity.MaxWorkers || of < workers*4/5 || of > workers*5/4 {
-			t.Fatalf("an affinity set of %d of %d workers", len(ws), of)
+			t.Fatalf("key %d: affinity set of %d workers out of %d, want %d out of about %d",
+				key, len(ws), of, affinity.MaxWorkers, workers)
 		}
 		return ws[0]
 	}
@@ -219,23 +225,25 @@
 		keysByWorker[before[key]]++
 	}
 	if len(keysByWorker) < workers*99/100 {
-		t.Errorf("only %d workers are first for a key", len(keysByWorker))
+		t.Errorf("%d workers are first for a key, want at least %d", len(keysByWorker), workers*99/100)
 	}
 	for w, n := range keysByWorker {
-		if n > 40 { // of 10 on average
-			t.Errorf("%s is first for %d keys of %d", w.id, n, keys)
+		if n > 40 { // 10 on average
+			t.Errorf("worker %s is first for %d keys of %d, want 40 at most", w.id, n, keys)
 		}
 	}
 	removed := d.liveWorkers[7]
 	d.Step(3*second, []Event{endpointsEvent(EndpointsDelta, Worker{ID: removed.id, State: Removed})})
 	for key, w := range before {
 		if now := firstWorker(key); (now != w) != (w == removed) {
-			t.Errorf("key %d moved from %s to %s when %s went", key, w.id, now.id, removed.id)
+			t.Errorf("key %d: first worker %s before and %s after the removal of %s, want a change only of its own keys",
+				key, w.id, now.id, removed.id)
 		}
 	}
 }
 
-// When a fleet grows so far that the searched part is halved, a key keeps about half of its affinity set.
+// When a fleet grows beyond affinity.MaxCompared, the part of the workers that is searched for a key is halved. A
+// key must then keep about half of its affinity set.
 func TestAffinityAfterTheSearchedPartSplits(t *testing.T) {
 	d := scaleDispatcher(t, affinity.MaxCompared)
 	affinitySet := func(key uint64) []*worker {
@@ -257,6 +265,6 @@
 		}
 	}
 	if part := float64(kept) / float64(500*affinity.MaxWorkers); part < 0.45 || part > 0.55 {
-		t.Errorf("%.2f of the affinity sets is kept", part)
+		t.Errorf("the affinity sets kept a fraction of %.2f of their workers, want 0.45 to 0.55", part)
 	}
 }
--- a/health_test.go
+++ b/health_test.go
@@ -7,7 +7,8 @@
 	"github.com/vatu-meals/foxlift/internal/decision/health"
 )
 
-// A hung worker starts nothing and reports nothing; it must get no further job.
+// A hung worker neither starts its jobs nor reports anything, so it would look free. It must get no new job once a
+// start is overdue.
 func TestHungWorkerGetsNoNewJobs(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(2)...)
 	h.step(h.request(1, atMostOnce), h.request(2, atMostOnce))
@@ -18,7 +19,7 @@
 		h.advance(20*ms, h.request(id, atMostOnce))
 		for _, a := range h.actionsOf(ActionSend) {
 			if a.Worker == hung.Worker && id > 25 {
-				t.Fatalf("request %d sent to the hung worker", id)
+				t.Fatalf("job %d was sent to hung worker %s", id, a.Worker)
 			}
 			if a.Worker == healthy.Worker {
 				h.advance(ms, started(a.ID, 0, a.Worker))
@@ -28,7 +29,8 @@
 	}
 }
 
-// A worker that fails every job at once always has the fewest in flight; it must not attract the others.
+// A worker that fails every job at once always has the fewest jobs in flight: without ejection it would
+// attract most of the traffic.
 func TestFastFailingWorkerIsEjected(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(5)...)
 	sentToFailing := 0
@@ -45,10 +47,12 @@
 		}
 	}
 	if sentToFailing == 0 || sentToFailing > 20 {
-		t.Errorf("%d of 200 jobs went to the erring worker", sentToFailing)
+		t.Errorf("%d of 200 jobs were sent to failing worker w0, want 1 to 20", sentToFailing)
 	}
 }
 
+// A worker is ejected by one failure of its trial job, and by errors whose moving rate passes the limit for an
+// outlier.
 func TestFailedTrialOrErrorRunEjects(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(1)...)
 	w := h.d.workerOrder[0]
@@ -57,7 +61,7 @@
 	h.wantActions(ActionSend, 1)
 	h.advance(ms, outcome(1, 0, "w0", WorkerError))
 	if w.outlier.State().PausedUntil <= h.now {
-		t.Error("not ejected")
+		t.Errorf("after a failed trial: paused until %d, want after %d", w.outlier.State().PausedUntil, h.now)
 	}
 	w.setOutlier(func(s *health.OutlierState) { s.PausedUntil, s.Trial = 0, false })
 	for i := range 8 {
@@ -66,11 +70,12 @@
 		h.d.recordOutcome(a, &Event{Code: WorkerError})
 	}
 	if w.outlier.State().PausedUntil <= h.now {
-		t.Error("a run of errors does not eject it")
+		t.Errorf("after 8 errors: paused until %d, want after %d", w.outlier.State().PausedUntil, h.now)
 	}
 }
 
-// A worker that rejects jobs looks free by the dispatcher's count; it must not attract the next job.
+// A worker that rejects jobs looks free by the dispatcher's own count, and would attract the next job. It must
+// be paused, for longer after each rejection in a row.
 func TestSaturationBackoffGrows(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(1)...)
 	h.step(h.request(1, atMostOnce))
@@ -83,11 +88,11 @@
 		h.d.recordOutcome(a, &Event{Code: Saturated})
 	}
 	if again := h.d.workerOrder[0].outlier.State().PausedUntil - h.now; first <= 0 || again <= first {
-		t.Errorf("backed off for %d, after more rejections for %d", first, again)
+		t.Errorf("backoff %d ns after one rejection and %d ns after four, want 0 < first < second", first, again)
 	}
 }
 
-// One reset may be the connection's fault, a run of them is the worker's.
+// One reset may be a fault of the connection. Three resets in a row are a fault of the worker and eject it.
 func TestResetsInARowEjectAWorker(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(1)...)
 	for id := uint64(1); id <= 4; id++ {
@@ -101,7 +106,8 @@
 	}
 }
 
-// Each of many dispatchers sends to a worker too seldom to wait for a run of errors.
+// Each of many dispatchers sends to a worker too seldom to observe a run of errors, so the first error must eject
+// the worker. With few dispatchers one error may be chance.
 func TestManyDispatchersEjectAtTheFirstError(t *testing.T) {
 	for dispatchers, ejected := range map[int]bool{80: true, 3: false} {
 		t.Run(fmt.Sprintf("dispatchers=%d", dispatchers), func(t *testing.T) {
@@ -113,13 +119,14 @@
 			h.advance(ms, started(1, 0, a.Worker))
 			h.advance(ms, outcome(1, 0, a.Worker, WorkerError))
 			if w := h.d.workers[a.Worker]; (w.outlier.State().PausedUntil > h.now) != ejected {
-				t.Errorf("%d dispatchers: ejected %v", dispatchers, !ejected)
+				t.Errorf("%d dispatchers, one error: ejected %v, want %v", dispatchers, !ejected, ejected)
 			}
 		})
 	}
 }
 
-// A start is no sign of health where what started fails: the backoff goes on growing.
+// A worker that starts each job in time and then fails it must stay on trial: if a start reset the backoff, the
+// pauses between its trial jobs would not grow.
 func TestStartsDoNotResetAFailingWorkersBackoff(t *testing.T) {
 	h := newHarness(t, manyConfig(), testWorkers(1)...)
 	w := h.d.workerOrder[0]
@@ -131,7 +138,8 @@
 		h.advance(ms, started(id, 0, w.id))
 		h.advance(ms, outcome(id, 0, w.id, WorkerError))
 		if pause := w.outlier.State().PausedUntil - h.now; pause < second || w.outlier.State().Backoff < 2*previousBackoff {
-			t.Errorf("error %d: backed off for %d, backoff %d after %d", id, pause, w.outlier.State().Backoff, previousBackoff)
+			t.Errorf("error %d: pause %d ns, want %d at least; backoff %d ns, want twice %d at least",
+				id, pause, second, w.outlier.State().Backoff, previousBackoff)
 		}
 		previousBackoff = w.outlier.State().Backoff
 	}
--- a/slow_start_fleet_test.go
+++ b/slow_start_fleet_test.go
@@ -8,20 +8,20 @@
 	"testing"
 )
 
-// A slowStartFleet is dispatchers and workers on virtual time, drawn at random: sizes, traffic that is
-// uneven over the dispatchers, workers of which all, half or those of one zone restart amid it, each
-// dispatcher notified of that at a moment of its own, some of them restarted during the slow start.
+// A slowStartFleet simulates dispatchers and workers in virtual time. Sizes and traffic are random, and the
+// traffic differs between dispatchers. All workers, half of them or those of one zone restart during the run.
+// Each dispatcher is notified of that at its own time, and some dispatchers restart during the slow start.
 type slowStartFleet struct {
 	rng          *rand.Rand
 	cfg          Config
-	meanWork     int64 // mean of a job
+	meanWork     int64 // mean work of a job, nanoseconds
 	harnesses    []*harness
-	arrivalRates []float64 // jobs a second that arrive at each dispatcher
-	notifyAt     []int64   // when each learns of the starts
+	arrivalRates []float64 // jobs per second, by dispatcher
+	notifyAt     []int64   // when each dispatcher is notified of the starts; 0: already notified
 	workers      []*slowStartWorker
 	byID         map[string]*slowStartWorker
 	lastID       uint64
-	running      []slowStartAttempt // at all workers
+	running      []slowStartAttempt // running attempts of all workers
 }
 
 type slowStartWorker struct {
@@ -29,12 +29,12 @@
 	slots   int
 	running int
 	waiting []slowStartAttempt
-	sent    []sentWork // since its start, by dispatchers notified of it
+	sent    []sentWork // since its start, by dispatchers that were notified of it
 }
 
 type slowStartAttempt struct {
 	finishesAt int64
-	dispatcher int // which sent it
+	dispatcher int // index of the sender
 	send       Action
 	number     int
 	work       int64
@@ -81,15 +81,15 @@
 	return fleet
 }
 
-// start starts a dispatcher, which knows the endpoint list.
+// startDispatcher starts a dispatcher with the current endpoint list.
 func (fleet *slowStartFleet) startDispatcher(t *testing.T, i int) *harness {
 	cfg := fleet.cfg
 	cfg.Index, cfg.Zone = i, i%2
 	return newSeededHarness(t, cfg, fleet.rng.Uint64(), fleet.endpoints()...)
 }
 
-// play runs the fleet from one time to another. Where the workers' starts are announced, each
-// dispatcher learns of them at its own moment.
+// run simulates the fleet from one time to another. If the workers' starts are announced, each dispatcher is
+// notified of them at its time in notifyAt.
 func (fleet *slowStartFleet) run(from, to int64, announced bool) {
 	for now := from; now < to; now += slowStartStep {
 		inboxes := make([][]Event, len(fleet.harnesses))
@@ -114,7 +114,7 @@
 	}
 }
 
-// finishAttempts tells the dispatchers of the attempts that have finished.
+// finishAttempts ends the attempts that have finished and notifies their dispatchers.
 func (fleet *slowStartFleet) finishAttempts(now int64, inboxes [][]Event) {
 	running := fleet.running
 	fleet.running = nil
@@ -130,7 +130,7 @@
 	}
 }
 
-// endpoints is the complete endpoint list.
+// endpoints returns the complete endpoint list.
 func (fleet *slowStartFleet) endpoints() (workers []Worker) {
 	for _, w := range fleet.workers {
 		workers = append(workers, w.Worker)
@@ -138,7 +138,7 @@
 	return workers
 }
 
-// arrivals draws the jobs that come to a dispatcher in one step.
+// arrivals returns random requests that arrive at a dispatcher in one step.
 func (fleet *slowStartFleet) arrivals(dispatcher int, now int64) (requests []Event) {
 	for p := fleet.arrivalRates[dispatcher] * float64(slowStartStep) / 1e9; p > 0; p-- {
 		if fleet.rng.Float64() >= p {
@@ -155,7 +155,7 @@
 	return requests
 }
 
-// enqueueSends brings what a dispatcher has just sent to the workers.
+// enqueueSends adds the attempts that a dispatcher has just sent to the queues of their workers.
 func (fleet *slowStartFleet) enqueueSends(dispatcher int) {
 	h := fleet.harnesses[dispatcher]
 	for _, a := range h.actionsOf(ActionSend) {
@@ -174,7 +174,7 @@
 	}
 }
 
-// applyCancels drops the attempts that a dispatcher has just cancelled and that still wait.
+// applyCancels removes the attempts that a dispatcher has just cancelled from the queues of workers.
 func (fleet *slowStartFleet) applyCancels(dispatcher int) {
 	h := fleet.harnesses[dispatcher]
 	for _, a := range h.actionsOf(ActionCancel) {
@@ -193,7 +193,7 @@
 	}
 }
 
-// startWaiting starts what waits at a worker while it has free slots.
+// startWaiting starts the queued attempts of a worker while it has free slots.
 func (fleet *slowStartFleet) startWaiting(w *slowStartWorker, now int64, inboxes [][]Event) {
 	for w.running < w.slots && len(w.waiting) > 0 {
 		a := w.waiting[0]
@@ -205,7 +205,7 @@
 	}
 }
 
-// capacityFraction is the part of its capacity that a worker has, 0 to 1.
+// capacityFraction returns the fraction of its full capacity that a worker has now, 0 to 1.
 func (fleet *slowStartFleet) capacityFraction(w *slowStartWorker, now int64) float64 {
 	if w.StartedAt == 0 {
 		return 1
@@ -215,8 +215,8 @@
 	return min(1, atStart+ramp)
 }
 
-// worstOverload returns by how much the jobs that a worker in slow start was sent in a window exceed
-// its budget of N and what counts as chance, 2 x root of N + 2; under 0 if none did.
+// worstOverload returns, in mean jobs, the largest excess of the work sent to a worker in slow start within a window
+// over its budget of N jobs plus an allowance for chance of 2*sqrt(N)+2. It is negative if there was no overload.
 func (fleet *slowStartFleet) worstOverload() (excess float64, where string) {
 	excess = math.Inf(-1)
 	for _, w := range fleet.workers {
@@ -238,20 +238,20 @@
 			if over := sum - budget - 2*math.Sqrt(budget) - 2; over > excess {
 				excess = over
 				age := float64(s.at-w.StartedAt) / 1e9
-				where = fmt.Sprintf("%s: %.1f calls of %.1f, %.2f s after its start", w.ID, sum, budget, age)
+				where = fmt.Sprintf("%s: %.1f jobs with a budget of %.1f, %.2f s after its start", w.ID, sum, budget, age)
 			}
 		}
 	}
 	return excess, where
 }
 
-// jobs is an amount of work in mean jobs.
+// meanJobs converts work in nanoseconds to a number of mean jobs.
 func (fleet *slowStartFleet) meanJobs(work int64) float64 {
 	return float64(work) / float64(fleet.meanWork)
 }
 
-// What all dispatchers of a fleet together send to a worker in slow start stays within its budget,
-// whatever the fleet's size: no failure in 1,000 drawn fleets.
+// The dispatchers of a fleet send to a worker in slow start without coordination, and may together overload it.
+// The work that they send must stay within its budget for any number of dispatchers, in 1,000 random fleets.
 func TestSlowStartUnderTheSumOfDispatchers(t *testing.T) {
 	for _, c := range []struct{ dispatchers, fleets int }{
 		{1, 300},
@@ -276,16 +276,16 @@
 					failed++
 				}
 			}
-			t.Logf("%d fleets, %d pushed over, the nearest %+.1f: %s", c.fleets, failed, worst, where)
+			t.Logf("%d fleets, %d with an overloaded worker, worst excess %+.1f jobs: %s", c.fleets, failed, worst, where)
 			if failed > 0 {
-				t.Errorf("%d of %d fleets overload a worker in slow start, by up to %.1f calls", failed, c.fleets, worst)
+				t.Errorf("%d of %d fleets overload a worker in slow start, by up to %.1f jobs, want none", failed, c.fleets, worst)
 			}
 		})
 	}
 }
 
-// playRestarts restarts workers, and some dispatchers: amid the slow start, or most of them before it,
-// and the others have their traffic until they are back.
+// runRestarts simulates a restart of workers and of some dispatchers. By seed, either few dispatchers restart during
+// the slow start, or most of them stop before it and the others take over their traffic until they are back.
 func (fleet *slowStartFleet) runRestarts(t *testing.T, seed uint64) {
 	from, workersRestartAt := 5*second, 9*second
 	restartProbability, stopAt, resumeAt := 0.2, workersRestartAt+2*second, workersRestartAt+2*second
@@ -315,7 +315,7 @@
 	fleet.run(resumeAt, workersRestartAt+8*second, true)
 }
 
-// drawRestarts says which dispatchers restart; a single one does not.
+// pickRestarting selects the dispatchers that restart, at random. A single dispatcher never does.
 func (fleet *slowStartFleet) pickRestarting(probability float64) []bool {
 	restarting := make([]bool, len(fleet.harnesses))
 	for i := range restarting {
@@ -324,7 +324,7 @@
 	return restarting
 }
 
-// stopDispatchers stops those that restart; the others may get their traffic.
+// stopDispatchers stops the selected dispatchers. If rerouted is true, the others get their traffic.
 func (fleet *slowStartFleet) stopDispatchers(restarting []bool, rerouted bool) {
 	total, remaining := 0.0, 0.0
 	for i, rate := range fleet.arrivalRates {
@@ -342,7 +342,7 @@
 	}
 }
 
-// stop kills a dispatcher: its attempts are dropped, and no job arrives at it.
+// stopDispatcher kills a dispatcher: its attempts are dropped, and no job arrives at it.
 func (fleet *slowStartFleet) stopDispatcher(i int) {
 	fleet.harnesses[i], fleet.arrivalRates[i] = nil, 0
 	fleet.running = withoutDispatcher(fleet.running, i)
@@ -351,7 +351,7 @@
 	}
 }
 
-// withoutDispatcher drops the attempts of one dispatcher, and frees the slots of those that run.
+// withoutDispatcher returns the attempts of all dispatchers but one, and frees the slots of its running attempts.
 func withoutDispatcher(attempts []slowStartAttempt, dispatcher int) (remaining []slowStartAttempt) {
 	for _, a := range attempts {
 		if a.dispatcher != dispatcher {
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -9,8 +9,8 @@
 	"github.com/vatu-meals/foxlift/internal/decision/admission"
 )
 
-// Incident if801ee: the pace of sends to a worker in slow start must not follow what others are sent, as
-// most of that may be rejected.
+// Incident if801ee: the pace of sends to a worker in slow start must not follow the number of jobs sent to other
+// workers, as these may reject most of them. Here every attempt is rejected.
 func TestSlowStartPace(t *testing.T) {
 	cfg := testConfig()
 	cfg.Dispatchers = 10
@@ -20,7 +20,7 @@
 	for i := range cfg.Tenants {
 		setTenant(h.d, i, func(s *admission.TenantState) { s.Tokens, s.Rate = 1000, 100 })
 	}
-	setPeakRate(h.d, 0.2) // slots at work, here, of each worker: 2 jobs of 100 ms a second
+	setPeakRate(h.d, 0.2) // slots in use per warm worker for this dispatcher: 2 jobs of 100 ms a second
 	h.step(endpointsEvent(EndpointsDelta, workers[1:]...))
 	sends := 0
 	for id := uint64(1); h.now < 15*second; id++ {
@@ -37,13 +37,14 @@
 		}
 		setPeakRate(h.d, 0.2)
 	}
-	// Ten seconds at a ramp from 0.2 to 0.6 of 2 a second are 8 jobs.
+	// Ten seconds in which the rate rises from 0.2 to 0.6 of 2 jobs a second allow 8 jobs.
 	if sends < 3 || sends > 14 {
-		t.Errorf("%d sends to the worker in slow start in 10 s, want about 8", sends)
+		t.Errorf("%d attempts sent to the worker in slow start in 10 s, want 3 to 14", sends)
 	}
 }
 
-// Incident if1a1e4: the peak rate must not fall with the service, or workers in slow start get nothing.
+// Incident if1a1e4: if the peak rate fell as fast as the rate of served jobs, workers in slow start would get no
+// job after some idle seconds.
 func TestPeakWorkerRatePersistsWhenIdle(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(2)...)
 	h.d.capacity.slowStart.Rate().RecordServed(200, second)
@@ -53,12 +54,13 @@
 		h.d.runControlLoops()
 	}
 	if peak == 0 || h.d.capacity.slowStart.Rate().Peak() < peak*0.9 {
-		t.Errorf("peak rate %v five idle seconds after %v", h.d.capacity.slowStart.Rate().Peak(), peak)
+		t.Errorf("peak rate %v after five idle seconds, want at least 0.9 times %v",
+			h.d.capacity.slowStart.Rate().Peak(), peak)
 	}
 }
 
-// What 80 dispatchers together send to a worker in slow start is what it can do: it is neither overloaded
-// nor idle.
+// Each dispatcher paces its own sends to a worker in slow start. The work that 80 dispatchers send together must
+// match what the worker can do: it must be neither overloaded nor idle.
 func TestSlowStartTotalWorkOfManyDispatchers(t *testing.T) {
 	cfg := manyConfig()
 	const warmSlots = 10 // slots in use at a warm worker over all dispatchers: 800 jobs of 100 ms a second on 8
@@ -72,7 +74,7 @@
 		cfg.Index = i
 		harnesses = append(harnesses, newSeededHarness(t, cfg, uint64(i), workers[1:]...))
 	}
-	var work [20]float64 // sent to the worker in slow start, by the second
+	var work [20]float64 // slot-seconds of work sent to the worker in slow start, by second
 	running := make([][]Event, len(harnesses))
 	id := uint64(0)
 	for now := int64(0); now < 20*second; now += 20 * ms {
@@ -100,13 +102,13 @@
 	for s, w := range work {
 		possibleWork := warmSlots * (cfg.SlowStartCapacity + (1-cfg.SlowStartCapacity)*(float64(s)+0.5)/20)
 		if w > cfg.OverloadMultiple*possibleWork || s > 2 && w < possibleWork/2 {
-			t.Errorf("second %d: %.1f slots of work sent, it can do %.1f", s, w, possibleWork)
+			t.Errorf("second %d: %.1f slot-seconds of work sent, the worker can do %.1f", s, w, possibleWork)
 		}
 	}
 }
 
-// Dispatchers that have just started know nothing of what workers do. Whatever comes, light or heavy,
-// all of them together send a worker in slow start no more than it bears, and not nothing.
+// Dispatchers that have just started know no rate of warm workers. With light and heavy jobs, all of them
+// together must not overload a worker in slow start, and must still use some of its capacity.
 func TestSlowStartPaceAfterARestart(t *testing.T) {
 	for _, dispatchers := range []int{3, 8, 80} {
 		t.Run(fmt.Sprintf("dispatchers=%d", dispatchers), func(t *testing.T) {
@@ -118,20 +120,20 @@
 				slices.SortFunc(list, func(a, b sentWork) int { return cmp.Compare(a.at, b.at) })
 				for i := range list {
 					if work := workInWindow(list[i:], cfg.OverloadWindow); work > budget {
-						t.Errorf("%s is sent %.1f s of work in a window, want %.1f at most", worker, work/1e9, budget/1e9)
+						t.Errorf("worker %s was sent %.1f s of work in a window, want %.1f at most", worker, work/1e9, budget/1e9)
 					}
 					total += float64(list[i].work)
 				}
 			}
 			if possibleWork := 20 * 8 * cfg.SlowStartCapacity * 4 * float64(cfg.OverloadWindow); total < possibleWork/10 {
-				t.Errorf("%.1f s of work sent, the workers can do %.1f", total/1e9, possibleWork/1e9)
+				t.Errorf("%.1f s of work sent, want at least a tenth of the possible %.1f", total/1e9, possibleWork/1e9)
 			}
 		})
 	}
 }
 
-// sentAfterARestart is what each of 20 workers is sent in eight windows after all dispatchers and
-// workers have started together.
+// simulateRestart starts all dispatchers and 20 workers together, and returns the work sent to each worker within
+// eight overload windows.
 func simulateRestart(t *testing.T, cfg Config) map[string][]sentWork {
 	workers := testWorkers(20)
 	for i := range workers {
@@ -153,7 +155,7 @@
 	return sent
 }
 
-// workInWindow is the work sent within a window from the first of the list on, but for the heaviest job.
+// workInWindow returns the work sent within a window that begins at the first entry, without the heaviest job.
 func workInWindow(sent []sentWork, window int64) float64 {
 	var sum, heaviest int64
 	for _, s := range sent {
