--- a/api.go
+++ b/api.go
@@ -152,38 +152,41 @@
 		return errors.New("foxlift: Classes is empty")
 	}
 	if c.Dispatchers < 1 {
-		return errors.New("foxlift: Dispatchers is under 1")
+		return fmt.Errorf("foxlift: Dispatchers is %d, want at least 1", c.Dispatchers)
 	}
 	if c.Dispatchers > MaxDispatchers {
-		return errors.New("foxlift: Dispatchers is over MaxDispatchers")
+		return fmt.Errorf("foxlift: Dispatchers is %d, want at most %d", c.Dispatchers, MaxDispatchers)
 	}
 	if c.Index < 0 || c.Index >= c.Dispatchers {
-		return errors.New("foxlift: Index is not under Dispatchers")
+		return fmt.Errorf("foxlift: Index is %d, want at least 0 and less than Dispatchers (%d)", c.Index, c.Dispatchers)
 	}
 	if len(c.Gauges) > MaxGauges {
-		return errors.New("foxlift: Gauges has too many values")
+		return fmt.Errorf("foxlift: Gauges has %d values, want at most %d", len(c.Gauges), MaxGauges)
 	}
 	for i := range c.Classes {
 		k := &c.Classes[i]
 		switch {
 		case k.LatencyObjective < 0 || k.Deadline < 0 || k.KeyTTL < 0 || k.ObjectiveStretch < 0:
-			return fmt.Errorf("foxlift: Classes[%d] has a negative time", i)
+			return fmt.Errorf("foxlift: Classes[%d] has a negative time: "+
+				"LatencyObjective %d, Deadline %d, KeyTTL %d, ObjectiveStretch %v",
+				i, k.LatencyObjective, k.Deadline, k.KeyTTL, k.ObjectiveStretch)
 		case k.Effect > AtMostOnce:
-			return fmt.Errorf("foxlift: Classes[%d].Effect is unknown", i)
+			return fmt.Errorf("foxlift: Classes[%d].Effect is unknown: %d", i, k.Effect)
 		case k.Scope > ScopeCell:
-			return fmt.Errorf("foxlift: Classes[%d].Scope is unknown", i)
+			return fmt.Errorf("foxlift: Classes[%d].Scope is unknown: %d", i, k.Scope)
 		case k.Kind < -1:
-			return fmt.Errorf("foxlift: Classes[%d].Kind is under -1", i)
+			return fmt.Errorf("foxlift: Classes[%d].Kind is under -1: %d", i, k.Kind)
 		}
 	}
 	for i, t := range c.Tenants {
 		if t.Quota < 0 || math.IsNaN(t.Quota) {
-			return fmt.Errorf("foxlift: Tenants[%d].Quota is negative", i)
+			return fmt.Errorf("foxlift: Tenants[%d].Quota is negative or not a number: %v", i, t.Quota)
 		}
 	}
 	for i, b := range c.Bands {
 		if len(b.Ratio) != len(c.Tenants) || b.Width < 0 {
-			return fmt.Errorf("foxlift: Bands[%d] does not fit Tenants", i)
+			return fmt.Errorf("foxlift: Bands[%d] has %d ratios and width %v, want %d ratios and a width of at least 0",
+				i, len(b.Ratio), b.Width, len(c.Tenants))
 		}
 	}
 	// The messages use the names of the settings' keys (mustAskIn, warmAfter), not those of the fields.
@@ -200,7 +203,7 @@
 		{"AnswerGrace", c.AnswerGrace},
 	} {
 		if f.time < 0 {
-			return fmt.Errorf("foxlift: %s is negative", f.name)
+			return fmt.Errorf("foxlift: %s is negative: %d", f.name, f.time)
 		}
 	}
 	return nil
--- a/config_golden_test.go
+++ b/config_golden_test.go
@@ -10,7 +10,8 @@
 	"github.com/vatu-meals/foxlift/internal/golden"
 )
 
-// TestConfigErrors pins what New says of each Config that cannot run: the simulator is told it.
+// TestConfigErrors compares the errors of New for invalid Configs with a golden file: the simulator receives
+// them.
 func TestConfigErrors(t *testing.T) {
 	var b strings.Builder
 	for _, invalidate := range []func(*foxlift.Config){
--- a/config_test.go
+++ b/config_test.go
@@ -23,12 +23,13 @@
 			cfg := testConfig()
 			invalidate(&cfg)
 			if _, err := New(cfg, 1); err == nil || !strings.Contains(err.Error(), want) {
-				t.Errorf("error %v, want one with %q", err, want)
+				t.Errorf("New() returned error %v, want one that contains %q", err, want)
 			}
 		})
 	}
 }
 
+// A dispatcher without tenants and without workers queues a job until a worker appears in the endpoint list.
 func TestNoTenantsAndNoWorkersAtStart(t *testing.T) {
 	cfg := Config{Classes: []Class{{LatencyObjective: 100 * ms, Deadline: second, Kind: -1}}, Dispatchers: 1}
 	h := newHarness(t, cfg)
--- a/contract_test.go
+++ b/contract_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A host that breaks its side of the contract (unknown ids, time that goes back, doubled outcomes) does
-// no harm.
+// A host that violates the contract, with events about unknown IDs, a time that goes back, or a second outcome
+// of an attempt, causes no panic and leaves no job or slot behind.
 func TestBrokenContractIsHarmless(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(2)...)
 	h.step(
@@ -17,17 +17,18 @@
 	)
 	h.step(h.request(1, idempotent))
 	w := h.wantActions(ActionSend, 1)[0].Worker
-	h.step(h.request(1, idempotent)) // the same id again
+	h.step(h.request(1, idempotent)) // the same ID again
 	h.wantActions(ActionSend, 0)
-	h.now -= second // time must not go back: it counts as standing still
+	h.now -= second // an earlier time counts as the last one
 	h.step(outcome(1, 7, w, Served), outcome(1, -1, w, Served))
 	h.now += second
 	h.step(outcome(1, 0, w, Served), outcome(1, 0, w, Served))
 	if len(h.d.jobs.byID) != 0 || h.d.capacity.inFlightSlots != 0 {
-		t.Errorf("%d jobs and %v slots left", len(h.d.jobs.byID), h.d.capacity.inFlightSlots)
+		t.Errorf("%d jobs and %v slots left, want none", len(h.d.jobs.byID), h.d.capacity.inFlightSlots)
 	}
 }
 
+// Two dispatchers with the same seed return the same actions for the same events.
 func TestSameEventsGiveTheSameActions(t *testing.T) {
 	run := func() (all []Action) {
 		host := newRandomHost(t, 42, testConfig())
@@ -35,6 +36,6 @@
 		return host.log
 	}
 	if a, b := run(), run(); !reflect.DeepEqual(a, b) {
-		t.Error("two runs differ")
+		t.Errorf("two runs with seed 42 differ: %d and %d actions", len(a), len(b))
 	}
 }
--- a/example_test.go
+++ b/example_test.go
@@ -8,7 +8,7 @@
 
 const exampleMillisecond = int64(1e6) // on the dispatcher's clock
 
-// An exampleHost keeps the events that are to come, and steps a dispatcher whenever some are due.
+// An exampleHost has a dispatcher and the events that it will receive.
 type exampleHost struct {
 	dispatcher *foxlift.Dispatcher
 	pending    []scheduledEvent
@@ -19,12 +19,12 @@
 	event foxlift.Event
 }
 
-// schedule has an event delivered at a time.
+// schedule adds an event that is due at a time.
 func (h *exampleHost) schedule(at int64, event foxlift.Event) {
 	h.pending = append(h.pending, scheduledEvent{at, event})
 }
 
-// due takes the events that have come by now.
+// due removes and returns the events that are due.
 func (h *exampleHost) due(now int64) (events []foxlift.Event) {
 	var later []scheduledEvent
 	for _, s := range h.pending {
@@ -38,7 +38,8 @@
 	return events
 }
 
-// execute executes an action. The worker starts each job 1 ms after it was sent and serves it in 30 ms.
+// execute executes an action. The simulated worker starts each job 1 ms after it was sent and answers 30 ms
+// after it was sent.
 func (h *exampleHost) execute(now int64, action foxlift.Action) {
 	const ms = exampleMillisecond
 	switch action.Kind {
@@ -56,7 +57,7 @@
 	}
 }
 
-// A host with one worker and one job: it delivers events to the dispatcher and executes its actions.
+// A host with one worker and one job delivers events to the dispatcher and executes its actions.
 func Example() {
 	const ms = exampleMillisecond
 	dispatcher, err := foxlift.New(foxlift.Config{
--- a/fuzz_test.go
+++ b/fuzz_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A randomHost plays random but lawful events against a dispatcher and checks the invariants with
-// records of its own.
+// A randomHost passes random events that keep the host's contract to a dispatcher, executes its actions, and
+// checks the invariants against its own records.
 type randomHost struct {
 	t            *testing.T
 	cfg          Config
@@ -16,7 +16,7 @@
 	now          int64
 	nextID       uint64
 	requests     map[uint64]*randomRequest
-	open         []uint64 // ids not yet answered
+	open         []uint64 // IDs of the requests without a final answer
 	inFlight     []randomAttempt
 	timers       []Action
 	healthChecks []string
@@ -58,25 +58,29 @@
 	return host
 }
 
+// run makes steps with random events and then steps until every request must be answered. It fails if one is
+// not, or if the dispatcher still has a job or a used slot.
 func (host *randomHost) run(steps int) {
 	for range steps {
 		host.now += 1 + host.rng.Int64N(6*ms)
 		host.step(host.randomEvents())
 	}
-	for range 3000 { // until all is answered
+	for range 3000 { // 6 s, after which every request must be answered
 		host.now += 2 * ms
 		host.step(host.dueEvents())
 	}
 	for id, r := range host.requests {
 		if !r.answered {
-			host.t.Fatalf("request %d got no answer", id)
+			host.t.Fatalf("request %d has no final answer at the end", id)
 		}
 	}
 	if len(host.d.jobs.byID) != 0 || host.d.capacity.inFlightSlots != 0 {
-		host.t.Fatalf("%d jobs and %v slots left at the end", len(host.d.jobs.byID), host.d.capacity.inFlightSlots)
+		host.t.Fatalf("%d jobs and %v slots left at the end, want none", len(host.d.jobs.byID), host.d.capacity.inFlightSlots)
 	}
 }
 
+// randomEvents returns up to two new requests, at times an endpoint update or a disconnected client, and the
+// due events.
 func (host *randomHost) randomEvents() (events []Event) {
 	for range host.rng.IntN(3) {
 		host.nextID++
@@ -112,7 +116,7 @@
 	return append(events, host.dueEvents()...)
 }
 
-// dueEvents are the timers, health checks and outcomes that are due.
+// dueEvents returns the events of the timers, health checks and attempts that are due.
 func (host *randomHost) dueEvents() (events []Event) {
 	host.timers = slices.DeleteFunc(host.timers, func(a Action) bool {
 		if a.At > host.now {
@@ -153,6 +157,8 @@
 	return events
 }
 
+// step passes events to the dispatcher, executes and checks its actions, and fails if a request has no final
+// answer 8 ms after its deadline.
 func (host *randomHost) step(events []Event) {
 	host.t.Helper()
 	for _, a := range host.d.Step(host.now, events) {
@@ -166,7 +172,7 @@
 			host.checkAnswer(a)
 		case ActionHealthCheck:
 			if !host.cfg.MayHealthCheck {
-				host.t.Fatal("a health check where none is allowed")
+				host.t.Fatalf("health check of %s though MayHealthCheck is not set", a.Worker)
 			}
 			host.healthChecks = append(host.healthChecks, a.Worker)
 		case ActionCancel:
@@ -177,7 +183,7 @@
 				}
 			}
 			if a.Attempt >= len(r.attempts) {
-				host.t.Fatalf("cancel of attempt %d of %d", a.Attempt, a.ID)
+				host.t.Fatalf("cancel of attempt %d of request %d, which has %d attempts", a.Attempt, a.ID, len(r.attempts))
 			}
 		}
 	}
@@ -194,25 +200,26 @@
 	return host.workers[slices.IndexFunc(host.workers, func(w Worker) bool { return w.ID == id })]
 }
 
-// randomCodes are the outcomes that are drawn, mostly failures: invariants are broken there, if anywhere.
+// randomCodes are the outcomes of attempts, drawn with equal probability. Most are failures, as invariants are
+// most likely to break there.
 var randomCodes = []Code{
 	Served, Served, Served, WorkerError, Saturated, Unreachable, Reset, NotSent, DeadlineExceeded,
 }
 
-// checkSend checks that an attempt may be sent, and draws its outcome.
+// checkSend checks that an attempt may be sent, and draws its outcome and the time of that.
 func (host *randomHost) checkSend(a Action) {
 	host.t.Helper()
 	r := host.requests[a.ID]
 	c := host.cfg.Classes[r.class]
 	w := host.findWorker(a.Worker)
 	if r.answered {
-		host.t.Fatalf("request %d sent after its end", a.ID)
+		host.t.Fatalf("request %d sent to %s after its final answer", a.ID, a.Worker)
 	}
 	if w.State != Live {
-		host.t.Fatalf("request %d sent to %s in state %d", a.ID, a.Worker, w.State)
+		host.t.Fatalf("request %d sent to %s in state %d, want %d", a.ID, a.Worker, w.State, Live)
 	}
 	if len(r.attempts) >= host.cfg.MaxAttempts {
-		host.t.Fatalf("request %d sent too often", a.ID)
+		host.t.Fatalf("request %d sent again after %d attempts, want at most %d", a.ID, len(r.attempts), host.cfg.MaxAttempts)
 	}
 	for _, attempt := range r.attempts {
 		if attempt.reported && attempt.code.NeverRan() {
@@ -226,7 +233,8 @@
 			inScope := c.Scope == ScopeAll || c.Scope == ScopeZone && first.Zone == w.Zone ||
 				c.Scope == ScopeCell && first.Cell == w.Cell
 			if !inScope || host.now-attempt.sentAt > c.KeyTTL {
-				host.t.Fatalf("request %d left its group or its time", a.ID)
+				host.t.Fatalf("request %d sent to %s %d ns after the attempt at %s, want scope %d and at most %d ns",
+					a.ID, a.Worker, host.now-attempt.sentAt, attempt.worker, c.Scope, c.KeyTTL)
 			}
 			break
 		}
@@ -241,11 +249,12 @@
 	host.inFlight = append(host.inFlight, attempt)
 }
 
+// checkAnswer checks that a request may have a final answer, and may be shed if it is.
 func (host *randomHost) checkAnswer(a Action) {
 	host.t.Helper()
 	r := host.requests[a.ID]
 	if r.answered {
-		host.t.Fatalf("request %d answered twice", a.ID)
+		host.t.Fatalf("request %d answered a second time, by action kind %d", a.ID, a.Kind)
 	}
 	r.answered = true
 	if a.Kind == ActionFail {
@@ -260,6 +269,7 @@
 	}
 }
 
+// randomConfigs returns 12 configurations that differ in scope, permissions, number of dispatchers and tenants.
 func randomConfigs() (cfgs []Config) {
 	for i := range 12 {
 		cfg := testConfig()
--- a/helpers_test.go
+++ b/helpers_test.go
@@ -14,11 +14,11 @@
 	deduplicated
 )
 
-// affinityKey is the key of the jobs that tests of affinity follow.
+// affinityKey is the key of the jobs that tests of affinity check.
 const affinityKey = 7
 
-// testClass is a class with an objective of 100 ms; where the effect is Deduplicated, workers know a
-// key for a second within their cell.
+// testClass returns a class with an objective of 100 ms. If the effect is Deduplicated, the workers of a cell
+// drop repeats for a second.
 func testClass(name string, effect Effect) Class {
 	c := Class{
 		Name: name, LatencyObjective: 100 * ms, ObjectiveStretch: 2, Deadline: 2000 * ms,
@@ -30,7 +30,8 @@
 	return c
 }
 
-// testConfig is one dispatcher with three classes and two tenants of equal quota.
+// testConfig returns the configuration of a single dispatcher with three classes and two tenants with equal
+// quotas.
 func testConfig() Config {
 	return Config{
 		Classes: []Class{
@@ -45,7 +46,7 @@
 	}
 }
 
-// A harness is a dispatcher with a clock of its own and the actions of its last step.
+// A harness has a dispatcher, its clock, and the actions of its last step.
 type harness struct {
 	t       *testing.T
 	d       *Dispatcher
@@ -58,8 +59,8 @@
 	return newSeededHarness(t, cfg, 1, workers...)
 }
 
-// newSeededHarness returns a dispatcher that has begun with a cached list of workers, five seconds
-// after time 0, and has had discovery's first answer.
+// newSeededHarness returns a harness at time 5 s whose dispatcher has a cached list of workers and has received
+// the first answer of discovery.
 func newSeededHarness(t *testing.T, cfg Config, seed uint64, workers ...Worker) *harness {
 	t.Helper()
 	d, err := New(cfg, seed)
@@ -71,13 +72,13 @@
 	return h
 }
 
-// step hands the events to the dispatcher at the clock's time and returns its actions.
+// step passes the events to the dispatcher at the current time and returns its actions.
 func (h *harness) step(events ...Event) []Action {
 	h.actions = append([]Action(nil), h.d.Step(h.now, events)...)
 	return h.actions
 }
 
-// advance moves the clock on and steps the dispatcher.
+// advance advances the clock by dt and calls step.
 func (h *harness) advance(dt int64, events ...Event) []Action {
 	h.now += dt
 	return h.step(events...)
@@ -98,22 +99,22 @@
 	h.t.Helper()
 	actions := h.actionsOf(k)
 	if len(actions) != n {
-		h.t.Fatalf("%d actions of kind %d, want %d: %+v", len(actions), k, n, h.actions)
+		h.t.Fatalf("Step() returned %d actions of kind %d, want %d; all actions: %+v", len(actions), k, n, h.actions)
 	}
 	return actions
 }
 
-// request is a job of the first tenant that comes now and has two seconds.
+// request returns the arrival of a job of the first tenant with a deadline in two seconds.
 func (h *harness) request(id uint64, class int) Event {
 	return Event{Kind: EventRequest, Request: Request{ID: id, Class: class, Deadline: h.now + 2*second}}
 }
 
-// outcome is the end of an attempt that ran for 50 ms.
+// outcome returns the outcome of an attempt that took 50 ms. It is the final answer if it is Served.
 func outcome(id uint64, attempt int, w string, c Code) Event {
 	return Event{Kind: EventOutcome, ID: id, Attempt: attempt, Worker: w, Code: c, Took: 50 * ms, Ended: c == Served}
 }
 
-// endpointsEvent is an update of the endpoint list.
+// endpointsEvent returns an update of the endpoint list.
 func endpointsEvent(update EndpointUpdate, workers ...Worker) Event {
 	return Event{Kind: EventEndpoints, EndpointUpdate: update, Workers: workers}
 }
@@ -122,12 +123,12 @@
 
 func disconnectEvent(id uint64) Event { return Event{Kind: EventClientDisconnected, ID: id} }
 
-// started is a worker's report that an attempt has begun to run.
+// started returns a worker's report that it has started an attempt.
 func started(id uint64, attempt int, w string) Event {
 	return Event{Kind: EventStarted, ID: id, Attempt: attempt, Worker: w}
 }
 
-// testWorkers are n live workers in two zones, in cells of two.
+// testWorkers returns n live workers, w0 to w(n-1), that alternate between two zones, in cells of two.
 func testWorkers(n int) (workers []Worker) {
 	for i := range n {
 		workers = append(workers, Worker{ID: fmt.Sprintf("w%d", i), Zone: i % 2, Kind: -1, Cell: i / 2})
@@ -135,21 +136,21 @@
 	return workers
 }
 
-// manyConfig is a fleet of 80 dispatchers.
+// manyConfig returns the configuration of a dispatcher in a fleet of 80, without load reports.
 func manyConfig() Config {
 	cfg := testConfig()
 	cfg.Dispatchers, cfg.Gauges, cfg.MaxAttempts = 80, nil, 3
 	return cfg
 }
 
-// keyedRequest is a request for a job with the affinity key.
+// keyedRequest returns the arrival of a job with the affinity key.
 func keyedRequest(h *harness, id uint64, class int) Event {
 	e := h.request(id, class)
 	e.Request.Key = affinityKey
 	return e
 }
 
-// makeRare lets a hundred jobs with other keys arrive, so that the affinity key is rare.
+// makeRare records a hundred other keys as recent, so that the affinity key is rare among them.
 func makeRare(h *harness) {
 	for key := uint64(1000); key < 1100; key++ {
 		h.d.keys.keyLog.Add(key)
--- a/migration_test.go
+++ b/migration_test.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-// What a host with several dispatchers passes between them: jobs with their queue time and prior
-// attempts, workers with external slots, quotas.
+// Tests of what a host with several dispatchers passes to them: jobs with the time that they have waited and
+// their prior attempts at another dispatcher, workers with external slots, and quotas.
 
-// A lone tenant far past its quota gets the idle capacity, also where the dispatcher began without an
-// endpoint list: the start window must not stay at 0.
+// A single active tenant far over its quota gets the idle capacity of the fleet, also if the dispatcher
+// started without an endpoint list: the start window must not stay at 0.
 func TestLoneTenantUsesAnIdleFleet(t *testing.T) {
-	const arrivals, warmUp = 61, 10 // jobs a second, and seconds before they count
+	const arrivals, warmUp = 61, 10 // jobs per second, and seconds before the jobs are counted
 	for name, initial := range map[string][]Worker{"list known": testWorkers(8), "no list known": nil} {
 		t.Run(name, func(t *testing.T) {
 			cfg := testConfig()
@@ -31,13 +31,14 @@
 				}
 			}
 			if sent < arrived*95/100 {
-				t.Errorf("%d of %d jobs are sent after 10 s", sent, arrived)
+				t.Errorf("%d of %d jobs sent after the first 10 s, want at least 95%%", sent, arrived)
 			}
 		})
 	}
 }
 
-// The time that a job was queued at another dispatcher counts: it is shed when it would have been there.
+// The time that a job was queued at another dispatcher counts as queue time: the job is shed at the time at
+// which the other dispatcher would have shed it.
 func TestMigrationPreservesQueueTime(t *testing.T) {
 	cfg := testConfig()
 	h := newHarness(t, cfg) // no worker: every job is queued
@@ -53,11 +54,11 @@
 		}
 	}
 	if d := shedAt[1] - shedAt[2]; d < 100*ms || d > 200*ms {
-		t.Errorf("shed at %v: want the aged one some 150 ms earlier", shedAt)
+		t.Errorf("shed at %v, by request ID: want request 2 100 to 200 ms before request 1", shedAt)
 	}
 }
 
-// Attempts of another dispatcher count towards MaxAttempts.
+// Attempts made by another dispatcher count towards MaxAttempts.
 func TestMigrationCountsPriorAttempts(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(4)...)
 	e := h.request(1, idempotent)
@@ -73,7 +74,7 @@
 	h.wantActions(ActionSend, 0)
 }
 
-// A job goes only to its allowed workers, and while these are saturated others of its class overtake it.
+// A job is sent only to its allowed workers. While these are saturated, other jobs of its class overtake it.
 func TestConfinedJobsDoNotBlockTheirClass(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(4)...)
 	id, full := uint64(0), false
@@ -84,25 +85,25 @@
 		h.step(e)
 		for _, a := range h.actionsOf(ActionSend) {
 			if a.Worker != "w2" {
-				t.Fatalf("job %d goes to %s", id, a.Worker)
+				t.Fatalf("job %d sent to %s, want w2", id, a.Worker)
 			}
 		}
 		full = len(h.actionsOf(ActionSend)) == 0
 	}
 	if !full {
-		t.Fatal("the worker is never full")
+		t.Fatalf("w2 accepted %d jobs, want it full before", id)
 	}
 	h.step(h.request(100, idempotent))
 	if a := h.wantActions(ActionSend, 1)[0]; a.ID != 100 || a.Worker == "w2" {
-		t.Errorf("%+v", a)
+		t.Errorf("Step() returned %+v, want job 100 sent to another worker than w2", a)
 	}
 	h.step(outcome(1, 0, "w2", Served))
 	if a := h.wantActions(ActionSend, 1)[0]; a.ID != id {
-		t.Errorf("job %d follows, want %d", a.ID, id)
+		t.Errorf("job %d sent to the free slot, want %d", a.ID, id)
 	}
 }
 
-// External slots of a worker count until an update of the endpoint list says that they are free.
+// The external slots of a worker count as used until an update of the endpoint list changes them.
 func TestExternalSlotsCount(t *testing.T) {
 	workers := testWorkers(2)
 	workers[0].ExternalSlots = 3
@@ -110,35 +111,36 @@
 	for id := range uint64(3) {
 		h.step(h.request(id+1, atMostOnce))
 		if a := h.wantActions(ActionSend, 1)[0]; a.Worker != "w1" {
-			t.Errorf("job %d goes to %s, which has 3 of others", id+1, a.Worker)
+			t.Errorf("job %d sent to %s, want w1: w0 has 3 external slots", id+1, a.Worker)
 		}
 	}
 	workers[0].ExternalSlots = 0
 	h.step(endpointsEvent(EndpointsDelta, workers[:1]...))
 	h.step(h.request(9, atMostOnce))
 	if a := h.wantActions(ActionSend, 1)[0]; a.Worker != "w0" {
-		t.Errorf("then to %s", a.Worker)
+		t.Errorf("job 9 sent to %s, want w0, which has no external slots any more", a.Worker)
 	}
 	if w := h.d.workers["w0"]; w.usedSlots != 1 || w.externalSlots != 0 {
-		t.Errorf("%v slots, %v of others", w.usedSlots, w.externalSlots)
+		t.Errorf("w0 has %v used and %v external slots, want 1 and 0", w.usedSlots, w.externalSlots)
 	}
 }
 
-// New quotas apply at once; a list of the wrong length changes nothing.
+// New quotas apply at once. A list of the wrong length is ignored.
 func TestQuotasChange(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(2)...)
 	h.step(Event{Kind: EventQuotas, Quotas: []float64{30, 0}})
 	if a, b := tenantRate(h.d, 0), tenantRate(h.d, 1); a != 30 || b != 0 {
-		t.Errorf("rates %v and %v", a, b)
+		t.Errorf("rates %v and %v, want 30 and 0", a, b)
 	}
 	h.step(Event{Kind: EventQuotas, Quotas: []float64{1}})
 	if a := tenantRate(h.d, 0); a != 30 {
-		t.Errorf("rate %v", a)
+		t.Errorf("rate %v after a list of the wrong length, want 30", a)
 	}
 }
 
-// After a takeover a dispatcher has few jobs of its own at workers that are busy with its predecessor's:
-// a late start there must not shrink the start window to twice its own jobs, which takes minutes to undo.
+// After a takeover a dispatcher has few jobs of its own, at workers that are busy with those of the process
+// before it. A late start there must not reduce the start window to twice the dispatcher's own slots, from
+// which it would take minutes to recover.
 func TestStartWindowCountsExternalSlots(t *testing.T) {
 	workers := testWorkers(12)
 	for i := range workers {
@@ -150,13 +152,13 @@
 	w := h.wantActions(ActionSend, 1)[0].Worker
 	h.advance(50*ms, started(1, 0, w)) // late
 	if got := h.d.capacity.startWindow.Slots(); got < window*0.98 {
-		t.Errorf("a window of %v becomes %v with 25 jobs in flight", window, got)
+		t.Errorf("start window %v after a late start with 25 slots in flight, want at least 98%% of %v", got, window)
 	}
 	for i := range workers {
 		workers[i].ExternalSlots = 0
 	}
 	h.step(endpointsEvent(EndpointsDelta, workers...))
 	if got := h.d.occupiedSlots(); got != 1 {
-		t.Errorf("%v slots in flight once the other has none, want 1", got)
+		t.Errorf("occupiedSlots() = %v without external slots, want 1", got)
 	}
 }
--- a/policy_test.go
+++ b/policy_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// deploySettings returns a list of deploy/balancer.toml that stands in one line.
+// deploySettings returns the entries of a list that deploy/balancer.toml has in one line.
 func deploySettings(t *testing.T, key string) []string {
 	t.Helper()
 	settings, err := os.ReadFile("deploy/balancer.toml")
@@ -28,13 +28,13 @@
 	return entries
 }
 
-// policyFiles returns the files that deploy/balancer.toml lists as the ones that decide.
+// policyFiles returns the files that contain decisions, as listed in deploy/balancer.toml.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	return deploySettings(t, "policy")
 }
 
-// A file that decides has under 400 lines that are not blank, each of 110 characters at most.
+// A file with decisions has fewer than 400 lines that are not blank, each of at most 110 characters.
 func TestLineLimits(t *testing.T) {
 	for _, name := range policyFiles(t) {
 		lines := 0
@@ -48,7 +48,7 @@
 				lines++
 			}
 			if len(sc.Text()) > 110 {
-				t.Errorf("%s: line of %d characters: %s", name, len(sc.Text()), sc.Text())
+				t.Errorf("%s: line of %d characters, want at most 110: %s", name, len(sc.Text()), sc.Text())
 			}
 		}
 		if lines == 0 || lines >= 400 {
@@ -57,7 +57,8 @@
 	}
 }
 
-// Every file of the module is listed as one that decides, or says that it does not.
+// Every file of the decision module is listed under policy in deploy/balancer.toml or has the sentence "Nothing
+// is decided here."
 func TestEveryFileIsPolicyOrDecidesNothing(t *testing.T) {
 	policy := policyFiles(t)
 	files, err := filepath.Glob("*.go")
@@ -69,7 +70,7 @@
 		t.Fatal(err)
 	}
 	if len(parts) == 0 {
-		t.Error("the module's packages are not found under internal/decision")
+		t.Error("no Go file under internal/decision, want the packages of the decision module")
 	}
 	files = append(files, parts...)
 	for _, name := range files {
--- a/queue_test.go
+++ b/queue_test.go
@@ -15,13 +15,14 @@
 			w := h.wantActions(ActionSend, 1)[0].Worker
 			h.advance(2*second, outcome(1, 0, w, DeadlineExceeded))
 			if len(h.actionsOf(ActionFail))+len(h.actionsOf(ActionShed)) != 1 {
-				t.Errorf("class %d: no answer at the deadline: %+v", class, h.actions)
+				t.Errorf("class %d: Step() at the deadline returned %+v, want one ActionFail or ActionShed", class, h.actions)
 			}
 		})
 	}
 }
 
-// A client's last retry may arrive a moment before its deadline (incident i580165).
+// A client's last retry may arrive just before its deadline. If the job waited for the next tick, the client
+// would get no answer (incident i580165).
 func TestJobNearDeadlineIsShedAtOnce(t *testing.T) {
 	h := newHarness(t, testConfig())
 	e := h.request(1, idempotent)
@@ -38,7 +39,7 @@
 			return
 		}
 	}
-	t.Error("queued past its deadline")
+	t.Errorf("at %d ns: the queued job was not shed before its deadline", h.now)
 }
 
 func TestNothingIsSentForADisconnectedClient(t *testing.T) {
@@ -48,12 +49,12 @@
 	h.advance(ms, endpointsEvent(EndpointsComplete, testWorkers(2)...))
 	h.wantActions(ActionSend, 0)
 	if len(h.d.jobs.byID) != 0 {
-		t.Error("the job is kept")
+		t.Errorf("%d jobs kept after the client disconnected, want 0", len(h.d.jobs.byID))
 	}
 }
 
-// The queue of a tenant past its quota is always long: in order of arrival every job would have used up
-// its queue time, and a long queue time would only delay the rest.
+// The queue of a tenant over its quota is always long. Sent in order of arrival, every job would have used up
+// its queue time, and a long queue time would only delay the tenant's other jobs.
 func TestPastQuotaNewestFirstAndShortQueueTime(t *testing.T) {
 	h := newHarness(t, testConfig())
 	h.step(h.request(1, atMostOnce))
@@ -63,16 +64,17 @@
 	withinQuota := h.d.maxQueueTime(j)
 	setTenant(h.d, 0, func(s *admission.TenantState) { s.OfferedRate, s.Rate = 50, 5 })
 	if pastQuota := h.d.maxQueueTime(j); pastQuota >= withinQuota || pastQuota != 50*ms {
-		t.Errorf("queue time %d when past the quota, %d when not", pastQuota, withinQuota)
+		t.Errorf("maxQueueTime() = %d over the quota, want %d and less than %d within it", pastQuota, 50*ms, withinQuota)
 	}
 	h.d.onEndpoints(&Event{EndpointUpdate: EndpointsComplete, Workers: testWorkers(1)})
 	h.d.dispatchRound++
 	if h.d.sendMostUrgent(tenant); h.d.jobs.byID[1].inFlight != 0 || h.d.jobs.byID[2].inFlight != 1 {
-		t.Error("the older job went first")
+		t.Errorf("attempts in flight: %d of the older job, %d of the newer, want 0 and 1",
+			h.d.jobs.byID[1].inFlight, h.d.jobs.byID[2].inFlight)
 	}
 }
 
-// A client's retry that can no longer be in time is shed where capacity is short, and the age of a
+// A client's retry that can no longer meet its objective is shed when capacity is short, and the age of a
 // queued job counts from the client's first attempt.
 func TestLateClientRetriesAreShed(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(2)...)
@@ -81,34 +83,34 @@
 		e.Request.Deadline = h.now + left
 		return e
 	}
-	h.step(h.request(1, idempotent), withDeadline(2, 1000*ms)) // with capacity the second is served, late or not
+	h.step(h.request(1, idempotent), withDeadline(2, 1000*ms)) // with free capacity a late job is served too
 	h.wantActions(ActionSend, 2)
-	for id := uint64(3); len(h.actionsOf(ActionSend)) > 0; id++ { // until there is none
+	for id := uint64(3); len(h.actionsOf(ActionSend)) > 0; id++ { // until no capacity is left
 		h.step(h.request(id, idempotent))
 	}
 	h.step(withDeadline(100, 1000*ms))
 	if a := h.wantActions(ActionShed, 1)[0]; a.ID != 100 || a.RetryAfter != 0 {
-		t.Errorf("%+v", a) // these settings allow no advice
+		t.Errorf("shed with %+v, want ID 100 and RetryAfter 0, as MayRetryAfter is not set", a)
 	}
 	h.step(withDeadline(101, 1980*ms))
-	h.wantActions(ActionShed, 0) // it may still be in time
+	h.wantActions(ActionShed, 0) // it may still meet its objective
 	maxQueueTime := h.d.maxQueueTime(h.d.jobs.byID[101])
 	for h.advance(20 * ms); h.d.jobs.byID[101] != nil; h.advance(10 * ms) {
 		if h.now-5*second > maxQueueTime+40*ms {
-			t.Fatal("queued past its time")
+			t.Fatalf("job 101 is still queued after %d ns, want at most %d", h.now-5*second, maxQueueTime+40*ms)
 		}
 	}
 }
 
-// A job queued by one of several dispatchers without gossip would be late at workers that have the
-// others' jobs: such a dispatcher reserves time for two runs, sheds jobs past a quota at the next tick,
-// and serves a queue newest first. One that knows of all jobs does none of this.
+// With a few dispatchers and no gossip, a job that was queued for long is late at a worker that also has jobs
+// of other dispatchers. Such a dispatcher reserves time for two runs, queues jobs over a quota only briefly,
+// and serves a long queue newest first. A dispatcher that is alone or one of many does not.
 func TestQueueTimeByNumberOfDispatchers(t *testing.T) {
 	for _, c := range []struct {
 		dispatchers int
 		pastQuota   int64
 		runs        int64
-		first       uint64 // of three that are queued
+		first       uint64 // ID of the job that is sent first of three queued ones
 	}{{1, 50 * ms, 1, 1}, {2, 100 * ms / 8, 2, 3}, {300, 50 * ms, 1, 1}} {
 		t.Run(fmt.Sprintf("dispatchers=%d", c.dispatchers), func(t *testing.T) {
 			cfg := testConfig()
@@ -119,25 +121,25 @@
 			h.step(h.request(1, idempotent), h.request(2, idempotent), h.request(3, idempotent))
 			tenant := h.d.tenantOf(0)
 			if got, want := h.d.maxQueueTime(h.d.jobs.byID[1]), 100*ms+(3-c.runs)*80*ms; got != want {
-				t.Errorf("%d dispatchers: queue time %d, want %d", c.dispatchers, got, want)
+				t.Errorf("%d dispatchers: maxQueueTime() = %d, want %d", c.dispatchers, got, want)
 			}
 			queue, round := tenant.queues[0].jobs, h.d.dispatchRound+1
 			if j := nextInQueue(queue, h.d.newestFirst(tenant, queue), round); j.id != c.first {
-				t.Errorf("%d dispatchers: job %d goes first, want %d", c.dispatchers, j.id, c.first)
+				t.Errorf("%d dispatchers: nextInQueue() of 3 jobs = job %d, want %d", c.dispatchers, j.id, c.first)
 			}
 			if j := nextInQueue(queue[:2], h.d.newestFirst(tenant, queue[:2]), round); j.id != 1 {
-				t.Errorf("%d dispatchers: of two queued jobs, %d goes first", c.dispatchers, j.id)
+				t.Errorf("%d dispatchers: nextInQueue() of 2 jobs = job %d, want 1", c.dispatchers, j.id)
 			}
 			setTenant(h.d, 0, func(s *admission.TenantState) { s.OfferedRate, s.Rate = 500, 5 })
 			if got := h.d.maxQueueTime(h.d.jobs.byID[1]); got != c.pastQuota {
-				t.Errorf("%d dispatchers: queue time %d when past the quota, want %d", c.dispatchers, got, c.pastQuota)
+				t.Errorf("%d dispatchers: maxQueueTime() = %d over the quota, want %d", c.dispatchers, got, c.pastQuota)
 			}
 		})
 	}
 }
 
-// A job that can no longer be in time is cancelled and shed where its effect allows it: it would make the
-// jobs behind it late.
+// A job that was sent but can no longer meet its objective is cancelled and shed if its effect allows that:
+// it would make the jobs queued behind it late.
 func TestJobsPastTheirObjectiveAreShed(t *testing.T) {
 	for class, want := range []int{1, 0} {
 		t.Run(testConfig().Classes[class].Name, func(t *testing.T) {
@@ -159,8 +161,8 @@
 	}
 }
 
-// With many dispatchers a light job must not be queued, here or at a worker, for the time that a heavy
-// one of its class has.
+// With many dispatchers a light job must not be queued, at the dispatcher or at a worker, for as long as the
+// objective of a heavy job of its class allows.
 func TestTimelyLimitUsesLightJobs(t *testing.T) {
 	for dispatchers, want := range map[int]int64{3: 100 + 2*80, 80: 100 + 2*50} {
 		t.Run(fmt.Sprintf("dispatchers=%d", dispatchers), func(t *testing.T) {
@@ -173,7 +175,7 @@
 			h.advance(2 * second)
 			h.step(h.request(1, idempotent))
 			if got := h.d.timelyLimit(h.d.jobs.byID[1]); got != want*ms {
-				t.Errorf("%d dispatchers: timely is %d ms, want %d", dispatchers, got/ms, want)
+				t.Errorf("%d dispatchers: timelyLimit() = %d ms, want %d", dispatchers, got/ms, want)
 			}
 		})
 	}
--- a/quotas_test.go
+++ b/quotas_test.go
@@ -7,7 +7,8 @@
 	"github.com/vatu-meals/foxlift/internal/decision/admission"
 )
 
-// Two tenants of equal quota on one worker of two slots: the one that sends six times as much is shed.
+// Two tenants with equal quotas share one worker with two slots. Only jobs of the tenant that sends six times
+// as much may be shed in number.
 func TestTenantPastItsQuotaIsShedFirst(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants = []Tenant{{"a", 20}, {"b", 20}}
@@ -27,7 +28,7 @@
 	id := uint64(0)
 	for round := range 400 {
 		var events []Event
-		for n := range 4 { // three of tenant 0 in each round, one of tenant 1 in every other
+		for n := range 4 { // three jobs of tenant 0 in each round, one of tenant 1 in every second round
 			if tenant := n / 3; tenant == 0 || round%2 == 0 {
 				id++
 				e := h.request(id, atMostOnce)
@@ -47,12 +48,13 @@
 		running = append(running, step(ms, events)...)
 	}
 	if shed[0] < 100 || shed[1] > 10 {
-		t.Errorf("shed %v of tenants past and within their quotas", shed)
+		t.Errorf("shed %d jobs of the tenant over its quota, want at least 100; %d of the other, want at most 10",
+			shed[0], shed[1])
 	}
 }
 
-// Incident if801ee: with half the fleet lost, jobs within the quotas alone overloaded the rest. Workers
-// that were drained do not count as lost.
+// With half of the fleet lost, the jobs within the quotas alone overloaded the remaining workers (incident
+// if801ee). Workers that were drained do not count as lost.
 func TestRemainingCapacity(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(4)...)
 	workers := testWorkers(4)
@@ -61,25 +63,26 @@
 	workers[0].State = Removed
 	h.advance(ms, endpointsEvent(EndpointsDelta, workers[:1]...))
 	if s := h.d.remainingCapacity(); s != 1 {
-		t.Errorf("remaining capacity %v after a drain, want all", s)
+		t.Errorf("remainingCapacity() = %v after a drain, want 1", s)
 	}
 	workers[1].State = Removed
 	h.advance(ms, endpointsEvent(EndpointsDelta, workers[1:2]...))
 	if s := h.d.remainingCapacity(); math.Abs(s-2.0/3) > 1e-9 {
-		t.Errorf("remaining capacity %v after a loss, want 2/3", s)
+		t.Errorf("remainingCapacity() = %v with one of three workers lost, want 2/3", s)
 	}
 	workers[1].State, workers[1].StartedAt = Live, h.now
 	h.advance(ms, endpointsEvent(EndpointsDelta, workers[1:2]...))
 	if s := h.d.remainingCapacity(); s < 0.7 || s > 0.75 {
-		t.Errorf("remaining capacity %v with the third back at a fifth, want 2.2/3", s)
+		t.Errorf("remainingCapacity() = %v with the third worker back at a fifth of its capacity, want 2.2/3", s)
 	}
 	h.advance(21*second, timerEvent(1))
 	if s := h.d.remainingCapacity(); s != 1 {
-		t.Errorf("remaining capacity %v after the slow start, want all", s)
+		t.Errorf("remainingCapacity() = %v after the slow start, want 1", s)
 	}
 }
 
-// A class of a tenant past its quota must not be served at another's expense.
+// A tenant over its quota must not have one class served at the expense of another: the class of which a
+// smaller fraction was sent is more urgent.
 func TestClassesOfATenantAreServedEvenly(t *testing.T) {
 	h := newHarness(t, testConfig())
 	tenant := &h.d.tenants[0]
@@ -89,20 +92,21 @@
 	})
 	jobs := []*job{{class: &h.d.classes[0]}, {class: &h.d.classes[1], req: Request{Class: 1}}}
 	if tenant.urgency(h.d, jobs[1]) <= tenant.urgency(h.d, jobs[0]) {
-		t.Error("the class that got less is not the more urgent")
+		t.Errorf("urgency() = %v with 20 of 100 jobs sent, want more than %v, that with 60 of 100",
+			tenant.urgency(h.d, jobs[1]), tenant.urgency(h.d, jobs[0]))
 	}
 }
 
 func TestDrainedWorkerIsNotLost(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(2)...)
 	workers := testWorkers(2)
-	for _, s := range []WorkerState{Removed, Draining, Removed} { // lost, back only to drain, removed
+	for _, s := range []WorkerState{Removed, Draining, Removed} { // lost, back but draining, removed
 		workers[0].State = s
 		h.advance(ms, endpointsEvent(EndpointsDelta, workers[:1]...))
 		h.d.remainingCapacity()
 	}
 	if s := h.d.remainingCapacity(); s != 1 {
-		t.Errorf("remaining capacity %v, want all", s)
+		t.Errorf("remainingCapacity() = %v, want 1", s)
 	}
 }
 
@@ -122,7 +126,7 @@
 	h.wantActions(ActionSend, 0)
 }
 
-// The tenants' rates shrink with the remaining capacity.
+// The rates of the tenants fall in proportion to the remaining capacity.
 func TestRatesFollowRemainingCapacity(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(4)...)
 	h.d.updateQuotas()
@@ -132,11 +136,12 @@
 	h.advance(ms, endpointsEvent(EndpointsDelta, workers...))
 	h.d.updateQuotas()
 	if half := tenantRate(h.d, 0); math.Abs(half-whole/2) > 1e-9 {
-		t.Errorf("rate %v with half the fleet lost, %v before", half, whole)
+		t.Errorf("rate %v with half of the fleet lost, want half of %v", half, whole)
 	}
 }
 
-// One job of a tenant whose rate is one in ten seconds does not exceed its quota; a run of jobs does.
+// A single job of a tenant whose rate at this dispatcher is one job in ten seconds does not exceed the quota;
+// ten jobs a second do.
 func TestSingleJobDoesNotExceedQuota(t *testing.T) {
 	cfg := manyConfig()
 	cfg.Tenants = []Tenant{{"a", 8}, {"b", 8}}
@@ -152,7 +157,7 @@
 		}
 		h.d.updateQuotas()
 		if tenant.ExceedsQuota() != want {
-			t.Errorf("second %d: past its quota %v", n, !want)
+			t.Errorf("ExceedsQuota() = %v in second %d with %d arrivals, want %v", !want, n, arrivals, want)
 		}
 	}
 }
--- a/regulator_test.go
+++ b/regulator_test.go
@@ -6,6 +6,8 @@
 	"github.com/vatu-meals/foxlift/internal/decision/admission"
 )
 
+// A loop with fewer than 6 samples keeps its state, except in the period in which it is this dispatcher's
+// turn to run its loops.
 func TestLatencyLoopKeepsModelWithoutSamples(t *testing.T) {
 	cfg := testConfig()
 	cfg.Dispatchers, cfg.Index = 4, 1
@@ -16,20 +18,20 @@
 		c.loop.Sample(1.5)
 	}
 	kept := c.loop.State()
-	setRate(h.d, func(s *admission.RateState) { s.Periods = 1 }) // the next is not this dispatcher's turn
+	setRate(h.d, func(s *admission.RateState) { s.Periods = 1 }) // the next period is not this dispatcher's turn
 	h.d.runControlLoops()
 	if c.loop.State() != kept {
-		t.Error("fewer than 6 jobs changed the loop")
+		t.Errorf("runControlLoops() with 5 samples changed the loop to %+v, want %+v", c.loop.State(), kept)
 	}
 	setRate(h.d, func(s *admission.RateState) { s.Periods = 4 })
 	h.d.runControlLoops()
 	if now := c.loop.State(); now.Parameters == kept.Parameters && now.Covariance == kept.Covariance {
-		t.Error("the rotating dispatcher did not run its loop")
+		t.Errorf("runControlLoops() in this dispatcher's turn left the model at %+v, want an update", now)
 	}
 }
 
-// At two jobs a second a loop never has 6 samples in a second: they accumulate until it runs, or its
-// model would stay stale.
+// At two jobs per second a loop never has 6 samples in one period. The samples must accumulate until the loop
+// runs, or its model would stay stale.
 func TestLatencyLoopAccumulatesSamples(t *testing.T) {
 	cfg := testConfig()
 	cfg.Dispatchers, cfg.Index = 50, 49
@@ -40,7 +42,7 @@
 		c.loop.Sample(1.5)
 		h.d.runControlLoops()
 		if ran := c.loop.State().Output != 0; ran != (i >= 2) {
-			t.Fatalf("after %d jobs the loop ran: %v", 2*i+2, ran)
+			t.Fatalf("loop ran after %d samples: %v, want a run at 6", 2*i+2, ran)
 		}
 		if i == 2 {
 			return
--- a/retry_test.go
+++ b/retry_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// An AtMostOnce job that may have run is neither sent again nor shed: the client must not retry it either.
 func TestAtMostOnceFailsAfterItMayHaveRun(t *testing.T) {
 	for _, c := range []Code{WorkerError, DeadlineExceeded, Reset, Cancelled} {
 		t.Run(fmt.Sprint("code ", c), func(t *testing.T) {
@@ -19,6 +20,7 @@
 	}
 }
 
+// An AtMostOnce job that has certainly not run is retried up to MaxAttempts and then shed.
 func TestAtMostOnceRetriesWhenItNeverRan(t *testing.T) {
 	for _, c := range []Code{Saturated, Unreachable, NotSent} {
 		t.Run(fmt.Sprint("code ", c), func(t *testing.T) {
@@ -28,11 +30,12 @@
 				w := h.wantActions(ActionSend, 1)[0].Worker
 				h.advance(10*ms, outcome(1, attempt, w, c))
 			}
-			h.wantActions(ActionShed, 1) // attempts are spent
+			h.wantActions(ActionShed, 1) // no attempt is left
 		})
 	}
 }
 
+// A Deduplicated job that may have run is sent again only within its scope, and only until its KeyTTL is over.
 func TestDeduplicatedRetryStaysInGroupAndTTL(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(8)...)
 	h.step(h.request(1, deduplicated))
@@ -40,20 +43,22 @@
 	h.advance(10*ms, outcome(1, 0, first, WorkerError))
 	again := h.wantActions(ActionSend, 1)[0].Worker
 	if again == first || h.d.workers[again].cell != h.d.workers[first].cell {
-		t.Errorf("first to %s, then to %s", first, again)
+		t.Errorf("sent to %s of cell %d, then to %s of cell %d, want another worker of the same cell",
+			first, h.d.workers[first].cell, again, h.d.workers[again].cell)
 	}
 	h.advance(1100*ms, outcome(1, 1, again, WorkerError))
 	h.advance(200*ms, timerEvent(1))
-	h.wantActions(ActionSend, 0) // the group may have forgotten it
+	h.wantActions(ActionSend, 0) // the workers of the cell may have dropped its key
 	for range 10 {
 		if h.advance(100*ms, timerEvent(1)); len(h.actionsOf(ActionFail)) == 1 {
 			return
 		}
 		h.wantActions(ActionShed, 0)
 	}
-	t.Error("no final answer")
+	t.Error("no ActionFail within 1 s after the KeyTTL, want one")
 }
 
+// A Deduplicated job of ScopeAll may be shed even if it may have run: every worker drops the client's retry.
 func TestDeduplicatedScopeAllMayBeShed(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[2].Scope = ScopeAll
@@ -68,7 +73,7 @@
 	h.wantActions(ActionShed, 1)
 }
 
-// An idempotent job at a hung worker is retried at another and cancelled at the first.
+// An idempotent job at a hung worker is sent to another worker and cancelled at the first.
 func TestIdempotentRetryAvoidsHungWorker(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(2)...)
 	h.step(h.request(1, idempotent))
@@ -79,18 +84,18 @@
 		}
 	}
 	if a := h.wantActions(ActionSend, 1)[0]; a.Worker == first {
-		t.Error("sent to the same worker")
+		t.Errorf("retry sent to %s, want another worker than the first", a.Worker)
 	}
 	h.wantActions(ActionCancel, 1)
 }
 
-// Cancelled jobs may run on at their workers: hedged requests have a budget, or those of late jobs make
-// more jobs late.
+// Cancelled jobs may keep running at their workers. Hedges have a budget, as without one the hedges of late
+// jobs would make more jobs late.
 func TestHedgeBudget(t *testing.T) {
 	h := newHarness(t, testConfig(), testWorkers(40)...)
 	first, hedges := 0, 0
 	for id := uint64(1); id <= 400; id++ {
-		h.advance(5*ms, h.request(id, idempotent)) // no worker ever says that a job started
+		h.advance(5*ms, h.request(id, idempotent)) // no worker ever reports a start
 		for _, a := range h.actionsOf(ActionSend) {
 			if len(h.d.jobs.byID[a.ID].attempts) == 1 {
 				first++
@@ -104,6 +109,7 @@
 		}
 	}
 	if first < 100 || float64(hedges) > maxHedgeBudget+hedgesPerSend*float64(first+hedges)+1 {
-		t.Errorf("%d hedged requests of %d jobs", hedges, first)
+		t.Errorf("%d first sends, want at least 100; %d hedges, want at most %v", first, hedges,
+			maxHedgeBudget+hedgesPerSend*float64(first+hedges)+1)
 	}
 }
--- a/sites_test.go
+++ b/sites_test.go
@@ -11,13 +11,14 @@
 	"testing"
 )
 
-// Names of classes and tenants of two deployments whose site files are not here; those of the
-// others are read from theirs.
+// otherSites has the names of classes and tenants of two deployments whose site files are not in this
+// repository. The names of the other deployments are read from their site files.
 const otherSites = `reading ratify central-belt urban-roadside north-east highlands south-west borders
 fife-tayside islands cut-clip publish-clip bay-state-sports granite-net coastal-cable pioneer-valley-tv
 green-mtn-sports ocean-state-net merrimack-media nutmeg-sports kennebec-tv transcode publish`
 
-// The program is fitted to no deployment: no text in its packages has the name of a class or a tenant.
+// The program must not depend on a deployment: no string literal in its packages contains the name of a class
+// or a tenant of one.
 func TestNoDeploymentNamesInPackages(t *testing.T) {
 	names := regexp.MustCompile(`\b(` + strings.Join(deploymentNames(t), "|") + `)\b`)
 	files := 0
@@ -33,23 +34,23 @@
 			files++
 			for _, literal := range stringLiterals(t, filepath.Join(dir, name)) {
 				if names.MatchString(literal) {
-					t.Errorf("%s: %s", filepath.Join(dir, name), literal)
+					t.Errorf("%s: string literal %s contains a name of a deployment", filepath.Join(dir, name), literal)
 				}
 			}
 		}
 	}
 	if files < 40 {
-		t.Errorf("%d files looked at", files)
+		t.Errorf("checked %d files, want at least 40", files)
 	}
 }
 
-// deploymentNames are the names of classes and tenants of all deployments.
+// deploymentNames returns the names of the classes and tenants of all deployments.
 func deploymentNames(t *testing.T) []string {
 	t.Helper()
 	names := strings.Fields(otherSites)
 	sites, err := filepath.Glob("deploy/sites/*/*.toml")
 	if err != nil || len(sites) != 2 {
-		t.Fatal(sites, err)
+		t.Fatalf("site files %v, error %v, want 2 files", sites, err)
 	}
 	entry := regexp.MustCompile(`\[\[(?:class|tenant)\]\]\nname = "([^"]+)"`)
 	for _, path := range sites {
@@ -59,7 +60,7 @@
 		}
 		found := entry.FindAllSubmatch(text, -1)
 		if len(found) < 3 {
-			t.Errorf("%s: %d names", path, len(found))
+			t.Errorf("%s: %d names of classes and tenants, want at least 3", path, len(found))
 		}
 		for _, m := range found {
 			names = append(names, string(m[1]))
@@ -68,7 +69,7 @@
 	return names
 }
 
-// stringLiterals are the string literals of a Go file.
+// stringLiterals returns the string literals of a Go file, as written.
 func stringLiterals(t *testing.T, path string) (literals []string) {
 	t.Helper()
 	text, err := os.ReadFile(path)
--- a/state_helpers_test.go
+++ b/state_helpers_test.go
@@ -5,7 +5,7 @@
 	"github.com/vatu-meals/foxlift/internal/decision/health"
 )
 
-// How tests set what a dispatcher has learned.
+// Helpers that set and read the measured state of a dispatcher.
 
 func setRate(d *Dispatcher, change func(*admission.RateState)) {
 	s := d.rate.State()
@@ -41,7 +41,7 @@
 	d.capacity.slowStart.Rate().Restore(peak, d.capacity.slowStart.Rate().Recent())
 }
 
-// servedSlots is what the rate of warm workers takes into account of this second.
+// servedSlots returns the slots that the rate of warm workers has recorded in the current second.
 func servedSlots(d *Dispatcher) float64 {
 	rate := *d.capacity.slowStart.Rate()
 	rate.Restore(0, 0)
@@ -49,7 +49,8 @@
 	return rate.Recent()
 }
 
-// clearSlowStartWork lets a worker's next job come at once.
+// clearSlowStartWork sets the work of a worker's last send in slow start to 0, so that the next job can be sent
+// at once.
 func (w *worker) clearSlowStartWork() {
 	at, _ := w.warmup.LastSend()
 	w.warmup.RestoreLastSend(at, 0)
