--- a/record_faults_test.go
+++ b/record_faults_test.go
@@ -6,7 +6,7 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// A fault is something that happens to a fleet while it is recorded.
+// A fault changes a fleet while it is recorded.
 type fault func(h *fleetHost)
 
 // A scheduledFault happens at a time after a recording's start.
@@ -15,7 +15,7 @@
 	fault fault
 }
 
-// scheduleFault lets one of the plan's faults happen, and the next one later.
+// scheduleFault schedules a random fault of the plan, and then the next one.
 func (h *fleetHost) scheduleFault() {
 	h.scheduleAfter(h.plan.faultInterval/2+h.rng.Int64N(h.plan.faultInterval), func() {
 		h.plan.faults[h.rng.IntN(len(h.plan.faults))](h)
@@ -23,7 +23,7 @@
 	})
 }
 
-// pick draws some workers.
+// sampleWorkers returns a random fraction of the workers.
 func (h *fleetHost) sampleWorkers(fraction float64) (workers []*simWorker) {
 	for _, w := range h.workers {
 		if h.randomBool(fraction) {
@@ -33,7 +33,7 @@
 	return workers
 }
 
-// change sets a worker's state in the list.
+// setState sets a worker's state in the endpoint list. A removed worker that becomes live is a new process.
 func (h *fleetHost) setState(w *simWorker, state foxlift.WorkerState) {
 	if w.entry.State == foxlift.Removed && state == foxlift.Live {
 		w.entry.StartedAt = h.now
@@ -42,7 +42,7 @@
 	h.notifyChange(w.entry)
 }
 
-// vanish ends a worker's process with all that it has.
+// removeProcess ends a worker's process, resets its attempts and removes it from the endpoint list.
 func (h *fleetHost) removeProcess(w *simWorker) {
 	for _, a := range append(slices.Clone(w.running), w.queue...) {
 		a.report(foxlift.Reset)
@@ -51,7 +51,7 @@
 	h.setState(w, foxlift.Removed)
 }
 
-// faultDrain drains workers; they go and come back anew.
+// faultDrain drains workers, which are removed after 2 s and come back as new processes after 5 s.
 func faultDrain(h *fleetHost) {
 	for _, w := range h.sampleWorkers(0.15) {
 		h.setState(w, foxlift.Draining)
@@ -60,10 +60,10 @@
 	}
 }
 
-// faultRetirement takes a worker out for good.
+// faultRetirement removes a worker permanently.
 func faultRetirement(h *fleetHost) { h.removeProcess(h.workers[len(h.workers)-1]) }
 
-// faultCrash kills workers, of which the dispatchers learn late; they come back cold.
+// faultCrash ends the processes of workers; the dispatchers are notified late. The new processes are in slow start.
 func faultCrash(h *fleetHost) {
 	for _, w := range h.sampleWorkers(0.25) {
 		h.removeProcess(w)
@@ -71,7 +71,7 @@
 	}
 }
 
-// faultZoneRestart starts all workers of a zone anew, of which the list tells nothing but their starts.
+// faultZoneRestart restarts all workers of a zone. In the endpoint list only their start times change.
 func faultZoneRestart(h *fleetHost) {
 	zone := h.rng.IntN(2)
 	for _, w := range h.workers {
@@ -82,7 +82,7 @@
 	}
 }
 
-// faultHang lets workers hang for a while.
+// faultHang makes workers hang for a while.
 func faultHang(h *fleetHost) {
 	for _, w := range h.sampleWorkers(0.15) {
 		w.hanging = true
@@ -96,7 +96,7 @@
 	}
 }
 
-// faultErrors lets workers fail jobs for a while.
+// faultErrors makes workers fail jobs for a while.
 func faultErrors(h *fleetHost) {
 	for _, w := range h.sampleWorkers(0.15) {
 		w.failing = true
@@ -104,7 +104,7 @@
 	}
 }
 
-// faultSaturation lets workers turn all jobs away for a while.
+// faultSaturation makes workers reject all jobs for a while.
 func faultSaturation(h *fleetHost) {
 	for _, w := range h.sampleWorkers(0.2) {
 		w.rejecting = true
@@ -112,7 +112,7 @@
 	}
 }
 
-// faultFleetSaturation lets all workers turn all jobs away for a while.
+// faultFleetSaturation makes all workers reject all jobs for 3 s.
 func faultFleetSaturation(h *fleetHost) {
 	for _, w := range h.workers {
 		w.rejecting = true
@@ -120,13 +120,13 @@
 	}
 }
 
-// faultFlood lets a tenant send far more than its share for a while.
+// faultFlood makes a tenant send far more than its share for 4 s.
 func faultFlood(h *fleetHost) {
 	h.flooding = h.rng.IntN(max(1, len(h.plan.tenantWeights)))
 	h.scheduleAfter(4*second, func() { h.flooding = -1 })
 }
 
-// faultQuotas changes the tenants' shares; now and then by a list of the wrong length.
+// faultQuotas changes the tenants' quotas, sometimes with a list of the wrong length.
 func faultQuotas(h *fleetHost) {
 	quotas := make([]float64, len(h.plan.config.Tenants)+h.rng.IntN(5)/4)
 	for i := range quotas {
@@ -137,7 +137,7 @@
 	}
 }
 
-// faultDiscovery lets calls to discovery fail for some seconds, in all ways that are told apart.
+// faultDiscovery makes calls to discovery fail for some seconds, in varying ways.
 func faultDiscovery(h *fleetHost) {
 	if h.discoveryFailing {
 		return
@@ -146,7 +146,7 @@
 	h.failDiscovery(2*second + h.exponential(6*second))
 }
 
-// faultOutage lets calls to discovery fail for some time, all in one way.
+// faultOutage returns a fault that makes calls to discovery fail in one way for a duration.
 func faultOutage(failure foxlift.PollFailure, duration int64) fault {
 	return func(h *fleetHost) {
 		h.failure, h.failureFixed = failure, true
@@ -154,7 +154,7 @@
 	}
 }
 
-// failDiscovery lets calls to discovery fail for some time.
+// failDiscovery makes calls to discovery fail for a duration, after which it answers again.
 func (h *fleetHost) failDiscovery(duration int64) {
 	h.discoveryFailing = true
 	h.scheduleAfter(duration, func() {
@@ -166,17 +166,17 @@
 	})
 }
 
-// drawFailure draws what failed calls tell of discovery from now on.
+// drawFailure chooses at random how calls to discovery fail from now on.
 func (h *fleetHost) drawFailure() { h.failure = storedFailures[h.rng.IntN(len(storedFailures))] }
 
-// faultDiscoveryChange names another discovery.
+// faultDiscoveryChange configures another discovery.
 func faultDiscoveryChange(h *fleetHost) {
 	for _, m := range h.members {
 		m.receiveEndpoints(foxlift.DiscoveryChanged, nil)
 	}
 }
 
-// faultResync tells the whole list, in which now and then a worker is missing.
+// faultResync sends the complete endpoint list, from which sometimes a worker is missing.
 func faultResync(h *fleetHost) {
 	for _, m := range h.members {
 		list := m.endpoints()
@@ -187,7 +187,7 @@
 	}
 }
 
-// faultExternalUsage changes how many slots others of the host have out at workers.
+// faultExternalUsage changes the slots that jobs sent past the dispatcher use at workers.
 func faultExternalUsage(h *fleetHost) {
 	for _, w := range h.sampleWorkers(0.2) {
 		w.entry.ExternalSlots = float64(h.rng.IntN(4))
@@ -195,16 +195,16 @@
 	}
 }
 
-// faultTakeover lets a new process of a scheduler take over from the old one.
+// faultTakeover replaces a scheduler's process by a new one that continues from its snapshot.
 func faultTakeover(h *fleetHost) { h.members[h.rng.IntN(len(h.members))].takeover() }
 
-// faultProcessRestart lets a new process of a scheduler begin, which knows nothing.
+// faultProcessRestart replaces a scheduler's process by a new one without learned state.
 func faultProcessRestart(h *fleetHost) { h.members[h.rng.IntN(len(h.members))].start() }
 
-// faultFirstRestart does so in the first dispatcher's place.
+// faultFirstRestart is faultProcessRestart for the first dispatcher.
 func faultFirstRestart(h *fleetHost) { h.members[0].start() }
 
-// faultBrokenContract passes events about things that there are not.
+// faultBrokenContract sends a dispatcher events about unknown jobs, workers, peers and classes.
 func faultBrokenContract(h *fleetHost) {
 	m := h.members[h.rng.IntN(len(h.members))]
 	missing := uint64(1) << 60
--- a/record_fleet_test.go
+++ b/record_fleet_test.go
@@ -13,37 +13,37 @@
 	second      = 1000 * millisecond
 )
 
-// A fleetPlan says what a recording plays: some dispatchers that share workers for a while.
+// A fleetPlan describes a recording: dispatchers that share workers, their load and their faults.
 type fleetPlan struct {
 	name              string
-	config            foxlift.Config // but for each dispatcher's own Index and Zone
+	config            foxlift.Config // without Index and Zone, which each dispatcher has of its own
 	seed              uint64
-	recorded          int // dispatchers that are recorded, of config.Dispatchers
+	recorded          int // number of dispatchers that are recorded, at most config.Dispatchers
 	workers           int
-	slots             int // of each worker
-	kinds             int // of workers
+	slots             int // slots of each worker
+	kinds             int // number of worker kinds; 0: workers have no kind
 	duration          int64
-	loadFactor        float64 // jobs that come, as a share of what the workers can do
-	runtimes          []int64 // mean running time, by class
+	loadFactor        float64 // arriving work, as a fraction of the workers' capacity
+	runtimes          []int64 // mean run time, by class
 	tenantWeights     []float64
-	keyCount          int     // that jobs have; 0: none
-	mixedRequests     bool    // jobs have sizes, slots, memory and workers that they are confined to
-	abnormalOutcomes  float64 // share of attempts that end in a rare way
-	disconnects       float64 // share of clients that leave before a second is over
-	externalUsage     float64 // share of jobs that wait at a worker for those of other schedulers
+	keyCount          int     // number of affinity keys; 0: jobs have no key
+	mixedRequests     bool    // requests differ in size, slots, memory and allowed workers
+	abnormalOutcomes  float64 // fraction of attempts that never reach their worker and end with a random code
+	disconnects       float64 // fraction of clients that disconnect within a second
+	externalUsage     float64 // fraction of attempts delayed at the worker by jobs of other schedulers
 	slowStart         bool    // all workers have just started
-	unreachableWorker bool    // one worker can never be reached
+	unreachableWorker bool    // the first worker can never be reached
 	faultPlan
 }
 
-// A faultPlan says which faults a fleet meets.
+// A faultPlan lists the faults of a fleet.
 type faultPlan struct {
-	faults        []fault // drawn from
-	faultInterval int64   // mean time between drawn faults
+	faults        []fault // chosen from at random
+	faultInterval int64   // mean time between random faults
 	scheduled     []scheduledFault
 }
 
-// A fleetHost plays a plan on virtual time.
+// A fleetHost simulates a plan on virtual time.
 type fleetHost struct {
 	plan           *fleetPlan
 	rng            *rand.Rand
@@ -52,22 +52,22 @@
 	queue          callQueue
 	members        []*member
 	workers        []*simWorker
-	callsScheduled int64  // entries that the agenda ever had
-	lastID         uint64 // of a job
+	callsScheduled int64  // calls that were ever scheduled
+	lastID         uint64 // ID of the newest job
 
 	discoveryFailing bool
 	failure          foxlift.PollFailure
-	failureFixed     bool // it stays the same until discovery answers again
+	failureFixed     bool // failure stays the same until discovery answers again
 	flooding         int  // the tenant that sends far more than its share; -1: none
 }
 
-// A due is something that happens at a time.
+// A queuedCall is a call that is scheduled for a time; order is the order of scheduling.
 type queuedCall struct {
 	at, order int64
 	do        func()
 }
 
-// An agenda is a heap of what is due, the earliest first.
+// A callQueue is a heap of scheduled calls, earliest first and then in the order of scheduling.
 type callQueue []queuedCall
 
 func (a callQueue) Len() int { return len(a) }
@@ -87,7 +87,7 @@
 	inspectInterval = second
 )
 
-// playFleet records a plan from its start to its end.
+// recordFleet simulates and records a plan from its start to its end.
 func recordFleet(r *recorder, plan fleetPlan) {
 	h := &fleetHost{
 		plan: &plan, rng: rand.New(rand.NewPCG(plan.seed, 1)), record: r, now: fleetStart, flooding: -1,
@@ -119,7 +119,7 @@
 	h.run(fleetStart + plan.duration)
 }
 
-// run plays what is due, and after it steps each dispatcher that has learned of something.
+// run makes the scheduled calls up to end. After those of one time it steps each dispatcher that has received events.
 func (h *fleetHost) run(end int64) {
 	for h.now < end {
 		h.now = h.queue[0].at
@@ -135,7 +135,7 @@
 	}
 }
 
-// at lets something happen at a time, on the grid of half a millisecond, so that some things coincide.
+// scheduleAt schedules a call for a time after now, rounded up to half a millisecond so that some calls coincide.
 func (h *fleetHost) scheduleAt(time int64, do func()) {
 	const grid = millisecond / 2
 	time = max(time, h.now+1)
@@ -150,7 +150,7 @@
 
 func (h *fleetHost) scheduleAfter(delay int64, do func()) { h.scheduleAt(h.now+delay, do) }
 
-// repeat lets something happen again and again.
+// scheduleEvery schedules a call after each interval.
 func (h *fleetHost) scheduleEvery(interval int64, do func()) {
 	h.scheduleAfter(interval, func() {
 		do()
@@ -158,12 +158,12 @@
 	})
 }
 
-// exponential draws a time that has a mean.
+// exponential returns a random, exponentially distributed duration with the given mean.
 func (h *fleetHost) exponential(mean int64) int64 { return 1 + int64(float64(mean)*h.rng.ExpFloat64()) }
 
 func (h *fleetHost) randomBool(p float64) bool { return h.rng.Float64() < p }
 
-// rate is how many jobs a second come to each dispatcher now: they come in waves.
+// rate returns the current arrival rate at each dispatcher, in jobs a second. It varies as a wave of 20 s.
 func (h *fleetHost) rate() float64 {
 	work := 0.0
 	for _, w := range h.plan.runtimes {
@@ -177,7 +177,7 @@
 	return rate
 }
 
-// arrive brings a job to a dispatcher, and the next one later.
+// arrive sends a job to a dispatcher and schedules the next one.
 func (h *fleetHost) arrive(m *member) {
 	m.accept(h.drawRequest())
 	skew := 1 + 0.5*float64(m.index%2)
@@ -205,7 +205,7 @@
 	if h.randomBool(0.05) {
 		request.AllowedWorkers = []string{h.drawWorker().entry.ID, h.drawWorker().entry.ID}
 	}
-	if h.randomBool(0.05) { // it comes from another dispatcher of the host
+	if h.randomBool(0.05) { // the job comes from another dispatcher of the host
 		request.Waited = h.rng.Int64N(100 * millisecond)
 		request.PriorAttempts = h.rng.IntN(2)
 	}
@@ -231,7 +231,7 @@
 
 func (h *fleetHost) drawWorker() *simWorker { return h.workers[h.rng.IntN(len(h.workers))] }
 
-// entries are the list of workers as discovery has it.
+// entries returns the endpoint list as discovery has it.
 func (h *fleetHost) entries() (list []foxlift.Worker) {
 	for _, w := range h.workers {
 		list = append(list, w.entry)
@@ -239,7 +239,7 @@
 	return list
 }
 
-// notifyChange tells the dispatchers of changed workers, each at a moment of its own.
+// notifyChange notifies the dispatchers of changed workers, each after a random delay.
 func (h *fleetHost) notifyChange(changed ...foxlift.Worker) {
 	for _, m := range h.members {
 		h.scheduleAfter(h.rng.Int64N(second/2), func() { m.receiveEndpoints(foxlift.EndpointsDelta, changed) })
--- a/record_member_test.go
+++ b/record_member_test.go
@@ -6,20 +6,20 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// A member is a dispatcher that is recorded, with its jobs.
+// A member is a recorded dispatcher with its jobs.
 type member struct {
 	host        *fleetHost
-	index       int // in the recording, and its Index
+	index       int // index in the recording, and Config.Index
 	config      foxlift.Config
 	dispatcher  *foxlift.Dispatcher
-	incarnation int // counts the dispatchers that were here
+	incarnation int // number of dispatchers that have had this index
 	subscribed  bool
 	inbox       []foxlift.Event
 	jobs        map[uint64]*simJob
-	inFlight    []*simAttempt // whose outcomes are open, also of an earlier incarnation
+	inFlight    []*simAttempt // attempts without an outcome, also of earlier incarnations
 }
 
-// A simJob is a job of a client that waits for one answer.
+// A simJob is a job whose client waits for one answer.
 type simJob struct {
 	request  foxlift.Request
 	attempts []*simAttempt
@@ -33,7 +33,7 @@
 	return m
 }
 
-// begin starts a dispatcher with the list as last known; one that was there before is forgotten.
+// start starts a new dispatcher with the cached endpoint list. The jobs of its predecessor are dropped.
 func (m *member) start() {
 	m.incarnation++
 	m.subscribed = !m.config.PollEndpoints
@@ -48,8 +48,8 @@
 	m.receiveEndpoints(foxlift.EndpointsConfirmed, nil)
 }
 
-// takeover starts a new dispatcher that goes on from what the old one has learned. The old one's
-// attempts count as external usage until they have ended.
+// takeover starts a new dispatcher that continues from the snapshot of the old one. The old one's attempts count as
+// external usage until they have ended.
 func (m *member) takeover() {
 	snapshot := m.host.record.snapshot(m.index, m.dispatcher)
 	m.start()
@@ -58,7 +58,7 @@
 	m.host.scheduleAfter(second, func() { m.receiveEndpoints(foxlift.EndpointsDelta, m.endpoints()) })
 }
 
-// list is the list with the slots of an earlier incarnation's attempts.
+// endpoints returns the endpoint list, with the slots of earlier incarnations' attempts as external usage.
 func (m *member) endpoints() []foxlift.Worker {
 	list := m.host.entries()
 	for _, a := range m.inFlight {
@@ -69,10 +69,10 @@
 	return list
 }
 
-// receive passes an event with the next step.
+// receive queues an event for the next step.
 func (m *member) receive(e foxlift.Event) { m.inbox = append(m.inbox, e) }
 
-// receiveEndpoints passes news of the list, or the failure to get any.
+// receiveEndpoints queues an update of the endpoint list, or a failed poll while discovery fails.
 func (m *member) receiveEndpoints(kind foxlift.EndpointUpdate, workers []foxlift.Worker) {
 	e := foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: kind, Workers: workers}
 	switch {
@@ -89,7 +89,7 @@
 	m.receive(e)
 }
 
-// accept brings a client's job.
+// accept receives a client's job and schedules its deadline and, for some clients, a disconnect.
 func (m *member) accept(r foxlift.Request) {
 	m.jobs[r.ID] = &simJob{request: r}
 	m.receive(foxlift.Event{Kind: foxlift.EventRequest, Request: r})
@@ -104,7 +104,7 @@
 	}
 }
 
-// leave lets a client go away that has no answer yet.
+// disconnect disconnects a client that has no answer yet.
 func (m *member) disconnect(id uint64) {
 	if j := m.jobs[id]; j != nil && !j.answered {
 		j.answered = true
@@ -112,14 +112,14 @@
 	}
 }
 
-// expire ends the attempts that are still out at a job's deadline.
+// expire ends the attempts that are in flight at a job's deadline.
 func (m *member) expire(j *simJob) {
 	for _, a := range j.attempts {
 		a.report(foxlift.DeadlineExceeded)
 	}
 }
 
-// step passes what has been heard and carries out what the dispatcher decides.
+// step passes the queued events to the dispatcher and performs its actions.
 func (m *member) step() {
 	events := m.inbox
 	m.inbox = nil
@@ -157,7 +157,7 @@
 	}
 }
 
-// answerSubscription answers the dispatcher's call to discovery.
+// answerSubscription answers the dispatcher's poll of discovery with the complete endpoint list.
 func (m *member) answerSubscription() {
 	m.subscribed = true
 	m.receiveEndpoints(foxlift.EndpointsConfirmed, nil)
@@ -166,7 +166,7 @@
 	}
 }
 
-// answer takes a final answer. Some refused clients try again with the time that they have left.
+// handleRejection ends a job that was shed or failed. Some clients of shed jobs retry if time remains.
 func (m *member) handleRejection(j *simJob, a foxlift.Action) {
 	j.answered = true
 	if a.Kind == foxlift.ActionFail || m.host.randomBool(0.5) {
@@ -191,7 +191,7 @@
 	})
 }
 
-// broadcast sends a message to the other dispatchers; some are lost, doubled, late or spoilt.
+// broadcast sends a message to the other members. Some are lost, duplicated, delayed or corrupted.
 func (m *member) broadcast(data []byte) {
 	for _, peer := range m.host.members {
 		if peer == m {
--- a/record_plans_test.go
+++ b/record_plans_test.go
@@ -2,7 +2,7 @@
 
 import "github.com/vatu-meals/foxlift"
 
-// baseConfig is a deployment of a few dispatchers with three classes, one of each effect.
+// baseConfig returns the configuration of a small deployment with three classes, one of each effect.
 func baseConfig() foxlift.Config {
 	return foxlift.Config{
 		Classes: []foxlift.Class{
@@ -30,7 +30,7 @@
 	}
 }
 
-// basePlan is a small fleet with a configuration, under all faults.
+// basePlan returns a plan of a small fleet with a configuration and all faults.
 func basePlan(name string, cfg foxlift.Config, seed uint64) fleetPlan {
 	return fleetPlan{
 		name: name, config: cfg, seed: seed, recorded: cfg.Dispatchers, workers: 8, slots: 2, duration: 45 * second,
@@ -45,7 +45,7 @@
 	}
 }
 
-// fleetPlans are the fleets that are recorded.
+// fleetPlans returns the plans of the recorded fleets.
 func fleetPlans() []fleetPlan {
 	return []fleetPlan{
 		singleDispatcherPlan(), overloadPlan(), peersPlan(), withoutGossipPlan(), bandsPlan(), throttledPlan(),
@@ -54,14 +54,14 @@
 	}
 }
 
-// lonePlan is one dispatcher. One of its classes has clients that leave before its jobs are late.
+// singleDispatcherPlan returns a plan of one dispatcher. One of its classes has a deadline before its objective.
 func singleDispatcherPlan() fleetPlan {
 	cfg := baseConfig()
 	cfg.Classes[2].LatencyObjective, cfg.Classes[2].Deadline = 900*millisecond, 500*millisecond
 	return basePlan("lone", cfg, 1)
 }
 
-// overloadPlan gets more than its workers can do for most of the time.
+// overloadPlan returns a plan with more load than the workers' capacity for most of the time.
 func overloadPlan() fleetPlan {
 	p := basePlan("overload", baseConfig(), 2)
 	p.loadFactor, p.duration = 1.4, 30*second
@@ -70,7 +70,7 @@
 	return p
 }
 
-// peersPlan is three dispatchers that tell each other what their jobs hold.
+// peersPlan returns a plan of three dispatchers that exchange their usage.
 func peersPlan() fleetPlan {
 	cfg := baseConfig()
 	cfg.Dispatchers, cfg.MayGossip, cfg.SlotMemory = 3, true, 1
@@ -81,7 +81,7 @@
 	return p
 }
 
-// unawarePlan is three dispatchers that know nothing of each other, and ask workers for their load.
+// withoutGossipPlan returns a plan of three dispatchers without gossip that send health checks.
 func withoutGossipPlan() fleetPlan {
 	cfg := baseConfig()
 	cfg.Dispatchers, cfg.MayHealthCheck, cfg.PollEndpoints = 3, true, true
@@ -92,7 +92,7 @@
 	return p
 }
 
-// bandsPlan shares by bands, under floods.
+// bandsPlan returns a plan in which quotas are bands and tenants flood.
 func bandsPlan() fleetPlan {
 	cfg := baseConfig()
 	cfg.Dispatchers = 2
@@ -107,8 +107,8 @@
 	return p
 }
 
-// throttledPlan wants answers in less time than the workers take, so that the regulators admit less
-// than comes: what a tenant leaves of its share goes to the others.
+// throttledPlan returns a plan whose latency objectives are shorter than the run times, so that the control loops
+// admit less than arrives. The unused part of a tenant's share goes to the other tenants.
 func throttledPlan() fleetPlan {
 	cfg := baseConfig()
 	for i := range cfg.Classes {
@@ -120,7 +120,7 @@
 	return p
 }
 
-// leasePlan has a discovery that often fails, and a list that may not be old.
+// leasePlan returns a plan with an endpoint lease and a discovery that often fails.
 func leasePlan() fleetPlan {
 	cfg := baseConfig()
 	cfg.EndpointLease, cfg.PollEndpoints, cfg.MaxPollInterval, cfg.ConnIdle = 6*second, true, 3*second, second
@@ -133,7 +133,7 @@
 	return p
 }
 
-// outagesPlan has each kind of outage of discovery for as long as the list's age matters.
+// outagesPlan returns a plan with each kind of discovery outage, long enough for the age of the list to matter.
 func outagesPlan() fleetPlan {
 	p := leasePlan()
 	p.name, p.seed, p.loadFactor, p.duration, p.faults = "outages", 13, 0.3, 70*second, nil
@@ -153,7 +153,7 @@
 	return p
 }
 
-// plainPlan allows and tells a dispatcher as little as can be.
+// minimalPlan returns a plan with all optional features off and no load reports.
 func minimalPlan() fleetPlan {
 	cfg := baseConfig()
 	cfg.Dispatchers, cfg.MayCancel, cfg.MayHedge, cfg.MayRetryAfter, cfg.StartNotes = 2, false, false, false, false
@@ -163,7 +163,7 @@
 	return p
 }
 
-// manyConfig is a deployment of many dispatchers with workers of several kinds.
+// manyConfig returns the configuration of a deployment of many dispatchers with workers of several kinds.
 func manyConfig() foxlift.Config {
 	cfg := baseConfig()
 	cfg.Dispatchers, cfg.Gauges, cfg.MaxAttempts = 80, nil, 3
@@ -173,7 +173,7 @@
 	return cfg
 }
 
-// manyPlan is some of many dispatchers, which have few jobs each.
+// manyPlan returns a plan that records some of many dispatchers, which have few jobs each.
 func manyPlan() fleetPlan {
 	p := basePlan("many", manyConfig(), 8)
 	p.recorded, p.workers, p.kinds, p.loadFactor, p.duration, p.externalUsage, p.keyCount =
@@ -183,7 +183,7 @@
 	return p
 }
 
-// manySlowStartPlan is some of twenty dispatchers that began together with all their workers.
+// manySlowStartPlan returns a plan of some of twenty dispatchers that start together with all their workers.
 func manySlowStartPlan() fleetPlan {
 	cfg := manyConfig()
 	cfg.Dispatchers, cfg.MayGossip, cfg.SlowStartDuration = 20, true, 20*second
@@ -196,15 +196,15 @@
 	return p
 }
 
-// manyKeysPlan is some of many dispatchers whose jobs have keys.
+// manyKeysPlan returns a plan of some of many dispatchers whose jobs have affinity keys.
 func manyKeysPlan() fleetPlan {
 	p := manyPlan()
 	p.name, p.seed, p.keyCount, p.mixedRequests = "many-keys", 10, 40, true
 	return p
 }
 
-// impatientPlan is some of many dispatchers with few workers, which are often full, and clients that often
-// leave before their jobs have started.
+// disconnectsPlan returns a plan of some of many dispatchers with few workers, which are often saturated, and
+// clients that often disconnect before their jobs have started.
 func disconnectsPlan() fleetPlan {
 	cfg := manyConfig()
 	cfg.Dispatchers = 20
@@ -216,12 +216,12 @@
 	return p
 }
 
-// manyWorkersPlan is one of many dispatchers with more workers than it looks at for one job.
+// manyWorkersPlan returns a plan of one of many dispatchers with more workers than it examines for one job.
 func manyWorkersPlan() fleetPlan {
 	p := manyPlan()
 	p.name, p.seed, p.recorded, p.workers, p.loadFactor, p.duration, p.keyCount =
 		"many-workers", 11, 1, 2035, 0.0025, 20*second, 500
-	p.config.Prices.CrossZone = 0 // all workers may be homes of keys: half of them are about as many as are compared
+	p.config.Prices.CrossZone = 0 // all workers may be in affinity sets; about half of them are compared for a key
 	p.faults = []fault{faultDrain, faultResync, faultErrors, faultZoneRestart, faultTakeover}
 	p.faultInterval = 5 * second
 	return p
--- a/record_worker_test.go
+++ b/record_worker_test.go
@@ -7,21 +7,21 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// A simWorker serves jobs with a few slots and a queue.
+// A simWorker simulates a worker with a few slots and a queue.
 type simWorker struct {
 	host    *fleetHost
 	index   int
-	entry   foxlift.Worker // as the list has it
+	entry   foxlift.Worker // its entry in the endpoint list
 	running []*simAttempt
 	queue   []*simAttempt
-	keys    []uint64 // what the last jobs needed is there
+	keys    []uint64 // keys of the last jobs, whose data is cached
 	served  int
 
 	hanging, failing, rejecting bool
 	slowness                    float64
 }
 
-// A simAttempt is an attempt of a job at a worker.
+// A simAttempt is an attempt of a simJob at a worker.
 type simAttempt struct {
 	member      *member
 	incarnation int
@@ -34,8 +34,8 @@
 }
 
 const (
-	maxQueuedJobs = 6 // past this a worker turns jobs away
-	maxCachedKeys = 5 // keys whose data a worker keeps
+	maxQueuedJobs = 6 // a worker rejects jobs over this
+	maxCachedKeys = 5 // keys whose data a worker caches
 )
 
 func newSimWorker(h *fleetHost, index int) *simWorker {
@@ -55,7 +55,7 @@
 	return h.workers[slices.IndexFunc(h.workers, func(w *simWorker) bool { return w.entry.ID == id })]
 }
 
-// distance is how long a message takes between a dispatcher and a worker.
+// networkDelay returns the one-way delay of a message between a dispatcher and a worker.
 func (w *simWorker) networkDelay(m *member) int64 {
 	if w.entry.Zone != m.config.Zone {
 		return 3 * millisecond
@@ -63,7 +63,7 @@
 	return millisecond / 2
 }
 
-// capacity is the share of its full speed that a worker has.
+// speed returns the fraction of its full speed that a worker has, which is below 1 in slow start.
 func (w *simWorker) speed() float64 {
 	c := &w.host.plan.config
 	if w.entry.StartedAt == 0 || c.SlowStartDuration == 0 {
@@ -73,7 +73,7 @@
 	return min(1, c.SlowStartCapacity+(1-c.SlowStartCapacity)*age)
 }
 
-// load is a load report.
+// load returns the worker's load report.
 func (w *simWorker) load() (values [foxlift.MaxGauges]float64) {
 	inFlight := float64(len(w.running) + len(w.queue))
 	for i, g := range w.host.plan.config.Gauges {
@@ -93,7 +93,7 @@
 	return values
 }
 
-// send begins an attempt. Some never reach their worker.
+// send starts an attempt. Some never reach their worker and end with a random code.
 func (m *member) send(j *simJob, id string) {
 	w := m.host.findWorker(id)
 	a := &simAttempt{member: m, incarnation: m.incarnation, job: j, number: len(j.attempts), worker: w, sent: m.host.now}
@@ -131,7 +131,7 @@
 	}
 }
 
-// startNext starts what waits while there are slots.
+// startNext starts queued attempts while slots are free.
 func (w *simWorker) startNext() {
 	for len(w.running) < w.host.plan.slots && len(w.queue) > 0 && !w.hanging {
 		a := w.queue[0]
@@ -168,7 +168,7 @@
 	}
 }
 
-// finish ends a run; that of an attempt that is over only frees its slot.
+// finish ends a run and frees its slot. The outcome is reported only if the attempt has none yet.
 func (w *simWorker) finish(a *simAttempt) {
 	i := slices.Index(w.running, a)
 	if i < 0 {
@@ -186,7 +186,7 @@
 	w.startNext()
 }
 
-// drop takes an attempt from the worker.
+// removeAttempt removes an attempt from the worker's queue and slots.
 func (w *simWorker) removeAttempt(a *simAttempt) {
 	if i := slices.Index(w.queue, a); i >= 0 {
 		w.queue = slices.Delete(w.queue, i, i+1)
@@ -196,7 +196,7 @@
 	}
 }
 
-// cancel is called off by the dispatcher; every other worker lets what runs run on.
+// cancel handles a cancellation by the dispatcher. Every other worker continues to run what has started.
 func (a *simAttempt) cancel() {
 	if a.done {
 		return
@@ -208,15 +208,15 @@
 	a.report(foxlift.Cancelled)
 }
 
-// notify passes an event to the attempt's dispatcher, unless the attempt is over or another dispatcher
-// has taken that one's place.
+// notify sends an event to the attempt's dispatcher, unless the attempt has its outcome or the dispatcher was
+// replaced.
 func (a *simAttempt) notify(e foxlift.Event) {
 	if !a.done && a.incarnation == a.member.incarnation {
 		a.member.receive(e)
 	}
 }
 
-// report tells the dispatcher of the attempt's one outcome.
+// report sends the attempt's outcome to the dispatcher, once.
 func (a *simAttempt) report(code foxlift.Code) {
 	if a.done {
 		return
--- a/replay_amd64_test.go
+++ b/replay_amd64_test.go
@@ -9,9 +9,9 @@
 // fewestRecordings guards against an empty directory, with which nothing would be compared.
 const minRecordings = 10
 
-// TestReplay plays the recordings to new dispatchers: every step must return the recorded actions,
-// and every snapshot the recorded bytes. The recordings, and so this file, are of amd64:
-// other processors may round a product and a sum as one.
+// TestReplay replays the recordings to new dispatchers: every step must return the recorded actions, and every
+// snapshot must equal the recorded bytes. The recordings, and so this file, are for amd64: other processors may fuse
+// a multiplication and an addition, with only one rounding.
 func TestReplay(t *testing.T) {
 	paths, err := filepath.Glob(recordings)
 	if err != nil || len(paths) < minRecordings {
--- a/replay_archive_test.go
+++ b/replay_archive_test.go
@@ -8,21 +8,21 @@
 	"slices"
 )
 
-// errCorrupt says that the stored bytes are not what an archive wrote.
-var errCorrupt = errors.New("the recording is cut short or corrupt")
+// errCorrupt means that the stored bytes were not written by an archive.
+var errCorrupt = errors.New("the recording is truncated or corrupt")
 
-// An archive writes values to bytes, or reads them back, in the order in which its methods are
-// called: one function for each type says that order for both directions. Nothing in the bytes
-// depends on names in the program, so recordings stay readable when these change.
+// An archive encodes values to bytes or decodes them, in the order in which its methods are called. One function
+// for each type defines this order for both directions. The bytes do not depend on names in the program, so
+// recordings stay readable when names change.
 type archive struct {
 	writing bool
 	data    []byte // written so far, or not yet read
-	err     error  // the first fault of reading
+	err     error  // first error of reading
 
-	now       int64          // what times are stored against
-	lastID    uint64         // what the ids of requests are stored against
-	strings   []string       // seen so far: each is stored once
-	positions map[string]int // of strings, when writing
+	now       int64          // base of the stored times
+	lastID    uint64         // base of the stored request IDs
+	strings   []string       // distinct strings so far; each is stored once
+	positions map[string]int // positions in strings, used when writing
 }
 
 func newWriter() *archive { return &archive{writing: true, positions: map[string]int{}} }
@@ -47,7 +47,7 @@
 	*v, a.data = x, a.data[size:]
 }
 
-// int64 stores small numbers of either sign in few bytes.
+// int64 stores a number in zigzag form, in few bytes if it is near zero.
 func (a *archive) int64(v *int64) {
 	zigzag := uint64(*v<<1) ^ uint64(*v>>63)
 	a.uint64(&zigzag)
@@ -60,7 +60,7 @@
 	*v = int(wide)
 }
 
-// float stores all bits; round numbers take few bytes, since their last bits are zero.
+// float stores all bits in reversed byte order: round numbers take few bytes, since their last bits are zero.
 func (a *archive) float(v *float64) {
 	reversed := bits.ReverseBytes64(math.Float64bits(*v))
 	a.uint64(&reversed)
@@ -76,7 +76,7 @@
 	*v = number == 1
 }
 
-// storedGrid is a time that most durations of the recordings are multiples of.
+// storedGrid is a duration, in nanoseconds, of which most durations in the recordings are multiples.
 const storedGrid = int64(5e5)
 
 // duration stores multiples of the grid in few bytes.
@@ -91,7 +91,7 @@
 	*v = number * storedGrid
 }
 
-// time stores a time as its distance from now. Zero stays zero: it mostly means that there is none.
+// time stores a time as its distance from now. Zero, which mostly means no time, stays zero.
 func (a *archive) time(v *int64) {
 	zero := *v == 0
 	if a.bool(&zero); zero {
@@ -103,14 +103,14 @@
 	*v = a.now + distance
 }
 
-// id stores the id of a request as its distance from that of the newest.
+// id stores a request ID as its distance from the ID of the newest request.
 func (a *archive) id(v *uint64) {
 	distance := int64(*v - a.lastID)
 	a.int64(&distance)
 	*v = a.lastID + uint64(distance)
 }
 
-// optional stores whether some fields are there, and the fields if so.
+// optional stores whether some fields are present, and the fields if they are.
 func (a *archive) optional(present bool, fields func()) {
 	if a.bool(&present); present {
 		fields()
@@ -153,7 +153,7 @@
 	}
 }
 
-// slice stores a slice; nil and empty ones differ.
+// slice stores a slice. Nil and empty slices are distinct.
 func slice[T any](a *archive, v *[]T, element func(*T)) {
 	size := uint64(0)
 	if *v != nil {
@@ -162,7 +162,7 @@
 	a.uint64(&size)
 	if !a.writing {
 		*v = nil
-		if size > uint64(len(a.data))+1 { // each element takes a byte at least
+		if size > uint64(len(a.data))+1 { // each element takes at least one byte
 			a.fail()
 			return
 		}
@@ -175,11 +175,11 @@
 	}
 }
 
-// enum stores a constant as its position in a table, which never changes.
+// enum stores a constant as its position in a table. Existing positions must not change.
 func enum[T comparable](a *archive, v *T, table []T) {
 	position := slices.Index(table, *v)
 	if a.writing && position < 0 {
-		panic("a constant that the recordings' tables do not have")
+		panic("the constant is not in the table of the recording format")
 	}
 	a.int(&position)
 	if position < 0 || position >= len(table) {
--- a/replay_format_test.go
+++ b/replay_format_test.go
@@ -2,8 +2,8 @@
 
 import "github.com/vatu-meals/foxlift"
 
-// The constants of the recordings' format. A constant is stored as its position here: new ones go
-// to the end of their table.
+// Tables of the constants in recordings. A constant is stored as its position in its table, so new constants must
+// be appended.
 var (
 	storedEffects = []foxlift.Effect{foxlift.Idempotent, foxlift.Deduplicated, foxlift.AtMostOnce}
 	storedScopes  = []foxlift.Scope{foxlift.ScopeAll, foxlift.ScopeZone, foxlift.ScopeCell}
@@ -114,7 +114,7 @@
 	a.float(&w.ExternalSlots)
 }
 
-// event stores the fields that an event of its kind has, as api.go says.
+// event stores the fields that an event of its kind has, as documented in api.go.
 func (a *archive) event(e *foxlift.Event) {
 	enum(a, &e.Kind, storedEvents)
 	switch e.Kind {
@@ -147,7 +147,7 @@
 	}
 }
 
-// answer stores what a worker answered to an attempt or a probe.
+// answer stores a worker's answer to an attempt or a health check.
 func (a *archive) answer(e *foxlift.Event) {
 	a.string(&e.Worker)
 	enum(a, &e.Code, storedCodes)
@@ -160,7 +160,7 @@
 	}
 }
 
-// action stores all fields: a decision must not differ in any.
+// action stores all fields, since a replayed action must be equal in each.
 func (a *archive) action(x *foxlift.Action) {
 	enum(a, &x.Kind, storedActions)
 	a.optional(x.ID != 0, func() { a.id(&x.ID) })
@@ -178,10 +178,10 @@
 	})
 }
 
-// An operation is what a recording does to one of its dispatchers, and what came of it.
+// An operation is one recorded call of a dispatcher with its results.
 type operation struct {
 	kind       operationKind
-	dispatcher int // which of the recording's
+	dispatcher int // index of the dispatcher in the recording
 
 	now     int64 // operationStep
 	events  []foxlift.Event
@@ -189,22 +189,22 @@
 
 	idle, endpointsUsable bool // operationInspect
 	ejected               int
-	digest                uint64 // of the snapshot as JSON
+	digest                uint64 // digest of the snapshot as JSON
 
-	snapshot []byte         // operationSnapshot: as JSON
-	config   foxlift.Config // operationStart: a dispatcher begins in this place
+	snapshot []byte         // operationSnapshot, as JSON
+	config   foxlift.Config // operationStart
 	seed     uint64
 }
 
 type operationKind uint8
 
 const (
-	operationEOF      operationKind = iota // the recording ends here
-	operationStart                         // a new dispatcher begins in a place, new or used before
-	operationStep                          // it takes events and returns actions
-	operationInspect                       // what its other methods return is compared
-	operationSnapshot                      // its snapshot is compared and kept
-	operationRestore                       // it goes on from the snapshot that was kept last
+	operationEOF      operationKind = iota // end of the recording
+	operationStart                         // a new dispatcher starts at an index, which may replace an earlier one
+	operationStep                          // the dispatcher receives events and returns actions
+	operationInspect                       // the results of its query methods are compared
+	operationSnapshot                      // its snapshot is compared and kept for operationRestore
+	operationRestore                       // it is restored from the snapshot that was kept last
 )
 
 var storedOperations = []operationKind{
--- a/replay_test.go
+++ b/replay_test.go
@@ -14,8 +14,8 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// recordings are the files that TestRecord has written, each a number of dispatchers with all that
-// they were told and all that they answered.
+// recordings matches the files written by TestRecord. Each has the events that some dispatchers received and the
+// actions that they returned.
 const recordings = "testdata/decisions/*.gz"
 
 func readRecording(path string) ([]byte, error) {
@@ -31,16 +31,16 @@
 	return io.ReadAll(unpacked)
 }
 
-// A replayer plays one recording.
+// A replayer replays one recording.
 type replayer struct {
 	archive     *archive
 	dispatchers []*foxlift.Dispatcher
-	snapshot    []byte // the last that was compared, as JSON
+	snapshot    []byte // the snapshot that was compared last, as JSON
 
 	operations, events, actions int
 }
 
-// play returns the first difference.
+// run replays the whole recording and returns an error for the first difference.
 func (r *replayer) run() error {
 	for {
 		var o operation
@@ -108,14 +108,14 @@
 	r.actions += len(o.actions)
 	for i := range max(len(got), len(o.actions)) {
 		if i >= len(got) || i >= len(o.actions) || !reflect.DeepEqual(got[i], o.actions[i]) {
-			return fmt.Errorf("step at %d, action %d\nevents:\n%sgot:\n%swant:\n%s",
+			return fmt.Errorf("Step(%d) differs at action %d\nevents:\n%sgot:\n%swant:\n%s",
 				o.now, i, lines(o.events), lines(got), lines(o.actions))
 		}
 	}
 	return nil
 }
 
-// compareInspection compares what the methods that decide nothing return.
+// compareInspection compares the results of the dispatcher's query methods with the recorded ones.
 func compareInspection(d *foxlift.Dispatcher, want *operation) error {
 	got, err := inspect(d)
 	if err != nil {
@@ -124,14 +124,14 @@
 	got.kind, got.dispatcher = want.kind, want.dispatcher
 	if !reflect.DeepEqual(got, *want) {
 		text, err := json.Marshal(d.Snapshot())
-		return fmt.Errorf("idle %v, list trusted %v, ejected %d, digest of the snapshot %x, want %v, %v, %d and %x: "+
+		return fmt.Errorf("Idle() %v, EndpointsUsable() %v, Ejected() %d, snapshot digest %x, want %v, %v, %d and %x: "+
 			"snapshot %s, %v", got.idle, got.endpointsUsable, got.ejected, got.digest,
 			want.idle, want.endpointsUsable, want.ejected, want.digest, text, err)
 	}
 	return nil
 }
 
-// inspect returns the operation that a dispatcher passes as it is.
+// inspect returns the operation that records a dispatcher's current state.
 func inspect(d *foxlift.Dispatcher) (operation, error) {
 	text, err := json.Marshal(d.Snapshot())
 	if err != nil {
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// lines prints each value on a line of its own.
+// lines returns the values as text, one on each line.
 func lines[T any](values []T) string {
 	var b strings.Builder
 	for i := range values {
