--- a/affinity_test.go
+++ b/affinity_test.go
@@ -132,7 +132,7 @@
 	affinitySet, _ := h.d.rankAffinity(&job{class: &h.d.classes[1], req: Request{Key: affinityKey}})
 	proven := firstOutside(h.d, affinitySet)
 	proven.setOutlier(func(s *health.OutlierState) { s.PromptStartAt = h.now })
-	h.d.capacity.reported.add(proven)
+	h.d.capacity.recentReports.add(proven)
 	for class, want := range []string{affinitySet[0].id, proven.id} {
 		h.step(keyedRequest(h, uint64(1+class), class))
 		if a := h.wantActions(ActionSend, 1)[0]; a.Worker != want {
@@ -186,7 +186,7 @@
 			affinitySet, _ := h.d.rankAffinity(&job{class: c, req: Request{Key: affinityKey}})
 			proven := firstOutside(h.d, affinitySet)
 			proven.setOutlier(func(s *health.OutlierState) { s.PromptStartAt = h.now - 3*second })
-			h.d.capacity.reported.add(proven)
+			h.d.capacity.recentReports.add(proven)
 			h.step(keyedRequest(h, 1, atMostOnce))
 			if a := h.wantActions(ActionSend, 1)[0]; (a.Worker == affinitySet[0].id) != wantPreferred {
 				t.Errorf("a job %d times as long sent to %s; first of the affinity set is %s, proven is %s",
--- a/fleet_index.go
+++ b/fleet_index.go
@@ -206,5 +206,5 @@
 func (d *Dispatcher) deleteWorker(w *worker) {
 	w.deleted, w.lost = true, false
 	delete(d.workers, w.id)
-	d.capacity.reported.remove(w)
+	d.capacity.recentReports.remove(w)
 }
--- a/health.go
+++ b/health.go
@@ -111,7 +111,7 @@
 		d.capacity.slowStart.Rate().RecordServed(a.slots, took)
 	}
 	if d.manyDispatchers() {
-		d.capacity.reported.add(w) // it has just freed a slot, on a connection that stays open
+		d.capacity.recentReports.add(w) // it has just freed a slot, on a connection that stays open
 	}
 	if !d.cfg.StartNotes {
 		d.adjustCapacity(w, d.now-j.arrivedAt > j.objective)
--- a/health_checks.go
+++ b/health_checks.go
@@ -14,7 +14,7 @@
 // answers put the workers into recentReports, which placement considers. It reports whether the job waits.
 func (d *Dispatcher) requestHealthChecks(j *job) bool {
 	if d.hasCompleteUsage() || !d.cfg.MayHealthCheck || len(d.cfg.Gauges) == 0 ||
-		len(d.liveWorkers) <= len(d.capacity.reported.workers) ||
+		len(d.liveWorkers) <= len(d.capacity.recentReports.workers) ||
 		d.capacity.reports.FleetPressure().Average > saturatedPressure ||
 		d.recentlyFreeWorkers() >= workersPerCheck {
 		return false
@@ -35,7 +35,7 @@
 // and run no job of this dispatcher.
 func (d *Dispatcher) recentlyFreeWorkers() (n int) {
 	reports := &d.capacity.reports
-	for _, w := range d.capacity.reported.workers {
+	for _, w := range d.capacity.recentReports.workers {
 		if w != nil && w.level == 0 && reports.Fresh(&w.report, d.now) && reports.ReportPressure(&w.report, 1) < 1 {
 			n++
 		}
--- a/internal/decision/health/slow_start.go
+++ b/internal/decision/health/slow_start.go
@@ -12,7 +12,7 @@
 	hash       uint64  // of the worker's ID
 	startedAt  int64   // when the process started; 0: long ago; -1: not known yet
 	lastSentAt int64   // time of the last send in slow start
-	work       float64 // work that the worker must have had time for before the next send
+	lastWork   float64 // work that the worker must have had time for before the next send
 }
 
 // NewWarmup returns the state of a worker whose start is not known yet; hash is that of its ID.
@@ -26,10 +26,10 @@
 
 // LastSend returns when the worker was last sent work in slow start, and the work that it must have had
 // time for before the next.
-func (w *Warmup) LastSend() (at int64, work float64) { return w.lastSentAt, w.work }
+func (w *Warmup) LastSend() (at int64, work float64) { return w.lastSentAt, w.lastWork }
 
 // RestoreLastSend sets the values that LastSend returns.
-func (w *Warmup) RestoreLastSend(at int64, work float64) { w.lastSentAt, w.work = at, work }
+func (w *Warmup) RestoreLastSend(at int64, work float64) { w.lastSentAt, w.lastWork = at, work }
 
 // A SlowStartConfig describes how workers warm up. From its start a worker's capacity grows linearly to its
 // full capacity.
@@ -54,8 +54,8 @@
 }
 
 // NewSlowStart returns a SlowStart. rate is the rate of warm workers; its peak is 0 while none is known.
-func NewSlowStart(c SlowStartConfig, rate WorkerRate) SlowStart {
-	return SlowStart{config: c, rate: rate}
+func NewSlowStart(config SlowStartConfig, rate WorkerRate) SlowStart {
+	return SlowStart{config: config, rate: rate}
 }
 
 // Rate returns the rate of warm workers, those past slow start.
@@ -97,7 +97,7 @@
 	sentAge, age := float64(max(w.lastSentAt-w.startedAt, 0)), float64(max(now-w.startedAt, 0))
 	startCapacity, meanProgress := s.config.Capacity, (age+sentAge)/(2*float64(s.config.Duration))
 	possibleWork := (age - sentAge) * (startCapacity + (1-startCapacity)*meanProgress)
-	return s.rate.peak*max(1, s.config.OverloadMultiple/2)*possibleWork >= w.work
+	return s.rate.peak*max(1, s.config.OverloadMultiple/2)*possibleWork >= w.lastWork
 }
 
 // Defers reports whether a worker is in slow start and may not get this dispatcher's next job yet.
@@ -122,7 +122,7 @@
 	if !s.NeedsSlot(w, now) || s.config.Slots.At(w.lastSentAt) != s.config.Slots.At(now) {
 		return 0
 	}
-	return w.work
+	return w.lastWork
 }
 
 // EstimatedWork returns the work of a job of so many slots, in slot-nanoseconds, at a worker that needs a
@@ -144,13 +144,13 @@
 	} else {
 		work = j.Slots * float64(j.Runtime) * (0.75 + rng.Float64()/2)
 	}
-	w.lastSentAt, w.work = now, work
+	w.lastSentAt, w.lastWork = now, work
 }
 
 // DelayFirstSend delays the first send to a worker that has just started by a random part of a light job's
 // running time. Otherwise all dispatchers would send at once.
 func (s *SlowStart) DelayFirstSend(w *Warmup, now, runtime int64, rng *rand.Rand) {
 	if s.Active(w, now) && s.sentInSlot(w, now) == 0 {
-		w.lastSentAt, w.work = w.startedAt, float64(runtime)*rng.Float64()
+		w.lastSentAt, w.lastWork = w.startedAt, float64(runtime)*rng.Float64()
 	}
 }
--- a/state.go
+++ b/state.go
@@ -67,7 +67,7 @@
 	startWindow   capacity.StartWindow
 	startDelays   capacity.StartDelays
 	reports       capacity.Reports
-	reported      recentReports
+	recentReports recentReports
 	slowStart     health.SlowStart
 }
 
--- a/worker_search.go
+++ b/worker_search.go
@@ -86,7 +86,7 @@
 	for range sampleSize {
 		s.consider(workers.at(d.rng.IntN(workers.size)), float64(level), false)
 	}
-	for _, w := range d.capacity.reported.workers {
+	for _, w := range d.capacity.recentReports.workers {
 		if w != nil && w.level == level && (j.class.Kind < 0 || w.kind == j.class.Kind) {
 			s.consider(w, float64(level), false)
 		}
--- a/workers.go
+++ b/workers.go
@@ -163,7 +163,7 @@
 // recordLoad stores a worker's load report and adds the worker to recentReports.
 func (d *Dispatcher) recordLoad(w *worker, e *Event) {
 	d.capacity.reports.Record(&w.report, e.Load, d.now)
-	d.capacity.reported.add(w)
+	d.capacity.recentReports.add(w)
 }
 
 // recentReports holds the workers that reported or freed a slot last. pickWorker considers them in addition
