--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -17,9 +17,9 @@
 	"github.com/vatu-meals/foxlift/internal/counters"
 )
 
-// What follows from how an attempt ended. A 503 promises that a retry is harmless: it may not follow an
-// at-most-once job that may have run. Such a job is never sent again, while one that proves never to have run,
-// or may be repeated, is.
+// Guards against a retry of an at-most-once job that may have run. A 503 tells the client that a retry is harmless, so
+// such a job is answered with 502 and not sent again. A job that provably never ran, or that may run twice, is retried
+// at the other workers and answered with 503 if all attempts fail.
 func TestRetriesByEffect(t *testing.T) {
 	reject := func(c net.Conn, _ *http.Request, _ string) bool {
 		_, err := io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
@@ -39,13 +39,13 @@
 		status   int
 		requests int64
 	}{
-		"ratify, broken off":  {"ratify", closeUnanswered, 502, 1},
-		"ratify, lost":        {"ratify", loseJob, 502, 1},
-		"ratify, cut short":   {"ratify", truncateAnswer, 502, 1},
-		"ratify, turned away": {"ratify", reject, 503, 3},
-		"ratify, given back":  {"ratify", returnJob, 503, 3},
-		"reading, broken off": {"reading", closeUnanswered, 503, 3},
-		"reading, cut short":  {"reading", truncateAnswer, 503, 3},
+		"ratify, connection closed":  {"ratify", closeUnanswered, 502, 1},
+		"ratify, job lost":           {"ratify", loseJob, 502, 1},
+		"ratify, answer truncated":   {"ratify", truncateAnswer, 502, 1},
+		"ratify, job rejected":       {"ratify", reject, 503, 3},
+		"ratify, job returned":       {"ratify", returnJob, 503, 3},
+		"reading, connection closed": {"reading", closeUnanswered, 503, 3},
+		"reading, answer truncated":  {"reading", truncateAnswer, 503, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -65,8 +65,8 @@
 	}
 }
 
-// A worker that closes a connection without an answer gets no second request from the pool: the job goes to the
-// other worker, where the module sends it.
+// Guards against a retry by the pool itself, which is the decision module's choice. After a worker has closed a
+// connection without an answer, the job goes to the worker that the module chooses.
 func TestPoolDoesNotRetry(t *testing.T) {
 	failing, healthy := newTestWorker(t, closeUnanswered), newTestWorker(t, serveJob)
 	p, set := start(t, "", failing, healthy)
@@ -75,17 +75,18 @@
 		r, _ := client.request(t, jobText("reading", fmt.Sprint("j", i), "15000m", ""))
 		check(t, "status", r.StatusCode, 200)
 	}
-	check(t, "claims", set.Get("claims.sent"), failing.Got.Load()+healthy.Got.Load())
-	check(t, "resets", set.Get("claims.reset"), failing.Got.Load())
+	check(t, "counter claims.sent", set.Get("claims.sent"), failing.Got.Load()+healthy.Got.Load())
+	check(t, "counter claims.reset", set.Get("claims.reset"), failing.Got.Load())
 }
 
-// Nothing goes to a worker that has begun to drain after the module chose it, even during the dial.
+// Guards against a send to a worker that begins to drain after the module has chosen it: first during the dial, then
+// before it.
 func TestDrainingWorkerGetsNoBytes(t *testing.T) {
 	worker := newTestWorker(t, serveJob)
 	lookups := 0
 	findLive := func(string) (endpoint, bool) {
 		lookups++
-		return endpoint{address: worker.Addr().String()}, lookups == 1 // the list changes after the first look
+		return endpoint{address: worker.Addr().String()}, lookups == 1 // the list changes after the first lookup
 	}
 	pool := &workerPool{
 		findLive: findLive, counters: &counters.Set{}, dialTimeout: patience, idleTimeout: time.Hour, budget: 9,
@@ -93,15 +94,16 @@
 	}
 	job := &core.Job{ID: "j", Payload: &payload{method: "POST", target: "/reading"}}
 	reports := make(chan core.Report, 9)
-	for range 2 { // then before it
+	for range 2 { // the list changes during the dial, then before it
 		pool.Send("n", job, core.AttemptLimits{Remaining: patience}, func(r core.Report) { reports <- r })
-		check(t, "code", (<-reports).Code, foxlift.NotSent)
+		check(t, "reported code", (<-reports).Code, foxlift.NotSent)
 	}
-	await(t, "dialed", func() bool { return worker.Conns.Load() == 1 }) // the first time only
-	check(t, "requests", worker.Got.Load(), int64(0))
+	await(t, "one connection at the worker", func() bool { return worker.Conns.Load() == 1 }) // of the first attempt
+	check(t, "requests at the worker", worker.Got.Load(), int64(0))
 }
 
-// A silent worker does not make a client wait past its deadline, whichever unit that is given in.
+// Guards against a client that waits past its deadline because the worker does not answer. The remaining time is given
+// in milliseconds and in microseconds.
 func TestSilentWorker(t *testing.T) {
 	for i, tc := range []struct {
 		class, remaining string
@@ -112,14 +114,15 @@
 		r, _ := connect(t, p).request(t, jobText(tc.class, fmt.Sprint("j", i), tc.remaining, ""))
 		check(t, "status", r.StatusCode, tc.status)
 		if took := time.Since(startedAt); took < 200*time.Millisecond {
-			t.Errorf("%s was given up after %v", tc.class, took)
+			t.Errorf("%s: answered after %v, want at least 200ms", tc.class, took)
 		}
-		check(t, "overdue", set.Get("jobs.overdue"), int64(0))
+		check(t, "counter jobs.overdue", set.Get("jobs.overdue"), int64(0))
 	}
 }
 
-// A worker starts on a request's last byte. A reused connection that it drops as the next request comes proves
-// that the job never ran, and nothing against the worker.
+// Guards against treating a job as possibly run when the worker resets a reused connection as the next request begins.
+// A worker starts a job on the last byte of its request, which is held back, so the job never ran. The reset does not
+// count against the worker.
 func TestResetBeforeTheLastByte(t *testing.T) {
 	served := 0
 	l := listen(t)
@@ -130,11 +133,11 @@
 				return
 			}
 			br := bufio.NewReader(c)
-			if r, err := http.ReadRequest(br); err == nil { // an empty body: read whole
+			if r, err := http.ReadRequest(br); err == nil { // the request has no body
 				served++
 				serveJob(c, r, r.Header.Get(headerID))
 			}
-			_, _ = br.ReadByte() // of the next request
+			_, _ = br.ReadByte() // the first byte of the next request
 			_ = c.(*net.TCPConn).SetLinger(0)
 			c.Close()
 		}
@@ -143,15 +146,15 @@
 	client := connect(t, p)
 	for i, remaining := range []string{"19000m", "300m", "19000m", "300m"} {
 		r, _ := client.request(t, jobText("ratify", fmt.Sprint("j", i), remaining, ""))
-		check(t, "status", r.StatusCode, 200+(i%2)*303) // no other node to go to
+		check(t, "status", r.StatusCode, 200+(i%2)*303) // there is no other worker for a retry
 	}
-	check(t, "not sent", set.Get("claims.not_sent"), int64(2))
-	check(t, "served", served, 2)
+	check(t, "counter claims.not_sent", set.Get("claims.not_sent"), int64(2))
+	check(t, "requests served", served, 2)
 }
 
-// The last byte is held for jobs that must not run twice, and on connections that were idle for a while. A
-// connection in use a moment ago is looked at without a wait, and one that has been dropped by then is seen all
-// the same.
+// Guards against a last byte that is written without the hold to a connection that the worker may be closing. The byte
+// is held back for jobs that must not run twice, and on connections that are new or were idle for a while. On a
+// connection used recently there is no hold, but a close that has arrived is detected.
 func TestLastByteHold(t *testing.T) {
 	pool := &workerPool{repeatable: map[string]bool{"reading": true}}
 	l := listen(t)
@@ -171,25 +174,26 @@
 	} {
 		c.idleSince = tc.since
 		if hold := pool.lastByteHold(c, tc.class); (hold > 0) != tc.held || hold > maxLastByteHold {
-			t.Errorf("%s: held for %v", name, hold)
+			t.Errorf("%s: lastByteHold() = %v, want a hold: %t, at most %v", name, hold, tc.held, maxLastByteHold)
 		}
 	}
 	c.idleSince = time.Now()
 	permitted := func() bool { return true }
-	check(t, "deliver", c.deliver([]byte("some bytes"), 0, time.Time{}, permitted), nil)
-	check(t, "deliver too late", sendCode(c.deliver([]byte("more"), 0, time.Now(), permitted)), foxlift.NotSent)
+	check(t, "error of deliver", c.deliver([]byte("some bytes"), 0, time.Time{}, permitted), nil)
+	check(t, "code of deliver after the write deadline",
+		sendCode(c.deliver([]byte("more"), 0, time.Now(), permitted)), foxlift.NotSent)
 	got := make([]byte, 20)
 	length, _ := io.ReadAtLeast(workerSide, got, len("some bytesmor"))
-	check(t, "all but the last byte", string(got[:length]), "some bytesmor")
+	check(t, "bytes at the worker", string(got[:length]), "some bytesmor")
 	workerSide.Close()
-	await(t, "the end arrives", func() bool { return !c.buf.fillAvailable() })
+	await(t, "the close by the worker has arrived", func() bool { return !c.buf.fillAvailable() })
 	err = c.deliver([]byte("some bytes"), 0, time.Time{}, permitted)
-	check(t, "deliver after the end", sendCode(err), foxlift.NotSent)
+	check(t, "code of deliver after the worker's close", sendCode(err), foxlift.NotSent)
 }
 
-// Between an attempt's looks at the endpoint list the worker begins to drain, or the client disconnects: during
-// the dial, and while the last byte is held. Nothing is sent then, whether or not the settings allow to cancel
-// what was.
+// Guards against sending a request after the worker has begun to drain or the client has disconnected, during the dial
+// or while the last byte is held. The request is then never completed, whether or not the settings allow cancelling
+// attempts that were sent.
 func TestAttemptsWithdrawnBeforeTheLastByte(t *testing.T) {
 	for _, event := range []string{"drains", "leaves", "resets"} {
 		for lookup := 2; lookup <= 3; lookup++ { // after the dial; after the hold
@@ -205,7 +209,7 @@
 						_ = far.SetLinger(0)
 					}
 					_ = far.Close()
-					await(t, "gone", func() bool { return peerClosed(near) })
+					await(t, "the client's close has arrived", func() bool { return peerClosed(near) })
 				}
 				return endpoint{address: worker.Addr().String()}, true
 			}
@@ -220,14 +224,14 @@
 			reports := make(chan core.Report, 9)
 			pool.Send("n", job, core.AttemptLimits{Remaining: patience}, func(r core.Report) { reports <- r })
 			check(t, event+": code", (<-reports).Code, foxlift.NotSent)
-			check(t, event+": looks", lookups, lookup)
+			check(t, event+": lookups of the worker", lookups, lookup)
 			check(t, event+": complete requests at the worker", worker.Got.Load(), int64(0))
 		}
 	}
 }
 
-// A job's idempotency key reaches the worker as it came, also one of a class that needs none. Where the class
-// needs one, a job without is invalid input and reaches no worker.
+// Guards against a lost or changed idempotency key. The key is forwarded unchanged, also for a class that needs none. A
+// job without a key in a class that needs one is invalid input and reaches no worker.
 func TestIdempotencyKeysAreForwarded(t *testing.T) {
 	var mu sync.Mutex
 	var keys []string
@@ -248,17 +252,17 @@
 			headers = append(headers, headerKey+": "+tc.key)
 		}
 		r, _ := client.request(t, jobText(tc.class, fmt.Sprint("j", i), "5000m", "b", headers...))
-		check(t, tc.class+" with "+tc.key, r.StatusCode, tc.status)
+		check(t, "status of a "+tc.class+" job with key "+tc.key, r.StatusCode, tc.status)
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	check(t, "keys at the worker", fmt.Sprint(keys), "[5c0f6e1a k-2 ]")
-	check(t, "bad jobs", set.Get("bad.job"), int64(1))
-	check(t, "faulty reports", set.Get("loads.faulty"), int64(0))
+	check(t, "counter bad.job", set.Get("bad.job"), int64(1))
+	check(t, "counter loads.faulty", set.Get("loads.faulty"), int64(0))
 }
 
-// A worker that rejects jobs as invalid is no worse for it: the next job goes there as before, and the rejected
-// one is not sent elsewhere.
+// Guards against counting invalid jobs as failures of the worker that rejects them. The next job is sent to the worker
+// as before, and the rejected job is not sent to another one.
 func TestInvalidJobsAreNotWorkerFailures(t *testing.T) {
 	worker := newTestWorker(t, func(c net.Conn, r *http.Request, id string) bool {
 		if strings.HasPrefix(id, "bad") {
@@ -272,16 +276,17 @@
 	for i := range 12 {
 		key := headerKey + ": k"
 		r, _ := client.request(t, jobText("ratify", fmt.Sprint("bad", i), "5000m", "b", key))
-		check(t, "blamed", r.StatusCode, http.StatusBadGateway)
+		check(t, "status of a rejected job", r.StatusCode, http.StatusBadGateway)
 		r, _ = client.request(t, jobText("ratify", fmt.Sprint("good", i), "5000m", "b", key))
-		check(t, "the next", r.StatusCode, http.StatusOK)
+		check(t, "status of the next job", r.StatusCode, http.StatusOK)
 	}
-	check(t, "claims", set.Get("claims.sent"), int64(24))
-	check(t, "blamed", set.Get("claims.blamed"), int64(12))
-	check(t, "faulty reports", set.Get("loads.faulty"), int64(12))
+	check(t, "counter claims.sent", set.Get("claims.sent"), int64(24))
+	check(t, "counter claims.blamed", set.Get("claims.blamed"), int64(12))
+	check(t, "counter loads.faulty", set.Get("loads.faulty"), int64(12))
 }
 
-// A deduplicated job whose connection breaks is retried only on a worker of the same group.
+// Guards against a second run of a deduplicated job: after its connection breaks, it is retried only on a worker of the
+// same group, which recognizes repeats.
 func TestDeduplicatedJobsAreRetriedInTheirGroup(t *testing.T) {
 	var mu sync.Mutex
 	ran := map[string][]string{}
@@ -318,7 +323,7 @@
 		mu.Lock()
 		if names := ran[id]; len(names) > 1 &&
 			slices.ContainsFunc(names, func(name string) bool { return name[0] != names[0][0] }) {
-			t.Errorf("%s ran on %v", id, names)
+			t.Errorf("%s was sent to workers %v, want workers of one group only", id, names)
 		}
 		mu.Unlock()
 	}
--- a/internal/platform/discovery_client_test.go
+++ b/internal/platform/discovery_client_test.go
@@ -10,13 +10,13 @@
 	"github.com/vatu-meals/foxlift/internal/pollpacing"
 )
 
-// The list of an ordinary fleet has its call's timeout and no more; a longer one is awaited for as long as it
-// arrives fast enough and without a long stall.
+// Guards against cancelling the call for a long list while the list arrives. The list of an ordinary fleet gets no time
+// past the timeout of its call. A longer list is awaited as long as it arrives fast enough and without a long stall.
 func TestDeadlineOfArrivingResponse(t *testing.T) {
 	timeout := time.Now()
 	for _, tc := range []struct {
 		received  int64
-		now, want time.Duration // after the call's limit
+		now, want time.Duration // relative to the call's timeout
 	}{
 		{0, -time.Second, 0},
 		{bytesWithinTimeout, -time.Millisecond, 0},
@@ -34,7 +34,8 @@
 	}
 }
 
-// A long list that goes on arriving past its call's timeout is applied; one that stops is given up.
+// Guards against dropping a long list that is still arriving at the timeout of its call, and against waiting without
+// end for one that stops arriving.
 func TestResponseIsReadPastItsTimeout(t *testing.T) {
 	t.Parallel()
 	worker := newTestWorker(t, serveJob)
@@ -61,20 +62,20 @@
 		response, err := client.receive(processResponseBound())
 		switch {
 		case complete && (err != nil || len(response.Endpoints) != 4000):
-			t.Errorf("a list of 4000 entries that came whole after its limit: %v", err)
+			t.Errorf("receive() of a list of 4000 entries that was complete after its timeout: %v", err)
 		case !complete:
-			check(t, "a list that stops", callOutcome(err), pollpacing.Unanswered)
+			check(t, "outcome of a call whose list stops arriving", callOutcome(err), pollpacing.Unanswered)
 			if took := time.Since(startedAt); took < maxStall {
-				t.Errorf("given up after %v", took)
+				t.Errorf("receive() failed after %v, want at least %v", took, maxStall)
 			}
 		}
 		client.close()
 	}
 }
 
-// A list over the bound, whether its length is announced or not, is rejected and counted; the old one holds, and
-// it is asked for again after delays that grow. Changes over the bound are given up for the complete list. Once
-// it is within the bound it is applied.
+// Guards against an endpoint list that uses up the memory. A list over the bound is rejected and counted, whether its
+// length is announced or not; the old list stays in force, and calls are repeated after growing delays. If the changes
+// since a version are over the bound, the complete list is requested. A list within the bound is applied again.
 func TestOversizedResponseIsRejected(t *testing.T) {
 	t.Parallel()
 	worker := newTestWorker(t, serveJob)
@@ -82,12 +83,12 @@
 	p, set := start(t, addr, worker)
 	next(t, calls).answer(endpointsJSON(7, true, worker))
 	c := next(t, calls)
-	checkWatch(t, "watch", c.target, 7)
+	checkWatch(t, "first watch after the list", c.target, 7)
 	oversized := processResponseBound().bytes + 1
 	for i := range 3 {
 		startedAt := time.Now()
 		if i == 1 {
-			go func() { // it is cut off
+			go func() { // the scheduler stops reading before the body ends
 				_, _ = io.WriteString(c.conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 				fmt.Fprintf(c.conn, "%x\r\n%s\r\n0\r\n\r\n", oversized, strings.Repeat(" ", int(oversized)))
 			}()
@@ -95,16 +96,16 @@
 			fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n{", oversized)
 		}
 		c = next(t, calls)
-		check(t, "asked for", c.target, pathMembers)
+		check(t, "target of the next call", c.target, pathMembers)
 		if delay, minDelay := time.Since(startedAt), 500*time.Millisecond<<i; delay < minDelay {
-			t.Errorf("asked for again after %v, want %v", delay, minDelay)
+			t.Errorf("call repeated after %v, want at least %v", delay, minDelay)
 		}
-		check(t, "counted", set.Get("machines.failed"), int64(i+1))
+		check(t, "counter machines.failed", set.Get("machines.failed"), int64(i+1))
 		if _, ok := p.endpoints.findLive("n0"); !ok {
-			t.Error("the old list does not hold")
+			t.Error("findLive(n0) = false after an oversized list, want true by the old list")
 		}
 	}
 	c.answer(longEndpoints(8, 1200, worker, healthActive))
-	checkWatch(t, "followed again", next(t, calls).target, 8)
-	check(t, "entries", p.endpoints.entryCount(), 1200)
+	checkWatch(t, "watch after a list within the bound", next(t, calls).target, 8)
+	check(t, "entries in the table", p.endpoints.entryCount(), 1200)
 }
--- a/internal/platform/endpoint_snapshot_test.go
+++ b/internal/platform/endpoint_snapshot_test.go
@@ -7,8 +7,8 @@
 	"github.com/vatu-meals/foxlift/internal/config"
 )
 
-// A list that is saved and loaded again is the same list, of the same version: also draining workers, and starts
-// that were announced in the future or before 1970. Removed workers are not in it.
+// Guards against a snapshot that loses or changes entries. A list that is saved and loaded again has the same version
+// and entries, also for draining workers and for starts in the future or before 1970. Removed workers are not in it.
 func TestSnapshotRestoresEndpoints(t *testing.T) {
 	t.Parallel()
 	worker := newTestWorker(t, serveJob)
@@ -22,20 +22,20 @@
 	next(t, calls).answer(`{"seq":8,"whole":false,"hosts":[{"host":"n2","health":"left"}]}`)
 	next(t, calls)
 	if version, confirmed := p.EndpointsVersion(); version != 8 || !confirmed {
-		t.Errorf("version %d, told %v", version, confirmed)
+		t.Errorf("EndpointsVersion() = %d, %v, want 8, true", version, confirmed)
 	}
 	snapshot, confirmed := p.SnapshotEndpoints()
 	if !confirmed || snapshot.Discovery != addr {
-		t.Fatalf("%+v, %v", snapshot, confirmed)
+		t.Fatalf("SnapshotEndpoints() = %+v, %v, want a list of discovery %s", snapshot, confirmed, addr)
 	}
 	restored := newEndpointWatch(t.Context(), addr, &config.Settings{}, nil, nil)
 	workers, err := restored.loadCached(snapshot.Endpoints)
 	if err != nil {
 		t.Fatal(err)
 	}
-	check(t, "workers", len(workers), 3)
-	check(t, "version", restored.table.version, int64(8))
-	check(t, "asks for", restored.needComplete, false)
+	check(t, "workers of the restored list", len(workers), 3)
+	check(t, "version of the restored list", restored.table.version, int64(8))
+	check(t, "complete list needed after loadCached", restored.needComplete, false)
 	for _, name := range []string{"n0", "n1", "n3"} {
 		before, after := p.endpoints.table.entries[name], restored.table.entries[name]
 		check(t, "restored entry of "+name,
@@ -44,11 +44,12 @@
 			fmt.Sprint(before.address, before.state, before.announcedStartMilli,
 				before.zone.Value(), before.kind.Value(), before.cell))
 	}
-	check(t, "failed", set.Get("machines.failed"), int64(0))
+	check(t, "counter machines.failed", set.Get("machines.failed"), int64(0))
 }
 
-// Until discovery has confirmed a list since the start there is nothing to save, nor while the watch switches to
-// another discovery: its versions are not those of the table.
+// Guards against saving an outdated list as current. There is no snapshot until discovery has confirmed a list since
+// the start of the process, nor while the watch switches to another discovery, whose versions differ from those of the
+// table.
 func TestUnconfirmedEndpointsAreNotSnapshotted(t *testing.T) {
 	t.Parallel()
 	worker := newTestWorker(t, serveJob)
@@ -56,19 +57,19 @@
 	p, _ := start(t, addr, worker)
 	c := next(t, calls)
 	if _, confirmed := p.SnapshotEndpoints(); confirmed {
-		t.Error("the list as last known is saved as new")
+		t.Error("SnapshotEndpoints() returned the cached list before discovery confirmed one")
 	}
 	c.answer(endpointsJSON(2, true, worker))
 	next(t, calls)
 	if _, confirmed := p.SnapshotEndpoints(); !confirmed {
-		t.Error("a list that was told is not saved")
+		t.Error("SnapshotEndpoints() = false after discovery sent a list, want true")
 	}
 	other, _ := newDiscovery(t)
 	p.endpoints.switchTo(other)
 	if _, confirmed := p.EndpointsVersion(); confirmed {
-		t.Error("the old discovery's version counts for the new one")
+		t.Error("EndpointsVersion() confirmed the old discovery's version after a switch")
 	}
 	if _, confirmed := p.SnapshotEndpoints(); confirmed {
-		t.Error("the old discovery's list is saved for the new one")
+		t.Error("SnapshotEndpoints() returned the old discovery's list after a switch")
 	}
 }
--- a/internal/platform/endpoint_watch_large_test.go
+++ b/internal/platform/endpoint_watch_large_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// longEndpoints writes a complete list of so many entries, the first of which is a test's worker; the others are
-// as long as entries usually are.
+// longEndpoints returns a complete list with the given number of entries. The first entry is worker, with the given
+// health; the other entries have the usual length.
 func longEndpoints(version, entries int, worker *testWorker, health string) string {
 	b := fmt.Appendf(nil, `{"seq":%d,"whole":true,"hosts":[%s`, version, endpointJSON(0, worker, health))
 	for i := 1; i < entries; i++ {
@@ -20,21 +20,21 @@
 	return string(append(b, "]}"...))
 }
 
-// entryCount returns how many entries the table has.
+// entryCount returns the number of entries in the table.
 func (w *endpointWatch) entryCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.table.entries)
 }
 
-// A list as long as the fleet that a scheduler is designed for is read, compact or indented, and so are its
-// changes.
+// Guards against limits that reject the list of the fleet that a scheduler is designed for, compact or indented, or the
+// changes of that list.
 func TestLongEndpointListsAreWatched(t *testing.T) {
 	t.Parallel()
 	for _, entries := range []int{1200, designEndpoints} {
 		for _, indented := range []bool{false, true} {
 			first, second := newTestWorker(t, serveJob), newTestWorker(t, serveJob)
-			text := longEndpoints(7, entries, first, healthActive) // before the call that it answers, which has a limit
+			text := longEndpoints(7, entries, first, healthActive) // generated before the call, which has a timeout
 			if indented {
 				var b bytes.Buffer
 				if err := json.Indent(&b, []byte(text), "", "  "); err != nil {
@@ -48,23 +48,24 @@
 			c := next(t, calls)
 			c.answer(text)
 			c = next(t, calls)
-			checkWatch(t, fmt.Sprintf("after %d entries in %d bytes", entries, len(text)), c.target, 7)
-			check(t, "entries", p.endpoints.entryCount(), entries)
+			checkWatch(t, fmt.Sprintf("watch after %d entries in %d bytes", entries, len(text)), c.target, 7)
+			check(t, "entries in the table", p.endpoints.entryCount(), entries)
 			c.answer(`{"seq":8,"whole":false,"hosts":[` + endpointJSON(0, first, healthLeaving) + `,` +
 				endpointJSON(entries, second, healthActive) + `]}`)
 			next(t, calls)
-			check(t, "entries after a change", p.endpoints.entryCount(), entries+1)
-			await(t, "told", func() bool { return set.Get("machines.told") == 4 })
+			check(t, "entries in the table after a change", p.endpoints.entryCount(), entries+1)
+			await(t, "counter machines.told is 4", func() bool { return set.Get("machines.told") == 4 })
 			_, leaving := p.endpoints.findLive("n0")
 			_, added := p.endpoints.findLive(fmt.Sprint("n", entries))
-			check(t, "sent to one that leaves, and to one that came", fmt.Sprint(leaving, added), "false true")
-			check(t, "failed", set.Get("machines.failed"), int64(0))
+			check(t, "findLive of the draining and the added worker", fmt.Sprint(leaving, added), "false true")
+			check(t, "counter machines.failed", set.Get("machines.failed"), int64(0))
 			p.Kill()
 		}
 	}
 }
 
-// A part of a long list is not binding; its last byte is, before anything of it is in the table.
+// Guards against a send by the old list after the new one has arrived. A part of a long list changes nothing; once its
+// last byte has arrived, attempts wait until the list is in the table.
 func TestAttemptsWaitForLongEndpointList(t *testing.T) {
 	t.Parallel()
 	worker := newTestWorker(t, serveJob)
@@ -82,16 +83,16 @@
 		return !watch.unread.lastReadAt.IsZero() && !watch.unread.exists()
 	})
 	if _, ok := p.endpoints.findLive("n0"); !ok {
-		t.Error("a part of a list counts as told")
+		t.Error("findLive(n0) = false after a part of a list, want true by the old list")
 	}
 	writeText(t, c.conn, text[last:])
 	if _, ok := p.endpoints.findLive("n0"); ok {
-		t.Error("sent on the old list after the new one had been written")
+		t.Error("findLive(n0) = true by the old list after discovery had written the new one")
 	}
 	p.Kill()
 }
 
-// An attempt waits for as long as a response is being read, but not without end.
+// Guards against attempts that wait too briefly for a response that is being read, or without end.
 func TestUnreadDeadline(t *testing.T) {
 	startedAt := time.Now()
 	for _, tc := range []struct{ lastRead, wait time.Duration }{
@@ -102,9 +103,10 @@
 		{time.Hour, maxUnreadWait},
 	} {
 		unread := &unreadResponse{lastReadAt: startedAt.Add(tc.lastRead)}
-		check(t, fmt.Sprint("last read after ", tc.lastRead), unread.deadline(startedAt).Sub(startedAt), tc.wait)
+		check(t, fmt.Sprint("wait if the last read was after ", tc.lastRead),
+			unread.deadline(startedAt).Sub(startedAt), tc.wait)
 	}
 	if limit := newEndpointWatch(t.Context(), "", endpointSettings, nil, nil).pacer.Timeout(0); maxUnreadWait < limit {
-		t.Errorf("waits %v for a call that may take %v", maxUnreadWait, limit)
+		t.Errorf("maxUnreadWait = %v, want at least the timeout of a call, %v", maxUnreadWait, limit)
 	}
 }
--- a/internal/platform/endpoint_watch_race_test.go
+++ b/internal/platform/endpoint_watch_race_test.go
@@ -13,10 +13,10 @@
 	"github.com/vatu-meals/foxlift/internal/config"
 )
 
-// Two events that cross, each pair forced into its bad order (docs/design/moments.md).
+// The tests in this file force two concurrent events into the unfavourable order (docs/design/moments.md).
 
-// What discovery has written is binding, read or not: an attempt waits for it to be in the table, and is not
-// sent where it does not get there.
+// Guards against a send by the old list while a response has arrived that is not applied. What discovery has written is
+// in force, read or not: an attempt waits until it is in the table, and is not sent if that takes too long.
 func TestUnreadResponseHoldsAttempts(t *testing.T) {
 	t.Parallel()
 	watch := newEndpointWatch(t.Context(), "", &config.Settings{}, nil, nil)
@@ -25,36 +25,36 @@
 	conn := &observedConn{near, watch.setReading}
 	watch.unread.conn = conn
 	if _, ok := watch.findLive("n"); !ok {
-		t.Error("nothing unread, and yet the worker is not to be had")
+		t.Error("findLive(n) = false without an unread response, want true")
 	}
 	writeText(t, far, "HTTP/1.1 200 OK")
-	await(t, "arrived", func() bool { return hasInput(conn) })
+	await(t, "the response has arrived", func() bool { return hasInput(conn) })
 	if _, ok := watch.findLive("n"); ok {
-		t.Error("sent on the old list, with an answer unread")
+		t.Error("findLive(n) = true by the old list with an unread response, want false")
 	}
-	// Read, and not in the list yet: nothing is left in the kernel that find could see.
+	// The response is read but not in the table yet: findLive can see no unread bytes in the kernel.
 	if _, err := conn.Read(make([]byte, 100)); err != nil || hasInput(conn) {
-		t.Fatalf("%v: not all of it is read", err)
+		t.Fatalf("Read() error %v, or bytes are left unread", err)
 	}
 	found := make(chan bool)
 	go func() { _, ok := watch.findLive("n"); found <- ok }()
 	watch.mu.Lock()
-	check(t, "reading", watch.unread.reading, true)
+	check(t, "unread.reading", watch.unread.reading, true)
 	watch.table.entries["n"], watch.unread.conn, watch.unread.reading = endpoint{state: foxlift.Draining}, nil, false
 	watch.mu.Unlock()
-	check(t, "found", <-found, false)
-	// What has come is a part: until the rest does, the list holds.
+	check(t, "findLive of a worker that drains in the awaited response", <-found, false)
+	// Only a part of the response has arrived: the old list stays in force until the rest arrives.
 	watch.table.entries["n"], watch.unread.conn = endpoint{}, conn
 	writeText(t, far, "half a")
 	_, _ = conn.Read(make([]byte, 100))
 	go func() { _, _ = conn.Read(make([]byte, 100)) }()
 	await(t, "the rest is awaited", func() bool { watch.mu.Lock(); defer watch.mu.Unlock(); return !watch.unread.reading })
 	if _, ok := watch.findLive("n"); !ok {
-		t.Error("half an answer counts as told")
+		t.Error("findLive(n) = false after a part of a response, want true by the old list")
 	}
 }
 
-// A blockedObserver is a core that is busy until free is closed or the test ends.
+// blockedObserver represents a core that is busy until release is closed or the test ends.
 type blockedObserver struct {
 	release chan bool
 	test    context.Context
@@ -71,8 +71,8 @@
 func (o *blockedObserver) ChangeDiscovery()                      {}
 func (o *blockedObserver) RecordPollFailure(foxlift.PollFailure) {}
 
-// startBusyCore watches a discovery with a core that is busy: it takes no update until free is closed, and by
-// then discovery has answered the next call with a drain, which nobody has read.
+// startBusyCore returns a watch whose observer blocks on the first update until release is closed. By then discovery
+// has answered the next call with the drain of worker n0, and that response is unread.
 func startBusyCore(t *testing.T) (watch *endpointWatch, release chan bool) {
 	addr, calls := newDiscovery(t)
 	settings, err := config.ParseSettings([]byte(testSettings))
@@ -87,7 +87,7 @@
 	watch.Watch()
 	next(t, calls).answer(endpointsJSON(7, true, worker))
 	next(t, calls).answer(`{"seq":8,"whole":false,"hosts":[` + endpointJSON(0, worker, healthLeaving) + `]}`)
-	await(t, "it has arrived where claims look", func() bool {
+	await(t, "the unread response has arrived", func() bool {
 		watch.mu.Lock()
 		defer watch.mu.Unlock()
 		return watch.unread.exists()
@@ -95,23 +95,24 @@
 	return watch, release
 }
 
-// A response that comes while the core is busy with the one before is binding at once.
+// Guards against a send by the old list while the core is busy with the previous response: a new response is in force
+// as soon as it arrives.
 func TestResponseWhileTheCoreIsBusy(t *testing.T) {
 	t.Parallel()
 	watch, release := startBusyCore(t)
 	if _, ok := watch.findLive("n0"); ok {
-		t.Error("sent on the old list, with an answer unread")
+		t.Error("findLive(n0) = true by the old list with an unread response, want false")
 	}
 	close(release)
-	await(t, "the drain is in the list", func() bool {
+	await(t, "the drain is in the table", func() bool {
 		watch.mu.Lock()
 		defer watch.mu.Unlock()
 		return watch.table.entries["n0"].state == foxlift.Draining
 	})
 }
 
-// What the old discovery has written when a reload replaces it is binding: it is read before its call ends. The
-// new one's list is asked for complete all the same.
+// Guards against losing a response that the old discovery has written before a reload replaces it: the response is read
+// before its call is cancelled. The new discovery's complete list is requested all the same.
 func TestUnreadDrainAtReload(t *testing.T) {
 	t.Parallel()
 	watch, release := startBusyCore(t)
@@ -119,15 +120,15 @@
 	watch.switchTo(newAddr)
 	close(release)
 	c := next(t, calls)
-	check(t, "the new discovery's first call", c.target, pathMembers)
+	check(t, "target of the new discovery's first call", c.target, pathMembers)
 	watch.mu.Lock()
-	check(t, "the worker", watch.table.entries["n0"].state, foxlift.Draining)
-	check(t, "asked for at once until it has come", watch.switchRetryUntil.IsZero(), false)
+	check(t, "state of the worker", watch.table.entries["n0"].state, foxlift.Draining)
+	check(t, "switchRetryUntil is zero", watch.switchRetryUntil.IsZero(), false)
 	watch.mu.Unlock()
 }
 
-// A pushed list is binding once the agent has it, outage or not: an agent that is down for long is polled again
-// and again within the shortest grace for drains, whatever the number of schedulers.
+// Guards against backoff toward a local agent. A pushed list is in force as soon as the agent has it, so an agent that
+// is unreachable for long is still polled within the shortest grace for drains, whatever the number of schedulers.
 func TestUnreachableAgentIsPolledOften(t *testing.T) {
 	t.Parallel()
 	l := listen(t).(*net.TCPListener)
@@ -150,7 +151,7 @@
 		}
 		last = time.Now()
 	}
-	if longest > time.Second { // 3 s and more where it is paced as a discovery that all share
-		t.Errorf("asked again after %v", longest)
+	if longest > time.Second { // with the pacing for a shared discovery it is 3 s or more
+		t.Errorf("longest time between two calls is %v, want at most 1s", longest)
 	}
 }
--- a/internal/platform/endpoints_response_test.go
+++ b/internal/platform/endpoints_response_test.go
@@ -14,6 +14,7 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
+// Guards against accepting a response with an invalid entry, without a version, truncated or with data after its end.
 func TestParseEndpoints(t *testing.T) {
 	const validEntry = `{"host":"h","dial":"1.2.3.4:5","site":"a","class":"k","block":3,"health":"leaving",` +
 		`"share":1.0,"born_ms":7}`
@@ -30,19 +31,19 @@
 		`{"seq":4,"hosts":[{"host":"h","dial":"1.2.3.4:5","health":"active"}]} extra`: false,
 	} {
 		if _, err := parseEndpoints([]byte(text)); (err == nil) != valid {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("parseEndpoints(%s) error = %v, want valid: %t", text, err, valid)
 		}
 	}
 }
 
-// The bound admits the fleet of the design, at the most memory and without a limit, and is smaller where there
-// is less memory; there no list has more entries than half of the memory can hold.
+// Guards against a bound that rejects the fleet of the design with a memory limit of 96 MB or without a limit, and
+// against one that lets a list use more than half of a smaller memory.
 func TestResponseBound(t *testing.T) {
 	for _, memory := range []int64{96 << 20, math.MaxInt64} {
 		bound := newResponseBound(memory)
 		check(t, "bytes", bound.bytes, int64(designEndpoints*bytesPerEntry))
 		if bound.entries < designEndpoints {
-			t.Errorf("%d entries", bound.entries)
+			t.Errorf("newResponseBound(%d).entries = %d, want at least %d", memory, bound.entries, designEndpoints)
 		}
 	}
 	bound := newResponseBound(16 << 20)
@@ -53,11 +54,12 @@
 		t.Error(err)
 	}
 	_, err := decodeResponse(strings.NewReader(text), 9)
-	check(t, "one too many", callOutcome(fmt.Errorf("%w: %w", errInvalidEndpoints, err)), pollpacing.Oversized)
+	check(t, "outcome of a list with one entry too many",
+		callOutcome(fmt.Errorf("%w: %w", errInvalidEndpoints, err)), pollpacing.Oversized)
 }
 
-// checkDecoder checks that the decoder accepts what json.Unmarshal accepts, and reads the same, but for a second
-// "hosts".
+// checkDecoder checks that parseEndpoints accepts the same responses as json.Unmarshal and decodes the same values,
+// except for a response with a second "hosts".
 func checkDecoder(t testing.TB, data []byte) {
 	var want endpointsResponse
 	wantErr := json.Unmarshal(data, &want)
@@ -72,16 +74,17 @@
 		return
 	}
 	if (err == nil) != (wantErr == nil) {
-		t.Fatalf("%q: %v, json.Unmarshal: %v", data, err, wantErr)
+		t.Fatalf("parseEndpoints(%q) error = %v, json.Unmarshal: %v", data, err, wantErr)
 	}
 	if err == nil && (*got.Version != *want.Version || got.Complete != want.Complete ||
 		len(got.Endpoints) != len(want.Endpoints) ||
 		len(got.Endpoints) > 0 && !reflect.DeepEqual(got.Endpoints, want.Endpoints)) {
-		t.Fatalf("%q: %+v, json.Unmarshal: %+v", data, got, want)
+		t.Fatalf("parseEndpoints(%q) = %+v, json.Unmarshal: %+v", data, got, want)
 	}
 }
 
-// A list is read at the start's cost: all of it in well under the time that a start may take.
+// BenchmarkDecodeEndpoints decodes and applies complete lists. A process reads such a list when it starts, so it must
+// take much less than the time that a start may take.
 func BenchmarkDecodeEndpoints(b *testing.B) {
 	for _, entries := range []int{60, 200, 600, 2000, 6000, designEndpoints} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
--- a/internal/platform/fuzz_answers_test.go
+++ b/internal/platform/fuzz_answers_test.go
@@ -14,8 +14,8 @@
 	"github.com/vatu-meals/foxlift/internal/fuzz"
 )
 
-// checkAnswer compares what the scheduler makes of a worker's bytes with a plain reading of them: one end of the
-// attempt, served only by a complete, well-formed answer.
+// checkAnswer reads data as a worker's answer and checks the result against referenceAnswer: the attempt ends exactly
+// once, is served only by a complete and valid answer, and ends in the same way however the bytes are split.
 func checkAnswer(t testing.TB, data []byte) {
 	receive := func(parts [][]byte) (string, core.Report, int) {
 		conn := &memConn{parts: parts}
@@ -23,40 +23,40 @@
 		reports := 0
 		a := &attempt{pool: &workerPool{}, job: &core.Job{ID: "j"}, report: func(r core.Report) {
 			if r.Ended {
-				t.Fatalf("%q: an end among the notes", data)
+				t.Fatalf("%q: an intermediate report has Ended set", data)
 			}
 			reports++
 		}}
 		r, reusable := a.receiveAnswer(c)
 		if reusable && c.buf.buffered() != 0 {
-			t.Fatalf("%q: the connection is kept with %d bytes in it", data, c.buf.buffered())
+			t.Fatalf("%q: the connection is reusable with %d bytes in its buffer", data, c.buf.buffered())
 		}
-		return fmt.Sprintf("%v %q, %d notes", r.Code, r.Result, reports), r, conn.read
+		return fmt.Sprintf("%v %q, %d intermediate reports", r.Code, r.Result, reports), r, conn.read
 	}
 	got, report, read := receive(cut(data))
 	if !report.Ended {
-		t.Fatalf("%q: the claim does not end", data)
+		t.Fatalf("%q: receiveAnswer() returned a report without Ended", data)
 	}
-	if read > 2*maxResponse { // what the buffer had room for when the limit was reached
-		t.Fatalf("%d bytes are read", read)
+	if read > 2*maxResponse { // the last read before the limit can fill the rest of the buffer
+		t.Fatalf("%d bytes are read, want at most %d", read, 2*maxResponse)
 	}
 	if report.Code == foxlift.Served {
 		id, result, ok := referenceAnswer(data)
 		if !ok || id != "j" || result != string(report.Result) {
-			t.Fatalf("%q: served with %q; plainly %q of %q, whole and proper %v", data, report.Result, result, id, ok)
+			t.Fatalf("%q: served with %q, want result %q of job %q, valid answer: %t", data, report.Result, result, id, ok)
 		}
 	}
 	if report.Code.NeverRan() && !bytes.Contains(bytes.ToLower(data), []byte("turned-away")) &&
 		!bytes.Contains(data, []byte("returned")) && !bytes.Contains(data, []byte(`\u`)) {
-		t.Fatalf("%q: proved never to have run, by nothing that says so", data)
+		t.Fatalf("%q: code %v means that the job never ran, which the answer does not prove", data, report.Code)
 	}
 	if other, _, _ := receive(cut(data, everyByte(len(data))...)); other != got {
-		t.Fatalf("%q: in one piece %s\nin pieces %s", data, got, other)
+		t.Fatalf("%q: received at once: %s\nreceived byte by byte: %s", data, got, other)
 	}
 }
 
-// plainAnswer reads an answer with the library alone: ok where it is a 200 whose body
-// ends properly and whose lines are sound, all of one id, the last one alone "done".
+// referenceAnswer parses an answer with net/http and encoding/json alone. ok reports whether the answer has status 200,
+// a complete body and valid lines of one job ID, of which only the last has the state "done".
 func referenceAnswer(data []byte) (id, result string, ok bool) {
 	br := parserOf(data)
 	resp, err := http.ReadResponse(br, nil)
@@ -90,6 +90,7 @@
 	return id, result, done
 }
 
+// answerSeeds returns the seeds of FuzzAnswer.
 func answerSeeds() (seeds [][]byte) {
 	chunk := func(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 	head := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/internal/platform/fuzz_endpoints_test.go
+++ b/internal/platform/fuzz_endpoints_test.go
@@ -20,8 +20,8 @@
 	return s
 }()
 
-// checkEndpoints checks that discovery's responses are rejected or applied as a whole, with times that can be
-// computed with, and are the same again when printed and read.
+// checkEndpoints checks that a response of discovery is either rejected or applied completely, that the start times of
+// its workers are not negative or in the future, and that it is unchanged after encoding and decoding.
 func checkEndpoints(t testing.TB, data []byte) {
 	response, err := parseEndpoints(data)
 	if err != nil {
@@ -30,18 +30,18 @@
 	watch := newEndpointWatch(t.Context(), "", endpointSettings, nil, zap.NewNop())
 	workers := watch.applyLocked(response)
 	if len(workers) != len(response.Endpoints) {
-		t.Fatalf("%q: %d of %d hosts", data, len(workers), len(response.Endpoints))
+		t.Fatalf("%q: applyLocked() returned %d workers, want %d", data, len(workers), len(response.Endpoints))
 	}
 	latest := time.Now().Add(time.Minute).UnixNano()
 	for i, w := range workers {
 		if w.ID == "" || w.Zone < -1 || w.Kind < -1 || w.StartedAt < 0 || w.StartedAt > latest {
-			t.Fatalf("%q: host %d is %+v", data, i, w)
+			t.Fatalf("%q: worker %d has an invalid value: %+v", data, i, w)
 		}
 	}
-	// The same announced again is no change: a start in the future must not look new each time.
+	// The same response applied again changes nothing: a start in the future must not count as a new start each time.
 	for i, w := range watch.applyLocked(response) {
 		if w.StartedAt != workers[i].StartedAt && countHost(response, w.ID) == 1 {
-			t.Fatalf("%q: host %d started at %d, told again at %d", data, i, workers[i].StartedAt, w.StartedAt)
+			t.Fatalf("%q: worker %d has start %d, after the same response again %d", data, i, workers[i].StartedAt, w.StartedAt)
 		}
 	}
 	printed, err := json.Marshal(response)
@@ -50,13 +50,14 @@
 	}
 	reparsed, err := parseEndpoints(printed)
 	if err != nil {
-		t.Fatalf("%q, printed %q: %v", data, printed, err)
+		t.Fatalf("%q: parseEndpoints() of the encoded response %q: %v", data, printed, err)
 	}
 	if reprinted, _ := json.Marshal(reparsed); !bytes.Equal(printed, reprinted) {
-		t.Fatalf("%q is printed as %q, then %q", data, printed, reprinted)
+		t.Fatalf("%q is encoded as %q, and after decoding as %q", data, printed, reprinted)
 	}
 }
 
+// countHost returns the number of entries with a worker ID.
 func countHost(response *endpointsResponse, id string) (n int) {
 	for _, entry := range response.Endpoints {
 		if entry.ID == id {
@@ -66,6 +67,7 @@
 	return n
 }
 
+// endpointSeeds returns the seeds of FuzzEndpoints.
 func endpointSeeds() (seeds [][]byte) {
 	for _, s := range []string{
 		`{"seq":41,"whole":true,"hosts":[{"host":"a","dial":"10.0.0.1:3000","site":"a","class":"k","block":3,` +
--- a/internal/platform/load_report_test.go
+++ b/internal/platform/load_report_test.go
@@ -4,6 +4,8 @@
 	"testing"
 )
 
+// Guards against accepting a load report in which a gauge of the settings is missing, repeated or out of range, or
+// rejecting one for its other names. Both forms of a report are parsed.
 func TestParseLoad(t *testing.T) {
 	names := []string{"backlog", "x0"}
 	for text, valid := range map[string]bool{
@@ -21,7 +23,7 @@
 		}
 		gauges, err := parse(text, names)
 		if (err == nil) != valid || valid && (gauges[0] != 4 || gauges[1] != 2.5) {
-			t.Errorf("%q: %v, %v", text, gauges, err)
+			t.Errorf("parse(%q) = %v, error %v, want valid: %t", text, gauges, err, valid)
 		}
 	}
 }
--- a/internal/platform/peers_test.go
+++ b/internal/platform/peers_test.go
@@ -23,7 +23,7 @@
 	return c
 }
 
-// startPeers opens the side of scheduler 0, with a peer at index 1.
+// startPeers starts the peer exchange of scheduler 0, with peer as the scheduler at index 1.
 func startPeers(t *testing.T, peer *net.UDPConn, receive func(from int, data []byte)) (*peers, *counters.Set) {
 	t.Helper()
 	set := &counters.Set{}
@@ -39,8 +39,8 @@
 	return p, set
 }
 
-// What comes from an unknown address, is too long, garbled, late or a duplicate is counted and dropped; what
-// a peer sends arrives, in any order.
+// Guards against accepting datagrams that come from an unknown address or are too long, corrupt, too old or duplicates.
+// They are counted and dropped. Valid datagrams of a peer are accepted in any order.
 func TestPeerDatagrams(t *testing.T) {
 	peer, unknown := listenUDP(t), listenUDP(t)
 	received := make(chan string, 1000)
@@ -70,20 +70,20 @@
 	for _, want := range []string{"1second", "1first", "1last"} {
 		select {
 		case got := <-received:
-			check(t, "heard", got, want)
+			check(t, "received message", got, want)
 		case <-time.After(patience):
-			t.Fatal("nothing is heard")
+			t.Fatalf("no message received within %v, want %q", patience, want)
 		}
 	}
 	garbled := 2 + 2*int64(len(second))
 	for name, want := range map[string]int64{
 		"stranger": 1, "doubled": 1, "late": 1, "garbled": garbled, "heard": 3,
 	} {
-		check(t, name, set.Get("peers."+name), want)
+		check(t, "counter peers."+name, set.Get("peers."+name), want)
 	}
 }
 
-// A peer that sends more than its rate is cut to it.
+// Guards against a peer that floods the scheduler with datagrams: those over its rate are dropped.
 func TestPeerRateLimit(t *testing.T) {
 	now := core.NewClock().Now() / 1000
 	receiver := peerReceiver{updatedAt: now}
@@ -94,16 +94,17 @@
 		}
 	}
 	if accepted > maxPeerRate/50 {
-		t.Errorf("%d of a flood of 10,000 pass", accepted)
+		t.Errorf("%d of 10,000 datagrams in 10 ms accepted, want at most %d", accepted, maxPeerRate/50)
 	}
 }
 
-// A message goes to the peers that it is for; one that is too long for a datagram is counted and dropped.
+// Guards against sending a message to the wrong peers, or one that is too long for a datagram, which is counted and
+// dropped.
 func TestPeerSend(t *testing.T) {
 	peer := listenUDP(t)
 	p, set := startPeers(t, peer, func(int, []byte) {})
 	if p.Send(1, make([]byte, maxPeerDatagram)); set.Get("peers.too_long") != 1 {
-		t.Error("a message that is too long is sent")
+		t.Errorf("Send() of %d bytes: counter peers.too_long is not 1", maxPeerDatagram)
 	}
 	p.Send(-1, []byte("to all"))
 	b := make([]byte, 2*maxPeerDatagram)
@@ -111,6 +112,6 @@
 		t.Fatal(err)
 	}
 	if n, err := peer.Read(b); err != nil || n != len("to all")+peerOverhead {
-		t.Errorf("%d bytes, %v", n, err)
+		t.Errorf("peer received %d bytes, error %v, want %d bytes", n, err, len("to all")+peerOverhead)
 	}
 }
--- a/internal/platform/worker_pool_test.go
+++ b/internal/platform/worker_pool_test.go
@@ -14,8 +14,8 @@
 	"github.com/vatu-meals/foxlift/internal/counters"
 )
 
-// An idle connection that the worker has closed is not written to: an at-most-once job on it would look as if it
-// may have run.
+// Guards against a request on an idle connection that the worker has closed: an at-most-once job sent on it would count
+// as one that may have run.
 func TestStaleIdleConnection(t *testing.T) {
 	closed := make(chan bool)
 	worker := newTestWorker(t, func(c net.Conn, r *http.Request, id string) bool {
@@ -31,10 +31,12 @@
 		check(t, "status", r.StatusCode, 200)
 		<-closed
 	}
-	check(t, "connections", worker.Conns.Load(), int64(3))
+	check(t, "connections at the worker", worker.Conns.Load(), int64(3))
 }
 
-// Idle connections are reused newest first, are closed for others past the budget, and after the idle timeout.
+// Guards against a pool that exceeds its budget or reuses unusable connections. The most recently used idle connection
+// is reused first. Idle connections are closed for new ones when the budget is used up, after the idle timeout, and if
+// the worker has restarted since they were opened.
 func TestIdleConnections(t *testing.T) {
 	worker := newTestWorker(t, serveJob)
 	pool := &workerPool{
@@ -51,49 +53,54 @@
 	}
 	a, b := dial(), dial()
 	if _, err := pool.dial(t.Context(), addr); !errors.Is(err, errNoDescriptor) {
-		t.Errorf("a third connection: %v", err)
+		t.Errorf("dial() over the budget: error %v, want %v", err, errNoDescriptor)
 	}
 	if c, err := pool.acquire(t.Context(), target); c != nil || sendCode(err) != foxlift.NotSent {
-		t.Errorf("without a descriptor: %v", err)
+		t.Errorf("acquire() over the budget: error %v, want one with code %v", err, foxlift.NotSent)
 	}
 	pool.release(a)
 	pool.release(b)
-	check(t, "newest first", pool.reuse(target), b)
-	c := dial() // a makes way
-	check(t, "idle", len(pool.idle), 0)
+	check(t, "reused connection", pool.reuse(target), b)
+	c := dial() // closes a, which is idle
+	check(t, "addresses with idle connections", len(pool.idle), 0)
 	pool.release(b)
 	pool.idleTimeout = time.Millisecond
 	pool.release(c)
-	await(t, "dropped", func() bool { pool.mu.Lock(); defer pool.mu.Unlock(); return pool.open == 1 })
-	check(t, "kept", pool.reuse(target), b)
+	await(t, "c is closed after the idle timeout", func() bool {
+		pool.mu.Lock()
+		defer pool.mu.Unlock()
+		return pool.open == 1
+	})
+	check(t, "reused connection after the idle timeout of c", pool.reuse(target), b)
 	pool.idleTimeout = time.Hour
 	pool.release(b)
-	target.startedAt = time.Now() // the node has restarted since: the connection led to its former process
+	target.startedAt = time.Now() // the worker has restarted: the connection was opened to its former process
 	if c := pool.reuse(target); c != nil {
-		t.Error("a connection to a former process was reused")
+		t.Error("reuse() returned a connection to a former process of the worker")
 	}
-	check(t, "open", pool.open, 0)
+	check(t, "open connections", pool.open, 0)
 }
 
-// A connection that is never established, or is refused, proves that the job never ran.
+// Guards against treating a job as possibly run after a dial that is refused or times out, which proves that the job
+// never ran.
 func TestUnreachableWorker(t *testing.T) {
 	closed := newTestWorker(t, nil)
 	closed.Close()
 	pool := &workerPool{counters: &counters.Set{}, dialTimeout: patience, budget: 1, idle: map[string][]*workerConn{}}
 	c, err := pool.acquire(t.Context(), endpoint{address: closed.Addr().String()})
 	if c != nil || sendCode(err) != foxlift.Unreachable {
-		t.Errorf("refused: %v", err)
+		t.Errorf("acquire() with a refused dial: error %v, want one with code %v", err, foxlift.Unreachable)
 	}
 	pool.dialTimeout = time.Nanosecond
 	c, err = pool.acquire(t.Context(), endpoint{address: listen(t).Addr().String()})
 	if c != nil || sendCode(err) != foxlift.Unreachable {
-		t.Errorf("too late: %v", err)
+		t.Errorf("acquire() with a dial timeout: error %v, want one with code %v", err, foxlift.Unreachable)
 	}
-	check(t, "open", pool.open, 0)
+	check(t, "open connections", pool.open, 0)
 }
 
-// answerTwice is a worker that answers the first request of a connection again before or behind the last byte of the
-// second. It sends the id of each request that has come in full to wholes.
+// answerTwice serves a connection and repeats the answer to its first request, before or after the last byte of the
+// second request as when says. It sends the ID of each request that it has received in full to complete.
 func answerTwice(c net.Conn, when string, complete chan<- string) {
 	br := bufio.NewReader(c)
 	for request := 0; ; request++ {
@@ -108,17 +115,18 @@
 		_, _ = io.Copy(io.Discard, r.Body)
 		id := r.Header.Get(headerID)
 		complete <- id
-		if request == 1 && when == "behind the last byte" {
+		if request == 1 && when == "after the last byte" {
 			writeStates(c, "j0", true, `"done","result":"again"`)
 		}
 		writeStates(c, id, true, `"started"`, `"done","result":"for `+id+`"`)
 	}
 }
 
-// Bytes of an earlier answer that come late on a reused connection: before the last byte they keep the next job
-// from it, which goes elsewhere; behind it the job may have run, and never runs twice.
+// Guards against reading late bytes of an earlier answer on a reused connection as the answer to the next job. If the
+// bytes arrive before the last byte of the next request, the job is sent to another worker. If they arrive after it,
+// the job may have run and is not sent again.
 func TestLateBytesOfAnEarlierAnswer(t *testing.T) {
-	for _, when := range []string{"before the last byte", "behind the last byte"} {
+	for _, when := range []string{"before the last byte", "after the last byte"} {
 		complete := make(chan string, 9)
 		l := listen(t)
 		go func() {
@@ -135,14 +143,14 @@
 		p, _ := startKnown(t, testSettings, 256, "", cached)
 		client := connect(t, p)
 		r, _ := client.request(t, jobText("reading", "j0", "9000m", ""))
-		check(t, "first", r.StatusCode, 200)
-		check(t, "first at the node", <-complete, "j0") // whole, or the answer would not be there
+		check(t, "status of the first job", r.StatusCode, 200)
+		check(t, "first complete request", <-complete, "j0")
 		r, body := client.request(t, jobText("ratify", "j1", "9000m", ""))
 		if when == "before the last byte" {
-			check(t, when, fmt.Sprint(r.StatusCode, body), "200for j1")
+			check(t, when+": status and body", fmt.Sprint(r.StatusCode, body), "200for j1")
 		} else {
-			check(t, when, r.StatusCode, 502)
+			check(t, when+": status", r.StatusCode, 502)
 		}
-		check(t, when+": whole requests since", len(complete), 1)
+		check(t, when+": complete requests of the second job", len(complete), 1)
 	}
 }
