--- a/jobs.go
+++ b/jobs.go
@@ -6,24 +6,24 @@
 
 // A job is a request that is queued or in flight, or that has ended and still has attempts in flight.
 type job struct {
-	id               uint64
-	class            *class
-	tenant           *tenant
-	req              Request
-	arrivedAt        int64
-	firstAttemptAt   int64 // time when the client first sent the request, estimated from its deadline
-	objective        int64 // latency objective of this job, counted from firstAttemptAt
-	attempts         []*attempt
-	inFlight         int       // number of attempts in flight
-	mayHaveRun       *attempt  // first attempt that may have run; nil if none
-	ended, queued    bool      // ended: answered, or its client has disconnected; queued: in its tenant's queue
-	healthChecks     int       // number of health checks requested for it
-	retryQueued      bool      // in jobTable.retryQueue
-	stream           bool      // its answer streams: it is neither cancelled nor sent again
-	blockedRound     int64     // last round of dispatch that found no worker for it
-	affinity         []*worker // first workers in the order of its affinity key
-	affinityPool     int       // number of workers in that order, of which affinity has the first
-	affinityRankedAt int64     // number of the endpoint list event after which affinity was ranked
+	id                  uint64
+	class               *class
+	tenant              *tenant
+	req                 Request
+	arrivedAt           int64
+	firstAttemptAt      int64 // time when the client first sent the request, estimated from its deadline
+	objective           int64 // latency objective of this job, counted from firstAttemptAt
+	attempts            []*attempt
+	inFlight            int       // number of attempts in flight
+	mayHaveRun          *attempt  // first attempt that may have run; nil if none
+	ended, queued       bool      // ended: answered, or its client has disconnected; queued: in its tenant's queue
+	healthChecks        int       // number of health checks requested for it
+	retryQueued         bool      // in jobTable.retryQueue
+	stream              bool      // its answer streams: it is neither cancelled nor sent again
+	blockedRound        int64     // last round of dispatch that found no worker for it
+	affinity            []*worker // first workers in the order of its affinity key
+	affinityPool        int       // number of workers in that order, of which affinity has the first
+	affinityEventNumber int64     // number of the endpoint list event after which affinity was ranked
 }
 
 // An attempt is one run of a job on one worker.
--- a/placement.go
+++ b/placement.go
@@ -30,9 +30,9 @@
 // data of the key's jobs. All dispatchers compute the same order without communicating. With many dispatchers
 // the set grows with the key's fraction of the jobs seen here, and by one worker after each attempt.
 func (d *Dispatcher) affinityWorkers(j *job) []*worker {
-	if j.affinityRankedAt != d.endpoints.events {
+	if j.affinityEventNumber != d.endpoints.events {
 		j.affinity, j.affinityPool = d.rankAffinity(j)
-		j.affinityRankedAt = d.endpoints.events
+		j.affinityEventNumber = d.endpoints.events
 	}
 	if !d.manyDispatchers() {
 		return j.affinity
