--- a/gossip.go
+++ b/gossip.go
@@ -30,7 +30,7 @@
 	return d.cfg.MayGossip && d.cfg.Dispatchers > 1 && !d.manyDispatchers()
 }
 
-// hasCompleteUsage reports whether this dispatcher has the usage of all jobs at the workers, also of its peers'.
+// hasCompleteUsage reports whether this dispatcher receives the usage of all jobs at the workers, peers' jobs included.
 func (d *Dispatcher) hasCompleteUsage() bool { return d.cfg.Dispatchers == 1 || d.exchangesUsage() }
 
 // countAttempt adds an attempt that begins (sign 1) to its worker's usage, or subtracts an ended one (sign -1).
@@ -131,7 +131,7 @@
 }
 
 // meanAdmissionRate returns the mean of this dispatcher's admission rate and those of the peers that sent a
-// complete message within gossip.PeerTimeout. It removes the usage of the other peers.
+// complete message within gossip.PeerTimeout. It clears the usage of peers that timed out.
 func (d *Dispatcher) meanAdmissionRate() float64 {
 	peers := &d.exchange.peers
 	for from := range peers.Len() {
--- a/placement.go
+++ b/placement.go
@@ -24,7 +24,7 @@
 	return baseFetchCost * min(1, 2*float64(d.minMedianRuntime())/float64(max(1, j.class.runtimes.Median())))
 }
 
-const affinityHeadroom = 1.5 // workers of a key's affinity set over those that its fraction of the jobs fills
+const affinityHeadroom = 1.5 // size of an affinity set over the workers that its fraction of the jobs fills
 
 // affinityWorkers returns the affinity set of a job's key: the workers that are likely to have cached the
 // data of the key's jobs. All dispatchers compute the same order without communicating. With many dispatchers
--- a/record_fleet_test.go
+++ b/record_fleet_test.go
@@ -70,15 +70,15 @@
 // A callQueue is a heap of scheduled calls, earliest first and then in the order of scheduling.
 type callQueue []queuedCall
 
-func (a callQueue) Len() int { return len(a) }
-func (a callQueue) Less(i, k int) bool {
-	return a[i].at < a[k].at || a[i].at == a[k].at && a[i].order < a[k].order
-}
-func (a callQueue) Swap(i, k int) { a[i], a[k] = a[k], a[i] }
-func (a *callQueue) Push(x any)   { *a = append(*a, x.(queuedCall)) }
-func (a *callQueue) Pop() any {
-	last := (*a)[len(*a)-1]
-	*a = (*a)[:len(*a)-1]
+func (q callQueue) Len() int { return len(q) }
+func (q callQueue) Less(i, k int) bool {
+	return q[i].at < q[k].at || q[i].at == q[k].at && q[i].order < q[k].order
+}
+func (q callQueue) Swap(i, k int) { q[i], q[k] = q[k], q[i] }
+func (q *callQueue) Push(x any)   { *q = append(*q, x.(queuedCall)) }
+func (q *callQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
--- a/replay_amd64_test.go
+++ b/replay_amd64_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// fewestRecordings guards against an empty directory, with which nothing would be compared.
+// minRecordings guards against an empty directory, with which nothing would be compared.
 const minRecordings = 10
 
 // TestReplay replays the recordings to new dispatchers: every step must return the recorded actions, and every
--- a/worker_search.go
+++ b/worker_search.go
@@ -10,7 +10,7 @@
 
 const (
 	sampleSize  = 24   // workers sampled for one job at each level of Dispatcher.free
-	maxFullScan = 1024 // most workers all examined for a retry that may go anywhere but where it failed
+	maxFullScan = 1024 // level size up to which a retry that may go anywhere but where it failed examines all
 )
 
 // A workerSearch finds the worker with the least cost for a job.
@@ -57,7 +57,8 @@
 	}
 }
 
-// searchAffinity examines the affinity set of the job's key, except workers that report no free slots.
+// searchAffinity examines the affinity set of the job's key, except workers that report no free slots. The
+// first worker's cost is reduced by 4 times prices.fetch, that of later ones by less.
 func (s *workerSearch) searchAffinity() {
 	d := s.d
 	workers := d.affinityWorkers(s.j)
