--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -182,7 +182,7 @@
 func (s *Server) cell(state *core.CellState) *controlpb.Cell {
 	cell := &controlpb.Cell{
 		Name:      state.Name,
-		Share:     state.Fraction,
+		Share:     state.CapacityFraction,
 		Retired:   state.Retired,
 		Evacuated: state.Evacuated,
 		Condition: controlpb.Condition(state.Condition),
@@ -194,7 +194,7 @@
 		Served:    state.Served,
 		Refused:   state.Shed,
 		Failed:    state.Failed,
-		Shut:      state.Rejected,
+		Shut:      state.ShedOnArrival,
 	}
 	for _, w := range state.Workers {
 		cell.Nodes = append(cell.Nodes, &controlpb.Node{
--- a/internal/core/accept.go
+++ b/internal/core/accept.go
@@ -110,8 +110,8 @@
 // should it ever not, the core does, a little later than the end of the last attempt, of which the
 // dispatcher must learn first. In a shutdown it does so before the process may be killed.
 func (c *Core) startOverdueTimer(j *job) {
-	at := c.shutdown.limit(j.deadline + int64(overdueGrace))
-	j.overdueTimer = c.loop.after(time.Duration(at-c.clock.Now()), jobOverdue{j})
+	at := c.shutdown.capAtDeadline(j.deadline + int64(overdueGrace))
+	j.overdueTimer = c.loop.postAfter(time.Duration(at-c.clock.Now()), jobOverdue{j})
 }
 
 type jobOverdue struct{ job *job }
--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -25,7 +25,7 @@
 		return
 	}
 	class := &c.settings.Module.Classes[j.class]
-	if c.shutdown.deadlineBefore(c.clock.Now() + class.LatencyObjective) { // another scheduler has more time
+	if c.shutdown.endsBefore(c.clock.Now() + class.LatencyObjective) { // another scheduler has more time
 		c.counters.Add("jobs.at_end")
 		c.answer(j, Answer{Verdict: Shed, RetryAfter: time.Duration(c.settings.Module.MaxRetryAfter)})
 		return
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -28,7 +28,7 @@
 
 // sameGroup reports whether the attempt's worker drops repeats of what another attempt's worker may
 // have run.
-func (a *attempt) sameGroup(first *attempt, scope foxlift.Scope) bool {
+func (a *attempt) inDedupGroupOf(first *attempt, scope foxlift.Scope) bool {
 	switch scope {
 	case foxlift.ScopeZone:
 		return a.zone == first.zone && a.zone >= 0
--- a/internal/core/cell.go
+++ b/internal/core/cell.go
@@ -19,8 +19,8 @@
 	retired    bool            // the plan has it no more: its attempts in flight come to their end
 	evacuated  bool            // by the operator: nothing goes there
 
-	spilled int      // of its jobs, open in the cell that it spills into
-	answers [3]int64 // by verdict, Rejected aside
+	spilled      int      // of its jobs, open in the cell that it spills into
+	answerCounts [3]int64 // by verdict, Rejected aside
 }
 
 const retiredIndex = -1
@@ -35,8 +35,8 @@
 
 // recordAnswer counts an answer.
 func (cl *cell) recordAnswer(v Verdict) {
-	if int(v) < len(cl.answers) {
-		cl.answers[v]++
+	if int(v) < len(cl.answerCounts) {
+		cl.answerCounts[v]++
 	}
 }
 
--- a/internal/core/cell_assign.go
+++ b/internal/core/cell_assign.go
@@ -70,13 +70,13 @@
 
 // unsafeToRetry reports whether the job may have run and its class does not allow that it runs again.
 func (c *Core) unsafeToRetry(j *job) bool {
-	return j.mayHaveRun() != nil && c.settings.Module.Classes[j.class].Effect != foxlift.Idempotent
+	return j.firstPossibleRun() != nil && c.settings.Module.Classes[j.class].Effect != foxlift.Idempotent
 }
 
 // reassign takes a job away from a cell where it no longer belongs; stepCell then assigns it anew. A job
 // with an attempt in flight finishes where it is, and so does one that may have run, unless it may run
 // again: only the dispatcher that sent it knows what its class allows.
-func (c *Core) reassign(j *job) (leaves bool) {
+func (c *Core) reassign(j *job) (isLeaving bool) {
 	p := c.placement.Load()
 	if p == nil || j.answered.Load() || j.inFlight > 0 || j.leaving || c.unsafeToRetry(j) {
 		return false
@@ -93,11 +93,11 @@
 }
 
 // reassignAll reassigns every open job, in the order they came, and returns how many leave their cell.
-func (c *Core) reassignAll() (leave int) {
+func (c *Core) reassignAll() (leavingCount int) {
 	for _, j := range c.jobs.openInOrder() {
 		if c.reassign(j) {
-			leave++
+			leavingCount++
 		}
 	}
-	return leave
+	return leavingCount
 }
--- a/internal/core/cell_helpers_test.go
+++ b/internal/core/cell_helpers_test.go
@@ -37,12 +37,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := newRigOf(t, Config{Settings: s, Plan: planOf(t, s, spec)}, 60)
+	r := newRigWithoutWorkers(t, Config{Settings: s, Plan: mustPlan(t, s, spec)}, 60)
 	r.applyEvent(endpointsUpdated{kind: foxlift.EndpointsCached, workers: cellWorkers(0)})
 	return r
 }
 
-func planOf(t *testing.T, s *config.Settings, spec *cells.Spec) *cells.Plan {
+func mustPlan(t *testing.T, s *config.Settings, spec *cells.Spec) *cells.Plan {
 	t.Helper()
 	plan, faults := s.PlanCells(spec)
 	if faults != nil {
@@ -84,7 +84,7 @@
 // replan puts another plan in force, on the test's goroutine.
 func (r *rig) replan(t *testing.T, spec *cells.Spec) {
 	t.Helper()
-	if _, err := r.applyPlan(planOf(t, r.settings, spec)); err != nil {
+	if _, err := r.applyPlan(mustPlan(t, r.settings, spec)); err != nil {
 		t.Fatal(err)
 	}
 	r.dispatch()
--- a/internal/core/cell_placement.go
+++ b/internal/core/cell_placement.go
@@ -73,7 +73,7 @@
 
 // Cell names the cell of a tenant's jobs with an affinity key, and how many connections that cell's
 // clients may have; "" without cells. Any goroutine may call it.
-func (c *Core) Cell(tenant string, key uint64) (name string, connections int) {
+func (c *Core) Cell(tenant string, key uint64) (name string, maxConnections int) {
 	p := c.placement.Load()
 	if p == nil {
 		return "", 0
--- a/internal/core/cell_placement_test.go
+++ b/internal/core/cell_placement_test.go
@@ -9,7 +9,7 @@
 )
 
 // Each tenant's jobs go to the workers of its cell alone.
-func TestCellsConfine(t *testing.T) {
+func TestJobsStayInTheirCell(t *testing.T) {
 	r := newCellRig(t, twoCells())
 	for i := range 12 {
 		tenant := []string{"t", "u"}[i%2]
@@ -24,7 +24,7 @@
 }
 
 // Hard case 3: an empty cell spills, bounded, or sheds at once with advice.
-func TestEmptyCell(t *testing.T) {
+func TestEvacuatedCellSpillsOrSheds(t *testing.T) {
 	r := newCellRig(t, twoCells())
 	r.evacuate(0)
 	p := r.placement.Load()
@@ -57,7 +57,7 @@
 }
 
 // Hard case 6: the flood of one cell is shed before the event loop, and takes no place of another's.
-func TestFloodIsShedBeforeTheCore(t *testing.T) {
+func TestCellFloodIsShedBeforeEventLoop(t *testing.T) {
 	r := newCellRig(t, twoCells())
 	shed := 0
 	for i := range 300 {
@@ -80,32 +80,32 @@
 // retry is harmless. Found by TestModel.
 func TestRepeatedIDAtASaturatedCell(t *testing.T) {
 	r := newCellRig(t, twoCells())
-	accept := func(id string) *recordingClient {
+	acceptAndSettle := func(id string) *recordingClient {
 		j, client := r.newJob(id, "ratify", "t", time.Second)
 		r.Accept(j)
 		r.settle()
 		return client
 	}
-	first := accept("j")
+	first := acceptAndSettle("j")
 	for i := 0; r.counters.Get("jobs.cell_full") == 0; i++ {
-		accept(fmt.Sprint("fill", i))
+		acceptAndSettle(fmt.Sprint("fill", i))
 	}
-	if client := accept("j"); !client.gotOnly(Rejected) {
+	if client := acceptAndSettle("j"); !client.gotOnly(Rejected) {
 		t.Errorf("in use: %+v", client.answers)
 	}
 	r.complete(0, foxlift.Served)
-	if client := accept("j"); len(first.answers) != 1 || !client.gotOnly(Rejected) {
+	if client := acceptAndSettle("j"); len(first.answers) != 1 || !client.gotOnly(Rejected) {
 		t.Errorf("answered: %+v", client.answers)
 	}
 	r.applyEvent(idExpired{"j"})
-	if client := accept("j"); client.gotOnly(Rejected) {
+	if client := acceptAndSettle("j"); client.gotOnly(Rejected) {
 		t.Errorf("expired: %+v", client.answers)
 	}
 }
 
 // Hard case 8: an affinity key that floods is kept to a few workers and a few jobs; others of the same
 // tenant and class go past it.
-func TestKeyFlood(t *testing.T) {
+func TestAffinityKeyFloodIsBounded(t *testing.T) {
 	spec := twoCells()
 	spec.WorkersPerKey, spec.MaxJobsPerKey = 2, 12
 	r := newCellRig(t, spec)
@@ -132,7 +132,7 @@
 }
 
 // Hard case 11: the workers of one cell fail at once. The other cell's dispatcher sees nothing of it.
-func TestFailingReleaseInOneCell(t *testing.T) {
+func TestWorkerFailuresStayInOneCell(t *testing.T) {
 	r := newCellRig(t, twoCells())
 	for i := range 200 {
 		before := len(r.sent)
@@ -146,10 +146,10 @@
 			r.complete(k, code)
 		}
 	}
-	if answers := r.cells.all[1].answers; answers[Served] != 100 || answers[Shed]+answers[Failed] != 0 {
+	if answers := r.cells.all[1].answerCounts; answers[Served] != 100 || answers[Shed]+answers[Failed] != 0 {
 		t.Errorf("the other cell's answers: %v", answers)
 	}
-	if answers := r.cells.all[0].answers; answers[Served] != 0 {
+	if answers := r.cells.all[0].answerCounts; answers[Served] != 0 {
 		t.Errorf("the failing cell serves %d", answers[Served])
 	}
 }
--- a/internal/core/cell_state.go
+++ b/internal/core/cell_state.go
@@ -9,22 +9,22 @@
 
 // A CellState is what a cell is and has at one moment.
 type CellState struct {
-	Name      string
-	Fraction  float64
-	Retired   bool
-	Evacuated bool
-	Condition cells.Condition
-	Workers   []WorkerState
-	Tenants   []TenantState
-	Open      int // jobs not yet answered
-	Bound     int // on those
-	InFlight  int // attempts that have not ended
-	Queued    int // jobs that wait in the dispatcher
-	Spilled   int // of its jobs, in the cell that it spills into
-	Served    int64
-	Shed      int64 // by the dispatcher or for want of a worker
-	Failed    int64
-	Rejected  int64 // on arrival: the cell had no room
+	Name             string
+	CapacityFraction float64
+	Retired          bool
+	Evacuated        bool
+	Condition        cells.Condition
+	Workers          []WorkerState
+	Tenants          []TenantState
+	Open             int // jobs not yet answered
+	Bound            int // on those
+	InFlight         int // attempts that have not ended
+	Queued           int // jobs that wait in the dispatcher
+	Spilled          int // of its jobs, in the cell that it spills into
+	Served           int64
+	Shed             int64 // by the dispatcher or for want of a worker
+	Failed           int64
+	ShedOnArrival    int64 // on arrival: the cell had no room
 }
 
 // A WorkerState is a worker as its cell sees it.
@@ -47,7 +47,7 @@
 
 // Cells returns the state of all cells.
 func (c *Core) Cells(ctx context.Context) ([]CellState, error) {
-	return call(ctx, c, func(c *Core) ([]CellState, error) {
+	return callOnEventLoop(ctx, c, func(c *Core) ([]CellState, error) {
 		if c.placement.Load() == nil {
 			return nil, ErrNoCells
 		}
@@ -57,14 +57,14 @@
 
 func (c *Core) cellStates() []CellState {
 	states := make([]CellState, len(c.cells.all))
-	stateOf := map[*cell]*CellState{}
+	stateByCell := map[*cell]*CellState{}
 	for i, cl := range c.cells.all {
 		states[i] = c.cellState(i, cl)
-		stateOf[cl] = &states[i]
+		stateByCell[cl] = &states[i]
 	}
-	c.addWorkerStates(stateOf)
+	c.addWorkerStates(stateByCell)
 	for _, j := range c.jobs.byNumber {
-		state := stateOf[j.cell]
+		state := stateByCell[j.cell]
 		state.InFlight += j.inFlight
 		if j.answered.Load() {
 			continue
@@ -81,15 +81,15 @@
 func (c *Core) cellState(i int, cl *cell) CellState {
 	state := CellState{
 		Name: cl.name, Retired: cl.retired, Evacuated: cl.evacuated, Spilled: cl.spilled,
-		Served: cl.answers[Served], Shed: cl.answers[Shed], Failed: cl.answers[Failed],
+		Served: cl.answerCounts[Served], Shed: cl.answerCounts[Shed], Failed: cl.answerCounts[Failed],
 	}
 	if cl.retired {
 		return state
 	}
 	p := c.placement.Load()
 	plan := p.layout.Plan()
-	state.Fraction, state.Condition = plan.CapacityFraction(i), c.cellCondition(i)
-	_, state.Bound, state.Rejected = p.admission.Usage(i)
+	state.CapacityFraction, state.Condition = plan.CapacityFraction(i), c.cellCondition(i)
+	_, state.Bound, state.ShedOnArrival = p.admission.Usage(i)
 	for t, name := range plan.TenantNames() {
 		if p.layout.ServedBy(t, i) {
 			tenant := TenantState{Name: name, Migrated: p.layout.Migrated(t), Quota: cl.quotas[t]}
--- a/internal/core/cell_workers.go
+++ b/internal/core/cell_workers.go
@@ -12,11 +12,11 @@
 // the dispatcher that had it, a worker that goes to another cell looks as if it drained; the one that
 // gets it learns how many slots of others are still in flight there. changed are the workers that the
 // update names.
-func (c *Core) distribute(kind foxlift.EndpointUpdate, changed []foxlift.Worker) {
+func (c *Core) distributeWorkers(kind foxlift.EndpointUpdate, changed []foxlift.Worker) {
 	layout := c.updateLayout()
-	isNamed := map[string]bool{}
+	inUpdate := map[string]bool{}
 	for i := range changed {
-		isNamed[changed[i].ID] = true
+		inUpdate[changed[i].ID] = true
 	}
 	updates := make(map[*cell][]foxlift.Worker, len(c.cells.all))
 	for _, w := range c.workers.order {
@@ -35,7 +35,7 @@
 			updates[previous] = append(updates[previous], draining)
 		}
 		isListed := kind != foxlift.EndpointsDelta && w.State != foxlift.Removed
-		if isListed || isNamed[w.ID] || previous != w.cell {
+		if isListed || inUpdate[w.ID] || previous != w.cell {
 			updates[w.cell] = append(updates[w.cell], w.forCell(w.cell))
 		}
 	}
--- a/internal/core/cell_workers_test.go
+++ b/internal/core/cell_workers_test.go
@@ -54,8 +54,8 @@
 // dispatcher alone sends there.
 func TestWorkersInSlowStartHaveOneDispatcher(t *testing.T) {
 	r := newCellRig(t, twoCells())
-	allAnew := cellWorkers(r.clock.Now())
-	r.applyEvent(endpointsUpdated{kind: foxlift.EndpointsComplete, workers: allAnew})
+	restarted := cellWorkers(r.clock.Now())
+	r.applyEvent(endpointsUpdated{kind: foxlift.EndpointsComplete, workers: restarted})
 	sendersOf := map[string]map[*cell]bool{}
 	jobsOf := map[string]int{}
 	r.onSend = func(j *Job) {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -77,34 +77,34 @@
 		}
 		return c, nil
 	}
-	only, err := c.newCell("", cfg.Settings.Module.Tenants)
+	singleCell, err := c.newCell("", cfg.Settings.Module.Tenants)
 	if err != nil {
 		return nil, err
 	}
-	c.cells.all = []*cell{only}
+	c.cells.all = []*cell{singleCell}
 	return c, nil
 }
 
 // Start begins with the endpoint list as last known and starts the event loop, which ends with Stop.
 func (c *Core) Start(env Environment) {
-	c.connect(env)
+	c.setEnvironment(env)
 	endpointsUpdated{kind: foxlift.EndpointsCached, workers: env.CachedEndpoints}.apply(c)
 	c.dispatch()
 	c.updateReady()
-	c.loop.start(c.run)
+	c.loop.start(c.runEventLoop)
 }
 
 // connect sets what the core acts through.
-func (c *Core) connect(env Environment) {
+func (c *Core) setEnvironment(env Environment) {
 	c.env = env
-	c.maxOpen = c.limitOpen(env.MaxOpen)
+	c.maxOpen = c.effectiveMaxOpen(env.MaxOpen)
 	if p := c.placement.Load(); p != nil {
 		c.placement.Store(newPlacement(p.layout, c.maxOpen))
 	}
 }
 
 // run is the event loop.
-func (c *Core) run() {
+func (c *Core) runEventLoop() {
 	for {
 		select {
 		case e := <-c.loop.inbox:
@@ -113,7 +113,7 @@
 			return
 		}
 		// What has come in meanwhile goes into the same step.
-		for more := len(c.loop.inbox); more > 0; more-- {
+		for pending := len(c.loop.inbox); pending > 0; pending-- {
 			(<-c.loop.inbox).apply(c)
 		}
 		c.dispatch()
@@ -130,13 +130,13 @@
 type maxOpenChanged struct{ maxOpen int }
 
 func (e maxOpenChanged) apply(c *Core) {
-	c.maxOpen = c.limitOpen(e.maxOpen) // cells keep their bounds: they are parts of the whole
+	c.maxOpen = c.effectiveMaxOpen(e.maxOpen) // cells keep their bounds: they are parts of the whole
 }
 
 // limitOpen returns how many jobs may be open where the platform can hold maxOpen.
-func (c *Core) limitOpen(maxOpen int) int {
-	if bound := c.settings.MaxOpen; bound > 0 {
-		return min(maxOpen, bound)
+func (c *Core) effectiveMaxOpen(maxOpen int) int {
+	if configured := c.settings.MaxOpen; configured > 0 {
+		return min(maxOpen, configured)
 	}
 	return maxOpen
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -8,12 +8,12 @@
 )
 
 // Whatever happens in whatever order, a job has one answer and leaves nothing behind.
-func TestOneAnswer(t *testing.T) {
+func TestEveryJobGetsOneAnswer(t *testing.T) {
 	end := func(i int, code foxlift.Code) func(*rig, *job) {
 		return func(r *rig, _ *job) { r.sent[i](ended(code)) }
 	}
 	disconnect := func(r *rig, j *job) { r.ClientDisconnected(j.Job) }
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		class string
 		steps []func(*rig, *job)
 		want  Verdict
@@ -49,14 +49,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
-			client := r.submit("j", c.class, "t")
+			client := r.submit("j", test.class, "t")
 			j := r.jobs.byNumber[1]
-			for _, step := range c.steps {
+			for _, step := range test.steps {
 				step(r, j)
 			}
 			r.settle()
-			if !client.gotOnly(c.want) || c.want == Served && string(client.answers[0].Result) != "r" {
-				t.Errorf("answers %+v, want one of verdict %d", client.answers, c.want)
+			if !client.gotOnly(test.want) || test.want == Served && string(client.answers[0].Result) != "r" {
+				t.Errorf("answers %+v, want one of verdict %d", client.answers, test.want)
 			}
 			if len(r.jobs.byNumber) != 0 || len(r.jobs.open) != 0 {
 				t.Errorf("%d jobs stay in the table, %d open", len(r.jobs.byNumber), len(r.jobs.open))
@@ -100,7 +100,7 @@
 }
 
 // However long a client says that it waits, its class's deadline bounds it.
-func TestRemainingIsBounded(t *testing.T) {
+func TestClassDeadlineBoundsRemaining(t *testing.T) {
 	r := newRig(t)
 	j, _ := r.newJob("j", "reading", "t", 1<<62)
 	r.applyEvent(jobSubmitted{j})
@@ -145,7 +145,7 @@
 // Stop waits for the event loop's goroutine, may be called again, and prevents a later start.
 func TestStopWaits(t *testing.T) {
 	r := newRig(t)
-	r.loop.start(r.run)
+	r.loop.start(r.runEventLoop)
 	begun, release := make(chan struct{}), make(chan struct{})
 	r.loop.post(eventFunc(func(*Core) { close(begun); <-release }))
 	<-begun
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -47,10 +47,10 @@
 	case foxlift.ActionSend, foxlift.ActionCancel, foxlift.ActionShed, foxlift.ActionFail:
 		// The cell may not have the job any more.
 		if j := c.jobs.byNumber[action.ID]; j != nil && j.cell == cl {
-			c.executeForJob(j, action)
+			c.executeJobAction(j, action)
 		}
 	case foxlift.ActionTimer:
-		c.loop.after(time.Duration(action.At-c.clock.Now()), timerFired{cl, action.Token})
+		c.loop.postAfter(time.Duration(action.At-c.clock.Now()), timerFired{cl, action.Token})
 	case foxlift.ActionHealthCheck:
 		c.checkHealth(cl, action.Worker)
 	case foxlift.ActionClose:
@@ -65,7 +65,7 @@
 }
 
 // executeForJob executes an action that is about a job.
-func (c *Core) executeForJob(j *job, action *foxlift.Action) {
+func (c *Core) executeJobAction(j *job, action *foxlift.Action) {
 	switch action.Kind {
 	case foxlift.ActionSend:
 		c.send(j, action.Worker, time.Duration(action.Timeout))
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -61,7 +61,7 @@
 	if c.placement.Load() == nil {
 		c.cells.all[0].notifyEndpoints(kind, c.workers.withExternalSlots(workers))
 	} else {
-		c.distribute(kind, workers)
+		c.distributeWorkers(kind, workers)
 		c.reassignAll()
 	}
 	c.workers.prune()
--- a/internal/core/event_loop.go
+++ b/internal/core/event_loop.go
@@ -65,6 +65,6 @@
 }
 
 // after posts an event when a delay is over.
-func (l *eventLoop) after(delay time.Duration, e event) *time.Timer {
+func (l *eventLoop) postAfter(delay time.Duration, e event) *time.Timer {
 	return time.AfterFunc(delay, func() { l.post(e) })
 }
--- a/internal/core/helpers_test.go
+++ b/internal/core/helpers_test.go
@@ -19,12 +19,12 @@
 // the test applies events on its own goroutine.
 type rig struct {
 	*Core
-	sent       []func(Report) // the report function of each attempt
-	sentTo     []string       // its worker
-	lastSentTo string
-	cancelled  int
-	onceIDs    []string // ids of the jobs of attempts that must not run twice
-	onSend     func(*Job)
+	sent          []func(Report) // the report function of each attempt
+	sentTo        []string       // its worker
+	lastSentTo    string
+	cancelled     int
+	atMostOnceIDs []string // ids of the jobs of attempts that must not run twice
+	onSend        func(*Job)
 }
 
 // newRig returns a rig without cells that knows three workers.
@@ -34,13 +34,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := newRigOf(t, Config{Settings: s}, 9)
+	r := newRigWithoutWorkers(t, Config{Settings: s}, 9)
 	r.applyEvent(endpointsUpdated{kind: foxlift.EndpointsComplete, workers: threeWorkers()})
 	return r
 }
 
 // newRigOf returns a rig that knows no workers.
-func newRigOf(t *testing.T, cfg Config, maxOpen int) *rig {
+func newRigWithoutWorkers(t *testing.T, cfg Config, maxOpen int) *rig {
 	t.Helper()
 	cfg.Seed, cfg.Clock, cfg.Counters = 1, NewClock(), &counters.Set{}
 	c, err := New(cfg)
@@ -49,7 +49,7 @@
 	}
 	t.Cleanup(c.Stop)
 	r := &rig{Core: c}
-	c.connect(Environment{Workers: r, EndpointWatch: r, MaxOpen: maxOpen})
+	c.setEnvironment(Environment{Workers: r, EndpointWatch: r, MaxOpen: maxOpen})
 	return r
 }
 
@@ -63,7 +63,7 @@
 	r.sentTo = append(r.sentTo, worker)
 	r.lastSentTo = worker
 	if j.Class == "ratify" {
-		r.onceIDs = append(r.onceIDs, j.ID)
+		r.atMostOnceIDs = append(r.atMostOnceIDs, j.ID)
 	}
 	if r.onSend != nil {
 		r.onSend(j)
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -125,7 +125,7 @@
 }
 
 // mayHaveRun returns the first attempt of the job that may have run or may yet; nil if none.
-func (j *job) mayHaveRun() *attempt {
+func (j *job) firstPossibleRun() *attempt {
 	for _, a := range j.attempts {
 		if !a.done || !a.code.NeverRan() {
 			return a
--- a/internal/core/migration.go
+++ b/internal/core/migration.go
@@ -37,14 +37,14 @@
 		if i < 0 {
 			return nil, cells.ErrUnknownCell
 		}
-		evacuees, err := layout.PlanEvacuation(i, func(other int) bool {
+		moves, err := layout.PlanEvacuation(i, func(other int) bool {
 			return c.cellCondition(other) != cells.Unavailable
 		})
 		if err != nil {
 			return nil, err
 		}
-		for _, e := range evacuees {
-			layout = layout.WithMigration(e.Tenant, e.To)
+		for _, move := range moves {
+			layout = layout.WithMigration(move.Tenant, move.To)
 		}
 		c.cells.all[i].evacuated = true
 		return layout, nil
@@ -96,7 +96,7 @@
 func (c *Core) changeLayout(
 	ctx context.Context, change func(*cells.Layout) (*cells.Layout, error),
 ) (Migration, error) {
-	return call(ctx, c, func(c *Core) (Migration, error) {
+	return callOnEventLoop(ctx, c, func(c *Core) (Migration, error) {
 		p, err := c.changeablePlacement()
 		if err != nil {
 			return Migration{}, err
--- a/internal/core/migration_load_test.go
+++ b/internal/core/migration_load_test.go
@@ -90,7 +90,7 @@
 func (l *migrationLoad) completeSome() {
 	for l.completed < len(l.sent) && l.random.IntN(3) > 0 {
 		code := l.codes[l.random.IntN(len(l.codes))]
-		if id := l.sentIDs[l.completed]; !code.NeverRan() && slices.Contains(l.onceIDs, id) {
+		if id := l.sentIDs[l.completed]; !code.NeverRan() && slices.Contains(l.atMostOnceIDs, id) {
 			l.mayHaveRun[id]++
 		}
 		l.completeNext(code)
--- a/internal/core/migration_test.go
+++ b/internal/core/migration_test.go
@@ -49,7 +49,7 @@
 // Hard case 9: an at-most-once job that may have run is never sent again, and has its one answer, although
 // the tenant's new cell knows nothing of the attempt.
 func TestMigrationNeverRunsTwice(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		code foxlift.Code
 		sent int
 		want Verdict
@@ -64,11 +64,11 @@
 			r := newCellRig(t, twoCells())
 			client := r.submitToCell("j", "ratify", "t", 0)
 			r.migrate(t, "t", 1)
-			r.complete(0, c.code)
-			if len(r.sent) != c.sent {
-				t.Fatalf("%d attempts, want %d", len(r.sent), c.sent)
+			r.complete(0, test.code)
+			if len(r.sent) != test.sent {
+				t.Fatalf("%d attempts, want %d", len(r.sent), test.sent)
 			}
-			if c.sent == 2 {
+			if test.sent == 2 {
 				if r.cellOf(r.sentTo[1]) != 1 {
 					t.Error("the second attempt is in the old cell")
 				}
@@ -76,8 +76,8 @@
 				r.sent[0](Report{Progress: true}) // late, of the first attempt
 				r.settle()
 			}
-			if !client.gotOnly(c.want) {
-				t.Errorf("%+v, want one of verdict %d", client.answers, c.want)
+			if !client.gotOnly(test.want) {
+				t.Errorf("%+v, want one of verdict %d", client.answers, test.want)
 			}
 			if len(r.jobs.byNumber) != 0 {
 				t.Errorf("%d jobs stay", len(r.jobs.byNumber))
--- a/internal/core/model_actions_test.go
+++ b/internal/core/model_actions_test.go
@@ -14,32 +14,32 @@
 
 // act plays one action of a script. Errors of operators' calls are part of it: some name what is not
 // there, or come in a shutdown.
-func (w *world) act(a act) {
+func (w *world) perform(a scriptAction) {
 	ctx := context.Background()
 	switch a.kind {
-	case actSubmit, actResubmit:
+	case actionSubmit, actionResubmit:
 		w.submit(a)
-	case actDisconnect:
+	case actionDisconnect:
 		if len(w.jobs) > 0 {
 			w.core.ClientDisconnected(w.jobs[a.a%len(w.jobs)].Job)
 		}
-	case actComplete, actProgress, actRepeatedCompletion:
+	case actionComplete, actionProgress, actionRepeatedCompletion:
 		w.report(a)
-	case actEndpoints:
+	case actionEndpoints:
 		w.updateEndpoints(a)
-	case actWait:
+	case actionWait:
 		time.Sleep(modelWaits[a.a%len(modelWaits)])
-	case actMigrate:
+	case actionMigrate:
 		_, _ = w.core.MigrateTenant(ctx, modelTenants[a.a%3], []string{"a", "b", "c", "nowhere"}[a.b%4])
-	case actEvacuate:
+	case actionEvacuate:
 		_, _ = w.core.Evacuate(ctx, []string{"a", "b", "c"}[a.a%3])
-	case actRestore:
+	case actionRestore:
 		_, _ = w.core.RestorePlacement(ctx, "", "")
-	case actReplan:
+	case actionReplan:
 		if plan, faults := w.core.settings.PlanCells(modelPlans()[a.a%3]); faults == nil {
 			_, _ = w.core.Replan(ctx, plan)
 		}
-	case actShutdown:
+	case actionShutdown:
 		if a.a%4 == 0 { // else nearly every script would end soon
 			w.core.BeginShutdown(time.Duration(a.b%4) * time.Second)
 		}
@@ -53,9 +53,9 @@
 var modelRemaining = []time.Duration{5 * time.Second, 20 * time.Millisecond, time.Second, 0}
 
 // submit sends a job, or one with the id of an earlier one.
-func (w *world) submit(a act) {
+func (w *world) submit(a scriptAction) {
 	id := fmt.Sprint("j", len(w.jobs))
-	if a.kind == actResubmit && len(w.jobs) > 0 {
+	if a.kind == actionResubmit && len(w.jobs) > 0 {
 		id = w.jobs[a.a%len(w.jobs)].ID
 	}
 	j := &modelJob{world: w, submittedAt: w.now()}
@@ -75,14 +75,14 @@
 }
 
 // report lets a worker report of an attempt.
-func (w *world) report(a act) {
+func (w *world) report(a scriptAction) {
 	if attempt, r := w.chooseReport(a); attempt != nil {
 		attempt.report(r)
 	}
 }
 
 // chooseReport returns the attempt and the report that an action means; nil if there is no such attempt.
-func (w *world) chooseReport(a act) (*modelAttempt, Report) {
+func (w *world) chooseReport(a scriptAction) (*modelAttempt, Report) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var inFlight, ended []*modelAttempt
@@ -95,13 +95,13 @@
 	}
 	final := Report{Ended: true, Code: modelCodes[a.b%len(modelCodes)], Result: []byte("r")}
 	switch {
-	case a.kind == actComplete && len(inFlight) > 0:
+	case a.kind == actionComplete && len(inFlight) > 0:
 		attempt := inFlight[a.a%len(inFlight)]
-		attempt.stop(final.Code, a.c%2 == 0 || final.Code == foxlift.Served)
+		attempt.end(final.Code, a.c%2 == 0 || final.Code == foxlift.Served)
 		return attempt, final
-	case a.kind == actRepeatedCompletion && len(ended) > 0: // late, repeated, or against the first report
+	case a.kind == actionRepeatedCompletion && len(ended) > 0: // late, repeated, or against the first report
 		return ended[a.a%len(ended)], final
-	case a.kind == actProgress && len(w.attempts) > 0:
+	case a.kind == actionProgress && len(w.attempts) > 0:
 		return w.attempts[a.a%len(w.attempts)], Report{Progress: a.b%2 == 0}
 	}
 	return nil, Report{}
@@ -115,22 +115,22 @@
 }
 
 // updateEndpoints lets discovery answer with a list, a part of it, or not at all.
-func (w *world) updateEndpoints(a act) {
+func (w *world) updateEndpoints(a scriptAction) {
 	kind := []foxlift.EndpointUpdate{
 		foxlift.EndpointsDelta, foxlift.EndpointsComplete, foxlift.EndpointsPollFailed,
 	}[a.a%3]
 	w.mu.Lock()
 	var workers []foxlift.Worker
 	if kind != foxlift.EndpointsPollFailed {
-		workers = w.drawWorkers(a)
+		workers = w.selectWorkers(a)
 	}
-	w.recordStates(kind, workers)
+	w.recordLiveness(kind, workers)
 	w.mu.Unlock()
 	w.core.UpdateEndpoints(kind, workers)
 }
 
 // drawWorkers returns workers of an update, in the states that an action means.
-func (w *world) drawWorkers(a act) (workers []foxlift.Worker) {
+func (w *world) selectWorkers(a scriptAction) (workers []foxlift.Worker) {
 	for i := range modelWorkers {
 		if a.b%3 == 0 && i%2 == 0 { // a part of the list
 			continue
@@ -149,7 +149,7 @@
 }
 
 // recordStates records since when each worker is not live.
-func (w *world) recordStates(kind foxlift.EndpointUpdate, workers []foxlift.Worker) {
+func (w *world) recordLiveness(kind foxlift.EndpointUpdate, workers []foxlift.Worker) {
 	live := map[string]bool{}
 	for i := range workers {
 		live[workers[i].ID] = workers[i].State == foxlift.Live
--- a/internal/core/model_register_test.go
+++ b/internal/core/model_register_test.go
@@ -20,7 +20,7 @@
 // cannot run later, and one that is served has run.
 type register struct{ hasRun, shed bool }
 
-var onceModel = porcupine.Model{
+var atMostOnceModel = porcupine.Model{
 	Init: func() any { return register{} },
 	Step: func(state, input, _ any) (bool, any) {
 		r, op := state.(register), input.(registerOp)
@@ -48,15 +48,15 @@
 	}
 	for i, a := range w.attempts {
 		// An id whose job was shed may come again, and run then.
-		isLater := a.job != j && len(j.answers) > 0 && j.answers[0].Verdict == Shed && a.sentAt >= j.answeredAt
-		if a.job.sameAs(j) && a.job.Class == "ratify" && a.ran && !isLater {
+		isLaterJob := a.job != j && len(j.answers) > 0 && j.answers[0].Verdict == Shed && a.sentAt >= j.answeredAt
+		if a.job.sameJobAs(j) && a.job.Class == "ratify" && a.ran && !isLaterJob {
 			ops = append(ops, porcupine.Operation{
 				ClientId: i + 1, Input: registerOp{run: true},
 				Call: int64(a.sentAt), Return: int64(a.endedAt),
 			})
 		}
 	}
-	return porcupine.CheckOperations(onceModel, ops)
+	return porcupine.CheckOperations(atMostOnceModel, ops)
 }
 
 // describe tells a job's history.
@@ -77,7 +77,7 @@
 	addRun := func(j *modelJob, from, to time.Duration) {
 		w.attempts = append(w.attempts, &modelAttempt{job: j, sentAt: from, endedAt: to, ended: true, ran: true})
 	}
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		verdict Verdict
 		at      time.Duration
 		runs    [][2]time.Duration
@@ -94,12 +94,12 @@
 	} {
 		j := &modelJob{
 			Job: &Job{ID: name, Class: "ratify"}, world: w,
-			answeredAt: c.at, answers: []Answer{{Verdict: c.verdict}},
+			answeredAt: test.at, answers: []Answer{{Verdict: test.verdict}},
 		}
-		for _, r := range c.runs {
+		for _, r := range test.runs {
 			addRun(j, r[0], r[1])
 		}
-		if got := w.linearizable(j); got != c.want {
+		if got := w.linearizable(j); got != test.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -48,22 +48,22 @@
 )
 
 // An act is one action of a script; what a, b and c mean depends on its kind.
-type act struct{ kind, a, b, c int }
+type scriptAction struct{ kind, a, b, c int }
 
 const (
-	actSubmit = iota
-	actResubmit
-	actDisconnect
-	actComplete
-	actProgress
-	actRepeatedCompletion
-	actEndpoints
-	actWait
-	actMigrate
-	actEvacuate
-	actRestore
-	actReplan
-	actShutdown
+	actionSubmit = iota
+	actionResubmit
+	actionDisconnect
+	actionComplete
+	actionProgress
+	actionRepeatedCompletion
+	actionEndpoints
+	actionWait
+	actionMigrate
+	actionEvacuate
+	actionRestore
+	actionReplan
+	actionShutdown
 )
 
 // modelPlans returns the plans of cells that a script goes through.
@@ -88,7 +88,7 @@
 }
 
 // playScript plays a script and returns what it violated.
-func playScript(t *testing.T, script []act, withCells bool) (violations []string) {
+func runScript(t *testing.T, script []scriptAction, withCells bool) (violations []string) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, withCells)
 		var workers []foxlift.Worker
@@ -98,7 +98,7 @@
 		w.core.Start(Environment{Workers: w, EndpointWatch: w, MaxOpen: modelMaxOpen, CachedEndpoints: workers})
 		synctest.Wait()
 		for _, a := range script {
-			w.act(a)
+			w.perform(a)
 			synctest.Wait()
 		}
 		w.drain()
@@ -137,7 +137,7 @@
 		var inFlight []*modelAttempt
 		for _, a := range w.attempts {
 			if !a.ended {
-				a.stop(foxlift.Served, true)
+				a.end(foxlift.Served, true)
 				inFlight = append(inFlight, a)
 			}
 		}
@@ -153,19 +153,19 @@
 func (w *world) checkFinalState() {
 	for _, j := range w.jobs {
 		if len(j.answers) != 1 {
-			w.violate("%s has %d answers: %+v", j.ID, len(j.answers), j.answers)
+			w.recordViolation("%s has %d answers: %+v", j.ID, len(j.answers), j.answers)
 		}
 	}
-	_, err := call(context.Background(), w.core, func(c *Core) (struct{}, error) {
+	_, err := callOnEventLoop(context.Background(), w.core, func(c *Core) (struct{}, error) {
 		w.checkCore(c)
 		return struct{}{}, nil
 	})
 	if err != nil {
-		w.violate("the core is not there at the end: %v", err)
+		w.recordViolation("the core is not there at the end: %v", err)
 	}
 	for _, j := range w.jobs {
 		if j.Class == "ratify" && !w.linearizable(j) {
-			w.violate("%s: no order of what happened fits a register that may be written once: %s", j.ID, w.describe(j))
+			w.recordViolation("%s: no order of what happened fits a register that may be written once: %s", j.ID, w.describe(j))
 		}
 	}
 }
@@ -173,25 +173,25 @@
 // checkCore checks that nothing is left behind in a core.
 func (w *world) checkCore(c *Core) {
 	if len(c.jobs.byNumber) != 0 || len(c.jobs.open) != 0 || len(c.cells.jobsByKey) != 0 {
-		w.violate("%d jobs, %d open, %d keys are left", len(c.jobs.byNumber), len(c.jobs.open), len(c.cells.jobsByKey))
+		w.recordViolation("%d jobs, %d open, %d keys are left", len(c.jobs.byNumber), len(c.jobs.open), len(c.cells.jobsByKey))
 	}
 	if n := c.counters.Get("jobs.overdue"); n > 0 && !c.shutdown.begun() {
-		w.violate("the dispatchers forgot %d jobs", n)
+		w.recordViolation("the dispatchers forgot %d jobs", n)
 	}
 	for _, cl := range c.cells.all {
 		if idle := cl.dispatcher.Idle(); !idle || cl.spilled != 0 || len(cl.leaving) != 0 {
-			w.violate("cell %q: idle %v, %d spilled, %d leaving", cl.name, idle, cl.spilled, len(cl.leaving))
+			w.recordViolation("cell %q: idle %v, %d spilled, %d leaving", cl.name, idle, cl.spilled, len(cl.leaving))
 		}
 	}
 	for id, worker := range c.workers.byID {
 		if len(worker.inFlight) != 0 {
-			w.violate("%s: %v stays counted in flight", id, worker.inFlight)
+			w.recordViolation("%s: %v stays counted in flight", id, worker.inFlight)
 		}
 	}
 	if p := c.placement.Load(); p != nil {
 		for i := range p.jobBounds {
 			if open, _, _ := p.admission.Usage(i); open != 0 {
-				w.violate("cell %d: %d reservations are left", i, open)
+				w.recordViolation("cell %d: %d reservations are left", i, open)
 			}
 		}
 	}
@@ -199,29 +199,29 @@
 
 // actWeights has each kind of action as often as it is to be drawn: jobs and ends of attempts come more
 // often than the rest.
-var actWeights = slices.Concat(
-	slices.Repeat([]int{actSubmit}, 10), slices.Repeat([]int{actComplete}, 8), slices.Repeat([]int{actWait}, 4),
+var weightedActionKinds = slices.Concat(
+	slices.Repeat([]int{actionSubmit}, 10), slices.Repeat([]int{actionComplete}, 8), slices.Repeat([]int{actionWait}, 4),
 	[]int{
-		actResubmit, actDisconnect, actProgress, actProgress, actRepeatedCompletion, actEndpoints, actEndpoints,
-		actMigrate, actMigrate, actEvacuate, actRestore, actReplan, actShutdown,
+		actionResubmit, actionDisconnect, actionProgress, actionProgress, actionRepeatedCompletion, actionEndpoints, actionEndpoints,
+		actionMigrate, actionMigrate, actionEvacuate, actionRestore, actionReplan, actionShutdown,
 	},
 )
 
 // modelProperty draws a script and plays it.
 func modelProperty(t *testing.T, rt *rapid.T) {
 	kind := rapid.Custom(func(rt *rapid.T) int {
-		return rapid.SampledFrom(actWeights).Draw(rt, "kind")
+		return rapid.SampledFrom(weightedActionKinds).Draw(rt, "kind")
 	})
 	parameter := rapid.IntRange(0, 1<<12)
 	n := rapid.IntRange(1, 80).Draw(rt, "acts")
-	var script []act
+	var script []scriptAction
 	for range n {
-		script = append(script, act{
+		script = append(script, scriptAction{
 			kind.Draw(rt, "act"), parameter.Draw(rt, "a"), parameter.Draw(rt, "b"), parameter.Draw(rt, "c"),
 		})
 	}
 	withCells := rapid.Bool().Draw(rt, "cells")
-	if violations := playScript(t, script, withCells); len(violations) > 0 {
+	if violations := runScript(t, script, withCells); len(violations) > 0 {
 		rt.Fatalf("cells %v, script %v violates:\n%v", withCells, script, violations)
 	}
 }
--- a/internal/core/model_world_test.go
+++ b/internal/core/model_world_test.go
@@ -44,7 +44,7 @@
 func (w *world) now() time.Duration { return time.Since(w.startedAt) }
 
 // violate records that something that must hold does not.
-func (w *world) violate(format string, args ...any) {
+func (w *world) recordViolation(format string, args ...any) {
 	w.violations = append(w.violations, fmt.Sprintf("%v: ", w.now())+fmt.Sprintf(format, args...))
 }
 
@@ -54,23 +54,23 @@
 
 // sameAs reports whether two submissions count as one job: an id is remembered while it is in use and for
 // the longest deadline after its answer, no longer.
-func (j *modelJob) sameAs(o *modelJob) bool {
-	if j.answeredAt > o.answeredAt && len(o.answers) > 0 {
-		j, o = o, j
+func (j *modelJob) sameJobAs(other *modelJob) bool {
+	if j.answeredAt > other.answeredAt && len(other.answers) > 0 {
+		j, other = other, j
 	}
-	return j == o || j.ID == o.ID && (len(j.answers) == 0 || o.submittedAt < j.answeredAt+modelMaxDeadline)
+	return j == other || j.ID == other.ID && (len(j.answers) == 0 || other.submittedAt < j.answeredAt+modelMaxDeadline)
 }
 
 // mayHaveRun is the truth as the scheduler can know it. It goes by id: what is submitted twice must not
 // run twice either.
 func (w *world) mayHaveRun(j *modelJob) bool {
-	return j.Class == "ratify" && w.firstMayHaveRun(j) != nil
+	return j.Class == "ratify" && w.firstPossibleRun(j) != nil
 }
 
 // firstMayHaveRun is the first attempt of a job that may have run, or may yet; nil: none.
-func (w *world) firstMayHaveRun(j *modelJob) *modelAttempt {
+func (w *world) firstPossibleRun(j *modelJob) *modelAttempt {
 	for _, a := range w.attempts {
-		if a.job.sameAs(j) && a.job.Class == j.Class && (!a.ended || !provesNothingRan[a.code]) {
+		if a.job.sameJobAs(j) && a.job.Class == j.Class && (!a.ended || !provesNothingRan[a.code]) {
 			return a
 		}
 	}
@@ -90,14 +90,14 @@
 	}
 	j.answers = append(j.answers, a)
 	if a.Verdict == Shed && j.Class == "ratify" && w.mayHaveRun(j) {
-		w.violate("%s is told that a retry is harmless, and may have run", j.ID)
+		w.recordViolation("%s is told that a retry is harmless, and may have run", j.ID)
 	}
 	if a.Verdict == Shed && a.RetryAfter > 2*time.Second {
-		w.violate("%s is told to wait %v", j.ID, a.RetryAfter)
+		w.recordViolation("%s is told to wait %v", j.ID, a.RetryAfter)
 	}
 }
 
-const sealWindow = 2 * time.Second // keyTtl in modelSettings
+const sealDedupWindow = 2 * time.Second // keyTtl in modelSettings
 
 // Send implements Workers.
 func (w *world) Send(worker string, job *Job, limits AttemptLimits, report func(Report)) func() {
@@ -110,7 +110,7 @@
 	return func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		a.stop(foxlift.Cancelled, true)
+		a.end(foxlift.Cancelled, true)
 	}
 }
 
@@ -123,22 +123,22 @@
 		}
 	}
 	if attempts >= modelMaxAttempts {
-		w.violate("%s is sent for the %dth time", j.ID, attempts+1)
+		w.recordViolation("%s is sent for the %dth time", j.ID, attempts+1)
 	}
 	if j.Class == "ratify" && w.mayHaveRun(j) {
-		w.violate("%s is sent again, and may have run", j.ID)
+		w.recordViolation("%s is sent again, and may have run", j.ID)
 	}
 	if len(j.answers) > 0 {
-		w.violate("%s is sent after its answer", j.ID)
+		w.recordViolation("%s is sent after its answer", j.ID)
 	}
 	if since, ok := w.notLiveSince[worker]; ok && time.Since(since) > drainGrace {
-		w.violate("%s is sent to %s, which has been draining for %v", j.ID, worker, time.Since(since))
+		w.recordViolation("%s is sent to %s, which has been draining for %v", j.ID, worker, time.Since(since))
 	}
-	if first := w.firstMayHaveRun(j); j.Class == "seal" && first != nil {
+	if first := w.firstPossibleRun(j); j.Class == "seal" && first != nil {
 		w.checkRepeat(j, worker, first, limits)
 	}
 	if limits.Remaining <= 0 {
-		w.violate("%s is sent when its time is over", j.ID)
+		w.recordViolation("%s is sent when its time is over", j.ID)
 	}
 }
 
@@ -147,16 +147,16 @@
 func (w *world) checkRepeat(j *modelJob, worker string, first *modelAttempt, limits AttemptLimits) {
 	zone := func(worker string) int { return int(worker[1]) % 2 }
 	if zone(worker) != zone(first.worker) {
-		w.violate("%s is sent to %s, and may have run on %s in the other zone", j.ID, worker, first.worker)
+		w.recordViolation("%s is sent to %s, and may have run on %s in the other zone", j.ID, worker, first.worker)
 	}
 	age := w.now() - first.sentAt
-	if age > sealWindow || limits.WriteWithin <= 0 || age+limits.WriteWithin > sealWindow+time.Millisecond {
-		w.violate("%s is sent within %v, and may have run %v ago", j.ID, limits.WriteWithin, age)
+	if age > sealDedupWindow || limits.WriteWithin <= 0 || age+limits.WriteWithin > sealDedupWindow+time.Millisecond {
+		w.recordViolation("%s is sent within %v, and may have run %v ago", j.ID, limits.WriteWithin, age)
 	}
 }
 
 // stop records how an attempt really ended.
-func (a *modelAttempt) stop(code foxlift.Code, ran bool) {
+func (a *modelAttempt) end(code foxlift.Code, ran bool) {
 	if !a.ended {
 		a.ended, a.code, a.ran, a.endedAt = true, code, ran && !provesNothingRan[code], a.job.world.now()
 	}
--- a/internal/core/operator.go
+++ b/internal/core/operator.go
@@ -18,30 +18,30 @@
 
 // call runs do on the event loop's goroutine and returns its result. It fails when ctx ends or the core
 // stops first; do may run nevertheless then, and its result is dropped.
-func call[T any](ctx context.Context, c *Core, do func(*Core) (T, error)) (T, error) {
+func callOnEventLoop[T any](ctx context.Context, c *Core, fn func(*Core) (T, error)) (T, error) {
 	type result struct {
 		value T
 		err   error
 	}
 	results := make(chan result, 1) // the event loop does not wait for the caller
 	request := eventFunc(func(c *Core) {
-		value, err := do(c)
+		value, err := fn(c)
 		results <- result{value, err}
 	})
-	var none T
+	var zero T
 	select {
 	case c.loop.inbox <- request:
 	case <-c.loop.stopped:
-		return none, ErrShuttingDown
+		return zero, ErrShuttingDown
 	case <-ctx.Done():
-		return none, ctx.Err()
+		return zero, ctx.Err()
 	}
 	select {
 	case r := <-results:
 		return r.value, r.err
 	case <-c.loop.stopped:
-		return none, ErrShuttingDown
+		return zero, ErrShuttingDown
 	case <-ctx.Done():
-		return none, ctx.Err()
+		return zero, ctx.Err()
 	}
 }
--- a/internal/core/operator_test.go
+++ b/internal/core/operator_test.go
@@ -12,9 +12,9 @@
 // Operators' calls through the event loop: errors, states, and the shutdown.
 func TestOperatorCalls(t *testing.T) {
 	r := newCellRig(t, twoCells())
-	r.loop.start(r.run)
+	r.loop.start(r.runEventLoop)
 	ctx := t.Context()
-	for what, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		tenant, cell string
 		want         error
 	}{
@@ -22,8 +22,8 @@
 		"unknown cell":   {"t", "x", cells.ErrUnknownCell},
 		"same cell":      {"t", "a", cells.ErrSameCell},
 	} {
-		if _, err := r.MigrateTenant(ctx, c.tenant, c.cell); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v", what, err)
+		if _, err := r.MigrateTenant(ctx, test.tenant, test.cell); !errors.Is(err, test.want) {
+			t.Errorf("%s: %v", name, err)
 		}
 	}
 	if m, err := r.Evacuate(ctx, "b"); err != nil || m.Tenants != 2 {
--- a/internal/core/record.go
+++ b/internal/core/record.go
@@ -63,7 +63,7 @@
 // rememberID keeps an answered job's id for the longest deadline.
 func (c *Core) rememberID(id string, mustNotRunTwice bool) {
 	c.jobs.recentIDs[id] = mustNotRunTwice
-	c.loop.after(c.jobs.idRetention, idExpired{id})
+	c.loop.postAfter(c.jobs.idRetention, idExpired{id})
 }
 
 // idExpired ends the time in which an answered job's id must not come again. A client that sends the
--- a/internal/core/replan.go
+++ b/internal/core/replan.go
@@ -12,7 +12,7 @@
 // begin, and those that the plan lacks finish what they have in flight. What MigrateTenant and Evacuate
 // changed before is over: the plan says where tenants are.
 func (c *Core) Replan(ctx context.Context, plan *cells.Plan) (Migration, error) {
-	return call(ctx, c, func(c *Core) (Migration, error) {
+	return callOnEventLoop(ctx, c, func(c *Core) (Migration, error) {
 		if _, err := c.changeablePlacement(); err != nil {
 			return Migration{}, err
 		}
@@ -46,7 +46,7 @@
 		p.admission.Reserve(i, j.tenant)
 		j.reservation = reservation{p.admission, i, j.tenant}
 	}
-	c.distribute(foxlift.EndpointsDelta, nil)
+	c.distributeWorkers(foxlift.EndpointsDelta, nil)
 	return c.adoptPlacement(previous, c.placement.Load()), nil
 }
 
--- a/internal/core/send.go
+++ b/internal/core/send.go
@@ -34,7 +34,7 @@
 	if timeout <= 0 || timeout > remaining {
 		timeout = remaining
 	}
-	a.timer = c.loop.after(timeout, attemptReported{a, Report{Ended: true, Code: foxlift.DeadlineExceeded}})
+	a.timer = c.loop.postAfter(timeout, attemptReported{a, Report{Ended: true, Code: foxlift.DeadlineExceeded}})
 	limits := AttemptLimits{Remaining: remaining, WriteWithin: writeWithin}
 	a.cancel = c.env.Workers.Send(worker, j.Job, limits, func(r Report) {
 		c.loop.post(attemptReported{a, r})
@@ -59,9 +59,9 @@
 func (c *Core) checkRepeat(a *attempt) (writeWithin time.Duration, rule guard.Invariant) {
 	class := &c.settings.Module.Classes[a.job.class]
 	repeat := guard.Repeat{EndpointsTrusted: a.cell.dispatcher.EndpointsUsable(), Effect: class.Effect}
-	if first := a.job.mayHaveRun(); first != nil {
+	if first := a.job.firstPossibleRun(); first != nil {
 		repeat.MayHaveRun = true
-		repeat.SameGroup = a.sameGroup(first, class.Scope)
+		repeat.SameGroup = a.inDedupGroupOf(first, class.Scope)
 		repeat.WindowRemaining = time.Duration(first.sentAt + class.KeyTTL - a.sentAt)
 		if class.Effect == foxlift.Deduplicated {
 			writeWithin = repeat.WindowRemaining
--- a/internal/core/shutdown.go
+++ b/internal/core/shutdown.go
@@ -10,10 +10,10 @@
 func (s *shutdownState) begun() bool { return s.deadline > 0 }
 
 // deadlineBefore reports whether the scheduler ends before a time.
-func (s *shutdownState) deadlineBefore(at int64) bool { return s.begun() && at > s.deadline }
+func (s *shutdownState) endsBefore(at int64) bool { return s.begun() && at > s.deadline }
 
 // limit bounds a time by the end of the scheduler, if that has been told.
-func (s *shutdownState) limit(at int64) int64 {
+func (s *shutdownState) capAtDeadline(at int64) int64 {
 	if !s.begun() {
 		return at
 	}
@@ -21,8 +21,8 @@
 }
 
 // BeginShutdown says that the scheduler shuts down, and how long it has for what still comes in.
-func (c *Core) BeginShutdown(left time.Duration) {
-	c.loop.post(shutdownBegun{c.clock.Now() + int64(left)})
+func (c *Core) BeginShutdown(remaining time.Duration) {
+	c.loop.post(shutdownBegun{c.clock.Now() + int64(remaining)})
 }
 
 type shutdownBegun struct{ deadline int64 }
--- a/internal/core/state_golden_test.go
+++ b/internal/core/state_golden_test.go
@@ -26,8 +26,8 @@
 	if err := json.Unmarshal(stored, &got); err != nil || !reflect.DeepEqual(got, full) {
 		t.Errorf("read %+v, %v; want %+v", got, err, full)
 	}
-	var progress Progress // which is read alone again and again
-	if err := json.Unmarshal(stored, &progress); err != nil || !reflect.DeepEqual(progress, full.Progress) {
-		t.Errorf("read %+v, %v; want %+v", progress, err, full.Progress)
+	var progress DrainProgress // which is read alone again and again
+	if err := json.Unmarshal(stored, &progress); err != nil || !reflect.DeepEqual(progress, full.DrainProgress) {
+		t.Errorf("read %+v, %v; want %+v", progress, err, full.DrainProgress)
 	}
 }
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -9,13 +9,13 @@
 // A State is what one process of a scheduler hands over to its successor: what its dispatchers have
 // learned, and what must not be done twice. It can be written as JSON.
 type State struct {
-	Progress
+	DrainProgress
 	Modules map[string]*foxlift.Snapshot `json:"Modules"` // by the cell's name, "" without cells
 	IDs     []string                     `json:"IDs"`     // of jobs that must not run twice, open or answered not long ago
 }
 
 // A Progress is the part of a State that the successor looks at again and again.
-type Progress struct {
+type DrainProgress struct {
 	TakenAt  int64              `json:"At"`   // when it was so, in Unix nanoseconds
 	Open     int                `json:"Open"` // jobs accepted and not yet answered
 	InFlight map[string]float64 `json:"Out"`  // slots in flight, by worker
@@ -23,13 +23,13 @@
 
 // State returns what another process has to know to go on from here.
 func (c *Core) State(ctx context.Context) (*State, error) {
-	return call(ctx, c, func(c *Core) (*State, error) { return c.state(), nil })
+	return callOnEventLoop(ctx, c, func(c *Core) (*State, error) { return c.state(), nil })
 }
 
 func (c *Core) state() *State {
 	s := &State{
-		Progress: Progress{TakenAt: c.clock.Now(), Open: len(c.jobs.open), InFlight: map[string]float64{}},
-		Modules:  map[string]*foxlift.Snapshot{},
+		DrainProgress: DrainProgress{TakenAt: c.clock.Now(), Open: len(c.jobs.open), InFlight: map[string]float64{}},
+		Modules:       map[string]*foxlift.Snapshot{},
 	}
 	for _, cl := range c.cells.all {
 		if !cl.retired {
@@ -58,7 +58,7 @@
 
 // RestoreState goes on from what another process handed over. It is called before the first job.
 func (c *Core) RestoreState(ctx context.Context, s *State) error {
-	_, err := call(ctx, c, func(c *Core) (struct{}, error) {
+	_, err := callOnEventLoop(ctx, c, func(c *Core) (struct{}, error) {
 		c.restore(s)
 		return struct{}{}, nil
 	})
--- a/internal/core/worker_pool.go
+++ b/internal/core/worker_pool.go
@@ -15,7 +15,7 @@
 // WorkerPool returns the state of the worker pool. It fails when ctx ends before the event loop has come
 // to it, or when the core has stopped.
 func (c *Core) WorkerPool(ctx context.Context) (WorkerPool, error) {
-	return call(ctx, c, func(c *Core) (WorkerPool, error) {
+	return callOnEventLoop(ctx, c, func(c *Core) (WorkerPool, error) {
 		var pool WorkerPool
 		for _, w := range c.workers.byID {
 			if w.State != foxlift.Removed {
--- a/internal/core/worker_table.go
+++ b/internal/core/worker_table.go
@@ -15,7 +15,7 @@
 	inFlight map[*cell]float64 // slots in flight there, by the cell that sent them
 
 	otherProcessSlots float64 // slots in flight there that another process of the scheduler sent
-	isRemoved         bool    // it is in workerTable.removed
+	inRemovedList     bool    // it is in workerTable.removed
 }
 
 // forCell returns the worker as the dispatcher of a cell is to know it: with the slots of all others as
@@ -83,8 +83,8 @@
 		t.liveCount++
 	}
 	w.State = state
-	if state == foxlift.Removed && !w.isRemoved {
-		w.isRemoved = true
+	if state == foxlift.Removed && !w.inRemovedList {
+		w.inRemovedList = true
 		t.removed = append(t.removed, w)
 	}
 }
@@ -95,44 +95,44 @@
 
 // prune forgets workers that are removed, once nothing is in flight there.
 func (t *workerTable) prune() {
-	var forgotten []*workerEntry
+	var pruned []*workerEntry
 	t.removed = slices.DeleteFunc(t.removed, func(w *workerEntry) bool {
-		w.isRemoved = w.State == foxlift.Removed
-		if !w.isRemoved {
+		w.inRemovedList = w.State == foxlift.Removed
+		if !w.inRemovedList {
 			return true // it is back
 		}
 		if len(w.inFlight) > 0 {
 			return false
 		}
 		delete(t.byID, w.ID)
-		forgotten = append(forgotten, w)
+		pruned = append(pruned, w)
 		return true
 	})
-	if len(forgotten) > maxSingleRemovals {
+	if len(pruned) > maxSingleRemovals {
 		t.order = slices.DeleteFunc(t.order, func(w *workerEntry) bool { return t.byID[w.ID] != w })
 		return
 	}
-	for _, w := range forgotten {
-		if i, found := slices.BinarySearchFunc(t.order, w, compareNumbers); found {
+	for _, w := range pruned {
+		if i, found := slices.BinarySearchFunc(t.order, w, compareByNumber); found {
 			t.order = slices.Delete(t.order, i, i+1)
 		}
 	}
 }
 
 // compareNumbers orders entries as they were first listed.
-func compareNumbers(a, b *workerEntry) int { return cmp.Compare(a.number, b.number) }
+func compareByNumber(a, b *workerEntry) int { return cmp.Compare(a.number, b.number) }
 
 // withExternalSlots returns workers of an update with the slots that another process has in flight there.
 func (t *workerTable) withExternalSlots(workers []foxlift.Worker) []foxlift.Worker {
 	result := workers
-	isCopy := false
+	isCloned := false
 	for i := range workers {
 		w := t.byID[workers[i].ID]
 		if w == nil || w.otherProcessSlots == 0 {
 			continue
 		}
-		if !isCopy {
-			result, isCopy = slices.Clone(workers), true
+		if !isCloned {
+			result, isCloned = slices.Clone(workers), true
 		}
 		result[i].ExternalSlots = w.otherProcessSlots
 	}
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -100,7 +100,7 @@
 	if err := d.takeover.lock.LoadState(state); err != nil {
 		return err
 	}
-	if err := checkStateAge(&state.Progress); err != nil {
+	if err := checkStateAge(&state.DrainProgress); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
@@ -109,8 +109,8 @@
 }
 
 // loadPredecessorProgress loads the part of the predecessor's state that a successor polls.
-func (d *Daemon) loadPredecessorProgress() (*core.Progress, error) {
-	progress := &core.Progress{}
+func (d *Daemon) loadPredecessorProgress() (*core.DrainProgress, error) {
+	progress := &core.DrainProgress{}
 	if err := d.takeover.lock.LoadState(progress); err != nil {
 		return nil, err
 	}
@@ -121,7 +121,7 @@
 }
 
 // checkStateAge returns errStaleState for a state that was not taken lately.
-func checkStateAge(progress *core.Progress) error {
+func checkStateAge(progress *core.DrainProgress) error {
 	age := time.Since(time.Unix(0, progress.TakenAt))
 	if age < -maxStateAge || age > maxStateAge {
 		return errStaleState
--- a/internal/daemon/successor_test.go
+++ b/internal/daemon/successor_test.go
@@ -22,7 +22,7 @@
 	d := &Daemon{Counters: &counters.Set{}, log: zap.NewNop()}
 	d.takeover.lock = lock
 	for _, age := range []time.Duration{2 * maxStateAge, -2 * maxStateAge} {
-		stale := core.State{Progress: core.Progress{TakenAt: time.Now().Add(-age).UnixNano()}}
+		stale := core.State{DrainProgress: core.DrainProgress{TakenAt: time.Now().Add(-age).UnixNano()}}
 		if err := lock.SaveState(&stale); err != nil {
 			t.Fatal(err)
 		}
