--- a/health_checks.go
+++ b/health_checks.go
@@ -9,9 +9,10 @@
 	workersPerCheck   = 2   // workers that are checked for one job
 )
 
-// requestHealthChecks asks two random workers for their load while a job waits, unless two workers with a
-// free slot have reported lately. A dispatcher with little traffic has only outdated load reports. The
-// answers put the workers into recentReports, which placement considers. It reports whether the job waits.
+// requestHealthChecks asks up to two random workers, of those without a job of this dispatcher, for their
+// load while a job waits. It asks none if two workers with a free slot have reported lately. A dispatcher
+// with little traffic has only outdated load reports. The answers put the workers into recentReports, which
+// placement considers. It reports whether the job waits.
 func (d *Dispatcher) requestHealthChecks(j *job) bool {
 	if d.hasCompleteUsage() || !d.cfg.MayHealthCheck || len(d.cfg.Gauges) == 0 ||
 		len(d.liveWorkers) <= len(d.capacity.recentReports.workers) ||
--- a/internal/decision/health/outlier.go
+++ b/internal/decision/health/outlier.go
@@ -27,13 +27,13 @@
 
 // An OutlierState is the health state of a worker.
 type OutlierState struct {
-	PausedUntil           int64 // it gets no job before this time
-	Backoff               int64 // length of the last ejection; 0: none since it was healthy
-	Trial                 bool  // it gets one job at a time
-	ConsecutiveRejections int
-	PromptStartAt         int64 // when it last started a job of this dispatcher at once
-	LastFaultAt           int64 // when it last had no free slot for one, or failed one
-	FailureRate           float64
+	PausedUntil           int64   // it gets no job before this time
+	Backoff               int64   // length of the last ejection; 0: none since it was healthy
+	Trial                 bool    // it gets one job at a time
+	ConsecutiveRejections int     // at most maxCountedRejections
+	PromptStartAt         int64   // when it last started a job of this dispatcher at once
+	LastFaultAt           int64   // when it last rejected one, made one wait, or was ejected
+	FailureRate           float64 // moving fraction of failed attempts, 0 to 1
 }
 
 // State returns the health state.
@@ -92,8 +92,8 @@
 func (o *Outlier) Failing() bool { return o.state.FailureRate >= maxFailureRate }
 
 // Backoff pauses a worker that has no free slot now: by this dispatcher's own count it looks free and would
-// attract the next job. The pause is proportional to a job's running time and doubles with each consecutive
-// rejection, up to a bound.
+// attract the next job. The pause is proportional to a job's running time, has a random part, and doubles
+// with each consecutive rejection up to a bound.
 func (o *Outlier) Backoff(now, runtime int64, rng *rand.Rand) {
 	o.state.ConsecutiveRejections = min(o.state.ConsecutiveRejections+1, maxCountedRejections)
 	pause := runtime / 8 << o.state.ConsecutiveRejections
--- a/internal/decision/health/slow_start.go
+++ b/internal/decision/health/slow_start.go
@@ -12,7 +12,7 @@
 	hash       uint64  // of the worker's ID
 	startedAt  int64   // when the process started; 0: long ago; -1: not known yet
 	lastSentAt int64   // time of the last send in slow start
-	lastWork   float64 // work that the worker must have had time for before the next send
+	lastWork   float64 // work of the last send; while no rate is known, of all sends in its time slot
 }
 
 // NewWarmup returns the state of a worker whose start is not known yet; hash is that of its ID.
@@ -24,8 +24,8 @@
 // Restart sets the time at which the worker started.
 func (w *Warmup) Restart(at int64) { w.startedAt = at }
 
-// LastSend returns when the worker was last sent work in slow start, and the work that it must have had
-// time for before the next.
+// LastSend returns the time of the last send to the worker in slow start and the work that counts against the
+// next one: that of the last send or, while no rate is known, of all sends in its time slot.
 func (w *Warmup) LastSend() (at int64, work float64) { return w.lastSentAt, w.lastWork }
 
 // RestoreLastSend sets the values that LastSend returns.
@@ -66,7 +66,8 @@
 	return w.startedAt != 0 && now-w.startedAt < s.config.Duration
 }
 
-// EndsAt returns when a worker's slow start ends: math.MinInt64 if it started long ago. It does not overflow.
+// EndsAt returns when a worker's slow start ends: math.MinInt64 if it started long ago, and
+// math.MaxInt64 at most.
 func (s *SlowStart) EndsAt(w *Warmup) int64 {
 	switch {
 	case w.startedAt == 0:
@@ -133,7 +134,8 @@
 	return 2*slots*float64(objective) - s.config.MinObjective
 }
 
-// RecordSend records a job that is sent to a worker, if the worker is in slow start.
+// RecordSend records a job that is sent to a worker, if the worker is in slow start. While no rate is known,
+// its work is EstimatedWork; otherwise it is slots times running time, varied at random by up to a quarter.
 func (s *SlowStart) RecordSend(w *Warmup, now int64, j Job, rng *rand.Rand) {
 	if !s.Active(w, now) {
 		return
--- a/state.go
+++ b/state.go
@@ -42,7 +42,7 @@
 	exchange   peerExchange
 }
 
-// A timing holds when the next ticks and control loops run.
+// A timing holds the time of the first step and of the next tick and run of the control loops.
 type timing struct {
 	startedAt     int64 // time of the first step; -1 before it
 	nextTickAt    int64
@@ -53,8 +53,8 @@
 type jobTable struct {
 	byID                map[uint64]*job
 	inFlight            []*attempt
-	unstarted           int     // attempts that have not started, on workers that may be well
-	retryQueue          []*job  // sent before, waiting to be sent again
+	unstarted           int     // at-most-once attempts not started, without those whose worker may hang
+	retryQueue          []*job  // jobs that wait for another attempt
 	hedgeBudget         float64 // hedges of overdue jobs that may be sent now
 	awaitingHealthCheck []*job  // waiting for health checks of workers
 	urgent              []*job  // arrived just before their deadline, or too late to meet their objective
--- a/workers.go
+++ b/workers.go
@@ -57,7 +57,7 @@
 	dirty         bool         // changed since the last message to the peers
 }
 
-// A connections is this dispatcher's estimate of the host's connections to a worker.
+// connections holds this dispatcher's estimate of the host's connections to a worker.
 type connections struct {
 	open       int   // estimated number of open connections
 	lastUsedAt int64 // when an attempt last used one
@@ -69,7 +69,7 @@
 	deleted                          bool // removed from Dispatcher.workers
 }
 
-// The freeLists hold the workers that may get a job, by kind and by level: their used slots, rounded down.
+// A freeLists holds the workers that may get a job, by kind and by level: their used slots, rounded down.
 type freeLists struct {
 	byKind     [][][]*worker // by kind+1, 0 for no kind, then by level
 	numLevels  int           // largest number of levels of any kind
