--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -30,6 +30,7 @@
 	awaitingConn *workerConn // set from before the first byte is written until the answer begins, otherwise nil
 }
 
+// run executes the attempt, logs it if it was unusual, and reports its end.
 func (a *attempt) run() {
 	report := a.execute()
 	if a.pool.log != nil {
@@ -39,6 +40,7 @@
 	a.report(report)
 }
 
+// execute gets a connection, exchanges the request and the answer on it, and returns the final report.
 func (a *attempt) execute() core.Report {
 	a.trace.startedAt = time.Now()
 	a.pool.inFlight.add(a)
@@ -209,7 +211,7 @@
 }
 
 // codeForStatus returns the code for an answer whose status is not 200. Only a 503 or 504 with the protocol's
-// rejection header proves that the job never ran: one without it may come from a component that does not know.
+// rejection header proves that the job never ran: without the header, any component may have sent it.
 func codeForStatus(resp *response) foxlift.Code {
 	unavailable := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout
 	switch {
--- a/internal/platform/endpoint_watch.go
+++ b/internal/platform/endpoint_watch.go
@@ -22,7 +22,7 @@
 // without a response is cancelled in that period after switchCallTimeout, which leaves time for another call.
 const (
 	firstWatchHold          = time.Millisecond        // hold of the first watch: a silent discovery is detected soon
-	switchRetryPeriod       = 3500 * time.Millisecond // after a switch, in which failed calls are repeated at once
+	switchRetryPeriod       = 3500 * time.Millisecond // after a switch, in which failed calls are not reported
 	switchCallTimeout       = 2 * time.Second         // of a call for the complete list in switchRetryPeriod
 	defaultFinalReadTimeout = time.Second             // how long a switch waits for the old discovery's last response
 )
@@ -51,7 +51,7 @@
 	unread           unreadResponse
 	discovery        string             // address of the discovery that is polled
 	cancelCalls      context.CancelFunc // cancels the current session's calls and delays; nil if there is no session
-	switchRetryUntil time.Time          // until then, failed calls to a new discovery are repeated at once; zero: never
+	switchRetryUntil time.Time          // end of switchRetryPeriod; zero: no switch, or it is completed
 	switched         bool               // discovery has changed since the last session was opened
 	answered         bool               // a call has been answered since the start of this process
 	needComplete     bool               // the next session requests the complete list, not the changes since a version
@@ -144,6 +144,7 @@
 	w.watchLocked()
 }
 
+// watchLocked starts the goroutine of run, unless it is running or the watch has been stopped.
 func (w *endpointWatch) watchLocked() {
 	if w.watching || w.ctx.Err() != nil {
 		return
--- a/internal/platform/endpoint_watch_test.go
+++ b/internal/platform/endpoint_watch_test.go
@@ -118,7 +118,7 @@
 		checkWatch(t, "watch", c.target, 9)
 		awaitUpdates(int64(4 + i))
 	}
-	c.answer(endpointsJSON(3, false, first)) // discovery has lost its versions
+	c.answer(endpointsJSON(3, false, first)) // the version has decreased
 	c = next(t, calls)
 	check(t, "target after a lower version", c.target, pathMembers)
 	c.answer(endpointsJSON(9, true, first))
@@ -155,7 +155,7 @@
 	if _, err := old.conn.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("read on the old call's connection: error %v, want a closed connection", err)
 	}
-	for i := range 3 { // the new discovery closes the connection, and is called again at once
+	for i := range 3 { // the new discovery closes the connection, and is called again
 		c, err := newDiscoveryListener.Accept()
 		if err != nil {
 			t.Fatal(err)
--- a/internal/platform/health_check.go
+++ b/internal/platform/health_check.go
@@ -18,6 +18,7 @@
 	go func() { report(p.healthCheck(worker)) }()
 }
 
+// healthCheck runs one health check of a worker and returns its report.
 func (p *workerPool) healthCheck(worker string) core.Report {
 	target, ok := p.findLive(worker)
 	if !ok {
--- a/internal/platform/in_flight.go
+++ b/internal/platform/in_flight.go
@@ -25,6 +25,7 @@
 	byWorker map[string]map[*attempt]struct{}
 }
 
+// add records an attempt that starts.
 func (f *inFlightAttempts) add(a *attempt) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -37,6 +38,7 @@
 	f.byWorker[a.worker][a] = struct{}{}
 }
 
+// remove deletes the record of an attempt that has ended.
 func (f *inFlightAttempts) remove(a *attempt) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -87,7 +87,7 @@
 	}
 	sentAt := int64(head & (1<<peerTimeBits - 1))
 	switch {
-	case sentAt > now+maxPeerAgeMicros: // all machines share a clock: the time is invalid
+	case sentAt > now+maxPeerAgeMicros: // the machines' clocks agree, so the time is invalid
 		return nil, errCorruptDatagram
 	case sentAt < now-maxPeerAgeMicros:
 		return nil, errStaleDatagram
@@ -122,6 +122,7 @@
 	data []byte
 }
 
+// newPeers parses the addresses of the schedulers, among which ownIndex is this one's index. It opens no socket.
 func newPeers(
 	c config.Peers, ownIndex int, clock core.Clock, set *counters.Set, receive func(from int, data []byte),
 ) (*peers, error) {
@@ -183,6 +184,7 @@
 	}
 }
 
+// enqueue queues a datagram to be sent, or drops and counts it if the queue is full.
 func (p *peers) enqueue(to netip.AddrPort, packet []byte) {
 	select {
 	case p.outgoing <- datagram{to, packet}:
@@ -191,6 +193,7 @@
 	}
 }
 
+// write sends queued datagrams until stop is called.
 func (p *peers) write() {
 	for {
 		select {
--- a/internal/platform/peers_test.go
+++ b/internal/platform/peers_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// Guards against a peer that floods the scheduler with datagrams: those over its rate are dropped.
+// Guards against a peer that floods the scheduler with datagrams: datagrams over its rate are dropped.
 func TestPeerRateLimit(t *testing.T) {
 	now := core.NewClock().Now() / 1000
 	receiver := peerReceiver{updatedAt: now}
--- a/internal/platform/watch_session.go
+++ b/internal/platform/watch_session.go
@@ -36,7 +36,7 @@
 	}
 	defer s.client.close()
 	// Discovery serves many schedulers, and the cost of a response grows with its entries. So a session requests
-	// the complete list only if the watch needs it.
+	// the complete list only if needComplete is set, for example while the scheduler has no list at all.
 	s.watch.mu.Lock()
 	s.complete = s.watch.needComplete
 	s.watch.mu.Unlock()
@@ -63,7 +63,7 @@
 		return err
 	}
 	version, answered := s.watch.progress()
-	if !response.Complete && *response.Version < version { // discovery has lost its versions: request the complete list
+	if !response.Complete && *response.Version < version { // the version has decreased: request the complete list
 		s.complete, s.pendingUpdate, s.synced = true, nil, false
 		return nil
 	}
--- a/internal/platform/worker_pool.go
+++ b/internal/platform/worker_pool.go
@@ -128,6 +128,7 @@
 	p.idle[c.addr] = append(p.idle[c.addr], c)
 }
 
+// dropIdle closes a connection if it is idle.
 func (p *workerPool) dropIdle(c *workerConn) {
 	p.mu.Lock()
 	idle := p.removeIdleLocked(c)
