--- a/internal/core/accept.go
+++ b/internal/core/accept.go
@@ -6,16 +6,17 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// Stage 1, accept: a job that a client sent gets its place in its cell's admission bound, is validated,
-// and enters the job table. A job that is not valid is answered as Rejected; neither a dispatcher nor a
-// worker learns of it.
+// Stage 1, accept: a submitted job reserves capacity in the admission bound of its cell, is validated and is
+// added to the job table. An invalid job is answered as Rejected and reaches neither a dispatcher nor a
+// worker.
 
-// overdueGrace is how long past its deadline a job is answered at the latest. The platform's rules on
-// sockets allow over 50 ms.
+// overdueGrace is the time after a job's deadline at which the core answers it if no dispatcher has. It is
+// below the delay of over 50 ms that the platform's socket rules allow.
 const overdueGrace = 30 * time.Millisecond
 
-// Accept brings a job. It is answered once, through its Client: where its cell has no room, at once and
-// on the caller's goroutine, so that a flood of one cell delays no event of another.
+// Accept submits a job, which is answered exactly once, through its Client. If the admission bound of its
+// cell is reached, the job is shed before Accept returns, on the caller's goroutine, so that a flood in one
+// cell does not delay the events of other cells.
 func (c *Core) Accept(j *Job) {
 	if p := c.placement.Load(); p != nil && !c.reserveOrAnswer(p, j) {
 		return
@@ -23,11 +24,11 @@
 	c.loop.post(jobSubmitted{j})
 }
 
-// reserveOrAnswer takes a place in the admission bound of the job's cell. Where it cannot, it answers
-// the job and returns false.
+// reserveOrAnswer reserves capacity for the job in the admission bound of its cell. If the id is in use or
+// the bound is reached, it answers the job and returns false.
 func (c *Core) reserveOrAnswer(p *placement, j *Job) bool {
-	// The id is looked at first: to shed a job whose id is in use would promise that a retry is
-	// harmless, while the job that has the id runs.
+	// The id is checked before the bound: shedding a job whose id is in use would tell the client that a
+	// retry is safe, although the job with this id may be running.
 	if _, inUse := c.idsInUse.LoadOrStore(j.ID, struct{}{}); inUse {
 		c.counters.Add("jobs.rejected")
 		j.Client.Answer(Answer{Verdict: Rejected, Reason: ReasonRepeatedID})
@@ -44,7 +45,7 @@
 	return true
 }
 
-// countShed counts that a job was shed before it was validated: its class may be unknown.
+// countShed counts a job that is shed before validation, without the class label if its class is unknown.
 func (c *Core) countShed(j *Job) {
 	if _, known := c.settings.Classes[j.Class]; known {
 		c.counters.AddLabeled(VerdictCounters[Shed], j.Class)
@@ -62,7 +63,7 @@
 		return
 	}
 	c.counters.Add("jobs.taken")
-	// A client may say that it waits for years: no job waits longer than its class allows.
+	// The client chooses Remaining freely, so the deadline of the class bounds it.
 	maxWait := c.settings.Module.Classes[class].Deadline
 	wait := min(max(int64(e.job.Remaining), 0), maxWait)
 	j := &job{
@@ -75,7 +76,8 @@
 	c.admit(j)
 }
 
-// validate looks up the job's class and tenant. The reason says why the job is rejected; "" if it is valid.
+// validate returns the indexes of the job's class and tenant, and the reason for rejecting the job; "" if
+// it is valid.
 func (c *Core) validate(j *Job) (class, tenant int, reason Reason) {
 	class, ok := c.settings.Classes[j.Class]
 	if !ok {
@@ -96,19 +98,19 @@
 	return class, tenant, ""
 }
 
-// reject answers a job that is not valid.
+// reject answers an invalid job as Rejected and releases its reservation.
 func (c *Core) reject(j *Job, reason Reason) {
 	j.reservation.release()
-	if reason != ReasonRepeatedID { // else the id is that of another job
+	if reason != ReasonRepeatedID { // otherwise another job is using the id
 		c.idsInUse.Delete(j.ID)
 	}
 	c.counters.Add("jobs.rejected")
 	j.Client.Answer(Answer{Verdict: Rejected, Reason: reason})
 }
 
-// startOverdueTimer makes sure that the client gets an answer. The dispatcher answers every job in time;
-// should it ever not, the core does, a little later than the end of the last attempt, of which the
-// dispatcher must learn first. In a shutdown it does so before the process may be killed.
+// startOverdueTimer starts the timer that answers the job if its dispatcher fails to, which would be a
+// defect. The timer fires overdueGrace after the deadline, so that the dispatcher first receives the outcome
+// of the last attempt. During a shutdown it fires by the shutdown deadline, before the process may be killed.
 func (c *Core) startOverdueTimer(j *job) {
 	at := c.shutdown.capAtDeadline(j.deadline + int64(overdueGrace))
 	j.overdueTimer = c.loop.postAfter(time.Duration(at-c.clock.Now()), jobOverdue{j})
@@ -123,13 +125,13 @@
 	}
 }
 
-// ClientDisconnected says that a job's client has gone away. The answer still comes.
+// ClientDisconnected reports that the client of a job has disconnected. Client.Answer is still called.
 func (c *Core) ClientDisconnected(j *Job) { c.loop.post(clientDisconnected{j}) }
 
 type clientDisconnected struct{ job *Job }
 
 func (e clientDisconnected) apply(c *Core) {
-	// The id may be in use by another job, where this one was a repeat of it.
+	// If this job was rejected for a repeated id, the open job with the id is a different one.
 	if j := c.jobs.open[e.job.ID]; j != nil && j.Job == e.job {
 		c.counters.Add("jobs.left")
 		c.abandon(j, Answer{Verdict: Failed, Reason: ReasonClientDisconnected})
--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -6,26 +6,29 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// Stage 2, admit: a job is shed where too many are open, or where the scheduler ends before it would be
-// done. Else it is assigned to its cell, whose dispatcher sends, queues or sheds it.
+// Stage 2, admit: a job is shed if too many jobs are open or if the scheduler would shut down before the job
+// is done. Otherwise it is assigned to a cell, whose dispatcher sends, queues or sheds it.
 
-const defaultRetryAfter = time.Second // advice to clients whose jobs the core sheds
+const defaultRetryAfter = time.Second // retry-after time of jobs that the core sheds, if the settings allow it
 
-// shedRetryAfter returns that advice, where the settings allow one.
+// shedRetryAfter returns the retry-after time of a job that the core sheds: defaultRetryAfter, bounded by the
+// settings' maximum; 0 if the settings allow no retry-after time.
 func (c *Core) shedRetryAfter() time.Duration {
 	return min(defaultRetryAfter, time.Duration(c.settings.Module.MaxRetryAfter))
 }
 
+// admit sheds the job or assigns it to a cell.
 func (c *Core) admit(j *job) {
-	// Past that number a job could wait unread, because no descriptor is left for its connection to a
-	// worker. It is shed before the dispatcher learns of it.
+	// Beyond maxOpen no file descriptor may be left for the job's connection to a worker, and the job would
+	// wait unread. It is shed before the dispatcher receives it.
 	if len(c.jobs.open) > c.maxOpen {
 		c.counters.Add("jobs.too_many")
 		c.answer(j, Answer{Verdict: Shed, RetryAfter: c.shedRetryAfter()})
 		return
 	}
 	class := &c.settings.Module.Classes[j.class]
-	if c.shutdown.endsBefore(c.clock.Now() + class.LatencyObjective) { // another scheduler has more time
+	// If the job would not be done before the shutdown, another scheduler has more time for it.
+	if c.shutdown.endsBefore(c.clock.Now() + class.LatencyObjective) {
 		c.counters.Add("jobs.at_end")
 		c.answer(j, Answer{Verdict: Shed, RetryAfter: time.Duration(c.settings.Module.MaxRetryAfter)})
 		return
@@ -33,7 +36,8 @@
 	c.assign(j)
 }
 
-// requestDispatch gives a job to the dispatcher of its cell.
+// requestDispatch adds the request for a job to the events of its cell's dispatcher, with the time that the
+// job has waited and the number of attempts by other dispatchers.
 func (c *Core) requestDispatch(j *job) {
 	j.priorAttempts = len(j.attempts)
 	j.cell.notify(foxlift.Event{Kind: foxlift.EventRequest, Request: foxlift.Request{
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -6,28 +6,29 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// An attempt is one run of a job on one worker.
+// An attempt is one try to run a job on one worker. Times are in Unix nanoseconds.
 type attempt struct {
 	job        *job
-	cell       *cell // whose dispatcher made it
-	number     int   // as that dispatcher counts
-	worker     string
-	zone       int // of the worker, or unknownGroup
-	workerCell int // the worker's cell in discovery's list, or unknownGroup
+	cell       *cell  // the cell whose dispatcher requested the attempt
+	number     int    // number of the attempt at that dispatcher, from 0
+	worker     string // worker id
+	zone       int    // zone of the worker, or unknownGroup
+	workerCell int    // foxlift.Worker.Cell of the worker, or unknownGroup
 	sentAt     int64
-	done       bool
-	code       foxlift.Code // if done
-	timer      *time.Timer  // ends it at its timeout
-	cancel     func()
+	done       bool         // the attempt has ended
+	code       foxlift.Code // outcome, if done
+	timer      *time.Timer  // ends the attempt at its timeout; nil if it was not sent
+	cancel     func()       // closes the attempt's connection; nil if it was not sent
 }
 
-// event returns an event about the attempt for the dispatcher that made it.
+// event returns an event about the attempt for the dispatcher that requested it.
 func (a *attempt) event(kind foxlift.EventKind) foxlift.Event {
 	return foxlift.Event{Kind: kind, ID: a.job.number, Attempt: a.number, Worker: a.worker}
 }
 
-// sameGroup reports whether the attempt's worker drops repeats of what another attempt's worker may
-// have run.
+// inDedupGroupOf reports whether the attempt's worker is in the group that drops repeats of jobs that the
+// worker of the first attempt may have run. It returns false if the zone or cell that defines the group is
+// unknown.
 func (a *attempt) inDedupGroupOf(first *attempt, scope foxlift.Scope) bool {
 	switch scope {
 	case foxlift.ScopeZone:
--- a/internal/core/cell.go
+++ b/internal/core/cell.go
@@ -5,46 +5,46 @@
 	"github.com/vatu-meals/foxlift/internal/cells"
 )
 
-// A cell is a part of the fleet with a dispatcher of its own: a flood in one cell moves no other cell's
-// regulator, queues or counts. Each worker is in one cell, so that each scheduler has one dispatcher that
-// sends there, and the bound on a worker in slow start holds as it does without cells. Without a plan
-// there is one cell, which has everything.
+// A cell is a part of the fleet with its own dispatcher, so that a flood in one cell does not affect the
+// regulator, queues or counts of another cell. Each worker belongs to one cell, so that only one dispatcher of
+// each scheduler sends to it, and the limit for a worker in slow start holds as it does without cells. Without
+// a plan there is one cell with all tenants and workers.
 type cell struct {
 	name       string
-	index      int // in the plan; retiredIndex if it has it no more
+	index      int // index in the plan, or retiredIndex
 	dispatcher *foxlift.Dispatcher
-	events     []foxlift.Event // for the dispatcher's next step
-	leaving    []*job          // of which the dispatcher is being told that they go
-	quotas     []float64       // as last told to the dispatcher
-	retired    bool            // the plan has it no more: its attempts in flight come to their end
-	evacuated  bool            // by the operator: nothing goes there
+	events     []foxlift.Event // events for the dispatcher's next step
+	leaving    []*job          // jobs that leave the cell in the dispatcher's next step
+	quotas     []float64       // quota of each tenant, as last sent to the dispatcher
+	retired    bool            // the plan no longer has the cell; its attempts in flight still finish
+	evacuated  bool            // evacuated by the operator; no jobs are assigned to it
 
-	spilled      int      // of its jobs, open in the cell that it spills into
-	answerCounts [3]int64 // by verdict, Rejected aside
+	spilled      int      // number of its open jobs that are in the cell that it spills into
+	answerCounts [3]int64 // number of answers by verdict, without Rejected
 }
 
-const retiredIndex = -1
+const retiredIndex = -1 // index of a cell that the plan no longer has
 
-// notify keeps an event for the dispatcher's next step.
+// notify adds an event to the dispatcher's next step.
 func (cl *cell) notify(e foxlift.Event) { cl.events = append(cl.events, e) }
 
-// notifyEndpoints keeps an update of the endpoint list for the dispatcher's next step.
+// notifyEndpoints adds an update of the endpoint list to the dispatcher's next step.
 func (cl *cell) notifyEndpoints(kind foxlift.EndpointUpdate, workers []foxlift.Worker) {
 	cl.notify(foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: kind, Workers: workers})
 }
 
-// recordAnswer counts an answer.
+// recordAnswer counts an answer by its verdict; Rejected is not counted.
 func (cl *cell) recordAnswer(v Verdict) {
 	if int(v) < len(cl.answerCounts) {
 		cl.answerCounts[v]++
 	}
 }
 
-// newCell makes a cell whose dispatcher knows these quotas.
+// newCell returns a cell whose dispatcher has the given tenants and quotas. The name is "" without a plan.
 func (c *Core) newCell(name string, tenants []foxlift.Tenant) (*cell, error) {
 	cfg := c.settings.Module
 	cfg.Tenants = tenants
-	cfg.MayGossip = cfg.MayGossip && name == "" // what one cell admits says nothing to another's peers
+	cfg.MayGossip = cfg.MayGossip && name == "" // the admission rate of one cell is no use to peers
 	dispatcher, err := foxlift.New(cfg, cellSeed(c.cells.seed, name))
 	if err != nil {
 		return nil, err
@@ -56,7 +56,8 @@
 	return cl, nil
 }
 
-// cellSeed derives a cell's seed from the core's, so that cells do not move in step.
+// cellSeed derives the seed of a cell's dispatcher from the core's seed and the cell's name, so that the
+// dispatchers of different cells make different random choices.
 func cellSeed(seed uint64, name string) uint64 {
 	const fnvPrime = 0x100000001b3 // of the 64-bit FNV-1a hash
 	for _, b := range []byte(name) {
@@ -65,7 +66,8 @@
 	return seed
 }
 
-// cellCondition returns what a cell of the plan can do now.
+// cellCondition returns the condition of a cell of the plan: Healthy if it has a live worker that is not in
+// slow start, SlowStart if all its live workers are, and Unavailable if it has none or is evacuated.
 func (c *Core) cellCondition(index int) cells.Condition {
 	if c.cells.all[index].evacuated {
 		return cells.Unavailable
@@ -82,12 +84,13 @@
 	return condition
 }
 
-// inSlowStart reports whether a worker has started not long ago.
+// inSlowStart reports whether a worker started less than the slow start duration ago. A worker without a start
+// time is not in slow start.
 func (c *Core) inSlowStart(w *workerEntry, now int64) bool {
 	return w.StartedAt != 0 && now-w.StartedAt < c.settings.Module.SlowStartDuration
 }
 
-// removeCell removes a cell that is retired and has no jobs.
+// removeCell removes a retired cell without jobs, and the references of workers to it.
 func (c *Core) removeCell(cl *cell) {
 	c.cells.remove(cl)
 	for _, w := range c.workers.byID {
--- a/internal/core/cell_assign.go
+++ b/internal/core/cell_assign.go
@@ -7,7 +7,7 @@
 	"github.com/vatu-meals/foxlift/internal/cells"
 )
 
-// ownerCell returns the cell that a tenant's jobs with an affinity key belong to.
+// ownerCell returns the cell that serves a tenant's jobs with an affinity key, regardless of spilling.
 func (c *Core) ownerCell(tenant int, key uint64) *cell {
 	p := c.placement.Load()
 	if p == nil {
@@ -16,19 +16,20 @@
 	return c.cells.all[p.layout.Cell(tenant, key)]
 }
 
-// routeOf returns where a job is to go now: to its own cell, or to the one that this spills into.
+// routeOf returns the current route of a job: its owner cell, the cell that the owner spills into, or shed.
 func (c *Core) routeOf(j *job) cells.Route {
 	p := c.placement.Load()
 	owner := c.ownerCell(j.tenant, j.Key)
 	return p.layout.Route(j.tenant, j.Key, c.cellCondition, func(to int) bool {
 		if j.spilledFrom == owner && j.cell.index == to {
-			return true // it has its room there
+			return true // the job is already counted in owner.spilled
 		}
 		return owner.spilled < p.layout.SpillBound(owner.index, p.jobBounds[to])
 	})
 }
 
-// assign gives a job to the dispatcher of the cell where it is to go, with its age, or sheds it.
+// assign routes a job to a cell and requests its dispatch there. The job is shed or failed if no cell can
+// take it, or if the cell has the maximum number of open jobs with its affinity key.
 func (c *Core) assign(j *job) {
 	p := c.placement.Load()
 	if p == nil {
@@ -58,8 +59,8 @@
 	c.requestDispatch(j)
 }
 
-// shedOrFail answers a job that the core gives to no dispatcher. The client of one that may have run is
-// not told that a retry is harmless.
+// shedOrFail answers a job that is assigned to no dispatcher: Failed if a retry by the client is unsafe, else
+// Shed.
 func (c *Core) shedOrFail(j *job) {
 	if c.unsafeToRetry(j) {
 		c.answer(j, Answer{Verdict: Failed, Reason: ReasonAbandoned})
@@ -68,14 +69,15 @@
 	c.answer(j, Answer{Verdict: Shed, RetryAfter: c.shedRetryAfter()})
 }
 
-// unsafeToRetry reports whether the job may have run and its class does not allow that it runs again.
+// unsafeToRetry reports whether the job may have run and its class is not idempotent.
 func (c *Core) unsafeToRetry(j *job) bool {
 	return j.firstPossibleRun() != nil && c.settings.Module.Classes[j.class].Effect != foxlift.Idempotent
 }
 
-// reassign takes a job away from a cell where it no longer belongs; stepCell then assigns it anew. A job
-// with an attempt in flight finishes where it is, and so does one that may have run, unless it may run
-// again: only the dispatcher that sent it knows what its class allows.
+// reassign withdraws a job from its cell's dispatcher if its route or its allowed workers have changed, and
+// reports whether it did; stepCell then assigns the job again. A job with an attempt in flight stays in its
+// cell. So does a job that may have run, unless its class is idempotent, because only the dispatcher that
+// sent it has the attempts that decide whether the class allows a repeat.
 func (c *Core) reassign(j *job) (isLeaving bool) {
 	p := c.placement.Load()
 	if p == nil || j.answered.Load() || j.inFlight > 0 || j.leaving || c.unsafeToRetry(j) {
@@ -92,7 +94,7 @@
 	return true
 }
 
-// reassignAll reassigns every open job, in the order they came, and returns how many leave their cell.
+// reassignAll calls reassign for every open job, in order of acceptance, and returns how many leave their cell.
 func (c *Core) reassignAll() (leavingCount int) {
 	for _, j := range c.jobs.openInOrder() {
 		if c.reassign(j) {
--- a/internal/core/cell_placement.go
+++ b/internal/core/cell_placement.go
@@ -2,17 +2,18 @@
 
 import "github.com/vatu-meals/foxlift/internal/cells"
 
-// A placement says which cell has which tenants and workers, and what each cell may hold. Any goroutine
-// may read it; it is replaced whole.
+// A placement holds the assignment of tenants and workers to cells and the admission bounds of the cells. Any
+// goroutine may read it; the fields are not modified after it is published, and a change replaces the whole
+// placement.
 type placement struct {
 	layout           *cells.Layout
 	admission        *cells.Admission
-	jobBounds        []int // by cell
-	connectionBounds []int
+	jobBounds        []int // maximum open jobs, by cell
+	connectionBounds []int // maximum client connections, by cell
 }
 
-// newPlacement makes a placement whose admission bounds nobody uses yet. maxOpen is how many jobs may be
-// open, which is also how many connections the clients may hold.
+// newPlacement returns a placement without reservations. maxOpen is the scheduler's maximum number of open
+// jobs, which is also the maximum number of client connections; each cell gets its part of it.
 func newPlacement(layout *cells.Layout, maxOpen int) *placement {
 	p := &placement{layout: layout}
 	plan := layout.Plan()
@@ -24,14 +25,16 @@
 	return p
 }
 
-// withLayout returns the placement with another layout of the same plan.
+// withLayout returns a copy of the placement with another layout of the same plan. Both share the admission
+// bounds and reservations.
 func (p *placement) withLayout(layout *cells.Layout) *placement {
 	changed := *p
 	changed.layout = layout
 	return &changed
 }
 
-// reserve takes a place in the admission bound of the job's cell; false if there is none.
+// reserve reserves capacity for the job in the admission bound of its cell. It returns false if the bound of
+// the cell or the tenant is reached. tenant is an index, or noTenant.
 func (p *placement) reserve(j *Job, tenant int) bool {
 	cell := p.layout.Cell(tenant, j.Key)
 	if !p.admission.Admit(cell, tenant) {
@@ -41,13 +44,14 @@
 	return true
 }
 
-// A reservation is a job's place in its cell's admission bound. The zero value is none.
+// A reservation is the capacity that one job occupies in the admission bound of a cell. The zero value holds
+// no capacity.
 type reservation struct {
 	admission    *cells.Admission
 	cell, tenant int
 }
 
-// transfer takes the place over to another cell.
+// transfer moves the reservation to another cell.
 func (r *reservation) transfer(cell int) {
 	if r.admission != nil && r.cell != cell {
 		r.admission.Transfer(r.cell, cell, r.tenant)
@@ -55,7 +59,7 @@
 	}
 }
 
-// release gives the place up.
+// release returns the capacity. Further calls do nothing.
 func (r *reservation) release() {
 	if r.admission != nil {
 		r.admission.Release(r.cell, r.tenant)
@@ -63,7 +67,7 @@
 	}
 }
 
-// tenantIndex returns the index of a tenant in the settings, or noTenant.
+// tenantIndex returns the index of a tenant in the settings, or noTenant if they do not have it.
 func (c *Core) tenantIndex(name string) int {
 	if t, ok := c.settings.Tenants[name]; ok {
 		return t
@@ -71,8 +75,8 @@
 	return noTenant
 }
 
-// Cell names the cell of a tenant's jobs with an affinity key, and how many connections that cell's
-// clients may have; "" without cells. Any goroutine may call it.
+// Cell returns the name of the cell that serves a tenant's jobs with an affinity key, and the maximum number
+// of client connections of that cell; "" and 0 without cells. Any goroutine may call it.
 func (c *Core) Cell(tenant string, key uint64) (name string, maxConnections int) {
 	p := c.placement.Load()
 	if p == nil {
--- a/internal/core/cell_set.go
+++ b/internal/core/cell_set.go
@@ -7,15 +7,15 @@
 	"github.com/vatu-meals/foxlift/internal/cells"
 )
 
-// A cellSet holds the cells, and what is counted across their dispatchers.
+// A cellSet holds the cells and the counts that all cells share.
 type cellSet struct {
-	all       []*cell // one where there is no plan; retired ones behind the plan's
-	assigner  *cells.Assigner
-	jobsByKey map[cellKey]int // open jobs, where the plan bounds them
-	seed      uint64
+	all       []*cell         // the cells of the plan by index, then retired ones; one cell without a plan
+	assigner  *cells.Assigner // nil without a plan
+	jobsByKey map[cellKey]int // number of open jobs with an affinity key, if the plan limits it
+	seed      uint64          // seed from which the cells' seeds are derived
 }
 
-// A cellKey is an affinity key in a cell.
+// A cellKey identifies the jobs of one cell with one affinity key.
 type cellKey struct {
 	cell *cell
 	key  uint64
@@ -25,7 +25,7 @@
 	return cellSet{jobsByKey: map[cellKey]int{}, seed: seed}
 }
 
-// notifyAll keeps an event for the next step of each cell's dispatcher.
+// notifyAll adds an event to the next step of every cell's dispatcher.
 func (s *cellSet) notifyAll(e foxlift.Event) {
 	for _, cl := range s.all {
 		cl.notify(e)
@@ -36,8 +36,8 @@
 	s.all = slices.DeleteFunc(s.all, func(cl *cell) bool { return cl == removed })
 }
 
-// acquireKey counts a job among those with its affinity key in its cell; false if there are as many as
-// may be.
+// acquireKey counts a job under its cell and affinity key. It returns false, and does not count the job, if
+// maxJobs jobs are counted already.
 func (s *cellSet) acquireKey(j *job, maxJobs int) bool {
 	s.releaseKey(j)
 	k := cellKey{j.cell, j.Key}
@@ -49,7 +49,7 @@
 	return true
 }
 
-// releaseKey counts a job no longer by its affinity key.
+// releaseKey removes a job from the count of acquireKey. It does nothing if the job is not counted.
 func (s *cellSet) releaseKey(j *job) {
 	if j.countedKey.cell == nil {
 		return
@@ -61,7 +61,7 @@
 	j.countedKey = cellKey{}
 }
 
-// initCells makes the cells of a plan, without workers.
+// initCells creates the cells of a plan, without workers.
 func (c *Core) initCells(plan *cells.Plan) error {
 	layout := cells.NewLayout(plan)
 	c.cells.assigner = cells.NewAssigner(plan)
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// newPlannedCell makes the cell that a layout's plan has at an index.
+// newPlannedCell returns a cell for one index of a layout's plan, with the tenants' quotas in that cell.
 func (c *Core) newPlannedCell(layout *cells.Layout, index int) (*cell, error) {
 	quotas := layout.Quotas(index)
 	tenants := slices.Clone(c.settings.Module.Tenants)
--- a/internal/core/cell_state.go
+++ b/internal/core/cell_state.go
@@ -7,7 +7,8 @@
 	"github.com/vatu-meals/foxlift/internal/cells"
 )
 
-// A CellState is what a cell is and has at one moment.
+// A CellState describes a cell at one moment. The counts of jobs and attempts include those of jobs that
+// spilled into the cell.
 type CellState struct {
 	Name             string
 	CapacityFraction float64
@@ -17,35 +18,36 @@
 	Workers          []WorkerState
 	Tenants          []TenantState
 	Open             int // jobs not yet answered
-	Bound            int // on those
+	Bound            int // maximum number of open jobs
 	InFlight         int // attempts that have not ended
-	Queued           int // jobs that wait in the dispatcher
-	Spilled          int // of its jobs, in the cell that it spills into
+	Queued           int // open jobs without an attempt in flight
+	Spilled          int // open jobs of the cell that are in the cell that it spills into
 	Served           int64
-	Shed             int64 // by the dispatcher or for want of a worker
+	Shed             int64 // jobs shed after admission, by the dispatcher or for lack of an available cell
 	Failed           int64
-	ShedOnArrival    int64 // on arrival: the cell had no room
+	ShedOnArrival    int64 // jobs shed by Accept because the admission bound was reached
 }
 
-// A WorkerState is a worker as its cell sees it.
+// A WorkerState describes a worker of a cell.
 type WorkerState struct {
 	ID            string
 	Kind          int
 	Zone          int
 	State         foxlift.WorkerState
 	InSlowStart   bool
-	InFlight      float64 // slots that this cell has in flight there
-	ExternalSlots float64 // the same of other cells and another process
+	InFlight      float64 // slots in flight at the worker from this cell
+	ExternalSlots float64 // slots in flight at the worker from other cells and from another process
 }
 
-// A TenantState is a tenant that lives in a cell.
+// A TenantState describes a tenant that a cell serves.
 type TenantState struct {
 	Name     string
-	Migrated bool // the operator's file has it elsewhere
-	Quota    float64
+	Migrated bool    // its cells differ from the configured ones
+	Quota    float64 // requests per second in this cell
 }
 
-// Cells returns the state of all cells.
+// Cells returns the states of the cells of the plan by index, then those of retired cells. It returns
+// ErrNoCells without cells.
 func (c *Core) Cells(ctx context.Context) ([]CellState, error) {
 	return callOnEventLoop(ctx, c, func(c *Core) ([]CellState, error) {
 		if c.placement.Load() == nil {
@@ -77,7 +79,8 @@
 	return states
 }
 
-// cellState returns what a cell itself knows; i is its index in the set.
+// cellState returns the state of a cell without its jobs and workers; i is its index in the set. For a retired
+// cell it has only the name, the flags and the counts.
 func (c *Core) cellState(i int, cl *cell) CellState {
 	state := CellState{
 		Name: cl.name, Retired: cl.retired, Evacuated: cl.evacuated, Spilled: cl.spilled,
@@ -99,7 +102,7 @@
 	return state
 }
 
-// addWorkerStates adds the workers to the states of their cells.
+// addWorkerStates adds the workers, except removed ones, to the states of their cells.
 func (c *Core) addWorkerStates(stateOf map[*cell]*CellState) {
 	now := c.clock.Now()
 	for _, w := range c.workers.order {
--- a/internal/core/cell_workers.go
+++ b/internal/core/cell_workers.go
@@ -5,13 +5,13 @@
 	"github.com/vatu-meals/foxlift/internal/cells"
 )
 
-// slotTolerance is below which a sum of slots is taken for zero: the sums are of fractions.
+// slotTolerance is the sum of slots up to which the sum counts as zero. Slots are fractions, so that the sums
+// have rounding errors.
 const slotTolerance = 1e-9
 
-// distribute updates which cell each worker is in, and tells each cell's dispatcher of its workers. To
-// the dispatcher that had it, a worker that goes to another cell looks as if it drained; the one that
-// gets it learns how many slots of others are still in flight there. changed are the workers that the
-// update names.
+// distributeWorkers assigns the workers to cells and sends each cell's dispatcher the update for its workers.
+// A worker that moves to another cell is sent to its previous dispatcher as draining, and to its new one with
+// the slots that other cells still have in flight there. changed holds the workers of the update.
 func (c *Core) distributeWorkers(kind foxlift.EndpointUpdate, changed []foxlift.Worker) {
 	layout := c.updateLayout()
 	inUpdate := map[string]bool{}
@@ -21,7 +21,7 @@
 	updates := make(map[*cell][]foxlift.Worker, len(c.cells.all))
 	for _, w := range c.workers.order {
 		previous := w.cell
-		// A worker that the layout does not have stays with the dispatcher that knows it, to its end.
+		// A worker that is not in the layout, because it is not live, stays in its cell until it is removed.
 		if i, ok := layout.WorkerCell(w.ID); ok {
 			w.cell = c.cells.all[i]
 		}
@@ -44,7 +44,7 @@
 	}
 }
 
-// updateLayout brings the placement up to date with the live workers and returns its layout.
+// updateLayout updates the placement to the current live workers and returns its new layout.
 func (c *Core) updateLayout() *cells.Layout {
 	var live []cells.Worker
 	for _, w := range c.workers.order {
@@ -58,8 +58,8 @@
 	return p.layout
 }
 
-// countSlots counts slots of an attempt in (sign 1) or out (sign -1), and tells the dispatcher that has
-// the worker of slots that are not its own.
+// countSlots adds (sign 1) or subtracts (sign -1) the slots of an attempt at its worker. If the worker now
+// belongs to another cell than the attempt, that cell's dispatcher is sent the changed external slots.
 func (c *Core) countSlots(a *attempt, sign float64) {
 	w := c.workers.byID[a.worker]
 	if w == nil || c.placement.Load() == nil {
@@ -74,7 +74,7 @@
 	}
 }
 
-// cellOf returns the cell whose dispatcher has a worker; nil if there is none yet.
+// cellOf returns the cell of a worker; nil if the worker has not been assigned to one.
 func (c *Core) cellOf(w *workerEntry) *cell {
 	if c.placement.Load() == nil {
 		return c.cells.all[0]
--- a/internal/core/clock.go
+++ b/internal/core/clock.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// A Clock tells the time in Unix nanoseconds. It is the wall clock at its start plus what has passed
-// since on the monotonic clock: workers' start times in the endpoint list are Unix times and must compare
-// with it, and a wall clock that is set meanwhile must not move deadlines.
+// A Clock returns the time in Unix nanoseconds: the wall clock at its start plus the monotonic time since
+// then. It is comparable with the start times of workers in the endpoint list, which are Unix times, and
+// setting the wall clock does not move deadlines.
 type Clock struct{ start time.Time }
 
-// NewClock starts a clock.
+// NewClock returns a clock that starts at the current wall clock time.
 func NewClock() Clock { return Clock{time.Now()} }
 
 // Now returns the time in Unix nanoseconds.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,22 +1,22 @@
 // Package core runs the decision module (foxlift.Dispatcher) as a live scheduler.
 //
-// One goroutine, the event loop that Core.Start begins, owns all mutable state: the dispatchers (one, or
-// one for each cell), the job table with the attempts, the worker table, the cells and the shutdown
-// deadline. Everything else talks to it by events. Shared with other goroutines are only the status
-// (atomic values), the placement (immutable, replaced whole) and the ids in use (a concurrent map).
+// One goroutine, the event loop started by Core.Start, owns all mutable state: the dispatchers (one, or one for
+// each cell), the job table with the attempts, the worker table, the cells and the shutdown deadline. Other
+// goroutines post events to it. They share only the status (atomic values), the placement (immutable, replaced
+// as a whole) and the ids in use (a concurrent map).
 //
-// A job passes six stages, each in a file of its own:
+// A job passes through six stages, each in its own file:
 //
-//	accept    a job that a client sent is validated and entered in the job table
-//	admit     it is shed where there is no room or no time, else assigned to its cell's dispatcher
-//	dispatch  the dispatchers take a step, and the actions that they return are executed
-//	send      an attempt at running the job is started on a worker
-//	relay     what workers report goes to the dispatcher, the first result to the client
-//	record    answers and outcomes are counted, and a job that is done leaves the table
+//	accept    validates a submitted job and adds it to the job table
+//	admit     sheds the job if there is no capacity or time for it, else assigns it to a cell's dispatcher
+//	dispatch  runs a step of the dispatchers and executes the actions that they return
+//	send      starts an attempt to run the job on a worker
+//	relay     passes workers' reports to the dispatcher and the first result to the client
+//	record    counts answers and outcomes and removes finished jobs from the table
 //
-// The package knows no protocol: the platform brings jobs as Job values, which are answered through
-// their Client; workers, discovery and peers are reached through the interfaces of Environment. It
-// decides nothing either: it reports to the dispatchers what happens and executes their actions.
+// The package is independent of protocols: the platform submits jobs as Job values, which are answered through
+// their Client, and workers, discovery and peers are reached through the interfaces of Environment. It makes no
+// scheduling decisions either: it passes events to the dispatchers and executes their actions.
 package core
 
 import (
@@ -30,38 +30,38 @@
 	"github.com/vatu-meals/foxlift/internal/counters"
 )
 
-// A Config is what a Core is made from.
+// A Config configures a Core.
 type Config struct {
 	Settings *config.Settings
-	Plan     *cells.Plan // nil: no cells, one dispatcher has the whole fleet
-	Seed     uint64      // of the dispatchers' random choices
+	Plan     *cells.Plan // nil: no cells, one dispatcher for the whole fleet
+	Seed     uint64      // seed of the dispatchers' random choices
 	Clock    Clock
 	Counters *counters.Set
 }
 
-// A Core is one scheduler. Create it with New and begin with Start.
+// A Core is one scheduler. It is created by New and started by Start.
 type Core struct {
 	settings *config.Settings
 	clock    Clock
 	counters *counters.Set
 	env      Environment // set by Start
 
-	// Used by any goroutine.
+	// Safe for use by any goroutine.
 	loop      eventLoop
 	status    status
 	placement atomic.Pointer[placement]    // nil without cells
-	idsInUse  *xsync.Map[string, struct{}] // with cells: what Accept knows before the event loop does
+	idsInUse  *xsync.Map[string, struct{}] // with cells: ids that Accept rejects without the event loop
 
 	// Owned by the event loop's goroutine.
 	jobs      jobTable
 	workers   workerTable
 	cells     cellSet
 	shutdown  shutdownState
-	maxOpen   int  // jobs that may be open
-	confirmed bool // discovery has answered since the start
+	maxOpen   int  // maximum number of open jobs
+	confirmed bool // discovery has answered since the start of the process
 }
 
-// New returns a Core that does nothing until Start. Events that come before wait for it.
+// New returns a Core that is not started. Events that are posted before Start are handled after it.
 func New(cfg Config) (*Core, error) {
 	c := &Core{
 		settings: cfg.Settings, clock: cfg.Clock, counters: cfg.Counters,
@@ -85,7 +85,7 @@
 	return c, nil
 }
 
-// Start begins with the endpoint list as last known and starts the event loop, which ends with Stop.
+// Start applies the cached endpoint list of the environment and starts the event loop, which runs until Stop.
 func (c *Core) Start(env Environment) {
 	c.setEnvironment(env)
 	endpointsUpdated{kind: foxlift.EndpointsCached, workers: env.CachedEndpoints}.apply(c)
@@ -94,7 +94,7 @@
 	c.loop.start(c.runEventLoop)
 }
 
-// connect sets what the core acts through.
+// setEnvironment sets the environment and the bounds on open jobs that depend on it.
 func (c *Core) setEnvironment(env Environment) {
 	c.env = env
 	c.maxOpen = c.effectiveMaxOpen(env.MaxOpen)
@@ -103,7 +103,7 @@
 	}
 }
 
-// run is the event loop.
+// runEventLoop applies events and steps the dispatchers until the loop is stopped.
 func (c *Core) runEventLoop() {
 	for {
 		select {
@@ -112,7 +112,7 @@
 		case <-c.loop.stopped:
 			return
 		}
-		// What has come in meanwhile goes into the same step.
+		// Events that have arrived in the meantime are handled in the same step.
 		for pending := len(c.loop.inbox); pending > 0; pending-- {
 			(<-c.loop.inbox).apply(c)
 		}
@@ -121,19 +121,22 @@
 	}
 }
 
-// Stop ends the event loop and waits for its goroutine. It is not called from that goroutine.
+// Stop ends the event loop and waits for its goroutine. It must not be called on that goroutine. Further calls
+// do nothing.
 func (c *Core) Stop() { c.loop.stop() }
 
-// SetMaxOpen changes how many jobs the platform can hold open.
+// SetMaxOpen changes the number of jobs that the platform can hold open. The bounds of the cells stay as they
+// are.
 func (c *Core) SetMaxOpen(maxOpen int) { c.loop.post(maxOpenChanged{maxOpen}) }
 
 type maxOpenChanged struct{ maxOpen int }
 
 func (e maxOpenChanged) apply(c *Core) {
-	c.maxOpen = c.effectiveMaxOpen(e.maxOpen) // cells keep their bounds: they are parts of the whole
+	c.maxOpen = c.effectiveMaxOpen(e.maxOpen) // the cells' bounds stay parts of the maximum at Start or Replan
 }
 
-// limitOpen returns how many jobs may be open where the platform can hold maxOpen.
+// effectiveMaxOpen returns the maximum number of open jobs: maxOpen, which the platform can hold, bounded by
+// the settings.
 func (c *Core) effectiveMaxOpen(maxOpen int) int {
 	if configured := c.settings.MaxOpen; configured > 0 {
 		return min(maxOpen, configured)
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -6,9 +6,11 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// Stage 3, dispatch: each dispatcher takes one step with all that is new, and its actions are executed
-// in order. Some of them cause events at once; then it steps again.
+// Stage 3, dispatch: each dispatcher takes one step with its new events, and its actions are executed in
+// order. An action may cause further events, which are handled in another step.
 
+// dispatch steps the dispatchers until none has events. A single dispatcher takes at least one step, even without
+// events.
 func (c *Core) dispatch() {
 	for first := true; ; first = false {
 		stepped := false
@@ -24,8 +26,8 @@
 	}
 }
 
-// stepCell lets one cell's dispatcher take one step. Jobs that were to leave it have left it then, and
-// are assigned to the cell where they belong.
+// stepCell runs one step of a cell's dispatcher and executes its actions. In this step the dispatcher drops
+// the jobs that leave the cell, which are then assigned again.
 func (c *Core) stepCell(cl *cell) {
 	events, leaving := cl.events, cl.leaving
 	cl.events, cl.leaving = nil, nil
@@ -41,11 +43,12 @@
 	}
 }
 
-// execute executes an action of a cell's dispatcher.
+// execute executes an action of a cell's dispatcher. Actions for a job that is no longer in the cell are
+// ignored.
 func (c *Core) execute(cl *cell, action *foxlift.Action) {
 	switch action.Kind {
 	case foxlift.ActionSend, foxlift.ActionCancel, foxlift.ActionShed, foxlift.ActionFail:
-		// The cell may not have the job any more.
+		// The job may have been answered or assigned to another cell.
 		if j := c.jobs.byNumber[action.ID]; j != nil && j.cell == cl {
 			c.executeJobAction(j, action)
 		}
@@ -64,7 +67,7 @@
 	}
 }
 
-// executeForJob executes an action that is about a job.
+// executeJobAction executes an action on a job.
 func (c *Core) executeJobAction(j *job, action *foxlift.Action) {
 	switch action.Kind {
 	case foxlift.ActionSend:
@@ -80,7 +83,7 @@
 	}
 }
 
-// checkHealth starts a health check of a worker.
+// checkHealth starts a health check of a worker. Its result is posted to the cell's dispatcher.
 func (c *Core) checkHealth(cl *cell, worker string) {
 	c.counters.Add("probes.sent")
 	sentAt := c.clock.Now()
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -2,27 +2,27 @@
 
 import "github.com/vatu-meals/foxlift"
 
-// UpdateEndpoints brings an update of the endpoint list, as discovery has answered it.
+// UpdateEndpoints reports an update of the endpoint list from discovery.
 func (c *Core) UpdateEndpoints(kind foxlift.EndpointUpdate, workers []foxlift.Worker) {
 	c.loop.post(endpointsUpdated{kind: kind, workers: workers})
 }
 
-// ConfirmEndpoints says that discovery has answered and that nothing has changed.
+// ConfirmEndpoints reports that discovery has answered that the endpoint list has not changed.
 func (c *Core) ConfirmEndpoints() {
 	c.loop.post(endpointsUpdated{kind: foxlift.EndpointsConfirmed})
 }
 
-// ChangeDiscovery says that another discovery is polled from now on.
+// ChangeDiscovery reports that another discovery must be polled from now on.
 func (c *Core) ChangeDiscovery() {
 	c.loop.post(endpointsUpdated{kind: foxlift.DiscoveryChanged})
 }
 
-// RecordPollFailure says that a poll of discovery has failed, and how.
+// RecordPollFailure reports that a poll of discovery has failed, and the kind of failure.
 func (c *Core) RecordPollFailure(failure foxlift.PollFailure) {
 	c.loop.post(endpointsUpdated{kind: foxlift.EndpointsPollFailed, failure: failure})
 }
 
-// endpointsUpdated is news of the endpoint list, or of the polls for it.
+// An endpointsUpdated event is an update of the endpoint list or the result of a poll for it.
 type endpointsUpdated struct {
 	kind    foxlift.EndpointUpdate
 	failure foxlift.PollFailure
@@ -49,13 +49,15 @@
 	}
 }
 
-// recordConfirmation tells each dispatcher that the endpoint list is up to date.
+// recordConfirmation records that discovery has answered and notifies each dispatcher that the endpoint list is
+// up to date.
 func (c *Core) recordConfirmation() {
 	c.confirmed = true
 	c.cells.notifyAll(foxlift.Event{Kind: foxlift.EventEndpoints, EndpointUpdate: foxlift.EndpointsConfirmed})
 }
 
-// updateWorkers takes over an update of the endpoint list and passes it on to the dispatchers.
+// updateWorkers applies an update of the endpoint list to the worker table and passes it on to the dispatchers.
+// With cells, jobs are then reassigned, because the cells' workers and conditions may have changed.
 func (c *Core) updateWorkers(kind foxlift.EndpointUpdate, workers []foxlift.Worker) {
 	c.workers.update(kind, workers)
 	if c.placement.Load() == nil {
--- a/internal/core/environment.go
+++ b/internal/core/environment.go
@@ -6,53 +6,55 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// An Environment is what a running core acts through, and what it starts from.
+// An Environment holds the interfaces through which a core acts, and the values that it starts with.
 type Environment struct {
 	Workers         Workers
 	EndpointWatch   EndpointWatch
-	Peers           Peers            // nil where schedulers exchange no messages
-	MaxOpen         int              // jobs that the platform can hold open; more are shed at once
-	CachedEndpoints []foxlift.Worker // the endpoint list as last known
+	Peers           Peers            // nil if schedulers exchange no messages
+	MaxOpen         int              // number of jobs that the platform can hold open; jobs beyond it are shed
+	CachedEndpoints []foxlift.Worker // endpoint list as recorded before the start
 }
 
-// AttemptLimits are the times that an attempt has.
+// AttemptLimits holds the time limits of an attempt, relative to its start.
 type AttemptLimits struct {
-	Remaining   time.Duration // how long the client still waits
-	WriteWithin time.Duration // the last byte must be written by then, or never; 0: no such limit
+	Remaining   time.Duration // time until the client stops waiting
+	WriteWithin time.Duration // the last byte must not be written later than this; 0: no limit
 }
 
-// Workers reaches the workers. Its methods are called on the core's goroutine and must not block.
+// Workers sends attempts and health checks to the workers. Its methods are called on the event loop's
+// goroutine and must not block.
 type Workers interface {
-	// Send starts an attempt. It calls report with what happens, from any goroutine, the last time
-	// with Ended set. cancel ends the attempt early by closing its connection.
+	// Send starts an attempt. It calls report for each change of the attempt's state, from any goroutine; the
+	// last report has Ended set. cancel ends the attempt early by closing its connection.
 	Send(worker string, job *Job, limits AttemptLimits, report func(Report)) (cancel func())
 	// CloseIdle closes the idle connections to a worker.
 	CloseIdle(worker string)
-	// HealthCheck asks a worker for a sign of life and calls report once.
+	// HealthCheck sends a health check to a worker and calls report once with the result.
 	HealthCheck(worker string, report func(Report))
 }
 
-// EndpointWatch is the watch on discovery's endpoint list.
+// EndpointWatch polls discovery for changes of the endpoint list.
 type EndpointWatch interface {
-	// Watch starts the watch, or does nothing where there is one. What it learns comes back through
-	// Core.UpdateEndpoints, ConfirmEndpoints, ChangeDiscovery and RecordPollFailure; it goes on by itself.
+	// Watch starts polling, which continues without further calls; if it has started already, Watch does
+	// nothing. The results are reported by Core.UpdateEndpoints, ConfirmEndpoints, ChangeDiscovery and
+	// RecordPollFailure.
 	Watch()
 }
 
-// Peers reaches the other schedulers of the fleet.
+// Peers sends messages to the other schedulers of the fleet.
 type Peers interface {
-	// Send sends a message to one of them by its number, or to all with -1. It is called on the
-	// core's goroutine and must not block; the message may be lost.
+	// Send sends a message to the peer with an index, or to all peers if to is -1. It is called on the event
+	// loop's goroutine and must not block. The message may be lost.
 	Send(to int, data []byte)
 }
 
-// A Report is what is known of an attempt or of a health check. An attempt that neither makes
-// progress nor has ended has started.
+// A Report describes a change of an attempt, or the result of a health check. A report of an attempt with
+// neither Progress nor Ended means that the attempt has started.
 type Report struct {
 	Progress bool
 	Ended    bool
-	Code     foxlift.Code // how it ended
-	Result   []byte       // of a served job
-	HasLoad  bool
+	Code     foxlift.Code // outcome, if Ended
+	Result   []byte       // result of a served job
+	HasLoad  bool         // Load is set
 	Load     [foxlift.MaxGauges]float64
 }
--- a/internal/core/event_loop.go
+++ b/internal/core/event_loop.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// An event is something that the event loop learns of. apply is called on its goroutine.
+// An event is an input of the event loop. apply is called on the loop's goroutine.
 type event interface{ apply(*Core) }
 
-// An eventFunc is a function that is called as an event.
+// An eventFunc is an event that calls a function.
 type eventFunc func(*Core)
 
 func (f eventFunc) apply(c *Core) { f(c) }
 
-const inboxSize = 1024 // events that wait before their senders do
+const inboxSize = 1024 // maximum number of waiting events; beyond it post blocks
 
-// An eventLoop brings events from any goroutine to the one that owns the core's state.
+// An eventLoop passes events from any goroutine to the goroutine that owns the core's state.
 type eventLoop struct {
 	inbox   chan event
 	stopped chan struct{} // closed by stop
 
-	mu      sync.Mutex // orders start and stop
-	running sync.WaitGroup
+	mu      sync.Mutex     // serializes start and stop
+	running sync.WaitGroup // the loop's goroutine
 }
 
 func newEventLoop() eventLoop {
 	return eventLoop{inbox: make(chan event, inboxSize), stopped: make(chan struct{})}
 }
 
-// start runs the loop's goroutine, unless the loop has been stopped.
+// start calls run on a new goroutine, unless the loop has been stopped.
 func (l *eventLoop) start(run func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -37,7 +37,7 @@
 	}
 }
 
-// stop ends the loop and waits for its goroutine, if it has one.
+// stop ends the loop and waits for its goroutine, if it was started.
 func (l *eventLoop) stop() {
 	l.mu.Lock()
 	if !l.isStopped() {
@@ -56,7 +56,8 @@
 	}
 }
 
-// post hands an event to the loop's goroutine.
+// post passes an event to the loop's goroutine. It blocks while the inbox is full, and drops the event if the
+// loop is stopped.
 func (l *eventLoop) post(e event) {
 	select {
 	case l.inbox <- e:
@@ -64,7 +65,7 @@
 	}
 }
 
-// after posts an event when a delay is over.
+// postAfter posts an event after a delay, unless the returned timer is stopped before.
 func (l *eventLoop) postAfter(delay time.Duration, e event) *time.Timer {
 	return time.AfterFunc(delay, func() { l.post(e) })
 }
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -5,39 +5,41 @@
 	"time"
 )
 
-// A Job is a client's request that the platform has read in full.
+// A Job is a client's request for one job, which the platform has read completely.
 type Job struct {
-	ID                string // given by the client; no two open jobs have the same
+	ID                string // chosen by the client; unique among open jobs
 	Class             string
 	Tenant            string
-	ArrivedAt         int64         // on the core's clock
-	Remaining         time.Duration // how long the client waits from then on
-	Key               uint64        // the affinity key; 0 if it has none
-	Slots             float64
+	ArrivedAt         int64         // time of arrival on the core's clock
+	Remaining         time.Duration // how long the client waits from ArrivedAt on
+	Key               uint64        // affinity key; 0 if the job has none
+	Slots             float64       // slots that the job occupies; 0 counts as 1
 	Memory            float64
-	ClientRetry       bool // the client says that it tried before
-	HasIdempotencyKey bool // it carries the key by which workers know a repeat
-	Payload           any  // for Workers; the core does not look at it
+	ClientRetry       bool // the client reports an earlier try
+	HasIdempotencyKey bool // the job carries the key by which workers detect repeats
+	Payload           any  // data for Workers, not used by the core
 	Client            Client
 
 	answered       atomic.Bool
-	disconnectedAt atomic.Pointer[time.Time] // when its client was seen to have left
-	reservation    reservation               // of a place in its cell's admission bound, where there are cells
+	disconnectedAt atomic.Pointer[time.Time] // when the disconnection of its client was detected; nil if connected
+	reservation    reservation               // capacity in the admission bound of its cell, if there are cells
 }
 
-// Finished reports whether nothing more is to be begun for the job: it is answered, or its client has
-// gone, which the core need not have learned yet. Any goroutine may call it.
+// Finished reports whether no further work may be started for the job, because it is answered or its client has
+// disconnected. The event loop may not have handled the disconnection yet. Any goroutine may call it.
 func (j *Job) Finished() bool {
 	return j.answered.Load() || j.Client != nil && j.Client.Disconnected()
 }
 
-// MarkDisconnected records that the job's client has left. Any goroutine may call it.
+// MarkDisconnected records the time at which the job's client was first found to be disconnected. Any goroutine
+// may call it.
 func (j *Job) MarkDisconnected() {
 	now := time.Now()
 	j.disconnectedAt.CompareAndSwap(nil, &now)
 }
 
-// SinceDisconnect returns how long ago the job's client was seen to have left; 0 if it was not.
+// SinceDisconnect returns the time since MarkDisconnected was first called; 0 if it was not. Any goroutine may
+// call it.
 func (j *Job) SinceDisconnect() time.Duration {
 	if at := j.disconnectedAt.Load(); at != nil {
 		return time.Since(*at)
@@ -45,12 +47,12 @@
 	return 0
 }
 
-// A Client waits for a job's answer.
+// A Client receives the answer of a job.
 type Client interface {
-	// Answer brings the one answer. It is called on the core's goroutine, or on that of Accept's
-	// caller, and must not block.
+	// Answer is called exactly once, with the final answer of the job. It is called on the event loop's
+	// goroutine or on that of the caller of Accept, and must not block.
 	Answer(Answer)
-	// Disconnected reports whether the client has gone away, as far as can be told at once.
+	// Disconnected reports whether the client is known to have disconnected. It must not block.
 	Disconnected() bool
 }
 
@@ -59,16 +61,16 @@
 
 // The verdicts.
 const (
-	Served   Verdict = iota // with a result
-	Shed                    // it never ran, or may run again: a retry is harmless
-	Failed                  // it may have run: no promise is made
-	Rejected                // not valid, never accepted
+	Served   Verdict = iota // the job ran, and the answer has its result
+	Shed                    // the job did not run, or its class allows a repeat: a retry is safe
+	Failed                  // the job may have run: a retry may not be safe
+	Rejected                // the job is invalid and was never accepted
 )
 
-// A Reason says why a job was rejected or failed, in the words that its client gets.
+// A Reason is the reason for which a job was rejected or failed. Its text is sent to the client.
 type Reason string
 
-// The reasons of rejected jobs, and those of failed ones.
+// The reasons for which a job is rejected, then those for which it fails.
 const (
 	ReasonUnknownClass     Reason = "unknown class"
 	ReasonUnknownTenant    Reason = "unknown tenant"
@@ -80,43 +82,42 @@
 	ReasonClientDisconnected Reason = "the submitter left"
 )
 
-// An Answer is the final word on a job.
+// An Answer is the final answer to a job.
 type Answer struct {
 	Verdict    Verdict
 	Result     []byte        // if Served
-	RetryAfter time.Duration // if Shed; 0 means no advice
+	RetryAfter time.Duration // if Shed: time after which the client should retry; 0 means no advice
 	Reason     Reason        // if Rejected or Failed
 }
 
 const (
-	noTenant     = -1 // index of the tenant where the settings have none
-	unknownGroup = -1 // zone or cell of a worker that the endpoint list does not have
+	noTenant     = -1 // tenant index of a job if the settings have no tenants, or do not have its tenant
+	unknownGroup = -1 // zone or cell of a worker that is not in the endpoint list
 )
 
-// A job is a Job in the core's table. It stays there until it is answered and its last attempt has
-// ended.
+// A job is a Job in the job table, where it stays until it is answered and its last attempt has ended.
 type job struct {
 	*Job
-	number       uint64
-	class        int // index into the settings' classes
-	tenant       int // index into the settings' tenants, or noTenant
-	deadline     int64
-	attempts     []*attempt // in the order they were made
-	inFlight     int        // attempts that have not ended
+	number       uint64     // ID of the job at the dispatchers
+	class        int        // index into the settings' classes
+	tenant       int        // index into the settings' tenants, or noTenant
+	deadline     int64      // when the client stops waiting, on the core's clock
+	attempts     []*attempt // in the order in which they were created
+	inFlight     int        // number of attempts that have not ended
 	overdueTimer *time.Timer
 
-	cell           *cell    // whose dispatcher has it
-	priorAttempts  int      // attempts made before that dispatcher got it
-	leaving        bool     // that dispatcher has been told that it goes
-	spilledFrom    *cell    // the cell that could not take it; nil if it is in its own
-	allowedWorkers []string // where the plan bounds its affinity key to a few; else nil
-	countedKey     cellKey  // as it is counted in cellSet.jobsByKey
+	cell           *cell    // cell that the job is assigned to
+	priorAttempts  int      // number of attempts created before the job was assigned to that cell
+	leaving        bool     // the job leaves the cell in the next step of the cell's dispatcher
+	spilledFrom    *cell    // owner cell, if the job has spilled into another cell; else nil
+	allowedWorkers []string // IDs of the only workers for its affinity key, if the plan limits them; nil: any
+	countedKey     cellKey  // entry of cellSet.jobsByKey that counts the job; zero if none does
 }
 
-// remaining returns how long the job's client still waits.
+// remaining returns how long the job's client still waits; it is negative after the deadline.
 func (j *job) remaining(now int64) time.Duration { return time.Duration(j.deadline - now) }
 
-// slots returns how many slots the job takes; 1 where that is not known.
+// slots returns the number of slots that the job occupies; 1 if the job does not specify it.
 func (j *job) slots() float64 {
 	if j.Slots <= 0 {
 		return 1
@@ -124,7 +125,7 @@
 	return j.Slots
 }
 
-// mayHaveRun returns the first attempt of the job that may have run or may yet; nil if none.
+// firstPossibleRun returns the first attempt of the job that may have run or may still run; nil if none.
 func (j *job) firstPossibleRun() *attempt {
 	for _, a := range j.attempts {
 		if !a.done || !a.code.NeverRan() {
@@ -134,7 +135,7 @@
 	return nil
 }
 
-// clearSpill counts the job no longer among those that its own cell has in another one.
+// clearSpill removes the job from the count of jobs that have spilled from its owner cell.
 func (j *job) clearSpill() {
 	if j.spilledFrom != nil {
 		j.spilledFrom.spilled--
--- a/internal/core/job_table.go
+++ b/internal/core/job_table.go
@@ -8,14 +8,14 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// A jobTable holds the jobs that are open or have attempts in flight, and the ids that must not come
-// again.
+// A jobTable holds the jobs that are open or have attempts in flight, and the ids of recently answered jobs,
+// which may not be used again yet.
 type jobTable struct {
-	byNumber    map[uint64]*job // until they are answered and their last attempt has ended
-	open        map[string]*job // accepted and not yet answered, by the client's id
-	lastNumber  uint64
-	recentIDs   map[string]bool // answered not long ago; true: of jobs that must not run twice
-	idRetention time.Duration   // the longest deadline of any class
+	byNumber    map[uint64]*job // all jobs of the table
+	open        map[string]*job // jobs accepted and not yet answered, by the client's id
+	lastNumber  uint64          // number of the job added last
+	recentIDs   map[string]bool // ids answered within idRetention; true if the job must not run twice
+	idRetention time.Duration   // longest deadline of any class
 }
 
 func newJobTable(classes []foxlift.Class) jobTable {
@@ -26,7 +26,7 @@
 	return t
 }
 
-// add enters an open job and numbers it.
+// add adds an open job and assigns its number.
 func (t *jobTable) add(j *job) {
 	t.lastNumber++
 	j.number = t.lastNumber
@@ -34,13 +34,13 @@
 	t.open[j.ID] = j
 }
 
-// isKnown reports whether a job's id is in use or was answered not long ago.
+// isKnown reports whether a job's id is in use or was answered within idRetention.
 func (t *jobTable) isKnown(id string) bool {
 	_, answered := t.recentIDs[id]
 	return answered || t.open[id] != nil
 }
 
-// openInOrder returns the open jobs in the order they came.
+// openInOrder returns the open jobs in the order in which they were added.
 func (t *jobTable) openInOrder() []*job {
 	open := make([]*job, 0, len(t.open))
 	for _, j := range t.open {
@@ -50,7 +50,7 @@
 	return open
 }
 
-// hasJobsOf reports whether a cell has a job in the table.
+// hasJobsOf reports whether a job in the table is assigned to a cell.
 func (t *jobTable) hasJobsOf(cl *cell) bool {
 	for _, j := range t.byNumber {
 		if j.cell == cl {
@@ -60,7 +60,7 @@
 	return false
 }
 
-// removeIfDone removes a job that is answered and has no attempt in flight.
+// removeIfDone removes the job if it is answered and has no attempt in flight.
 func (t *jobTable) removeIfDone(j *job) {
 	if j.answered.Load() && j.inFlight == 0 {
 		delete(t.byNumber, j.number)
--- a/internal/core/migration.go
+++ b/internal/core/migration.go
@@ -8,15 +8,15 @@
 	"github.com/vatu-meals/foxlift/internal/cells"
 )
 
-// A Migration says what a change of the placement did.
+// A Migration describes the effect of a change of the placement.
 type Migration struct {
-	Tenants  int // that go to another cell
-	Queued   int // jobs that go over with their age
-	InFlight int // jobs that finish where their attempts are
+	Tenants  int // tenants whose cells change
+	Queued   int // queued jobs that move to another cell; the time that they have waited counts there
+	InFlight int // jobs with attempts in flight, which finish outside their new cell
 }
 
-// MigrateTenant makes a cell the one of a tenant. Its new jobs go there from now on, and so do its
-// queued ones; attempts in flight finish where they are.
+// MigrateTenant assigns a tenant to the cell named to. The tenant's new jobs and queued jobs go to that cell;
+// attempts in flight finish where they are.
 func (c *Core) MigrateTenant(ctx context.Context, tenant, to string) (Migration, error) {
 	return c.changeLayout(ctx, func(layout *cells.Layout) (*cells.Layout, error) {
 		t, i := layout.Plan().TenantIndex(tenant), layout.Plan().CellIndex(to)
@@ -30,7 +30,8 @@
 	})
 }
 
-// Evacuate moves all tenants out of a cell and keeps spilled jobs from it, until RestorePlacement.
+// Evacuate migrates all tenants of a cell to other cells, and stops jobs from spilling into it, until
+// RestorePlacement.
 func (c *Core) Evacuate(ctx context.Context, name string) (Migration, error) {
 	return c.changeLayout(ctx, func(layout *cells.Layout) (*cells.Layout, error) {
 		i := layout.Plan().CellIndex(name)
@@ -51,8 +52,8 @@
 	})
 }
 
-// RestorePlacement puts back to where the operator's file has it what MigrateTenant and Evacuate
-// changed: one tenant, the tenants of one cell, or all where both names are empty.
+// RestorePlacement undoes MigrateTenant and Evacuate, and returns tenants to their configured cells: one tenant,
+// the tenants configured in the cell named name, or all tenants if both arguments are empty.
 func (c *Core) RestorePlacement(ctx context.Context, tenant, name string) (Migration, error) {
 	return c.changeLayout(ctx, func(layout *cells.Layout) (*cells.Layout, error) {
 		plan := layout.Plan()
@@ -72,7 +73,7 @@
 	})
 }
 
-// restoreTenants returns the layout with the migrated tenants that are selected where the plan has them.
+// restoreTenants returns the layout with the selected migrated tenants in their configured cells.
 func restoreTenants(layout *cells.Layout, selected func(tenant int) bool) *cells.Layout {
 	for t := range layout.Plan().TenantTableSize() {
 		if selected(t) && layout.Migrated(t) {
@@ -82,7 +83,7 @@
 	return layout
 }
 
-// clearEvacuations ends the evacuation of a cell, or of all where the name is empty.
+// clearEvacuations ends the evacuation of a cell, or of all cells if the name is empty.
 func (c *Core) clearEvacuations(plan *cells.Plan, name string) {
 	for i, cl := range c.cells.all {
 		if !cl.retired && (name == "" || i == plan.CellIndex(name)) {
@@ -91,8 +92,8 @@
 	}
 }
 
-// changeLayout makes one change of the layout on the event loop's goroutine. change returns the new
-// layout; nothing is done if it returns an error.
+// changeLayout applies one change of the layout on the event loop's goroutine. change returns the new layout; if
+// it returns an error, the layout stays as it is.
 func (c *Core) changeLayout(
 	ctx context.Context, change func(*cells.Layout) (*cells.Layout, error),
 ) (Migration, error) {
@@ -109,7 +110,7 @@
 	})
 }
 
-// changeablePlacement returns the placement, if it may be changed now.
+// changeablePlacement returns the placement, or ErrNoCells without cells, or ErrShuttingDown during a shutdown.
 func (c *Core) changeablePlacement() (*placement, error) {
 	p := c.placement.Load()
 	if p == nil {
@@ -121,8 +122,8 @@
 	return p, nil
 }
 
-// adoptPlacement puts a placement in force: dispatchers learn of their new quotas, and queued jobs go
-// over. previous is the layout that was in force before.
+// adoptPlacement publishes a placement, sends the changed quotas to the dispatchers and reassigns queued jobs.
+// previous is the layout before the change.
 func (c *Core) adoptPlacement(previous *cells.Layout, p *placement) Migration {
 	var m Migration
 	for t := range previous.Plan().TenantNames() {
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -173,7 +173,8 @@
 // checkCore checks that nothing is left behind in a core.
 func (w *world) checkCore(c *Core) {
 	if len(c.jobs.byNumber) != 0 || len(c.jobs.open) != 0 || len(c.cells.jobsByKey) != 0 {
-		w.recordViolation("%d jobs, %d open, %d keys are left", len(c.jobs.byNumber), len(c.jobs.open), len(c.cells.jobsByKey))
+		w.recordViolation("the core still has %d jobs, %d open jobs and %d affinity keys, want 0 of each",
+			len(c.jobs.byNumber), len(c.jobs.open), len(c.cells.jobsByKey))
 	}
 	if n := c.counters.Get("jobs.overdue"); n > 0 && !c.shutdown.begun() {
 		w.recordViolation("the dispatchers forgot %d jobs", n)
@@ -202,8 +203,8 @@
 var weightedActionKinds = slices.Concat(
 	slices.Repeat([]int{actionSubmit}, 10), slices.Repeat([]int{actionComplete}, 8), slices.Repeat([]int{actionWait}, 4),
 	[]int{
-		actionResubmit, actionDisconnect, actionProgress, actionProgress, actionRepeatedCompletion, actionEndpoints, actionEndpoints,
-		actionMigrate, actionMigrate, actionEvacuate, actionRestore, actionReplan, actionShutdown,
+		actionResubmit, actionDisconnect, actionProgress, actionProgress, actionRepeatedCompletion,
+		actionEndpoints, actionEndpoints, actionMigrate, actionMigrate, actionEvacuate, actionRestore, actionReplan, actionShutdown,
 	},
 )
 
--- a/internal/core/operator.go
+++ b/internal/core/operator.go
@@ -5,25 +5,25 @@
 	"errors"
 )
 
-// What an operator may ask for and change while the scheduler runs. Each call becomes one event on the
-// event loop, so that it is executed whole, between two steps of the dispatchers; a caller that goes away
-// in the meantime holds up nothing.
+// Calls by which an operator queries and changes a running scheduler. Each call is one event of the event loop,
+// so that it runs as a whole between two steps of the dispatchers. A caller that stops waiting does not block
+// the loop.
 
 // ErrNoCells means that the scheduler runs without cells.
-var ErrNoCells = errors.New("this scheduler has no cells: its operator's file names none")
+var ErrNoCells = errors.New("this scheduler has no cells: its operator file configures none")
 
-// ErrShuttingDown is the answer to whoever asks a scheduler that has stopped, or would change the
-// placement while it shuts down.
-var ErrShuttingDown = errors.New("the scheduler is ending")
+// ErrShuttingDown is returned by calls on a scheduler that has stopped, and by changes of the placement during a
+// shutdown.
+var ErrShuttingDown = errors.New("the scheduler is shutting down")
 
-// call runs do on the event loop's goroutine and returns its result. It fails when ctx ends or the core
-// stops first; do may run nevertheless then, and its result is dropped.
+// callOnEventLoop runs fn on the event loop's goroutine and returns its result. If ctx ends or the core stops
+// first, it returns an error; fn may still run then, and its result is dropped.
 func callOnEventLoop[T any](ctx context.Context, c *Core, fn func(*Core) (T, error)) (T, error) {
 	type result struct {
 		value T
 		err   error
 	}
-	results := make(chan result, 1) // the event loop does not wait for the caller
+	results := make(chan result, 1) // buffered, so that the event loop does not wait for the caller
 	request := eventFunc(func(c *Core) {
 		value, err := fn(c)
 		results <- result{value, err}
--- a/internal/core/record.go
+++ b/internal/core/record.go
@@ -2,16 +2,16 @@
 
 import "github.com/vatu-meals/foxlift"
 
-// Stage 6, record: answers and outcomes of attempts are counted and told to the dispatcher, and a job
-// leaves the table with its answer or its last attempt, whichever is later.
+// Stage 6, record: answers and outcomes of attempts are counted and passed to the dispatcher. A job is removed
+// from the table after its answer and the end of its last attempt.
 
-// VerdictCounters names the counter of each verdict. Those of jobs that were accepted are also kept
-// for each class.
+// VerdictCounters holds the name of the counter of each verdict. Verdicts of jobs of a known class, except
+// Rejected, are also counted for each class.
 var VerdictCounters = [...]string{
 	Served: "jobs.served", Shed: "jobs.refused", Failed: "jobs.failed", Rejected: "jobs.rejected",
 }
 
-// outcomeCounters names the counter of each outcome of an attempt.
+// outcomeCounters holds the name of the counter of each outcome of an attempt.
 var outcomeCounters = [...]string{
 	foxlift.Served:           "claims.served",
 	foxlift.WorkerError:      "claims.erred",
@@ -24,7 +24,8 @@
 	foxlift.NotSent:          "claims.not_sent",
 }
 
-// answer gives the job's one answer; a second one is dropped.
+// answer sends the job's answer to its client and releases what the job occupies, except for its attempts in
+// flight. It does nothing if the job is answered already.
 func (c *Core) answer(j *job, a Answer) {
 	if j.answered.Load() {
 		return
@@ -43,13 +44,15 @@
 	c.jobs.removeIfDone(j)
 }
 
-// abandon answers a job for which the dispatcher has no answer yet, and tells the dispatcher.
+// abandon answers a job that its dispatcher has not answered, and notifies the dispatcher that the client no
+// longer waits.
 func (c *Core) abandon(j *job, a Answer) {
 	j.cell.notify(foxlift.Event{Kind: foxlift.EventClientDisconnected, ID: j.number})
 	c.answer(j, a)
 }
 
-// recordOutcome counts the outcome of an attempt and tells it to the dispatcher.
+// recordOutcome counts the outcome of an attempt and passes it to the dispatcher that requested the attempt. It
+// then reassigns the job, if the job was only kept in its cell by the attempt.
 func (c *Core) recordOutcome(a *attempt, r Report) {
 	c.counters.Add(outcomeCounters[r.Code])
 	e := a.event(foxlift.EventOutcome)
@@ -60,14 +63,15 @@
 	c.reassign(a.job)
 }
 
-// rememberID keeps an answered job's id for the longest deadline.
+// rememberID keeps the id of an answered job for idRetention, the longest deadline of any class. During that
+// time a job with the same id is rejected: a client that sends the same job again, instead of a retry with a new
+// id, would have it run twice.
 func (c *Core) rememberID(id string, mustNotRunTwice bool) {
 	c.jobs.recentIDs[id] = mustNotRunTwice
 	c.loop.postAfter(c.jobs.idRetention, idExpired{id})
 }
 
-// idExpired ends the time in which an answered job's id must not come again. A client that sends the
-// same job once more, instead of a retry with a new id, would have it run twice.
+// An idExpired event means that the id of an answered job may be used again.
 type idExpired struct{ id string }
 
 func (e idExpired) apply(c *Core) {
--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -2,9 +2,10 @@
 
 import "github.com/vatu-meals/foxlift"
 
-// Stage 5, relay: what workers report of attempts goes to the dispatcher that made them, and the first
-// result to the client.
+// Stage 5, relay: reports of attempts are passed to the dispatcher that requested them, and the first result is
+// passed to the client.
 
+// An attemptReported event is a report of a worker about an attempt, or the attempt's timeout.
 type attemptReported struct {
 	attempt *attempt
 	report  Report
@@ -15,7 +16,9 @@
 	switch {
 	case e.report.Ended:
 		c.finishAttempt(a, e.report)
-	case a.done: // late: its dispatcher may have the job anew, and count from 0 again
+	case a.done:
+		// The report is late and is dropped: the job may since have been assigned to the same dispatcher again,
+		// which would take the number for that of a later attempt, as it numbers attempts from 0 again.
 	case e.report.Progress:
 		a.cell.notify(a.event(foxlift.EventProgress))
 	default:
@@ -23,7 +26,8 @@
 	}
 }
 
-// finishAttempt ends an attempt once, with one outcome for the dispatcher.
+// finishAttempt ends an attempt and passes its outcome to the dispatcher. It does nothing if the attempt has
+// ended already.
 func (c *Core) finishAttempt(a *attempt, r Report) {
 	if a.done {
 		return
@@ -35,7 +39,7 @@
 		a.timer.Stop()
 	}
 	if a.cancel != nil {
-		a.cancel() // no effect on one that has ended by itself
+		a.cancel() // has no effect if the worker has ended the attempt
 	}
 	if r.Code == foxlift.Served {
 		c.answer(a.job, Answer{Verdict: Served, Result: r.Result})
--- a/internal/core/replan.go
+++ b/internal/core/replan.go
@@ -8,9 +8,10 @@
 	"github.com/vatu-meals/foxlift/internal/cells"
 )
 
-// Replan puts another plan in force by migrations: cells of the same name keep what they have, others
-// begin, and those that the plan lacks finish what they have in flight. What MigrateTenant and Evacuate
-// changed before is over: the plan says where tenants are.
+// Replan changes the plan of the cells without a restart. Cells whose name is in both plans keep their
+// dispatchers, cells that are new are created, and cells that the new plan does not have finish their attempts
+// in flight. Earlier changes by MigrateTenant and Evacuate are discarded: tenants go to the cells of the new
+// plan.
 func (c *Core) Replan(ctx context.Context, plan *cells.Plan) (Migration, error) {
 	return callOnEventLoop(ctx, c, func(c *Core) (Migration, error) {
 		if _, err := c.changeablePlacement(); err != nil {
@@ -20,11 +21,12 @@
 	})
 }
 
+// applyPlan replaces the plan on the event loop's goroutine. If it returns an error, nothing has changed.
 func (c *Core) applyPlan(plan *cells.Plan) (Migration, error) {
 	layout := cells.NewLayout(plan)
 	planned, err := c.cellsForPlan(layout)
 	if err != nil {
-		return Migration{}, err // nothing has changed yet
+		return Migration{}, err
 	}
 	for i, cl := range planned {
 		cl.index, cl.retired, cl.evacuated = i, false, false
@@ -50,12 +52,12 @@
 	return c.adoptPlacement(previous, c.placement.Load()), nil
 }
 
-// cellsForPlan returns the cells of a layout's plan, by index: those that there are by their names, and
-// new ones.
+// cellsForPlan returns the cells of a layout's plan by index: existing cells with the plan's names, and new ones
+// for the other names.
 func (c *Core) cellsForPlan(layout *cells.Layout) ([]*cell, error) {
 	byName := map[string]*cell{}
 	for _, cl := range c.cells.all {
-		byName[cl.name] = cl // of two with one name the retired one comes last, and lives again
+		byName[cl.name] = cl // of two cells with a name, the retired one comes last and is reused
 	}
 	var planned []*cell
 	for i := range layout.Plan().CellCount() {
--- a/internal/core/send.go
+++ b/internal/core/send.go
@@ -7,9 +7,11 @@
 	"github.com/vatu-meals/foxlift/internal/guard"
 )
 
-// Stage 4, send: an attempt is made and handed to Workers. It ends at its timeout, which is never past
-// the job's deadline, whatever the worker does.
+// Stage 4, send: an attempt is created and passed to Workers. It ends at its timeout at the latest, which is
+// never after the job's deadline.
 
+// send starts an attempt of a job on a worker. A timeout of 0 means until the job's deadline. An attempt that
+// would violate an invariant, or whose job is answered or out of time, ends at once as NotSent.
 func (c *Core) send(j *job, worker string, timeout time.Duration) {
 	now := c.clock.Now()
 	a := c.newAttempt(j, worker, now)
@@ -18,8 +20,8 @@
 	j.inFlight++
 	c.countSlots(a, 1)
 	if rule != guard.None {
-		// The dispatcher never asks for it. But the rule must not rest on what one dispatcher
-		// knows, where a job passes from one to another.
+		// Dispatchers do not request such attempts. The check does not rely on that, because a job may pass
+		// from one dispatcher to another, and none of them has the complete state of the job.
 		c.counters.Add("claims.withheld")
 		c.counters.Add(rule.Counter())
 		c.finishAttempt(a, Report{Ended: true, Code: foxlift.NotSent})
@@ -41,7 +43,7 @@
 	})
 }
 
-// newAttempt makes the next attempt of a job.
+// newAttempt returns the next attempt of a job, which is not yet in the job's list.
 func (c *Core) newAttempt(j *job, worker string, now int64) *attempt {
 	a := &attempt{
 		job: j, cell: j.cell, number: len(j.attempts) - j.priorAttempts,
@@ -53,9 +55,9 @@
 	return a
 }
 
-// checkRepeat returns the rule that an attempt would break because its job may have run, and within
-// what time its last byte must be written (0: no limit). Workers of one group drop repeats of an
-// idempotency key for a window that begins with the first attempt that may have run.
+// checkRepeat returns the invariant that an attempt would violate, such as that of a job that may have run, and
+// the time within which the attempt's last byte must be written (0: no limit). The workers of a group drop
+// repeats of an idempotency key during a window that begins with the first attempt that may have run.
 func (c *Core) checkRepeat(a *attempt) (writeWithin time.Duration, rule guard.Invariant) {
 	class := &c.settings.Module.Classes[a.job.class]
 	repeat := guard.Repeat{EndpointsTrusted: a.cell.dispatcher.EndpointsUsable(), Effect: class.Effect}
--- a/internal/core/shutdown.go
+++ b/internal/core/shutdown.go
@@ -2,17 +2,19 @@
 
 import "time"
 
-// A shutdownState says whether the scheduler shuts down.
+// A shutdownState holds the deadline of a shutdown, if one has begun.
 type shutdownState struct {
-	deadline int64 // when what comes now must be answered, ns; 0: no shutdown has begun
+	deadline int64 // time by which open jobs must be answered, in Unix nanoseconds; 0: no shutdown has begun
 }
 
+// begun reports whether a shutdown has begun.
 func (s *shutdownState) begun() bool { return s.deadline > 0 }
 
-// deadlineBefore reports whether the scheduler ends before a time.
+// endsBefore reports whether a shutdown has begun whose deadline is before a time.
 func (s *shutdownState) endsBefore(at int64) bool { return s.begun() && at > s.deadline }
 
-// limit bounds a time by the end of the scheduler, if that has been told.
+// capAtDeadline returns the earlier of a time and the shutdown deadline; the time itself if no shutdown has
+// begun.
 func (s *shutdownState) capAtDeadline(at int64) int64 {
 	if !s.begun() {
 		return at
@@ -20,7 +22,8 @@
 	return min(at, s.deadline)
 }
 
-// BeginShutdown says that the scheduler shuts down, and how long it has for what still comes in.
+// BeginShutdown reports that the scheduler shuts down, and the remaining time in which the jobs that it still
+// accepts must be answered.
 func (c *Core) BeginShutdown(remaining time.Duration) {
 	c.loop.post(shutdownBegun{c.clock.Now() + int64(remaining)})
 }
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -6,26 +6,27 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// A State is what one process of a scheduler hands over to its successor: what its dispatchers have
-// learned, and what must not be done twice. It can be written as JSON.
+// A State is the state that one process of a scheduler hands over to its successor in an upgrade: the learned
+// state of its dispatchers and the ids of jobs that must not run twice. It is stored as JSON.
 type State struct {
 	DrainProgress
-	Modules map[string]*foxlift.Snapshot `json:"Modules"` // by the cell's name, "" without cells
-	IDs     []string                     `json:"IDs"`     // of jobs that must not run twice, open or answered not long ago
+	Modules map[string]*foxlift.Snapshot `json:"Modules"` // by name of the cell; "" without cells
+	IDs     []string                     `json:"IDs"`     // open or recently answered jobs that must not run twice
 }
 
-// A Progress is the part of a State that the successor looks at again and again.
+// A DrainProgress is the part of a State that the successor polls while the predecessor drains.
 type DrainProgress struct {
-	TakenAt  int64              `json:"At"`   // when it was so, in Unix nanoseconds
-	Open     int                `json:"Open"` // jobs accepted and not yet answered
+	TakenAt  int64              `json:"At"`   // time of the state, in Unix nanoseconds
+	Open     int                `json:"Open"` // number of jobs accepted and not yet answered
 	InFlight map[string]float64 `json:"Out"`  // slots in flight, by worker
 }
 
-// State returns what another process has to know to go on from here.
+// State returns the state that a successor needs in order to take over.
 func (c *Core) State(ctx context.Context) (*State, error) {
 	return callOnEventLoop(ctx, c, func(c *Core) (*State, error) { return c.state(), nil })
 }
 
+// state is State on the event loop's goroutine.
 func (c *Core) state() *State {
 	s := &State{
 		DrainProgress: DrainProgress{TakenAt: c.clock.Now(), Open: len(c.jobs.open), InFlight: map[string]float64{}},
@@ -56,7 +57,7 @@
 	return s
 }
 
-// RestoreState goes on from what another process handed over. It is called before the first job.
+// RestoreState applies the state that a predecessor handed over. It must be called before the first job.
 func (c *Core) RestoreState(ctx context.Context, s *State) error {
 	_, err := callOnEventLoop(ctx, c, func(c *Core) (struct{}, error) {
 		c.restore(s)
@@ -65,6 +66,7 @@
 	return err
 }
 
+// restore is RestoreState on the event loop's goroutine.
 func (c *Core) restore(s *State) {
 	for _, cl := range c.cells.all {
 		if snapshot := s.Modules[cl.name]; snapshot != nil {
@@ -78,14 +80,15 @@
 	c.applyExternalSlots(s.InFlight)
 }
 
-// SetExternalSlots tells how many slots another process of the scheduler has in flight, by worker. The
-// dispatchers count them as they count those of another cell.
+// SetExternalSlots sets the slots in flight of another process of the scheduler, by worker; a worker that is not
+// in the map has none. The dispatchers count them like slots of another cell.
 func (c *Core) SetExternalSlots(slots map[string]float64) { c.loop.post(externalSlotsChanged{slots}) }
 
 type externalSlotsChanged struct{ slots map[string]float64 }
 
 func (e externalSlotsChanged) apply(c *Core) { c.applyExternalSlots(e.slots) }
 
+// applyExternalSlots sets the slots of another process and sends the changed workers to their dispatchers.
 func (c *Core) applyExternalSlots(slots map[string]float64) {
 	changed := map[*cell][]foxlift.Worker{}
 	for _, w := range c.workers.order {
--- a/internal/core/worker_pool.go
+++ b/internal/core/worker_pool.go
@@ -6,14 +6,14 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// A WorkerPool is what the scheduler knows of its workers at one moment.
+// A WorkerPool counts the workers at one moment.
 type WorkerPool struct {
-	Size    int // workers in the endpoint list, draining ones included
-	Ejected int // of these, the live ones that the dispatchers avoid for their failures
+	Size    int // number of workers in the endpoint list, including draining ones
+	Ejected int // number of live workers to which the dispatchers send no jobs because attempts failed there
 }
 
-// WorkerPool returns the state of the worker pool. It fails when ctx ends before the event loop has come
-// to it, or when the core has stopped.
+// WorkerPool returns the counts of the workers. It returns an error if ctx ends before the event loop has
+// handled the call, or if the core has stopped.
 func (c *Core) WorkerPool(ctx context.Context) (WorkerPool, error) {
 	return callOnEventLoop(ctx, c, func(c *Core) (WorkerPool, error) {
 		var pool WorkerPool
--- a/internal/core/worker_table.go
+++ b/internal/core/worker_table.go
@@ -7,19 +7,19 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// A workerEntry is a worker of the endpoint list.
+// A workerEntry is a worker of the endpoint list, or a removed worker with attempts in flight.
 type workerEntry struct {
 	foxlift.Worker
-	number   int64             // in the order first listed
-	cell     *cell             // whose dispatcher has it; nil before it was live
-	inFlight map[*cell]float64 // slots in flight there, by the cell that sent them
+	number   int64             // position in the order in which workers were first listed
+	cell     *cell             // cell of the worker; nil before it was first live, and without cells
+	inFlight map[*cell]float64 // slots in flight at the worker, by the cell that sent them; empty without cells
 
-	otherProcessSlots float64 // slots in flight there that another process of the scheduler sent
-	inRemovedList     bool    // it is in workerTable.removed
+	otherProcessSlots float64 // slots in flight at the worker that another process of the scheduler sent
+	inRemovedList     bool    // the entry is in workerTable.removed
 }
 
-// forCell returns the worker as the dispatcher of a cell is to know it: with the slots of all others as
-// external slots.
+// forCell returns the worker for the dispatcher of a cell: ExternalSlots are the slots in flight of the other
+// cells and of another process.
 func (w *workerEntry) forCell(cl *cell) foxlift.Worker {
 	worker := w.Worker
 	worker.ExternalSlots = w.otherProcessSlots
@@ -31,19 +31,20 @@
 	return worker
 }
 
-// A workerTable is the core's own copy of the endpoint list. An update costs what it names, not what the
-// list holds.
+// A workerTable is the core's copy of the endpoint list. The cost of a delta depends on the number of workers in
+// it, not on the size of the list.
 type workerTable struct {
 	byID       map[string]*workerEntry
-	order      []*workerEntry // of byID, as first listed
-	removed    []*workerEntry // to be forgotten once nothing is in flight there
-	lastNumber int64
-	liveCount  int
+	order      []*workerEntry // the entries of byID, in the order in which they were first listed
+	removed    []*workerEntry // removed workers, whose entries prune deletes once nothing is in flight there
+	lastNumber int64          // number of the entry added last
+	liveCount  int            // number of live workers
 }
 
 func newWorkerTable() workerTable { return workerTable{byID: map[string]*workerEntry{}} }
 
-// update takes over an update of the endpoint list.
+// update applies an update of the endpoint list. All kinds but EndpointsDelta hold the complete list, so that
+// workers which are not in it become Removed.
 func (t *workerTable) update(kind foxlift.EndpointUpdate, workers []foxlift.Worker) {
 	if kind != foxlift.EndpointsDelta {
 		for _, w := range t.order {
@@ -59,7 +60,7 @@
 	}
 }
 
-// entry returns the entry of a worker, which it makes if there is none.
+// entry returns the entry of a worker. If there is none, it adds one in the state Removed.
 func (t *workerTable) entry(id string) *workerEntry {
 	if w := t.byID[id]; w != nil {
 		return w
@@ -74,7 +75,7 @@
 	return w
 }
 
-// setState changes the state of a worker.
+// setState changes the state of a worker, with liveCount and the list of removed workers.
 func (t *workerTable) setState(w *workerEntry, state foxlift.WorkerState) {
 	if w.State == foxlift.Live {
 		t.liveCount--
@@ -89,17 +90,17 @@
 	}
 }
 
-// maxSingleRemovals is how many workers are taken out of the order one by one; for more, one pass over
-// all is cheaper.
+// maxSingleRemovals is the maximum number of entries that prune deletes one by one; for more entries, one pass
+// over all entries is cheaper.
 const maxSingleRemovals = 64
 
-// prune forgets workers that are removed, once nothing is in flight there.
+// prune deletes the entries of removed workers that have nothing in flight.
 func (t *workerTable) prune() {
 	var pruned []*workerEntry
 	t.removed = slices.DeleteFunc(t.removed, func(w *workerEntry) bool {
 		w.inRemovedList = w.State == foxlift.Removed
 		if !w.inRemovedList {
-			return true // it is back
+			return true // the worker has been listed again
 		}
 		if len(w.inFlight) > 0 {
 			return false
@@ -119,10 +120,11 @@
 	}
 }
 
-// compareNumbers orders entries as they were first listed.
+// compareByNumber orders entries as they were first listed.
 func compareByNumber(a, b *workerEntry) int { return cmp.Compare(a.number, b.number) }
 
-// withExternalSlots returns workers of an update with the slots that another process has in flight there.
+// withExternalSlots returns the workers of an update with the slots that another process has in flight there.
+// The argument is copied if a worker changes.
 func (t *workerTable) withExternalSlots(workers []foxlift.Worker) []foxlift.Worker {
 	result := workers
 	isCloned := false
