--- a/cmd/foxlift/shutdown_test.go
+++ b/cmd/foxlift/shutdown_test.go
@@ -46,7 +46,7 @@
 // polled all the same, and the worker that it names gets its job.
 func TestIdleClientsExhaustDescriptors(t *testing.T) {
 	worker := standin.Serve(listen(t), func(c net.Conn, _ *http.Request, id string) bool {
-		return standin.SayStates(c, id, true, `"started"`, `"done","result":"served"`)
+		return standin.WriteStates(c, id, true, `"started"`, `"done","result":"served"`)
 	})
 	discovery, up := listen(t), make(chan struct{})
 	go serveEndpoints(discovery, worker.Addr().String(), up)
@@ -98,7 +98,7 @@
 	address := p.startServing(t)
 	hanging, half, busy := dial(t, address), dial(t, address), dial(t, address)
 	hanging.mustSend(t, jobText("ratify", "hangs", "1500m"))
-	for worker.Got.Load() == 0 {
+	for worker.RequestCount.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	half.mustSend(t, jobText("reading", "half", "9000m")[:30])
--- a/internal/daemon/fixture_test.go
+++ b/internal/daemon/fixture_test.go
@@ -94,7 +94,7 @@
 	}
 	cfg["listen"] = "127.0.0.1:0"
 	cfg["discovery"] = f.discovery.Addr().String()
-	cfg["known"] = json.RawMessage(f.discovery.Known())
+	cfg["known"] = json.RawMessage(f.discovery.ListJSON())
 	cfg["limits"] = map[string]any{"memory_mb": 192, "sockets": 256}
 	if text, err = json.Marshal(cfg); err != nil {
 		t.Fatal(err)
--- a/internal/daemon/scenario_test.go
+++ b/internal/daemon/scenario_test.go
@@ -55,7 +55,7 @@
 	for range n {
 		if set != nil {
 			script = append(script, set[rng.IntN(len(set))])
-		} else if fault := standin.Fault(rng.IntN(2 * int(standin.Faults))); fault < standin.Faults {
+		} else if fault := standin.Fault(rng.IntN(2 * int(standin.FaultCount))); fault < standin.FaultCount {
 			script = append(script, fault)
 		} else {
 			script = append(script, standin.Pass)
@@ -123,7 +123,7 @@
 			Discovery: discovery.Addr().String(),
 			Seed:      s.seed,
 			Sockets:   128,
-			Known:     discovery.Known(),
+			Known:     discovery.ListJSON(),
 			Settings:  settings,
 		},
 		Operator: &config.Operator{},
@@ -159,9 +159,9 @@
 	proxy, err := standin.StartProxy(worker.Addr(), towardsWorker, towardsScheduler)
 	must(t, err)
 	t.Cleanup(proxy.Stop)
-	worker.Via = proxy.Addr().String()
+	worker.AnnouncedAddr = proxy.Addr().String()
 	if s.rng.IntN(5) == 0 {
-		worker.Behave(standin.Behaviour{CutAfter: 1 + s.rng.IntN(200)})
+		worker.SetBehaviour(standin.Behaviour{ResetAfterBytes: 1 + s.rng.IntN(200)})
 	}
 	s.workers = append(s.workers, worker)
 }
--- a/internal/lab/capacity/faults.go
+++ b/internal/lab/capacity/faults.go
@@ -103,7 +103,7 @@
 			return nil, err
 		}
 	}
-	t.result.EndpointsBytes = len(f.Discovery.Known())
+	t.result.EndpointsBytes = len(f.Discovery.ListJSON())
 	return t.result, nil
 }
 
@@ -189,7 +189,7 @@
 func (t *faultsTrial) judgeStart(fault startFault, bytes int64, seconds float64) {
 	r := t.result
 	r.Starts++
-	entry := float64(len(t.Discovery.Known())) / float64(len(t.workers)) // bytes
+	entry := float64(len(t.Discovery.ListJSON())) / float64(len(t.workers)) // bytes
 	bound := t.startBound(entry)
 	if t.checkpointUsable {
 		r.WithCheckpoint++
--- a/internal/lab/capacity/hollowdiscovery.go
+++ b/internal/lab/capacity/hollowdiscovery.go
@@ -42,5 +42,5 @@
 		return 0, err
 	}
 	defer d.Close()
-	return len(d.Known()), nil
+	return len(d.ListJSON()), nil
 }
--- a/internal/lab/capacity/runevents.go
+++ b/internal/lab/capacity/runevents.go
@@ -74,7 +74,7 @@
 			t.churnWorkers()
 			return nil
 		}
-		t.Discovery.GoBack(t.Discovery.Version() - regressedVersions)
+		t.Discovery.RevertVersion(t.Discovery.Version() - regressedVersions)
 		t.changes = nil // a checkpoint of the lost versions must not be used
 		t.churnWorkers()
 		<-time.After(interruptionDuration) // in which the process sees it
--- a/internal/lab/cells.go
+++ b/internal/lab/cells.go
@@ -195,7 +195,7 @@
 	for _, tally := range load.CollectTallies() {
 		total = standin.Total(total, tally)
 	}
-	fmt.Fprintf(w, "%d moves under load: %d jobs, %.1f %% served in time\n", r.Migrations, total.Sent, total.Service())
+	fmt.Fprintf(w, "%d moves under load: %d jobs, %.1f %% served in time\n", r.Migrations, total.Sent, total.ServedPercent())
 	return nil
 }
 
@@ -208,7 +208,7 @@
 	fmt.Fprintf(table, "%s\tnormal asked\tin time\tflood asked\tin time\trefused\tpoints\t\n", title)
 	for _, tenant := range tenants {
 		before, during := normal[tenant.Name], flood[tenant.Name]
-		loss := before.Service() - during.Service()
+		loss := before.ServedPercent() - during.ServedPercent()
 		name := tenant.Name
 		if name == flooder {
 			name += " (floods)"
@@ -216,7 +216,7 @@
 			worst = max(worst, loss)
 		}
 		fmt.Fprintf(table, "%s\t%d\t%.1f %%\t%d\t%.1f %%\t%d\t%+.1f\t\n",
-			name, before.Sent, before.Service(), during.Sent, during.Service(), during.Shed, -loss)
+			name, before.Sent, before.ServedPercent(), during.Sent, during.ServedPercent(), during.Shed, -loss)
 	}
 	return worst, table.Flush()
 }
@@ -296,5 +296,5 @@
 	load.CollectTallies()
 	<-time.After(o.Lending / 3)
 	tally := load.CollectTallies()["lone"]
-	return tally.Service(), load.Stop(), nil
+	return tally.ServedPercent(), load.Stop(), nil
 }
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -32,7 +32,7 @@
 		fmt.Fprintf(w, "%4d s", second)
 		tallies := load.CollectTallies()
 		for _, tenant := range rig.Tenants {
-			fmt.Fprintf(w, "%10.1f", tallies[tenant.Name].Service())
+			fmt.Fprintf(w, "%10.1f", tallies[tenant.Name].ServedPercent())
 		}
 		switch second {
 		case demoFloodAt:
--- a/internal/lab/fleet/configuration.go
+++ b/internal/lab/fleet/configuration.go
@@ -43,7 +43,7 @@
 		}
 	}
 	f.Processes = append(f.Processes, p)
-	return f.Configure(i, f.Discovery.KnownAt(f.dial(i)))
+	return f.Configure(i, f.Discovery.ViewListJSON(f.dial(i)))
 }
 
 // linkToDiscovery starts a link to a view of discovery that is of process i alone.
@@ -100,7 +100,7 @@
 	}
 	f.cleanups = append(f.cleanups, f.Links[i].close)
 	f.Links[i] = link
-	return f.Configure(i, f.Discovery.KnownAt(f.dial(i)))
+	return f.Configure(i, f.Discovery.ViewListJSON(f.dial(i)))
 }
 
 // dial returns how process i reaches each worker, by its name and its own address.
--- a/internal/lab/fleet/cut_test.go
+++ b/internal/lab/fleet/cut_test.go
@@ -79,7 +79,7 @@
 	t.Helper()
 	version := f.Discovery.Version()
 	for _, p := range which {
-		await(t, p.Name+" has the newest list", func() bool { return f.Discovery.Announced(p.Name) >= version })
+		await(t, p.Name+" has the newest list", func() bool { return f.Discovery.SentVersion(p.Name) >= version })
 	}
 }
 
@@ -115,7 +115,7 @@
 	}
 	serves(t, f, "restarted")
 	jobs.Wait()
-	if tally := early.ResetTally(); tally.Lost+tally.Failed > 0 {
+	if tally := early.TakeTally(); tally.Lost+tally.Failed > 0 {
 		t.Errorf("of the jobs that came before the answer: %+v", tally)
 	}
 	for _, worker := range left {
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -21,7 +21,7 @@
 type Options struct {
 	lab.Topology
 	Program     string             // the scheduler's binary
-	Price       standin.Price      // of calls to discovery
+	Price       standin.CallCost   // of calls to discovery
 	SlowStart   *standin.SlowStart // of workers that start; nil: they are warm at once
 	GroupWindow time.Duration      // in which groups really drop repeats; 0: as the settings say
 	WorkerLinks bool               // a link between each scheduler and each worker: only for small fleets
@@ -63,7 +63,7 @@
 	if f.Discovery, err = standin.StartDiscovery(); err != nil {
 		return nil, err
 	}
-	f.Discovery.Price = o.Price
+	f.Discovery.CallCost = o.Price
 	for i := range o.Groups {
 		f.groups = append(f.groups, &standin.DedupGroup{Number: i, Window: f.groupWindow()})
 	}
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -237,7 +237,7 @@
 			fmt.Fprintf(c, "POST /ratify HTTP/1.1\r\nHost: n\r\nX-Txn: a/ratify/%d\r\nContent-Length: 0\r\n\r\n", i)
 		}
 		await(t, "the jobs have arrived", func() bool {
-			return falls == worker.Fallen() && (falls || len(worker.Runs()) == jobs)
+			return falls == worker.Overloaded() && (falls || len(worker.Runs()) == jobs)
 		})
 	}
 }
--- a/internal/lab/fleet/helpers_test.go
+++ b/internal/lab/fleet/helpers_test.go
@@ -48,10 +48,10 @@
 			},
 		},
 		Program: program,
-		Price: standin.Price{
-			Call:     time.Millisecond,
-			Line:     100 * time.Microsecond,
-			Patience: time.Second,
+		Price: standin.CallCost{
+			PerCall: time.Millisecond,
+			PerHost: 100 * time.Microsecond,
+			MaxWait: time.Second,
 		},
 	}
 	if change != nil {
@@ -92,7 +92,7 @@
 func awaitAnswers(t *testing.T, f *Fleet, which ...*Process) {
 	t.Helper()
 	for _, p := range which {
-		await(t, p.Name+" has the list", func() bool { return !f.Discovery.First(p.Name).IsZero() })
+		await(t, p.Name+" has the list", func() bool { return !f.Discovery.TakeFirstResponse(p.Name).IsZero() })
 	}
 }
 
--- a/internal/lab/fleet/keyed.go
+++ b/internal/lab/fleet/keyed.go
@@ -136,7 +136,7 @@
 	options := Options{
 		Topology:    keyedWorld(),
 		Program:     o.Program,
-		Price:       standin.Price{Call: time.Millisecond, Patience: time.Second},
+		Price:       standin.CallCost{PerCall: time.Millisecond, MaxWait: time.Second},
 		WorkerLinks: true,
 	}
 	if o.ShortWindow {
@@ -166,7 +166,7 @@
 		f.Discovery.Put(worker, standin.Active)
 	}
 	for i := range f.Processes {
-		if err := f.Configure(i, f.Discovery.KnownAt(f.dial(i))); err != nil {
+		if err := f.Configure(i, f.Discovery.ViewListJSON(f.dial(i))); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/fleet/load.go
+++ b/internal/lab/fleet/load.go
@@ -44,7 +44,7 @@
 				client := newClient(p.Addr, class, tenant)
 				client.Name = fmt.Sprintf("%s/%s/%s/%d", name, tenant.Name, class.Name, i)
 				client.Grace = allow.Grace
-				client.Excuse = excuse(i)
+				client.WasInterrupted = excuse(i)
 				clients = append(clients, client)
 				rates = append(rates, rate*class.JobFraction*tenant.QuotaFraction/float64(len(f.Processes)))
 			}
@@ -102,7 +102,7 @@
 func (l *Load) ResetTally() standin.Tally {
 	var all []standin.Tally
 	for _, client := range l.clients {
-		all = append(all, client.ResetTally())
+		all = append(all, client.TakeTally())
 	}
 	return standin.Total(all...)
 }
--- a/internal/lab/fleet/observe.go
+++ b/internal/lab/fleet/observe.go
@@ -17,7 +17,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, worker := range f.workers {
-		if worker.Fallen() {
+		if worker.Overloaded() {
 			n++
 		}
 	}
--- a/internal/lab/fleet/slowstart_trial.go
+++ b/internal/lab/fleet/slowstart_trial.go
@@ -54,7 +54,7 @@
 		"sends to gone nodes %.1f %%, jobs lost %d, twice %d, service %.1f %% (last third %.1f %%)",
 		r.Schedulers, r.Half.Seconds(), r.All.Seconds(), r.Informed,
 		r.MaxCalls, r.Capacity, r.RejectedCalls, r.Fallen,
-		r.SendsToRemoved, r.Tally.Lost, r.Twice, r.Tally.Service(), r.FinalService)
+		r.SendsToRemoved, r.Tally.Lost, r.Twice, r.Tally.ServedPercent(), r.FinalService)
 }
 
 // OK reports whether what must never happen did not.
@@ -75,10 +75,10 @@
 )
 
 // trialPrice is what the trial's discovery takes for its calls.
-var trialPrice = standin.Price{
-	Call:     2 * time.Millisecond,
-	Line:     100 * time.Microsecond,
-	Patience: 2 * time.Second,
+var trialPrice = standin.CallCost{
+	PerCall: 2 * time.Millisecond,
+	PerHost: 100 * time.Microsecond,
+	MaxWait: 2 * time.Second,
 }
 
 // world is the trial's deployment: three kinds of worker, two classes, in the proportions of
@@ -141,7 +141,7 @@
 		return r, err
 	}
 	r.Schedulers, r.Ended = o.Schedulers, true
-	r.Capacity = 1 / (trialPrice.Call + time.Duration(o.Workers)*trialPrice.Line).Seconds()
+	r.Capacity = 1 / (trialPrice.PerCall + time.Duration(o.Workers)*trialPrice.PerHost).Seconds()
 	began := time.Now()
 	load := f.StartLoad("cold", o.Load*f.Capacity(), o.Seed)
 	if err := f.StartAll(trialStartLimit); err != nil {
@@ -187,11 +187,11 @@
 		<-time.After(time.Until(began.Add(o.For * time.Duration(i+1) / trialReports)))
 		tally := load.ResetTally()
 		r.Tally = standin.Total(r.Tally, tally)
-		r.FinalService = tally.Service()
+		r.FinalService = tally.ServedPercent()
 		calls := f.Discovery.Calls()
 		fmt.Fprintf(w, "%5.1f s: %d jobs, service %.1f %%, refused %d, late %d, failed %d; "+
 			"discovery: %d calls, %d refused, %d waiting\n",
-			time.Since(began).Seconds(), tally.Sent, tally.Service(), tally.Shed, tally.Late, tally.Failed,
+			time.Since(began).Seconds(), tally.Sent, tally.ServedPercent(), tally.Shed, tally.Late, tally.Failed,
 			calls.Received, calls.Rejected, calls.Waiting)
 	}
 }
@@ -200,7 +200,7 @@
 func (r *SlowStartResult) recordDiscovery(f *Fleet, began time.Time) {
 	var first []time.Duration
 	for _, p := range f.Processes {
-		if at := f.Discovery.First(p.Name); !at.IsZero() {
+		if at := f.Discovery.TakeFirstResponse(p.Name); !at.IsZero() {
 			first = append(first, at.Sub(began))
 		}
 	}
--- a/internal/lab/fleet/start_test.go
+++ b/internal/lab/fleet/start_test.go
@@ -54,7 +54,7 @@
 	for _, l := range f.Links {
 		l.Cut()
 	}
-	f.Discovery.GoBack(1)
+	f.Discovery.RevertVersion(1)
 	for _, l := range f.Links {
 		l.Heal()
 	}
--- a/internal/lab/fleet/workers.go
+++ b/internal/lab/fleet/workers.go
@@ -49,7 +49,7 @@
 	})
 	worker.Started = started
 	worker.SlowStart = f.SlowStart
-	worker.Reports = f.LoadReports
+	worker.SendLoadReports = f.LoadReports
 	f.mu.Lock()
 	if len(f.groups) > 0 {
 		worker.Group = f.groups[len(f.workers)%len(f.groups)]
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -67,7 +67,7 @@
 	for tenant, clients := range l.clients {
 		var all []standin.Tally
 		for _, client := range clients {
-			all = append(all, client.ResetTally())
+			all = append(all, client.TakeTally())
 		}
 		tallies[tenant] = standin.Total(all...)
 		l.total = standin.Total(l.total, tallies[tenant])
--- a/internal/lab/rig.go
+++ b/internal/lab/rig.go
@@ -94,7 +94,7 @@
 		"discovery": r.Discovery.Addr().String(),
 		"seed":      fmt.Sprintf("%x", 1000+scheduler),
 		"limits":    map[string]any{"memory_mb": 192, "sockets": r.Sockets},
-		"known":     json.RawMessage(r.Discovery.Known()),
+		"known":     json.RawMessage(r.Discovery.ListJSON()),
 		"settings":  r.Settings(scheduler),
 	}, "", " ")
 	if err != nil {
--- a/internal/lab/service/deployment.go
+++ b/internal/lab/service/deployment.go
@@ -64,7 +64,7 @@
 	f, err := fleet.New(fleet.Options{
 		Topology: world,
 		Program:  program,
-		Price:    standin.Price{Call: time.Millisecond, Patience: time.Second},
+		Price:    standin.CallCost{PerCall: time.Millisecond, MaxWait: time.Second},
 		Admin:    true,
 	})
 	if err != nil {
--- a/internal/lab/service/stats_test.go
+++ b/internal/lab/service/stats_test.go
@@ -37,7 +37,7 @@
 	o.Rate = 2.5 * world.Capacity()
 	load := StartLoad(d.Addr(), d.Fleet.Topology, o)
 	for _, n := range d.Fleet.Workers() {
-		n.Behave(standin.Behaviour{FailOne: 5})
+		n.SetBehaviour(standin.Behaviour{FailEvery: 5})
 	}
 	enough := float64(size(20, 150))
 	await(t, "jobs are served, shed and failed", patience, func() bool {
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -144,9 +144,9 @@
 	if !p.claim(discoveryTarget) {
 		return nil
 	}
-	p.f.Discovery.CorruptAnswers(standin.Corruptions[rng.IntN(len(standin.Corruptions))])
+	p.f.Discovery.CorruptResponses(standin.Corruptions[rng.IntN(len(standin.Corruptions))])
 	return func() {
-		p.f.Discovery.CorruptAnswers(standin.NoCorruption)
+		p.f.Discovery.CorruptResponses(standin.NoCorruption)
 		p.release(discoveryTarget)
 	}
 }
@@ -221,11 +221,11 @@
 
 func drainWorker(p *run, rng *rand.Rand) func() {
 	return p.onWorker(rng, func(worker *standin.Worker) func() {
-		worker.Behave(standin.Behaviour{Draining: true})
+		worker.SetBehaviour(standin.Behaviour{Draining: true})
 		p.f.Discovery.Put(worker, standin.Leaving)
 		return func() { // its log is kept: it goes on listening
 			p.f.Discovery.Put(worker, standin.Left)
-			worker.Behave(standin.Behaviour{})
+			worker.SetBehaviour(standin.Behaviour{})
 			p.f.Discovery.Put(worker, standin.Active)
 		}
 	})
@@ -247,8 +247,8 @@
 
 func hangWorker(p *run, rng *rand.Rand) func() {
 	return p.onWorker(rng, func(worker *standin.Worker) func() {
-		worker.Behave(standin.Behaviour{Hang: true})
-		return func() { worker.Behave(standin.Behaviour{}) }
+		worker.SetBehaviour(standin.Behaviour{Hang: true})
+		return func() { worker.SetBehaviour(standin.Behaviour{}) }
 	})
 }
 
--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -65,8 +65,8 @@
 
 // violatesDisconnect reports whether an arrival came too long after its client disconnected.
 func (p *run) violatesDisconnect(a standin.Arrival, i int, disconnectedAt time.Time) bool {
-	late := a.Begun.Sub(disconnectedAt)
-	if late <= disconnectSlack+slack+linkTime || p.record.linkFaulty(i, a.Worker, disconnectedAt, a.Begun) {
+	late := a.FirstByte.Sub(disconnectedAt)
+	if late <= disconnectSlack+slack+linkTime || p.record.linkFaulty(i, a.Worker, disconnectedAt, a.FirstByte) {
 		return false
 	}
 	p.logf("gone: %s reaches %s %v after its submitter left", a.ID, a.Worker, late)
@@ -75,8 +75,8 @@
 
 // violatesDeadline reports whether a worker was told of more time than its job had left.
 func (p *run) violatesDeadline(a standin.Arrival, i int, sentAt time.Time, deadline time.Duration) bool {
-	left := sentAt.Add(deadline).Sub(a.Begun)
-	if a.Remaining <= left+deadlineSlack+slack+linkTime || p.record.linkFaulty(i, a.Worker, sentAt, a.Begun) {
+	left := sentAt.Add(deadline).Sub(a.FirstByte)
+	if a.Remaining <= left+deadlineSlack+slack+linkTime || p.record.linkFaulty(i, a.Worker, sentAt, a.FirstByte) {
 		return false
 	}
 	p.logf("deadline: %s is told %v, and has %v", a.ID, a.Remaining, left)
@@ -124,14 +124,14 @@
 // violatesDrain reports whether an arrival came past the grace at a worker that drains or is removed.
 func (p *run) violatesDrain(a standin.Arrival, i int, unavailable []unavailability) bool {
 	for _, u := range unavailable {
-		if a.Begun.Before(u.change.At) || !u.until.IsZero() && a.Begun.After(u.until) {
+		if a.FirstByte.Before(u.change.At) || !u.until.IsZero() && a.FirstByte.After(u.until) {
 			continue
 		}
-		known := p.notifiedAt(i, u.change, a.Begun)
-		if late := a.Begun.Sub(known) - drainGrace - slack; late > 0 {
+		known := p.notifiedAt(i, u.change, a.FirstByte)
+		if late := a.FirstByte.Sub(known) - drainGrace - slack; late > 0 {
 			p.logf("drain: %s reaches %s %.2f s after the list said %q (version %d), %.2f s after it counted as known",
-				a.ID, a.Worker, a.Begun.Sub(u.change.At).Seconds(),
-				u.change.Health, u.change.Version, a.Begun.Sub(known).Seconds())
+				a.ID, a.Worker, a.FirstByte.Sub(u.change.At).Seconds(),
+				u.change.Health, u.change.Version, a.FirstByte.Sub(known).Seconds())
 			return true
 		}
 	}
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -154,10 +154,10 @@
 		Topology:    o.world(),
 		Program:     o.Program,
 		WorkerLinks: true,
-		Price: standin.Price{
-			Call:     time.Millisecond,
-			Line:     50 * time.Microsecond,
-			Patience: 2 * time.Second,
+		Price: standin.CallCost{
+			PerCall: time.Millisecond,
+			PerHost: 50 * time.Microsecond,
+			MaxWait: 2 * time.Second,
 		},
 		SlowStart: &standin.SlowStart{
 			InitialCapacity:  0.2,
--- a/internal/lab/speed.go
+++ b/internal/lab/speed.go
@@ -163,10 +163,10 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			for _, latency := range client.Latencies() {
+			for _, latency := range client.TakeLatencies() {
 				_ = result.latencies.RecordValue(int64(latency)) // beyond maxLatency it is not counted
 			}
-			tally := client.ResetTally()
+			tally := client.TakeTally()
 			result.notServed += tally.Sent - tally.Served
 		})
 	}
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -57,7 +57,7 @@
 			r, _ := connect(t, p).request(t, jobText(tc.class, "j", "15000m", ""))
 			requests := int64(0)
 			for _, worker := range workers {
-				requests += worker.Got.Load()
+				requests += worker.RequestCount.Load()
 			}
 			check(t, "status", r.StatusCode, tc.status)
 			check(t, "requests at workers", requests, tc.requests)
@@ -75,8 +75,8 @@
 		r, _ := client.request(t, jobText("reading", fmt.Sprint("j", i), "15000m", ""))
 		check(t, "status", r.StatusCode, 200)
 	}
-	check(t, "counter claims.sent", set.Get("claims.sent"), failing.Got.Load()+healthy.Got.Load())
-	check(t, "counter claims.reset", set.Get("claims.reset"), failing.Got.Load())
+	check(t, "counter claims.sent", set.Get("claims.sent"), failing.RequestCount.Load()+healthy.RequestCount.Load())
+	check(t, "counter claims.reset", set.Get("claims.reset"), failing.RequestCount.Load())
 }
 
 // Guards against a send to a worker that begins to drain after the module has chosen it: first during the dial, then
@@ -98,8 +98,8 @@
 		pool.Send("n", job, core.AttemptLimits{Remaining: patience}, func(r core.Report) { reports <- r })
 		check(t, "reported code", (<-reports).Code, foxlift.NotSent)
 	}
-	await(t, "one connection at the worker", func() bool { return worker.Conns.Load() == 1 }) // of the first attempt
-	check(t, "requests at the worker", worker.Got.Load(), int64(0))
+	await(t, "one connection at the worker", func() bool { return worker.ConnCount.Load() == 1 }) // of the first attempt
+	check(t, "requests at the worker", worker.RequestCount.Load(), int64(0))
 }
 
 // Guards against a client that waits past its deadline because the worker does not answer. The remaining time is given
@@ -225,7 +225,7 @@
 			pool.Send("n", job, core.AttemptLimits{Remaining: patience}, func(r core.Report) { reports <- r })
 			check(t, event+": code", (<-reports).Code, foxlift.NotSent)
 			check(t, event+": lookups of the worker", lookups, lookup)
-			check(t, event+": complete requests at the worker", worker.Got.Load(), int64(0))
+			check(t, event+": complete requests at the worker", worker.RequestCount.Load(), int64(0))
 		}
 	}
 }
--- a/internal/platform/client_conn_test.go
+++ b/internal/platform/client_conn_test.go
@@ -39,7 +39,7 @@
 	}
 	check(t, "first", seen[0], "POST /reading?user=7f3a9c21e0b4d655 j0 ab reading true")
 	check(t, "second", seen[1], "POST /reading?user=7f3a9c21e0b4d655 j1 abc reading true")
-	check(t, "connections to the worker", worker.Conns.Load(), int64(1))
+	check(t, "connections to the worker", worker.ConnCount.Load(), int64(1))
 	check(t, "jobs taken", set.Get("jobs.taken"), int64(2))
 	check(t, "jobs served", set.Get("jobs.served"), int64(2))
 }
@@ -102,7 +102,7 @@
 			check(t, name+": next", resp.StatusCode, 200)
 		}
 	}
-	check(t, "requests at the worker", worker.Got.Load(), int64(0))
+	check(t, "requests at the worker", worker.RequestCount.Load(), int64(0))
 }
 
 // An id that is in use is invalid input; the job that has it goes on.
@@ -112,14 +112,14 @@
 	p, _ := start(t, "", worker)
 	first, second := connect(t, p), connect(t, p)
 	first.send(t, jobText("ratify", "j", "9000m", ""))
-	await(t, "at the worker", func() bool { return worker.Got.Load() == 1 })
+	await(t, "at the worker", func() bool { return worker.RequestCount.Load() == 1 })
 	r, _ := second.request(t, jobText("ratify", "j", "9000m", ""))
 	check(t, "repeat", r.StatusCode, 400)
 	second.Close()
 	close(release)
 	r, _ = first.answer(t)
 	check(t, "first", r.StatusCode, 200)
-	check(t, "requests at the worker", worker.Got.Load(), int64(1))
+	check(t, "requests at the worker", worker.RequestCount.Load(), int64(1))
 }
 
 // When a client disconnects, its job is withdrawn: the connection to the worker is closed.
@@ -133,7 +133,7 @@
 	p, set := start(t, "", worker)
 	s := connect(t, p)
 	s.send(t, jobText("ratify", "j", "19000m", ""))
-	await(t, "at the worker", func() bool { return worker.Got.Load() == 1 })
+	await(t, "at the worker", func() bool { return worker.RequestCount.Load() == 1 })
 	s.Close()
 	select {
 	case <-closed:
@@ -193,7 +193,7 @@
 	p, set := start(t, "", worker)
 	s := connect(t, p)
 	s.send(t, jobText("ratify", "j", "19000m", ""))
-	await(t, "at the worker", func() bool { return worker.Got.Load() == 1 })
+	await(t, "at the worker", func() bool { return worker.RequestCount.Load() == 1 })
 	s.send(t, strings.Repeat(jobText("ratify", "more", "19000m", ""), 3000)) // past every buffer on the way
 	s.Close()
 	await(t, "noticed", func() bool { return set.Get("jobs.left") == 1 && set.Get("claims.cancelled") == 1 })
--- a/internal/platform/endpoint_watch_test.go
+++ b/internal/platform/endpoint_watch_test.go
@@ -86,10 +86,10 @@
 	client := connect(t, p)
 	serve := func(id string, by *testWorker) {
 		t.Helper()
-		before := by.Got.Load()
+		before := by.RequestCount.Load()
 		r, _ := client.request(t, jobText("reading", id, "9000m", ""))
 		check(t, "status of job "+id, r.StatusCode, 200)
-		check(t, "requests at the worker after job "+id, by.Got.Load(), before+1)
+		check(t, "requests at the worker after job "+id, by.RequestCount.Load(), before+1)
 	}
 	awaitUpdates := func(n int64) {
 		t.Helper()
@@ -178,10 +178,10 @@
 		_, ok := p.endpoints.findLive("n0")
 		return ok && set.Get("machines.told") == 3
 	})
-	before := second.Got.Load()
+	before := second.RequestCount.Load()
 	r, _ := connect(t, p).request(t, jobText("reading", "after", "9000m", ""))
 	check(t, "status of a job after the new list", r.StatusCode, 200)
-	check(t, "requests at the new list's worker", second.Got.Load(), before+1)
+	check(t, "requests at the new list's worker", second.RequestCount.Load(), before+1)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := p.endpoints.applyResponse(ctx, &endpointsResponse{Complete: true}); err == nil {
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -86,7 +86,7 @@
 	return l
 }
 
-var writeStates = standin.SayStates
+var writeStates = standin.WriteStates
 
 func serveJob(c net.Conn, _ *http.Request, id string) bool {
 	return writeStates(c, id, true, `"started"`, `"running","share":0.5`, `"done","result":"for `+id+`"`)
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -37,7 +37,7 @@
 		r, _ := s.request(t, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
 		check(t, "health before", r.StatusCode, 200)
 	}
-	await(t, "at a worker", func() bool { return worker.Got.Load()+other.Got.Load() == 1 })
+	await(t, "at a worker", func() bool { return worker.RequestCount.Load()+other.RequestCount.Load() == 1 })
 	ended := make(chan bool)
 	go func() { p.ShutDown(); close(ended) }()
 	await(t, "ending", p.clients.unready.Load)
@@ -108,7 +108,7 @@
 			await(t, "arrived", func() bool { return hasInput(near) })
 			close(ending)
 		}})
-		got, status := worker.Got.Load(), 200
+		got, status := worker.RequestCount.Load(), 200
 		switch how {
 		case "a last answer":
 			writeText(t, far, jobText("reading", "j", "9000m", "", "Connection: close"))
@@ -135,7 +135,7 @@
 		if _, err := br.ReadByte(); err != io.EOF {
 			t.Errorf("%s: %v behind the answer", how, err)
 		}
-		check(t, how+": sent on", worker.Got.Load(), got+1)
+		check(t, how+": sent on", worker.RequestCount.Load(), got+1)
 	}
 }
 
--- a/internal/platform/worker_pool_test.go
+++ b/internal/platform/worker_pool_test.go
@@ -31,7 +31,7 @@
 		check(t, "status", r.StatusCode, 200)
 		<-closed
 	}
-	check(t, "connections at the worker", worker.Conns.Load(), int64(3))
+	check(t, "connections at the worker", worker.ConnCount.Load(), int64(3))
 }
 
 // Guards against a pool that exceeds its budget or reuses unusable connections. The most recently used idle connection
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -16,29 +16,29 @@
 // A Tally counts what became of jobs. When a job has ended, Sent grows, and one of the others: with Rejected
 // grows Failed too.
 type Tally struct {
-	Sent     int
-	Served   int // within the latency objective
-	Late     int // served, but past the latency objective
-	Shed     int
-	Failed   int // an answer that is neither
-	Rejected int // of those: 4xx, which says that the client is at fault
-	Lost     int // no whole answer, or none in time
-	Cut      int // the same, where Client.Excuse says that no answer was owed
+	Sent        int
+	Served      int // within the latency objective
+	Late        int // served, but past the latency objective
+	Shed        int
+	Failed      int // an answer that is neither
+	Rejected    int // of those: 4xx, which says that the client is at fault
+	Lost        int // no whole answer, or none in time
+	Interrupted int // the same, where Client.Excuse says that no answer was owed
 }
 
 // Service is the share of the jobs that was served within the latency objective, in percent.
-func (t Tally) Service() float64 { return 100 * float64(t.Served) / float64(max(1, t.Sent)) }
+func (t Tally) ServedPercent() float64 { return 100 * float64(t.Served) / float64(max(1, t.Sent)) }
 
 // add adds another tally's counts.
-func (t *Tally) add(o Tally) {
-	t.Sent += o.Sent
-	t.Served += o.Served
-	t.Late += o.Late
-	t.Shed += o.Shed
-	t.Failed += o.Failed
-	t.Rejected += o.Rejected
-	t.Lost += o.Lost
-	t.Cut += o.Cut
+func (t *Tally) add(other Tally) {
+	t.Sent += other.Sent
+	t.Served += other.Served
+	t.Late += other.Late
+	t.Shed += other.Shed
+	t.Failed += other.Failed
+	t.Rejected += other.Rejected
+	t.Lost += other.Lost
+	t.Interrupted += other.Interrupted
 }
 
 // A Client sends jobs of one tenant at a rate, each at its time whatever became
@@ -55,7 +55,7 @@
 	Grace             time.Duration // past Remaining, in which an answer still comes in time; 0: 0.1 s
 
 	// Excuse reports whether a job sent at a time is owed no answer: its scheduler was killed since. nil: none is.
-	Excuse func(sent time.Time) bool
+	WasInterrupted func(sent time.Time) bool
 
 	sent    atomic.Int64
 	sending sync.WaitGroup
@@ -90,9 +90,9 @@
 	next := time.Now()
 	for {
 		wait := idleInterval
-		now := rate()
-		if now > 0 {
-			next = next.Add(time.Duration(rng.ExpFloat64() / now * float64(time.Second)))
+		currentRate := rate()
+		if currentRate > 0 {
+			next = next.Add(time.Duration(rng.ExpFloat64() / currentRate * float64(time.Second)))
 			wait = time.Until(next)
 		} else {
 			next = time.Now()
@@ -102,7 +102,7 @@
 		case <-stop:
 			return
 		}
-		if now > 0 {
+		if currentRate > 0 {
 			c.sending.Go(func() { c.Send() })
 		}
 	}
@@ -175,10 +175,10 @@
 		if status >= 400 && status < 500 {
 			t.Rejected = 1
 		}
-	case status == notConnected && c.Excuse != nil:
-		t.Cut = 1
-	case c.Excuse != nil && c.Excuse(sentAt):
-		t.Cut = 1
+	case status == notConnected && c.WasInterrupted != nil:
+		t.Interrupted = 1
+	case c.WasInterrupted != nil && c.WasInterrupted(sentAt):
+		t.Interrupted = 1
 	default:
 		t.Lost = 1
 	}
@@ -186,7 +186,7 @@
 }
 
 // connection returns an idle connection or a new one; fresh tells that it has carried nothing yet.
-func (c *Client) connection() (conn *clientConn, fresh bool, err error) {
+func (c *Client) acquireConn() (conn *clientConn, fresh bool, err error) {
 	if conn := c.popIdle(); conn != nil {
 		return conn, false, nil
 	}
@@ -232,17 +232,17 @@
 }
 
 // exchange sends a job and returns the status of its answer, 0 for none by a time.
-func (c *Client) exchange(id string, until time.Time) int {
+func (c *Client) exchange(id string, deadline time.Time) int {
 	request := c.request(id)
 	for {
-		conn, fresh, err := c.connection()
+		conn, fresh, err := c.acquireConn()
 		if err != nil {
 			return notConnected
 		}
-		conn.SetDeadline(until)
-		status, closes, err := conn.exchange(request)
+		conn.SetDeadline(deadline)
+		status, closeAfter, err := conn.exchange(request)
 		if err == nil {
-			if closes {
+			if closeAfter {
 				conn.Close()
 			} else {
 				c.release(conn)
@@ -250,7 +250,7 @@
 			return status
 		}
 		conn.Close()
-		if fresh || time.Now().After(until) {
+		if fresh || time.Now().After(deadline) {
 			return 0
 		}
 		// The end of an idle connection crossed the request: once more, on a new one.
@@ -259,7 +259,7 @@
 }
 
 // exchange writes a request and reads its answer; closes tells that it is the connection's last.
-func (c *clientConn) exchange(request string) (status int, closes bool, err error) {
+func (c *clientConn) exchange(request string) (status int, closeAfter bool, err error) {
 	if _, err := io.WriteString(c, request); err != nil {
 		return 0, false, err
 	}
@@ -273,7 +273,7 @@
 }
 
 // ResetTally returns the tally since the last call and begins another.
-func (c *Client) ResetTally() Tally {
+func (c *Client) TakeTally() Tally {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	t := c.tally
@@ -291,7 +291,7 @@
 }
 
 // Latencies returns how long the served jobs took, since the last call.
-func (c *Client) Latencies() []time.Duration {
+func (c *Client) TakeLatencies() []time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	latencies := c.latencies
--- a/internal/standin/corruption.go
+++ b/internal/standin/corruption.go
@@ -11,20 +11,20 @@
 
 // The ways in which answers are corrupted.
 const (
-	NoCorruption Corruption = iota
-	TornClose               // cut off before the last bytes, and closed
-	TornOpen                // the same, and left open
-	BusyNow                 // 503 at once
-	BusyLate                // 503 after a wait
-	Silence                 // no answer
-	ResetAnswer             // the connection is reset
-	NotJSON                 // 200 with something that is no list
-	Trickle                 // one byte now and then
+	NoCorruption        Corruption = iota
+	TruncateAndClose               // cut off before the last bytes, and closed
+	TruncateAndKeepOpen            // the same, and left open
+	Unavailable                    // 503 at once
+	UnavailableLate                // 503 after a wait
+	NoResponse                     // no answer
+	ResetConnection                // the connection is reset
+	InvalidJSON                    // 200 with something that is no list
+	SlowBytes                      // one byte now and then
 	corruptionCount
 )
 
 // Corruptions are all ways but NoCorruption.
-var Corruptions = []Corruption{TornClose, TornOpen, BusyNow, BusyLate, Silence, ResetAnswer, NotJSON, Trickle}
+var Corruptions = []Corruption{TruncateAndClose, TruncateAndKeepOpen, Unavailable, UnavailableLate, NoResponse, ResetConnection, InvalidJSON, SlowBytes}
 
 var corruptionNames = [corruptionCount]string{
 	"none",
@@ -42,54 +42,54 @@
 func (c Corruption) String() string { return corruptionNames[c] }
 
 const (
-	busyDelay       = 2900 * time.Millisecond
-	trickleInterval = 150 * time.Millisecond // between the bytes of a trickle
-	tornBytes       = 2
-	notJSONAnswer   = "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nnothing"
+	unavailableDelay = 2900 * time.Millisecond
+	slowByteInterval = 150 * time.Millisecond // between the bytes of a trickle
+	truncatedBytes   = 2
+	notJSONAnswer    = "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nnothing"
 )
 
 // A corrupter holds how answers are corrupted now.
 type corrupter struct{ kind atomic.Int32 }
 
 // CorruptAnswers makes all answers from now on of no use in this way; NoCorruption ends that.
-func (d *Discovery) CorruptAnswers(way Corruption) { d.corrupter.kind.Store(int32(way)) }
+func (d *Discovery) CorruptResponses(kind Corruption) { d.corrupter.kind.Store(int32(kind)) }
 
 func (c *corrupter) current() Corruption { return Corruption(c.kind.Load()) }
 
 // corrupt writes a corrupted answer in place of a whole one. It reports whether it did, and whether the connection
 // goes on.
-func (c *corrupter) corrupt(conn net.Conn, answer string) (corrupted, goesOn bool) {
+func (c *corrupter) corrupt(conn net.Conn, response string) (corrupted, keepOpen bool) {
 	switch c.current() {
 	case NoCorruption:
 		return false, true
-	case TornClose:
-		writeText(conn, answer[:len(answer)-tornBytes])
-	case TornOpen:
-		writeText(conn, answer[:len(answer)-tornBytes])
+	case TruncateAndClose:
+		writeText(conn, response[:len(response)-truncatedBytes])
+	case TruncateAndKeepOpen:
+		writeText(conn, response[:len(response)-truncatedBytes])
 		awaitClose(conn)
-	case BusyNow:
-		return true, writeText(conn, busyAnswer)
-	case BusyLate:
-		<-time.After(busyDelay)
-		return true, writeText(conn, busyAnswer)
-	case Silence:
+	case Unavailable:
+		return true, writeText(conn, unavailableResponse)
+	case UnavailableLate:
+		<-time.After(unavailableDelay)
+		return true, writeText(conn, unavailableResponse)
+	case NoResponse:
 		awaitClose(conn)
-	case ResetAnswer:
+	case ResetConnection:
 		ResetOnClose(conn)
-	case NotJSON:
+	case InvalidJSON:
 		return true, writeText(conn, notJSONAnswer)
-	case Trickle:
-		c.trickle(conn, answer)
+	case SlowBytes:
+		c.writeSlowly(conn, response)
 	}
 	return true, false
 }
 
 // trickle writes an answer byte by byte, until this is no longer the way or the connection has ended.
-func (c *corrupter) trickle(conn net.Conn, answer string) {
-	for i := range len(answer) {
-		if !writeText(conn, answer[i:i+1]) || c.current() != Trickle {
+func (c *corrupter) writeSlowly(conn net.Conn, response string) {
+	for i := range len(response) {
+		if !writeText(conn, response[i:i+1]) || c.current() != SlowBytes {
 			return
 		}
-		<-time.After(trickleInterval)
+		<-time.After(slowByteInterval)
 	}
 }
--- a/internal/standin/dedup_group.go
+++ b/internal/standin/dedup_group.go
@@ -15,12 +15,12 @@
 }
 
 type seenKey struct {
-	at   time.Time
-	done chan struct{} // closed when its run has ended
+	arrivedAt time.Time
+	done      chan struct{} // closed when its run has ended
 }
 
 // enter takes in a key; first tells that its job has to run. Without a key every job does.
-func (g *DedupGroup) enter(key string) (first bool, done chan struct{}) {
+func (g *DedupGroup) register(key string) (first bool, done chan struct{}) {
 	done = make(chan struct{})
 	if key == "" {
 		return true, done
@@ -30,15 +30,15 @@
 	if g.seen == nil {
 		g.seen = map[string]seenKey{}
 	}
-	if s, ok := g.seen[key]; ok && time.Since(s.at) < g.Window {
-		return false, s.done
+	if earlier, ok := g.seen[key]; ok && time.Since(earlier.arrivedAt) < g.Window {
+		return false, earlier.done
 	}
 	g.seen[key] = seenKey{time.Now(), done}
 	return true, done
 }
 
 // forget forgets a key whose job was rejected.
-func (g *DedupGroup) forget(key string) {
+func (g *DedupGroup) remove(key string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.seen, key)
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -31,9 +31,9 @@
 
 // A Price is what discovery's calls cost: it serves them one after another. The zero
 // value costs nothing. A watch costs only when it is answered.
-type Price struct {
-	Call, Line time.Duration // for each call, and for each host in its answer
-	Patience   time.Duration // a call that has waited longer for its turn ends in 503
+type CallCost struct {
+	PerCall, PerHost time.Duration // for each call, and for each host in its answer
+	MaxWait          time.Duration // a call that has waited longer for its turn ends in 503
 }
 
 // Calls counts the calls to discovery.
@@ -46,24 +46,24 @@
 // Discovery serves the endpoint list and watches on it. A view is one scheduler's access to it.
 type Discovery struct {
 	*Server
-	Price Price // set before the first call
+	CallCost CallCost // set before the first call
 
 	turn chan struct{}
 
-	mu           sync.Mutex
-	version      int
-	oldestKnown  int // version before which changes are no longer known
-	hosts        []host
-	positions    map[string]int // of each host in hosts
-	changedIn    map[string]int // the version in which each host last changed, also those that left
-	changed      chan struct{}
-	calls        Calls
-	seconds      map[int64]int
-	firstAnswers map[string]time.Time // first answer to each view
-	announced    map[string]int       // version of the last answer to each view
-	writes       map[string][]Write
-	changes      []Change
-	corrupter    corrupter
+	mu               sync.Mutex
+	version          int
+	compactedVersion int // version before which changes are no longer known
+	hosts            []host
+	positions        map[string]int // of each host in hosts
+	lastChange       map[string]int // the version in which each host last changed, also those that left
+	changed          chan struct{}
+	calls            Calls
+	seconds          map[int64]int
+	firstResponses   map[string]time.Time // first answer to each view
+	sentVersions     map[string]int       // version of the last answer to each view
+	writes           map[string][]Write
+	changes          []Change
+	corrupter        corrupter
 }
 
 // StartDiscovery starts a discovery that knows these workers on a free port of loopback.
@@ -78,14 +78,14 @@
 // DiscoveryOn starts a discovery that knows these workers on a listener, which it owns from then on.
 func DiscoveryOn(l net.Listener, workers ...*Worker) *Discovery {
 	d := &Discovery{
-		changed:      make(chan struct{}),
-		turn:         make(chan struct{}, 1),
-		changedIn:    map[string]int{},
-		positions:    map[string]int{},
-		seconds:      map[int64]int{},
-		firstAnswers: map[string]time.Time{},
-		announced:    map[string]int{},
-		writes:       map[string][]Write{},
+		changed:        make(chan struct{}),
+		turn:           make(chan struct{}, 1),
+		lastChange:     map[string]int{},
+		positions:      map[string]int{},
+		seconds:        map[int64]int{},
+		firstResponses: map[string]time.Time{},
+		sentVersions:   map[string]int{},
+		writes:         map[string][]Write{},
 	}
 	for _, w := range workers {
 		d.Put(w, Active)
@@ -106,8 +106,8 @@
 	if w.Group != nil {
 		h.Block = w.Group.Number
 	}
-	if w.Via != "" {
-		h.Dial = w.Via
+	if w.AnnouncedAddr != "" {
+		h.Dial = w.AnnouncedAddr
 	}
 	if !w.Started.IsZero() {
 		h.StartedMilli = w.Started.UnixMilli()
@@ -140,17 +140,17 @@
 	defer d.mu.Unlock()
 	d.version++
 	for _, h := range hosts {
-		at, there := d.positions[h.Host]
+		index, listed := d.positions[h.Host]
 		switch {
-		case h.Health == Left && there:
-			d.drop(at)
-		case there:
-			d.hosts[at] = h
+		case h.Health == Left && listed:
+			d.removeHost(index)
+		case listed:
+			d.hosts[index] = h
 		default:
 			d.positions[h.Host] = len(d.hosts)
 			d.hosts = append(d.hosts, h)
 		}
-		d.changedIn[h.Host] = d.version
+		d.lastChange[h.Host] = d.version
 		d.changes = append(d.changes, Change{d.version, h.Host, h.Health, time.Now()})
 	}
 	close(d.changed)
@@ -158,10 +158,10 @@
 }
 
 // drop takes a host out of the list.
-func (d *Discovery) drop(at int) {
-	delete(d.positions, d.hosts[at].Host)
-	d.hosts = append(d.hosts[:at:at], d.hosts[at+1:]...)
-	for i := at; i < len(d.hosts); i++ {
+func (d *Discovery) removeHost(index int) {
+	delete(d.positions, d.hosts[index].Host)
+	d.hosts = append(d.hosts[:index:index], d.hosts[index+1:]...)
+	for i := index; i < len(d.hosts); i++ {
 		d.positions[d.hosts[i].Host] = i
 	}
 }
@@ -177,47 +177,47 @@
 func (d *Discovery) Compact() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.oldestKnown = d.version
+	d.compactedVersion = d.version
 }
 
 // GoBack gives the list a lower version, as a discovery does that has lost what it wrote last.
-func (d *Discovery) GoBack(version int) {
+func (d *Discovery) RevertVersion(version int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version = version
-	for host, at := range d.changedIn {
-		d.changedIn[host] = min(at, version)
+	for host, at := range d.lastChange {
+		d.lastChange[host] = min(at, version)
 	}
 }
 
 // handle answers a call: at once, or as a watch when the list changes or the watch's time is up.
 func (d *Discovery) handle(c net.Conn, r *http.Request, view string, dial func(host, addr string) string) bool {
 	query := r.URL.Query()
-	index, _ := strconv.Atoi(query.Get("index")) // none: 0, which asks for the complete list
+	since, _ := strconv.Atoi(query.Get("index")) // none: 0, which asks for the complete list
 	changed, version := d.countCall(time.Now())
-	if index == version {
+	if since == version {
 		wait, _ := strconv.Atoi(query.Get("wait")) // none: 0, which does not wait
 		select {
 		case <-changed:
 		case <-time.After(time.Duration(wait) * time.Millisecond):
 		}
 	}
-	list := d.since(index, dial)
-	if !d.pay(len(list.Hosts)) {
-		return writeText(c, busyAnswer)
+	list := d.changesSince(since, dial)
+	if !d.simulateCost(len(list.Hosts)) {
+		return writeText(c, unavailableResponse)
 	}
 	body, err := json.Marshal(list)
 	if err != nil {
 		return false
 	}
-	answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	if corrupted, goesOn := d.corrupter.corrupt(c, answer); corrupted {
-		return goesOn
+	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	if corrupted, keepOpen := d.corrupter.corrupt(c, response); corrupted {
+		return keepOpen
 	}
-	if !writeText(c, answer) {
+	if !writeText(c, response) {
 		return false
 	}
-	d.recordAnswer(view, list.Version)
+	d.recordResponse(view, list.Version)
 	return true
 }
 
@@ -233,50 +233,50 @@
 }
 
 // recordAnswer keeps that a whole answer was written to a view.
-func (d *Discovery) recordAnswer(view string, version int) {
+func (d *Discovery) recordResponse(view string, version int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
-	if d.firstAnswers[view].IsZero() {
-		d.firstAnswers[view] = now
+	if d.firstResponses[view].IsZero() {
+		d.firstResponses[view] = now
 	}
-	d.announced[view] = version
+	d.sentVersions[view] = version
 	d.writes[view] = append(d.writes[view], Write{version, now})
 }
 
 // An endpointAnswer is a list as an answer brings it: complete or a delta.
-type endpointAnswer struct {
+type endpointsResponse struct {
 	Version  int    `json:"seq"`
 	Complete bool   `json:"whole"`
 	Hosts    []host `json:"hosts"`
 }
 
 // since returns what has changed since a version, or the complete list if the changes since are not known.
-func (d *Discovery) since(version int, dial func(host, addr string) string) endpointAnswer {
+func (d *Discovery) changesSince(version int, dial func(host, addr string) string) endpointsResponse {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	known := 0 < version && d.oldestKnown <= version && version <= d.version
-	answer := endpointAnswer{Version: d.version, Complete: !known, Hosts: []host{}}
-	here := map[string]bool{}
+	known := 0 < version && d.compactedVersion <= version && version <= d.version
+	response := endpointsResponse{Version: d.version, Complete: !known, Hosts: []host{}}
+	listed := map[string]bool{}
 	for _, h := range d.hosts {
-		here[h.Host] = true
-		if answer.Complete || d.changedIn[h.Host] > version {
+		listed[h.Host] = true
+		if response.Complete || d.lastChange[h.Host] > version {
 			if dial != nil {
 				h.Dial = dial(h.Host, h.Dial)
 			}
-			answer.Hosts = append(answer.Hosts, h)
+			response.Hosts = append(response.Hosts, h)
 		}
 	}
-	for name, at := range d.changedIn {
-		if !answer.Complete && !here[name] && at > version {
-			answer.Hosts = append(answer.Hosts, host{Host: name, Health: Left})
+	for name, at := range d.lastChange {
+		if !response.Complete && !listed[name] && at > version {
+			response.Hosts = append(response.Hosts, host{Host: name, Health: Left})
 		}
 	}
-	return answer
+	return response
 }
 
 // pay waits for the turn of a call and spends the time that it costs; false after too long a wait.
-func (d *Discovery) pay(lines int) bool {
+func (d *Discovery) simulateCost(hosts int) bool {
 	count := func(waiting, answered, rejected int) {
 		d.mu.Lock()
 		defer d.mu.Unlock()
@@ -284,18 +284,18 @@
 		d.calls.Answered += answered
 		d.calls.Rejected += rejected
 	}
-	if d.Price == (Price{}) {
+	if d.CallCost == (CallCost{}) {
 		count(0, 1, 0)
 		return true
 	}
 	count(1, 0, 0)
 	select {
 	case d.turn <- struct{}{}:
-		<-time.After(d.Price.Call + time.Duration(lines)*d.Price.Line)
+		<-time.After(d.CallCost.PerCall + time.Duration(hosts)*d.CallCost.PerHost)
 		<-d.turn
 		count(-1, 1, 0)
 		return true
-	case <-time.After(d.Price.Patience):
+	case <-time.After(d.CallCost.MaxWait):
 		count(-1, 0, 1)
 		return false
 	}
@@ -309,26 +309,26 @@
 }
 
 // First returns when a view was first answered, and forgets it; zero if it never was.
-func (d *Discovery) First(view string) time.Time {
+func (d *Discovery) TakeFirstResponse(view string) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	at := d.firstAnswers[view]
-	delete(d.firstAnswers, view)
+	at := d.firstResponses[view]
+	delete(d.firstResponses, view)
 	return at
 }
 
 // Announced returns the version of the last answer that was written to a view.
-func (d *Discovery) Announced(view string) int {
+func (d *Discovery) SentVersion(view string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.announced[view]
+	return d.sentVersions[view]
 }
 
 // Known returns the list as a scheduler's configuration has it.
-func (d *Discovery) Known() []byte { return d.KnownAt(nil) }
+func (d *Discovery) ListJSON() []byte { return d.ViewListJSON(nil) }
 
 // KnownAt returns the same with the hosts' addresses as a view has them.
-func (d *Discovery) KnownAt(dial func(host, addr string) string) []byte {
-	known, _ := json.Marshal(d.since(0, dial)) // the type has nothing that fails
-	return known
+func (d *Discovery) ViewListJSON(dial func(host, addr string) string) []byte {
+	list, _ := json.Marshal(d.changesSince(0, dial)) // the type has nothing that fails
+	return list
 }
--- a/internal/standin/history.go
+++ b/internal/standin/history.go
@@ -12,24 +12,24 @@
 type Arrival struct {
 	ID        string
 	Worker    string
-	Begun     time.Time     // when its first byte came
+	FirstByte time.Time     // when its first byte came
 	Remaining time.Duration // until the job's deadline, as the scheduler told it
 }
 
 // headerBegun carries the time of a request's first byte from the server to its handler.
-const headerBegun = "X-Lab-Begun"
+const headerFirstByte = "X-Lab-Begun"
 
-func setBegun(r *http.Request, begun time.Time) {
-	r.Header.Set(headerBegun, strconv.FormatInt(begun.UnixNano(), 10))
+func setFirstByte(r *http.Request, firstByte time.Time) {
+	r.Header.Set(headerFirstByte, strconv.FormatInt(firstByte.UnixNano(), 10))
 }
 
 // arrivalOf reads what a worker keeps of a request.
-func arrivalOf(worker, id string, r *http.Request) Arrival {
-	begun, _ := strconv.ParseInt(r.Header.Get(headerBegun), 10, 64) // the server has set it
+func newArrival(worker, id string, r *http.Request) Arrival {
+	firstByte, _ := strconv.ParseInt(r.Header.Get(headerFirstByte), 10, 64) // the server has set it
 	return Arrival{
 		ID:        id,
 		Worker:    worker,
-		Begun:     time.Unix(0, begun),
+		FirstByte: time.Unix(0, firstByte),
 		Remaining: parseRemaining(r.Header.Get(headerRemaining)),
 	}
 }
--- a/internal/standin/proxy.go
+++ b/internal/standin/proxy.go
@@ -13,22 +13,22 @@
 
 // The faults of a proxy.
 const (
-	Pass      Fault = iota
-	Delay           // a few milliseconds late
-	Split           // byte by byte
-	Truncate        // half of the piece, then the end
-	Reset           // a reset in its place
-	Garbage         // some other bytes before it
-	Duplicate       // twice
-	Swap            // its halves the other way round
-	CloseHalf       // the piece, then the end of this direction alone
-	Faults          // how many there are
+	Pass          Fault = iota
+	Delay               // a few milliseconds late
+	Split               // byte by byte
+	Truncate            // half of the piece, then the end
+	Reset               // a reset in its place
+	InsertGarbage       // some other bytes before it
+	Duplicate           // twice
+	SwapHalves          // its halves the other way round
+	CloseHalf           // the piece, then the end of this direction alone
+	FaultCount          // how many there are
 )
 
 const (
-	proxyDelay   = 5 * time.Millisecond
-	proxyGarbage = "\x00{]\r\n"
-	copyBuffer   = 16 << 10 // bytes that are read at once
+	proxyDelay     = 5 * time.Millisecond
+	proxyGarbage   = "\x00{]\r\n"
+	copyBufferSize = 16 << 10 // bytes that are read at once
 )
 
 // A Proxy passes connections on to a target and does to each piece that it reads the
@@ -36,8 +36,8 @@
 type Proxy struct {
 	net.Listener
 	target     string
-	towards    *script // the target
-	returning  *script
+	toTarget   *script // the target
+	fromTarget *script
 	forwarding sync.WaitGroup
 
 	mu    sync.Mutex
@@ -63,16 +63,16 @@
 
 // StartProxy starts a proxy to an address, with a script for what goes there and one
 // for what comes back.
-func StartProxy(target string, towards, returning []Fault) (*Proxy, error) {
+func StartProxy(target string, toTarget, fromTarget []Fault) (*Proxy, error) {
 	l, err := Listen()
 	if err != nil {
 		return nil, err
 	}
 	p := &Proxy{
-		Listener:  l,
-		target:    target,
-		towards:   &script{faults: towards},
-		returning: &script{faults: returning},
+		Listener:   l,
+		target:     target,
+		toTarget:   &script{faults: toTarget},
+		fromTarget: &script{faults: fromTarget},
 	}
 	p.forwarding.Go(p.accept)
 	return p, nil
@@ -92,8 +92,8 @@
 		p.mu.Lock()
 		p.conns = append(p.conns, client, server)
 		p.mu.Unlock()
-		p.forwarding.Go(func() { forward(client, server, p.towards) })
-		p.forwarding.Go(func() { forward(server, client, p.returning) })
+		p.forwarding.Go(func() { forward(client, server, p.toTarget) })
+		p.forwarding.Go(func() { forward(server, client, p.fromTarget) })
 	}
 }
 
@@ -111,10 +111,10 @@
 // forward passes one direction of a connection on until it ends; a reset is passed on as one.
 func forward(from, to net.Conn, s *script) {
 	defer CloseWrite(to)
-	buf := make([]byte, copyBuffer)
+	buf := make([]byte, copyBufferSize)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && !forwardPiece(from, to, buf[:n], s.next()) {
+		if n > 0 && !forwardChunk(from, to, buf[:n], s.next()) {
 			return
 		}
 		if errors.Is(err, io.EOF) {
@@ -128,24 +128,24 @@
 }
 
 // forwardPiece passes a piece on with a fault, and reports whether this direction goes on.
-func forwardPiece(from, to net.Conn, piece []byte, f Fault) bool {
-	put := func(b []byte) bool {
+func forwardChunk(from, to net.Conn, chunk []byte, fault Fault) bool {
+	write := func(b []byte) bool {
 		_, err := to.Write(b)
 		return err == nil
 	}
-	half := len(piece) / 2
-	switch f {
+	half := len(chunk) / 2
+	switch fault {
 	case Delay:
 		<-time.After(proxyDelay)
 	case Split:
-		for i := range piece {
-			if !put(piece[i : i+1]) {
+		for i := range chunk {
+			if !write(chunk[i : i+1]) {
 				return false
 			}
 		}
 		return true
 	case Truncate:
-		put(piece[:half])
+		write(chunk[:half])
 		from.Close()
 		to.Close()
 		return false
@@ -153,19 +153,19 @@
 		ResetConn(from)
 		ResetConn(to)
 		return false
-	case Garbage:
-		if !put([]byte(proxyGarbage)) {
+	case InsertGarbage:
+		if !write([]byte(proxyGarbage)) {
 			return false
 		}
 	case Duplicate:
-		if !put(piece) {
+		if !write(chunk) {
 			return false
 		}
-	case Swap:
-		return put(piece[half:]) && put(piece[:half])
+	case SwapHalves:
+		return write(chunk[half:]) && write(chunk[:half])
 	case CloseHalf:
-		put(piece)
+		write(chunk)
 		return false
 	}
-	return put(piece)
+	return write(chunk)
 }
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -28,7 +28,7 @@
 )
 
 // busyAnswer is discovery's answer to a call that it does not serve.
-const busyAnswer = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
+const unavailableResponse = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
 
 // A Handler answers a request that was read in full, and reports whether the connection goes on.
 type Handler func(c net.Conn, r *http.Request, id string) bool
@@ -36,8 +36,8 @@
 // A Server answers requests one after another on each of its connections.
 type Server struct {
 	net.Listener
-	Got, Conns atomic.Int64 // requests and connections
-	lastBegun  atomic.Int64 // when the first byte of the last request came, Unix time in nanoseconds
+	RequestCount, ConnCount atomic.Int64 // requests and connections
+	lastRequestTime         atomic.Int64 // when the first byte of the last request came, Unix time in nanoseconds
 
 	mu   sync.Mutex
 	open map[net.Conn]bool
@@ -57,7 +57,7 @@
 		if err != nil {
 			return
 		}
-		s.Conns.Add(1)
+		s.ConnCount.Add(1)
 		s.mu.Lock()
 		s.open[c] = true
 		s.mu.Unlock()
@@ -77,8 +77,8 @@
 		if _, err := reader.Peek(1); err != nil {
 			return
 		}
-		begun := time.Now()
-		s.lastBegun.Store(begun.UnixNano())
+		firstByte := time.Now()
+		s.lastRequestTime.Store(firstByte.UnixNano())
 		r, err := http.ReadRequest(reader)
 		if err != nil {
 			return
@@ -88,8 +88,8 @@
 			return
 		}
 		r.Body = io.NopCloser(bytes.NewReader(body))
-		s.Got.Add(1)
-		setBegun(r, begun)
+		s.RequestCount.Add(1)
+		setFirstByte(r, firstByte)
 		if !handle(c, r, r.Header.Get(headerID)) {
 			return
 		}
@@ -97,7 +97,7 @@
 }
 
 // LastBegun returns when the first byte of the last request came, also of one that was not whole.
-func (s *Server) LastBegun() time.Time { return time.Unix(0, s.lastBegun.Load()) }
+func (s *Server) LastRequestTime() time.Time { return time.Unix(0, s.lastRequestTime.Load()) }
 
 // Reset ends all connections as a process that dies does.
 func (s *Server) Reset() {
@@ -110,15 +110,15 @@
 
 // SayStates writes the head of a worker's 200 and one chunk for each state; a state may hold more fields behind
 // its name. Without end the body does not end.
-func SayStates(c net.Conn, id string, end bool, states ...string) bool {
-	answer := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+func WriteStates(c net.Conn, id string, end bool, states ...string) bool {
+	response := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for _, state := range states {
-		answer += chunk(id, state)
+		response += chunk(id, state)
 	}
 	if end {
-		answer += lastChunk
+		response += lastChunk
 	}
-	return writeText(c, answer)
+	return writeText(c, response)
 }
 
 // lastChunk ends a chunked body.
--- a/internal/standin/start.go
+++ b/internal/standin/start.go
@@ -11,7 +11,7 @@
 }
 
 // A recentWork is a job that reached a worker in slow start.
-type recentWork struct {
+type recentJob struct {
 	at          time.Time
 	serviceTime time.Duration
 }
@@ -28,16 +28,16 @@
 
 // withstands takes in a job that has arrived, and reports whether the worker still stands. The
 // heaviest job is not counted: one alone is no overload.
-func (w *Worker) withstands(serviceTime time.Duration) bool {
+func (w *Worker) acceptsDuringSlowStart(serviceTime time.Duration) bool {
 	now := time.Now()
 	capacity := w.capacityFraction(now)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if capacity >= 1 || w.fallen {
-		return !w.fallen
+	if capacity >= 1 || w.overloaded {
+		return !w.overloaded
 	}
 	window := w.SlowStart.OverloadWindow
-	w.recent = append(w.recent, recentWork{now, serviceTime})
+	w.recent = append(w.recent, recentJob{now, serviceTime})
 	for now.Sub(w.recent[0].at) > window {
 		w.recent = w.recent[1:]
 	}
@@ -46,14 +46,14 @@
 		sum += job.serviceTime
 		longest = max(longest, job.serviceTime)
 	}
-	bearable := w.SlowStart.OverloadMultiple * float64(cap(w.slots)) * capacity * float64(window)
-	w.fallen = float64(sum-longest) > bearable
-	return !w.fallen
+	maxServiceTime := w.SlowStart.OverloadMultiple * float64(cap(w.slots)) * capacity * float64(window)
+	w.overloaded = float64(sum-longest) > maxServiceTime
+	return !w.overloaded
 }
 
 // Fallen reports whether the worker was overloaded in slow start.
-func (w *Worker) Fallen() bool {
+func (w *Worker) Overloaded() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.fallen
+	return w.overloaded
 }
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -13,12 +13,12 @@
 
 // A Behaviour is how a Worker treats the jobs that reach it.
 type Behaviour struct {
-	Slower   float64 // its jobs take this many times as long; 0 counts as 1
-	Draining bool    // it finishes what it has and rejects new jobs
-	Hang     bool    // it takes jobs and answers none
-	Fail     bool    // it answers "failed" at once
-	FailOne  int64   // it does so for one of so many jobs; 0: for none
-	CutAfter int     // it resets the connection after this many bytes of its answer; 0: never
+	SlowdownFactor  float64 // its jobs take this many times as long; 0 counts as 1
+	Draining        bool    // it finishes what it has and rejects new jobs
+	Hang            bool    // it takes jobs and answers none
+	Fail            bool    // it answers "failed" at once
+	FailEvery       int64   // it does so for one of so many jobs; 0: for none
+	ResetAfterBytes int     // it resets the connection after this many bytes of its answer; 0: never
 }
 
 // A WorkerSpec is what a worker is made of.
@@ -32,11 +32,11 @@
 // A Worker has slots, a bounded queue in order, and a log of what it really ran.
 type Worker struct {
 	WorkerSpec
-	Started   time.Time   // reported as its start; zero: long ago
-	Via       string      // the address that discovery tells; "": its own
-	SlowStart *SlowStart  // nil: it is warm at once and bears anything
-	Group     *DedupGroup // nil: it knows no repeats
-	Reports   bool        // the end of its answers brings a load report
+	Started         time.Time   // reported as its start; zero: long ago
+	AnnouncedAddr   string      // the address that discovery tells; "": its own
+	SlowStart       *SlowStart  // nil: it is warm at once and bears anything
+	Group           *DedupGroup // nil: it knows no repeats
+	SendLoadReports bool        // the end of its answers brings a load report
 
 	server    *Server
 	slots     chan struct{}
@@ -44,12 +44,12 @@
 	behaviour atomic.Pointer[Behaviour]
 	requests  atomic.Int64 // with a job
 
-	mu       sync.Mutex
-	runs     map[string]int // by job
-	tenants  map[string]int
-	arrivals []Arrival
-	recent   []recentWork // within SlowStart.OverloadWindow, during slow start
-	fallen   bool
+	mu         sync.Mutex
+	runs       map[string]int // by job
+	tenants    map[string]int
+	arrivals   []Arrival
+	recent     []recentJob // within SlowStart.OverloadWindow, during slow start
+	overloaded bool
 }
 
 // StartWorker starts a worker on a free port of loopback.
@@ -76,7 +76,7 @@
 }
 
 // Behave changes how the worker treats jobs from now on.
-func (w *Worker) Behave(b Behaviour) { w.behaviour.Store(&b) }
+func (w *Worker) SetBehaviour(b Behaviour) { w.behaviour.Store(&b) }
 
 // Addr returns where the worker listens.
 func (w *Worker) Addr() string { return w.server.Addr().String() }
@@ -92,7 +92,7 @@
 func (w *Worker) Requests() int64 { return w.requests.Load() }
 
 // LastBegun returns when the first byte of the last request came, also of one that was not whole.
-func (w *Worker) LastBegun() time.Time { return w.server.LastBegun() }
+func (w *Worker) LastBegun() time.Time { return w.server.LastRequestTime() }
 
 // Runs returns how often each job was begun here.
 func (w *Worker) Runs() map[string]int {
@@ -112,7 +112,7 @@
 	behaviour := *w.behaviour.Load()
 	if id != "" {
 		number := w.recordArrival(id, r)
-		if behaviour.FailOne > 0 && number%behaviour.FailOne == 0 {
+		if behaviour.FailEvery > 0 && number%behaviour.FailEvery == 0 {
 			behaviour.Fail = true
 		}
 	}
@@ -121,16 +121,16 @@
 	}
 	class, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	serviceTime := w.ServiceTime(class)
-	if !w.withstands(serviceTime) || behaviour.Hang {
+	if !w.acceptsDuringSlowStart(serviceTime) || behaviour.Hang {
 		awaitClose(c)
 		return false
 	}
 	key := r.Header.Get(headerIdempotencyKey)
 	if w.Group != nil {
-		first, done := w.Group.enter(key)
+		first, done := w.Group.register(key)
 		if !first { // it has run here or runs: the answer is the first one's
 			<-done
-			return SayStates(c, id, true, fmt.Sprintf(`"done","result":"%s again"`, id))
+			return WriteStates(c, id, true, fmt.Sprintf(`"done","result":"%s again"`, id))
 		}
 		defer close(done)
 	}
@@ -138,7 +138,7 @@
 	case w.admitted <- struct{}{}:
 	default:
 		if w.Group != nil {
-			w.Group.forget(key) // it did not run
+			w.Group.remove(key) // it did not run
 		}
 		return rejectJob(c)
 	}
@@ -149,32 +149,32 @@
 		w.recordRun(id, r.Header.Get(headerTenant))
 	}
 	if behaviour.Fail {
-		return SayStates(c, id, true, `"failed"`)
+		return WriteStates(c, id, true, `"failed"`)
 	}
-	return w.run(&cutter{Conn: c, remaining: behaviour.CutAfter}, id, class, serviceTime, behaviour)
+	return w.run(&resettingConn{Conn: c, remaining: behaviour.ResetAfterBytes}, id, class, serviceTime, behaviour)
 }
 
 // run plays a job that has its slot, and reports whether the connection goes on.
 func (w *Worker) run(c net.Conn, id, class string, serviceTime time.Duration, behaviour Behaviour) bool {
-	if !SayStates(c, id, false, `"started"`) && w.Group == nil {
+	if !WriteStates(c, id, false, `"started"`) && w.Group == nil {
 		return false
 	}
 	if serviceTime > 0 {
-		took := float64(serviceTime) / w.capacityFraction(time.Now())
-		if behaviour.Slower > 0 {
-			took *= behaviour.Slower
+		runTime := float64(serviceTime) / w.capacityFraction(time.Now())
+		if behaviour.SlowdownFactor > 0 {
+			runTime *= behaviour.SlowdownFactor
 		}
-		<-time.After(time.Duration(took))
+		<-time.After(time.Duration(runTime))
 	}
 	state := fmt.Sprintf(`"done","result":"%s of %s by %s\n"`, id, class, w.Name)
-	return writeText(c, chunk(id, state+w.report())+lastChunk)
+	return writeText(c, chunk(id, state+w.loadReportField())+lastChunk)
 }
 
 // recordArrival keeps that a request with a job has come, and returns its number, counted from 1.
 func (w *Worker) recordArrival(id string, r *http.Request) int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.arrivals = append(w.arrivals, arrivalOf(w.Name, id, r))
+	w.arrivals = append(w.arrivals, newArrival(w.Name, id, r))
 	return w.requests.Add(1)
 }
 
@@ -186,15 +186,15 @@
 }
 
 // report is a load report as the end of an answer has it; "" without reports.
-func (w *Worker) report() string {
-	if !w.Reports {
+func (w *Worker) loadReportField() string {
+	if !w.SendLoadReports {
 		return ""
 	}
-	return fmt.Sprintf(`,"load":%s`, w.load())
+	return fmt.Sprintf(`,"load":%s`, w.loadReport())
 }
 
 // load counts the job that is about to end as ended.
-func (w *Worker) load() string {
+func (w *Worker) loadReport() string {
 	running := max(0, len(w.slots)-1)
 	admitted := max(0, len(w.admitted)-1)
 	return fmt.Sprintf(`{"backlog":%d,"outstanding":%d,"x0":%d}`,
@@ -207,13 +207,13 @@
 }
 
 // A cutter resets a connection once so many bytes have been written.
-type cutter struct {
+type resettingConn struct {
 	net.Conn
 	remaining int // 0: never
 }
 
 // Write implements io.Writer.
-func (c *cutter) Write(p []byte) (int, error) {
+func (c *resettingConn) Write(p []byte) (int, error) {
 	if c.remaining == 0 || len(p) < c.remaining {
 		c.remaining = max(0, c.remaining-len(p))
 		return c.Conn.Write(p)
