--- a/cmd/foxlift-lab/capacity.go
+++ b/cmd/foxlift-lab/capacity.go
@@ -22,17 +22,17 @@
 // capacityFlags are the flags of the command.
 type capacityFlags struct {
 	capacity.Options
-	check    bool // compare the page with the measurements
-	render   bool // write the page from the measurements
-	faults   bool // run the trial
-	trial    capacity.FaultsOptions
-	measured string // path of the measurements
-	page     string // path of the page
+	check       bool // compare the page with the measurements
+	render      bool // write the page from the measurements
+	faults      bool // run the trial
+	faultsTrial capacity.FaultsOptions
+	measured    string // path of the measurements
+	page        string // path of the page
 }
 
 // capacityCommand measures how costs grow with the size of a deployment.
 func capacityCommand() *cobra.Command {
-	f := capacityFlags{trial: capacity.DefaultFaults}
+	f := capacityFlags{faultsTrial: capacity.DefaultFaults}
 	cmd := &cobra.Command{
 		Use:   "capacity",
 		Short: "Measure how costs grow with the size of a deployment, and carry them to the size designed for",
@@ -61,9 +61,9 @@
 	cmd.Flags().BoolVar(&f.check, "check", false, "only see that the page is what the measurements give")
 	cmd.Flags().BoolVar(&f.render, "render", false, "only write the page anew from the measurements")
 	cmd.Flags().BoolVar(&f.faults, "faults", false, "only the trial of starts with a list that is kept")
-	cmd.Flags().BoolVar(&f.trial.WithoutCheckpoint, "without", false, "with --faults: no list is kept")
-	cmd.Flags().IntVar(&f.trial.Workers, "workers", f.trial.Workers, "with --faults: workers in the list")
-	cmd.Flags().IntVar(&f.trial.Starts, "starts", f.trial.Starts, "with --faults: starts of the process")
+	cmd.Flags().BoolVar(&f.faultsTrial.WithoutCheckpoint, "without", false, "with --faults: no list is kept")
+	cmd.Flags().IntVar(&f.faultsTrial.Workers, "workers", f.faultsTrial.Workers, "with --faults: workers in the list")
+	cmd.Flags().IntVar(&f.faultsTrial.Starts, "starts", f.faultsTrial.Starts, "with --faults: starts of the process")
 	cmd.Flags().BoolVar(&f.Short, "short", false, "few and small sizes, to see that it works")
 	cmd.Flags().StringSliceVar(&f.Dimensions, "dimension", nil, "only these")
 	cmd.Flags().StringVar(&f.Program, "build", "", "the scheduler's binary; built aside if not given")
@@ -86,8 +86,8 @@
 		f.Program = program
 	}
 	if f.faults {
-		f.trial.Program, f.trial.Seed = f.Program, f.Seed
-		r, err := f.trial.Run(ctx, cmd.OutOrStdout())
+		f.faultsTrial.Program, f.faultsTrial.Seed = f.Program, f.Seed
+		r, err := f.faultsTrial.Run(ctx, cmd.OutOrStdout())
 		return printResult(cmd, r, err)
 	}
 	result, err := capacity.Run(ctx, cmd.OutOrStdout(), f.Options)
--- a/cmd/foxlift-lab/cells.go
+++ b/cmd/foxlift-lab/cells.go
@@ -20,7 +20,7 @@
 		Short: "Flood one tenant of a small deployment with cells, and watch the others (25 s)",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return lab.Demo(cmd.Context(), cmd.OutOrStdout(), seed)
+			return lab.RunDemo(cmd.Context(), cmd.OutOrStdout(), seed)
 		},
 	}
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "of the arrivals")
@@ -29,29 +29,29 @@
 
 // cellsCommand measures what a flood costs the others, without and with cells.
 func cellsCommand() *cobra.Command {
-	o := lab.DefaultCells
+	options := lab.DefaultCells
 	cmd := &cobra.Command{
 		Use:   "cells",
 		Short: "Measure what a flood costs the others without and with cells, lending, and live moves",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			r, err := lab.Cells(cmd.Context(), cmd.OutOrStdout(), o)
+			r, err := lab.MeasureCells(cmd.Context(), cmd.OutOrStdout(), options)
 			if err != nil {
 				return err
 			}
 			fmt.Fprintln(cmd.OutOrStdout(), r.Line())
-			if !r.OK(o.Migrations) {
+			if !r.OK(options.Migrations) {
 				return errObjectiveMissed
 			}
 			return nil
 		},
 	}
-	cmd.Flags().Uint64Var(&o.Seed, "seed", o.Seed, "of the arrivals")
-	cmd.Flags().DurationVar(&o.Normal, "normal", o.Normal, "how long the load is normal first")
-	cmd.Flags().DurationVar(&o.Flood, "flood", o.Flood, "how long one tenant floods")
-	cmd.Flags().DurationVar(&o.Lending, "lending", o.Lending,
+	cmd.Flags().Uint64Var(&options.Seed, "seed", options.Seed, "of the arrivals")
+	cmd.Flags().DurationVar(&options.Normal, "normal", options.Normal, "how long the load is normal first")
+	cmd.Flags().DurationVar(&options.Flood, "flood", options.Flood, "how long one tenant floods")
+	cmd.Flags().DurationVar(&options.Lending, "lending", options.Lending,
 		"how long a lone tenant asks for more than its share")
-	cmd.Flags().IntVar(&o.Migrations, "moves", o.Migrations, "moves under load")
+	cmd.Flags().IntVar(&options.Migrations, "moves", options.Migrations, "moves under load")
 	return cmd
 }
 
@@ -64,7 +64,7 @@
 		Short: "Measure what many cells cost the regulator's loops, in virtual time",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return lab.Loops(cmd.OutOrStdout(), seed, seconds)
+			return lab.MeasureLoops(cmd.OutOrStdout(), seed, seconds)
 		},
 	}
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "of the arrivals")
--- a/cmd/foxlift-lab/fuzz.go
+++ b/cmd/foxlift-lab/fuzz.go
@@ -19,7 +19,7 @@
 
 // fuzzCommand runs all fuzz targets in turn.
 func fuzzCommand() *cobra.Command {
-	var o lab.FuzzOptions
+	var options lab.FuzzOptions
 	cmd := &cobra.Command{
 		Use:   "fuzz",
 		Short: "Go through all fuzz targets by turns, and store what they find",
@@ -31,22 +31,22 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt)
 			defer stop()
-			s, err := lab.Fuzz(ctx, cmd.OutOrStdout(), o)
+			summary, err := lab.RunFuzzTargets(ctx, cmd.OutOrStdout(), options)
 			if err != nil {
 				return err
 			}
-			fmt.Fprintln(cmd.OutOrStdout(), s.Line())
-			if len(s.Findings) > 0 {
+			fmt.Fprintln(cmd.OutOrStdout(), summary.Line())
+			if len(summary.Findings) > 0 {
 				return errFinding
 			}
 			return nil
 		},
 	}
-	cmd.Flags().DurationVar(&o.Duration, "for", time.Minute, "how long")
-	cmd.Flags().IntVar(&o.Workers, "workers", 4, "processes that fuzz at a time")
-	cmd.Flags().StringVar(&o.Dir, "dir", "found", "where findings and the summary go")
-	cmd.Flags().BoolVar(&o.Persist, "keep", false, "take new inputs into the repository's corpus (2 MB at most)")
-	cmd.Flags().StringVar(&o.Match, "match", "", "regular expression for the targets' names")
+	cmd.Flags().DurationVar(&options.Duration, "for", time.Minute, "how long")
+	cmd.Flags().IntVar(&options.Workers, "workers", 4, "processes that fuzz at a time")
+	cmd.Flags().StringVar(&options.Dir, "dir", "found", "where findings and the summary go")
+	cmd.Flags().BoolVar(&options.Persist, "keep", false, "take new inputs into the repository's corpus (2 MB at most)")
+	cmd.Flags().StringVar(&options.Match, "match", "", "regular expression for the targets' names")
 	return cmd
 }
 
--- a/cmd/foxlift-lab/soak.go
+++ b/cmd/foxlift-lab/soak.go
@@ -12,14 +12,14 @@
 )
 
 // errBroken is what a soak that saw a broken rule ends with.
-var errBroken = errors.New("a rule was broken")
+var errViolation = errors.New("a rule was broken")
 
 // shortSoak is the length of one run with --short.
 const shortSoak = 10 * time.Second
 
 // soakCommand plays random faults that overlap in time, and judges by what others recorded.
 func soakCommand() *cobra.Command {
-	o := soak.Default
+	options := soak.Default
 	var seeds int
 	var short, build, mutants bool
 	cmd := &cobra.Command{
@@ -28,7 +28,7 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if short {
-				o.For, seeds = shortSoak, 1
+				options.For, seeds = shortSoak, 1
 			}
 			if build {
 				program, remove, err := fleet.BuildAside(cmd.Context())
@@ -36,21 +36,21 @@
 					return err
 				}
 				defer remove()
-				o.Program = program
+				options.Program = program
 			}
 			if mutants {
-				caught, err := soak.CheckMutants(cmd.Context(), cmd.OutOrStdout(), o)
+				caught, err := soak.CheckMutants(cmd.Context(), cmd.OutOrStdout(), options)
 				fmt.Fprintf(cmd.OutOrStdout(), "soak: caught %d of %d mutants\n", caught, len(soak.Mutants))
 				return err
 			}
-			return runSoak(cmd, o, seeds)
+			return runSoak(cmd, options, seeds)
 		},
 	}
-	cmd.Flags().Uint64Var(&o.Seed, "seed", 1, "the first seed")
+	cmd.Flags().Uint64Var(&options.Seed, "seed", 1, "the first seed")
 	cmd.Flags().IntVar(&seeds, "seeds", 1, "how many seeds, one after another")
-	cmd.Flags().DurationVar(&o.For, "for", o.For, "how long faults begin, for each seed")
-	cmd.Flags().IntVar(&o.Schedulers, "schedulers", o.Schedulers, "processes, 10 to 40")
-	cmd.Flags().StringVar(&o.Program, "build", o.Program, "the scheduler's binary")
+	cmd.Flags().DurationVar(&options.For, "for", options.For, "how long faults begin, for each seed")
+	cmd.Flags().IntVar(&options.Schedulers, "schedulers", options.Schedulers, "processes, 10 to 40")
+	cmd.Flags().StringVar(&options.Program, "build", options.Program, "the scheduler's binary")
 	cmd.Flags().BoolVar(&build, "fresh", false, "build the binary aside, in place of --build")
 	cmd.Flags().BoolVar(&mutants, "mutants", false,
 		"play builds with one fault put in each, from the source in this folder")
@@ -59,19 +59,19 @@
 }
 
 // runSoak runs so many seeds one after another and prints their sum.
-func runSoak(cmd *cobra.Command, o soak.Options, seeds int) error {
+func runSoak(cmd *cobra.Command, options soak.Options, seeds int) error {
 	var sum soak.Result
 	for range seeds {
-		r, err := o.Run(cmd.OutOrStdout())
+		r, err := options.Run(cmd.OutOrStdout())
 		if err != nil {
-			return fmt.Errorf("seed %d: %w", o.Seed, err)
+			return fmt.Errorf("seed %d: %w", options.Seed, err)
 		}
 		sum.Add(r)
-		o.Seed++
+		options.Seed++
 	}
 	fmt.Fprintln(cmd.OutOrStdout(), sum.Line())
 	if sum.Violations.Sum() > 0 {
-		return errBroken
+		return errViolation
 	}
 	return nil
 }
--- a/cmd/foxlift-lab/speed.go
+++ b/cmd/foxlift-lab/speed.go
@@ -19,7 +19,7 @@
 		Args:    cobra.NoArgs,
 		Example: "  foxlift-lab speed --program bin/foxlift --connections 1,16,64",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return lab.Speed(cmd.Context(), cmd.OutOrStdout(), program, connections, each)
+			return lab.MeasureSpeed(cmd.Context(), cmd.OutOrStdout(), program, connections, each)
 		},
 	}
 	cmd.Flags().StringVar(&program, "program", "bin/foxlift", "the scheduler's binary")
--- a/cmd/foxlift-lab/standin.go
+++ b/cmd/foxlift-lab/standin.go
@@ -21,7 +21,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			signals := make(chan os.Signal, 1)
 			signal.Notify(signals, lab.StandInSignals...)
-			return lab.StandIns(cmd.Context(), cmd.OutOrStdout(), signals)
+			return lab.RunStandIns(cmd.Context(), cmd.OutOrStdout(), signals)
 		},
 	}
 }
--- a/cmd/foxlift-lab/trials.go
+++ b/cmd/foxlift-lab/trials.go
@@ -32,7 +32,7 @@
 
 // keyedCommand runs the trial of deduplicated jobs under connection faults.
 func keyedCommand() *cobra.Command {
-	o := fleet.DefaultKeyed
+	options := fleet.DefaultKeyed
 	cmd := &cobra.Command{
 		Use:   "keyed",
 		Short: "Reset and silence connections amid keyed jobs, and see that none runs twice",
@@ -44,22 +44,22 @@
 make the deployment break its own promise: then it must exit with 1.`,
 		Example: "  go run ./cmd/foxlift-lab keyed --build bin/foxlift",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			r, err := o.Run(cmd.OutOrStdout())
+			r, err := options.Run(cmd.OutOrStdout())
 			return printResult(cmd, r, err)
 		},
 	}
-	cmd.Flags().StringVar(&o.Program, "build", o.Program, "the scheduler's binary")
-	cmd.Flags().IntVar(&o.Faults, "faults", o.Faults, "resets and silences, about as many of each")
-	cmd.Flags().Uint64Var(&o.Seed, "seed", o.Seed, "of the arrivals and the faults")
-	cmd.Flags().DurationVar(&o.Every, "every", o.Every, "between two faults")
-	cmd.Flags().BoolVar(&o.ShortWindow, "short-window", false, "pods drop repeats for less than the settings say")
-	cmd.Flags().BoolVar(&o.NoGroups, "no-pods", false, "each node drops its own repeats only")
+	cmd.Flags().StringVar(&options.Program, "build", options.Program, "the scheduler's binary")
+	cmd.Flags().IntVar(&options.Faults, "faults", options.Faults, "resets and silences, about as many of each")
+	cmd.Flags().Uint64Var(&options.Seed, "seed", options.Seed, "of the arrivals and the faults")
+	cmd.Flags().DurationVar(&options.Every, "every", options.Every, "between two faults")
+	cmd.Flags().BoolVar(&options.ShortWindow, "short-window", false, "pods drop repeats for less than the settings say")
+	cmd.Flags().BoolVar(&options.NoGroups, "no-pods", false, "each node drops its own repeats only")
 	return cmd
 }
 
 // simultaneousStartCommand runs the trial of many schedulers that start at once among workers in slow start.
 func simultaneousStartCommand() *cobra.Command {
-	o := fleet.DefaultSlowStartTrial
+	options := fleet.DefaultSlowStartTrial
 	cmd := &cobra.Command{
 		Use:   "coldstart",
 		Short: "Start many scheduler processes at once on an old list, and watch lists, nodes and service",
@@ -70,19 +70,19 @@
 twice does, or a scheduler does not end well.`,
 		Example: "  go run ./cmd/foxlift-lab coldstart --schedulers 30 --nodes 20 --build bin/foxlift",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			r, err := o.Run(cmd.OutOrStdout())
+			r, err := options.Run(cmd.OutOrStdout())
 			return printResult(cmd, r, err)
 		},
 	}
-	cmd.Flags().StringVar(&o.Program, "build", o.Program, "the scheduler's binary")
-	cmd.Flags().IntVar(&o.Schedulers, "schedulers", o.Schedulers, "processes")
-	cmd.Flags().IntVar(&o.Workers, "nodes", o.Workers, "execute nodes")
-	cmd.Flags().Uint64Var(&o.Seed, "seed", o.Seed, "of the arrivals, and of which nodes are replaced")
-	cmd.Flags().DurationVar(&o.For, "for", o.For, "how long it is watched")
-	cmd.Flags().Float64Var(&o.Load, "load", o.Load, "jobs, against what the warm fleet can do")
-	cmd.Flags().Float64Var(&o.Replaced, "replaced", o.Replaced,
+	cmd.Flags().StringVar(&options.Program, "build", options.Program, "the scheduler's binary")
+	cmd.Flags().IntVar(&options.Schedulers, "schedulers", options.Schedulers, "processes")
+	cmd.Flags().IntVar(&options.Workers, "nodes", options.Workers, "execute nodes")
+	cmd.Flags().Uint64Var(&options.Seed, "seed", options.Seed, "of the arrivals, and of which nodes are replaced")
+	cmd.Flags().DurationVar(&options.For, "for", options.For, "how long it is watched")
+	cmd.Flags().Float64Var(&options.Load, "load", options.Load, "jobs, against what the warm fleet can do")
+	cmd.Flags().Float64Var(&options.Replaced, "replaced", options.Replaced,
 		"part of the nodes that the known list does not have")
-	cmd.Flags().Float64Var(&o.Restarted, "restarted", o.Restarted,
+	cmd.Flags().Float64Var(&options.Restarted, "restarted", options.Restarted,
 		"part that started again, cold, and that the known list takes for warm")
 	return cmd
 }
--- a/cmd/foxlift-lab/upgrade.go
+++ b/cmd/foxlift-lab/upgrade.go
@@ -11,8 +11,8 @@
 
 // upgradeCommand upgrades a scheduler under load, many times in a row.
 func upgradeCommand() *cobra.Command {
-	u := service.DefaultUpgradeTrial
-	fault := string(u.Fault)
+	trial := service.DefaultUpgradeTrial
+	fault := string(trial.Fault)
 	cmd := &cobra.Command{
 		Use:   "upgrade",
 		Short: "Replace a scheduler process under load, many times in a row, and watch its jobs",
@@ -29,15 +29,15 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
-			u.Fault = service.Fault(fault)
-			r, err := u.Run(ctx, cmd.OutOrStdout())
+			trial.Fault = service.Fault(fault)
+			r, err := trial.Run(ctx, cmd.OutOrStdout())
 			return printResult(cmd, r, err)
 		},
 	}
-	cmd.Flags().StringVar(&u.Program, "build", u.Program, "the scheduler's binary")
-	cmd.Flags().IntVar(&u.Upgrades, "upgrades", u.Upgrades, "how many, one after another")
-	cmd.Flags().Uint64Var(&u.Seed, "seed", u.Seed, "of the arrivals and the faults")
+	cmd.Flags().StringVar(&trial.Program, "build", trial.Program, "the scheduler's binary")
+	cmd.Flags().IntVar(&trial.Upgrades, "upgrades", trial.Upgrades, "how many, one after another")
+	cmd.Flags().Uint64Var(&trial.Seed, "seed", trial.Seed, "of the arrivals and the faults")
 	cmd.Flags().StringVar(&fault, "fault", fault, "what goes wrong in each upgrade")
-	cmd.Flags().Float64Var(&u.Load.Rate, "rate", u.Load.Rate, "jobs a second")
+	cmd.Flags().Float64Var(&trial.Load.Rate, "rate", trial.Load.Rate, "jobs a second")
 	return cmd
 }
--- a/internal/fuzz/fuzz.go
+++ b/internal/fuzz/fuzz.go
@@ -33,45 +33,45 @@
 }
 
 const (
-	maxInput     = 8 << 10 // bytes
-	maxMutations = 4
-	maxPiece     = 40 // bytes that one mutation changes
+	maxInputBytes = 8 << 10 // bytes
+	maxMutations  = 4
+	maxPieceBytes = 40 // bytes that one mutation changes
 )
 
 // Mutate returns a mutation of one of the seeds.
 func Mutate(rng *rand.Rand, seeds [][]byte) []byte {
 	data := bytes.Clone(seeds[rng.IntN(len(seeds))])
-	if len(data) > maxInput {
-		data = data[:maxInput]
+	if len(data) > maxInputBytes {
+		data = data[:maxInputBytes]
 	}
 	for range 1 + rng.IntN(maxMutations) {
-		at := rng.IntN(len(data) + 1)
-		to := min(len(data), at+rng.IntN(1+min(maxPiece, len(data)-at)))
+		start := rng.IntN(len(data) + 1)
+		end := min(len(data), start+rng.IntN(1+min(maxPieceBytes, len(data)-start)))
 		switch rng.IntN(8) {
 		case 0: // a byte changed
-			if at < len(data) {
-				data[at] ^= 1 << rng.IntN(8)
+			if start < len(data) {
+				data[start] ^= 1 << rng.IntN(8)
 			}
 		case 1: // a byte of any value
-			if at < len(data) {
-				data[at] = byte(rng.IntN(256))
+			if start < len(data) {
+				data[start] = byte(rng.IntN(256))
 			}
 		case 2: // a piece removed
-			data = append(data[:at:at], data[to:]...)
+			data = append(data[:start:start], data[end:]...)
 		case 3: // a piece repeated
-			data = append(data[:to:to], data[at:]...)
+			data = append(data[:end:end], data[start:]...)
 		case 4: // truncated
-			data = data[:at]
+			data = data[:start]
 		case 5: // a token inserted
-			data = append(data[:at:at], append([]byte(tokens[rng.IntN(len(tokens))]), data[at:]...)...)
+			data = append(data[:start:start], append([]byte(tokens[rng.IntN(len(tokens))]), data[start:]...)...)
 		case 6: // a piece replaced by a token
-			data = append(data[:at:at], append([]byte(tokens[rng.IntN(len(tokens))]), data[to:]...)...)
+			data = append(data[:start:start], append([]byte(tokens[rng.IntN(len(tokens))]), data[end:]...)...)
 		case 7: // part of another seed in the place of the rest
 			other := seeds[rng.IntN(len(seeds))]
-			data = append(data[:at:at], other[min(len(other), rng.IntN(1+min(len(other), maxInput))):]...)
+			data = append(data[:start:start], other[min(len(other), rng.IntN(1+min(len(other), maxInputBytes))):]...)
 		}
-		if len(data) > maxInput {
-			data = data[:maxInput]
+		if len(data) > maxInputBytes {
+			data = data[:maxInputBytes]
 		}
 	}
 	return data
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -41,15 +41,15 @@
 func firstDifference(got, want []byte) string {
 	gotLines, wantLines := bytes.Split(got, []byte("\n")), bytes.Split(want, []byte("\n"))
 	for i := range max(len(gotLines), len(wantLines)) {
-		var g, w []byte
+		var gotLine, wantLine []byte
 		if i < len(gotLines) {
-			g = gotLines[i]
+			gotLine = gotLines[i]
 		}
 		if i < len(wantLines) {
-			w = wantLines[i]
+			wantLine = wantLines[i]
 		}
-		if !bytes.Equal(g, w) {
-			return fmt.Sprintf("line %d\ngot  %q\nwant %q\nall of it:\n%s", i+1, g, w, got)
+		if !bytes.Equal(gotLine, wantLine) {
+			return fmt.Sprintf("line %d\ngot  %q\nwant %q\nall of it:\n%s", i+1, gotLine, wantLine, got)
 		}
 	}
 	return "they have the same lines"
--- a/internal/lab/cells.go
+++ b/internal/lab/cells.go
@@ -12,11 +12,11 @@
 )
 
 // twelveWorkers is a deployment of twelve uneven workers, eight tenants and two classes.
-func twelveWorkers(operator string) Topology {
+func twelveWorkerTopology(operatorText string) Topology {
 	return Topology{
 		Schedulers: 2,
 		Zones:      []string{"east", "west"},
-		Operator:   operator,
+		Operator:   operatorText,
 		Sockets:    256, // the least that the platform gives
 		Kinds: []WorkerKind{
 			{Name: "large", Count: 4, Slots: 6, Speed: 1.5},
@@ -60,25 +60,25 @@
 }
 
 const (
-	fourCells = `(foxlift (control (socket %q)) (cells
+	fourCellsOperator = `(foxlift (control (socket %q)) (cells
  (kind large (weight 9)) (kind medium (weight 5)) (kind old (weight 3.6))
  (cell north (tenants harbour skerry)) (cell south (tenants valley glen))
  (cell east (tenants coast firth)) (cell west (tenants moor ridge))))`
-	loneCell = `(foxlift (control (socket %q)) (cells (cell all (share 0.99) (tenants lone away)) (cell rest)))`
+	lendingOperator = `(foxlift (control (socket %q)) (cells (cell all (share 0.99) (tenants lone away)) (cell rest)))`
 )
 
 // cellNames are the cells of fourCells.
 var cellNames = []string{"north", "south", "east", "west"}
 
 const (
-	flooder       = "glen"
-	flooderQuota  = 0.1 // its fraction of what the fleet can do
-	normalLoad    = 0.6
-	floodFactor   = 10 // times its quota that a flooding tenant asks for
-	loneQuota     = 2  // jobs a second
-	loneRate      = 60
-	maxLoss       = 5  // points of service that a flood may take from another tenant
-	minLentServed = 95 // percent
+	floodingTenant        = "glen"
+	floodingTenantQuota   = 0.1 // its fraction of what the fleet can do
+	normalLoad            = 0.6
+	floodFactor           = 10 // times its quota that a flooding tenant asks for
+	lendingQuota          = 2  // jobs a second
+	lendingRate           = 60
+	maxServiceLoss        = 5  // points of service that a flood may take from another tenant
+	minServedUnderLending = 95 // percent
 )
 
 // A CellsOptions is how long the parts of the cells measurement take.
@@ -120,26 +120,26 @@
 
 // OK reports whether the product's objectives are met.
 func (r CellsReport) OK(migrations int) bool {
-	return r.WorstLoss <= maxLoss && r.ServedUnderLending >= minLentServed && r.Migrations == migrations &&
+	return r.WorstLoss <= maxServiceLoss && r.ServedUnderLending >= minServedUnderLending && r.Migrations == migrations &&
 		r.Lost == 0 && r.RanTwice == 0
 }
 
 // add takes in what a load's end has shown.
-func (r *CellsReport) add(v Verdict) {
-	r.Lost += v.Total.Lost + v.ServedWithoutRun
-	r.RanTwice += v.RanTwice
+func (r *CellsReport) add(result LoadResult) {
+	r.Lost += result.Total.Lost + result.ServedWithoutRun
+	r.RanTwice += result.RanTwice
 }
 
 // Cells measures what a flood of one tenant costs the others, without and with cells,
 // what a lone tenant is lent, and migrations under load.
-func Cells(ctx context.Context, w io.Writer, o CellsOptions) (report CellsReport, err error) {
-	if report.WorstLossWithoutCells, err = report.measureFlood(ctx, w, o, ""); err != nil {
+func MeasureCells(ctx context.Context, w io.Writer, options CellsOptions) (report CellsReport, err error) {
+	if report.WorstLossWithoutCells, err = report.measureFlood(ctx, w, options, ""); err != nil {
 		return report, err
 	}
-	if report.WorstLoss, err = report.measureFlood(ctx, w, o, fourCells); err != nil {
+	if report.WorstLoss, err = report.measureFlood(ctx, w, options, fourCellsOperator); err != nil {
 		return report, err
 	}
-	served, verdict, err := measureLending(o)
+	served, verdict, err := measureLending(options)
 	if err != nil {
 		return report, err
 	}
@@ -150,31 +150,33 @@
 
 // measureFlood floods one tenant and returns what the worst of the others loses. Where the
 // operator's file has cells it then migrates tenants under load.
-func (r *CellsReport) measureFlood(ctx context.Context, w io.Writer, o CellsOptions, operator string) (float64, error) {
+func (r *CellsReport) measureFlood(
+	ctx context.Context, w io.Writer, options CellsOptions, operatorText string,
+) (float64, error) {
 	title := "without cells"
-	if operator != "" {
+	if operatorText != "" {
 		title = "with cells"
 	}
-	rig, err := Start(twelveWorkers(operator))
+	deployment, err := StartDeployment(twelveWorkerTopology(operatorText))
 	if err != nil {
 		return 0, err
 	}
-	defer rig.Close()
-	load := rig.StartLoad(normalLoad, o.Seed)
-	<-time.After(o.Normal / 2) // modules learn
-	load.CollectTallies()
-	<-time.After(o.Normal)
-	normal := load.CollectTallies()
-	load.Set(flooder, floodFactor*flooderQuota*rig.Capacity())
-	<-time.After(o.Flood)
-	flood := load.CollectTallies()
-	load.Set(flooder, normalLoad*flooderQuota*rig.Capacity())
-	worst, err := printFlood(w, title, rig.Tenants, normal, flood)
+	defer deployment.Close()
+	load := deployment.StartLoad(normalLoad, options.Seed)
+	<-time.After(options.Normal / 2) // modules learn
+	load.TakeTallies()
+	<-time.After(options.Normal)
+	normal := load.TakeTallies()
+	load.SetRate(floodingTenant, floodFactor*floodingTenantQuota*deployment.Capacity())
+	<-time.After(options.Flood)
+	flood := load.TakeTallies()
+	load.SetRate(floodingTenant, normalLoad*floodingTenantQuota*deployment.Capacity())
+	worst, err := printFlood(w, title, deployment.Tenants, normal, flood)
 	if err != nil {
 		return 0, err
 	}
-	if operator != "" {
-		if err := r.measureMigrations(ctx, w, o, rig, load); err != nil {
+	if operatorText != "" {
+		if err := r.measureMigrations(ctx, w, options, deployment, load); err != nil {
 			return 0, err
 		}
 	}
@@ -184,18 +186,19 @@
 
 // measureMigrations migrates tenants under load and prints what was served meanwhile.
 func (r *CellsReport) measureMigrations(
-	ctx context.Context, w io.Writer, o CellsOptions, rig *Rig, load *Load,
+	ctx context.Context, w io.Writer, options CellsOptions, deployment *Deployment, load *Load,
 ) (err error) {
-	<-time.After(o.Normal / 2)
-	load.CollectTallies()
-	if r.Migrations, err = rig.migrateTenants(ctx, o); err != nil {
+	<-time.After(options.Normal / 2)
+	load.TakeTallies()
+	if r.Migrations, err = deployment.migrateTenants(ctx, options); err != nil {
 		return err
 	}
 	total := standin.Tally{}
-	for _, tally := range load.CollectTallies() {
+	for _, tally := range load.TakeTallies() {
 		total = standin.Total(total, tally)
 	}
-	fmt.Fprintf(w, "%d moves under load: %d jobs, %.1f %% served in time\n", r.Migrations, total.Sent, total.ServedPercent())
+	fmt.Fprintf(w, "%d migrations under load: %d jobs, %.1f %% served in time\n",
+		r.Migrations, total.Sent, total.ServedPercent())
 	return nil
 }
 
@@ -210,7 +213,7 @@
 		before, during := normal[tenant.Name], flood[tenant.Name]
 		loss := before.ServedPercent() - during.ServedPercent()
 		name := tenant.Name
-		if name == flooder {
+		if name == floodingTenant {
 			name += " (floods)"
 		} else {
 			worst = max(worst, loss)
@@ -223,48 +226,48 @@
 
 // migrateTenants moves tenants round the cells at every scheduler, through the control
 // sockets, and returns how many migrations were made. In the end it restores the cells.
-func (r *Rig) migrateTenants(ctx context.Context, o CellsOptions) (done int, err error) {
-	at, err := r.cellsOfTenants(ctx)
+func (r *Deployment) migrateTenants(ctx context.Context, options CellsOptions) (migrated int, err error) {
+	cellOf, err := r.cellsOfTenants(ctx)
 	if err != nil {
 		return 0, err
 	}
-	for i := range o.Migrations {
+	for i := range options.Migrations {
 		tenant := r.Tenants[i%len(r.Tenants)].Name
-		at[tenant] = (at[tenant] + 1) % len(cellNames)
-		cell := cellNames[at[tenant]]
+		cellOf[tenant] = (cellOf[tenant] + 1) % len(cellNames)
+		cell := cellNames[cellOf[tenant]]
 		for _, client := range r.Clients {
 			if _, err := client.Move(ctx, &controlpb.MoveRequest{Tenant: tenant, Cell: cell}); err != nil {
-				return done, fmt.Errorf("move %d, %s to %s: %w", i, tenant, cell, err)
+				return migrated, fmt.Errorf("move %d, %s to %s: %w", i, tenant, cell, err)
 			}
 		}
-		done++
-		<-time.After(o.MigrationInterval)
+		migrated++
+		<-time.After(options.MigrationInterval)
 	}
 	for _, client := range r.Clients {
 		if _, err := client.Restore(ctx, &controlpb.RestoreRequest{}); err != nil {
-			return done, err
+			return migrated, err
 		}
 	}
-	return done, nil
+	return migrated, nil
 }
 
 // cellsOfTenants returns each tenant's cell, as an index of cellNames.
-func (r *Rig) cellsOfTenants(ctx context.Context) (map[string]int, error) {
+func (r *Deployment) cellsOfTenants(ctx context.Context) (map[string]int, error) {
 	reply, err := r.Clients[0].Cells(ctx, &controlpb.CellsRequest{})
 	if err != nil {
 		return nil, err
 	}
-	at := map[string]int{}
+	cellOf := map[string]int{}
 	for _, cell := range reply.Cells {
 		for _, tenant := range cell.Tenants {
 			for i, name := range cellNames {
 				if name == cell.Name {
-					at[tenant.Name] = i
+					cellOf[tenant.Name] = i
 				}
 			}
 		}
 	}
-	return at, nil
+	return cellOf, nil
 }
 
 // lendingTopology is a lone tenant in an idle cell of fast workers, with a quota far below its capacity.
@@ -275,26 +278,26 @@
 		Zones:      []string{"east"},
 		Kinds:      []WorkerKind{{Name: "fast", Count: 8, Slots: 8, Speed: 10}},
 		Classes:    []Class{readingClass(100*time.Millisecond, 1)},
-		Operator:   loneCell,
+		Operator:   lendingOperator,
 	}
-	fraction := loneQuota / (quotaHeadroom * topology.Capacity())
+	fraction := lendingQuota / (assignedCapacityFraction * topology.Capacity())
 	topology.Tenants = []Tenant{{"lone", fraction}, {"away", 1 - fraction}}
 	return topology
 }
 
 // measureLending measures a lone tenant that asks for 30 times its quota of an idle cell of
 // fast workers: which percentage of it is served in the last third of the time.
-func measureLending(o CellsOptions) (served float64, verdict Verdict, err error) {
-	rig, err := Start(lendingTopology())
+func measureLending(options CellsOptions) (served float64, verdict LoadResult, err error) {
+	deployment, err := StartDeployment(lendingTopology())
 	if err != nil {
-		return 0, Verdict{}, err
+		return 0, LoadResult{}, err
 	}
-	defer rig.Close()
-	load := rig.StartLoad(0, o.Seed)
-	load.Set("lone", loneRate)
-	<-time.After(o.Lending * 2 / 3)
-	load.CollectTallies()
-	<-time.After(o.Lending / 3)
-	tally := load.CollectTallies()["lone"]
+	defer deployment.Close()
+	load := deployment.StartLoad(0, options.Seed)
+	load.SetRate("lone", lendingRate)
+	<-time.After(options.Lending * 2 / 3)
+	load.TakeTallies()
+	<-time.After(options.Lending / 3)
+	tally := load.TakeTallies()["lone"]
 	return tally.ServedPercent(), load.Stop(), nil
 }
--- a/internal/lab/cellsimulation.go
+++ b/internal/lab/cellsimulation.go
@@ -24,13 +24,13 @@
 const (
 	simulatedWorkerSlots = 2
 	simulatedWorkerQueue = 4 // jobs that wait at a worker; it rejects further ones
-	learnableJobs        = 6 // finished jobs of a class in a second from which its loop learns
+	minJobsForUpdate     = 6 // finished jobs of a class in a second from which its loop learns
 )
 
 // A cellResult says how one cell fared, as fractions.
 type cellResult struct {
-	learned float64 // of the class-seconds: enough jobs finished
-	inTime  float64 // of the jobs: served within the objective
+	updateFraction float64 // of the class-seconds: enough jobs finished
+	inTimeFraction float64 // of the jobs: served within the objective
 }
 
 // A simulatedWorker is a worker's free slots and queue.
@@ -56,7 +56,7 @@
 
 	arrived, servedInTime int
 	finished              [2]int // jobs of each class in the current second
-	learnableSeconds      int    // class-seconds with enough finished jobs
+	updateSeconds         int    // class-seconds with enough finished jobs
 }
 
 // newCellSimulation makes a cell whose workers together can do rate/load jobs a second, of two
@@ -135,8 +135,8 @@
 		s.step()
 	}
 	return cellResult{
-		learned: float64(s.learnableSeconds) / float64(len(s.finished)*seconds),
-		inTime:  float64(s.servedInTime) / float64(s.arrived),
+		updateFraction: float64(s.updateSeconds) / float64(len(s.finished)*seconds),
+		inTimeFraction: float64(s.servedInTime) / float64(s.arrived),
 	}
 }
 
@@ -159,8 +159,8 @@
 // countSecond counts the classes of which enough jobs finished in the past second.
 func (s *cellSimulation) countSecond() {
 	for class := range s.finished {
-		if s.finished[class] >= learnableJobs {
-			s.learnableSeconds++
+		if s.finished[class] >= minJobsForUpdate {
+			s.updateSeconds++
 		}
 		s.finished[class] = 0
 	}
@@ -201,14 +201,14 @@
 // send queues an attempt at its worker, or has the worker reject it.
 func (s *cellSimulation) send(action foxlift.Action) {
 	job, worker := s.jobs[action.ID], s.workers[action.Worker]
-	a := &simulatedAttempt{s, action.ID, job.attempts, action.Worker, job, worker}
+	attempt := &simulatedAttempt{s, action.ID, job.attempts, action.Worker, job, worker}
 	job.attempts++
 	if worker.free == 0 && worker.queued >= simulatedWorkerQueue {
-		s.schedule(s.now, func() { a.report(foxlift.EventOutcome, foxlift.Saturated, job.done) })
+		s.schedule(s.now, func() { attempt.report(foxlift.EventOutcome, foxlift.Saturated, job.done) })
 		return
 	}
 	worker.queued++
-	s.schedule(s.now+second/1000, a.start)
+	s.schedule(s.now+second/1000, attempt.start)
 }
 
 // start runs the attempt if a slot is free, and otherwise tries again soon: the order in a
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -19,46 +19,46 @@
 )
 
 // Demo floods one tenant of a deployment with cells and prints a table as it goes.
-func Demo(ctx context.Context, w io.Writer, seed uint64) error {
-	rig, err := Start(twelveWorkers(fourCells))
+func RunDemo(ctx context.Context, w io.Writer, seed uint64) error {
+	deployment, err := StartDeployment(twelveWorkerTopology(fourCellsOperator))
 	if err != nil {
 		return err
 	}
-	defer rig.Close()
-	rig.printDemoHead(w)
-	load := rig.StartLoad(normalLoad, seed)
+	defer deployment.Close()
+	deployment.printDemoHeader(w)
+	load := deployment.StartLoad(normalLoad, seed)
 	for second := demoPrintEvery; second <= demoDuration; second += demoPrintEvery {
 		<-time.After(demoPrintEvery * time.Second)
 		fmt.Fprintf(w, "%4d s", second)
-		tallies := load.CollectTallies()
-		for _, tenant := range rig.Tenants {
+		tallies := load.TakeTallies()
+		for _, tenant := range deployment.Tenants {
 			fmt.Fprintf(w, "%10.1f", tallies[tenant.Name].ServedPercent())
 		}
 		switch second {
 		case demoFloodAt:
-			load.Set(flooder, floodFactor*flooderQuota*rig.Capacity())
-			fmt.Fprintf(w, "   %s floods", flooder)
+			load.SetRate(floodingTenant, floodFactor*floodingTenantQuota*deployment.Capacity())
+			fmt.Fprintf(w, "   %s floods", floodingTenant)
 		case demoFloodStopsAt:
-			load.Set(flooder, normalLoad*flooderQuota*rig.Capacity())
+			load.SetRate(floodingTenant, normalLoad*floodingTenantQuota*deployment.Capacity())
 			fmt.Fprint(w, "   the flood ends")
 		case demoMigrateAt:
-			if err := rig.migrateFlooder(ctx, w); err != nil {
+			if err := deployment.migrateFlooder(ctx, w); err != nil {
 				return err
 			}
 		}
 		fmt.Fprintln(w)
 	}
-	return printDemoVerdict(w, load.Stop())
+	return printDemoResult(w, load.Stop())
 }
 
 // printDemoHead prints what the deployment is, what will happen, and the table's head.
-func (r *Rig) printDemoHead(w io.Writer) {
+func (r *Deployment) printDemoHeader(w io.Writer) {
 	fmt.Fprintf(w, "%d schedulers, %d execute nodes, %d tenants in 4 cells; ",
 		len(r.Schedulers), len(r.Workers), len(r.Tenants))
 	fmt.Fprintf(w, "%.0f jobs a second is all that the nodes can do.\n", r.Capacity())
 	fmt.Fprintf(w, "Every tenant asks %.0f %% of its share. ", 100*normalLoad)
 	fmt.Fprintf(w, "After %d s %s asks %d times its share, for %d s;\nthen it is moved to another cell, live.\n\n",
-		demoFloodAt, flooder, floodFactor, demoFloodStopsAt-demoFloodAt)
+		demoFloodAt, floodingTenant, floodFactor, demoFloodStopsAt-demoFloodAt)
 	fmt.Fprint(w, "  time")
 	for _, tenant := range r.Tenants {
 		fmt.Fprintf(w, "%10s", tenant.Name)
@@ -67,9 +67,9 @@
 }
 
 // migrateFlooder moves the flooding tenant to another cell at every scheduler.
-func (r *Rig) migrateFlooder(ctx context.Context, w io.Writer) error {
+func (r *Deployment) migrateFlooder(ctx context.Context, w io.Writer) error {
 	for _, client := range r.Clients {
-		reply, err := client.Move(ctx, &controlpb.MoveRequest{Tenant: flooder, Cell: "west"})
+		reply, err := client.Move(ctx, &controlpb.MoveRequest{Tenant: floodingTenant, Cell: "west"})
 		if err != nil {
 			return err
 		}
@@ -79,14 +79,14 @@
 }
 
 // printDemoVerdict prints what became of all jobs, and fails if a promise was broken.
-func printDemoVerdict(w io.Writer, v Verdict) error {
-	total := v.Total
+func printDemoResult(w io.Writer, result LoadResult) error {
+	total := result.Total
 	fmt.Fprintf(w, "\n%d jobs: %d served in time, %d late, %d refused, %d failed; ",
 		total.Sent, total.Served, total.Late, total.Shed, total.Failed)
-	fmt.Fprintf(w, "without an answer %d, run twice that must not %d\n", total.Lost, v.RanTwice)
-	if total.Lost+v.RanTwice+v.ServedWithoutRun > 0 {
+	fmt.Fprintf(w, "without an answer %d, run twice that must not %d\n", total.Lost, result.RanTwice)
+	if total.Lost+result.RanTwice+result.ServedWithoutRun > 0 {
 		return fmt.Errorf("a promise was broken: lost %d, twice %d, served but never run %d",
-			total.Lost, v.RanTwice, v.ServedWithoutRun)
+			total.Lost, result.RanTwice, result.ServedWithoutRun)
 	}
 	return nil
 }
--- a/internal/lab/eventqueue.go
+++ b/internal/lab/eventqueue.go
@@ -11,15 +11,15 @@
 
 // An eventQueue orders calls on a virtual clock. The zero value is empty, at time 0.
 type eventQueue struct {
-	now       int64
-	scheduled int // events ever scheduled; numbers them
-	events    eventHeap
+	now          int64
+	lastSequence int // events ever scheduled; numbers them
+	events       eventHeap
 }
 
 // schedule adds a call at a moment that is not before now.
 func (q *eventQueue) schedule(at int64, run func()) {
-	q.scheduled++
-	heap.Push(&q.events, scheduledEvent{at, q.scheduled, run})
+	q.lastSequence++
+	heap.Push(&q.events, scheduledEvent{at, q.lastSequence, run})
 }
 
 // advance moves the clock to the next moment before end and runs all calls that are due then,
--- a/internal/lab/eventqueue_test.go
+++ b/internal/lab/eventqueue_test.go
@@ -39,7 +39,7 @@
 	if results[0] != results[1] {
 		t.Errorf("%+v and %+v from one seed", results[0], results[1])
 	}
-	if r := results[0]; r.inTime < 0.5 || r.inTime > 1 || r.learned <= 0 || r.learned > 1 {
+	if r := results[0]; r.inTimeFraction < 0.5 || r.inTimeFraction > 1 || r.updateFraction <= 0 || r.updateFraction > 1 {
 		t.Errorf("%+v", r)
 	}
 }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -64,7 +64,7 @@
 		return nil, err
 	}
 	f.Discovery.CallCost = o.Price
-	for i := range o.Groups {
+	for i := range o.DedupGroups {
 		f.groups = append(f.groups, &standin.DedupGroup{Number: i, Window: f.groupWindow()})
 	}
 	if o.Gossip {
--- a/internal/lab/fleet/keyed.go
+++ b/internal/lab/fleet/keyed.go
@@ -72,7 +72,7 @@
 		Schedulers:  2,
 		Sockets:     384,
 		Zones:       []string{"centre"},
-		Groups:      2,
+		DedupGroups: 2,
 		DedupWindow: 1500 * time.Millisecond,
 		LoadReports: true,
 		Gossip:      true,
@@ -145,7 +145,7 @@
 	if !o.NoGroups {
 		return New(options)
 	}
-	options.Groups = 8
+	options.DedupGroups = 8
 	f, err := New(options)
 	if err != nil {
 		return nil, err
--- a/internal/lab/fuzz.go
+++ b/internal/lab/fuzz.go
@@ -67,37 +67,37 @@
 
 // Fuzz runs all fuzz targets of the module in the current folder in turn, until the time
 // is over or ctx ends. It needs the go command.
-func Fuzz(ctx context.Context, w io.Writer, o FuzzOptions) (*FuzzSummary, error) {
-	targets, err := findFuzzTargets(ctx, o.Match)
+func RunFuzzTargets(ctx context.Context, w io.Writer, options FuzzOptions) (*FuzzSummary, error) {
+	targets, err := findFuzzTargets(ctx, options.Match)
 	if err != nil {
 		return nil, err
 	}
 	if len(targets) == 0 {
 		return nil, errNoFuzzTarget
 	}
-	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
+	if err := os.MkdirAll(options.Dir, 0o755); err != nil {
 		return nil, err
 	}
-	s := &FuzzSummary{Started: time.Now().UTC(), Workers: o.Workers, Targets: targets, Findings: []Finding{}}
-	run := &fuzzRun{FuzzOptions: o, writer: w, deadline: s.Started.Add(o.Duration)}
-	for first := true; len(targets) > 0 && run.goesOn(ctx); first = false {
-		if targets, err = run.round(ctx, s, targets, first); err != nil {
-			return s, err
+	summary := &FuzzSummary{Started: time.Now().UTC(), Workers: options.Workers, Targets: targets, Findings: []Finding{}}
+	run := &fuzzRun{FuzzOptions: options, writer: w, deadline: summary.Started.Add(options.Duration)}
+	for first := true; len(targets) > 0 && run.hasTime(ctx); first = false {
+		if targets, err = run.runRound(ctx, summary, targets, first); err != nil {
+			return summary, err
 		}
 	}
-	for _, target := range s.Targets {
-		s.Executions += target.Executions
-		if o.Persist {
-			if err := target.persistInputs(ctx, maxCorpusBytes/len(s.Targets)); err != nil {
-				return s, err
+	for _, target := range summary.Targets {
+		summary.Executions += target.Executions
+		if options.Persist {
+			if err := target.persistInputs(ctx, maxCorpusBytes/len(summary.Targets)); err != nil {
+				return summary, err
 			}
 		}
 		if ctx.Err() == nil {
 			target.Coverage = target.measureCoverage(ctx)
 		}
 	}
-	s.Seconds = time.Since(s.Started).Seconds()
-	return s, s.write(o.Dir)
+	summary.Seconds = time.Since(summary.Started).Seconds()
+	return summary, summary.write(options.Dir)
 }
 
 // A fuzzRun is a run of the long runner.
@@ -108,25 +108,25 @@
 }
 
 // goesOn reports whether there is time for another time slice.
-func (r *fuzzRun) goesOn(ctx context.Context) bool {
+func (r *fuzzRun) hasTime(ctx context.Context) bool {
 	return ctx.Err() == nil && time.Until(r.deadline) >= minTimeSlice
 }
 
 // round gives each target a time slice and returns the targets of the next round. A target
 // with a finding is not among them, and ends the round: it would find the same again at once.
-func (r *fuzzRun) round(
-	ctx context.Context, s *FuzzSummary, targets []*FuzzTarget, first bool,
+func (r *fuzzRun) runRound(
+	ctx context.Context, summary *FuzzSummary, targets []*FuzzTarget, first bool,
 ) ([]*FuzzTarget, error) {
 	for i, target := range targets {
-		if !r.goesOn(ctx) {
+		if !r.hasTime(ctx) {
 			break
 		}
 		slice := timeSlice(target, time.Until(r.deadline), len(targets)-i, first)
-		findings, err := target.fuzzFor(ctx, slice, r.FuzzOptions, r.writer)
+		findings, err := target.run(ctx, slice, r.FuzzOptions, r.writer)
 		if err != nil {
 			return nil, err
 		}
-		s.Findings = append(s.Findings, findings...)
+		summary.Findings = append(summary.Findings, findings...)
 		if len(findings) > 0 {
 			return slices.Delete(slices.Clone(targets), i, i+1), nil
 		}
--- a/internal/lab/fuzz_test.go
+++ b/internal/lab/fuzz_test.go
@@ -35,14 +35,14 @@
 // Progress lines are counted, the rest of the output is kept to its last lines.
 func TestReadProgress(t *testing.T) {
 	target := &FuzzTarget{}
-	output := strings.Repeat("noise\n", 2*findingLines) +
+	output := strings.Repeat("noise\n", 2*findingOutputLines) +
 		"fuzz: elapsed: 1s, execs: 10 (5/sec), new interesting: 1 (total: 7)\n" +
 		"fuzz: elapsed: 2s, execs: 25 (5/sec), new interesting: 3 (total: 9)\nlast\n"
 	executions, fresh, tail := target.readProgress(strings.NewReader(output))
 	if executions != 25 || fresh != 3 || target.Inputs != 9 {
 		t.Errorf("%d executions, %d new of %d inputs", executions, fresh, target.Inputs)
 	}
-	if lines := strings.Split(tail, "\n"); len(lines) != findingLines || lines[findingLines-1] != "last" {
+	if lines := strings.Split(tail, "\n"); len(lines) != findingOutputLines || lines[findingOutputLines-1] != "last" {
 		t.Errorf("%d lines, the last is %q", len(lines), lines[len(lines)-1])
 	}
 }
--- a/internal/lab/fuzztarget.go
+++ b/internal/lab/fuzztarget.go
@@ -86,20 +86,20 @@
 )
 
 const (
-	maxOutputLine = 4 << 20 // bytes of a line of go test
-	findingLines  = 60      // last lines of the output that a finding has
+	maxOutputLineBytes = 4 << 20 // bytes of a line of go test
+	findingOutputLines = 60      // last lines of the output that a finding has
 )
 
 // fuzzFor fuzzes the target for a while. When ctx ends it interrupts go test, which then
 // ends with what it has.
-func (t *FuzzTarget) fuzzFor(
-	ctx context.Context, duration time.Duration, o FuzzOptions, w io.Writer,
+func (t *FuzzTarget) run(
+	ctx context.Context, duration time.Duration, options FuzzOptions, output io.Writer,
 ) ([]Finding, error) {
 	began := time.Now()
 	cmd := exec.Command( //nolint:noctx // its end is asked for by SIGINT to the whole group, below
 		"go", "test", "-run", "^$", "-fuzz", "^"+t.Name+"$",
 		"-fuzztime", duration.Round(time.Millisecond).String(),
-		"-fuzzminimizetime", "10x", "-parallel", strconv.Itoa(o.Workers), t.Package)
+		"-fuzzminimizetime", "10x", "-parallel", strconv.Itoa(options.Workers), t.Package)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // a signal to this process is not one to them
 	stdout, err := cmd.StdoutPipe()
 	if err != nil {
@@ -113,23 +113,23 @@
 		_ = syscall.Kill(-cmd.Process.Pid, syscall.SIGINT) // the group may have ended by itself
 	})
 	defer stop()
-	executions, newInputs, output := t.readProgress(stdout)
+	executions, newInputs, testOutput := t.readProgress(stdout)
 	failed := cmd.Wait() != nil
 	took := time.Since(began).Seconds()
 	t.Seconds += took
 	t.Executions += executions
 	t.NewInputs += newInputs
 	t.foundCoverage = newInputs > 0
-	fmt.Fprintf(w, "%-18s %6.1f s  %9d executions  %4d new of %d inputs\n",
+	fmt.Fprintf(output, "%-18s %6.1f s  %9d executions  %4d new of %d inputs\n",
 		t.Name, took, executions, newInputs, t.Inputs)
 	if !failed || ctx.Err() != nil {
 		return nil, nil
 	}
-	finding, err := t.finding(output, o.Dir)
+	finding, err := t.finding(testOutput, options.Dir)
 	if err != nil {
 		return nil, err
 	}
-	fmt.Fprintf(w, "FINDING in %s: %s\n%s\n", t.Name, finding.File, finding.Output)
+	fmt.Fprintf(output, "FINDING in %s: %s\n%s\n", t.Name, finding.File, finding.Output)
 	return []Finding{finding}, nil
 }
 
@@ -138,7 +138,7 @@
 func (t *FuzzTarget) readProgress(stdout io.Reader) (executions int64, newInputs int, output string) {
 	var tail []string
 	lines := bufio.NewScanner(stdout)
-	lines.Buffer(nil, maxOutputLine)
+	lines.Buffer(nil, maxOutputLineBytes)
 	for lines.Scan() {
 		text := lines.Text()
 		if m := progressLine.FindStringSubmatch(text); m != nil {
@@ -147,7 +147,7 @@
 			t.Inputs, _ = strconv.Atoi(m[3])
 			continue
 		}
-		if tail = append(tail, text); len(tail) > findingLines {
+		if tail = append(tail, text); len(tail) > findingOutputLines {
 			tail = tail[1:]
 		}
 	}
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -11,26 +11,26 @@
 
 // A Load is the clients of all tenants: for each, one for each scheduler and class.
 type Load struct {
-	rig     *Rig
-	clients map[string][]*standin.Client // by tenant
-	rates   map[string]*atomic.Uint64    // jobs a second of each tenant, as float64 bits
-	stop    chan struct{}
-	running sync.WaitGroup
-	total   standin.Tally
+	deployment *Deployment
+	clients    map[string][]*standin.Client // by tenant
+	rates      map[string]*atomic.Uint64    // jobs a second of each tenant, as float64 bits
+	stop       chan struct{}
+	running    sync.WaitGroup
+	total      standin.Tally
 }
 
 // StartLoad begins with each tenant at a fraction of its quota's part of the fleet's capacity,
 // spread evenly over the schedulers. Stop ends it.
-func (r *Rig) StartLoad(fraction float64, seed uint64) *Load {
+func (r *Deployment) StartLoad(fraction float64, seed uint64) *Load {
 	l := &Load{
-		rig:     r,
-		clients: map[string][]*standin.Client{},
-		rates:   map[string]*atomic.Uint64{},
-		stop:    make(chan struct{}),
+		deployment: r,
+		clients:    map[string][]*standin.Client{},
+		rates:      map[string]*atomic.Uint64{},
+		stop:       make(chan struct{}),
 	}
 	for t, tenant := range r.Tenants {
 		l.rates[tenant.Name] = &atomic.Uint64{}
-		l.Set(tenant.Name, fraction*tenant.QuotaFraction*r.Capacity())
+		l.SetRate(tenant.Name, fraction*tenant.QuotaFraction*r.Capacity())
 		for scheduler := range r.Schedulers {
 			for c, class := range r.Classes {
 				l.startClient(tenant.Name, scheduler, class, seed+uint64(t*100+scheduler*10+c))
@@ -43,7 +43,7 @@
 // startClient starts the client that sends a tenant's jobs of one class to one scheduler.
 func (l *Load) startClient(tenant string, scheduler int, class Class, seed uint64) {
 	client := &standin.Client{
-		Addr:             l.rig.Schedulers[scheduler].Addr().String(),
+		Addr:             l.deployment.Schedulers[scheduler].Addr().String(),
 		Tenant:           tenant,
 		Class:            class.Name,
 		Remaining:        class.Deadline,
@@ -52,17 +52,17 @@
 	}
 	l.clients[tenant] = append(l.clients[tenant], client)
 	rate := l.rates[tenant]
-	fraction := class.JobFraction / float64(len(l.rig.Schedulers))
+	fraction := class.JobFraction / float64(len(l.deployment.Schedulers))
 	l.running.Go(func() {
 		client.Run(func() float64 { return fraction * math.Float64frombits(rate.Load()) }, seed, l.stop)
 	})
 }
 
 // Set changes a tenant's rate, in jobs a second.
-func (l *Load) Set(tenant string, rate float64) { l.rates[tenant].Store(math.Float64bits(rate)) }
+func (l *Load) SetRate(tenant string, rate float64) { l.rates[tenant].Store(math.Float64bits(rate)) }
 
 // CollectTallies returns each tenant's tally since the last call.
-func (l *Load) CollectTallies() map[string]standin.Tally {
+func (l *Load) TakeTallies() map[string]standin.Tally {
 	tallies := map[string]standin.Tally{}
 	for tenant, clients := range l.clients {
 		var all []standin.Tally
@@ -76,32 +76,32 @@
 }
 
 // A Verdict is what the clients' tallies and the workers' logs say of the promises.
-type Verdict struct {
+type LoadResult struct {
 	Total            standin.Tally
 	RanTwice         int // at-most-once jobs that ran more than once
 	ServedWithoutRun int // jobs answered as served that no worker ran
 }
 
 // Stop ends the load, waits for every answer and judges.
-func (l *Load) Stop() Verdict {
+func (l *Load) Stop() LoadResult {
 	close(l.stop)
 	l.running.Wait()
-	l.CollectTallies()
-	verdict := Verdict{Total: l.total}
-	runs := l.rig.Runs()
+	l.TakeTallies()
+	result := LoadResult{Total: l.total}
+	runs := l.deployment.Runs()
 	for id, count := range runs {
-		if count > 1 && l.rig.AtMostOnce(id) {
-			verdict.RanTwice++
+		if count > 1 && l.deployment.AtMostOnce(id) {
+			result.RanTwice++
 		}
 	}
 	for _, clients := range l.clients {
 		for _, client := range clients {
 			for id := range client.Served() {
 				if runs[id] == 0 {
-					verdict.ServedWithoutRun++
+					result.ServedWithoutRun++
 				}
 			}
 		}
 	}
-	return verdict
+	return result
 }
--- a/internal/lab/loops.go
+++ b/internal/lab/loops.go
@@ -9,7 +9,7 @@
 // virtual time, split evenly over one module, two, four and so on. It prints in how many of
 // the class-seconds enough jobs finished for a loop to learn from, and which part of the
 // jobs within their tenants' quotas was served in time.
-func Loops(w io.Writer, seed uint64, seconds int) error {
+func MeasureLoops(w io.Writer, seed uint64, seconds int) error {
 	fmt.Fprintln(w, "jobs/s  load  cells  jobs/s a cell  class-seconds with 6 jobs  served in time")
 	for _, rate := range []float64{30, 60, 240} {
 		for _, load := range []float64{0.7, 1.2} {
@@ -19,7 +19,7 @@
 					return err
 				}
 				fmt.Fprintf(w, "%6.0f  %4.1f  %5d  %13.2f  %24.1f %%  %12.1f %%\n",
-					rate, load, cells, rate/float64(cells), 100*mean.learned, 100*mean.inTime)
+					rate, load, cells, rate/float64(cells), 100*mean.updateFraction, 100*mean.inTimeFraction)
 			}
 		}
 	}
@@ -34,8 +34,8 @@
 			return cellResult{}, err
 		}
 		result := s.run(seconds)
-		mean.learned += result.learned / float64(cells)
-		mean.inTime += result.inTime / float64(cells)
+		mean.updateFraction += result.updateFraction / float64(cells)
+		mean.inTimeFraction += result.inTimeFraction / float64(cells)
 	}
 	return mean, nil
 }
--- a/internal/lab/mutant.go
+++ b/internal/lab/mutant.go
@@ -27,9 +27,9 @@
 
 // A mutantResult is what became of a mutant.
 type mutantResult struct {
-	caught bool
-	took   time.Duration
-	by     string // the test that failed, or the panic
+	caught  bool
+	took    time.Duration
+	failure string // the test that failed, or the panic
 }
 
 // CheckMutants applies each mutant whose name contains match to a copy of the module in the
@@ -43,33 +43,33 @@
 	}
 	var mu sync.Mutex
 	var running sync.WaitGroup
-	var failed error
-	free := make(chan struct{}, concurrency)
+	var errs error
+	slots := make(chan struct{}, concurrency)
 	for _, m := range Mutants {
 		if !strings.Contains(m.Name, match) {
 			continue
 		}
 		checked++
-		free <- struct{}{}
+		slots <- struct{}{}
 		running.Go(func() {
-			defer func() { <-free }()
+			defer func() { <-slots }()
 			result, err := m.check(ctx)
 			mu.Lock()
 			defer mu.Unlock()
 			switch {
 			case err != nil:
-				failed = errors.Join(failed, fmt.Errorf("%s: %w", m.Name, err))
+				errs = errors.Join(errs, fmt.Errorf("%s: %w", m.Name, err))
 			case result.caught:
 				caught++
 				fmt.Fprintf(w, "caught in %4.1f s  %s\n                  by %s\n",
-					result.took.Seconds(), m.Name, result.by)
+					result.took.Seconds(), m.Name, result.failure)
 			default:
 				fmt.Fprintf(w, "NOT SEEN         %s (%s)\n", m.Name, m.File)
 			}
 		})
 	}
 	running.Wait()
-	return caught, checked, failed
+	return caught, checked, errs
 }
 
 // check applies the mutant to a copy and runs its tests there.
@@ -86,7 +86,7 @@
 	if err := runGo(ctx, dir, "test", "-c", "-vet=off", "-o", binary, m.Package); err != nil {
 		return mutantResult{}, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, mutantLimit)
+	ctx, cancel := context.WithTimeout(ctx, mutantTimeout)
 	defer cancel()
 	args := []string{"-test.run", m.Run, "-test.failfast"}
 	if m.Run == modelFuzz { // goes on until it sees something
@@ -101,12 +101,12 @@
 		return result, nil // it ran on without a verdict
 	}
 	result.caught = err != nil
-	result.by = failureIn(string(out))
+	result.failure = lastFailure(string(out))
 	return result, nil
 }
 
 // failureIn names the last failed test of an output, or its panic.
-func failureIn(output string) (name string) {
+func lastFailure(output string) (name string) {
 	for line := range strings.Lines(output) {
 		if failed, ok := strings.CutPrefix(strings.TrimSpace(line), "--- FAIL: "); ok {
 			name, _, _ = strings.Cut(failed, " ")
--- a/internal/lab/mutants.go
+++ b/internal/lab/mutants.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	platformFuzz = "^(TestFuzz|TestEverySplit)"
-	modelFuzz    = "^TestModel$"
-	mutantLimit  = 60 * time.Second // for the tests to see one, their building aside
+	platformFuzz  = "^(TestFuzz|TestEverySplit)"
+	modelFuzz     = "^TestModel$"
+	mutantTimeout = 60 * time.Second // for the tests to see one, their building aside
 )
 
 // Mutants are the faults by which the fuzzers' oracles are proved.
--- a/internal/lab/mutants_test.go
+++ b/internal/lab/mutants_test.go
@@ -23,13 +23,13 @@
 }
 
 // The last failed test of an output is named, or else its panic.
-func TestFailureIn(t *testing.T) {
+func TestLastFailure(t *testing.T) {
 	for output, want := range map[string]string{
 		"--- FAIL: TestA (0.1s)\n    --- FAIL: TestA/b (0.1s)\nFAIL\n": "TestA/b",
 		"panic: nil map\n\ngoroutine 1\n":                              "panic: nil map",
 		"ok\n":                                                         "",
 	} {
-		if got := failureIn(output); got != want {
+		if got := lastFailure(output); got != want {
 			t.Errorf("%q: %q, want %q", output, got, want)
 		}
 	}
--- a/internal/lab/rig.go
+++ b/internal/lab/rig.go
@@ -25,20 +25,20 @@
 const readyPollInterval = time.Millisecond
 
 // A Rig is a running deployment.
-type Rig struct {
+type Deployment struct {
 	Topology
 	Workers    []*standin.Worker
 	Discovery  *standin.Discovery
 	Schedulers []*daemon.Daemon
 	Clients    []controlpb.ControlClient // one for each scheduler, where there is a control socket
 
-	dir     string // configuration files and control sockets
-	closers []func() error
+	dir           string // configuration files and control sockets
+	clientClosers []func() error
 }
 
 // Start starts a deployment. Close ends it.
-func Start(topology Topology) (r *Rig, err error) {
-	r = &Rig{Topology: topology}
+func StartDeployment(topology Topology) (r *Deployment, err error) {
+	r = &Deployment{Topology: topology}
 	defer func() {
 		if err != nil {
 			r.Close()
@@ -66,7 +66,7 @@
 }
 
 // startWorker starts worker i of a kind, in the next zone. Its queue is twice as long as it has slots.
-func (r *Rig) startWorker(kind WorkerKind, i int) error {
+func (r *Deployment) startWorker(kind WorkerKind, i int) error {
 	serviceTimes := map[string]time.Duration{}
 	for _, class := range r.Classes {
 		serviceTimes[class.Name] = time.Duration(float64(class.ServiceTime) / kind.Speed)
@@ -87,7 +87,7 @@
 }
 
 // Config writes the configuration file of a scheduler and returns its path.
-func (r *Rig) Config(scheduler int) (string, error) {
+func (r *Deployment) Config(scheduler int) (string, error) {
 	text, err := json.MarshalIndent(map[string]any{
 		"name":      fmt.Sprint("n", scheduler),
 		"listen":    "127.0.0.1:0",
@@ -105,7 +105,7 @@
 }
 
 // startScheduler starts a scheduler and waits until it is ready.
-func (r *Rig) startScheduler(scheduler int) error {
+func (r *Deployment) startScheduler(scheduler int) error {
 	config, err := r.Config(scheduler)
 	if err != nil {
 		return err
@@ -134,12 +134,12 @@
 	}
 	r.Schedulers = append(r.Schedulers, d)
 	if operator != "" {
-		client, hangUp, err := control.Dial(socket)
+		client, closeClient, err := control.Dial(socket)
 		if err != nil {
 			return err
 		}
 		r.Clients = append(r.Clients, client)
-		r.closers = append(r.closers, hangUp)
+		r.clientClosers = append(r.clientClosers, closeClient)
 	}
 	for !d.Core.Ready() {
 		<-time.After(readyPollInterval)
@@ -148,9 +148,9 @@
 }
 
 // Close ends everything that Start has started, as a crash would, and removes its files.
-func (r *Rig) Close() {
-	for _, hangUp := range r.closers {
-		_ = hangUp() // the schedulers are killed next
+func (r *Deployment) Close() {
+	for _, closeClient := range r.clientClosers {
+		_ = closeClient() // the schedulers are killed next
 	}
 	for _, d := range r.Schedulers {
 		d.Kill()
@@ -168,7 +168,7 @@
 }
 
 // Runs returns how often each job was begun, over all workers.
-func (r *Rig) Runs() map[string]int {
+func (r *Deployment) Runs() map[string]int {
 	runs := map[string]int{}
 	for _, worker := range r.Workers {
 		for id, count := range worker.Runs() {
--- a/internal/lab/speed.go
+++ b/internal/lab/speed.go
@@ -19,7 +19,7 @@
 const (
 	listenTimeout      = 10 * time.Second // for a scheduler process to listen
 	listenPollInterval = 10 * time.Millisecond
-	patientDeadline    = 5 * time.Second // of the jobs in a speed measurement
+	speedJobDeadline   = 5 * time.Second // of the jobs in a speed measurement
 )
 
 // The bounds and digits of a latency histogram.
@@ -35,19 +35,19 @@
 // Speed measures one scheduler process: jobs a second and latency with so many
 // connections, each sending its next job when it has the answer, to workers that
 // answer at once. program is the scheduler's binary: two builds can be compared.
-func Speed(ctx context.Context, w io.Writer, program string, connections []int, each time.Duration) error {
+func MeasureSpeed(ctx context.Context, w io.Writer, program string, connections []int, each time.Duration) error {
 	topology := speedTopology()
 	topology.Schedulers = 0 // the one that is measured is a process of its own
-	rig, err := Start(topology)
+	deployment, err := StartDeployment(topology)
 	if err != nil {
 		return err
 	}
-	defer rig.Close()
-	rig.Topology = speedTopology()
-	for _, worker := range rig.Workers {
+	defer deployment.Close()
+	deployment.Topology = speedTopology()
+	for _, worker := range deployment.Workers {
 		worker.ServiceTime = func(string) time.Duration { return 0 }
 	}
-	config, err := rig.Config(0)
+	config, err := deployment.Config(0)
 	if err != nil {
 		return err
 	}
@@ -60,7 +60,7 @@
 		return err
 	}
 	defer stop()
-	if err := awaitListening(ctx, addr); err != nil {
+	if err := waitForListener(ctx, addr); err != nil {
 		return err
 	}
 	fmt.Fprintln(w, "connections  jobs a second     p50     p99   p99.9  not served")
@@ -110,7 +110,7 @@
 }
 
 // awaitListening waits until something accepts connections on an address.
-func awaitListening(ctx context.Context, addr string) error {
+func waitForListener(ctx context.Context, addr string) error {
 	var dialer net.Dialer
 	for began := time.Now(); ; {
 		conn, err := dialer.DialContext(ctx, "tcp", addr)
@@ -153,8 +153,8 @@
 			Addr:             addr,
 			Tenant:           "all",
 			Class:            "reading",
-			LatencyObjective: patientDeadline,
-			Remaining:        patientDeadline,
+			LatencyObjective: speedJobDeadline,
+			Remaining:        speedJobDeadline,
 			Name:             fmt.Sprintf("speed-%d-%d-%d", connections, i, began.UnixNano()),
 		}
 		running.Go(func() {
--- a/internal/lab/standins.go
+++ b/internal/lab/standins.go
@@ -17,7 +17,7 @@
 
 // StandIns runs what examples/config.json needs, until a signal that ends it. SIGUSR1 makes
 // the second worker drain, or brings it back.
-func StandIns(ctx context.Context, w io.Writer, signals <-chan os.Signal) error {
+func RunStandIns(ctx context.Context, w io.Writer, signals <-chan os.Signal) error {
 	var listenConfig net.ListenConfig
 	var workers []*standin.Worker
 	for i, addr := range []string{"127.0.0.1:3101", "127.0.0.1:3102"} {
--- a/internal/lab/topology.go
+++ b/internal/lab/topology.go
@@ -45,7 +45,7 @@
 	Tenants     []Tenant
 	Classes     []Class
 	Sockets     int           // descriptors that a scheduler may use
-	Groups      int           // that the workers are dealt out to; 0: no worker drops repeats
+	DedupGroups int           // that the workers are dealt out to; 0: no worker drops repeats
 	DedupWindow time.Duration // for which a group drops repeats of a key, where the class is deduplicated
 	LoadReports bool          // workers send load reports
 	Gossip      bool          // schedulers may send each other messages
@@ -82,8 +82,8 @@
 }
 
 const (
-	quotaHeadroom    = 0.85 // of the fleet's capacity is given out as quotas
-	objectiveStretch = 2    // service times by which the latency objective grows
+	assignedCapacityFraction = 0.85 // of the fleet's capacity is given out as quotas
+	objectiveStretch         = 2    // service times by which the latency objective grows
 )
 
 // Settings returns the settings of a scheduler, as they stand in its configuration file.
@@ -176,7 +176,7 @@
 // tenantSettings lists the tenants with their quotas, rounded to a tenth of a job a second.
 func (t *Topology) tenantSettings() (tenants []map[string]any) {
 	for _, tenant := range t.Tenants {
-		quota := math.Round(tenant.QuotaFraction*quotaHeadroom*t.Capacity()*10) / 10
+		quota := math.Round(tenant.QuotaFraction*assignedCapacityFraction*t.Capacity()*10) / 10
 		tenants = append(tenants, map[string]any{"name": tenant.Name, "quotaRps": quota})
 	}
 	return tenants
--- a/internal/lab/topology_test.go
+++ b/internal/lab/topology_test.go
@@ -8,9 +8,9 @@
 )
 
 // A scheduler takes the settings of each deployment that the lab starts schedulers for.
-func TestSettingsAreTaken(t *testing.T) {
+func TestSettingsAreValid(t *testing.T) {
 	for name, topology := range map[string]Topology{
-		"speed": speedTopology(), "cells": twelveWorkers(fourCells), "lending": lendingTopology(),
+		"speed": speedTopology(), "cells": twelveWorkerTopology(fourCellsOperator), "lending": lendingTopology(),
 	} {
 		for scheduler := range topology.Schedulers {
 			text, err := json.Marshal(topology.Settings(scheduler))
--- a/internal/standin/corruption.go
+++ b/internal/standin/corruption.go
@@ -24,7 +24,9 @@
 )
 
 // Corruptions are all ways but NoCorruption.
-var Corruptions = []Corruption{TruncateAndClose, TruncateAndKeepOpen, Unavailable, UnavailableLate, NoResponse, ResetConnection, InvalidJSON, SlowBytes}
+var Corruptions = []Corruption{
+	TruncateAndClose, TruncateAndKeepOpen, Unavailable, UnavailableLate, NoResponse, ResetConnection, InvalidJSON, SlowBytes,
+}
 
 var corruptionNames = [corruptionCount]string{
 	"none",
@@ -42,10 +44,10 @@
 func (c Corruption) String() string { return corruptionNames[c] }
 
 const (
-	unavailableDelay = 2900 * time.Millisecond
-	slowByteInterval = 150 * time.Millisecond // between the bytes of a trickle
-	truncatedBytes   = 2
-	notJSONAnswer    = "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nnothing"
+	unavailableDelay    = 2900 * time.Millisecond
+	slowByteInterval    = 150 * time.Millisecond // between the bytes of a trickle
+	truncatedBytes      = 2
+	invalidJSONResponse = "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nnothing"
 )
 
 // A corrupter holds how answers are corrupted now.
@@ -77,7 +79,7 @@
 	case ResetConnection:
 		ResetOnClose(conn)
 	case InvalidJSON:
-		return true, writeText(conn, notJSONAnswer)
+		return true, writeText(conn, invalidJSONResponse)
 	case SlowBytes:
 		c.writeSlowly(conn, response)
 	}
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -48,7 +48,7 @@
 	*Server
 	CallCost CallCost // set before the first call
 
-	turn chan struct{}
+	callSlot chan struct{}
 
 	mu               sync.Mutex
 	version          int
@@ -79,7 +79,7 @@
 func DiscoveryOn(l net.Listener, workers ...*Worker) *Discovery {
 	d := &Discovery{
 		changed:        make(chan struct{}),
-		turn:           make(chan struct{}, 1),
+		callSlot:       make(chan struct{}, 1),
 		lastChange:     map[string]int{},
 		positions:      map[string]int{},
 		seconds:        map[int64]int{},
@@ -290,9 +290,9 @@
 	}
 	count(1, 0, 0)
 	select {
-	case d.turn <- struct{}{}:
+	case d.callSlot <- struct{}{}:
 		<-time.After(d.CallCost.PerCall + time.Duration(hosts)*d.CallCost.PerHost)
-		<-d.turn
+		<-d.callSlot
 		count(-1, 1, 0)
 		return true
 	case <-time.After(d.CallCost.MaxWait):
