--- a/cmd/foxlift/cells.go
+++ b/cmd/foxlift/cells.go
@@ -23,7 +23,7 @@
 file if it is to last.`,
 		Args: cobra.NoArgs,
 	}
-	caller.flags(cmd)
+	caller.addFlags(cmd)
 	cmd.AddCommand(
 		newCellsShowCommand(caller),
 		newCellsMigrateCommand(caller),
--- a/cmd/foxlift/check.go
+++ b/cmd/foxlift/check.go
@@ -39,6 +39,6 @@
 			return nil
 		},
 	}
-	cmd.Flags().StringVar(&options.Operator, "operator", "", "the operator's file")
+	cmd.Flags().StringVar(&options.OperatorPath, "operator", "", "the operator's file")
 	return cmd
 }
--- a/cmd/foxlift/control.go
+++ b/cmd/foxlift/control.go
@@ -28,7 +28,7 @@
 	operator string // path of the operator's file that names it
 }
 
-func (c *controlCaller) flags(cmd *cobra.Command) {
+func (c *controlCaller) addFlags(cmd *cobra.Command) {
 	flags := cmd.PersistentFlags()
 	flags.StringVar(&c.socket, "socket", os.Getenv("FOXLIFT_CONTROL"),
 		"the scheduler's control socket (FOXLIFT_CONTROL)")
@@ -57,7 +57,7 @@
 // socketPath returns the path that a flag gives or, without one, that the operator's file has.
 func (c *controlCaller) socketPath() (string, error) {
 	if c.socket == "" && c.operator != "" {
-		path, err := config.ControlSocket(c.operator)
+		path, err := config.ReadControlSocket(c.operator)
 		if err != nil {
 			return "", err
 		}
@@ -101,6 +101,6 @@
 			})
 		},
 	}
-	caller.flags(cmd)
+	caller.addFlags(cmd)
 	return cmd
 }
--- a/cmd/foxlift/control_test.go
+++ b/cmd/foxlift/control_test.go
@@ -13,7 +13,7 @@
 )
 
 // command runs a command of foxlift's until it exits, and returns its output and exit code.
-func command(t *testing.T, env []string, args ...string) (string, int) {
+func runCommand(t *testing.T, env []string, args ...string) (string, int) {
 	t.Helper()
 	cmd := newCommand(t, env...)
 	cmd.Args = append(cmd.Args, args...)
@@ -28,11 +28,11 @@
 // check prints a line for each fault and exits with 1, or says that the configuration is sound.
 func TestCheck(t *testing.T) {
 	env := []string{"LB_CONFIG=../../examples/config.json"}
-	out, code := command(t, env, "check", "--operator", "../../deploy/operator.example.sexp")
+	out, code := runCommand(t, env, "check", "--operator", "../../deploy/operator.example.sexp")
 	if code != 0 || !strings.Contains(out, "sound: 2 cells") {
 		t.Errorf("%d: %s", code, out)
 	}
-	if out, code := command(t, []string{"LB_CONFIG=../../examples/keyed.json"}, "check"); code != 0 {
+	if out, code := runCommand(t, []string{"LB_CONFIG=../../examples/keyed.json"}, "check"); code != 0 {
 		t.Errorf("%d: %s", code, out)
 	}
 	invalid := filepath.Join(t.TempDir(), "invalid.sexp")
@@ -40,7 +40,7 @@
 	if err := os.WriteFile(invalid, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	out, code = command(t, env, "check", "--operator", invalid)
+	out, code = runCommand(t, env, "check", "--operator", invalid)
 	if code != 1 || strings.Count(out, invalid+":") != 3 ||
 		!strings.Contains(out, invalid+":2:24: cells.cell a.share: ") {
 		t.Errorf("%d: %s", code, out)
@@ -52,11 +52,11 @@
 		{"nonsense"},
 		{"serve", "--log-format", "xml"},
 	} {
-		if out, code := command(t, env, args...); code != 1 || out == "" {
+		if out, code := runCommand(t, env, args...); code != 1 || out == "" {
 			t.Errorf("%v: %d: %s", args, code, out)
 		}
 	}
-	if out, code := command(t, nil, "version"); code != 0 || !strings.HasPrefix(out, "foxlift ") {
+	if out, code := runCommand(t, nil, "version"); code != 0 || !strings.HasPrefix(out, "foxlift ") {
 		t.Errorf("%d: %s", code, out)
 	}
 }
@@ -83,7 +83,7 @@
 	}
 	do := func(want string, code int, args ...string) string {
 		t.Helper()
-		out, got := command(t, nil, append(append([]string{}, args...), "--socket", socket)...)
+		out, got := runCommand(t, nil, append(append([]string{}, args...), "--socket", socket)...)
 		if got != code || !strings.Contains(out, want) {
 			t.Errorf("%v: %d, %s", args, got, out)
 		}
@@ -104,7 +104,7 @@
 	do("evacuated", 0, "cells", "show")
 	do("tenants 1", 0, "cells", "restore") // the other one was migrated to its own cell
 	do(`"cells": true`, 0, "status")
-	if out, code := command(t, nil, "cells", "show", "--operator", operator); code != 0 {
+	if out, code := runCommand(t, nil, "cells", "show", "--operator", operator); code != 0 {
 		t.Errorf("by the operator's file: %d, %s", code, out)
 	}
 	p.signal(t, syscall.SIGTERM)
--- a/cmd/foxlift/main.go
+++ b/cmd/foxlift/main.go
@@ -40,7 +40,7 @@
 		SilenceUsage:  true,
 		RunE:          func(cmd *cobra.Command, _ []string) error { return options.serve(cmd.Context()) },
 	}
-	options.flags(cmd)
+	options.addFlags(cmd)
 	serve := &cobra.Command{
 		Use:     "serve",
 		Short:   "Serve until SIGTERM",
@@ -48,7 +48,7 @@
 		Args:    cobra.NoArgs,
 		RunE:    cmd.RunE,
 	}
-	options.flags(serve)
+	options.addFlags(serve)
 	serve.Flags().StringVar(&options.operator, "operator", "", "the operator's file")
 	cmd.AddCommand(serve, newCheckCommand(), newCellsCommand(), newStatusCommand(), newVersionCommand())
 	return cmd
--- a/cmd/foxlift/process_test.go
+++ b/cmd/foxlift/process_test.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	patience      = 20 * time.Second
+	testTimeout   = 20 * time.Second
 	healthRequest = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"
 )
 
@@ -166,7 +166,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return &connection{c, bufio.NewReader(c)}
 }
 
--- a/cmd/foxlift/serve.go
+++ b/cmd/foxlift/serve.go
@@ -22,7 +22,7 @@
 	logLevel  string
 }
 
-func (o *serveOptions) flags(cmd *cobra.Command) {
+func (o *serveOptions) addFlags(cmd *cobra.Command) {
 	cmd.Flags().StringVar(&o.logFormat, "log-format", "console", "how log lines are written: console or json")
 	cmd.Flags().StringVar(&o.logLevel, "log-level", "info", "which are written: debug, info, warn or error")
 	completeFlag(cmd, "log-format", logging.Formats)
@@ -43,7 +43,7 @@
 }
 
 // notifySignals begins to receive signals. A reload that is requested before the start is done after it.
-func notifySignals() signals {
+func receiveSignals() signals {
 	s := signals{
 		shutdown: make(chan os.Signal, 1),
 		reload:   make(chan os.Signal, 1),
@@ -61,18 +61,18 @@
 
 // serve runs a scheduler until a signal shuts it down.
 func (o *serveOptions) serve(ctx context.Context) error {
-	received := notifySignals()
+	received := receiveSignals()
 	log, err := logging.New(os.Stderr, o.logFormat, o.logLevel)
 	if err != nil {
 		return err
 	}
 	runtime.GOMAXPROCS(1) // a scheduler has one core
 	d, err := daemon.Start(ctx, daemon.Options{
-		Getenv:      os.Getenv,
-		Operator:    o.operator,
-		Log:         log,
-		Version:     versionText(),
-		LimitMemory: limitMemory,
+		Getenv:       os.Getenv,
+		OperatorPath: o.operator,
+		Log:          log,
+		Version:      versionText(),
+		LimitMemory:  limitMemory,
 	})
 	if err != nil {
 		return err
--- a/cmd/foxlift/shutdown_test.go
+++ b/cmd/foxlift/shutdown_test.go
@@ -70,7 +70,7 @@
 		}
 		return r.status
 	}
-	for deadline := time.Now().Add(patience); request(healthRequest) != http.StatusOK; {
+	for deadline := time.Now().Add(testTimeout); request(healthRequest) != http.StatusOK; {
 		if time.Now().After(deadline) {
 			t.Fatal("not ready after discovery is back")
 		}
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -13,7 +13,7 @@
 )
 
 // maxTime bounds every time in the settings: sums and multiples of them stay numbers.
-const maxTime = int64(30 * 24 * time.Hour)
+const maxSettingValue = int64(30 * 24 * time.Hour)
 
 // keyTTLMargin is the time that a repeat of a deduplicated job may take from the write of its last byte
 // to the worker, and by which clocks may differ: so much sooner the window counts as over.
@@ -23,17 +23,17 @@
 // leaves the checks to the module.
 func (s *Settings) checkScheduler() error {
 	for _, check := range []func() error{
-		s.checkFleet, s.checkClasses, s.checkTenants, s.checkTimes, s.checkFigures, s.checkReports,
+		s.checkFleet, s.checkClasses, s.checkTenants, s.checkDurationsAndCounts, s.checkFractionsAndPrices, s.checkReports,
 	} {
 		if err := check(); err != nil {
 			return err
 		}
 	}
-	c := &s.Module
-	c.PollEndpoints = true // on sockets there is no other way, whatever the simulator has
-	c.EndpointLease = int64(pollpacing.MaxPropagationDelay + leaseGrace)
-	for i := range c.Classes {
-		if k := &c.Classes[i]; k.Effect == foxlift.Deduplicated {
+	module := &s.Module
+	module.PollEndpoints = true // on sockets there is no other way, whatever the simulator has
+	module.EndpointLease = int64(pollpacing.MaxPropagationDelay + leaseMargin)
+	for i := range module.Classes {
+		if k := &module.Classes[i]; k.Effect == foxlift.Deduplicated {
 			k.KeyTTL = max(0, k.KeyTTL-keyTTLMargin)
 		}
 	}
@@ -42,7 +42,7 @@
 
 // leaseGrace is the part of the drain grace by which the endpoint list's lease is longer than the time
 // after which changes bind. The rest covers a process that is paused.
-const leaseGrace = 300 * time.Millisecond
+const leaseMargin = 300 * time.Millisecond
 
 // checkFleet checks the settings of the scheduler itself and of the fleet.
 func (s *Settings) checkFleet() error {
@@ -54,8 +54,8 @@
 		return fmt.Errorf("balancers: over %d", foxlift.MaxDispatchers)
 	case c.Index < 0 || c.Index >= c.Dispatchers:
 		return errors.New("slotNo: not under balancers")
-	case s.Discovery != "" && !slices.Contains(discoveries, s.Discovery):
-		return fmt.Errorf("discovery: %q is not one of %s", s.Discovery, strings.Join(discoveries, ", "))
+	case s.Discovery != "" && !slices.Contains(discoveryModes, s.Discovery):
+		return fmt.Errorf("discovery: %q is not one of %s", s.Discovery, strings.Join(discoveryModes, ", "))
 	case s.Zone != "" && len(s.Zones) > 0 && c.Zone < 0:
 		return fmt.Errorf("zone: %q is not one of dcs", s.Zone)
 	}
@@ -82,8 +82,8 @@
 			return fmt.Errorf("grades[%d].aimStretch, familyInfo.classStretch[%d]: negative", i, i)
 		case k.KeyTTL < 0:
 			return fmt.Errorf("grades[%d].keyTtl: negative", i)
-		case max(k.LatencyObjective, k.Deadline, k.KeyTTL) > maxTime:
-			return fmt.Errorf("grades[%d]: a time of over %v", i, time.Duration(maxTime))
+		case max(k.LatencyObjective, k.Deadline, k.KeyTTL) > maxSettingValue:
+			return fmt.Errorf("grades[%d]: a time of over %v", i, time.Duration(maxSettingValue))
 		case k.Kind < -1 || k.Kind >= max(1, len(s.Kinds)):
 			return fmt.Errorf("familyInfo.classKind[%d]: no such kind", i)
 		}
@@ -106,11 +106,11 @@
 }
 
 // checkTimes checks that each time and number is within its bounds.
-func (s *Settings) checkTimes() error {
+func (s *Settings) checkDurationsAndCounts() error {
 	c := &s.Module
 	for _, f := range []struct {
-		key  string
-		time int64
+		key   string
+		value int64
 	}{
 		{"bounds.connectTimeout", int64(s.ConnectTimeout)},
 		{"bounds.connIdle", c.ConnIdle},
@@ -122,22 +122,22 @@
 		{"bounds.maxOpen", int64(s.MaxOpen)},
 		{"bounds.maxAttempts", int64(c.MaxAttempts)},
 	} {
-		if f.time < 0 {
+		if f.value < 0 {
 			return fmt.Errorf("%s: negative", f.key)
 		}
-		if f.time > maxTime {
-			return fmt.Errorf("%s: over %v", f.key, time.Duration(maxTime))
+		if f.value > maxSettingValue {
+			return fmt.Errorf("%s: over %v", f.key, time.Duration(maxSettingValue))
 		}
 	}
 	return nil
 }
 
 // checkFigures checks that no fraction or price is negative.
-func (s *Settings) checkFigures() error {
+func (s *Settings) checkFractionsAndPrices() error {
 	c := &s.Module
 	for _, f := range []struct {
-		key    string
-		figure float64
+		key   string
+		value float64
 	}{
 		{"obligations.startCapacity", c.SlowStartCapacity},
 		{"obligations.fallMultiple", c.OverloadMultiple},
@@ -145,7 +145,7 @@
 		{"prices.handshake", c.Prices.Handshake},
 		{"prices.origin", c.Prices.Fetch},
 	} {
-		if f.figure < 0 {
+		if f.value < 0 {
 			return fmt.Errorf("%s: negative", f.key)
 		}
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -15,10 +15,10 @@
 
 // Bounds of what a scheduler may use, whatever it is offered.
 const (
-	maxMemoryMB = 192
-	maxSockets  = 1024
-	minMemoryMB = 32
-	minSockets  = 64
+	maxMemoryMB    = 192
+	maxDescriptors = 1024
+	minMemoryMB    = 32
+	minDescriptors = 64
 )
 
 // defaultName is the name of a scheduler that is given none.
@@ -26,23 +26,23 @@
 
 // A Scheduler is the whole configuration of one scheduler.
 type Scheduler struct {
-	Name      string
-	Listen    string // address:port for clients
-	Admin     string // address:port for the operators' requests; "": none
-	Discovery string // address:port of discovery
-	Seed      uint64
-	MemoryMB  int
-	Sockets   int             // file descriptors
-	Known     json.RawMessage // the cached endpoint list, in discovery's form; may be empty
-	Settings  *Settings
-	Peers     Peers // the zero value where schedulers do not gossip
+	Name            string
+	Listen          string // address:port for clients
+	Admin           string // address:port for the operators' requests; "": none
+	Discovery       string // address:port of discovery
+	Seed            uint64
+	MemoryMB        int
+	MaxDescriptors  int             // file descriptors
+	CachedEndpoints json.RawMessage // the cached endpoint list, in discovery's form; may be empty
+	Settings        *Settings
+	Peers           Peers // the zero value where schedulers do not gossip
 }
 
 // Peers are the addresses by which schedulers gossip in datagrams.
 type Peers struct {
-	Listen string   // where this one receives; "": it does not gossip
-	Each   []string // of every scheduler by its index, this one's included
-	All    string   // reaches all others at once; "": there is no such address
+	Listen    string   // where this one receives; "": it does not gossip
+	Addresses []string // of every scheduler by its index, this one's included
+	Broadcast string   // reaches all others at once; "": there is no such address
 }
 
 // A configFile is the file that LB_CONFIG names.
@@ -77,7 +77,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Scheduler{Name: f.Name, Listen: f.Listen, Admin: f.Admin, Discovery: f.Discovery, Known: f.Known}
+	s := &Scheduler{Name: f.Name, Listen: f.Listen, Admin: f.Admin, Discovery: f.Discovery, CachedEndpoints: f.Known}
 	s.override(getenv, reload)
 	if s.Name == "" {
 		s.Name = defaultName
@@ -148,7 +148,7 @@
 	if err != nil {
 		return err
 	}
-	s.Sockets, err = limitOrDefault("limits.sockets", f.Limits.Sockets, minSockets, maxSockets)
+	s.MaxDescriptors, err = limitOrDefault("limits.sockets", f.Limits.Sockets, minDescriptors, maxDescriptors)
 	return err
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -65,7 +65,7 @@
 	if s.Name != "n3" || s.Listen != "127.0.0.2:0" || s.Discovery != "127.0.0.1:8500" || s.Seed != 0x8c1f30d27a5be964 {
 		t.Errorf("%+v", s)
 	}
-	if s.MemoryMB != maxMemoryMB || s.Sockets != 512 || string(s.Known) != `{"seq":41}` {
+	if s.MemoryMB != maxMemoryMB || s.MaxDescriptors != 512 || string(s.CachedEndpoints) != `{"seq":41}` {
 		t.Errorf("limits or known: %+v", s)
 	}
 	c := s.Settings
@@ -147,10 +147,11 @@
 }
 
 func TestParseKey(t *testing.T) {
-	if k := ParseKey([]byte("91f03b7c55d20a64")); k != 0x91f03b7c55d20a64 {
+	if k := ParseAffinityKey([]byte("91f03b7c55d20a64")); k != 0x91f03b7c55d20a64 {
 		t.Errorf("%x", k)
 	}
-	if ParseKey(nil) != 0 || ParseKey([]byte("user-1")) == ParseKey([]byte("user-2")) || ParseKey([]byte("user-1")) == 0 {
+	if ParseAffinityKey(nil) != 0 || ParseAffinityKey([]byte("user-1")) == ParseAffinityKey([]byte("user-2")) ||
+		ParseAffinityKey([]byte("user-1")) == 0 {
 		t.Error("keys that are not hex")
 	}
 }
--- a/internal/config/errors_golden_test.go
+++ b/internal/config/errors_golden_test.go
@@ -10,7 +10,7 @@
 )
 
 // faultySettings are changes of the valid configuration that each make it faulty in one way.
-var faultySettings = []struct{ old, new string }{
+var invalidSettings = []struct{ old, new string }{
 	{`{"name"`, `"name"`},
 	{`"n3"`, `3`},
 	{`"127.0.0.1:3000"`, `""`},
@@ -72,7 +72,7 @@
 // TestSettingsFaults pins what is said of each faulty configuration: it is what "foxlift check" prints.
 func TestSettingsFaults(t *testing.T) {
 	var b strings.Builder
-	for _, c := range faultySettings {
+	for _, c := range invalidSettings {
 		if !strings.Contains(validSettings, c.old) {
 			t.Fatalf("%s is not in the valid configuration", c.old)
 		}
@@ -83,7 +83,7 @@
 }
 
 // faultyOperators are operator's files whose messages TestOperatorErrors does not have.
-var faultyOperators = []string{
+var invalidOperatorFiles = []string{
 	`(foxlift (control))`,
 	`(foxlift (control (socket "/` + strings.Repeat("s", maxSocketPath) + `")))`,
 	`(foxlift (cells (cell a (when-unable))))`,
@@ -99,7 +99,7 @@
 // TestOperatorFileFaults pins what is said of each faulty operator's file; of many faults the first.
 func TestOperatorFileFaults(t *testing.T) {
 	var b strings.Builder
-	for _, text := range faultyOperators {
+	for _, text := range invalidOperatorFiles {
 		_, err := ParseOperator("f", []byte(text), exampleSettings(t))
 		faults := OperatorErrors(nil)
 		if !errors.As(err, &faults) {
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -69,14 +69,15 @@
 }
 
 var fuzzSettings = func() *Settings {
-	s, err := ParseSettings([]byte(settingsText))
+	s, err := ParseSettings([]byte(fuzzSettingsText))
 	if err != nil {
 		panic(err)
 	}
 	return s
 }()
 
-const settingsText = `{"balancers":2,"slotNo":1,"discovery":"subscribe","dcs":["a","b"],"zone":"a","flavors":["k","l"],
+const fuzzSettingsText = `{"balancers":2,"slotNo":1,"discovery":"subscribe","dcs":["a","b"],"zone":"a",` +
+	`"flavors":["k","l"],
  "grades":[{"name":"r","aim":1,"deadline":2,"effect":"idempotent"},` +
 	`{"name":"s","aim":1,"deadline":2,"effect":"deduplicated","dedupScope":"zone","keyTtl":5}],
  "projects":[{"name":"t","quotaRps":2.5},{"name":"u","quotaRps":0}],"report":{"names":["x0","backlog"]},
@@ -161,7 +162,7 @@
 }
 
 func settingsSeeds() [][]byte {
-	seeds := [][]byte{[]byte(settingsText)}
+	seeds := [][]byte{[]byte(fuzzSettingsText)}
 	for _, s := range []string{
 		`{"grades":[{"name":"r","aim":1,"deadline":9223372036854775807,"effect":"idempotent","aimStretch":-1}]}`,
 		`{"balancers":1000000000000,"grades":[{"name":"r","aim":1,"deadline":1,"effect":"idempotent"}]}`,
@@ -213,8 +214,9 @@
 			}
 			return
 		}
-		if s.MemoryMB < minMemoryMB || s.MemoryMB > maxMemoryMB || s.Sockets < minSockets || s.Sockets > maxSockets {
-			t.Fatalf("%q: %s", data, fmt.Sprint(s.MemoryMB, s.Sockets))
+		if s.MemoryMB < minMemoryMB || s.MemoryMB > maxMemoryMB ||
+			s.MaxDescriptors < minDescriptors || s.MaxDescriptors > maxDescriptors {
+			t.Fatalf("%q: %s", data, fmt.Sprint(s.MemoryMB, s.MaxDescriptors))
 		}
 	})
 }
--- a/internal/config/keys_test.go
+++ b/internal/config/keys_test.go
@@ -9,7 +9,8 @@
 )
 
 // everyKey has each key of the settings, no two of a kind with the same value.
-const everyKey = `{"balancers":9,"slotNo":3,"zone":"b","dcs":["a","b"],"flavors":["k","l"],"discovery":"subscribe",
+const allKeysSettings = `{"balancers":9,"slotNo":3,"zone":"b","dcs":["a","b"],"flavors":["k","l"],` +
+	`"discovery":"subscribe",
 "grades":[{"name":"first","aim":11,"aimStretch":1.5,"deadline":12,"effect":"deduplicated","dedupScope":"zone",
  "keyTtl":13,"gain":2.5,"stream":true},
  {"name":"second","aim":14,"deadline":15,"effect":"at_most_once"},
@@ -25,7 +26,7 @@
  "memoryUnit":"one unit for each slot","progress":43,"reportX0":"free slots","reportX1":"free memory"}}`
 
 // boolKeys are the keys of everyKey whose values are true.
-func boolKeys(c *foxlift.Config) map[string]bool {
+func boolSettings(c *foxlift.Config) map[string]bool {
 	return map[string]bool{
 		"bounds.cancel": c.MayCancel, "bounds.probes": c.MayHealthCheck, "bounds.secondCopies": c.MayHedge,
 		"bounds.peerMessages": c.MayGossip, "bounds.retryAfter": c.MayRetryAfter, "familyInfo.tellsStart": c.StartNotes,
@@ -35,12 +36,12 @@
 
 // TestEveryKeyIsRead pins which field each key of the settings goes to.
 func TestEveryKeyIsRead(t *testing.T) {
-	s, err := ParseSettings([]byte(everyKey))
+	s, err := ParseSettings([]byte(allKeysSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := &s.Module
-	for key, on := range boolKeys(c) {
+	for key, on := range boolSettings(c) {
 		if !on {
 			t.Errorf("%s is not read", key)
 		}
@@ -77,7 +78,7 @@
 			foxlift.GaugeInFlight, foxlift.GaugeFreeSlots, foxlift.GaugeFreeMemory, foxlift.GaugeBusy,
 		}},
 		{"familyInfo.memoryUnit", c.SlotMemory, 1.0},
-		{"familyInfo.progress", s.Progress, 43 * time.Nanosecond},
+		{"familyInfo.progress", s.ProgressInterval, 43 * time.Nanosecond},
 	} {
 		if !reflect.DeepEqual(x.got, x.want) {
 			t.Errorf("%s: %v, want %v", x.key, x.got, x.want)
@@ -87,7 +88,7 @@
 
 // TestEveryKeyOfAClassIsRead does so for the classes.
 func TestEveryKeyOfAClassIsRead(t *testing.T) {
-	s, err := ParseSettings([]byte(everyKey))
+	s, err := ParseSettings([]byte(allKeysSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -41,7 +41,7 @@
 	if op.EndpointCheckpoint != "/tmp/foxlift-list" {
 		t.Errorf("the checkpoint is %q", op.EndpointCheckpoint)
 	}
-	if path, err := ControlSocket("../../deploy/operator.example.sexp"); err != nil || path != op.ControlSocket {
+	if path, err := ReadControlSocket("../../deploy/operator.example.sexp"); err != nil || path != op.ControlSocket {
 		t.Errorf("the socket alone: %q, %v", path, err)
 	}
 	op, err = ParseOperator("empty", []byte("; nothing\n"), exampleSettings(t))
@@ -104,7 +104,7 @@
 			`f:1:26: cells.cell a.when-unable: spill needs a cell and the part of its jobs that it may take`,
 		},
 		"too deep": {strings.Repeat("(", 10000), `f: lists more than 32 deep`},
-		"too long": {strings.Repeat(";", maxOperatorFile+1), `f: over 1048576 bytes`},
+		"too long": {strings.Repeat(";", maxOperatorFileBytes+1), `f: over 1048576 bytes`},
 	} {
 		_, err := ParseOperator("f", []byte(c.text), exampleSettings(t))
 		if faults := OperatorErrors(nil); !errors.As(err, &faults) || err.Error() != c.want {
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -47,7 +47,7 @@
 	subjects map[string]form // the form of each subject of a cells.SpecError
 }
 
-func (r *reader) fail(at *sexp, key, format string, args ...any) {
+func (r *reader) addError(at *sexp, key, format string, args ...any) {
 	e := OperatorError{File: r.file, Key: key, Text: fmt.Sprintf(format, args...)}
 	if at != nil {
 		e.Line, e.Column = at.Pos.Line, at.Pos.Column
@@ -72,16 +72,16 @@
 
 // A rule says how the forms with one key are read.
 type rule struct {
-	many bool // more than one may be there
-	read func(form)
+	repeatable bool // more than one may be there
+	read       func(form)
 }
 
 // forms reads the forms in values by the rules of their keys; a key without a rule is an error.
-func (r *reader) forms(within string, values []*sexp, rules map[string]rule) {
+func (r *reader) readForms(within string, values []*sexp, rules map[string]rule) {
 	seen := map[string]bool{}
 	for _, v := range values {
 		if v.Form == nil || len(v.Form.Values) == 0 || v.Form.Values[0].Atom == nil {
-			r.fail(v, within, "%s stands where a list that begins with a key should", v)
+			r.addError(v, within, "%s stands where a list that begins with a key should", v)
 			continue
 		}
 		name := *v.Form.Values[0].Atom
@@ -90,9 +90,9 @@
 		rule, ok := rules[name]
 		switch {
 		case !ok:
-			r.fail(at, key, "unknown key; known here: %s", strings.Join(sortedKeys(rules), ", "))
-		case seen[name] && !rule.many:
-			r.fail(at, key, "it is there twice")
+			r.addError(at, key, "unknown key; known here: %s", strings.Join(sortedKeys(rules), ", "))
+		case seen[name] && !rule.repeatable:
+			r.addError(at, key, "it is there twice")
 		default:
 			seen[name] = true
 			rule.read(form{at, key, v.Form.Values[1:]})
@@ -112,7 +112,7 @@
 // singleValue returns the only value of a form.
 func (r *reader) singleValue(f form) *sexp {
 	if len(f.args) != 1 {
-		r.fail(f.at, f.key, "%d values, want one", len(f.args))
+		r.addError(f.at, f.key, "%d values, want one", len(f.args))
 		return nil
 	}
 	return f.args[0]
@@ -127,7 +127,7 @@
 	case v.Text != nil && *v.Text != "":
 		return *v.Text
 	default:
-		r.fail(v, f.key, "%s is no name", v)
+		r.addError(v, f.key, "%s is no name", v)
 	}
 	return ""
 }
@@ -140,7 +140,7 @@
 	if v.Atom != nil && slices.Contains(known, *v.Atom) {
 		return *v.Atom
 	}
-	r.fail(v, f.key, "%s is not one of: %s", v, strings.Join(known, ", "))
+	r.addError(v, f.key, "%s is not one of: %s", v, strings.Join(known, ", "))
 	return ""
 }
 
@@ -155,7 +155,7 @@
 			return n
 		}
 	}
-	r.fail(v, f.key, "%s is not a number from %g to %g", v, minimum, maximum)
+	r.addError(v, f.key, "%s is not a number from %g to %g", v, minimum, maximum)
 	return 0
 }
 
@@ -169,6 +169,6 @@
 			return n
 		}
 	}
-	r.fail(v, f.key, "%s is not a whole number from %d to %d", v, 1, maximum)
+	r.addError(v, f.key, "%s is not a whole number from %d to %d", v, 1, maximum)
 	return 0
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -15,18 +15,18 @@
 // Settings is a deployment's settings, ready for the decision module, with the
 // tables that turn names into the module's indexes.
 type Settings struct {
-	Module         foxlift.Config
-	Classes        map[string]int
-	Tenants        map[string]int
-	Zones          map[string]int
-	Kinds          map[string]int
-	GaugeNames     []string      // of the values in a load report, in order
-	ConnectTimeout time.Duration // 0 means not given
-	DrainGrace     time.Duration // within which sends to a draining worker have to stop
-	MaxOpen        int           // open jobs; 0 means no limit
-	Progress       time.Duration // between progress notes; 0 means none
-	Discovery      string        // one of discoveries, or ""
-	Zone           string        // of this scheduler
+	Module           foxlift.Config
+	Classes          map[string]int
+	Tenants          map[string]int
+	Zones            map[string]int
+	Kinds            map[string]int
+	GaugeNames       []string      // of the values in a load report, in order
+	ConnectTimeout   time.Duration // 0 means not given
+	DrainGrace       time.Duration // within which sends to a draining worker have to stop
+	MaxOpen          int           // open jobs; 0 means no limit
+	ProgressInterval time.Duration // between progress notes; 0 means none
+	Discovery        string        // one of discoveries, or ""
+	Zone             string        // of this scheduler
 }
 
 // settingsFile is the settings as they stand in JSON. Times are nanoseconds.
@@ -50,36 +50,36 @@
 		Stream           bool    `json:"stream"`
 	} `json:"grades"`
 	Tenants []struct {
-		Name  string  `json:"name"`
-		Quota float64 `json:"quotaRps"`
-		Share float64 `json:"share"`
+		Name          string  `json:"name"`
+		Quota         float64 `json:"quotaRps"`
+		QuotaFraction float64 `json:"share"`
 	} `json:"projects"`
 	Bounds struct {
 		Cancel         bool  `json:"cancel"`
-		Probes         bool  `json:"probes"`
-		SecondCopies   bool  `json:"secondCopies"`
-		PeerMessages   bool  `json:"peerMessages"`
+		HealthChecks   bool  `json:"probes"`
+		Hedging        bool  `json:"secondCopies"`
+		Gossip         bool  `json:"peerMessages"`
 		RetryAfter     bool  `json:"retryAfter"`
 		MaxRetryAfter  int64 `json:"maxRetryAfter"`
 		MaxAttempts    int   `json:"maxAttempts"`
 		MaxOpen        int   `json:"maxOpen"`
 		ConnIdle       int64 `json:"connIdle"`
 		ConnectTimeout int64 `json:"connectTimeout"`
-		StreamsPerConn int   `json:"streamsPerConn"`
+		JobsPerConn    int   `json:"streamsPerConn"`
 	} `json:"bounds"`
 	Obligations struct {
-		AnswerGrace   int64   `json:"graceToAnswer"`
-		MustAskIn     int64   `json:"mustAskIn"`
-		DrainGrace    int64   `json:"drainGrace"`
-		StartCapacity float64 `json:"startCapacity"`
-		WarmAfter     int64   `json:"warmAfter"`
-		FallMultiple  float64 `json:"fallMultiple"`
-		Fall          int64   `json:"fall"`
+		AnswerGrace       int64   `json:"graceToAnswer"`
+		MaxPollInterval   int64   `json:"mustAskIn"`
+		DrainGrace        int64   `json:"drainGrace"`
+		SlowStartCapacity float64 `json:"startCapacity"`
+		SlowStartDuration int64   `json:"warmAfter"`
+		OverloadMultiple  float64 `json:"fallMultiple"`
+		OverloadWindow    int64   `json:"fall"`
 	} `json:"obligations"`
 	Prices struct {
 		CrossZone float64 `json:"crossZone"`
 		Handshake float64 `json:"handshake"`
-		Origin    float64 `json:"origin"`
+		Fetch     float64 `json:"origin"`
 	} `json:"prices"`
 	Report struct {
 		Names []string `json:"names"`
@@ -88,7 +88,7 @@
 		ClassKind     []int     `json:"classKind"`
 		ClassPriority []int     `json:"classPriority"`
 		ClassStretch  []float64 `json:"classStretch"`
-		TellsStart    bool      `json:"tellsStart"`
+		StartNotes    bool      `json:"tellsStart"`
 		MemoryUnit    string    `json:"memoryUnit"`
 		Progress      int64     `json:"progress"`
 		ReportX0      string    `json:"reportX0"`
@@ -96,12 +96,12 @@
 	} `json:"familyInfo"`
 }
 
-var effects = map[string]foxlift.Effect{
+var effectsByName = map[string]foxlift.Effect{
 	"idempotent": foxlift.Idempotent, "deduplicated": foxlift.Deduplicated,
 	"at_most_once": foxlift.AtMostOnce,
 }
 
-var scopes = map[string]foxlift.Scope{
+var scopesByName = map[string]foxlift.Scope{
 	"": foxlift.ScopeAll, "all": foxlift.ScopeAll, "zone": foxlift.ScopeZone,
 	"cell": foxlift.ScopeCell,
 }
@@ -113,16 +113,16 @@
 	discoverySubscribe = "subscribe"
 )
 
-var discoveries = []string{discoveryAutomatic, discoverySubscribe}
+var discoveryModes = []string{discoveryAutomatic, discoverySubscribe}
 
 // Texts of familyInfo that say what a value of a load report, or a job's memory, is.
 const (
-	memoryBySlot     = "one unit for each slot"
+	memoryUnitSlot   = "one unit for each slot"
 	reportFreeSlots  = "free slots"
 	reportFreeMemory = "free memory"
 )
 
-var gauges = map[string]foxlift.Gauge{
+var gaugesByName = map[string]foxlift.Gauge{
 	"outstanding": foxlift.GaugeInFlight, "backlog": foxlift.GaugeQueued,
 	"utilization": foxlift.GaugeBusy, "recent_ms": foxlift.GaugeLatency,
 	"throughput": foxlift.GaugeThroughput, "errors_per_s": foxlift.GaugeErrors,
@@ -142,24 +142,24 @@
 		return nil, err
 	}
 	s := &Settings{
-		Module:         f.module(),
-		Classes:        map[string]int{},
-		Tenants:        map[string]int{},
-		Zones:          indexNames(f.Zones),
-		Kinds:          indexNames(f.Kinds),
-		GaugeNames:     f.Report.Names,
-		ConnectTimeout: time.Duration(f.Bounds.ConnectTimeout),
-		DrainGrace:     time.Duration(f.Obligations.DrainGrace),
-		MaxOpen:        f.Bounds.MaxOpen,
-		Progress:       time.Duration(f.FamilyInfo.Progress),
-		Discovery:      f.Discovery,
-		Zone:           f.Zone,
+		Module:           f.module(),
+		Classes:          map[string]int{},
+		Tenants:          map[string]int{},
+		Zones:            indexNames(f.Zones),
+		Kinds:            indexNames(f.Kinds),
+		GaugeNames:       f.Report.Names,
+		ConnectTimeout:   time.Duration(f.Bounds.ConnectTimeout),
+		DrainGrace:       time.Duration(f.Obligations.DrainGrace),
+		MaxOpen:          f.Bounds.MaxOpen,
+		ProgressInterval: time.Duration(f.FamilyInfo.Progress),
+		Discovery:        f.Discovery,
+		Zone:             f.Zone,
 	}
 	c := &s.Module
 	if zone, ok := s.Zones[f.Zone]; ok {
 		c.Zone = zone
 	}
-	if strings.Contains(f.FamilyInfo.MemoryUnit, memoryBySlot) {
+	if strings.Contains(f.FamilyInfo.MemoryUnit, memoryUnitSlot) {
 		c.SlotMemory = 1
 	}
 	if err := s.addClasses(&f); err != nil {
@@ -170,7 +170,7 @@
 		c.Tenants = append(c.Tenants, foxlift.Tenant{Name: tenant.Name, Quota: tenant.Quota})
 	}
 	for _, name := range f.Report.Names {
-		c.Gauges = append(c.Gauges, gauge(name, f.FamilyInfo.ReportX0, f.FamilyInfo.ReportX1))
+		c.Gauges = append(c.Gauges, gaugeNamed(name, f.FamilyInfo.ReportX0, f.FamilyInfo.ReportX1))
 	}
 	return s, nil
 }
@@ -179,8 +179,8 @@
 func (f *settingsFile) checkQuotaFractions() error {
 	sum := 0.0
 	for i, tenant := range f.Tenants {
-		sum += tenant.Share
-		if tenant.Share < 0 || sum > 1+roundingTolerance {
+		sum += tenant.QuotaFraction
+		if tenant.QuotaFraction < 0 || sum > 1+quotaFractionTolerance {
 			return fmt.Errorf("projects[%d].share: negative, or over 1 with those before it", i)
 		}
 	}
@@ -195,24 +195,24 @@
 		Dispatchers:       f.Dispatchers,
 		Index:             f.Index,
 		PollEndpoints:     f.Discovery == discoverySubscribe,
-		MaxPollInterval:   obligations.MustAskIn,
+		MaxPollInterval:   obligations.MaxPollInterval,
 		MayCancel:         bounds.Cancel,
-		MayHealthCheck:    bounds.Probes,
-		MayHedge:          bounds.SecondCopies,
-		MayGossip:         bounds.PeerMessages,
+		MayHealthCheck:    bounds.HealthChecks,
+		MayHedge:          bounds.Hedging,
+		MayGossip:         bounds.Gossip,
 		MayRetryAfter:     bounds.RetryAfter,
 		MaxRetryAfter:     bounds.MaxRetryAfter,
 		MaxAttempts:       bounds.MaxAttempts,
 		ConnIdle:          bounds.ConnIdle,
-		JobsPerConn:       bounds.StreamsPerConn,
-		StartNotes:        f.FamilyInfo.TellsStart,
+		JobsPerConn:       bounds.JobsPerConn,
+		StartNotes:        f.FamilyInfo.StartNotes,
 		AnswerGrace:       obligations.AnswerGrace,
-		SlowStartCapacity: obligations.StartCapacity,
-		SlowStartDuration: obligations.WarmAfter,
-		OverloadMultiple:  obligations.FallMultiple,
-		OverloadWindow:    obligations.Fall,
+		SlowStartCapacity: obligations.SlowStartCapacity,
+		SlowStartDuration: obligations.SlowStartDuration,
+		OverloadMultiple:  obligations.OverloadMultiple,
+		OverloadWindow:    obligations.OverloadWindow,
 		Prices: foxlift.Prices{
-			CrossZone: f.Prices.CrossZone, Handshake: f.Prices.Handshake, Fetch: f.Prices.Origin,
+			CrossZone: f.Prices.CrossZone, Handshake: f.Prices.Handshake, Fetch: f.Prices.Fetch,
 		},
 	}
 }
@@ -221,11 +221,11 @@
 func (s *Settings) addClasses(f *settingsFile) error {
 	c, info := &s.Module, &f.FamilyInfo
 	for i, class := range f.Classes {
-		effect, ok := effects[class.Effect]
+		effect, ok := effectsByName[class.Effect]
 		if !ok {
 			return fmt.Errorf("grades[%d]: unknown effect %q", i, class.Effect)
 		}
-		scope, ok := scopes[class.Scope]
+		scope, ok := scopesByName[class.Scope]
 		if !ok {
 			return fmt.Errorf("grades[%d]: unknown dedupScope %q", i, class.Scope)
 		}
@@ -248,14 +248,14 @@
 }
 
 // gauge returns what a value of a load report is, by its name; x0 and x1 have a text that says it.
-func gauge(name, x0, x1 string) foxlift.Gauge {
+func gaugeNamed(name, x0, x1 string) foxlift.Gauge {
 	switch name {
 	case "x0":
 		name = x0
 	case "x1":
 		name = x1
 	default:
-		return gauges[name]
+		return gaugesByName[name]
 	}
 	switch {
 	case strings.Contains(name, reportFreeSlots):
@@ -283,7 +283,7 @@
 	return table
 }
 
-const roundingTolerance = 0.01 // of the sum of tenants' fractions, as they are rounded
+const quotaFractionTolerance = 0.01 // of the sum of tenants' fractions, as they are rounded
 
 // EndpointsPushed reports whether endpoint lists are pushed to an agent beside the scheduler, of whom
 // each scheduler has its own. What the agent has binds from the scheduler's first moment.
@@ -299,7 +299,7 @@
 }
 
 // Find returns the index of a name in one of the tables; -1 if it is not there.
-func Find(table map[string]int, name string) int {
+func IndexOf(table map[string]int, name string) int {
 	if i, ok := table[name]; ok {
 		return i
 	}
@@ -317,7 +317,7 @@
 }
 
 // ParseKey reads the affinity key of a job; 0 means none. One that is not 16 hex digits is hashed.
-func ParseKey(s []byte) uint64 {
+func ParseAffinityKey(s []byte) uint64 {
 	var raw [8]byte
 	if len(s) == 16 {
 		if _, err := hex.Decode(raw[:], s); err == nil {
--- a/internal/config/sexp.go
+++ b/internal/config/sexp.go
@@ -43,18 +43,18 @@
 )
 
 const (
-	maxOperatorFile = 1 << 20 // bytes
-	maxDepth        = 32      // of forms within forms: no key needs so many
+	maxOperatorFileBytes = 1 << 20 // bytes
+	maxFormDepth         = 32      // of forms within forms: no key needs so many
 )
 
 // parse reads a text into forms.
 func (r *reader) parse(text []byte) []*sexp {
-	if len(text) > maxOperatorFile {
-		r.fail(nil, "", "over %d bytes", maxOperatorFile)
+	if len(text) > maxOperatorFileBytes {
+		r.addError(nil, "", "over %d bytes", maxOperatorFileBytes)
 		return nil
 	}
-	if tooDeep(text) {
-		r.fail(nil, "", "lists more than %d deep", maxDepth)
+	if exceedsMaxDepth(text) {
+		r.addError(nil, "", "lists more than %d deep", maxFormDepth)
 		return nil
 	}
 	file, err := sexpParser.ParseBytes(r.file, text)
@@ -82,7 +82,7 @@
 
 // tooDeep reports whether forms are nested over maxDepth. The parser recurses: the depth has to be
 // bounded before it begins.
-func tooDeep(text []byte) bool {
+func exceedsMaxDepth(text []byte) bool {
 	depth, quoted, comment := 0, false, false
 	for i := 0; i < len(text); i++ {
 		switch c := text[i]; {
@@ -101,7 +101,7 @@
 		case c == ')':
 			depth--
 		}
-		if depth > maxDepth {
+		if depth > maxFormDepth {
 			return true
 		}
 	}
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -20,17 +20,17 @@
 	"github.com/vatu-meals/foxlift/internal/counters"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // nothing is an environment in which no worker answers.
-type nothing struct{}
+type unresponsiveWorkers struct{}
 
-func (nothing) Send(string, *core.Job, core.AttemptLimits, func(core.Report)) func() {
+func (unresponsiveWorkers) Send(string, *core.Job, core.AttemptLimits, func(core.Report)) func() {
 	return func() {}
 }
-func (nothing) CloseIdle(string)                      {}
-func (nothing) HealthCheck(string, func(core.Report)) {}
-func (nothing) Watch()                                {}
+func (unresponsiveWorkers) CloseIdle(string)                      {}
+func (unresponsiveWorkers) HealthCheck(string, func(core.Report)) {}
+func (unresponsiveWorkers) Watch()                                {}
 
 // newServer returns a server, which does not listen yet, of a core with two cells and
 // eight workers.
@@ -57,12 +57,17 @@
 	for i := range 8 {
 		list = append(list, foxlift.Worker{ID: fmt.Sprint("n", i)})
 	}
-	c.Start(core.Environment{Workers: nothing{}, EndpointWatch: nothing{}, MaxOpen: 100, CachedEndpoints: list})
+	c.Start(core.Environment{
+		Workers:         unresponsiveWorkers{},
+		EndpointWatch:   unresponsiveWorkers{},
+		MaxOpen:         100,
+		CachedEndpoints: list,
+	})
 	return &Server{Core: c, Settings: s, Counters: set, Name: "x", Version: "v"}
 }
 
 // start runs one behind a control socket.
-func start(t *testing.T) (*Server, string, controlpb.ControlClient) {
+func startServer(t *testing.T) (*Server, string, controlpb.ControlClient) {
 	t.Helper()
 	srv := newServer(t)
 	t.Cleanup(srv.Core.Stop)
@@ -85,8 +90,8 @@
 
 // The whole API over a real socket, which others may not open.
 func TestAPI(t *testing.T) {
-	_, path, client := start(t)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	_, path, client := startServer(t)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	info, err := os.Stat(path)
 	if err != nil || info.Mode().Perm() != 0o600 {
@@ -107,7 +112,7 @@
 		t.Errorf("move %v, %v", m, err)
 	}
 	migrate := func(tenant, cell string) error {
-		return second(client.Move(ctx, &controlpb.MoveRequest{Tenant: tenant, Cell: cell}))
+		return errorOf(client.Move(ctx, &controlpb.MoveRequest{Tenant: tenant, Cell: cell}))
 	}
 	for what, c := range map[string]struct {
 		err  error
@@ -116,7 +121,7 @@
 		"the same cell":  {migrate("t", "b"), codes.FailedPrecondition},
 		"unknown cell":   {migrate("t", "z"), codes.NotFound},
 		"unknown tenant": {migrate("z", "a"), codes.NotFound},
-		"no such cell":   {second(client.Evacuate(ctx, &controlpb.EvacuateRequest{Cell: "z"})), codes.NotFound},
+		"no such cell":   {errorOf(client.Evacuate(ctx, &controlpb.EvacuateRequest{Cell: "z"})), codes.NotFound},
 	} {
 		if status.Code(c.err) != c.want {
 			t.Errorf("%s: %v", what, c.err)
@@ -130,7 +135,7 @@
 	}
 }
 
-func second[T any](_ T, err error) error { return err }
+func errorOf[T any](_ T, err error) error { return err }
 
 // dial opens a connection that stays until the test's end.
 func dial(t *testing.T, path string) net.Conn {
@@ -147,14 +152,14 @@
 // A client that stands still, sends garbage or floods holds up neither the core nor,
 // beyond the bound on connections, the others.
 func TestMisbehavingClients(t *testing.T) {
-	srv, path, client := start(t)
+	srv, path, client := startServer(t)
 	for range maxConnections - 2 {
 		dial(t, path)
 	}
 	if _, err := dial(t, path).Write([]byte("GET / HTTP/1.1\r\n\r\n")); err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	if _, err := client.Cells(ctx, &controlpb.CellsRequest{}); err != nil {
 		t.Errorf("beside clients that stand still: %v", err)
@@ -172,7 +177,7 @@
 // A socket that a dead process left is taken over; a live one, and another file, are
 // not. The end removes its own socket and no other's.
 func TestSocketFile(t *testing.T) {
-	srv, path, _ := start(t)
+	srv, path, _ := startServer(t)
 	again := &Server{Core: srv.Core, Settings: srv.Settings, Counters: srv.Counters}
 	if err := again.Start(t.Context(), path); err == nil {
 		t.Error("a socket in use is taken over")
--- a/internal/control/fuzz_test.go
+++ b/internal/control/fuzz_test.go
@@ -19,7 +19,7 @@
 )
 
 // fuzzed is one server for all inputs: what one leaves behind the next meets.
-func fuzzed(t testing.TB) *Server {
+func sharedFuzzServer(t testing.TB) *Server {
 	fuzzOnce.Do(func() { fuzzServer = newServer(t) })
 	return fuzzServer
 }
@@ -27,7 +27,7 @@
 // checkCall: whatever bytes a caller sends as a message, the answer is a change that
 // adds up or an error in gRPC's terms that is expected, and no tenant or worker is lost.
 func checkCall(t testing.TB, data []byte) {
-	s, ctx := fuzzed(t), context.Background()
+	s, ctx := sharedFuzzServer(t), context.Background()
 	var errs []error
 	call := func(m proto.Message, do func() error) {
 		if proto.Unmarshal(data, m) == nil {
@@ -37,11 +37,11 @@
 	var move controlpb.MoveRequest
 	var evacuate controlpb.EvacuateRequest
 	var restore controlpb.RestoreRequest
-	call(&move, func() error { return second(s.Move(ctx, &move)) })
-	call(&evacuate, func() error { return second(s.Evacuate(ctx, &evacuate)) })
-	call(&restore, func() error { return second(s.Restore(ctx, &restore)) })
+	call(&move, func() error { return errorOf(s.Move(ctx, &move)) })
+	call(&evacuate, func() error { return errorOf(s.Evacuate(ctx, &evacuate)) })
+	call(&restore, func() error { return errorOf(s.Restore(ctx, &restore)) })
 	for _, err := range errs {
-		switch status.Code(toStatus(err)) {
+		switch status.Code(toStatusError(err)) {
 		case codes.OK, codes.NotFound, codes.FailedPrecondition:
 		default:
 			t.Fatalf("%q: %v", data, err)
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -28,10 +28,10 @@
 )
 
 const (
-	maxConnections = 4 // at once: each is a file descriptor
-	maxStreams     = 8 // of one connection
-	maxMessage     = 64 << 10
-	bufferSize     = 4 << 10 // of a connection, to read and to write
+	maxConnections          = 4 // at once: each is a file descriptor
+	maxStreamsPerConnection = 8 // of one connection
+	maxMessageBytes         = 64 << 10
+	bufferBytes             = 4 << 10 // of a connection, to read and to write
 
 	dialTimeout = time.Second     // for another process that may serve the socket
 	callTimeout = 2 * time.Second // for the core to answer
@@ -54,10 +54,10 @@
 	Name     string
 	Version  string
 
-	grpc   *grpc.Server
-	path   string
-	socket fs.FileInfo
-	served chan struct{} // closed when the socket is no longer served
+	grpc    *grpc.Server
+	path    string
+	socket  fs.FileInfo
+	stopped chan struct{} // closed when the socket is no longer served
 }
 
 // Start listens on a path; ctx bounds the start alone. A socket that is left there from a process that
@@ -70,18 +70,18 @@
 	s.path = path
 	s.socket, _ = os.Lstat(path)
 	s.grpc = grpc.NewServer(
-		grpc.MaxRecvMsgSize(maxMessage),
-		grpc.MaxConcurrentStreams(maxStreams),
+		grpc.MaxRecvMsgSize(maxMessageBytes),
+		grpc.MaxConcurrentStreams(maxStreamsPerConnection),
 		grpc.ConnectionTimeout(callTimeout),
-		grpc.ReadBufferSize(bufferSize),
-		grpc.WriteBufferSize(bufferSize),
+		grpc.ReadBufferSize(bufferBytes),
+		grpc.WriteBufferSize(bufferBytes),
 		grpc.KeepaliveParams(keepaliveParameters),
-		grpc.UnaryInterceptor(boundedCall),
+		grpc.UnaryInterceptor(limitCallDuration),
 	)
 	controlpb.RegisterControlServer(s.grpc, s)
-	s.served = make(chan struct{})
+	s.stopped = make(chan struct{})
 	go func() {
-		defer close(s.served)
+		defer close(s.stopped)
 		// Its error says that the listener has failed: operators see that their calls do.
 		_ = s.grpc.Serve(netutil.LimitListener(listener, maxConnections))
 	}()
@@ -90,7 +90,7 @@
 
 // listen makes the socket, in the place of one that nobody serves.
 func listen(ctx context.Context, path string) (net.Listener, error) {
-	if err := removeStale(ctx, path); err != nil {
+	if err := removeStaleSocket(ctx, path); err != nil {
 		return nil, err
 	}
 	var config net.ListenConfig
@@ -106,7 +106,7 @@
 }
 
 // removeStale removes a socket that nobody serves.
-func removeStale(ctx context.Context, path string) error {
+func removeStaleSocket(ctx context.Context, path string) error {
 	info, err := os.Lstat(path)
 	if err != nil {
 		return nil //nolint:nilerr // there is nothing to remove; listening tells of what else is wrong
@@ -123,13 +123,13 @@
 }
 
 // boundedCall bounds a call in time and puts its error into gRPC's terms.
-func boundedCall(
+func limitCallDuration(
 	ctx context.Context, request any, _ *grpc.UnaryServerInfo, handler grpc.UnaryHandler,
 ) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	reply, err := handler(ctx, request)
-	return reply, toStatus(err)
+	return reply, toStatusError(err)
 }
 
 // Stop ends the server at once, and removes the socket if it is still its own.
@@ -138,14 +138,14 @@
 		return
 	}
 	s.grpc.Stop()
-	<-s.served
+	<-s.stopped
 	if now, err := os.Lstat(s.path); err == nil && os.SameFile(now, s.socket) {
 		os.Remove(s.path)
 	}
 }
 
 // toStatus puts an error into gRPC's terms.
-func toStatus(err error) error {
+func toStatusError(err error) error {
 	switch {
 	case err == nil:
 		return nil
--- a/internal/daemon/checkpoint.go
+++ b/internal/daemon/checkpoint.go
@@ -29,7 +29,7 @@
 	endpoints, err := writer.Load(d.Config.Discovery, time.Now())
 	switch {
 	case err == nil:
-		d.Config.Known = endpoints
+		d.Config.CachedEndpoints = endpoints
 		d.Counters.Add("checkpoint.used")
 	case !errors.Is(err, os.ErrNotExist):
 		d.Counters.Add("checkpoint.refused")
--- a/internal/daemon/checkpoint_test.go
+++ b/internal/daemon/checkpoint_test.go
@@ -17,10 +17,10 @@
 	"github.com/vatu-meals/foxlift/internal/platform"
 )
 
-const withCheckpoint = `(foxlift (list (checkpoint %q)))`
+const checkpointOperatorFile = `(foxlift (list (checkpoint %q)))`
 
 // notified reports whether discovery has confirmed an endpoint list since the start.
-func (f *fixture) notified() bool {
+func (f *fixture) endpointsConfirmed() bool {
 	_, notified := f.platform.EndpointsVersion()
 	return notified
 }
@@ -28,10 +28,10 @@
 // A scheduler that shuts down writes a checkpoint, and the next one goes on from it with the changes
 // since. A corrupt checkpoint is not used, and the scheduler serves all the same.
 func TestCheckpointIsUsedAfterRestart(t *testing.T) {
-	f := startFixture(t, withCheckpoint)
-	f.await(t, "notified", f.notified)
+	f := startFixture(t, checkpointOperatorFile)
+	f.await(t, "notified", f.endpointsConfirmed)
 	f.ShutDown()
-	f.await(t, "written", func() bool { _, err := os.Stat(f.socket); return err == nil })
+	f.await(t, "written", func() bool { _, err := os.Stat(f.operatorPathArgument); return err == nil })
 	f.discovery.Put(f.workers[0], "leaving")
 	f.restart(t)
 	if got := f.Counters.Get("checkpoint.used"); got != 1 {
@@ -42,19 +42,19 @@
 		return notified && strings.Contains(string(snapshot.Endpoints), `"leaving"`)
 	})
 	f.ShutDown()
-	if err := os.Truncate(f.socket, 100); err != nil {
+	if err := os.Truncate(f.operatorPathArgument, 100); err != nil {
 		t.Fatal(err)
 	}
 	f.restart(t)
 	if got := f.Counters.Get("checkpoint.refused"); got != 1 {
 		t.Errorf("refused %d times", got)
 	}
-	f.await(t, "notified after the restart", f.notified)
+	f.await(t, "notified after the restart", f.endpointsConfirmed)
 }
 
 // A reload that names another file, or none, is rejected by its key and changes nothing.
 func TestReloadCannotChangeCheckpointPath(t *testing.T) {
-	f := startFixture(t, withCheckpoint)
+	f := startFixture(t, checkpointOperatorFile)
 	for _, text := range []string{"", `(foxlift (list (checkpoint "/other")))`} {
 		f.write(t, f.operator, text)
 		if err := f.Reload(t.Context()); err == nil || !strings.Contains(err.Error(), "list.checkpoint") {
@@ -66,12 +66,12 @@
 // Unless the operator's file asks for it no checkpoint is written.
 func TestNoCheckpointByDefault(t *testing.T) {
 	f := startFixture(t, "; %s")
-	f.await(t, "notified", f.notified)
+	f.await(t, "notified", f.endpointsConfirmed)
 	f.ShutDown()
 	if f.checkpoints != nil {
 		t.Error("there is a checkpointer")
 	}
-	if _, err := os.Stat(f.socket); err == nil {
+	if _, err := os.Stat(f.operatorPathArgument); err == nil {
 		t.Error("a file was written")
 	}
 }
--- a/internal/daemon/configuration.go
+++ b/internal/daemon/configuration.go
@@ -10,7 +10,7 @@
 // A Configuration is all that a scheduler is configured by.
 type Configuration struct {
 	Scheduler *config.Scheduler
-	Operator  *config.Operator // of the operator's file; empty if there is none
+	Operator  *config.OperatorConfig // of the operator's file; empty if there is none
 
 	operatorText []byte // of the operator's file
 }
@@ -19,7 +19,7 @@
 
 // An operatorFile is the operator's file as it was read last.
 type operatorFile struct {
-	settings *config.Operator
+	settings *config.OperatorConfig
 	text     []byte
 }
 
@@ -29,10 +29,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := platform.ValidateCachedEndpoints(cfg.Known); err != nil {
+	if err := platform.ValidateCachedEndpoints(cfg.CachedEndpoints); err != nil {
 		return nil, err
 	}
-	file, err := readOperatorFile(options.Operator, cfg.Settings)
+	file, err := readOperatorFile(options.OperatorPath, cfg.Settings)
 	if err != nil {
 		return nil, err
 	}
@@ -41,7 +41,7 @@
 
 func readOperatorFile(path string, settings *config.Settings) (operatorFile, error) {
 	if path == "" {
-		return operatorFile{settings: &config.Operator{}}, nil
+		return operatorFile{settings: &config.OperatorConfig{}}, nil
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -21,10 +21,10 @@
 
 // Options are what a scheduler is started with besides its configuration.
 type Options struct {
-	Getenv   func(string) string // looks up the LB_ variables
-	Operator string              // path of the operator's file; "" if there is none
-	Log      *zap.Logger
-	Version  string
+	Getenv       func(string) string // looks up the LB_ variables
+	OperatorPath string              // path of the operator's file; "" if there is none
+	Log          *zap.Logger
+	Version      string
 
 	// LimitMemory is called with the bytes that the process may use, at the start and whenever that
 	// changes because another process of the scheduler starts or exits. It may be nil.
@@ -40,7 +40,7 @@
 	options     Options
 	operator    operatorFile
 	platform    *platform.Platform
-	operators   operatorAccess
+	servers     operatorServers
 	checkpoints *checkpointer // nil unless the operator's file asks for checkpoints
 	takeover    takeover
 	lifecycle   *lifecycle
@@ -89,11 +89,11 @@
 		return err
 	}
 	if err := d.startServing(); err != nil {
-		d.operators.stop()
+		d.servers.stop()
 		return err
 	}
 	if d.checkpoints != nil {
-		d.lifecycle.run(func() { d.checkpoints.run(d.lifecycle.shuttingDown, d.platform) })
+		d.lifecycle.startTask(func() { d.checkpoints.run(d.lifecycle.shuttingDown, d.platform) })
 	}
 	return nil
 }
@@ -122,7 +122,7 @@
 		return err
 	}
 	if d.takeover.isSuccessor() {
-		d.lifecycle.run(d.runSuccessor)
+		d.lifecycle.startTask(d.runSuccessor)
 		return nil
 	}
 	if err := d.startControl(); err != nil {
@@ -133,7 +133,7 @@
 		return err
 	}
 	if d.takeover.isAvailable() {
-		d.lifecycle.run(d.watchOtherProcess)
+		d.lifecycle.startTask(d.watchOtherProcess)
 	}
 	return nil
 }
@@ -167,9 +167,9 @@
 // processes see of this one. A start to serve that is under way completes before; none begins after.
 func (d *Daemon) finish(stop func()) {
 	d.lifecycle.finish(stop)
-	if !d.lifecycle.awaitTasks(finalTasksTimeout) {
+	if !d.lifecycle.awaitTasks(backgroundTasksTimeout) {
 		d.log.Warn("shutdown: background tasks have not finished, the last checkpoint may be missing")
 	}
-	d.operators.stop()
+	d.servers.stop()
 	d.takeover.release()
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -61,7 +61,7 @@
 		"control.socket: ":              `(foxlift (control (socket "/tmp/%s-other")) (cells (cell a)))`,
 		"cells: ":                       `(foxlift (control (socket %q)))`,
 	} {
-		f.write(t, f.operator, fmt.Sprintf(text, f.socket))
+		f.write(t, f.operator, fmt.Sprintf(text, f.operatorPathArgument))
 		if err := f.Reload(t.Context()); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -71,7 +71,7 @@
 	}
 	const changed = `(foxlift (control (socket %q)) (cells
  (cell far (tenants islands)) (cell mainland (tenants central-belt))))`
-	f.write(t, f.operator, fmt.Sprintf(changed, f.socket))
+	f.write(t, f.operator, fmt.Sprintf(changed, f.operatorPathArgument))
 	if err := f.Reload(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -102,7 +102,7 @@
 // post sends a job on a connection, and reports whether its answer closes that.
 func post(t *testing.T, c net.Conn, id, tenant string) (closes bool) {
 	t.Helper()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	fmt.Fprintf(c, "POST /reading HTTP/1.1\r\nHost: x\r\nX-Txn: %s\r\nX-Lane: reading\r\nX-Org: %s\r\n"+
 		"X-Remaining: 5000m\r\nContent-Length: 0\r\n\r\n", id, tenant)
 	response, err := http.ReadResponse(bufio.NewReader(c), nil)
--- a/internal/daemon/fixture_test.go
+++ b/internal/daemon/fixture_test.go
@@ -14,7 +14,7 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 const twoCells = `(foxlift (control (socket %q)) (cells
  (cell mainland (share 0.5) (tenants central-belt)) (cell isles (share 0.5) (tenants islands))))`
@@ -22,11 +22,11 @@
 // A fixture is a scheduler between stand-ins.
 type fixture struct {
 	*Daemon
-	workers   []*standin.Worker
-	discovery *standin.Discovery
-	operator  string // path of the operator's file
-	config    string // path of the configuration
-	socket    string // path that the operator's file has in place of %q
+	workers              []*standin.Worker
+	discovery            *standin.Discovery
+	operator             string // path of the operator's file
+	config               string // path of the configuration
+	operatorPathArgument string // path that the operator's file has in place of %q
 }
 
 // startFixture starts a scheduler with an operator's file, and waits until it is ready.
@@ -34,13 +34,13 @@
 	t.Helper()
 	directory := t.TempDir()
 	f := &fixture{
-		operator: filepath.Join(directory, "operator.sexp"),
-		config:   filepath.Join(directory, "config.json"),
-		socket:   filepath.Join(directory, "c.sock"),
+		operator:             filepath.Join(directory, "operator.sexp"),
+		config:               filepath.Join(directory, "config.json"),
+		operatorPathArgument: filepath.Join(directory, "c.sock"),
 	}
 	f.startStandins(t)
 	f.writeConfig(t)
-	f.write(t, f.operator, fmt.Sprintf(operator, f.socket))
+	f.write(t, f.operator, fmt.Sprintf(operator, f.operatorPathArgument))
 	f.restart(t)
 	return f
 }
@@ -124,9 +124,9 @@
 func (f *fixture) start(t *testing.T, variables map[string]string) (*Daemon, error) {
 	t.Helper()
 	return Start(t.Context(), Options{
-		Getenv:   func(name string) string { return variables[name] },
-		Operator: f.operator,
-		Log:      zap.NewNop(),
+		Getenv:       func(name string) string { return variables[name] },
+		OperatorPath: f.operator,
+		Log:          zap.NewNop(),
 	})
 }
 
@@ -140,7 +140,7 @@
 // await waits until a condition holds.
 func (f *fixture) await(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); !holds(); {
+	for deadline := time.Now().Add(testTimeout); !holds(); {
 		if time.Now().After(deadline) {
 			t.Fatalf("still not: %s", what)
 		}
@@ -154,7 +154,7 @@
 		Tenant:           tenant,
 		Class:            class,
 		Name:             name,
-		LatencyObjective: patience,
+		LatencyObjective: testTimeout,
 		Remaining:        5 * time.Second,
 	}
 }
--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -9,7 +9,7 @@
 
 // finalTasksTimeout is how long a shutdown waits for the background tasks: a disk that hangs while a
 // checkpoint is written must not delay the exit until the process is killed.
-const finalTasksTimeout = 300 * time.Millisecond
+const backgroundTasksTimeout = 300 * time.Millisecond
 
 // A lifecycle tracks the phases of a scheduler and owns its background tasks.
 type lifecycle struct {
@@ -35,10 +35,10 @@
 }
 
 // run runs a background task on a goroutine of its own.
-func (l *lifecycle) run(task func()) { l.tasks.Go(task) }
+func (l *lifecycle) startTask(task func()) { l.tasks.Go(task) }
 
 // startUnlessShuttingDown calls start, except once the shutdown has begun. finish waits for it.
-func (l *lifecycle) startUnlessShuttingDown(start func()) {
+func (l *lifecycle) serveUnlessShuttingDown(start func()) {
 	l.serveMu.Lock()
 	defer l.serveMu.Unlock()
 	if l.shuttingDown.Err() == nil {
--- a/internal/daemon/lifecycle_test.go
+++ b/internal/daemon/lifecycle_test.go
@@ -10,13 +10,13 @@
 	l := newLifecycle(t.Context())
 	starts := 0
 	start := func() { starts++ }
-	l.startUnlessShuttingDown(start)
+	l.serveUnlessShuttingDown(start)
 	l.finish(func() {
 		if l.shuttingDown.Err() == nil || l.drained.Err() != nil {
 			t.Error("while the platform stops the scheduler is shutting down, and not drained")
 		}
 	})
-	l.startUnlessShuttingDown(start)
+	l.serveUnlessShuttingDown(start)
 	if starts != 1 || l.drained.Err() == nil {
 		t.Errorf("%d starts, drained: %v", starts, l.drained.Err())
 	}
@@ -26,12 +26,12 @@
 func TestAwaitTasks(t *testing.T) {
 	l := newLifecycle(t.Context())
 	release := make(chan struct{})
-	l.run(func() { <-release })
+	l.startTask(func() { <-release })
 	if l.awaitTasks(time.Millisecond) {
 		t.Error("a task that hangs counts as finished")
 	}
 	close(release)
-	if !l.awaitTasks(patience) {
+	if !l.awaitTasks(testTimeout) {
 		t.Error("a finished task counts as hanging")
 	}
 }
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -11,13 +11,13 @@
 )
 
 // operatorAccess is what operators reach a scheduler by.
-type operatorAccess struct {
+type operatorServers struct {
 	admin   *admin.Server                  // nil if no address is configured
 	control atomic.Pointer[control.Server] // nil unless the control socket is served
 }
 
 // stop stops serving operators.
-func (a *operatorAccess) stop() {
+func (a *operatorServers) stop() {
 	if server := a.control.Load(); server != nil {
 		server.Stop()
 	}
@@ -31,9 +31,9 @@
 	if d.Config.Admin == "" {
 		return nil
 	}
-	figures := metrics.Handler(d.Config.Settings.ClassNames(), d.Counters, d.Core)
+	metricsHandler := metrics.Handler(d.Config.Settings.ClassNames(), d.Counters, d.Core)
 	connections := platform.AdminConnections(d.Config)
-	d.operators.admin, err = admin.Listen(d.lifecycle.drained, d.Config.Admin, connections, d, figures, d.log)
+	d.servers.admin, err = admin.Listen(d.lifecycle.drained, d.Config.Admin, connections, d, metricsHandler, d.log)
 	return err
 }
 
@@ -53,22 +53,22 @@
 	if err := server.Start(d.lifecycle.drained, path); err != nil {
 		return err
 	}
-	d.operators.control.Store(server)
+	d.servers.control.Store(server)
 	return nil
 }
 
 // AdminAddr returns the operators' address; nil if none is configured.
 func (d *Daemon) AdminAddr() net.Addr {
-	if d.operators.admin == nil {
+	if d.servers.admin == nil {
 		return nil
 	}
-	return d.operators.admin.Addr()
+	return d.servers.admin.Addr()
 }
 
 // Ready implements admin.Scheduler. A successor serves before it is ready: the platform may stop its
 // predecessor once it says so.
 func (d *Daemon) Ready() bool {
-	return d.lifecycle.serving.Load() && d.takeover.predecessorDispensable.Load() && d.platform.Ready()
+	return d.lifecycle.serving.Load() && d.takeover.predecessorMayExit.Load() && d.platform.Ready()
 }
 
 // Quiesce implements admin.Scheduler.
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -21,14 +21,14 @@
 	if err != nil {
 		return err
 	}
-	file, err := readOperatorFile(d.options.Operator, d.Config.Settings)
+	file, err := readOperatorFile(d.options.OperatorPath, d.Config.Settings)
 	if err != nil {
 		return err
 	}
 	if err := d.checkReloadable(file.settings); err != nil {
 		return err
 	}
-	if err := platform.ValidateCachedEndpoints(cfg.Known); err != nil {
+	if err := platform.ValidateCachedEndpoints(cfg.CachedEndpoints); err != nil {
 		return err
 	}
 	if err := d.replan(ctx, file); err != nil {
@@ -43,7 +43,7 @@
 }
 
 // checkReloadable checks that nothing has changed that holds until the next start.
-func (d *Daemon) checkReloadable(settings *config.Operator) error {
+func (d *Daemon) checkReloadable(settings *config.OperatorConfig) error {
 	current := d.operator.settings
 	switch {
 	case settings.ControlSocket != current.ControlSocket:
--- a/internal/daemon/scenario_test.go
+++ b/internal/daemon/scenario_test.go
@@ -76,15 +76,15 @@
 	rng     *rand.Rand
 	daemon  *Daemon
 	workers []*standin.Worker
-	front   *standin.Proxy
+	proxy   *standin.Proxy
 
-	mu      sync.Mutex
-	answers []answer
-	broken  []string // promises, by what broke them
+	mu         sync.Mutex
+	answers    []answer
+	violations []string // promises, by what broke them
 }
 
 // playScenario plays the faults that a seed draws and returns what is broken.
-func playScenario(t testing.TB, seed uint64) []string {
+func runScenario(t testing.TB, seed uint64) []string {
 	t.Helper()
 	s := &scenario{seed: seed, rng: rand.New(rand.NewPCG(seed, 77))}
 	s.start(t)
@@ -95,7 +95,7 @@
 	clients.Wait()
 	s.awaitAnswered()
 	s.checkRuns()
-	return s.broken
+	return s.violations
 }
 
 func must(t testing.TB, err error) {
@@ -119,22 +119,22 @@
 	t.Cleanup(func() { discovery.Close(); discovery.Reset() })
 	s.daemon, err = StartWith(t.Context(), Options{Log: zap.NewNop()}, &Configuration{
 		Scheduler: &config.Scheduler{
-			Listen:    "127.0.0.1:0",
-			Discovery: discovery.Addr().String(),
-			Seed:      s.seed,
-			Sockets:   128,
-			Known:     discovery.ListJSON(),
-			Settings:  settings,
+			Listen:          "127.0.0.1:0",
+			Discovery:       discovery.Addr().String(),
+			Seed:            s.seed,
+			MaxDescriptors:  128,
+			CachedEndpoints: discovery.ListJSON(),
+			Settings:        settings,
 		},
-		Operator: &config.Operator{},
+		Operator: &config.OperatorConfig{},
 	})
 	must(t, err)
 	t.Cleanup(s.daemon.Kill)
 	towardsScheduler := drawFaults(s.rng, 16, nil)
 	towardsClients := drawFaults(s.rng, 8, faultsTowardsClients)
-	s.front, err = standin.StartProxy(s.daemon.Addr().String(), towardsScheduler, towardsClients)
+	s.proxy, err = standin.StartProxy(s.daemon.Addr().String(), towardsScheduler, towardsClients)
 	must(t, err)
-	t.Cleanup(s.front.Stop)
+	t.Cleanup(s.proxy.Stop)
 	for !s.daemon.Core.Ready() {
 		time.Sleep(time.Millisecond)
 	}
@@ -166,10 +166,10 @@
 	s.workers = append(s.workers, worker)
 }
 
-func (s *scenario) report(format string, args ...any) {
+func (s *scenario) addViolation(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.broken = append(s.broken, fmt.Sprintf(format, args...))
+	s.violations = append(s.violations, fmt.Sprintf(format, args...))
 }
 
 // runClient sends jobs one after another, on a new connection after each that fails or closes.
@@ -180,7 +180,7 @@
 	for i := range jobsPerClient {
 		if c == nil {
 			var err error
-			if c, err = dialer.DialContext(ctx, "tcp", s.front.Addr().String()); err != nil {
+			if c, err = dialer.DialContext(ctx, "tcp", s.proxy.Addr().String()); err != nil {
 				return
 			}
 			reader = bufio.NewReader(c)
@@ -222,7 +222,7 @@
 func (s *scenario) reportTimeout(id string, err error) {
 	var netErr net.Error
 	if errors.As(err, &netErr) && netErr.Timeout() {
-		s.report("%s: neither an answer nor an end", id)
+		s.addViolation("%s: neither an answer nor an end", id)
 	}
 }
 
@@ -236,7 +236,7 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			s.report("%d jobs taken, not as many answered: %v", accepted, counters.All())
+			s.addViolation("%d jobs taken, not as many answered: %v", accepted, counters.All())
 			return
 		}
 	}
@@ -249,16 +249,16 @@
 		for id, n := range worker.Runs() {
 			runs[id] += n
 			if !strings.HasPrefix(id, "j-") {
-				s.report("a job with the id %q ran", id) // garbage was accepted as a job
+				s.addViolation("a job with the id %q ran", id) // garbage was accepted as a job
 			}
 		}
 	}
 	for _, a := range s.answers {
 		switch {
 		case a.status == http.StatusOK && !strings.HasPrefix(a.body, "j-"):
-			s.report("%s: served with %q", a.id, a.body)
+			s.addViolation("%s: served with %q", a.id, a.body)
 		case a.status == http.StatusOK && runs[strings.Fields(a.body)[0]] == 0:
-			s.report("%s: served with %q, which never ran", a.id, a.body)
+			s.addViolation("%s: served with %q, which never ran", a.id, a.body)
 		}
 	}
 	for id, n := range runs {
@@ -266,7 +266,7 @@
 		var client, i int
 		_, err := fmt.Sscanf(id, fmt.Sprintf("j-%d-%%d-%%d", s.seed), &client, &i)
 		if err == nil && (client+i)%2 == 1 && n > 1 {
-			s.report("%s ran %d times", id, n)
+			s.addViolation("%s ran %d times", id, n)
 		}
 	}
 }
@@ -275,7 +275,7 @@
 	for seed := range uint64(24) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			for _, broken := range playScenario(t, seed) {
+			for _, broken := range runScenario(t, seed) {
 				t.Error(broken)
 			}
 		})
@@ -287,7 +287,7 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		for _, broken := range playScenario(t, seed) {
+		for _, broken := range runScenario(t, seed) {
 			t.Error(broken)
 		}
 	})
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -37,13 +37,13 @@
 	if d.awaitEndpoints(shuttingDown) != nil || d.awaitPredecessorState(shuttingDown) != nil {
 		return
 	}
-	d.lifecycle.startUnlessShuttingDown(func() {
+	d.lifecycle.serveUnlessShuttingDown(func() {
 		d.restoreState(d.lifecycle.drained)
 		if err := d.serve(); err != nil {
 			d.lifecycle.failures <- err
 			return
 		}
-		d.lifecycle.run(d.watchOtherProcess)
+		d.lifecycle.startTask(d.watchOtherProcess)
 	})
 }
 
@@ -131,9 +131,9 @@
 
 // followPredecessor follows what the predecessor still has to do. This process is ready once that is
 // nothing, since the platform may then stop the predecessor without a loss; or after readyTimeout.
-func (d *Daemon) followPredecessor() {
+func (d *Daemon) pollPredecessor() {
 	if time.Since(d.lifecycle.startedAt) >= readyTimeout {
-		d.takeover.predecessorDispensable.Store(true)
+		d.takeover.predecessorMayExit.Store(true)
 	}
 	progress, err := d.loadPredecessorProgress()
 	if err != nil {
@@ -142,6 +142,6 @@
 	d.Core.SetExternalSlots(progress.InFlight)
 	overlap := time.Unix(0, progress.TakenAt).Sub(d.takeover.listeningSince)
 	if overlap > minOverlap && progress.Open == 0 {
-		d.takeover.predecessorDispensable.Store(true)
+		d.takeover.predecessorMayExit.Store(true)
 	}
 }
--- a/internal/daemon/takeover.go
+++ b/internal/daemon/takeover.go
@@ -19,7 +19,7 @@
 	acquireTimeout        = 4 * time.Second        // for the takeover lock, while two processes hold it
 	takeoverPollInterval  = 100 * time.Millisecond // between two checks of the other process
 	stateTimeout          = time.Second            // for the core to return its state, or to restore one
-	stateRestFactor       = 9                      // after a write of the state, rest so many times as long
+	saveIntervalFactor    = 9                      // after a write of the state, rest so many times as long
 )
 
 // Processes that share the limits of one scheduler.
@@ -35,7 +35,7 @@
 
 	// predecessorDispensable is set once no other process has jobs that its exit would fail, or when
 	// this process has to be ready in any case.
-	predecessorDispensable atomic.Bool
+	predecessorMayExit atomic.Bool
 }
 
 func (t *takeover) isAvailable() bool { return t.lock != nil }
@@ -93,7 +93,7 @@
 		}
 	}
 	d.takeover.listeningSince = time.Now()
-	d.takeover.predecessorDispensable.Store(!isSuccessor)
+	d.takeover.predecessorMayExit.Store(!isSuccessor)
 	d.lifecycle.serving.Store(true)
 	d.log.Info("listening for clients", zap.Stringer("address", d.Addr()))
 	return nil
@@ -124,7 +124,7 @@
 		}
 		if startedAt := time.Now(); !startedAt.Before(nextSave) {
 			d.saveState(d.lifecycle.drained)
-			nextSave = time.Now().Add(stateRestFactor * time.Since(startedAt))
+			nextSave = time.Now().Add(saveIntervalFactor * time.Since(startedAt))
 		}
 	}
 }
@@ -143,7 +143,7 @@
 	case promoted:
 		d.completeTakeover()
 	default:
-		d.followPredecessor()
+		d.pollPredecessor()
 	}
 	return !promoted
 }
@@ -153,7 +153,7 @@
 	d.log.Info("takeover: predecessor has exited")
 	d.Core.SetExternalSlots(nil)
 	d.takeover.lock.DiscardState()
-	d.takeover.predecessorDispensable.Store(true)
+	d.takeover.predecessorMayExit.Store(true)
 	if err := d.startControl(); err != nil {
 		d.log.Error("control socket: not served", zap.Error(err))
 	}
--- a/internal/daemon/takeover_test.go
+++ b/internal/daemon/takeover_test.go
@@ -57,7 +57,7 @@
 // health returns the status of the answer of a health endpoint.
 func health(t *testing.T, url string) int {
 	t.Helper()
-	client := http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+url, http.NoBody)
 	if err != nil {
 		t.Fatal(err)
@@ -93,7 +93,7 @@
 		t.Errorf("the clients' health after the predecessor's shutdown: %d", got)
 	}
 	a.await(t, "the successor is promoted", func() bool { return !successor.takeover.lock.IsSuccessor() })
-	a.await(t, "the control socket is served", func() bool { return successor.operators.control.Load() != nil })
+	a.await(t, "the control socket is served", func() bool { return successor.servers.control.Load() != nil })
 }
 
 // A successor that is shut down before it serves leaves the predecessor as it was.
--- a/internal/lab/mutants.go
+++ b/internal/lab/mutants.go
@@ -246,9 +246,9 @@
 		Name: "NaN is a number",
 		File: "internal/config/reader.go",
 		Old: "err == nil && n >= minimum && n <= maximum {\n\t\t\treturn n\n" +
-			"\t\t}\n\t}\n\tr.fail(v, f.key, \"%s is not a number",
+			"\t\t}\n\t}\n\tr.addError(v, f.key, \"%s is not a number",
 		New: "err == nil && !(n < minimum) && !(n > maximum) {\n\t\t\treturn n\n" +
-			"\t\t}\n\t}\n\tr.fail(v, f.key, \"%s is not a number",
+			"\t\t}\n\t}\n\tr.addError(v, f.key, \"%s is not a number",
 		Package: "./internal/config",
 		Run:     "^TestFuzz",
 	},
--- a/internal/lab/rig.go
+++ b/internal/lab/rig.go
@@ -125,9 +125,9 @@
 			}
 			return ""
 		},
-		Operator: operator,
-		Log:      zap.NewNop(),
-		Version:  "lab",
+		OperatorPath: operator,
+		Log:          zap.NewNop(),
+		Version:      "lab",
 	})
 	if err != nil {
 		return err
--- a/internal/platform/endpoint_table.go
+++ b/internal/platform/endpoint_table.go
@@ -63,8 +63,8 @@
 		t.onWorkerState(entry.ID, state)
 		workers = append(workers, foxlift.Worker{
 			ID:        entry.ID,
-			Zone:      config.Find(t.settings.Zones, entry.Zone),
-			Kind:      config.Find(t.settings.Kinds, entry.Kind),
+			Zone:      config.IndexOf(t.settings.Zones, entry.Zone),
+			Kind:      config.IndexOf(t.settings.Kinds, entry.Kind),
 			Cell:      entry.Cell,
 			State:     state,
 			StartedAt: start.coreTime,
--- a/internal/platform/endpoint_watch_test.go
+++ b/internal/platform/endpoint_watch_test.go
@@ -142,12 +142,12 @@
 	next(t, calls).answer(endpointsJSON(7, true, first))
 	old := next(t, calls)
 	newAddr, _ := newDiscovery(t)
-	cfg := &config.Scheduler{Discovery: newAddr, Known: []byte(`{"seq":"x"}`)}
+	cfg := &config.Scheduler{Discovery: newAddr, CachedEndpoints: []byte(`{"seq":"x"}`)}
 	if err := p.Reload(cfg); err == nil {
 		t.Error("Reload() accepted an invalid cached list")
 	}
 	newDiscoveryListener := listen(t)
-	cfg.Discovery, cfg.Known = newDiscoveryListener.Addr().String(), nil
+	cfg.Discovery, cfg.CachedEndpoints = newDiscoveryListener.Addr().String(), nil
 	if err := p.Reload(cfg); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/fuzz_values_test.go
+++ b/internal/platform/fuzz_values_test.go
@@ -44,7 +44,7 @@
 	}
 	seen := peerReceiver{}
 	_, _ = seen.decode(1e15, data)
-	config.ParseKey(data)
+	config.ParseAffinityKey(data)
 }
 
 func valueSeeds() (seeds [][]byte) {
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -156,8 +156,8 @@
 		discovery = refusingAddress(t)
 	}
 	cfg := &config.Scheduler{
-		Listen: "127.0.0.1:0", Discovery: discovery, Sockets: sockets,
-		Known: []byte(cached), Settings: s,
+		Listen: "127.0.0.1:0", Discovery: discovery, MaxDescriptors: sockets,
+		CachedEndpoints: []byte(cached), Settings: s,
 	}
 	set, clock := &counters.Set{}, core.NewClock()
 	c, err := core.New(core.Config{Settings: s, Seed: 1, Clock: clock, Counters: set})
--- a/internal/platform/job_request.go
+++ b/internal/platform/job_request.go
@@ -55,7 +55,7 @@
 		Class:             class,
 		Tenant:            req.Header.Get(headerTenant),
 		Remaining:         remaining,
-		Key:               config.ParseKey([]byte(req.URL.Query().Get(queryKey))),
+		Key:               config.ParseAffinityKey([]byte(req.URL.Query().Get(queryKey))),
 		Slots:             slots,
 		Memory:            memory,
 		ClientRetry:       req.Header.Get(headerRepeat) == "1",
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -130,7 +130,7 @@
 		listen: c.Listen, ownIndex: ownIndex, clock: clock, counters: set, receive: receive,
 		outgoing: make(chan datagram, peerQueueLength), stopped: make(chan struct{}),
 	}
-	for i, text := range append([]string{c.All}, c.Each...) {
+	for i, text := range append([]string{c.Broadcast}, c.Addresses...) {
 		addr, err := netip.ParseAddrPort(text)
 		switch {
 		case i == 0 && text == "":
--- a/internal/platform/peers_test.go
+++ b/internal/platform/peers_test.go
@@ -27,7 +27,7 @@
 func startPeers(t *testing.T, peer *net.UDPConn, receive func(from int, data []byte)) (*peers, *counters.Set) {
 	t.Helper()
 	set := &counters.Set{}
-	c := config.Peers{Listen: "127.0.0.1:0", Each: []string{"127.0.0.1:9", peer.LocalAddr().String()}}
+	c := config.Peers{Listen: "127.0.0.1:0", Addresses: []string{"127.0.0.1:9", peer.LocalAddr().String()}}
 	p, err := newPeers(c, 0, core.NewClock(), set, receive)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -30,7 +30,7 @@
 	if cfg.Admin == "" {
 		return 0
 	}
-	return max(minAdminConns, cfg.Sockets/adminDivisor)
+	return max(minAdminConns, cfg.MaxDescriptors/adminDivisor)
 }
 
 // A Platform is a scheduler's side of the platform's protocol: it owns the clients' connections, the workers' pool, the
@@ -75,11 +75,11 @@
 	// The watch ends by closeOutbound, at the platform's end, and by nothing else.
 	endpoints := newEndpointWatch(context.Background(), cfg.Discovery, cfg.Settings, c, log)
 	endpoints.table.coreNow = clock.Now
-	workers, err := endpoints.loadCached(cfg.Known)
+	workers, err := endpoints.loadCached(cfg.CachedEndpoints)
 	if err != nil {
 		return nil, err
 	}
-	half := (cfg.Sockets - max(minSpareDescriptors, cfg.Sockets/spareDivisor) - AdminConnections(cfg)) / 2
+	half := (cfg.MaxDescriptors - max(minSpareDescriptors, cfg.MaxDescriptors/spareDivisor) - AdminConnections(cfg)) / 2
 	pool := newWorkerPool(endpoints, cfg.Settings, set, log, half)
 	endpoints.table.onWorkerState = pool.inFlight.scheduleAborts
 	p := &Platform{
@@ -179,7 +179,7 @@
 // Reload switches to the discovery of a configuration that has been read again. It checks all of it first; with an
 // error nothing changes.
 func (p *Platform) Reload(cfg *config.Scheduler) error {
-	if err := ValidateCachedEndpoints(cfg.Known); err != nil {
+	if err := ValidateCachedEndpoints(cfg.CachedEndpoints); err != nil {
 		return err
 	}
 	p.endpoints.switchTo(cfg.Discovery)
--- a/internal/wire/decode_events.go
+++ b/internal/wire/decode_events.go
@@ -81,7 +81,7 @@
 		return 0, nil
 	}
 	s, err := text(v, "item")
-	return config.ParseKey(s), err
+	return config.ParseAffinityKey(s), err
 }
 
 // attemptOf decodes which attempt an event is of.
