--- a/internal/core/cell_helpers_test.go
+++ b/internal/core/cell_helpers_test.go
@@ -22,7 +22,7 @@
 
 var cellTenants = []string{"t", "u", "v"} // of cellSettings
 
-// twoCells has t in a and u and v in b; a spills into b.
+// twoCells returns a spec in which cell a serves tenant t and spills into cell b, which serves u and v.
 func twoCells() *cells.Spec {
 	return &cells.Spec{Cells: []cells.Cell{
 		{Name: "a", CapacityFraction: 0.5, Tenants: []string{"t"}, SpillCell: "b", SpillFraction: 0.1},
@@ -30,7 +30,7 @@
 	}}
 }
 
-// newCellRig returns a rig with cells and twelve workers.
+// newCellRig returns a rig with cells and cellRigWorkers workers.
 func newCellRig(t *testing.T, spec *cells.Spec) *rig {
 	t.Helper()
 	s, err := config.ParseSettings([]byte(cellSettings))
@@ -42,16 +42,17 @@
 	return r
 }
 
+// mustPlan returns the plan of a spec, and fails the test if the spec is invalid.
 func mustPlan(t *testing.T, s *config.Settings, spec *cells.Spec) *cells.Plan {
 	t.Helper()
 	plan, faults := s.PlanCells(spec)
 	if faults != nil {
-		t.Fatal(faults)
+		t.Fatalf("PlanCells() has faults %v, want none", faults)
 	}
 	return plan
 }
 
-// cellWorkers returns the workers of a rig with cells.
+// cellWorkers returns the live workers of a rig with cells, with a start time; 0: long ago.
 func cellWorkers(startedAt int64) (workers []foxlift.Worker) {
 	for i := range cellRigWorkers {
 		workers = append(workers, foxlift.Worker{ID: fmt.Sprint("n", i), Kind: 0, Zone: 0, StartedAt: startedAt})
@@ -59,7 +60,8 @@
 	return workers
 }
 
-// submitToCell sends a job as the platform does: it takes a place in its cell's admission bound first.
+// submitToCell submits a job as Accept does, but applies the event at once: the job first reserves capacity in
+// its cell's admission bound.
 func (r *rig) submitToCell(id, class, tenant string, key uint64) *recordingClient {
 	j, client := r.newJob(id, class, tenant, 10*time.Second)
 	j.Key = key
@@ -71,7 +73,7 @@
 	return client
 }
 
-// migrate makes a cell the one of a tenant, on the test's goroutine.
+// migrate migrates a tenant to a cell, on the test's goroutine.
 func (r *rig) migrate(t *testing.T, tenant string, to int) Migration {
 	t.Helper()
 	p := r.placement.Load()
@@ -81,7 +83,7 @@
 	return m
 }
 
-// replan puts another plan in force, on the test's goroutine.
+// replan applies another plan, on the test's goroutine.
 func (r *rig) replan(t *testing.T, spec *cells.Spec) {
 	t.Helper()
 	if _, err := r.applyPlan(mustPlan(t, r.settings, spec)); err != nil {
@@ -90,6 +92,7 @@
 	r.dispatch()
 }
 
+// evacuate marks a cell as evacuated without migrating its tenants.
 func (r *rig) evacuate(i int) { r.cells.all[i].evacuated = true }
 
 // cellOf returns the index of a worker's cell.
@@ -98,7 +101,7 @@
 	return i
 }
 
-// saturate sends readings until the tenant's next job is queued, and returns how many were sent.
+// saturate submits idempotent jobs of a tenant until one is queued, and returns the number of jobs sent before it.
 func (r *rig) saturate(t *testing.T, tenant string) int {
 	t.Helper()
 	for i := range 100 {
@@ -108,6 +111,6 @@
 			return i
 		}
 	}
-	t.Fatal("the cell is never saturated")
+	t.Fatalf("all 100 jobs of tenant %q are sent, want one queued", tenant)
 	return 0
 }
--- a/internal/core/cell_placement_test.go
+++ b/internal/core/cell_placement_test.go
@@ -8,22 +8,23 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// Each tenant's jobs go to the workers of its cell alone.
+// The jobs of a tenant must go only to workers of the tenant's cell.
 func TestJobsStayInTheirCell(t *testing.T) {
 	r := newCellRig(t, twoCells())
 	for i := range 12 {
 		tenant := []string{"t", "u"}[i%2]
 		r.submitToCell(fmt.Sprint("j", i), "reading", tenant, 0)
 		if got := r.cellOf(r.sentTo[i]); got != i%2 {
-			t.Errorf("%s's job is in cell %d", tenant, got)
+			t.Errorf("job %d of tenant %s is sent to cell %d, want %d", i, tenant, got, i%2)
 		}
 	}
 	if layout := r.placement.Load().layout; layout.WorkerCount(0) == 0 || layout.WorkerCount(1) == 0 {
-		t.Fatal("a cell without workers")
+		t.Fatalf("cells have %d and %d workers, want at least 1 each", layout.WorkerCount(0), layout.WorkerCount(1))
 	}
 }
 
-// Hard case 3: an empty cell spills, bounded, or sheds at once with advice.
+// The jobs of a cell that can take none must spill into another cell up to the spill bound, and be shed with a
+// retry-after time beyond it or if the other cell is unavailable too.
 func TestEvacuatedCellSpillsOrSheds(t *testing.T) {
 	r := newCellRig(t, twoCells())
 	r.evacuate(0)
@@ -36,27 +37,28 @@
 		}
 	}
 	if shed != 4 || r.cells.all[0].spilled != bound {
-		t.Errorf("%d shed, %d spilled; want 4 and %d", shed, r.cells.all[0].spilled, bound)
+		t.Errorf("%d jobs are shed and %d spilled, want 4 and %d", shed, r.cells.all[0].spilled, bound)
 	}
 	for _, worker := range r.sentTo {
 		if r.cellOf(worker) != 1 {
-			t.Error("a job is in the empty cell")
+			t.Errorf("a job is sent to worker %s of cell %d, want cell 1", worker, r.cellOf(worker))
 		}
 	}
-	r.evacuate(1) // both: nowhere to spill, and no cycle
+	r.evacuate(1) // now no cell is available
 	if client := r.submitToCell("k", "reading", "t", 0); !client.gotOnly(Shed) {
-		t.Errorf("%+v", client.answers)
+		t.Errorf("answers with both cells evacuated are %+v, want one with verdict Shed", client.answers)
 	}
 	for _, report := range r.sent {
 		report(ended(foxlift.Served))
 	}
 	r.settle()
 	if r.cells.all[0].spilled != 0 {
-		t.Errorf("%d spilled jobs stay counted", r.cells.all[0].spilled)
+		t.Errorf("%d spilled jobs are counted after all are answered, want 0", r.cells.all[0].spilled)
 	}
 }
 
-// Hard case 6: the flood of one cell is shed before the event loop, and takes no place of another's.
+// A flood in one cell must be shed by Accept, before it reaches the event loop, and must not use the admission
+// bound of another cell.
 func TestCellFloodIsShedBeforeEventLoop(t *testing.T) {
 	r := newCellRig(t, twoCells())
 	shed := 0
@@ -68,16 +70,17 @@
 		}
 	}
 	if len(r.loop.inbox) > 30 || shed != 300-len(r.loop.inbox) {
-		t.Errorf("%d of 300 are in the inbox, %d shed", len(r.loop.inbox), shed)
+		t.Errorf("of 300 jobs %d are in the inbox and %d shed, want at most 30 and all others",
+			len(r.loop.inbox), shed)
 	}
 	r.settle()
 	if client := r.submitToCell("u", "reading", "u", 0); len(client.answers) != 0 {
-		t.Errorf("the other cell's job: %+v", client.answers)
+		t.Errorf("answers to a job of the other cell are %+v, want none yet", client.answers)
 	}
 }
 
-// A job whose id is in use is rejected also where its cell is saturated: to shed it would promise that a
-// retry is harmless. Found by TestModel.
+// A job whose id is in use must be rejected even if its cell is saturated. TestModel found that it was shed, which
+// tells the client that a retry is safe although the first job may run.
 func TestRepeatedIDAtASaturatedCell(t *testing.T) {
 	r := newCellRig(t, twoCells())
 	acceptAndSettle := func(id string) *recordingClient {
@@ -91,20 +94,21 @@
 		acceptAndSettle(fmt.Sprint("fill", i))
 	}
 	if client := acceptAndSettle("j"); !client.gotOnly(Rejected) {
-		t.Errorf("in use: %+v", client.answers)
+		t.Errorf("answers to an id in use are %+v, want one with verdict Rejected", client.answers)
 	}
 	r.complete(0, foxlift.Served)
 	if client := acceptAndSettle("j"); len(first.answers) != 1 || !client.gotOnly(Rejected) {
-		t.Errorf("answered: %+v", client.answers)
+		t.Errorf("first job has %d answers, want 1; answers to its id are %+v, want one with verdict Rejected",
+			len(first.answers), client.answers)
 	}
 	r.applyEvent(idExpired{"j"})
 	if client := acceptAndSettle("j"); client.gotOnly(Rejected) {
-		t.Errorf("expired: %+v", client.answers)
+		t.Errorf("answers to an expired id are %+v, want none with verdict Rejected", client.answers)
 	}
 }
 
-// Hard case 8: an affinity key that floods is kept to a few workers and a few jobs; others of the same
-// tenant and class go past it.
+// A flood of jobs with one affinity key must use only WorkersPerKey workers and MaxJobsPerKey open jobs, and must
+// not block other jobs of the same tenant and class.
 func TestAffinityKeyFloodIsBounded(t *testing.T) {
 	spec := twoCells()
 	spec.WorkersPerKey, spec.MaxJobsPerKey = 2, 12
@@ -118,20 +122,22 @@
 		}
 	}
 	if len(used) > 2 || r.counters.Get("jobs.key_full") != 8 {
-		t.Errorf("the key is on %v, %d shed", used, r.counters.Get("jobs.key_full"))
+		t.Errorf("the key uses workers %v, jobs.key_full = %d, want at most 2 workers and 8",
+			used, r.counters.Get("jobs.key_full"))
 	}
 	if len(r.sentTo) >= 12 {
-		t.Fatal("the key's workers are never saturated: nothing is queued behind it")
+		t.Fatalf("%d attempts for the key, want less than 12, so that jobs of the key are queued", len(r.sentTo))
 	}
 	before := len(r.sentTo)
 	r.submitToCell("other", "reading", "t", 5)
 	r.submitToCell("none", "reading", "t", 0)
 	if len(r.sentTo) != before+2 {
-		t.Errorf("%d of 2 other jobs are sent while the key waits", len(r.sentTo)-before)
+		t.Errorf("%d other jobs are sent while jobs of the key are queued, want 2", len(r.sentTo)-before)
 	}
 }
 
-// Hard case 11: the workers of one cell fail at once. The other cell's dispatcher sees nothing of it.
+// If all workers of one cell fail at the same time, as with a faulty release, the jobs of the other cell must be
+// served as before.
 func TestWorkerFailuresStayInOneCell(t *testing.T) {
 	r := newCellRig(t, twoCells())
 	for i := range 200 {
@@ -147,29 +153,29 @@
 		}
 	}
 	if answers := r.cells.all[1].answerCounts; answers[Served] != 100 || answers[Shed]+answers[Failed] != 0 {
-		t.Errorf("the other cell's answers: %v", answers)
+		t.Errorf("answers of the other cell by verdict are %v, want 100 served and none shed or failed", answers)
 	}
 	if answers := r.cells.all[0].answerCounts; answers[Served] != 0 {
-		t.Errorf("the failing cell serves %d", answers[Served])
+		t.Errorf("the failing cell has served %d jobs, want 0", answers[Served])
 	}
 }
 
-// Hard case 7: capacity that a tenant is lent in its cell is returned at once: when another tenant comes
-// back, the next slot that is free is that one's.
+// A tenant may use idle capacity of its cell beyond its quota. When another tenant of the cell submits a job again,
+// that job must get the next free slot, before the first tenant's queued jobs.
 func TestLentCapacityIsReturned(t *testing.T) {
 	spec := twoCells()
 	spec.Cells[1].MaxJobs = 60
 	r := newCellRig(t, spec)
-	slots := r.saturate(t, "u") // all of the cell, far over what the tenant has tokens for
+	slots := r.saturate(t, "u") // all slots of the cell, far more than the tenant's tokens allow
 	if slots < 8 {
-		t.Fatalf("only %d jobs are lent a slot", slots)
+		t.Fatalf("saturate() = %d jobs, want at least 8", slots)
 	}
 	for i := range 5 {
 		r.submitToCell(fmt.Sprint("more", i), "reading", "u", 0)
 	}
 	r.submitToCell("back", "reading", "v", 0)
 	if len(r.sent) != slots {
-		t.Fatalf("%d attempts with %d slots", len(r.sent), slots)
+		t.Fatalf("%d attempts in a saturated cell, want %d", len(r.sent), slots)
 	}
 	var next string
 	r.onSend = func(j *Job) {
@@ -182,6 +188,6 @@
 		r.complete(i, foxlift.Served)
 	}
 	if next != "back" {
-		t.Errorf("the next slot is %s's", next)
+		t.Errorf("the next free slot goes to job %q, want %q", next, "back")
 	}
 }
--- a/internal/core/cell_state.go
+++ b/internal/core/cell_state.go
@@ -103,10 +103,10 @@
 }
 
 // addWorkerStates adds the workers, except removed ones, to the states of their cells.
-func (c *Core) addWorkerStates(stateOf map[*cell]*CellState) {
+func (c *Core) addWorkerStates(stateByCell map[*cell]*CellState) {
 	now := c.clock.Now()
 	for _, w := range c.workers.order {
-		state := stateOf[w.cell]
+		state := stateByCell[w.cell]
 		if state == nil || w.State == foxlift.Removed {
 			continue
 		}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -7,7 +7,8 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// Whatever happens in whatever order, a job has one answer and leaves nothing behind.
+// In any order of reports, disconnections and timeouts, a job must get exactly one answer, all its attempts must be
+// released, and the job table must be empty at the end.
 func TestEveryJobGetsOneAnswer(t *testing.T) {
 	end := func(i int, code foxlift.Code) func(*rig, *job) {
 		return func(r *rig, _ *job) { r.sent[i](ended(code)) }
@@ -56,19 +57,20 @@
 			}
 			r.settle()
 			if !client.gotOnly(test.want) || test.want == Served && string(client.answers[0].Result) != "r" {
-				t.Errorf("answers %+v, want one of verdict %d", client.answers, test.want)
+				t.Errorf("answers are %+v, want one with verdict %d, and with result r if served", client.answers, test.want)
 			}
 			if len(r.jobs.byNumber) != 0 || len(r.jobs.open) != 0 {
-				t.Errorf("%d jobs stay in the table, %d open", len(r.jobs.byNumber), len(r.jobs.open))
+				t.Errorf("the job table has %d jobs, %d of them open, want none", len(r.jobs.byNumber), len(r.jobs.open))
 			}
 			if r.cancelled != len(r.sent) {
-				t.Errorf("%d of %d attempts released", r.cancelled, len(r.sent))
+				t.Errorf("cancel was called for %d attempts, want %d", r.cancelled, len(r.sent))
 			}
 		})
 	}
 }
 
-// A job that is not valid reaches neither the dispatcher nor a worker.
+// An invalid job, or one with an id that is in use or was answered recently, must be rejected before it reaches the
+// dispatcher or a worker.
 func TestInvalidJobsAreRejected(t *testing.T) {
 	r := newRig(t)
 	first := r.submit("j", "ratify", "t")
@@ -78,71 +80,74 @@
 		"repeated id":    r.submit("j", "ratify", "t"),
 	} {
 		if !client.gotOnly(Rejected) || client.answers[0].Reason != reason {
-			t.Errorf("%s: %+v", reason, client.answers)
+			t.Errorf("answers are %+v, want one with verdict Rejected and reason %q", client.answers, reason)
 		}
 	}
 	if len(r.sent) != 1 || len(first.answers) != 0 {
-		t.Errorf("%d attempts, %d answers for the first job", len(r.sent), len(first.answers))
+		t.Errorf("%d attempts and %d answers for the first job, want 1 and 0", len(r.sent), len(first.answers))
 	}
 	r.submit("k", "ratify", "t")
 	if client := r.submit("l", "ratify", "t"); !client.wasShed() {
-		t.Errorf("past the limit of open jobs: %+v", client.answers)
+		t.Errorf("answers beyond the limit of open jobs are %+v, want one Shed with RetryAfter", client.answers)
 	}
 	r.complete(0, foxlift.Served)
 	client := r.submit("j", "ratify", "t")
 	if len(client.answers) != 1 || client.answers[0].Reason != "repeated id" || len(r.sent) != 2 {
-		t.Errorf("an id that was answered: %+v, %d attempts", client.answers, len(r.sent))
+		t.Errorf("answers to an answered id are %+v with %d attempts, want one with reason %q with 2 attempts",
+			client.answers, len(r.sent), "repeated id")
 	}
 	r.applyEvent(idExpired{"j"})
 	if client := r.submit("j", "ratify", "t"); len(client.answers) != 0 || len(r.sent) != 3 {
-		t.Errorf("an id that is free again: %+v", client.answers)
+		t.Errorf("answers to an expired id are %+v with %d attempts, want none with 3", client.answers, len(r.sent))
 	}
 }
 
-// However long a client says that it waits, its class's deadline bounds it.
+// The deadline of the class must bound the time that a client says it waits.
 func TestClassDeadlineBoundsRemaining(t *testing.T) {
 	r := newRig(t)
 	j, _ := r.newJob("j", "reading", "t", 1<<62)
 	r.applyEvent(jobSubmitted{j})
 	if d := r.jobs.byNumber[1].deadline - j.ArrivedAt; d != 20e9 {
-		t.Errorf("deadline in %d", d)
+		t.Errorf("deadline is %d ns after the arrival, want %d", d, int64(20e9))
 	}
 }
 
-// The clock is comparable with Unix times in the endpoint list, and only advances.
+// The clock must be comparable with the Unix times in the endpoint list and must not go back.
 func TestClock(t *testing.T) {
 	c := NewClock()
 	a := c.Now()
 	if d := time.Now().UnixNano() - a; d < -int64(time.Minute) || d > int64(time.Minute) {
-		t.Errorf("off by %d ns", d)
+		t.Errorf("Now() differs from the wall clock by %d ns, want at most %d", d, int64(time.Minute))
 	}
 	if b := c.Now(); b < a {
-		t.Error("it went back")
+		t.Errorf("Now() = %d after %d, want no earlier time", b, a)
 	}
 }
 
-// Near the end of a shutdown a job that would hardly be done is shed at once, and one that is accepted has
-// its answer before the process may be killed.
+// Near the end of a shutdown, a job whose latency objective exceeds the remaining time must be shed at once, and an
+// accepted job must be answered by the shutdown deadline, before the process may be killed.
 func TestShutdownDeadline(t *testing.T) {
 	r := newRig(t)
 	r.applyEvent(shutdownBegun{r.clock.Now() + int64(600*time.Millisecond)})
 	first := r.submit("first", "reading", "t")
 	if len(first.answers) != 0 || len(r.sent) != 1 {
-		t.Fatalf("%+v, %d attempts; want it sent", first.answers, len(r.sent))
+		t.Fatalf("answers are %+v with %d attempts, want none with 1", first.answers, len(r.sent))
 	}
 	r.applyEvent(shutdownBegun{r.clock.Now() + int64(400*time.Millisecond)})
 	if late := r.submit("late", "reading", "t"); !late.wasShed() || r.counters.Get("jobs.at_end") != 1 {
-		t.Errorf("too late: %+v", late.answers)
+		t.Errorf("answers to a late job are %+v, jobs.at_end = %d, want one Shed with RetryAfter and 1",
+			late.answers, r.counters.Get("jobs.at_end"))
 	}
 	for len(first.answers) == 0 {
 		r.applyEvent(<-r.loop.inbox)
 	}
-	if first.answers[0].Verdict != Failed || r.counters.Get("jobs.overdue") != 1 { // long before its deadline
-		t.Errorf("at the end: %+v", first.answers)
+	if first.answers[0].Verdict != Failed || r.counters.Get("jobs.overdue") != 1 { // long before the job's deadline
+		t.Errorf("answers at the shutdown deadline are %+v, jobs.overdue = %d, want verdict Failed and 1",
+			first.answers, r.counters.Get("jobs.overdue"))
 	}
 }
 
-// Stop waits for the event loop's goroutine, may be called again, and prevents a later start.
+// Stop must wait for the event loop's goroutine and prevent a later start, and may be called again.
 func TestStopWaits(t *testing.T) {
 	r := newRig(t)
 	r.loop.start(r.runEventLoop)
@@ -154,12 +159,12 @@
 	<-r.loop.stopped
 	select {
 	case <-stopped:
-		t.Error("Stop returned while an event was being applied")
+		t.Error("Stop() returned while an event was being applied, want it to wait")
 	case <-time.After(20 * time.Millisecond):
 	}
 	close(release)
 	<-stopped
 	r.Stop()
-	r.loop.start(func() { t.Error("it started after Stop") })
+	r.loop.start(func() { t.Error("start() ran the function after Stop()") })
 	r.Stop()
 }
--- a/internal/core/helpers_test.go
+++ b/internal/core/helpers_test.go
@@ -15,19 +15,19 @@
  "grades":[{"name":"reading","aim":500000000,"deadline":20000000000,"effect":"idempotent"},
  {"name":"ratify","aim":500000000,"deadline":20000000000,"effect":"at_most_once"}]}`
 
-// A rig is a core whose workers, discovery and clients are the test itself. Its event loop is not started:
-// the test applies events on its own goroutine.
+// A rig is a core with fake workers, discovery and clients. Its event loop is not started: the test applies events
+// on its own goroutine.
 type rig struct {
 	*Core
-	sent          []func(Report) // the report function of each attempt
-	sentTo        []string       // its worker
+	sent          []func(Report) // report function of each attempt
+	sentTo        []string       // worker of each attempt
 	lastSentTo    string
 	cancelled     int
-	atMostOnceIDs []string // ids of the jobs of attempts that must not run twice
+	atMostOnceIDs []string // job id of each attempt of an at-most-once job
 	onSend        func(*Job)
 }
 
-// newRig returns a rig without cells that knows three workers.
+// newRig returns a rig without cells and with three workers.
 func newRig(t *testing.T) *rig {
 	t.Helper()
 	s, err := config.ParseSettings([]byte(settings))
@@ -39,7 +39,7 @@
 	return r
 }
 
-// newRigOf returns a rig that knows no workers.
+// newRigWithoutWorkers returns a rig with an empty endpoint list.
 func newRigWithoutWorkers(t *testing.T, cfg Config, maxOpen int) *rig {
 	t.Helper()
 	cfg.Seed, cfg.Clock, cfg.Counters = 1, NewClock(), &counters.Set{}
@@ -80,7 +80,7 @@
 // Watch implements EndpointWatch.
 func (r *rig) Watch() {}
 
-// A recordingClient keeps the answers of its job.
+// A recordingClient records the answers to its job.
 type recordingClient struct{ answers []Answer }
 
 // Answer implements Client.
@@ -89,21 +89,21 @@
 // Disconnected implements Client.
 func (c *recordingClient) Disconnected() bool { return false }
 
-// gotOnly reports whether the client has one answer, of this verdict.
+// gotOnly reports whether the client has exactly one answer, with verdict v.
 func (c *recordingClient) gotOnly(v Verdict) bool {
 	return len(c.answers) == 1 && c.answers[0].Verdict == v
 }
 
-// wasShed reports whether the client has one answer, which sheds its job with advice.
+// wasShed reports whether the client has exactly one answer, with verdict Shed and a retry-after time.
 func (c *recordingClient) wasShed() bool { return c.gotOnly(Shed) && c.answers[0].RetryAfter > 0 }
 
-// applyEvent does what the event loop does with one event.
+// applyEvent handles one event like the event loop: it applies the event and steps the dispatchers.
 func (r *rig) applyEvent(e event) {
 	e.apply(r.Core)
 	r.dispatch()
 }
 
-// settle applies what reports and timers have posted.
+// settle applies the events that reports and timers have posted, until the inbox is empty.
 func (r *rig) settle() {
 	for len(r.loop.inbox) > 0 {
 		r.applyEvent(<-r.loop.inbox)
@@ -119,18 +119,18 @@
 	}, client
 }
 
-// submit sends a job, where there are no cells.
+// submit submits a job to a rig without cells.
 func (r *rig) submit(id, class, tenant string) *recordingClient {
 	j, client := r.newJob(id, class, tenant, 10*time.Second)
 	r.applyEvent(jobSubmitted{j})
 	return client
 }
 
-// complete lets the attempt with this index end, and applies what comes of it.
+// complete ends the attempt with index i and applies the resulting events.
 func (r *rig) complete(i int, code foxlift.Code) {
 	r.sent[i](ended(code))
 	r.settle()
 }
 
-// ended is the last report of an attempt.
+// ended returns the last report of an attempt.
 func ended(code foxlift.Code) Report { return Report{Ended: true, Code: code, Result: []byte("r")} }
--- a/internal/core/model_actions_test.go
+++ b/internal/core/model_actions_test.go
@@ -8,12 +8,13 @@
 	"github.com/vatu-meals/foxlift"
 )
 
+// worker returns the live worker with index i.
 func (w *world) worker(i int, startedAt int64) foxlift.Worker {
 	return foxlift.Worker{ID: fmt.Sprint("n", i), Zone: i % 2, Kind: i % 2, Cell: i / 2, StartedAt: startedAt}
 }
 
-// act plays one action of a script. Errors of operators' calls are part of it: some name what is not
-// there, or come in a shutdown.
+// perform executes one action of a script. Errors of operator calls are ignored, because some calls name a cell
+// that does not exist or happen during a shutdown.
 func (w *world) perform(a scriptAction) {
 	ctx := context.Background()
 	switch a.kind {
@@ -40,7 +41,7 @@
 			_, _ = w.core.Replan(ctx, plan)
 		}
 	case actionShutdown:
-		if a.a%4 == 0 { // else nearly every script would end soon
+		if a.a%4 == 0 { // otherwise nearly every script would shut down early
 			w.core.BeginShutdown(time.Duration(a.b%4) * time.Second)
 		}
 	}
@@ -52,7 +53,7 @@
 
 var modelRemaining = []time.Duration{5 * time.Second, 20 * time.Millisecond, time.Second, 0}
 
-// submit sends a job, or one with the id of an earlier one.
+// submit submits a job, with the id of an earlier one for actionResubmit.
 func (w *world) submit(a scriptAction) {
 	id := fmt.Sprint("j", len(w.jobs))
 	if a.kind == actionResubmit && len(w.jobs) > 0 {
@@ -74,14 +75,14 @@
 	foxlift.Unreachable, foxlift.Reset, foxlift.NotSent,
 }
 
-// report lets a worker report of an attempt.
+// report makes a worker report on an attempt.
 func (w *world) report(a scriptAction) {
 	if attempt, r := w.chooseReport(a); attempt != nil {
 		attempt.report(r)
 	}
 }
 
-// chooseReport returns the attempt and the report that an action means; nil if there is no such attempt.
+// chooseReport returns the attempt and the report that an action selects; nil if there is no such attempt.
 func (w *world) chooseReport(a scriptAction) (*modelAttempt, Report) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -99,7 +100,7 @@
 		attempt := inFlight[a.a%len(inFlight)]
 		attempt.end(final.Code, a.c%2 == 0 || final.Code == foxlift.Served)
 		return attempt, final
-	case a.kind == actionRepeatedCompletion && len(ended) > 0: // late, repeated, or against the first report
+	case a.kind == actionRepeatedCompletion && len(ended) > 0: // late, and perhaps another outcome than the first
 		return ended[a.a%len(ended)], final
 	case a.kind == actionProgress && len(w.attempts) > 0:
 		return w.attempts[a.a%len(w.attempts)], Report{Progress: a.b%2 == 0}
@@ -107,6 +108,7 @@
 	return nil, Report{}
 }
 
+// cellOf returns the index of a worker's cell; false if the worker is in no cell.
 func (w *world) cellOf(worker string) (int, bool) {
 	if p := w.core.placement.Load(); p != nil {
 		return p.layout.WorkerCell(worker)
@@ -114,7 +116,7 @@
 	return 0, false
 }
 
-// updateEndpoints lets discovery answer with a list, a part of it, or not at all.
+// updateEndpoints reports a delta, a complete list or a failed poll of discovery.
 func (w *world) updateEndpoints(a scriptAction) {
 	kind := []foxlift.EndpointUpdate{
 		foxlift.EndpointsDelta, foxlift.EndpointsComplete, foxlift.EndpointsPollFailed,
@@ -129,10 +131,10 @@
 	w.core.UpdateEndpoints(kind, workers)
 }
 
-// drawWorkers returns workers of an update, in the states that an action means.
+// selectWorkers returns the workers of an update, in the states that an action selects.
 func (w *world) selectWorkers(a scriptAction) (workers []foxlift.Worker) {
 	for i := range modelWorkers {
-		if a.b%3 == 0 && i%2 == 0 { // a part of the list
+		if a.b%3 == 0 && i%2 == 0 { // the update has only the workers with odd indexes
 			continue
 		}
 		worker := w.worker(i, 0)
@@ -141,14 +143,14 @@
 			worker.State = foxlift.Live
 		}
 		if cell, ok := w.cellOf(worker.ID); a.a%7 == i || a.a%7 == 6 && ok && cell == 0 {
-			worker.StartedAt = w.core.clock.Now() // it has started anew; or all of a cell have
+			worker.StartedAt = w.core.clock.Now() // the worker has restarted, or all workers of cell 0 have
 		}
 		workers = append(workers, worker)
 	}
 	return workers
 }
 
-// recordStates records since when each worker is not live.
+// recordLiveness records since when each worker has not been live.
 func (w *world) recordLiveness(kind foxlift.EndpointUpdate, workers []foxlift.Worker) {
 	live := map[string]bool{}
 	for i := range workers {
--- a/internal/core/model_register_test.go
+++ b/internal/core/model_register_test.go
@@ -9,15 +9,14 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// A registerOp is an operation of a job's history: a run of it on a worker, or the answer that its client
-// got.
+// A registerOp is an operation in the history of a job: a run on a worker, or the answer to its client.
 type registerOp struct {
 	run     bool
 	verdict Verdict
 }
 
-// A register is the state of an at-most-once job: one that has run cannot run again, one that was shed
-// cannot run later, and one that is served has run.
+// A register is the state of an at-most-once job: a job that has run must not run again, a job that was shed must
+// not run later, and a served job must have run.
 type register struct{ hasRun, shed bool }
 
 var atMostOnceModel = porcupine.Model{
@@ -37,7 +36,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// linearizable reports whether some order of a job's runs and its answer fits a register.
+// linearizable reports whether the runs of a job and its answer have an order that the register allows.
 func (w *world) linearizable(j *modelJob) bool {
 	var ops []porcupine.Operation
 	if len(j.answers) > 0 && j.answers[0].Verdict != Rejected {
@@ -47,7 +46,7 @@
 		})
 	}
 	for i, a := range w.attempts {
-		// An id whose job was shed may come again, and run then.
+		// The id of a job that was shed may be submitted again, and the later job may run.
 		isLaterJob := a.job != j && len(j.answers) > 0 && j.answers[0].Verdict == Shed && a.sentAt >= j.answeredAt
 		if a.job.sameJobAs(j) && a.job.Class == "ratify" && a.ran && !isLaterJob {
 			ops = append(ops, porcupine.Operation{
@@ -59,7 +58,7 @@
 	return porcupine.CheckOperations(atMostOnceModel, ops)
 }
 
-// describe tells a job's history.
+// describe returns the history of a job as text.
 func (w *world) describe(j *modelJob) string {
 	var s strings.Builder
 	fmt.Fprintf(&s, "submitted at %v, %+v at %v", j.submittedAt, j.answers, j.answeredAt)
@@ -71,7 +70,8 @@
 	return s.String()
 }
 
-// The register model tells histories that break its rules from those that do not.
+// The register model must accept valid histories and reject invalid ones, or the model test would not detect that
+// an at-most-once job ran twice.
 func TestRegisterModel(t *testing.T) {
 	w := &world{startedAt: time.Now()}
 	addRun := func(j *modelJob, from, to time.Duration) {
@@ -100,7 +100,7 @@
 			addRun(j, r[0], r[1])
 		}
 		if got := w.linearizable(j); got != test.want {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: linearizable() = %v, want %v", name, got, test.want)
 		}
 	}
 }
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -15,11 +15,11 @@
 	"github.com/vatu-meals/foxlift/internal/counters"
 )
 
-// The model test drives the whole scheduler (core, dispatchers and cells) from outside, through fakes of
-// Workers, EndpointWatch and Client, on virtual time (testing/synctest: a bubble whose clock moves when
-// all goroutines wait, and which does not end while one is left). A script of random actions is played;
-// what must always hold is checked as it happens (model_world_test.go) and at the end, and the histories
-// are checked against a register that may be written once (model_register_test.go).
+// The model test runs the whole scheduler (core, dispatchers and cells) against fakes of Workers, EndpointWatch
+// and Client, on virtual time (testing/synctest: a bubble whose clock advances when all its goroutines are
+// blocked, and which does not end before all of them have). It executes a script of random actions. Invariants
+// are checked while the script runs (model_world_test.go) and at its end, and the histories of at-most-once jobs
+// are checked for linearizability against a write-once register (model_register_test.go).
 
 const modelSettings = `{"balancers":2,"slotNo":0,"discovery":"subscribe","dcs":["a","b"],"zone":"a","flavors":["k","l"],
  "grades":[{"name":"reading","aim":300000000,"deadline":5000000000,"effect":"idempotent"},
@@ -36,10 +36,10 @@
 const (
 	modelWorkers     = 6
 	modelMaxAttempts = 3
-	modelMaxDeadline = 8 * time.Second // the longest of the classes
+	modelMaxDeadline = 8 * time.Second // longest deadline of the classes
 	modelMaxOpen     = 40
 	modelSeed        = 5
-	drainGrace       = 750 * time.Millisecond // after which nothing goes to a worker that is not live
+	drainGrace       = 750 * time.Millisecond // time after which a worker that is not live must get no attempts
 )
 
 var (
@@ -47,7 +47,7 @@
 	modelTenants = []string{"t", "u", "v"}
 )
 
-// An act is one action of a script; what a, b and c mean depends on its kind.
+// A scriptAction is one action of a script. The meaning of the parameters a, b and c depends on the kind.
 type scriptAction struct{ kind, a, b, c int }
 
 const (
@@ -66,7 +66,7 @@
 	actionShutdown
 )
 
-// modelPlans returns the plans of cells that a script goes through.
+// modelPlans returns the plans between which a script switches.
 func modelPlans() []*cells.Spec {
 	return []*cells.Spec{
 		{
@@ -87,7 +87,7 @@
 	}
 }
 
-// playScript plays a script and returns what it violated.
+// runScript executes a script and returns the violations that it caused.
 func runScript(t *testing.T, script []scriptAction, withCells bool) (violations []string) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, withCells)
@@ -111,7 +111,7 @@
 	return violations
 }
 
-// newWorld returns fakes around a core that is not started.
+// newWorld returns a world with a core that is not started.
 func newWorld(t *testing.T, withCells bool) *world {
 	t.Helper()
 	settings, err := config.ParseSettings([]byte(modelSettings))
@@ -129,7 +129,7 @@
 	return w
 }
 
-// drain lets all that is in flight come to its end.
+// drain ends all attempts in flight as served, for 20 s of virtual time, so that every job is answered.
 func (w *world) drain() {
 	for range 200 {
 		synctest.Wait()
@@ -149,11 +149,12 @@
 	}
 }
 
-// checkFinalState checks what must hold at the end.
+// checkFinalState checks that each job has exactly one answer, that the core has released everything, and that
+// the history of each at-most-once job is linearizable.
 func (w *world) checkFinalState() {
 	for _, j := range w.jobs {
 		if len(j.answers) != 1 {
-			w.recordViolation("%s has %d answers: %+v", j.ID, len(j.answers), j.answers)
+			w.recordViolation("job %s has %d answers, want 1: %+v", j.ID, len(j.answers), j.answers)
 		}
 	}
 	_, err := callOnEventLoop(context.Background(), w.core, func(c *Core) (struct{}, error) {
@@ -161,76 +162,82 @@
 		return struct{}{}, nil
 	})
 	if err != nil {
-		w.recordViolation("the core is not there at the end: %v", err)
+		w.recordViolation("callOnEventLoop() = %v at the end, want no error", err)
 	}
 	for _, j := range w.jobs {
 		if j.Class == "ratify" && !w.linearizable(j) {
-			w.recordViolation("%s: no order of what happened fits a register that may be written once: %s", j.ID, w.describe(j))
+			w.recordViolation("job %s: no order of its runs and its answer fits a write-once register: %s",
+				j.ID, w.describe(j))
 		}
 	}
 }
 
-// checkCore checks that nothing is left behind in a core.
+// checkCore checks that the core has released all jobs, counts and reservations.
 func (w *world) checkCore(c *Core) {
 	if len(c.jobs.byNumber) != 0 || len(c.jobs.open) != 0 || len(c.cells.jobsByKey) != 0 {
 		w.recordViolation("the core still has %d jobs, %d open jobs and %d affinity keys, want 0 of each",
 			len(c.jobs.byNumber), len(c.jobs.open), len(c.cells.jobsByKey))
 	}
 	if n := c.counters.Get("jobs.overdue"); n > 0 && !c.shutdown.begun() {
-		w.recordViolation("the dispatchers forgot %d jobs", n)
+		w.recordViolation("jobs.overdue = %d, want 0: the dispatchers did not answer these jobs", n)
 	}
 	for _, cl := range c.cells.all {
 		if idle := cl.dispatcher.Idle(); !idle || cl.spilled != 0 || len(cl.leaving) != 0 {
-			w.recordViolation("cell %q: idle %v, %d spilled, %d leaving", cl.name, idle, cl.spilled, len(cl.leaving))
+			w.recordViolation("cell %q: Idle() = %v with %d spilled and %d leaving jobs, want true with 0 and 0",
+				cl.name, idle, cl.spilled, len(cl.leaving))
 		}
 	}
 	for id, worker := range c.workers.byID {
 		if len(worker.inFlight) != 0 {
-			w.recordViolation("%s: %v stays counted in flight", id, worker.inFlight)
+			w.recordViolation("worker %s: slots in flight are %v, want none", id, worker.inFlight)
 		}
 	}
 	if p := c.placement.Load(); p != nil {
 		for i := range p.jobBounds {
 			if open, _, _ := p.admission.Usage(i); open != 0 {
-				w.recordViolation("cell %d: %d reservations are left", i, open)
+				w.recordViolation("cell %d: Usage() has %d open jobs, want 0", i, open)
 			}
 		}
 	}
 }
 
-// actWeights has each kind of action as often as it is to be drawn: jobs and ends of attempts come more
-// often than the rest.
+// weightedActionKinds contains each kind of action as often as its weight: submissions and completions are drawn
+// more often than other actions.
 var weightedActionKinds = slices.Concat(
 	slices.Repeat([]int{actionSubmit}, 10), slices.Repeat([]int{actionComplete}, 8), slices.Repeat([]int{actionWait}, 4),
 	[]int{
 		actionResubmit, actionDisconnect, actionProgress, actionProgress, actionRepeatedCompletion,
-		actionEndpoints, actionEndpoints, actionMigrate, actionMigrate, actionEvacuate, actionRestore, actionReplan, actionShutdown,
+		actionEndpoints, actionEndpoints, actionMigrate, actionMigrate, actionEvacuate, actionRestore, actionReplan,
+		actionShutdown,
 	},
 )
 
-// modelProperty draws a script and plays it.
+// modelProperty draws a script, executes it and fails if it causes a violation.
 func modelProperty(t *testing.T, rt *rapid.T) {
 	kind := rapid.Custom(func(rt *rapid.T) int {
 		return rapid.SampledFrom(weightedActionKinds).Draw(rt, "kind")
 	})
 	parameter := rapid.IntRange(0, 1<<12)
-	n := rapid.IntRange(1, 80).Draw(rt, "acts")
+	n := rapid.IntRange(1, 80).Draw(rt, "actions")
 	var script []scriptAction
 	for range n {
 		script = append(script, scriptAction{
-			kind.Draw(rt, "act"), parameter.Draw(rt, "a"), parameter.Draw(rt, "b"), parameter.Draw(rt, "c"),
+			kind.Draw(rt, "action"), parameter.Draw(rt, "a"), parameter.Draw(rt, "b"), parameter.Draw(rt, "c"),
 		})
 	}
 	withCells := rapid.Bool().Draw(rt, "cells")
 	if violations := runScript(t, script, withCells); len(violations) > 0 {
-		rt.Fatalf("cells %v, script %v violates:\n%v", withCells, script, violations)
+		rt.Fatalf("runScript(%v, cells %v) has violations, want none:\n%v", script, withCells, violations)
 	}
 }
 
+// Random sequences of jobs, reports, endpoint updates, operator calls and shutdowns must not cause a lost or
+// second answer, a forbidden repeat of a job or a leaked count.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) { modelProperty(t, rt) })
 }
 
+// FuzzModel runs the property of TestModel with coverage-guided input.
 func FuzzModel(f *testing.F) {
 	f.Add([]byte("\x00\x01\x02\x03\x04\x05\x06\x07"))
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/internal/core/model_world_test.go
+++ b/internal/core/model_world_test.go
@@ -8,15 +8,15 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// A world is what the fakes of workers, discovery and clients know.
+// A world fakes the workers, the discovery and the clients of a core, and records what happens at them.
 type world struct {
 	core         *Core
 	startedAt    time.Time
 	jobs         []*modelJob
 	attempts     []*modelAttempt
-	notLiveSince map[string]time.Time // workers that the list had as not live, since when
+	notLiveSince map[string]time.Time // since when the endpoint list has had a worker as not live, by worker
 
-	mu         sync.Mutex // the core's goroutine calls the fakes
+	mu         sync.Mutex // guards the fields that the event loop's goroutine also uses
 	violations []string
 }
 
@@ -29,31 +29,31 @@
 	answeredAt  time.Duration // of the first answer
 }
 
-// A modelAttempt is an attempt as its worker knows it.
+// A modelAttempt is an attempt at the fake worker.
 type modelAttempt struct {
 	job     *modelJob
 	worker  string
 	sentAt  time.Duration
 	ended   bool
-	code    foxlift.Code
-	ran     bool
+	code    foxlift.Code // outcome, if ended
+	ran     bool         // whether the job really ran
 	endedAt time.Duration
 	report  func(Report)
 }
 
 func (w *world) now() time.Duration { return time.Since(w.startedAt) }
 
-// violate records that something that must hold does not.
+// recordViolation records that an invariant does not hold, with the time since the start.
 func (w *world) recordViolation(format string, args ...any) {
 	w.violations = append(w.violations, fmt.Sprintf("%v: ", w.now())+fmt.Sprintf(format, args...))
 }
 
-// provesNothingRan is the protocol's table of outcomes, written again: the model must not rely on what it
-// checks.
+// provesNothingRan holds the outcomes that prove that a job did not run. It repeats foxlift.Code.NeverRan, because
+// the model must not depend on the code under test.
 var provesNothingRan = map[foxlift.Code]bool{foxlift.Saturated: true, foxlift.Unreachable: true, foxlift.NotSent: true}
 
-// sameAs reports whether two submissions count as one job: an id is remembered while it is in use and for
-// the longest deadline after its answer, no longer.
+// sameJobAs reports whether two submissions count as one job: they have the same id, and the later one arrives
+// while the id is in use or within the longest deadline after its answer.
 func (j *modelJob) sameJobAs(other *modelJob) bool {
 	if j.answeredAt > other.answeredAt && len(other.answers) > 0 {
 		j, other = other, j
@@ -61,13 +61,13 @@
 	return j == other || j.ID == other.ID && (len(j.answers) == 0 || other.submittedAt < j.answeredAt+modelMaxDeadline)
 }
 
-// mayHaveRun is the truth as the scheduler can know it. It goes by id: what is submitted twice must not
-// run twice either.
+// mayHaveRun reports whether an at-most-once job may have run, judged by the outcomes that the scheduler gets. It
+// includes other submissions with the same id, which must not run twice either.
 func (w *world) mayHaveRun(j *modelJob) bool {
 	return j.Class == "ratify" && w.firstPossibleRun(j) != nil
 }
 
-// firstMayHaveRun is the first attempt of a job that may have run, or may yet; nil: none.
+// firstPossibleRun returns the first attempt of a job that may have run or may still run; nil if none.
 func (w *world) firstPossibleRun(j *modelJob) *modelAttempt {
 	for _, a := range w.attempts {
 		if a.job.sameJobAs(j) && a.job.Class == j.Class && (!a.ended || !provesNothingRan[a.code]) {
@@ -90,10 +90,10 @@
 	}
 	j.answers = append(j.answers, a)
 	if a.Verdict == Shed && j.Class == "ratify" && w.mayHaveRun(j) {
-		w.recordViolation("%s is told that a retry is harmless, and may have run", j.ID)
+		w.recordViolation("job %s is shed, so that a retry counts as safe, but may have run", j.ID)
 	}
 	if a.Verdict == Shed && a.RetryAfter > 2*time.Second {
-		w.recordViolation("%s is told to wait %v", j.ID, a.RetryAfter)
+		w.recordViolation("job %s is shed with RetryAfter %v, want at most 2s", j.ID, a.RetryAfter)
 	}
 }
 
@@ -114,7 +114,7 @@
 	}
 }
 
-// checkSend checks that a job may be sent to a worker.
+// checkSend checks that the scheduler may send a job to a worker.
 func (w *world) checkSend(j *modelJob, worker string, limits AttemptLimits) {
 	attempts := 0
 	for _, a := range w.attempts {
@@ -123,39 +123,42 @@
 		}
 	}
 	if attempts >= modelMaxAttempts {
-		w.recordViolation("%s is sent for the %dth time", j.ID, attempts+1)
+		w.recordViolation("job %s has %d attempts, want at most %d", j.ID, attempts+1, modelMaxAttempts)
 	}
 	if j.Class == "ratify" && w.mayHaveRun(j) {
-		w.recordViolation("%s is sent again, and may have run", j.ID)
+		w.recordViolation("job %s of an at-most-once class is sent again, but may have run", j.ID)
 	}
 	if len(j.answers) > 0 {
-		w.recordViolation("%s is sent after its answer", j.ID)
+		w.recordViolation("job %s is sent after its answer", j.ID)
 	}
 	if since, ok := w.notLiveSince[worker]; ok && time.Since(since) > drainGrace {
-		w.recordViolation("%s is sent to %s, which has been draining for %v", j.ID, worker, time.Since(since))
+		w.recordViolation("job %s is sent to worker %s, which has not been live for %v, want at most %v",
+			j.ID, worker, time.Since(since), drainGrace)
 	}
 	if first := w.firstPossibleRun(j); j.Class == "seal" && first != nil {
 		w.checkRepeat(j, worker, first, limits)
 	}
 	if limits.Remaining <= 0 {
-		w.recordViolation("%s is sent when its time is over", j.ID)
+		w.recordViolation("job %s is sent with remaining time %v, want more than 0", j.ID, limits.Remaining)
 	}
 }
 
-// checkRepeat checks that a worker drops a repeat of a deduplicated job: it is in the group of the first
-// worker that may have run it, and the window has not ended.
+// checkRepeat checks that the worker drops a repeat of a deduplicated job: it is in the zone of the first worker
+// that may have run the job, and the window in which repeats are dropped has not ended.
 func (w *world) checkRepeat(j *modelJob, worker string, first *modelAttempt, limits AttemptLimits) {
 	zone := func(worker string) int { return int(worker[1]) % 2 }
 	if zone(worker) != zone(first.worker) {
-		w.recordViolation("%s is sent to %s, and may have run on %s in the other zone", j.ID, worker, first.worker)
+		w.recordViolation("job %s is sent to worker %s, but may have run on worker %s of the other zone",
+			j.ID, worker, first.worker)
 	}
 	age := w.now() - first.sentAt
 	if age > sealDedupWindow || limits.WriteWithin <= 0 || age+limits.WriteWithin > sealDedupWindow+time.Millisecond {
-		w.recordViolation("%s is sent within %v, and may have run %v ago", j.ID, limits.WriteWithin, age)
+		w.recordViolation("job %s is sent %v after it may have run, with WriteWithin %v, want both together within %v",
+			j.ID, age, limits.WriteWithin, sealDedupWindow)
 	}
 }
 
-// stop records how an attempt really ended.
+// end records the outcome of an attempt and whether the job really ran. Further calls do nothing.
 func (a *modelAttempt) end(code foxlift.Code, ran bool) {
 	if !a.ended {
 		a.ended, a.code, a.ran, a.endedAt = true, code, ran && !provesNothingRan[code], a.job.world.now()
--- a/internal/core/state_golden_test.go
+++ b/internal/core/state_golden_test.go
@@ -9,7 +9,7 @@
 	"github.com/vatu-meals/foxlift/internal/golden"
 )
 
-// TestStateJSON pins the JSON of a state, which a process hands over to one of another version.
+// The JSON encoding of a state must not change, because a process may hand over its state to one of another version.
 func TestStateJSON(t *testing.T) {
 	var full State
 	golden.Fill(&full)
@@ -24,10 +24,10 @@
 	}
 	var got State
 	if err := json.Unmarshal(stored, &got); err != nil || !reflect.DeepEqual(got, full) {
-		t.Errorf("read %+v, %v; want %+v", got, err, full)
+		t.Errorf("Unmarshal() of the stored state = %+v, %v, want %+v", got, err, full)
 	}
-	var progress DrainProgress // which is read alone again and again
+	var progress DrainProgress // is also decoded alone, by a successor that polls
 	if err := json.Unmarshal(stored, &progress); err != nil || !reflect.DeepEqual(progress, full.DrainProgress) {
-		t.Errorf("read %+v, %v; want %+v", progress, err, full.DrainProgress)
+		t.Errorf("Unmarshal() of the stored progress = %+v, %v, want %+v", progress, err, full.DrainProgress)
 	}
 }
--- a/internal/core/worker_table_test.go
+++ b/internal/core/worker_table_test.go
@@ -10,12 +10,13 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// A modelTable does what a workerTable does by going over all workers at each update.
+// A modelTable is a simple model of a workerTable, which visits all workers at each update.
 type modelTable struct {
 	states map[string]foxlift.WorkerState
 	order  []string
 }
 
+// update applies an update of the endpoint list and deletes removed workers that are not busy.
 func (m *modelTable) update(kind foxlift.EndpointUpdate, workers []foxlift.Worker, busy map[string]bool) {
 	if kind != foxlift.EndpointsDelta {
 		for id := range m.states {
@@ -37,27 +38,28 @@
 	})
 }
 
-// check checks that a table holds the same workers in the same order.
+// check checks that a table has the workers of the model, in the same order and states.
 func (m *modelTable) check(t *rapid.T, table *workerTable) {
 	var order []string
 	live := 0
 	for _, w := range table.order {
 		order = append(order, w.ID)
 		if table.byID[w.ID] != w || w.State != m.states[w.ID] {
-			t.Fatalf("%s is %v, want %v", w.ID, w.State, m.states[w.ID])
+			t.Fatalf("worker %s has state %v, indexed by id: %v, want state %v and true",
+				w.ID, w.State, table.byID[w.ID] == w, m.states[w.ID])
 		}
 		if w.State == foxlift.Live {
 			live++
 		}
 	}
 	if !slices.Equal(order, m.order) || len(table.byID) != len(order) || table.liveCount != live {
-		t.Fatalf("%v, want %v; %d known, %d live, counted %d",
-			order, m.order, len(table.byID), live, table.liveCount)
+		t.Fatalf("workers are %v, want %v; byID has %d entries, want %d; liveCount = %d, want %d",
+			order, m.order, len(table.byID), len(order), table.liveCount, live)
 	}
 }
 
-// The table holds the same workers in the same order as one that looks at all of them, whatever comes:
-// complete lists, deltas, workers that are removed with jobs in flight and come back.
+// The table must have the same workers in the same order as the model, for random complete lists and deltas and for
+// workers that are removed with jobs in flight and listed again.
 func TestWorkerTableMatchesModel(t *testing.T) {
 	kinds := rapid.SampledFrom([]foxlift.EndpointUpdate{
 		foxlift.EndpointsDelta, foxlift.EndpointsComplete, foxlift.EndpointsCached,
