--- a/cmd/foxlift-sim/golden_test.go
+++ b/cmd/foxlift-sim/golden_test.go
@@ -49,5 +49,5 @@
 
 // TestSession pins the replies to a session, byte for byte.
 func TestSession(t *testing.T) {
-	golden.Check(t, "session.txt", []byte(play(t, strings.Join(session, "\n")+"\n")))
+	golden.Check(t, "session.txt", []byte(runBatches(t, strings.Join(session, "\n")+"\n")))
 }
--- a/cmd/foxlift-sim/main.go
+++ b/cmd/foxlift-sim/main.go
@@ -28,25 +28,25 @@
 
 // An instance is one running dispatcher; instances share nothing.
 type instance struct {
-	names      *wire.Names
+	names      *wire.NameTables
 	dispatcher *foxlift.Dispatcher // nil: its settings cannot run
 	events     []foxlift.Event
 }
 
 // A host runs the instances and makes the reply to a batch. It implements wire.Handler.
 type host struct {
-	running     map[string]*instance
-	pending     []*instance // those with events in this batch, in order of arrival
-	now         int64
-	reply       []byte
-	emptyLength int // of a reply without actions
+	instances    map[string]*instance
+	pending      []*instance // those with events in this batch, in order of arrival
+	now          int64
+	reply        []byte
+	prefixLength int // of a reply without actions
 }
 
 // serve answers each line of in by one of out, until in ends.
 func serve(in io.Reader, out io.Writer) error {
 	lines := lineReader{reader: bufio.NewReaderSize(in, bufferSize)}
 	w := bufio.NewWriterSize(out, bufferSize)
-	h := &host{running: map[string]*instance{}}
+	h := &host{instances: map[string]*instance{}}
 	var decoder wire.Decoder
 	for number := 1; ; number++ {
 		line, err := lines.next()
@@ -56,7 +56,7 @@
 		if err != nil && !errors.Is(err, io.EOF) {
 			return err
 		}
-		if batch, err := decoder.Decode(line, h.begin, h); err != nil {
+		if batch, err := decoder.Decode(line, h.beginReply, h); err != nil {
 			return fmt.Errorf("batch %d (line %d): %w", batch.Number, number, err)
 		}
 		h.step()
@@ -72,8 +72,8 @@
 
 // A lineReader reads lines of any length.
 type lineReader struct {
-	reader *bufio.Reader
-	long   []byte // a line that is longer than the reader's buffer
+	reader   *bufio.Reader
+	longLine []byte // a line that is longer than the reader's buffer
 }
 
 // next returns the next line, which is valid until the next call. The last one may end with io.EOF.
@@ -82,53 +82,53 @@
 	if !errors.Is(err, bufio.ErrBufferFull) {
 		return line, err
 	}
-	r.long = append(r.long[:0], line...)
+	r.longLine = append(r.longLine[:0], line...)
 	for errors.Is(err, bufio.ErrBufferFull) {
 		line, err = r.reader.ReadSlice('\n')
-		r.long = append(r.long, line...)
+		r.longLine = append(r.longLine, line...)
 	}
-	return r.long, err
+	return r.longLine, err
 }
 
 // begin starts the reply to a batch.
-func (h *host) begin(batch wire.Batch) {
+func (h *host) beginReply(batch wire.Batch) {
 	h.now = batch.Now
 	h.reply = append(h.reply[:0], `{"batch":`...)
 	h.reply = strconv.AppendInt(h.reply, batch.Number, 10)
 	h.reply = append(h.reply, `,"do":[`...)
-	h.emptyLength = len(h.reply)
+	h.prefixLength = len(h.reply)
 }
 
 // separate appends a comma before all actions but the first.
-func (h *host) separate() {
-	if len(h.reply) > h.emptyLength {
+func (h *host) appendSeparator() {
+	if len(h.reply) > h.prefixLength {
 		h.reply = append(h.reply, ',')
 	}
 }
 
 // Attach starts an instance. Settings that cannot run are reported on the wire.
 func (h *host) Attach(name string, seed uint64, settings *fastjson.Value) error {
-	cfg, names, err := wire.Settings(name, settings)
+	cfg, names, err := wire.ParseSettings(name, settings)
 	var dispatcher *foxlift.Dispatcher
 	if err == nil {
 		dispatcher, err = foxlift.New(*cfg, seed)
 	}
 	if err != nil {
 		// It is kept without a dispatcher, so that its events are ignored.
-		h.separate()
+		h.appendSeparator()
 		h.reply = wire.AppendError(h.reply, name, err.Error())
-		names, dispatcher = &wire.Names{Instance: name}, nil
+		names, dispatcher = &wire.NameTables{Instance: name}, nil
 	}
 	h.remove(name)
 	inst := &instance{names: names, dispatcher: dispatcher}
 	names.Owner = inst
-	h.running[name] = inst
+	h.instances[name] = inst
 	return nil
 }
 
 // Down ends an instance; what it had not yet answered is lost with it.
 func (h *host) Down(name string) error {
-	if h.running[name] == nil {
+	if h.instances[name] == nil {
 		return fmt.Errorf("instance %q does not run", name)
 	}
 	h.remove(name)
@@ -137,10 +137,10 @@
 
 // remove ends an instance and drops its events of this batch.
 func (h *host) remove(name string) {
-	old := h.running[name]
-	delete(h.running, name)
-	for i, t := range h.pending {
-		if t == old {
+	removed := h.instances[name]
+	delete(h.instances, name)
+	for i, candidate := range h.pending {
+		if candidate == removed {
 			h.pending = append(h.pending[:i], h.pending[i+1:]...)
 			return
 		}
@@ -148,15 +148,15 @@
 }
 
 // Names returns the tables of a running instance, or nil.
-func (h *host) Names(name []byte) *wire.Names {
-	if inst := h.running[string(name)]; inst != nil {
+func (h *host) Names(name []byte) *wire.NameTables {
+	if inst := h.instances[string(name)]; inst != nil {
 		return inst.names
 	}
 	return nil
 }
 
 // Event keeps an event for its instance until the batch has been read.
-func (h *host) Event(n *wire.Names, ev *foxlift.Event) error {
+func (h *host) Event(n *wire.NameTables, ev *foxlift.Event) error {
 	inst := n.Owner.(*instance)
 	if inst.dispatcher == nil {
 		return nil
@@ -176,8 +176,8 @@
 	for _, inst := range h.pending {
 		actions := inst.dispatcher.Step(h.now, inst.events)
 		for i := range actions {
-			h.separate()
-			h.reply = wire.Append(h.reply, inst.names.Instance, &actions[i])
+			h.appendSeparator()
+			h.reply = wire.AppendAction(h.reply, inst.names.Instance, &actions[i])
 		}
 		inst.events = inst.events[:0]
 	}
--- a/cmd/foxlift-sim/main_test.go
+++ b/cmd/foxlift-sim/main_test.go
@@ -23,7 +23,7 @@
 	return `{"simTime":9000000000,"batch":` + n + `,"news":[` + news + "]}\n"
 }
 
-func play(t *testing.T, in string) string {
+func runBatches(t *testing.T, in string) string {
 	t.Helper()
 	var out bytes.Buffer
 	if err := serve(strings.NewReader(in), &out); err != nil {
@@ -33,21 +33,21 @@
 }
 
 func TestEmptyBatch(t *testing.T) {
-	if got := play(t, batch("1", "")); got != "{\"batch\":1,\"do\":[]}\n" {
+	if got := runBatches(t, batch("1", "")); got != "{\"batch\":1,\"do\":[]}\n" {
 		t.Errorf("reply %q", got)
 	}
 }
 
-func TestSendGoesToTheKindRequested(t *testing.T) {
-	got := play(t, batch("1", attach)+batch("2",
+func TestSendUsesRequiredWorkerKind(t *testing.T) {
+	got := runBatches(t, batch("1", attach)+batch("2",
 		`["accept","scheduler_0",77,14000000000,"pay","91f03b7c55d20a64",null,1,0,"t1",0.5]`))
 	if !strings.Contains(got, `["try","scheduler_0",77,"10.0.0.2:1",0]`) {
 		t.Errorf("reply %q", got)
 	}
 }
 
-func TestErrorOfUnsafeIsFailed(t *testing.T) {
-	got := play(t, batch("1", attach)+batch("2",
+func TestFailedAtMostOnceJobIsNotRetried(t *testing.T) {
+	got := runBatches(t, batch("1", attach)+batch("2",
 		`["accept","scheduler_0",77,14000000000,"pay",null,null,1,0,"t1",0.5]`)+batch("3",
 		`["interim","scheduler_0",77,null,1,"10.0.0.2:1",0],`+
 			`["completed","scheduler_0",77,"10.0.0.2:1",18500000,false,0,301,null,[140,0.4]]`))
@@ -57,7 +57,7 @@
 }
 
 func TestDownAndAttachInOneBatch(t *testing.T) {
-	got := play(t, batch("1", attach)+batch("2",
+	got := runBatches(t, batch("1", attach)+batch("2",
 		`["accept","scheduler_0",5,14000000000,"read",null,null,1,0,"t1",0.5],["down","scheduler_0"],`+attach))
 	if strings.Contains(got, `"try"`) {
 		t.Errorf("a request outlived its scheduler: %q", got)
@@ -69,13 +69,13 @@
 
 func TestInvalidSettingsAreReported(t *testing.T) {
 	bad := strings.Replace(attach, `"effect":"idempotent"`, `"effect":"sometimes"`, 1)
-	got := play(t, batch("1", bad)+batch("2", ""))
+	got := runBatches(t, batch("1", bad)+batch("2", ""))
 	if !strings.Contains(got, `["internalError","scheduler_0","grades[0]: unknown effect`) {
 		t.Errorf("reply %q", got)
 	}
 }
 
-func TestMalformedBatchesNameTheBatch(t *testing.T) {
+func TestMalformedBatchErrors(t *testing.T) {
 	for bad, want := range map[string]string{
 		"{":                                  "not JSON",
 		"[]\n":                               "not an object",
@@ -105,7 +105,7 @@
 		b.WriteString(strings.Repeat("1", 1))
 		b.WriteString(string(rune('0'+i%10)) + `0,14000000000,"read",null,null,1,0,"t1",0.5]`)
 	}
-	got := play(t, batch("1", attach+b.String()))
+	got := runBatches(t, batch("1", attach+b.String()))
 	if n := strings.Count(got, `"try"`); n < 1 || n > 10 {
 		t.Errorf("%d sends of 10 requests, each told many times", n)
 	}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -97,14 +97,14 @@
 }
 
 // An endpoint is a path's one method and its handler.
-type endpoint struct {
+type route struct {
 	method string
 	handle http.HandlerFunc
 }
 
 // newHandler answers each request: an unknown path with 404, another method than the path's with 405.
 func newHandler(s Scheduler, metrics http.Handler) http.Handler {
-	endpoints := map[string]endpoint{
+	routes := map[string]route{
 		PathHealth: {http.MethodGet, func(w http.ResponseWriter, _ *http.Request) {
 			respondReady(w, s.Ready())
 		}},
@@ -120,15 +120,15 @@
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		markRequestReceived(r.Context())
-		found, known := endpoints[r.URL.Path]
+		matched, known := routes[r.URL.Path]
 		switch {
 		case !known:
 			respond(w, http.StatusNotFound, "no such path")
-		case r.Method != found.method:
-			w.Header().Set("Allow", found.method)
-			respond(w, http.StatusMethodNotAllowed, "ask by "+found.method)
+		case r.Method != matched.method:
+			w.Header().Set("Allow", matched.method)
+			respond(w, http.StatusMethodNotAllowed, "ask by "+matched.method)
 		default:
-			found.handle(w, r)
+			matched.handle(w, r)
 		}
 	})
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -15,22 +15,22 @@
 	"go.uber.org/zap"
 )
 
-const patience = 20 * time.Second
+const connTimeout = 20 * time.Second
 
 // state is a scheduler that only notes what it is told.
-type state struct {
+type fakeScheduler struct {
 	ready    atomic.Bool
 	quiesces atomic.Int32
 	resumes  atomic.Int32
 }
 
-func (s *state) Ready() bool { return s.ready.Load() }
-func (s *state) Quiesce()    { s.quiesces.Add(1) }
-func (s *state) Resume()     { s.resumes.Add(1) }
+func (s *fakeScheduler) Ready() bool { return s.ready.Load() }
+func (s *fakeScheduler) Quiesce()    { s.quiesces.Add(1) }
+func (s *fakeScheduler) Resume()     { s.resumes.Add(1) }
 
-func start(t *testing.T, connections int) (*state, string) {
+func start(t *testing.T, connections int) (*fakeScheduler, string) {
 	t.Helper()
-	s := &state{}
+	s := &fakeScheduler{}
 	metrics := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(w, "scheduler_active 0\n")
 	})
@@ -51,14 +51,14 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(connTimeout))
 	// The server may answer and close before all is written.
 	fmt.Fprint(conn, text)
 	return conn
 }
 
 // call writes a text on a connection of its own and returns the answer's status; 0 if there is none.
-func call(t *testing.T, address, text string) (status int, closed bool) {
+func sendRequest(t *testing.T, address, text string) (status int, closed bool) {
 	t.Helper()
 	conn := dial(t, address, text)
 	defer conn.Close()
@@ -75,28 +75,28 @@
 	return response.StatusCode, errors.Is(err, io.EOF)
 }
 
-func get(method, path string) string {
+func requestText(method, path string) string {
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: scheduler\r\n\r\n", method, path)
 }
 
-func TestCalls(t *testing.T) {
+func TestResponseStatuses(t *testing.T) {
 	s, address := start(t, 8)
 	for _, c := range []struct {
 		text   string
 		ready  bool
 		status int
 	}{
-		{get("GET", PathHealth), false, 503},
-		{get("GET", PathHealth), true, 200},
-		{get("GET", PathStats), true, 200},
-		{get("PUT", PathQuiesce), true, 200},
-		{get("PUT", PathQuiesce), true, 200},
-		{get("PUT", PathResume), true, 200},
-		{get("PUT", PathHealth), true, 405},
-		{get("GET", PathQuiesce), true, 405},
-		{get("DELETE", PathResume), true, 405},
-		{get("GET", "/admin"), true, 404},
-		{get("GET", "/_health"), true, 404},
+		{requestText("GET", PathHealth), false, 503},
+		{requestText("GET", PathHealth), true, 200},
+		{requestText("GET", PathStats), true, 200},
+		{requestText("PUT", PathQuiesce), true, 200},
+		{requestText("PUT", PathQuiesce), true, 200},
+		{requestText("PUT", PathResume), true, 200},
+		{requestText("PUT", PathHealth), true, 405},
+		{requestText("GET", PathQuiesce), true, 405},
+		{requestText("DELETE", PathResume), true, 405},
+		{requestText("GET", "/admin"), true, 404},
+		{requestText("GET", "/_health"), true, 404},
 		{"hello\r\n\r\n", true, 400},
 		{"GET " + PathHealth + " HTTP/1.1\r\nno colon\r\n\r\n", true, 400},
 		{
@@ -105,7 +105,7 @@
 		},
 	} {
 		s.ready.Store(c.ready)
-		status, closed := call(t, address, c.text)
+		status, closed := sendRequest(t, address, c.text)
 		if status != c.status || !closed {
 			t.Errorf("%.40q: status %d, closed %v; want %d and closed", c.text, status, closed, c.status)
 		}
@@ -116,24 +116,24 @@
 }
 
 // Connections with half a request are closed for complete ones, the oldest first.
-func TestIncompleteCallsAreEvicted(t *testing.T) {
+func TestOldestIncompleteRequestIsClosed(t *testing.T) {
 	const connections = 4
 	_, address := start(t, connections)
-	var held []net.Conn
+	var incomplete []net.Conn
 	for range 5 * connections {
-		held = append(held, dial(t, address, "GET /admin/st"))
-		if status, _ := call(t, address, get("GET", PathStats)); status != 200 {
-			t.Fatalf("status %d beside %d half requests", status, len(held))
+		incomplete = append(incomplete, dial(t, address, "GET /admin/st"))
+		if status, _ := sendRequest(t, address, requestText("GET", PathStats)); status != 200 {
+			t.Fatalf("status %d beside %d half requests", status, len(incomplete))
 		}
 	}
-	if _, err := held[0].Read(make([]byte, 1)); err == nil {
+	if _, err := incomplete[0].Read(make([]byte, 1)); err == nil {
 		t.Error("the oldest half request was answered")
 	}
 }
 
 func TestAddressInUse(t *testing.T) {
 	_, address := start(t, 8)
-	_, err := Listen(t.Context(), address, 8, &state{}, http.NotFoundHandler(), zap.NewNop())
+	_, err := Listen(t.Context(), address, 8, &fakeScheduler{}, http.NotFoundHandler(), zap.NewNop())
 	if err == nil || !strings.Contains(err.Error(), "LB_ADMIN") {
 		t.Errorf("error %v, want one that names the key", err)
 	}
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -10,23 +10,23 @@
 	"github.com/vatu-meals/foxlift/internal/golden"
 )
 
-// TestAnswerBytes pins the answers to operators' calls.
-func TestAnswerBytes(t *testing.T) {
+// TestResponseBytes pins the answers to operators' calls.
+func TestResponseBytes(t *testing.T) {
 	date := regexp.MustCompile(`Date: [^\r]*`)
 	s, address := start(t, 8)
-	var said strings.Builder
+	var recorded strings.Builder
 	for _, c := range []struct {
 		text  string
 		ready bool
 	}{
-		{get("GET", PathHealth), true},
-		{get("GET", PathHealth), false},
-		{get("GET", PathStats), true},
-		{get("PUT", PathQuiesce), true},
-		{get("PUT", PathResume), true},
-		{get("PUT", PathHealth), true},
-		{get("GET", PathQuiesce), true},
-		{get("GET", "/admin"), true},
+		{requestText("GET", PathHealth), true},
+		{requestText("GET", PathHealth), false},
+		{requestText("GET", PathStats), true},
+		{requestText("PUT", PathQuiesce), true},
+		{requestText("PUT", PathResume), true},
+		{requestText("PUT", PathHealth), true},
+		{requestText("GET", PathQuiesce), true},
+		{requestText("GET", "/admin"), true},
 		{"hello\r\n\r\n", true},
 	} {
 		s.ready.Store(c.ready)
@@ -36,12 +36,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&said, "# %q, ready: %v\n", c.text, c.ready)
+		fmt.Fprintf(&recorded, "# %q, ready: %v\n", c.text, c.ready)
 		for line := range strings.SplitAfterSeq(date.ReplaceAllString(string(answer), "Date: <date>"), "\n") {
 			if line != "" {
-				fmt.Fprintf(&said, "%q\n", line)
+				fmt.Fprintf(&recorded, "%q\n", line)
 			}
 		}
 	}
-	golden.Check(t, "answers.txt", []byte(said.String()))
+	golden.Check(t, "answers.txt", []byte(recorded.String()))
 }
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -19,11 +19,11 @@
 	net.Listener
 	maxOpen int
 
-	mu      sync.Mutex
-	freed   *sync.Cond // a connection has been closed, or the listener has
-	open    int
-	pending *list.List // of *boundedConn without a complete request, the oldest first
-	closed  bool
+	mu            sync.Mutex
+	capacityFreed *sync.Cond // a connection has been closed, or the listener has
+	open          int
+	pending       *list.List // of *boundedConn without a complete request, the oldest first
+	closed        bool
 }
 
 // A boundedConn is a connection of a boundedListener.
@@ -37,7 +37,7 @@
 
 func newBoundedListener(l net.Listener, maxOpen int) *boundedListener {
 	b := &boundedListener{Listener: l, maxOpen: maxOpen, pending: list.New()}
-	b.freed = sync.NewCond(&b.mu)
+	b.capacityFreed = sync.NewCond(&b.mu)
 	return b
 }
 
@@ -62,7 +62,7 @@
 func (l *boundedListener) Close() error {
 	l.mu.Lock()
 	l.closed = true
-	l.freed.Broadcast()
+	l.capacityFreed.Broadcast()
 	l.mu.Unlock()
 	return l.Listener.Close()
 }
@@ -86,14 +86,14 @@
 func (l *boundedListener) freeCapacityLocked() {
 	oldest := l.pending.Front()
 	if oldest == nil {
-		l.freed.Wait()
+		l.capacityFreed.Wait()
 		return
 	}
 	c := oldest.Value.(*boundedConn)
 	if age := time.Since(c.acceptedAt); age < minPendingAge {
-		wake := time.AfterFunc(minPendingAge-age, l.freed.Broadcast)
-		l.freed.Wait()
-		wake.Stop()
+		wakeUp := time.AfterFunc(minPendingAge-age, l.capacityFreed.Broadcast)
+		l.capacityFreed.Wait()
+		wakeUp.Stop()
 		return
 	}
 	_ = c.closeLocked() // the connection is given up
@@ -111,14 +111,14 @@
 		return net.ErrClosed
 	}
 	c.closed = true
-	c.unlistLocked()
+	c.removePendingLocked()
 	c.listener.open--
-	c.listener.freed.Broadcast()
+	c.listener.capacityFreed.Broadcast()
 	return c.Conn.Close()
 }
 
 // unlistLocked takes the connection out of those that may be closed for another.
-func (c *boundedConn) unlistLocked() {
+func (c *boundedConn) removePendingLocked() {
 	if c.element != nil {
 		c.listener.pending.Remove(c.element)
 		c.element = nil
@@ -137,6 +137,6 @@
 	if c, ok := ctx.Value(connKey{}).(*boundedConn); ok {
 		c.listener.mu.Lock()
 		defer c.listener.mu.Unlock()
-		c.unlistLocked()
+		c.removePendingLocked()
 	}
 }
--- a/internal/lab/mutants.go
+++ b/internal/lab/mutants.go
@@ -197,7 +197,7 @@
 	{
 		Name:    "done for another id",
 		File:    "internal/platform/state_lines.go",
-		Old:     "n.ID != a.job.ID || final != nil",
+		Old:     "state.ID != a.job.ID || final != nil",
 		New:     "final != nil",
 		Package: "./internal/platform",
 		Run:     platformFuzz,
@@ -205,8 +205,8 @@
 	{
 		Name:    "two words after the last",
 		File:    "internal/platform/state_lines.go",
-		Old:     "n.ID != a.job.ID || final != nil",
-		New:     "n.ID != a.job.ID",
+		Old:     "state.ID != a.job.ID || final != nil",
+		New:     "state.ID != a.job.ID",
 		Package: "./internal/platform",
 		Run:     platformFuzz,
 	},
@@ -221,8 +221,8 @@
 	{
 		Name:    "a pipelined request is dropped",
 		File:    "internal/platform/message.go",
-		Old:     "n := m.read - m.Buffered()\n\tm.b.r, m.read",
-		New:     "n := m.read\n\tm.b.r, m.read",
+		Old:     "n := m.read - m.Buffered()\n\tm.buf.r, m.read",
+		New:     "n := m.read\n\tm.buf.r, m.read",
 		Package: "./internal/platform",
 		Run:     platformFuzz,
 	},
--- a/internal/lab/soak/mutants.go
+++ b/internal/lab/soak/mutants.go
@@ -39,8 +39,8 @@
 		Mutant: lab.Mutant{
 			Name: "some answers are never written",
 			File: "internal/platform/client_reply.go",
-			Old:  "\t_, err := c.conn.Write(b)\n",
-			New:  "\tif len(b)%7 == 0 {\n\t\treturn false\n\t}\n\t_, err := c.conn.Write(b)\n",
+			Old:  "\t_, err := c.conn.Write(response)\n",
+			New:  "\tif len(response)%7 == 0 {\n\t\treturn false\n\t}\n\t_, err := c.conn.Write(response)\n",
 		},
 	},
 	{
@@ -48,8 +48,8 @@
 		Mutant: lab.Mutant{
 			Name: "the end waits for no job",
 			File: "internal/platform/shutdown.go",
-			Old:  "\tp.clients.shutDown(acceptAfterShutdown, stay)\n\tp.core.Stop()",
-			New: "\tgo p.clients.shutDown(acceptAfterShutdown, stay)\n" +
+			Old:  "\tp.clients.shutDown(acceptAfterShutdown, closeIdleAfter)\n\tp.core.Stop()",
+			New: "\tgo p.clients.shutDown(acceptAfterShutdown, closeIdleAfter)\n" +
 				"\ttime.Sleep(acceptAfterShutdown / 4)\n" +
 				"\tp.core.Stop()",
 		},
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -172,7 +172,7 @@
 // receiveAnswer reads the worker's answer. It returns the final report of the attempt, and whether the connection
 // can be used for another request.
 func (a *attempt) receiveAnswer(conn *workerConn) (report core.Report, reusable bool) {
-	msg := conn.buf.newMessage(maxResponse)
+	msg := conn.buf.newMessage(maxResponseBytes)
 	defer msg.close()
 	resp, err := msg.readResponse()
 	if err != nil {
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -39,12 +39,12 @@
 		status   int
 		requests int64
 	}{
-		"ratify, connection closed":  {"ratify", closeUnanswered, 502, 1},
+		"ratify, connection closed":  {"ratify", closeWithoutAnswer, 502, 1},
 		"ratify, job lost":           {"ratify", loseJob, 502, 1},
 		"ratify, answer truncated":   {"ratify", truncateAnswer, 502, 1},
 		"ratify, job rejected":       {"ratify", reject, 503, 3},
 		"ratify, job returned":       {"ratify", returnJob, 503, 3},
-		"reading, connection closed": {"reading", closeUnanswered, 503, 3},
+		"reading, connection closed": {"reading", closeWithoutAnswer, 503, 3},
 		"reading, answer truncated":  {"reading", truncateAnswer, 503, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -68,7 +68,7 @@
 // Guards against a retry by the pool itself, which is the decision module's choice. After a worker has closed a
 // connection without an answer, the job goes to the worker that the module chooses.
 func TestPoolDoesNotRetry(t *testing.T) {
-	failing, healthy := newTestWorker(t, closeUnanswered), newTestWorker(t, serveJob)
+	failing, healthy := newTestWorker(t, closeWithoutAnswer), newTestWorker(t, serveJob)
 	p, set := start(t, "", failing, healthy)
 	client := connect(t, p)
 	for i := range 6 {
@@ -89,13 +89,13 @@
 		return endpoint{address: worker.Addr().String()}, lookups == 1 // the list changes after the first lookup
 	}
 	pool := &workerPool{
-		findLive: findLive, counters: &counters.Set{}, dialTimeout: patience, idleTimeout: time.Hour, budget: 9,
+		findLive: findLive, counters: &counters.Set{}, dialTimeout: waitTimeout, idleTimeout: time.Hour, budget: 9,
 		idle: map[string][]*workerConn{},
 	}
 	job := &core.Job{ID: "j", Payload: &payload{method: "POST", target: "/reading"}}
 	reports := make(chan core.Report, 9)
 	for range 2 { // the list changes during the dial, then before it
-		pool.Send("n", job, core.AttemptLimits{Remaining: patience}, func(r core.Report) { reports <- r })
+		pool.Send("n", job, core.AttemptLimits{Remaining: waitTimeout}, func(r core.Report) { reports <- r })
 		check(t, "reported code", (<-reports).Code, foxlift.NotSent)
 	}
 	await(t, "one connection at the worker", func() bool { return worker.ConnCount.Load() == 1 }) // of the first attempt
@@ -163,7 +163,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &workerConn{Conn: conn, buf: buffer{conn: conn}}
+	c := &workerConn{Conn: conn, buf: readBuffer{conn: conn}}
 	for name, tc := range map[string]struct {
 		class string
 		since time.Time
@@ -214,7 +214,7 @@
 				return endpoint{address: worker.Addr().String()}, true
 			}
 			pool := &workerPool{
-				findLive: findLive, counters: &counters.Set{}, dialTimeout: patience, idleTimeout: time.Hour, budget: 9,
+				findLive: findLive, counters: &counters.Set{}, dialTimeout: waitTimeout, idleTimeout: time.Hour, budget: 9,
 				idle: map[string][]*workerConn{},
 			}
 			job := &core.Job{
@@ -222,7 +222,7 @@
 				Client: &pendingAnswer{conn: &clientConn{conn: near}},
 			}
 			reports := make(chan core.Report, 9)
-			pool.Send("n", job, core.AttemptLimits{Remaining: patience}, func(r core.Report) { reports <- r })
+			pool.Send("n", job, core.AttemptLimits{Remaining: waitTimeout}, func(r core.Report) { reports <- r })
 			check(t, event+": code", (<-reports).Code, foxlift.NotSent)
 			check(t, event+": lookups of the worker", lookups, lookup)
 			check(t, event+": complete requests at the worker", worker.RequestCount.Load(), int64(0))
--- a/internal/platform/buffer.go
+++ b/internal/platform/buffer.go
@@ -10,38 +10,38 @@
 
 // A buffer is the one read buffer of a connection. It grows as a message needs, and what is left is moved to
 // its front when the space behind it runs out.
-type buffer struct {
+type readBuffer struct {
 	conn net.Conn
 	data []byte
 	r, w int // data[r:w] is read from the connection and not yet consumed
 }
 
 const (
-	initialBufferSize = 2 << 10
-	maxRetainedSize   = 16 << 10 // a larger buffer is given back once it is empty
+	initialBufferSize     = 2 << 10
+	maxRetainedBufferSize = 16 << 10 // a larger buffer is given back once it is empty
 )
 
-func (b *buffer) buffered() int { return b.w - b.r }
+func (b *readBuffer) buffered() int { return b.w - b.r }
 
 // discard forgets what is buffered.
-func (b *buffer) discard() { b.r, b.w = 0, 0 }
+func (b *readBuffer) discard() { b.r, b.w = 0, 0 }
 
 // reserve makes space behind what is buffered.
-func (b *buffer) reserve() {
+func (b *readBuffer) reserve() {
 	if b.r > 0 {
 		b.w = copy(b.data, b.data[b.r:b.w])
 		b.r = 0
 	}
 	if b.w == len(b.data) {
-		grown := make([]byte, max(initialBufferSize, 2*len(b.data)))
-		copy(grown, b.data[:b.w])
-		b.data = grown
+		larger := make([]byte, max(initialBufferSize, 2*len(b.data)))
+		copy(larger, b.data[:b.w])
+		b.data = larger
 	}
 }
 
 // fill reads from the connection once. A deadline that has passed does not hide what had arrived: the process
 // may only have had no time to read it.
-func (b *buffer) fill() error {
+func (b *readBuffer) fill() error {
 	if b.w == len(b.data) {
 		b.reserve()
 	}
@@ -62,7 +62,7 @@
 
 // fillAvailable reads what has already arrived, without waiting. It returns false if the other side has ended
 // the connection.
-func (b *buffer) fillAvailable() bool {
+func (b *readBuffer) fillAvailable() bool {
 	sc, ok := b.conn.(syscall.Conn)
 	if !ok {
 		return true
@@ -74,7 +74,7 @@
 	if b.w == len(b.data) {
 		b.reserve()
 	}
-	alive := true
+	open := true
 	err = raw.Control(func(fd uintptr) {
 		n, err := syscall.Read(int(fd), b.data[b.w:])
 		switch {
@@ -82,8 +82,8 @@
 			b.w += n
 		case isRetryable(err):
 		default:
-			alive = false
+			open = false
 		}
 	})
-	return alive && err == nil
+	return open && err == nil
 }
--- a/internal/platform/client_capacity.go
+++ b/internal/platform/client_capacity.go
@@ -13,17 +13,17 @@
 	defer s.mu.Unlock()
 	s.budget = budget
 	s.freeCapacityLocked(len(s.conns) - budget)
-	s.connEnded.Broadcast()
+	s.capacityChanged.Broadcast()
 }
 
 // maxOpenJobs is how many jobs may be open under a budget. Each holds a connection, and some connections must be
 // left on which further requests are read and shed: what the kernel has accepted and nobody reads is lost.
-func maxOpenJobs(budget int) int { return budget - max(1, budget/spareJobsDivisor) }
+func maxOpenJobs(budget int) int { return budget - max(1, budget/spareConnsDivisor) }
 
 // awaitCapacity waits until the budget allows another connection. Shortly before that is needed, the longest idle
 // ones begin to be closed. During shutdown it does not wait, and what the kernel has accepted by then is all
 // that is left to accept: last is true.
-func (s *clientServer) awaitCapacity() (last bool) {
+func (s *clientServer) awaitCapacity() (stopping bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for !s.stopAccepting.Load() {
@@ -31,18 +31,18 @@
 		if len(s.conns) < s.budget {
 			break
 		}
-		recheck := time.AfterFunc(firstByteGrace, s.connEnded.Broadcast) // some are no longer new by then
-		s.connEnded.Wait()
+		recheck := time.AfterFunc(firstByteGrace, s.capacityChanged.Broadcast) // some are no longer new by then
+		s.capacityChanged.Wait()
 		recheck.Stop()
 	}
-	if last = s.stopAccepting.Load(); last {
+	if stopping = s.stopAccepting.Load(); stopping {
 		_ = s.listener.SetDeadline(time.Now().Add(backlogTimeout)) // fails on a closed one, as Accept does
 	}
-	return last
+	return stopping
 }
 
 // freeOne closes an idle connection, and maybe some more.
-func (s *clientServer) freeOne() {
+func (s *clientServer) freeOneConn() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.freeCapacityLocked(1)
@@ -54,37 +54,37 @@
 // behind a flood would else wait for one batch of closes after the other, while its job's time runs out
 // unread. Last come the longest idle of those that brought more, a batch at a time, so that a flood does not
 // cost other clients their connections.
-func (s *clientServer) freeCapacityLocked(n int) {
-	if n <= 0 {
+func (s *clientServer) freeCapacityLocked(target int) {
+	if target <= 0 {
 		return
 	}
-	n += s.budget
+	target += s.budget
 	retire := func(c *clientConn, eligible bool) {
-		if eligible && n > 0 {
-			n--
+		if eligible && target > 0 {
+			target--
 			s.retireLocked(c)
 		}
 	}
 	for c := range s.idleConns() {
-		retire(c, c.jobs == 0 && time.Since(c.openedAt) > firstByteGrace)
+		retire(c, c.requests == 0 && time.Since(c.openedAt) > firstByteGrace)
 	}
 	for c := range s.conns {
-		if c.jobs == 0 && !c.awaiting && time.Since(c.openedAt) > firstRequestGrace {
+		if c.requests == 0 && !c.idle && time.Since(c.openedAt) > firstRequestGrace {
 			retire(c, true)
 			c.conn.SetReadDeadline(pastDeadline)
 		}
 	}
 	for c := range s.idleConns() {
-		retire(c, c.jobs == 1)
+		retire(c, c.requests == 1)
 	}
 	for c := range s.conns {
-		if c.jobs == 0 && !c.retire.Load() {
-			n-- // it brings a request or ends before long
+		if c.requests == 0 && !c.retired.Load() {
+			target-- // it brings a request or ends before long
 		}
 	}
-	n -= s.budget - s.budget/freeBatchDivisor
+	target -= s.budget - s.budget/closeBatchDivisor
 	for c := range s.idleConns() {
-		retire(c, c.jobs > 1)
+		retire(c, c.requests > 1)
 	}
 }
 
@@ -103,14 +103,14 @@
 // cell may keep it. Until its first job is read nobody can know which cell a connection is of; from then on no
 // cell's clients hold more than their part of the descriptors.
 func (s *clientServer) assignCell(c *clientConn, job *core.Job) bool {
-	cell, most := s.core.Cell(job.Tenant, job.Key)
+	cell, maxConns := s.core.Cell(job.Tenant, job.Key)
 	if cell == "" {
 		return true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.setCellLocked(c, cell)
-	if s.connsByCell[cell] > most {
+	if s.connsByCell[cell] > maxConns {
 		s.counters.Add("accept.cell_full")
 		return false
 	}
@@ -134,7 +134,7 @@
 // retireLocked closes a connection as soon as it is idle. Only an idle one is woken: a deadline in the past would
 // break off the reading of a request.
 func (s *clientServer) retireLocked(c *clientConn) {
-	if !c.retire.Swap(true) && c.awaiting {
+	if !c.retired.Swap(true) && c.idle {
 		c.conn.SetReadDeadline(pastDeadline)
 	}
 }
--- a/internal/platform/client_conn.go
+++ b/internal/platform/client_conn.go
@@ -17,11 +17,11 @@
 const (
 	// For a request, from its first byte to its last; for the first on a connection from the accept. A
 	// client that sends nothing or half a request gets its answer within 3 s.
-	requestTimeout = 2 * time.Second
-	answerTimeout  = 10 * time.Second       // to write an answer
-	lingerTimeout  = 250 * time.Millisecond // for the other side to read an answer before the close,
-	lingerBytes    = 1 << 20                // while it goes on sending at most this
-	floodBackoff   = time.Millisecond       // between two reads of what a client sends past a head's length
+	requestTimeout     = 2 * time.Second
+	answerWriteTimeout = 10 * time.Second       // to write an answer
+	lingerTimeout      = 250 * time.Millisecond // for the other side to read an answer before the close,
+	maxLingerBytes     = 1 << 20                // while it goes on sending at most this
+	floodBackoff       = time.Millisecond       // between two reads of what a client sends past a head's length
 )
 
 // pastDeadline, as a read deadline, wakes a connection's goroutine from Read.
@@ -31,19 +31,19 @@
 // core, and while the job runs goes on reading, to notice that the client disconnects. Others wake it by a
 // read deadline in the past.
 type clientConn struct {
-	server     *clientServer
-	conn       net.Conn
-	buf        buffer
-	openedAt   time.Time
-	retire     atomic.Bool // to end as soon as it is idle
-	answeredAt time.Time   // when the last answer was written
-	owesAnswer bool        // a job was taken from it, and its answer has not been written
+	server        *clientServer
+	conn          net.Conn
+	buf           readBuffer
+	openedAt      time.Time
+	retired       atomic.Bool // to end as soon as it is idle
+	answeredAt    time.Time   // when the last answer was written
+	answerPending bool        // a job was taken from it, and its answer has not been written
 
 	// Guarded by server.mu.
-	awaiting    bool          // the next request has not begun
+	idle        bool          // the next request has not begun
 	idleElement *list.Element // in server.idle, while awaiting
 	cell        string        // of its last job, where there are cells
-	jobs        int           // requests that were taken, jobs and calls for the health
+	requests    int           // requests that were taken, jobs and calls for the health
 }
 
 // A pendingAnswer is a client's wait for the answer to one job. It implements core.Client.
@@ -79,7 +79,9 @@
 // the last answer for a while nothing can be lost, and other clients may need the descriptor.
 func (c *clientConn) close() {
 	defer c.conn.Close()
-	if rule := (guard.Close{AnswerPending: c.owesAnswer, Disconnected: peerClosed(c.conn)}).Check(); rule != guard.None {
+	if rule := (guard.Close{
+		AnswerPending: c.answerPending, Disconnected: peerClosed(c.conn),
+	}).Check(); rule != guard.None {
 		c.server.counters.Add(rule.Counter())
 	}
 	if time.Since(c.answeredAt) >= c.server.lateRequestGrace && !hasUnsentBytes(c.conn) {
@@ -87,29 +89,29 @@
 	}
 	if closer, ok := c.conn.(interface{ CloseWrite() error }); ok && closer.CloseWrite() == nil {
 		c.conn.SetReadDeadline(time.Now().Add(lingerTimeout))
-		_, _ = io.CopyN(io.Discard, c.conn, lingerBytes) // the connection ends either way
+		_, _ = io.CopyN(io.Discard, c.conn, maxLingerBytes) // the connection ends either way
 	}
 }
 
 // awaitRequest waits for a request's first byte.
 func (c *clientConn) awaitRequest() bool {
-	proven := c.server.markIdle(c)
+	hadRequest := c.server.markIdle(c)
 	defer c.server.markBusy(c)
 	for {
-		drained := c.server.activeDrain()
-		limit := c.idleDeadline(drained, proven)
+		currentDrain := c.server.activeDrain()
+		deadline := c.idleDeadline(currentDrain, hadRequest)
 		// In this order: a wake-up between the two ends the wait below.
-		c.conn.SetReadDeadline(limit)
-		if c.server.activeDrain() != drained {
+		c.conn.SetReadDeadline(deadline)
+		if c.server.activeDrain() != currentDrain {
 			continue
 		}
 		if c.buf.buffered() > 0 {
 			return true
 		}
-		if c.retire.Load() && !proven && !c.server.closeIdle.Load() {
+		if c.retired.Load() && !hadRequest && !c.server.closeIdle.Load() {
 			return c.buf.fillAvailable() && c.buf.buffered() > 0 // nothing of it is taken yet
 		}
-		if c.retire.Load() {
+		if c.retired.Load() {
 			// A request may be on its way that was sent before the client could know of the end: it must
 			// not be lost unread.
 			c.conn.SetReadDeadline(time.Now().Add(c.server.lateRequestGrace))
@@ -118,8 +120,8 @@
 		if err := c.buf.fill(); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			return false
 		}
-		if c.buf.buffered() == 0 && !limit.IsZero() && !time.Now().Before(limit) {
-			if drained == nil {
+		if c.buf.buffered() == 0 && !deadline.IsZero() && !time.Now().Before(deadline) {
+			if currentDrain == nil {
 				c.server.counters.Add("bad.silent")
 			}
 			return false
@@ -129,11 +131,11 @@
 
 // idleDeadline is when the connection ends if no request has begun; zero for no such time. Only a drain ends
 // one that has brought a request before.
-func (c *clientConn) idleDeadline(d *drain, proven bool) time.Time {
+func (c *clientConn) idleDeadline(activeDrain *drain, hadRequest bool) time.Time {
 	switch {
-	case d != nil:
-		return d.idleDeadline(c.openedAt)
-	case !proven:
+	case activeDrain != nil:
+		return activeDrain.idleDeadline(c.openedAt)
+	case !hadRequest:
 		return c.openedAt.Add(requestTimeout)
 	}
 	return time.Time{}
@@ -153,7 +155,7 @@
 	switch {
 	case req.URL.Path == pathHealth:
 		c.server.recordRequest(c)
-		return c.writeReply(c.health(req.Method), req.Close)
+		return c.writeReply(c.healthReply(req.Method), req.Close)
 	case req.Method != http.MethodPost:
 		input = newInputError(http.StatusMethodNotAllowed, "method", "jobs come by POST")
 		return c.writeReply(c.rejectInput(input), req.Close)
@@ -164,36 +166,36 @@
 	}
 	c.server.recordRequest(c)
 	overCellLimit := !c.server.assignCell(c, job)
-	c.owesAnswer = true
-	answer, mustClose := c.run(job)
+	c.answerPending = true
+	answer, mustClose := c.runJob(job)
 	return c.writeReply(c.formatAnswer(answer), req.Close || mustClose || overCellLimit)
 }
 
 // run hands a job to the core and waits for its answer. mustClose says that the connection must end with it:
 // the client has disconnected, or sends what cannot be taken.
-func (c *clientConn) run(job *core.Job) (answer core.Answer, mustClose bool) {
+func (c *clientConn) runJob(job *core.Job) (answer core.Answer, mustClose bool) {
 	disconnected, flooded := false, false
-	w := &pendingAnswer{c, make(chan core.Answer, 1)}
-	job.Client, job.ArrivedAt = w, c.server.clock.Now()
+	pending := &pendingAnswer{c, make(chan core.Answer, 1)}
+	job.Client, job.ArrivedAt = pending, c.server.clock.Now()
 	c.server.core.Accept(job)
 	for {
 		// In this order: an answer between the two ends the read below.
 		c.conn.SetReadDeadline(time.Time{})
 		select {
-		case answer = <-w.answer:
+		case answer = <-pending.answer:
 			return answer, disconnected || flooded
 		default:
 		}
 		if disconnected {
-			return <-w.answer, true
+			return <-pending.answer, true
 		}
-		if c.buf.buffered() >= maxHead {
+		if c.buf.buffered() >= maxHeadBytes {
 			// More than another request's head while one is in flight is a flood, none of which is taken.
 			// It is read on, slowly, since only behind it the client's disconnect can be seen.
 			flooded = true
 			c.buf.discard()
 			select {
-			case answer = <-w.answer:
+			case answer = <-pending.answer:
 				return answer, true
 			case <-time.After(floodBackoff):
 			}
--- a/internal/platform/client_conn_test.go
+++ b/internal/platform/client_conn_test.go
@@ -11,29 +11,29 @@
 )
 
 // A job reaches the worker unchanged, is answered with the worker's result, and both connections serve the next.
-func TestJobIsServed(t *testing.T) {
+func TestJobServed(t *testing.T) {
 	var seen [2]string
 	worker := newTestWorker(t, func(c net.Conn, r *http.Request, id string) bool {
 		body, _ := io.ReadAll(r.Body)
-		left, err := parseRemaining(r.Header.Get(headerRemaining))
+		remaining, err := parseRemaining(r.Header.Get(headerRemaining))
 		seen[r.ContentLength%2] = fmt.Sprintf("%s %s %s %s %s %v", r.Method, r.RequestURI, id, body,
-			r.Header.Get(headerClass), err == nil && left > 0 && left <= 5*time.Second)
+			r.Header.Get(headerClass), err == nil && remaining > 0 && remaining <= 5*time.Second)
 		return serveJob(c, r, id)
 	})
 	p, set := start(t, "", worker)
-	s := connect(t, p)
+	client := connect(t, p)
 	for i, text := range []string{
 		jobText("reading", "j0", "5000m", "ab"),
 		jobText("reading", "j1", "5000000u", "", "-Content-Length", "Transfer-Encoding: chunked", "Expect: 100-continue") +
 			"3\r\nabc\r\n0\r\n\r\n",
 	} {
-		s.send(t, text)
+		client.send(t, text)
 		if i == 1 {
-			if r, _, err := readAnswer(s.br); err != nil || r.StatusCode != http.StatusContinue {
+			if r, _, err := readAnswer(client.br); err != nil || r.StatusCode != http.StatusContinue {
 				t.Fatal("no word to go on")
 			}
 		}
-		r, body := s.answer(t)
+		r, body := client.answer(t)
 		check(t, "status", r.StatusCode, http.StatusOK)
 		check(t, "result", body, fmt.Sprintf("for j%d", i))
 	}
@@ -51,14 +51,14 @@
 	const r, m = "reading", "5000m"
 	chunked := jobText(r, "j", m, "", "-Content-Length", "Transfer-Encoding: chunked")
 	for name, c := range map[string]struct {
-		text    string
-		status  int
-		counter string
-		goesOn  bool
+		text      string
+		status    int
+		counter   string
+		keepsOpen bool
 	}{
 		"no HTTP":         {"hello\r\n\r\n", 400, "bad.head", false},
 		"bad header":      {jobText(r, "j", m, "", "no colon"), 400, "bad.head", false},
-		"long head":       {jobText(r, "j", m, "", "X-Long: "+strings.Repeat("x", maxHead)), 431, "bad.head", false},
+		"long head":       {jobText(r, "j", m, "", "X-Long: "+strings.Repeat("x", maxHeadBytes)), 431, "bad.head", false},
 		"bad length":      {jobText(r, "j", m, "", "-Content-Length", "Content-Length: 1x"), 400, "bad.head", false},
 		"two lengths":     {jobText(r, "j", m, "a", "Content-Length: 2"), 400, "bad.head", false},
 		"length, chunked": {jobText(r, "j", m, "0\r\n\r\n", "Transfer-Encoding: chunked"), 400, "bad.framing", false},
@@ -75,7 +75,7 @@
 		"target unread":    {"POST reading HTTP/1.1\r\nHost: x\r\n\r\n", 400, "bad.head", false},
 		"bare CR":          {jobText(r, "j", m, "", "X-A: b\rc"), 400, "bad.head", false},
 		"bad chunk":        {chunked + "x\r\n", 400, "bad.length", false},
-		"long body":        {jobText(r, "j", m, strings.Repeat("b", maxBody+1)), 413, "bad.body", false},
+		"long body":        {jobText(r, "j", m, strings.Repeat("b", maxBodyBytes+1)), 413, "bad.body", false},
 		"long chunks":      {chunked + "10001\r\n" + strings.Repeat("b", 65537) + "\r\n0\r\n\r\n", 413, "bad.body", false},
 		"no id":            {jobText(r, "j", m, "", "-"+headerID), 400, "bad.id", true},
 		"two ids":          {jobText(r, "j", m, "", headerID+": k"), 400, "bad.id", true},
@@ -93,11 +93,11 @@
 		s, before := connect(t, p), set.Get(c.counter)
 		resp, _ := s.request(t, c.text)
 		check(t, name+": status", resp.StatusCode, c.status)
-		check(t, name+": ends", resp.Close, !c.goesOn)
+		check(t, name+": ends", resp.Close, !c.keepsOpen)
 		if c.counter != "" {
 			check(t, name+": counted", set.Get(c.counter), before+1)
 		}
-		if c.goesOn {
+		if c.keepsOpen {
 			resp, _ = s.request(t, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
 			check(t, name+": next", resp.StatusCode, 200)
 		}
@@ -137,7 +137,7 @@
 	s.Close()
 	select {
 	case <-closed:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("the claim goes on")
 	}
 	await(t, "counted", func() bool { return set.Get("jobs.left") == 1 && set.Get("claims.cancelled") == 1 })
@@ -146,16 +146,16 @@
 // Retry-After is in seconds, as a decimal.
 func TestRetryAfterFormat(t *testing.T) {
 	for d, want := range map[time.Duration]string{1500 * time.Millisecond: "1.500", 50 * time.Millisecond: "0.050"} {
-		check(t, "Retry-After", retryAfter(d), want)
+		check(t, "Retry-After", formatRetryAfter(d), want)
 	}
 }
 
 // A client that sends half a request gets an answer before long, and one that sends nothing is cut off.
-func TestIncompleteRequestsAreAnswered(t *testing.T) {
+func TestIncompleteRequests(t *testing.T) {
 	p, set := start(t, "", newTestWorker(t, serveJob))
-	silent, half := connect(t, p), connect(t, p)
-	half.send(t, jobText("reading", "j0", "9000m", "abc")[:60])
-	r, _ := half.answer(t)
+	silent, incomplete := connect(t, p), connect(t, p)
+	incomplete.send(t, jobText("reading", "j0", "9000m", "abc")[:60])
+	r, _ := incomplete.answer(t)
 	check(t, "half a request", r.StatusCode, http.StatusRequestTimeout)
 	if _, err := silent.br.ReadByte(); err != io.EOF {
 		t.Errorf("the silent connection: %v", err)
@@ -166,22 +166,22 @@
 
 // A body that is too long is rejected before it has come, and the answer arrives though the other side has sent
 // some of it.
-func TestLongBodyIsRejectedUnread(t *testing.T) {
+func TestLongBodyRejectedUnread(t *testing.T) {
 	p, _ := start(t, "", newTestWorker(t, serveJob))
 	s := connect(t, p)
 	text := jobText("reading", "j", "9000m", "", "-Content-Length", "Content-Length: 60000000")
-	r, _ := s.request(t, text+strings.Repeat("b", lingerBytes/2))
+	r, _ := s.request(t, text+strings.Repeat("b", maxLingerBytes/2))
 	check(t, "status", r.StatusCode, 413)
 }
 
 // A request that crosses the close of an idle connection is read and answered.
 func TestRequestCrossesIdleClose(t *testing.T) {
 	p, _ := start(t, "", newTestWorker(t, serveJob))
-	p.clients.lateRequestGrace = patience
+	p.clients.lateRequestGrace = waitTimeout
 	s := connect(t, p)
 	s.request(t, jobText("reading", "j0", "9000m", ""))
 	await(t, "idle", func() bool { p.clients.mu.Lock(); defer p.clients.mu.Unlock(); return p.clients.idle.Len() == 1 })
-	p.clients.freeOne()
+	p.clients.freeOneConn()
 	r, _ := s.request(t, jobText("reading", "j1", "9000m", ""))
 	check(t, "status", r.StatusCode, 200)
 	check(t, "ends its connection", r.Close, true)
--- a/internal/platform/client_reply.go
+++ b/internal/platform/client_reply.go
@@ -32,7 +32,7 @@
 }
 
 // health answers a call for the scheduler's own health.
-func (c *clientConn) health(method string) reply {
+func (c *clientConn) healthReply(method string) reply {
 	switch {
 	case method != http.MethodGet:
 		return plainReply(http.StatusMethodNotAllowed, "ask by GET")
@@ -60,22 +60,22 @@
 
 // writeReply writes a reply and returns whether the connection may go on.
 func (c *clientConn) writeReply(r reply, mustClose bool) bool {
-	mustClose = mustClose || c.retire.Load() || c.server.closesAfterAnswer()
-	b := fmt.Appendf(make([]byte, 0, 160+len(r.body)), "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n",
+	mustClose = mustClose || c.retired.Load() || c.server.closesAfterAnswer()
+	response := fmt.Appendf(make([]byte, 0, 160+len(r.body)), "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n",
 		r.status, http.StatusText(r.status), len(r.body))
 	if r.retryAfter > 0 {
-		b = fmt.Appendf(b, "%s: %s\r\n", headerRetryAfter, retryAfter(r.retryAfter))
+		response = fmt.Appendf(response, "%s: %s\r\n", headerRetryAfter, formatRetryAfter(r.retryAfter))
 	}
 	if mustClose {
-		b = append(b, "Connection: close\r\n"...)
+		response = append(response, "Connection: close\r\n"...)
 	}
-	b = append(append(b, "\r\n"...), r.body...)
-	c.conn.SetWriteDeadline(time.Now().Add(answerTimeout))
+	response = append(append(response, "\r\n"...), r.body...)
+	c.conn.SetWriteDeadline(time.Now().Add(answerWriteTimeout))
 	c.answeredAt = time.Now()
-	_, err := c.conn.Write(b)
-	c.owesAnswer = c.owesAnswer && err != nil
+	_, err := c.conn.Write(response)
+	c.answerPending = c.answerPending && err != nil
 	return err == nil && !mustClose
 }
 
 // retryAfter writes seconds as a decimal.
-func retryAfter(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
+func formatRetryAfter(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
--- a/internal/platform/client_request.go
+++ b/internal/platform/client_request.go
@@ -13,51 +13,51 @@
 
 // readRequest reads a whole request. Its error is an *inputError, or errConnEnded.
 func (c *clientConn) readRequest() (*http.Request, []byte, error) {
-	limit := c.server.readDeadline(c)
-	c.conn.SetReadDeadline(limit)
-	m := c.buf.newMessage(maxHead)
-	defer m.close()
-	req, err := http.ReadRequest(m.Reader)
+	deadline := c.server.readDeadline(c)
+	c.conn.SetReadDeadline(deadline)
+	msg := c.buf.newMessage(maxHeadBytes)
+	defer msg.close()
+	req, err := http.ReadRequest(msg.Reader)
 	if err != nil {
-		return nil, nil, c.readError(m, err, "head")
+		return nil, nil, c.classifyReadError(msg, err, "head")
 	}
-	if err := checkFraming(m.consumed(), req); err != nil {
+	if err := checkFraming(msg.consumed(), req); err != nil {
 		return nil, nil, err
 	}
-	if req.ContentLength > maxBody {
+	if req.ContentLength > maxBodyBytes {
 		return nil, nil, errBodyTooLong()
 	}
 	if req.Header.Get("Expect") == "100-continue" {
-		c.conn.SetWriteDeadline(limit)
+		c.conn.SetWriteDeadline(deadline)
 		_, _ = c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")) // the read of the body tells
 	}
-	m.releaseEarly = true
-	m.limit = m.read + 2*maxBody // with the framing of chunks
-	body, err := io.ReadAll(io.LimitReader(req.Body, maxBody+1))
+	msg.releaseEarly = true
+	msg.limit = msg.read + 2*maxBodyBytes // with the framing of chunks
+	body, err := io.ReadAll(io.LimitReader(req.Body, maxBodyBytes+1))
 	if err != nil {
-		return nil, nil, c.readError(m, err, "length")
+		return nil, nil, c.classifyReadError(msg, err, "length")
 	}
-	if len(body) > maxBody {
+	if len(body) > maxBodyBytes {
 		return nil, nil, errBodyTooLong()
 	}
 	return req, body, nil
 }
 
 func errBodyTooLong() error {
-	return newInputError(http.StatusRequestEntityTooLarge, "body", "a body holds %d bytes at most", maxBody)
+	return newInputError(http.StatusRequestEntityTooLarge, "body", "a body holds %d bytes at most", maxBodyBytes)
 }
 
 // readError tells invalid input from a connection that has ended. Only the connection's own error says that:
 // a parser's may look like one (a url.Error is a net.Error).
-func (c *clientConn) readError(m *message, err error, counter string) error {
+func (c *clientConn) classifyReadError(msg *message, err error, counter string) error {
 	switch {
-	case m.err == nil:
+	case msg.err == nil:
 		return newInputError(http.StatusBadRequest, counter, "malformed request: %v", err)
-	case errors.Is(m.err, errMessageTooLong):
+	case errors.Is(msg.err, errMessageTooLong):
 		return newInputError(http.StatusRequestHeaderFieldsTooLarge, counter, "the request is too long")
-	case errors.Is(m.err, os.ErrDeadlineExceeded) && c.server.operatorDrain.Load() != nil:
+	case errors.Is(msg.err, os.ErrDeadlineExceeded) && c.server.operatorDrain.Load() != nil:
 		return newInputError(http.StatusServiceUnavailable, "drained", "another scheduler takes jobs")
-	case errors.Is(m.err, os.ErrDeadlineExceeded):
+	case errors.Is(msg.err, os.ErrDeadlineExceeded):
 		return newInputError(http.StatusRequestTimeout, "slow", "the request did not come to its end")
 	}
 	return errConnEnded
--- a/internal/platform/client_server.go
+++ b/internal/platform/client_server.go
@@ -37,22 +37,22 @@
 	successorDrain   atomic.Pointer[drain] // by another process that has the address; nil: there is none
 	acceptDone       chan struct{}         // closed when accept has returned
 
-	mu          sync.Mutex
-	connEnded   *sync.Cond // a connection has ended
-	conns       map[*clientConn]struct{}
-	idle        *list.List     // of *clientConn, the longest idle first
-	connsByCell map[string]int // connections by the cell of their last job
+	mu              sync.Mutex
+	capacityChanged *sync.Cond // a connection has ended
+	conns           map[*clientConn]struct{}
+	idle            *list.List     // of *clientConn, the longest idle first
+	connsByCell     map[string]int // connections by the cell of their last job
 }
 
 func newClientServer(
-	c *core.Core, clock core.Clock, set *counters.Set, log *zap.Logger, l listener, budget int,
+	jobCore *core.Core, clock core.Clock, counterSet *counters.Set, log *zap.Logger, clientListener listener, budget int,
 ) *clientServer {
 	s := &clientServer{
-		core:             c,
+		core:             jobCore,
 		clock:            clock,
-		counters:         set,
+		counters:         counterSet,
 		log:              log,
-		listener:         l,
+		listener:         clientListener,
 		budget:           budget,
 		lateRequestGrace: defaultLateRequestGrace,
 		acceptDone:       make(chan struct{}),
@@ -60,7 +60,7 @@
 		idle:             list.New(),
 		connsByCell:      map[string]int{},
 	}
-	s.connEnded = sync.NewCond(&s.mu)
+	s.capacityChanged = sync.NewCond(&s.mu)
 	return s
 }
 
@@ -78,11 +78,11 @@
 
 const (
 	headroomDivisor         = 16 // the part of the budget that is kept free, by closing idle connections
-	spareJobsDivisor        = 8  // the part of the budget that no open job holds
+	spareConnsDivisor       = 8  // the part of the budget that no open job holds
 	defaultLateRequestGrace = 100 * time.Millisecond
 	firstByteGrace          = 50 * time.Millisecond  // an ordinary client's first request has begun by then,
 	firstRequestGrace       = 250 * time.Millisecond // and has come in full by then
-	freeBatchDivisor        = 8                      // the part of the budget that is closed at a time
+	closeBatchDivisor       = 8                      // the part of the budget that is closed at a time
 	minAcceptBackoff        = 5 * time.Millisecond   // after a failed accept, doubled each time
 	maxAcceptBackoff        = 500 * time.Millisecond
 )
@@ -90,16 +90,16 @@
 // accept runs until the listener is closed or, during shutdown, the backlog is empty.
 func (s *clientServer) accept() {
 	defer close(s.acceptDone)
-	pause := minAcceptBackoff
+	backoff := minAcceptBackoff
 	for {
-		last := s.awaitCapacity()
+		stopping := s.awaitCapacity()
 		conn, err := s.listener.Accept()
 		switch {
 		case err == nil:
-			pause = minAcceptBackoff
+			backoff = minAcceptBackoff
 			s.counters.Add("accept.connections")
 			s.serveConn(conn)
-		case errors.Is(err, net.ErrClosed), last && errors.Is(err, os.ErrDeadlineExceeded) && !hasPendingConn(s.listener):
+		case errors.Is(err, net.ErrClosed), stopping && errors.Is(err, os.ErrDeadlineExceeded) && !hasPendingConn(s.listener):
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded): // shutDown woke it, or the process stood still past it
 		default:
@@ -107,17 +107,17 @@
 			// after a while.
 			s.counters.Add("accept.failed")
 			s.log.Warn("client listener: accept failed", zap.Error(err))
-			s.freeOne()
-			<-time.After(pause)
-			pause = min(2*pause, maxAcceptBackoff)
+			s.freeOneConn()
+			<-time.After(backoff)
+			backoff = min(2*backoff, maxAcceptBackoff)
 		}
 	}
 }
 
 // serveConn begins to serve a connection.
 func (s *clientServer) serveConn(conn net.Conn) {
-	c := &clientConn{server: s, conn: conn, buf: buffer{conn: conn}, openedAt: time.Now()}
-	c.retire.Store(s.closeIdle.Load())
+	c := &clientConn{server: s, conn: conn, buf: readBuffer{conn: conn}, openedAt: time.Now()}
+	c.retired.Store(s.closeIdle.Load())
 	s.mu.Lock()
 	s.conns[c] = struct{}{}
 	s.mu.Unlock()
@@ -127,28 +127,28 @@
 		delete(s.conns, c)
 		s.setCellLocked(c, "")
 		s.mu.Unlock()
-		s.connEnded.Broadcast()
+		s.capacityChanged.Broadcast()
 	}()
 }
 
 // markIdle records that a connection's next request has not begun, and returns whether it has brought a request
 // before. One that becomes idle while accept waits for capacity may be closed for it.
-func (s *clientServer) markIdle(c *clientConn) (proven bool) {
+func (s *clientServer) markIdle(c *clientConn) (hadRequest bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.awaiting = true
+	c.idle = true
 	c.idleElement = s.idle.PushBack(c)
 	if len(s.conns) >= s.budget {
-		s.connEnded.Broadcast()
+		s.capacityChanged.Broadcast()
 	}
-	return c.jobs > 0
+	return c.requests > 0
 }
 
 // markBusy records that a connection's next request has begun, or never will.
 func (s *clientServer) markBusy(c *clientConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.awaiting = false
+	c.idle = false
 	s.idle.Remove(c.idleElement)
 }
 
@@ -156,17 +156,17 @@
 func (s *clientServer) recordRequest(c *clientConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.jobs++
+	c.requests++
 }
 
 // readDeadline is when a request that begins now must have come in full.
 func (s *clientServer) readDeadline(c *clientConn) time.Time {
-	if d := s.operatorDrain.Load(); d != nil {
-		return d.readDeadline(time.Now())
+	if drain := s.operatorDrain.Load(); drain != nil {
+		return drain.readDeadline(time.Now())
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c.jobs > 0 {
+	if c.requests > 0 {
 		return time.Now().Add(requestTimeout)
 	}
 	return c.openedAt.Add(requestTimeout)
--- a/internal/platform/client_server_test.go
+++ b/internal/platform/client_server_test.go
@@ -18,11 +18,11 @@
 // A failingListener fails as one does that is out of descriptors.
 type failingListener struct {
 	*net.TCPListener
-	fails int
+	failures int
 }
 
 func (f *failingListener) Accept() (net.Conn, error) {
-	if f.fails--; f.fails >= 0 {
+	if f.failures--; f.failures >= 0 {
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
 	}
 	return f.TCPListener.Accept()
@@ -33,9 +33,9 @@
 	p, _ := start(t, "", newTestWorker(t, serveJob))
 	set := &counters.Set{}
 	l := &failingListener{listen(t).(*net.TCPListener), 3}
-	f := newClientServer(p.core, core.NewClock(), set, zap.NewNop(), l, 9)
-	go f.accept()
-	r, _ := connect(t, &Platform{clients: f}).request(t, jobText("reading", "j", "9000m", ""))
+	server := newClientServer(p.core, core.NewClock(), set, zap.NewNop(), l, 9)
+	go server.accept()
+	r, _ := connect(t, &Platform{clients: server}).request(t, jobText("reading", "j", "9000m", ""))
 	check(t, "status", r.StatusCode, 200)
 	check(t, "failed accepts", set.Get("accept.failed"), int64(3))
 }
@@ -43,14 +43,14 @@
 // Past the budget the longest idle connection is closed, a busy one is not.
 func TestClientConnBudget(t *testing.T) {
 	p, _ := start(t, "", newTestWorker(t, serveJob))
-	f := newClientServer(p.core, core.NewClock(), &counters.Set{}, zap.NewNop(), listen(t).(*net.TCPListener), 2)
-	go f.accept()
-	q := &Platform{clients: f}
-	busy := connect(t, q)
+	server := newClientServer(p.core, core.NewClock(), &counters.Set{}, zap.NewNop(), listen(t).(*net.TCPListener), 2)
+	go server.accept()
+	platform := &Platform{clients: server}
+	busy := connect(t, platform)
 	busy.send(t, jobText("reading", "j0", "9000m", "abc")[:60])
-	idle := connect(t, q)
+	idle := connect(t, platform)
 	idle.request(t, jobText("reading", "j1", "9000m", ""))
-	r, _ := connect(t, q).request(t, jobText("reading", "j2", "9000m", ""))
+	r, _ := connect(t, platform).request(t, jobText("reading", "j2", "9000m", ""))
 	check(t, "third", r.StatusCode, 200)
 	if _, err := idle.br.ReadByte(); err != io.EOF {
 		t.Errorf("the idle connection: %v", err)
@@ -63,15 +63,15 @@
 // A flood of connections that bring no job does not cost other clients theirs.
 func TestFloodOfConnections(t *testing.T) {
 	p, _ := start(t, "", newTestWorker(t, serveJob))
-	f := newClientServer(p.core, core.NewClock(), &counters.Set{}, zap.NewNop(), listen(t).(*net.TCPListener), 20)
-	go f.accept()
-	q := &Platform{clients: f}
-	usual := connect(t, q)
-	usual.request(t, jobText("reading", "u0", "9000m", ""))
-	usual.request(t, jobText("reading", "u1", "9000m", ""))
+	server := newClientServer(p.core, core.NewClock(), &counters.Set{}, zap.NewNop(), listen(t).(*net.TCPListener), 20)
+	go server.accept()
+	platform := &Platform{clients: server}
+	regular := connect(t, platform)
+	regular.request(t, jobText("reading", "u0", "9000m", ""))
+	regular.request(t, jobText("reading", "u1", "9000m", ""))
 	var flood []*testClient
 	for i := range 60 {
-		s := connect(t, q)
+		s := connect(t, platform)
 		switch i % 3 {
 		case 0:
 			s.send(t, "POST /reading HTTP/1.1\r\n")
@@ -80,9 +80,9 @@
 		}
 		flood = append(flood, s)
 	}
-	r, _ := connect(t, q).request(t, jobText("reading", "j1", "9000m", ""))
+	r, _ := connect(t, platform).request(t, jobText("reading", "j1", "9000m", ""))
 	check(t, "a new connection", r.StatusCode, 200)
-	r, _ = usual.request(t, jobText("reading", "j2", "9000m", ""))
+	r, _ = regular.request(t, jobText("reading", "j2", "9000m", ""))
 	check(t, "the kept connection", r.StatusCode, 200)
 	check(t, "goes on", r.Close, false)
 	for _, s := range flood {
@@ -95,54 +95,58 @@
 func TestFloodFreesCapacityAtOnce(t *testing.T) {
 	const budget = 20
 	p, _ := start(t, "", newTestWorker(t, serveJob))
-	f := newClientServer(p.core, core.NewClock(), &counters.Set{}, zap.NewNop(), listen(t).(*net.TCPListener), budget)
-	f.lateRequestGrace = patience // none of them is gone before the count
-	go f.accept()
-	q := &Platform{clients: f}
-	usual := connect(t, q)
-	usual.request(t, jobText("reading", "u0", "9000m", ""))
-	usual.request(t, jobText("reading", "u1", "9000m", ""))
+	server := newClientServer(p.core, core.NewClock(), &counters.Set{}, zap.NewNop(), listen(t).(*net.TCPListener), budget)
+	server.lateRequestGrace = waitTimeout // none of them is gone before the count
+	go server.accept()
+	platform := &Platform{clients: server}
+	regular := connect(t, platform)
+	regular.request(t, jobText("reading", "u0", "9000m", ""))
+	regular.request(t, jobText("reading", "u1", "9000m", ""))
 	const flood = budget - budget/headroomDivisor - 2
 	for i := range flood {
-		connect(t, q).request(t, jobText("reading", fmt.Sprint("f", i), "9000m", ""))
+		connect(t, platform).request(t, jobText("reading", fmt.Sprint("f", i), "9000m", ""))
 	}
-	retired := func() (once, more int) {
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		for s := range f.conns {
+	retired := func() (oneJob, moreJobs int) {
+		server.mu.Lock()
+		defer server.mu.Unlock()
+		for s := range server.conns {
 			switch {
-			case s.retire.Load() && s.jobs > 1:
-				more++
-			case s.retire.Load():
-				once++
+			case s.retired.Load() && s.requests > 1:
+				moreJobs++
+			case s.retired.Load():
+				oneJob++
 			}
 		}
-		return once, more
+		return oneJob, moreJobs
 	}
-	await(t, "all idle", func() bool { f.mu.Lock(); defer f.mu.Unlock(); return f.idle.Len() == flood+1 })
-	f.freeOne()
-	once, more := retired()
-	check(t, "connections of one job that make way", once, flood)
-	check(t, "connections of more jobs that make way", more, 0)
+	await(t, "all idle", func() bool { server.mu.Lock(); defer server.mu.Unlock(); return server.idle.Len() == flood+1 })
+	server.freeOneConn()
+	oneJob, moreJobs := retired()
+	check(t, "connections of one job that make way", oneJob, flood)
+	check(t, "connections of more jobs that make way", moreJobs, 0)
 }
 
 // The backlog at the shutdown is served: the kernel has accepted it.
 func TestBacklogIsServed(t *testing.T) {
 	p, _ := start(t, "", newTestWorker(t, serveJob))
-	f := newClientServer(p.core, core.NewClock(), &counters.Set{}, zap.NewNop(), listen(t).(*net.TCPListener), 1)
-	q := &Platform{clients: f}
-	busy := connect(t, q)
+	server := newClientServer(p.core, core.NewClock(), &counters.Set{}, zap.NewNop(), listen(t).(*net.TCPListener), 1)
+	platform := &Platform{clients: server}
+	busy := connect(t, platform)
 	busy.send(t, jobText("reading", "j0", "9000m", "abc")[:60])
-	go f.accept()
-	await(t, "accepted", func() bool { f.mu.Lock(); defer f.mu.Unlock(); return len(f.conns) == 1 && f.idle.Len() == 0 })
+	go server.accept()
+	await(t, "accepted", func() bool {
+		server.mu.Lock()
+		defer server.mu.Unlock()
+		return len(server.conns) == 1 && server.idle.Len() == 0
+	})
 	var waiting []*testClient
 	for i := range 5 {
-		s := connect(t, q)
+		s := connect(t, platform)
 		s.send(t, jobText("reading", fmt.Sprint("w", i), "9000m", ""))
 		waiting = append(waiting, s)
 	}
 	ended := make(chan bool)
-	go func() { f.shutDown(0, 0); close(ended) }()
+	go func() { server.shutDown(0, 0); close(ended) }()
 	for _, s := range waiting {
 		r, _ := s.answer(t)
 		check(t, "status", r.StatusCode, 200)
@@ -168,7 +172,7 @@
 	for range 12 { // enough for none to be held
 		workers = append(workers, newTestWorker(t, handle))
 	}
-	p, set := startWith(t, 80, "", workers...)
+	p, set := startWithSockets(t, 80, "", workers...)
 	var held []*testClient
 	for i := 0; len(held) < maxOpenJobs(p.clients.budget); i++ {
 		s := connect(t, p)
@@ -188,7 +192,7 @@
 		r, _ := s.answer(t)
 		check(t, "held, then refused", r.StatusCode, 503)
 	}
-	refused, early := 0, set.Get("jobs.refused")
+	refused, refusedBefore := 0, set.Get("jobs.refused")
 	for i := range p.clients.budget + 20 - len(held) {
 		s := connect(t, p)
 		s.send(t, jobText("ratify", fmt.Sprint("j", i), "19000m", ""))
@@ -198,7 +202,7 @@
 		refused++
 	}
 	check(t, "refused", set.Get("jobs.too_many"), int64(refused))
-	check(t, "all of them", set.Get("jobs.refused")-early, int64(refused))
+	check(t, "all of them", set.Get("jobs.refused")-refusedBefore, int64(refused))
 	close(release)
 	for _, s := range held {
 		s.answer(t)
--- a/internal/platform/discovery_client.go
+++ b/internal/platform/discovery_client.go
@@ -65,7 +65,7 @@
 type discoveryClient struct {
 	addr   string
 	conn   net.Conn
-	buf    buffer
+	buf    readBuffer
 	detach func() bool // stops the closing of conn when the context of connect is done
 
 	dialTimeout time.Duration
@@ -92,7 +92,7 @@
 		return err
 	}
 	conn = &observedConn{conn.(*net.TCPConn), c.onReading}
-	c.conn, c.buf = conn, buffer{conn: conn, data: make([]byte, maxRetainedSize)}
+	c.conn, c.buf = conn, readBuffer{conn: conn, data: make([]byte, maxRetainedBufferSize)}
 	c.detach = context.AfterFunc(ctx, func() { conn.Close() })
 	return nil
 }
@@ -108,7 +108,7 @@
 // receive reads the response to a call and decodes the endpoint list as it arrives. A list over bound is rejected with
 // an oversizedError.
 func (c *discoveryClient) receive(bound responseBound) (*endpointsResponse, error) {
-	msg := c.buf.newMessage(maxHead)
+	msg := c.buf.newMessage(maxHeadBytes)
 	msg.releaseEarly = true // decoded bytes are not needed any more
 	defer msg.close()
 	resp, err := msg.readResponse()
@@ -116,7 +116,7 @@
 		return nil, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxHead)); err != nil {
+		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxHeadBytes)); err != nil {
 			return nil, err
 		}
 		return nil, statusError(resp.StatusCode)
--- a/internal/platform/drain.go
+++ b/internal/platform/drain.go
@@ -10,25 +10,25 @@
 // second; after 4 s no connection may be idle here, or carry a job that came in the last 2 s.
 type drain struct {
 	startedAt time.Time
-	idleStay  time.Duration // that an idle connection stays
+	idleGrace time.Duration // that an idle connection stays
 }
 
 const (
-	drainIdleStay     = 600 * time.Millisecond  // for idle connections: closed at once, a client would only come back
-	successorIdleStay = 200 * time.Millisecond  // the same where a successor has the address: the client goes there
-	drainFirstRequest = 400 * time.Millisecond  // for the first request on a connection that comes later
-	drainReadTimeout  = 1700 * time.Millisecond // by then a request has come in full or is rejected
-	drainReadRest     = 150 * time.Millisecond  // for the rest of a request that begins after that
+	drainIdleGrace         = 600 * time.Millisecond  // for idle connections: closed at once, a client would only come back
+	successorIdleGrace     = 200 * time.Millisecond  // the same where a successor has the address: the client goes there
+	drainFirstRequestGrace = 400 * time.Millisecond  // for the first request on a connection that comes later
+	drainReadTimeout       = 1700 * time.Millisecond // by then a request has come in full or is rejected
+	drainLateReadTimeout   = 150 * time.Millisecond  // for the rest of a request that begins after that
 )
 
 // idleDeadline is until when a connection may be idle that was opened at openedAt.
 func (d *drain) idleDeadline(openedAt time.Time) time.Time {
-	return later(d.startedAt.Add(d.idleStay), openedAt.Add(drainFirstRequest))
+	return later(d.startedAt.Add(d.idleGrace), openedAt.Add(drainFirstRequestGrace))
 }
 
 // readDeadline is when a request that begins now must have come in full.
 func (d *drain) readDeadline(now time.Time) time.Time {
-	return later(d.startedAt.Add(drainReadTimeout), now.Add(drainReadRest))
+	return later(d.startedAt.Add(drainReadTimeout), now.Add(drainLateReadTimeout))
 }
 
 // later returns the later of two times.
@@ -41,7 +41,7 @@
 
 // quiesce begins a drain, unless there is one.
 func (s *clientServer) quiesce() {
-	if s.startDrain(&s.operatorDrain, drainIdleStay) {
+	if s.startDrain(&s.operatorDrain, drainIdleGrace) {
 		s.counters.Add("drains.begun")
 	}
 }
@@ -55,17 +55,17 @@
 
 // yield closes clients' connections because a successor listens on the same address, or, when that is gone, no
 // longer does. The health stays as it is: the address is served.
-func (s *clientServer) yield(on bool) {
+func (s *clientServer) yieldConns(on bool) {
 	if on {
-		s.startDrain(&s.successorDrain, successorIdleStay)
+		s.startDrain(&s.successorDrain, successorIdleGrace)
 	} else {
 		s.stopDrain(&s.successorDrain)
 	}
 }
 
 // startDrain begins one of the server's drains; false if there is one.
-func (s *clientServer) startDrain(at *atomic.Pointer[drain], stay time.Duration) bool {
-	if at.Load() != nil || !at.CompareAndSwap(nil, &drain{time.Now(), stay}) {
+func (s *clientServer) startDrain(target *atomic.Pointer[drain], idleGrace time.Duration) bool {
+	if target.Load() != nil || !target.CompareAndSwap(nil, &drain{time.Now(), idleGrace}) {
 		return false
 	}
 	s.wakeIdle()
@@ -73,8 +73,8 @@
 }
 
 // stopDrain ends one of the server's drains; false if there is none.
-func (s *clientServer) stopDrain(at *atomic.Pointer[drain]) bool {
-	if at.Swap(nil) == nil {
+func (s *clientServer) stopDrain(target *atomic.Pointer[drain]) bool {
+	if target.Swap(nil) == nil {
 		return false
 	}
 	s.wakeIdle()
--- a/internal/platform/drain_test.go
+++ b/internal/platform/drain_test.go
@@ -19,18 +19,18 @@
 		return serveJob(c, r, id)
 	}
 	p, set := start(t, "", newTestWorker(t, serve), newTestWorker(t, serve))
-	resting, working := connect(t, p), connect(t, p)
-	resting.send(t, jobText("reading", "before", "5000m", ""))
-	resting.answer(t)
-	working.send(t, jobText("ratify", "slow", "20000m", ""))
+	idle, busy := connect(t, p), connect(t, p)
+	idle.send(t, jobText("reading", "before", "5000m", ""))
+	idle.answer(t)
+	busy.send(t, jobText("ratify", "slow", "20000m", ""))
 	await(t, "a claim", func() bool { return set.Get("claims.written") == 2 })
 
 	p.Quiesce()
 	p.Quiesce()
 	check(t, "ready", p.Ready(), false)
-	check(t, "health", healthOf(t, p), http.StatusServiceUnavailable)
-	resting.SetReadDeadline(time.Now().Add(patience))
-	if _, err := resting.br.ReadByte(); err != io.EOF {
+	check(t, "health", healthStatus(t, p), http.StatusServiceUnavailable)
+	idle.SetReadDeadline(time.Now().Add(waitTimeout))
+	if _, err := idle.br.ReadByte(); err != io.EOF {
 		t.Errorf("the resting connection: %v, want its end", err)
 	}
 	late := connect(t, p)
@@ -39,7 +39,7 @@
 	check(t, "status of a job in the drain", r.StatusCode, http.StatusOK)
 	check(t, "its connection ends", r.Close, true)
 	close(release)
-	r, body := working.answer(t)
+	r, body := busy.answer(t)
 	check(t, "status of the job at work", r.StatusCode, http.StatusOK)
 	check(t, "its result", body, "for slow")
 	check(t, "its connection ends", r.Close, true)
@@ -52,7 +52,7 @@
 	p.Resume()
 	p.Resume()
 	check(t, "ready again", p.Ready(), true)
-	check(t, "health again", healthOf(t, p), http.StatusOK)
+	check(t, "health again", healthStatus(t, p), http.StatusOK)
 	again := connect(t, p)
 	again.send(t, jobText("reading", "again", "5000m", ""))
 	r, _ = again.answer(t)
@@ -79,15 +79,15 @@
 func TestResumeDuringShutdown(t *testing.T) {
 	p, _ := start(t, "", newTestWorker(t, serveJob))
 	p.Quiesce()
-	over := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
 		p.ShutDown()
-		close(over)
+		close(done)
 	}()
 	await(t, "ending", p.clients.unready.Load)
 	p.Resume()
 	check(t, "ready", p.Ready(), false)
-	<-over
+	<-done
 }
 
 // A request that stops half way in a drain is rejected: it was never accepted.
@@ -100,7 +100,7 @@
 		p.clients.mu.Lock()
 		defer p.clients.mu.Unlock()
 		for c := range p.clients.conns {
-			return !c.awaiting
+			return !c.idle
 		}
 		return false
 	})
@@ -110,7 +110,7 @@
 	check(t, "its connection ends", r.Close, true)
 }
 
-func healthOf(t *testing.T, p *Platform) int {
+func healthStatus(t *testing.T, p *Platform) int {
 	t.Helper()
 	r, _ := connect(t, p).request(t, "GET "+pathHealth+" HTTP/1.1\r\nHost: app.svc\r\nConnection: close\r\n\r\n")
 	return r.StatusCode
--- a/internal/platform/endpoint_watch_race_test.go
+++ b/internal/platform/endpoint_watch_race_test.go
@@ -82,7 +82,7 @@
 	worker := newTestWorker(t, serveJob)
 	release = make(chan bool)
 	watch = newEndpointWatch(t.Context(), addr, settings, &blockedObserver{release, t.Context()}, zap.NewNop())
-	watch.finalReadTimeout = patience
+	watch.finalReadTimeout = waitTimeout
 	t.Cleanup(watch.stop)
 	watch.Watch()
 	next(t, calls).answer(endpointsJSON(7, true, worker))
@@ -132,13 +132,13 @@
 func TestUnreachableAgentIsPolledOften(t *testing.T) {
 	t.Parallel()
 	l := listen(t).(*net.TCPListener)
-	if err := l.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := l.SetDeadline(time.Now().Add(waitTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	settings := strings.NewReplacer(
 		`"balancers":1`, `"balancers":300`, `"subscribe"`, `"automatic"`, `400000000}`, `60000000000}`,
 	).Replace(testSettings)
-	startText(t, settings, 256, l.Addr().String(), newTestWorker(t, serveJob))
+	startWithSettings(t, settings, 256, l.Addr().String(), newTestWorker(t, serveJob))
 	last, longest := time.Time{}, time.Duration(0)
 	for i := range 20 {
 		c, err := l.Accept()
--- a/internal/platform/endpoint_watch_test.go
+++ b/internal/platform/endpoint_watch_test.go
@@ -57,7 +57,7 @@
 	select {
 	case c := <-calls:
 		return c
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("no call to discovery")
 		return call{}
 	}
@@ -82,7 +82,7 @@
 	addr, calls := newDiscovery(t)
 	// On a slow machine jobs start late, after which the module holds jobs for a shorter time: a long aim avoids it.
 	settings := strings.Replace(testSettings, `"aim":500000000`, `"aim":10000000000`, 1)
-	p, set := startText(t, settings, 256, addr, first)
+	p, set := startWithSettings(t, settings, 256, addr, first)
 	client := connect(t, p)
 	serve := func(id string, by *testWorker) {
 		t.Helper()
@@ -151,7 +151,7 @@
 	if err := p.Reload(cfg); err != nil {
 		t.Fatal(err)
 	}
-	old.conn.SetReadDeadline(time.Now().Add(patience))
+	old.conn.SetReadDeadline(time.Now().Add(waitTimeout))
 	if _, err := old.conn.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("read on the old call's connection: error %v, want a closed connection", err)
 	}
@@ -238,7 +238,7 @@
 	worker := newTestWorker(t, serveJob)
 	addr, calls := newDiscovery(t)
 	settings := strings.Replace(testSettings, `"balancers":1`, `"balancers":300`, 1)
-	_, set := startText(t, settings, 256, addr, worker)
+	_, set := startWithSettings(t, settings, 256, addr, worker)
 	first := next(t, calls)
 	first.answer(endpointsJSON(7, true, worker))
 	silent := next(t, calls)
--- a/internal/platform/framing.go
+++ b/internal/platform/framing.go
@@ -52,16 +52,16 @@
 // take it for the framing.
 func isHeaderName(s []byte) bool {
 	for _, c := range s {
-		if !headerNameBytes[c] {
+		if !headerNameByte[c] {
 			return false
 		}
 	}
 	return len(s) > 0
 }
 
-var headerNameBytes = func() (in [256]bool) {
+var headerNameByte = func() (allowed [256]bool) {
 	for _, c := range []byte("!#$%&'*+-.^_`|~0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz") {
-		in[c] = true
+		allowed[c] = true
 	}
-	return in
+	return allowed
 }()
--- a/internal/platform/fuzz_answers_test.go
+++ b/internal/platform/fuzz_answers_test.go
@@ -19,7 +19,7 @@
 func checkAnswer(t testing.TB, data []byte) {
 	receive := func(parts [][]byte) (string, core.Report, int) {
 		conn := &memConn{parts: parts}
-		c := &workerConn{Conn: conn, buf: buffer{conn: conn}}
+		c := &workerConn{Conn: conn, buf: readBuffer{conn: conn}}
 		reports := 0
 		a := &attempt{pool: &workerPool{}, job: &core.Job{ID: "j"}, report: func(r core.Report) {
 			if r.Ended {
@@ -33,12 +33,12 @@
 		}
 		return fmt.Sprintf("%v %q, %d intermediate reports", r.Code, r.Result, reports), r, conn.read
 	}
-	got, report, read := receive(cut(data))
+	got, report, read := receive(splitAt(data))
 	if !report.Ended {
 		t.Fatalf("%q: receiveAnswer() returned a report without Ended", data)
 	}
-	if read > 2*maxResponse { // the last read before the limit can fill the rest of the buffer
-		t.Fatalf("%d bytes are read, want at most %d", read, 2*maxResponse)
+	if read > 2*maxResponseBytes { // the last read before the limit can fill the rest of the buffer
+		t.Fatalf("%d bytes are read, want at most %d", read, 2*maxResponseBytes)
 	}
 	if report.Code == foxlift.Served {
 		id, result, ok := referenceAnswer(data)
@@ -50,7 +50,7 @@
 		!bytes.Contains(data, []byte("returned")) && !bytes.Contains(data, []byte(`\u`)) {
 		t.Fatalf("%q: code %v means that the job never ran, which the answer does not prove", data, report.Code)
 	}
-	if other, _, _ := receive(cut(data, everyByte(len(data))...)); other != got {
+	if other, _, _ := receive(splitAt(data, everyOffset(len(data))...)); other != got {
 		t.Fatalf("%q: received at once: %s\nreceived byte by byte: %s", data, got, other)
 	}
 }
@@ -58,7 +58,7 @@
 // referenceAnswer parses an answer with net/http and encoding/json alone. ok reports whether the answer has status 200,
 // a complete body and valid lines of one job ID, of which only the last has the state "done".
 func referenceAnswer(data []byte) (id, result string, ok bool) {
-	br := parserOf(data)
+	br := newByteReader(data)
 	resp, err := http.ReadResponse(br, nil)
 	for err == nil && resp.StatusCode < 200 && resp.StatusCode != http.StatusSwitchingProtocols {
 		resp.Body.Close()
--- a/internal/platform/fuzz_memconn_test.go
+++ b/internal/platform/fuzz_memconn_test.go
@@ -12,7 +12,7 @@
 	net.Conn // nil: nothing else is called
 	parts    [][]byte
 	read     int
-	wrote    bytes.Buffer
+	written  bytes.Buffer
 }
 
 func (c *memConn) Read(p []byte) (int, error) {
@@ -28,7 +28,7 @@
 	return n, nil
 }
 
-func (c *memConn) Write(p []byte) (int, error) { return c.wrote.Write(p) }
+func (c *memConn) Write(p []byte) (int, error) { return c.written.Write(p) }
 
 func (c *memConn) Close() error { return nil }
 
--- a/internal/platform/fuzz_requests_test.go
+++ b/internal/platform/fuzz_requests_test.go
@@ -23,7 +23,7 @@
 // plain go test.
 
 // cut splits data at the given offsets, in order.
-func cut(data []byte, at ...int) (parts [][]byte) {
+func splitAt(data []byte, at ...int) (parts [][]byte) {
 	last := 0
 	for _, i := range at {
 		if i > last && i < len(data) {
@@ -36,39 +36,39 @@
 
 // parsedRequests is what the client side makes of a connection's bytes.
 type parsedRequests struct {
-	requests []framedRequest
-	jobs     []string // of each request: the job, or what is wrong with it
-	headers  []string
-	consumed string // how the connection's reading ended
-	buffered int    // the largest that the buffer became
+	requests    []framedRequest
+	jobs        []string // of each request: the job, or what is wrong with it
+	headers     []string
+	end         string // how the connection's reading ended
+	maxBuffered int    // the largest that the buffer became
 }
 
-func newReader(parts [][]byte) (*clientConn, *memConn) {
+func newMemClient(parts [][]byte) (*clientConn, *memConn) {
 	conn := &memConn{parts: parts}
-	f := newClientServer(nil, core.NewClock(), &counters.Set{}, zap.NewNop(), nil, 8)
-	return &clientConn{server: f, conn: conn, buf: buffer{conn: conn}, openedAt: time.Now()}, conn
+	server := newClientServer(nil, core.NewClock(), &counters.Set{}, zap.NewNop(), nil, 8)
+	return &clientConn{server: server, conn: conn, buf: readBuffer{conn: conn}, openedAt: time.Now()}, conn
 }
 
 // readAll reads requests as a connection's goroutine does, without serving them.
-func readAll(parts [][]byte) (r parsedRequests) {
-	s, conn := newReader(parts)
+func readRequests(parts [][]byte) (r parsedRequests) {
+	client, conn := newMemClient(parts)
 	for {
-		if s.buf.buffered() == 0 && s.buf.fill() != nil {
-			r.consumed = "end"
+		if client.buf.buffered() == 0 && client.buf.fill() != nil {
+			r.end = "end"
 			return r
 		}
-		req, body, err := s.readRequest()
-		r.buffered = max(r.buffered, len(s.buf.data))
+		req, body, err := client.readRequest()
+		r.maxBuffered = max(r.maxBuffered, len(client.buf.data))
 		var input *inputError
 		switch {
 		case errors.As(err, &input):
-			r.consumed = fmt.Sprint(input.status, " ", input.counter)
+			r.end = fmt.Sprint(input.status, " ", input.counter)
 			return r
 		case err != nil:
-			r.consumed = "broken off"
+			r.end = "broken off"
 			return r
 		}
-		r.requests = append(r.requests, framedRequest{req.Method, req.RequestURI, body, conn.read - s.buf.buffered()})
+		r.requests = append(r.requests, framedRequest{req.Method, req.RequestURI, body, conn.read - client.buf.buffered()})
 		r.headers = append(r.headers, fmt.Sprint(req.Header)) // in the order of names
 		job, err := parseJob(req, body)
 		if errors.As(err, &input) {
@@ -79,7 +79,7 @@
 				job.ClientRetry, p.method, p.target))
 		}
 		if req.Close {
-			r.consumed = "closed"
+			r.end = "closed"
 			return r
 		}
 	}
@@ -90,54 +90,54 @@
 	for i, q := range r.requests {
 		fmt.Fprintf(&b, "[%s %q body %q end %d: %s] ", q.method, q.target, q.body, q.length, r.jobs[i])
 	}
-	return b.String() + r.consumed
+	return b.String() + r.end
 }
 
 // checkRequests compares the client side's reading with the rules of RFC 9112, with net/http's, and with its own
 // when the bytes come in other pieces.
 func checkRequests(t testing.TB, data []byte) {
-	got := readAll(cut(data))
-	at := 0
+	got := readRequests(splitAt(data))
+	offset := 0
 	for i, q := range got.requests {
-		want, whole, sound := frameRequest(data, at)
-		if !whole || !sound || want.length != q.length || want.method != q.method || want.target != q.target ||
+		want, complete, valid := frameRequest(data, offset)
+		if !complete || !valid || want.length != q.length || want.method != q.method || want.target != q.target ||
 			!bytes.Equal(want.body, q.body) {
-			t.Fatalf("request %d at %d of %q:\nthe client side reads %s\nthe rules %+v, whole %v, sound %v", i, at, data, got,
-				want, whole, sound)
+			t.Fatalf("request %d at %d of %q:\nthe client side reads %s\nthe rules %+v, whole %v, sound %v", i, offset, data,
+				got, want, complete, valid)
 		}
-		r, err := http.ReadRequest(parserOf(data[at:]))
+		r, err := http.ReadRequest(newByteReader(data[offset:]))
 		if err != nil {
-			t.Fatalf("request %d at %d of %q: net/http says %v", i, at, data, err)
+			t.Fatalf("request %d at %d of %q: net/http says %v", i, offset, data, err)
 		}
 		if body, err := io.ReadAll(r.Body); err != nil || !bytes.Equal(body, q.body) || r.RequestURI != q.target {
-			t.Fatalf("request %d at %d of %q: net/http reads %q %q, %v", i, at, data, r.RequestURI, body, err)
+			t.Fatalf("request %d at %d of %q: net/http reads %q %q, %v", i, offset, data, r.RequestURI, body, err)
 		}
 		if h := fmt.Sprint(r.Header); h != got.headers[i] {
-			t.Fatalf("request %d at %d of %q: the client side reads %s, net/http %s", i, at, data, got.headers[i], h)
+			t.Fatalf("request %d at %d of %q: the client side reads %s, net/http %s", i, offset, data, got.headers[i], h)
 		}
-		at = q.length
+		offset = q.length
 	}
-	if got.consumed == "broken off" {
-		if want, whole, sound := frameRequest(data, at); whole && sound && want.length-at < maxHead {
+	if got.end == "broken off" {
+		if want, complete, valid := frameRequest(data, offset); complete && valid && want.length-offset < maxHeadBytes {
 			t.Fatalf("%q: whole by the rules, %+v; the client side reads %s", data, want, got)
 		}
 	}
-	if got.buffered > 2*(maxHead+3*maxBody) {
-		t.Fatalf("%d bytes are held for %d", got.buffered, len(data))
+	if got.maxBuffered > 2*(maxHeadBytes+3*maxBodyBytes) {
+		t.Fatalf("%d bytes are held for %d", got.maxBuffered, len(data))
 	}
 	rng := rand.New(rand.NewPCG(uint64(len(data)), 5))
-	splits := [][]int{everyByte(len(data))}
+	splitOffsets := [][]int{everyOffset(len(data))}
 	for range 3 {
-		splits = append(splits, []int{rng.IntN(len(data) + 1)})
+		splitOffsets = append(splitOffsets, []int{rng.IntN(len(data) + 1)})
 	}
-	for _, at := range splits {
-		if other := readAll(cut(data, at...)); other.String() != got.String() {
-			t.Fatalf("%q: in one piece %s\nin pieces %s", data, got, other)
+	for _, at := range splitOffsets {
+		if split := readRequests(splitAt(data, at...)); split.String() != got.String() {
+			t.Fatalf("%q: in one piece %s\nin pieces %s", data, got, split)
 		}
 	}
 }
 
-func everyByte(n int) (at []int) {
+func everyOffset(n int) (at []int) {
 	for i := range n {
 		at = append(at, i)
 	}
@@ -201,13 +201,13 @@
 func TestEverySplit(t *testing.T) {
 	const short = 150
 	for _, data := range requestSeeds() {
-		want := readAll(cut(data)).String()
+		want := readRequests(splitAt(data)).String()
 		for i := range data {
-			if got := readAll(cut(data, i)).String(); got != want {
+			if got := readRequests(splitAt(data, i)).String(); got != want {
 				t.Fatalf("%q cut at %d: %s, whole %s", data, i, got, want)
 			}
 			for k := i + 1; len(data) <= short && k < len(data); k++ {
-				if got := readAll(cut(data, i, k)).String(); got != want {
+				if got := readRequests(splitAt(data, i, k)).String(); got != want {
 					t.Fatalf("%q cut at %d and %d: %s, whole %s", data, i, k, got, want)
 				}
 			}
@@ -217,16 +217,16 @@
 		outcome := func(parts [][]byte) string {
 			conn := &memConn{parts: parts}
 			a := &attempt{pool: &workerPool{}, job: &core.Job{ID: "j"}, report: func(core.Report) {}}
-			r, _ := a.receiveAnswer(&workerConn{Conn: conn, buf: buffer{conn: conn}})
+			r, _ := a.receiveAnswer(&workerConn{Conn: conn, buf: readBuffer{conn: conn}})
 			return fmt.Sprint(r.Code, string(r.Result))
 		}
-		want := outcome(cut(data))
+		want := outcome(splitAt(data))
 		for i := 0; i < len(data); i += 1 + len(data)/2000 { // the longest ones at 2,000 places
-			if got := outcome(cut(data, i)); got != want {
+			if got := outcome(splitAt(data, i)); got != want {
 				t.Fatalf("%.300q cut at %d: %s, whole %s", data, i, got, want)
 			}
 			for k := i + 1; len(data) <= short && k < len(data); k++ {
-				if got := outcome(cut(data, i, k)); got != want {
+				if got := outcome(splitAt(data, i, k)); got != want {
 					t.Fatalf("%q cut at %d and %d: %s, whole %s", data, i, k, got, want)
 				}
 			}
--- a/internal/platform/fuzz_values_test.go
+++ b/internal/platform/fuzz_values_test.go
@@ -28,7 +28,7 @@
 			}
 		}
 	}
-	if isToken(s) && strings.ContainsAny(s, " \r\n\x00\x7f") {
+	if isVisibleASCII(s) && strings.ContainsAny(s, " \r\n\x00\x7f") {
 		t.Fatalf("%q is a token", s)
 	}
 	for _, parse := range []func(string, []string) (loadGauges, error){
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -19,7 +19,7 @@
 )
 
 // varying are the parts of a text that differ from run to run.
-var varying = []struct {
+var variableParts = []struct {
 	pattern *regexp.Regexp
 	text    string
 }{
@@ -32,15 +32,15 @@
 type transcript struct{ text strings.Builder }
 
 // add writes down some bytes; the ends of lines and what is not printable are shown.
-func (s *transcript) add(title string, data []byte) {
+func (tr *transcript) add(title string, data []byte) {
 	text := string(data)
-	for _, v := range varying {
+	for _, v := range variableParts {
 		text = v.pattern.ReplaceAllString(text, v.text)
 	}
-	fmt.Fprintf(&s.text, "# %s\n", title)
+	fmt.Fprintf(&tr.text, "# %s\n", title)
 	for line := range strings.SplitAfterSeq(text, "\n") {
 		if line != "" {
-			fmt.Fprintf(&s.text, "%q\n", line)
+			fmt.Fprintf(&tr.text, "%q\n", line)
 		}
 	}
 }
@@ -76,7 +76,7 @@
 }
 
 // drain returns what was read since the last call.
-func (l *recordedListener) drain() []byte {
+func (l *recordedListener) takeRead() []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	read := l.read
@@ -84,12 +84,12 @@
 	return read
 }
 
-// TestBytesToNodes pins the requests that execute nodes get: jobs and probes.
-func TestBytesToNodes(t *testing.T) {
+// TestBytesToWorkers pins the requests that execute nodes get: jobs and probes.
+func TestBytesToWorkers(t *testing.T) {
 	t.Parallel()
-	var said transcript
-	l := &recordedListener{Listener: listen(t)}
-	worker := standin.Serve(l, serveJob)
+	var recorded transcript
+	listener := &recordedListener{Listener: listen(t)}
+	worker := standin.Serve(listener, serveJob)
 	p, _ := start(t, "", worker)
 	s := connect(t, p)
 	for _, c := range []struct{ title, request string }{
@@ -101,29 +101,29 @@
 	} {
 		r, _ := s.request(t, c.request)
 		check(t, c.title, r.StatusCode, http.StatusOK)
-		said.add(c.title, l.drain())
+		recorded.add(c.title, listener.takeRead())
 	}
 	probe := func(title string, p *Platform) {
 		reports := make(chan core.Report, 1)
 		p.pool.HealthCheck("n0", func(r core.Report) { reports <- r })
 		<-reports
-		said.add(title, l.drain())
+		recorded.add(title, listener.takeRead())
 	}
 	probe("a probe", p)
 	keyed, _ := startKeyed(t, worker)
 	probe("a probe that asks for the load", keyed)
-	golden.Check(t, "to-nodes.txt", []byte(said.text.String()))
+	golden.Check(t, "to-nodes.txt", []byte(recorded.text.String()))
 }
 
 // TestBytesToDiscovery pins the calls that discovery gets.
 func TestBytesToDiscovery(t *testing.T) {
 	t.Parallel()
-	var said transcript
+	var recorded transcript
 	worker := newTestWorker(t, serveJob)
 	answers := []string{endpointsJSON(7, true, worker), endpointsJSON(3, false, worker), endpointsJSON(9, true, worker)}
 	calls := make(chan bool)
-	l := &recordedListener{Listener: listen(t)}
-	standin.Serve(l, func(c net.Conn, _ *http.Request, _ string) bool {
+	listener := &recordedListener{Listener: listen(t)}
+	standin.Serve(listener, func(c net.Conn, _ *http.Request, _ string) bool {
 		calls <- true
 		if len(answers) == 0 {
 			return neverAnswers(c, nil, "")
@@ -133,12 +133,12 @@
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		return true
 	})
-	start(t, l.Addr().String(), worker)
+	start(t, listener.Addr().String(), worker)
 	for _, title := range []string{"the first", "the changes", "the whole list, where versions went back", "the changes"} {
 		<-calls
-		said.add(title, l.drain())
+		recorded.add(title, listener.takeRead())
 	}
-	golden.Check(t, "to-discovery.txt", []byte(said.text.String()))
+	golden.Check(t, "to-discovery.txt", []byte(recorded.text.String()))
 }
 
 // An exchange is what a client sends on a connection of its own.
@@ -167,26 +167,26 @@
 	}
 }
 
-// TestBytesToSubmitters pins the answers that submitters get.
-func TestBytesToSubmitters(t *testing.T) {
+// TestBytesToClients pins the answers that submitters get.
+func TestBytesToClients(t *testing.T) {
 	t.Parallel()
-	var said transcript
+	var recorded transcript
 	handle := func(c net.Conn, r *http.Request, id string) bool {
 		if strings.HasPrefix(id, "lost") {
-			return closeUnanswered(c, r, id)
+			return closeWithoutAnswer(c, r, id)
 		}
 		return serveJob(c, r, id)
 	}
-	p, _ := startText(t, keyedSettings, 256, "", newTestWorker(t, handle))
-	for _, e := range append(soundRequests(), rejectedRequests()...) {
-		said.add(e.title, answered(t, p, e.request))
+	p, _ := startWithSettings(t, keyedSettings, 256, "", newTestWorker(t, handle))
+	for _, e := range append(validRequests(), rejectedRequests()...) {
+		recorded.add(e.title, answered(t, p, e.request))
 	}
 	p.Quiesce()
-	said.add("health while it is quiesced", answered(t, p, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))
-	golden.Check(t, "to-submitters.txt", []byte(said.text.String()))
+	recorded.add("health while it is quiesced", answered(t, p, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))
+	golden.Check(t, "to-submitters.txt", []byte(recorded.text.String()))
 }
 
-func soundRequests() []exchange {
+func validRequests() []exchange {
 	const key = "Idempotency-Key: k"
 	return []exchange{
 		{"served", jobText("reading", "j0", "5000m", "ab")},
@@ -211,16 +211,16 @@
 		{"a control character", jobText(class, "j", left, "", "X-A: b\rc")},
 		{"a folded header", jobText(class, "j", left, "", "X-A: b\r\n c")},
 		{"a header name that is none", jobText(class, "j", left, "", "Transfer-Encoding : x")},
-		{"a long head", jobText(class, "j", left, "", "X-Long: "+strings.Repeat("x", maxHead))},
+		{"a long head", jobText(class, "j", left, "", "X-Long: "+strings.Repeat("x", maxHeadBytes))},
 		{"two kinds of framing", jobText(class, "j", left, "0\r\n\r\n", "Transfer-Encoding: chunked")},
 		{"a length that is there twice", jobText(class, "j", left, "a", "Content-Length: 1")},
 		{"chunks before HTTP/1.1", strings.Replace(chunked(""), "1.1", "1.0", 1)},
 		{"a faulty chunk", chunked("x\r\n")},
-		{"a long body", jobText(class, "j", left, strings.Repeat("b", maxBody+1))},
-		{"a long body in chunks", chunked("10001\r\n" + strings.Repeat("b", maxBody+1) + "\r\n0\r\n\r\n")},
+		{"a long body", jobText(class, "j", left, strings.Repeat("b", maxBodyBytes+1))},
+		{"a long body in chunks", chunked("10001\r\n" + strings.Repeat("b", maxBodyBytes+1) + "\r\n0\r\n\r\n")},
 		{"no id", jobText(class, "j", left, "", "-X-Txn")},
 		{"two tenants", jobText(class, "j", left, "", "X-Org: k")},
-		{"a key that is too long", jobText(class, "j", left, "", "Idempotency-Key: "+strings.Repeat("k", maxKey+1))},
+		{"a key that is too long", jobText(class, "j", left, "", "Idempotency-Key: "+strings.Repeat("k", maxKeyBytes+1))},
 		{"no key where the class needs one", jobText("ratify", "j", left, "")},
 		{"another class in the path", strings.Replace(jobText(class, "j", left, ""), "/reading", "/ratify", 1)},
 		{"no time left to read", jobText(class, "j", "5", "")},
@@ -248,17 +248,17 @@
 
 // TestEndpointSnapshotBytes pins the form in which a list is kept.
 func TestEndpointSnapshotBytes(t *testing.T) {
-	const kept = `{"seq":8,"whole":true,"hosts":[` +
+	const saved = `{"seq":8,"whole":true,"hosts":[` +
 		`{"host":"n1","dial":"10.0.0.1:3000","site":"a","class":"k","block":1,"health":"active","born_ms":5},` +
 		`{"host":"n2","dial":"10.0.0.2:3000","site":"b","class":"m","block":2,"health":"leaving","born_ms":-6}]}`
-	m := newEndpointWatch(t.Context(), "10.0.0.9:8500", &config.Settings{}, nil, nil)
-	if _, err := m.loadCached([]byte(kept)); err != nil {
+	watch := newEndpointWatch(t.Context(), "10.0.0.9:8500", &config.Settings{}, nil, nil)
+	if _, err := watch.loadCached([]byte(saved)); err != nil {
 		t.Fatal(err)
 	}
-	m.answered = true
-	saved, told := m.snapshot()
-	check(t, "told", told, true)
-	check(t, "list", string(saved.Endpoints), kept)
-	check(t, "version", saved.Version, int64(8))
-	check(t, "discovery", saved.Discovery, "10.0.0.9:8500")
+	watch.answered = true
+	snapshot, known := watch.snapshot()
+	check(t, "told", known, true)
+	check(t, "list", string(snapshot.Endpoints), saved)
+	check(t, "version", snapshot.Version, int64(8))
+	check(t, "discovery", snapshot.Discovery, "10.0.0.9:8500")
 }
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -47,7 +47,7 @@
 	return c.(*net.TCPConn), o.(*net.TCPConn)
 }
 
-const patience = 20 * time.Second // for what must happen, on any machine
+const waitTimeout = 20 * time.Second // for what must happen, on any machine
 
 const testSettings = `{"balancers":1,"discovery":"subscribe","dcs":["a"],"zone":"a","flavors":["k"],
  "grades":[{"name":"reading","aim":500000000,"deadline":20000000000,"effect":"idempotent","gain":1},
@@ -92,7 +92,7 @@
 	return writeStates(c, id, true, `"started"`, `"running","share":0.5`, `"done","result":"for `+id+`"`)
 }
 
-func closeUnanswered(net.Conn, *http.Request, string) bool { return false }
+func closeWithoutAnswer(net.Conn, *http.Request, string) bool { return false }
 
 func neverAnswers(c net.Conn, _ *http.Request, _ string) bool {
 	_, _ = io.Copy(io.Discard, c) // until the other side closes
@@ -101,32 +101,32 @@
 
 // endpointsJSON writes an endpoint list of these workers, all live.
 func endpointsJSON(seq int, whole bool, workers ...*testWorker) string {
-	var b []string
-	for i, n := range workers {
-		b = append(b, endpointJSON(i, n, healthActive))
+	var hosts []string
+	for i, worker := range workers {
+		hosts = append(hosts, endpointJSON(i, worker, healthActive))
 	}
-	return fmt.Sprintf(`{"seq":%d,"whole":%t,"hosts":[%s]}`, seq, whole, strings.Join(b, ","))
+	return fmt.Sprintf(`{"seq":%d,"whole":%t,"hosts":[%s]}`, seq, whole, strings.Join(hosts, ","))
 }
 
-func endpointJSON(i int, n *testWorker, health string) string {
+func endpointJSON(i int, worker *testWorker, health string) string {
 	return fmt.Sprintf(`{"host":"n%d","dial":%q,"site":"a","class":"k","block":0,"health":%q,"born_ms":0}`,
-		i, n.Addr(), health)
+		i, worker.Addr(), health)
 }
 
 func start(t *testing.T, discovery string, workers ...*testWorker) (*Platform, *counters.Set) {
-	return startWith(t, 256, discovery, workers...)
+	return startWithSockets(t, 256, discovery, workers...)
 }
 
 // startWith runs a scheduler whose list names these workers. Without a discovery of the test's, calls to it are
 // refused.
-func startWith(t *testing.T, sockets int, discovery string, workers ...*testWorker) (*Platform, *counters.Set) {
-	return startText(t, testSettings, sockets, discovery, workers...)
+func startWithSockets(t *testing.T, sockets int, discovery string, workers ...*testWorker) (*Platform, *counters.Set) {
+	return startWithSettings(t, testSettings, sockets, discovery, workers...)
 }
 
-func startText(
+func startWithSettings(
 	t *testing.T, settings string, sockets int, discovery string, workers ...*testWorker,
 ) (*Platform, *counters.Set) {
-	return startKnown(t, settings, sockets, discovery, endpointsJSON(1, true, workers...))
+	return startWithCachedList(t, settings, sockets, discovery, endpointsJSON(1, true, workers...))
 }
 
 // refusingAddress returns an address that refuses connections and that nobody else gets meanwhile: the port
@@ -147,7 +147,9 @@
 	return fmt.Sprintf("127.0.0.1:%d", bound.(*unix.SockaddrInet4).Port)
 }
 
-func startKnown(t *testing.T, settings string, sockets int, discovery, cached string) (*Platform, *counters.Set) {
+func startWithCachedList(
+	t *testing.T, settings string, sockets int, discovery, cached string,
+) (*Platform, *counters.Set) {
 	s, err := config.ParseSettings([]byte(settings))
 	if err != nil {
 		t.Fatal(err)
@@ -174,9 +176,9 @@
 }
 
 // await waits until a condition holds.
-func await(t *testing.T, what string, is func() bool) {
+func await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !is(); {
+	for end := time.Now().Add(waitTimeout); !condition(); {
 		if time.Now().After(end) {
 			t.Fatalf("still not: %s", what)
 		}
@@ -193,14 +195,14 @@
 func connect(t *testing.T, p *Platform) *testClient {
 	t.Helper()
 	c := dial(t, p.Addr())
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(waitTimeout))
 	return &testClient{c, bufio.NewReader(c)}
 }
 
 // jobText is a job's request; more holds further header lines or, as "-Name",
 // names one to leave out.
 func jobText(class, id, remaining, body string, more ...string) string {
-	b := fmt.Sprintf("POST /%s?user=7f3a9c21e0b4d655 HTTP/1.1\r\n", class)
+	text := fmt.Sprintf("POST /%s?user=7f3a9c21e0b4d655 HTTP/1.1\r\n", class)
 	for _, h := range []string{
 		"Host: app.svc", headerID + ": " + id, headerClass + ": " + class,
 		headerTenant + ": islands", headerRemaining + ": " + remaining, headerLabels + ": slots=1,memory=0.5",
@@ -208,15 +210,15 @@
 	} {
 		name, _, _ := strings.Cut(h, ":")
 		if len(more) == 0 || more[0] != "-"+name {
-			b += h + "\r\n"
+			text += h + "\r\n"
 		}
 	}
 	for _, h := range more {
 		if h[0] != '-' {
-			b += h + "\r\n"
+			text += h + "\r\n"
 		}
 	}
-	return b + "\r\n" + body
+	return text + "\r\n" + body
 }
 
 func (s *testClient) send(t *testing.T, text string) {
@@ -271,5 +273,5 @@
 ).Replace(testSettings)
 
 func startKeyed(t *testing.T, workers ...*testWorker) (*Platform, *counters.Set) {
-	return startText(t, keyedSettings, 256, "", workers...)
+	return startWithSettings(t, keyedSettings, 256, "", workers...)
 }
--- a/internal/platform/job_request.go
+++ b/internal/platform/job_request.go
@@ -22,19 +22,19 @@
 
 // parseJob makes a job of a request that was read in full. Its error is an *inputError.
 func parseJob(req *http.Request, body []byte) (*core.Job, error) {
-	if ids := req.Header[headerID]; len(ids) != 1 || !isToken(ids[0]) {
+	if ids := req.Header[headerID]; len(ids) != 1 || !isVisibleASCII(ids[0]) {
 		return nil, newInputError(http.StatusBadRequest, "id",
 			"%s must be there once, in printable characters", headerID)
 	}
-	for _, name := range []string{headerClass, headerTenant, headerRemaining, headerLabels, headerRepeat} {
+	for _, name := range []string{headerClass, headerTenant, headerRemaining, headerLabels, headerRetry} {
 		if len(req.Header[name]) > 1 {
 			return nil, newInputError(http.StatusBadRequest, "head", "%s is there more than once", name)
 		}
 	}
 	keys := req.Header[headerKey]
-	if len(keys) > 1 || len(keys) == 1 && (!isToken(keys[0]) || len(keys[0]) > maxKey) {
+	if len(keys) > 1 || len(keys) == 1 && (!isVisibleASCII(keys[0]) || len(keys[0]) > maxKeyBytes) {
 		return nil, newInputError(http.StatusBadRequest, "key",
-			"%s must be there once, in up to %d printable characters", headerKey, maxKey)
+			"%s must be there once, in up to %d printable characters", headerKey, maxKeyBytes)
 	}
 	class := req.Header.Get(headerClass)
 	// The target goes to the worker as it came: it must say the same there.
@@ -58,18 +58,18 @@
 		Key:               config.ParseAffinityKey([]byte(req.URL.Query().Get(queryKey))),
 		Slots:             slots,
 		Memory:            memory,
-		ClientRetry:       req.Header.Get(headerRepeat) == "1",
+		ClientRetry:       req.Header.Get(headerRetry) == "1",
 		HasIdempotencyKey: len(keys) > 0,
 		Payload:           &payload{method: req.Method, target: req.RequestURI, header: req.Header, body: body},
 	}, nil
 }
 
 // isToken reports whether s may stand in a header to workers.
-func isToken(s string) bool {
+func isVisibleASCII(s string) bool {
 	return s != "" && !strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r > '~' })
 }
 
-var errNotRemaining = errors.New("not a number with the unit m or u")
+var errInvalidRemaining = errors.New("not a number with the unit m or u")
 
 // parseRemaining reads a number with its unit, m (milliseconds) or u (microseconds). What no duration can
 // hold is cut to the longest.
@@ -80,21 +80,21 @@
 	case strings.HasSuffix(s, "u"):
 		unit = time.Microsecond
 	default:
-		return 0, errNotRemaining
+		return 0, errInvalidRemaining
 	}
 	// Bare digits only: ParseFloat would also take "NaN", "0x1p4" and "-1".
 	digits := s[:len(s)-1]
 	if digits == "" || strings.Trim(digits, "0123456789.") != "" {
-		return 0, errNotRemaining
+		return 0, errInvalidRemaining
 	}
-	n, err := strconv.ParseFloat(digits, 64)
+	number, err := strconv.ParseFloat(digits, 64)
 	if err != nil && !errors.Is(err, strconv.ErrRange) {
-		return 0, errNotRemaining
+		return 0, errInvalidRemaining
 	}
-	if n > float64(math.MaxInt64/unit/2) {
+	if number > float64(math.MaxInt64/unit/2) {
 		return math.MaxInt64 / 2, nil
 	}
-	return time.Duration(n * float64(unit)), nil
+	return time.Duration(number * float64(unit)), nil
 }
 
 // parseLabels reads name=value,name=value and picks the slots and the memory.
@@ -103,24 +103,24 @@
 		return 0, 0, nil
 	}
 	for part := range strings.SplitSeq(s, ",") {
-		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
+		name, text, ok := strings.Cut(strings.TrimSpace(part), "=")
 		if !ok {
 			return 0, 0, fmt.Errorf("%q is not name=value", part)
 		}
-		var to *float64
+		var target *float64
 		switch name {
 		case labelSlots:
-			to = &slots
+			target = &slots
 		case labelMemory:
-			to = &memory
+			target = &memory
 		default:
 			continue
 		}
-		n, err := strconv.ParseFloat(value, 64)
-		if err != nil || n < 0 || math.IsNaN(n) || math.IsInf(n, 0) {
+		value, err := strconv.ParseFloat(text, 64)
+		if err != nil || value < 0 || math.IsNaN(value) || math.IsInf(value, 0) {
 			return 0, 0, fmt.Errorf("%s is not a number of 0 or more", name)
 		}
-		*to = n
+		*target = value
 	}
 	return slots, memory, nil
 }
--- a/internal/platform/job_request_test.go
+++ b/internal/platform/job_request_test.go
@@ -49,7 +49,7 @@
 		r.RequestURI = "/reading?user=00000000000000ff"
 		r.Header = http.Header{
 			headerID: {"j1"}, headerClass: {"reading"}, headerTenant: {"islands"},
-			headerRemaining: {"480m"}, headerRepeat: {"1"}, headerLabels: {"slots=2,memory=3"},
+			headerRemaining: {"480m"}, headerRetry: {"1"}, headerLabels: {"slots=2,memory=3"},
 		}
 		return r
 	}
@@ -59,7 +59,7 @@
 		t.Errorf("%+v, %v", j, err)
 	}
 	for name, c := range map[string]struct {
-		spoil   func(h http.Header)
+		corrupt func(h http.Header)
 		counter string
 	}{
 		"no id":         {func(h http.Header) { h.Del(headerID) }, "bad.id"},
@@ -71,12 +71,12 @@
 		"bad remaining": {func(h http.Header) { h.Set(headerRemaining, "5s") }, "bad.remaining"},
 		"empty key":     {func(h http.Header) { h[headerKey] = []string{""} }, "bad.key"},
 		"two keys":      {func(h http.Header) { h[headerKey] = []string{"a", "a"} }, "bad.key"},
-		"long key":      {func(h http.Header) { h.Set(headerKey, strings.Repeat("k", maxKey+1)) }, "bad.key"},
+		"long key":      {func(h http.Header) { h.Set(headerKey, strings.Repeat("k", maxKeyBytes+1)) }, "bad.key"},
 		"key in words":  {func(h http.Header) { h.Set(headerKey, "a b") }, "bad.key"},
 		"bad labels":    {func(h http.Header) { h.Set(headerLabels, "slots=many") }, "bad.labels"},
 	} {
 		r := valid()
-		c.spoil(r.Header)
+		c.corrupt(r.Header)
 		_, err := parseJob(r, nil)
 		var input *inputError
 		if !errors.As(err, &input) || input.counter != c.counter || input.status != http.StatusBadRequest {
--- a/internal/platform/message.go
+++ b/internal/platform/message.go
@@ -14,7 +14,7 @@
 // nothing behind it is lost to the parser's read-ahead.
 type message struct {
 	*bufio.Reader // for http.ReadRequest and http.ReadResponse
-	b             *buffer
+	buf           *readBuffer
 	read          int   // read so far, from b.r
 	limit         int   // most that may be read
 	err           error // how the reading ended; parsers may report it as malformed input
@@ -24,8 +24,8 @@
 var readerPool = sync.Pool{New: func() any { return bufio.NewReader(nil) }}
 
 // newMessage begins to read a message of at most limit bytes.
-func (b *buffer) newMessage(limit int) *message {
-	m := &message{b: b, limit: limit, Reader: readerPool.Get().(*bufio.Reader)}
+func (b *readBuffer) newMessage(limit int) *message {
+	m := &message{buf: b, limit: limit, Reader: readerPool.Get().(*bufio.Reader)}
 	m.Reset(messageReader{m})
 	return m
 }
@@ -54,19 +54,19 @@
 }
 
 // consumed is what the parser has consumed of the buffer.
-func (m *message) consumed() []byte { return m.b.data[m.b.r : m.b.r+m.read-m.Buffered()] }
+func (m *message) consumed() []byte { return m.buf.data[m.buf.r : m.buf.r+m.read-m.Buffered()] }
 
 // releaseConsumed gives back what the parser has consumed of the buffer.
 func (m *message) releaseConsumed() {
 	n := m.read - m.Buffered()
-	m.b.r, m.read, m.limit = m.b.r+n, m.read-n, m.limit-n
+	m.buf.r, m.read, m.limit = m.buf.r+n, m.read-n, m.limit-n
 }
 
 // close ends the reading, and gives back what the parser has consumed of the buffer.
 func (m *message) close() {
 	m.releaseConsumed()
-	if m.b.buffered() == 0 && len(m.b.data) > maxRetainedSize {
-		m.b.data, m.b.r, m.b.w = nil, 0, 0
+	if m.buf.buffered() == 0 && len(m.buf.data) > maxRetainedBufferSize {
+		m.buf.data, m.buf.r, m.buf.w = nil, 0, 0
 	}
 	m.Reset(nil)
 	readerPool.Put(m.Reader)
@@ -82,15 +82,15 @@
 		m.err = errMessageTooLong
 		return 0, m.err
 	}
-	for m.b.buffered() == m.read {
+	for m.buf.buffered() == m.read {
 		if m.releaseEarly {
 			m.releaseConsumed()
 		}
-		if m.err = m.b.fill(); m.err != nil {
+		if m.err = m.buf.fill(); m.err != nil {
 			return 0, m.err
 		}
 	}
-	n := copy(p[:min(len(p), m.limit-m.read)], m.b.data[m.b.r+m.read:m.b.w])
+	n := copy(p[:min(len(p), m.limit-m.read)], m.buf.data[m.buf.r+m.read:m.buf.w])
 	m.read += n
 	return n, nil
 }
--- a/internal/platform/names.go
+++ b/internal/platform/names.go
@@ -13,7 +13,7 @@
 	headerClass      = "X-Lane"
 	headerTenant     = "X-Org"
 	headerRemaining  = "X-Remaining"
-	headerRepeat     = "X-Resent"
+	headerRetry      = "X-Resent"
 	headerLabels     = "X-Labels"
 	headerKey        = "Idempotency-Key"
 	headerLoad       = "X-Pressure"
@@ -46,8 +46,8 @@
 
 // The sizes that the protocol allows, and what else is read at most.
 const (
-	maxBody     = 64 << 10
-	maxHead     = 16 << 10
-	maxKey      = 255                 // bytes of an idempotency key
-	maxResponse = maxHead + 2*maxBody // a complete answer of a worker, framing included
+	maxBodyBytes     = 64 << 10
+	maxHeadBytes     = 16 << 10
+	maxKeyBytes      = 255                           // bytes of an idempotency key
+	maxResponseBytes = maxHeadBytes + 2*maxBodyBytes // a complete answer of a worker, framing included
 )
--- a/internal/platform/peers_test.go
+++ b/internal/platform/peers_test.go
@@ -71,8 +71,8 @@
 		select {
 		case got := <-received:
 			check(t, "received message", got, want)
-		case <-time.After(patience):
-			t.Fatalf("no message received within %v, want %q", patience, want)
+		case <-time.After(waitTimeout):
+			t.Fatalf("no message received within %v, want %q", waitTimeout, want)
 		}
 	}
 	garbled := 2 + 2*int64(len(second))
@@ -108,7 +108,7 @@
 	}
 	p.Send(-1, []byte("to all"))
 	b := make([]byte, 2*maxPeerDatagram)
-	if err := peer.SetReadDeadline(time.Now().Add(patience)); err != nil {
+	if err := peer.SetReadDeadline(time.Now().Add(waitTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if n, err := peer.Read(b); err != nil || n != len("to all")+peerOverhead {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -19,10 +19,10 @@
 // How the file descriptors are shared: some are spare, for discovery, the listener and the runtime; the rest is halved
 // between clients and workers, so that every job that may be open can also be in flight.
 const (
-	spareDivisor        = 16 // of all descriptors
-	minSpareDescriptors = 16
-	adminDivisor        = 32 // for the operators' address, where there is one
-	minAdminConns       = 8
+	spareDescriptorsDivisor = 16 // of all descriptors
+	minSpareDescriptors     = 16
+	adminConnsDivisor       = 32 // for the operators' address, where there is one
+	minAdminConns           = 8
 )
 
 // AdminConnections is how many connections the operators' address may hold; 0 where there is none.
@@ -30,7 +30,7 @@
 	if cfg.Admin == "" {
 		return 0
 	}
-	return max(minAdminConns, cfg.MaxDescriptors/adminDivisor)
+	return max(minAdminConns, cfg.MaxDescriptors/adminConnsDivisor)
 }
 
 // A Platform is a scheduler's side of the platform's protocol: it owns the clients' connections, the workers' pool, the
@@ -43,18 +43,18 @@
 	core      *core.Core
 	settings  *config.Settings
 
-	sideBudget int              // descriptors for each side, if no other process shares them
-	listen     string           // the clients' address
-	shared     bool             // another process may listen there too
-	cached     []foxlift.Worker // the cached list, from before the start
-	log        *zap.Logger
+	connsPerSide  int              // descriptors for each side, if no other process shares them
+	listenAddr    string           // the clients' address
+	shareAddr     bool             // another process may listen there too
+	cachedWorkers []foxlift.Worker // the cached list, from before the start
+	log           *zap.Logger
 }
 
 // Start listens and serves clients. The cached list is checked before listening.
 func Start(
-	cfg *config.Scheduler, c *core.Core, clock core.Clock, set *counters.Set, log *zap.Logger,
+	cfg *config.Scheduler, jobCore *core.Core, clock core.Clock, counterSet *counters.Set, log *zap.Logger,
 ) (*Platform, error) {
-	p, err := New(cfg, c, clock, set, log)
+	p, err := New(cfg, jobCore, clock, counterSet, log)
 	if err != nil {
 		return nil, err
 	}
@@ -69,33 +69,36 @@
 // New makes a platform that does nothing yet: Listen, StartWatch and Accept each begin a part of it, in this order or,
 // for a process that takes over from another, with StartWatch first. The cached list is checked here.
 func New(
-	cfg *config.Scheduler, c *core.Core, clock core.Clock, set *counters.Set, log *zap.Logger,
+	cfg *config.Scheduler, jobCore *core.Core, clock core.Clock, counterSet *counters.Set, log *zap.Logger,
 ) (*Platform, error) {
 	log = logging.RateLimited(log) // clients and workers can cause all that is logged from here on
 	// The watch ends by closeOutbound, at the platform's end, and by nothing else.
-	endpoints := newEndpointWatch(context.Background(), cfg.Discovery, cfg.Settings, c, log)
+	endpoints := newEndpointWatch(context.Background(), cfg.Discovery, cfg.Settings, jobCore, log)
 	endpoints.table.coreNow = clock.Now
 	workers, err := endpoints.loadCached(cfg.CachedEndpoints)
 	if err != nil {
 		return nil, err
 	}
-	half := (cfg.MaxDescriptors - max(minSpareDescriptors, cfg.MaxDescriptors/spareDivisor) - AdminConnections(cfg)) / 2
-	pool := newWorkerPool(endpoints, cfg.Settings, set, log, half)
+	connsPerSide := (cfg.MaxDescriptors - max(minSpareDescriptors, cfg.MaxDescriptors/spareDescriptorsDivisor) -
+		AdminConnections(cfg)) / 2
+	pool := newWorkerPool(endpoints, cfg.Settings, counterSet, log, connsPerSide)
 	endpoints.table.onWorkerState = pool.inFlight.scheduleAborts
 	p := &Platform{
-		clients:    newClientServer(c, clock, set, log, nil, half),
-		endpoints:  endpoints,
-		pool:       pool,
-		core:       c,
-		settings:   cfg.Settings,
-		sideBudget: half,
-		listen:     cfg.Listen,
-		shared:     cfg.Admin != "",
-		cached:     workers,
-		log:        log,
+		clients:       newClientServer(jobCore, clock, counterSet, log, nil, connsPerSide),
+		endpoints:     endpoints,
+		pool:          pool,
+		core:          jobCore,
+		settings:      cfg.Settings,
+		connsPerSide:  connsPerSide,
+		listenAddr:    cfg.Listen,
+		shareAddr:     cfg.Admin != "",
+		cachedWorkers: workers,
+		log:           log,
 	}
 	if cfg.Peers.Listen != "" {
-		if p.peers, err = newPeers(cfg.Peers, cfg.Settings.Module.Index, clock, set, c.ReceiveGossip); err != nil {
+		if p.peers, err = newPeers(
+			cfg.Peers, cfg.Settings.Module.Index, clock, counterSet, jobCore.ReceiveGossip,
+		); err != nil {
 			return nil, err
 		}
 	}
@@ -110,7 +113,7 @@
 		return fmt.Errorf("listen (LB_LISTEN): %w", err)
 	}
 	if p.peers != nil {
-		if err := p.peers.open(p.shared); err != nil {
+		if err := p.peers.open(p.shareAddr); err != nil {
 			listener.Close()
 			return err
 		}
@@ -120,10 +123,10 @@
 }
 
 func (p *Platform) openListener() (*net.TCPListener, error) {
-	if p.shared {
-		return upgrade.Listen(p.listen)
+	if p.shareAddr {
+		return upgrade.Listen(p.listenAddr)
 	}
-	addr, err := net.ResolveTCPAddr("tcp", p.listen)
+	addr, err := net.ResolveTCPAddr("tcp", p.listenAddr)
 	if err != nil {
 		return nil, err
 	}
@@ -134,7 +137,7 @@
 func (p *Platform) StartWatch() {
 	p.endpoints.Watch() // its initial delay spreads the calls of schedulers that start together
 	env := core.Environment{
-		Workers: p.pool, EndpointWatch: p.endpoints, MaxOpen: maxOpenJobs(p.sideBudget), CachedEndpoints: p.cached,
+		Workers: p.pool, EndpointWatch: p.endpoints, MaxOpen: maxOpenJobs(p.connsPerSide), CachedEndpoints: p.cachedWorkers,
 	}
 	if p.peers != nil {
 		env.Peers = p.peers
@@ -152,13 +155,13 @@
 
 // YieldConnections makes clients go to a successor, which listens on the same address and gets all new connections, or
 // ends that. The health stays as it is, and requests that come are served.
-func (p *Platform) YieldConnections(on bool) { p.clients.yield(on) }
+func (p *Platform) YieldConnections(on bool) { p.clients.yieldConns(on) }
 
 // DivideDescriptors makes the platform keep to its part of the descriptors, which so many processes share.
 func (p *Platform) DivideDescriptors(processes int) {
-	p.clients.setBudget(p.sideBudget / processes)
-	p.pool.setBudget(p.sideBudget / processes)
-	p.core.SetMaxOpen(maxOpenJobs(p.sideBudget / processes))
+	p.clients.setBudget(p.connsPerSide / processes)
+	p.pool.setBudget(p.connsPerSide / processes)
+	p.core.SetMaxOpen(maxOpenJobs(p.connsPerSide / processes))
 }
 
 // SteerConnections directs what comes to the clients' and the peers' address to this process, from the predecessor that
@@ -168,8 +171,8 @@
 	if p.peers != nil {
 		sockets = append(sockets, p.peers.conn)
 	}
-	for _, s := range sockets {
-		if err := upgrade.SteerToNewest(s); err != nil {
+	for _, socket := range sockets {
+		if err := upgrade.SteerToNewest(socket); err != nil {
 			// Some connections go to the predecessor until it closes its listener.
 			p.log.Warn("takeover: predecessor still gets new connections", zap.Error(err))
 		}
--- a/internal/platform/process_start_test.go
+++ b/internal/platform/process_start_test.go
@@ -20,35 +20,36 @@
 			t.Run(fmt.Sprintf("%v, %s the start", step, when), func(t *testing.T) {
 				clock := core.NewClock()
 				offset := time.Duration(0)
-				m := newEndpointWatch(t.Context(), "", &config.Settings{}, nil, nil)
-				m.table.coreNow, m.table.wallNow = clock.Now, func() time.Time { return wallClock().Add(offset) }
+				watch := newEndpointWatch(t.Context(), "", &config.Settings{}, nil, nil)
+				watch.table.coreNow, watch.table.wallNow = clock.Now, func() time.Time { return wallClock().Add(offset) }
 				if when == "before" {
 					offset = step
 				}
-				born := m.table.wallNow().Add(-age).UnixMilli()
-				tell := func(version int) foxlift.Worker {
+				startedMilli := watch.table.wallNow().Add(-age).UnixMilli()
+				announce := func(version int) foxlift.Worker {
 					l, err := parseEndpoints(fmt.Appendf(nil,
-						`{"seq":%d,"whole":true,"hosts":[{"host":"n","dial":"h:1","health":"active","born_ms":%d}]}`, version, born))
+						`{"seq":%d,"whole":true,"hosts":[{"host":"n","dial":"h:1","health":"active","born_ms":%d}]}`,
+						version, startedMilli))
 					if err != nil {
 						t.Fatal(err)
 					}
-					m.mu.Lock()
-					defer m.mu.Unlock()
-					return m.applyLocked(l)[0]
+					watch.mu.Lock()
+					defer watch.mu.Unlock()
+					return watch.applyLocked(l)[0]
 				}
-				first := tell(1)
+				first := announce(1)
 				if got := time.Duration(clock.Now() - first.StartedAt); got < age-tolerance || got > age+tolerance {
 					t.Errorf("its age is %v, want %v", got, age)
 				}
 				offset = step
-				if again := tell(2); again.StartedAt != first.StartedAt {
+				if again := announce(2); again.StartedAt != first.StartedAt {
 					t.Errorf("told again, its start moves by %v", time.Duration(again.StartedAt-first.StartedAt))
 				}
-				to, _ := m.findLive("n")
-				if old := time.Now().Add(-age - time.Second); !old.Before(to.startedAt) {
+				endpoint, _ := watch.findLive("n")
+				if before := time.Now().Add(-age - time.Second); !before.Before(endpoint.startedAt) {
 					t.Error("a connection from before its start counts as newer")
 				}
-				if fresh := time.Now(); fresh.Before(to.startedAt) {
+				if now := time.Now(); now.Before(endpoint.startedAt) {
 					t.Error("a connection from now counts as older than its start")
 				}
 			})
--- a/internal/platform/rfc9112_test.go
+++ b/internal/platform/rfc9112_test.go
@@ -26,9 +26,9 @@
 	hex   = digit + "ABCDEFabcdef"
 )
 
-func all(s, of string) bool { return s != "" && strings.Trim(s, of) == "" }
+func consistsOf(s, of string) bool { return s != "" && strings.Trim(s, of) == "" }
 
-func fieldValue(s string) bool {
+func isFieldValue(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; c < ' ' && c != '\t' || c == 0x7f {
 			return false
@@ -39,7 +39,7 @@
 
 // line takes a line off data at offset at; a lone LF ends one too (RFC 9112, 2.2 lets
 // a recipient recognise it).
-func line(data []byte, at int) (text string, next int, ok bool) {
+func readLine(data []byte, at int) (text string, next int, ok bool) {
 	i := bytes.IndexByte(data[at:], '\n')
 	if i < 0 {
 		return "", at, false
@@ -49,53 +49,53 @@
 
 // frameRequest reads the request at offset at. whole is false where data ends before it does; sound is false
 // where the rules call it invalid.
-func frameRequest(data []byte, at int) (f framedRequest, whole, sound bool) {
-	start, at, ok := line(data, at)
+func frameRequest(data []byte, at int) (req framedRequest, complete, valid bool) {
+	start, at, ok := readLine(data, at)
 	if !ok {
-		return f, false, true
+		return req, false, true
 	}
 	parts := strings.Split(start, " ")
-	if len(parts) != 3 || !all(parts[0], tchar) || parts[1] == "" || !fieldValue(parts[1]) {
-		return f, true, false
+	if len(parts) != 3 || !consistsOf(parts[0], tchar) || parts[1] == "" || !isFieldValue(parts[1]) {
+		return req, true, false
 	}
 	version := parts[2]
-	if len(version) != 8 || !strings.HasPrefix(version, "HTTP/") || !all(version[5:6], digit) ||
-		version[6] != '.' || !all(version[7:], digit) {
-		return f, true, false
+	if len(version) != 8 || !strings.HasPrefix(version, "HTTP/") || !consistsOf(version[5:6], digit) ||
+		version[6] != '.' || !consistsOf(version[7:], digit) {
+		return req, true, false
 	}
-	f.method, f.target = parts[0], parts[1]
-	fields, whole, sound := framingFields(data, at)
-	if !whole || !sound {
-		return f, whole, sound
+	req.method, req.target = parts[0], parts[1]
+	fields, complete, valid := framingFields(data, at)
+	if !complete || !valid {
+		return req, complete, valid
 	}
 	lengths, codings, at := fields.lengths, fields.codings, fields.next
 	// The message body length, RFC 9112, 6.3.
 	switch {
 	case len(codings) > 0 && len(lengths) > 0, len(codings) > 1, len(lengths) > 1:
-		return f, true, false
+		return req, true, false
 	case len(codings) == 1:
 		if !strings.EqualFold(codings[0], "chunked") || version != "HTTP/1.1" {
-			return f, true, false
+			return req, true, false
 		}
-		return frameChunks(f, data, at)
+		return frameChunks(req, data, at)
 	case len(lengths) == 1:
-		if !all(lengths[0], digit) {
-			return f, true, false
+		if !consistsOf(lengths[0], digit) {
+			return req, true, false
 		}
 		n := 0
 		for _, c := range lengths[0] {
 			if n = 10*n + int(c-'0'); n > 1<<30 {
-				return f, true, false
+				return req, true, false
 			}
 		}
 		if at+n > len(data) {
-			return f, false, true
+			return req, false, true
 		}
-		f.body = data[at : at+n]
+		req.body = data[at : at+n]
 		at += n
 	}
-	f.length = at
-	return f, true, true
+	req.length = at
+	return req, true, true
 }
 
 // requestFields are the field lines of a request that frame its body.
@@ -106,44 +106,44 @@
 
 // framingFields reads the field lines from offset at to the empty line behind them. whole and sound are as for
 // frameRequest.
-func framingFields(data []byte, at int) (f requestFields, whole, sound bool) {
-	f.next = at
+func framingFields(data []byte, at int) (fields requestFields, complete, valid bool) {
+	fields.next = at
 	for {
 		var text string
 		var ok bool
-		if text, f.next, ok = line(data, f.next); !ok {
-			return f, false, true
+		if text, fields.next, ok = readLine(data, fields.next); !ok {
+			return fields, false, true
 		}
 		if text == "" {
-			return f, true, true
+			return fields, true, true
 		}
 		name, value, colon := strings.Cut(text, ":")
-		if !colon || !all(name, tchar) || !fieldValue(value) {
-			return f, true, false // obs-fold and white space before the colon too (RFC 9112, 5.1, 5.2)
+		if !colon || !consistsOf(name, tchar) || !isFieldValue(value) {
+			return fields, true, false // obs-fold and white space before the colon too (RFC 9112, 5.1, 5.2)
 		}
 		value = strings.Trim(value, " \t")
 		switch strings.ToLower(name) {
 		case "content-length":
-			f.lengths = append(f.lengths, value)
+			fields.lengths = append(fields.lengths, value)
 		case "transfer-encoding":
-			f.codings = append(f.codings, value)
+			fields.codings = append(fields.codings, value)
 		}
 	}
 }
 
 // frameChunks reads a chunked body (RFC 9112, 7.1).
-func frameChunks(f framedRequest, data []byte, at int) (framedRequest, bool, bool) {
-	f.body = []byte{}
+func frameChunks(req framedRequest, data []byte, at int) (framedRequest, bool, bool) {
+	req.body = []byte{}
 	for {
-		head, next, ok := line(data, at)
+		head, next, ok := readLine(data, at)
 		if !ok {
-			return f, false, true
+			return req, false, true
 		}
 		at = next
 		size, _, _ := strings.Cut(head, ";")
 		size = strings.TrimRight(size, " \t") // BWS before an extension
-		if !all(size, hex) || len(strings.TrimLeft(size, "0")) > 7 {
-			return f, true, false
+		if !consistsOf(size, hex) || len(strings.TrimLeft(size, "0")) > 7 {
+			return req, true, false
 		}
 		long, _ := strconv.ParseUint(size, 16, 64)
 		n := int(long)
@@ -152,36 +152,36 @@
 		}
 		if at+n+2 > len(data) {
 			if at+n < len(data) && data[at+n] != '\r' && data[at+n] != '\n' {
-				return f, true, false
+				return req, true, false
 			}
 			if at+n+1 > len(data) || data[at+n] != '\n' {
-				return f, false, true
+				return req, false, true
 			}
 		}
-		f.body = append(f.body, data[at:at+n]...)
+		req.body = append(req.body, data[at:at+n]...)
 		at += n
 		switch {
 		case data[at] == '\r' && data[at+1] == '\n':
 			at += 2
 		default:
-			return f, true, false
+			return req, true, false
 		}
 	}
 	for { // trailers
-		text, next, ok := line(data, at)
+		text, next, ok := readLine(data, at)
 		if !ok {
-			return f, false, true
+			return req, false, true
 		}
 		at = next
 		if text == "" {
-			f.length = at
-			return f, true, true
+			req.length = at
+			return req, true, true
 		}
 		name, value, colon := strings.Cut(text, ":")
-		if !colon || !all(name, tchar) || !fieldValue(value) {
-			return f, true, false
+		if !colon || !consistsOf(name, tchar) || !isFieldValue(value) {
+			return req, true, false
 		}
 	}
 }
 
-func parserOf(data []byte) *bufio.Reader { return bufio.NewReader(bytes.NewReader(data)) }
+func newByteReader(data []byte) *bufio.Reader { return bufio.NewReader(bytes.NewReader(data)) }
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -9,17 +9,17 @@
 // shutDown ends the server: for a while it accepts what comes in, then it closes the listener. The connections that
 // are there stay for longer, since their clients have nowhere else to go until they notice the shutdown. Then
 // the idle ones are closed, and it returns when all are answered.
-func (s *clientServer) shutDown(acceptFor, stay time.Duration) {
-	stayTimer := time.After(stay)
+func (s *clientServer) shutDown(acceptFor, closeIdleAfter time.Duration) {
+	closeIdleTimer := time.After(closeIdleAfter)
 	<-time.After(acceptFor)
 	s.mu.Lock()
 	s.stopAccepting.Store(true)
-	s.connEnded.Broadcast()
+	s.capacityChanged.Broadcast()
 	_ = s.listener.SetDeadline(pastDeadline) // fails on a closed one, as Accept does
 	s.mu.Unlock()
 	<-s.acceptDone // what the kernel has accepted is served too
 	s.listener.Close()
-	<-stayTimer
+	<-closeIdleTimer
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closeIdle.Store(true)
@@ -27,7 +27,7 @@
 		s.retireLocked(c)
 	}
 	for len(s.conns) > 0 {
-		s.connEnded.Wait()
+		s.capacityChanged.Wait()
 	}
 }
 
@@ -43,31 +43,31 @@
 	maxKillDeadline = 3 * time.Second
 	killSlack       = 700 * time.Millisecond
 	processSlack    = 400 * time.Millisecond // lingerTimeout, and some for the process itself
-	minStay         = 100 * time.Millisecond // past acceptAfterShutdown, that clients' connections stay,
+	minIdleGrace    = 100 * time.Millisecond // past acceptAfterShutdown, that clients' connections stay,
 	answerReserve   = time.Second            // and at most until so long before the end, for the last answers
 )
 
 // shutdownTimes returns how long after the beginning of a shutdown clients' connections stay, and when everything
 // is answered: what cannot be done by then is abandoned.
-func shutdownTimes(s *config.Settings) (stay, end time.Duration) {
+func shutdownTimes(s *config.Settings) (closeIdleAfter, answerBy time.Duration) {
 	longest := int64(0)
-	for _, k := range s.Module.Classes {
-		longest = max(longest, k.Deadline)
+	for _, class := range s.Module.Classes {
+		longest = max(longest, class.Deadline)
 	}
-	end = min(maxKillDeadline, time.Duration(longest)) + killSlack - processSlack
-	return max(acceptAfterShutdown+minStay, end-answerReserve), max(acceptAfterShutdown+2*minStay, end)
+	answerBy = min(maxKillDeadline, time.Duration(longest)) + killSlack - processSlack
+	return max(acceptAfterShutdown+minIdleGrace, answerBy-answerReserve), max(acceptAfterShutdown+2*minIdleGrace, answerBy)
 }
 
 // ShutDown makes the health 503, goes on accepting what comes in for a short while and closes the listener. On the
 // connections that are there it goes on for longer with jobs that end soon. It returns when everything that
 // was accepted is answered.
 func (p *Platform) ShutDown() {
-	stay, end := shutdownTimes(p.settings)
+	closeIdleAfter, answerBy := shutdownTimes(p.settings)
 	// Nothing that comes in the first while is held against a scheduler.
-	beginTimer := time.AfterFunc(acceptAfterShutdown, func() { p.core.BeginShutdown(end - acceptAfterShutdown) })
+	beginTimer := time.AfterFunc(acceptAfterShutdown, func() { p.core.BeginShutdown(answerBy - acceptAfterShutdown) })
 	defer beginTimer.Stop()
 	p.clients.unready.Store(true)
-	p.clients.shutDown(acceptAfterShutdown, stay)
+	p.clients.shutDown(acceptAfterShutdown, closeIdleAfter)
 	p.core.Stop()
 	p.closeOutbound()
 }
@@ -77,13 +77,13 @@
 // is closed, and clients' connections end as soon as what they carry is answered. It returns when everything
 // that was accepted is answered.
 func (p *Platform) ShutDownAfterTakeover() {
-	_, end := shutdownTimes(p.settings)
-	p.core.BeginShutdown(end)
+	_, answerBy := shutdownTimes(p.settings)
+	p.core.BeginShutdown(answerBy)
 	if p.peers != nil {
 		p.peers.stop() // the other schedulers hear the successor, and would take both for one
 	}
-	p.clients.yield(true)
-	p.clients.shutDown(takeoverQueueTime, takeoverIdleStay)
+	p.clients.yieldConns(true)
+	p.clients.shutDown(takeoverAcceptTime, takeoverIdleGrace)
 	p.core.Stop()
 	p.closeOutbound()
 }
@@ -91,8 +91,8 @@
 // After a takeover: connections whose handshake had begun before it have come into the accept queue by then; and so
 // long idle connections stay for a request.
 const (
-	takeoverQueueTime = 100 * time.Millisecond
-	takeoverIdleStay  = 300 * time.Millisecond
+	takeoverAcceptTime = 100 * time.Millisecond
+	takeoverIdleGrace  = 300 * time.Millisecond
 )
 
 // closeOutbound ends what the scheduler has open to others than its clients.
@@ -112,8 +112,8 @@
 	if p.clients.listener != nil {
 		p.clients.listener.Close()
 	}
-	for s := range p.clients.conns {
-		s.conn.Close()
+	for conn := range p.clients.conns {
+		conn.conn.Close()
 	}
 	p.closeOutbound()
 }
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -64,7 +64,7 @@
 	check(t, "slow", r.StatusCode, 200)
 	select {
 	case <-ended:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Error("does not end")
 	}
 }
@@ -72,13 +72,13 @@
 // A lateRequestConn calls a test's hook as a client's connection begins to end.
 type lateRequestConn struct {
 	*net.TCPConn
-	shuttingDown func() // once, as the connection begins to end
+	onClose func() // once, as the connection begins to end
 }
 
 func (c *lateRequestConn) hook() {
-	if ending := c.shuttingDown; ending != nil {
-		c.shuttingDown = nil
-		ending()
+	if onClose := c.onClose; onClose != nil {
+		c.onClose = nil
+		onClose()
 	}
 }
 
@@ -93,49 +93,49 @@
 	worker := newTestWorker(t, func(c net.Conn, _ *http.Request, id string) bool {
 		return writeStates(c, id, true, `"started"`, `"done","result":"`+big+`"`)
 	})
-	for _, how := range []string{"a last answer", "an idle one", "bad input"} {
+	for _, ending := range []string{"a last answer", "an idle one", "bad input"} {
 		p, set := start(t, "", worker)
 		near, far := pipe(t)
 		if err := far.SetReadBuffer(4 << 10); err != nil { // most of the answer is still with the scheduler as it ends
 			t.Fatal(err)
 		}
-		if err := far.SetDeadline(time.Now().Add(patience)); err != nil {
+		if err := far.SetDeadline(time.Now().Add(waitTimeout)); err != nil {
 			t.Fatal(err)
 		}
-		ending := make(chan bool)
+		hookDone := make(chan bool)
 		p.clients.serveConn(&lateRequestConn{near, func() {
 			writeText(t, far, jobText("reading", "late", "9000m", "")+strings.Repeat("y", 2<<10))
 			await(t, "arrived", func() bool { return hasInput(near) })
-			close(ending)
+			close(hookDone)
 		}})
-		got, status := worker.RequestCount.Load(), 200
-		switch how {
+		requestsBefore, status := worker.RequestCount.Load(), 200
+		switch ending {
 		case "a last answer":
 			writeText(t, far, jobText("reading", "j", "9000m", "", "Connection: close"))
 		case "bad input":
 			writeText(t, far, "what is this\r\n\r\n")
 			status = 400
-			got--
+			requestsBefore--
 		default:
 			writeText(t, far, jobText("reading", "j", "9000m", ""))
 			await(t, "served", func() bool { return set.Get("jobs.served") == 1 })
 			await(t, "idle", func() bool { p.clients.mu.Lock(); defer p.clients.mu.Unlock(); return p.clients.idle.Len() == 1 })
-			p.clients.freeOne()
+			p.clients.freeOneConn()
 		}
-		<-ending
+		<-hookDone
 		br := bufio.NewReader(far)
 		r, body, err := readAnswer(br)
 		if err != nil {
-			t.Fatal(how, ": ", err)
+			t.Fatal(ending, ": ", err)
 		}
 		if status == 200 && len(body) != len(big) {
-			t.Errorf("%s: %d bytes of the answer", how, len(body))
+			t.Errorf("%s: %d bytes of the answer", ending, len(body))
 		}
-		check(t, how+": status", r.StatusCode, status)
+		check(t, ending+": status", r.StatusCode, status)
 		if _, err := br.ReadByte(); err != io.EOF {
-			t.Errorf("%s: %v behind the answer", how, err)
+			t.Errorf("%s: %v behind the answer", ending, err)
 		}
-		check(t, how+": sent on", worker.RequestCount.Load(), got+1)
+		check(t, ending+": sent on", worker.RequestCount.Load(), requestsBefore+1)
 	}
 }
 
@@ -156,18 +156,18 @@
 // The backlog at the shutdown is served, though the process stands still past the time for that.
 func TestBacklogAfterProcessStall(t *testing.T) {
 	p, _ := start(t, "", newTestWorker(t, serveJob))
-	f := newClientServer(p.core, core.NewClock(), &counters.Set{}, zap.NewNop(),
+	server := newClientServer(p.core, core.NewClock(), &counters.Set{}, zap.NewNop(),
 		&stalledListener{listen(t).(*net.TCPListener), 4}, 9)
-	q := &Platform{clients: f}
+	platform := &Platform{clients: server}
 	var waiting []*testClient
 	for i := range 5 {
-		s := connect(t, q)
+		s := connect(t, platform)
 		s.send(t, jobText("reading", fmt.Sprint("w", i), "9000m", ""))
 		waiting = append(waiting, s)
 	}
-	f.stopAccepting.Store(true) // before the first accept: all of them are backlog
-	go f.accept()
-	f.shutDown(0, 0)
+	server.stopAccepting.Store(true) // before the first accept: all of them are backlog
+	go server.accept()
+	server.shutDown(0, 0)
 	for _, s := range waiting {
 		r, _ := s.answer(t)
 		check(t, "status", r.StatusCode, 200)
@@ -185,10 +185,12 @@
 			{Deadline: int64(time.Millisecond)},
 			{Deadline: int64(deadline)},
 		}}}
-		stay, end := shutdownTimes(s)
-		kill := min(3*time.Second, deadline) + 700*time.Millisecond
-		if end+lingerTimeout+100*time.Millisecond > kill || stay < acceptAfterShutdown || stay >= end {
-			t.Errorf("deadline %v: connections stay %v, answered by %v, killed at %v", deadline, stay, end, kill)
+		closeIdleAfter, answerBy := shutdownTimes(s)
+		killedAt := min(3*time.Second, deadline) + 700*time.Millisecond
+		if answerBy+lingerTimeout+100*time.Millisecond > killedAt ||
+			closeIdleAfter < acceptAfterShutdown || closeIdleAfter >= answerBy {
+			t.Errorf("deadline %v: connections stay %v, answered by %v, killed at %v",
+				deadline, closeIdleAfter, answerBy, killedAt)
 		}
 	}
 }
--- a/internal/platform/socket.go
+++ b/internal/platform/socket.go
@@ -10,9 +10,9 @@
 
 // withDescriptor calls f with the descriptor of a connection or a listener, unless that has none, as in some
 // tests, or is closed.
-func withDescriptor(c any, f func(fd int)) {
-	if sc, ok := c.(syscall.Conn); ok {
-		if raw, err := sc.SyscallConn(); err == nil {
+func withDescriptor(socket any, f func(fd int)) {
+	if syscallConn, ok := socket.(syscall.Conn); ok {
+		if raw, err := syscallConn.SyscallConn(); err == nil {
 			_ = raw.Control(func(fd uintptr) { f(int(fd)) }) // fails on a closed one, before f is called
 		}
 	}
--- a/internal/platform/state_lines.go
+++ b/internal/platform/state_lines.go
@@ -26,41 +26,41 @@
 
 // parseStateLine reads a line. One that repeats a name is garbled: encoding/json would take the last value, and names
 // in any case, so that "failed" could be hidden by "done".
-func parseStateLine(line []byte) (n stateLine, err error) {
-	if err := json.Unmarshal(line, &n); err != nil {
-		return n, err
+func parseStateLine(line []byte) (parsed stateLine, err error) {
+	if err := json.Unmarshal(line, &parsed); err != nil {
+		return parsed, err
 	}
 	if !mayRepeatName(line) {
-		return n, nil
+		return parsed, nil
 	}
-	var seen []string
+	var names []string
 	dec := json.NewDecoder(bytes.NewReader(line))
 	dec.UseNumber()
-	for depth, key := 0, false; ; {
+	for depth, expectName := 0, false; ; {
 		token, err := dec.Token()
 		if errors.Is(err, io.EOF) {
-			return n, nil
+			return parsed, nil
 		} else if err != nil {
-			return n, err
+			return parsed, err
 		}
-		switch t := token.(type) {
+		switch value := token.(type) {
 		case json.Delim:
-			if t == '{' || t == '[' {
+			if value == '{' || value == '[' {
 				depth++
 			} else {
 				depth--
 			}
-			key = depth == 1
+			expectName = depth == 1
 			continue
 		case string:
-			if depth == 1 && key {
-				if slices.ContainsFunc(seen, func(s string) bool { return strings.EqualFold(s, t) }) {
-					return n, fmt.Errorf("%q is there twice", t)
+			if depth == 1 && expectName {
+				if slices.ContainsFunc(names, func(s string) bool { return strings.EqualFold(s, value) }) {
+					return parsed, fmt.Errorf("%q is there twice", value)
 				}
-				seen = append(seen, t)
+				names = append(names, value)
 			}
 		}
-		key = depth == 1 && !key
+		expectName = depth == 1 && !expectName
 	}
 }
 
@@ -97,33 +97,33 @@
 // whatever its lines were. An error means that the connection cannot be reused.
 func (a *attempt) readStates(body io.Reader) (core.Report, error) {
 	lines := bufio.NewScanner(body)
-	lines.Buffer(nil, maxResponse)
+	lines.Buffer(nil, maxResponseBytes)
 	var final *core.Report
 	for lines.Scan() {
 		line := bytes.TrimSpace(lines.Bytes())
 		if len(line) == 0 {
 			continue
 		}
-		n, err := parseStateLine(line)
+		state, err := parseStateLine(line)
 		if err != nil {
 			return finalReport(foxlift.Reset), err
 		}
-		if n.ID != a.job.ID || final != nil {
+		if state.ID != a.job.ID || final != nil {
 			return finalReport(foxlift.Reset), errUnexpectedLine
 		}
-		switch code, isLast := finalCodes[n.State]; {
+		switch code, isLast := finalCodes[state.State]; {
 		case isLast:
 			final = &core.Report{Ended: true, Code: code}
 			if code == foxlift.Served {
-				final.Result = []byte(n.Result)
+				final.Result = []byte(state.Result)
 			}
-			final.Load, final.HasLoad = a.pool.loadParser.parseObject(n.Load)
-		case n.State == stateStarted:
+			final.Load, final.HasLoad = a.pool.loadParser.parseObject(state.Load)
+		case state.State == stateStarted:
 			if time.Since(a.trace.answeredAt) > minAnswerLead {
 				a.pool.answersBeforeStart.Store(true)
 			}
 			a.report(core.Report{})
-		case n.State == stateRunning:
+		case state.State == stateRunning:
 			a.report(core.Report{Progress: true})
 		} // unknown states, of a later protocol, are ignored
 	}
--- a/internal/platform/state_lines_test.go
+++ b/internal/platform/state_lines_test.go
@@ -13,7 +13,7 @@
 
 // A line that repeats a name is garbled: no reading of it may be believed.
 func TestRepeatedNamesInStateLine(t *testing.T) {
-	for text, sound := range map[string]bool{
+	for text, valid := range map[string]bool{
 		`{"id":"j","state":"done","result":"r"}`:                           true,
 		`{"id":"j","state":"running","share":0.5,"x":{"id":"k","id":"l"}}`: true,
 		`{"id":"j","state":"done","result":"state"}`:                       true,
@@ -25,7 +25,7 @@
 		`{"id":"k","id":"j","state":"done"}`:                               false,
 		`{"id":"j","state":"done"`:                                         false,
 	} {
-		if _, err := parseStateLine([]byte(text)); (err == nil) != sound {
+		if _, err := parseStateLine([]byte(text)); (err == nil) != valid {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
@@ -35,7 +35,7 @@
 // nothing.
 func TestWorkerAnswers(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-	line := func(s string) string { return say1(`{"id":"j1","from":"n","state":` + s + "}\n") }
+	line := func(s string) string { return httpChunk(`{"id":"j1","from":"n","state":` + s + "}\n") }
 	const end = "0\r\n\r\n"
 	for name, c := range map[string]struct {
 		text string
@@ -47,7 +47,10 @@
 			"HTTP/1.1 100 Continue\r\n\r\n" + ok + line(`"done","result":"rA"`) + end,
 			foxlift.Served,
 		},
-		"done in two chunks":     {ok + say1(`{"id":"j1","state":"do`) + say1(`ne","result":"rA"}`) + end, foxlift.Served},
+		"done in two chunks": {
+			ok + httpChunk(`{"id":"j1","state":"do`) + httpChunk(`ne","result":"rA"}`) + end,
+			foxlift.Served,
+		},
 		"done, a later protocol": {ok + line(`"paused"`) + line(`"done","result":"rA","new":{}`) + end, foxlift.Served},
 		"failed":                 {ok + line(`"started"`) + line(`"failed"`) + end, foxlift.WorkerError},
 		"lost":                   {ok + line(`"started"`) + line(`"lost"`) + end, foxlift.Reset},
@@ -72,30 +75,30 @@
 		"length breaks off": {"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n" +
 			`{"id":"j1","state":"done","result":"rA"}` + "\n", foxlift.Reset},
 		"bad chunk":     {ok + "zz\r\n", foxlift.Reset},
-		"bad JSON":      {ok + say1("{\"id\":\"j1\",\n") + end, foxlift.Reset},
-		"another job's": {ok + say1(`{"id":"j2","state":"done","result":"rA"}`) + end, foxlift.Reset},
+		"bad JSON":      {ok + httpChunk("{\"id\":\"j1\",\n") + end, foxlift.Reset},
+		"another job's": {ok + httpChunk(`{"id":"j2","state":"done","result":"rA"}`) + end, foxlift.Reset},
 		"two ends":      {ok + line(`"done","result":"rA"`) + line(`"failed"`) + end, foxlift.Reset},
-		"too long":      {ok + line(`"done","result":"`+strings.Repeat("x", maxResponse)+`"`) + end, foxlift.Reset},
+		"too long":      {ok + line(`"done","result":"`+strings.Repeat("x", maxResponseBytes)+`"`) + end, foxlift.Reset},
 	} {
 		a := &attempt{
 			pool: &workerPool{}, job: &core.Job{ID: "j1", Payload: &payload{method: "POST", target: "/x"}},
 			report: func(core.Report) {},
 		}
-		r, _ := a.receiveAnswer(&workerConn{buf: buffer{conn: scripted{text: strings.NewReader(c.text)}}})
+		r, _ := a.receiveAnswer(&workerConn{buf: readBuffer{conn: scriptedConn{text: strings.NewReader(c.text)}}})
 		if r.Code != c.want || !r.Ended || c.want == foxlift.Served && string(r.Result) != "rA" {
 			t.Errorf("%s: code %d, result %.20q; want code %d", name, r.Code, r.Result, c.want)
 		}
 	}
 }
 
-func say1(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
+func httpChunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
 // scripted is a connection whose other side sends text and accepts everything.
-type scripted struct {
+type scriptedConn struct {
 	net.Conn
 	text io.Reader
 }
 
-func (c scripted) Read(p []byte) (int, error) { return c.text.Read(p) }
+func (c scriptedConn) Read(p []byte) (int, error) { return c.text.Read(p) }
 
-func (c scripted) Write(p []byte) (int, error) { return len(p), nil }
+func (c scriptedConn) Write(p []byte) (int, error) { return len(p), nil }
--- a/internal/platform/worker_conn.go
+++ b/internal/platform/worker_conn.go
@@ -16,7 +16,7 @@
 type workerConn struct {
 	net.Conn
 	addr      string
-	buf       buffer
+	buf       readBuffer
 	idleTimer *time.Timer // closes the connection after idleTimeout, unless it is reused before
 	idleSince time.Time   // when it last became idle; zero for a connection that has served no request yet
 	openedAt  time.Time
--- a/internal/platform/worker_pool.go
+++ b/internal/platform/worker_pool.go
@@ -217,7 +217,7 @@
 		return nil, err
 	}
 	p.counters.Add("nodes.dialed")
-	return &workerConn{Conn: conn, addr: addr, buf: buffer{conn: conn}, openedAt: time.Now()}, nil
+	return &workerConn{Conn: conn, addr: addr, buf: readBuffer{conn: conn}, openedAt: time.Now()}, nil
 }
 
 // CloseIdle implements core.Workers.
--- a/internal/platform/worker_pool_test.go
+++ b/internal/platform/worker_pool_test.go
@@ -40,7 +40,7 @@
 func TestIdleConnections(t *testing.T) {
 	worker := newTestWorker(t, serveJob)
 	pool := &workerPool{
-		counters: &counters.Set{}, dialTimeout: patience, idleTimeout: time.Hour, budget: 2,
+		counters: &counters.Set{}, dialTimeout: waitTimeout, idleTimeout: time.Hour, budget: 2,
 		idle: map[string][]*workerConn{},
 	}
 	addr, target := worker.Addr().String(), endpoint{address: worker.Addr().String()}
@@ -86,7 +86,7 @@
 func TestUnreachableWorker(t *testing.T) {
 	closed := newTestWorker(t, nil)
 	closed.Close()
-	pool := &workerPool{counters: &counters.Set{}, dialTimeout: patience, budget: 1, idle: map[string][]*workerConn{}}
+	pool := &workerPool{counters: &counters.Set{}, dialTimeout: waitTimeout, budget: 1, idle: map[string][]*workerConn{}}
 	c, err := pool.acquire(t.Context(), endpoint{address: closed.Addr().String()})
 	if c != nil || sendCode(err) != foxlift.Unreachable {
 		t.Errorf("acquire() with a refused dial: error %v, want one with code %v", err, foxlift.Unreachable)
@@ -140,7 +140,7 @@
 		}()
 		entry := `{"host":"n%d","dial":%q,"site":"a","class":"k","block":0,"health":"active","born_ms":0}`
 		cached := fmt.Sprintf(`{"seq":1,"whole":true,"hosts":[`+entry+","+entry+`]}`, 0, l.Addr(), 1, l.Addr())
-		p, _ := startKnown(t, testSettings, 256, "", cached)
+		p, _ := startWithCachedList(t, testSettings, 256, "", cached)
 		client := connect(t, p)
 		r, _ := client.request(t, jobText("reading", "j0", "9000m", ""))
 		check(t, "status of the first job", r.StatusCode, 200)
--- a/internal/wire/decode_endpoints.go
+++ b/internal/wire/decode_endpoints.go
@@ -8,7 +8,7 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-const endpointFields = 7
+const minEndpointFields = 7
 
 var endpointUpdates = map[string]foxlift.EndpointUpdate{
 	"incr": foxlift.EndpointsDelta, "total": foxlift.EndpointsComplete,
@@ -20,8 +20,8 @@
 }
 
 // endpoints decodes ["registry", schedulerId, scope, version, items].
-func (d *Decoder) endpoints(n *Names, f []*fastjson.Value) error {
-	scope, err := text(f[2], "scope")
+func (d *Decoder) decodeEndpoints(names *NameTables, fields []*fastjson.Value) error {
+	scope, err := readString(fields[2], "scope")
 	if err != nil {
 		return err
 	}
@@ -31,17 +31,17 @@
 	}
 	d.event.Kind, d.event.EndpointUpdate = foxlift.EventEndpoints, update
 	d.workers = d.workers[:0]
-	if !absent(f[4]) {
-		items, err := array(f[4], "items")
+	if !isAbsent(fields[4]) {
+		items, err := readArray(fields[4], "items")
 		if err != nil {
 			return err
 		}
 		for i, item := range items {
-			w, err := n.endpoint(item)
+			worker, err := names.decodeEndpoint(item)
 			if err != nil {
 				return fmt.Errorf("entry %d: %w", i, err)
 			}
-			d.workers = append(d.workers, w)
+			d.workers = append(d.workers, worker)
 		}
 	}
 	d.event.Workers = d.workers
@@ -49,42 +49,42 @@
 }
 
 // endpoint decodes [worker, zone, kind, block, stageState, _, cameUp].
-func (n *Names) endpoint(v *fastjson.Value) (w foxlift.Worker, err error) {
-	f, err := array(v, "entry")
+func (n *NameTables) decodeEndpoint(v *fastjson.Value) (worker foxlift.Worker, err error) {
+	fields, err := readArray(v, "entry")
 	if err != nil {
-		return w, err
+		return worker, err
 	}
-	if len(f) < endpointFields {
-		return w, fmt.Errorf("%d values, want %d", len(f), endpointFields)
+	if len(fields) < minEndpointFields {
+		return worker, fmt.Errorf("%d values, want %d", len(fields), minEndpointFields)
 	}
-	id, err := text(f[0], "worker")
+	id, err := readString(fields[0], "worker")
 	if err != nil {
-		return w, err
+		return worker, err
 	}
-	w.ID = n.intern(id)
-	w.Zone, w.Kind = n.indexOf(n.zones, f[1]), n.indexOf(n.kinds, f[2])
-	cell, err := optionalNumber(f[3], "block")
+	worker.ID = n.intern(id)
+	worker.Zone, worker.Kind = n.indexOf(n.zones, fields[1]), n.indexOf(n.kinds, fields[2])
+	cell, err := readOptionalNumber(fields[3], "block")
 	if err != nil {
-		return w, err
+		return worker, err
 	}
-	w.Cell = int(cell)
-	state, err := text(f[4], "stageState")
+	worker.Cell = int(cell)
+	state, err := readString(fields[4], "stageState")
 	if err != nil {
-		return w, err
+		return worker, err
 	}
-	known, ok := workerStates[string(state)]
+	stateValue, ok := workerStates[string(state)]
 	if !ok {
-		return w, fmt.Errorf("unknown state %q", state)
+		return worker, fmt.Errorf("unknown state %q", state)
 	}
-	w.State = known
-	if !absent(f[6]) {
-		w.StartedAt, err = integer(f[6], "cameUp")
+	worker.State = stateValue
+	if !isAbsent(fields[6]) {
+		worker.StartedAt, err = readInt(fields[6], "cameUp")
 	}
-	return w, err
+	return worker, err
 }
 
 // indexOf returns the index of a name in a table; -1 if it is not there.
-func (n *Names) indexOf(table map[string]int, v *fastjson.Value) int {
+func (n *NameTables) indexOf(table map[string]int, v *fastjson.Value) int {
 	if v.Type() == fastjson.TypeString {
 		if i, ok := table[string(v.GetStringBytes())]; ok {
 			return i
@@ -94,20 +94,20 @@
 }
 
 // intern returns one string for all mentions of a worker.
-func (n *Names) intern(id []byte) string {
-	s, ok := n.workers[string(id)]
+func (n *NameTables) intern(id []byte) string {
+	interned, ok := n.workers[string(id)]
 	if !ok {
-		s = string(id)
-		n.workers[s] = s
+		interned = string(id)
+		n.workers[interned] = interned
 	}
-	return s
+	return interned
 }
 
 // workerID decodes the id of a worker.
-func (n *Names) workerID(v *fastjson.Value) (string, error) {
-	s, err := text(v, "worker")
+func (n *NameTables) decodeWorkerID(v *fastjson.Value) (string, error) {
+	id, err := readString(v, "worker")
 	if err != nil {
 		return "", err
 	}
-	return n.intern(s), nil
+	return n.intern(id), nil
 }
--- a/internal/wire/decode_events.go
+++ b/internal/wire/decode_events.go
@@ -26,80 +26,80 @@
 const progressKindStarted = 1
 
 // request decodes ["accept", schedulerId, xid, deadline, cls, item, hint, slots, stateBits, tenant, mem].
-func (d *Decoder) request(n *Names, f []*fastjson.Value) (err error) {
-	e := &d.event
-	e.Kind = foxlift.EventRequest
-	r := &e.Request
-	if r.ID, err = unsigned(f[2], "xid"); err != nil {
+func (d *Decoder) decodeRequest(names *NameTables, fields []*fastjson.Value) (err error) {
+	event := &d.event
+	event.Kind = foxlift.EventRequest
+	request := &event.Request
+	if request.ID, err = readUint(fields[2], "xid"); err != nil {
 		return err
 	}
-	if r.Deadline, err = integer(f[3], "deadline"); err != nil {
+	if request.Deadline, err = readInt(fields[3], "deadline"); err != nil {
 		return err
 	}
-	class, err := text(f[4], "cls")
+	class, err := readString(fields[4], "cls")
 	if err != nil {
 		return err
 	}
-	index, ok := n.classes[string(class)]
+	index, ok := names.classes[string(class)]
 	if !ok {
 		return fmt.Errorf("unknown class %q", class)
 	}
-	r.Class = index
-	if r.Key, err = affinityKey(f[5]); err != nil {
+	request.Class = index
+	if request.Key, err = decodeAffinityKey(fields[5]); err != nil {
 		return err
 	}
-	bits, err := optionalNumber(f[8], "stateBits")
+	bits, err := readOptionalNumber(fields[8], "stateBits")
 	if err != nil {
 		return err
 	}
-	hint, err := optionalNumber(f[6], "hint")
+	hint, err := readOptionalNumber(fields[6], "hint")
 	if err != nil {
 		return err
 	}
 	if int64(bits)&stateBitSize != 0 {
-		r.Size = int64(hint)
+		request.Size = int64(hint)
 	}
-	r.ClientRetry = int64(bits)&stateBitRetry != 0
-	if r.Slots, err = optionalNumber(f[7], "slots"); err != nil {
+	request.ClientRetry = int64(bits)&stateBitRetry != 0
+	if request.Slots, err = readOptionalNumber(fields[7], "slots"); err != nil {
 		return err
 	}
-	if r.Memory, err = optionalNumber(f[10], "mem"); err != nil {
+	if request.Memory, err = readOptionalNumber(fields[10], "mem"); err != nil {
 		return err
 	}
-	r.Tenant = -1
-	if f[9].Type() == fastjson.TypeString {
-		if tenant, ok := n.tenants[string(f[9].GetStringBytes())]; ok {
-			r.Tenant = tenant
+	request.Tenant = -1
+	if fields[9].Type() == fastjson.TypeString {
+		if tenant, ok := names.tenants[string(fields[9].GetStringBytes())]; ok {
+			request.Tenant = tenant
 		}
 	}
 	return nil
 }
 
 // affinityKey decodes the affinity key of a request; 0 if it has none.
-func affinityKey(v *fastjson.Value) (uint64, error) {
-	if absent(v) {
+func decodeAffinityKey(v *fastjson.Value) (uint64, error) {
+	if isAbsent(v) {
 		return 0, nil
 	}
-	s, err := text(v, "item")
-	return config.ParseAffinityKey(s), err
+	key, err := readString(v, "item")
+	return config.ParseAffinityKey(key), err
 }
 
 // attemptOf decodes which attempt an event is of.
-func (d *Decoder) attemptOf(n *Names, xid, worker, attempt *fastjson.Value) (err error) {
-	if d.event.ID, err = unsigned(xid, "xid"); err != nil {
+func (d *Decoder) decodeAttempt(names *NameTables, xid, worker, attempt *fastjson.Value) (err error) {
+	if d.event.ID, err = readUint(xid, "xid"); err != nil {
 		return err
 	}
-	if d.event.Worker, err = n.workerID(worker); err != nil {
+	if d.event.Worker, err = names.decodeWorkerID(worker); err != nil {
 		return err
 	}
-	number, err := integer(attempt, "go")
+	number, err := readInt(attempt, "go")
 	d.event.Attempt = int(number)
 	return err
 }
 
 // progress decodes ["interim", schedulerId, xid, share, kind, worker, go].
-func (d *Decoder) progress(n *Names, f []*fastjson.Value) error {
-	kind, err := integer(f[4], "kind")
+func (d *Decoder) decodeProgress(names *NameTables, fields []*fastjson.Value) error {
+	kind, err := readInt(fields[4], "kind")
 	if err != nil {
 		return err
 	}
@@ -107,55 +107,55 @@
 	if kind == progressKindStarted {
 		d.event.Kind = foxlift.EventStarted
 	}
-	return d.attemptOf(n, f[2], f[5], f[6])
+	return d.decodeAttempt(names, fields[2], fields[5], fields[6])
 }
 
 // outcome decodes ["completed", schedulerId, xid, worker, took, noMore, go, rc, _, feedback].
-func (d *Decoder) outcome(n *Names, f []*fastjson.Value) (err error) {
-	e := &d.event
-	e.Kind = foxlift.EventOutcome
-	if err = d.attemptOf(n, f[2], f[3], f[6]); err != nil {
+func (d *Decoder) decodeOutcome(names *NameTables, fields []*fastjson.Value) (err error) {
+	event := &d.event
+	event.Kind = foxlift.EventOutcome
+	if err = d.decodeAttempt(names, fields[2], fields[3], fields[6]); err != nil {
 		return err
 	}
-	if e.Took, err = integer(f[4], "took"); err != nil {
+	if event.Took, err = readInt(fields[4], "took"); err != nil {
 		return err
 	}
-	if e.Ended, err = boolean(f[5], "noMore"); err != nil {
+	if event.Ended, err = readBool(fields[5], "noMore"); err != nil {
 		return err
 	}
-	if e.Code, err = outcomeCode(f[7]); err != nil {
+	if event.Code, err = decodeCode(fields[7]); err != nil {
 		return err
 	}
-	return d.loadReport(f[9])
+	return d.decodeLoadReport(fields[9])
 }
 
 // healthChecked decodes ["probeDone", schedulerId, worker, rc, took, feedback].
-func (d *Decoder) healthChecked(n *Names, f []*fastjson.Value) (err error) {
-	e := &d.event
-	e.Kind = foxlift.EventHealthChecked
-	if e.Worker, err = n.workerID(f[2]); err != nil {
+func (d *Decoder) decodeHealthCheck(names *NameTables, fields []*fastjson.Value) (err error) {
+	event := &d.event
+	event.Kind = foxlift.EventHealthChecked
+	if event.Worker, err = names.decodeWorkerID(fields[2]); err != nil {
 		return err
 	}
-	if e.Code, err = outcomeCode(f[3]); err != nil {
+	if event.Code, err = decodeCode(fields[3]); err != nil {
 		return err
 	}
-	if e.Took, err = integer(f[4], "took"); err != nil {
+	if event.Took, err = readInt(fields[4], "took"); err != nil {
 		return err
 	}
-	return d.loadReport(f[5])
+	return d.decodeLoadReport(fields[5])
 }
 
 // peerMessage decodes ["neighbourSays", schedulerId, src, content].
-func (d *Decoder) peerMessage(f []*fastjson.Value) error {
-	from, err := integer(f[2], "src")
+func (d *Decoder) decodePeerMessage(fields []*fastjson.Value) error {
+	from, err := readInt(fields[2], "src")
 	if err != nil {
 		return err
 	}
-	s, err := text(f[3], "content")
+	encoded, err := readString(fields[3], "content")
 	if err != nil {
 		return err
 	}
-	data, err := base64.StdEncoding.DecodeString(string(s))
+	data, err := base64.StdEncoding.DecodeString(string(encoded))
 	if err != nil {
 		return fmt.Errorf("content: %w", err)
 	}
@@ -164,19 +164,19 @@
 }
 
 // loadReport decodes a worker's load report, where there is one.
-func (d *Decoder) loadReport(v *fastjson.Value) error {
-	if absent(v) {
+func (d *Decoder) decodeLoadReport(v *fastjson.Value) error {
+	if isAbsent(v) {
 		return nil
 	}
-	row, err := array(v, "feedback")
+	values, err := readArray(v, "feedback")
 	if err != nil {
 		return err
 	}
-	for i, x := range row {
+	for i, x := range values {
 		if i == foxlift.MaxGauges {
 			break
 		}
-		if d.event.Load[i], err = optionalNumber(x, "feedback"); err != nil {
+		if d.event.Load[i], err = readOptionalNumber(x, "feedback"); err != nil {
 			return err
 		}
 	}
@@ -185,8 +185,8 @@
 }
 
 // outcomeCode decodes the code of an outcome or a health check.
-func outcomeCode(v *fastjson.Value) (foxlift.Code, error) {
-	code, err := integer(v, "rc")
+func decodeCode(v *fastjson.Value) (foxlift.Code, error) {
+	code, err := readInt(v, "rc")
 	if err != nil {
 		return 0, err
 	}
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -8,7 +8,7 @@
 )
 
 // Append appends an action of an instance in the simulator's JSON.
-func Append(b []byte, instance string, a *foxlift.Action) []byte {
+func AppendAction(b []byte, instance string, action *foxlift.Action) []byte {
 	begin := func(name string) {
 		b = append(b, `["`...)
 		b = append(b, name...)
@@ -23,37 +23,37 @@
 		b = append(b, s...)
 		b = append(b, '"')
 	}
-	switch a.Kind {
+	switch action.Kind {
 	case foxlift.ActionSend:
 		begin("try")
-		appendUint(a.ID)
-		appendString(a.Worker)
-		appendInt(a.Timeout)
+		appendUint(action.ID)
+		appendString(action.Worker)
+		appendInt(action.Timeout)
 	case foxlift.ActionShed:
 		begin("shed")
-		appendUint(a.ID)
-		appendInt(a.RetryAfter)
+		appendUint(action.ID)
+		appendInt(action.RetryAfter)
 	case foxlift.ActionFail:
 		begin("finishError")
-		appendUint(a.ID)
+		appendUint(action.ID)
 	case foxlift.ActionCancel:
 		begin("recall")
-		appendUint(a.ID)
-		appendInt(int64(a.Attempt))
+		appendUint(action.ID)
+		appendInt(int64(action.Attempt))
 	case foxlift.ActionTimer:
 		begin("notifyMe")
-		appendInt(a.At)
-		appendUint(a.Token)
+		appendInt(action.At)
+		appendUint(action.Token)
 	case foxlift.ActionHealthCheck:
 		begin("poll")
-		appendString(a.Worker)
+		appendString(action.Worker)
 	case foxlift.ActionClose:
 		begin("letGo")
-		appendString(a.Worker)
+		appendString(action.Worker)
 	case foxlift.ActionMessage:
 		begin("post")
-		appendInt(int64(a.To))
-		appendString(base64.StdEncoding.EncodeToString(a.Data))
+		appendInt(int64(action.To))
+		appendString(base64.StdEncoding.EncodeToString(action.Data))
 	case foxlift.ActionWatchEndpoints:
 		begin("subscribe")
 		b = append(b, ",true"...)
--- a/internal/wire/fuzz_test.go
+++ b/internal/wire/fuzz_test.go
@@ -12,40 +12,40 @@
 
 // A collector accepts whatever a batch holds, as the adapter does.
 type collector struct {
-	names  map[string]*Names
+	names  map[string]*NameTables
 	events int
 }
 
 func (h *collector) Attach(instance string, seed uint64, settings *fastjson.Value) error {
-	cfg, names, err := Settings(instance, settings)
+	cfg, names, err := ParseSettings(instance, settings)
 	if err != nil {
-		h.names[instance] = &Names{Instance: instance}
+		h.names[instance] = &NameTables{Instance: instance}
 		return nil //nolint:nilerr // as the adapter: settings that cannot run are kept without tables
 	}
 	if _, err := foxlift.New(*cfg, seed); err != nil {
-		names = &Names{Instance: instance}
+		names = &NameTables{Instance: instance}
 	}
 	h.names[instance] = names
 	return nil
 }
-func (h *collector) Down(instance string) error         { delete(h.names, instance); return nil }
-func (h *collector) Names(instance []byte) *Names       { return h.names[string(instance)] }
-func (h *collector) Event(*Names, *foxlift.Event) error { h.events++; return nil }
+func (h *collector) Down(instance string) error              { delete(h.names, instance); return nil }
+func (h *collector) Names(instance []byte) *NameTables       { return h.names[string(instance)] }
+func (h *collector) Event(*NameTables, *foxlift.Event) error { h.events++; return nil }
 
 // checkBatch: a line of the simulator's messages is accepted or rejected with an error, and read the same
 // way twice.
 func checkBatch(t testing.TB, data []byte) {
 	var dec Decoder
-	once := func() (Batch, int, string) {
-		h := &collector{names: map[string]*Names{}}
+	decode := func() (Batch, int, string) {
+		h := &collector{names: map[string]*NameTables{}}
 		b, err := dec.Decode(bytes.Clone(data), func(Batch) {}, h)
 		if err != nil {
 			return b, h.events, err.Error()
 		}
 		return b, h.events, ""
 	}
-	b1, n1, e1 := once()
-	b2, n2, e2 := once()
+	b1, n1, e1 := decode()
+	b2, n2, e2 := decode()
 	if b1 != b2 || n1 != n2 || e1 != e2 {
 		t.Fatalf("%q: %v %d %q, then %v %d %q", data, b1, n1, e1, b2, n2, e2)
 	}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,14 +8,14 @@
 )
 
 // Settings returns the module's configuration of an instance's settings, and the tables of its names.
-func Settings(instance string, v *fastjson.Value) (*foxlift.Config, *Names, error) {
-	s, err := config.ParseSettings(v.MarshalTo(nil))
+func ParseSettings(instance string, v *fastjson.Value) (*foxlift.Config, *NameTables, error) {
+	settings, err := config.ParseSettings(v.MarshalTo(nil))
 	if err != nil {
 		return nil, nil, err
 	}
-	n := &Names{
+	names := &NameTables{
 		Instance: instance, workers: map[string]string{},
-		classes: s.Classes, tenants: s.Tenants, zones: s.Zones, kinds: s.Kinds,
+		classes: settings.Classes, tenants: settings.Tenants, zones: settings.Zones, kinds: settings.Kinds,
 	}
-	return &s.Module, n, nil
+	return &settings.Module, names, nil
 }
--- a/internal/wire/values.go
+++ b/internal/wire/values.go
@@ -7,25 +7,25 @@
 )
 
 // absent reports whether a value is missing or null.
-func absent(v *fastjson.Value) bool { return v == nil || v.Type() == fastjson.TypeNull }
+func isAbsent(v *fastjson.Value) bool { return v == nil || v.Type() == fastjson.TypeNull }
 
 // The readers below read one value; their errors name it.
 
-func array(v *fastjson.Value, name string) ([]*fastjson.Value, error) {
+func readArray(v *fastjson.Value, name string) ([]*fastjson.Value, error) {
 	if v == nil || v.Type() != fastjson.TypeArray {
 		return nil, fmt.Errorf("%s is not an array", name)
 	}
 	return v.GetArray(), nil
 }
 
-func text(v *fastjson.Value, name string) ([]byte, error) {
+func readString(v *fastjson.Value, name string) ([]byte, error) {
 	if v == nil || v.Type() != fastjson.TypeString {
 		return nil, fmt.Errorf("%s is not a string", name)
 	}
 	return v.GetStringBytes(), nil
 }
 
-func integer(v *fastjson.Value, name string) (int64, error) {
+func readInt(v *fastjson.Value, name string) (int64, error) {
 	if v != nil && v.Type() == fastjson.TypeNumber {
 		if x, err := v.Int64(); err == nil {
 			return x, nil
@@ -34,7 +34,7 @@
 	return 0, fmt.Errorf("%s is not a whole number", name)
 }
 
-func unsigned(v *fastjson.Value, name string) (uint64, error) {
+func readUint(v *fastjson.Value, name string) (uint64, error) {
 	if v != nil && v.Type() == fastjson.TypeNumber {
 		if x, err := v.Uint64(); err == nil {
 			return x, nil
@@ -44,8 +44,8 @@
 }
 
 // optionalNumber reads a number; 0 if it is absent.
-func optionalNumber(v *fastjson.Value, name string) (float64, error) {
-	if absent(v) {
+func readOptionalNumber(v *fastjson.Value, name string) (float64, error) {
+	if isAbsent(v) {
 		return 0, nil
 	}
 	if v.Type() != fastjson.TypeNumber {
@@ -54,7 +54,7 @@
 	return v.Float64()
 }
 
-func boolean(v *fastjson.Value, name string) (bool, error) {
+func readBool(v *fastjson.Value, name string) (bool, error) {
 	if v == nil || v.Type() != fastjson.TypeTrue && v.Type() != fastjson.TypeFalse {
 		return false, fmt.Errorf("%s is not true or false", name)
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -19,13 +19,13 @@
 	// Down ends an instance.
 	Down(instance string) error
 	// Names returns the tables of a running instance, or nil if there is none.
-	Names(instance []byte) *Names
+	Names(instance []byte) *NameTables
 	// Event receives an event of a running instance. It is valid only during the call.
-	Event(n *Names, ev *foxlift.Event) error
+	Event(n *NameTables, ev *foxlift.Event) error
 }
 
 // Names are the tables by which the messages of one instance are translated.
-type Names struct {
+type NameTables struct {
 	Instance string
 	Owner    any // for the handler's own use
 	classes  map[string]int
@@ -51,26 +51,26 @@
 // Decode reads one line and passes its messages to h. begin is called with the header before the first
 // message.
 func (d *Decoder) Decode(line []byte, begin func(Batch), h Handler) (b Batch, err error) {
-	v, err := d.parser.ParseBytes(line)
+	batch, err := d.parser.ParseBytes(line)
 	if err != nil {
 		return b, fmt.Errorf("not JSON: %w", err)
 	}
-	if v.Type() != fastjson.TypeObject {
+	if batch.Type() != fastjson.TypeObject {
 		return b, errors.New("a batch is not an object")
 	}
-	if b.Number, err = integer(v.Get("batch"), "batch"); err != nil {
+	if b.Number, err = readInt(batch.Get("batch"), "batch"); err != nil {
 		return b, err
 	}
-	if b.Now, err = integer(v.Get("simTime"), "simTime"); err != nil {
+	if b.Now, err = readInt(batch.Get("simTime"), "simTime"); err != nil {
 		return b, err
 	}
-	news, err := array(v.Get("news"), "news")
+	messages, err := readArray(batch.Get("news"), "news")
 	if err != nil {
 		return b, err
 	}
 	begin(b)
-	for i, m := range news {
-		if err := d.message(m, h); err != nil {
+	for i, message := range messages {
+		if err := d.decodeMessage(message, h); err != nil {
 			return b, fmt.Errorf("message %d: %w", i, err)
 		}
 	}
@@ -78,30 +78,30 @@
 }
 
 // message decodes one message: an array of its name, the instance and its fields.
-func (d *Decoder) message(m *fastjson.Value, h Handler) error {
-	f, err := array(m, "message")
+func (d *Decoder) decodeMessage(value *fastjson.Value, h Handler) error {
+	fields, err := readArray(value, "message")
 	if err != nil {
 		return err
 	}
-	if len(f) < 2 {
+	if len(fields) < 2 {
 		return errors.New("fewer than two values")
 	}
-	name, err := text(f[0], "name")
+	name, err := readString(fields[0], "name")
 	if err != nil {
 		return err
 	}
-	instance, err := text(f[1], "schedulerId")
+	instance, err := readString(fields[1], "schedulerId")
 	if err != nil {
 		return err
 	}
-	want, ok := minFields[string(name)]
+	minCount, ok := minFields[string(name)]
 	if !ok {
 		return fmt.Errorf("unknown message %q", name)
 	}
-	if len(f) < want {
-		return fmt.Errorf("%s: %d values, want %d", name, len(f), want)
+	if len(fields) < minCount {
+		return fmt.Errorf("%s: %d values, want %d", name, len(fields), minCount)
 	}
-	if err := d.dispatch(string(name), instance, f, h); err != nil {
+	if err := d.dispatch(string(name), instance, fields, h); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
 	return nil
@@ -114,58 +114,58 @@
 }
 
 // dispatch passes a message to the handler.
-func (d *Decoder) dispatch(name string, instance []byte, f []*fastjson.Value, h Handler) error {
+func (d *Decoder) dispatch(name string, instance []byte, fields []*fastjson.Value, h Handler) error {
 	switch name {
 	case "attach":
-		seed, err := unsigned(f[2], "rngSeed")
+		seed, err := readUint(fields[2], "rngSeed")
 		if err != nil {
 			return err
 		}
-		if f[3].Type() != fastjson.TypeObject {
+		if fields[3].Type() != fastjson.TypeObject {
 			return errors.New("conf is not an object")
 		}
-		return h.Attach(string(instance), seed, f[3])
+		return h.Attach(string(instance), seed, fields[3])
 	case "down":
 		return h.Down(string(instance))
 	}
-	n := h.Names(instance)
-	if n == nil {
+	names := h.Names(instance)
+	if names == nil {
 		return fmt.Errorf("instance %q does not run", instance)
 	}
-	if n.workers == nil {
+	if names.workers == nil {
 		return nil // its settings could not be run; that was reported
 	}
-	if err := d.decodeEvent(name, n, f); err != nil {
+	if err := d.decodeEvent(name, names, fields); err != nil {
 		return err
 	}
-	return h.Event(n, &d.event)
+	return h.Event(names, &d.event)
 }
 
 // decodeEvent decodes a message to a running instance into d.event.
-func (d *Decoder) decodeEvent(name string, n *Names, f []*fastjson.Value) (err error) {
+func (d *Decoder) decodeEvent(name string, names *NameTables, fields []*fastjson.Value) (err error) {
 	d.event = foxlift.Event{}
 	switch name {
 	case "registry":
-		return d.endpoints(n, f)
+		return d.decodeEndpoints(names, fields)
 	case "accept":
-		return d.request(n, f)
+		return d.decodeRequest(names, fields)
 	case "flowing":
 		d.event.Kind, d.event.Stream = foxlift.EventStarted, true
-		return d.attemptOf(n, f[2], f[3], f[4])
+		return d.decodeAttempt(names, fields[2], fields[3], fields[4])
 	case "interim":
-		return d.progress(n, f)
+		return d.decodeProgress(names, fields)
 	case "completed":
-		return d.outcome(n, f)
+		return d.decodeOutcome(names, fields)
 	case "clientLeft":
 		d.event.Kind = foxlift.EventClientDisconnected
-		d.event.ID, err = unsigned(f[2], "xid")
+		d.event.ID, err = readUint(fields[2], "xid")
 	case "deadlineHit":
 		d.event.Kind = foxlift.EventTimer
-		d.event.Token, err = unsigned(f[2], "name")
+		d.event.Token, err = readUint(fields[2], "name")
 	case "probeDone":
-		return d.healthChecked(n, f)
+		return d.decodeHealthCheck(names, fields)
 	case "neighbourSays":
-		return d.peerMessage(f)
+		return d.decodePeerMessage(fields)
 	}
 	return err
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -10,17 +10,17 @@
 
 // A recorder keeps the events decoded.
 type recorder struct {
-	names  *Names
+	names  *NameTables
 	events []foxlift.Event
 }
 
 func (r *recorder) Attach(instance string, _ uint64, v *fastjson.Value) (err error) {
-	_, r.names, err = Settings(instance, v)
+	_, r.names, err = ParseSettings(instance, v)
 	return err
 }
-func (r *recorder) Down(string) error   { return nil }
-func (r *recorder) Names([]byte) *Names { return r.names }
-func (r *recorder) Event(_ *Names, e *foxlift.Event) error {
+func (r *recorder) Down(string) error        { return nil }
+func (r *recorder) Names([]byte) *NameTables { return r.names }
+func (r *recorder) Event(_ *NameTables, e *foxlift.Event) error {
 	r.events = append(r.events, *e)
 	return nil
 }
@@ -40,7 +40,7 @@
 	return r.events
 }
 
-func TestDecodeTheWirePagesExamples(t *testing.T) {
+func TestDecodeDocumentedExamples(t *testing.T) {
 	ev := decode(t, `{"simTime":8412250000,"batch":12,"news":[`+
 		`["accept","scheduler_3",1564119492,8652250000,"menu-read","91f03b7c55d20a64",12000000,2,1,"walu-bay-works",1.5],`+
 		`["deadlineHit","scheduler_3",77],["clientLeft","scheduler_3",242166553],`+
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestCodes(t *testing.T) {
+func TestDecodeOutcomeCodes(t *testing.T) {
 	want := map[string]foxlift.Code{
 		"100": foxlift.Served, "301": foxlift.WorkerError, "302": foxlift.Saturated, "303": foxlift.DeadlineExceeded,
 		"304": foxlift.Unreachable, "305": foxlift.Reset, "306": foxlift.Cancelled, "307": foxlift.NotSent,
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestAppend(t *testing.T) {
+func TestAppendAction(t *testing.T) {
 	for want, a := range map[string]foxlift.Action{
 		`["try","scheduler_3",5,"10.18.74.7:8083",80000000]`: {
 			Kind: foxlift.ActionSend, ID: 5,
@@ -102,18 +102,18 @@
 		`["post","scheduler_3",-1,"aGkgNw=="]`: {Kind: foxlift.ActionMessage, To: -1, Data: []byte("hi 7")},
 		`["subscribe","scheduler_3",true]`:     {Kind: foxlift.ActionWatchEndpoints},
 	} {
-		if got := string(Append(nil, "scheduler_3", &a)); got != want {
+		if got := string(AppendAction(nil, "scheduler_3", &a)); got != want {
 			t.Errorf("%s, want %s", got, want)
 		}
 	}
 }
 
-func TestSettings(t *testing.T) {
+func TestParseSettings(t *testing.T) {
 	v := fastjson.MustParse(`{"balancers":3,"slotNo":2,"discovery":"subscribe","zone":"nadi","dcs":["suva","nadi"],` +
 		`"grades":[{"name":"x","aim":5,"deadline":9,"effect":"at_most_once"}],` +
 		`"familyInfo":{"classKind":[0],"classStretch":[1.75],"reportX0":"free slots","reportX1":"free memory"},` +
 		`"report":{"names":["utilization","x0","x1","novel"]},"obligations":{"mustAskIn":10}}`)
-	c, _, err := Settings("scheduler_2", v)
+	c, _, err := ParseSettings("scheduler_2", v)
 	if err != nil {
 		t.Fatal(err)
 	}
