--- a/internal/core/accept.go
+++ b/internal/core/accept.go
@@ -54,6 +54,7 @@
 	c.counters.Add(VerdictCounters[Shed])
 }
 
+// A jobSubmitted event is a job that Accept has passed on to the event loop.
 type jobSubmitted struct{ job *Job }
 
 func (e jobSubmitted) apply(c *Core) {
@@ -116,6 +117,7 @@
 	j.overdueTimer = c.loop.postAfter(time.Duration(at-c.clock.Now()), jobOverdue{j})
 }
 
+// A jobOverdue event means that the overdue timer of a job has fired.
 type jobOverdue struct{ job *job }
 
 func (e jobOverdue) apply(c *Core) {
@@ -128,6 +130,7 @@
 // ClientDisconnected reports that the client of a job has disconnected. Client.Answer is still called.
 func (c *Core) ClientDisconnected(j *Job) { c.loop.post(clientDisconnected{j}) }
 
+// A clientDisconnected event means that the client of a job has disconnected.
 type clientDisconnected struct{ job *Job }
 
 func (e clientDisconnected) apply(c *Core) {
--- a/internal/core/cell_set.go
+++ b/internal/core/cell_set.go
@@ -7,7 +7,7 @@
 	"github.com/vatu-meals/foxlift/internal/cells"
 )
 
-// A cellSet holds the cells and the counts that all cells share.
+// A cellSet holds the cells, their assigner of workers, and the number of open jobs by affinity key.
 type cellSet struct {
 	all       []*cell         // the cells of the plan by index, then retired ones; one cell without a plan
 	assigner  *cells.Assigner // nil without a plan
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -92,6 +92,7 @@
 	})
 }
 
+// A healthChecked event is the result of a health check.
 type healthChecked struct {
 	cell   *cell
 	worker string
@@ -106,6 +107,8 @@
 	})
 }
 
+// A timerFired event means that a timer of a cell's dispatcher is due. For a retired cell without jobs it removes
+// the cell instead.
 type timerFired struct {
 	cell  *cell
 	token uint64
--- a/internal/core/model_actions_test.go
+++ b/internal/core/model_actions_test.go
@@ -9,40 +9,40 @@
 )
 
 // worker returns the live worker with index i.
-func (w *world) worker(i int, startedAt int64) foxlift.Worker {
+func (env *modelEnvironment) worker(i int, startedAt int64) foxlift.Worker {
 	return foxlift.Worker{ID: fmt.Sprint("n", i), Zone: i % 2, Kind: i % 2, Cell: i / 2, StartedAt: startedAt}
 }
 
 // perform executes one action of a script. Errors of operator calls are ignored, because some calls name a cell
 // that does not exist or happen during a shutdown.
-func (w *world) perform(a scriptAction) {
+func (env *modelEnvironment) perform(a scriptAction) {
 	ctx := context.Background()
 	switch a.kind {
 	case actionSubmit, actionResubmit:
-		w.submit(a)
+		env.submit(a)
 	case actionDisconnect:
-		if len(w.jobs) > 0 {
-			w.core.ClientDisconnected(w.jobs[a.a%len(w.jobs)].Job)
+		if len(env.jobs) > 0 {
+			env.core.ClientDisconnected(env.jobs[a.a%len(env.jobs)].Job)
 		}
 	case actionComplete, actionProgress, actionRepeatedCompletion:
-		w.report(a)
+		env.report(a)
 	case actionEndpoints:
-		w.updateEndpoints(a)
+		env.updateEndpoints(a)
 	case actionWait:
 		time.Sleep(modelWaits[a.a%len(modelWaits)])
 	case actionMigrate:
-		_, _ = w.core.MigrateTenant(ctx, modelTenants[a.a%3], []string{"a", "b", "c", "nowhere"}[a.b%4])
+		_, _ = env.core.MigrateTenant(ctx, modelTenants[a.a%3], []string{"a", "b", "c", "nowhere"}[a.b%4])
 	case actionEvacuate:
-		_, _ = w.core.Evacuate(ctx, []string{"a", "b", "c"}[a.a%3])
+		_, _ = env.core.Evacuate(ctx, []string{"a", "b", "c"}[a.a%3])
 	case actionRestore:
-		_, _ = w.core.RestorePlacement(ctx, "", "")
+		_, _ = env.core.RestorePlacement(ctx, "", "")
 	case actionReplan:
-		if plan, faults := w.core.settings.PlanCells(modelPlans()[a.a%3]); faults == nil {
-			_, _ = w.core.Replan(ctx, plan)
+		if plan, faults := env.core.settings.PlanCells(modelPlans()[a.a%3]); faults == nil {
+			_, _ = env.core.Replan(ctx, plan)
 		}
 	case actionShutdown:
 		if a.a%4 == 0 { // otherwise nearly every script would shut down early
-			w.core.BeginShutdown(time.Duration(a.b%4) * time.Second)
+			env.core.BeginShutdown(time.Duration(a.b%4) * time.Second)
 		}
 	}
 }
@@ -54,20 +54,20 @@
 var modelRemaining = []time.Duration{5 * time.Second, 20 * time.Millisecond, time.Second, 0}
 
 // submit submits a job, with the id of an earlier one for actionResubmit.
-func (w *world) submit(a scriptAction) {
-	id := fmt.Sprint("j", len(w.jobs))
-	if a.kind == actionResubmit && len(w.jobs) > 0 {
-		id = w.jobs[a.a%len(w.jobs)].ID
+func (env *modelEnvironment) submit(a scriptAction) {
+	id := fmt.Sprint("j", len(env.jobs))
+	if a.kind == actionResubmit && len(env.jobs) > 0 {
+		id = env.jobs[a.a%len(env.jobs)].ID
 	}
-	j := &modelJob{world: w, submittedAt: w.now()}
+	j := &modelJob{env: env, submittedAt: env.now()}
 	j.Job = &Job{
 		ID: id, Class: modelClasses[a.a%3], Tenant: modelTenants[a.b%3],
 		HasIdempotencyKey: a.a%3 != 2 || a.c%8 != 7, Key: uint64(a.c % 4),
-		ArrivedAt: w.core.clock.Now(), Remaining: modelRemaining[a.c%len(modelRemaining)],
+		ArrivedAt: env.core.clock.Now(), Remaining: modelRemaining[a.c%len(modelRemaining)],
 		Slots: float64(a.b % 3), ClientRetry: a.c%5 == 0, Client: j,
 	}
-	w.jobs = append(w.jobs, j)
-	w.core.Accept(j.Job)
+	env.jobs = append(env.jobs, j)
+	env.core.Accept(j.Job)
 }
 
 var modelCodes = []foxlift.Code{
@@ -76,18 +76,18 @@
 }
 
 // report makes a worker report on an attempt.
-func (w *world) report(a scriptAction) {
-	if attempt, r := w.chooseReport(a); attempt != nil {
+func (env *modelEnvironment) report(a scriptAction) {
+	if attempt, r := env.chooseReport(a); attempt != nil {
 		attempt.report(r)
 	}
 }
 
 // chooseReport returns the attempt and the report that an action selects; nil if there is no such attempt.
-func (w *world) chooseReport(a scriptAction) (*modelAttempt, Report) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (env *modelEnvironment) chooseReport(a scriptAction) (*modelAttempt, Report) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
 	var inFlight, ended []*modelAttempt
-	for _, attempt := range w.attempts {
+	for _, attempt := range env.attempts {
 		if attempt.ended {
 			ended = append(ended, attempt)
 		} else {
@@ -102,48 +102,48 @@
 		return attempt, final
 	case a.kind == actionRepeatedCompletion && len(ended) > 0: // late, and perhaps another outcome than the first
 		return ended[a.a%len(ended)], final
-	case a.kind == actionProgress && len(w.attempts) > 0:
-		return w.attempts[a.a%len(w.attempts)], Report{Progress: a.b%2 == 0}
+	case a.kind == actionProgress && len(env.attempts) > 0:
+		return env.attempts[a.a%len(env.attempts)], Report{Progress: a.b%2 == 0}
 	}
 	return nil, Report{}
 }
 
 // cellOf returns the index of a worker's cell; false if the worker is in no cell.
-func (w *world) cellOf(worker string) (int, bool) {
-	if p := w.core.placement.Load(); p != nil {
+func (env *modelEnvironment) cellOf(worker string) (int, bool) {
+	if p := env.core.placement.Load(); p != nil {
 		return p.layout.WorkerCell(worker)
 	}
 	return 0, false
 }
 
 // updateEndpoints reports a delta, a complete list or a failed poll of discovery.
-func (w *world) updateEndpoints(a scriptAction) {
+func (env *modelEnvironment) updateEndpoints(a scriptAction) {
 	kind := []foxlift.EndpointUpdate{
 		foxlift.EndpointsDelta, foxlift.EndpointsComplete, foxlift.EndpointsPollFailed,
 	}[a.a%3]
-	w.mu.Lock()
+	env.mu.Lock()
 	var workers []foxlift.Worker
 	if kind != foxlift.EndpointsPollFailed {
-		workers = w.selectWorkers(a)
+		workers = env.selectWorkers(a)
 	}
-	w.recordLiveness(kind, workers)
-	w.mu.Unlock()
-	w.core.UpdateEndpoints(kind, workers)
+	env.recordLiveness(kind, workers)
+	env.mu.Unlock()
+	env.core.UpdateEndpoints(kind, workers)
 }
 
 // selectWorkers returns the workers of an update, in the states that an action selects.
-func (w *world) selectWorkers(a scriptAction) (workers []foxlift.Worker) {
+func (env *modelEnvironment) selectWorkers(a scriptAction) (workers []foxlift.Worker) {
 	for i := range modelWorkers {
 		if a.b%3 == 0 && i%2 == 0 { // the update has only the workers with odd indexes
 			continue
 		}
-		worker := w.worker(i, 0)
+		worker := env.worker(i, 0)
 		worker.State = foxlift.WorkerState(min(2, (a.c>>(2*i))&3))
 		if worker.State == foxlift.Removed && a.c%2 == 0 {
 			worker.State = foxlift.Live
 		}
-		if cell, ok := w.cellOf(worker.ID); a.a%7 == i || a.a%7 == 6 && ok && cell == 0 {
-			worker.StartedAt = w.core.clock.Now() // the worker has restarted, or all workers of cell 0 have
+		if cell, ok := env.cellOf(worker.ID); a.a%7 == i || a.a%7 == 6 && ok && cell == 0 {
+			worker.StartedAt = env.core.clock.Now() // the worker has restarted, or all workers of cell 0 have
 		}
 		workers = append(workers, worker)
 	}
@@ -151,7 +151,7 @@
 }
 
 // recordLiveness records since when each worker has not been live.
-func (w *world) recordLiveness(kind foxlift.EndpointUpdate, workers []foxlift.Worker) {
+func (env *modelEnvironment) recordLiveness(kind foxlift.EndpointUpdate, workers []foxlift.Worker) {
 	live := map[string]bool{}
 	for i := range workers {
 		live[workers[i].ID] = workers[i].State == foxlift.Live
@@ -163,9 +163,9 @@
 			continue
 		}
 		if isLive {
-			delete(w.notLiveSince, id)
-		} else if _, ok := w.notLiveSince[id]; !ok {
-			w.notLiveSince[id] = time.Now()
+			delete(env.notLiveSince, id)
+		} else if _, ok := env.notLiveSince[id]; !ok {
+			env.notLiveSince[id] = time.Now()
 		}
 	}
 }
--- a/internal/core/model_register_test.go
+++ b/internal/core/model_register_test.go
@@ -37,7 +37,7 @@
 }
 
 // linearizable reports whether the runs of a job and its answer have an order that the register allows.
-func (w *world) linearizable(j *modelJob) bool {
+func (env *modelEnvironment) linearizable(j *modelJob) bool {
 	var ops []porcupine.Operation
 	if len(j.answers) > 0 && j.answers[0].Verdict != Rejected {
 		ops = append(ops, porcupine.Operation{
@@ -45,7 +45,7 @@
 			Call:  int64(j.submittedAt), Return: int64(j.answeredAt),
 		})
 	}
-	for i, a := range w.attempts {
+	for i, a := range env.attempts {
 		// The id of a job that was shed may be submitted again, and the later job may run.
 		isLaterJob := a.job != j && len(j.answers) > 0 && j.answers[0].Verdict == Shed && a.sentAt >= j.answeredAt
 		if a.job.sameJobAs(j) && a.job.Class == "ratify" && a.ran && !isLaterJob {
@@ -59,10 +59,10 @@
 }
 
 // describe returns the history of a job as text.
-func (w *world) describe(j *modelJob) string {
+func (env *modelEnvironment) describe(j *modelJob) string {
 	var s strings.Builder
 	fmt.Fprintf(&s, "submitted at %v, %+v at %v", j.submittedAt, j.answers, j.answeredAt)
-	for _, a := range w.attempts {
+	for _, a := range env.attempts {
 		if a.job == j {
 			fmt.Fprintf(&s, "; on %s from %v to %v: %d, ran %v", a.worker, a.sentAt, a.endedAt, a.code, a.ran)
 		}
@@ -73,9 +73,9 @@
 // The register model must accept valid histories and reject invalid ones, or the model test would not detect that
 // an at-most-once job ran twice.
 func TestRegisterModel(t *testing.T) {
-	w := &world{startedAt: time.Now()}
+	env := &modelEnvironment{startedAt: time.Now()}
 	addRun := func(j *modelJob, from, to time.Duration) {
-		w.attempts = append(w.attempts, &modelAttempt{job: j, sentAt: from, endedAt: to, ended: true, ran: true})
+		env.attempts = append(env.attempts, &modelAttempt{job: j, sentAt: from, endedAt: to, ended: true, ran: true})
 	}
 	for name, test := range map[string]struct {
 		verdict Verdict
@@ -93,13 +93,13 @@
 		"served before it ran": {Served, 3, [][2]time.Duration{{4, 5}}, false},
 	} {
 		j := &modelJob{
-			Job: &Job{ID: name, Class: "ratify"}, world: w,
+			Job: &Job{ID: name, Class: "ratify"}, env: env,
 			answeredAt: test.at, answers: []Answer{{Verdict: test.verdict}},
 		}
 		for _, r := range test.runs {
 			addRun(j, r[0], r[1])
 		}
-		if got := w.linearizable(j); got != test.want {
+		if got := env.linearizable(j); got != test.want {
 			t.Errorf("%s: linearizable() = %v, want %v", name, got, test.want)
 		}
 	}
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -90,29 +90,29 @@
 // runScript executes a script and returns the violations that it caused.
 func runScript(t *testing.T, script []scriptAction, withCells bool) (violations []string) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, withCells)
+		env := newModelEnvironment(t, withCells)
 		var workers []foxlift.Worker
 		for i := range modelWorkers {
-			workers = append(workers, w.worker(i, 0))
+			workers = append(workers, env.worker(i, 0))
 		}
-		w.core.Start(Environment{Workers: w, EndpointWatch: w, MaxOpen: modelMaxOpen, CachedEndpoints: workers})
+		env.core.Start(Environment{Workers: env, EndpointWatch: env, MaxOpen: modelMaxOpen, CachedEndpoints: workers})
 		synctest.Wait()
 		for _, a := range script {
-			w.perform(a)
+			env.perform(a)
 			synctest.Wait()
 		}
-		w.drain()
+		env.drain()
 		synctest.Wait()
-		w.checkFinalState()
-		w.core.Stop()
+		env.checkFinalState()
+		env.core.Stop()
 		synctest.Wait()
-		violations = w.violations
+		violations = env.violations
 	})
 	return violations
 }
 
-// newWorld returns a world with a core that is not started.
-func newWorld(t *testing.T, withCells bool) *world {
+// newModelEnvironment returns an environment with a core that is not started.
+func newModelEnvironment(t *testing.T, withCells bool) *modelEnvironment {
 	t.Helper()
 	settings, err := config.ParseSettings([]byte(modelSettings))
 	if err != nil {
@@ -122,26 +122,26 @@
 	if withCells {
 		cfg.Plan, _ = settings.PlanCells(modelPlans()[0])
 	}
-	w := &world{startedAt: time.Now(), notLiveSince: map[string]time.Time{}}
-	if w.core, err = New(cfg); err != nil {
+	env := &modelEnvironment{startedAt: time.Now(), notLiveSince: map[string]time.Time{}}
+	if env.core, err = New(cfg); err != nil {
 		t.Fatal(err)
 	}
-	return w
+	return env
 }
 
 // drain ends all attempts in flight as served, for 20 s of virtual time, so that every job is answered.
-func (w *world) drain() {
+func (env *modelEnvironment) drain() {
 	for range 200 {
 		synctest.Wait()
-		w.mu.Lock()
+		env.mu.Lock()
 		var inFlight []*modelAttempt
-		for _, a := range w.attempts {
+		for _, a := range env.attempts {
 			if !a.ended {
 				a.end(foxlift.Served, true)
 				inFlight = append(inFlight, a)
 			}
 		}
-		w.mu.Unlock()
+		env.mu.Unlock()
 		for _, a := range inFlight {
 			a.report(Report{Ended: true, Code: foxlift.Served, Result: []byte("r")})
 		}
@@ -151,51 +151,51 @@
 
 // checkFinalState checks that each job has exactly one answer, that the core has released everything, and that
 // the history of each at-most-once job is linearizable.
-func (w *world) checkFinalState() {
-	for _, j := range w.jobs {
+func (env *modelEnvironment) checkFinalState() {
+	for _, j := range env.jobs {
 		if len(j.answers) != 1 {
-			w.recordViolation("job %s has %d answers, want 1: %+v", j.ID, len(j.answers), j.answers)
+			env.recordViolation("job %s has %d answers, want 1: %+v", j.ID, len(j.answers), j.answers)
 		}
 	}
-	_, err := callOnEventLoop(context.Background(), w.core, func(c *Core) (struct{}, error) {
-		w.checkCore(c)
+	_, err := callOnEventLoop(context.Background(), env.core, func(c *Core) (struct{}, error) {
+		env.checkCore(c)
 		return struct{}{}, nil
 	})
 	if err != nil {
-		w.recordViolation("callOnEventLoop() = %v at the end, want no error", err)
+		env.recordViolation("callOnEventLoop() = %v at the end, want no error", err)
 	}
-	for _, j := range w.jobs {
-		if j.Class == "ratify" && !w.linearizable(j) {
-			w.recordViolation("job %s: no order of its runs and its answer fits a write-once register: %s",
-				j.ID, w.describe(j))
+	for _, j := range env.jobs {
+		if j.Class == "ratify" && !env.linearizable(j) {
+			env.recordViolation("job %s: no order of its runs and its answer fits a write-once register: %s",
+				j.ID, env.describe(j))
 		}
 	}
 }
 
 // checkCore checks that the core has released all jobs, counts and reservations.
-func (w *world) checkCore(c *Core) {
+func (env *modelEnvironment) checkCore(c *Core) {
 	if len(c.jobs.byNumber) != 0 || len(c.jobs.open) != 0 || len(c.cells.jobsByKey) != 0 {
-		w.recordViolation("the core still has %d jobs, %d open jobs and %d affinity keys, want 0 of each",
+		env.recordViolation("the core still has %d jobs, %d open jobs and %d affinity keys, want 0 of each",
 			len(c.jobs.byNumber), len(c.jobs.open), len(c.cells.jobsByKey))
 	}
 	if n := c.counters.Get("jobs.overdue"); n > 0 && !c.shutdown.begun() {
-		w.recordViolation("jobs.overdue = %d, want 0: the dispatchers did not answer these jobs", n)
+		env.recordViolation("jobs.overdue = %d, want 0: the dispatchers did not answer these jobs", n)
 	}
 	for _, cl := range c.cells.all {
 		if idle := cl.dispatcher.Idle(); !idle || cl.spilled != 0 || len(cl.leaving) != 0 {
-			w.recordViolation("cell %q: Idle() = %v with %d spilled and %d leaving jobs, want true with 0 and 0",
+			env.recordViolation("cell %q: Idle() = %v with %d spilled and %d leaving jobs, want true with 0 and 0",
 				cl.name, idle, cl.spilled, len(cl.leaving))
 		}
 	}
 	for id, worker := range c.workers.byID {
 		if len(worker.inFlight) != 0 {
-			w.recordViolation("worker %s: slots in flight are %v, want none", id, worker.inFlight)
+			env.recordViolation("worker %s: slots in flight are %v, want none", id, worker.inFlight)
 		}
 	}
 	if p := c.placement.Load(); p != nil {
 		for i := range p.jobBounds {
 			if open, _, _ := p.admission.Usage(i); open != 0 {
-				w.recordViolation("cell %d: Usage() has %d open jobs, want 0", i, open)
+				env.recordViolation("cell %d: Usage() has %d open jobs, want 0", i, open)
 			}
 		}
 	}
