--- a/internal/daemon/checkpoint.go
+++ b/internal/daemon/checkpoint.go
@@ -11,14 +11,14 @@
 	"github.com/vatu-meals/foxlift/internal/checkpoint"
 )
 
-// A checkpointer writes checkpoints of the endpoint list in the background.
+// A checkpointer writes checkpoints of the endpoint list to a file in the background.
 type checkpointer struct {
 	writer *checkpoint.Writer
 	log    *zap.Logger
 }
 
-// loadCheckpoint starts from the endpoint list in the checkpoint, if the operator's file names one and it
-// can be used. It takes the place of the configuration's cached list.
+// loadCheckpoint replaces the configuration's cached endpoint list by the list in the checkpoint, if the
+// operator's file names a checkpoint. Without a usable checkpoint the configured list stays.
 func (d *Daemon) loadCheckpoint() {
 	path := d.operator.settings.EndpointCheckpoint
 	if path == "" {
@@ -33,12 +33,13 @@
 		d.Counters.Add("checkpoint.used")
 	case !errors.Is(err, os.ErrNotExist):
 		d.Counters.Add("checkpoint.refused")
-		d.log.Warn("checkpoint: not used", zap.String("path", path), zap.Error(err))
+		d.log.Warn("checkpoint: cannot be used, keeping the configured endpoint list",
+			zap.String("path", path), zap.Error(err))
 	}
 }
 
-// run writes checkpoints when they are due until the shutdown begins, and the last one then. It has a
-// goroutine of its own: a disk that hangs delays nothing else.
+// run writes checkpoints as they become due. When shuttingDown is done it writes the last checkpoint and
+// returns. It runs on its own goroutine, so that a disk that hangs delays nothing else.
 func (c *checkpointer) run(shuttingDown context.Context, source checkpoint.Source) {
 	ticker := time.NewTicker(checkpoint.PollInterval)
 	defer ticker.Stop()
@@ -52,6 +53,7 @@
 	c.logFailure(c.writer.Flush(source, time.Now()))
 }
 
+// logFailure logs a failed write; it does nothing if err is nil.
 func (c *checkpointer) logFailure(err error) {
 	if err != nil {
 		c.log.Warn("checkpoint: write failed", zap.Error(err))
--- a/internal/daemon/configuration.go
+++ b/internal/daemon/configuration.go
@@ -7,23 +7,24 @@
 	"github.com/vatu-meals/foxlift/internal/platform"
 )
 
-// A Configuration is all that a scheduler is configured by.
+// A Configuration is the complete configuration of a scheduler, read and checked.
 type Configuration struct {
 	Scheduler *config.Scheduler
-	Operator  *config.OperatorConfig // of the operator's file; empty if there is none
+	Operator  *config.OperatorConfig // from the operator's file; the zero value if there is no file
 
-	operatorText []byte // of the operator's file
+	operatorText []byte // content of the operator's file; nil if there is no file
 }
 
+// operatorFile returns the operator's file as it was read for this configuration.
 func (c *Configuration) operatorFile() operatorFile { return operatorFile{c.Operator, c.operatorText} }
 
-// An operatorFile is the operator's file as it was read last.
+// An operatorFile holds the settings and the text of the operator's file as of the last read.
 type operatorFile struct {
 	settings *config.OperatorConfig
 	text     []byte
 }
 
-// ReadConfiguration reads and checks all of the configuration, and starts nothing.
+// ReadConfiguration reads and checks the configuration file and the operator's file. It starts nothing.
 func ReadConfiguration(options Options) (*Configuration, error) {
 	cfg, err := config.Load(options.Getenv)
 	if err != nil {
@@ -39,6 +40,8 @@
 	return &Configuration{Scheduler: cfg, Operator: file.settings, operatorText: file.text}, nil
 }
 
+// readOperatorFile reads the operator's file and checks it against the settings. An empty path yields empty
+// settings. Its errors are config.OperatorErrors.
 func readOperatorFile(path string, settings *config.Settings) (operatorFile, error) {
 	if path == "" {
 		return operatorFile{settings: &config.OperatorConfig{}}, nil
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,9 +1,10 @@
-// Package daemon assembles a scheduler from its configuration, the core, the platform's side and, where
-// the operator's file asks for them, cells, a control socket and a checkpoint of the endpoint list.
+// Package daemon assembles a scheduler process from its configuration, the core and the platform's network
+// side. If the operator's file asks for them, it adds cells, a control socket and a checkpoint of the
+// endpoint list.
 //
-// A Daemon owns these parts and the background tasks beside them: taking over from a predecessor,
-// watching another process of the same scheduler, and writing checkpoints. ShutDown and Kill wait for
-// the tasks.
+// A Daemon owns these components and the background tasks: taking over from a predecessor process,
+// monitoring a second process of the same scheduler, and writing checkpoints. ShutDown and Kill wait a
+// limited time for the tasks to finish.
 package daemon
 
 import (
@@ -19,15 +20,15 @@
 	"github.com/vatu-meals/foxlift/internal/platform"
 )
 
-// Options are what a scheduler is started with besides its configuration.
+// Options are the parameters of a start that are not in the configuration files.
 type Options struct {
-	Getenv       func(string) string // looks up the LB_ variables
-	OperatorPath string              // path of the operator's file; "" if there is none
+	Getenv       func(string) string // returns an environment variable; "" if it is not set
+	OperatorPath string              // path of the operator's file; "" for none
 	Log          *zap.Logger
 	Version      string
 
-	// LimitMemory is called with the bytes that the process may use, at the start and whenever that
-	// changes because another process of the scheduler starts or exits. It may be nil.
+	// LimitMemory is called with the number of bytes that the process may use: at the start, and whenever
+	// the limit changes because another process of the scheduler starts or exits. It may be nil.
 	LimitMemory func(bytes int64)
 }
 
@@ -47,11 +48,12 @@
 	log         *zap.Logger
 }
 
-// Start starts a scheduler. It serves when Start returns, unless it takes over from a predecessor: then
-// it serves once it is ready.
+// Start reads the configuration and starts a scheduler. When Start returns, the scheduler serves clients,
+// unless a predecessor process still runs: then a background task takes over, and errors after the start
+// are delivered by Failed.
 //
-// The scheduler runs until ShutDown or Kill. ctx is that of its background tasks, and has to last until
-// then.
+// The scheduler runs until ShutDown or Kill. ctx is the context of the background tasks and must not be
+// canceled before.
 func Start(ctx context.Context, options Options) (*Daemon, error) {
 	configuration, err := ReadConfiguration(options)
 	if err != nil {
@@ -60,7 +62,7 @@
 	return StartWith(ctx, options, configuration)
 }
 
-// StartWith starts a scheduler as Start does, with a configuration that has been read.
+// StartWith starts a scheduler like Start, with a configuration that has already been read.
 func StartWith(ctx context.Context, options Options, configuration *Configuration) (*Daemon, error) {
 	cfg := configuration.Scheduler
 	d := &Daemon{
@@ -72,12 +74,13 @@
 		log:       options.Log.With(zap.String("name", cfg.Name)),
 	}
 	if err := d.start(); err != nil {
-		d.lifecycle.markDrained() // no background task is running
+		d.lifecycle.markDrained() // releases the contexts; no background task has been started
 		return nil, err
 	}
 	return d, nil
 }
 
+// start builds the components, starts to serve or to take over, and starts the checkpointer.
 func (d *Daemon) start() error {
 	clock := core.NewClock()
 	d.loadCheckpoint()
@@ -98,6 +101,7 @@
 	return nil
 }
 
+// buildCore creates the core from the settings and the operator's cell plan.
 func (d *Daemon) buildCore(clock core.Clock) (err error) {
 	d.Core, err = core.New(core.Config{
 		Settings: d.Config.Settings,
@@ -112,8 +116,8 @@
 	return nil
 }
 
-// startServing opens the operators' address and serves clients, at once or, if a predecessor serves,
-// once that has been taken over from.
+// startServing listens on the operators' address and then serves clients: at once, or, if a predecessor
+// process serves, in a background task that takes over from it.
 func (d *Daemon) startServing() error {
 	if err := d.listenAdmin(); err != nil {
 		return err
@@ -138,14 +142,15 @@
 	return nil
 }
 
-// Failed delivers the error, if there is one, for which the scheduler cannot serve after its start.
+// Failed returns the channel that delivers an error after which the scheduler cannot serve: a takeover that
+// failed after Start returned. It delivers at most one error and is never closed.
 func (d *Daemon) Failed() <-chan error { return d.lifecycle.failures }
 
-// Addr returns the address on which clients are served, once they are.
+// Addr returns the address on which clients are served. It is valid once the scheduler listens.
 func (d *Daemon) Addr() net.Addr { return d.platform.Addr() }
 
-// ShutDown ends the scheduler once all accepted jobs are answered. If a successor listens, new
-// connections go there already, and the health stays as it is.
+// ShutDown stops the scheduler after all accepted jobs have been answered. If a successor listens, new
+// connections already go to the successor, so the health check keeps reporting that clients are served.
 func (d *Daemon) ShutDown() {
 	d.finish(func() {
 		switch {
@@ -160,15 +165,16 @@
 	})
 }
 
-// Kill ends the scheduler at once, as a kill of its process would for its peers.
+// Kill stops the scheduler at once. Its peers see the same as if the process had been killed.
 func (d *Daemon) Kill() { d.finish(d.platform.Kill) }
 
-// finish ends the platform by stop, then the background tasks, and then what operators and other
-// processes see of this one. A start to serve that is under way completes before; none begins after.
+// finish stops the platform with stop, waits for the background tasks, closes the operators' servers and
+// releases the takeover lock. If serve is running in a background task, stop runs after it has returned;
+// serve is not called any more afterwards.
 func (d *Daemon) finish(stop func()) {
 	d.lifecycle.finish(stop)
 	if !d.lifecycle.awaitTasks(backgroundTasksTimeout) {
-		d.log.Warn("shutdown: background tasks have not finished, the last checkpoint may be missing")
+		d.log.Warn("shutdown: background tasks did not finish in time, the last checkpoint may be missing")
 	}
 	d.servers.stop()
 	d.takeover.release()
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -10,41 +10,42 @@
 	"time"
 )
 
-// Real sockets: each tenant's jobs run on its cell's workers, and after a migration on the other's; a
-// ratify that is in flight at the migration runs once.
+// Over real sockets, each tenant's jobs run on the workers of its cell, and after a migration on the workers of
+// the new cell. A ratify job that is in flight during the migration runs once.
 func TestCellsOnSockets(t *testing.T) {
 	f := startFixture(t, twoCells)
 	islands, mainland := f.client("islands", "reading", "i"), f.client("central-belt", "reading", "m")
 	for range 20 {
 		a, b := islands.Send(), mainland.Send()
 		if a != http.StatusOK || b != http.StatusOK {
-			t.Fatalf("answers %d, %d", a, b)
+			t.Fatalf("Send() for islands and central-belt returned %d and %d, want %d", a, b, http.StatusOK)
 		}
 	}
 	if a, b := f.runsByCell(t, "islands"), f.runsByCell(t, "central-belt"); a["isles"] != 20 || b["mainland"] != 20 {
-		t.Errorf("islands ran in %v, central-belt in %v", a, b)
+		t.Errorf("runs of islands %v, want 20 in isles; runs of central-belt %v, want 20 in mainland", a, b)
 	}
 	ratify := f.client("islands", "ratify", "r")
 	answer := make(chan int)
 	go func() { answer <- ratify.Send() }()
-	f.await(t, "the ratify runs", func() bool { return f.runsByCell(t, "islands")["isles"] == 21 })
+	f.await(t, "the ratify job runs", func() bool { return f.runsByCell(t, "islands")["isles"] == 21 })
 	m, err := f.Core.MigrateTenant(t.Context(), "islands", "mainland")
 	if err != nil || m.InFlight != 1 || m.Queued != 0 {
-		t.Errorf("%+v, %v", m, err)
+		t.Errorf("MigrateTenant() = %+v, %v, want 1 job in flight, 0 queued and no error", m, err)
 	}
 	if a := islands.Send(); a != http.StatusOK {
-		t.Errorf("after the migration %d", a)
+		t.Errorf("Send() after the migration returned %d, want %d", a, http.StatusOK)
 	}
 	if a := <-answer; a != http.StatusOK {
-		t.Errorf("the ratify's answer is %d", a)
+		t.Errorf("Send() of the ratify job returned %d, want %d", a, http.StatusOK)
 	}
 	if runs := f.runsByCell(t, "islands"); runs["isles"] != 21 || runs["mainland"] != 1 {
-		t.Errorf("islands ran in %v", runs)
+		t.Errorf("runs of islands after the migration %v, want 21 in isles and 1 in mainland", runs)
 	}
 }
 
-// A reload applies a changed plan of cells as migrations, and one without changes keeps the operators'
-// migrations. An invalid file, and one with what a reload cannot change, change nothing and say why.
+// A reload applies a changed cell plan by migrating tenants. A reload of an unchanged file keeps the migrations
+// that operators have made. An invalid file, or one with a change that needs a restart, is rejected with an
+// error that names the key, and changes nothing.
 func TestReloadOfCells(t *testing.T) {
 	f := startFixture(t, twoCells)
 	if _, err := f.Core.MigrateTenant(t.Context(), "islands", "mainland"); err != nil {
@@ -54,7 +55,7 @@
 		t.Fatal(err)
 	}
 	if got := f.tenantCells(t); got != "central-belt mainland, islands mainland" {
-		t.Errorf("after a reload of the same file: %s", got)
+		t.Errorf("tenantCells() after a reload of the same file = %q, want both tenants in mainland", got)
 	}
 	for name, text := range map[string]string{
 		"cells.cell a.tenants nobody: ": `(foxlift (control (socket %q)) (cells (cell a (tenants nobody))))`,
@@ -63,11 +64,11 @@
 	} {
 		f.write(t, f.operator, fmt.Sprintf(text, f.operatorPathArgument))
 		if err := f.Reload(t.Context()); err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("Reload() = %v, want an error that contains %q", err, name)
 		}
 	}
 	if got := f.tenantCells(t); got != "central-belt mainland, islands mainland" {
-		t.Errorf("after invalid reloads: %s", got)
+		t.Errorf("tenantCells() after rejected reloads = %q, want both tenants in mainland", got)
 	}
 	const changed = `(foxlift (control (socket %q)) (cells
  (cell far (tenants islands)) (cell mainland (tenants central-belt))))`
@@ -76,14 +77,14 @@
 		t.Fatal(err)
 	}
 	if got := f.tenantCells(t); got != "islands far, central-belt mainland" {
-		t.Errorf("after a changed file: %s", got)
+		t.Errorf("tenantCells() after a reload of a changed file = %q, want islands in far", got)
 	}
 	if a := f.client("islands", "reading", "i").Send(); a != http.StatusOK {
-		t.Errorf("answer %d", a)
+		t.Errorf("Send() after the reload returned %d, want %d", a, http.StatusOK)
 	}
 }
 
-// tenantCells returns each tenant with its cell.
+// tenantCells returns each tenant with its cell, in the order of the cells.
 func (f *fixture) tenantCells(t *testing.T) string {
 	t.Helper()
 	states, err := f.Core.Cells(t.Context())
@@ -99,7 +100,7 @@
 	return strings.Join(pairs, ", ")
 }
 
-// post sends a job on a connection, and reports whether its answer closes that.
+// post sends a job on a connection, and reports whether the response closes the connection.
 func post(t *testing.T, c net.Conn, id, tenant string) (closes bool) {
 	t.Helper()
 	c.SetDeadline(time.Now().Add(testTimeout))
@@ -107,16 +108,17 @@
 		"X-Remaining: 5000m\r\nContent-Length: 0\r\n\r\n", id, tenant)
 	response, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
-		t.Fatalf("%s: %v", id, err)
+		t.Fatalf("reading the response to job %s: %v", id, err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		t.Fatalf("%s: %v", id, response)
+		t.Fatalf("job %s: response %v, want status %d", id, response, http.StatusOK)
 	}
 	return response.Close
 }
 
-// Connections of a cell past its bound close after their answer; those of other cells do not.
+// Connections beyond the connection limit of a cell are closed after their response. Connections of other
+// cells stay open.
 func TestConnectionsOfACell(t *testing.T) {
 	f := startFixture(t, strings.Replace(twoCells, "(tenants islands)", "(tenants islands) (connections 3)", 1))
 	closed := map[string]int{}
@@ -129,12 +131,12 @@
 		}
 	}
 	if closed["islands"] != 3 || closed["central-belt"] != 0 {
-		t.Errorf("closed: %v", closed)
+		t.Errorf("closed connections by tenant %v, want 3 of islands and 0 of central-belt", closed)
 	}
 }
 
-// After a kill during migrations, each job that was answered as served has run once, and a start from the
-// same files has the file's plan.
+// If the scheduler is killed during migrations, no job has run twice, each job that was answered as served has
+// run once, and a start from the same files uses the cell plan of the operator's file.
 func TestKillDuringMigrations(t *testing.T) {
 	f := startFixture(t, twoCells)
 	stop := make(chan struct{})
@@ -163,17 +165,17 @@
 	}
 	for id, n := range runs {
 		if n > 1 {
-			t.Errorf("%s ran %d times", id, n)
+			t.Errorf("job %s ran %d times, want at most 1", id, n)
 		}
 	}
 	for id := range client.Served() {
 		if runs[id] != 1 {
-			t.Errorf("%s is answered as served and ran %d times", id, runs[id])
+			t.Errorf("job %s was answered as served and ran %d times, want 1", id, runs[id])
 		}
 	}
 	f.restart(t)
 	states, err := f.Core.Cells(t.Context())
 	if err != nil || states[1].Name != "isles" || len(states[1].Tenants) != 1 || states[1].Tenants[0].Migrated {
-		t.Errorf("after a restart: %+v, %v", states, err)
+		t.Errorf("Cells() after a restart = %+v, %v, want one tenant in isles that is not migrated", states, err)
 	}
 }
--- a/internal/daemon/fixture_test.go
+++ b/internal/daemon/fixture_test.go
@@ -14,22 +14,25 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
+// testTimeout bounds each wait of a test.
 const testTimeout = 20 * time.Second
 
+// twoCells is an operator's file with a control socket at the path %q and two cells of equal capacity.
 const twoCells = `(foxlift (control (socket %q)) (cells
  (cell mainland (share 0.5) (tenants central-belt)) (cell isles (share 0.5) (tenants islands))))`
 
-// A fixture is a scheduler between stand-ins.
+// A fixture is a scheduler with stand-ins for the workers and the discovery service.
 type fixture struct {
 	*Daemon
 	workers              []*standin.Worker
 	discovery            *standin.Discovery
 	operator             string // path of the operator's file
-	config               string // path of the configuration
-	operatorPathArgument string // path that the operator's file has in place of %q
+	config               string // path of the configuration file
+	operatorPathArgument string // path that replaces %q in the operator's file
 }
 
-// startFixture starts a scheduler with an operator's file, and waits until it is ready.
+// startFixture starts a scheduler with the text of an operator's file, in which a path replaces %q, and waits
+// until it is ready.
 func startFixture(t *testing.T, operator string) *fixture {
 	t.Helper()
 	directory := t.TempDir()
@@ -76,12 +79,13 @@
 	t.Cleanup(f.stopDiscovery)
 }
 
+// stopDiscovery stops the discovery stand-in and its connections.
 func (f *fixture) stopDiscovery() {
 	f.discovery.Close()
 	f.discovery.Reset()
 }
 
-// writeConfig writes the example's configuration for the stand-ins.
+// writeConfig writes the example configuration, changed to use the stand-ins.
 func (f *fixture) writeConfig(t *testing.T) {
 	t.Helper()
 	text, err := os.ReadFile("../../examples/config.json")
@@ -102,15 +106,15 @@
 	f.write(t, f.config, string(text))
 }
 
-// restart starts a scheduler from the fixture's files in place of the one before, and waits until it is
-// ready.
+// restart starts a scheduler from the fixture's files, replaces the fixture's daemon by it and waits until it is
+// ready. The caller has shut down or killed the previous one.
 func (f *fixture) restart(t *testing.T) {
 	t.Helper()
 	f.Daemon = f.mustStart(t, map[string]string{"LB_CONFIG": f.config})
 	f.await(t, "ready", f.Core.Ready)
 }
 
-// mustStart starts a scheduler with variables.
+// mustStart starts a scheduler with environment variables. It is killed at the end of the test.
 func (f *fixture) mustStart(t *testing.T, variables map[string]string) *Daemon {
 	t.Helper()
 	d, err := f.start(t, variables)
@@ -137,17 +141,18 @@
 	}
 }
 
-// await waits until a condition holds.
+// await waits until a condition holds. It fails the test after testTimeout.
 func (f *fixture) await(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); !holds(); {
 		if time.Now().After(deadline) {
-			t.Fatalf("still not: %s", what)
+			t.Fatalf("condition not met within %v: %s", testTimeout, what)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
+// client returns a client that sends jobs of a tenant and a class to the scheduler.
 func (f *fixture) client(tenant, class, name string) *standin.Client {
 	return &standin.Client{
 		Addr:             f.Addr().String(),
@@ -159,7 +164,7 @@
 	}
 }
 
-// workerCells returns the cell of each worker, by name.
+// workerCells returns the name of the cell of each worker, by worker ID.
 func (f *fixture) workerCells(t *testing.T) map[string]string {
 	t.Helper()
 	states, err := f.Core.Cells(t.Context())
@@ -175,7 +180,7 @@
 	return cells
 }
 
-// runsByCell returns how many jobs of a tenant ran in each cell.
+// runsByCell returns how many jobs of a tenant have run in each cell, by the name of the cell.
 func (f *fixture) runsByCell(t *testing.T, tenant string) map[string]int {
 	t.Helper()
 	cells, runs := f.workerCells(t), map[string]int{}
@@ -185,7 +190,7 @@
 	return runs
 }
 
-// dial opens a connection that the test's end closes.
+// dial opens a connection that is closed at the end of the test.
 func dial(t *testing.T, address string) net.Conn {
 	t.Helper()
 	var dialer net.Dialer
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -10,13 +10,13 @@
 	"github.com/vatu-meals/foxlift/internal/platform"
 )
 
-// operatorAccess is what operators reach a scheduler by.
+// operatorServers are the servers for operators.
 type operatorServers struct {
-	admin   *admin.Server                  // nil if no address is configured
-	control atomic.Pointer[control.Server] // nil unless the control socket is served
+	admin   *admin.Server                  // nil if no operators' address is configured
+	control atomic.Pointer[control.Server] // nil while the control socket is not served
 }
 
-// stop stops serving operators.
+// stop stops both servers.
 func (a *operatorServers) stop() {
 	if server := a.control.Load(); server != nil {
 		server.Stop()
@@ -26,7 +26,7 @@
 	}
 }
 
-// listenAdmin starts to serve the operators' address, if one is configured.
+// listenAdmin starts the server on the operators' address, if one is configured.
 func (d *Daemon) listenAdmin() (err error) {
 	if d.Config.Admin == "" {
 		return nil
@@ -37,7 +37,7 @@
 	return err
 }
 
-// startControl starts to serve the control socket, if the operator's file names one.
+// startControl starts the server on the control socket, if the operator's file names one.
 func (d *Daemon) startControl() error {
 	path := d.operator.settings.ControlSocket
 	if path == "" {
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// AdminAddr returns the operators' address; nil if none is configured.
+// AdminAddr returns the operators' address, or nil if none is configured.
 func (d *Daemon) AdminAddr() net.Addr {
 	if d.servers.admin == nil {
 		return nil
@@ -65,8 +65,8 @@
 	return d.servers.admin.Addr()
 }
 
-// Ready implements admin.Scheduler. A successor serves before it is ready: the platform may stop its
-// predecessor once it says so.
+// Ready implements admin.Scheduler. A successor serves clients before it reports that it is ready: from then
+// on the platform may stop the predecessor.
 func (d *Daemon) Ready() bool {
 	return d.lifecycle.serving.Load() && d.takeover.predecessorMayExit.Load() && d.platform.Ready()
 }
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -13,9 +13,10 @@
 	"github.com/vatu-meals/foxlift/internal/platform"
 )
 
-const replanTimeout = 5 * time.Second // for the core to apply another plan of cells
+const replanTimeout = 5 * time.Second // limits how long the core may take to apply a new cell plan
 
-// Reload reads the configuration again and applies it. With an error nothing has changed.
+// Reload reads the configuration file and the operator's file again, and applies the new discovery address
+// and cell plan. If it returns an error, nothing has changed.
 func (d *Daemon) Reload(ctx context.Context) error {
 	cfg, err := config.Reload(d.options.Getenv)
 	if err != nil {
@@ -42,22 +43,24 @@
 	return nil
 }
 
-// checkReloadable checks that nothing has changed that holds until the next start.
+// checkReloadable returns an error if a setting has changed that only a restart can apply.
 func (d *Daemon) checkReloadable(settings *config.OperatorConfig) error {
 	current := d.operator.settings
 	switch {
 	case settings.ControlSocket != current.ControlSocket:
-		return errors.New("control.socket: it holds until the scheduler is started again")
+		return fmt.Errorf("control.socket: change from %q to %q requires a restart of the scheduler",
+			current.ControlSocket, settings.ControlSocket)
 	case settings.EndpointCheckpoint != current.EndpointCheckpoint:
-		return errors.New("list.checkpoint: it holds until the scheduler is started again")
+		return fmt.Errorf("list.checkpoint: change from %q to %q requires a restart of the scheduler",
+			current.EndpointCheckpoint, settings.EndpointCheckpoint)
 	case (settings.Cells == nil) != (current.Cells == nil):
-		return errors.New("cells: a scheduler goes from none to some, or back, when it is started again")
+		return errors.New("cells: adding or removing the cells form requires a restart of the scheduler")
 	}
 	return nil
 }
 
-// replan applies the plan of cells of an operator's file that has changed. A file that is the same keeps
-// tenants where operators have migrated them.
+// replan applies the cell plan of the operator's file if the text of the file has changed. If it has not,
+// tenants stay in the cells to which operators have migrated them.
 func (d *Daemon) replan(ctx context.Context, file operatorFile) error {
 	if file.settings.Cells == nil || bytes.Equal(file.text, d.operator.text) {
 		return nil
@@ -68,7 +71,7 @@
 	if err != nil {
 		return fmt.Errorf("cells: %w", err)
 	}
-	d.options.Log.Info("reload: plan of cells has changed",
+	d.options.Log.Info("reload: new cell plan applied",
 		zap.Int("tenants", migration.Tenants),
 		zap.Int("held", migration.Queued),
 		zap.Int("out", migration.InFlight))
--- a/internal/daemon/scenario_test.go
+++ b/internal/daemon/scenario_test.go
@@ -20,8 +20,8 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// Scenarios over real sockets: the fuzzer's seed draws a script of faults between clients, a real
-// scheduler and stand-in workers; the workers' logs are the oracle.
+// The scenarios of this file run over real sockets. A seed determines the network faults between clients, a real
+// scheduler and stand-in workers. The scheduler's answers are checked against the runs that the workers record.
 
 const scenarioSettings = `{"discovery":"subscribe","dcs":["a"],"zone":"a","flavors":["k"],
  "grades":[{"name":"reading","aim":200000000,"deadline":600000000,"effect":"idempotent"},
@@ -35,22 +35,24 @@
 	scenarioWorkers = 3
 	scenarioClients = 3
 	jobsPerClient   = 5
-	answerTimeout   = 3500 * time.Millisecond // a malformed request has its end within 3 s
-	settleTimeout   = 5 * time.Second         // until all accepted jobs are answered
+	answerTimeout   = 3500 * time.Millisecond // the scheduler ends a malformed request within 3 s
+	settleTimeout   = 5 * time.Second         // limit for all accepted jobs to be answered
 )
 
 var (
-	// faultsTowardsWorkers may happen to what goes to a worker: a network does not repeat or reorder the
-	// scheduler's own requests. What a worker or a client sends may be anything.
+	// faultsTowardsWorkers are the faults of data from the scheduler to a worker. They neither repeat nor
+	// reorder data, since a network does not do that to the scheduler's requests. Data that a worker or a
+	// client sends may have any fault.
 	faultsTowardsWorkers = []standin.Fault{
 		standin.Pass, standin.Pass, standin.Pass,
 		standin.Delay, standin.Split, standin.Truncate, standin.Reset, standin.CloseHalf,
 	}
-	// faultsTowardsClients may happen to answers.
+	// faultsTowardsClients are the faults of the scheduler's answers to clients.
 	faultsTowardsClients = []standin.Fault{standin.Pass, standin.Delay, standin.Split}
 )
 
-// drawFaults draws n faults from a set or, if that is nil, from all faults, half of them Pass.
+// drawFaults returns n random faults from a set. If the set is nil, about half of them are Pass and the rest are
+// drawn from all faults.
 func drawFaults(rng *rand.Rand, n int, set []standin.Fault) (script []standin.Fault) {
 	for range n {
 		if set != nil {
@@ -70,7 +72,7 @@
 	status   int
 }
 
-// A scenario is a scheduler between stand-ins with faults, and what came of its jobs.
+// A scenario is a scheduler with stand-ins, the faults between them, and the results of its jobs.
 type scenario struct {
 	seed    uint64
 	rng     *rand.Rand
@@ -78,12 +80,12 @@
 	workers []*standin.Worker
 	proxy   *standin.Proxy
 
-	mu         sync.Mutex
+	mu         sync.Mutex // guards the fields below
 	answers    []answer
-	violations []string // promises, by what broke them
+	violations []string // violated guarantees, as messages
 }
 
-// playScenario plays the faults that a seed draws and returns what is broken.
+// runScenario runs jobs under the faults of a seed and returns the violated guarantees.
 func runScenario(t testing.TB, seed uint64) []string {
 	t.Helper()
 	s := &scenario{seed: seed, rng: rand.New(rand.NewPCG(seed, 77))}
@@ -98,6 +100,7 @@
 	return s.violations
 }
 
+// must fails the test at an error.
 func must(t testing.TB, err error) {
 	t.Helper()
 	if err != nil {
@@ -166,13 +169,15 @@
 	s.workers = append(s.workers, worker)
 }
 
+// addViolation records a violated guarantee.
 func (s *scenario) addViolation(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.violations = append(s.violations, fmt.Sprintf(format, args...))
 }
 
-// runClient sends jobs one after another, on a new connection after each that fails or closes.
+// runClient sends jobs one after another, on a new connection after each job that failed or closed its
+// connection.
 func (s *scenario) runClient(ctx context.Context, client int) {
 	var dialer net.Dialer
 	var c net.Conn
@@ -196,7 +201,7 @@
 	}
 }
 
-// sendJob sends a job, records its answer, and reports whether the connection has to be closed.
+// sendJob sends a job, records the answer, and reports whether the connection has to be closed.
 func (s *scenario) sendJob(c net.Conn, reader *bufio.Reader, id, class string) (closes bool) {
 	c.SetDeadline(time.Now().Add(answerTimeout))
 	fmt.Fprintf(c, "POST /%s HTTP/1.1\r\nHost: x\r\nX-Txn: %s\r\nX-Lane: %s\r\nX-Org: t\r\n"+
@@ -218,15 +223,15 @@
 	return response.Close
 }
 
-// reportTimeout reports a job whose connection had neither an answer nor an end.
+// reportTimeout records a violation if err is a timeout: the job was not answered and its connection not closed.
 func (s *scenario) reportTimeout(id string, err error) {
 	var netErr net.Error
 	if errors.As(err, &netErr) && netErr.Timeout() {
-		s.addViolation("%s: neither an answer nor an end", id)
+		s.addViolation("job %s: no answer and no end of the connection within %v", id, answerTimeout)
 	}
 }
 
-// awaitAnswered waits until all accepted jobs are answered.
+// awaitAnswered waits until all accepted jobs are answered, and records a violation after settleTimeout.
 func (s *scenario) awaitAnswered() {
 	counters := s.daemon.Counters
 	for deadline := time.Now().Add(settleTimeout); ; time.Sleep(5 * time.Millisecond) {
@@ -236,59 +241,62 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			s.addViolation("%d jobs taken, not as many answered: %v", accepted, counters.All())
+			s.addViolation("%d of %d accepted jobs are answered after %v: %v", answered, accepted, settleTimeout,
+				counters.All())
 			return
 		}
 	}
 }
 
-// checkRuns compares the answers with the runs in the workers' logs.
+// checkRuns compares the answers with the runs that the workers have recorded.
 func (s *scenario) checkRuns() {
 	runs := map[string]int{}
 	for _, worker := range s.workers {
 		for id, n := range worker.Runs() {
 			runs[id] += n
 			if !strings.HasPrefix(id, "j-") {
-				s.addViolation("a job with the id %q ran", id) // garbage was accepted as a job
+				s.addViolation("a job with the id %q ran, which no client sent", id) // accepted garbage
 			}
 		}
 	}
 	for _, a := range s.answers {
 		switch {
 		case a.status == http.StatusOK && !strings.HasPrefix(a.body, "j-"):
-			s.addViolation("%s: served with %q", a.id, a.body)
+			s.addViolation("job %s: served with the body %q, want the id of a job", a.id, a.body)
 		case a.status == http.StatusOK && runs[strings.Fields(a.body)[0]] == 0:
-			s.addViolation("%s: served with %q, which never ran", a.id, a.body)
+			s.addViolation("job %s: served with the body %q, but no worker ran that job", a.id, a.body)
 		}
 	}
 	for id, n := range runs {
-		// Only the workers know the class of a job that was garbled on its way; here its id tells it.
+		// A garbled request may have lost its class, so the class is derived from the id as in runClient.
 		var client, i int
 		_, err := fmt.Sscanf(id, fmt.Sprintf("j-%d-%%d-%%d", s.seed), &client, &i)
 		if err == nil && (client+i)%2 == 1 && n > 1 {
-			s.addViolation("%s ran %d times", id, n)
+			s.addViolation("at-most-once job %s ran %d times", id, n)
 		}
 	}
 }
 
+// TestScenarios runs the scenarios of fixed seeds.
 func TestScenarios(t *testing.T) {
 	for seed := range uint64(24) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			for _, broken := range runScenario(t, seed) {
-				t.Error(broken)
+			for _, violation := range runScenario(t, seed) {
+				t.Error(violation)
 			}
 		})
 	}
 }
 
+// FuzzScenario runs the scenarios of fuzzed seeds.
 func FuzzScenario(f *testing.F) {
 	for seed := range uint64(4) {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		for _, broken := range runScenario(t, seed) {
-			t.Error(broken)
+		for _, violation := range runScenario(t, seed) {
+			t.Error(violation)
 		}
 	})
 }
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -10,26 +10,28 @@
 	"github.com/vatu-meals/foxlift/internal/core"
 )
 
-// How a successor takes over from its predecessor.
+// Time limits of a takeover, as the successor process applies them.
 const (
-	endpointsTimeout        = 4 * time.Second       // for discovery's answer; then the cached list has to do
-	startPollInterval       = 10 * time.Millisecond // between two checks of what the start waits for
-	predecessorStateTimeout = 5 * takeoverPollInterval
-	maxStateAge             = 2 * time.Second // an older state is of a process that has exited
+	endpointsTimeout        = 4 * time.Second          // for an answer of discovery; then the cached list is used
+	startPollInterval       = 10 * time.Millisecond    // between checks of a condition that the start waits for
+	predecessorStateTimeout = 5 * takeoverPollInterval // for the predecessor's first save of its state
+	maxStateAge             = 2 * time.Second          // an older state was saved by a process that has exited
 
-	// readyTimeout is the time from the start after which a successor is ready in any case: the platform
-	// allows 6 s.
+	// readyTimeout is the time after the start of the process at which a successor reports that it is ready
+	// even if its predecessor still has open jobs. The platform allows 6 s.
 	readyTimeout = 5 * time.Second
 
-	// minOverlap is the time from listening to being ready: until then connections that rest at the
-	// predecessor may bring it jobs.
+	// minOverlap is the minimum time between listening and reporting that this process is ready: until then
+	// clients' idle connections to the predecessor may still carry new jobs.
 	minOverlap = 500 * time.Millisecond
 )
 
-// errStaleState means that a state was saved by a process that has exited since.
-var errStaleState = errors.New("the predecessor's state is old")
+// errStaleState is returned for a state whose time differs from now by more than maxStateAge: the process
+// that saved it has exited.
+var errStaleState = errors.New("the predecessor's saved state is stale")
 
-// runSuccessor takes over from the predecessor: this process listens once it is ready to serve.
+// runSuccessor takes over from the predecessor. It waits for the endpoint list and for the predecessor's
+// state, and then serves clients beside the predecessor. It is a background task; a shutdown ends it.
 func (d *Daemon) runSuccessor() {
 	d.divideLimits(twoProcesses)
 	d.platform.StartWatch()
@@ -47,8 +49,8 @@
 	})
 }
 
-// awaitEndpoints waits until the endpoint list is known well enough to serve: from discovery or, after a
-// time, from the cached list. It returns the context's error if that is done before.
+// awaitEndpoints waits until discovery has sent the endpoint list or, after endpointsTimeout, until a list
+// with a live worker is available, which may be the cached one. It returns an error only if ctx is done.
 func (d *Daemon) awaitEndpoints(ctx context.Context) error {
 	ticker := time.NewTicker(startPollInterval)
 	defer ticker.Stop()
@@ -66,9 +68,9 @@
 	return nil
 }
 
-// awaitPredecessorState waits until the predecessor, which checks for a successor now and then, has saved
-// its state, or until the time for that is over: it may never save one. It returns the context's error if
-// that is done before.
+// awaitPredecessorState waits until the predecessor has saved its state. The predecessor checks for a
+// successor every takeoverPollInterval, but may never save a state: after predecessorStateTimeout the wait
+// ends without an error. It returns an error only if ctx is done.
 func (d *Daemon) awaitPredecessorState(ctx context.Context) error {
 	ticker := time.NewTicker(startPollInterval)
 	defer ticker.Stop()
@@ -87,7 +89,8 @@
 	}
 }
 
-// restoreState goes on from what the predecessor has learned, if that can be used.
+// restoreState loads the predecessor's state into the core. If the state cannot be used, it logs and counts
+// that, and the core starts without it.
 func (d *Daemon) restoreState(ctx context.Context) {
 	if err := d.applyPredecessorState(ctx); err != nil {
 		d.Counters.Add("upgrades.without_state")
@@ -95,6 +98,7 @@
 	}
 }
 
+// applyPredecessorState loads the predecessor's state, checks its age and restores it in the core.
 func (d *Daemon) applyPredecessorState(ctx context.Context) error {
 	state := &core.State{}
 	if err := d.takeover.lock.LoadState(state); err != nil {
@@ -120,7 +124,7 @@
 	return progress, nil
 }
 
-// checkStateAge returns errStaleState for a state that was not taken lately.
+// checkStateAge returns errStaleState if the state was taken more than maxStateAge before or after now.
 func checkStateAge(progress *core.DrainProgress) error {
 	age := time.Since(time.Unix(0, progress.TakenAt))
 	if age < -maxStateAge || age > maxStateAge {
@@ -129,15 +133,16 @@
 	return nil
 }
 
-// followPredecessor follows what the predecessor still has to do. This process is ready once that is
-// nothing, since the platform may then stop the predecessor without a loss; or after readyTimeout.
+// pollPredecessor updates the slots that the predecessor's jobs still use at the workers. It marks the
+// predecessor as no longer needed once it has no open jobs, since the platform can then stop it without
+// failing a job, and in any case after readyTimeout.
 func (d *Daemon) pollPredecessor() {
 	if time.Since(d.lifecycle.startedAt) >= readyTimeout {
 		d.takeover.predecessorMayExit.Store(true)
 	}
 	progress, err := d.loadPredecessorProgress()
 	if err != nil {
-		return // the next poll tries again
+		return // the next poll retries
 	}
 	d.Core.SetExternalSlots(progress.InFlight)
 	overlap := time.Unix(0, progress.TakenAt).Sub(d.takeover.listeningSince)
--- a/internal/daemon/successor_test.go
+++ b/internal/daemon/successor_test.go
@@ -12,7 +12,7 @@
 	"github.com/vatu-meals/foxlift/internal/upgrade"
 )
 
-// A state that is not of the last moments is not used, and the successor starts without it.
+// A state that is too old, or from the future, is not used, and the successor starts without it.
 func TestStaleStateIsNotUsed(t *testing.T) {
 	lock, err := upgrade.AcquireTakeover(t.TempDir(), "127.0.0.1:3000", 0, time.Millisecond)
 	if err != nil {
@@ -27,11 +27,11 @@
 			t.Fatal(err)
 		}
 		if _, err := d.loadPredecessorProgress(); !errors.Is(err, errStaleState) {
-			t.Errorf("progress from %v ago: %v, want %v", age, err, errStaleState)
+			t.Errorf("loadPredecessorProgress() of a state %v old: error %v, want %v", age, err, errStaleState)
 		}
 		d.restoreState(t.Context())
 	}
 	if got := d.Counters.Get("upgrades.without_state"); got != 2 {
-		t.Errorf("started %d times without a state, want 2", got)
+		t.Errorf("counter upgrades.without_state = %d, want 2", got)
 	}
 }
--- a/internal/daemon/takeover.go
+++ b/internal/daemon/takeover.go
@@ -13,47 +13,51 @@
 	"github.com/vatu-meals/foxlift/internal/upgrade"
 )
 
-// How two processes of one scheduler agree on a takeover.
+// Parameters of the takeover protocol between two processes of one scheduler.
 const (
 	lockDirectoryVariable = "TMPDIR"
-	acquireTimeout        = 4 * time.Second        // for the takeover lock, while two processes hold it
-	takeoverPollInterval  = 100 * time.Millisecond // between two checks of the other process
+	acquireTimeout        = 4 * time.Second        // for the takeover lock, while two other processes hold it
+	takeoverPollInterval  = 100 * time.Millisecond // between checks for the other process
 	stateTimeout          = time.Second            // for the core to return its state, or to restore one
-	saveIntervalFactor    = 9                      // after a write of the state, rest so many times as long
+	saveIntervalFactor    = 9                      // pause between saves, as a multiple of the last save's duration
 )
 
-// Processes that share the limits of one scheduler.
+// Number of processes that share the memory and descriptor limits of one scheduler.
 const (
 	singleProcess = 1
 	twoProcesses  = 2
 )
 
-// A takeover is what a process knows of its predecessor or successor. Without a lock there is neither.
+// A takeover holds the state of a process towards its predecessor or successor. Without a lock it has neither.
 type takeover struct {
 	lock           *upgrade.TakeoverLock // nil if no other process can take over
-	listeningSince time.Time
+	listeningSince time.Time             // when this process began to listen for clients
 
-	// predecessorDispensable is set once no other process has jobs that its exit would fail, or when
-	// this process has to be ready in any case.
+	// predecessorMayExit is set once no predecessor has open jobs that would fail if it exited, and in any
+	// case readyTimeout after the start.
 	predecessorMayExit atomic.Bool
 }
 
+// isAvailable reports whether this process holds a takeover lock, so that another process can take over.
 func (t *takeover) isAvailable() bool { return t.lock != nil }
 
-// isSuccessor reports whether a predecessor of this process has not exited.
+// isSuccessor reports whether this process has a predecessor that has not exited.
 func (t *takeover) isSuccessor() bool { return t.lock != nil && t.lock.IsSuccessor() }
 
-// successorListening reports whether a successor of this process listens.
+// successorListening reports whether a successor of this process listens for clients.
 func (t *takeover) successorListening() bool { return t.lock != nil && t.lock.SuccessorListening() }
 
+// release releases the lock, if there is one.
 func (t *takeover) release() {
 	if t.lock != nil {
 		t.lock.Release()
 	}
 }
 
-// acquireTakeoverLock finds out whether a predecessor serves the address. If the directory of the lock
-// does not allow that, this process has neither predecessor nor successor.
+// acquireTakeoverLock acquires the takeover lock of the clients' address, which shows whether a predecessor
+// serves it. It returns an error if two other processes hold the lock. If the lock cannot be used for another
+// reason, such as its directory, the process runs without predecessor and successor. The same holds without
+// an operators' address.
 func (d *Daemon) acquireTakeoverLock() error {
 	if d.Config.Admin == "" {
 		return nil
@@ -67,15 +71,15 @@
 	case errors.Is(err, upgrade.ErrTakeoverInProgress):
 		return fmt.Errorf("listen (LB_LISTEN): %w", err)
 	case err != nil:
-		d.log.Warn("takeover: not available to a later process", zap.Error(err))
+		d.log.Warn("takeover: no lock, a later process cannot take over from this one", zap.Error(err))
 		return nil
 	}
 	d.takeover.lock = lock
 	return nil
 }
 
-// serve listens for clients. If a predecessor listens too, what comes from now on is steered to this
-// process.
+// serve listens for clients and accepts their connections. If a predecessor listens too, new connections are
+// directed to this process.
 func (d *Daemon) serve() error {
 	if err := d.platform.Listen(); err != nil {
 		return err
@@ -89,7 +93,7 @@
 	d.platform.Accept()
 	if d.takeover.isAvailable() {
 		if err := d.takeover.lock.AnnounceListening(); err != nil {
-			d.log.Warn("takeover: predecessor cannot be notified", zap.Error(err))
+			d.log.Warn("takeover: cannot notify the predecessor that this process listens", zap.Error(err))
 		}
 	}
 	d.takeover.listeningSince = time.Now()
@@ -99,9 +103,10 @@
 	return nil
 }
 
-// watchOtherProcess divides the limits with another process while one exists: the predecessor, whose
-// part of the lock this process acquires when it has exited, or a successor, for which this process
-// saves its state. It runs until the scheduler is drained.
+// watchOtherProcess checks regularly for another process of this scheduler, and divides the limits between
+// the two while it exists. The other process is either the predecessor, whose role in the lock this process
+// acquires once it has exited, or a successor, for which this process saves its state. It is a background
+// task that runs until the scheduler is drained.
 func (d *Daemon) watchOtherProcess() {
 	ticker := time.NewTicker(takeoverPollInterval)
 	defer ticker.Stop()
@@ -129,17 +134,17 @@
 	}
 }
 
-// checkOtherProcess reports whether another process exists. When the predecessor has exited, this process
-// becomes the serving one.
+// checkOtherProcess reports whether another process of this scheduler exists. If the predecessor has exited,
+// this process takes the role of the serving process.
 func (d *Daemon) checkOtherProcess() bool {
 	if !d.takeover.isSuccessor() {
 		return d.takeover.lock.HasSuccessor()
 	}
 	promoted, err := d.takeover.lock.Promote()
 	switch {
-	case errors.Is(err, os.ErrClosed): // this process has released the lock in the meantime
+	case errors.Is(err, os.ErrClosed): // this process has already released the lock
 	case err != nil:
-		d.log.Warn("takeover: cannot become the serving process", zap.Error(err))
+		d.log.Warn("takeover: cannot acquire the role of the serving process", zap.Error(err))
 	case promoted:
 		d.completeTakeover()
 	default:
@@ -148,24 +153,25 @@
 	return !promoted
 }
 
-// completeTakeover goes on alone after the predecessor has exited.
+// completeTakeover removes the predecessor's state after its exit, and opens the control socket.
 func (d *Daemon) completeTakeover() {
 	d.log.Info("takeover: predecessor has exited")
 	d.Core.SetExternalSlots(nil)
 	d.takeover.lock.DiscardState()
 	d.takeover.predecessorMayExit.Store(true)
 	if err := d.startControl(); err != nil {
-		d.log.Error("control socket: not served", zap.Error(err))
+		d.log.Error("takeover: cannot serve the control socket", zap.Error(err))
 	}
 }
 
-// saveState saves what a successor needs.
+// saveState saves the state that a successor restores. It counts a failure.
 func (d *Daemon) saveState(ctx context.Context) {
 	if err := d.writeState(ctx); err != nil {
 		d.Counters.Add("upgrades.not_saved")
 	}
 }
 
+// writeState requests the core's state and writes it to the state file of the lock.
 func (d *Daemon) writeState(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
@@ -176,6 +182,7 @@
 	return d.takeover.lock.SaveState(state)
 }
 
+// processCount returns the number of processes that share the limits.
 func processCount(anotherExists bool) int {
 	if anotherExists {
 		return twoProcesses
@@ -183,7 +190,7 @@
 	return singleProcess
 }
 
-// divideLimits keeps this process to its part of the scheduler's descriptors and memory.
+// divideLimits limits this process to an equal part of the scheduler's file descriptors and memory.
 func (d *Daemon) divideLimits(processes int) {
 	d.platform.DivideDescriptors(processes)
 	if d.options.LimitMemory != nil {
--- a/internal/daemon/takeover_test.go
+++ b/internal/daemon/takeover_test.go
@@ -15,7 +15,7 @@
 	listen, directory string
 }
 
-// freeAddress returns an address on which nobody listens.
+// freeAddress returns an address on which no process listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	var config net.ListenConfig
@@ -27,7 +27,8 @@
 	return l.Addr().String()
 }
 
-// startAdminFixture starts a fixture, and a scheduler with an operators' address in place of its own.
+// startAdminFixture starts a fixture and replaces its scheduler by one with an operators' address. It returns
+// that scheduler as the predecessor.
 func startAdminFixture(t *testing.T) (*adminFixture, *Daemon) {
 	t.Helper()
 	f := startFixture(t, "(foxlift (control (socket %q)))")
@@ -48,13 +49,13 @@
 	}
 }
 
-// startProcess starts a further process of the same scheduler.
+// startProcess starts another process of the same scheduler, with an operators' address of its own.
 func (a *adminFixture) startProcess(t *testing.T) *Daemon {
 	t.Helper()
 	return a.mustStart(t, a.variables("127.0.0.1:0"))
 }
 
-// health returns the status of the answer of a health endpoint.
+// health returns the status of the response of a health endpoint.
 func health(t *testing.T, url string) int {
 	t.Helper()
 	client := http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
@@ -70,54 +71,54 @@
 	return response.StatusCode
 }
 
-// A successor takes over: it is ready within the time that the platform allows, the clients' health is
-// 200 throughout, the predecessor shuts down at once, and the successor serves the control socket then.
+// A successor takes over: it becomes ready and restores the predecessor's state, the clients' health endpoint
+// returns 200 throughout, and after the predecessor has shut down the successor serves the control socket.
 func TestTakeover(t *testing.T) {
 	a, predecessor := startAdminFixture(t)
 	if got := health(t, predecessor.AdminAddr().String()+"/admin/health"); got != http.StatusOK {
-		t.Errorf("the predecessor's health: %d", got)
+		t.Errorf("health of the predecessor at the operators' address = %d, want %d", got, http.StatusOK)
 	}
 	successor := a.startProcess(t)
 	a.await(t, "the successor is ready", successor.Ready)
 	if successor.Counters.Get("upgrades.without_state") != 0 {
-		t.Error("no state was restored")
+		t.Error("counter upgrades.without_state is not 0: the predecessor's state was not restored")
 	}
 	a.await(t, "the predecessor yields its connections", func() bool {
 		return predecessor.platform.Ready() && predecessor.takeover.lock.SuccessorListening()
 	})
 	if got := health(t, a.listen+"/_health"); got != http.StatusOK {
-		t.Errorf("the clients' health beside two processes: %d", got)
+		t.Errorf("clients' health while both processes run = %d, want %d", got, http.StatusOK)
 	}
 	predecessor.ShutDown()
 	if got := health(t, a.listen+"/_health"); got != http.StatusOK {
-		t.Errorf("the clients' health after the predecessor's shutdown: %d", got)
+		t.Errorf("clients' health after the shutdown of the predecessor = %d, want %d", got, http.StatusOK)
 	}
 	a.await(t, "the successor is promoted", func() bool { return !successor.takeover.lock.IsSuccessor() })
 	a.await(t, "the control socket is served", func() bool { return successor.servers.control.Load() != nil })
 }
 
-// A successor that is shut down before it serves leaves the predecessor as it was.
+// A successor that is shut down before it serves does not affect the predecessor.
 func TestSuccessorStopsBeforeServing(t *testing.T) {
 	a, predecessor := startAdminFixture(t)
-	a.stopDiscovery() // the successor waits for an answer
+	a.stopDiscovery() // the successor waits for a response of discovery
 	successor := a.startProcess(t)
 	if successor.Ready() {
-		t.Error("it is ready without an answer from discovery")
+		t.Error("Ready() of the successor = true before discovery has responded, want false")
 	}
 	successor.ShutDown()
-	a.await(t, "the predecessor is alone", func() bool { return !predecessor.takeover.lock.HasSuccessor() })
+	a.await(t, "the predecessor has no successor", func() bool { return !predecessor.takeover.lock.HasSuccessor() })
 	if got := health(t, a.listen+"/_health"); got != http.StatusOK {
-		t.Errorf("the clients' health: %d", got)
+		t.Errorf("clients' health after the shutdown of the successor = %d, want %d", got, http.StatusOK)
 	}
 }
 
-// A process whose operators' address is in use fails in one line that names the key, and so does a third
-// process.
+// Start fails with an error that names LB_ADMIN if the operators' address is in use, and with an error that
+// names LB_LISTEN if two other processes of the scheduler run already.
 func TestThirdProcessFails(t *testing.T) {
 	a, predecessor := startAdminFixture(t)
 	_, err := a.start(t, a.variables(predecessor.AdminAddr().String()))
 	if err == nil || !strings.Contains(err.Error(), "LB_ADMIN") {
-		t.Errorf("error %v, want one that names LB_ADMIN", err)
+		t.Errorf("Start() with an operators' address in use: error %v, want one that names LB_ADMIN", err)
 	}
 	successor := a.startProcess(t)
 	a.await(t, "the successor is ready", successor.Ready)
@@ -125,6 +126,7 @@
 	_, err = a.start(t, a.variables("127.0.0.1:0"))
 	took := time.Since(startedAt)
 	if err == nil || !strings.Contains(err.Error(), "LB_LISTEN") || took < acquireTimeout {
-		t.Errorf("error %v after %v, want one that names LB_LISTEN after %v", err, took, acquireTimeout)
+		t.Errorf("Start() of a third process: error %v after %v, want one that names LB_LISTEN after at least %v",
+			err, took, acquireTimeout)
 	}
 }
