--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -13,23 +13,24 @@
 	"time"
 )
 
-// A Tally counts what became of jobs. When a job has ended, Sent grows, and one of the others: with Rejected
-// grows Failed too.
+// A Tally counts the outcomes of jobs. Each finished job counts once in Sent and once in one of Served, Late, Shed,
+// Failed, Lost and Interrupted. A rejected job counts in Failed and in Rejected.
 type Tally struct {
-	Sent        int
-	Served      int // within the latency objective
-	Late        int // served, but past the latency objective
-	Shed        int
-	Failed      int // an answer that is neither
-	Rejected    int // of those: 4xx, which says that the client is at fault
-	Lost        int // no whole answer, or none in time
-	Interrupted int // the same, where Client.Excuse says that no answer was owed
+	Sent        int // jobs that have ended, whatever their outcome
+	Served      int // answered with 200 within the latency objective
+	Late        int // answered with 200 after the latency objective
+	Shed        int // answered with 429 or 503
+	Failed      int // answered with any other status
+	Rejected    int // failed jobs whose status was 4xx, a client error
+	Lost        int // no connection, or no complete response before the client's timeout
+	Interrupted int // no complete response or no connection, excused by Client.WasInterrupted
 }
 
-// Service is the share of the jobs that was served within the latency objective, in percent.
+// ServedPercent returns the share of the jobs that were served within the latency objective, in percent; 0 if no job
+// was sent.
 func (t Tally) ServedPercent() float64 { return 100 * float64(t.Served) / float64(max(1, t.Sent)) }
 
-// add adds another tally's counts.
+// add adds the counts of another tally to t.
 func (t *Tally) add(other Tally) {
 	t.Sent += other.Sent
 	t.Served += other.Served
@@ -41,49 +42,51 @@
 	t.Interrupted += other.Interrupted
 }
 
-// A Client sends jobs of one tenant at a rate, each at its time whatever became
-// of the others, and keeps a tally. Its times are drawn from its seed.
+// A Client sends jobs of one tenant and class to a scheduler and counts their outcomes. Run is an open-loop load
+// generator: it sends each job at its scheduled time, without waiting for the responses to earlier jobs.
 type Client struct {
 	Addr              string
 	Tenant            string
 	Class             string
-	Key               string // of every job; "": none
-	HasIdempotencyKey bool   // its jobs carry an idempotency key, a new one each
-	LatencyObjective  time.Duration
-	Remaining         time.Duration
-	Name              string        // begins the ids of its jobs
-	Grace             time.Duration // past Remaining, in which an answer still comes in time; 0: 0.1 s
+	Key               string        // affinity key of every job; "" sends none
+	HasIdempotencyKey bool          // sends a different idempotency key with each job
+	LatencyObjective  time.Duration // a response with 200 after this counts as Late
+	Remaining         time.Duration // from the send of a job until its deadline
+	Name              string        // prefix of the ids of its jobs
+	Grace             time.Duration // added to Remaining to get the client's timeout; at least minGrace
 
-	// Excuse reports whether a job sent at a time is owed no answer: its scheduler was killed since. nil: none is.
+	// WasInterrupted reports whether the client cannot expect a response to a job that it sent at a time, because the
+	// scheduler was killed after that. nil excuses no job. If it is set, a job whose scheduler refuses the connection
+	// counts as Interrupted as well.
 	WasInterrupted func(sent time.Time) bool
 
 	sent    atomic.Int64
 	sending sync.WaitGroup
 
 	mu        sync.Mutex
-	sentAt    map[string]time.Time // by job
-	tally     Tally
-	served    map[string]bool // by job
-	idle      []*clientConn
-	latencies []time.Duration // of what was served
+	sentAt    map[string]time.Time // by job id
+	tally     Tally                // since the last TakeTally
+	served    map[string]bool      // by job id
+	idle      []*clientConn        // the most recently used connection is the last
+	latencies []time.Duration      // of jobs answered with 200, since the last TakeLatencies
 }
 
-// A clientConn is one connection of a client.
+// A clientConn is a connection of a client with its buffered reader.
 type clientConn struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
 const (
-	minGrace       = 100 * time.Millisecond // how late an answer may come at least, past the job's deadline
+	minGrace       = 100 * time.Millisecond // least time that a client waits for a response after the job's deadline
 	connectTimeout = time.Second
-	idleInterval   = 10 * time.Millisecond // how often a client whose rate is 0 looks at it again
-	rngStream      = 7                     // of the seed's random numbers, for the times of sends
-	notConnected   = -1                    // the status of a job whose scheduler could not be reached
+	idleInterval   = 10 * time.Millisecond // how often Run reads the rate again while the rate is 0
+	rngStream      = 7                     // PCG stream of the send times
+	notConnected   = -1                    // status that Send returns if it cannot connect to the scheduler
 )
 
-// Run sends jobs at a rate a second (Poisson) until stop closes, and waits for
-// their answers.
+// Run sends jobs until stop is closed, then waits for their responses. The arrivals are a Poisson process of the rate
+// that rate returns, in jobs a second; seed determines its random numbers.
 func (c *Client) Run(rate func() float64, seed uint64, stop <-chan struct{}) {
 	defer c.finish()
 	rng := rand.New(rand.NewPCG(seed, rngStream))
@@ -108,7 +111,7 @@
 	}
 }
 
-// finish waits for the answers and closes the connections.
+// finish waits for all responses and closes the connections.
 func (c *Client) finish() {
 	c.sending.Wait()
 	c.closeIdle()
@@ -132,14 +135,15 @@
 	c.sentAt[id] = at
 }
 
-// SentAt returns when each job was sent.
+// SentAt returns the time at which each job was sent, by job id.
 func (c *Client) SentAt() map[string]time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.sentAt)
 }
 
-// Send sends one job and returns the status of its answer, 0 for none and -1 where its scheduler cannot be reached.
+// Send sends one job and returns the HTTP status of its response: 0 if none came in time, notConnected if the client
+// could not connect to the scheduler.
 func (c *Client) Send() int {
 	id := fmt.Sprintf("%s-%d", c.Name, c.sent.Add(1))
 	began := time.Now()
@@ -160,7 +164,8 @@
 	return status
 }
 
-// classify returns the tally of one job that was sent at a time and had its answer, or none, after a while.
+// classify returns the tally of one job, given the status that exchange returned, the time at which the job was sent
+// and the time that the exchange took.
 func (c *Client) classify(status int, sentAt time.Time, took time.Duration) Tally {
 	t := Tally{Sent: 1}
 	switch {
@@ -185,7 +190,7 @@
 	return t
 }
 
-// connection returns an idle connection or a new one; fresh tells that it has carried nothing yet.
+// acquireConn returns an idle connection, or dials a new one if none is idle; fresh reports whether it is a new one.
 func (c *Client) acquireConn() (conn *clientConn, fresh bool, err error) {
 	if conn := c.popIdle(); conn != nil {
 		return conn, false, nil
@@ -197,7 +202,7 @@
 	return &clientConn{dialed, bufio.NewReader(dialed)}, true, nil
 }
 
-// popIdle returns the connection that was used last; nil: none is idle.
+// popIdle removes the most recently used idle connection and returns it, or nil if no connection is idle.
 func (c *Client) popIdle() *clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -216,7 +221,7 @@
 	c.idle = append(c.idle, conn)
 }
 
-// request is a job as it goes over the wire.
+// request returns the HTTP request of a job.
 func (c *Client) request(id string) string {
 	target := "/" + c.Class
 	if c.Key != "" {
@@ -231,7 +236,8 @@
 		target, id, c.Class, c.Tenant, c.Remaining.Milliseconds(), idempotencyKey)
 }
 
-// exchange sends a job and returns the status of its answer, 0 for none by a time.
+// exchange sends a job and returns the status of its response: 0 if no complete response came by the deadline,
+// notConnected if the client could not connect.
 func (c *Client) exchange(id string, deadline time.Time) int {
 	request := c.request(id)
 	for {
@@ -253,12 +259,12 @@
 		if fresh || time.Now().After(deadline) {
 			return 0
 		}
-		// The end of an idle connection crossed the request: once more, on a new one.
+		// The scheduler has probably closed the idle connection while the request was on its way. Retry on a new one.
 		c.closeIdle()
 	}
 }
 
-// exchange writes a request and reads its answer; closes tells that it is the connection's last.
+// exchange writes a request and reads its response; closeAfter reports whether the response ends the connection.
 func (c *clientConn) exchange(request string) (status int, closeAfter bool, err error) {
 	if _, err := io.WriteString(c, request); err != nil {
 		return 0, false, err
@@ -272,7 +278,7 @@
 	return response.StatusCode, response.Close, err
 }
 
-// ResetTally returns the tally since the last call and begins another.
+// TakeTally returns the tally of the jobs that ended since the last call, and starts a new one.
 func (c *Client) TakeTally() Tally {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -281,7 +287,7 @@
 	return t
 }
 
-// Served returns the ids of the jobs that were answered as served.
+// Served returns the ids of the jobs that were answered with 200.
 func (c *Client) Served() map[string]bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -290,7 +296,7 @@
 	return served
 }
 
-// Latencies returns how long the served jobs took, since the last call.
+// TakeLatencies returns the latencies of the jobs that were answered with 200 since the last call.
 func (c *Client) TakeLatencies() []time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -299,7 +305,7 @@
 	return latencies
 }
 
-// Total adds tallies up.
+// Total returns the sum of tallies.
 func Total(tallies ...Tally) (sum Tally) {
 	for _, t := range tallies {
 		sum.add(t)
--- a/internal/standin/corruption.go
+++ b/internal/standin/corruption.go
@@ -6,38 +6,39 @@
 	"time"
 )
 
-// A Corruption is a way in which discovery's answers are of no use.
+// A Corruption is a way in which discovery makes its responses unusable.
 type Corruption int32
 
-// The ways in which answers are corrupted.
+// The corruptions of a response.
 const (
 	NoCorruption        Corruption = iota
-	TruncateAndClose               // cut off before the last bytes, and closed
-	TruncateAndKeepOpen            // the same, and left open
-	Unavailable                    // 503 at once
-	UnavailableLate                // 503 after a wait
-	NoResponse                     // no answer
-	ResetConnection                // the connection is reset
-	InvalidJSON                    // 200 with something that is no list
-	SlowBytes                      // one byte now and then
+	TruncateAndClose               // omit the last bytes, then close the connection
+	TruncateAndKeepOpen            // omit the last bytes and keep the connection open
+	Unavailable                    // status 503 at once
+	UnavailableLate                // status 503 after unavailableDelay
+	NoResponse                     // write nothing
+	ResetConnection                // reset the connection in place of a response
+	InvalidJSON                    // status 200 with a body that is not JSON
+	SlowBytes                      // write one byte in each slowByteInterval
 	corruptionCount
 )
 
-// Corruptions are all ways but NoCorruption.
+// Corruptions lists all corruptions but NoCorruption.
 var Corruptions = []Corruption{
-	TruncateAndClose, TruncateAndKeepOpen, Unavailable, UnavailableLate, NoResponse, ResetConnection, InvalidJSON, SlowBytes,
+	TruncateAndClose, TruncateAndKeepOpen, Unavailable, UnavailableLate,
+	NoResponse, ResetConnection, InvalidJSON, SlowBytes,
 }
 
 var corruptionNames = [corruptionCount]string{
 	"none",
-	"torn, closed",
-	"torn, left open",
+	"truncated, closed",
+	"truncated, kept open",
 	"503 at once",
 	"503 late",
-	"silent",
-	"reset",
-	"no list",
-	"a trickle",
+	"no response",
+	"connection reset",
+	"invalid JSON",
+	"slow bytes",
 }
 
 // String implements fmt.Stringer.
@@ -45,21 +46,21 @@
 
 const (
 	unavailableDelay    = 2900 * time.Millisecond
-	slowByteInterval    = 150 * time.Millisecond // between the bytes of a trickle
+	slowByteInterval    = 150 * time.Millisecond // between two bytes of a slow response
 	truncatedBytes      = 2
 	invalidJSONResponse = "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nnothing"
 )
 
-// A corrupter holds how answers are corrupted now.
+// A corrupter writes corrupted responses. The zero value corrupts none.
 type corrupter struct{ kind atomic.Int32 }
 
-// CorruptAnswers makes all answers from now on of no use in this way; NoCorruption ends that.
+// CorruptResponses corrupts all further responses in this way; NoCorruption restores normal responses.
 func (d *Discovery) CorruptResponses(kind Corruption) { d.corrupter.kind.Store(int32(kind)) }
 
 func (c *corrupter) current() Corruption { return Corruption(c.kind.Load()) }
 
-// corrupt writes a corrupted answer in place of a whole one. It reports whether it did, and whether the connection
-// goes on.
+// corrupt writes a corrupted form of a response, unless the current corruption is NoCorruption. corrupted reports
+// whether it did, keepOpen whether the connection can serve another request.
 func (c *corrupter) corrupt(conn net.Conn, response string) (corrupted, keepOpen bool) {
 	switch c.current() {
 	case NoCorruption:
@@ -86,7 +87,7 @@
 	return true, false
 }
 
-// trickle writes an answer byte by byte, until this is no longer the way or the connection has ended.
+// writeSlowly writes a response byte by byte. It stops early if the current corruption changes or a write fails.
 func (c *corrupter) writeSlowly(conn net.Conn, response string) {
 	for i := range len(response) {
 		if !writeText(conn, response[i:i+1]) || c.current() != SlowBytes {
--- a/internal/standin/dedup_group.go
+++ b/internal/standin/dedup_group.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// A DedupGroup is the workers that drop repeats of a job with an idempotency key together, for a time.
+// A DedupGroup is a group of workers that together deduplicate jobs by idempotency key for a limited time.
 type DedupGroup struct {
-	Number int
-	Window time.Duration // counted from a job's first arrival at any of them
+	Number int           // in the endpoint list
+	Window time.Duration // for which a key is kept, from its first arrival at any worker of the group
 
 	mu   sync.Mutex
 	seen map[string]seenKey
@@ -16,10 +16,12 @@
 
 type seenKey struct {
 	arrivedAt time.Time
-	done      chan struct{} // closed when its run has ended
+	done      chan struct{} // closed when the job's run has ended
 }
 
-// enter takes in a key; first tells that its job has to run. Without a key every job does.
+// register records the arrival of a job with an idempotency key. first reports whether the worker has to run the job:
+// no job with the key arrived within Window, or the key is empty. done is closed when the first job with the key has
+// ended; the caller closes it if first is true.
 func (g *DedupGroup) register(key string) (first bool, done chan struct{}) {
 	done = make(chan struct{})
 	if key == "" {
@@ -37,7 +39,7 @@
 	return true, done
 }
 
-// forget forgets a key whose job was rejected.
+// remove removes a key whose job was rejected and therefore has not run.
 func (g *DedupGroup) remove(key string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// A host is an entry of the endpoint list in discovery's words.
+// A host is an entry of the endpoint list in the JSON format of discovery.
 type host struct {
 	Host         string  `json:"host"`
 	Dial         string  `json:"dial"`
@@ -22,28 +22,30 @@
 	StartedMilli int64   `json:"born_ms"`
 }
 
-// What the list says of a worker's health, in discovery's words.
+// The health of a worker in the endpoint list, as discovery spells it.
 const (
 	Active  = "active"
 	Leaving = "leaving"
 	Left    = "left"
 )
 
-// A Price is what discovery's calls cost: it serves them one after another. The zero
-// value costs nothing. A watch costs only when it is answered.
+// A CallCost is the time that discovery needs for a call. Discovery with a nonzero CallCost serves one call at a time;
+// the zero value serves calls at once and concurrently. A watch is charged when it is answered, not while it waits for
+// a change.
 type CallCost struct {
-	PerCall, PerHost time.Duration // for each call, and for each host in its answer
-	MaxWait          time.Duration // a call that has waited longer for its turn ends in 503
+	PerCall, PerHost time.Duration // for each call, and for each host in its response
+	MaxWait          time.Duration // a call that waits longer than this for earlier calls is answered with 503
 }
 
 // Calls counts the calls to discovery.
 type Calls struct {
 	Received, Answered, Rejected int
-	MaxPerSecond                 int // that came in one second
-	Waiting                      int // for their turn now
+	MaxPerSecond                 int // most calls received in one second of Unix time
+	Waiting                      int // calls that wait for earlier calls, or are being served, now
 }
 
-// Discovery serves the endpoint list and watches on it. A view is one scheduler's access to it.
+// Discovery serves the endpoint list and watches on it. A view is a listener with a name through which one scheduler
+// reads the list; Discovery's own Server is the view "".
 type Discovery struct {
 	*Server
 	CallCost CallCost // set before the first call
@@ -52,21 +54,21 @@
 
 	mu               sync.Mutex
 	version          int
-	compactedVersion int // version before which changes are no longer known
+	compactedVersion int // oldest version since which changes are available
 	hosts            []host
-	positions        map[string]int // of each host in hosts
-	lastChange       map[string]int // the version in which each host last changed, also those that left
-	changed          chan struct{}
+	positions        map[string]int // index of each host in hosts
+	lastChange       map[string]int // version in which each host last changed, including removed hosts
+	changed          chan struct{}  // closed and replaced at each change of the list
 	calls            Calls
-	seconds          map[int64]int
-	firstResponses   map[string]time.Time // first answer to each view
-	sentVersions     map[string]int       // version of the last answer to each view
+	seconds          map[int64]int        // calls received in each second of Unix time
+	firstResponses   map[string]time.Time // first complete response to each view
+	sentVersions     map[string]int       // version in the last complete response to each view
 	writes           map[string][]Write
 	changes          []Change
 	corrupter        corrupter
 }
 
-// StartDiscovery starts a discovery that knows these workers on a free port of loopback.
+// StartDiscovery starts discovery on a free loopback port, with these workers in its list.
 func StartDiscovery(workers ...*Worker) (*Discovery, error) {
 	l, err := Listen()
 	if err != nil {
@@ -75,7 +77,7 @@
 	return DiscoveryOn(l, workers...), nil
 }
 
-// DiscoveryOn starts a discovery that knows these workers on a listener, which it owns from then on.
+// DiscoveryOn starts discovery on a listener, with these workers in its list. It takes ownership of the listener.
 func DiscoveryOn(l net.Listener, workers ...*Worker) *Discovery {
 	d := &Discovery{
 		changed:        make(chan struct{}),
@@ -94,13 +96,13 @@
 	return d
 }
 
-// View serves the same list on another listener, under a name, with each host's address
-// as dial has it there; nil leaves them.
+// View serves the same list on another listener under a name. dial maps a host and its address to the address that
+// this view announces; nil keeps the addresses.
 func (d *Discovery) View(l net.Listener, name string, dial func(host, addr string) string) *Server {
 	return Serve(l, func(c net.Conn, r *http.Request, _ string) bool { return d.handle(c, r, name, dial) })
 }
 
-// Put announces a worker's health: Active, Leaving or Left.
+// Put adds a worker to the list or updates it, with this health: Active or Leaving. Left removes the worker.
 func (d *Discovery) Put(w *Worker, health string) {
 	h := host{Host: w.Name, Dial: w.Addr(), Zone: w.Zone, Kind: w.Kind, Health: health, Weight: 1}
 	if w.Group != nil {
@@ -115,14 +117,14 @@
 	d.update(h)
 }
 
-// An Entry is a host of the list behind which there is no worker, as the capacity tool's fleets have them.
+// An Entry is a host of the list without a stand-in worker. The capacity measurements use such hosts for large fleets.
 type Entry struct {
 	Host, Dial, Zone, Kind string
-	Health                 string // Active, Leaving or Left
-	StartedAt              time.Time
+	Health                 string    // Active, Leaving or Left
+	StartedAt              time.Time // zero: not announced
 }
 
-// Announce announces hosts without a worker, all in one change of the list.
+// Announce adds, updates or removes hosts without a stand-in worker, all in one change of the list.
 func (d *Discovery) Announce(entries ...Entry) {
 	hosts := make([]host, len(entries))
 	for i, e := range entries {
@@ -134,7 +136,7 @@
 	d.update(hosts...)
 }
 
-// update takes hosts into the list, in one change of it.
+// update adds, updates or removes hosts in one new version of the list and wakes the watches.
 func (d *Discovery) update(hosts ...host) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -157,7 +159,7 @@
 	d.changed = make(chan struct{})
 }
 
-// drop takes a host out of the list.
+// removeHost removes the host at an index from the list.
 func (d *Discovery) removeHost(index int) {
 	delete(d.positions, d.hosts[index].Host)
 	d.hosts = append(d.hosts[:index:index], d.hosts[index+1:]...)
@@ -166,21 +168,21 @@
 	}
 }
 
-// Version returns the list's version.
+// Version returns the current version of the list.
 func (d *Discovery) Version() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.version
 }
 
-// Compact forgets the changes so far: who asks for those since an older version gets the complete list.
+// Compact discards the changes up to the current version: a call with an older version gets the complete list.
 func (d *Discovery) Compact() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.compactedVersion = d.version
 }
 
-// GoBack gives the list a lower version, as a discovery does that has lost what it wrote last.
+// RevertVersion sets the list to a lower version, like a discovery that has lost its last writes.
 func (d *Discovery) RevertVersion(version int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -190,13 +192,14 @@
 	}
 }
 
-// handle answers a call: at once, or as a watch when the list changes or the watch's time is up.
+// handle answers a call. A call that states the current version is a watch: it waits until the list changes or its wait
+// time has passed.
 func (d *Discovery) handle(c net.Conn, r *http.Request, view string, dial func(host, addr string) string) bool {
 	query := r.URL.Query()
-	since, _ := strconv.Atoi(query.Get("index")) // none: 0, which asks for the complete list
+	since, _ := strconv.Atoi(query.Get("index")) // 0 if missing, which asks for the complete list
 	changed, version := d.countCall(time.Now())
 	if since == version {
-		wait, _ := strconv.Atoi(query.Get("wait")) // none: 0, which does not wait
+		wait, _ := strconv.Atoi(query.Get("wait")) // 0 if missing, which does not wait
 		select {
 		case <-changed:
 		case <-time.After(time.Duration(wait) * time.Millisecond):
@@ -221,7 +224,8 @@
 	return true
 }
 
-// countCall counts a call that came at a time. It returns the list's version, and what is closed when that changes.
+// countCall counts a call that was received at a time. It returns the current version of the list and a channel that is
+// closed at its next change.
 func (d *Discovery) countCall(now time.Time) (changed <-chan struct{}, version int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -232,7 +236,7 @@
 	return d.changed, d.version
 }
 
-// recordAnswer keeps that a whole answer was written to a view.
+// recordResponse records that a response with this version was written completely to a view.
 func (d *Discovery) recordResponse(view string, version int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -244,14 +248,15 @@
 	d.writes[view] = append(d.writes[view], Write{version, now})
 }
 
-// An endpointAnswer is a list as an answer brings it: complete or a delta.
+// An endpointsResponse is the body of a response: the complete list, or the hosts that changed since a version.
 type endpointsResponse struct {
 	Version  int    `json:"seq"`
 	Complete bool   `json:"whole"`
 	Hosts    []host `json:"hosts"`
 }
 
-// since returns what has changed since a version, or the complete list if the changes since are not known.
+// changesSince returns the hosts that have changed since a version. It returns the complete list for version 0, for a
+// version before the last Compact, and for one above the current version.
 func (d *Discovery) changesSince(version int, dial func(host, addr string) string) endpointsResponse {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -275,7 +280,8 @@
 	return response
 }
 
-// pay waits for the turn of a call and spends the time that it costs; false after too long a wait.
+// simulateCost waits until earlier calls are served, then for the time that a call with this number of hosts in its
+// response costs. It returns false if the call waited longer than MaxWait for the earlier ones.
 func (d *Discovery) simulateCost(hosts int) bool {
 	count := func(waiting, answered, rejected int) {
 		d.mu.Lock()
@@ -301,14 +307,15 @@
 	}
 }
 
-// Calls returns the calls so far.
+// Calls returns the counts of the calls so far.
 func (d *Discovery) Calls() Calls {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.calls
 }
 
-// First returns when a view was first answered, and forgets it; zero if it never was.
+// TakeFirstResponse returns when the first complete response was written to a view since the last call for it; zero if
+// there was none.
 func (d *Discovery) TakeFirstResponse(view string) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -317,18 +324,18 @@
 	return at
 }
 
-// Announced returns the version of the last answer that was written to a view.
+// SentVersion returns the list version in the last response that was written completely to a view; 0 if there was none.
 func (d *Discovery) SentVersion(view string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.sentVersions[view]
 }
 
-// Known returns the list as a scheduler's configuration has it.
+// ListJSON returns the complete list in the JSON format that the configuration of a scheduler uses.
 func (d *Discovery) ListJSON() []byte { return d.ViewListJSON(nil) }
 
-// KnownAt returns the same with the hosts' addresses as a view has them.
+// ViewListJSON returns the same with the addresses mapped by dial, as in View.
 func (d *Discovery) ViewListJSON(dial func(host, addr string) string) []byte {
-	list, _ := json.Marshal(d.changesSince(0, dial)) // the type has nothing that fails
+	list, _ := json.Marshal(d.changesSince(0, dial)) // marshalling this type cannot fail
 	return list
 }
--- a/internal/standin/history.go
+++ b/internal/standin/history.go
@@ -8,24 +8,25 @@
 	"time"
 )
 
-// An Arrival is a whole request with a job that reached a worker.
+// An Arrival records a complete job request that a worker has read.
 type Arrival struct {
-	ID        string
-	Worker    string
-	FirstByte time.Time     // when its first byte came
-	Remaining time.Duration // until the job's deadline, as the scheduler told it
+	ID        string        // of the job
+	Worker    string        // name of the worker
+	FirstByte time.Time     // when the first byte of the request arrived
+	Remaining time.Duration // until the job's deadline, as stated by the scheduler
 }
 
-// headerBegun carries the time of a request's first byte from the server to its handler.
+// headerFirstByte is a header that Server adds to a request for its handler: the time of the request's first byte, in
+// nanoseconds of Unix time.
 const headerFirstByte = "X-Lab-Begun"
 
 func setFirstByte(r *http.Request, firstByte time.Time) {
 	r.Header.Set(headerFirstByte, strconv.FormatInt(firstByte.UnixNano(), 10))
 }
 
-// arrivalOf reads what a worker keeps of a request.
+// newArrival returns the record of a job request.
 func newArrival(worker, id string, r *http.Request) Arrival {
-	firstByte, _ := strconv.ParseInt(r.Header.Get(headerFirstByte), 10, 64) // the server has set it
+	firstByte, _ := strconv.ParseInt(r.Header.Get(headerFirstByte), 10, 64) // always valid: Server has set it
 	return Arrival{
 		ID:        id,
 		Worker:    worker,
@@ -34,7 +35,7 @@
 	}
 }
 
-// parseRemaining reads a time in milliseconds ("5m") or microseconds ("5u"); 0 where it is neither.
+// parseRemaining parses a duration in milliseconds ("5m") or microseconds ("5u"). It returns 0 for any other text.
 func parseRemaining(text string) time.Duration {
 	unit := time.Millisecond
 	number, ok := strings.CutSuffix(text, "m")
@@ -49,35 +50,35 @@
 	return time.Duration(value * float64(unit))
 }
 
-// Arrivals returns the requests with a job that have reached the worker, in the order in which they were read.
+// Arrivals returns the job requests that the worker has read, in the order in which it read them.
 func (w *Worker) Arrivals() []Arrival {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.arrivals)
 }
 
-// A Change is a change of the endpoint list.
+// A Change records a change of one host in the endpoint list.
 type Change struct {
-	Version int
+	Version int // of the list after the change
 	Host    string
-	Health  string
+	Health  string // Active, Leaving or Left
 	At      time.Time
 }
 
-// A Write is an answer that discovery wrote whole to a view.
+// A Write records a response with an endpoint list that discovery wrote completely.
 type Write struct {
-	Version int
+	Version int // of the list
 	At      time.Time
 }
 
-// Changes returns all changes of the list so far.
+// Changes returns all changes of the endpoint list so far, in order.
 func (d *Discovery) Changes() []Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Clone(d.changes)
 }
 
-// Writes returns the answers that were written to a view.
+// Writes returns the responses that were written completely to a view, in order.
 func (d *Discovery) Writes(view string) []Write {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/standin/proxy.go
+++ b/internal/standin/proxy.go
@@ -8,35 +8,35 @@
 	"time"
 )
 
-// A Fault is what a Proxy does to a piece of what passes it.
+// A Fault is what a Proxy does to a chunk: the bytes of one read in one direction.
 type Fault uint8
 
 // The faults of a proxy.
 const (
-	Pass          Fault = iota
-	Delay               // a few milliseconds late
-	Split               // byte by byte
-	Truncate            // half of the piece, then the end
-	Reset               // a reset in its place
-	InsertGarbage       // some other bytes before it
-	Duplicate           // twice
-	SwapHalves          // its halves the other way round
-	CloseHalf           // the piece, then the end of this direction alone
-	FaultCount          // how many there are
+	Pass          Fault = iota // forward the chunk unchanged
+	Delay                      // forward the chunk after proxyDelay
+	Split                      // forward it byte by byte
+	Truncate                   // forward its first half, then close both connections
+	Reset                      // reset both connections in place of the chunk
+	InsertGarbage              // send proxyGarbage before it
+	Duplicate                  // forward it twice
+	SwapHalves                 // forward its second half before the first
+	CloseHalf                  // forward it, then close this direction only
+	FaultCount                 // number of faults, including Pass
 )
 
 const (
 	proxyDelay     = 5 * time.Millisecond
 	proxyGarbage   = "\x00{]\r\n"
-	copyBufferSize = 16 << 10 // bytes that are read at once
+	copyBufferSize = 16 << 10 // bytes, at most, of a chunk
 )
 
-// A Proxy passes connections on to a target and does to each piece that it reads the
-// next fault of its direction's script; past a script's end all passes.
+// A Proxy forwards connections to a target. It applies the next fault of its direction's script to each chunk that it
+// reads; after the end of the script it forwards every chunk unchanged.
 type Proxy struct {
 	net.Listener
 	target     string
-	toTarget   *script // the target
+	toTarget   *script
 	fromTarget *script
 	forwarding sync.WaitGroup
 
@@ -44,7 +44,7 @@
 	conns []net.Conn
 }
 
-// A script is the faults of one direction, over all connections.
+// A script is the sequence of faults of one direction, shared by all connections of a proxy.
 type script struct {
 	mu     sync.Mutex
 	faults []Fault
@@ -61,8 +61,8 @@
 	return f
 }
 
-// StartProxy starts a proxy to an address, with a script for what goes there and one
-// for what comes back.
+// StartProxy starts a proxy to an address, with the faults for the bytes sent to the target and for those received
+// from it.
 func StartProxy(target string, toTarget, fromTarget []Fault) (*Proxy, error) {
 	l, err := Listen()
 	if err != nil {
@@ -97,7 +97,7 @@
 	}
 }
 
-// Stop ends the proxy and all that passes it.
+// Stop closes the listener and all connections, and waits for their goroutines.
 func (p *Proxy) Stop() {
 	p.Close()
 	p.mu.Lock()
@@ -108,7 +108,7 @@
 	p.forwarding.Wait()
 }
 
-// forward passes one direction of a connection on until it ends; a reset is passed on as one.
+// forward forwards one direction of a connection until it ends. It forwards a reset as a reset.
 func forward(from, to net.Conn, s *script) {
 	defer CloseWrite(to)
 	buf := make([]byte, copyBufferSize)
@@ -127,7 +127,7 @@
 	}
 }
 
-// forwardPiece passes a piece on with a fault, and reports whether this direction goes on.
+// forwardChunk forwards a chunk with a fault and reports whether this direction stays open.
 func forwardChunk(from, to net.Conn, chunk []byte, fault Fault) bool {
 	write := func(b []byte) bool {
 		_, err := to.Write(b)
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -1,10 +1,10 @@
-// Package standin stands in for what a scheduler meets: discovery, workers and clients, on loopback, for tests,
-// demonstrations and measurements. The stand-ins speak the platform's protocol from its description, with none
-// of the scheduler's own code.
+// Package standin implements simple replacements of the systems around a scheduler: discovery, workers and clients, on
+// loopback, for tests, demonstrations and measurements. The stand-ins implement the platform's protocol from its
+// description and share no code with the scheduler.
 //
-// Each stand-in owns its listener, its connections and a log of what it saw: a Worker of the jobs that it
-// received and ran, Discovery of the calls and of the endpoint list's changes, a Client of its jobs' answers.
-// These logs are what the scheduler's promises are held against. Times are real time.
+// Each stand-in owns its listener, its connections and a log: a Worker logs the jobs that it received and ran,
+// Discovery the calls and the changes of the endpoint list, a Client the responses to its jobs. Tests check the
+// scheduler's guarantees against these logs. All times are real time.
 package standin
 
 import (
@@ -19,7 +19,7 @@
 	"time"
 )
 
-// Headers of a job's request.
+// Headers of a job request.
 const (
 	headerID             = "X-Txn"
 	headerTenant         = "X-Org"
@@ -27,24 +27,25 @@
 	headerIdempotencyKey = "Idempotency-Key"
 )
 
-// busyAnswer is discovery's answer to a call that it does not serve.
+// unavailableResponse is the response of discovery to a call that it does not serve.
 const unavailableResponse = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
 
-// A Handler answers a request that was read in full, and reports whether the connection goes on.
+// A Handler answers a request that was read completely, with its body. id is the job id, "" for a request without one.
+// A Handler reports whether the connection can serve another request; Server closes it otherwise.
 type Handler func(c net.Conn, r *http.Request, id string) bool
 
-// A Server answers requests one after another on each of its connections.
+// A Server answers HTTP requests, one after another on each of its connections.
 type Server struct {
 	net.Listener
-	RequestCount, ConnCount atomic.Int64 // requests and connections
-	lastRequestTime         atomic.Int64 // when the first byte of the last request came, Unix time in nanoseconds
+	RequestCount, ConnCount atomic.Int64 // complete requests read, and connections accepted
+	lastRequestTime         atomic.Int64 // of the first byte of the last request, Unix time in nanoseconds
 
 	mu   sync.Mutex
 	open map[net.Conn]bool
 }
 
-// Serve answers the listener's requests with handle. Close ends the listener and Reset the connections; a call
-// of handle that waits goes on until it notices.
+// Serve answers the requests of a listener with handle. Close closes the listener, Reset the connections. Neither stops
+// a call of handle that is under way; it ends when it returns by itself or when an operation on its connection fails.
 func Serve(l net.Listener, handle Handler) *Server {
 	s := &Server{Listener: l, open: map[net.Conn]bool{}}
 	go s.accept(handle)
@@ -96,10 +97,10 @@
 	}
 }
 
-// LastBegun returns when the first byte of the last request came, also of one that was not whole.
+// LastRequestTime returns when the first byte of the last request arrived, even if the request was incomplete.
 func (s *Server) LastRequestTime() time.Time { return time.Unix(0, s.lastRequestTime.Load()) }
 
-// Reset ends all connections as a process that dies does.
+// Reset resets all open connections, as the kernel does when a process dies.
 func (s *Server) Reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,8 +109,9 @@
 	}
 }
 
-// SayStates writes the head of a worker's 200 and one chunk for each state; a state may hold more fields behind
-// its name. Without end the body does not end.
+// WriteStates writes the header of a worker's response with status 200 and one chunk for each state of a job. A state
+// is the JSON value of the field "state" and may be followed by more fields. end ends the body. WriteStates reports
+// whether the write succeeded.
 func WriteStates(c net.Conn, id string, end bool, states ...string) bool {
 	response := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for _, state := range states {
@@ -129,13 +131,13 @@
 	return fmt.Sprintf("%x\r\n%s\r\n", len(line), line)
 }
 
-// writeText writes a text and reports whether the connection took it.
+// writeText writes a text and reports whether the write succeeded.
 func writeText(c net.Conn, text string) bool {
 	_, err := io.WriteString(c, text)
 	return err == nil
 }
 
-// awaitClose reads until the other side ends the connection.
+// awaitClose reads and discards until the peer closes the connection.
 func awaitClose(c net.Conn) {
-	_, _ = io.Copy(io.Discard, c) // any error is the end that it waits for
+	_, _ = io.Copy(io.Discard, c) // any error ends the connection, too
 }
--- a/internal/standin/start.go
+++ b/internal/standin/start.go
@@ -2,21 +2,23 @@
 
 import "time"
 
-// A SlowStart is how a worker that has just started comes to its capacity, and what it bears until then.
+// A SlowStart describes how the capacity of a worker grows after its start and which load overloads it until then.
+// Capacity grows linearly from InitialCapacity to 1 over Duration.
 type SlowStart struct {
-	InitialCapacity  float64       // share of its capacity that it starts with
-	Duration         time.Duration // it has all of it after this
-	OverloadMultiple float64       // sent more than so many times what it can do
-	OverloadWindow   time.Duration // within this, it falls over and stays down
+	InitialCapacity  float64       // fraction of its full capacity that the worker has at its start
+	Duration         time.Duration // from the start of the worker until it has its full capacity
+	OverloadMultiple float64       // load, as a multiple of its current capacity, above which it fails
+	OverloadWindow   time.Duration // time over which that load is measured
 }
 
-// A recentWork is a job that reached a worker in slow start.
+// A recentJob is a job that reached a worker in slow start.
 type recentJob struct {
 	at          time.Time
 	serviceTime time.Duration
 }
 
-// capacityFraction is the share of its capacity that a worker has.
+// capacityFraction returns the fraction of its full capacity that the worker has at a time: 1 after or without slow
+// start.
 func (w *Worker) capacityFraction(now time.Time) float64 {
 	if w.SlowStart == nil || w.Started.IsZero() {
 		return 1
@@ -26,8 +28,10 @@
 	return min(1, initial+(1-initial)*progress)
 }
 
-// withstands takes in a job that has arrived, and reports whether the worker still stands. The
-// heaviest job is not counted: one alone is no overload.
+// acceptsDuringSlowStart records a job that has arrived and reports whether the worker still works. During slow start
+// the worker fails for good once the service times of the jobs of the last OverloadWindow sum up to more than
+// OverloadMultiple times its current capacity. The longest of these jobs does not count, because a single job is no
+// overload.
 func (w *Worker) acceptsDuringSlowStart(serviceTime time.Duration) bool {
 	now := time.Now()
 	capacity := w.capacityFraction(now)
@@ -51,7 +55,7 @@
 	return !w.overloaded
 }
 
-// Fallen reports whether the worker was overloaded in slow start.
+// Overloaded reports whether the worker has failed because of overload in slow start.
 func (w *Worker) Overloaded() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -11,48 +11,48 @@
 	"time"
 )
 
-// A Behaviour is how a Worker treats the jobs that reach it.
+// A Behaviour determines how a Worker handles the jobs that reach it. The zero value runs every job normally.
 type Behaviour struct {
-	SlowdownFactor  float64 // its jobs take this many times as long; 0 counts as 1
-	Draining        bool    // it finishes what it has and rejects new jobs
-	Hang            bool    // it takes jobs and answers none
-	Fail            bool    // it answers "failed" at once
-	FailEvery       int64   // it does so for one of so many jobs; 0: for none
-	ResetAfterBytes int     // it resets the connection after this many bytes of its answer; 0: never
+	SlowdownFactor  float64 // factor of the service time; 0 means 1
+	Draining        bool    // finish admitted jobs, reject new ones
+	Hang            bool    // read requests without a response
+	Fail            bool    // answer jobs with "failed" at once
+	FailEvery       int64   // Fail for every n-th job; 0: for none
+	ResetAfterBytes int     // reset the connection after this many bytes of a response; 0: never
 }
 
-// A WorkerSpec is what a worker is made of.
+// A WorkerSpec describes a worker.
 type WorkerSpec struct {
 	Name, Zone, Kind string
-	Slots            int                              // jobs that run at a time
-	Queue            int                              // jobs that wait for a slot
-	ServiceTime      func(class string) time.Duration // how long a job runs
+	Slots            int                              // most jobs that run concurrently
+	Queue            int                              // most jobs that wait for a slot
+	ServiceTime      func(class string) time.Duration // of a job, at full capacity
 }
 
-// A Worker has slots, a bounded queue in order, and a log of what it really ran.
+// A Worker runs jobs in slots, queues a bounded number of jobs, and logs the jobs that it received and ran.
 type Worker struct {
 	WorkerSpec
-	Started         time.Time   // reported as its start; zero: long ago
-	AnnouncedAddr   string      // the address that discovery tells; "": its own
-	SlowStart       *SlowStart  // nil: it is warm at once and bears anything
-	Group           *DedupGroup // nil: it knows no repeats
-	SendLoadReports bool        // the end of its answers brings a load report
+	Started         time.Time   // start time in the endpoint list; zero: none, and no slow start
+	AnnouncedAddr   string      // address in the endpoint list; "": Addr
+	SlowStart       *SlowStart  // nil: full capacity at once, and no overload
+	Group           *DedupGroup // nil: no deduplication of repeats
+	SendLoadReports bool        // append a load report to the final state of each job
 
 	server    *Server
-	slots     chan struct{}
-	admitted  chan struct{}
+	slots     chan struct{} // one element for each running job
+	admitted  chan struct{} // one element for each running or queued job
 	behaviour atomic.Pointer[Behaviour]
-	requests  atomic.Int64 // with a job
+	requests  atomic.Int64 // job requests read
 
 	mu         sync.Mutex
-	runs       map[string]int // by job
-	tenants    map[string]int
+	runs       map[string]int // times that each job was started, by job id
+	tenants    map[string]int // jobs started of each tenant
 	arrivals   []Arrival
-	recent     []recentJob // within SlowStart.OverloadWindow, during slow start
+	recent     []recentJob // jobs of the last SlowStart.OverloadWindow, during slow start
 	overloaded bool
 }
 
-// StartWorker starts a worker on a free port of loopback.
+// StartWorker starts a worker on a free loopback port.
 func StartWorker(spec WorkerSpec) (*Worker, error) {
 	l, err := Listen()
 	if err != nil {
@@ -61,7 +61,7 @@
 	return WorkerOn(l, spec), nil
 }
 
-// WorkerOn starts a worker on a listener, which it owns from then on.
+// WorkerOn starts a worker on a listener and takes ownership of the listener.
 func WorkerOn(l net.Listener, spec WorkerSpec) *Worker {
 	w := &Worker{
 		WorkerSpec: spec,
@@ -75,33 +75,33 @@
 	return w
 }
 
-// Behave changes how the worker treats jobs from now on.
+// SetBehaviour changes how the worker handles the jobs that arrive from now on.
 func (w *Worker) SetBehaviour(b Behaviour) { w.behaviour.Store(&b) }
 
-// Addr returns where the worker listens.
+// Addr returns the address on which the worker listens.
 func (w *Worker) Addr() string { return w.server.Addr().String() }
 
-// Crash ends the worker as a killed process does.
+// Crash closes the listener and resets all connections, as when the worker's process is killed.
 func (w *Worker) Crash() {
 	w.server.Close()
 	w.server.Reset()
 }
 
-// Requests returns how many whole requests with a job have been read here, also those that
-// were rejected. Health checks are none.
+// Requests returns the number of complete job requests that the worker has read, including rejected ones and without
+// health checks.
 func (w *Worker) Requests() int64 { return w.requests.Load() }
 
-// LastBegun returns when the first byte of the last request came, also of one that was not whole.
+// LastRequestTime returns when the first byte of the last request arrived, even if the request was incomplete.
 func (w *Worker) LastBegun() time.Time { return w.server.LastRequestTime() }
 
-// Runs returns how often each job was begun here.
+// Runs returns how many times the worker has started each job, by job id.
 func (w *Worker) Runs() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return maps.Clone(w.runs)
 }
 
-// Tenants returns how many jobs of each tenant were begun here.
+// Tenants returns how many jobs of each tenant the worker has started.
 func (w *Worker) Tenants() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -128,7 +128,7 @@
 	key := r.Header.Get(headerIdempotencyKey)
 	if w.Group != nil {
 		first, done := w.Group.register(key)
-		if !first { // it has run here or runs: the answer is the first one's
+		if !first { // the job has run or runs already: wait for it and repeat its result
 			<-done
 			return WriteStates(c, id, true, fmt.Sprintf(`"done","result":"%s again"`, id))
 		}
@@ -138,14 +138,14 @@
 	case w.admitted <- struct{}{}:
 	default:
 		if w.Group != nil {
-			w.Group.remove(key) // it did not run
+			w.Group.remove(key) // the job did not run
 		}
 		return rejectJob(c)
 	}
 	defer func() { <-w.admitted }()
 	w.slots <- struct{}{}
 	defer func() { <-w.slots }()
-	if id != "" { // a health check is no job
+	if id != "" { // a health check has no job id
 		w.recordRun(id, r.Header.Get(headerTenant))
 	}
 	if behaviour.Fail {
@@ -154,7 +154,8 @@
 	return w.run(&resettingConn{Conn: c, remaining: behaviour.ResetAfterBytes}, id, class, serviceTime, behaviour)
 }
 
-// run plays a job that has its slot, and reports whether the connection goes on.
+// run simulates a job that has a slot: it waits for the service time and writes the states. It reports whether the
+// connection can serve another request.
 func (w *Worker) run(c net.Conn, id, class string, serviceTime time.Duration, behaviour Behaviour) bool {
 	if !WriteStates(c, id, false, `"started"`) && w.Group == nil {
 		return false
@@ -170,7 +171,7 @@
 	return writeText(c, chunk(id, state+w.loadReportField())+lastChunk)
 }
 
-// recordArrival keeps that a request with a job has come, and returns its number, counted from 1.
+// recordArrival logs the arrival of a job request and returns its number at this worker, from 1.
 func (w *Worker) recordArrival(id string, r *http.Request) int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -185,7 +186,7 @@
 	w.tenants[tenant]++
 }
 
-// report is a load report as the end of an answer has it; "" without reports.
+// loadReportField returns the JSON field with the load report in the final state of a job; "" without SendLoadReports.
 func (w *Worker) loadReportField() string {
 	if !w.SendLoadReports {
 		return ""
@@ -193,7 +194,8 @@
 	return fmt.Sprintf(`,"load":%s`, w.loadReport())
 }
 
-// load counts the job that is about to end as ended.
+// loadReport returns the worker's load report as JSON. It is written when a job is about to end, so it does not count
+// that job.
 func (w *Worker) loadReport() string {
 	running := max(0, len(w.slots)-1)
 	admitted := max(0, len(w.admitted)-1)
@@ -201,15 +203,15 @@
 		max(0, admitted-running), admitted, cap(w.slots)-running)
 }
 
-// rejectJob answers a job that is not taken.
+// rejectJob writes the response that rejects a job without running it, and reports whether the write succeeded.
 func rejectJob(c net.Conn) bool {
 	return writeText(c, "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
 }
 
-// A cutter resets a connection once so many bytes have been written.
+// A resettingConn resets a connection after a number of written bytes.
 type resettingConn struct {
 	net.Conn
-	remaining int // 0: never
+	remaining int // bytes until the reset; 0: no reset
 }
 
 // Write implements io.Writer.
@@ -218,7 +220,7 @@
 		c.remaining = max(0, c.remaining-len(p))
 		return c.Conn.Write(p)
 	}
-	n, _ := c.Conn.Write(p[:c.remaining]) // the connection ends either way
+	n, _ := c.Conn.Write(p[:c.remaining]) // the connection is reset in any case
 	ResetConn(c.Conn)
 	return n, net.ErrClosed
 }
