--- a/internal/fuzz/fuzz.go
+++ b/internal/fuzz/fuzz.go
@@ -1,7 +1,7 @@
-// Package fuzz checks properties of byte inputs that are drawn from fixed random seeds: the same inputs
-// each time, on every machine, so that plain go test covers what native fuzzing has found. It is for
-// tests alone and owns no state. The inputs are mutations of the test's own: bits, cuts, copies, joins,
-// and tokens and numbers at the limits of parsers.
+// Package fuzz checks properties on byte inputs that it generates from a fixed random seed. The inputs are the same in
+// every run and on every machine, so that plain go test covers what native fuzzing has found. Each input is a mutation
+// of one of the test's seeds: changed bits and bytes, removed and repeated pieces, truncation, parts of other seeds,
+// and tokens and numbers at the limits of parsers. Only tests use the package; it keeps no state.
 package fuzz
 
 import (
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// tokens are those of this program's parsers, and values at their limits.
+// tokens are the tokens of this program's parsers, and values at the limits of these parsers.
 var tokens = []string{
 	"\r\n", "\n", "\r", "\x00", " ", "\t", ":", ",", ";",
 	"0", "-1", "+5", "1e400", "NaN", "9223372036854775807", "18446744073709551616", "0x10",
@@ -20,7 +20,7 @@
 	"\xff", "é", `\u0000`,
 }
 
-// Run checks a property on the seeds and on n mutations of them.
+// Run calls check with each of the seeds and with n mutations of them, which the random seed determines.
 func Run(t *testing.T, seed uint64, n int, seeds [][]byte, check func(testing.TB, []byte)) {
 	t.Helper()
 	for _, s := range seeds {
@@ -34,11 +34,11 @@
 
 const (
 	maxInputBytes = 8 << 10 // bytes
-	maxMutations  = 4
-	maxPieceBytes = 40 // bytes that one mutation changes
+	maxMutations  = 4       // of one input
+	maxPieceBytes = 40      // bytes that one mutation changes
 )
 
-// Mutate returns a mutation of one of the seeds.
+// Mutate returns a copy of a random seed with up to maxMutations random mutations, at most maxInputBytes long.
 func Mutate(rng *rand.Rand, seeds [][]byte) []byte {
 	data := bytes.Clone(seeds[rng.IntN(len(seeds))])
 	if len(data) > maxInputBytes {
@@ -48,25 +48,25 @@
 		start := rng.IntN(len(data) + 1)
 		end := min(len(data), start+rng.IntN(1+min(maxPieceBytes, len(data)-start)))
 		switch rng.IntN(8) {
-		case 0: // a byte changed
+		case 0: // flip a bit
 			if start < len(data) {
 				data[start] ^= 1 << rng.IntN(8)
 			}
-		case 1: // a byte of any value
+		case 1: // set a byte to any value
 			if start < len(data) {
 				data[start] = byte(rng.IntN(256))
 			}
-		case 2: // a piece removed
+		case 2: // remove a piece
 			data = append(data[:start:start], data[end:]...)
-		case 3: // a piece repeated
+		case 3: // repeat a piece
 			data = append(data[:end:end], data[start:]...)
-		case 4: // truncated
+		case 4: // truncate
 			data = data[:start]
-		case 5: // a token inserted
+		case 5: // insert a token
 			data = append(data[:start:start], append([]byte(tokens[rng.IntN(len(tokens))]), data[start:]...)...)
-		case 6: // a piece replaced by a token
+		case 6: // replace a piece by a token
 			data = append(data[:start:start], append([]byte(tokens[rng.IntN(len(tokens))]), data[end:]...)...)
-		case 7: // part of another seed in the place of the rest
+		case 7: // replace the rest by the end of a seed
 			other := seeds[rng.IntN(len(seeds))]
 			data = append(data[:start:start], other[min(len(other), rng.IntN(1+min(len(other), maxInputBytes))):]...)
 		}
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,4 +1,4 @@
-// Package golden helps tests that compare what the program writes with files under testdata. Only
+// Package golden provides helpers for tests that compare output of the program with golden files under testdata. Only
 // tests import it.
 package golden
 
@@ -12,10 +12,10 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew from what the program writes now")
+var update = flag.Bool("update", false, "overwrite the golden files with the current output of the program")
 
-// Check compares what a test got with the golden file of a name under testdata, byte for byte.
-// With -update it writes the file instead.
+// Check compares got with the golden file testdata/name, byte for byte, and reports an error with the first difference.
+// With -update it overwrites the file with got instead.
 func Check(t testing.TB, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -33,11 +33,11 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs from what is written now:\n%s", path, firstDifference(got, want))
+		t.Errorf("%s differs from the current output:\n%s", path, firstDifference(got, want))
 	}
 }
 
-// firstDifference shows the first line that differs, and the whole of what a test got.
+// firstDifference describes the first line that differs, followed by the complete text got.
 func firstDifference(got, want []byte) string {
 	gotLines, wantLines := bytes.Split(got, []byte("\n")), bytes.Split(want, []byte("\n"))
 	for i := range max(len(gotLines), len(wantLines)) {
@@ -49,20 +49,21 @@
 			wantLine = wantLines[i]
 		}
 		if !bytes.Equal(gotLine, wantLine) {
-			return fmt.Sprintf("line %d\ngot  %q\nwant %q\nall of it:\n%s", i+1, gotLine, wantLine, got)
+			return fmt.Sprintf("line %d\ngot  %q\nwant %q\ncomplete output:\n%s", i+1, gotLine, wantLine, got)
 		}
 	}
-	return "they have the same lines"
+	return "all lines are equal"
 }
 
-// Fill sets everything that a pointer leads to, in the order of the fields, to values that are not
-// zero and all different. Slices get two elements, and maps one.
+// Fill sets every field and element below a pointer, in the order of the fields, to a distinct nonzero value, so that a
+// comparison notices a missing or exchanged field. All booleans become true. Slices get two elements, maps one. It
+// panics at a type that it does not support.
 func Fill(pointer any) {
 	f := filler{}
 	f.fill(reflect.ValueOf(pointer).Elem())
 }
 
-// A filler counts the values that it has set.
+// A filler counts the values that it has set, to derive the next one.
 type filler struct{ count int }
 
 func (f *filler) fill(v reflect.Value) {
@@ -97,7 +98,7 @@
 		v.Set(reflect.MakeMap(v.Type()))
 		v.SetMapIndex(key, value)
 	default:
-		panic(fmt.Sprintf("no value for a %s", v.Type()))
+		panic(fmt.Sprintf("golden: Fill does not support type %s", v.Type()))
 	}
 }
 
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// Every part of a value is filled, and no two parts are the same.
+// Fill sets every field and element of a value, no two of them to the same value, and fills the same value the same way
+// again. Golden files of stored data rely on it to show each field.
 func TestFill(t *testing.T) {
 	type part struct {
 		Whole int64
@@ -21,35 +22,35 @@
 	}
 	Fill(&got)
 	if !got.On || got.Name == "" || len(got.Parts) != 2 || len(got.ByKey) != 1 {
-		t.Errorf("%+v", got)
+		t.Errorf("Fill() left fields or elements empty: %+v", got)
 	}
 	seen := map[part]bool{}
 	for _, p := range append(got.Parts, got.Pairs[:]...) {
 		if p.Whole == 0 || p.Share == 0 || seen[p] {
-			t.Errorf("%+v is empty or there twice", p)
+			t.Errorf("Fill() set element %+v, want every element nonzero and distinct", p)
 		}
 		seen[p] = true
 	}
 	for _, p := range got.ByKey {
 		if p.Whole == 0 || seen[*p] {
-			t.Errorf("%+v is empty or there twice", *p)
+			t.Errorf("Fill() set map value %+v, want a nonzero value that is in no slice or array", *p)
 		}
 	}
 	before := got
 	Fill(&got)
 	if !reflect.DeepEqual(before, got) {
-		t.Errorf("filled again: %+v, want %+v", got, before)
+		t.Errorf("the second Fill() = %+v, want the same as the first, %+v", got, before)
 	}
 }
 
-// The message names the first line that differs, also where one text is longer.
+// firstDifference names the first line that differs, also if one of the texts has more lines.
 func TestFirstDifference(t *testing.T) {
 	for _, c := range []struct{ got, want, part string }{
 		{"a\nb\n", "a\nc\n", "line 2\ngot  \"b\"\nwant \"c\""},
 		{"a", "a\nb", "line 2\ngot  \"\"\nwant \"b\""},
 	} {
 		if text := firstDifference([]byte(c.got), []byte(c.want)); !strings.HasPrefix(text, c.part) {
-			t.Errorf("%q and %q: %s", c.got, c.want, text)
+			t.Errorf("firstDifference(%q, %q) = %q, want prefix %q", c.got, c.want, text, c.part)
 		}
 	}
 }
--- a/internal/golden/help.go
+++ b/internal/golden/help.go
@@ -8,8 +8,8 @@
 	"github.com/spf13/cobra"
 )
 
-// Help returns what a command line and all of its commands print for --help. root makes the command
-// line anew for each call, since flags keep their values.
+// Help returns the --help texts of a root command and all of its subcommands. root returns a new command for each call,
+// because flags keep their values between executions.
 func Help(t testing.TB, root func() *cobra.Command) []byte {
 	t.Helper()
 	var text bytes.Buffer
@@ -20,14 +20,15 @@
 		cmd.SetErr(&text)
 		cmd.SetArgs(append(path, "--help"))
 		if err := cmd.Execute(); err != nil {
-			t.Fatalf("%q: %v", path, err)
+			t.Fatalf("command %q --help: %v", path, err)
 		}
 		text.WriteByte('\n')
 	}
 	return text.Bytes()
 }
 
-// commandPaths returns the words by which a command and those below it are called.
+// commandPaths returns the paths of a command, which is empty, and of all commands below it: the subcommand names, in
+// order.
 func commandPaths(cmd *cobra.Command) [][]string {
 	paths := [][]string{{}}
 	for _, sub := range cmd.Commands() {
