--- a/internal/lab/capacity/assessment.go
+++ b/internal/lab/capacity/assessment.go
@@ -15,6 +15,6 @@
 	}
 	a := &assessment{figures: figures}
 	a.findLimits()
-	a.judgeRequirements()
+	a.assessRequirements()
 	return a, nil
 }
--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -27,8 +27,8 @@
 
 // The files of the tree.
 const (
-	treeMeasured = "../../../docs/capacity/measured.json"
-	treePage     = "../../../docs/CAPACITY.md"
+	measurementsPath = "../../../docs/capacity/measured.json"
+	pagePath         = "../../../docs/CAPACITY.md"
 )
 
 // powerLaw is a series with a part that does not grow.
@@ -42,9 +42,9 @@
 	return s
 }
 
-func near(t *testing.T, name string, got, want, share float64) {
+func checkNear(t *testing.T, name string, got, want, tolerance float64) {
 	t.Helper()
-	if !(math.Abs(got-want) <= share*math.Abs(want)) {
+	if !(math.Abs(got-want) <= tolerance*math.Abs(want)) {
 		t.Errorf("%s: %v, want %v", name, got, want)
 	}
 }
@@ -52,21 +52,21 @@
 // A power law is found again, and its crossing of a bound, between the sizes and beyond them.
 func TestSlope(t *testing.T) {
 	s := powerLaw(0, 3, 0.5, 60, 200, 600, 2000, 6000, 19000)
-	near(t, "slope", s.Slope, 0.5, 1e-9)
-	near(t, "spread", s.Points[0].RelativeRange, 0.2, 1e-9)
+	checkNear(t, "slope", s.Slope, 0.5, 1e-9)
+	checkNear(t, "spread", s.Points[0].RelativeRange, 0.2, 1e-9)
 	if s.Residual > 1e-6 {
 		t.Errorf("residual %v", s.Residual)
 	}
-	near(t, "at a size", s.costAt(600), 3*math.Sqrt(600), 1e-9)
-	near(t, "between sizes", s.costAt(1000), 3*math.Sqrt(1000), 1e-9)
-	near(t, "beyond", s.costAt(1e6), 3e3, 1e-6)
-	near(t, "bound between", s.sizeAt(3*math.Sqrt(1000)), 1000, 1e-6)
-	near(t, "bound beyond", s.sizeAt(3e3), 1e6, 1e-6)
+	checkNear(t, "at a size", s.costAt(600), 3*math.Sqrt(600), 1e-9)
+	checkNear(t, "between sizes", s.costAt(1000), 3*math.Sqrt(1000), 1e-9)
+	checkNear(t, "beyond", s.costAt(1e6), 3e3, 1e-6)
+	checkNear(t, "bound between", s.sizeAt(3*math.Sqrt(1000)), 1000, 1e-6)
+	checkNear(t, "bound beyond", s.sizeAt(3e3), 1e6, 1e-6)
 	if got := powerLaw(5, 0, 1, 60, 600, 6000).sizeAt(6); !math.IsInf(got, 1) {
 		t.Errorf("a cost that does not grow reaches a bound at %v", got)
 	}
 	// A part that does not grow hides the slope at the small sizes: beyond, the largest ones tell.
-	near(t, "beyond with a fixed part", powerLaw(100, 1, 1, 10, 100, 1000, 10_000, 100_000).costAt(1e6), 1e6, 0.15)
+	checkNear(t, "beyond with a fixed part", powerLaw(100, 1, 1, 10, 100, 1000, 10_000, 100_000).costAt(1e6), 1e6, 0.15)
 }
 
 // A slope that reaches a budget far beyond the target tells no more than that.
@@ -106,7 +106,7 @@
 		{[]float64{1, 2, 4, 9}, 3},
 		{[]float64{1, 1, 5, 8, 9}, 5},
 	} {
-		near(t, "median", median(c.sorted), c.want, 1e-12)
+		checkNear(t, "median", median(c.sorted), c.want, 1e-12)
 	}
 }
 
@@ -117,21 +117,21 @@
 		s.addPoint(p.Size, []float64{p.Median})
 	}
 	s.fit()
-	near(t, "slope", s.Slope, 1, 1e-9)
-	near(t, "bound", s.sizeAt(100), 100_000, 1e-6)
+	checkNear(t, "slope", s.Slope, 1, 1e-9)
+	checkNear(t, "bound", s.sizeAt(100), 100_000, 1e-6)
 }
 
 // The closed forms and the hollow pools tell the same.
 func TestClosedFormsAndHollowPoolsAgree(t *testing.T) {
-	near(t, "Erlang's loss, 10 erlangs on 10 slots", erlangB(10, 10), 0.2146, 0.001)
+	checkNear(t, "Erlang's loss, 10 erlangs on 10 slots", erlangLossFraction(10, 10), 0.2146, 0.001)
 	load := offeredLoad(0.9)
-	near(t, "slots in use", load*(1-erlangB(load, poolSlots)), 0.9*poolSlots, 1e-6)
+	checkNear(t, "slots in use", load*(1-erlangLossFraction(load, poolSlots)), 0.9*poolSlots, 1e-6)
 	urgent, err := measureUrgent(t.Context(), plan{runs: 3, seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, p := range urgent[0].Points[2:] {
-		near(t, "urgent wait", p.Median, urgentWait(float64(p.Size)), 0.2)
+		checkNear(t, "urgent wait", p.Median, urgentWaitEstimate(float64(p.Size)), 0.2)
 	}
 	gangs, err := measureGangs(t.Context(), plan{runs: 3, seed: 1})
 	if err != nil {
@@ -148,10 +148,10 @@
 
 // The page of the tree is what the measurements of the tree give; one changed figure is found.
 func TestPageIsWhatWasMeasured(t *testing.T) {
-	if err := CheckFiles(treePage, treeMeasured); err != nil {
+	if err := CheckFiles(pagePath, measurementsPath); err != nil {
 		t.Fatal(err)
 	}
-	m, err := Load(treeMeasured)
+	m, err := Load(measurementsPath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -159,8 +159,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := strings.Index(page, "| control_cpu |") + len("| control_cpu | ")
-	changed := page[:at] + string(page[at]+1) + page[at+1:]
+	position := strings.Index(page, "| control_cpu |") + len("| control_cpu | ")
+	changed := page[:position] + string(page[position]+1) + page[position+1:]
 	if err := Check(changed, m); !errors.Is(err, errPageDiffers) {
 		t.Errorf("a changed figure: %v", err)
 	}
@@ -182,7 +182,7 @@
 
 // A figure that no formula gives, one that is written by hand, and a missing series are named.
 func TestPageWithoutSource(t *testing.T) {
-	m, err := Load(treeMeasured)
+	m, err := Load(measurementsPath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -215,7 +215,7 @@
 		if _, err := Load(path); !errors.Is(err, errNotMeasurements) || !strings.Contains(err.Error(), path) {
 			t.Errorf("%q: %v", text, err)
 		}
-		if err := CheckFiles(treePage, path); !errors.Is(err, errNotMeasurements) {
+		if err := CheckFiles(pagePath, path); !errors.Is(err, errNotMeasurements) {
 			t.Errorf("check of %q: %v", text, err)
 		}
 	}
@@ -237,9 +237,9 @@
 	}
 	for _, o := range []FaultsOptions{
 		{Workers: 0, Starts: 5},
-		{Workers: maxWorkers + 1, Starts: 5},
+		{Workers: maxTrialWorkers + 1, Starts: 5},
 		{Workers: 2000},
-		{Workers: 2000, Starts: maxStarts + 1},
+		{Workers: 2000, Starts: maxTrialStarts + 1},
 	} {
 		if _, err := o.Run(t.Context(), new(strings.Builder)); !errors.Is(err, errInvalidSize) {
 			t.Errorf("%d workers, %d starts: %v", o.Workers, o.Starts, err)
@@ -254,9 +254,9 @@
 // A full run measures a process longer and more often than a short one.
 func TestPlan(t *testing.T) {
 	full, short := plan{}, plan{short: true}
-	if full.controlRuns() <= short.controlRuns() || full.controlDuration() <= short.controlDuration() {
+	if full.controlRunsPerSize() <= short.controlRunsPerSize() || full.controlDuration() <= short.controlDuration() {
 		t.Errorf("%d runs of %v, short %d of %v",
-			full.controlRuns(), full.controlDuration(), short.controlRuns(), short.controlDuration())
+			full.controlRunsPerSize(), full.controlDuration(), short.controlRunsPerSize(), short.controlDuration())
 	}
 	if n := len(full.sizes(controlSizes...)); n <= len(short.sizes(controlSizes...)) || n != len(controlSizes) {
 		t.Errorf("%d sizes", n)
--- a/internal/lab/capacity/configuration.go
+++ b/internal/lab/capacity/configuration.go
@@ -12,11 +12,11 @@
 		return deployment{schedulers: measuredSchedulers, teams: teams}.settingsDocument()
 	}
 	return measureBySize(ctx, "teams", p.sizes(8, 16, 32, 64, TargetTeams, 800),
-		costGauge{"configuration.bytes", "bytes", func(teams int) ([]float64, error) {
+		costMeasurement{"configuration.bytes", "bytes", func(teams int) ([]float64, error) {
 			text, err := document(teams)
 			return []float64{float64(len(text))}, err
 		}},
-		costGauge{"configuration.read", "ns", func(teams int) ([]float64, error) {
+		costMeasurement{"configuration.read", "ns", func(teams int) ([]float64, error) {
 			text, err := document(teams)
 			if err != nil {
 				return nil, err
@@ -24,7 +24,7 @@
 			if _, err := config.ParseSettings(text); err != nil {
 				return nil, err
 			}
-			return timeEach(p.runs, func() { _, _ = config.ParseSettings(text) }), nil // as above: it is valid
+			return timePerCall(p.runs, func() { _, _ = config.ParseSettings(text) }), nil // as above: it is valid
 		}},
 	)
 }
--- a/internal/lab/capacity/control.go
+++ b/internal/lab/capacity/control.go
@@ -34,15 +34,15 @@
 const checkpointOperator = `(foxlift (list (checkpoint "%s")))`
 
 // A variant is a way to run the process, with the names of its series.
-type variant struct {
+type controlVariant struct {
 	prefix, operator string
 }
 
 // variants are without and with a checkpoint of the endpoint list.
-var variants = []variant{{"control", ""}, {"keeping", checkpointOperator}}
+var controlVariants = []controlVariant{{"control", ""}, {"keeping", checkpointOperator}}
 
 // series returns the empty series of a variant.
-func (v variant) series() []Series {
+func (v controlVariant) series() []Series {
 	all := []Series{{Name: v.prefix + ".start", Unit: "s"}, {Name: v.prefix + ".memory", Unit: "bytes"}}
 	for _, rate := range controlRates {
 		all = append(all, Series{Name: fmt.Sprintf("%s.cpu_at_%g", v.prefix, rate), Unit: "% of a core"},
@@ -55,7 +55,7 @@
 }
 
 // controlProcesses is how many processes measureControl runs at a time.
-func controlProcesses(p plan) int { return len(variants) * len(p.sizes(controlSizes...)) }
+func controlProcesses(p plan) int { return len(controlVariants) * len(p.sizes(controlSizes...)) }
 
 // controlSizes are the workers of the lists that processes follow.
 var controlSizes = []int{190, 600, 1900, 6000, TargetWorkers}
@@ -64,13 +64,13 @@
 // follows an endpoint list, at each number of workers, with and without a checkpoint.
 func measureControl(ctx context.Context, p plan) (all []Series, err error) {
 	sizes := p.sizes(controlSizes...)
-	results := make([][][]controlCost, len(variants)) // by variant, size and run
+	results := make([][][]controlCost, len(controlVariants)) // by variant, size and run
 	for i := range results {
 		results[i] = make([][]controlCost, len(sizes))
 	}
-	for range p.controlRuns() { // all at once: each takes a few hundredths of a core
+	for range p.controlRunsPerSize() { // all at once: each takes a few hundredths of a core
 		group, ctx := errgroup.WithContext(ctx)
-		for i, v := range variants {
+		for i, v := range controlVariants {
 			for k, workers := range sizes {
 				group.Go(func() error {
 					cost, err := runControl(ctx, p, v.operator, workers)
@@ -86,14 +86,14 @@
 			return nil, err
 		}
 	}
-	for i, v := range variants {
+	for i, v := range controlVariants {
 		all = append(all, v.fitSeries(sizes, results[i])...)
 	}
 	return all, nil
 }
 
 // fitSeries returns the series of a variant from its costs, by size and run.
-func (v variant) fitSeries(sizes []int, costs [][]controlCost) []Series {
+func (v controlVariant) fitSeries(sizes []int, costs [][]controlCost) []Series {
 	series := v.series()
 	for n := range series {
 		for k, workers := range sizes {
@@ -118,7 +118,7 @@
 }
 
 // controlRuns is how often each size is run: a run of a process takes most of the tool's time.
-func (p plan) controlRuns() int {
+func (p plan) controlRunsPerSize() int {
 	if p.short {
 		return 1
 	}
@@ -135,7 +135,7 @@
 
 // runControl runs one process with so many hollow workers.
 func runControl(ctx context.Context, p plan, operator string, workers int) (cost controlCost, err error) {
-	f, err := fleet.New(fleet.Options{
+	testFleet, err := fleet.New(fleet.Options{
 		Topology: controlTopology(),
 		Program:  p.program,
 		Admin:    true,
@@ -144,9 +144,9 @@
 	if err != nil {
 		return cost, err
 	}
-	defer f.Close()
-	announceHollowWorkers(f.Discovery, 0, workers)
-	process := f.Processes[0]
+	defer testFleet.Close()
+	announceHollowWorkers(testFleet.Discovery, 0, workers)
+	process := testFleet.Processes[0]
 	if err := process.Start(); err != nil {
 		return cost, err
 	}
@@ -163,14 +163,14 @@
 	}
 	cost.startCPU = stat.CPUTime()
 	for _, rate := range controlRates {
-		before, err := sampleProcess(proc, f.Links[0])
+		before, err := sampleProcess(proc, testFleet.Links[0])
 		if err != nil {
 			return cost, err
 		}
-		if workers, err = addWorkersAtRate(ctx, f.Discovery, workers, rate, p.controlDuration()); err != nil {
+		if workers, err = addWorkersAtRate(ctx, testFleet.Discovery, workers, rate, p.controlDuration()); err != nil {
 			return cost, err
 		}
-		after, err := sampleProcess(proc, f.Links[0])
+		after, err := sampleProcess(proc, testFleet.Links[0])
 		if err != nil {
 			return cost, err
 		}
@@ -184,9 +184,9 @@
 
 // add takes in what was sampled before and after a time at one rate.
 func (c *controlCost) add(before, after processSample) {
-	seconds := after.at.Sub(before.at).Seconds()
-	c.cpu = append(c.cpu, percent*(after.cpu-before.cpu)/seconds)
-	c.traffic = append(c.traffic, float64(after.bytes-before.bytes)/seconds)
+	elapsedSeconds := after.at.Sub(before.at).Seconds()
+	c.cpu = append(c.cpu, percent*(after.cpu-before.cpu)/elapsedSeconds)
+	c.traffic = append(c.traffic, float64(after.bytes-before.bytes)/elapsedSeconds)
 	c.memory = max(c.memory, after.memory)
 }
 
@@ -216,14 +216,14 @@
 // addWorkersAtRate adds workers to the endpoint list, so many a second, and returns how many
 // there are in the end.
 func addWorkersAtRate(
-	ctx context.Context, d *standin.Discovery, workers int, rate float64, duration time.Duration,
+	ctx context.Context, discovery *standin.Discovery, workers int, rate float64, duration time.Duration,
 ) (int, error) {
 	ticker := time.NewTicker(time.Duration(float64(time.Second) / rate))
 	defer ticker.Stop()
 	for end := time.After(duration); ; {
 		select {
 		case <-ticker.C:
-			announceHollowWorkers(d, workers, 1)
+			announceHollowWorkers(discovery, workers, 1)
 			workers++
 		case <-end:
 			return workers, nil
--- a/internal/lab/capacity/dimension.go
+++ b/internal/lab/capacity/dimension.go
@@ -47,11 +47,11 @@
 var errUnknownDimension = errors.New("unknown dimension")
 
 // chooseDimensions returns the dimensions that are asked for by name, all if none is.
-func chooseDimensions(asked []string) (chosen []dimension, err error) {
-	if len(asked) == 0 {
+func chooseDimensions(requested []string) (chosen []dimension, err error) {
+	if len(requested) == 0 {
 		return dimensions, nil
 	}
-	for _, name := range asked {
+	for _, name := range requested {
 		i := slices.IndexFunc(dimensions, func(d dimension) bool { return d.name == name })
 		if i < 0 {
 			return nil, fmt.Errorf("%w %q; there are %s", errUnknownDimension, name, dimensionNames())
@@ -63,31 +63,33 @@
 
 // dimensionNames returns the names of all dimensions.
 func dimensionNames() string {
-	var ns []string
+	var names []string
 	for _, d := range dimensions {
-		ns = append(ns, d.name)
+		names = append(names, d.name)
 	}
-	return strings.Join(ns, ", ")
+	return strings.Join(names, ", ")
 }
 
 // A costGauge measures one cost at one size.
-type costGauge struct {
+type costMeasurement struct {
 	name, unit string
-	runs       func(size int) ([]float64, error)
+	measure    func(size int) ([]float64, error)
 }
 
-// measureBySize measures each gauge at each size.
-func measureBySize(ctx context.Context, of string, sizes []int, gauges ...costGauge) ([]Series, error) {
-	series := make([]Series, len(gauges))
-	for i, g := range gauges {
-		series[i] = Series{Name: g.name, Of: of, Unit: g.unit}
+// measureBySize measures each measurement at each size.
+func measureBySize(
+	ctx context.Context, sizeUnit string, sizes []int, measurements ...costMeasurement,
+) ([]Series, error) {
+	series := make([]Series, len(measurements))
+	for i, measurement := range measurements {
+		series[i] = Series{Name: measurement.name, Of: sizeUnit, Unit: measurement.unit}
 		for _, size := range sizes {
 			if err := ctx.Err(); err != nil {
 				return nil, err
 			}
-			runs, err := g.runs(size)
+			runs, err := measurement.measure(size)
 			if err != nil {
-				return nil, fmt.Errorf("%s at %d %s: %w", g.name, size, of, err)
+				return nil, fmt.Errorf("%s at %d %s: %w", measurement.name, size, sizeUnit, err)
 			}
 			series[i].addPoint(size, runs)
 		}
--- a/internal/lab/capacity/faults.go
+++ b/internal/lab/capacity/faults.go
@@ -38,21 +38,21 @@
 type faultsTrial struct {
 	FaultsOptions
 	*fleet.Fleet
-	process           *fleet.Process
-	rng               *rand.Rand
-	workers           []int // numbers of those in the endpoint list
-	nextWorker        int   // number of the next one
-	changes           []endpointChange
-	checkpointUsable  bool  // the process has left a checkpoint that can be used,
-	checkpointVersion int64 // of this version
-	oldestDelta       int64 // version since which discovery has the changes
-	result            *FaultsResult
+	process            *fleet.Process
+	rng                *rand.Rand
+	workers            []int // numbers of those in the endpoint list
+	nextWorker         int   // number of the next one
+	changes            []endpointChange
+	checkpointUsable   bool  // the process has left a checkpoint that can be used,
+	checkpointVersion  int64 // of this version
+	oldestDeltaVersion int64 // version since which discovery has the changes
+	result             *FaultsResult
 }
 
 // The sizes that a trial may have.
 const (
-	minWorkers, maxWorkers = 200, 2 * TargetWorkers // fewer would all have left after some starts
-	minStarts, maxStarts   = 2, 1000
+	minTrialWorkers, maxTrialWorkers = 200, 2 * TargetWorkers // fewer would all have left after some starts
+	minTrialStarts, maxTrialStarts   = 2, 1000
 )
 
 // errInvalidSize says that a trial has a size that it cannot have.
@@ -61,10 +61,10 @@
 // validate names a size that is out of bounds.
 func (o FaultsOptions) validate() error {
 	switch {
-	case o.Workers < minWorkers || o.Workers > maxWorkers:
-		return fmt.Errorf("%w: workers is %d, from %d to %d", errInvalidSize, o.Workers, minWorkers, maxWorkers)
-	case o.Starts < minStarts || o.Starts > maxStarts:
-		return fmt.Errorf("%w: starts is %d, from %d to %d", errInvalidSize, o.Starts, minStarts, maxStarts)
+	case o.Workers < minTrialWorkers || o.Workers > maxTrialWorkers:
+		return fmt.Errorf("%w: workers is %d, from %d to %d", errInvalidSize, o.Workers, minTrialWorkers, maxTrialWorkers)
+	case o.Starts < minTrialStarts || o.Starts > maxTrialStarts:
+		return fmt.Errorf("%w: starts is %d, from %d to %d", errInvalidSize, o.Starts, minTrialStarts, maxTrialStarts)
 	}
 	return nil
 }
@@ -78,33 +78,33 @@
 	if !o.WithoutCheckpoint {
 		options.Operator = checkpointOperator
 	}
-	f, err := fleet.New(options)
+	testFleet, err := fleet.New(options)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	t := &faultsTrial{
+	defer testFleet.Close()
+	trial := &faultsTrial{
 		FaultsOptions: o,
-		Fleet:         f,
-		process:       f.Processes[0],
+		Fleet:         testFleet,
+		process:       testFleet.Processes[0],
 		rng:           rand.New(rand.NewPCG(o.Seed, 4)),
 		result:        &FaultsResult{withoutCheckpoint: o.WithoutCheckpoint},
 	}
-	t.addWorkers(o.Workers)
-	if err := t.runOnce(ctx, out, noFault); err != nil { // the first: there is no checkpoint yet
+	trial.addWorkers(o.Workers)
+	if err := trial.runOnce(ctx, out, noFault); err != nil { // the first: there is no checkpoint yet
 		return nil, err
 	}
 	for range o.Starts - 1 {
-		fault := startFault(t.rng.IntN(int(startFaultCount)))
-		if t.rng.IntN(2) == 0 {
+		fault := startFault(trial.rng.IntN(int(startFaultCount)))
+		if trial.rng.IntN(2) == 0 {
 			fault = noFault
 		}
-		if err := t.runOnce(ctx, out, fault); err != nil {
+		if err := trial.runOnce(ctx, out, fault); err != nil {
 			return nil, err
 		}
 	}
-	t.result.EndpointsBytes = len(f.Discovery.ListJSON())
-	return t.result, nil
+	trial.result.EndpointsBytes = len(testFleet.Discovery.ListJSON())
+	return trial.result, nil
 }
 
 // runOnce is one run of the process: a fault, a start, changes, and its end.
@@ -115,20 +115,21 @@
 	t.churnWorkers()
 	if fault == compacted { // also the changes just made, so that no checkpoint is new enough
 		t.Discovery.Compact()
-		t.oldestDelta = int64(t.Discovery.Version())
+		t.oldestDeltaVersion = int64(t.Discovery.Version())
 	}
 	link := t.Links[0]
-	before, began := link.Carried(fleet.FromTarget), time.Now()
+	bytesBefore, startedAt := link.Carried(fleet.FromTarget), time.Now()
 	if err := t.process.Start(); err != nil {
 		return err
 	}
 	if err := awaitWorkerCount(ctx, t.process, len(t.workers)); err != nil {
 		return fmt.Errorf("after %s: %w", startFaultNames[fault], err)
 	}
-	bytes, took := link.Carried(fleet.FromTarget)-before, time.Since(began).Seconds()
-	t.judgeStart(fault, bytes, took)
+	receivedBytes, seconds := link.Carried(fleet.FromTarget)-bytesBefore, time.Since(startedAt).Seconds()
+	t.recordStart(fault, receivedBytes, seconds)
 	fmt.Fprintf(out, "start %2d after %-20s %8.1f KB from discovery, in force after %.2f s, %d entries changed\n",
-		t.result.Starts, startFaultNames[fault]+":", float64(bytes)/kilobyte, took, t.changedSince())
+		t.result.Starts, startFaultNames[fault]+":", float64(receivedBytes)/kilobyte, seconds,
+		t.entriesChangedSinceCheckpoint())
 	event := runEvent(t.rng.IntN(int(runEventCount)))
 	fmt.Fprintf(out, "   meets %s at version %d\n", runEventNames[event], t.Discovery.Version())
 	if err := t.injectEvent(event); err != nil {
@@ -167,7 +168,7 @@
 // inspectCheckpoint finds out which checkpoint a process has left: an earlier one or its last one, and
 // never a part.
 func (t *faultsTrial) inspectCheckpoint() error {
-	before := t.checkpointUsable
+	wasUsable := t.checkpointUsable
 	t.checkpointUsable = false
 	if t.WithoutCheckpoint {
 		return nil
@@ -177,8 +178,8 @@
 	switch {
 	case err == nil:
 		_, err := checkpoint.New(t.process.Checkpoint, &counters.Set{}).Load(t.Links[0].Addr().String(), time.Now())
-		t.checkpointUsable, t.checkpointVersion = err == nil && saved.Version >= t.oldestDelta, saved.Version
-	case before && !errors.Is(err, os.ErrNotExist):
+		t.checkpointUsable, t.checkpointVersion = err == nil && saved.Version >= t.oldestDeltaVersion, saved.Version
+	case wasUsable && !errors.Is(err, os.ErrNotExist):
 		return fmt.Errorf("a whole list was kept, and its replacement leaves: %w", err)
 	}
 	return nil
@@ -186,46 +187,46 @@
 
 // judgeStart judges a start by the bytes that it took from discovery and the seconds until its list
 // was in force.
-func (t *faultsTrial) judgeStart(fault startFault, bytes int64, seconds float64) {
-	r := t.result
-	r.Starts++
-	entry := float64(len(t.Discovery.ListJSON())) / float64(len(t.workers)) // bytes
-	bound := t.startBound(entry)
+func (t *faultsTrial) recordStart(fault startFault, receivedBytes int64, seconds float64) {
+	result := t.result
+	result.Starts++
+	entryBytes := float64(len(t.Discovery.ListJSON())) / float64(len(t.workers)) // bytes
+	bound := t.maxStartBytes(entryBytes)
 	if t.checkpointUsable {
-		r.WithCheckpoint++
-		r.CheckpointBytes = max(r.CheckpointBytes, bytes)
-		r.CheckpointSeconds = max(r.CheckpointSeconds, seconds)
+		result.WithCheckpoint++
+		result.CheckpointBytes = max(result.CheckpointBytes, receivedBytes)
+		result.CheckpointSeconds = max(result.CheckpointSeconds, seconds)
 	} else {
-		r.CompleteBytes = max(r.CompleteBytes, bytes)
-		r.CompleteSeconds = max(r.CompleteSeconds, seconds)
+		result.CompleteBytes = max(result.CompleteBytes, receivedBytes)
+		result.CompleteSeconds = max(result.CompleteSeconds, seconds)
 	}
-	if bytes > bound {
-		r.ExceededBound = append(r.ExceededBound,
-			fmt.Sprintf("%d (%s): %d of %d bytes", r.Starts, startFaultNames[fault], bytes, bound))
+	if receivedBytes > bound {
+		result.ExceededBound = append(result.ExceededBound,
+			fmt.Sprintf("%d (%s): %d of %d bytes", result.Starts, startFaultNames[fault], receivedBytes, bound))
 	}
-	half := int64(entry * float64(len(t.workers)) / 2)
-	tookComplete := bytes > half
+	halfListBytes := int64(entryBytes * float64(len(t.workers)) / 2)
+	receivedComplete := receivedBytes > halfListBytes
 	switch {
-	case t.checkpointUsable && tookComplete && bound < half: // a list that misses a release takes as much
-		r.CheckpointsIgnored++
-	case !t.checkpointUsable && !tookComplete:
-		r.CheckpointsMisused++
+	case t.checkpointUsable && receivedComplete && bound < halfListBytes: // a list that misses a release takes as much
+		result.CheckpointsIgnored++
+	case !t.checkpointUsable && !receivedComplete:
+		result.CheckpointsMisused++
 	}
 }
 
 // entrySlack is what an entry may take over the mean.
-const entrySlack = 1.02
+const entrySizeTolerance = 1.02
 
 // startBound is how many bytes a start may take, where an entry has so many.
-func (t *faultsTrial) startBound(entry float64) int64 {
-	complete := int64(entrySlack*entry*float64(len(t.workers))) + callOverheadBytes
+func (t *faultsTrial) maxStartBytes(entryBytes float64) int64 {
+	completeBytes := int64(entrySizeTolerance*entryBytes*float64(len(t.workers))) + callOverheadBytes
 	if !t.checkpointUsable {
-		return complete
+		return completeBytes
 	}
-	changed := t.changedSince()
-	delta := int64(entrySlack*entry*float64(changed)) + callOverheadBytes
+	changed := t.entriesChangedSinceCheckpoint()
+	deltaBytes := int64(entrySizeTolerance*entryBytes*float64(changed)) + callOverheadBytes
 	if changed > len(t.workers) { // more than a list may have is given up for the complete one
-		return delta + complete
+		return deltaBytes + completeBytes
 	}
-	return delta
+	return deltaBytes
 }
--- a/internal/lab/capacity/faultschurn.go
+++ b/internal/lab/capacity/faultschurn.go
@@ -20,7 +20,7 @@
 }
 
 // changedSince returns how many entries have changed since the checkpoint.
-func (t *faultsTrial) changedSince() (entries int) {
+func (t *faultsTrial) entriesChangedSinceCheckpoint() (entries int) {
 	for _, c := range t.changes {
 		if c.version > t.checkpointVersion {
 			entries += c.entries
@@ -43,9 +43,9 @@
 func (t *faultsTrial) removeWorkers(count int) {
 	entries := make([]standin.Entry, count)
 	for i := range entries {
-		at := t.rng.IntN(len(t.workers))
-		entries[i] = standin.Entry{Host: workerName(t.workers[at]), Health: "left"}
-		t.workers[at] = t.workers[len(t.workers)-1]
+		index := t.rng.IntN(len(t.workers))
+		entries[i] = standin.Entry{Host: workerName(t.workers[index]), Health: "left"}
+		t.workers[index] = t.workers[len(t.workers)-1]
 		t.workers = t.workers[:len(t.workers)-1]
 	}
 	t.Discovery.Announce(entries...)
--- a/internal/lab/capacity/figures.go
+++ b/internal/lab/capacity/figures.go
@@ -46,9 +46,9 @@
 }
 
 // addFromSeries adds the cost of a series at a size, in a unit that is so many times as large.
-func (fs *figures) addFromSeries(group, name, series string, size, per float64, unit string) float64 {
+func (fs *figures) addFromSeries(group, name, series string, size, divisor float64, unit string) float64 {
 	s := fs.series(series)
-	return fs.add(group, name, s.costAt(size)/per, unit, fmt.Sprintf("`%s` at %g %s", series, size, s.Of))
+	return fs.add(group, name, s.costAt(size)/divisor, unit, fmt.Sprintf("`%s` at %g %s", series, size, s.Of))
 }
 
 const (
@@ -74,20 +74,20 @@
 // addSchedulers derives how many schedulers there have to be.
 func (fs *figures) addSchedulers() {
 	const group = "schedulers"
-	usable := fs.add(group, "sockets", processSockets*(1-1.0/spareSocketDivisor), "descriptors",
+	usableDescriptors := fs.add(group, "sockets", processSockets*(1-1.0/spareSocketDivisor), "descriptors",
 		"1,024 less a sixteenth that stays spare (README, Descriptors)")
-	each := fs.add(group, "tasks_of_one", math.Floor(usable/socketsPerTask), "tasks",
+	tasksPerScheduler := fs.add(group, "tasks_of_one", math.Floor(usableDescriptors/socketsPerTask), "tasks",
 		"sockets / 2: a running task holds a connection on each side")
-	least := fs.add(group, "schedulers_least", math.Ceil(TargetTasks/each), "schedulers",
+	minSchedulers := fs.add(group, "schedulers_least", math.Ceil(TargetTasks/tasksPerScheduler), "schedulers",
 		"220,000 tasks / tasks_of_one")
 	fs.add(group, "schedulers_most", foxlift.MaxDispatchers, "schedulers", "`foxlift.MaxDispatchers`")
-	left := float64(TargetRegions-1) / TargetRegions
-	chosen := math.Ceil(least/left/TargetRegions) * TargetRegions
-	fs.add(group, "schedulers_chosen", chosen, "schedulers",
+	remainingFraction := float64(TargetRegions-1) / TargetRegions
+	chosenSchedulers := math.Ceil(minSchedulers/remainingFraction/TargetRegions) * TargetRegions
+	fs.add(group, "schedulers_chosen", chosenSchedulers, "schedulers",
 		"schedulers_least × 9/8, rounded up to as many in each of 9 regions: eight regions hold all tasks")
-	fs.add(group, "schedulers_of_region", chosen/TargetRegions, "schedulers", "schedulers_chosen / 9")
-	perTask := fs.series("tasks.memory")
-	fs.add(group, "tasks_memory", perTask.costAt(each)/megabyte, "MB",
+	fs.add(group, "schedulers_of_region", chosenSchedulers/TargetRegions, "schedulers", "schedulers_chosen / 9")
+	taskMemory := fs.series("tasks.memory")
+	fs.add(group, "tasks_memory", taskMemory.costAt(tasksPerScheduler)/megabyte, "MB",
 		"`tasks.memory` at tasks_of_one; core and module only, buffers of connections are not in it")
 }
 
@@ -110,18 +110,18 @@
 // addDecisions carries the module's steps to the target.
 func (fs *figures) addDecisions() {
 	const group = "decisions"
-	tick := fs.addFromSeries(group, "idle_tick", "module.idle_tick", TargetWorkers, nanosPerMicro, "us")
-	fs.add(group, "idle_ticks", percent*tick*80/1e6, "% of a core",
+	idleTickMicros := fs.addFromSeries(group, "idle_tick", "module.idle_tick", TargetWorkers, nanosPerMicro, "us")
+	fs.add(group, "idle_ticks", percent*idleTickMicros*80/1e6, "% of a core",
 		"idle_tick × 80 a second, as an aim of 0.1 s asks for")
 	fs.addFromSeries(group, "change", "module.change", TargetWorkers, nanosPerMicro, "us")
 	fs.addFromSeries(group, "change_in_core", "core.change", TargetWorkers, nanosPerMicro, "us")
 	fs.addFromSeries(group, "whole_list", "module.whole_list", TargetWorkers, nanosPerMilli, "ms")
-	job := fs.addFromSeries(group, "job", "module.job", TargetWorkers, nanosPerMicro, "us")
+	jobMicros := fs.addFromSeries(group, "job", "module.job", TargetWorkers, nanosPerMicro, "us")
 	fs.addFromSeries(group, "keyed_job", "module.keyed_job", TargetWorkers, nanosPerMicro, "us")
 	fs.addFromSeries(group, "job_by_teams", "teams.job", TargetTeams, nanosPerMicro, "us")
-	starts := fs.add(group, "starts_of_one", TargetStartsPerSecond/fs.value("schedulers_chosen"), "starts/s",
+	startsPerSecond := fs.add(group, "starts_of_one", TargetStartsPerSecond/fs.value("schedulers_chosen"), "starts/s",
 		"8,100 / schedulers_chosen")
-	fs.add(group, "starts_cpu", percent*starts*job/1e6, "% of a core", "starts_of_one × job")
+	fs.add(group, "starts_cpu", percent*startsPerSecond*jobMicros/1e6, "% of a core", "starts_of_one × job")
 	fs.addFromSeries(group, "list_memory", "core.memory", TargetWorkers, megabyte, "MB")
 }
 
@@ -129,105 +129,108 @@
 // the traffic that control may have.
 func (fs *figures) addEndpointUpdates() {
 	const group = "news"
-	whole := fs.addFromSeries(group, "list_size", "list.bytes", TargetWorkers, kilobyte, "KB")
-	entry := fs.add(group, "entry_size", whole*kilobyte/TargetWorkers, "bytes", "list_size / 19,000")
+	listKilobytes := fs.addFromSeries(group, "list_size", "list.bytes", TargetWorkers, kilobyte, "KB")
+	entryBytes := fs.add(group, "entry_size", listKilobytes*kilobyte/TargetWorkers, "bytes", "list_size / 19,000")
 	addTime := func(name string, entries float64, formula string) {
-		fs.add(group, name, entries*entry/kilobyte/TargetControlTraffic, "s", formula+" × entry_size / 24 KB/s")
+		fs.add(group, name, entries*entryBytes/kilobyte/TargetControlTraffic, "s", formula+" × entry_size / 24 KB/s")
 	}
-	fs.add(group, "list_time", whole/TargetControlTraffic, "s",
+	fs.add(group, "list_time", listKilobytes/TargetControlTraffic, "s",
 		"list_size / 24 KB/s: at each start, and after a break too long for changes")
 	addTime("rack_time", assumedRackWorkers, "a rack of 40 (*assumed*)")
 	addTime("zone_time", TargetWorkers/TargetZones, "a zone of 558")
 	addTime("region_time", TargetWorkers/TargetRegions, "a region of 2,111")
 	addTime("release_time", TargetWorkers, "a release of all 19,000")
-	ordinary := fs.add(group, "changes",
+	changesPerSecond := fs.add(group, "changes",
 		(TargetFailuresPerDay+2*TargetRestartsPerDay)/float64(secondsPerDay), "changes/s",
 		"(210 failures + 2 × 4,900 restarts) / 86,400 s")
-	fs.add(group, "changes_traffic", ordinary*entry/kilobyte, "KB/s", "changes × entry_size")
-	clock := fs.add(group, "clock", pollpacing.MaxPropagationDelay.Seconds(), "s",
+	fs.add(group, "changes_traffic", changesPerSecond*entryBytes/kilobyte, "KB/s", "changes × entry_size")
+	maxPropagationSeconds := fs.add(group, "clock", pollpacing.MaxPropagationDelay.Seconds(), "s",
 		"`pollpacing.MaxPropagationDelay`: within this a change is in force")
-	checkpointAge := (checkpoint.MaxAge + checkpoint.WriteInterval).Seconds()
-	missed := fs.add(group, "missed", checkpointAge*ordinary+TargetWorkers/TargetZones, "entries",
+	maxCheckpointAgeSeconds := (checkpoint.MaxAge + checkpoint.WriteInterval).Seconds()
+	missedEntries := fs.add(group, "missed", maxCheckpointAgeSeconds*changesPerSecond+TargetWorkers/TargetZones, "entries",
 		"(`checkpoint.MaxAge` + `checkpoint.WriteInterval`) × changes + a zone of 558: "+
 			"what the oldest list that is kept has missed")
-	answer := fs.add(group, "answer", pollpacing.AnswerBudget.Seconds(), "s",
+	answerSeconds := fs.add(group, "answer", pollpacing.AnswerBudget.Seconds(), "s",
 		"`pollpacing.AnswerBudget`: of the clock, for a call's turn and its answer")
-	took := fs.add(group, "kept_time", missed*entry/kilobyte/TargetControlTraffic+answer, "s",
+	startSeconds := fs.add(group, "kept_time", missedEntries*entryBytes/kilobyte/TargetControlTraffic+answerSeconds, "s",
 		"missed × entry_size / 24 KB/s + answer: a start with a list that was kept")
-	fs.add(group, "kept_room", (clock-answer)/(took-answer), "times",
+	fs.add(group, "kept_room", (maxPropagationSeconds-answerSeconds)/(startSeconds-answerSeconds), "times",
 		"(clock − answer) / (kept_time − answer)")
 }
 
 // addConfiguration tells what changes of the configuration cost as a document that is read whole.
 func (fs *figures) addConfiguration() {
 	const group = "configuration"
-	size := fs.addFromSeries(group, "document", "configuration.bytes", TargetTeams, kilobyte, "KB")
+	documentKilobytes := fs.addFromSeries(group, "document", "configuration.bytes", TargetTeams, kilobyte, "KB")
 	fs.addFromSeries(group, "document_read", "configuration.read", TargetTeams, nanosPerMicro, "us")
-	mean := fs.add(group, "configuration_changes", TargetConfigChangesPerDay/float64(secondsPerDay), "changes/s",
+	meanChangesPerSecond := fs.add(group, "configuration_changes",
+		TargetConfigChangesPerDay/float64(secondsPerDay), "changes/s",
 		"13,000 / 86,400 s")
-	peak := fs.add(group, "configuration_peak", mean*peakToMeanRatio, "changes/s",
+	peakChangesPerSecond := fs.add(group, "configuration_peak", meanChangesPerSecond*peakToMeanRatio, "changes/s",
 		"configuration_changes × 20 (*assumed*)")
-	fs.add(group, "configuration_traffic", mean*size, "KB/s", "configuration_changes × document")
-	fs.add(group, "configuration_peak_traffic", peak*size, "KB/s", "configuration_peak × document")
+	fs.add(group, "configuration_traffic", meanChangesPerSecond*documentKilobytes, "KB/s",
+		"configuration_changes × document")
+	fs.add(group, "configuration_peak_traffic", peakChangesPerSecond*documentKilobytes, "KB/s",
+		"configuration_peak × document")
 }
 
 // addDiscovery tells what all schedulers together ask of discovery.
 func (fs *figures) addDiscovery() {
 	const group = "discovery"
-	n := fs.value("schedulers_chosen")
-	fs.add(group, "watch_calls", fs.series("discovery.watch_calls").costAt(n), "calls/s",
+	schedulers := fs.value("schedulers_chosen")
+	fs.add(group, "watch_calls", fs.series("discovery.watch_calls").costAt(schedulers), "calls/s",
 		"`discovery.watch_calls` at schedulers_chosen, by the slope")
-	peak := fs.add(group, "start_calls", fs.series("discovery.start_peak").costAt(n), "calls/s",
+	startCallsPerSecond := fs.add(group, "start_calls", fs.series("discovery.start_peak").costAt(schedulers), "calls/s",
 		"`discovery.start_peak` at schedulers_chosen, by the slope: the worst second of a start of all")
-	region := fs.add(group, "region_calls",
+	regionCallsPerSecond := fs.add(group, "region_calls",
 		fs.series("discovery.start_peak").costAt(fs.value("schedulers_of_region")), "calls/s",
 		"the same at schedulers_of_region")
-	list := fs.value("list_size") / kilobyte
-	fs.add(group, "start_traffic", peak*list, "MB/s",
+	listMegabytes := fs.value("list_size") / kilobyte
+	fs.add(group, "start_traffic", startCallsPerSecond*listMegabytes, "MB/s",
 		"start_calls × list_size: what the lists of a start of all come to in the worst second")
-	fs.add(group, "region_traffic", region*list, "MB/s", "region_calls × list_size")
-	fs.add(group, "change_traffic", n*fs.value("changes_traffic"), "KB/s",
+	fs.add(group, "region_traffic", regionCallsPerSecond*listMegabytes, "MB/s", "region_calls × list_size")
+	fs.add(group, "change_traffic", schedulers*fs.value("changes_traffic"), "KB/s",
 		"schedulers_chosen × changes_traffic")
-	fs.add(group, "zone_traffic", n*TargetWorkers/TargetZones*fs.value("entry_size")/megabyte, "MB",
+	fs.add(group, "zone_traffic", schedulers*TargetWorkers/TargetZones*fs.value("entry_size")/megabyte, "MB",
 		"schedulers_chosen × a zone of 558 × entry_size: in the second in which a zone goes")
 }
 
 // addPlacement tells of urgent tasks and gangs.
 func (fs *figures) addPlacement() {
 	const group = "placement"
-	fs.add(group, "task_length", taskSeconds, "s", "220,000 tasks / 8,100 starts a second")
-	pool := fs.add(group, "pool", poolSlots, "slots", "220,000 / 34 zones / 4 kinds (*assumed* even)")
-	fs.add(group, "urgent_wait", urgentWait(pool), "s",
+	fs.add(group, "task_length", meanTaskSeconds, "s", "220,000 tasks / 8,100 starts a second")
+	poolSize := fs.add(group, "pool", poolSlots, "slots", "220,000 / 34 zones / 4 kinds (*assumed* even)")
+	fs.add(group, "urgent_wait", urgentWaitEstimate(poolSize), "s",
 		"−ln(0.01) × task_length / pool: 99 in 100 urgent tasks have a slot by then, every slot taken")
-	fs.add(group, "urgent_wait_hollow", fs.series("urgent.wait").costAt(pool), "s",
+	fs.add(group, "urgent_wait_hollow", fs.series("urgent.wait").costAt(poolSize), "s",
 		"`urgent.wait` at pool, by the slope")
-	fs.add(group, "urgent_pool", math.Ceil(urgentSlots()), "slots",
+	fs.add(group, "urgent_pool", math.Ceil(minUrgentPoolSlots()), "slots",
 		"−ln(0.01) × task_length / 6.3 s: the least pool in which that holds")
-	for _, use := range gangUtilizations {
+	for _, utilization := range gangUtilizations {
 		for _, gang := range []int{32, 128, TargetGang} {
-			name := fmt.Sprintf("gang_%d_at_%d", gang, use)
-			series := fs.series(fmt.Sprintf("gangs.room_at_%d", use))
-			fs.add("gangs", name, percent*gangFitFraction(float64(use)/100, gang), "% of the time",
+			name := fmt.Sprintf("gang_%d_at_%d", gang, utilization)
+			series := fs.series(fmt.Sprintf("gangs.room_at_%d", utilization))
+			fs.add("gangs", name, percent*gangFitFraction(float64(utilization)/100, gang), "% of the time",
 				"Erlang's loss system, pool slots")
 			fs.add("gangs", name+"_hollow", percent*series.costAt(float64(gang)), "% of the time",
 				fmt.Sprintf("`%s` at %d", series.Name, gang))
 		}
 	}
-	fs.add("gangs", "gang_reserved", TargetGang*taskSeconds/poolSlots, "s",
+	fs.add("gangs", "gang_reserved", TargetGang*meanTaskSeconds/poolSlots, "s",
 		"256 × task_length / pool: until slots that are held as they come free make the largest gang")
 }
 
 // addFailures tells what failures take.
 func (fs *figures) addFailures() {
 	const group = "failures"
-	tasks := fs.add(group, "tasks_of_worker", TargetTasks/float64(TargetWorkers), "tasks",
+	tasksPerWorker := fs.add(group, "tasks_of_worker", TargetTasks/float64(TargetWorkers), "tasks",
 		"220,000 / 19,000")
-	lost := (TargetFailuresPerDay + TargetRestartsPerDay) * tasks
-	fs.add(group, "lost_a_day", lost*taskSeconds/2/3600, "hours of tasks",
+	lostTasksPerDay := (TargetFailuresPerDay + TargetRestartsPerDay) * tasksPerWorker
+	fs.add(group, "lost_a_day", lostTasksPerDay*meanTaskSeconds/2/3600, "hours of tasks",
 		"(210 + 4,900) × tasks_of_worker × task_length / 2: restarts without a drain, at worst")
-	fs.add(group, "lost_a_rack", assumedRackWorkers*tasks, "tasks",
+	fs.add(group, "lost_a_rack", assumedRackWorkers*tasksPerWorker, "tasks",
 		"a rack of 40 (*assumed*) × tasks_of_worker, each week")
-	fs.add(group, "lost_a_zone", TargetWorkers/TargetZones*tasks, "tasks",
+	fs.add(group, "lost_a_zone", TargetWorkers/TargetZones*tasksPerWorker, "tasks",
 		"a zone of 558 × tasks_of_worker, a few times a year")
 	fs.add(group, "share_of_zone", percent/float64(TargetZones), "% of the fleet", "1 / 34 zones")
 	fs.add(group, "share_of_region", percent/float64(TargetRegions), "% of the fleet",
--- a/internal/lab/capacity/gangs.go
+++ b/internal/lab/capacity/gangs.go
@@ -24,7 +24,7 @@
 		for i := range simulated {
 			simulated[i] = simulateFreeSlots(offeredLoad(float64(utilization)/percent), rng)
 		}
-		series, err := measureBySize(ctx, "slots of a gang", p.sizes(2, 8, 32, 64, 128, TargetGang), costGauge{
+		series, err := measureBySize(ctx, "slots of a gang", p.sizes(2, 8, 32, 64, 128, TargetGang), costMeasurement{
 			fmt.Sprintf("gangs.room_at_%d", utilization), "share of time",
 			func(gang int) (runs []float64, _ error) {
 				for _, fractions := range simulated {
@@ -49,7 +49,7 @@
 	low, high := 0.0, 4.0*poolSlots
 	for range bisections {
 		load := (low + high) / 2
-		if load*(1-erlangB(load, poolSlots)) < utilization*poolSlots {
+		if load*(1-erlangLossFraction(load, poolSlots)) < utilization*poolSlots {
 			low = load
 		} else {
 			high = load
@@ -59,62 +59,62 @@
 }
 
 // erlangB is Erlang's loss formula: the fraction shed at an offered load by so many slots.
-func erlangB(load float64, slots int) float64 {
-	b := 1.0
+func erlangLossFraction(load float64, slots int) float64 {
+	blocked := 1.0
 	for n := 1; n <= slots; n++ {
-		b = load * b / (float64(n) + load*b)
+		blocked = load * blocked / (float64(n) + load*blocked)
 	}
-	return b
+	return blocked
 }
 
 // gangFitFraction is the closed form: the fraction of time in which so many slots are free.
 func gangFitFraction(utilization float64, gang int) float64 {
 	load := offeredLoad(utilization)
-	logs := make([]float64, poolSlots+1) // of load^n / n!, for n slots in use
+	logWeights := make([]float64, poolSlots+1) // of load^n / n!, for n slots in use
 	largest := 0.0
 	for n := 1; n <= poolSlots; n++ {
-		logs[n] = logs[n-1] + math.Log(load/float64(n))
-		largest = max(largest, logs[n])
+		logWeights[n] = logWeights[n-1] + math.Log(load/float64(n))
+		largest = max(largest, logWeights[n])
 	}
-	total, fits := 0.0, 0.0
-	for n, l := range logs {
-		weight := math.Exp(l - largest)
+	total, fitting := 0.0, 0.0
+	for n, logWeight := range logWeights {
+		weight := math.Exp(logWeight - largest)
 		total += weight
 		if poolSlots-n >= gang {
-			fits += weight
+			fitting += weight
 		}
 	}
-	return fits / total
+	return fitting / total
 }
 
 const (
-	fillingArrivals   = 10 * poolSlots // tasks that fill a simulated pool
-	simulatedArrivals = 40 * poolSlots // tasks that come to it after these
+	warmupArrivals   = 10 * poolSlots // tasks that fill a simulated pool
+	measuredArrivals = 40 * poolSlots // tasks that come to it after these
 )
 
 // A simulatedPool is a pool of slots in which tasks run, in mean lengths of a task.
 type simulatedPool struct {
-	now      float64
-	running  finishTimes
-	measured bool      // it has been filled
-	time     []float64 // in which each number of slots was free
-	total    float64   // of time
+	now             float64
+	running         finishTimes
+	warmedUp        bool      // it has been filled
+	timeByFreeSlots []float64 // in which each number of slots was free
+	totalTime       float64   // of time
 }
 
 // advance moves the clock and counts the time.
 func (s *simulatedPool) advance(to float64) {
-	if s.measured {
-		s.time[poolSlots-len(s.running)] += to - s.now
-		s.total += to - s.now
+	if s.warmedUp {
+		s.timeByFreeSlots[poolSlots-len(s.running)] += to - s.now
+		s.totalTime += to - s.now
 	}
 	s.now = to
 }
 
 // simulateFreeSlots returns the fraction of time in which each number of slots was free.
 func simulateFreeSlots(load float64, rng *rand.Rand) []float64 {
-	s := &simulatedPool{time: make([]float64, poolSlots+1)}
-	for i := range fillingArrivals + simulatedArrivals {
-		s.measured = i >= fillingArrivals
+	s := &simulatedPool{timeByFreeSlots: make([]float64, poolSlots+1)}
+	for i := range warmupArrivals + measuredArrivals {
+		s.warmedUp = i >= warmupArrivals
 		arrival := s.now + rng.ExpFloat64()/load
 		for len(s.running) > 0 && s.running[0] <= arrival {
 			s.advance(s.running[0])
@@ -126,10 +126,10 @@
 			heap.Push(&s.running, s.now+length)
 		}
 	}
-	for i := range s.time {
-		s.time[i] /= s.total
+	for i := range s.timeByFreeSlots {
+		s.timeByFreeSlots[i] /= s.totalTime
 	}
-	return s.time
+	return s.timeByFreeSlots
 }
 
 // fractionWithFree returns the fraction of time in which a gang's slots were free.
--- a/internal/lab/capacity/hollowdiscovery.go
+++ b/internal/lab/capacity/hollowdiscovery.go
@@ -20,16 +20,16 @@
 }
 
 // announceHollowWorkers adds hollow workers to the endpoint list, from one number on.
-func announceHollowWorkers(d *standin.Discovery, from, count int) {
+func announceHollowWorkers(discovery *standin.Discovery, first, count int) {
 	entries := make([]standin.Entry, count)
 	for i := range entries {
-		w := hollowWorker(from + i)
+		w := hollowWorker(first + i)
 		entries[i] = standin.Entry{
 			Host: w.ID, Dial: unusedAddr, Zone: zoneName(w.Zone), Kind: kindName(w.Kind),
 			Health: "active", StartedAt: hollowStartedAt,
 		}
 	}
-	d.Announce(entries...)
+	discovery.Announce(entries...)
 }
 
 // hollowStartedAt is when the hollow workers started: long ago, and as long in digits as any other time.
--- a/internal/lab/capacity/hollowmodule.go
+++ b/internal/lab/capacity/hollowmodule.go
@@ -53,8 +53,8 @@
 }
 
 // request brings a job and reports its first attempt, if it is sent at once.
-func (h *hollowModule) request(
-	class, team int, key uint64, patience time.Duration,
+func (h *hollowModule) submitJob(
+	class, team int, key uint64, timeout time.Duration,
 ) (attempt foxlift.Action, sent bool) {
 	h.jobs++
 	actions := h.step(foxlift.Event{
@@ -64,7 +64,7 @@
 			Class:    class,
 			Tenant:   team,
 			Key:      key,
-			Deadline: h.now + int64(patience),
+			Deadline: h.now + int64(timeout),
 		},
 	})
 	for _, action := range actions {
@@ -77,29 +77,29 @@
 
 // runJob is a light job's whole life: it comes, is sent, starts and is served.
 func (h *hollowModule) runJob(team int, key uint64) {
-	attempt, sent := h.request(lightClass, team, key, 5*time.Second)
+	attempt, sent := h.submitJob(lightClass, team, key, 5*time.Second)
 	if !sent {
 		return
 	}
-	served := startedEvent(attempt)
+	served := attemptStarted(attempt)
 	served.Kind = foxlift.EventOutcome
 	served.Code = foxlift.Served
 	served.Ended = true
 	served.Took = int64(time.Millisecond)
-	h.step(startedEvent(attempt), served)
+	h.step(attemptStarted(attempt), served)
 }
 
 // startTask brings a heavy task that starts and runs on. It reports whether it was sent.
 func (h *hollowModule) startTask(team int) bool {
-	attempt, sent := h.request(heavyClass, team, 0, time.Hour)
+	attempt, sent := h.submitJob(heavyClass, team, 0, time.Hour)
 	if sent {
-		h.step(startedEvent(attempt))
+		h.step(attemptStarted(attempt))
 	}
 	return sent
 }
 
 // startedEvent tells that an attempt has started.
-func startedEvent(attempt foxlift.Action) foxlift.Event {
+func attemptStarted(attempt foxlift.Action) foxlift.Event {
 	return foxlift.Event{
 		Kind:    foxlift.EventStarted,
 		ID:      attempt.ID,
--- a/internal/lab/capacity/limits.go
+++ b/internal/lab/capacity/limits.go
@@ -37,10 +37,10 @@
 	a.addBudget("the start's processor time", "control.start", startCPUBudget, "0.4 s")
 	a.addBudget(completeSnapshotLimit, "list.bytes", TargetControlTraffic*kilobyte*a.value("clock"), "24 KB/s for clock")
 	a.addLimit(checkpointLimit, a.value("kept_room"), "kept_room")
-	peak := a.value("configuration_peak") // changes a second; the teams take most of the document
+	peakChangesPerSecond := a.value("configuration_peak") // changes a second; the teams take most of the document
 	document := a.series("configuration.bytes")
 	a.addLimit("the configuration as one document, in the peak minute",
-		document.sizeAt(TargetControlTraffic*kilobyte/peak)/TargetTeams,
+		document.sizeAt(TargetControlTraffic*kilobyte/peakChangesPerSecond)/TargetTeams,
 		"24 KB/s / configuration_peak, `configuration.bytes`")
 	a.addLimit(descriptorLimit, a.value("tasks_of_one")*a.value("schedulers_most")/TargetTasks,
 		"tasks_of_one × schedulers_most / 220,000")
--- a/internal/lab/capacity/page.go
+++ b/internal/lab/capacity/page.go
@@ -55,7 +55,7 @@
 // templateFunctions are what the page's template can look up, by the page's names for it.
 func (a *assessment) templateFunctions() template.FuncMap {
 	return template.FuncMap{
-		"figure":    a.showFigure,
+		"figure":    a.formatFigure,
 		"table":     a.figureTable,
 		"walls":     a.limitTable,
 		"lines":     a.requirementTable,
@@ -156,7 +156,7 @@
 }
 
 // showFigure returns a figure with its unit.
-func (a *assessment) showFigure(name string) (string, error) {
+func (a *assessment) formatFigure(name string) (string, error) {
 	f, ok := a.byName[name]
 	if !ok {
 		return "", unknownFigureError(name)
@@ -226,8 +226,8 @@
 }
 
 // markdownTable writes a table.
-func markdownTable(head []string, rows [][]string) string {
-	lines := []string{tableRow(head), "|" + strings.Repeat(" --- |", len(head))}
+func markdownTable(header []string, rows [][]string) string {
+	lines := []string{tableRow(header), "|" + strings.Repeat(" --- |", len(header))}
 	for _, row := range rows {
 		lines = append(lines, tableRow(row))
 	}
--- a/internal/lab/capacity/requirements.go
+++ b/internal/lab/capacity/requirements.go
@@ -22,15 +22,15 @@
 
 // judgeRequirements says of each line of the target what carries it. The lines of the target
 // are in the page's order.
-func (a *assessment) judgeRequirements() {
-	a.judgeFleet()
-	a.judgePlacement()
-	a.judgeControl()
-	a.judgeFailures()
+func (a *assessment) assessRequirements() {
+	a.assessFleet()
+	a.assessPlacement()
+	a.assessControl()
+	a.assessFailures()
 }
 
 // judgeFleet judges the size of the fleet and its load.
-func (a *assessment) judgeFleet() {
+func (a *assessment) assessFleet() {
 	a.addRequirement(requirement{
 		name: "19,000 workers",
 		mechanism: "a full replica of the membership list at each scheduler, followed by a watch; " +
@@ -62,7 +62,7 @@
 }
 
 // judgePlacement judges gangs, quotas, urgent work and the levels of the fleet.
-func (a *assessment) judgePlacement() {
+func (a *assessment) assessPlacement() {
 	a.addRequirement(requirement{
 		name:      "gangs of up to 256",
 		mechanism: "gang scheduling: all-or-nothing admission with reservation",
@@ -95,7 +95,7 @@
 }
 
 // judgeControl judges changes of the configuration, and what control may cost.
-func (a *assessment) judgeControl() {
+func (a *assessment) assessControl() {
 	a.addRequirement(requirement{
 		name:      "13,000 changes of configuration a day, in force within 14 s",
 		mechanism: "versioned configuration with incremental distribution",
@@ -124,7 +124,7 @@
 }
 
 // judgeFailures judges failures of workers, racks, zones and regions.
-func (a *assessment) judgeFailures() {
+func (a *assessment) assessFailures() {
 	a.addMeasured(requirement{
 		name:      "210 failures, 4,900 restarts a day",
 		mechanism: "changes on the watch",
--- a/internal/lab/capacity/run.go
+++ b/internal/lab/capacity/run.go
@@ -31,7 +31,7 @@
 }
 
 // memoryDivisor is by how much the machine's memory is divided into what the tool may take.
-const memoryDivisor = 2
+const maxMemoryDivisor = 2
 
 // errTooMuchMemory says that the tool would take too much of the machine's memory.
 var errTooMuchMemory = errors.New("the machine's memory would not do: over half of it would be taken")
@@ -43,30 +43,30 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Result{Measured: Measured{Commit: currentCommit(ctx), Short: o.Short}, Dimensions: len(chosen)}
-	if r.MachineMemory, err = machineMemory(); err != nil {
+	result := &Result{Measured: Measured{Commit: currentCommit(ctx), Short: o.Short}, Dimensions: len(chosen)}
+	if result.MachineMemory, err = machineMemory(); err != nil {
 		return nil, err
 	}
 	p := plan{short: o.Short, runs: runsPerSize, seed: o.Seed, program: o.Program}
 	for _, d := range chosen {
-		began := time.Now()
+		startedAt := time.Now()
 		series, err := d.measure(ctx, p)
 		if err != nil {
 			return nil, err
 		}
 		if d.processes != nil {
-			r.Processes = max(r.Processes, d.processes(p))
+			result.Processes = max(result.Processes, d.processes(p))
 		}
-		r.Series = append(r.Series, series...)
+		result.Series = append(result.Series, series...)
 		for i := range series {
 			fmt.Fprintln(out, series[i].summary())
 		}
-		fmt.Fprintf(out, "%s: %.1f s\n", d.name, time.Since(began).Seconds())
-		if err := r.recordMemory(); err != nil {
+		fmt.Fprintf(out, "%s: %.1f s\n", d.name, time.Since(startedAt).Seconds())
+		if err := result.recordMemory(); err != nil {
 			return nil, err
 		}
 	}
-	return r, nil
+	return result, nil
 }
 
 // summary is the series in one line.
@@ -84,7 +84,7 @@
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	r.PeakMemory = max(r.PeakMemory, float64(m.Sys))
-	if r.PeakMemory > r.MachineMemory/memoryDivisor {
+	if r.PeakMemory > r.MachineMemory/maxMemoryDivisor {
 		return fmt.Errorf("%w: %.1f of %.1f GB", errTooMuchMemory, gigabytes(r.PeakMemory), gigabytes(r.MachineMemory))
 	}
 	return nil
--- a/internal/lab/capacity/schedulers.go
+++ b/internal/lab/capacity/schedulers.go
@@ -19,7 +19,7 @@
 // measureSchedulers measures the calls that all schedulers together make to discovery.
 func measureSchedulers(ctx context.Context, p plan) ([]Series, error) {
 	rng := rand.New(rand.NewPCG(p.seed, 1))
-	each := func(count func(schedulers int, rng *rand.Rand) float64) func(int) ([]float64, error) {
+	repeatRuns := func(count func(schedulers int, rng *rand.Rand) float64) func(int) ([]float64, error) {
 		return func(schedulers int) (runs []float64, _ error) {
 			for range p.runs {
 				runs = append(runs, count(schedulers, rng))
@@ -28,8 +28,8 @@
 		}
 	}
 	return measureBySize(ctx, "schedulers", p.sizes(30, 60, 100, 200, 300, 600, 1000),
-		costGauge{"discovery.watch_calls", "calls/s", each(watchCalls)},
-		costGauge{"discovery.start_peak", "calls/s", each(startPeak)},
+		costMeasurement{"discovery.watch_calls", "calls/s", repeatRuns(watchCalls)},
+		costMeasurement{"discovery.start_peak", "calls/s", repeatRuns(startPeak)},
 	)
 }
 
@@ -37,8 +37,8 @@
 func watchCalls(schedulers int, rng *rand.Rand) float64 {
 	calls := 0
 	for range schedulers {
-		asker := pollpacing.NewPacer(schedulers, 0, rng)
-		for at := time.Duration(0); at < watchDuration; at += asker.WatchHold() {
+		pacer := pollpacing.NewPacer(schedulers, 0, rng)
+		for at := time.Duration(0); at < watchDuration; at += pacer.WatchHold() {
 			calls++
 		}
 	}
@@ -47,16 +47,16 @@
 
 // startPeak returns the calls in the worst second after all schedulers have started at once.
 func startPeak(schedulers int, rng *rand.Rand) float64 {
-	worst := 0.0
+	maxPeak := 0.0
 	for range startsPerRun {
-		seconds := map[int]int{}
+		callsBySecond := map[int]int{}
 		peak := 0
 		for range schedulers {
 			second := int(math.Floor(pollpacing.NewPacer(schedulers, 0, rng).InitialDelay().Seconds()))
-			seconds[second]++
-			peak = max(peak, seconds[second])
+			callsBySecond[second]++
+			peak = max(peak, callsBySecond[second])
 		}
-		worst = max(worst, float64(peak))
+		maxPeak = max(maxPeak, float64(peak))
 	}
-	return worst
+	return maxPeak
 }
--- a/internal/lab/capacity/series.go
+++ b/internal/lab/capacity/series.go
@@ -40,11 +40,11 @@
 // addPoint adds the runs at one size.
 func (s *Series) addPoint(size int, runs []float64) {
 	sorted := slices.Sorted(slices.Values(runs))
-	p := Point{Size: size, Runs: runs, Median: median(sorted)}
-	if p.Median != 0 {
-		p.RelativeRange = (sorted[len(sorted)-1] - sorted[0]) / p.Median
+	point := Point{Size: size, Runs: runs, Median: median(sorted)}
+	if point.Median != 0 {
+		point.RelativeRange = (sorted[len(sorted)-1] - sorted[0]) / point.Median
 	}
-	s.Points = append(s.Points, p)
+	s.Points = append(s.Points, point)
 }
 
 // median returns the value in the middle of sorted ones, or the mean of the two there.
@@ -103,8 +103,8 @@
 		}
 		if i > 0 && float64(p.Size) > size && float64(s.Points[i-1].Size) < size {
 			before := s.Points[i-1]
-			part := math.Log(size/float64(before.Size)) / math.Log(float64(p.Size)/float64(before.Size))
-			return before.Median * math.Pow(p.Median/before.Median, part)
+			position := math.Log(size/float64(before.Size)) / math.Log(float64(p.Size)/float64(before.Size))
+			return before.Median * math.Pow(p.Median/before.Median, position)
 		}
 	}
 	offset, slope := s.extrapolation()
@@ -122,8 +122,8 @@
 			return float64(p.Size)
 		}
 		before := s.Points[i-1]
-		part := math.Log(bound/before.Median) / math.Log(p.Median/before.Median)
-		return float64(before.Size) * math.Pow(float64(p.Size)/float64(before.Size), part)
+		position := math.Log(bound/before.Median) / math.Log(p.Median/before.Median)
+		return float64(before.Size) * math.Pow(float64(p.Size)/float64(before.Size), position)
 	}
 	offset, slope := s.extrapolation()
 	if slope <= 0 {
--- a/internal/lab/capacity/tasks.go
+++ b/internal/lab/capacity/tasks.go
@@ -16,7 +16,7 @@
 // core and the module, and the time of an idle tick.
 func measureTasks(ctx context.Context, p plan) ([]Series, error) {
 	return measureBySize(ctx, "tasks", p.sizes(100, 300, 1000, 3000, 10_000),
-		costGauge{"tasks.memory", "bytes", func(tasks int) (runs []float64, err error) {
+		costMeasurement{"tasks.memory", "bytes", func(tasks int) (runs []float64, err error) {
 			for range p.runs {
 				h, bytes, err := memoryOfTasks(tasks)
 				if err != nil {
@@ -27,7 +27,7 @@
 			}
 			return runs, nil
 		}},
-		costGauge{"tasks.idle_tick", "ns", func(tasks int) ([]float64, error) {
+		costMeasurement{"tasks.idle_tick", "ns", func(tasks int) ([]float64, error) {
 			return tickWithTasks(tasks, p.runs)
 		}},
 	)
@@ -87,5 +87,5 @@
 			return nil, fmt.Errorf("%w: %d of %d", errTasksNotSent, i, tasks)
 		}
 	}
-	return timeEach(runs, h.idleTick), nil
+	return timePerCall(runs, h.idleTick), nil
 }
--- a/internal/lab/capacity/timing.go
+++ b/internal/lab/capacity/timing.go
@@ -9,15 +9,15 @@
 const minTimedDuration = 4 * time.Millisecond
 
 // timeEach returns the nanoseconds that one call of a step takes, in several runs.
-func timeEach(runs int, step func()) (took []float64) {
+func timePerCall(runs int, step func()) (took []float64) {
 	step() // what is made once, at the first call, is no part of it
 	for range runs {
-		n, began := 0, time.Now()
-		for time.Since(began) < minTimedDuration {
+		calls, startedAt := 0, time.Now()
+		for time.Since(startedAt) < minTimedDuration {
 			step()
-			n++
+			calls++
 		}
-		took = append(took, float64(time.Since(began).Nanoseconds())/float64(n))
+		took = append(took, float64(time.Since(startedAt).Nanoseconds())/float64(calls))
 	}
 	return took
 }
--- a/internal/lab/capacity/workers.go
+++ b/internal/lab/capacity/workers.go
@@ -19,35 +19,35 @@
 func measureWorkers(ctx context.Context, p plan) ([]Series, error) {
 	var cycle drainCycle
 	return measureBySize(ctx, "workers", p.sizes(workerSizes...),
-		p.moduleGauge("module.idle_tick", func(h *hollowModule, _ int) { h.idleTick() }),
-		p.moduleGauge("module.change", func(h *hollowModule, workers int) {
+		p.moduleStepTime("module.idle_tick", func(h *hollowModule, _ int) { h.idleTick() }),
+		p.moduleStepTime("module.change", func(h *hollowModule, workers int) {
 			i, state := cycle.next()
 			h.updateWorker(i%workers, state)
 		}),
-		p.moduleGauge("module.job", func(h *hollowModule, _ int) {
+		p.moduleStepTime("module.job", func(h *hollowModule, _ int) {
 			h.runJob(int(h.jobs)%TargetTeams, 0)
 		}),
-		p.moduleGauge("module.keyed_job", func(h *hollowModule, _ int) {
+		p.moduleStepTime("module.keyed_job", func(h *hollowModule, _ int) {
 			h.runJob(int(h.jobs)%TargetTeams, rand.Uint64())
 		}),
-		costGauge{"module.whole_list", "ns", func(workers int) ([]float64, error) {
-			return timeCompleteSnapshot(fleetOf(workers), p.runs)
+		costMeasurement{"module.whole_list", "ns", func(workers int) ([]float64, error) {
+			return timeCompleteSnapshot(deploymentForWorkers(workers), p.runs)
 		}},
-		costGauge{"core.change", "ns", func(workers int) ([]float64, error) {
-			h, err := fleetOf(workers).core()
+		costMeasurement{"core.change", "ns", func(workers int) ([]float64, error) {
+			h, err := deploymentForWorkers(workers).core()
 			if err != nil {
 				return nil, err
 			}
 			defer h.Stop()
-			return timeEach(p.runs, func() {
+			return timePerCall(p.runs, func() {
 				i, state := cycle.next()
 				h.updateWorker(i%workers, state)
 			}), nil
 		}},
-		costGauge{"core.memory", "bytes", func(workers int) ([]float64, error) {
-			return memoryOfWorkers(fleetOf(workers), p.runs)
+		costMeasurement{"core.memory", "bytes", func(workers int) ([]float64, error) {
+			return memoryOfWorkers(deploymentForWorkers(workers), p.runs)
 		}},
-		costGauge{"list.bytes", "bytes", func(workers int) ([]float64, error) {
+		costMeasurement{"list.bytes", "bytes", func(workers int) ([]float64, error) {
 			bytes, err := endpointsBytes(workers)
 			return []float64{float64(bytes)}, err
 		}},
@@ -55,18 +55,18 @@
 }
 
 // fleetOf is the deployment of the module's measurements at a number of workers.
-func fleetOf(workers int) deployment {
+func deploymentForWorkers(workers int) deployment {
 	return deployment{workers: workers, schedulers: measuredSchedulers, teams: TargetTeams}
 }
 
 // moduleGauge times a step of a module that knows so many workers.
-func (p plan) moduleGauge(name string, step func(h *hollowModule, workers int)) costGauge {
-	return costGauge{name, "ns", func(workers int) ([]float64, error) {
-		h, err := fleetOf(workers).module()
+func (p plan) moduleStepTime(name string, step func(h *hollowModule, workers int)) costMeasurement {
+	return costMeasurement{name, "ns", func(workers int) ([]float64, error) {
+		h, err := deploymentForWorkers(workers).module()
 		if err != nil {
 			return nil, err
 		}
-		return timeEach(p.runs, func() { step(h, workers) }), nil
+		return timePerCall(p.runs, func() { step(h, workers) }), nil
 	}}
 }
 
@@ -74,12 +74,12 @@
 type drainCycle int
 
 // next returns the next worker that changes, by its number, and its new state.
-func (t *drainCycle) next() (worker int, state foxlift.WorkerState) {
-	*t++
-	if *t%2 == 0 {
-		return int(*t) / 2, foxlift.Draining
+func (c *drainCycle) next() (worker int, state foxlift.WorkerState) {
+	*c++
+	if *c%2 == 0 {
+		return int(*c) / 2, foxlift.Draining
 	}
-	return int(*t) / 2, foxlift.Live
+	return int(*c) / 2, foxlift.Live
 }
 
 // timeCompleteSnapshot times the first complete endpoint list of a module.
@@ -95,14 +95,14 @@
 			return nil, err
 		}
 		runtime.GC() // none falls into what is timed
-		began := time.Now()
+		startedAt := time.Now()
 		dispatcher.Step(int64(time.Second), []foxlift.Event{{
 			Kind:           foxlift.EventEndpoints,
 			EndpointUpdate: foxlift.EndpointsComplete,
 			Workers:        workers,
 		}})
 		if i > 0 { // the first one warms the caches
-			took = append(took, float64(time.Since(began).Nanoseconds()))
+			took = append(took, float64(time.Since(startedAt).Nanoseconds()))
 		}
 	}
 	return took, nil
