--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -11,7 +11,7 @@
 type State struct {
 	DrainProgress
 	Modules map[string]*foxlift.Snapshot `json:"Modules"` // by name of the cell; "" without cells
-	IDs     []string                     `json:"IDs"`     // open or recently answered jobs that must not run twice
+	IDs     []string                     `json:"IDs"`     // ids of open or recent jobs that must not run twice
 }
 
 // A DrainProgress is the part of a State that the successor polls while the predecessor drains.
