--- a/cmd/foxlift-sim/main.go
+++ b/cmd/foxlift-sim/main.go
@@ -1,5 +1,5 @@
-// Command foxlift-sim runs dispatchers for the simulator: it reads batches of events on standard input and
-// writes one line of actions for each on standard output.
+// Command foxlift-sim runs dispatchers for the simulator. It reads batches of events from standard input, one a line,
+// and writes one line of actions for each batch to standard output.
 package main
 
 import (
@@ -23,26 +23,27 @@
 	}
 }
 
-// bufferSize is that of the reader and the writer; longer lines are read in pieces.
+// bufferSize is the size of the reader's and the writer's buffer, in bytes. Longer lines are read in several parts.
 const bufferSize = 1 << 20
 
-// An instance is one running dispatcher; instances share nothing.
+// An instance is one running dispatcher. Instances share no state.
 type instance struct {
 	names      *wire.NameTables
-	dispatcher *foxlift.Dispatcher // nil: its settings cannot run
-	events     []foxlift.Event
+	dispatcher *foxlift.Dispatcher // nil if the settings are invalid
+	events     []foxlift.Event     // of the current batch
 }
 
-// A host runs the instances and makes the reply to a batch. It implements wire.Handler.
+// A host runs the instances and builds the reply to each batch. It implements wire.Handler.
 type host struct {
 	instances    map[string]*instance
-	pending      []*instance // those with events in this batch, in order of arrival
+	pending      []*instance // instances with events in this batch, in order of arrival
 	now          int64
 	reply        []byte
-	prefixLength int // of a reply without actions
+	prefixLength int // of the reply before its first action
 }
 
-// serve answers each line of in by one of out, until in ends.
+// serve reads batches from in and writes one line to out for each, until in ends. A decoding error names the batch and
+// its line.
 func serve(in io.Reader, out io.Writer) error {
 	lines := lineReader{reader: bufio.NewReaderSize(in, bufferSize)}
 	w := bufio.NewWriterSize(out, bufferSize)
@@ -76,7 +77,7 @@
 	longLine []byte // a line that is longer than the reader's buffer
 }
 
-// next returns the next line, which is valid until the next call. The last one may end with io.EOF.
+// next returns the next line, which is valid until the next call. The last line may be returned together with io.EOF.
 func (r *lineReader) next() ([]byte, error) {
 	line, err := r.reader.ReadSlice('\n')
 	if !errors.Is(err, bufio.ErrBufferFull) {
@@ -106,7 +107,7 @@
 	}
 }
 
-// Attach starts an instance. Settings that cannot run are reported on the wire.
+// Attach starts an instance. It reports invalid settings in the reply.
 func (h *host) Attach(name string, seed uint64, settings *fastjson.Value) error {
 	cfg, names, err := wire.ParseSettings(name, settings)
 	var dispatcher *foxlift.Dispatcher
@@ -114,7 +115,7 @@
 		dispatcher, err = foxlift.New(*cfg, seed)
 	}
 	if err != nil {
-		// It is kept without a dispatcher, so that its events are ignored.
+		// The instance is kept without a dispatcher, so that its events are ignored.
 		h.appendSeparator()
 		h.reply = wire.AppendError(h.reply, name, err.Error())
 		names, dispatcher = &wire.NameTables{Instance: name}, nil
@@ -126,7 +127,7 @@
 	return nil
 }
 
-// Down ends an instance; what it had not yet answered is lost with it.
+// Down stops an instance. Its unanswered requests are lost.
 func (h *host) Down(name string) error {
 	if h.instances[name] == nil {
 		return fmt.Errorf("instance %q does not run", name)
@@ -135,7 +136,7 @@
 	return nil
 }
 
-// remove ends an instance and drops its events of this batch.
+// remove deletes an instance and drops its events of this batch.
 func (h *host) remove(name string) {
 	removed := h.instances[name]
 	delete(h.instances, name)
@@ -147,7 +148,7 @@
 	}
 }
 
-// Names returns the tables of a running instance, or nil.
+// Names returns the name tables of a running instance, or nil if it is not running.
 func (h *host) Names(name []byte) *wire.NameTables {
 	if inst := h.instances[string(name)]; inst != nil {
 		return inst.names
@@ -155,7 +156,7 @@
 	return nil
 }
 
-// Event keeps an event for its instance until the batch has been read.
+// Event stores an event for its instance until the whole batch has been read.
 func (h *host) Event(n *wire.NameTables, ev *foxlift.Event) error {
 	inst := n.Owner.(*instance)
 	if inst.dispatcher == nil {
@@ -171,7 +172,7 @@
 	return nil
 }
 
-// step passes each instance its events of the batch and appends its actions to the reply.
+// step passes the events of the batch to each instance and appends the resulting actions to the reply.
 func (h *host) step() {
 	for _, inst := range h.pending {
 		actions := inst.dispatcher.Step(h.now, inst.events)
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,6 @@
-// Package admin serves the operators' address: whether the scheduler is ready, its metrics, and taking
-// it out of service and back. It is HTTP/1.1 with one request per connection: a 2xx means yes, a 4xx or
-// 5xx no. A Server owns its listener and the goroutine that serves it.
+// Package admin serves the operators' address: readiness, metrics, and requests to take the scheduler out of service
+// and back. It speaks HTTP/1.1 with one request per connection. A 2xx response means ready or done, a 4xx or 5xx one the
+// opposite. A Server owns its listener and the goroutine that serves it.
 package admin
 
 import (
@@ -14,7 +14,7 @@
 	"go.uber.org/zap"
 )
 
-// The paths of the requests.
+// The request paths.
 const (
 	PathHealth  = "/admin/health"
 	PathStats   = "/admin/stats"
@@ -23,32 +23,32 @@
 )
 
 const (
-	readTimeout    = 4500 * time.Millisecond // for a whole request to arrive; some clients take 4 s
+	readTimeout    = 4500 * time.Millisecond // for a complete request to arrive; some clients take 4 s
 	writeTimeout   = 2 * time.Second         // for a response, from the end of the request's header
 	maxHeaderBytes = 8 << 10
-	stopTimeout    = 100 * time.Millisecond // for the responses in progress when the server stops
+	stopTimeout    = 100 * time.Millisecond // for responses in progress when the server stops
 )
 
-// A Scheduler is what the requests act on. Its methods may be called on any goroutine and must return
-// at once.
+// A Scheduler is the scheduler that the requests control. Its methods may be called from any goroutine and must not
+// block.
 type Scheduler interface {
-	// Ready reports whether clients are served.
+	// Ready reports whether the scheduler serves clients.
 	Ready() bool
-	// Quiesce takes the scheduler out of service. While it is, another call changes nothing.
+	// Quiesce takes the scheduler out of service. It does nothing if the scheduler is out of service.
 	Quiesce()
-	// Resume ends that. Without a Quiesce before it, it changes nothing.
+	// Resume puts the scheduler back into service. It does nothing if the scheduler is in service.
 	Resume()
 }
 
-// A Server serves the operators' address.
+// A Server serves requests to the operators' address.
 type Server struct {
 	http     *http.Server
 	listener *boundedListener
 	served   chan struct{} // closed when the address is no longer served
 }
 
-// Listen starts to serve an address, with a bound on its connections; ctx bounds the start alone. The
-// metrics handler answers GET /admin/stats. The error says why the address cannot be listened on.
+// Listen starts to serve an address with at most the given number of connections. ctx applies to the start only. The
+// metrics handler answers GET /admin/stats. An error names the configuration key of the address.
 func Listen(
 	ctx context.Context, address string, connections int, s Scheduler, metrics http.Handler, log *zap.Logger,
 ) (*Server, error) {
@@ -65,10 +65,10 @@
 		http: &http.Server{
 			Handler:        newHandler(s, metrics),
 			ReadTimeout:    readTimeout,
-			WriteTimeout:   readTimeout + writeTimeout, // it counts from the accept for the first request
+			WriteTimeout:   readTimeout + writeTimeout, // the deadline starts at the accept for the first request
 			MaxHeaderBytes: maxHeaderBytes,
 			ConnContext:    bounded.connContext,
-			ErrorLog:       zap.NewStdLog(zap.NewNop()), // what clients send must not fill the log
+			ErrorLog:       zap.NewStdLog(zap.NewNop()), // invalid requests must not fill the log
 		},
 	}
 	server.http.SetKeepAlivesEnabled(false)
@@ -76,33 +76,34 @@
 	return server, nil
 }
 
+// serve accepts connections until the listener is closed.
 func (s *Server) serve(log *zap.Logger) {
 	defer close(s.served)
 	if err := s.http.Serve(s.listener); err != nil && !errors.Is(err, http.ErrServerClosed) {
-		log.Error("admin: the operators' address is no longer served", zap.Error(err))
+		log.Error("admin server: accept failed, the operators' address is no longer served", zap.Error(err))
 	}
 }
 
-// Addr returns the address that is served.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Stop ends the server. Responses in progress have a moment to be written.
+// Stop shuts the server down and waits until it has ended. Responses in progress get stopTimeout to be written.
 func (s *Server) Stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	if s.http.Shutdown(ctx) != nil {
-		_ = s.http.Close() // an error of the listener's close, which Shutdown has told of
+		_ = s.http.Close() // an error of closing the listener, which Shutdown has already returned
 	}
 	<-s.served
 }
 
-// An endpoint is a path's one method and its handler.
+// An endpoint is the only method of a path, with its handler.
 type route struct {
 	method string
 	handle http.HandlerFunc
 }
 
-// newHandler answers each request: an unknown path with 404, another method than the path's with 405.
+// newHandler returns the handler of all requests. It answers 404 for an unknown path and 405 for a wrong method.
 func newHandler(s Scheduler, metrics http.Handler) http.Handler {
 	routes := map[string]route{
 		PathHealth: {http.MethodGet, func(w http.ResponseWriter, _ *http.Request) {
@@ -133,6 +134,7 @@
 	})
 }
 
+// respondReady answers a readiness check: 200 if ready, 503 otherwise.
 func respondReady(w http.ResponseWriter, ready bool) {
 	if !ready {
 		respond(w, http.StatusServiceUnavailable, "not ready")
@@ -141,6 +143,7 @@
 	respond(w, http.StatusOK, "ready")
 }
 
+// respond writes a response with one line of plain text.
 func respond(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(status)
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -8,21 +8,20 @@
 	"time"
 )
 
-// minPendingAge is how long a connection without a complete request may not be closed: a client that did
-// not stop half way has sent it by then, even where many connect at once.
+// minPendingAge is the age before which a connection without a complete request must not be closed for another one. A
+// client that does not stop half way has sent its request by then, even if many clients connect at once.
 const minPendingAge = 20 * time.Millisecond
 
-// A boundedListener bounds its open connections. While the bound is reached it closes the connection
-// that has been open longest without a complete request, once that has minPendingAge; until then new
-// connections wait to be accepted.
+// A boundedListener limits the number of its open connections. At the limit it closes the oldest connection without a
+// complete request as soon as that has reached minPendingAge. Until then new connections wait to be accepted.
 type boundedListener struct {
 	net.Listener
 	maxOpen int
 
 	mu            sync.Mutex
-	capacityFreed *sync.Cond // a connection has been closed, or the listener has
+	capacityFreed *sync.Cond // a connection or the listener has been closed
 	open          int
-	pending       *list.List // of *boundedConn without a complete request, the oldest first
+	pending       *list.List // of *boundedConn without a complete request, oldest first
 	closed        bool
 }
 
@@ -31,7 +30,7 @@
 	net.Conn
 	listener   *boundedListener
 	acceptedAt time.Time
-	element    *list.Element // in pending; nil after a complete request or the close
+	element    *list.Element // in listener.pending; nil after a complete request or the close
 	closed     bool
 }
 
@@ -67,7 +66,7 @@
 	return l.Listener.Close()
 }
 
-// reserve waits until one more connection may be open and counts it; false if the listener is closed.
+// reserve waits until one more connection may be open, and counts it. It returns false if the listener is closed.
 func (l *boundedListener) reserve() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,8 +80,8 @@
 	return true
 }
 
-// freeCapacityLocked closes the oldest connection without a complete request, or waits until it may be
-// closed or another one has been.
+// freeCapacityLocked closes the oldest connection without a complete request. If it must not be closed yet, or there is
+// none, it waits for a change; the caller checks the limit again.
 func (l *boundedListener) freeCapacityLocked() {
 	oldest := l.pending.Front()
 	if oldest == nil {
@@ -96,7 +95,7 @@
 		wakeUp.Stop()
 		return
 	}
-	_ = c.closeLocked() // the connection is given up
+	_ = c.closeLocked() // the connection is abandoned, so an error does not matter
 }
 
 // Close implements net.Conn.
@@ -106,6 +105,7 @@
 	return c.closeLocked()
 }
 
+// closeLocked closes the connection and releases its place. A repeated call returns net.ErrClosed.
 func (c *boundedConn) closeLocked() error {
 	if c.closed {
 		return net.ErrClosed
@@ -117,7 +117,7 @@
 	return c.Conn.Close()
 }
 
-// unlistLocked takes the connection out of those that may be closed for another.
+// unlistLocked removes the connection from those that may be closed to make room for another.
 func (c *boundedConn) removePendingLocked() {
 	if c.element != nil {
 		c.listener.pending.Remove(c.element)
@@ -125,14 +125,16 @@
 	}
 }
 
+// connKey is the context key of a request's *boundedConn.
 type connKey struct{}
 
-// connContext lets a request's handler find its connection.
+// connContext stores a connection in the context of its requests, for markRequestReceived.
 func (l *boundedListener) connContext(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// markRequestReceived notes that a complete request has arrived on the connection of a handler's context.
+// markRequestReceived records that a complete request has arrived on the connection in ctx. The connection is then no
+// longer closed to make room for another.
 func markRequestReceived(ctx context.Context) {
 	if c, ok := ctx.Value(connKey{}).(*boundedConn); ok {
 		c.listener.mu.Lock()
--- a/internal/platform/buffer.go
+++ b/internal/platform/buffer.go
@@ -8,25 +8,26 @@
 	"syscall"
 )
 
-// A buffer is the one read buffer of a connection. It grows as a message needs, and what is left is moved to
-// its front when the space behind it runs out.
+// A readBuffer is the read buffer of a connection. It grows to the size of the largest message. Unconsumed bytes
+// are moved to its start when there is no free space after them.
 type readBuffer struct {
 	conn net.Conn
 	data []byte
-	r, w int // data[r:w] is read from the connection and not yet consumed
+	r, w int // data[r:w] has been read from the connection and not yet consumed
 }
 
 const (
-	initialBufferSize     = 2 << 10
-	maxRetainedBufferSize = 16 << 10 // a larger buffer is given back once it is empty
+	initialBufferSize     = 2 << 10  // bytes
+	maxRetainedBufferSize = 16 << 10 // bytes; a larger buffer is released once it is empty
 )
 
+// buffered returns the number of bytes that have been read and not yet consumed.
 func (b *readBuffer) buffered() int { return b.w - b.r }
 
-// discard forgets what is buffered.
+// discard drops all buffered bytes.
 func (b *readBuffer) discard() { b.r, b.w = 0, 0 }
 
-// reserve makes space behind what is buffered.
+// reserve makes free space after the buffered bytes: it moves them to the start and doubles a full buffer.
 func (b *readBuffer) reserve() {
 	if b.r > 0 {
 		b.w = copy(b.data, b.data[b.r:b.w])
@@ -39,8 +40,8 @@
 	}
 }
 
-// fill reads from the connection once. A deadline that has passed does not hide what had arrived: the process
-// may only have had no time to read it.
+// fill reads from the connection once and returns nil if bytes were added. Bytes that arrived before the read
+// deadline expired are still read: the process may not have been scheduled in time.
 func (b *readBuffer) fill() error {
 	if b.w == len(b.data) {
 		b.reserve()
@@ -60,8 +61,8 @@
 	return err
 }
 
-// fillAvailable reads what has already arrived, without waiting. It returns false if the other side has ended
-// the connection.
+// fillAvailable reads bytes that have already arrived, without waiting. It returns false if the other side has
+// closed the connection or the read failed.
 func (b *readBuffer) fillAvailable() bool {
 	sc, ok := b.conn.(syscall.Conn)
 	if !ok {
--- a/internal/platform/client_capacity.go
+++ b/internal/platform/client_capacity.go
@@ -7,7 +7,7 @@
 	"github.com/vatu-meals/foxlift/internal/core"
 )
 
-// setBudget changes how many connections there may be; where there are more, idle ones are closed.
+// setBudget changes the maximum number of client connections. It closes idle connections above the new maximum.
 func (s *clientServer) setBudget(budget int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -16,13 +16,14 @@
 	s.capacityChanged.Broadcast()
 }
 
-// maxOpenJobs is how many jobs may be open under a budget. Each holds a connection, and some connections must be
-// left on which further requests are read and shed: what the kernel has accepted and nobody reads is lost.
+// maxOpenJobs returns the maximum number of open jobs for a connection budget. Each open job occupies a connection;
+// the remaining connections serve to read further requests and shed them. A request on a connection that only the
+// kernel has accepted would be lost unread.
 func maxOpenJobs(budget int) int { return budget - max(1, budget/spareConnsDivisor) }
 
-// awaitCapacity waits until the budget allows another connection. Shortly before that is needed, the longest idle
-// ones begin to be closed. During shutdown it does not wait, and what the kernel has accepted by then is all
-// that is left to accept: last is true.
+// awaitCapacity waits until the budget allows another connection. It starts to close idle connections before the
+// budget is used up. During shutdown it does not wait and returns true: only the connections that the kernel has
+// already accepted remain to be accepted.
 func (s *clientServer) awaitCapacity() (stopping bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -31,28 +32,33 @@
 		if len(s.conns) < s.budget {
 			break
 		}
-		recheck := time.AfterFunc(firstByteGrace, s.capacityChanged.Broadcast) // some are no longer new by then
+		recheck := time.AfterFunc(firstByteGrace, s.capacityChanged.Broadcast) // connections may have passed their grace
 		s.capacityChanged.Wait()
 		recheck.Stop()
 	}
 	if stopping = s.stopAccepting.Load(); stopping {
-		_ = s.listener.SetDeadline(time.Now().Add(backlogTimeout)) // fails on a closed one, as Accept does
+		_ = s.listener.SetDeadline(time.Now().Add(backlogTimeout)) // fails on a closed listener, as Accept does
 	}
 	return stopping
 }
 
-// freeOne closes an idle connection, and maybe some more.
+// freeOne frees capacity for at least one connection.
 func (s *clientServer) freeOneConn() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.freeCapacityLocked(1)
 }
 
-// freeCapacityLocked closes n connections and, where n is over 0, some more. Those that are about to end already
-// count. The first to be closed are those that never brought a request and are silent, then those that are
-// slow about their first, then those that brought one and stayed. All of these are closed at once: a client
-// behind a flood would else wait for one batch of closes after the other, while its job's time runs out
-// unread. Last come the longest idle of those that brought more, a batch at a time, so that a flood does not
+// freeCapacityLocked frees capacity for at least target connections; it does nothing if target is 0 or less.
+// Connections that are about to end already count. Connections are closed in this order:
+//
+//  1. idle connections without a request after firstByteGrace,
+//  2. connections whose first request is incomplete after firstRequestGrace,
+//  3. idle connections that sent a single request,
+//  4. idle connections that sent more requests, the longest idle first.
+//
+// All connections of groups 1 to 3 are closed at once: otherwise a client behind a flood would wait for one batch of
+// closes after another while its job's deadline expires unread. Group 4 is closed in batches, so that a flood does not
 // cost other clients their connections.
 func (s *clientServer) freeCapacityLocked(target int) {
 	if target <= 0 {
@@ -79,7 +85,7 @@
 	}
 	for c := range s.conns {
 		if c.requests == 0 && !c.retired.Load() {
-			target-- // it brings a request or ends before long
+			target-- // it sends a request or is closed soon
 		}
 	}
 	target -= s.budget - s.budget/closeBatchDivisor
@@ -99,9 +105,8 @@
 	}
 }
 
-// assignCell counts a connection among those of the cell of the job that it has brought, and returns whether that
-// cell may keep it. Until its first job is read nobody can know which cell a connection is of; from then on no
-// cell's clients hold more than their part of the descriptors.
+// assignCell counts a connection towards the cell of its latest job. It returns false if the cell exceeds its share of
+// the connections and this one must be closed. The cell of a connection is unknown until its first job has been read.
 func (s *clientServer) assignCell(c *clientConn, job *core.Job) bool {
 	cell, maxConns := s.core.Cell(job.Tenant, job.Key)
 	if cell == "" {
@@ -117,6 +122,7 @@
 	return true
 }
 
+// setCellLocked moves a connection to another cell's count; an empty cell removes it from the counts.
 func (s *clientServer) setCellLocked(c *clientConn, cell string) {
 	if c.cell == cell {
 		return
@@ -131,8 +137,8 @@
 	}
 }
 
-// retireLocked closes a connection as soon as it is idle. Only an idle one is woken: a deadline in the past would
-// break off the reading of a request.
+// retireLocked marks a connection to be closed as soon as it is idle. It wakes only an idle connection: a read deadline
+// in the past would interrupt the reading of a request.
 func (s *clientServer) retireLocked(c *clientConn) {
 	if !c.retired.Swap(true) && c.idle {
 		c.conn.SetReadDeadline(pastDeadline)
--- a/internal/platform/client_conn.go
+++ b/internal/platform/client_conn.go
@@ -15,41 +15,41 @@
 )
 
 const (
-	// For a request, from its first byte to its last; for the first on a connection from the accept. A
-	// client that sends nothing or half a request gets its answer within 3 s.
+	// requestTimeout limits the time from the first byte of a request to the last, and from the accept for the first
+	// request of a connection. A client that sends nothing or half a request must get its answer within 3 s.
 	requestTimeout     = 2 * time.Second
-	answerWriteTimeout = 10 * time.Second       // to write an answer
-	lingerTimeout      = 250 * time.Millisecond // for the other side to read an answer before the close,
-	maxLingerBytes     = 1 << 20                // while it goes on sending at most this
-	floodBackoff       = time.Millisecond       // between two reads of what a client sends past a head's length
+	answerWriteTimeout = 10 * time.Second       // for writing an answer
+	lingerTimeout      = 250 * time.Millisecond // for the client to read the last answer before the close
+	maxLingerBytes     = 1 << 20                // bytes read and dropped during lingerTimeout
+	floodBackoff       = time.Millisecond       // between reads of data that exceeds the size of a request head
 )
 
-// pastDeadline, as a read deadline, wakes a connection's goroutine from Read.
+// pastDeadline is a time in the past. Set as the read deadline, it interrupts a blocked Read.
 var pastDeadline = time.Unix(1, 0)
 
-// A clientConn is a client's connection. One goroutine serves it: it reads a request, hands the job to the
-// core, and while the job runs goes on reading, to notice that the client disconnects. Others wake it by a
-// read deadline in the past.
+// A clientConn is a client's connection. One goroutine serves it: it reads a request, passes the job to the core and
+// keeps reading while the job runs, to detect that the client disconnects. Other goroutines wake it by setting a read
+// deadline in the past.
 type clientConn struct {
 	server        *clientServer
 	conn          net.Conn
 	buf           readBuffer
 	openedAt      time.Time
-	retired       atomic.Bool // to end as soon as it is idle
+	retired       atomic.Bool // to be closed as soon as it is idle
 	answeredAt    time.Time   // when the last answer was written
-	answerPending bool        // a job was taken from it, and its answer has not been written
+	answerPending bool        // a job was accepted and its answer has not been written
 
 	// Guarded by server.mu.
-	idle        bool          // the next request has not begun
-	idleElement *list.Element // in server.idle, while awaiting
-	cell        string        // of its last job, where there are cells
-	requests    int           // requests that were taken, jobs and calls for the health
+	idle        bool          // waiting for the first byte of the next request
+	idleElement *list.Element // in server.idle, valid while idle
+	cell        string        // of its last job; empty if there is none or cells are not used
+	requests    int           // number of accepted requests, jobs and health checks
 }
 
-// A pendingAnswer is a client's wait for the answer to one job. It implements core.Client.
+// A pendingAnswer receives the answer to one job. It implements core.Client.
 type pendingAnswer struct {
 	conn   *clientConn
-	answer chan core.Answer // holds one
+	answer chan core.Answer // has capacity 1
 }
 
 // Answer implements core.Client.
@@ -57,26 +57,26 @@
 	select {
 	case p.answer <- a:
 		p.conn.conn.SetReadDeadline(pastDeadline)
-	default: // a second answer: the core gives only one
+	default: // the core gives only one answer; a second one is dropped
 	}
 }
 
-// Disconnected implements core.Client: the other side has ended the connection, or its sending on it,
-// and serve may not have come to read that yet.
+// Disconnected implements core.Client. It reports whether the client has closed the connection or its write side, even
+// if serve has not read that yet.
 func (p *pendingAnswer) Disconnected() bool { return peerClosed(p.conn.conn) }
 
-// serve runs until the connection ends.
+// serve handles requests until the connection ends, and closes it.
 func (c *clientConn) serve() {
 	for c.awaitRequest() && c.exchange() {
 	}
 	c.close()
 }
 
-// close is the one way in which a connection ends. A close with bytes unread resets the connection, and with it
-// an answer that the other side has not read yet; bytes may come at any moment until the other side knows of
-// the end. So the write side is closed first, and what still comes is read and dropped: nothing of it is
-// taken. That is bounded, since some clients might never stop sending. Where the other side's machine has had
-// the last answer for a while nothing can be lost, and other clients may need the descriptor.
+// close closes the connection; every connection ends here. Closing a socket with unread bytes resets the connection,
+// and the client may lose an answer that it has not read yet. Bytes can arrive until the client receives the end of the
+// connection. So close first closes the write side, and then reads and drops what still arrives, within a time and
+// byte limit since a client might never stop sending. It closes at once if the client's host has acknowledged the last
+// answer and lateRequestGrace has passed: then nothing can be lost, and other clients may need the descriptor.
 func (c *clientConn) close() {
 	defer c.conn.Close()
 	if rule := (guard.Close{
@@ -93,14 +93,15 @@
 	}
 }
 
-// awaitRequest waits for a request's first byte.
+// awaitRequest waits for the first byte of a request. It returns false if the connection must be closed.
 func (c *clientConn) awaitRequest() bool {
 	hadRequest := c.server.markIdle(c)
 	defer c.server.markBusy(c)
 	for {
 		currentDrain := c.server.activeDrain()
 		deadline := c.idleDeadline(currentDrain, hadRequest)
-		// In this order: a wake-up between the two ends the wait below.
+		// The deadline is set before the drain is checked again: the check detects a drain that started before it,
+		// and a drain that starts later sets a past deadline, which interrupts the read below.
 		c.conn.SetReadDeadline(deadline)
 		if c.server.activeDrain() != currentDrain {
 			continue
@@ -109,11 +110,10 @@
 			return true
 		}
 		if c.retired.Load() && !hadRequest && !c.server.closeIdle.Load() {
-			return c.buf.fillAvailable() && c.buf.buffered() > 0 // nothing of it is taken yet
+			return c.buf.fillAvailable() && c.buf.buffered() > 0 // no request of it has been accepted
 		}
 		if c.retired.Load() {
-			// A request may be on its way that was sent before the client could know of the end: it must
-			// not be lost unread.
+			// A request that the client sent before it could detect the close may still arrive and must not be lost.
 			c.conn.SetReadDeadline(time.Now().Add(c.server.lateRequestGrace))
 			return c.buf.fill() == nil || c.buf.fillAvailable() && c.buf.buffered() > 0
 		}
@@ -129,8 +129,8 @@
 	}
 }
 
-// idleDeadline is when the connection ends if no request has begun; zero for no such time. Only a drain ends
-// one that has brought a request before.
+// idleDeadline returns the time at which the connection is closed if no request has begun; zero means never. A
+// connection that has sent a request before is closed only by a drain.
 func (c *clientConn) idleDeadline(activeDrain *drain, hadRequest bool) time.Time {
 	switch {
 	case activeDrain != nil:
@@ -141,16 +141,16 @@
 	return time.Time{}
 }
 
-// exchange reads one request and answers it. It returns whether the connection goes on.
+// exchange reads one request and answers it. It returns whether the connection stays open.
 func (c *clientConn) exchange() bool {
 	req, body, err := c.readRequest()
 	var input *inputError
 	switch {
 	case errors.As(err, &input):
-		// What follows on the connection cannot be told from the invalid request.
+		// The end of an invalid request is unknown, so the connection cannot be used for another one.
 		return c.writeReply(c.rejectInput(input), true)
 	case err != nil:
-		return false // the connection ended within a request: nothing was taken
+		return false // the connection ended within a request, which was not accepted
 	}
 	switch {
 	case req.URL.Path == pathHealth:
@@ -171,15 +171,16 @@
 	return c.writeReply(c.formatAnswer(answer), req.Close || mustClose || overCellLimit)
 }
 
-// run hands a job to the core and waits for its answer. mustClose says that the connection must end with it:
-// the client has disconnected, or sends what cannot be taken.
+// run passes a job to the core and waits for its answer. mustClose reports that the connection must be closed after
+// the answer: the client has disconnected, or has sent too much data meanwhile.
 func (c *clientConn) runJob(job *core.Job) (answer core.Answer, mustClose bool) {
 	disconnected, flooded := false, false
 	pending := &pendingAnswer{c, make(chan core.Answer, 1)}
 	job.Client, job.ArrivedAt = pending, c.server.clock.Now()
 	c.server.core.Accept(job)
 	for {
-		// In this order: an answer between the two ends the read below.
+		// The deadline is reset before the answer is checked: a later answer sets a past deadline, which interrupts
+		// the read below.
 		c.conn.SetReadDeadline(time.Time{})
 		select {
 		case answer = <-pending.answer:
@@ -190,8 +191,8 @@
 			return <-pending.answer, true
 		}
 		if c.buf.buffered() >= maxHeadBytes {
-			// More than another request's head while one is in flight is a flood, none of which is taken.
-			// It is read on, slowly, since only behind it the client's disconnect can be seen.
+			// A client that sends more than a request head while its job is in flight floods the connection. The
+			// data is dropped. Reading goes on, slowly, because a disconnect can only be detected after the data.
 			flooded = true
 			c.buf.discard()
 			select {
--- a/internal/platform/client_reply.go
+++ b/internal/platform/client_reply.go
@@ -11,19 +11,19 @@
 	"github.com/vatu-meals/foxlift/internal/core"
 )
 
-// A reply is an answer as it goes out.
+// A reply is an HTTP response to a client.
 type reply struct {
 	status     int
-	retryAfter time.Duration
+	retryAfter time.Duration // sent as Retry-After; 0 means no header
 	body       []byte
 }
 
-// plainReply is an answer of one line of text.
+// plainReply returns a reply whose body is one line of text.
 func plainReply(status int, text string) reply {
 	return reply{status: status, body: []byte(text + "\n")}
 }
 
-// rejectInput counts invalid input and returns its answer.
+// rejectInput counts and logs invalid input, and returns its reply.
 func (c *clientConn) rejectInput(input *inputError) reply {
 	c.server.counters.Add(input.counter)
 	c.server.log.Info("client connection: rejected invalid input", zap.String("counter", input.counter),
@@ -31,7 +31,7 @@
 	return plainReply(input.status, input.text)
 }
 
-// health answers a call for the scheduler's own health.
+// healthReply returns the reply to a health check of the scheduler.
 func (c *clientConn) healthReply(method string) reply {
 	switch {
 	case method != http.MethodGet:
@@ -42,8 +42,8 @@
 	return plainReply(http.StatusOK, "ready")
 }
 
-// formatAnswer puts a job's answer into the protocol's terms. A 503 promises that a retry is harmless: only a
-// shed job may have it.
+// formatAnswer returns the reply to a job. Status 503 tells the client that a retry is safe, so only a shed job may
+// get it.
 func (c *clientConn) formatAnswer(a core.Answer) reply {
 	switch a.Verdict {
 	case core.Served:
@@ -58,7 +58,7 @@
 	return plainReply(http.StatusBadGateway, string(a.Reason))
 }
 
-// writeReply writes a reply and returns whether the connection may go on.
+// writeReply writes a reply and returns whether the connection stays open.
 func (c *clientConn) writeReply(r reply, mustClose bool) bool {
 	mustClose = mustClose || c.retired.Load() || c.server.closesAfterAnswer()
 	response := fmt.Appendf(make([]byte, 0, 160+len(r.body)), "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n",
@@ -77,5 +77,5 @@
 	return err == nil && !mustClose
 }
 
-// retryAfter writes seconds as a decimal.
+// formatRetryAfter formats a duration as decimal seconds with three digits after the point.
 func formatRetryAfter(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
--- a/internal/platform/client_request.go
+++ b/internal/platform/client_request.go
@@ -8,10 +8,10 @@
 	"os"
 )
 
-// errConnEnded says that a connection ended within a request, nothing of which was taken.
-var errConnEnded = errors.New("the connection has ended")
+// errConnEnded is returned if a connection ended within a request, which was not accepted.
+var errConnEnded = errors.New("connection ended within a request")
 
-// readRequest reads a whole request. Its error is an *inputError, or errConnEnded.
+// readRequest reads a complete request and its body. Its error is an *inputError or errConnEnded.
 func (c *clientConn) readRequest() (*http.Request, []byte, error) {
 	deadline := c.server.readDeadline(c)
 	c.conn.SetReadDeadline(deadline)
@@ -29,10 +29,10 @@
 	}
 	if req.Header.Get("Expect") == "100-continue" {
 		c.conn.SetWriteDeadline(deadline)
-		_, _ = c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")) // the read of the body tells
+		_, _ = c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")) // the read of the body reports a failure
 	}
 	msg.releaseEarly = true
-	msg.limit = msg.read + 2*maxBodyBytes // with the framing of chunks
+	msg.limit = msg.read + 2*maxBodyBytes // including the framing of chunks
 	body, err := io.ReadAll(io.LimitReader(req.Body, maxBodyBytes+1))
 	if err != nil {
 		return nil, nil, c.classifyReadError(msg, err, "length")
@@ -43,12 +43,14 @@
 	return req, body, nil
 }
 
+// errBodyTooLong returns the *inputError of a body with more than maxBodyBytes.
 func errBodyTooLong() error {
 	return newInputError(http.StatusRequestEntityTooLarge, "body", "a body holds %d bytes at most", maxBodyBytes)
 }
 
-// readError tells invalid input from a connection that has ended. Only the connection's own error says that:
-// a parser's may look like one (a url.Error is a net.Error).
+// classifyReadError distinguishes invalid input, for which it returns an *inputError, from a connection that has ended,
+// for which it returns errConnEnded. It decides by the connection's error msg.err, since a parser's error can look like
+// a connection error (a url.Error is a net.Error).
 func (c *clientConn) classifyReadError(msg *message, err error, counter string) error {
 	switch {
 	case msg.err == nil:
@@ -63,8 +65,8 @@
 	return errConnEnded
 }
 
-// An inputError is invalid input, which no worker may see: the status of its answer and the counter that it
-// falls under.
+// An inputError describes invalid input, which must not reach a worker: the status and text of its reply, and the
+// counter that counts it.
 type inputError struct {
 	status  int
 	counter string
@@ -74,7 +76,8 @@
 // Error implements error.
 func (e *inputError) Error() string { return e.text }
 
-// newInputError returns the error of input that is answered with a status and counted as bad.<counter>.
+// newInputError returns an inputError that is answered with the status and the formatted text, and counted as
+// bad.<counter>.
 func newInputError(status int, counter, format string, args ...any) *inputError {
 	return &inputError{status, "bad." + counter, fmt.Sprintf(format, args...)}
 }
--- a/internal/platform/client_server.go
+++ b/internal/platform/client_server.go
@@ -15,33 +15,33 @@
 	"github.com/vatu-meals/foxlift/internal/counters"
 )
 
-// A listener is a net.TCPListener, or one in a test.
+// A listener accepts client connections. It is a net.TCPListener except in tests.
 type listener interface {
 	net.Listener
 	SetDeadline(time.Time) error
 }
 
-// A clientServer accepts the clients' connections, as many as its budget allows.
+// A clientServer accepts and serves client connections, at most budget at a time.
 type clientServer struct {
 	core             *core.Core
 	clock            core.Clock
 	counters         *counters.Set
 	log              *zap.Logger
 	listener         listener
-	budget           int
-	lateRequestGrace time.Duration         // for a request that crosses the close of an idle connection
-	unready          atomic.Bool           // health is 503
-	stopAccepting    atomic.Bool           // no more is accepted than is in the backlog already
-	closeIdle        atomic.Bool           // answers end their connections, and idle ones are closed
-	operatorDrain    atomic.Pointer[drain] // by the operators; nil: there is none
-	successorDrain   atomic.Pointer[drain] // by another process that has the address; nil: there is none
+	budget           int                   // maximum number of client connections; guarded by mu
+	lateRequestGrace time.Duration         // wait for a request sent before the client detects an idle close
+	unready          atomic.Bool           // health checks are answered with 503
+	stopAccepting    atomic.Bool           // accept only the connections that are already in the backlog
+	closeIdle        atomic.Bool           // close connections after their answer, and idle ones at once
+	operatorDrain    atomic.Pointer[drain] // started by the operators; nil if there is none
+	successorDrain   atomic.Pointer[drain] // started because a successor process has the address; nil if there is none
 	acceptDone       chan struct{}         // closed when accept has returned
 
 	mu              sync.Mutex
-	capacityChanged *sync.Cond // a connection has ended
+	capacityChanged *sync.Cond // signalled when accept may be able to go on
 	conns           map[*clientConn]struct{}
-	idle            *list.List     // of *clientConn, the longest idle first
-	connsByCell     map[string]int // connections by the cell of their last job
+	idle            *list.List     // of *clientConn, longest idle first
+	connsByCell     map[string]int // number of connections by the cell of their last job
 }
 
 func newClientServer(
@@ -64,30 +64,30 @@
 	return s
 }
 
-// setListener sets the listener. It is called before accept.
+// setListener sets the listener. It must be called before accept.
 func (s *clientServer) setListener(l listener) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.listener = l
 }
 
-// ready reports whether jobs are taken, and new connections may come.
+// ready reports whether the scheduler accepts jobs and clients may open new connections.
 func (s *clientServer) ready() bool {
 	return s.core.Ready() && !s.unready.Load() && s.operatorDrain.Load() == nil
 }
 
 const (
-	headroomDivisor         = 16 // the part of the budget that is kept free, by closing idle connections
-	spareConnsDivisor       = 8  // the part of the budget that no open job holds
+	headroomDivisor         = 16 // 1/16 of the budget is kept free by closing idle connections
+	spareConnsDivisor       = 8  // 1/8 of the budget may not be occupied by open jobs
 	defaultLateRequestGrace = 100 * time.Millisecond
-	firstByteGrace          = 50 * time.Millisecond  // an ordinary client's first request has begun by then,
-	firstRequestGrace       = 250 * time.Millisecond // and has come in full by then
-	closeBatchDivisor       = 8                      // the part of the budget that is closed at a time
-	minAcceptBackoff        = 5 * time.Millisecond   // after a failed accept, doubled each time
+	firstByteGrace          = 50 * time.Millisecond  // a well-behaved client has begun its first request by then
+	firstRequestGrace       = 250 * time.Millisecond // and has sent it completely by then
+	closeBatchDivisor       = 8                      // 1/8 of the budget is closed at a time
+	minAcceptBackoff        = 5 * time.Millisecond   // after a failed accept; doubled for each further failure
 	maxAcceptBackoff        = 500 * time.Millisecond
 )
 
-// accept runs until the listener is closed or, during shutdown, the backlog is empty.
+// accept accepts connections until the listener is closed or, during shutdown, the backlog is empty.
 func (s *clientServer) accept() {
 	defer close(s.acceptDone)
 	backoff := minAcceptBackoff
@@ -101,10 +101,9 @@
 			s.serveConn(conn)
 		case errors.Is(err, net.ErrClosed), stopping && errors.Is(err, os.ErrDeadlineExceeded) && !hasPendingConn(s.listener):
 			return
-		case errors.Is(err, os.ErrDeadlineExceeded): // shutDown woke it, or the process stood still past it
+		case errors.Is(err, os.ErrDeadlineExceeded): // shutDown interrupted Accept, or the process stalled past the deadline
 		default:
-			// Out of descriptors, most likely: an idle connection is closed, and accepting always goes on
-			// after a while.
+			// The process is most likely out of descriptors: close an idle connection and retry after a backoff.
 			s.counters.Add("accept.failed")
 			s.log.Warn("client listener: accept failed", zap.Error(err))
 			s.freeOneConn()
@@ -114,7 +113,7 @@
 	}
 }
 
-// serveConn begins to serve a connection.
+// serveConn starts serving a connection in a new goroutine.
 func (s *clientServer) serveConn(conn net.Conn) {
 	c := &clientConn{server: s, conn: conn, buf: readBuffer{conn: conn}, openedAt: time.Now()}
 	c.retired.Store(s.closeIdle.Load())
@@ -131,8 +130,8 @@
 	}()
 }
 
-// markIdle records that a connection's next request has not begun, and returns whether it has brought a request
-// before. One that becomes idle while accept waits for capacity may be closed for it.
+// markIdle records that a connection waits for its next request, and returns whether it has sent a request before. It
+// wakes accept if that waits for capacity, since the connection may now be closed.
 func (s *clientServer) markIdle(c *clientConn) (hadRequest bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,7 +143,7 @@
 	return c.requests > 0
 }
 
-// markBusy records that a connection's next request has begun, or never will.
+// markBusy records that a connection no longer waits for a request: a request has begun or the connection ends.
 func (s *clientServer) markBusy(c *clientConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,14 +151,14 @@
 	s.idle.Remove(c.idleElement)
 }
 
-// recordRequest records that a connection has brought a job or a call for the health.
+// recordRequest counts an accepted job or health check of a connection.
 func (s *clientServer) recordRequest(c *clientConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.requests++
 }
 
-// readDeadline is when a request that begins now must have come in full.
+// readDeadline returns the time by which a request that begins now must have arrived completely.
 func (s *clientServer) readDeadline(c *clientConn) time.Time {
 	if drain := s.operatorDrain.Load(); drain != nil {
 		return drain.readDeadline(time.Now())
--- a/internal/platform/drain.go
+++ b/internal/platform/drain.go
@@ -5,28 +5,30 @@
 	"time"
 )
 
-// A drain is a time in which clients' connections are closed while the scheduler goes on running. The deployment
-// platform stops new connections 0.2 s after it has seen the health turn, which it asks for ten times a
-// second; after 4 s no connection may be idle here, or carry a job that came in the last 2 s.
+// A drain is a period in which client connections are closed while the scheduler keeps running. The deployment platform
+// checks the health ten times a second and stops new connections 0.2 s after a check fails. After 4 s no connection
+// may be idle here, or have a job that arrived in the last 2 s.
 type drain struct {
 	startedAt time.Time
-	idleGrace time.Duration // that an idle connection stays
+	idleGrace time.Duration // how long an idle connection stays open
 }
 
 const (
-	drainIdleGrace         = 600 * time.Millisecond  // for idle connections: closed at once, a client would only come back
-	successorIdleGrace     = 200 * time.Millisecond  // the same where a successor has the address: the client goes there
-	drainFirstRequestGrace = 400 * time.Millisecond  // for the first request on a connection that comes later
-	drainReadTimeout       = 1700 * time.Millisecond // by then a request has come in full or is rejected
-	drainLateReadTimeout   = 150 * time.Millisecond  // for the rest of a request that begins after that
+	// An idle connection stays open this long in a drain by the operators. If it were closed at once, the client would
+	// only connect again.
+	drainIdleGrace         = 600 * time.Millisecond
+	successorIdleGrace     = 200 * time.Millisecond  // shorter: the client's new connection goes to the successor
+	drainFirstRequestGrace = 400 * time.Millisecond  // for the first request on a connection opened during the drain
+	drainReadTimeout       = 1700 * time.Millisecond // from the start; then an incomplete request is rejected
+	drainLateReadTimeout   = 150 * time.Millisecond  // minimum time to read a request that begins late in the drain
 )
 
-// idleDeadline is until when a connection may be idle that was opened at openedAt.
+// idleDeadline returns the time until which a connection that was opened at openedAt may be idle.
 func (d *drain) idleDeadline(openedAt time.Time) time.Time {
 	return later(d.startedAt.Add(d.idleGrace), openedAt.Add(drainFirstRequestGrace))
 }
 
-// readDeadline is when a request that begins now must have come in full.
+// readDeadline returns the time by which a request that begins now must have arrived completely.
 func (d *drain) readDeadline(now time.Time) time.Time {
 	return later(d.startedAt.Add(drainReadTimeout), now.Add(drainLateReadTimeout))
 }
@@ -39,22 +41,22 @@
 	return b
 }
 
-// quiesce begins a drain, unless there is one.
+// quiesce starts the operators' drain. It does nothing if that drain is active.
 func (s *clientServer) quiesce() {
 	if s.startDrain(&s.operatorDrain, drainIdleGrace) {
 		s.counters.Add("drains.begun")
 	}
 }
 
-// resume ends the drain. Connections that it has not closed yet stay.
+// resume ends the operators' drain. Connections that have not been closed yet stay open.
 func (s *clientServer) resume() {
 	if s.stopDrain(&s.operatorDrain) {
 		s.counters.Add("drains.ended")
 	}
 }
 
-// yield closes clients' connections because a successor listens on the same address, or, when that is gone, no
-// longer does. The health stays as it is: the address is served.
+// yieldConns starts (on) or ends (off) the drain for a successor that listens on the same address. Health checks keep
+// succeeding, because the address is still served.
 func (s *clientServer) yieldConns(on bool) {
 	if on {
 		s.startDrain(&s.successorDrain, successorIdleGrace)
@@ -63,7 +65,7 @@
 	}
 }
 
-// startDrain begins one of the server's drains; false if there is one.
+// startDrain stores a new drain in target, one of the server's drains. It returns false if that drain is active.
 func (s *clientServer) startDrain(target *atomic.Pointer[drain], idleGrace time.Duration) bool {
 	if target.Load() != nil || !target.CompareAndSwap(nil, &drain{time.Now(), idleGrace}) {
 		return false
@@ -72,7 +74,7 @@
 	return true
 }
 
-// stopDrain ends one of the server's drains; false if there is none.
+// stopDrain ends target, one of the server's drains. It returns false if that drain is not active.
 func (s *clientServer) stopDrain(target *atomic.Pointer[drain]) bool {
 	if target.Swap(nil) == nil {
 		return false
@@ -81,7 +83,7 @@
 	return true
 }
 
-// activeDrain returns the drain for which clients' connections are closed; nil if there is none.
+// activeDrain returns the drain in force, the operators' one first, or nil if there is none.
 func (s *clientServer) activeDrain() *drain {
 	if d := s.operatorDrain.Load(); d != nil {
 		return d
@@ -89,10 +91,10 @@
 	return s.successorDrain.Load()
 }
 
-// closesAfterAnswer reports whether answers end their connections.
+// closesAfterAnswer reports whether connections are closed after their next answer.
 func (s *clientServer) closesAfterAnswer() bool { return s.closeIdle.Load() || s.activeDrain() != nil }
 
-// wakeIdle makes every idle connection look again at its deadline.
+// wakeIdle interrupts the read of every idle connection, so that it recomputes its deadline.
 func (s *clientServer) wakeIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/platform/framing.go
+++ b/internal/platform/framing.go
@@ -5,9 +5,9 @@
 	"net/http"
 )
 
-// checkFraming looks at a request's head as it came, for what http.ReadRequest reads in one way and another
-// party may read in another: then a second request could hide in the body (RFC 9112, 6.1 to 6.3 and 11.2).
-// Its error is an *inputError.
+// checkFraming rejects request heads that http.ReadRequest and another HTTP parser could frame differently, so that a
+// second request could be smuggled in the body (RFC 9112, 6.1 to 6.3 and 11.2). head holds the bytes as received. Its
+// error is an *inputError.
 func checkFraming(head []byte, req *http.Request) error {
 	lengths, codings := 0, 0
 	for i, rest := 0, bytes.TrimRight(head, "\r\n"); len(rest) > 0; i++ {
@@ -20,7 +20,7 @@
 			}
 		}
 		if i == 0 {
-			continue // http.ReadRequest is strict about the first line
+			continue // http.ReadRequest validates the request line strictly
 		}
 		if len(line) > 0 && (line[0] == ' ' || line[0] == '\t') {
 			return newInputError(http.StatusBadRequest, "head", "a folded header line")
@@ -47,9 +47,8 @@
 	return nil
 }
 
-// isHeaderName reports whether s is a header's name, a token (RFC 9110, 5.6.2). To
-// http.ReadRequest "Transfer-Encoding " is just some other header: the next party may
-// take it for the framing.
+// isHeaderName reports whether s is a valid header name, a token (RFC 9110, 5.6.2). http.ReadRequest treats
+// "Transfer-Encoding " as an unrelated header, but the next HTTP parser may apply it to the framing.
 func isHeaderName(s []byte) bool {
 	for _, c := range s {
 		if !headerNameByte[c] {
@@ -59,6 +58,7 @@
 	return len(s) > 0
 }
 
+// headerNameByte tells for each byte whether it may occur in a header name.
 var headerNameByte = func() (allowed [256]bool) {
 	for _, c := range []byte("!#$%&'*+-.^_`|~0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz") {
 		allowed[c] = true
--- a/internal/platform/job_request.go
+++ b/internal/platform/job_request.go
@@ -13,14 +13,14 @@
 	"github.com/vatu-meals/foxlift/internal/core"
 )
 
-// A payload is what a worker is sent of a job.
+// A payload holds the parts of a client's request that are sent to a worker.
 type payload struct {
 	method, target string
 	header         http.Header
 	body           []byte
 }
 
-// parseJob makes a job of a request that was read in full. Its error is an *inputError.
+// parseJob returns the job of a request that has been read completely. Its error is an *inputError.
 func parseJob(req *http.Request, body []byte) (*core.Job, error) {
 	if ids := req.Header[headerID]; len(ids) != 1 || !isVisibleASCII(ids[0]) {
 		return nil, newInputError(http.StatusBadRequest, "id",
@@ -37,7 +37,7 @@
 			"%s must be there once, in up to %d printable characters", headerKey, maxKeyBytes)
 	}
 	class := req.Header.Get(headerClass)
-	// The target goes to the worker as it came: it must say the same there.
+	// The target is sent to the worker unchanged, so its undecoded first path segment must equal the class.
 	path, _, _ := strings.Cut(req.RequestURI, "?")
 	if first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/"); path == first || class != first {
 		return nil, newInputError(http.StatusBadRequest, "class", "%s and the path's first part differ", headerClass)
@@ -64,15 +64,16 @@
 	}, nil
 }
 
-// isToken reports whether s may stand in a header to workers.
+// isToken reports whether s is not empty and holds only visible ASCII characters, as the headers sent to workers
+// require.
 func isVisibleASCII(s string) bool {
 	return s != "" && !strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r > '~' })
 }
 
 var errInvalidRemaining = errors.New("not a number with the unit m or u")
 
-// parseRemaining reads a number with its unit, m (milliseconds) or u (microseconds). What no duration can
-// hold is cut to the longest.
+// parseRemaining parses a number with the unit m (milliseconds) or u (microseconds). A value that would overflow
+// becomes half the largest duration.
 func parseRemaining(s string) (time.Duration, error) {
 	unit := time.Millisecond
 	switch {
@@ -82,7 +83,7 @@
 	default:
 		return 0, errInvalidRemaining
 	}
-	// Bare digits only: ParseFloat would also take "NaN", "0x1p4" and "-1".
+	// Only digits and points are allowed: ParseFloat also accepts "NaN", "0x1p4" and "-1".
 	digits := s[:len(s)-1]
 	if digits == "" || strings.Trim(digits, "0123456789.") != "" {
 		return 0, errInvalidRemaining
@@ -97,7 +98,8 @@
 	return time.Duration(number * float64(unit)), nil
 }
 
-// parseLabels reads name=value,name=value and picks the slots and the memory.
+// parseLabels parses "name=value,name=value" and returns the values of the slots and memory labels, 0 if absent. It
+// ignores other labels.
 func parseLabels(s string) (slots, memory float64, err error) {
 	if s == "" {
 		return 0, 0, nil
@@ -125,7 +127,7 @@
 	return slots, memory, nil
 }
 
-// formatRemaining writes a duration as workers read it.
+// formatRemaining formats a duration in whole microseconds for a worker; a negative one as 0.
 func formatRemaining(d time.Duration) string {
 	return strconv.FormatInt(max(0, int64(d/time.Microsecond)), 10) + "u"
 }
--- a/internal/platform/message.go
+++ b/internal/platform/message.go
@@ -8,39 +8,40 @@
 	"sync"
 )
 
-var errMessageTooLong = errors.New("the message is too long")
+// errMessageTooLong is returned if a parser reads beyond the limit of its message.
+var errMessageTooLong = errors.New("message exceeds its size limit")
 
-// A message is the reading of one message from a buffer. Its bytes stay in the buffer until close, so that
-// nothing behind it is lost to the parser's read-ahead.
+// A message reads one HTTP message from a readBuffer. Its bytes stay in the buffer until close, so that the parser's
+// read-ahead loses no bytes that follow the message.
 type message struct {
 	*bufio.Reader // for http.ReadRequest and http.ReadResponse
 	buf           *readBuffer
-	read          int   // read so far, from b.r
-	limit         int   // most that may be read
-	err           error // how the reading ended; parsers may report it as malformed input
-	releaseEarly  bool  // what the parser has consumed need not stay until close
+	read          int   // bytes given to the parser, counted from buf.r
+	limit         int   // maximum of read
+	err           error // read error, which parsers may report as malformed input
+	releaseEarly  bool  // release consumed bytes before close
 }
 
 var readerPool = sync.Pool{New: func() any { return bufio.NewReader(nil) }}
 
-// newMessage begins to read a message of at most limit bytes.
+// newMessage starts to read a message of at most limit bytes. The caller must close it.
 func (b *readBuffer) newMessage(limit int) *message {
 	m := &message{buf: b, limit: limit, Reader: readerPool.Get().(*bufio.Reader)}
 	m.Reset(messageReader{m})
 	return m
 }
 
-// A response is an http.Response whose body is not closed: to close it would read it to its end, also where
-// it is given up. The connection is closed instead.
+// A response is an http.Response whose body is not closed, because Close would read the body to its end even if the
+// response is abandoned. The connection is closed instead.
 type response struct {
 	StatusCode    int
 	Header        http.Header
 	ContentLength int64
-	Close         bool // the other side ends the connection
+	Close         bool // the server closes the connection after it
 	Body          io.Reader
 }
 
-// readResponse reads the head of a response; provisional ones before it are skipped.
+// readResponse reads the head of a response. It skips informational (1xx) responses before it, except 101.
 func (m *message) readResponse() (*response, error) {
 	for {
 		r, err := http.ReadResponse(m.Reader, nil) //nolint:bodyclose // see response
@@ -53,16 +54,16 @@
 	}
 }
 
-// consumed is what the parser has consumed of the buffer.
+// consumed returns the buffered bytes that the parser has consumed.
 func (m *message) consumed() []byte { return m.buf.data[m.buf.r : m.buf.r+m.read-m.Buffered()] }
 
-// releaseConsumed gives back what the parser has consumed of the buffer.
+// releaseConsumed removes from the buffer the bytes that the parser has consumed.
 func (m *message) releaseConsumed() {
 	n := m.read - m.Buffered()
 	m.buf.r, m.read, m.limit = m.buf.r+n, m.read-n, m.limit-n
 }
 
-// close ends the reading, and gives back what the parser has consumed of the buffer.
+// close ends the reading and removes from the buffer the bytes that the parser has consumed.
 func (m *message) close() {
 	m.releaseConsumed()
 	if m.buf.buffered() == 0 && len(m.buf.data) > maxRetainedBufferSize {
@@ -72,7 +73,7 @@
 	readerPool.Put(m.Reader)
 }
 
-// A messageReader hands a message's bytes to the parser.
+// A messageReader supplies the bytes of a message to its bufio.Reader.
 type messageReader struct{ msg *message }
 
 // Read implements io.Reader.
--- a/internal/platform/names.go
+++ b/internal/platform/names.go
@@ -1,13 +1,13 @@
-// Package platform speaks the deployment platform's protocol: HTTP/1.1 over plain TCP with clients, workers and
-// discovery, and UDP datagrams with peers. It turns what comes in into the core's jobs, reports and endpoint
-// updates, and makes no scheduling decision.
+// Package platform implements the deployment platform's protocol: HTTP/1.1 over plain TCP with clients, workers and
+// discovery, and UDP datagrams with peers. It converts incoming messages to jobs, reports and endpoint updates for
+// package core, and makes no scheduling decisions.
 //
 // A Platform owns the clients' connections (clientServer, clientConn), the connections to workers with the attempts
 // in flight on them (workerPool, attempt), the endpoint list with the watch on discovery (endpointWatch,
-// endpointTable) and the peers' socket (peers). Each of them guards its state by a mutex of its own.
+// endpointTable) and the socket to peers (peers). Each of them guards its state with its own mutex.
 package platform
 
-// The names that the protocol uses, all in this file.
+// The header, query, label, path and state names of the protocol.
 const (
 	headerID         = "X-Txn"
 	headerClass      = "X-Lane"
@@ -44,10 +44,10 @@
 	healthRemoved = "left"
 )
 
-// The sizes that the protocol allows, and what else is read at most.
+// Size limits of messages, in bytes.
 const (
 	maxBodyBytes     = 64 << 10
 	maxHeadBytes     = 16 << 10
-	maxKeyBytes      = 255                           // bytes of an idempotency key
-	maxResponseBytes = maxHeadBytes + 2*maxBodyBytes // a complete answer of a worker, framing included
+	maxKeyBytes      = 255                           // of an idempotency key
+	maxResponseBytes = maxHeadBytes + 2*maxBodyBytes // of a worker's complete answer, including its framing
 )
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -16,16 +16,16 @@
 	"github.com/vatu-meals/foxlift/internal/upgrade"
 )
 
-// How the file descriptors are shared: some are spare, for discovery, the listener and the runtime; the rest is halved
-// between clients and workers, so that every job that may be open can also be in flight.
+// The division of the file descriptors: some are spare, for discovery, the listener and the runtime. Clients and
+// workers get half of the rest each, so that every open job can also be in flight.
 const (
-	spareDescriptorsDivisor = 16 // of all descriptors
+	spareDescriptorsDivisor = 16 // 1/16 of all descriptors is spare
 	minSpareDescriptors     = 16
-	adminConnsDivisor       = 32 // for the operators' address, where there is one
+	adminConnsDivisor       = 32 // 1/32 of all descriptors is for connections to the operators' address
 	minAdminConns           = 8
 )
 
-// AdminConnections is how many connections the operators' address may hold; 0 where there is none.
+// AdminConnections returns the maximum number of connections to the operators' address; 0 if it is not configured.
 func AdminConnections(cfg *config.Scheduler) int {
 	if cfg.Admin == "" {
 		return 0
@@ -33,24 +33,24 @@
 	return max(minAdminConns, cfg.MaxDescriptors/adminConnsDivisor)
 }
 
-// A Platform is a scheduler's side of the platform's protocol: it owns the clients' connections, the workers' pool, the
-// endpoint watch and the peers' socket.
+// A Platform is a scheduler's side of the platform's protocol. It owns the client connections, the worker pool, the
+// endpoint watch and the socket to peers.
 type Platform struct {
 	clients   *clientServer
 	endpoints *endpointWatch
 	pool      *workerPool
-	peers     *peers // nil where schedulers do not gossip
+	peers     *peers // nil if gossip is not configured
 	core      *core.Core
 	settings  *config.Settings
 
-	connsPerSide  int              // descriptors for each side, if no other process shares them
-	listenAddr    string           // the clients' address
-	shareAddr     bool             // another process may listen there too
-	cachedWorkers []foxlift.Worker // the cached list, from before the start
+	connsPerSide  int              // descriptors for clients, and as many for workers; divided among processes
+	listenAddr    string           // address for clients
+	shareAddr     bool             // another process may listen on the address at the same time
+	cachedWorkers []foxlift.Worker // workers of the cached endpoint list, saved before the start
 	log           *zap.Logger
 }
 
-// Start listens and serves clients. The cached list is checked before listening.
+// Start returns a platform that listens and serves clients. It validates the cached endpoint list before it listens.
 func Start(
 	cfg *config.Scheduler, jobCore *core.Core, clock core.Clock, counterSet *counters.Set, log *zap.Logger,
 ) (*Platform, error) {
@@ -66,13 +66,13 @@
 	return p, nil
 }
 
-// New makes a platform that does nothing yet: Listen, StartWatch and Accept each begin a part of it, in this order or,
-// for a process that takes over from another, with StartWatch first. The cached list is checked here.
+// New returns a platform that is not started. Listen, StartWatch and Accept start its parts, in this order, or with
+// StartWatch first in a process that takes over from another. New validates the cached endpoint list.
 func New(
 	cfg *config.Scheduler, jobCore *core.Core, clock core.Clock, counterSet *counters.Set, log *zap.Logger,
 ) (*Platform, error) {
-	log = logging.RateLimited(log) // clients and workers can cause all that is logged from here on
-	// The watch ends by closeOutbound, at the platform's end, and by nothing else.
+	log = logging.RateLimited(log) // clients and workers can cause any number of the entries from here on
+	// Only closeOutbound ends the watch, when the platform shuts down.
 	endpoints := newEndpointWatch(context.Background(), cfg.Discovery, cfg.Settings, jobCore, log)
 	endpoints.table.coreNow = clock.Now
 	workers, err := endpoints.loadCached(cfg.CachedEndpoints)
@@ -105,8 +105,8 @@
 	return p, nil
 }
 
-// Listen listens on the clients' address, and on the peers' where there are any. The error names the key of the
-// address.
+// Listen listens on the address for clients and, if gossip is configured, on the one for peers. The error names the
+// configuration key of the address.
 func (p *Platform) Listen() error {
 	listener, err := p.openListener()
 	if err != nil {
@@ -133,9 +133,9 @@
 	return net.ListenTCP("tcp", addr)
 }
 
-// StartWatch starts the endpoint watch, and the core with the cached list.
+// StartWatch starts the endpoint watch, and the core with the cached endpoint list.
 func (p *Platform) StartWatch() {
-	p.endpoints.Watch() // its initial delay spreads the calls of schedulers that start together
+	p.endpoints.Watch() // its initial delay spreads the requests of schedulers that start at the same time
 	env := core.Environment{
 		Workers: p.pool, EndpointWatch: p.endpoints, MaxOpen: maxOpenJobs(p.connsPerSide), CachedEndpoints: p.cachedWorkers,
 	}
@@ -145,27 +145,28 @@
 	p.core.Start(env)
 }
 
-// Accept begins to accept clients' connections. Listen and StartWatch come before it.
+// Accept starts to accept client connections. Listen and StartWatch must be called before it.
 func (p *Platform) Accept() { go p.clients.accept() }
 
-// HasSynced reports whether discovery has answered since the start, and jobs can be taken.
+// HasSynced reports whether discovery has answered since the start and the core accepts jobs.
 func (p *Platform) HasSynced() bool {
 	return p.endpoints.hasSynced() && p.core.Ready()
 }
 
-// YieldConnections makes clients go to a successor, which listens on the same address and gets all new connections, or
-// ends that. The health stays as it is, and requests that come are served.
+// YieldConnections starts (on) or ends (off) closing client connections, so that clients connect to a successor that
+// listens on the same address and gets all new connections. Health checks keep succeeding, and requests that arrive
+// are served.
 func (p *Platform) YieldConnections(on bool) { p.clients.yieldConns(on) }
 
-// DivideDescriptors makes the platform keep to its part of the descriptors, which so many processes share.
+// DivideDescriptors limits the platform to its share of the descriptors when the given number of processes use them.
 func (p *Platform) DivideDescriptors(processes int) {
 	p.clients.setBudget(p.connsPerSide / processes)
 	p.pool.setBudget(p.connsPerSide / processes)
 	p.core.SetMaxOpen(maxOpenJobs(p.connsPerSide / processes))
 }
 
-// SteerConnections directs what comes to the clients' and the peers' address to this process, from the predecessor that
-// listens there too.
+// SteerConnections directs new connections and datagrams to this process instead of the predecessor that listens on the
+// same addresses.
 func (p *Platform) SteerConnections() {
 	sockets := []syscall.Conn{p.clients.listener.(syscall.Conn)}
 	if p.peers != nil {
@@ -173,14 +174,14 @@
 	}
 	for _, socket := range sockets {
 		if err := upgrade.SteerToNewest(socket); err != nil {
-			// Some connections go to the predecessor until it closes its listener.
+			// The kernel gives some connections to the predecessor until that closes its listener.
 			p.log.Warn("takeover: predecessor still gets new connections", zap.Error(err))
 		}
 	}
 }
 
-// Reload switches to the discovery of a configuration that has been read again. It checks all of it first; with an
-// error nothing changes.
+// Reload applies the discovery address of a reloaded configuration. It validates the cached endpoint list first; if it
+// returns an error, nothing has changed.
 func (p *Platform) Reload(cfg *config.Scheduler) error {
 	if err := ValidateCachedEndpoints(cfg.CachedEndpoints); err != nil {
 		return err
@@ -189,15 +190,15 @@
 	return nil
 }
 
-// Ready reports whether jobs are taken, and new connections may come.
+// Ready reports whether the scheduler accepts jobs and clients may open new connections.
 func (p *Platform) Ready() bool { return p.clients.ready() }
 
-// Quiesce takes the scheduler out of service: the health turns 503, and clients' connections end once what they
-// carry is answered. What still comes is served.
+// Quiesce takes the scheduler out of service: health checks are answered with 503, and client connections are closed
+// after their current request is answered. Requests that still arrive are served.
 func (p *Platform) Quiesce() { p.clients.quiesce() }
 
-// Resume takes the scheduler back into service.
+// Resume puts the scheduler back into service.
 func (p *Platform) Resume() { p.clients.resume() }
 
-// Addr returns the address on which clients are served.
+// Addr returns the address of the client listener.
 func (p *Platform) Addr() net.Addr { return p.clients.listener.Addr() }
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -6,18 +6,18 @@
 	"github.com/vatu-meals/foxlift/internal/config"
 )
 
-// shutDown ends the server: for a while it accepts what comes in, then it closes the listener. The connections that
-// are there stay for longer, since their clients have nowhere else to go until they notice the shutdown. Then
-// the idle ones are closed, and it returns when all are answered.
+// shutDown stops the server and returns when all connections are closed. It accepts connections for acceptFor and then
+// closes the listener. Idle connections are closed only after closeIdleAfter, counted from the call, since their
+// clients have no other scheduler until they detect the shutdown.
 func (s *clientServer) shutDown(acceptFor, closeIdleAfter time.Duration) {
 	closeIdleTimer := time.After(closeIdleAfter)
 	<-time.After(acceptFor)
 	s.mu.Lock()
 	s.stopAccepting.Store(true)
 	s.capacityChanged.Broadcast()
-	_ = s.listener.SetDeadline(pastDeadline) // fails on a closed one, as Accept does
+	_ = s.listener.SetDeadline(pastDeadline) // fails on a closed listener, as Accept does
 	s.mu.Unlock()
-	<-s.acceptDone // what the kernel has accepted is served too
+	<-s.acceptDone // connections that the kernel has accepted are served too
 	s.listener.Close()
 	<-closeIdleTimer
 	s.mu.Lock()
@@ -31,24 +31,25 @@
 	}
 }
 
-const backlogTimeout = 20 * time.Millisecond // to accept the backlog before the listener is closed
+// backlogTimeout is the accept deadline while the backlog is emptied before the listener is closed.
+const backlogTimeout = 20 * time.Millisecond
 
-// acceptAfterShutdown is how long a scheduler goes on accepting after a shutdown has begun: new connections come for
-// up to 0.4 s. Idle connections are to be closed before 0.7 s are over, their grace included.
+// acceptAfterShutdown is how long a scheduler accepts connections after a shutdown has begun. New connections arrive
+// for up to 0.4 s. Idle connections must be closed within 0.7 s, including their grace.
 const acceptAfterShutdown = 450 * time.Millisecond
 
-// A scheduler may be killed 0.7 s and the longest deadline (3 s where it is longer) after its shutdown has begun. Until
-// then it has answered what it accepted, and the answers have been read.
+// A scheduler may be killed 0.7 s plus the longest deadline (at most 3 s) after its shutdown has begun. By then it must
+// have answered all accepted jobs, and the clients must have read the answers.
 const (
 	maxKillDeadline = 3 * time.Second
 	killSlack       = 700 * time.Millisecond
-	processSlack    = 400 * time.Millisecond // lingerTimeout, and some for the process itself
-	minIdleGrace    = 100 * time.Millisecond // past acceptAfterShutdown, that clients' connections stay,
-	answerReserve   = time.Second            // and at most until so long before the end, for the last answers
+	processSlack    = 400 * time.Millisecond // lingerTimeout, and time for the process to exit
+	minIdleGrace    = 100 * time.Millisecond // minimum after acceptAfterShutdown before idle connections are closed
+	answerReserve   = time.Second            // idle connections are closed this long before the end, for the last answers
 )
 
-// shutdownTimes returns how long after the beginning of a shutdown clients' connections stay, and when everything
-// is answered: what cannot be done by then is abandoned.
+// shutdownTimes returns two times after the start of a shutdown: when idle client connections are closed, and by when
+// all jobs are answered. Jobs that are not finished by then are abandoned.
 func shutdownTimes(s *config.Settings) (closeIdleAfter, answerBy time.Duration) {
 	longest := int64(0)
 	for _, class := range s.Module.Classes {
@@ -58,12 +59,11 @@
 	return max(acceptAfterShutdown+minIdleGrace, answerBy-answerReserve), max(acceptAfterShutdown+2*minIdleGrace, answerBy)
 }
 
-// ShutDown makes the health 503, goes on accepting what comes in for a short while and closes the listener. On the
-// connections that are there it goes on for longer with jobs that end soon. It returns when everything that
-// was accepted is answered.
+// ShutDown makes health checks return 503, accepts connections for a short time and then closes the listener. On open
+// connections it still serves jobs that end soon. It returns when all accepted jobs are answered.
 func (p *Platform) ShutDown() {
 	closeIdleAfter, answerBy := shutdownTimes(p.settings)
-	// Nothing that comes in the first while is held against a scheduler.
+	// Jobs that arrive before acceptAfterShutdown are served as usual: the core begins its shutdown only then.
 	beginTimer := time.AfterFunc(acceptAfterShutdown, func() { p.core.BeginShutdown(answerBy - acceptAfterShutdown) })
 	defer beginTimer.Stop()
 	p.clients.unready.Store(true)
@@ -72,15 +72,15 @@
 	p.closeOutbound()
 }
 
-// ShutDownAfterTakeover ends the platform where a successor listens on the same address and gets all new
-// connections: the health stays as it is, since the address is served. The backlog is accepted, the listener
-// is closed, and clients' connections end as soon as what they carry is answered. It returns when everything
-// that was accepted is answered.
+// ShutDownAfterTakeover shuts the platform down while a successor listens on the same address and gets all new
+// connections. Health checks keep succeeding, because the address is still served. It accepts the backlog, closes the
+// listener, and closes client connections as soon as their requests are answered. It returns when all accepted jobs are
+// answered.
 func (p *Platform) ShutDownAfterTakeover() {
 	_, answerBy := shutdownTimes(p.settings)
 	p.core.BeginShutdown(answerBy)
 	if p.peers != nil {
-		p.peers.stop() // the other schedulers hear the successor, and would take both for one
+		p.peers.stop() // peers get messages from the successor and could not tell the two processes apart
 	}
 	p.clients.yieldConns(true)
 	p.clients.shutDown(takeoverAcceptTime, takeoverIdleGrace)
@@ -88,14 +88,13 @@
 	p.closeOutbound()
 }
 
-// After a takeover: connections whose handshake had begun before it have come into the accept queue by then; and so
-// long idle connections stay for a request.
+// Times of the predecessor's shutdown after a takeover.
 const (
-	takeoverAcceptTime = 100 * time.Millisecond
-	takeoverIdleGrace  = 300 * time.Millisecond
+	takeoverAcceptTime = 100 * time.Millisecond // handshakes begun before the takeover reach the accept queue by then
+	takeoverIdleGrace  = 300 * time.Millisecond // idle connections stay open this long for a request
 )
 
-// closeOutbound ends what the scheduler has open to others than its clients.
+// closeOutbound stops the endpoint watch, and closes the idle connections to workers and the socket to peers.
 func (p *Platform) closeOutbound() {
 	p.endpoints.stop()
 	p.pool.closeAllIdle()
@@ -104,7 +103,7 @@
 	}
 }
 
-// Kill ends everything at once and answers nothing more, as a kill of the process would: for tests and the lab.
+// Kill stops the platform at once without answering jobs, like a kill of the process. It is for tests and the lab.
 func (p *Platform) Kill() {
 	p.core.Stop()
 	p.clients.mu.Lock()
--- a/internal/platform/state_lines.go
+++ b/internal/platform/state_lines.go
@@ -15,7 +15,7 @@
 	"github.com/vatu-meals/foxlift/internal/core"
 )
 
-// A stateLine is one line of a worker's answer: a state of the job.
+// A stateLine is one line of a worker's answer, which reports a state of the job.
 type stateLine struct {
 	ID     string `json:"id"`
 	State  string `json:"state"`
@@ -24,8 +24,8 @@
 	Load json.RawMessage `json:"load"`
 }
 
-// parseStateLine reads a line. One that repeats a name is garbled: encoding/json would take the last value, and names
-// in any case, so that "failed" could be hidden by "done".
+// parseStateLine parses a line. It rejects a line that repeats a name, since encoding/json ignores case and takes the
+// last value: a "done" could hide a "failed".
 func parseStateLine(line []byte) (parsed stateLine, err error) {
 	if err := json.Unmarshal(line, &parsed); err != nil {
 		return parsed, err
@@ -64,8 +64,8 @@
 	}
 }
 
-// mayRepeatName reports, from the bytes alone, whether a name that matters can be there twice. Lines with escapes, or
-// with letters that fold into ASCII ones, have to be parsed to tell.
+// mayRepeatName reports whether a line may contain one of the stateLine names twice, without parsing it. It returns
+// true for a line with escapes or non-ASCII letters, some of which fold to ASCII ones.
 func mayRepeatName(line []byte) bool {
 	for _, c := range line {
 		if c == '\\' || c >= 0x80 {
@@ -81,20 +81,20 @@
 	return false
 }
 
-// minAnswerLead is by how much an answer begins before the job starts where workers answer as soon as they have taken
-// a request, not when they start on it.
+// minAnswerLead is the minimum time from the head of an answer to the "started" line that shows that a worker answers
+// when it accepts a job, not when it starts it.
 const minAnswerLead = 20 * time.Millisecond
 
-// finalCodes are the states that end an attempt.
+// finalCodes maps the states that end an attempt to its outcome.
 var finalCodes = map[string]foxlift.Code{
 	stateDone: foxlift.Served, stateFailed: foxlift.WorkerError,
 	stateReturned: foxlift.Saturated, stateLost: foxlift.Reset,
 }
 
-var errUnexpectedLine = errors.New("a line of another job, or after the final state")
+var errUnexpectedLine = errors.New("state line of another job or after the final state")
 
-// readStates reads the lines of a worker's answer, up to the body's proper end: a body that breaks off serves nothing,
-// whatever its lines were. An error means that the connection cannot be reused.
+// readStates reads the state lines of a worker's answer to the end of the body. If the body is incomplete, its lines do
+// not count and the outcome is foxlift.Reset. An error means that the connection cannot be reused.
 func (a *attempt) readStates(body io.Reader) (core.Report, error) {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, maxResponseBytes)
@@ -125,7 +125,7 @@
 			a.report(core.Report{})
 		case state.State == stateRunning:
 			a.report(core.Report{Progress: true})
-		} // unknown states, of a later protocol, are ignored
+		} // unknown states, from a later protocol version, are ignored
 	}
 	if err := lines.Err(); err != nil {
 		return finalReport(foxlift.Reset), err
--- a/internal/wire/decode_endpoints.go
+++ b/internal/wire/decode_endpoints.go
@@ -8,13 +8,16 @@
 	"github.com/vatu-meals/foxlift"
 )
 
+// minEndpointFields is the minimum number of values in an endpoint list entry.
 const minEndpointFields = 7
 
+// endpointUpdates maps the scope of a "registry" message to its kind of update.
 var endpointUpdates = map[string]foxlift.EndpointUpdate{
 	"incr": foxlift.EndpointsDelta, "total": foxlift.EndpointsComplete,
 	"warm_copy": foxlift.EndpointsCached, "lost": foxlift.EndpointsPollFailed,
 }
 
+// workerStates maps the stageState of an entry to a worker state.
 var workerStates = map[string]foxlift.WorkerState{
 	"live": foxlift.Live, "quiescing": foxlift.Draining, "dead": foxlift.Removed,
 }
@@ -83,7 +86,7 @@
 	return worker, err
 }
 
-// indexOf returns the index of a name in a table; -1 if it is not there.
+// indexOf returns the index of a name in a table; -1 if it is not a string or not in the table.
 func (n *NameTables) indexOf(table map[string]int, v *fastjson.Value) int {
 	if v.Type() == fastjson.TypeString {
 		if i, ok := table[string(v.GetStringBytes())]; ok {
@@ -93,7 +96,7 @@
 	return -1
 }
 
-// intern returns one string for all mentions of a worker.
+// intern returns the same string for every occurrence of a worker ID, to avoid an allocation for each.
 func (n *NameTables) intern(id []byte) string {
 	interned, ok := n.workers[string(id)]
 	if !ok {
@@ -103,7 +106,7 @@
 	return interned
 }
 
-// workerID decodes the id of a worker.
+// workerID decodes a worker ID.
 func (n *NameTables) decodeWorkerID(v *fastjson.Value) (string, error) {
 	id, err := readString(v, "worker")
 	if err != nil {
--- a/internal/wire/decode_events.go
+++ b/internal/wire/decode_events.go
@@ -10,19 +10,20 @@
 	"github.com/vatu-meals/foxlift/internal/config"
 )
 
-// The bits of a request's stateBits.
+// The bits of stateBits in an "accept" message.
 const (
-	stateBitSize  = 1 << iota // hint is the job's size
-	stateBitRetry             // the client sends the request again
+	stateBitSize  = 1 << iota // hint holds the job's size
+	stateBitRetry             // the request is a retry by the client
 )
 
-// Codes of outcomes and health checks: served, and the failures in the order of foxlift's codes.
+// The values of rc, the code of an outcome or a health check. Failures are numbered in the order of foxlift's codes.
 const (
 	codeServed       = 100
 	codeFirstFailure = 301
 	codeLastFailure  = 307
 )
 
+// progressKindStarted is the kind of an "interim" message that reports the start of a job.
 const progressKindStarted = 1
 
 // request decodes ["accept", schedulerId, xid, deadline, cls, item, hint, slots, stateBits, tenant, mem].
@@ -84,7 +85,7 @@
 	return config.ParseAffinityKey(key), err
 }
 
-// attemptOf decodes which attempt an event is of.
+// attemptOf decodes the request ID, worker and number of the attempt that an event refers to.
 func (d *Decoder) decodeAttempt(names *NameTables, xid, worker, attempt *fastjson.Value) (err error) {
 	if d.event.ID, err = readUint(xid, "xid"); err != nil {
 		return err
@@ -163,7 +164,7 @@
 	return nil
 }
 
-// loadReport decodes a worker's load report, where there is one.
+// loadReport decodes a worker's load report, if there is one. Values beyond foxlift.MaxGauges are ignored.
 func (d *Decoder) decodeLoadReport(v *fastjson.Value) error {
 	if isAbsent(v) {
 		return nil
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -7,7 +7,7 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// Append appends an action of an instance in the simulator's JSON.
+// Append appends an action of an instance, encoded as a JSON message of the simulator.
 func AppendAction(b []byte, instance string, action *foxlift.Action) []byte {
 	begin := func(name string) {
 		b = append(b, `["`...)
@@ -61,7 +61,7 @@
 	return append(b, ']')
 }
 
-// AppendError appends the report of an instance whose settings cannot run.
+// AppendError appends the message that reports invalid settings of an instance.
 func AppendError(b []byte, instance, message string) []byte {
 	b = append(b, `["internalError",`...)
 	b = strconv.AppendQuote(b, instance)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -7,7 +7,7 @@
 	"github.com/vatu-meals/foxlift/internal/config"
 )
 
-// Settings returns the module's configuration of an instance's settings, and the tables of its names.
+// Settings parses the settings of an instance. It returns the configuration of its dispatcher and its name tables.
 func ParseSettings(instance string, v *fastjson.Value) (*foxlift.Config, *NameTables, error) {
 	settings, err := config.ParseSettings(v.MarshalTo(nil))
 	if err != nil {
--- a/internal/wire/values.go
+++ b/internal/wire/values.go
@@ -9,7 +9,7 @@
 // absent reports whether a value is missing or null.
 func isAbsent(v *fastjson.Value) bool { return v == nil || v.Type() == fastjson.TypeNull }
 
-// The readers below read one value; their errors name it.
+// The read functions below return one value of a message. Their errors contain the name of the value.
 
 func readArray(v *fastjson.Value, name string) ([]*fastjson.Value, error) {
 	if v == nil || v.Type() != fastjson.TypeArray {
@@ -43,7 +43,7 @@
 	return 0, fmt.Errorf("%s is not a whole number", name)
 }
 
-// optionalNumber reads a number; 0 if it is absent.
+// optionalNumber returns a number; 0 if it is absent.
 func readOptionalNumber(v *fastjson.Value, name string) (float64, error) {
 	if isAbsent(v) {
 		return 0, nil
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,6 +1,5 @@
-// Package wire translates between the simulator's JSON messages and the types of package foxlift. It
-// decides nothing. A Decoder owns the buffers that it reuses from one message to the next; the names of an
-// instance belong to its handler.
+// Package wire converts between the simulator's JSON messages and the types of package foxlift. It makes no decisions.
+// A Decoder owns the buffers that it reuses for each message; the name tables of an instance belong to the handler.
 package wire
 
 import (
@@ -12,19 +11,19 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// A Handler receives the decoded messages of a batch in order. Its errors end the decoding.
+// A Handler receives the decoded messages of a batch in order. An error from a method ends the decoding of the batch.
 type Handler interface {
-	// Attach starts an instance with its settings.
+	// Attach starts an instance with a random seed and settings.
 	Attach(instance string, seed uint64, settings *fastjson.Value) error
-	// Down ends an instance.
+	// Down stops an instance.
 	Down(instance string) error
-	// Names returns the tables of a running instance, or nil if there is none.
+	// Names returns the name tables of a running instance, or nil if it is not running.
 	Names(instance []byte) *NameTables
-	// Event receives an event of a running instance. It is valid only during the call.
+	// Event handles an event of a running instance. ev is valid only during the call.
 	Event(n *NameTables, ev *foxlift.Event) error
 }
 
-// Names are the tables by which the messages of one instance are translated.
+// Names hold the tables that map the names in the messages of one instance to indexes and interned strings.
 type NameTables struct {
 	Instance string
 	Owner    any // for the handler's own use
@@ -32,31 +31,30 @@
 	tenants  map[string]int
 	zones    map[string]int
 	kinds    map[string]int
-	workers  map[string]string // interned ids
+	workers  map[string]string // interned worker IDs; nil if the settings of the instance are invalid
 }
 
-// A Decoder reads batches. It is not safe for concurrent use.
+// A Decoder decodes batches. It is not safe for concurrent use.
 type Decoder struct {
 	parser  fastjson.Parser
 	event   foxlift.Event
 	workers []foxlift.Worker
 }
 
-// A Batch is the header of one line.
+// A Batch is the header of one line of input.
 type Batch struct {
-	Now    int64
+	Now    int64 // simulated time, in nanoseconds
 	Number int64
 }
 
-// Decode reads one line and passes its messages to h. begin is called with the header before the first
-// message.
+// Decode decodes one line and passes its messages to h. It calls begin with the header before the first message.
 func (d *Decoder) Decode(line []byte, begin func(Batch), h Handler) (b Batch, err error) {
 	batch, err := d.parser.ParseBytes(line)
 	if err != nil {
 		return b, fmt.Errorf("not JSON: %w", err)
 	}
 	if batch.Type() != fastjson.TypeObject {
-		return b, errors.New("a batch is not an object")
+		return b, errors.New("batch is not an object")
 	}
 	if b.Number, err = readInt(batch.Get("batch"), "batch"); err != nil {
 		return b, err
@@ -77,7 +75,7 @@
 	return b, nil
 }
 
-// message decodes one message: an array of its name, the instance and its fields.
+// message decodes one message, an array of its name, the instance and further values, and passes it to h.
 func (d *Decoder) decodeMessage(value *fastjson.Value, h Handler) error {
 	fields, err := readArray(value, "message")
 	if err != nil {
@@ -107,13 +105,13 @@
 	return nil
 }
 
-// minFields are the messages and how many values each has at least.
+// minFields maps the name of each message to the minimum number of its values.
 var minFields = map[string]int{
 	"attach": 4, "down": 2, "registry": 5, "accept": 11, "flowing": 6, "interim": 7,
 	"completed": 10, "clientLeft": 3, "deadlineHit": 3, "probeDone": 6, "neighbourSays": 4,
 }
 
-// dispatch passes a message to the handler.
+// dispatch decodes the values of a message and passes it to the method of h for it.
 func (d *Decoder) dispatch(name string, instance []byte, fields []*fastjson.Value, h Handler) error {
 	switch name {
 	case "attach":
@@ -133,7 +131,7 @@
 		return fmt.Errorf("instance %q does not run", instance)
 	}
 	if names.workers == nil {
-		return nil // its settings could not be run; that was reported
+		return nil // the settings of the instance were invalid, which has been reported
 	}
 	if err := d.decodeEvent(name, names, fields); err != nil {
 		return err
@@ -141,7 +139,7 @@
 	return h.Event(names, &d.event)
 }
 
-// decodeEvent decodes a message to a running instance into d.event.
+// decodeEvent decodes a message for a running instance into d.event.
 func (d *Decoder) decodeEvent(name string, names *NameTables, fields []*fastjson.Value) (err error) {
 	d.event = foxlift.Event{}
 	switch name {
