--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -12,15 +12,16 @@
 	"github.com/vatu-meals/foxlift/internal/pollpacing"
 )
 
-// maxTime bounds every time in the settings: sums and multiples of them stay numbers.
+// maxSettingValue bounds every duration, in nanoseconds, and every count in the settings, so that sums and
+// multiples of them do not overflow.
 const maxSettingValue = int64(30 * 24 * time.Hour)
 
-// keyTTLMargin is the time that a repeat of a deduplicated job may take from the write of its last byte
-// to the worker, and by which clocks may differ: so much sooner the window counts as over.
+// keyTTLMargin is subtracted from the deduplication window of a class. It covers the time from the write of the
+// last byte of a repeated job until the worker has it, and the difference between clocks.
 const keyTTLMargin = int64(100 * time.Millisecond)
 
-// checkScheduler checks the settings of the real scheduler and completes them: the simulator's adapter
-// leaves the checks to the module.
+// checkScheduler checks the settings of the real scheduler and sets the values that follow from running on
+// sockets. The simulator's adapter does not call it: there the decision module checks its own configuration.
 func (s *Settings) checkScheduler() error {
 	for _, check := range []func() error{
 		s.checkFleet, s.checkClasses, s.checkTenants, s.checkDurationsAndCounts, s.checkFractionsAndPrices, s.checkReports,
@@ -30,138 +31,140 @@
 		}
 	}
 	module := &s.Module
-	module.PollEndpoints = true // on sockets there is no other way, whatever the simulator has
+	module.PollEndpoints = true // sockets only support polling, whatever the simulator is configured to use
 	module.EndpointLease = int64(pollpacing.MaxPropagationDelay + leaseMargin)
 	for i := range module.Classes {
-		if k := &module.Classes[i]; k.Effect == foxlift.Deduplicated {
-			k.KeyTTL = max(0, k.KeyTTL-keyTTLMargin)
+		if class := &module.Classes[i]; class.Effect == foxlift.Deduplicated {
+			class.KeyTTL = max(0, class.KeyTTL-keyTTLMargin)
 		}
 	}
 	return nil
 }
 
-// leaseGrace is the part of the drain grace by which the endpoint list's lease is longer than the time
-// after which changes bind. The rest covers a process that is paused.
+// leaseMargin is the time by which the endpoint list's lease exceeds MaxPropagationDelay. It uses a part of the
+// drain grace; the rest of the drain grace covers a pause of the process.
 const leaseMargin = 300 * time.Millisecond
 
-// checkFleet checks the settings of the scheduler itself and of the fleet.
+// checkFleet checks the settings of this scheduler and of the fleet as a whole.
 func (s *Settings) checkFleet() error {
-	c := &s.Module
+	module := &s.Module
 	switch {
-	case len(c.Classes) == 0:
-		return errors.New("grades: none given")
-	case c.Dispatchers > foxlift.MaxDispatchers:
-		return fmt.Errorf("balancers: over %d", foxlift.MaxDispatchers)
-	case c.Index < 0 || c.Index >= c.Dispatchers:
-		return errors.New("slotNo: not under balancers")
+	case len(module.Classes) == 0:
+		return errors.New("grades: at least one class is required")
+	case module.Dispatchers > foxlift.MaxDispatchers:
+		return fmt.Errorf("balancers: %d is over the maximum of %d", module.Dispatchers, foxlift.MaxDispatchers)
+	case module.Index < 0 || module.Index >= module.Dispatchers:
+		return fmt.Errorf("slotNo: %d is negative or not less than balancers (%d)", module.Index, module.Dispatchers)
 	case s.Discovery != "" && !slices.Contains(discoveryModes, s.Discovery):
 		return fmt.Errorf("discovery: %q is not one of %s", s.Discovery, strings.Join(discoveryModes, ", "))
-	case s.Zone != "" && len(s.Zones) > 0 && c.Zone < 0:
-		return fmt.Errorf("zone: %q is not one of dcs", s.Zone)
+	case s.Zone != "" && len(s.Zones) > 0 && module.Zone < 0:
+		return fmt.Errorf("zone: %q is not in dcs", s.Zone)
 	}
-	if c.SlowStartCapacity > 1 {
-		return errors.New("obligations.startCapacity: over 1")
+	if module.SlowStartCapacity > 1 {
+		return fmt.Errorf("obligations.startCapacity: %g is over 1", module.SlowStartCapacity)
 	}
 	return nil
 }
 
-// checkClasses checks each class.
+// checkClasses checks the values of each class, and that class names are unique.
 func (s *Settings) checkClasses() error {
-	c := &s.Module
-	for i, k := range c.Classes {
+	module := &s.Module
+	for i, class := range module.Classes {
 		switch {
-		case k.Name == "":
-			return fmt.Errorf("grades[%d].name: empty", i)
-		case s.Classes[k.Name] != i:
-			return fmt.Errorf("grades[%d].name: %q is there twice", i, k.Name)
-		case k.LatencyObjective <= 0:
-			return fmt.Errorf("grades[%d].aim: must be over 0", i)
-		case k.Deadline <= 0:
-			return fmt.Errorf("grades[%d].deadline: must be over 0", i)
-		case k.ObjectiveStretch < 0:
-			return fmt.Errorf("grades[%d].aimStretch, familyInfo.classStretch[%d]: negative", i, i)
-		case k.KeyTTL < 0:
-			return fmt.Errorf("grades[%d].keyTtl: negative", i)
-		case max(k.LatencyObjective, k.Deadline, k.KeyTTL) > maxSettingValue:
-			return fmt.Errorf("grades[%d]: a time of over %v", i, time.Duration(maxSettingValue))
-		case k.Kind < -1 || k.Kind >= max(1, len(s.Kinds)):
-			return fmt.Errorf("familyInfo.classKind[%d]: no such kind", i)
+		case class.Name == "":
+			return fmt.Errorf("grades[%d].name: must not be empty", i)
+		case s.Classes[class.Name] != i:
+			return fmt.Errorf("grades[%d].name: %q is also the name of another class", i, class.Name)
+		case class.LatencyObjective <= 0:
+			return fmt.Errorf("grades[%d].aim: %d is not greater than 0", i, class.LatencyObjective)
+		case class.Deadline <= 0:
+			return fmt.Errorf("grades[%d].deadline: %d is not greater than 0", i, class.Deadline)
+		case class.ObjectiveStretch < 0:
+			return fmt.Errorf("grades[%d].aimStretch, familyInfo.classStretch[%d]: sum %g is negative",
+				i, i, class.ObjectiveStretch)
+		case class.KeyTTL < 0:
+			return fmt.Errorf("grades[%d].keyTtl: %d is negative", i, class.KeyTTL)
+		case max(class.LatencyObjective, class.Deadline, class.KeyTTL) > maxSettingValue:
+			return fmt.Errorf("grades[%d]: aim, deadline or keyTtl is over the maximum of %v",
+				i, time.Duration(maxSettingValue))
+		case class.Kind < -1 || class.Kind >= max(1, len(s.Kinds)):
+			return fmt.Errorf("familyInfo.classKind[%d]: %d is not the index of a kind in flavors", i, class.Kind)
 		}
 	}
 	return nil
 }
 
-// checkTenants checks each tenant.
+// checkTenants checks that tenant names are unique and quotas are not negative.
 func (s *Settings) checkTenants() error {
-	c := &s.Module
-	for i, t := range c.Tenants {
-		if s.Tenants[t.Name] != i {
-			return fmt.Errorf("projects[%d].name: %q is there twice", i, t.Name)
+	module := &s.Module
+	for i, tenant := range module.Tenants {
+		if s.Tenants[tenant.Name] != i {
+			return fmt.Errorf("projects[%d].name: %q is also the name of another tenant", i, tenant.Name)
 		}
-		if t.Quota < 0 || math.IsNaN(t.Quota) {
-			return fmt.Errorf("projects[%d].quotaRps: negative", i)
+		if tenant.Quota < 0 || math.IsNaN(tenant.Quota) {
+			return fmt.Errorf("projects[%d].quotaRps: %g is negative or not a number", i, tenant.Quota)
 		}
 	}
 	return nil
 }
 
-// checkTimes checks that each time and number is within its bounds.
+// checkDurationsAndCounts checks that each duration and count is between 0 and maxSettingValue.
 func (s *Settings) checkDurationsAndCounts() error {
-	c := &s.Module
-	for _, f := range []struct {
+	module := &s.Module
+	for _, setting := range []struct {
 		key   string
 		value int64
 	}{
 		{"bounds.connectTimeout", int64(s.ConnectTimeout)},
-		{"bounds.connIdle", c.ConnIdle},
-		{"bounds.maxRetryAfter", c.MaxRetryAfter},
-		{"obligations.graceToAnswer", c.AnswerGrace},
-		{"obligations.mustAskIn", c.MaxPollInterval},
-		{"obligations.warmAfter", c.SlowStartDuration},
-		{"obligations.fall", c.OverloadWindow},
+		{"bounds.connIdle", module.ConnIdle},
+		{"bounds.maxRetryAfter", module.MaxRetryAfter},
+		{"obligations.graceToAnswer", module.AnswerGrace},
+		{"obligations.mustAskIn", module.MaxPollInterval},
+		{"obligations.warmAfter", module.SlowStartDuration},
+		{"obligations.fall", module.OverloadWindow},
 		{"bounds.maxOpen", int64(s.MaxOpen)},
-		{"bounds.maxAttempts", int64(c.MaxAttempts)},
+		{"bounds.maxAttempts", int64(module.MaxAttempts)},
 	} {
-		if f.value < 0 {
-			return fmt.Errorf("%s: negative", f.key)
+		if setting.value < 0 {
+			return fmt.Errorf("%s: %d is negative", setting.key, setting.value)
 		}
-		if f.value > maxSettingValue {
-			return fmt.Errorf("%s: over %v", f.key, time.Duration(maxSettingValue))
+		if setting.value > maxSettingValue {
+			return fmt.Errorf("%s: %d is over the maximum of %d", setting.key, setting.value, maxSettingValue)
 		}
 	}
 	return nil
 }
 
-// checkFigures checks that no fraction or price is negative.
+// checkFractionsAndPrices checks that no fraction, factor or price is negative.
 func (s *Settings) checkFractionsAndPrices() error {
-	c := &s.Module
-	for _, f := range []struct {
+	module := &s.Module
+	for _, setting := range []struct {
 		key   string
 		value float64
 	}{
-		{"obligations.startCapacity", c.SlowStartCapacity},
-		{"obligations.fallMultiple", c.OverloadMultiple},
-		{"prices.crossZone", c.Prices.CrossZone},
-		{"prices.handshake", c.Prices.Handshake},
-		{"prices.origin", c.Prices.Fetch},
+		{"obligations.startCapacity", module.SlowStartCapacity},
+		{"obligations.fallMultiple", module.OverloadMultiple},
+		{"prices.crossZone", module.Prices.CrossZone},
+		{"prices.handshake", module.Prices.Handshake},
+		{"prices.origin", module.Prices.Fetch},
 	} {
-		if f.value < 0 {
-			return fmt.Errorf("%s: negative", f.key)
+		if setting.value < 0 {
+			return fmt.Errorf("%s: %g is negative", setting.key, setting.value)
 		}
 	}
 	return nil
 }
 
-// checkReports checks the names of a load report's values.
+// checkReports checks the names and the number of the values in a load report.
 func (s *Settings) checkReports() error {
-	c := &s.Module
+	module := &s.Module
 	for i, name := range s.GaugeNames {
 		if name == "" || slices.Contains(s.GaugeNames[:i], name) {
-			return fmt.Errorf("report.names[%d]: %q is empty or there twice", i, name)
+			return fmt.Errorf("report.names[%d]: %q is empty or a duplicate", i, name)
 		}
 	}
-	if len(c.Gauges) > foxlift.MaxGauges {
-		return fmt.Errorf("report.names: more than %d", foxlift.MaxGauges)
+	if len(module.Gauges) > foxlift.MaxGauges {
+		return fmt.Errorf("report.names: %d names, at most %d are allowed", len(module.Gauges), foxlift.MaxGauges)
 	}
 	return nil
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,7 +1,7 @@
-// Package config reads the scheduler's configuration: the LB_* variables, the file that LB_CONFIG names,
-// and the operator's file. It checks every value, sets defaults, and names the faulty key in its errors.
-// The deployment's settings become the decision module's Config here, for the real scheduler and for the
-// simulator's adapter. It owns no state: what it returns is the caller's.
+// Package config reads the scheduler's configuration: the LB_* environment variables, the file that LB_CONFIG
+// names, and the operator's file. It checks every value, sets defaults, and names the invalid key in its errors.
+// It also converts the deployment's settings into the decision module's Config, for the real scheduler and for
+// the simulator's adapter. The package keeps no state; the caller owns the values that it returns.
 package config
 
 import (
@@ -13,7 +13,8 @@
 	"strconv"
 )
 
-// Bounds of what a scheduler may use, whatever it is offered.
+// Bounds of the memory and the file descriptors of a scheduler. A larger limit in the file is reduced to the
+// maximum; a smaller one than the minimum is an error.
 const (
 	maxMemoryMB    = 192
 	maxDescriptors = 1024
@@ -21,31 +22,31 @@
 	minDescriptors = 64
 )
 
-// defaultName is the name of a scheduler that is given none.
+// defaultName is the name of a scheduler without a configured name.
 const defaultName = "foxlift"
 
-// A Scheduler is the whole configuration of one scheduler.
+// A Scheduler is the configuration of one scheduler, without the operator's file.
 type Scheduler struct {
 	Name            string
 	Listen          string // address:port for clients
-	Admin           string // address:port for the operators' requests; "": none
-	Discovery       string // address:port of discovery
+	Admin           string // address:port for operators' requests; "": none
+	Discovery       string // address:port of the discovery service
 	Seed            uint64
 	MemoryMB        int
-	MaxDescriptors  int             // file descriptors
-	CachedEndpoints json.RawMessage // the cached endpoint list, in discovery's form; may be empty
+	MaxDescriptors  int             // limit on open file descriptors
+	CachedEndpoints json.RawMessage // the cached endpoint list, encoded as discovery sends it; may be empty
 	Settings        *Settings
-	Peers           Peers // the zero value where schedulers do not gossip
+	Peers           Peers // the zero value if the scheduler does not gossip
 }
 
-// Peers are the addresses by which schedulers gossip in datagrams.
+// Peers are the addresses to which schedulers send gossip datagrams.
 type Peers struct {
-	Listen    string   // where this one receives; "": it does not gossip
-	Addresses []string // of every scheduler by its index, this one's included
-	Broadcast string   // reaches all others at once; "": there is no such address
+	Listen    string   // address on which this scheduler receives; "": it does not gossip
+	Addresses []string // address of every scheduler, by index; includes this scheduler
+	Broadcast string   // address that reaches all other schedulers with one datagram; "": none
 }
 
-// A configFile is the file that LB_CONFIG names.
+// A configFile is the JSON form of the file that LB_CONFIG names.
 type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -64,20 +65,23 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// Load reads the configuration from the environment that getenv shows. A variable takes precedence over
-// the file's value of the same name.
+// Load reads the configuration at the start of a scheduler. getenv returns the value of an environment variable.
+// A variable takes precedence over the value in the file.
 func Load(getenv func(string) string) (*Scheduler, error) { return read(getenv, false) }
 
-// Reload reads it again at a running scheduler. What has changed since the start is the file: its
-// discovery takes precedence over the variable.
+// Reload reads the configuration again in a running scheduler. Unlike Load it prefers the file's discovery address
+// to the variable's: only the file can have changed since the start.
 func Reload(getenv func(string) string) (*Scheduler, error) { return read(getenv, true) }
 
+// read reads and checks the configuration for Load and Reload.
 func read(getenv func(string) string, reload bool) (*Scheduler, error) {
-	f, err := readFile(getenv("LB_CONFIG"))
+	file, err := readFile(getenv("LB_CONFIG"))
 	if err != nil {
 		return nil, err
 	}
-	s := &Scheduler{Name: f.Name, Listen: f.Listen, Admin: f.Admin, Discovery: f.Discovery, CachedEndpoints: f.Known}
+	s := &Scheduler{
+		Name: file.Name, Listen: file.Listen, Admin: file.Admin, Discovery: file.Discovery, CachedEndpoints: file.Known,
+	}
 	s.override(getenv, reload)
 	if s.Name == "" {
 		s.Name = defaultName
@@ -85,31 +89,33 @@
 	if err := s.checkAddresses(); err != nil {
 		return nil, err
 	}
-	if err := s.setLimits(f); err != nil {
+	if err := s.setLimits(file); err != nil {
 		return nil, err
 	}
-	if err := s.setSettings(f.Settings); err != nil {
+	if err := s.setSettings(file.Settings); err != nil {
 		return nil, err
 	}
-	return s, s.setPeers(f.PeerListen, f.Peers, f.PeersAll)
+	return s, s.setPeers(file.PeerListen, file.Peers, file.PeersAll)
 }
 
+// readFile reads the configuration file. Its errors name LB_CONFIG.
 func readFile(path string) (*configFile, error) {
 	if path == "" {
-		return nil, errors.New("LB_CONFIG: not set; it names the configuration file")
+		return nil, errors.New("LB_CONFIG: not set; it must name the configuration file")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("LB_CONFIG: %w", err)
 	}
-	f := &configFile{}
-	if err := json.Unmarshal(text, f); err != nil {
+	file := &configFile{}
+	if err := json.Unmarshal(text, file); err != nil {
 		return nil, fmt.Errorf("LB_CONFIG: %w", keyError(err))
 	}
-	return f, nil
+	return file, nil
 }
 
-// override sets the values that variables give.
+// override replaces values of the file by those of environment variables. On a reload the file's discovery
+// address takes precedence.
 func (s *Scheduler) override(getenv func(string) string, reload bool) {
 	for _, variable := range []struct {
 		key   string
@@ -127,6 +133,7 @@
 	}
 }
 
+// checkAddresses checks the addresses of clients, discovery and operators.
 func (s *Scheduler) checkAddresses() error {
 	if err := checkAddress("listen (LB_LISTEN)", s.Listen, 0); err != nil {
 		return err
@@ -137,24 +144,25 @@
 	return checkAdmin(s.Admin, s.Listen)
 }
 
-// setLimits sets the seed and what the scheduler may use.
-func (s *Scheduler) setLimits(f *configFile) (err error) {
-	if f.Seed != "" {
-		if s.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-			return fmt.Errorf("seed: %q is not a number of up to 16 hex digits", f.Seed)
+// setLimits sets the seed, the memory limit and the descriptor limit.
+func (s *Scheduler) setLimits(file *configFile) (err error) {
+	if file.Seed != "" {
+		if s.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
+			return fmt.Errorf("seed: %q is not a number of up to 16 hex digits", file.Seed)
 		}
 	}
-	s.MemoryMB, err = limitOrDefault("limits.memory_mb", int(f.Limits.MemoryMB), minMemoryMB, maxMemoryMB)
+	s.MemoryMB, err = limitOrDefault("limits.memory_mb", int(file.Limits.MemoryMB), minMemoryMB, maxMemoryMB)
 	if err != nil {
 		return err
 	}
-	s.MaxDescriptors, err = limitOrDefault("limits.sockets", f.Limits.Sockets, minDescriptors, maxDescriptors)
+	s.MaxDescriptors, err = limitOrDefault("limits.sockets", file.Limits.Sockets, minDescriptors, maxDescriptors)
 	return err
 }
 
+// setSettings parses and checks the settings. Its errors name the key within settings.
 func (s *Scheduler) setSettings(raw json.RawMessage) (err error) {
 	if len(raw) == 0 {
-		return errors.New("settings: not given")
+		return errors.New("settings: missing")
 	}
 	if s.Settings, err = ParseSettings(raw); err == nil {
 		err = s.Settings.checkScheduler()
@@ -165,46 +173,48 @@
 	return nil
 }
 
-// setPeers sets the peers' addresses where the settings allow gossip and there is another scheduler.
-// Elsewhere nothing is opened for it.
-func (s *Scheduler) setPeers(listen string, each []string, all string) error {
-	c := &s.Settings.Module
-	c.MayGossip = c.MayGossip && listen != "" && c.Dispatchers > 1
-	if !c.MayGossip {
+// setPeers sets the peers' addresses if the settings allow gossip, a listen address is configured and there is
+// another scheduler. Otherwise it disables gossip, so that no socket is opened for it.
+func (s *Scheduler) setPeers(listen string, addresses []string, broadcast string) error {
+	module := &s.Settings.Module
+	module.MayGossip = module.MayGossip && listen != "" && module.Dispatchers > 1
+	if !module.MayGossip {
 		return nil
 	}
 	if err := checkAddress("peer_listen", listen, 0); err != nil {
 		return err
 	}
-	if len(each) != c.Dispatchers {
-		return fmt.Errorf("peers: %d addresses for settings.balancers %d", len(each), c.Dispatchers)
+	if len(addresses) != module.Dispatchers {
+		return fmt.Errorf("peers: %d addresses, want %d as in settings.balancers", len(addresses), module.Dispatchers)
 	}
-	for i, addr := range each {
-		if err := checkAddress(fmt.Sprintf("peers[%d]", i), addr, 1); err != nil {
+	for i, address := range addresses {
+		if err := checkAddress(fmt.Sprintf("peers[%d]", i), address, 1); err != nil {
 			return err
 		}
 	}
-	if all != "" {
-		if err := checkAddress("peers_all", all, 1); err != nil {
+	if broadcast != "" {
+		if err := checkAddress("peers_all", broadcast, 1); err != nil {
 			return err
 		}
 	}
-	s.Peers = Peers{listen, each, all}
+	s.Peers = Peers{listen, addresses, broadcast}
 	return nil
 }
 
-// limitOrDefault returns a limit that is given, within its bounds, or else its maximum.
+// limitOrDefault returns a configured limit, reduced to the maximum; 0 means the maximum. A limit below the
+// minimum is an error.
 func limitOrDefault(key string, given, minimum, maximum int) (int, error) {
 	if given == 0 {
 		return maximum, nil
 	}
 	if given < minimum {
-		return 0, fmt.Errorf("%s: %d is under %d", key, given, minimum)
+		return 0, fmt.Errorf("%s: %d is under the minimum of %d", key, given, minimum)
 	}
 	return min(given, maximum), nil
 }
 
-// checkAdmin checks the operators' address, where there is one: it must not be the clients'.
+// checkAdmin checks the operators' address, if it is configured. It must differ from the clients' address unless
+// the port is 0.
 func checkAdmin(admin, listen string) error {
 	const key = "admin (LB_ADMIN)"
 	if admin == "" {
@@ -214,22 +224,22 @@
 		return err
 	}
 	if _, port, _ := net.SplitHostPort(admin); admin == listen && port != "0" {
-		return fmt.Errorf("%s: %q is the address of listen too", key, admin)
+		return fmt.Errorf("%s: %q is also the listen address", key, admin)
 	}
 	return nil
 }
 
-// checkAddress checks an address:port.
-func checkAddress(key, s string, minPort int) error {
-	if s == "" {
-		return fmt.Errorf("%s: not given", key)
+// checkAddress checks that an address has the form address:port with a port from minPort to 65535.
+func checkAddress(key, address string, minPort int) error {
+	if address == "" {
+		return fmt.Errorf("%s: not set", key)
 	}
-	host, port, err := net.SplitHostPort(s)
+	host, port, err := net.SplitHostPort(address)
 	if err != nil || host == "" {
-		return fmt.Errorf("%s: %q is not address:port", key, s)
+		return fmt.Errorf("%s: %q does not have the form address:port", key, address)
 	}
 	if n, err := strconv.Atoi(port); err != nil || n < minPort || n > 65535 {
-		return fmt.Errorf("%s: %q has no port from %d to 65535", key, s, minPort)
+		return fmt.Errorf("%s: %q does not have a port from %d to 65535", key, address, minPort)
 	}
 	return nil
 }
--- a/internal/config/errors_golden_test.go
+++ b/internal/config/errors_golden_test.go
@@ -9,7 +9,7 @@
 	"github.com/vatu-meals/foxlift/internal/golden"
 )
 
-// faultySettings are changes of the valid configuration that each make it faulty in one way.
+// invalidSettings are changes of validSettings that each make it invalid in one way.
 var invalidSettings = []struct{ old, new string }{
 	{`{"name"`, `"name"`},
 	{`"n3"`, `3`},
@@ -69,12 +69,13 @@
 	{`"flavors"`, `"report":{"names":["a","b","c","d","e"]},"flavors"`},
 }
 
-// TestSettingsFaults pins what is said of each faulty configuration: it is what "foxlift check" prints.
+// TestSettingsFaults compares the error of each invalid configuration with a golden file: "foxlift check" prints
+// these errors.
 func TestSettingsFaults(t *testing.T) {
 	var b strings.Builder
 	for _, c := range invalidSettings {
 		if !strings.Contains(validSettings, c.old) {
-			t.Fatalf("%s is not in the valid configuration", c.old)
+			t.Fatalf("%s is not in validSettings", c.old)
 		}
 		_, err := load(t, strings.Replace(validSettings, c.old, c.new, 1), nil)
 		fmt.Fprintf(&b, "%s for %s\n\t%v\n", c.new, c.old, err)
@@ -82,7 +83,7 @@
 	golden.Check(t, "settings-faults.txt", []byte(b.String()))
 }
 
-// faultyOperators are operator's files whose messages TestOperatorErrors does not have.
+// invalidOperatorFiles are operator's files with errors that TestOperatorErrors does not cover.
 var invalidOperatorFiles = []string{
 	`(foxlift (control))`,
 	`(foxlift (control (socket "/` + strings.Repeat("s", maxSocketPath) + `")))`,
@@ -96,16 +97,17 @@
 	`(foxlift (cells` + strings.Repeat(` (cell a)`, maxCells+1) + `))`,
 }
 
-// TestOperatorFileFaults pins what is said of each faulty operator's file; of many faults the first.
+// TestOperatorFileFaults compares the first error and the number of errors of each invalid operator's file with a
+// golden file.
 func TestOperatorFileFaults(t *testing.T) {
 	var b strings.Builder
 	for _, text := range invalidOperatorFiles {
 		_, err := ParseOperator("f", []byte(text), exampleSettings(t))
-		faults := OperatorErrors(nil)
-		if !errors.As(err, &faults) {
-			t.Fatalf("%.100s: %v", text, err)
+		operatorErrors := OperatorErrors(nil)
+		if !errors.As(err, &operatorErrors) {
+			t.Fatalf("ParseOperator(%.100s): error %v, want OperatorErrors", text, err)
 		}
-		fmt.Fprintf(&b, "%.100s\n\t%v, of %d\n", text, faults[0], len(faults))
+		fmt.Fprintf(&b, "%.100s\n\t%v, of %d\n", text, operatorErrors[0], len(operatorErrors))
 	}
 	golden.Check(t, "operator-faults.txt", []byte(b.String()))
 }
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -12,7 +12,7 @@
 	"github.com/vatu-meals/foxlift/internal/fuzz"
 )
 
-// print writes forms as text that reads the same.
+// printSexps returns a text that parses to the given values.
 func printSexps(values []*sexp) string {
 	var words []string
 	for _, v := range values {
@@ -28,25 +28,27 @@
 	return strings.Join(words, " ")
 }
 
-// checkOperator: any text is either read or rejected with errors that have a place; what is read reads
-// the same when printed; a plan that is accepted is sound.
+// checkOperator checks that any text is either parsed or rejected with errors in the order of their lines, that a
+// parsed text keeps its meaning when it is printed and parsed again, and that an accepted plan has positive bounds
+// and capacity fractions that add up to 1.
 func checkOperator(t testing.TB, data []byte) {
 	r := &reader{file: "f"}
 	if values := r.parse(data); len(r.errors) == 0 {
 		text := printSexps(values)
 		again := &reader{file: "f"}
 		if twice := printSexps(again.parse([]byte(text))); len(again.errors) > 0 || twice != text {
-			t.Fatalf("%q is printed %q, then %q, %v", data, text, twice, again.errors)
+			t.Fatalf("%q is printed as %q, which is parsed and printed as %q, errors %v", data, text, twice, again.errors)
 		}
 	}
 	op, err := ParseOperator("f", data, fuzzSettings)
 	operatorErrors := OperatorErrors(nil)
 	if err != nil && (!errors.As(err, &operatorErrors) || len(operatorErrors) == 0) {
-		t.Fatalf("%q: %v", data, err)
+		t.Fatalf("ParseOperator(%q): error %v, want OperatorErrors", data, err)
 	} else if err != nil {
 		for i, f := range operatorErrors {
 			if f.Text == "" || f.File != "f" || i > 0 && f.Line < operatorErrors[i-1].Line {
-				t.Fatalf("%q: fault %d of %v", data, i, operatorErrors)
+				t.Fatalf("ParseOperator(%q): error %d of %v has no text or file, or its line is out of order",
+					data, i, operatorErrors)
 			}
 		}
 		return
@@ -59,15 +61,16 @@
 		share := op.Cells.CapacityFraction(c)
 		sum += share
 		if !(share > 0) || op.Cells.JobBound(c, 100) < 1 || op.Cells.ConnectionBound(c, 100) < 1 {
-			t.Fatalf("%q: cell %d has share %v, bounds %d and %d",
+			t.Fatalf("ParseOperator(%q): cell %d has capacity fraction %v, job bound %d, connection bound %d",
 				data, c, share, op.Cells.JobBound(c, 100), op.Cells.ConnectionBound(c, 100))
 		}
 	}
 	if sum < 0.999 || sum > 1.001 {
-		t.Fatalf("%q: shares add up to %v", data, sum)
+		t.Fatalf("ParseOperator(%q): capacity fractions add up to %v, want 1", data, sum)
 	}
 }
 
+// fuzzSettings are the settings against which checkOperator checks operator's files.
 var fuzzSettings = func() *Settings {
 	s, err := ParseSettings([]byte(fuzzSettingsText))
 	if err != nil {
@@ -76,6 +79,7 @@
 	return s
 }()
 
+// fuzzSettingsText is the JSON of fuzzSettings, and a seed of checkSettings.
 const fuzzSettingsText = `{"balancers":2,"slotNo":1,"discovery":"subscribe","dcs":["a","b"],"zone":"a",` +
 	`"flavors":["k","l"],
  "grades":[{"name":"r","aim":1,"deadline":2,"effect":"idempotent"},` +
@@ -84,6 +88,7 @@
  "familyInfo":{"classKind":[0,-1],"classStretch":[2.5],"reportX0":"free slots"},` +
 	`"bounds":{"maxAttempts":3,"connIdle":30},"obligations":{"warmAfter":7}}`
 
+// operatorSeeds returns operator's files from which the fuzzer starts.
 func operatorSeeds() [][]byte {
 	example, err := os.ReadFile("../../deploy/operator.example.sexp")
 	if err != nil {
@@ -117,8 +122,8 @@
 
 func TestFuzzOperator(t *testing.T) { fuzz.Run(t, 11, 8000, operatorSeeds(), checkOperator) }
 
-// checkSettings: settings are rejected with an error that has a text, or make tables that agree with the
-// module's configuration.
+// checkSettings checks that settings are either rejected with a non-empty error, or yield name tables that match the
+// module's configuration, and values within their bounds.
 func checkSettings(t testing.TB, data []byte) {
 	s, err := ParseSettings(data)
 	if err == nil {
@@ -126,41 +131,42 @@
 	}
 	if err != nil {
 		if err.Error() == "" {
-			t.Fatalf("%q: an error without words", data)
+			t.Fatalf("settings %q: the error has no text", data)
 		}
 		return
 	}
 	for name, i := range s.Classes {
 		if i < 0 || i >= len(s.Module.Classes) || s.Module.Classes[i].Name != name {
-			t.Fatalf("%q: class %q is %d", data, name, i)
+			t.Fatalf("settings %q: Classes[%q] = %d, which is not the index of that class", data, name, i)
 		}
 	}
 	for name, i := range s.Tenants {
 		if i < 0 || i >= len(s.Module.Tenants) || s.Module.Tenants[i].Name != name {
-			t.Fatalf("%q: tenant %q is %d", data, name, i)
+			t.Fatalf("settings %q: Tenants[%q] = %d, which is not the index of that tenant", data, name, i)
 		}
 	}
 	for i, c := range s.Module.Classes {
 		if c.LatencyObjective <= 0 || c.Deadline <= 0 || c.Kind < -1 || c.ObjectiveStretch < 0 || c.KeyTTL < 0 {
-			t.Fatalf("%q: class %d is %+v", data, i, c)
+			t.Fatalf("settings %q: class %d has a value out of bounds: %+v", data, i, c)
 		}
 	}
 	c := s.Module
 	if c.Dispatchers < 1 || c.Dispatchers > foxlift.MaxDispatchers || c.Index >= c.Dispatchers {
-		t.Fatalf("%q: %+v", data, c)
+		t.Fatalf("settings %q: Dispatchers or Index is out of bounds: %+v", data, c)
 	}
 	if c.SlowStartDuration < 0 || c.MaxAttempts < 0 {
-		t.Fatalf("%q: %+v", data, c)
+		t.Fatalf("settings %q: SlowStartDuration or MaxAttempts is negative: %+v", data, c)
 	}
-	for _, figure := range []float64{
+	for _, value := range []float64{
 		c.SlowStartCapacity, c.OverloadMultiple, c.Prices.CrossZone, c.Prices.Handshake, c.Prices.Fetch,
 	} {
-		if !(figure >= 0) {
-			t.Fatalf("%q: a negative figure in %+v", data, c)
+		if !(value >= 0) {
+			t.Fatalf("settings %q: a fraction, factor or price is negative or NaN: %+v", data, c)
 		}
 	}
 }
 
+// settingsSeeds returns settings from which the fuzzer starts.
 func settingsSeeds() [][]byte {
 	seeds := [][]byte{[]byte(fuzzSettingsText)}
 	for _, s := range []string{
@@ -187,8 +193,8 @@
 
 func TestFuzzSettings(t *testing.T) { fuzz.Run(t, 12, 10000, settingsSeeds(), checkSettings) }
 
-// The complete file, overridden by variables: an error names a key, what is accepted is within the
-// limits.
+// A configuration file with any content is either rejected with an error that names a key, or yields limits within
+// their bounds.
 func TestFuzzFile(t *testing.T) {
 	example, err := os.ReadFile("../../examples/config.json")
 	if err != nil {
@@ -210,13 +216,13 @@
 		s, err := Load(func(name string) string { return map[string]string{"LB_CONFIG": path}[name] })
 		if err != nil {
 			if !strings.Contains(err.Error(), ": ") {
-				t.Fatalf("%q: %v names no key", data, err)
+				t.Fatalf("Load(%q): error %v, want one that names a key", data, err)
 			}
 			return
 		}
 		if s.MemoryMB < minMemoryMB || s.MemoryMB > maxMemoryMB ||
 			s.MaxDescriptors < minDescriptors || s.MaxDescriptors > maxDescriptors {
-			t.Fatalf("%q: %s", data, fmt.Sprint(s.MemoryMB, s.MaxDescriptors))
+			t.Fatalf("Load(%q): limits out of bounds: %s", data, fmt.Sprint(s.MemoryMB, s.MaxDescriptors))
 		}
 	})
 }
--- a/internal/config/keys_test.go
+++ b/internal/config/keys_test.go
@@ -8,7 +8,7 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// everyKey has each key of the settings, no two of a kind with the same value.
+// allKeysSettings sets each key of the settings. Values of the same type differ, so that a mix-up is detected.
 const allKeysSettings = `{"balancers":9,"slotNo":3,"zone":"b","dcs":["a","b"],"flavors":["k","l"],` +
 	`"discovery":"subscribe",
 "grades":[{"name":"first","aim":11,"aimStretch":1.5,"deadline":12,"effect":"deduplicated","dedupScope":"zone",
@@ -25,7 +25,7 @@
 "familyInfo":{"classKind":[1,0],"classPriority":[41,42],"classStretch":[0.25,0.75],"tellsStart":true,
  "memoryUnit":"one unit for each slot","progress":43,"reportX0":"free slots","reportX1":"free memory"}}`
 
-// boolKeys are the keys of everyKey whose values are true.
+// boolSettings returns the fields of the settings that are true in allKeysSettings, by key.
 func boolSettings(c *foxlift.Config) map[string]bool {
 	return map[string]bool{
 		"bounds.cancel": c.MayCancel, "bounds.probes": c.MayHealthCheck, "bounds.secondCopies": c.MayHedge,
@@ -34,7 +34,7 @@
 	}
 }
 
-// TestEveryKeyIsRead pins which field each key of the settings goes to.
+// TestEveryKeyIsRead checks that each key of the settings sets its field.
 func TestEveryKeyIsRead(t *testing.T) {
 	s, err := ParseSettings([]byte(allKeysSettings))
 	if err != nil {
@@ -43,10 +43,10 @@
 	c := &s.Module
 	for key, on := range boolSettings(c) {
 		if !on {
-			t.Errorf("%s is not read", key)
+			t.Errorf("the field of key %s = false, want true", key)
 		}
 	}
-	for _, x := range []struct {
+	for _, setting := range []struct {
 		key       string
 		got, want any
 	}{
@@ -80,13 +80,13 @@
 		{"familyInfo.memoryUnit", c.SlotMemory, 1.0},
 		{"familyInfo.progress", s.ProgressInterval, 43 * time.Nanosecond},
 	} {
-		if !reflect.DeepEqual(x.got, x.want) {
-			t.Errorf("%s: %v, want %v", x.key, x.got, x.want)
+		if !reflect.DeepEqual(setting.got, setting.want) {
+			t.Errorf("the field of key %s = %v, want %v", setting.key, setting.got, setting.want)
 		}
 	}
 }
 
-// TestEveryKeyOfAClassIsRead does so for the classes.
+// TestEveryKeyOfAClassIsRead checks that each key of a class sets its field.
 func TestEveryKeyOfAClassIsRead(t *testing.T) {
 	s, err := ParseSettings([]byte(allKeysSettings))
 	if err != nil {
@@ -104,6 +104,6 @@
 		{Name: "third", LatencyObjective: 16, Deadline: 17, Scope: foxlift.ScopeCell, Kind: -1},
 	}
 	if !reflect.DeepEqual(s.Module.Classes, want) {
-		t.Errorf("%+v, want %+v", s.Module.Classes, want)
+		t.Errorf("Module.Classes = %+v, want %+v", s.Module.Classes, want)
 	}
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -7,30 +7,30 @@
 	"github.com/vatu-meals/foxlift/internal/cells"
 )
 
-// An Operator is what the operator's own file says. Everything in it is off unless
-// the file asks for it.
+// An OperatorConfig holds the settings of the operator's file. Each feature is off unless the file configures it.
 type OperatorConfig struct {
 	ControlSocket      string      // path of the control socket; "": none
-	EndpointCheckpoint string      // path of the endpoint list's checkpoint; "": none
+	EndpointCheckpoint string      // path of the checkpoint of the endpoint list; "": none
 	Cells              *cells.Plan // nil: no cells
 }
 
-// Bounds of what the file may ask for.
+// Bounds of the values in the operator's file.
 const (
 	maxCells      = 1000
 	maxKeyWorkers = 1000
-	maxCount      = 1e6 // of jobs or connections
+	maxCount      = 1e6 // of open jobs or of connections
 	minFraction   = 0.001
 	minWeight     = 0.01
 	maxWeight     = 1000
-	maxSocketPath = 100 // a Unix socket's path holds little more (unix(7): 108 bytes)
+	maxSocketPath = 100 // bytes; the kernel allows 108 (unix(7))
 )
 
-// fractionTolerance is by how much cells' fractions may add up to more than 1, as they are rounded.
+// fractionTolerance is by how much the sum of the cells' capacity fractions may exceed 1, since they are rounded.
 const fractionTolerance = 0.0001
 
-// ParseOperator reads an operator's file from its text and checks it against the
-// platform's settings. Its error is OperatorErrors: all that is wrong, not the first alone.
+// ParseOperator parses the text of an operator's file and checks it against the platform's settings. name is the
+// file name for error messages. The error is of type OperatorErrors and lists everything that is wrong, not only
+// the first error.
 func ParseOperator(name string, text []byte, s *Settings) (*OperatorConfig, error) {
 	r := &reader{file: name}
 	op := &OperatorConfig{}
@@ -41,7 +41,7 @@
 	return op, nil
 }
 
-// topLevel reads the file's top-level forms; cells reads that of cells.
+// readTopLevel reads the top-level forms of the file. It calls cells for the cells form.
 func (r *reader) readTopLevel(text []byte, op *OperatorConfig, readCells func(form)) {
 	r.readForms("", r.parse(text), map[string]rule{"foxlift": {read: func(f form) {
 		r.readForms("", f.args, map[string]rule{
@@ -52,8 +52,8 @@
 	}}})
 }
 
-// ControlSocket reads the path of the control socket alone from an operator's file, for a caller
-// without the platform's settings.
+// ReadControlSocket reads only the path of the control socket from an operator's file, for callers that do not
+// have the platform's settings. The path is empty if the file configures no control socket.
 func ReadControlSocket(path string) (string, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -67,7 +67,8 @@
 	return op.ControlSocket, nil
 }
 
-// absolutePath reads a form's one value as an absolute path; "" if it is none.
+// readAbsolutePath reads the only value of a form as an absolute path. If it is not one, it records an error and
+// returns an empty path.
 func (r *reader) readAbsolutePath(f form) (v *sexp, path string) {
 	v = r.singleValue(f)
 	path = r.text(f, v)
@@ -78,12 +79,12 @@
 	return v, path
 }
 
-// control reads what is said of the control socket.
+// readControl reads the control form.
 func (r *reader) readControl(f form, op *OperatorConfig) {
 	r.readForms(f.key, f.args, map[string]rule{"socket": {read: func(f form) {
 		v, path := r.readAbsolutePath(f)
 		if len(path) > maxSocketPath {
-			r.addError(v, f.key, "a socket's path holds %d bytes at most", maxSocketPath)
+			r.addError(v, f.key, "the path has %d bytes, at most %d are allowed", len(path), maxSocketPath)
 			return
 		}
 		op.ControlSocket = path
@@ -93,7 +94,7 @@
 	}
 }
 
-// endpointCheckpoint reads what is said of the endpoint list's checkpoint.
+// readEndpointCheckpoint reads the list form, which configures the checkpoint of the endpoint list.
 func (r *reader) readEndpointCheckpoint(f form, op *OperatorConfig) {
 	r.readForms(f.key, f.args, map[string]rule{"checkpoint": {read: func(f form) {
 		_, op.EndpointCheckpoint = r.readAbsolutePath(f)
@@ -103,7 +104,8 @@
 	}
 }
 
-// cells reads the cells and checks them against the platform's settings.
+// readCells reads the cells form and checks it against the platform's settings. The result is nil if there is an
+// error that rules out a plan.
 func (r *reader) cells(f form, s *Settings) *cells.Plan {
 	before := len(r.errors)
 	spec := &cells.Spec{Weights: map[string]float64{}}
@@ -126,10 +128,10 @@
 		r.addError(f.at, f.key, "the shares add up to %.3g, more than 1", sum)
 	}
 	if len(spec.Cells) > maxCells {
-		r.addError(f.at, f.key, "%d cells, %d at most", len(spec.Cells), maxCells)
+		r.addError(f.at, f.key, "%d cells are configured, at most %d are allowed", len(spec.Cells), maxCells)
 	}
 	if len(spec.Cells) == 0 && len(r.errors) > before {
-		return nil // the errors may be why there is none
+		return nil // the missing cells may be a consequence of the recorded errors
 	}
 	plan, specErrors := s.PlanCells(spec)
 	for _, e := range specErrors {
@@ -142,7 +144,7 @@
 	return plan
 }
 
-// keyLimits reads what the jobs with one key may use.
+// readKeyLimits reads the key form: the limits of the jobs with one affinity key.
 func (r *reader) readKeyLimits(f form, spec *cells.Spec) {
 	r.readForms(f.key, f.args, map[string]rule{
 		"nodes": {read: func(f form) { spec.WorkersPerKey = r.positiveInteger(f, r.singleValue(f), maxKeyWorkers) }},
@@ -150,7 +152,7 @@
 	})
 }
 
-// kind reads what is said of a kind of workers.
+// readKind reads a kind form: the relative capacity of a kind of workers.
 func (r *reader) readKind(f form, spec *cells.Spec) {
 	name, rest := r.readName(f)
 	r.subjects["kind "+name] = f.withName(name)
@@ -161,7 +163,7 @@
 	})
 }
 
-// split reads a tenant that several cells serve.
+// readSplit reads a split form: a tenant that several cells serve.
 func (r *reader) readSplit(f form) cells.Split {
 	name, rest := r.readName(f)
 	r.subjects["split "+name], r.subjects["tenant "+name] = f.withName(name), f.withName(name)
@@ -174,12 +176,12 @@
 		}},
 	})
 	if len(split.Cells) < 2 || !byKey {
-		r.addError(f.at, f.key+" "+name, "it needs two cells or more, and (by key)")
+		r.addError(f.at, f.key+" "+name, "a split needs at least two cells and (by key)")
 	}
 	return split
 }
 
-// cell reads one cell.
+// readCell reads a cell form.
 func (r *reader) readCell(f form) cells.Cell {
 	name, rest := r.readName(f)
 	c := cells.Cell{Name: name}
@@ -194,20 +196,20 @@
 	return c
 }
 
-// whenUnable reads (when-unable refuse) or (when-unable spill CELL PART).
+// readWhenUnable reads (when-unable refuse) or (when-unable spill CELL FRACTION).
 func (r *reader) readWhenUnable(f form, c *cells.Cell) {
 	if len(f.args) == 0 {
-		r.addError(f.at, f.key, "it needs refuse, or spill with a cell and a part")
+		r.addError(f.at, f.key, "want refuse, or spill with a cell and a fraction")
 		return
 	}
 	switch r.keyword(f, f.args[0], "refuse", "spill") {
 	case "refuse":
 		if len(f.args) > 1 {
-			r.addError(f.args[1], f.key, "refuse stands alone")
+			r.addError(f.args[1], f.key, "unexpected value after refuse")
 		}
 	case "spill":
 		if len(f.args) != 3 {
-			r.addError(f.at, f.key, "spill needs a cell and the part of its jobs that it may take")
+			r.addError(f.at, f.key, "spill needs a cell and the fraction of that cell's job bound that spilled jobs may use")
 			return
 		}
 		r.subjects["spill "+c.Name] = form{f.args[1], f.key, nil}
@@ -215,25 +217,27 @@
 	}
 }
 
-// withName returns the form with a name after its key, for messages.
+// withName returns the form with a name appended to its key, for error messages.
 func (f form) withName(name string) form {
 	f.key += " " + name
 	return f
 }
 
-// namedForm returns the name that follows a form's key, and the values after it.
+// readName returns the first value of a form, which is its name, and the values after it. If there is no name, it
+// records an error.
 func (r *reader) readName(f form) (name string, rest []*sexp) {
 	if len(f.args) == 0 || f.args[0].Form != nil {
-		r.addError(f.at, f.key, "its name is missing")
+		r.addError(f.at, f.key, "the name is missing")
 		return "", f.args
 	}
 	return r.text(f, f.args[0]), f.args[1:]
 }
 
-// names reads all values of a form as names, each the subject of its errors.
+// readNames reads all values of a form as names. If subject is not empty, it is the prefix under which each name
+// is registered as the subject of errors of the cell plan.
 func (r *reader) readNames(f form, subject string) (names []string) {
 	if len(f.args) == 0 {
-		r.addError(f.at, f.key, "no names")
+		r.addError(f.at, f.key, "at least one name is required")
 	}
 	for _, v := range f.args {
 		name := r.text(f, v)
@@ -245,7 +249,8 @@
 	return names
 }
 
-// PlanCells checks a spec of cells against these settings.
+// PlanCells builds a cell plan from a specification and checks it against the settings. If there are errors, it
+// returns them and no plan. It adds the worker kinds that the classes require to the specification.
 func (s *Settings) PlanCells(spec *cells.Spec) (*cells.Plan, []cells.SpecError) {
 	tenants := make([]cells.Tenant, len(s.Module.Tenants))
 	for i, t := range s.Module.Tenants {
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// exampleSettings returns the settings of the example configuration.
 func exampleSettings(t testing.TB) *Settings {
 	t.Helper()
 	s, err := Load(func(name string) string {
@@ -21,7 +22,7 @@
 	return s.Settings
 }
 
-// The example under deploy/ is sound, and means what it says.
+// The example of an operator's file under deploy/ is valid, and its values are read.
 func TestOperatorExample(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/operator.example.sexp")
 	if err != nil {
@@ -33,24 +34,25 @@
 	}
 	plan := op.Cells
 	if op.ControlSocket != "/tmp/foxlift-control.sock" || plan.CellCount() != 2 || plan.MaxJobsPerKey() != 16 {
-		t.Errorf("%+v", op)
+		t.Errorf("ParseOperator(example) = %+v, want socket /tmp/foxlift-control.sock, 2 cells and 16 jobs per key", op)
 	}
 	if fraction := plan.CapacityFraction(plan.CellIndex("isles")); fraction != 0.25 {
-		t.Errorf("a cell has %g of the capacity", fraction)
+		t.Errorf("CapacityFraction(isles) = %g, want 0.25", fraction)
 	}
 	if op.EndpointCheckpoint != "/tmp/foxlift-list" {
-		t.Errorf("the checkpoint is %q", op.EndpointCheckpoint)
+		t.Errorf("EndpointCheckpoint = %q, want /tmp/foxlift-list", op.EndpointCheckpoint)
 	}
 	if path, err := ReadControlSocket("../../deploy/operator.example.sexp"); err != nil || path != op.ControlSocket {
-		t.Errorf("the socket alone: %q, %v", path, err)
+		t.Errorf("ReadControlSocket(example) = %q, %v, want %q", path, err, op.ControlSocket)
 	}
 	op, err = ParseOperator("empty", []byte("; nothing\n"), exampleSettings(t))
 	if err != nil || op.Cells != nil || op.ControlSocket != "" {
-		t.Errorf("an empty file: %+v, %v", op, err)
+		t.Errorf("ParseOperator(empty file) = %+v, %v, want no cells, no socket and no error", op, err)
 	}
 }
 
-// Errors name file, line, column and key, and come all at once in the file's order.
+// Errors name the file, line, column and key. All errors of a file are reported at once, in the order of their
+// positions.
 func TestOperatorErrors(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
 		"many at once": {`(foxlift
@@ -68,10 +70,10 @@
 f:5:42: cells.cell a.tenants nobody: the platform has no such tenant
 f:5:69: cells.cell a.when-unable: a cell cannot spill into itself
 f:6:6: cells.cell a: the cell is configured more than once
-f:6:19: cells.cell a.jobs: -1 is not a whole number from 1 to 1000000
+f:6:19: cells.cell a.jobs: -1 is not an integer from 1 to 1000000
 f:6:36: cells.cell a.when-unable: wait is not one of: refuse, spill
 f:7:6: cells.kind huge: the platform has no such machine kind
-f:8:6: cells.split islands: it needs two cells or more, and (by key)
+f:8:6: cells.split islands: a split needs at least two cells and (by key)
 f:8:6: cells.split islands: the tenant is already assigned to a cell or split
 f:9:6: cells.colour: unknown key; known here: cell, default, key, kind, split`},
 		"no checkpoint": {`(foxlift (list))`, `f:1:11: list: checkpoint is missing`},
@@ -80,13 +82,13 @@
 			"f:1:28: list.checkpoint: \"kept\" is not an absolute path\n" +
 				"f:1:37: list.age: unknown key; known here: checkpoint",
 		},
-		"no list":          {`foxlift`, `f:1:1: foxlift stands where a list that begins with a key should`},
+		"no list":          {`foxlift`, `f:1:1: foxlift is not a list that begins with a key`},
 		"not closed":       {"(foxlift\n (cells", `f:2:8: unexpected token "<EOF>" (expected ")")`},
 		"closed too often": {"(foxlift))", `f:1:10: unexpected token ")"`},
 		"open string":      {"(foxlift (control (socket \"/a)))\n", `f:1:27: invalid input text "\"/a)))\n"`},
 		"twice": {
 			`(foxlift (control (socket "/a")) (control (socket "/b")))`,
-			`f:1:35: control: it is there twice`,
+			`f:1:35: control: the key is there more than once`,
 		},
 		"no cells": {`(foxlift (cells))`, `f:1:11: cells: no cell is configured`},
 		"shares": {
@@ -98,22 +100,26 @@
 			`f:1:32: cells.cell a.share: NaN is not a number from 0.001 to 1`,
 		},
 		"two values": {`(foxlift (cells (cell a (share 0.1 0.2))))`, `f:1:26: cells.cell a.share: 2 values, want one`},
-		"no name":    {`(foxlift (cells (cell)))`, `f:1:18: cells.cell: its name is missing`},
+		"no name":    {`(foxlift (cells (cell)))`, `f:1:18: cells.cell: the name is missing`},
 		"spill alone": {
 			`(foxlift (cells (cell a (when-unable spill b))))`,
-			`f:1:26: cells.cell a.when-unable: spill needs a cell and the part of its jobs that it may take`,
+			"f:1:26: cells.cell a.when-unable: " +
+				"spill needs a cell and the fraction of that cell's job bound that spilled jobs may use",
+		},
+		"too deep": {strings.Repeat("(", 10000), `f: lists are nested more than 32 deep`},
+		"too long": {
+			strings.Repeat(";", maxOperatorFileBytes+1),
+			`f: the file has 1048577 bytes, at most 1048576 are allowed`,
 		},
-		"too deep": {strings.Repeat("(", 10000), `f: lists more than 32 deep`},
-		"too long": {strings.Repeat(";", maxOperatorFileBytes+1), `f: over 1048576 bytes`},
 	} {
 		_, err := ParseOperator("f", []byte(c.text), exampleSettings(t))
-		if faults := OperatorErrors(nil); !errors.As(err, &faults) || err.Error() != c.want {
-			t.Errorf("%s:\n%v\nwant\n%s", name, err, c.want)
+		if operatorErrors := OperatorErrors(nil); !errors.As(err, &operatorErrors) || err.Error() != c.want {
+			t.Errorf("%s: ParseOperator() error\n%v\nwant\n%s", name, err, c.want)
 		}
 	}
 }
 
-// Names that choose among alternatives must be known; unknown keys are ignored.
+// A discovery mode or a zone that is not known is an error. Unknown keys are ignored.
 func TestSettingsNames(t *testing.T) {
 	text, err := os.ReadFile("../../examples/config.json")
 	if err != nil {
@@ -134,9 +140,9 @@
 		s, err := Load(func(name string) string { return map[string]string{"LB_CONFIG": path}[name] })
 		switch {
 		case c.want != "" && (err == nil || !strings.HasPrefix(err.Error(), c.want)):
-			t.Errorf("%s: %v", c.with, err)
+			t.Errorf("Load() with %s: error %v, want prefix %q", c.with, err, c.want)
 		case c.want == "" && (err != nil || !s.Settings.Module.PollEndpoints):
-			t.Errorf("%s: %v, or the list is never asked for", c.with, err)
+			t.Errorf("Load() with %s: error %v, want no error and PollEndpoints", c.with, err)
 		}
 	}
 }
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -8,15 +8,15 @@
 	"strings"
 )
 
-// An OperatorError is one thing wrong with the operator's file.
+// An OperatorError is one error in the operator's file.
 type OperatorError struct {
 	File         string
-	Line, Column int // 0: the file as a whole
-	Key          string
+	Line, Column int    // position, from 1; 0: the error concerns the whole file
+	Key          string // key of the form with its enclosing keys, separated by dots; may be empty
 	Text         string
 }
 
-// Error implements error.
+// Error returns the error as file:line:column: key: text, without the parts that are not set.
 func (e OperatorError) Error() string {
 	place := e.File
 	if e.Line > 0 {
@@ -28,10 +28,10 @@
 	return fmt.Sprintf("%s: %s", place, e.Text)
 }
 
-// OperatorErrors are all that is wrong, in the file's order.
+// OperatorErrors are all errors in an operator's file, in the order of their positions.
 type OperatorErrors []OperatorError
 
-// Error implements error: a line for each.
+// Error returns one line for each error.
 func (e OperatorErrors) Error() string {
 	lines := make([]string, len(e))
 	for i := range e {
@@ -40,13 +40,14 @@
 	return strings.Join(lines, "\n")
 }
 
-// A reader walks the forms of a file and gathers what is wrong with them.
+// A reader reads the forms of an operator's file and collects the errors in them.
 type reader struct {
 	file     string
 	errors   OperatorErrors
 	subjects map[string]form // the form of each subject of a cells.SpecError
 }
 
+// addError records an error at the position of a value, or of the whole file if at is nil.
 func (r *reader) addError(at *sexp, key, format string, args ...any) {
 	e := OperatorError{File: r.file, Key: key, Text: fmt.Sprintf(format, args...)}
 	if at != nil {
@@ -55,7 +56,7 @@
 	r.errors = append(r.errors, e)
 }
 
-// sorted returns the errors in the file's order.
+// sorted returns the errors in the order of their positions in the file.
 func (r *reader) sorted() OperatorErrors {
 	slices.SortStableFunc(r.errors, func(a, b OperatorError) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
@@ -63,25 +64,26 @@
 	return r.errors
 }
 
-// A form is a sexpForm by its key.
+// A form is a sexpForm split into its key and its values.
 type form struct {
-	at   *sexp
-	key  string // with the keys around it, for messages
-	args []*sexp
+	at   *sexp   // the key, as the position of errors
+	key  string  // with the enclosing keys, for error messages
+	args []*sexp // the values after the key
 }
 
-// A rule says how the forms with one key are read.
+// A rule defines how the forms with one key are read.
 type rule struct {
-	repeatable bool // more than one may be there
-	read       func(form)
+	repeatable bool       // whether the key may occur more than once
+	read       func(form) // reads one form with the key
 }
 
-// forms reads the forms in values by the rules of their keys; a key without a rule is an error.
+// readForms reads each value as a form, by the rule of its key. A value that is not a form, a key without a rule
+// and a duplicate of a key that is not repeatable are errors. within is the key of the enclosing form.
 func (r *reader) readForms(within string, values []*sexp, rules map[string]rule) {
 	seen := map[string]bool{}
 	for _, v := range values {
 		if v.Form == nil || len(v.Form.Values) == 0 || v.Form.Values[0].Atom == nil {
-			r.addError(v, within, "%s stands where a list that begins with a key should", v)
+			r.addError(v, within, "%s is not a list that begins with a key", v)
 			continue
 		}
 		name := *v.Form.Values[0].Atom
@@ -92,7 +94,7 @@
 		case !ok:
 			r.addError(at, key, "unknown key; known here: %s", strings.Join(sortedKeys(rules), ", "))
 		case seen[name] && !rule.repeatable:
-			r.addError(at, key, "it is there twice")
+			r.addError(at, key, "the key is there more than once")
 		default:
 			seen[name] = true
 			rule.read(form{at, key, v.Form.Values[1:]})
@@ -100,6 +102,7 @@
 	}
 }
 
+// sortedKeys returns the keys of a map in alphabetical order.
 func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
@@ -109,7 +112,8 @@
 	return keys
 }
 
-// singleValue returns the only value of a form.
+// singleValue returns the only value of a form. If the form does not have exactly one value, it records an error
+// and returns nil.
 func (r *reader) singleValue(f form) *sexp {
 	if len(f.args) != 1 {
 		r.addError(f.at, f.key, "%d values, want one", len(f.args))
@@ -118,7 +122,8 @@
 	return f.args[0]
 }
 
-// text reads an atom or a string.
+// text reads a value as an atom or a non-empty string. For another value it records an error and returns "". A nil
+// value, whose error is already recorded, yields "" as well.
 func (r *reader) text(f form, v *sexp) string {
 	switch {
 	case v == nil:
@@ -127,12 +132,12 @@
 	case v.Text != nil && *v.Text != "":
 		return *v.Text
 	default:
-		r.addError(v, f.key, "%s is no name", v)
+		r.addError(v, f.key, "%s is not a name", v)
 	}
 	return ""
 }
 
-// keyword reads one of the known words.
+// keyword reads a value as one of the known words. For another value it records an error and returns "".
 func (r *reader) keyword(f form, v *sexp, known ...string) string {
 	if v == nil {
 		return ""
@@ -144,13 +149,13 @@
 	return ""
 }
 
-// number reads a number from a minimum to a maximum.
+// number reads a value as a number from minimum to maximum. For another value it records an error and returns 0.
 func (r *reader) number(f form, v *sexp, minimum, maximum float64) float64 {
 	if v == nil {
 		return 0
 	}
 	if v.Atom != nil {
-		// NaN and the like compare as false.
+		// The comparisons are false for NaN, which is therefore rejected.
 		if n, err := strconv.ParseFloat(*v.Atom, 64); err == nil && n >= minimum && n <= maximum {
 			return n
 		}
@@ -159,7 +164,8 @@
 	return 0
 }
 
-// positiveInteger reads an integer from 1 to a maximum.
+// positiveInteger reads a value as an integer from 1 to maximum. For another value it records an error and returns
+// 0.
 func (r *reader) positiveInteger(f form, v *sexp, maximum int) int {
 	if v == nil {
 		return 0
@@ -169,6 +175,6 @@
 			return n
 		}
 	}
-	r.addError(v, f.key, "%s is not a whole number from %d to %d", v, 1, maximum)
+	r.addError(v, f.key, "%s is not an integer from %d to %d", v, 1, maximum)
 	return 0
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -12,25 +12,24 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// Settings is a deployment's settings, ready for the decision module, with the
-// tables that turn names into the module's indexes.
+// Settings holds a deployment's settings: the configuration of the decision module, the tables that map names to
+// the module's indexes, and the settings that only the scheduler around the module uses.
 type Settings struct {
 	Module           foxlift.Config
 	Classes          map[string]int
 	Tenants          map[string]int
 	Zones            map[string]int
 	Kinds            map[string]int
-	GaugeNames       []string      // of the values in a load report, in order
-	ConnectTimeout   time.Duration // 0 means not given
-	DrainGrace       time.Duration // within which sends to a draining worker have to stop
-	MaxOpen          int           // open jobs; 0 means no limit
-	ProgressInterval time.Duration // between progress notes; 0 means none
-	Discovery        string        // one of discoveries, or ""
-	Zone             string        // of this scheduler
+	GaugeNames       []string      // names of the values in a load report, in order
+	ConnectTimeout   time.Duration // 0 means not configured
+	DrainGrace       time.Duration // time limit for sends to a worker that drains to stop
+	MaxOpen          int           // maximum number of open jobs; 0 means no limit
+	ProgressInterval time.Duration // interval between progress notes; 0 means none
+	Discovery        string        // one of discoveryModes, or ""
+	Zone             string        // zone of this scheduler; "" if not configured
 }
 
-// settingsFile is the settings as they stand in JSON. Times are nanoseconds.
-// Unknown keys are ignored.
+// settingsFile is the JSON form of the settings. Durations are nanoseconds. Unknown keys are ignored.
 type settingsFile struct {
 	Dispatchers int      `json:"balancers"`
 	Index       int      `json:"slotNo"`
@@ -96,98 +95,105 @@
 	} `json:"familyInfo"`
 }
 
+// effectsByName maps the values of effect in a class.
 var effectsByName = map[string]foxlift.Effect{
 	"idempotent": foxlift.Idempotent, "deduplicated": foxlift.Deduplicated,
 	"at_most_once": foxlift.AtMostOnce,
 }
 
+// scopesByName maps the values of dedupScope in a class.
 var scopesByName = map[string]foxlift.Scope{
 	"": foxlift.ScopeAll, "all": foxlift.ScopeAll, "zone": foxlift.ScopeZone,
 	"cell": foxlift.ScopeCell,
 }
 
-// How the endpoint list comes in the simulator: it is pushed, or it is watched. On sockets it is always
-// polled.
+// Values of discovery: in the simulator the endpoint list is pushed to the scheduler or the scheduler subscribes
+// to it. The real scheduler ignores the value and always polls.
 const (
 	discoveryAutomatic = "automatic"
 	discoverySubscribe = "subscribe"
 )
 
+// discoveryModes are the valid values of discovery.
 var discoveryModes = []string{discoveryAutomatic, discoverySubscribe}
 
-// Texts of familyInfo that say what a value of a load report, or a job's memory, is.
+// Phrases in the free texts of familyInfo: the unit of a job's memory, and the meaning of the values x0 and x1 in
+// a load report.
 const (
 	memoryUnitSlot   = "one unit for each slot"
 	reportFreeSlots  = "free slots"
 	reportFreeMemory = "free memory"
 )
 
+// gaugesByName maps the names of a load report's values, apart from x0 and x1.
 var gaugesByName = map[string]foxlift.Gauge{
 	"outstanding": foxlift.GaugeInFlight, "backlog": foxlift.GaugeQueued,
 	"utilization": foxlift.GaugeBusy, "recent_ms": foxlift.GaugeLatency,
 	"throughput": foxlift.GaugeThroughput, "errors_per_s": foxlift.GaugeErrors,
 }
 
-// ParseSettings turns the settings' JSON into Settings. It serves the real
-// scheduler and the simulator's adapter alike. Its errors name the faulty key.
+// ParseSettings parses the JSON of the settings, for the real scheduler and for the simulator's adapter. It checks
+// only what the conversion needs. Its errors name the invalid key.
 func ParseSettings(raw []byte) (*Settings, error) {
-	f := settingsFile{Dispatchers: 1}
-	if err := json.Unmarshal(raw, &f); err != nil {
+	file := settingsFile{Dispatchers: 1}
+	if err := json.Unmarshal(raw, &file); err != nil {
 		return nil, keyError(err)
 	}
-	if f.Dispatchers < 1 {
-		return nil, errors.New("balancers: under 1")
+	if file.Dispatchers < 1 {
+		return nil, fmt.Errorf("balancers: %d is under the minimum of 1", file.Dispatchers)
 	}
-	if err := f.checkQuotaFractions(); err != nil {
+	if err := file.checkQuotaFractions(); err != nil {
 		return nil, err
 	}
 	s := &Settings{
-		Module:           f.module(),
+		Module:           file.module(),
 		Classes:          map[string]int{},
 		Tenants:          map[string]int{},
-		Zones:            indexNames(f.Zones),
-		Kinds:            indexNames(f.Kinds),
-		GaugeNames:       f.Report.Names,
-		ConnectTimeout:   time.Duration(f.Bounds.ConnectTimeout),
-		DrainGrace:       time.Duration(f.Obligations.DrainGrace),
-		MaxOpen:          f.Bounds.MaxOpen,
-		ProgressInterval: time.Duration(f.FamilyInfo.Progress),
-		Discovery:        f.Discovery,
-		Zone:             f.Zone,
+		Zones:            indexNames(file.Zones),
+		Kinds:            indexNames(file.Kinds),
+		GaugeNames:       file.Report.Names,
+		ConnectTimeout:   time.Duration(file.Bounds.ConnectTimeout),
+		DrainGrace:       time.Duration(file.Obligations.DrainGrace),
+		MaxOpen:          file.Bounds.MaxOpen,
+		ProgressInterval: time.Duration(file.FamilyInfo.Progress),
+		Discovery:        file.Discovery,
+		Zone:             file.Zone,
 	}
-	c := &s.Module
-	if zone, ok := s.Zones[f.Zone]; ok {
-		c.Zone = zone
+	module := &s.Module
+	if zone, ok := s.Zones[file.Zone]; ok {
+		module.Zone = zone
 	}
-	if strings.Contains(f.FamilyInfo.MemoryUnit, memoryUnitSlot) {
-		c.SlotMemory = 1
+	if strings.Contains(file.FamilyInfo.MemoryUnit, memoryUnitSlot) {
+		module.SlotMemory = 1
 	}
-	if err := s.addClasses(&f); err != nil {
+	if err := s.addClasses(&file); err != nil {
 		return nil, err
 	}
-	for i, tenant := range f.Tenants {
+	for i, tenant := range file.Tenants {
 		s.Tenants[tenant.Name] = i
-		c.Tenants = append(c.Tenants, foxlift.Tenant{Name: tenant.Name, Quota: tenant.Quota})
+		module.Tenants = append(module.Tenants, foxlift.Tenant{Name: tenant.Name, Quota: tenant.Quota})
 	}
-	for _, name := range f.Report.Names {
-		c.Gauges = append(c.Gauges, gaugeNamed(name, f.FamilyInfo.ReportX0, f.FamilyInfo.ReportX1))
+	for _, name := range file.Report.Names {
+		module.Gauges = append(module.Gauges, gaugeNamed(name, file.FamilyInfo.ReportX0, file.FamilyInfo.ReportX1))
 	}
 	return s, nil
 }
 
-// checkQuotaFractions checks the tenants' parts of all quotas.
+// checkQuotaFractions checks that the tenants' fractions of the total quota are not negative and add up to at most
+// 1, apart from rounding.
 func (f *settingsFile) checkQuotaFractions() error {
 	sum := 0.0
 	for i, tenant := range f.Tenants {
 		sum += tenant.QuotaFraction
 		if tenant.QuotaFraction < 0 || sum > 1+quotaFractionTolerance {
-			return fmt.Errorf("projects[%d].share: negative, or over 1 with those before it", i)
+			return fmt.Errorf("projects[%d].share: %g is negative, or raises the sum of shares to %.3g, over 1",
+				i, tenant.QuotaFraction, sum)
 		}
 	}
 	return nil
 }
 
-// module returns the module's configuration, without the classes, tenants and gauges.
+// module returns the decision module's configuration without the classes, tenants, gauges and zone.
 func (f *settingsFile) module() foxlift.Config {
 	bounds, obligations := &f.Bounds, &f.Obligations
 	return foxlift.Config{
@@ -217,10 +223,11 @@
 	}
 }
 
-// addClasses adds the classes; an error names what is unknown of one.
-func (s *Settings) addClasses(f *settingsFile) error {
-	c, info := &s.Module, &f.FamilyInfo
-	for i, class := range f.Classes {
+// addClasses adds the classes to the module's configuration and to the name table. An unknown effect or
+// deduplication scope is an error.
+func (s *Settings) addClasses(file *settingsFile) error {
+	module, info := &s.Module, &file.FamilyInfo
+	for i, class := range file.Classes {
 		effect, ok := effectsByName[class.Effect]
 		if !ok {
 			return fmt.Errorf("grades[%d]: unknown effect %q", i, class.Effect)
@@ -230,7 +237,7 @@
 			return fmt.Errorf("grades[%d]: unknown dedupScope %q", i, class.Scope)
 		}
 		s.Classes[class.Name] = i
-		c.Classes = append(c.Classes, foxlift.Class{
+		module.Classes = append(module.Classes, foxlift.Class{
 			Name:             class.Name,
 			LatencyObjective: class.LatencyObjective,
 			ObjectiveStretch: class.ObjectiveStretch + valueAt(info.ClassStretch, i, 0),
@@ -247,7 +254,8 @@
 	return nil
 }
 
-// gauge returns what a value of a load report is, by its name; x0 and x1 have a text that says it.
+// gaugeNamed returns the meaning of a value in a load report by its name. The meaning of the names x0 and x1 is
+// given by a text each; an unknown name or text yields GaugeUnknown.
 func gaugeNamed(name, x0, x1 string) foxlift.Gauge {
 	switch name {
 	case "x0":
@@ -266,7 +274,7 @@
 	return foxlift.GaugeUnknown
 }
 
-// valueAt returns an element of a slice, or a default past its end.
+// valueAt returns values[i], or defaultValue if the slice is too short.
 func valueAt[T any](values []T, i int, defaultValue T) T {
 	if i < len(values) {
 		return values[i]
@@ -274,7 +282,7 @@
 	return defaultValue
 }
 
-// indexNames returns the index of each name.
+// indexNames returns a table from each name to its index in names.
 func indexNames(names []string) map[string]int {
 	table := map[string]int{}
 	for i, name := range names {
@@ -283,13 +291,15 @@
 	return table
 }
 
-const quotaFractionTolerance = 0.01 // of the sum of tenants' fractions, as they are rounded
+// quotaFractionTolerance is by how much the sum of the tenants' quota fractions may exceed 1, since they are
+// rounded.
+const quotaFractionTolerance = 0.01
 
-// EndpointsPushed reports whether endpoint lists are pushed to an agent beside the scheduler, of whom
-// each scheduler has its own. What the agent has binds from the scheduler's first moment.
+// EndpointsPushed reports whether endpoint lists are pushed to an agent beside the scheduler. Each scheduler has an
+// agent of its own, whose list applies to the scheduler from its start.
 func (s *Settings) EndpointsPushed() bool { return s.Discovery == discoveryAutomatic }
 
-// ClassNames returns the names of all classes, in the settings' order.
+// ClassNames returns the names of all classes in the order of the settings, which is the order of their indexes.
 func (s *Settings) ClassNames() []string {
 	names := make([]string, len(s.Module.Classes))
 	for i, class := range s.Module.Classes {
@@ -298,7 +308,7 @@
 	return names
 }
 
-// Find returns the index of a name in one of the tables; -1 if it is not there.
+// IndexOf returns the index of a name in one of the tables of Settings, or -1 if the name is unknown.
 func IndexOf(table map[string]int, name string) int {
 	if i, ok := table[name]; ok {
 		return i
@@ -306,7 +316,7 @@
 	return -1
 }
 
-// NameOf returns the name of an index in one of the tables; "" if it is not there.
+// NameOf returns the name with an index in one of the tables of Settings, or "" if there is none.
 func NameOf(table map[string]int, index int) string {
 	for name, i := range table {
 		if i == index {
@@ -316,7 +326,8 @@
 	return ""
 }
 
-// ParseKey reads the affinity key of a job; 0 means none. One that is not 16 hex digits is hashed.
+// ParseAffinityKey parses the affinity key of a job. 16 hex digits are the key itself; any other non-empty text is
+// hashed. Empty text yields 0, which means no key.
 func ParseAffinityKey(s []byte) uint64 {
 	var raw [8]byte
 	if len(s) == 16 {
@@ -336,11 +347,11 @@
 	return h.Sum64()
 }
 
-// keyError returns an error of encoding/json as one that names the key.
+// keyError converts an error of encoding/json into one that names the key, if the value of a key has the wrong type.
 func keyError(err error) error {
 	var typeError *json.UnmarshalTypeError
 	if errors.As(err, &typeError) && typeError.Field != "" {
-		return fmt.Errorf("%s: a %s does not fit", typeError.Field, typeError.Value)
+		return fmt.Errorf("%s: a JSON %s is not valid here", typeError.Field, typeError.Value)
 	}
-	return fmt.Errorf("not JSON: %w", err)
+	return fmt.Errorf("invalid JSON: %w", err)
 }
--- a/internal/config/sexp.go
+++ b/internal/config/sexp.go
@@ -9,8 +9,9 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// The operator's file is S-expressions: forms in parentheses, each begun by its key, of atoms (words and
-// numbers), strings in double quotes and forms. A semicolon begins a comment.
+// sexpLexer splits an operator's file into tokens. The file consists of S-expressions: forms in parentheses, each of
+// which begins with its key and contains atoms (words and numbers), strings in double quotes and further forms. A
+// semicolon begins a comment, which ends with the line.
 var sexpLexer = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "Space", Pattern: `[ \t\r\n]+`},
 	{Name: "Comment", Pattern: `;[^\n]*`},
@@ -19,7 +20,7 @@
 	{Name: "Punct", Pattern: `[()]`},
 })
 
-// A sexpFile is a whole file.
+// A sexpFile holds the top-level values of a file.
 type sexpFile struct {
 	Values []*sexp `parser:"@@*"`
 }
@@ -32,7 +33,7 @@
 	Form *sexpForm `parser:"| @@"`
 }
 
-// A sexpForm is values in parentheses.
+// A sexpForm holds the values between two parentheses.
 type sexpForm struct {
 	Open   string  `parser:"@'('"`
 	Values []*sexp `parser:"@@* ')'"`
@@ -44,17 +45,18 @@
 
 const (
 	maxOperatorFileBytes = 1 << 20 // bytes
-	maxFormDepth         = 32      // of forms within forms: no key needs so many
+	maxFormDepth         = 32      // nesting depth of forms; no key needs more
 )
 
-// parse reads a text into forms.
+// parse returns the top-level values of a text. If the text is too long, too deeply nested or has a syntax error, it
+// records an error and returns nil.
 func (r *reader) parse(text []byte) []*sexp {
 	if len(text) > maxOperatorFileBytes {
-		r.addError(nil, "", "over %d bytes", maxOperatorFileBytes)
+		r.addError(nil, "", "the file has %d bytes, at most %d are allowed", len(text), maxOperatorFileBytes)
 		return nil
 	}
 	if exceedsMaxDepth(text) {
-		r.addError(nil, "", "lists more than %d deep", maxFormDepth)
+		r.addError(nil, "", "lists are nested more than %d deep", maxFormDepth)
 		return nil
 	}
 	file, err := sexpParser.ParseBytes(r.file, text)
@@ -65,7 +67,7 @@
 	return file.Values
 }
 
-// syntaxError returns a parser's error with its place in the file.
+// syntaxError converts an error of the parser into an OperatorError with its position in the file.
 func (r *reader) syntaxError(err error) OperatorError {
 	var parseError participle.Error
 	if !errors.As(err, &parseError) {
@@ -80,8 +82,8 @@
 	}
 }
 
-// tooDeep reports whether forms are nested over maxDepth. The parser recurses: the depth has to be
-// bounded before it begins.
+// exceedsMaxDepth reports whether forms are nested more than maxFormDepth deep. The parser recurses, so the depth
+// has to be checked before parsing.
 func exceedsMaxDepth(text []byte) bool {
 	depth, quoted, comment := 0, false, false
 	for i := 0; i < len(text); i++ {
@@ -108,7 +110,7 @@
 	return false
 }
 
-// String returns a value as error messages show it.
+// String returns a value in the form that error messages show.
 func (s *sexp) String() string {
 	switch {
 	case s.Atom != nil:
--- a/internal/lab/mutants.go
+++ b/internal/lab/mutants.go
@@ -263,7 +263,7 @@
 	{
 		Name:    "a negative stretch is taken",
 		File:    "internal/config/check.go",
-		Old:     "case k.ObjectiveStretch < 0:",
+		Old:     "case class.ObjectiveStretch < 0:",
 		New:     "case false:",
 		Package: "./internal/config",
 		Run:     "^TestFuzz",
