--- a/internal/lab/cells.go
+++ b/internal/lab/cells.go
@@ -11,13 +11,14 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// twelveWorkers is a deployment of twelve uneven workers, eight tenants and two classes.
+// twelveWorkerTopology returns a deployment of two schedulers, twelve workers of three kinds, eight tenants and two
+// classes, with this operator's file ("": none).
 func twelveWorkerTopology(operatorText string) Topology {
 	return Topology{
 		Schedulers: 2,
 		Zones:      []string{"east", "west"},
 		Operator:   operatorText,
-		Sockets:    256, // the least that the platform gives
+		Sockets:    256, // fewest that the platform grants
 		Kinds: []WorkerKind{
 			{Name: "large", Count: 4, Slots: 6, Speed: 1.5},
 			{Name: "medium", Count: 4, Slots: 5, Speed: 1},
@@ -47,7 +48,7 @@
 	}
 }
 
-// readingClass is the class of short jobs that may run again.
+// readingClass returns a class of short idempotent jobs.
 func readingClass(serviceTime time.Duration, fraction float64) Class {
 	return Class{
 		Name:             "reading",
@@ -59,6 +60,7 @@
 	}
 }
 
+// Operator's files, with %q for the path of the control socket.
 const (
 	fourCellsOperator = `(foxlift (control (socket %q)) (cells
  (kind large (weight 9)) (kind medium (weight 5)) (kind old (weight 3.6))
@@ -67,31 +69,31 @@
 	lendingOperator = `(foxlift (control (socket %q)) (cells (cell all (share 0.99) (tenants lone away)) (cell rest)))`
 )
 
-// cellNames are the cells of fourCells.
+// cellNames are the cells of fourCellsOperator.
 var cellNames = []string{"north", "south", "east", "west"}
 
 const (
 	floodingTenant        = "glen"
-	floodingTenantQuota   = 0.1 // its fraction of what the fleet can do
-	normalLoad            = 0.6
-	floodFactor           = 10 // times its quota that a flooding tenant asks for
-	lendingQuota          = 2  // jobs a second
-	lendingRate           = 60
-	maxServiceLoss        = 5  // points of service that a flood may take from another tenant
-	minServedUnderLending = 95 // percent
+	floodingTenantQuota   = 0.1 // its Tenant.QuotaFraction
+	normalLoad            = 0.6 // rate of a tenant without a flood, as a multiple of QuotaFraction of the capacity
+	floodFactor           = 10  // the same of the flooding tenant during its flood
+	lendingQuota          = 2   // jobs a second
+	lendingRate           = 60  // jobs a second, 30 times lendingQuota
+	maxServiceLoss        = 5   // most percentage points of timely service that a flood may cost another tenant
+	minServedUnderLending = 95  // least percentage of the lone tenant's jobs that must be served in time
 )
 
-// A CellsOptions is how long the parts of the cells measurement take.
+// CellsOptions are the parameters of MeasureCells.
 type CellsOptions struct {
-	Seed              uint64
-	Normal            time.Duration // before the flood
-	Flood             time.Duration
-	Lending           time.Duration // of a lone tenant that asks for more than its quota
-	Migrations        int
+	Seed              uint64        // of the arrivals
+	Normal            time.Duration // normal load before the flood
+	Flood             time.Duration // flood of one tenant
+	Lending           time.Duration // load of a lone tenant above its quota
+	Migrations        int           // under load
 	MigrationInterval time.Duration // between two migrations
 }
 
-// DefaultCells is the measurement as it is quoted.
+// DefaultCells are the options of the measurement whose results the documentation quotes.
 var DefaultCells = CellsOptions{
 	Seed:              1,
 	Normal:            10 * time.Second,
@@ -101,37 +103,38 @@
 	MigrationInterval: 50 * time.Millisecond,
 }
 
-// A CellsReport is what the cells measurement found.
+// A CellsReport is the result of MeasureCells.
 type CellsReport struct {
-	WorstLoss             float64 // points of service that the flood takes from the worst other tenant
+	WorstLoss             float64 // percentage points of jobs in time that the most affected other tenant loses
 	WorstLossWithoutCells float64
-	ServedUnderLending    float64 // percent served of a tenant at 30 times its quota
+	ServedUnderLending    float64 // percent of the jobs served in time of a lone tenant at 30 times its quota
 	Migrations            int
-	Lost                  int // jobs without an answer, or answered as served without a run
-	RanTwice              int
+	Lost                  int // jobs without a response, or answered with 200 though no worker ran them
+	RanTwice              int // at-most-once jobs that ran more than once
 }
 
-// Line is the measurement's last line.
+// Line returns the summary that the command prints as its last line.
 func (r CellsReport) Line() string {
 	return fmt.Sprintf(
 		"cells: worst other tenant -%.1f points (without -%.1f), served under lending %.1f %%, moves %d, lost %d, twice %d",
 		r.WorstLoss, r.WorstLossWithoutCells, r.ServedUnderLending, r.Migrations, r.Lost, r.RanTwice)
 }
 
-// OK reports whether the product's objectives are met.
+// OK reports whether the result meets the product's objectives and this number of migrations was made.
 func (r CellsReport) OK(migrations int) bool {
 	return r.WorstLoss <= maxServiceLoss && r.ServedUnderLending >= minServedUnderLending && r.Migrations == migrations &&
 		r.Lost == 0 && r.RanTwice == 0
 }
 
-// add takes in what a load's end has shown.
+// add adds the violations of a finished load to the report.
 func (r *CellsReport) add(result LoadResult) {
 	r.Lost += result.Total.Lost + result.ServedWithoutRun
 	r.RanTwice += result.RanTwice
 }
 
-// Cells measures what a flood of one tenant costs the others, without and with cells,
-// what a lone tenant is lent, and migrations under load.
+// MeasureCells measures how much timely service a flood of one tenant costs the other tenants, without and with cells,
+// how many jobs above its quota a lone tenant gets served from idle capacity, and whether migrations under load lose or
+// repeat jobs. It prints tables to w.
 func MeasureCells(ctx context.Context, w io.Writer, options CellsOptions) (report CellsReport, err error) {
 	if report.WorstLossWithoutCells, err = report.measureFlood(ctx, w, options, ""); err != nil {
 		return report, err
@@ -139,17 +142,17 @@
 	if report.WorstLoss, err = report.measureFlood(ctx, w, options, fourCellsOperator); err != nil {
 		return report, err
 	}
-	served, verdict, err := measureLending(options)
+	served, result, err := measureLending(options)
 	if err != nil {
 		return report, err
 	}
-	report.add(verdict)
+	report.add(result)
 	report.ServedUnderLending = served
 	return report, nil
 }
 
-// measureFlood floods one tenant and returns what the worst of the others loses. Where the
-// operator's file has cells it then migrates tenants under load.
+// measureFlood lets one tenant exceed its quota and returns the loss of timely service of the most affected other
+// tenant, in percentage points. With an operator's file, which has cells, it then migrates tenants under load.
 func (r *CellsReport) measureFlood(
 	ctx context.Context, w io.Writer, options CellsOptions, operatorText string,
 ) (float64, error) {
@@ -163,7 +166,7 @@
 	}
 	defer deployment.Close()
 	load := deployment.StartLoad(normalLoad, options.Seed)
-	<-time.After(options.Normal / 2) // modules learn
+	<-time.After(options.Normal / 2) // let the dispatchers estimate service times and capacities
 	load.TakeTallies()
 	<-time.After(options.Normal)
 	normal := load.TakeTallies()
@@ -184,7 +187,7 @@
 	return worst, nil
 }
 
-// measureMigrations migrates tenants under load and prints what was served meanwhile.
+// measureMigrations migrates tenants under load and prints how many jobs were served in time meanwhile.
 func (r *CellsReport) measureMigrations(
 	ctx context.Context, w io.Writer, options CellsOptions, deployment *Deployment, load *Load,
 ) (err error) {
@@ -202,13 +205,13 @@
 	return nil
 }
 
-// printFlood prints each tenant's service and returns what the worst of the others
-// loses.
+// printFlood prints the timely service of each tenant before and during the flood, and returns the loss of the most
+// affected tenant other than the flooding one, in percentage points.
 func printFlood(
 	out io.Writer, title string, tenants []Tenant, normal, flood map[string]standin.Tally,
 ) (worst float64, err error) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintf(table, "%s\tnormal asked\tin time\tflood asked\tin time\trefused\tpoints\t\n", title)
+	fmt.Fprintf(table, "%s\tjobs before\tin time\tjobs in flood\tin time\tshed\tpoints\t\n", title)
 	for _, tenant := range tenants {
 		before, during := normal[tenant.Name], flood[tenant.Name]
 		loss := before.ServedPercent() - during.ServedPercent()
@@ -224,8 +227,8 @@
 	return worst, table.Flush()
 }
 
-// migrateTenants moves tenants round the cells at every scheduler, through the control
-// sockets, and returns how many migrations were made. In the end it restores the cells.
+// migrateTenants migrates each tenant in turn to its next cell, at every scheduler, through the control sockets. It
+// returns the number of migrations made. At the end it restores the configured cells.
 func (r *Deployment) migrateTenants(ctx context.Context, options CellsOptions) (migrated int, err error) {
 	cellOf, err := r.cellsOfTenants(ctx)
 	if err != nil {
@@ -237,7 +240,7 @@
 		cell := cellNames[cellOf[tenant]]
 		for _, client := range r.Clients {
 			if _, err := client.Move(ctx, &controlpb.MoveRequest{Tenant: tenant, Cell: cell}); err != nil {
-				return migrated, fmt.Errorf("move %d, %s to %s: %w", i, tenant, cell, err)
+				return migrated, fmt.Errorf("migration %d of tenant %s to cell %s: %w", i, tenant, cell, err)
 			}
 		}
 		migrated++
@@ -251,7 +254,7 @@
 	return migrated, nil
 }
 
-// cellsOfTenants returns each tenant's cell, as an index of cellNames.
+// cellsOfTenants returns the cell of each tenant at the first scheduler, as an index of cellNames.
 func (r *Deployment) cellsOfTenants(ctx context.Context) (map[string]int, error) {
 	reply, err := r.Clients[0].Cells(ctx, &controlpb.CellsRequest{})
 	if err != nil {
@@ -270,7 +273,8 @@
 	return cellOf, nil
 }
 
-// lendingTopology is a lone tenant in an idle cell of fast workers, with a quota far below its capacity.
+// lendingTopology returns a deployment in which a lone tenant has an otherwise idle cell of fast workers, and a quota
+// far below the capacity of that cell.
 func lendingTopology() Topology {
 	topology := Topology{
 		Schedulers: 1,
@@ -285,9 +289,9 @@
 	return topology
 }
 
-// measureLending measures a lone tenant that asks for 30 times its quota of an idle cell of
-// fast workers: which percentage of it is served in the last third of the time.
-func measureLending(options CellsOptions) (served float64, verdict LoadResult, err error) {
+// measureLending sends a lone tenant's jobs at 30 times its quota to an otherwise idle cell, and returns the percentage
+// that was served in time in the last third of the measurement.
+func measureLending(options CellsOptions) (served float64, result LoadResult, err error) {
 	deployment, err := StartDeployment(lendingTopology())
 	if err != nil {
 		return 0, LoadResult{}, err
--- a/internal/lab/cellsimulation.go
+++ b/internal/lab/cellsimulation.go
@@ -7,10 +7,10 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// second is a second of virtual time.
+// second is a second of virtual time, in nanoseconds.
 const second = int64(1e9)
 
-// Classes of the simulated cell: the index is foxlift.Request.Class.
+// The classes of the simulated cell, indexed by foxlift.Request.Class. Times are in nanoseconds.
 var (
 	simulatedServiceTime = [2]int64{second * 3 / 10, second * 3 / 2}
 	simulatedDeadline    = [2]int64{5 * second, 25 * second}
@@ -18,49 +18,49 @@
 		second/2 + simulatedServiceTime[0]*5/2,
 		2*second + 2*simulatedServiceTime[1],
 	}
-	simulatedFraction = [2]float64{0.72, 0.28} // of the jobs
+	simulatedFraction = [2]float64{0.72, 0.28} // of all jobs
 )
 
 const (
 	simulatedWorkerSlots = 2
-	simulatedWorkerQueue = 4 // jobs that wait at a worker; it rejects further ones
-	minJobsForUpdate     = 6 // finished jobs of a class in a second from which its loop learns
+	simulatedWorkerQueue = 4 // most jobs that wait at a worker; it rejects further ones
+	minJobsForUpdate     = 6 // finished jobs of a class in a second from which its latency loop can run in that second
 )
 
-// A cellResult says how one cell fared, as fractions.
+// A cellResult is the result of one simulated cell.
 type cellResult struct {
-	updateFraction float64 // of the class-seconds: enough jobs finished
-	inTimeFraction float64 // of the jobs: served within the objective
+	updateFraction float64 // fraction of the class-seconds with at least minJobsForUpdate finished jobs
+	inTimeFraction float64 // fraction of the arrived jobs that were served within the latency objective
 }
 
-// A simulatedWorker is a worker's free slots and queue.
+// A simulatedWorker counts a worker's free slots and its queued jobs.
 type simulatedWorker struct{ free, queued int }
 
-// A simulatedJob is a job from its arrival on.
+// A simulatedJob is a job that has arrived.
 type simulatedJob struct {
 	class     int
 	arrivedAt int64
 	attempts  int
-	done      bool // answered
+	done      bool // answered to the client
 }
 
-// A cellSimulation runs one dispatcher among simulated workers and clients in virtual time.
+// A cellSimulation runs one dispatcher with simulated workers and clients in virtual time.
 type cellSimulation struct {
 	eventQueue
 	dispatcher *foxlift.Dispatcher
 	rng        *rand.Rand
-	rate       float64         // jobs a second that arrive
+	rate       float64         // mean arrival rate in jobs a second
 	pending    []foxlift.Event // for the dispatcher's next step
 	workers    map[string]*simulatedWorker
 	jobs       map[uint64]*simulatedJob
 
 	arrived, servedInTime int
 	finished              [2]int // jobs of each class in the current second
-	updateSeconds         int    // class-seconds with enough finished jobs
+	updateSeconds         int    // class-seconds with at least minJobsForUpdate finished jobs
 }
 
-// newCellSimulation makes a cell whose workers together can do rate/load jobs a second, of two
-// classes of which the second takes five times as long.
+// newCellSimulation returns a cell whose workers have a capacity of rate/load jobs a second. Jobs of the second class
+// take five times as long as those of the first.
 func newCellSimulation(rate, load float64, seed uint64) (*cellSimulation, error) {
 	dispatcher, err := foxlift.New(simulatedConfig(rate), seed)
 	if err != nil {
@@ -79,7 +79,7 @@
 	return s, nil
 }
 
-// simulatedConfig is the configuration of a dispatcher whose only tenant has the whole rate as quota.
+// simulatedConfig returns the configuration of a dispatcher with one tenant, whose quota is the whole rate.
 func simulatedConfig(rate float64) foxlift.Config {
 	return foxlift.Config{
 		Classes: []foxlift.Class{
@@ -109,7 +109,7 @@
 	}
 }
 
-// addWorkers tells the dispatcher of as many workers as bear the rate at a load.
+// addWorkers creates the workers that run the rate at a utilization of load, and reports them to the dispatcher.
 func (s *cellSimulation) addWorkers(load float64) {
 	meanServiceTime := 0.0
 	for class, fraction := range simulatedFraction {
@@ -129,7 +129,7 @@
 	})
 }
 
-// run simulates so many seconds.
+// run simulates a number of seconds and returns the result.
 func (s *cellSimulation) run(seconds int) cellResult {
 	for s.advance(int64(seconds) * second) {
 		s.step()
@@ -140,7 +140,7 @@
 	}
 }
 
-// arrive is the arrival of a job; it schedules the next one.
+// arrive lets a job of a random class arrive and schedules the next arrival.
 func (s *cellSimulation) arrive() {
 	class := 0
 	if s.rng.Float64() >= simulatedFraction[0] {
@@ -156,7 +156,7 @@
 	s.schedule(s.now+int64(s.rng.ExpFloat64()/s.rate*float64(second)), s.arrive)
 }
 
-// countSecond counts the classes of which enough jobs finished in the past second.
+// countSecond counts the classes with at least minJobsForUpdate finished jobs in the past second.
 func (s *cellSimulation) countSecond() {
 	for class := range s.finished {
 		if s.finished[class] >= minJobsForUpdate {
@@ -167,7 +167,7 @@
 	s.schedule(s.now+second, s.countSecond)
 }
 
-// step has the dispatcher take in what is pending, until nothing new comes of it.
+// step passes the pending events to the dispatcher and executes its actions, until no event is pending.
 func (s *cellSimulation) step() {
 	for {
 		events := s.pending
@@ -188,7 +188,7 @@
 	}
 }
 
-// A simulatedAttempt is one run of a job at a worker.
+// A simulatedAttempt is an attempt of a job at a worker.
 type simulatedAttempt struct {
 	*cellSimulation
 	id       uint64
@@ -198,7 +198,7 @@
 	worker   *simulatedWorker
 }
 
-// send queues an attempt at its worker, or has the worker reject it.
+// send queues an attempt at its worker, or reports that the worker rejected it because its queue is full.
 func (s *cellSimulation) send(action foxlift.Action) {
 	job, worker := s.jobs[action.ID], s.workers[action.Worker]
 	attempt := &simulatedAttempt{s, action.ID, job.attempts, action.Worker, job, worker}
@@ -211,8 +211,8 @@
 	s.schedule(s.now+second/1000, attempt.start)
 }
 
-// start runs the attempt if a slot is free, and otherwise tries again soon: the order in a
-// worker's queue does not matter here.
+// start runs the attempt if its worker has a free slot, and otherwise tries again 10 ms later. The queue is therefore
+// not strictly first in, first out, which does not matter here.
 func (a *simulatedAttempt) start() {
 	if a.worker.free == 0 {
 		a.schedule(a.now+second/100, a.start)
@@ -225,7 +225,7 @@
 	a.schedule(a.now+int64(serviceTime), a.finish)
 }
 
-// finish ends the attempt, and with it the job.
+// finish ends the attempt and the job.
 func (a *simulatedAttempt) finish() {
 	a.worker.free++
 	a.finished[a.job.class]++
@@ -236,7 +236,8 @@
 	a.report(foxlift.EventOutcome, foxlift.Served, true)
 }
 
-// report brings an event of the attempt to the dispatcher.
+// report adds an event of the attempt to the dispatcher's pending events. ended marks that the job has its final
+// answer.
 func (a *simulatedAttempt) report(kind foxlift.EventKind, code foxlift.Code, ended bool) {
 	a.pending = append(a.pending, foxlift.Event{
 		Kind:    kind,
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -9,7 +9,7 @@
 	"github.com/vatu-meals/foxlift/internal/control/controlpb"
 )
 
-// The demonstration's course, in seconds.
+// The schedule of the demonstration, in seconds from its start.
 const (
 	demoPrintEvery   = 2
 	demoFloodAt      = 6
@@ -18,7 +18,9 @@
 	demoDuration     = 20
 )
 
-// Demo floods one tenant of a deployment with cells and prints a table as it goes.
+// RunDemo runs a deployment with cells under load, lets one tenant exceed its quota for a while and then migrates it.
+// It prints the share of each tenant's jobs served in time every demoPrintEvery seconds. It returns an error under the
+// conditions of printDemoResult.
 func RunDemo(ctx context.Context, w io.Writer, seed uint64) error {
 	deployment, err := StartDeployment(twelveWorkerTopology(fourCellsOperator))
 	if err != nil {
@@ -51,13 +53,13 @@
 	return printDemoResult(w, load.Stop())
 }
 
-// printDemoHead prints what the deployment is, what will happen, and the table's head.
+// printDemoHeader prints the deployment, the schedule and the header of the table.
 func (r *Deployment) printDemoHeader(w io.Writer) {
-	fmt.Fprintf(w, "%d schedulers, %d execute nodes, %d tenants in 4 cells; ",
+	fmt.Fprintf(w, "%d schedulers, %d workers, %d tenants in 4 cells; ",
 		len(r.Schedulers), len(r.Workers), len(r.Tenants))
-	fmt.Fprintf(w, "%.0f jobs a second is all that the nodes can do.\n", r.Capacity())
-	fmt.Fprintf(w, "Every tenant asks %.0f %% of its share. ", 100*normalLoad)
-	fmt.Fprintf(w, "After %d s %s asks %d times its share, for %d s;\nthen it is moved to another cell, live.\n\n",
+	fmt.Fprintf(w, "the workers can run %.0f jobs a second.\n", r.Capacity())
+	fmt.Fprintf(w, "Every tenant sends %.0f %% of its quota. ", 100*normalLoad)
+	fmt.Fprintf(w, "After %d s %s sends %d times its quota, for %d s;\nthen it migrates to another cell under load.\n\n",
 		demoFloodAt, floodingTenant, floodFactor, demoFloodStopsAt-demoFloodAt)
 	fmt.Fprint(w, "  time")
 	for _, tenant := range r.Tenants {
@@ -66,26 +68,27 @@
 	fmt.Fprintln(w, "   served in time, %")
 }
 
-// migrateFlooder moves the flooding tenant to another cell at every scheduler.
+// migrateFlooder migrates the flooding tenant to another cell at every scheduler.
 func (r *Deployment) migrateFlooder(ctx context.Context, w io.Writer) error {
 	for _, client := range r.Clients {
 		reply, err := client.Move(ctx, &controlpb.MoveRequest{Tenant: floodingTenant, Cell: "west"})
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(w, "   moved: %d held, %d out", reply.Held, reply.Out)
+		fmt.Fprintf(w, "   migrated: %d queued, %d in flight", reply.Held, reply.Out)
 	}
 	return nil
 }
 
-// printDemoVerdict prints what became of all jobs, and fails if a promise was broken.
+// printDemoResult prints the outcomes of all jobs. It returns an error if a job was lost, an at-most-once job ran more
+// than once, or a job was answered with 200 though no worker ran it.
 func printDemoResult(w io.Writer, result LoadResult) error {
 	total := result.Total
-	fmt.Fprintf(w, "\n%d jobs: %d served in time, %d late, %d refused, %d failed; ",
+	fmt.Fprintf(w, "\n%d jobs: %d served in time, %d late, %d shed, %d failed; ",
 		total.Sent, total.Served, total.Late, total.Shed, total.Failed)
-	fmt.Fprintf(w, "without an answer %d, run twice that must not %d\n", total.Lost, result.RanTwice)
+	fmt.Fprintf(w, "%d without a response, %d at-most-once jobs run twice\n", total.Lost, result.RanTwice)
 	if total.Lost+result.RanTwice+result.ServedWithoutRun > 0 {
-		return fmt.Errorf("a promise was broken: lost %d, twice %d, served but never run %d",
+		return fmt.Errorf("guarantee violated: %d jobs lost, %d at-most-once jobs run twice, %d answered but never run",
 			total.Lost, result.RanTwice, result.ServedWithoutRun)
 	}
 	return nil
--- a/internal/lab/eventqueue.go
+++ b/internal/lab/eventqueue.go
@@ -2,28 +2,29 @@
 
 import "container/heap"
 
-// A scheduledEvent is a call that is due at a moment of virtual time.
+// A scheduledEvent is a function call that is due at a point of virtual time.
 type scheduledEvent struct {
-	at       int64
-	sequence int // order among events at the same moment
+	at       int64 // nanoseconds
+	sequence int   // order of events that are due at the same time
 	run      func()
 }
 
-// An eventQueue orders calls on a virtual clock. The zero value is empty, at time 0.
+// An eventQueue runs function calls in the order of their due times on a virtual clock. The zero value is empty, at
+// time 0.
 type eventQueue struct {
 	now          int64
-	lastSequence int // events ever scheduled; numbers them
+	lastSequence int // sequence number of the last scheduled event
 	events       eventHeap
 }
 
-// schedule adds a call at a moment that is not before now.
+// schedule adds a call that is due at a time, which must not be before now.
 func (q *eventQueue) schedule(at int64, run func()) {
 	q.lastSequence++
 	heap.Push(&q.events, scheduledEvent{at, q.lastSequence, run})
 }
 
-// advance moves the clock to the next moment before end and runs all calls that are due then,
-// including those scheduled for the same moment meanwhile. It reports whether there was one.
+// advance moves the clock to the next due time before end and runs all calls that are due then, including calls that
+// these calls schedule for the same time. It returns false, and does nothing, if no call is due before end.
 func (q *eventQueue) advance(end int64) bool {
 	if len(q.events) == 0 || q.events[0].at >= end {
 		return false
@@ -35,7 +36,7 @@
 	return true
 }
 
-// An eventHeap implements heap.Interface, the earliest event first.
+// An eventHeap implements heap.Interface with the earliest event first.
 type eventHeap []scheduledEvent
 
 // Len implements sort.Interface.
--- a/internal/lab/eventqueue_test.go
+++ b/internal/lab/eventqueue_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Events run in the order of their time, at one time in the order in which they were scheduled, and
-// those scheduled for the present run before the clock moves on.
+// Events run in the order of their due times; events of the same time run in the order in which they were scheduled.
+// Events that are scheduled for the current time run before the clock advances.
 func TestEventQueueOrder(t *testing.T) {
 	var q eventQueue
 	var got []string
@@ -22,11 +22,11 @@
 		got = append(got, "|")
 	}
 	if want := []string{"a", "b", "at once", "|", "c", "|"}; !slices.Equal(got, want) || q.now != 20 {
-		t.Errorf("%q at %d, want %q", got, q.now, want)
+		t.Errorf("events ran in the order %q until time %d, want %q until 20", got, q.now, want)
 	}
 }
 
-// A simulated cell answers its jobs, and the same seed gives the same result.
+// A simulated cell serves its jobs, and the same seed gives the same result.
 func TestCellSimulation(t *testing.T) {
 	var results [2]cellResult
 	for i := range results {
@@ -37,9 +37,9 @@
 		results[i] = s.run(20)
 	}
 	if results[0] != results[1] {
-		t.Errorf("%+v and %+v from one seed", results[0], results[1])
+		t.Errorf("run(20) = %+v, then %+v with the same seed, want equal results", results[0], results[1])
 	}
 	if r := results[0]; r.inTimeFraction < 0.5 || r.inTimeFraction > 1 || r.updateFraction <= 0 || r.updateFraction > 1 {
-		t.Errorf("%+v", r)
+		t.Errorf("run(20) = %+v, want inTimeFraction in [0.5, 1] and updateFraction in (0, 1]", r)
 	}
 }
--- a/internal/lab/fuzz.go
+++ b/internal/lab/fuzz.go
@@ -12,24 +12,24 @@
 	"time"
 )
 
-// FuzzOptions are what the long runner is told.
+// FuzzOptions are the parameters of RunFuzzTargets.
 type FuzzOptions struct {
-	Duration time.Duration
-	Workers  int    // processes that fuzz at a time
-	Dir      string // where findings and the summary go
-	Persist  bool   // add new inputs to the corpus in the repository
-	Match    string // regular expression for the targets' names; "": all
+	Duration time.Duration // of the whole run
+	Workers  int           // processes that fuzz concurrently
+	Dir      string        // folder for the findings and the summary
+	Persist  bool          // add new inputs to the corpus in the repository
+	Match    string        // regular expression for the targets' names; "": all
 }
 
-// A Finding is an input that broke a rule.
+// A Finding is an input for which a fuzz target failed.
 type Finding struct {
 	Target string `json:"target"`
-	File   string `json:"file"`
-	Replay string `json:"replay"` // command
-	Output string `json:"output"`
+	File   string `json:"file"`   // path of the copied input; "" if go test wrote none
+	Replay string `json:"replay"` // command that runs the target with the input
+	Output string `json:"output"` // last lines of go test
 }
 
-// A FuzzSummary is the result of a run of the long runner.
+// A FuzzSummary is the result of RunFuzzTargets, stored as summary.json.
 type FuzzSummary struct {
 	Started    time.Time     `json:"started"`
 	Seconds    float64       `json:"seconds"`
@@ -39,12 +39,12 @@
 	Findings   []Finding     `json:"findings"`
 }
 
-// Line is the run's last line.
+// Line returns the summary that the command prints as its last line.
 func (s *FuzzSummary) Line() string {
 	return fmt.Sprintf("fuzz: targets %d, executions %d, findings %d", len(s.Targets), s.Executions, len(s.Findings))
 }
 
-// write stores the summary in a folder.
+// write writes the summary to summary.json in a folder.
 func (s *FuzzSummary) write(dir string) error {
 	text, err := json.MarshalIndent(s, "", "  ")
 	if err != nil {
@@ -54,19 +54,19 @@
 }
 
 const (
-	minTimeSlice       = 4 * time.Second // of which the runner of go test needs one to begin
+	minTimeSlice       = 4 * time.Second // go test needs one second of it to start
 	maxTimeSlice       = 60 * time.Second
-	newCoverageFactor  = 3 // times as long, for a target that still finds new coverage
-	plannedFuzzRounds  = 3 // over which the time left is shared
-	maxCorpusBytes     = 2 << 20
-	maxCorpusInputSize = 4 << 10
+	newCoverageFactor  = 3       // factor of the time slice of a target that found new coverage in its last slice
+	plannedFuzzRounds  = 3       // rounds over which the remaining time is shared
+	maxCorpusBytes     = 2 << 20 // of the repository's corpora, shared equally by the targets
+	maxCorpusInputSize = 4 << 10 // bytes of a persisted input
 )
 
-// errNoFuzzTarget says that the module has no fuzz target of a matching name.
-var errNoFuzzTarget = errors.New("there is no fuzz target")
+// errNoFuzzTarget reports that no fuzz target of the module has a matching name.
+var errNoFuzzTarget = errors.New("no fuzz target of the module matches")
 
-// Fuzz runs all fuzz targets of the module in the current folder in turn, until the time
-// is over or ctx ends. It needs the go command.
+// RunFuzzTargets runs the matching fuzz targets of the module in the current folder in turn, until the time is over or
+// ctx ends, and writes the summary. It needs the go command.
 func RunFuzzTargets(ctx context.Context, w io.Writer, options FuzzOptions) (*FuzzSummary, error) {
 	targets, err := findFuzzTargets(ctx, options.Match)
 	if err != nil {
@@ -100,20 +100,20 @@
 	return summary, summary.write(options.Dir)
 }
 
-// A fuzzRun is a run of the long runner.
+// A fuzzRun is the state of a call of RunFuzzTargets.
 type fuzzRun struct {
 	FuzzOptions
 	writer   io.Writer
 	deadline time.Time
 }
 
-// goesOn reports whether there is time for another time slice.
+// hasTime reports whether there is time for another time slice.
 func (r *fuzzRun) hasTime(ctx context.Context) bool {
 	return ctx.Err() == nil && time.Until(r.deadline) >= minTimeSlice
 }
 
-// round gives each target a time slice and returns the targets of the next round. A target
-// with a finding is not among them, and ends the round: it would find the same again at once.
+// runRound runs each target for a time slice and returns the targets of the next round. A target with a finding ends
+// the round and is not among them, because it would find the same again at once.
 func (r *fuzzRun) runRound(
 	ctx context.Context, summary *FuzzSummary, targets []*FuzzTarget, first bool,
 ) ([]*FuzzTarget, error) {
@@ -134,9 +134,9 @@
 	return targets, nil
 }
 
-// timeSlice shares the time that is left between the targets still due in this round and some
-// more rounds; a target that found something new gets more of it. In the first round every
-// target has its turn.
+// timeSlice returns how long to run a target. It shares the remaining time among the targets that are still due in this
+// round, over plannedFuzzRounds rounds; a target that found new coverage gets more. In the first round the slice leaves
+// each due target an equal share, so that every target runs at least once.
 func timeSlice(target *FuzzTarget, left time.Duration, due int, first bool) time.Duration {
 	slice := left / time.Duration(max(1, plannedFuzzRounds*due))
 	slice = max(minTimeSlice, min(maxTimeSlice, slice))
--- a/internal/lab/fuzz_test.go
+++ b/internal/lab/fuzz_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Every target has its turn in the first round, those that found something get more time later, and
-// nobody gets more than is left.
+// In the first round each target gets a share of the time. In later rounds targets that found new coverage get more. No
+// target gets more than the remaining time.
 func TestTimeSlice(t *testing.T) {
 	for name, c := range map[string]struct {
 		found, first bool
@@ -27,12 +27,12 @@
 	} {
 		target := &FuzzTarget{foundCoverage: c.found}
 		if got := timeSlice(target, c.left, c.due, c.first); got != c.want {
-			t.Errorf("%s: %v, want %v", name, got, c.want)
+			t.Errorf("%s: timeSlice() = %v, want %v", name, got, c.want)
 		}
 	}
 }
 
-// Progress lines are counted, the rest of the output is kept to its last lines.
+// readProgress returns the counts of the last progress line, and only the last lines of the other output.
 func TestReadProgress(t *testing.T) {
 	target := &FuzzTarget{}
 	output := strings.Repeat("noise\n", 2*findingOutputLines) +
@@ -40,14 +40,16 @@
 		"fuzz: elapsed: 2s, execs: 25 (5/sec), new interesting: 3 (total: 9)\nlast\n"
 	executions, fresh, tail := target.readProgress(strings.NewReader(output))
 	if executions != 25 || fresh != 3 || target.Inputs != 9 {
-		t.Errorf("%d executions, %d new of %d inputs", executions, fresh, target.Inputs)
+		t.Errorf("readProgress() = %d executions, %d new of %d inputs, want 25, 3 of 9", executions, fresh, target.Inputs)
 	}
 	if lines := strings.Split(tail, "\n"); len(lines) != findingOutputLines || lines[findingOutputLines-1] != "last" {
-		t.Errorf("%d lines, the last is %q", len(lines), lines[len(lines)-1])
+		t.Errorf("readProgress() kept %d lines, the last %q, want %d lines, the last \"last\"",
+			len(lines), lines[len(lines)-1], findingOutputLines)
 	}
 }
 
-// A finding has the failing input and the command that replays it; a build that fails is no finding.
+// A finding contains a copy of the failing input and the command that replays it. A failed build is an error, not a
+// finding.
 func TestFinding(t *testing.T) {
 	source, found := t.TempDir(), t.TempDir()
 	input := filepath.Join("testdata", "fuzz", "FuzzX", "abc")
@@ -63,17 +65,17 @@
 		t.Fatal(err)
 	}
 	if text, err := os.ReadFile(f.File); err != nil || string(text) != "text" {
-		t.Errorf("%q, %v", text, err)
+		t.Errorf("copied input = %q, %v, want \"text\"", text, err)
 	}
 	if want := "go test -run FuzzX/abc example/x"; f.Replay != want {
-		t.Errorf("replay %q, want %q", f.Replay, want)
+		t.Errorf("finding().Replay = %q, want %q", f.Replay, want)
 	}
 	if _, err := target.finding("FAIL example/x [build failed]", found); err == nil {
-		t.Error("a build that failed is a finding")
+		t.Error("finding() of a failed build returned no error, want one")
 	}
 }
 
-// The smallest inputs that are not there yet are added, as long as they fit.
+// persistInputs adds the smallest inputs that are not in the corpus yet, as long as they fit into the limit.
 func TestPersistInputs(t *testing.T) {
 	cache, dir := t.TempDir(), t.TempDir()
 	t.Setenv("GOCACHE", cache)
@@ -98,6 +100,7 @@
 	}
 	present, size, err := readCorpus(corpus)
 	if err != nil || size != 4 || !present["b"] || !present["aaa"] || target.Persisted != 1 {
-		t.Errorf("%v of %d bytes, %d added, %v", present, size, target.Persisted, err)
+		t.Errorf("corpus after persistInputs() = %v, %d bytes, %d added, %v, want aaa and b, 4 bytes, 1 added",
+			present, size, target.Persisted, err)
 	}
 }
--- a/internal/lab/fuzzcorpus.go
+++ b/internal/lab/fuzzcorpus.go
@@ -13,16 +13,16 @@
 	"strings"
 )
 
-// A corpusInput is a file of fuzz input.
+// A corpusInput is a file of a fuzz corpus.
 type corpusInput struct {
 	name string
 	text []byte
 }
 
-// persistInputs adds the smallest of the inputs that added coverage to the repository's corpus,
-// as many as fit into so many bytes; plain go test replays them.
+// persistInputs copies inputs that added coverage from the Go cache to the target's corpus in the repository, which
+// plain go test replays. It copies the smallest first, until the corpus would exceed maxBytes.
 func (t *FuzzTarget) persistInputs(ctx context.Context, maxBytes int) error {
-	// What an interrupted run has found is stored as well.
+	// The inputs of an interrupted run are stored as well, hence a context without cancellation.
 	out, err := exec.CommandContext(context.WithoutCancel(ctx), "go", "env", "GOCACHE").Output()
 	if err != nil {
 		return err
@@ -52,8 +52,8 @@
 	return nil
 }
 
-// readCorpus returns the inputs in a folder, by their text, and their size in bytes. A folder
-// that is missing has none.
+// readCorpus returns the set of the texts of all inputs in a folder, and their total size in bytes. A missing folder
+// has none.
 func readCorpus(dir string) (inputs map[string]bool, size int, err error) {
 	inputs = map[string]bool{}
 	err = filepath.WalkDir(dir, func(path string, d fs.DirEntry, err error) error {
@@ -74,8 +74,8 @@
 	return inputs, size, err
 }
 
-// newInputs returns the inputs in a folder that are small enough and not present yet, the
-// smallest first. A folder that is missing has none.
+// newInputs returns the inputs in a folder that have at most maxCorpusInputSize bytes and are not in present, the
+// smallest first. A missing folder has none.
 func newInputs(dir string, present map[string]bool) ([]corpusInput, error) {
 	entries, err := os.ReadDir(dir)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/lab/fuzztarget.go
+++ b/internal/lab/fuzztarget.go
@@ -15,26 +15,26 @@
 	"time"
 )
 
-// A FuzzTarget is one native fuzz target and what became of it.
+// A FuzzTarget is a native Go fuzz target with the results of its runs.
 type FuzzTarget struct {
 	Package    string  `json:"package"`
 	Name       string  `json:"name"`
-	Seconds    float64 `json:"seconds"`
+	Seconds    float64 `json:"seconds"` // run so far
 	Executions int64   `json:"executions"`
-	NewInputs  int     `json:"new_inputs"`
-	Inputs     int     `json:"inputs"`
-	Coverage   string  `json:"coverage,omitempty"` // of its package's statements, by seeds and corpus
+	NewInputs  int     `json:"new_inputs"`         // that added coverage
+	Inputs     int     `json:"inputs"`             // in the corpus, including the Go cache
+	Coverage   string  `json:"coverage,omitempty"` // percentage of its package's statements that seeds and corpus reach
 	Persisted  int     `json:"kept,omitempty"`     // inputs added to the corpus in the repository
 
-	dir           string // of the package
-	foundCoverage bool   // in its last time slice
+	dir           string // folder of the package
+	foundCoverage bool   // its last time slice found new coverage
 }
 
-// findFuzzTargets finds the native targets of the module.
+// findFuzzTargets returns the native fuzz targets of the module whose names match a regular expression.
 func findFuzzTargets(ctx context.Context, match string) ([]*FuzzTarget, error) {
 	wanted, err := regexp.Compile(match)
 	if err != nil {
-		return nil, fmt.Errorf("match: %w", err)
+		return nil, fmt.Errorf("match %q: %w", match, err)
 	}
 	dirs, err := packageDirs(ctx)
 	if err != nil {
@@ -44,7 +44,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("go test -list: %w", err)
 	}
-	// The names of a package's targets stand before the line that names the package.
+	// go test -list prints the targets of a package before the "ok" line with the package path.
 	var targets []*FuzzTarget
 	var names []string
 	for line := range strings.Lines(string(out)) {
@@ -68,7 +68,7 @@
 func packageDirs(ctx context.Context) (map[string]string, error) {
 	out, err := exec.CommandContext(ctx, "go", "list", "-f", "{{.ImportPath}} {{.Dir}}", "./...").Output()
 	if err != nil {
-		return nil, fmt.Errorf("go list: %w (the runner needs the go command and the source)", err)
+		return nil, fmt.Errorf("go list: %w (fuzz needs the go command and the source of the module)", err)
 	}
 	dirs := map[string]string{}
 	for line := range strings.Lines(string(out)) {
@@ -78,7 +78,7 @@
 	return dirs, nil
 }
 
-// What go test prints.
+// Patterns of the output of go test.
 var (
 	progressLine = regexp.MustCompile(`execs: (\d+) .*new interesting: (\d+) \(total: (\d+)\)`)
 	failingInput = regexp.MustCompile(`Failing input written to (\S+)`)
@@ -86,21 +86,21 @@
 )
 
 const (
-	maxOutputLineBytes = 4 << 20 // bytes of a line of go test
-	findingOutputLines = 60      // last lines of the output that a finding has
+	maxOutputLineBytes = 4 << 20 // longest line of go test that is read, in bytes
+	findingOutputLines = 60      // last lines of go test that a finding contains
 )
 
-// fuzzFor fuzzes the target for a while. When ctx ends it interrupts go test, which then
-// ends with what it has.
+// run fuzzes the target for a duration and returns its findings, at most one. When ctx ends it interrupts go test,
+// which then stops and keeps the inputs that it has found.
 func (t *FuzzTarget) run(
 	ctx context.Context, duration time.Duration, options FuzzOptions, output io.Writer,
 ) ([]Finding, error) {
 	began := time.Now()
-	cmd := exec.Command( //nolint:noctx // its end is asked for by SIGINT to the whole group, below
+	cmd := exec.Command( //nolint:noctx // stopped below by SIGINT to the whole process group
 		"go", "test", "-run", "^$", "-fuzz", "^"+t.Name+"$",
 		"-fuzztime", duration.Round(time.Millisecond).String(),
 		"-fuzzminimizetime", "10x", "-parallel", strconv.Itoa(options.Workers), t.Package)
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // a signal to this process is not one to them
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // signals to this process's group do not reach go test
 	stdout, err := cmd.StdoutPipe()
 	if err != nil {
 		return nil, err
@@ -110,7 +110,7 @@
 		return nil, err
 	}
 	stop := context.AfterFunc(ctx, func() {
-		_ = syscall.Kill(-cmd.Process.Pid, syscall.SIGINT) // the group may have ended by itself
+		_ = syscall.Kill(-cmd.Process.Pid, syscall.SIGINT) // fails if the group has already ended
 	})
 	defer stop()
 	executions, newInputs, testOutput := t.readProgress(stdout)
@@ -133,8 +133,8 @@
 	return []Finding{finding}, nil
 }
 
-// readProgress reads the output of go test to its end. It returns what the last progress line
-// counts and the last other lines.
+// readProgress reads the output of go test to its end. It returns the counts of the last progress line and the last
+// findingOutputLines other lines.
 func (t *FuzzTarget) readProgress(stdout io.Reader) (executions int64, newInputs int, output string) {
 	var tail []string
 	lines := bufio.NewScanner(stdout)
@@ -154,7 +154,8 @@
 	return executions, newInputs, strings.Join(tail, "\n")
 }
 
-// finding makes a finding of a failed run's output and copies the failing input to a folder.
+// finding returns the finding of a failed run, given the run's output, and copies the failing input to a folder. It
+// returns an error if the target could not be built.
 func (t *FuzzTarget) finding(output, dir string) (Finding, error) {
 	f := Finding{
 		Target: t.Name,
@@ -164,7 +165,7 @@
 	written := failingInput.FindStringSubmatch(output)
 	if written == nil {
 		if strings.Contains(output, "[build failed]") || strings.Contains(output, "[setup failed]") {
-			return f, fmt.Errorf("%s cannot be built:\n%s", t.Name, output)
+			return f, fmt.Errorf("fuzz target %s cannot be built:\n%s", t.Name, output)
 		}
 		return f, nil
 	}
@@ -181,11 +182,11 @@
 	return f, nil
 }
 
-// measureCoverage returns what the target's seeds and corpus reach of its package's
-// statements; "" if that cannot be told.
+// measureCoverage returns the percentage of its package's statements that the target's seeds and corpus reach; "" if go
+// test reports none.
 func (t *FuzzTarget) measureCoverage(ctx context.Context) string {
 	cmd := exec.CommandContext(ctx, "go", "test", "-count=1", "-cover", "-run", "^"+t.Name+"$", t.Package)
-	out, _ := cmd.CombinedOutput() // a failing test reports its coverage, too
+	out, _ := cmd.CombinedOutput() // a failing test reports its coverage as well
 	if m := coverageLine.FindSubmatch(out); m != nil {
 		return string(m[1])
 	}
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -9,18 +9,18 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// A Load is the clients of all tenants: for each, one for each scheduler and class.
+// A Load is a running load on a Deployment. It has one client for each tenant, scheduler and class.
 type Load struct {
 	deployment *Deployment
 	clients    map[string][]*standin.Client // by tenant
 	rates      map[string]*atomic.Uint64    // jobs a second of each tenant, as float64 bits
 	stop       chan struct{}
 	running    sync.WaitGroup
-	total      standin.Tally
+	total      standin.Tally // of all tallies taken
 }
 
-// StartLoad begins with each tenant at a fraction of its quota's part of the fleet's capacity,
-// spread evenly over the schedulers. Stop ends it.
+// StartLoad starts a load in which each tenant sends fraction times its QuotaFraction of the fleet's capacity, spread
+// evenly over the schedulers. Stop ends it.
 func (r *Deployment) StartLoad(fraction float64, seed uint64) *Load {
 	l := &Load{
 		deployment: r,
@@ -58,10 +58,10 @@
 	})
 }
 
-// Set changes a tenant's rate, in jobs a second.
+// SetRate changes the rate of a tenant, in jobs a second.
 func (l *Load) SetRate(tenant string, rate float64) { l.rates[tenant].Store(math.Float64bits(rate)) }
 
-// CollectTallies returns each tenant's tally since the last call.
+// TakeTallies returns the tally of each tenant since the last call.
 func (l *Load) TakeTallies() map[string]standin.Tally {
 	tallies := map[string]standin.Tally{}
 	for tenant, clients := range l.clients {
@@ -75,14 +75,14 @@
 	return tallies
 }
 
-// A Verdict is what the clients' tallies and the workers' logs say of the promises.
+// A LoadResult is the result of a load, computed from the clients' tallies and the workers' logs.
 type LoadResult struct {
 	Total            standin.Tally
 	RanTwice         int // at-most-once jobs that ran more than once
-	ServedWithoutRun int // jobs answered as served that no worker ran
+	ServedWithoutRun int // jobs answered with 200 that no worker ran
 }
 
-// Stop ends the load, waits for every answer and judges.
+// Stop ends the load, waits for all responses and returns the result.
 func (l *Load) Stop() LoadResult {
 	close(l.stop)
 	l.running.Wait()
--- a/internal/lab/loops.go
+++ b/internal/lab/loops.go
@@ -5,10 +5,10 @@
 	"io"
 )
 
-// Loops measures what many cells cost the latency loops: the same traffic and workers, in
-// virtual time, split evenly over one module, two, four and so on. It prints in how many of
-// the class-seconds enough jobs finished for a loop to learn from, and which part of the
-// jobs within their tenants' quotas was served in time.
+// MeasureLoops measures how splitting a fleet into more cells affects the latency loops, which need a minimum number of
+// finished jobs. It simulates the same traffic and workers in virtual time, split evenly over 1, 2, 4, 8 and 16
+// dispatchers. It prints the percentage of class-seconds with at least minJobsForUpdate finished jobs, and the
+// percentage of the jobs, all within their tenant's quota, that were served in time.
 func MeasureLoops(w io.Writer, seed uint64, seconds int) error {
 	fmt.Fprintln(w, "jobs/s  load  cells  jobs/s a cell  class-seconds with 6 jobs  served in time")
 	for _, rate := range []float64{30, 60, 240} {
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// simulateCells splits a rate of jobs over cells and returns the mean of their results.
+// simulateCells splits a rate of jobs evenly over a number of cells and returns the mean of the cells' results.
 func simulateCells(cells int, rate, load float64, seed uint64, seconds int) (mean cellResult, err error) {
 	for cell := range cells {
 		s, err := newCellSimulation(rate/float64(cells), load, seed+uint64(cell)*1000)
--- a/internal/lab/mutant.go
+++ b/internal/lab/mutant.go
@@ -15,26 +15,26 @@
 	"time"
 )
 
-// A Mutant is a deliberate fault: one piece of a file's text in place of another, and
-// the fuzz tests that should see it.
+// A Mutant is a deliberate fault: a replacement of one text in a source file, with the tests that should fail because
+// of it.
 type Mutant struct {
 	Name     string
-	File     string
-	Old, New string
-	Package  string
-	Run      string // -run of go test
+	File     string // path from the root of the module
+	Old, New string // Old occurs exactly once in File
+	Package  string // of the tests, relative to the module
+	Run      string // regular expression for go test -run
 }
 
-// A mutantResult is what became of a mutant.
+// A mutantResult is the result of the tests on a mutant.
 type mutantResult struct {
 	caught  bool
 	took    time.Duration
-	failure string // the test that failed, or the panic
+	failure string // name of the failed test, or the panic
 }
 
-// CheckMutants applies each mutant whose name contains match to a copy of the module in the
-// current folder and runs its tests, so many at a time (0: one a core). It returns how many
-// of them the tests caught.
+// CheckMutants applies each mutant whose name contains match to a copy of the module in the current folder and runs its
+// tests there. It checks concurrency mutants at a time; 0 means one for each CPU core. It returns how many mutants made
+// a test fail, and how many it checked.
 func CheckMutants(
 	ctx context.Context, w io.Writer, match string, concurrency int,
 ) (caught, checked int, err error) {
@@ -64,7 +64,7 @@
 				fmt.Fprintf(w, "caught in %4.1f s  %s\n                  by %s\n",
 					result.took.Seconds(), m.Name, result.failure)
 			default:
-				fmt.Fprintf(w, "NOT SEEN         %s (%s)\n", m.Name, m.File)
+				fmt.Fprintf(w, "NOT CAUGHT       %s (%s)\n", m.Name, m.File)
 			}
 		})
 	}
@@ -72,7 +72,8 @@
 	return caught, checked, errs
 }
 
-// check applies the mutant to a copy and runs its tests there.
+// check applies the mutant to a copy of the module and runs its tests there. A run that reaches mutantTimeout counts as
+// not caught.
 func (m *Mutant) check(ctx context.Context) (mutantResult, error) {
 	dir, err := os.MkdirTemp("", "foxlift-mutant-")
 	if err != nil {
@@ -89,7 +90,7 @@
 	ctx, cancel := context.WithTimeout(ctx, mutantTimeout)
 	defer cancel()
 	args := []string{"-test.run", m.Run, "-test.failfast"}
-	if m.Run == modelFuzz { // goes on until it sees something
+	if m.Run == modelFuzz { // run until a check fails or the time is over
 		args = append(args, "-rapid.checks", "1000000", "-rapid.shrinktime", "1s", "-rapid.nofailfile")
 	}
 	test := exec.CommandContext(ctx, binary, args...)
@@ -98,14 +99,15 @@
 	out, err := test.CombinedOutput()
 	result := mutantResult{took: time.Since(began)}
 	if ctx.Err() != nil {
-		return result, nil // it ran on without a verdict
+		return result, nil // the time is over and no test has failed
 	}
 	result.caught = err != nil
 	result.failure = lastFailure(string(out))
 	return result, nil
 }
 
-// failureIn names the last failed test of an output, or its panic.
+// lastFailure returns the name of the last failed test in an output of go test, or else the line of its panic; "" if it
+// has neither.
 func lastFailure(output string) (name string) {
 	for line := range strings.Lines(output) {
 		if failed, ok := strings.CutPrefix(strings.TrimSpace(line), "--- FAIL: "); ok {
@@ -117,17 +119,17 @@
 	return name
 }
 
-// runGo runs a build by the go command in a folder.
+// runGo runs a build with the go command in a folder.
 func runGo(ctx context.Context, dir string, args ...string) error {
 	cmd := exec.CommandContext(ctx, "go", args...)
 	cmd.Dir = dir
 	if out, err := cmd.CombinedOutput(); err != nil {
-		return fmt.Errorf("it does not build: %s", out)
+		return fmt.Errorf("go %s failed: %s", args[0], out)
 	}
 	return nil
 }
 
-// apply makes a copy of the source, with the fault in it, in a folder.
+// apply copies the module to a folder and applies the mutant there.
 func (m *Mutant) apply(dir string) error {
 	if err := copySource(dir); err != nil {
 		return err
@@ -138,13 +140,13 @@
 		return err
 	}
 	if n := strings.Count(string(text), m.Old); n != 1 {
-		return fmt.Errorf("its text stands %d times in %s", n, m.File)
+		return fmt.Errorf("the text to replace occurs %d times in %s, want 1", n, m.File)
 	}
 	return os.WriteFile(path, []byte(strings.Replace(string(text), m.Old, m.New, 1)), 0o644)
 }
 
-// BuildProgram applies the mutant to a copy of the module in the current folder, made in dir,
-// builds the scheduler there and returns the binary's path.
+// BuildProgram copies the module in the current folder to dir, applies the mutant there, builds the scheduler and
+// returns the path of the binary.
 func (m *Mutant) BuildProgram(ctx context.Context, dir string) (program string, err error) {
 	if err := m.apply(dir); err != nil {
 		return "", err
@@ -152,8 +154,8 @@
 	return BuildScheduler(ctx, dir, dir)
 }
 
-// BuildScheduler builds the scheduler of the module in a folder, "" for the current one, into the folder to, and
-// returns the binary's path.
+// BuildScheduler builds the scheduler from the module in a folder, "" for the current one, into the folder to, and
+// returns the path of the binary.
 func BuildScheduler(ctx context.Context, module, to string) (program string, err error) {
 	program = filepath.Join(to, "foxlift")
 	const scheduler = "github.com/vatu-meals/foxlift/cmd/foxlift"
@@ -163,7 +165,7 @@
 	return program, nil
 }
 
-// copySource copies what the module is built and tested from to a folder.
+// copySource copies the regular files of the current folder to another one, without .git, bin and journal.
 func copySource(to string) error {
 	return filepath.WalkDir(".", func(path string, d fs.DirEntry, err error) error {
 		if err != nil {
--- a/internal/lab/mutants_test.go
+++ b/internal/lab/mutants_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// The text that each mutant changes is in its file exactly once, as apply requires: one that has changed
-// since proves nothing any more.
+// The text that each mutant replaces occurs exactly once in its file, as apply requires. A mutant whose text has
+// changed in the file since can no longer be applied and shows nothing about the tests.
 func TestMutantsApply(t *testing.T) {
 	for _, m := range Mutants {
 		text, err := os.ReadFile(filepath.Join("../..", m.File))
@@ -17,12 +17,12 @@
 			continue
 		}
 		if n := strings.Count(string(text), m.Old); n != 1 {
-			t.Errorf("%s: the text is %d times in %s", m.Name, n, m.File)
+			t.Errorf("%s: the text to replace occurs %d times in %s, want 1", m.Name, n, m.File)
 		}
 	}
 }
 
-// The last failed test of an output is named, or else its panic.
+// lastFailure returns the last failed test of an output, or else its panic.
 func TestLastFailure(t *testing.T) {
 	for output, want := range map[string]string{
 		"--- FAIL: TestA (0.1s)\n    --- FAIL: TestA/b (0.1s)\nFAIL\n": "TestA/b",
@@ -30,7 +30,7 @@
 		"ok\n":                                                         "",
 	} {
 		if got := lastFailure(output); got != want {
-			t.Errorf("%q: %q, want %q", output, got, want)
+			t.Errorf("lastFailure(%q) = %q, want %q", output, got, want)
 		}
 	}
 }
--- a/internal/lab/rig.go
+++ b/internal/lab/rig.go
@@ -1,8 +1,7 @@
-// Package lab measures and demonstrates schedulers on loopback. A Rig runs real schedulers,
-// which read their configuration from files as in service, among stand-ins for discovery, the
-// workers and the clients; it owns their processes' state in a folder of its own and removes
-// it when it is closed. The package also holds the long runner of the fuzz targets and the
-// mutants that prove them.
+// Package lab measures and demonstrates schedulers on loopback. A Deployment runs real schedulers, which read their
+// configuration from files as in production, with stand-ins for discovery, the workers and the clients. It keeps its
+// files in a temporary folder and removes them when it is closed. The package also contains the long run of all fuzz
+// targets and the mutants, deliberate faults which show that the fuzz tests detect errors.
 package lab
 
 import (
@@ -21,22 +20,22 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// readyPollInterval is how often a scheduler that starts is asked whether it is ready.
+// readyPollInterval is the interval between checks whether a starting scheduler is ready.
 const readyPollInterval = time.Millisecond
 
-// A Rig is a running deployment.
+// A Deployment is a running deployment of a Topology, with its schedulers in this process.
 type Deployment struct {
 	Topology
 	Workers    []*standin.Worker
 	Discovery  *standin.Discovery
 	Schedulers []*daemon.Daemon
-	Clients    []controlpb.ControlClient // one for each scheduler, where there is a control socket
+	Clients    []controlpb.ControlClient // one for each scheduler; none without an operator's file
 
-	dir           string // configuration files and control sockets
+	dir           string // folder of the configuration files and control sockets
 	clientClosers []func() error
 }
 
-// Start starts a deployment. Close ends it.
+// StartDeployment starts a deployment and waits until its schedulers are ready. Close ends it.
 func StartDeployment(topology Topology) (r *Deployment, err error) {
 	r = &Deployment{Topology: topology}
 	defer func() {
@@ -65,7 +64,7 @@
 	return r, nil
 }
 
-// startWorker starts worker i of a kind, in the next zone. Its queue is twice as long as it has slots.
+// startWorker starts worker i of a kind, in the next zone, with twice as many queue places as slots.
 func (r *Deployment) startWorker(kind WorkerKind, i int) error {
 	serviceTimes := map[string]time.Duration{}
 	for _, class := range r.Classes {
@@ -86,7 +85,7 @@
 	return nil
 }
 
-// Config writes the configuration file of a scheduler and returns its path.
+// Config writes the configuration file of the scheduler with an index and returns its path.
 func (r *Deployment) Config(scheduler int) (string, error) {
 	text, err := json.MarshalIndent(map[string]any{
 		"name":      fmt.Sprint("n", scheduler),
@@ -104,7 +103,7 @@
 	return path, os.WriteFile(path, text, 0o600)
 }
 
-// startScheduler starts a scheduler and waits until it is ready.
+// startScheduler starts the scheduler with an index and waits until it is ready.
 func (r *Deployment) startScheduler(scheduler int) error {
 	config, err := r.Config(scheduler)
 	if err != nil {
@@ -147,10 +146,10 @@
 	return nil
 }
 
-// Close ends everything that Start has started, as a crash would, and removes its files.
+// Close stops everything that StartDeployment has started, without a graceful shutdown, and removes the files.
 func (r *Deployment) Close() {
 	for _, closeClient := range r.clientClosers {
-		_ = closeClient() // the schedulers are killed next
+		_ = closeClient() // an error does not matter: the schedulers are killed next
 	}
 	for _, d := range r.Schedulers {
 		d.Kill()
@@ -167,7 +166,7 @@
 	}
 }
 
-// Runs returns how often each job was begun, over all workers.
+// Runs returns how many times each job was started, over all workers, by job id.
 func (r *Deployment) Runs() map[string]int {
 	runs := map[string]int{}
 	for _, worker := range r.Workers {
--- a/internal/lab/speed.go
+++ b/internal/lab/speed.go
@@ -17,27 +17,28 @@
 )
 
 const (
-	listenTimeout      = 10 * time.Second // for a scheduler process to listen
-	listenPollInterval = 10 * time.Millisecond
-	speedJobDeadline   = 5 * time.Second // of the jobs in a speed measurement
+	listenTimeout      = 10 * time.Second      // of a started scheduler process until it listens
+	listenPollInterval = 10 * time.Millisecond // between two attempts to connect
+	speedJobDeadline   = 5 * time.Second       // deadline and latency objective of the jobs
 )
 
-// The bounds and digits of a latency histogram.
+// Range and significant digits of a latency histogram.
 const (
 	minLatency    = time.Microsecond
 	maxLatency    = 10 * time.Second
 	latencyDigits = 3
 )
 
-// errNotListening says that a scheduler process did not come up.
-var errNotListening = errors.New("the scheduler does not listen")
+// errNotListening reports that a scheduler process does not accept connections within listenTimeout.
+var errNotListening = errors.New("the scheduler process does not accept connections")
 
-// Speed measures one scheduler process: jobs a second and latency with so many
-// connections, each sending its next job when it has the answer, to workers that
-// answer at once. program is the scheduler's binary: two builds can be compared.
+// MeasureSpeed measures the throughput and latency of one scheduler process for each number of connections, with each
+// as the duration of one measurement. Every connection sends its next job when it has the response to the last one; the
+// workers answer at once. program is the path of the scheduler's binary, so that different builds can be compared.
+// MeasureSpeed prints a table to w.
 func MeasureSpeed(ctx context.Context, w io.Writer, program string, connections []int, each time.Duration) error {
 	topology := speedTopology()
-	topology.Schedulers = 0 // the one that is measured is a process of its own
+	topology.Schedulers = 0 // the measured scheduler is a separate process
 	deployment, err := StartDeployment(topology)
 	if err != nil {
 		return err
@@ -72,7 +73,7 @@
 	return nil
 }
 
-// speedTopology is one scheduler among fast workers.
+// speedTopology returns a deployment of one scheduler and eight fast workers.
 func speedTopology() Topology {
 	return Topology{
 		Schedulers: 1,
@@ -84,7 +85,7 @@
 	}
 }
 
-// freeAddr returns a loopback address on which nothing listens.
+// freeAddr returns a loopback address whose port was free at the time of the call.
 func freeAddr() (string, error) {
 	listener, err := standin.Listen()
 	if err != nil {
@@ -94,8 +95,7 @@
 	return listener.Addr().String(), nil
 }
 
-// startProcess starts a scheduler process that listens on an address; stop kills it and waits
-// for its end.
+// startProcess starts a scheduler process that listens on an address. stop kills the process and waits for its end.
 func startProcess(ctx context.Context, program, config, addr string) (stop func(), err error) {
 	cmd := exec.CommandContext(ctx, program)
 	cmd.Env = append(os.Environ(), "LB_CONFIG="+config, "LB_LISTEN="+addr)
@@ -104,12 +104,12 @@
 		return nil, err
 	}
 	return func() {
-		_ = cmd.Process.Kill() // it may have ended by itself
-		_ = cmd.Wait()         // tells of the kill
+		_ = cmd.Process.Kill() // fails if the process has already ended
+		_ = cmd.Wait()         // returns an error because of the kill
 	}, nil
 }
 
-// awaitListening waits until something accepts connections on an address.
+// waitForListener waits until an address accepts connections. It returns errNotListening after listenTimeout.
 func waitForListener(ctx context.Context, addr string) error {
 	var dialer net.Dialer
 	for began := time.Now(); ; {
@@ -125,22 +125,23 @@
 	}
 }
 
-// A closedLoopResult is what clients saw that each waited for their answers.
+// A closedLoopResult is the result of a closed-loop load.
 type closedLoopResult struct {
-	latencies *hdrhistogram.Histogram // ns
+	latencies *hdrhistogram.Histogram // of jobs answered with 200, in nanoseconds
 	notServed int                     // jobs
 	took      time.Duration
 }
 
-// rate is the jobs answered a second.
+// rate returns the number of jobs answered with 200 in a second.
 func (r closedLoopResult) rate() float64 { return float64(r.latencies.TotalCount()) / r.took.Seconds() }
 
-// quantile returns a quantile of the latencies, given in percent, in milliseconds.
+// quantile returns a quantile of the latencies in milliseconds; q is in percent.
 func (r closedLoopResult) quantile(q float64) float64 {
 	return float64(r.latencies.ValueAtQuantile(q)) / float64(time.Millisecond)
 }
 
-// closedLoop runs so many clients that each wait for their answer.
+// closedLoop runs a number of clients for a time. Each client sends its next job when it has the response to the last
+// one.
 func closedLoop(addr string, connections int, each time.Duration) closedLoopResult {
 	result := closedLoopResult{
 		latencies: hdrhistogram.New(int64(minLatency), int64(maxLatency), latencyDigits),
@@ -164,7 +165,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			for _, latency := range client.TakeLatencies() {
-				_ = result.latencies.RecordValue(int64(latency)) // beyond maxLatency it is not counted
+				_ = result.latencies.RecordValue(int64(latency)) // a latency above maxLatency is not recorded
 			}
 			tally := client.TakeTally()
 			result.notServed += tally.Sent - tally.Served
--- a/internal/lab/standins.go
+++ b/internal/lab/standins.go
@@ -12,11 +12,11 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// StandInSignals are the signals that StandIns acts on.
+// StandInSignals are the signals that RunStandIns handles.
 var StandInSignals = []os.Signal{syscall.SIGUSR1, syscall.SIGINT, syscall.SIGTERM}
 
-// StandIns runs what examples/config.json needs, until a signal that ends it. SIGUSR1 makes
-// the second worker drain, or brings it back.
+// RunStandIns runs the discovery and the workers that examples/config.json refers to, until it receives a signal other
+// than SIGUSR1. SIGUSR1 switches the second worker between active and draining in the endpoint list.
 func RunStandIns(ctx context.Context, w io.Writer, signals <-chan os.Signal) error {
 	var listenConfig net.ListenConfig
 	var workers []*standin.Worker
@@ -42,7 +42,7 @@
 	}
 	discovery := standin.DiscoveryOn(listener, workers...)
 	defer discovery.Close()
-	fmt.Fprintln(w, "discovery on 127.0.0.1:8500, nodes on 127.0.0.1:3101 and 127.0.0.1:3102")
+	fmt.Fprintln(w, "discovery on 127.0.0.1:8500, workers on 127.0.0.1:3101 and 127.0.0.1:3102")
 	draining := false
 	for s := range signals {
 		if s != syscall.SIGUSR1 {
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// standInServiceTime is how long a job of a class takes at the stand-in workers.
+// standInServiceTime returns the service time of a class at the stand-in workers.
 func standInServiceTime(class string) time.Duration {
 	if class == "ratify" {
 		return 1500 * time.Millisecond
--- a/internal/lab/topology.go
+++ b/internal/lab/topology.go
@@ -6,53 +6,53 @@
 	"time"
 )
 
-// The effects of a class, as the settings name them.
+// The effects of a class, as the settings spell them.
 const (
 	effectIdempotent   = "idempotent"
 	effectDeduplicated = "deduplicated"
 	effectAtMostOnce   = "at_most_once"
 )
 
-// A WorkerKind is a kind of worker, and how many of it a fleet has.
+// A WorkerKind describes the workers of one kind in a fleet.
 type WorkerKind struct {
 	Name  string
-	Count int
-	Slots int
-	Speed float64 // of a slot; a job's service time is divided by it
+	Count int     // workers of the kind
+	Slots int     // of each worker
+	Speed float64 // of a slot; divides the service time of a job
 }
 
-// A Tenant is a tenant with a quota.
+// A Tenant describes a tenant and its quota.
 type Tenant struct {
 	Name          string
-	QuotaFraction float64 // of what the fleet can do
+	QuotaFraction float64 // share of the quotas' part of the fleet's capacity
 }
 
-// A Class is a class of jobs.
+// A Class describes a class of jobs.
 type Class struct {
 	Name             string
-	Effect           string        // as the settings name it
+	Effect           string        // one of the effects above
 	ServiceTime      time.Duration // on a slot of speed 1
-	JobFraction      float64       // of all jobs
-	LatencyObjective time.Duration
-	Deadline         time.Duration // from the request on, after which its client gives up
+	JobFraction      float64       // share of all jobs
+	LatencyObjective time.Duration // without the part that grows with the service time
+	Deadline         time.Duration // from the request until its client gives up
 }
 
 // A Topology describes a deployment: its schedulers, workers, tenants and classes of jobs.
 type Topology struct {
 	Schedulers  int
 	Kinds       []WorkerKind
-	Zones       []string // workers and schedulers are dealt out to them in turn
+	Zones       []string // workers and schedulers are assigned to them in turn
 	Tenants     []Tenant
 	Classes     []Class
-	Sockets     int           // descriptors that a scheduler may use
-	DedupGroups int           // that the workers are dealt out to; 0: no worker drops repeats
-	DedupWindow time.Duration // for which a group drops repeats of a key, where the class is deduplicated
+	Sockets     int           // file descriptors that a scheduler may use
+	DedupGroups int           // deduplication groups that the workers are assigned to in turn; 0: no deduplication
+	DedupWindow time.Duration // for which a group drops repeats of an idempotency key of a deduplicated class
 	LoadReports bool          // workers send load reports
 	Gossip      bool          // schedulers may send each other messages
-	Operator    string        // text of the operator's file, with %s for the control socket's path; "": none
+	Operator    string        // operator's file, with a formatting verb for the path of the control socket; "": none
 }
 
-// meanServiceTime is the mean service time of a job in seconds, on a slot of speed 1.
+// meanServiceTime returns the mean service time of a job in seconds, on a slot of speed 1.
 func (t *Topology) meanServiceTime() float64 {
 	sum := 0.0
 	for _, class := range t.Classes {
@@ -61,7 +61,7 @@
 	return sum
 }
 
-// Capacity returns how many jobs a second the fleet can run.
+// Capacity returns the number of jobs a second that the fleet can run.
 func (t *Topology) Capacity() float64 {
 	slots := 0.0
 	for _, kind := range t.Kinds {
@@ -70,8 +70,8 @@
 	return slots / t.meanServiceTime()
 }
 
-// AtMostOnce reports whether a job's id says that it must not run twice. That holds for
-// deduplicated jobs as well: a repeat that a worker drops is not a run.
+// AtMostOnce reports whether a job must not run twice, by the class in its id. That includes deduplicated jobs: a
+// repeat that a worker drops is not a run.
 func (t Topology) AtMostOnce(id string) bool {
 	for _, class := range t.Classes {
 		if class.Effect != effectIdempotent && strings.Contains(id, "/"+class.Name+"/") {
@@ -82,11 +82,11 @@
 }
 
 const (
-	assignedCapacityFraction = 0.85 // of the fleet's capacity is given out as quotas
-	objectiveStretch         = 2    // service times by which the latency objective grows
+	assignedCapacityFraction = 0.85 // part of the fleet's capacity that is assigned as quotas
+	objectiveStretch         = 2    // multiple of the service time that is added to a class's latency objective
 )
 
-// Settings returns the settings of a scheduler, as they stand in its configuration file.
+// Settings returns the settings of the scheduler with an index, in the format of its configuration file.
 func (t Topology) Settings(scheduler int) map[string]any {
 	var kinds []string
 	for _, kind := range t.Kinds {
@@ -123,8 +123,7 @@
 	}
 }
 
-// Bounds returns the bounds on attempts and connections that the lab's deployments share, as the
-// settings have them.
+// Bounds returns the settings "bounds" on attempts and connections that all deployments of the lab share.
 func Bounds() map[string]any {
 	return map[string]any{
 		"cancel":         true,
@@ -137,8 +136,8 @@
 	}
 }
 
-// Obligations returns the obligations towards discovery and workers in slow start that the lab's
-// deployments share, as the settings have them.
+// Obligations returns the settings "obligations", towards discovery and workers in slow start, that all deployments of
+// the lab share.
 func Obligations() map[string]any {
 	return map[string]any{
 		"mustAskIn":     10 * time.Second,
@@ -149,7 +148,7 @@
 	}
 }
 
-// reportSettings says how workers report their load.
+// reportSettings returns the settings "report" on the load reports of workers.
 func (t *Topology) reportSettings() map[string]any {
 	if t.LoadReports {
 		return map[string]any{"how": "answers", "names": []string{"backlog", "outstanding", "x0"}}
@@ -157,7 +156,7 @@
 	return map[string]any{"how": "none", "names": []string{}}
 }
 
-// classSettings lists the classes; times are in nanoseconds.
+// classSettings returns the settings of the classes. Times are in nanoseconds.
 func (t *Topology) classSettings() (classes []map[string]any) {
 	for _, class := range t.Classes {
 		classes = append(classes, map[string]any{
@@ -173,7 +172,7 @@
 	return classes
 }
 
-// tenantSettings lists the tenants with their quotas, rounded to a tenth of a job a second.
+// tenantSettings returns the settings of the tenants, with quotas rounded to a tenth of a job a second.
 func (t *Topology) tenantSettings() (tenants []map[string]any) {
 	for _, tenant := range t.Tenants {
 		quota := math.Round(tenant.QuotaFraction*assignedCapacityFraction*t.Capacity()*10) / 10
--- a/internal/lab/topology_test.go
+++ b/internal/lab/topology_test.go
@@ -7,7 +7,7 @@
 	"github.com/vatu-meals/foxlift/internal/config"
 )
 
-// A scheduler takes the settings of each deployment that the lab starts schedulers for.
+// The scheduler's parser accepts the settings of each deployment of the lab.
 func TestSettingsAreValid(t *testing.T) {
 	for name, topology := range map[string]Topology{
 		"speed": speedTopology(), "cells": twelveWorkerTopology(fourCellsOperator), "lending": lendingTopology(),
@@ -18,11 +18,11 @@
 				t.Fatal(err)
 			}
 			if _, err := config.ParseSettings(text); err != nil {
-				t.Errorf("%s: scheduler %d: %v", name, scheduler, err)
+				t.Errorf("%s: ParseSettings() of scheduler %d: %v", name, scheduler, err)
 			}
 		}
 		if topology.Schedulers == 0 {
-			t.Errorf("%s: no scheduler", name)
+			t.Errorf("%s: topology has 0 schedulers, want at least 1", name)
 		}
 	}
 }
