--- a/internal/lab/mutants.go
+++ b/internal/lab/mutants.go
@@ -2,13 +2,15 @@
 
 import "time"
 
+// Regular expressions of the tests that run on a mutant, and the time limit of such a run.
 const (
 	platformFuzz  = "^(TestFuzz|TestEverySplit)"
 	modelFuzz     = "^TestModel$"
-	mutantTimeout = 60 * time.Second // for the tests to see one, their building aside
+	mutantTimeout = 60 * time.Second // for the tests of one mutant, without their build
 )
 
-// Mutants are the faults by which the fuzzers' oracles are proved.
+// Mutants are the deliberate faults that the fuzz tests must detect. A mutant that no test catches shows that the
+// checks of the tests are too weak.
 var Mutants = []Mutant{
 	{
 		Name:    "a job is answered twice",
@@ -18,7 +20,7 @@
 		Run:     modelFuzz,
 	},
 	{
-		Name:    "an answer is forgotten",
+		Name:    "every fifth job gets no answer",
 		File:    "internal/core/record.go",
 		Old:     "\tj.Client.Answer(a)\n",
 		New:     "\tif j.number%5 != 0 {\n\t\tj.Client.Answer(a)\n\t}\n",
@@ -26,7 +28,7 @@
 		Run:     modelFuzz,
 	},
 	{
-		Name:    "a reset counts as never run",
+		Name:    "a reset attempt counts as never run",
 		File:    "api.go",
 		Old:     "c == Unreachable || c == NotSent",
 		New:     "c == Unreachable || c == NotSent || c == Reset",
@@ -34,7 +36,7 @@
 		Run:     modelFuzz,
 	},
 	{
-		Name:    "a timed-out claim counts as never run",
+		Name:    "a timed-out attempt counts as never run",
 		File:    "api.go",
 		Old:     "c == Unreachable || c == NotSent",
 		New:     "c == Unreachable || c == NotSent || c == DeadlineExceeded",
@@ -42,7 +44,7 @@
 		Run:     modelFuzz,
 	},
 	{
-		Name:    "drains are not heard",
+		Name:    "the draining state of a worker is ignored",
 		File:    "endpoints.go",
 		Old:     "\tw.setState(e.State, d.now)\n",
 		New:     "\tif e.State != Draining {\n\t\tw.setState(e.State, d.now)\n\t}\n",
@@ -50,7 +52,7 @@
 		Run:     modelFuzz,
 	},
 	{
-		Name:    "a refusal is promised after it may have run",
+		Name:    "a job that may have run is shed as safe to retry",
 		File:    "attempts.go",
 		Old:     "\treturn j.mayHaveRun == nil || j.class.Effect",
 		New:     "\treturn j.class.Effect == AtMostOnce || j.class.Effect",
@@ -58,7 +60,7 @@
 		Run:     modelFuzz,
 	},
 	{
-		Name:    "a claim is counted twice",
+		Name:    "an attempt is counted twice",
 		File:    "internal/core/send.go",
 		Old:     "c.countSlots(a, 1)",
 		New:     "c.countSlots(a, 2)",
@@ -66,28 +68,28 @@
 		Run:     modelFuzz,
 	},
 	{
-		Name:    "a claim's end is not counted",
+		Name:    "the end of an attempt is not counted",
 		File:    "internal/core/relay.go",
 		Old:     "\tc.countSlots(a, -1)\n",
 		Package: "./internal/core",
 		Run:     modelFuzz,
 	},
 	{
-		Name:    "attempts before a move are forgotten",
+		Name:    "attempts before a migration are not counted",
 		File:    "internal/core/admit.go",
 		Old:     "PriorAttempts: j.priorAttempts,",
 		Package: "./internal/core",
 		Run:     modelFuzz,
 	},
 	{
-		Name:    "a moved job is lost between modules",
+		Name:    "a migrated job is lost between dispatchers",
 		File:    "internal/core/dispatch.go",
 		Old:     "\t\t\tc.assign(j)\n",
 		Package: "./internal/core",
 		Run:     modelFuzz,
 	},
 	{
-		Name:    "a moved job stays with its old module",
+		Name:    "a migrated job stays with its old dispatcher as well",
 		File:    "internal/core/cell_assign.go",
 		Old:     "\tj.cell.notify(foxlift.Event{Kind: foxlift.EventClientDisconnected, ID: j.number})\n\treturn true",
 		New:     "\treturn true",
@@ -95,14 +97,14 @@
 		Run:     modelFuzz,
 	},
 	{
-		Name:    "an answered id may come again",
+		Name:    "the id of an answered job is accepted again",
 		File:    "internal/core/record.go",
 		Old:     "\tc.rememberID(j.ID, c.settings.Module.Classes[j.class].Effect != foxlift.Idempotent)\n",
 		Package: "./internal/core",
 		Run:     modelFuzz,
 	},
 	{
-		Name:    "an id in use may come again",
+		Name:    "the id of an open job is accepted again",
 		File:    "internal/core/job_table.go",
 		Old:     "answered || t.open[id] != nil",
 		New:     "answered",
@@ -110,14 +112,14 @@
 		Run:     modelFuzz,
 	},
 	{
-		Name:    "a place at the gate is never left",
+		Name:    "admission places are not released",
 		File:    "internal/core/cell_placement.go",
 		Old:     "r.admission.Release(r.cell, r.tenant)",
 		Package: "./internal/core",
 		Run:     modelFuzz,
 	},
 	{
-		Name:    "a refused spill is not counted down",
+		Name:    "a rejected spill stays in the count of spilled jobs",
 		File:    "internal/core/cell_assign.go",
 		Old:     "\tj.clearSpill()\n\tj.cell = c.cells.all[route.Cell]",
 		New:     "\tj.cell = c.cells.all[route.Cell]",
@@ -125,21 +127,21 @@
 		Run:     modelFuzz,
 	},
 	{
-		Name:    "a spilled job is never counted down",
+		Name:    "the count of spilled jobs does not decrease",
 		File:    "internal/core/job.go",
 		Old:     "j.spilledFrom.spilled--",
 		Package: "./internal/core",
 		Run:     modelFuzz,
 	},
 	{
-		Name:    "a key's job is never counted down",
+		Name:    "the count of a key's jobs does not decrease",
 		File:    "internal/core/record.go",
 		Old:     "\tc.cells.releaseKey(j)\n",
 		Package: "./internal/core",
 		Run:     modelFuzz,
 	},
 	{
-		Name:    "an ended claim's place is not freed in the module",
+		Name:    "the slots of an ended attempt are not freed in the dispatcher",
 		File:    "gossip.go",
 		Old:     "\tw.usedSlots += sign * a.slots\n",
 		New:     "\tif sign > 0 {\n\t\tw.usedSlots += sign * a.slots\n\t}\n",
@@ -147,7 +149,7 @@
 		Run:     modelFuzz,
 	},
 	{
-		Name:    "Content-Length beside Transfer-Encoding",
+		Name:    "Content-Length and Transfer-Encoding together are accepted",
 		File:    "internal/platform/framing.go",
 		Old:     "case lengths > 0 && codings > 0:",
 		New:     "case false:",
@@ -155,7 +157,7 @@
 		Run:     platformFuzz,
 	},
 	{
-		Name:    "a repeated length",
+		Name:    "a repeated Content-Length or Transfer-Encoding is accepted",
 		File:    "internal/platform/framing.go",
 		Old:     "case lengths > 1 || codings > 1:",
 		New:     "case false:",
@@ -163,7 +165,7 @@
 		Run:     platformFuzz,
 	},
 	{
-		Name:    "a header name with a space",
+		Name:    "a header name with a space is accepted",
 		File:    "internal/platform/framing.go",
 		Old:     "if !isHeaderName(name) {",
 		New:     "if false {",
@@ -171,7 +173,7 @@
 		Run:     platformFuzz,
 	},
 	{
-		Name:    "Transfer-Encoding in HTTP/1.0",
+		Name:    "Transfer-Encoding in HTTP/1.0 is accepted",
 		File:    "internal/platform/framing.go",
 		Old:     "case codings > 0 && !req.ProtoAtLeast(1, 1):",
 		New:     "case false:",
@@ -179,7 +181,7 @@
 		Run:     platformFuzz,
 	},
 	{
-		Name:    "a signed time",
+		Name:    "a signed time is accepted",
 		File:    "internal/platform/job_request.go",
 		Old:     `"0123456789."`,
 		New:     `"0123456789.+-"`,
@@ -187,7 +189,7 @@
 		Run:     platformFuzz,
 	},
 	{
-		Name:    "done without the last chunk",
+		Name:    "a final state without the last chunk is accepted",
 		File:    "internal/platform/state_lines.go",
 		Old:     "if err := lines.Err(); err != nil {",
 		New:     "if err := lines.Err(); err != nil && final == nil {",
@@ -195,7 +197,7 @@
 		Run:     platformFuzz,
 	},
 	{
-		Name:    "done for another id",
+		Name:    "a final state of another job id is accepted",
 		File:    "internal/platform/state_lines.go",
 		Old:     "state.ID != a.job.ID || final != nil",
 		New:     "final != nil",
@@ -203,7 +205,7 @@
 		Run:     platformFuzz,
 	},
 	{
-		Name:    "two words after the last",
+		Name:    "a state after the final state is accepted",
 		File:    "internal/platform/state_lines.go",
 		Old:     "state.ID != a.job.ID || final != nil",
 		New:     "state.ID != a.job.ID",
@@ -211,7 +213,7 @@
 		Run:     platformFuzz,
 	},
 	{
-		Name:    "any 503 counts as never run",
+		Name:    "any status 503 counts as never run",
 		File:    "internal/platform/attempt.go",
 		Old:     `unavailable && resp.Header.Get(headerRejected) == "1"`,
 		New:     "unavailable",
@@ -227,7 +229,7 @@
 		Run:     platformFuzz,
 	},
 	{
-		Name:    "a buffer loses a byte when it is moved",
+		Name:    "the buffer loses a byte when its data is moved",
 		File:    "internal/platform/buffer.go",
 		Old:     "copy(b.data, b.data[b.r:b.w])\n\t\tb.r = 0",
 		New:     "copy(b.data, b.data[b.r:b.w-1])\n\t\tb.r = 0",
@@ -235,7 +237,7 @@
 		Run:     platformFuzz,
 	},
 	{
-		Name:    "a start in the future is believed",
+		Name:    "a start time in the future is accepted",
 		File:    "internal/platform/endpoint.go",
 		Old:     "age := max(0, wall.Sub(time.UnixMilli(startedMilli)))",
 		New:     "age := wall.Sub(time.UnixMilli(startedMilli))",
@@ -243,7 +245,7 @@
 		Run:     platformFuzz,
 	},
 	{
-		Name: "NaN is a number",
+		Name: "NaN is accepted as a number",
 		File: "internal/config/reader.go",
 		Old: "err == nil && n >= minimum && n <= maximum {\n\t\t\treturn n\n" +
 			"\t\t}\n\t}\n\tr.addError(v, f.key, \"%s is not a number",
@@ -253,7 +255,7 @@
 		Run:     "^TestFuzz",
 	},
 	{
-		Name:    "errors are out of order",
+		Name:    "errors are not sorted",
 		File:    "internal/config/operator.go",
 		Old:     "\t\treturn nil, r.sorted()",
 		New:     "\t\treturn nil, r.errors",
@@ -261,7 +263,7 @@
 		Run:     "^TestFuzz",
 	},
 	{
-		Name:    "a negative stretch is taken",
+		Name:    "a negative objective stretch is accepted",
 		File:    "internal/config/check.go",
 		Old:     "case class.ObjectiveStretch < 0:",
 		New:     "case false:",
