--- a/cmd/foxlift-lab/capacity.go
+++ b/cmd/foxlift-lab/capacity.go
@@ -78,7 +78,7 @@
 	ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if f.Program == "" {
-		program, remove, err := fleet.BuildAside(ctx)
+		program, remove, err := fleet.BuildInTempDir(ctx)
 		if err != nil {
 			return err
 		}
--- a/cmd/foxlift-lab/soak.go
+++ b/cmd/foxlift-lab/soak.go
@@ -19,7 +19,7 @@
 
 // soakCommand plays random faults that overlap in time, and judges by what others recorded.
 func soakCommand() *cobra.Command {
-	options := soak.Default
+	options := soak.DefaultOptions
 	var seeds int
 	var short, build, mutants bool
 	cmd := &cobra.Command{
@@ -28,10 +28,10 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if short {
-				options.For, seeds = shortSoak, 1
+				options.Duration, seeds = shortSoak, 1
 			}
 			if build {
-				program, remove, err := fleet.BuildAside(cmd.Context())
+				program, remove, err := fleet.BuildInTempDir(cmd.Context())
 				if err != nil {
 					return err
 				}
@@ -48,7 +48,7 @@
 	}
 	cmd.Flags().Uint64Var(&options.Seed, "seed", 1, "the first seed")
 	cmd.Flags().IntVar(&seeds, "seeds", 1, "how many seeds, one after another")
-	cmd.Flags().DurationVar(&options.For, "for", options.For, "how long faults begin, for each seed")
+	cmd.Flags().DurationVar(&options.Duration, "for", options.Duration, "how long faults begin, for each seed")
 	cmd.Flags().IntVar(&options.Schedulers, "schedulers", options.Schedulers, "processes, 10 to 40")
 	cmd.Flags().StringVar(&options.Program, "build", options.Program, "the scheduler's binary")
 	cmd.Flags().BoolVar(&build, "fresh", false, "build the binary aside, in place of --build")
--- a/cmd/foxlift-lab/trials.go
+++ b/cmd/foxlift-lab/trials.go
@@ -32,7 +32,7 @@
 
 // keyedCommand runs the trial of deduplicated jobs under connection faults.
 func keyedCommand() *cobra.Command {
-	options := fleet.DefaultKeyed
+	options := fleet.DefaultKeyedTrial
 	cmd := &cobra.Command{
 		Use:   "keyed",
 		Short: "Reset and silence connections amid keyed jobs, and see that none runs twice",
@@ -51,7 +51,7 @@
 	cmd.Flags().StringVar(&options.Program, "build", options.Program, "the scheduler's binary")
 	cmd.Flags().IntVar(&options.Faults, "faults", options.Faults, "resets and silences, about as many of each")
 	cmd.Flags().Uint64Var(&options.Seed, "seed", options.Seed, "of the arrivals and the faults")
-	cmd.Flags().DurationVar(&options.Every, "every", options.Every, "between two faults")
+	cmd.Flags().DurationVar(&options.FaultInterval, "every", options.FaultInterval, "between two faults")
 	cmd.Flags().BoolVar(&options.ShortWindow, "short-window", false, "pods drop repeats for less than the settings say")
 	cmd.Flags().BoolVar(&options.NoGroups, "no-pods", false, "each node drops its own repeats only")
 	return cmd
@@ -78,11 +78,11 @@
 	cmd.Flags().IntVar(&options.Schedulers, "schedulers", options.Schedulers, "processes")
 	cmd.Flags().IntVar(&options.Workers, "nodes", options.Workers, "execute nodes")
 	cmd.Flags().Uint64Var(&options.Seed, "seed", options.Seed, "of the arrivals, and of which nodes are replaced")
-	cmd.Flags().DurationVar(&options.For, "for", options.For, "how long it is watched")
-	cmd.Flags().Float64Var(&options.Load, "load", options.Load, "jobs, against what the warm fleet can do")
-	cmd.Flags().Float64Var(&options.Replaced, "replaced", options.Replaced,
+	cmd.Flags().DurationVar(&options.Duration, "for", options.Duration, "how long it is watched")
+	cmd.Flags().Float64Var(&options.LoadFraction, "load", options.LoadFraction, "jobs, against what the warm fleet can do")
+	cmd.Flags().Float64Var(&options.ReplacedFraction, "replaced", options.ReplacedFraction,
 		"part of the nodes that the known list does not have")
-	cmd.Flags().Float64Var(&options.Restarted, "restarted", options.Restarted,
+	cmd.Flags().Float64Var(&options.RestartedFraction, "restarted", options.RestartedFraction,
 		"part that started again, cold, and that the known list takes for warm")
 	return cmd
 }
--- a/internal/lab/capacity/control.go
+++ b/internal/lab/capacity/control.go
@@ -136,10 +136,10 @@
 // runControl runs one process with so many hollow workers.
 func runControl(ctx context.Context, p plan, operator string, workers int) (cost controlCost, err error) {
 	testFleet, err := fleet.New(fleet.Options{
-		Topology: controlTopology(),
-		Program:  p.program,
-		Admin:    true,
-		Operator: operator,
+		Topology:     controlTopology(),
+		Program:      p.program,
+		Admin:        true,
+		OperatorFile: operator,
 	})
 	if err != nil {
 		return cost, err
--- a/internal/lab/capacity/faults.go
+++ b/internal/lab/capacity/faults.go
@@ -76,7 +76,7 @@
 	}
 	options := fleet.Options{Topology: controlTopology(), Program: o.Program, Admin: true}
 	if !o.WithoutCheckpoint {
-		options.Operator = checkpointOperator
+		options.OperatorFile = checkpointOperator
 	}
 	testFleet, err := fleet.New(options)
 	if err != nil {
@@ -118,14 +118,14 @@
 		t.oldestDeltaVersion = int64(t.Discovery.Version())
 	}
 	link := t.Links[0]
-	bytesBefore, startedAt := link.Carried(fleet.FromTarget), time.Now()
+	bytesBefore, startedAt := link.ForwardedBytes(fleet.FromTarget), time.Now()
 	if err := t.process.Start(); err != nil {
 		return err
 	}
 	if err := awaitWorkerCount(ctx, t.process, len(t.workers)); err != nil {
 		return fmt.Errorf("after %s: %w", startFaultNames[fault], err)
 	}
-	receivedBytes, seconds := link.Carried(fleet.FromTarget)-bytesBefore, time.Since(startedAt).Seconds()
+	receivedBytes, seconds := link.ForwardedBytes(fleet.FromTarget)-bytesBefore, time.Since(startedAt).Seconds()
 	t.recordStart(fault, receivedBytes, seconds)
 	fmt.Fprintf(out, "start %2d after %-20s %8.1f KB from discovery, in force after %.2f s, %d entries changed\n",
 		t.result.Starts, startFaultNames[fault]+":", float64(receivedBytes)/kilobyte, seconds,
@@ -174,10 +174,10 @@
 		return nil
 	}
 	var saved platform.EndpointSnapshot
-	err := checkpoint.File(t.process.Checkpoint).Read(&saved)
+	err := checkpoint.File(t.process.CheckpointPath).Read(&saved)
 	switch {
 	case err == nil:
-		_, err := checkpoint.New(t.process.Checkpoint, &counters.Set{}).Load(t.Links[0].Addr().String(), time.Now())
+		_, err := checkpoint.New(t.process.CheckpointPath, &counters.Set{}).Load(t.Links[0].Addr().String(), time.Now())
 		t.checkpointUsable, t.checkpointVersion = err == nil && saved.Version >= t.oldestDeltaVersion, saved.Version
 	case wasUsable && !errors.Is(err, os.ErrNotExist):
 		return fmt.Errorf("a whole list was kept, and its replacement leaves: %w", err)
--- a/internal/lab/capacity/process.go
+++ b/internal/lab/capacity/process.go
@@ -31,7 +31,7 @@
 		at:     time.Now(),
 		cpu:    stat.CPUTime(),
 		memory: float64(stat.ResidentMemory()),
-		bytes:  link.Carried(fleet.ToTarget) + link.Carried(fleet.FromTarget),
+		bytes:  link.ForwardedBytes(fleet.ToTarget) + link.ForwardedBytes(fleet.FromTarget),
 	}, nil
 }
 
@@ -45,9 +45,9 @@
 
 // awaitWorkerCount waits until a process knows so many workers.
 func awaitWorkerCount(ctx context.Context, p *fleet.Process, workers int) error {
-	var figures service.Figures
+	var figures service.Metrics
 	var err error
-	operators := service.Operators{Addr: p.Admin}
+	operators := service.AdminClient{Addr: p.AdminAddr}
 	for end := time.Now().Add(propagationTimeout); time.Now().Before(end); {
 		if figures, err = operators.Stats(ctx); err == nil && int(figures.PoolSize) == workers {
 			return nil
--- a/internal/lab/capacity/runevents.go
+++ b/internal/lab/capacity/runevents.go
@@ -51,12 +51,12 @@
 		<-time.After(interruptionDuration)
 		return t.process.Signal(syscall.SIGCONT)
 	case connectionCut:
-		link.Cut()
+		link.Disconnect()
 		t.churnWorkers()
 		<-time.After(interruptionDuration)
 		link.Heal()
 	case connectionSilenced:
-		link.Silence(fleet.ToTarget, fleet.FromTarget)
+		link.Block(fleet.ToTarget, fleet.FromTarget)
 		t.churnWorkers()
 		<-time.After(interruptionDuration)
 		link.Heal()
--- a/internal/lab/capacity/startfaults.go
+++ b/internal/lab/capacity/startfaults.go
@@ -40,7 +40,7 @@
 
 // injectFault does a fault to the checkpoint. Compaction is discovery's own, and comes later.
 func (t *faultsTrial) injectFault(fault startFault) error {
-	path := t.process.Checkpoint
+	path := t.process.CheckpointPath
 	t.checkpointUsable = t.checkpointUsable && fault == noFault
 	switch {
 	case t.WithoutCheckpoint || fault == noFault || fault == compacted:
@@ -81,7 +81,7 @@
 
 // rewriteCheckpoint changes a checkpoint in its own format, where there is one that can be read.
 func (t *faultsTrial) rewriteCheckpoint(change func(*platform.EndpointSnapshot)) error {
-	file := checkpoint.File(t.process.Checkpoint)
+	file := checkpoint.File(t.process.CheckpointPath)
 	var saved platform.EndpointSnapshot
 	if err := file.Read(&saved); err != nil {
 		return nil //nolint:nilerr // there is none, or it was damaged before: the start is without one either way
--- a/internal/lab/fleet/configuration.go
+++ b/internal/lab/fleet/configuration.go
@@ -22,28 +22,28 @@
 	if err != nil {
 		return err
 	}
-	p := &Process{Name: name, Addr: addr, program: f.Program, counters: map[string]int64{}}
-	p.env = []string{"LB_CONFIG=" + f.path(name, ".json"), "LB_LISTEN=" + addr}
+	p := &Process{Name: name, Addr: addr, program: f.Program, pastCounters: map[string]int64{}}
+	p.env = []string{"LB_CONFIG=" + f.processFile(name, ".json"), "LB_LISTEN=" + addr}
 	if f.Admin {
-		if p.Admin, err = freeAddr(); err != nil {
+		if p.AdminAddr, err = freeAddr(); err != nil {
 			return err
 		}
 		p.env = append(p.env,
 			"LB_NAME="+name,
 			"LB_DISCOVERY="+link.Addr().String(),
 			"TMPDIR="+f.dir,
-			adminVariable+p.Admin)
+			adminVariable+p.AdminAddr)
 	}
-	if f.Operator != "" {
-		operator := f.path(name, ".sexp")
-		p.Checkpoint = f.path(name, ".kept")
+	if f.OperatorFile != "" {
+		operator := f.processFile(name, ".sexp")
+		p.CheckpointPath = f.processFile(name, ".kept")
 		p.args = []string{"serve", "--operator", operator}
-		if err := os.WriteFile(operator, fmt.Appendf(nil, f.Operator, p.Checkpoint), 0o600); err != nil {
+		if err := os.WriteFile(operator, fmt.Appendf(nil, f.OperatorFile, p.CheckpointPath), 0o600); err != nil {
 			return err
 		}
 	}
 	f.Processes = append(f.Processes, p)
-	return f.Configure(i, f.Discovery.ViewListJSON(f.dial(i)))
+	return f.Configure(i, f.Discovery.ViewListJSON(f.workerAddrs(i)))
 }
 
 // linkToDiscovery starts a link to a view of discovery that is of process i alone.
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, err
 	}
-	server := f.Discovery.View(l, view, f.dial(i))
+	server := f.Discovery.View(l, view, f.workerAddrs(i))
 	f.cleanups = append(f.cleanups, func() {
 		server.Close()
 		server.Reset()
@@ -61,12 +61,12 @@
 }
 
 // path is a file of a process in the fleet's folder.
-func (f *Fleet) path(process, extension string) string {
+func (f *Fleet) processFile(process, extension string) string {
 	return filepath.Join(f.dir, process+extension)
 }
 
 // Configure writes the configuration of process i with this list as the cached one.
-func (f *Fleet) Configure(i int, known []byte) error {
+func (f *Fleet) Configure(i int, cachedEndpoints []byte) error {
 	p := f.Processes[i]
 	config := map[string]any{
 		"name":      p.Name,
@@ -74,11 +74,11 @@
 		"discovery": f.Links[i].Addr().String(),
 		"seed":      fmt.Sprintf("%x", 1000+i),
 		"limits":    map[string]any{"memory_mb": 192, "sockets": f.Sockets},
-		"known":     json.RawMessage(known),
+		"known":     json.RawMessage(cachedEndpoints),
 		"settings":  f.Settings(i),
 	}
 	if f.Admin {
-		config["admin"] = p.Admin
+		config["admin"] = p.AdminAddr
 	}
 	if f.Messaging != nil {
 		config["peer_listen"] = f.Messaging.listen[i]
@@ -88,7 +88,7 @@
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(f.path(p.Name, ".json"), text, 0o600)
+	return os.WriteFile(f.processFile(p.Name, ".json"), text, 0o600)
 }
 
 // ChangeDiscovery names another address of discovery in the configuration of process i, which
@@ -100,16 +100,16 @@
 	}
 	f.cleanups = append(f.cleanups, f.Links[i].close)
 	f.Links[i] = link
-	return f.Configure(i, f.Discovery.ViewListJSON(f.dial(i)))
+	return f.Configure(i, f.Discovery.ViewListJSON(f.workerAddrs(i)))
 }
 
 // dial returns how process i reaches each worker, by its name and its own address.
-func (f *Fleet) dial(i int) func(host, addr string) string {
-	return func(host, addr string) string { return f.via(i, host, addr) }
+func (f *Fleet) workerAddrs(i int) func(host, addr string) string {
+	return func(host, addr string) string { return f.workerAddr(i, host, addr) }
 }
 
 // via returns the address by which process i reaches a worker.
-func (f *Fleet) via(i int, host, addr string) string {
+func (f *Fleet) workerAddr(i int, host, addr string) string {
 	if !f.WorkerLinks {
 		return addr
 	}
--- a/internal/lab/fleet/cut_test.go
+++ b/internal/lab/fleet/cut_test.go
@@ -15,8 +15,8 @@
 // Workers are cut off from the schedulers under load, and the list says that they have left. When they can
 // be reached again, no request that was written before reaches them: it would be a send to a removed worker,
 // as late as the cut was long.
-func TestCutWorkersGetNoLateRequests(t *testing.T) {
-	f := small(t, 2, func(o *Options) {
+func TestPartitionedWorkersGetNoLateRequests(t *testing.T) {
+	f := newSmallFleet(t, 2, func(o *Options) {
 		o.WorkerLinks = true
 		for i := range o.Classes {
 			o.Classes[i].Deadline = 20 * time.Second // requests outlive the cut
@@ -26,11 +26,11 @@
 	awaitEndpoints(t, f, f.Processes...)
 	cut := f.Workers()[:4]
 	for _, worker := range cut {
-		silence(f, worker)
+		blockLinks(f, worker)
 	}
 	l := f.StartLoad("cut", 200, 5)
 	for _, worker := range cut {
-		await(t, worker.Name+" has requests in the cut", func() bool { return waitingFor(f, worker) > 0 })
+		await(t, worker.Name+" has requests in the cut", func() bool { return pendingBytes(f, worker) > 0 })
 	}
 	for _, worker := range cut {
 		f.Discovery.Put(worker, standin.Left)
@@ -39,12 +39,12 @@
 	notifiedAt := time.Now()
 	<-time.After(drainGrace)
 	for _, worker := range cut {
-		heal(f, worker)
+		healLinks(f, worker)
 	}
 	for _, worker := range cut {
-		await(t, worker.Name+" gets what was held back", func() bool { return waitingFor(f, worker) == 0 })
+		await(t, worker.Name+" gets what was held back", func() bool { return pendingBytes(f, worker) == 0 })
 	}
-	terminates(t, f, l, standin.Tally{})
+	stopAndCheck(t, f, l, standin.Tally{})
 	for _, worker := range cut {
 		if late := worker.LastBegun().Sub(notifiedAt); late > 0 {
 			t.Errorf("a request reaches %s %v after all schedulers were told that it has left", worker.Name, late)
@@ -53,23 +53,23 @@
 }
 
 // silence holds back all that goes between the schedulers and a worker.
-func silence(f *Fleet, worker *standin.Worker) {
+func blockLinks(f *Fleet, worker *standin.Worker) {
 	for i := range f.Processes {
-		f.WorkerLink(i, worker).Silence(ToTarget, FromTarget)
+		f.WorkerLink(i, worker).Block(ToTarget, FromTarget)
 	}
 }
 
 // heal passes it on again.
-func heal(f *Fleet, worker *standin.Worker) {
+func healLinks(f *Fleet, worker *standin.Worker) {
 	for i := range f.Processes {
 		f.WorkerLink(i, worker).Heal()
 	}
 }
 
 // waitingFor returns how many bytes for a worker are held back.
-func waitingFor(f *Fleet, worker *standin.Worker) (sum int) {
+func pendingBytes(f *Fleet, worker *standin.Worker) (sum int) {
 	for i := range f.Processes {
-		sum += f.WorkerLink(i, worker).Waiting()
+		sum += f.WorkerLink(i, worker).PendingBytes()
 	}
 	return sum
 }
@@ -86,7 +86,7 @@
 // A scheduler is killed, workers go off the list while it is down, and it starts again with the list as it was
 // before: it sends nothing there while discovery, which can be reached, is late with its answer.
 func TestExpiredEndpointsSendNothingToRemovedWorkers(t *testing.T) {
-	f := small(t, 2, nil)
+	f := newSmallFleet(t, 2, nil)
 	must(t, f.StartAll(20*time.Second))
 	awaitEndpoints(t, f, f.Processes...)
 	p := f.Processes[0]
@@ -113,7 +113,7 @@
 	for range 8 {
 		jobs.Go(func() { early.Send() })
 	}
-	serves(t, f, "restarted")
+	checkServes(t, f, "restarted")
 	jobs.Wait()
 	if tally := early.TakeTally(); tally.Lost+tally.Failed > 0 {
 		t.Errorf("of the jobs that came before the answer: %+v", tally)
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -20,13 +20,13 @@
 // Options say what a fleet is made of.
 type Options struct {
 	lab.Topology
-	Program     string             // the scheduler's binary
-	Price       standin.CallCost   // of calls to discovery
-	SlowStart   *standin.SlowStart // of workers that start; nil: they are warm at once
-	GroupWindow time.Duration      // in which groups really drop repeats; 0: as the settings say
-	WorkerLinks bool               // a link between each scheduler and each worker: only for small fleets
-	Admin       bool               // each process has a second address, for its operators
-	Operator    string             // text of each process's operator's file, with %s for a path of its own; "": none
+	Program      string             // the scheduler's binary
+	CallCost     standin.CallCost   // of calls to discovery
+	SlowStart    *standin.SlowStart // of workers that start; nil: they are warm at once
+	GroupWindow  time.Duration      // in which groups really drop repeats; 0: as the settings say
+	WorkerLinks  bool               // a link between each scheduler and each worker: only for small fleets
+	Admin        bool               // each process has a second address, for its operators
+	OperatorFile string             // text of each process's operator's file, with %s for a path of its own; "": none
 }
 
 // A Fleet is scheduler processes and what they meet.
@@ -41,12 +41,12 @@
 	cleanups []func()
 	groups   []*standin.DedupGroup
 
-	mu             sync.Mutex
-	workers        []*standin.Worker // all that ever were
-	running        map[string]*standin.Worker
-	workerLinks    []map[string]*Link // of each process, by the worker's name
-	workersStarted int
-	successors     []*Process
+	mu           sync.Mutex
+	workers      []*standin.Worker // all that ever were
+	running      map[string]*standin.Worker
+	workerLinks  []map[string]*Link // of each process, by the worker's name
+	workersAdded int
+	successors   []*Process
 }
 
 // New makes a fleet. Its stand-ins run; its processes have not been started yet: StartAll does.
@@ -63,7 +63,7 @@
 	if f.Discovery, err = standin.StartDiscovery(); err != nil {
 		return nil, err
 	}
-	f.Discovery.CallCost = o.Price
+	f.Discovery.CallCost = o.CallCost
 	for i := range o.DedupGroups {
 		f.groups = append(f.groups, &standin.DedupGroup{Number: i, Window: f.groupWindow()})
 	}
@@ -90,7 +90,7 @@
 
 // StartAll starts the processes at once and waits until each is ready.
 func (f *Fleet) StartAll(limit time.Duration) error {
-	return f.each(func(p *Process) error {
+	return f.forEachProcess(func(p *Process) error {
 		if err := p.Start(); err != nil {
 			return err
 		}
@@ -100,7 +100,7 @@
 
 // KillAll kills the processes at once.
 func (f *Fleet) KillAll() {
-	_ = f.each(func(p *Process) error { // which never fails
+	_ = f.forEachProcess(func(p *Process) error { // which never fails
 		p.Kill()
 		return nil
 	})
@@ -108,11 +108,11 @@
 
 // TerminateAll ends the processes with SIGTERM and returns the errors that they ended with.
 func (f *Fleet) TerminateAll() error {
-	return f.each((*Process).Terminate)
+	return f.forEachProcess((*Process).Terminate)
 }
 
 // each does something with all processes at once, and waits for it.
-func (f *Fleet) each(do func(p *Process) error) error {
+func (f *Fleet) forEachProcess(do func(p *Process) error) error {
 	errs := make([]error, len(f.Processes))
 	var wait sync.WaitGroup
 	for i, p := range f.Processes {
--- a/internal/lab/fleet/helpers_test.go
+++ b/internal/lab/fleet/helpers_test.go
@@ -19,7 +19,7 @@
 }
 
 // small is a fleet of so many processes with eight workers, and short jobs.
-func small(t *testing.T, schedulers int, change func(*Options)) *Fleet {
+func newSmallFleet(t *testing.T, schedulers int, change func(*Options)) *Fleet {
 	t.Helper()
 	o := Options{
 		Topology: lab.Topology{
@@ -48,7 +48,7 @@
 			},
 		},
 		Program: program,
-		Price: standin.CallCost{
+		CallCost: standin.CallCost{
 			PerCall: time.Millisecond,
 			PerHost: 100 * time.Microsecond,
 			MaxWait: time.Second,
@@ -97,17 +97,17 @@
 }
 
 // learnsOf submits jobs until a worker that they did not know runs some, and judges.
-func learnsOf(t *testing.T, f *Fleet, name string, fresh *standin.Worker) {
+func checkNewWorkerServes(t *testing.T, f *Fleet, name string, fresh *standin.Worker) {
 	t.Helper()
 	l := f.StartLoad(name, 400, 2)
 	await(t, "the new worker runs jobs", func() bool { return len(fresh.Runs()) > 0 })
-	terminates(t, f, l, standin.Tally{})
+	stopAndCheck(t, f, l, standin.Tally{})
 }
 
 // serves submits jobs at every process until each has served some, and judges: each job
 // has one whole answer, none that must not run twice did, no worker was overloaded, discovery's queue
 // is empty in the end.
-func serves(t *testing.T, f *Fleet, name string) {
+func checkServes(t *testing.T, f *Fleet, name string) {
 	t.Helper()
 	l := f.StartLoad(name, 20*float64(len(f.Processes)), 1)
 	sum := standin.Tally{}
@@ -115,24 +115,24 @@
 		sum = standin.Total(sum, l.ResetTally())
 		return sum.Served+sum.Late >= 5*len(f.Processes)
 	})
-	terminates(t, f, l, sum)
+	stopAndCheck(t, f, l, sum)
 }
 
 // terminates ends a load, some of whose jobs have been counted, and judges.
-func terminates(t *testing.T, f *Fleet, l *Load, sum standin.Tally) {
+func stopAndCheck(t *testing.T, f *Fleet, l *Load, sum standin.Tally) {
 	t.Helper()
 	if sum = standin.Total(sum, l.Stop()); sum.Lost > 0 {
 		t.Errorf("%d of %d jobs without a whole answer", sum.Lost, sum.Sent)
 	}
-	judge(t, f)
+	checkInvariants(t, f)
 }
 
-func judge(t *testing.T, f *Fleet) {
+func checkInvariants(t *testing.T, f *Fleet) {
 	t.Helper()
-	if ids := f.Twice(); len(ids) > 0 {
+	if ids := f.DuplicateJobs(); len(ids) > 0 {
 		t.Errorf("ran twice: %v", ids)
 	}
-	if n := f.Fallen(); n > 0 {
+	if n := f.OverloadedWorkers(); n > 0 {
 		t.Errorf("%d workers were overloaded", n)
 	}
 	await(t, "discovery's queue drains", func() bool { return f.Discovery.Calls().Waiting == 0 })
--- a/internal/lab/fleet/keyed.go
+++ b/internal/lab/fleet/keyed.go
@@ -12,11 +12,11 @@
 
 // A Keyed is a trial: few schedulers, workers in groups that drop repeats of a job with an idempotency key for a
 // time, and connections that are reset or fall silent amid the jobs, one after another.
-type Keyed struct {
-	Program string
-	Faults  int
-	Seed    uint64
-	Every   time.Duration // between two faults
+type KeyedTrial struct {
+	Program       string
+	Faults        int
+	Seed          uint64
+	FaultInterval time.Duration // between two faults
 
 	// Faults of the deployment itself, for which the judge must fail.
 	ShortWindow bool // groups drop repeats for less than the settings say
@@ -24,17 +24,17 @@
 }
 
 // DefaultKeyed is the trial that the operators' page speaks of.
-var DefaultKeyed = Keyed{Program: "bin/foxlift", Faults: 1000, Seed: 1, Every: 15 * time.Millisecond}
+var DefaultKeyedTrial = KeyedTrial{Program: "bin/foxlift", Faults: 1000, Seed: 1, FaultInterval: 15 * time.Millisecond}
 
 // A KeyedResult is what a trial saw.
 type KeyedResult struct {
-	Resets, Silences  int
-	Tally             standin.Tally
-	Sent              int64 // attempts
-	Withheld          int64 // repeats that no rule allowed
-	Twice             int   // deduplicated jobs that ran twice, on any workers
-	Received, Dropped int64 // messages between schedulers
-	Ended             bool  // all schedulers ended well after SIGTERM
+	Resets, Blocks                    int
+	Tally                             standin.Tally
+	Attempts                          int64 // attempts
+	WithheldAttempts                  int64 // repeats that no rule allowed
+	DuplicateJobs                     int   // deduplicated jobs that ran twice, on any workers
+	MessagesReceived, MessagesDropped int64 // messages between schedulers
+	CleanExit                         bool  // all schedulers ended well after SIGTERM
 }
 
 // Line is the result in one line.
@@ -42,32 +42,32 @@
 	served := 100 * float64(r.Tally.Served+r.Tally.Late) / float64(max(1, r.Tally.Sent))
 	return fmt.Sprintf("keyed: resets %d, silences %d, jobs %d, claims %d, withheld %d, served %.1f %%, "+
 		"messages heard %d, dropped %d, jobs lost %d, ran twice %d",
-		r.Resets, r.Silences, r.Tally.Sent, r.Sent, r.Withheld, served,
-		r.Received, r.Dropped, r.Tally.Lost, r.Twice)
+		r.Resets, r.Blocks, r.Tally.Sent, r.Attempts, r.WithheldAttempts, served,
+		r.MessagesReceived, r.MessagesDropped, r.Tally.Lost, r.DuplicateJobs)
 }
 
 // OK reports whether what must never happen did not, and there was something to see: jobs
 // that were sent again.
 func (r KeyedResult) OK() bool {
-	return r.Twice == 0 && r.Tally.Lost == 0 && r.Ended && r.Sent > int64(r.Tally.Sent) && r.Received > 0
+	return r.DuplicateJobs == 0 && r.Tally.Lost == 0 && r.CleanExit && r.Attempts > int64(r.Tally.Sent) && r.MessagesReceived > 0
 }
 
 // The trial's faults of connections and of messages.
 const (
-	minSilence        = 50 * time.Millisecond
-	silenceRange      = 300 // milliseconds
-	lostPercent       = 5
-	duplicatedPercent = 5
-	garbledPercent    = 2
-	maxMessageDelay   = 20 * time.Millisecond
-	keyedStartLimit   = 20 * time.Second
-	keyedLoad         = 0.4 // of the fleet's capacity
-	keyedFaultsRNG    = 3   // stream of the seed's random numbers
-	tooShortWindow    = time.Millisecond
+	minBlockTime        = 50 * time.Millisecond
+	blockTimeRange      = 300 // milliseconds
+	lostPercent         = 5
+	duplicatedPercent   = 5
+	corruptedPercent    = 2
+	maxMessageDelay     = 20 * time.Millisecond
+	keyedStartTimeout   = 20 * time.Second
+	keyedLoadFraction   = 0.4 // of the fleet's capacity
+	keyedFaultRNGStream = 3   // stream of the seed's random numbers
+	tooShortWindow      = time.Millisecond
 )
 
 // keyedWorld is a small deployment: one data centre, two kinds of worker, load reports, messages.
-func keyedWorld() lab.Topology {
+func keyedTopology() lab.Topology {
 	return lab.Topology{
 		Schedulers:  2,
 		Sockets:     384,
@@ -106,37 +106,37 @@
 }
 
 // Run plays the trial.
-func (o Keyed) Run(w io.Writer) (r KeyedResult, err error) {
+func (o KeyedTrial) Run(w io.Writer) (r KeyedResult, err error) {
 	f, err := o.fleet()
 	if err != nil {
 		return r, err
 	}
 	defer f.Close()
-	f.Messaging.Corrupt(lostPercent, duplicatedPercent, garbledPercent, maxMessageDelay)
-	if err := f.StartAll(keyedStartLimit); err != nil {
+	f.Messaging.SetFaults(lostPercent, duplicatedPercent, corruptedPercent, maxMessageDelay)
+	if err := f.StartAll(keyedStartTimeout); err != nil {
 		return r, err
 	}
-	load := f.StartLoad("keyed", keyedLoad*f.Capacity(), o.Seed)
-	o.disturb(f, &r)
+	load := f.StartLoad("keyed", keyedLoadFraction*f.Capacity(), o.Seed)
+	o.injectFaults(f, &r)
 	r.Tally = load.Stop()
-	r.Ended = true
+	r.CleanExit = true
 	if err := f.TerminateAll(); err != nil {
-		r.Ended = false
+		r.CleanExit = false
 		fmt.Fprintln(w, err)
 	}
-	r.Sent, r.Withheld = f.Counter("claims.sent"), f.Counter("claims.withheld")
-	r.Received = f.Counter("peers.heard")
-	r.Dropped = f.Counter("peers.garbled") + f.Counter("peers.doubled") + f.Counter("peers.late")
-	r.Twice = len(f.Twice())
+	r.Attempts, r.WithheldAttempts = f.Counter("claims.sent"), f.Counter("claims.withheld")
+	r.MessagesReceived = f.Counter("peers.heard")
+	r.MessagesDropped = f.Counter("peers.garbled") + f.Counter("peers.doubled") + f.Counter("peers.late")
+	r.DuplicateJobs = len(f.DuplicateJobs())
 	return r, nil
 }
 
 // fleet makes the trial's fleet, with the faults of its deployment.
-func (o Keyed) fleet() (*Fleet, error) {
+func (o KeyedTrial) fleet() (*Fleet, error) {
 	options := Options{
-		Topology:    keyedWorld(),
+		Topology:    keyedTopology(),
 		Program:     o.Program,
-		Price:       standin.CallCost{PerCall: time.Millisecond, MaxWait: time.Second},
+		CallCost:    standin.CallCost{PerCall: time.Millisecond, MaxWait: time.Second},
 		WorkerLinks: true,
 	}
 	if o.ShortWindow {
@@ -166,7 +166,7 @@
 		f.Discovery.Put(worker, standin.Active)
 	}
 	for i := range f.Processes {
-		if err := f.Configure(i, f.Discovery.ViewListJSON(f.dial(i))); err != nil {
+		if err := f.Configure(i, f.Discovery.ViewListJSON(f.workerAddrs(i))); err != nil {
 			return err
 		}
 	}
@@ -174,10 +174,10 @@
 }
 
 // disturb resets connections and silences links, one fault after another, and counts them.
-func (o Keyed) disturb(f *Fleet, r *KeyedResult) {
-	rng, workers := rand.New(rand.NewPCG(o.Seed, keyedFaultsRNG)), f.Workers()
+func (o KeyedTrial) injectFaults(f *Fleet, r *KeyedResult) {
+	rng, workers := rand.New(rand.NewPCG(o.Seed, keyedFaultRNGStream)), f.Workers()
 	for range o.Faults {
-		<-time.After(o.Every)
+		<-time.After(o.FaultInterval)
 		link := f.WorkerLink(rng.IntN(len(f.Processes)), workers[rng.IntN(len(workers))])
 		if link == nil {
 			continue
@@ -187,8 +187,8 @@
 			r.Resets++
 			continue
 		}
-		r.Silences++
-		link.Silence(Direction(rng.IntN(2)))
-		time.AfterFunc(minSilence+time.Duration(rng.IntN(silenceRange))*time.Millisecond, link.Heal)
+		r.Blocks++
+		link.Block(Direction(rng.IntN(2)))
+		time.AfterFunc(minBlockTime+time.Duration(rng.IntN(blockTimeRange))*time.Millisecond, link.Heal)
 	}
 }
--- a/internal/lab/fleet/link.go
+++ b/internal/lab/fleet/link.go
@@ -29,19 +29,19 @@
 
 	forwarding sync.WaitGroup
 
-	mu      sync.Mutex
-	refuses bool
-	silent  [2]bool
-	delay   [2]time.Duration
-	rate    int               // bytes a second of each direction; 0: no bound
-	changed chan struct{}     // closed and replaced at each change
-	open    map[net.Conn]bool // true: the scheduler's side of a connection
-	closed  bool
-	carried [2]int64 // bytes that each direction has passed on
+	mu        sync.Mutex
+	refuses   bool
+	blocked   [2]bool
+	delay     [2]time.Duration
+	rate      int               // bytes a second of each direction; 0: no bound
+	changed   chan struct{}     // closed and replaced at each change
+	open      map[net.Conn]bool // true: the scheduler's side of a connection
+	closed    bool
+	forwarded [2]int64 // bytes that each direction has passed on
 }
 
 // copyBuffer is how many bytes are read at once.
-const copyBuffer = 16 << 10
+const copyBufferSize = 16 << 10
 
 // newLink starts a link to an address.
 func newLink(target string) (*Link, error) {
@@ -60,17 +60,17 @@
 }
 
 // Cut ends what is open with a reset and refuses what is new, as a process that died.
-func (l *Link) Cut() {
-	l.change(func() { l.refuses = true })
+func (l *Link) Disconnect() {
+	l.update(func() { l.refuses = true })
 	l.Reset()
 }
 
 // Silence holds back what goes in these directions, as a network that loses it: connections stay open,
 // new ones come up and hear nothing. What was held back is passed on after Heal.
-func (l *Link) Silence(directions ...Direction) {
-	l.change(func() {
+func (l *Link) Block(directions ...Direction) {
+	l.update(func() {
 		for _, d := range directions {
-			l.silent[d] = true
+			l.blocked[d] = true
 		}
 	})
 }
@@ -78,7 +78,7 @@
 // Throttle passes each piece on this much later, and at most so many bytes a second; 0: as
 // they come.
 func (l *Link) Throttle(delay time.Duration, bytesEachSecond int) {
-	l.change(func() {
+	l.update(func() {
 		l.delay = [2]time.Duration{delay, delay}
 		l.rate = bytesEachSecond
 	})
@@ -86,35 +86,35 @@
 
 // Heal passes everything on again.
 func (l *Link) Heal() {
-	l.change(func() {
+	l.update(func() {
 		l.refuses = false
-		l.silent = [2]bool{}
+		l.blocked = [2]bool{}
 		l.delay = [2]time.Duration{}
 		l.rate = 0
 	})
 }
 
 // Carried returns how many bytes a direction has passed on.
-func (l *Link) Carried(d Direction) int64 {
+func (l *Link) ForwardedBytes(d Direction) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.carried[d]
+	return l.forwarded[d]
 }
 
 // Waiting returns how many bytes from the scheduler wait to be passed on.
-func (l *Link) Waiting() (sum int) {
+func (l *Link) PendingBytes() (sum int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c, fromScheduler := range l.open {
 		if fromScheduler {
-			sum += unread(c)
+			sum += unreadBytes(c)
 		}
 	}
 	return sum
 }
 
 // unread returns how many bytes the kernel holds that came on a connection; 0 where it has ended.
-func unread(c net.Conn) (bytes int) {
+func unreadBytes(c net.Conn) (bytes int) {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return 0
@@ -125,10 +125,10 @@
 	return bytes
 }
 
-func (l *Link) recordCarried(d Direction, bytes int) {
+func (l *Link) recordForwarded(d Direction, bytes int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.carried[d] += int64(bytes)
+	l.forwarded[d] += int64(bytes)
 }
 
 // Reset ends the open connections with a reset; new ones are taken.
@@ -142,17 +142,17 @@
 
 // close ends the link and waits for all that it started.
 func (l *Link) close() {
-	l.change(func() { l.closed = true })
+	l.update(func() { l.closed = true })
 	l.Close()
 	l.Reset()
 	l.forwarding.Wait()
 }
 
 // change makes a change that what is held back notices.
-func (l *Link) change(what func()) {
+func (l *Link) update(apply func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	what()
+	apply()
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
@@ -209,10 +209,10 @@
 // forward passes one direction of a connection on until it ends.
 func (l *Link) forward(from, to net.Conn, d Direction) {
 	defer standin.CloseWrite(to)
-	buf := make([]byte, copyBuffer)
+	buf := make([]byte, copyBufferSize)
 	for {
-		waited := l.isSilent(d)
-		if !l.mayPass(d, 0) {
+		waited := l.isBlocked(d)
+		if !l.waitToForward(d, 0) {
 			return
 		}
 		n, err := 0, error(nil)
@@ -220,8 +220,8 @@
 			n, err = from.Read(buf)
 		}
 		if n > 0 {
-			waited = waited || l.isSilent(d)
-			if !l.mayPass(d, n) {
+			waited = waited || l.isBlocked(d)
+			if !l.waitToForward(d, n) {
 				return
 			}
 		}
@@ -233,13 +233,13 @@
 			if _, err := to.Write(buf[:n]); err != nil {
 				return
 			}
-			l.recordCarried(d, n)
+			l.recordForwarded(d, n)
 		}
 		if errors.Is(err, io.EOF) {
 			return
 		}
 		if err != nil { // a reset is passed on as one, if anything is
-			l.mayPass(d, 0)
+			l.waitToForward(d, 0)
 			standin.ResetConn(to)
 			return
 		}
@@ -247,10 +247,10 @@
 }
 
 // isSilent reports whether a direction is silent.
-func (l *Link) isSilent(d Direction) bool {
+func (l *Link) isBlocked(d Direction) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.silent[d]
+	return l.blocked[d]
 }
 
 // wasReset reports whether the other side has reset a connection. The kernel still hands out what came before.
@@ -268,11 +268,11 @@
 }
 
 // mayPass waits until so many bytes may go in a direction; false once the link is closed.
-func (l *Link) mayPass(d Direction, bytes int) bool {
+func (l *Link) waitToForward(d Direction, bytes int) bool {
 	var due time.Time
 	for {
 		l.mu.Lock()
-		silent, delay, rate := l.silent[d], l.delay[d], l.rate
+		silent, delay, rate := l.blocked[d], l.delay[d], l.rate
 		changed, closed := l.changed, l.closed
 		l.mu.Unlock()
 		if closed {
--- a/internal/lab/fleet/load.go
+++ b/internal/lab/fleet/load.go
@@ -20,18 +20,18 @@
 // StartLoad begins jobs at a rate a second over the whole fleet, spread evenly, at each
 // process once it takes connections. Its ids begin with name.
 func (f *Fleet) StartLoad(name string, rate float64, seed uint64) *Load {
-	return f.StartLoadWith(name, rate, seed, Leniency{})
+	return f.StartLoadWith(name, rate, seed, Tolerance{})
 }
 
 // A Leniency is what clients allow for.
-type Leniency struct {
-	Grace  time.Duration                               // how late an answer may come
-	Excuse func(process int) func(sent time.Time) bool // see standin.Client; nil: nothing is excused
+type Tolerance struct {
+	Grace          time.Duration                               // how late an answer may come
+	WasInterrupted func(process int) func(sent time.Time) bool // see standin.Client; nil: nothing is excused
 }
 
 // StartLoadWith does so with clients that allow for some things.
-func (f *Fleet) StartLoadWith(name string, rate float64, seed uint64, allow Leniency) *Load {
-	excuse := allow.Excuse
+func (f *Fleet) StartLoadWith(name string, rate float64, seed uint64, allow Tolerance) *Load {
+	excuse := allow.WasInterrupted
 	if excuse == nil {
 		excuse = func(int) func(time.Time) bool { return nil }
 	}
@@ -51,12 +51,12 @@
 		}
 		l.clients = append(l.clients, clients...)
 		l.wait.Go(func() {
-			if p.AwaitReady(startLimit) != nil {
+			if p.AwaitReady(startTimeout) != nil {
 				return
 			}
 			for k, client := range clients {
 				l.wait.Go(func() {
-					client.Run(func() float64 { return rates[k] }, seed+uint64(i*seedsEachProcess+k), l.stop)
+					client.Run(func() float64 { return rates[k] }, seed+uint64(i*seedsPerProcess+k), l.stop)
 				})
 			}
 		})
@@ -65,8 +65,8 @@
 }
 
 const (
-	startLimit       = 30 * time.Second // for a process to take connections
-	seedsEachProcess = 1000             // of its clients
+	startTimeout    = 30 * time.Second // for a process to take connections
+	seedsPerProcess = 1000             // of its clients
 )
 
 // newClient makes a client of a class and a tenant. Workers may be slower than a slot of speed 1, so two service
--- a/internal/lab/fleet/messaging.go
+++ b/internal/lab/fleet/messaging.go
@@ -24,16 +24,16 @@
 }
 
 const (
-	maxDatagram  = 2048
-	delayScatter = 7919 // a prime: neighbours among 100 datagrams have delays far apart
+	maxDatagramSize = 2048
+	delayMultiplier = 7919 // a prime: neighbours among 100 datagrams have delays far apart
 )
 
 // Corrupt sets how many of each 100 datagrams are lost, duplicated and garbled, and how late they
 // come at most: each by another time, so that they overtake one another.
-func (m *Messaging) Corrupt(lost, duplicated, garbled int, delay time.Duration) {
+func (m *Messaging) SetFaults(lost, duplicated, corrupted int, delay time.Duration) {
 	m.lost.Store(int64(lost))
 	m.duplicated.Store(int64(duplicated))
-	m.corrupted.Store(int64(garbled))
+	m.corrupted.Store(int64(corrupted))
 	m.delay.Store(int64(delay))
 }
 
@@ -102,8 +102,8 @@
 }
 
 // forward passes on what comes to a socket, by another one, until the socket is closed.
-func (m *Messaging) forward(from, by *net.UDPConn, receiver *net.UDPAddr) {
-	buf := make([]byte, maxDatagram)
+func (m *Messaging) forward(from, sender *net.UDPConn, receiver *net.UDPAddr) {
+	buf := make([]byte, maxDatagramSize)
 	for number := int64(1); ; number++ {
 		n, err := from.Read(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -123,23 +123,23 @@
 		if isOneOf(m.duplicated.Load()) {
 			times = 2
 		}
-		delay := time.Duration(number*delayScatter%100) * time.Duration(m.delay.Load()) / 100
+		delay := time.Duration(number*delayMultiplier%100) * time.Duration(m.delay.Load()) / 100
 		for range times {
-			m.send(by, receiver, data, delay)
+			m.send(sender, receiver, data, delay)
 		}
 	}
 }
 
 // send sends a datagram after a delay. An error loses it, as the network may.
-func (m *Messaging) send(by *net.UDPConn, receiver *net.UDPAddr, data []byte, delay time.Duration) {
+func (m *Messaging) send(sender *net.UDPConn, receiver *net.UDPAddr, data []byte, delay time.Duration) {
 	if delay <= 0 {
-		_, _ = by.WriteToUDP(data, receiver)
+		_, _ = sender.WriteToUDP(data, receiver)
 		return
 	}
 	m.delayed.Add(1)
 	time.AfterFunc(delay, func() {
 		defer m.delayed.Done()
-		_, _ = by.WriteToUDP(data, receiver)
+		_, _ = sender.WriteToUDP(data, receiver)
 	})
 }
 
--- a/internal/lab/fleet/observe.go
+++ b/internal/lab/fleet/observe.go
@@ -13,7 +13,7 @@
 }
 
 // Fallen returns how many workers were overloaded in slow start.
-func (f *Fleet) Fallen() (n int) {
+func (f *Fleet) OverloadedWorkers() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, worker := range f.workers {
@@ -25,7 +25,7 @@
 }
 
 // Twice returns the at-most-once jobs that were begun more than once, on any workers.
-func (f *Fleet) Twice() (ids []string) {
+func (f *Fleet) DuplicateJobs() (ids []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	runs := map[string]int{}
@@ -43,7 +43,7 @@
 }
 
 // Requests returns how many whole requests with a job the workers have read.
-func (f *Fleet) Requests() (sum int64) {
+func (f *Fleet) RequestsRead() (sum int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, worker := range f.workers {
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -20,10 +20,10 @@
 // A Process is one scheduler: the built program, with its configuration. It can be
 // started again after it has ended.
 type Process struct {
-	Name       string
-	Addr       string // where clients reach it
-	Admin      string // where its operators reach it; "": nowhere
-	Checkpoint string // path of its own that its operator's file has; "": there is no such file
+	Name           string
+	Addr           string // where clients reach it
+	AdminAddr      string // where its operators reach it; "": nowhere
+	CheckpointPath string // path of its own that its operator's file has; "": there is no such file
 
 	program string
 	args    []string
@@ -31,14 +31,14 @@
 
 	running sync.WaitGroup // what reads the process's log and waits for its end
 
-	mu          sync.Mutex
-	cmd         *exec.Cmd     // nil: it does not run
-	done        chan struct{} // closed when the process has ended; nil: it was never started
-	exit        error
-	killed      bool             // with Kill, not by itself
-	counters    map[string]int64 // of its ended incarnations, as printed at SIGUSR1 and at the end
-	incarnation map[string]int64 // counters of this incarnation, as last printed
-	log         []string         // the last lines
+	mu              sync.Mutex
+	cmd             *exec.Cmd     // nil: it does not run
+	done            chan struct{} // closed when the process has ended; nil: it was never started
+	exit            error
+	killed          bool             // with Kill, not by itself
+	pastCounters    map[string]int64 // of its ended incarnations, as printed at SIGUSR1 and at the end
+	currentCounters map[string]int64 // counters of this incarnation, as last printed
+	logLines        []string         // the last lines
 }
 
 const (
@@ -67,9 +67,9 @@
 	p.cmd = cmd
 	p.done = make(chan struct{})
 	p.killed = false
-	p.incarnation = map[string]int64{}
+	p.currentCounters = map[string]int64{}
 	p.running.Go(func() {
-		p.read(log)
+		p.readLog(log)
 		p.recordExit(cmd.Wait())
 	})
 	return nil
@@ -79,17 +79,17 @@
 func (p *Process) recordExit(err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for name, value := range p.incarnation {
-		p.counters[name] += value
+	for name, value := range p.currentCounters {
+		p.pastCounters[name] += value
 	}
 	p.cmd = nil
 	p.exit = err
-	p.incarnation = nil
+	p.currentCounters = nil
 	close(p.done)
 }
 
 // read takes in the log: the last lines, and counters ("name value").
-func (p *Process) read(r io.Reader) {
+func (p *Process) readLog(r io.Reader) {
 	lines := bufio.NewScanner(r)
 	for lines.Scan() {
 		p.recordLine(lines.Text())
@@ -99,16 +99,16 @@
 func (p *Process) recordLine(line string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.log) == maxLogLines {
-		p.log = p.log[1:]
+	if len(p.logLines) == maxLogLines {
+		p.logLines = p.logLines[1:]
 	}
-	p.log = append(p.log, line)
+	p.logLines = append(p.logLines, line)
 	fields := strings.Fields(line)
 	if len(fields) != 2 || !strings.Contains(fields[0], ".") {
 		return
 	}
 	if value, err := strconv.ParseInt(fields[1], 10, 64); err == nil {
-		p.incarnation[fields[0]] = value
+		p.currentCounters[fields[0]] = value
 	}
 }
 
@@ -220,12 +220,12 @@
 func (p *Process) Log() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return slices.Clone(p.log)
+	return slices.Clone(p.logLines)
 }
 
 // Counter returns a counter's value over all incarnations that have printed it.
 func (p *Process) Counter(name string) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.counters[name] + p.incarnation[name]
+	return p.pastCounters[name] + p.currentCounters[name]
 }
--- a/internal/lab/fleet/slowstart_trial.go
+++ b/internal/lab/fleet/slowstart_trial.go
@@ -15,36 +15,36 @@
 // release that replaced a part of the workers, under load, while discovery serves one call
 // after another.
 type SlowStartTrial struct {
-	Program    string
-	Schedulers int
-	Workers    int
-	Seed       uint64
-	For        time.Duration // how long it is watched
-	Load       float64       // jobs asked for, against what the fleet can do past slow start
-	Replaced   float64       // part of the workers that the cached list does not have: they started at the trial's start
-	Restarted  float64       // part that restarted at the trial's start, which the cached list does not say
+	Program           string
+	Schedulers        int
+	Workers           int
+	Seed              uint64
+	Duration          time.Duration // how long it is watched
+	LoadFraction      float64       // jobs asked for, against what the fleet can do past slow start
+	ReplacedFraction  float64       // part of the workers that the cached list does not have: they started at the trial's start
+	RestartedFraction float64       // part that restarted at the trial's start, which the cached list does not say
 }
 
 // DefaultSlowStartTrial is the trial that the operators' page speaks of.
 var DefaultSlowStartTrial = SlowStartTrial{
-	Program: "bin/foxlift", Schedulers: 300, Workers: 200, Seed: 1, For: 30 * time.Second, Load: 0.4, Replaced: 0.5,
+	Program: "bin/foxlift", Schedulers: 300, Workers: 200, Seed: 1, Duration: 30 * time.Second, LoadFraction: 0.4, ReplacedFraction: 0.5,
 }
 
 // A SlowStartResult is what a trial saw.
 type SlowStartResult struct {
-	Schedulers     int
-	Half, All      time.Duration // until half, and all, of the schedulers had the list; 0: never
-	Informed       int           // schedulers that had it in the end
-	MaxCalls       int           // calls to discovery in one second
-	Capacity       float64       // complete lists that it can give in one
-	RejectedCalls  float64       // percent of its calls
-	Fallen         int           // workers overloaded in slow start
-	SendsToRemoved float64       // percent of the sends that went to removed workers
-	Tally          standin.Tally
-	Twice          int     // at-most-once jobs that ran twice
-	Ended          bool    // all schedulers ended well after SIGTERM
-	Drained        bool    // no call waited for discovery in the end
-	FinalService   float64 // percent served in the last third
+	Schedulers                          int
+	HalfInformedAfter, AllInformedAfter time.Duration // until half, and all, of the schedulers had the list; 0: never
+	Informed                            int           // schedulers that had it in the end
+	MaxCallsPerSecond                   int           // calls to discovery in one second
+	DiscoveryCapacity                   float64       // complete lists that it can give in one
+	RejectedCallsPercent                float64       // percent of its calls
+	OverloadedWorkers                   int           // workers overloaded in slow start
+	SendsToRemovedPercent               float64       // percent of the sends that went to removed workers
+	Tally                               standin.Tally
+	DuplicateJobs                       int     // at-most-once jobs that ran twice
+	CleanExit                           bool    // all schedulers ended well after SIGTERM
+	DiscoveryIdle                       bool    // no call waited for discovery in the end
+	FinalServedPercent                  float64 // percent served in the last third
 }
 
 // Line is the result in one line.
@@ -52,14 +52,14 @@
 	return fmt.Sprintf("coldstart: schedulers %d, lists at half in %.2f s, at all in %.2f s (%d), "+
 		"calls a second at most %d of capacity %.0f, refused %.1f %%, nodes pushed over %d, "+
 		"sends to gone nodes %.1f %%, jobs lost %d, twice %d, service %.1f %% (last third %.1f %%)",
-		r.Schedulers, r.Half.Seconds(), r.All.Seconds(), r.Informed,
-		r.MaxCalls, r.Capacity, r.RejectedCalls, r.Fallen,
-		r.SendsToRemoved, r.Tally.Lost, r.Twice, r.Tally.ServedPercent(), r.FinalService)
+		r.Schedulers, r.HalfInformedAfter.Seconds(), r.AllInformedAfter.Seconds(), r.Informed,
+		r.MaxCallsPerSecond, r.DiscoveryCapacity, r.RejectedCallsPercent, r.OverloadedWorkers,
+		r.SendsToRemovedPercent, r.Tally.Lost, r.DuplicateJobs, r.Tally.ServedPercent(), r.FinalServedPercent)
 }
 
 // OK reports whether what must never happen did not.
 func (r SlowStartResult) OK() bool {
-	return r.Fallen == 0 && r.Tally.Lost == 0 && r.Twice == 0 && r.Ended && r.Tally.Sent > 0
+	return r.OverloadedWorkers == 0 && r.Tally.Lost == 0 && r.DuplicateJobs == 0 && r.CleanExit && r.Tally.Sent > 0
 }
 
 // Of the workers, by kind; the others are old.
@@ -69,13 +69,13 @@
 )
 
 const (
-	trialStartLimit = 30 * time.Second
-	shuffleRNG      = 11 // stream of the seed's random numbers
-	trialReports    = 3  // while the load lasts
+	trialStartTimeout = 30 * time.Second
+	shuffleRNGStream  = 11 // stream of the seed's random numbers
+	trialReportCount  = 3  // while the load lasts
 )
 
 // trialPrice is what the trial's discovery takes for its calls.
-var trialPrice = standin.CallCost{
+var trialCallCost = standin.CallCost{
 	PerCall: 2 * time.Millisecond,
 	PerHost: 100 * time.Microsecond,
 	MaxWait: 2 * time.Second,
@@ -83,7 +83,7 @@
 
 // world is the trial's deployment: three kinds of worker, two classes, in the proportions of
 // the platform's own.
-func (o SlowStartTrial) world() lab.Topology {
+func (o SlowStartTrial) topology() lab.Topology {
 	large := max(1, o.Workers*largePercent/100)
 	medium := max(1, o.Workers*mediumPercent/100)
 	return lab.Topology{
@@ -123,9 +123,9 @@
 // Run plays the trial.
 func (o SlowStartTrial) Run(w io.Writer) (r SlowStartResult, err error) {
 	f, err := New(Options{
-		Topology: o.world(),
+		Topology: o.topology(),
 		Program:  o.Program,
-		Price:    trialPrice,
+		CallCost: trialCallCost,
 		SlowStart: &standin.SlowStart{
 			InitialCapacity:  0.14,
 			Duration:         24 * time.Second,
@@ -137,37 +137,37 @@
 		return r, err
 	}
 	defer f.Close()
-	if err := o.release(f); err != nil {
+	if err := o.replaceWorkers(f); err != nil {
 		return r, err
 	}
-	r.Schedulers, r.Ended = o.Schedulers, true
-	r.Capacity = 1 / (trialPrice.PerCall + time.Duration(o.Workers)*trialPrice.PerHost).Seconds()
+	r.Schedulers, r.CleanExit = o.Schedulers, true
+	r.DiscoveryCapacity = 1 / (trialCallCost.PerCall + time.Duration(o.Workers)*trialCallCost.PerHost).Seconds()
 	began := time.Now()
-	load := f.StartLoad("cold", o.Load*f.Capacity(), o.Seed)
-	if err := f.StartAll(trialStartLimit); err != nil {
+	load := f.StartLoad("cold", o.LoadFraction*f.Capacity(), o.Seed)
+	if err := f.StartAll(trialStartTimeout); err != nil {
 		close(load.stop)
 		return r, err
 	}
 	fmt.Fprintf(w, "%d schedulers are ready after %.1f s\n", o.Schedulers, time.Since(began).Seconds())
-	o.watch(w, f, load, began, &r)
+	o.reportProgress(w, f, load, began, &r)
 	r.Tally = standin.Total(r.Tally, load.Stop())
 	r.recordDiscovery(f, began)
 	if err := f.TerminateAll(); err != nil {
-		r.Ended = false
+		r.CleanExit = false
 		fmt.Fprintln(w, err)
 	}
-	r.SendsToRemoved = percent(f.Counter("claims.unreachable"), f.Counter("claims.sent"))
-	r.Fallen, r.Twice = f.Fallen(), len(f.Twice())
+	r.SendsToRemovedPercent = percent(f.Counter("claims.unreachable"), f.Counter("claims.sent"))
+	r.OverloadedWorkers, r.DuplicateJobs = f.OverloadedWorkers(), len(f.DuplicateJobs())
 	return r, nil
 }
 
 // release replaces a part of the workers and restarts another one.
-func (o SlowStartTrial) release(f *Fleet) (err error) {
-	rng := rand.New(rand.NewPCG(o.Seed, shuffleRNG))
+func (o SlowStartTrial) replaceWorkers(f *Fleet) (err error) {
+	rng := rand.New(rand.NewPCG(o.Seed, shuffleRNGStream))
 	workers := f.Workers()
 	rng.Shuffle(len(workers), func(i, j int) { workers[i], workers[j] = workers[j], workers[i] })
-	replaced := int(o.Replaced * float64(len(workers)))
-	restarted := int(o.Restarted * float64(len(workers)))
+	replaced := int(o.ReplacedFraction * float64(len(workers)))
+	restarted := int(o.RestartedFraction * float64(len(workers)))
 	for i, worker := range workers[:min(replaced+restarted, len(workers))] {
 		if i < replaced {
 			_, err = f.Replace(worker)
@@ -182,12 +182,12 @@
 }
 
 // watch reports on the load for as long as the trial lasts.
-func (o SlowStartTrial) watch(w io.Writer, f *Fleet, load *Load, began time.Time, r *SlowStartResult) {
-	for i := range trialReports {
-		<-time.After(time.Until(began.Add(o.For * time.Duration(i+1) / trialReports)))
+func (o SlowStartTrial) reportProgress(w io.Writer, f *Fleet, load *Load, began time.Time, r *SlowStartResult) {
+	for i := range trialReportCount {
+		<-time.After(time.Until(began.Add(o.Duration * time.Duration(i+1) / trialReportCount)))
 		tally := load.ResetTally()
 		r.Tally = standin.Total(r.Tally, tally)
-		r.FinalService = tally.ServedPercent()
+		r.FinalServedPercent = tally.ServedPercent()
 		calls := f.Discovery.Calls()
 		fmt.Fprintf(w, "%5.1f s: %d jobs, service %.1f %%, refused %d, late %d, failed %d; "+
 			"discovery: %d calls, %d refused, %d waiting\n",
@@ -207,15 +207,15 @@
 	slices.Sort(first)
 	r.Informed = len(first)
 	if half := (r.Schedulers+1)/2 - 1; half < len(first) {
-		r.Half = first[half]
+		r.HalfInformedAfter = first[half]
 	}
 	if len(first) == r.Schedulers {
-		r.All = first[len(first)-1]
+		r.AllInformedAfter = first[len(first)-1]
 	}
 	calls := f.Discovery.Calls()
-	r.MaxCalls = calls.MaxPerSecond
-	r.RejectedCalls = percent(int64(calls.Rejected), int64(calls.Received))
-	r.Drained = calls.Waiting == 0
+	r.MaxCallsPerSecond = calls.MaxPerSecond
+	r.RejectedCallsPercent = percent(int64(calls.Rejected), int64(calls.Received))
+	r.DiscoveryIdle = calls.Waiting == 0
 }
 
 // percent is a share in percent; of nothing it is 0.
--- a/internal/lab/fleet/start_test.go
+++ b/internal/lab/fleet/start_test.go
@@ -14,7 +14,7 @@
 func TestAllWorkersInSlowStart(t *testing.T) {
 	for name, other := range map[string]string{"the same names": "", "other names": "other-"} {
 		t.Run(name, func(t *testing.T) {
-			f := small(t, 12, func(o *Options) {
+			f := newSmallFleet(t, 12, func(o *Options) {
 				o.SlowStart = &standin.SlowStart{
 					InitialCapacity:  0.14,
 					Duration:         24 * time.Second,
@@ -40,7 +40,7 @@
 				sum = standin.Total(sum, l.ResetTally())
 				return sum.Served+sum.Late >= 60 && sum.Sent >= 600
 			})
-			terminates(t, f, l, sum)
+			stopAndCheck(t, f, l, sum)
 		})
 	}
 }
@@ -48,11 +48,11 @@
 // Discovery is down, and has lost its last changes when it is back: its list is believed, also
 // under a lower version, and so is what changes from there.
 func TestEndpointsVersionDecreases(t *testing.T) {
-	f := small(t, 6, nil)
+	f := newSmallFleet(t, 6, nil)
 	must(t, f.StartAll(20*time.Second))
 	awaitEndpoints(t, f, f.Processes...)
 	for _, l := range f.Links {
-		l.Cut()
+		l.Disconnect()
 	}
 	f.Discovery.RevertVersion(1)
 	for _, l := range f.Links {
@@ -61,14 +61,14 @@
 	awaitAnswers(t, f, f.Processes...)
 	fresh, err := f.AddWorker(f.Kinds[0], time.Time{})
 	must(t, err)
-	learnsOf(t, f, "back", fresh)
+	checkNewWorkerServes(t, f, "back", fresh)
 }
 
 // Discovery moves while they start and the old one is silent: SIGHUP takes them to the new one.
 func TestDiscoveryChangesDuringStart(t *testing.T) {
-	f := small(t, 6, nil)
+	f := newSmallFleet(t, 6, nil)
 	for _, l := range f.Links {
-		l.Silence(ToTarget, FromTarget)
+		l.Block(ToTarget, FromTarget)
 	}
 	must(t, f.StartAll(20*time.Second))
 	for i, p := range f.Processes {
@@ -76,6 +76,6 @@
 		must(t, p.Signal(syscall.SIGHUP))
 	}
 	awaitEndpoints(t, f, f.Processes...)
-	serves(t, f, "moved")
+	checkServes(t, f, "moved")
 	must(t, f.TerminateAll())
 }
--- a/internal/lab/fleet/successor.go
+++ b/internal/lab/fleet/successor.go
@@ -20,8 +20,8 @@
 	defer f.mu.Unlock()
 	base := f.Processes[i]
 	next := &Process{
-		Name: fmt.Sprintf("%s, successor %d", base.Name, len(f.successors)+1), Addr: base.Addr, Admin: admin,
-		program: f.Program, counters: map[string]int64{},
+		Name: fmt.Sprintf("%s, successor %d", base.Name, len(f.successors)+1), Addr: base.Addr, AdminAddr: admin,
+		program: f.Program, pastCounters: map[string]int64{},
 	}
 	// Of a variable that is there twice, the last one holds.
 	next.env = append(slices.Clone(base.env), adminVariable+admin)
--- a/internal/lab/fleet/workers.go
+++ b/internal/lab/fleet/workers.go
@@ -25,9 +25,9 @@
 		return nil, err
 	}
 	f.mu.Lock()
-	name := fmt.Sprintf("%s-%d", kind.Name, f.workersStarted)
-	zone := f.Zones[f.workersStarted%len(f.Zones)]
-	f.workersStarted++
+	name := fmt.Sprintf("%s-%d", kind.Name, f.workersAdded)
+	zone := f.Zones[f.workersAdded%len(f.Zones)]
+	f.workersAdded++
 	f.mu.Unlock()
 	return f.startWorker(l, name, zone, kind, started), nil
 }
@@ -64,7 +64,7 @@
 // Restart kills a worker's process and starts it again, in slow start: its address is the same, and so
 // is its name, unless another is given: then another worker has its address.
 func (f *Fleet) Restart(worker *standin.Worker, name string) (*standin.Worker, error) {
-	kind, addr := f.kind(worker), worker.Addr()
+	kind, addr := f.kindOf(worker), worker.Addr()
 	f.crashWorker(worker)
 	l, err := standin.ListenOn(addr)
 	if err != nil {
@@ -86,7 +86,7 @@
 }
 
 // kind returns the kind of a worker.
-func (f *Fleet) kind(worker *standin.Worker) lab.WorkerKind {
+func (f *Fleet) kindOf(worker *standin.Worker) lab.WorkerKind {
 	isOf := func(kind lab.WorkerKind) bool { return kind.Name == worker.Kind }
 	return f.Kinds[slices.IndexFunc(f.Kinds, isOf)]
 }
@@ -95,7 +95,7 @@
 func (f *Fleet) Replace(worker *standin.Worker) (*standin.Worker, error) {
 	f.crashWorker(worker)
 	f.Discovery.Put(worker, standin.Left)
-	return f.AddWorker(f.kind(worker), time.Now())
+	return f.AddWorker(f.kindOf(worker), time.Now())
 }
 
 // Workers returns the workers that are up, in the order of their starts.
--- a/internal/lab/service/connection.go
+++ b/internal/lab/service/connection.go
@@ -47,10 +47,10 @@
 
 // connection is one client's connection to the scheduler. One goroutine at a time uses it.
 type connection struct {
-	conn    net.Conn
-	reader  *bufio.Reader
-	written uint64 // bytes of all requests
-	closes  bool   // the scheduler has said that this was its last answer
+	conn           net.Conn
+	reader         *bufio.Reader
+	writtenBytes   uint64 // bytes of all requests
+	closeAnnounced bool   // the scheduler has said that this was its last answer
 }
 
 // dial connects to the scheduler.
@@ -67,7 +67,7 @@
 // whose end they have seen.
 func (c *connection) usable() bool {
 	raw, err := c.conn.(syscall.Conn).SyscallConn()
-	if err != nil || c.closes {
+	if err != nil || c.closeAnnounced {
 		return false
 	}
 	open := false
@@ -83,12 +83,12 @@
 func (c *connection) exchange(request string, until time.Time) (answer, Outcome, error) {
 	c.conn.SetDeadline(until)
 	n, err := io.WriteString(c.conn, request)
-	c.written += uint64(n)
+	c.writtenBytes += uint64(n)
 	if err != nil {
 		return answer{}, Unread, fmt.Errorf("writing: %w", err)
 	}
 	if _, err := c.reader.Peek(1); err != nil {
-		return answer{}, c.outcome(err), fmt.Errorf("awaiting the answer: %w", err)
+		return answer{}, c.classifyReadError(err), fmt.Errorf("awaiting the answer: %w", err)
 	}
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
@@ -99,27 +99,27 @@
 	if err != nil {
 		return answer{}, Interrupted, fmt.Errorf("within the answer's body: %w", err)
 	}
-	c.closes = response.Close
+	c.closeAnnounced = response.Close
 	return answer{response.StatusCode, string(body)}, Answered, nil
 }
 
 // outcome tells what became of a request that was written whole, from the error with which reading
 // the first byte of its answer ended. The kernel resets a connection that is closed with unread
 // bytes, and it acknowledges none that come after the close.
-func (c *connection) outcome(err error) Outcome {
+func (c *connection) classifyReadError(err error) Outcome {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return DeadlineExceeded
 	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE):
 		return Unread
-	case c.acknowledged() < c.written:
+	case c.acknowledgedBytes() < c.writtenBytes:
 		return Unread
 	}
 	return Interrupted
 }
 
 // acknowledged is how many of the written bytes the scheduler's kernel has acknowledged.
-func (c *connection) acknowledged() (bytes uint64) {
+func (c *connection) acknowledgedBytes() (bytes uint64) {
 	raw, err := c.conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return 0
@@ -134,6 +134,6 @@
 }
 
 // port is the connection's own port, by which logs tell it from others.
-func (c *connection) port() string {
+func (c *connection) localPort() string {
 	return strconv.Itoa(c.conn.LocalAddr().(*net.TCPAddr).Port)
 }
--- a/internal/lab/service/connection_test.go
+++ b/internal/lab/service/connection_test.go
@@ -17,22 +17,22 @@
 const completeAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 // serveOnce accepts one connection, treats it, and closes treated. The test ends only after that.
-func serveOnce(t *testing.T, treat func(net.Conn)) (addr string, treated chan struct{}) {
+func serveOnce(t *testing.T, handle func(net.Conn)) (addr string, handled chan struct{}) {
 	t.Helper()
 	l, err := standin.Listen()
 	must(t, err)
-	treated = make(chan struct{})
+	handled = make(chan struct{})
 	t.Cleanup(func() {
 		l.Close()
-		<-treated
+		<-handled
 	})
 	go func() {
-		defer close(treated)
+		defer close(handled)
 		if c, err := l.Accept(); err == nil {
-			treat(c)
+			handle(c)
 		}
 	}()
-	return l.Addr().String(), treated
+	return l.Addr().String(), handled
 }
 
 // readRequest reads one whole request.
@@ -99,8 +99,8 @@
 }
 
 // The lab tells a job that was read from one that cannot have been.
-func TestOutcomes(t *testing.T) {
-	request := requestText("a/north/reading/1", DefaultWorld().Classes[0], "north")
+func TestExchangeOutcome(t *testing.T) {
+	request := requestText("a/north/reading/1", DefaultTopology().Classes[0], "north")
 	for name, c := range map[string]struct {
 		first   bool // the server is done with the connection before the request is sent
 		treat   func(net.Conn)
@@ -122,14 +122,14 @@
 				<-connected
 				c.treat(conn)
 			})
-			client, err := dial(addr, time.Now().Add(patience))
+			client, err := dial(addr, time.Now().Add(testTimeout))
 			must(t, err)
 			defer client.conn.Close()
 			close(connected)
 			if c.first {
 				<-treated
 			}
-			limit := patience
+			limit := testTimeout
 			if c.outcome == DeadlineExceeded {
 				limit = 100 * time.Millisecond
 			}
@@ -147,19 +147,19 @@
 		<-end
 		c.Close()
 	})
-	client, err := dial(addr, time.Now().Add(patience))
+	client, err := dial(addr, time.Now().Add(testTimeout))
 	must(t, err)
 	defer client.conn.Close()
 	if !client.usable() {
 		t.Error("an open connection is not usable")
 	}
 	close(end)
-	await(t, "the end is seen", patience, func() bool { return !client.usable() })
+	await(t, "the end is seen", testTimeout, func() bool { return !client.usable() })
 }
 
 // A job that was not read is sent once more; where that fails too, it is lost. One
 // that was read is not sent again.
-func TestReturnedJobIsSentOnceMore(t *testing.T) {
+func TestUnreadJobIsSentOnceMore(t *testing.T) {
 	for name, c := range map[string]struct {
 		treat            []func(net.Conn) // the connections in turn
 		lost, turnedBack int
@@ -185,11 +185,11 @@
 				}
 			})
 			load := &Load{LoadOptions: DefaultLoad, addr: l.Addr().String(), tally: newTally()}
-			load.submit("a/north/reading/1", DefaultWorld().Classes[0], "north", true)
+			load.submit("a/north/reading/1", DefaultTopology().Classes[0], "north", true)
 			if n := len(load.tally.Lost); n != c.lost {
 				t.Errorf("lost %d, should be %d", n, c.lost)
 			}
-			if n := len(load.tally.Returned); n != c.turnedBack {
+			if n := len(load.tally.Unread); n != c.turnedBack {
 				t.Errorf("turned back %d, should be %d", n, c.turnedBack)
 			}
 		})
@@ -197,7 +197,7 @@
 }
 
 // The kernel's table tells who listens where.
-func TestListens(t *testing.T) {
+func TestListensReadsKernelTable(t *testing.T) {
 	l, err := standin.Listen()
 	must(t, err)
 	addr := l.Addr().String()
--- a/internal/lab/service/deployment.go
+++ b/internal/lab/service/deployment.go
@@ -21,15 +21,15 @@
 
 // The platform's rules for an upgrade.
 const (
-	ReadyLimit = 6 * time.Second        // for a new process, from its start until it is ready
-	maxGrace   = 3 * time.Second        // longer deadlines count as this
-	killMargin = 700 * time.Millisecond // beyond the longest deadline, between SIGTERM and SIGKILL
-	pollEvery  = 5 * time.Millisecond   // between two calls to the operators' address
+	ReadyLimit         = 6 * time.Second        // for a new process, from its start until it is ready
+	maxCountedDeadline = 3 * time.Second        // longer deadlines count as this
+	killMargin         = 700 * time.Millisecond // beyond the longest deadline, between SIGTERM and SIGKILL
+	pollInterval       = 5 * time.Millisecond   // between two calls to the operators' address
 )
 
 // DefaultWorld is one scheduler with eight workers, short idempotent jobs and longer at-most-once
 // jobs.
-func DefaultWorld() lab.Topology {
+func DefaultTopology() lab.Topology {
 	return lab.Topology{
 		Schedulers: 1, Sockets: 512, Zones: []string{"east"},
 		Kinds:   []lab.WorkerKind{{Name: "node", Count: 8, Slots: 4, Speed: 1}},
@@ -54,9 +54,9 @@
 // A Deployment is a scheduler in service: its current process, and the fleet of stand-ins that the
 // process works with.
 type Deployment struct {
-	Fleet      *fleet.Fleet
-	Current    *fleet.Process
-	FirstReady time.Duration // from the first process's start until it was ready
+	Fleet           *fleet.Fleet
+	Current         *fleet.Process
+	FirstReadyAfter time.Duration // from the first process's start until it was ready
 }
 
 // Deploy starts a world's scheduler and waits until it is ready. Close ends it.
@@ -64,7 +64,7 @@
 	f, err := fleet.New(fleet.Options{
 		Topology: world,
 		Program:  program,
-		Price:    standin.CallCost{PerCall: time.Millisecond, MaxWait: time.Second},
+		CallCost: standin.CallCost{PerCall: time.Millisecond, MaxWait: time.Second},
 		Admin:    true,
 	})
 	if err != nil {
@@ -79,7 +79,7 @@
 	if err := d.Current.Start(); err != nil {
 		return nil, err
 	}
-	d.FirstReady, err = AwaitReady(ctx, d.Current)
+	d.FirstReadyAfter, err = AwaitReady(ctx, d.Current)
 	return d, err
 }
 
@@ -90,22 +90,22 @@
 func (d *Deployment) Addr() string { return d.Fleet.Processes[0].Addr }
 
 // KillAfter is how long a process has between SIGTERM and SIGKILL.
-func (d *Deployment) KillAfter() time.Duration {
+func (d *Deployment) TerminationGrace() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range d.Fleet.Classes {
 		longest = max(longest, class.Deadline)
 	}
-	return min(longest, maxGrace) + killMargin
+	return min(longest, maxCountedDeadline) + killMargin
 }
 
 // An EndedError reports that a process ended that should have gone on.
-type EndedError struct {
+type UnexpectedExitError struct {
 	Process string
 	Log     []string
 }
 
 // Error tells which process ended, with the last lines of its log.
-func (e *EndedError) Error() string {
+func (e *UnexpectedExitError) Error() string {
 	return fmt.Sprintf("%s ended by itself; its log:\n%s", e.Process, strings.Join(e.Log, "\n"))
 }
 
@@ -118,7 +118,7 @@
 	began := time.Now()
 	limited, cancel := context.WithTimeout(ctx, ReadyLimit)
 	defer cancel()
-	operators := Operators{Addr: process.Admin}
+	operators := AdminClient{Addr: process.AdminAddr}
 	var last error
 	for {
 		if last = operators.Health(limited); last == nil {
@@ -126,14 +126,14 @@
 		}
 		select {
 		case <-process.Done():
-			return 0, &EndedError{process.Name, process.Log()}
+			return 0, &UnexpectedExitError{process.Name, process.Log()}
 		case <-limited.Done():
 			if ctx.Err() != nil {
 				return 0, ctx.Err()
 			}
 			log := strings.Join(process.Log(), "\n")
 			return 0, fmt.Errorf("%s: %w: %w; its log:\n%s", process.Name, ErrNotReady, last, log)
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 }
--- a/internal/lab/service/descriptors_test.go
+++ b/internal/lab/service/descriptors_test.go
@@ -30,7 +30,7 @@
 		case err != nil: // closed in the meantime
 		case strings.HasPrefix(target, "socket:"):
 			sockets = append(sockets, target)
-		case strings.HasPrefix(target, "/") && !ofKernel(target):
+		case strings.HasPrefix(target, "/") && !isKernelPath(target):
 			files = append(files, target)
 		}
 	}
@@ -38,7 +38,7 @@
 }
 
 // ofKernel reports whether a path is of the kernel, not of a disk.
-func ofKernel(path string) bool {
+func isKernelPath(path string) bool {
 	return slices.ContainsFunc(kernelPaths, func(prefix string) bool { return strings.HasPrefix(path, prefix) })
 }
 
@@ -58,8 +58,8 @@
 
 // A process that serves beside another has two listeners, the clients' and the operators', no Unix
 // socket, and one file on disk, by which both find each other.
-func TestOpensOnlyWhatItNeeds(t *testing.T) {
-	s := underLoad(t)
+func TestOpenDescriptors(t *testing.T) {
+	s := startUnderLoad(t)
 	_, err := s.Upgrade(t.Context())
 	must(t, err)
 	listening := inodes(t, tcpTable, inodeColumn, func(columns []string) bool {
@@ -82,5 +82,5 @@
 	if len(files) != 1 || !strings.HasSuffix(files[0], ".lock") {
 		t.Errorf("files %q, want one lock", files)
 	}
-	s.terminates(t, 1)
+	s.stopAndCheck(t, 1)
 }
--- a/internal/lab/service/duress_test.go
+++ b/internal/lab/service/duress_test.go
@@ -12,18 +12,18 @@
 )
 
 // callers is how many hold a call on the operators' address that they do not finish.
-const callers = 200
+const stalledCallers = 200
 
 // retryAfterReplace is after what time a caller comes again whose connection was closed.
-const retryAfterReplace = 50 * time.Millisecond
+const reconnectDelay = 50 * time.Millisecond
 
 // holdCalls has them hold one until the test's end. One that is closed comes again, or stays away.
 func holdCalls(t *testing.T, addr string, again bool) {
 	t.Helper()
 	stop := make(chan struct{})
 	var held, wait sync.WaitGroup
-	held.Add(callers)
-	for range callers {
+	held.Add(stalledCallers)
+	for range stalledCallers {
 		wait.Go(func() {
 			first := sync.OnceFunc(held.Done)
 			defer first()
@@ -35,7 +35,7 @@
 				select {
 				case <-stop:
 					return
-				case <-time.After(retryAfterReplace):
+				case <-time.After(reconnectDelay):
 				}
 			}
 		})
@@ -49,7 +49,7 @@
 
 // holdCall begins one call, reports that it is held, and returns once the other side or stop ends it.
 func holdCall(ctx context.Context, addr string, held func(), stop <-chan struct{}) {
-	dialer := net.Dialer{Timeout: patience}
+	dialer := net.Dialer{Timeout: testTimeout}
 	c, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return
@@ -71,25 +71,25 @@
 
 // Beside callers that do not finish their calls, and under load, each call has its answer in
 // time: also where they come again whenever their connection is closed.
-func TestOperatorsAreAnsweredBesideStalledCalls(t *testing.T) {
+func TestAdminCallsAnsweredBesideStalledCalls(t *testing.T) {
 	for name, again := range map[string]bool{"once": false, "again and again": true} {
-		t.Run(name, func(t *testing.T) { answeredBesideStalledCalls(t, again) })
+		t.Run(name, func(t *testing.T) { testAnsweredBesideStalledCalls(t, again) })
 	}
 }
 
-// answeredBesideStalledCalls checks the time of each kind of call beside the stalled ones.
-func answeredBesideStalledCalls(t *testing.T, again bool) {
-	s := underLoad(t)
-	holdCalls(t, s.Current.Admin, again)
-	operators := Operators{s.Current.Admin}
+// testAnsweredBesideStalledCalls checks the time of each kind of call beside the stalled ones.
+func testAnsweredBesideStalledCalls(t *testing.T, again bool) {
+	s := startUnderLoad(t)
+	holdCalls(t, s.Current.AdminAddr, again)
+	operators := AdminClient{s.Current.AdminAddr}
 	slowest := time.Duration(0)
 	timed := func(what string, err error, began time.Time) {
 		took := time.Since(began)
-		if slowest = max(slowest, took); err != nil || took > AnswerLimit {
+		if slowest = max(slowest, took); err != nil || took > CallTimeout {
 			t.Errorf("%s: %v after %v", what, err, took)
 		}
 	}
-	for range size(20, 100) {
+	for range iterations(20, 100) {
 		began := time.Now()
 		err := operators.Health(t.Context())
 		timed("health", err, began)
@@ -102,19 +102,19 @@
 	began = time.Now()
 	timed("resume", operators.Resume(t.Context()), began)
 	t.Logf("the slowest answer came after %v", slowest)
-	await(t, "yes", 2*time.Second, func() bool { return frontHealth(t, s.Deployment) == nil })
-	s.terminates(t, 1)
+	await(t, "yes", 2*time.Second, func() bool { return clientHealth(t, s.Deployment) == nil })
+	s.stopAndCheck(t, 1)
 }
 
 // frontHealth returns nil if the scheduler is healthy on the clients' address.
-func frontHealth(t *testing.T, d *Deployment) error {
+func clientHealth(t *testing.T, d *Deployment) error {
 	_, err := Fetch(t.Context(), http.MethodGet, "http://"+d.Addr()+"/_health")
 	return err
 }
 
 // What is no call is answered 4xx, and changes nothing.
-func TestWrongCallsAreRejected(t *testing.T) {
-	d := deploy(t, DefaultWorld())
+func TestInvalidAdminCallsAreRejected(t *testing.T) {
+	d := deploy(t, DefaultTopology())
 	for _, call := range []struct{ method, path string }{
 		{http.MethodGet, "/admin/quiesce"},
 		{http.MethodGet, "/admin/resume"},
@@ -123,12 +123,12 @@
 		{http.MethodGet, "/"},
 		{http.MethodGet, "/admin/healthy"},
 	} {
-		_, err := Fetch(t.Context(), call.method, "http://"+d.Current.Admin+call.path)
+		_, err := Fetch(t.Context(), call.method, "http://"+d.Current.AdminAddr+call.path)
 		var status *StatusError
 		if !errors.As(err, &status) || status.Status/100 != 4 {
 			t.Errorf("%s %s: %v", call.method, call.path, err)
 		}
 	}
-	must(t, frontHealth(t, d))
-	must(t, Operators{d.Current.Admin}.Health(t.Context()))
+	must(t, clientHealth(t, d))
+	must(t, AdminClient{d.Current.AdminAddr}.Health(t.Context()))
 }
--- a/internal/lab/service/fault.go
+++ b/internal/lab/service/fault.go
@@ -32,18 +32,18 @@
 
 // The upper limits of the random times of faults.
 const (
-	maxStop    = 400 * time.Millisecond // for which a new process is stopped before it is killed
-	latestKill = 300 * time.Millisecond // of an old process, after a step of the upgrade
+	maxSuspension = 400 * time.Millisecond // for which a new process is stopped before it is killed
+	maxKillDelay  = 300 * time.Millisecond // of an old process, after a step of the upgrade
 )
 
 // An Outage is a time in which a process was killed and jobs may be lost with it.
 type Outage struct{ From, To time.Time }
 
 // covers reports whether a send was under way in the outage.
-func (o Outage) covers(s Send) bool { return !s.StartedAt.After(o.To) && !s.Ended.Before(o.From) }
+func (o Outage) covers(s Send) bool { return !s.StartedAt.After(o.To) && !s.EndedAt.Before(o.From) }
 
 // waitOrDone waits for a time, and returns the context's error if that is done first.
-func waitOrDone(ctx context.Context, delay time.Duration) error {
+func sleepContext(ctx context.Context, delay time.Duration) error {
 	select {
 	case <-time.After(delay):
 		return nil
@@ -55,14 +55,14 @@
 // DisturbSuccessor starts a successor, stops it some time after its start, and kills it once it has
 // been stopped for another time. A successor that listens when it is stopped was too fast: it goes
 // on, and is returned.
-func (d *Deployment) DisturbSuccessor(
+func (d *Deployment) FailSuccessor(
 	ctx context.Context, afterStart, stopped time.Duration,
 ) (tooFast *fleet.Process, err error) {
 	next, err := d.StartNext()
 	if err != nil {
 		return nil, err
 	}
-	if err := waitOrDone(ctx, afterStart); err != nil {
+	if err := sleepContext(ctx, afterStart); err != nil {
 		return nil, err
 	}
 	if err := suspend(next); err != nil {
@@ -75,7 +75,7 @@
 	if listens {
 		return next, next.Signal(syscall.SIGCONT)
 	}
-	if err := waitOrDone(ctx, stopped); err != nil {
+	if err := sleepContext(ctx, stopped); err != nil {
 		return nil, err
 	}
 	next.Kill()
@@ -87,7 +87,7 @@
 func suspend(process *fleet.Process) error {
 	id := process.ID()
 	if err := process.Signal(syscall.SIGSTOP); err != nil {
-		return &EndedError{process.Name, process.Log()}
+		return &UnexpectedExitError{process.Name, process.Log()}
 	}
 	var info unix.Siginfo
 	for {
@@ -109,7 +109,7 @@
 	SuccessorReady
 	// PredecessorTerminated is SIGTERM to the old process.
 	PredecessorTerminated
-	steps
+	stepCount
 )
 
 // String names the step in reports.
@@ -129,7 +129,7 @@
 		return report, outage, err
 	}
 	kill := func() error {
-		err := waitOrDone(ctx, after)
+		err := sleepContext(ctx, after)
 		outage.From = time.Now()
 		old.Kill()
 		outage.To = time.Now()
--- a/internal/lab/service/figures.go
+++ b/internal/lab/service/figures.go
@@ -24,14 +24,14 @@
 	JobsTolerance     = 0.01
 	AttemptsTolerance = 0.02
 	ActiveTolerance   = 0.10
-	slack             = 3
+	absoluteTolerance = 3
 )
 
 // Responses are the jobs of a class by their answer.
 type Responses struct{ OK, Shed, Errors float64 }
 
 // Figures are the metrics that a scheduler reports on its operators' address.
-type Figures struct {
+type Metrics struct {
 	Responses map[string]Responses // by class
 	Attempts  float64
 	Active    float64
@@ -41,7 +41,7 @@
 
 // ParseFigures reads the Prometheus text format. Each figure has to be there, but responses
 // may be left out where there were none.
-func ParseFigures(text string) (f Figures, err error) {
+func ParseMetrics(text string) (f Metrics, err error) {
 	parser := expfmt.NewTextParser(model.LegacyValidation)
 	families, err := parser.TextToMetricFamilies(strings.NewReader(text))
 	if err != nil {
@@ -58,7 +58,7 @@
 		if len(metrics) != 1 {
 			return f, fmt.Errorf("the figures hold %s %d times", name, len(metrics))
 		}
-		*to = value(metrics[0])
+		*to = metricValue(metrics[0])
 	}
 	f.Responses = map[string]Responses{}
 	for _, metric := range families[responsesName].GetMetric() {
@@ -70,7 +70,7 @@
 }
 
 // addResponses takes in the responses of one class and result.
-func (f *Figures) addResponses(metric *dto.Metric) error {
+func (f *Metrics) addResponses(metric *dto.Metric) error {
 	labels := map[string]string{}
 	for _, label := range metric.GetLabel() {
 		labels[label.GetName()] = label.GetValue()
@@ -78,11 +78,11 @@
 	responses := f.Responses[labels["kind"]]
 	switch labels["result"] {
 	case "ok":
-		responses.OK = value(metric)
+		responses.OK = metricValue(metric)
 	case "shed":
-		responses.Shed = value(metric)
+		responses.Shed = metricValue(metric)
 	case "errors":
-		responses.Errors = value(metric)
+		responses.Errors = metricValue(metric)
 	default:
 		return fmt.Errorf("%s has the unknown labels %v", responsesName, labels)
 	}
@@ -91,22 +91,22 @@
 }
 
 // value is a metric's number, whichever type the text says that it has.
-func value(metric *dto.Metric) float64 {
+func metricValue(metric *dto.Metric) float64 {
 	return metric.GetCounter().GetValue() + metric.GetGauge().GetValue() + metric.GetUntyped().GetValue()
 }
 
 // Within reports whether a figure is as close to the true number as the tolerance, a fraction of the
 // true number, demands.
-func Within(figure, truth, tolerance float64) bool {
-	return math.Abs(figure-truth) <= max(tolerance*truth, slack)
+func WithinTolerance(figure, truth, tolerance float64) bool {
+	return math.Abs(figure-truth) <= max(tolerance*truth, absoluteTolerance)
 }
 
 // Disagreement describes how the responses differ from the clients' own tally; it is empty where they
 // agree.
-func (f Figures) Disagreement(answers map[string]Responses) string {
+func (f Metrics) Mismatches(answers map[string]Responses) string {
 	var faults []string
 	check := func(class, result string, figure, truth float64) {
-		if !Within(figure, truth, JobsTolerance) {
+		if !WithinTolerance(figure, truth, JobsTolerance) {
 			faults = append(faults, fmt.Sprintf("%s %s: the figures say %.0f, clients received %.0f",
 				class, result, figure, truth))
 		}
--- a/internal/lab/service/judge_test.go
+++ b/internal/lab/service/judge_test.go
@@ -18,25 +18,25 @@
 `
 
 // Figures are read with and without types, and compared with the tally.
-func TestFiguresAreRead(t *testing.T) {
-	f, err := ParseFigures(figuresText)
+func TestParseMetrics(t *testing.T) {
+	f, err := ParseMetrics(figuresText)
 	must(t, err)
 	if f.Attempts != 900 || f.Active != 14 || f.PoolSize != 8 || f.Ejected != 1 {
 		t.Errorf("read: %+v", f)
 	}
 	truth := map[string]Responses{"reading": {OK: 815, Shed: 43}, "ratify": {Errors: 4}}
-	if text := f.Disagreement(truth); text != "" {
+	if text := f.Mismatches(truth); text != "" {
 		t.Error(text)
 	}
 	truth["reading"] = Responses{OK: 830, Shed: 40}
-	if f.Disagreement(truth) == "" {
+	if f.Mismatches(truth) == "" {
 		t.Error("812 agree with 830")
 	}
 	for name, text := range map[string]string{
 		"nothing": "", "no pool": "scheduler_tries_total 1\nscheduler_active 1\nscheduler_pool_ejected 0\n",
 		"an unknown result": figuresText + `scheduler_responses_total{kind="reading",result="maybe"} 1` + "\n",
 	} {
-		if _, err := ParseFigures(text); err == nil {
+		if _, err := ParseMetrics(text); err == nil {
 			t.Errorf("%s is taken for figures", name)
 		}
 	}
@@ -46,9 +46,9 @@
 func at(milliseconds int64) time.Time { return time.UnixMilli(milliseconds) }
 
 // passingResult is a result of two upgrades that passes.
-func passingResult() UpgradeTrialResult {
+func newPassingResult() UpgradeTrialResult {
 	r := UpgradeTrialResult{
-		Planned: 2,
+		PlannedUpgrades: 2,
 		Upgrades: []UpgradeReport{
 			{StartedAt: at(100), ReadyAfter: time.Second},
 			{StartedAt: at(900), ReadyAfter: time.Second},
@@ -60,15 +60,15 @@
 }
 
 // The judge sees each fault, and excuses only what died with a killed process.
-func TestUpgradesAreJudged(t *testing.T) {
-	failed := func(outcome Outcome, began, ended int64) Record {
-		send := Send{StartedAt: at(began), Ended: at(ended), Outcome: outcome}
-		return Record{ID: "a/ratify/1", Class: "ratify", Sends: []Send{send}}
+func TestUpgradeTrialResultOK(t *testing.T) {
+	failed := func(outcome Outcome, began, ended int64) JobRecord {
+		send := Send{StartedAt: at(began), EndedAt: at(ended), Outcome: outcome}
+		return JobRecord{ID: "a/ratify/1", Class: "ratify", Sends: []Send{send}}
 	}
 	turned := func(moments ...int64) func(*UpgradeTrialResult) {
 		return func(r *UpgradeTrialResult) {
 			for _, m := range moments {
-				r.Tally.Returned = append(r.Tally.Returned, failed(Unread, m, m+1))
+				r.Tally.Unread = append(r.Tally.Unread, failed(Unread, m, m+1))
 			}
 		}
 	}
@@ -76,8 +76,8 @@
 		r.Outages = []Outage{{at(300), at(350)}}
 		r.Tally.Lost = append(r.Tally.Lost, failed(Interrupted, 250, 302))
 	}
-	lost := func(r *UpgradeTrialResult) { r.Tally.Lost = []Record{failed(Interrupted, 1, 2)} }
-	wrong := func(r *UpgradeTrialResult) { r.Tally.Wrong = []Record{failed(Answered, 1, 2)} }
+	lost := func(r *UpgradeTrialResult) { r.Tally.Lost = []JobRecord{failed(Interrupted, 1, 2)} }
+	wrong := func(r *UpgradeTrialResult) { r.Tally.WrongResults = []JobRecord{failed(Answered, 1, 2)} }
 	late := func(r *UpgradeTrialResult) { r.Upgrades[1].ReadyAfter = ReadyLimit + 1 }
 	lostAt := func(began, ended int64) func(*UpgradeTrialResult) {
 		return func(r *UpgradeTrialResult) {
@@ -96,9 +96,9 @@
 		"nothing":                          {true, func(*UpgradeTrialResult) {}},
 		"lost":                             {false, lost},
 		"wrong":                            {false, wrong},
-		"twice":                            {false, func(r *UpgradeTrialResult) { r.DuplicateRuns = []string{"a"} }},
+		"twice":                            {false, func(r *UpgradeTrialResult) { r.DuplicateJobs = []string{"a"} }},
 		"a late yes":                       {false, late},
-		"an upgrade missing":               {false, func(r *UpgradeTrialResult) { r.Planned = 3 }},
+		"an upgrade missing":               {false, func(r *UpgradeTrialResult) { r.PlannedUpgrades = 3 }},
 		"no job served":                    {false, func(r *UpgradeTrialResult) { clear(r.Tally.Answers) }},
 		"two turned back in each":          {true, turned(150, 160, 950, 960)},
 		"three turned back in one":         {false, turned(150, 160, 170)},
@@ -107,7 +107,7 @@
 		"lost after the kill":              {false, lostAt(351, 360)},
 		"three turned back, one by a kill": {true, turnedByKill},
 	} {
-		r := passingResult()
+		r := newPassingResult()
 		if c.change(&r); r.OK() != c.ok {
 			t.Errorf("%s: passes: %v; %s", name, r.OK(), r.Line())
 		}
--- a/internal/lab/service/load.go
+++ b/internal/lab/service/load.go
@@ -14,23 +14,23 @@
 const maxSends = 2
 
 // grace is how long clients wait beyond a job's deadline.
-const grace = 500 * time.Millisecond
+const answerGrace = 500 * time.Millisecond
 
 // arrivalStream is the random generator's stream of the arrivals.
-const arrivalStream = 17
+const arrivalRNGStream = 17
 
 // A LoadOptions is a steady, bounded load.
 type LoadOptions struct {
-	Name        string  // begins the jobs' ids
-	Rate        float64 // jobs a second, Poisson
-	Seed        uint64
-	Fresh       float64 // fraction of the jobs that come on a connection of their own
-	MaxIdle     int     // idle connections that are kept at most; used in turn
-	MaxOpenJobs int     // jobs open at a time; arrivals beyond are left out
+	Name                  string  // begins the jobs' ids
+	Rate                  float64 // jobs a second, Poisson
+	Seed                  uint64
+	NewConnectionFraction float64 // fraction of the jobs that come on a connection of their own
+	MaxIdleConnections    int     // idle connections that are kept at most; used in turn
+	MaxOpenJobs           int     // jobs open at a time; arrivals beyond are left out
 }
 
 // DefaultLoad is a quarter of what DefaultWorld can do.
-var DefaultLoad = LoadOptions{Name: "load", Rate: 140, Seed: 1, Fresh: 0.4, MaxIdle: 24, MaxOpenJobs: 128}
+var DefaultLoad = LoadOptions{Name: "load", Rate: 140, Seed: 1, NewConnectionFraction: 0.4, MaxIdleConnections: 24, MaxOpenJobs: 128}
 
 // A Load is the clients of one address, on kept and on fresh connections. Stop ends its goroutines.
 type Load struct {
@@ -41,19 +41,19 @@
 	stop    chan struct{}
 	wait    sync.WaitGroup
 
-	mu    sync.Mutex
-	idle  []*connection // the one used last comes last
-	open  int           // jobs
-	tally Tally
+	mu       sync.Mutex
+	idle     []*connection // the one used last comes last
+	openJobs int           // jobs
+	tally    Tally
 }
 
 // StartLoad begins jobs of a world's classes and tenants.
-func StartLoad(addr string, world lab.Topology, o LoadOptions) *Load {
+func StartLoad(addr string, topology lab.Topology, o LoadOptions) *Load {
 	l := &Load{
 		LoadOptions: o,
 		addr:        addr,
-		classes:     world.Classes,
-		tenants:     world.Tenants,
+		classes:     topology.Classes,
+		tenants:     topology.Tenants,
 		stop:        make(chan struct{}),
 		tally:       newTally(),
 	}
@@ -75,10 +75,10 @@
 }
 
 // Answered returns how many jobs have ended, and how many of them had an Unread send.
-func (l *Load) Answered() (ended, turnedBack int) {
+func (l *Load) EndedJobs() (ended, unread int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.tally.Sent, len(l.tally.Returned)
+	return l.tally.Sent, len(l.tally.Unread)
 }
 
 // Total returns the answers so far, of all classes.
@@ -89,13 +89,13 @@
 }
 
 // await waits until so many more jobs have ended.
-func (l *Load) await(ctx context.Context, more int) error {
-	before, _ := l.Answered()
+func (l *Load) awaitJobs(ctx context.Context, more int) error {
+	before, _ := l.EndedJobs()
 	for {
-		if now, _ := l.Answered(); now >= before+more {
+		if now, _ := l.EndedJobs(); now >= before+more {
 			return nil
 		}
-		if err := waitOrDone(ctx, pollEvery); err != nil {
+		if err := sleepContext(ctx, pollInterval); err != nil {
 			return err
 		}
 	}
@@ -103,11 +103,11 @@
 
 // run draws the arrivals until Stop.
 func (l *Load) run() {
-	rng := rand.New(rand.NewPCG(l.Seed, arrivalStream))
+	rng := rand.New(rand.NewPCG(l.Seed, arrivalRNGStream))
 	next := time.Now()
 	for number := 1; ; number++ {
 		next = next.Add(time.Duration(rng.ExpFloat64() / l.Rate * float64(time.Second)))
-		class, tenant, fresh := l.class(rng.Float64()), l.tenant(rng.Float64()), rng.Float64() < l.Fresh
+		class, tenant, fresh := l.drawClass(rng.Float64()), l.drawTenant(rng.Float64()), rng.Float64() < l.NewConnectionFraction
 		select {
 		case <-time.After(time.Until(next)):
 		case <-l.stop:
@@ -122,7 +122,7 @@
 }
 
 // class picks a class by the classes' fractions of the jobs, with a random number from 0 to 1.
-func (l *Load) class(drawn float64) lab.Class {
+func (l *Load) drawClass(drawn float64) lab.Class {
 	for _, c := range l.classes {
 		if drawn -= c.JobFraction; drawn < 0 {
 			return c
@@ -132,7 +132,7 @@
 }
 
 // tenant picks a tenant by the tenants' quotas, with a random number from 0 to 1.
-func (l *Load) tenant(drawn float64) lab.Tenant {
+func (l *Load) drawTenant(drawn float64) lab.Tenant {
 	for _, t := range l.tenants {
 		if drawn -= t.QuotaFraction; drawn < 0 {
 			return t
@@ -145,18 +145,18 @@
 func (l *Load) admit() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.open >= l.MaxOpenJobs {
+	if l.openJobs >= l.MaxOpenJobs {
 		return false
 	}
-	l.open++
+	l.openJobs++
 	return true
 }
 
 // submit sends one job until it has an answer or may not be sent again.
 func (l *Load) submit(id string, class lab.Class, tenant string, fresh bool) {
 	text := requestText(id, class, tenant)
-	record := Record{ID: id, Class: class.Name}
-	until := time.Now().Add(class.Deadline + grace)
+	record := JobRecord{ID: id, Class: class.Name}
+	until := time.Now().Add(class.Deadline + answerGrace)
 	var got answer
 	for len(record.Sends) < maxSends {
 		var send Send
@@ -169,7 +169,7 @@
 	record.Status = got.Status
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.open--
+	l.openJobs--
 	l.tally.add(record, got.Body)
 }
 
@@ -187,17 +187,17 @@
 	s.StartedAt = time.Now()
 	var c *connection
 	if !fresh {
-		c = l.connection()
+		c = l.idleConnection()
 	}
-	if s.Fresh = c == nil; s.Fresh {
+	if s.NewConnection = c == nil; s.NewConnection {
 		if c, s.Err = dial(l.addr, until); s.Err != nil {
-			s.Outcome, s.Ended = Unread, time.Now()
+			s.Outcome, s.EndedAt = Unread, time.Now()
 			return got, s
 		}
 	}
-	s.Port = c.port()
+	s.Port = c.localPort()
 	got, s.Outcome, s.Err = c.exchange(text, until)
-	s.Ended = time.Now()
+	s.EndedAt = time.Now()
 	if s.Outcome == Answered && !fresh {
 		l.release(c)
 	} else {
@@ -208,7 +208,7 @@
 
 // connection returns the connection that has been idle for longest and is still open, or nil if
 // there is none.
-func (l *Load) connection() *connection {
+func (l *Load) idleConnection() *connection {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for len(l.idle) > 0 {
@@ -226,7 +226,7 @@
 func (l *Load) release(c *connection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.idle) >= l.MaxIdle || c.closes {
+	if len(l.idle) >= l.MaxIdleConnections || c.closeAnnounced {
 		c.conn.Close()
 		return
 	}
--- a/internal/lab/service/main_test.go
+++ b/internal/lab/service/main_test.go
@@ -19,7 +19,7 @@
 }
 
 // patience is for what comes at its own pace: far beyond any rule.
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
 func must(t *testing.T, err error) {
 	t.Helper()
@@ -31,7 +31,7 @@
 // await waits until a condition holds, and fails after a limit.
 func await(t *testing.T, what string, limit time.Duration, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(limit); !holds(); <-time.After(pollEvery) {
+	for end := time.Now().Add(limit); !holds(); <-time.After(pollInterval) {
 		if time.Now().After(end) {
 			t.Fatalf("not within %v: %s", limit, what)
 		}
@@ -48,7 +48,7 @@
 }
 
 // size is small in short runs of the tests.
-func size(short, whole int) int {
+func iterations(short, whole int) int {
 	if testing.Short() {
 		return short
 	}
@@ -63,9 +63,9 @@
 }
 
 // underLoad starts a deployment and a load, and returns once jobs are being answered.
-func underLoad(t *testing.T) *testbed {
+func startUnderLoad(t *testing.T) *testbed {
 	t.Helper()
-	d := deploy(t, DefaultWorld())
+	d := deploy(t, DefaultTopology())
 	s := &testbed{d, StartLoad(d.Addr(), d.Fleet.Topology, DefaultLoad), time.Now()}
 	s.awaitProgress(t)
 	return s
@@ -74,31 +74,31 @@
 // awaitProgress waits until some more jobs have ended.
 func (s *testbed) awaitProgress(t *testing.T) {
 	t.Helper()
-	before, _ := s.load.Answered()
-	await(t, "jobs are answered", patience, func() bool {
-		now, _ := s.load.Answered()
+	before, _ := s.load.EndedJobs()
+	await(t, "jobs are answered", testTimeout, func() bool {
+		now, _ := s.load.EndedJobs()
 		return now >= before+20
 	})
 }
 
 // terminates ends the load and the scheduler, and judges: no job is lost, no at-most-once job ran
 // twice, and in each upgrade two at most were Unread.
-func (s *testbed) terminates(t *testing.T, upgrades int) {
+func (s *testbed) stopAndCheck(t *testing.T, upgrades int) {
 	t.Helper()
 	tally := s.load.Stop()
 	t.Log(tally.Line())
 	for _, record := range tally.Lost {
-		t.Error("lost:", record.Text(s.startedAt))
+		t.Error("lost:", record.Describe(s.startedAt))
 	}
-	for _, record := range tally.Wrong {
-		t.Error("wrong result:", record.Text(s.startedAt))
+	for _, record := range tally.WrongResults {
+		t.Error("wrong result:", record.Describe(s.startedAt))
 	}
-	if len(tally.Returned) > maxReturned*upgrades {
-		for _, record := range tally.Returned {
-			t.Error("turned back:", record.Text(s.startedAt))
+	if len(tally.Unread) > maxUnreadPerUpgrade*upgrades {
+		for _, record := range tally.Unread {
+			t.Error("turned back:", record.Describe(s.startedAt))
 		}
 	}
-	if ids := s.Fleet.Twice(); len(ids) > 0 {
+	if ids := s.Fleet.DuplicateJobs(); len(ids) > 0 {
 		t.Errorf("ran twice: %v", ids)
 	}
 	if sum := tally.Total(); sum.OK == 0 {
--- a/internal/lab/service/operators.go
+++ b/internal/lab/service/operators.go
@@ -9,11 +9,11 @@
 )
 
 // AnswerLimit is the time limit of each call to the operators' address.
-const AnswerLimit = time.Second
+const CallTimeout = time.Second
 
 // Operators calls a scheduler's operators' address as the platform does: one call on each
 // connection.
-type Operators struct{ Addr string }
+type AdminClient struct{ Addr string }
 
 // A StatusError is an answer whose status is not 2xx.
 type StatusError struct {
@@ -25,41 +25,41 @@
 func (e *StatusError) Error() string { return fmt.Sprintf("%s was answered %d", e.Call, e.Status) }
 
 // Health returns nil if the process is ready to serve.
-func (o Operators) Health(ctx context.Context) error {
+func (o AdminClient) Health(ctx context.Context) error {
 	_, err := o.call(ctx, http.MethodGet, "/admin/health")
 	return err
 }
 
 // Stats fetches the figures.
-func (o Operators) Stats(ctx context.Context) (Figures, error) {
+func (o AdminClient) Stats(ctx context.Context) (Metrics, error) {
 	text, err := o.call(ctx, http.MethodGet, "/admin/stats")
 	if err != nil {
-		return Figures{}, err
+		return Metrics{}, err
 	}
-	return ParseFigures(text)
+	return ParseMetrics(text)
 }
 
 // Quiesce takes the scheduler out of service: it disconnects its clients.
-func (o Operators) Quiesce(ctx context.Context) error {
+func (o AdminClient) Quiesce(ctx context.Context) error {
 	_, err := o.call(ctx, http.MethodPut, "/admin/quiesce")
 	return err
 }
 
 // Resume takes the scheduler back into service.
-func (o Operators) Resume(ctx context.Context) error {
+func (o AdminClient) Resume(ctx context.Context) error {
 	_, err := o.call(ctx, http.MethodPut, "/admin/resume")
 	return err
 }
 
 // call makes one call and returns its body.
-func (o Operators) call(ctx context.Context, method, path string) (string, error) {
+func (o AdminClient) call(ctx context.Context, method, path string) (string, error) {
 	return Fetch(ctx, method, "http://"+o.Addr+path)
 }
 
 // Fetch makes one call on a connection of its own, within AnswerLimit, and returns the body
 // of a 2xx.
 func Fetch(ctx context.Context, method, url string) (string, error) {
-	limited, cancel := context.WithTimeout(ctx, AnswerLimit)
+	limited, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(limited, method, url, nil)
 	if err != nil {
--- a/internal/lab/service/quiesce_test.go
+++ b/internal/lab/service/quiesce_test.go
@@ -12,8 +12,8 @@
 
 // The rules of a drain.
 const (
-	drainLimit  = 4 * time.Second // from the drain's start until no client's connection is idle
-	resumeLimit = 2 * time.Second // from the drain's end until yes is due
+	maxDrainTime  = 4 * time.Second // from the drain's start until no client's connection is idle
+	maxResumeTime = 2 * time.Second // from the drain's end until yes is due
 )
 
 // A persistentConnection is one that a client keeps for as long as the scheduler does.
@@ -25,7 +25,7 @@
 // openPersistent connects; awaitClose watches for the end once jobs have run on the connection.
 func openPersistent(t *testing.T, d *Deployment) *persistentConnection {
 	t.Helper()
-	c, err := dial(d.Addr(), time.Now().Add(patience))
+	c, err := dial(d.Addr(), time.Now().Add(testTimeout))
 	must(t, err)
 	t.Cleanup(func() { c.conn.Close() })
 	return &persistentConnection{c, make(chan struct{})}
@@ -34,14 +34,14 @@
 // awaitClose reads until the connection's end.
 func (c *persistentConnection) awaitClose() {
 	defer close(c.closed)
-	c.conn.SetDeadline(time.Now().Add(patience))
+	c.conn.SetDeadline(time.Now().Add(testTimeout))
 	_, _ = c.reader.ReadByte() // the end, whatever it is
 }
 
 // checkServed runs a job on a connection, and checks that it is served.
 func checkServed(t *testing.T, client *connection, text, what string) {
 	t.Helper()
-	got, outcome, err := client.exchange(text, time.Now().Add(patience))
+	got, outcome, err := client.exchange(text, time.Now().Add(testTimeout))
 	if outcome != Answered || got.Status != http.StatusOK {
 		t.Errorf("%s is %v, status %d (%v)", what, outcome, got.Status, err)
 	}
@@ -51,9 +51,9 @@
 func mustQuiesce(t *testing.T, d *Deployment) (began time.Time) {
 	t.Helper()
 	began = time.Now()
-	must(t, Operators{d.Current.Admin}.Quiesce(t.Context()))
+	must(t, AdminClient{d.Current.AdminAddr}.Quiesce(t.Context()))
 	var status *StatusError
-	if err := frontHealth(t, d); !errors.As(err, &status) {
+	if err := clientHealth(t, d); !errors.As(err, &status) {
 		t.Errorf("after the drain's start health says %v", err)
 	}
 	return began
@@ -62,10 +62,10 @@
 // mustResume ends a drain, and checks that health is a yes in time and that a job is served then.
 func mustResume(t *testing.T, d *Deployment) {
 	t.Helper()
-	must(t, Operators{d.Current.Admin}.Resume(t.Context()))
-	await(t, "yes after the drain's end", resumeLimit, func() bool { return frontHealth(t, d) == nil })
+	must(t, AdminClient{d.Current.AdminAddr}.Resume(t.Context()))
+	await(t, "yes after the drain's end", maxResumeTime, func() bool { return clientHealth(t, d) == nil })
 	client := openPersistent(t, d)
-	text := requestText("resumed/north/reading/"+client.port(), d.Fleet.Classes[0], "north")
+	text := requestText("resumed/north/reading/"+client.localPort(), d.Fleet.Classes[0], "north")
 	checkServed(t, client.connection, text, "after the drain a job")
 }
 
@@ -73,7 +73,7 @@
 // work are answered, and the process goes on.
 func TestQuiesceClosesIdleConnections(t *testing.T) {
 	const kept, silent, working = 10, 5, 8
-	world := DefaultWorld()
+	world := DefaultTopology()
 	long := &world.Classes[1]
 	long.ServiceTime, long.LatencyObjective, long.Deadline = 1500*time.Millisecond, 4*time.Second, 6*time.Second
 	d := deploy(t, world)
@@ -97,7 +97,7 @@
 		})
 		idle = append(idle, client)
 	}
-	await(t, "the jobs run", patience, func() bool { return startedJobs(d) >= kept+working })
+	await(t, "the jobs run", testTimeout, func() bool { return startedJobs(d) >= kept+working })
 	for _, client := range idle[:kept+silent] {
 		work.Go(client.awaitClose)
 	}
@@ -105,19 +105,19 @@
 	for i, client := range idle {
 		select {
 		case <-client.closed:
-		case <-time.After(time.Until(began.Add(drainLimit))):
+		case <-time.After(time.Until(began.Add(maxDrainTime))):
 			t.Errorf("connection %d of %d kept, %d silent and %d working ones is open after %v",
-				i, kept, silent, working, drainLimit)
+				i, kept, silent, working, maxDrainTime)
 		}
 	}
 	work.Wait()
-	must(t, Operators{d.Current.Admin}.checkAlive(t.Context()))
+	must(t, AdminClient{d.Current.AdminAddr}.checkAlive(t.Context()))
 	mustResume(t, d)
 	must(t, d.Terminate(t.Context()))
 }
 
 // checkAlive returns nil if the process still answers its operators.
-func (o Operators) checkAlive(ctx context.Context) error {
+func (o AdminClient) checkAlive(ctx context.Context) error {
 	_, err := o.Stats(ctx)
 	return err
 }
@@ -126,7 +126,7 @@
 // in time, and each job that was read has its answer.
 func TestQuiesceDisconnectsBusyClients(t *testing.T) {
 	const clients = 12
-	d := deploy(t, DefaultWorld())
+	d := deploy(t, DefaultTopology())
 	var wait, busy sync.WaitGroup
 	busy.Add(clients)
 	quiesce := make(chan time.Time, clients)
@@ -138,9 +138,9 @@
 			var last time.Time
 			for number := 0; ; number++ {
 				text := requestText(fmt.Sprintf("busy-%d/south/reading/%d", i, number), d.Fleet.Classes[0], "south")
-				a, outcome, err := client.exchange(text, time.Now().Add(patience))
+				a, outcome, err := client.exchange(text, time.Now().Add(testTimeout))
 				first()
-				if outcome == Unread || client.closes {
+				if outcome == Unread || client.closeAnnounced {
 					break
 				}
 				if last = time.Now(); outcome != Answered {
@@ -150,7 +150,7 @@
 					t.Errorf("client %d, job %d: status %d", i, number, a.Status)
 				}
 			}
-			if began := <-quiesce; last.Sub(began) > drainLimit {
+			if began := <-quiesce; last.Sub(began) > maxDrainTime {
 				t.Errorf("client %d was served for %v after the drain's start", i, last.Sub(began))
 			}
 		})
@@ -167,7 +167,7 @@
 
 // A drain that is asked for twice is one, and so is its end.
 func TestQuiesceAndResumeTwice(t *testing.T) {
-	d := deploy(t, DefaultWorld())
+	d := deploy(t, DefaultTopology())
 	mustQuiesce(t, d)
 	mustQuiesce(t, d)
 	mustResume(t, d)
--- a/internal/lab/service/tally.go
+++ b/internal/lab/service/tally.go
@@ -11,32 +11,32 @@
 
 // A Send is one transmission of a job to the scheduler.
 type Send struct {
-	StartedAt, Ended time.Time
-	Port             string // the client's; empty if no connection was made
-	Fresh            bool   // the connection had carried nothing before
-	Outcome          Outcome
-	Err              error // what happened, if there was no answer
+	StartedAt, EndedAt time.Time
+	Port               string // the client's; empty if no connection was made
+	NewConnection      bool   // the connection had carried nothing before
+	Outcome            Outcome
+	Err                error // what happened, if there was no answer
 }
 
 // A Record is one job with all its sends.
-type Record struct {
+type JobRecord struct {
 	ID, Class string
 	Sends     []Send
 	Status    int // of its answer; 0 if there was none
 }
 
 // last is the send that decided the job's outcome.
-func (r Record) last() Send { return r.Sends[len(r.Sends)-1] }
+func (r JobRecord) lastSend() Send { return r.Sends[len(r.Sends)-1] }
 
 // Lost reports whether the job has no whole answer.
-func (r Record) Lost() bool { return r.last().Outcome != Answered }
+func (r JobRecord) Lost() bool { return r.lastSend().Outcome != Answered }
 
 // Text tells the job's sends, with times since a moment.
-func (r Record) Text(since time.Time) string {
+func (r JobRecord) Describe(since time.Time) string {
 	var sends []string
 	for _, s := range r.Sends {
 		text := fmt.Sprintf("sent at %.3f s from port %q (fresh: %v), %s at %.3f s",
-			s.StartedAt.Sub(since).Seconds(), s.Port, s.Fresh, s.Outcome, s.Ended.Sub(since).Seconds())
+			s.StartedAt.Sub(since).Seconds(), s.Port, s.NewConnection, s.Outcome, s.EndedAt.Sub(since).Seconds())
 		if s.Err != nil {
 			text += " (" + s.Err.Error() + ")"
 		}
@@ -54,13 +54,13 @@
 
 // A Tally counts jobs by what became of them.
 type Tally struct {
-	Sent     int
-	Answers  map[string]Responses // by class
-	Rejected int                  // 4xx but 429: the scheduler did not take the job
-	Wrong    []Record             // answered 200, with another job's result or none
-	Lost     []Record
-	Returned []Record // Unread at least once
-	Latency  *hdrhistogram.Histogram
+	Sent         int
+	Answers      map[string]Responses // by class
+	Rejected     int                  // 4xx but 429: the scheduler did not take the job
+	WrongResults []JobRecord          // answered 200, with another job's result or none
+	Lost         []JobRecord
+	Unread       []JobRecord // Unread at least once
+	Latency      *hdrhistogram.Histogram
 }
 
 func newTally() Tally {
@@ -71,11 +71,11 @@
 }
 
 // add counts a job that has ended, with the answer's body.
-func (t *Tally) add(r Record, body string) {
+func (t *Tally) add(r JobRecord, body string) {
 	t.Sent++
 	for _, s := range r.Sends {
 		if s.Outcome == Unread {
-			t.Returned = append(t.Returned, r)
+			t.Unread = append(t.Unread, r)
 			break
 		}
 	}
@@ -83,14 +83,14 @@
 		t.Lost = append(t.Lost, r)
 		return
 	}
-	latency := r.last().Ended.Sub(r.Sends[0].StartedAt)
+	latency := r.lastSend().EndedAt.Sub(r.Sends[0].StartedAt)
 	_ = t.Latency.RecordValue(int64(latency / latencyUnit)) // fails beyond maxLatency: such jobs are left out
 	responses := t.Answers[r.Class]
 	switch {
 	case r.Status == http.StatusOK:
 		responses.OK++
 		if !strings.Contains(body, resultOf(r)) {
-			t.Wrong = append(t.Wrong, r)
+			t.WrongResults = append(t.WrongResults, r)
 		}
 	case r.Status == http.StatusTooManyRequests || r.Status == http.StatusServiceUnavailable:
 		responses.Shed++
@@ -103,7 +103,7 @@
 }
 
 // resultOf is the beginning of a job's result, as a stand-in worker words it.
-func resultOf(r Record) string { return fmt.Sprintf("%s of %s by ", r.ID, r.Class) }
+func resultOf(r JobRecord) string { return fmt.Sprintf("%s of %s by ", r.ID, r.Class) }
 
 // Total is the sum of the answers over all classes.
 func (t Tally) Total() (sum Responses) {
@@ -124,7 +124,7 @@
 	answers := fmt.Sprintf("jobs %d: ok %.0f, shed %.0f, errors %.0f, rejected %d",
 		t.Sent, sum.OK, sum.Shed, sum.Errors, t.Rejected)
 	failures := fmt.Sprintf("lost %d, wrong %d, turned back unheard %d",
-		len(t.Lost), len(t.Wrong), len(t.Returned))
+		len(t.Lost), len(t.WrongResults), len(t.Unread))
 	latencies := fmt.Sprintf("answered after %.3f s at the median, %.3f s at 99 %%, %.3f s at most",
 		at(50), at(99), at(100))
 	return answers + ", " + failures + "; " + latencies
--- a/internal/lab/service/trial.go
+++ b/internal/lab/service/trial.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	maxReturned = 2  // Unread jobs in one upgrade
-	jobsBetween = 10 // jobs that end before each upgrade
-	faultStream = 23 // the generator's stream of the faults' times
+	maxUnreadPerUpgrade = 2  // Unread jobs in one upgrade
+	jobsBetweenUpgrades = 10 // jobs that end before each upgrade
+	faultRNGStream      = 23 // the generator's stream of the faults' times
 )
 
 // UpgradeTrial is a trial: one upgrade after another under load, each done as the platform does it.
@@ -30,24 +30,24 @@
 
 // An UpgradeTrialResult is what a trial observed.
 type UpgradeTrialResult struct {
-	StartedAt      time.Time
-	Upgrades       []UpgradeReport
-	Planned        int      // upgrades
-	FaultsInjected int      // faults
-	Outages        []Outage // by kills of a process that served
-	Tally          Tally
-	DuplicateRuns  []string // identifiers of at-most-once jobs that ran more than once
+	StartedAt       time.Time
+	Upgrades        []UpgradeReport
+	PlannedUpgrades int      // upgrades
+	FaultsInjected  int      // faults
+	Outages         []Outage // by kills of a process that served
+	Tally           Tally
+	DuplicateJobs   []string // identifiers of at-most-once jobs that ran more than once
 }
 
 // excused reports whether a send may have failed because its process was killed.
-func (r UpgradeTrialResult) excused(s Send) bool {
+func (r UpgradeTrialResult) failedInOutage(s Send) bool {
 	return slices.ContainsFunc(r.Outages, func(outage Outage) bool { return outage.covers(s) })
 }
 
 // Lost are the jobs without an answer, but for those that died with a killed process.
-func (r UpgradeTrialResult) Lost() (lost []Record) {
+func (r UpgradeTrialResult) Lost() (lost []JobRecord) {
 	for _, record := range r.Tally.Lost {
-		if !r.excused(record.last()) {
+		if !r.failedInOutage(record.lastSend()) {
 			lost = append(lost, record)
 		}
 	}
@@ -56,10 +56,10 @@
 
 // Returned counts the Unread jobs, and the most in one upgrade: each belongs to the upgrade that
 // began last before it was sent. Those of a killed process do not count.
-func (r UpgradeTrialResult) Returned() (all, most int) {
+func (r UpgradeTrialResult) UnreadJobs() (all, most int) {
 	counts := make([]int, len(r.Upgrades)+1)
-	for _, record := range r.Tally.Returned {
-		if !r.excused(record.Sends[0]) {
+	for _, record := range r.Tally.Unread {
+		if !r.failedInOutage(record.Sends[0]) {
 			all++
 			counts[r.upgradeNumber(record)]++
 		}
@@ -69,8 +69,8 @@
 
 // upgradeNumber is the number of the upgrade that began last before a job's first send ended, or 0 if
 // there was none yet.
-func (r UpgradeTrialResult) upgradeNumber(record Record) int {
-	ended := record.Sends[0].Ended
+func (r UpgradeTrialResult) upgradeNumber(record JobRecord) int {
+	ended := record.Sends[0].EndedAt
 	later := slices.IndexFunc(r.Upgrades, func(report UpgradeReport) bool { return report.StartedAt.After(ended) })
 	if later >= 0 {
 		return later
@@ -79,7 +79,7 @@
 }
 
 // Slowest is the longest time that a new process took until it was ready.
-func (r UpgradeTrialResult) Slowest() (slowest time.Duration) {
+func (r UpgradeTrialResult) SlowestStart() (slowest time.Duration) {
 	for _, report := range r.Upgrades {
 		slowest = max(slowest, report.ReadyAfter)
 	}
@@ -88,48 +88,48 @@
 
 // Line is the result in one line.
 func (r UpgradeTrialResult) Line() string {
-	all, most := r.Returned()
+	all, most := r.UnreadJobs()
 	return fmt.Sprintf("upgrades %d, jobs %d, lost %d, ran twice %d, "+
 		"turned back unheard %d (most in one upgrade %d), slowest yes %.2f s",
-		len(r.Upgrades), r.Tally.Sent, len(r.Lost()), len(r.DuplicateRuns), all, most, r.Slowest().Seconds())
+		len(r.Upgrades), r.Tally.Sent, len(r.Lost()), len(r.DuplicateJobs), all, most, r.SlowestStart().Seconds())
 }
 
 // OK reports whether the trial passed: no rule was broken, each upgrade was done, and jobs were served.
 func (r UpgradeTrialResult) OK() bool {
-	_, most := r.Returned()
-	return len(r.Lost()) == 0 && len(r.DuplicateRuns) == 0 && len(r.Tally.Wrong) == 0 && most <= maxReturned &&
-		r.Slowest() <= ReadyLimit && len(r.Upgrades) == r.Planned && r.Tally.Total().OK > 0
+	_, most := r.UnreadJobs()
+	return len(r.Lost()) == 0 && len(r.DuplicateJobs) == 0 && len(r.Tally.WrongResults) == 0 && most <= maxUnreadPerUpgrade &&
+		r.SlowestStart() <= ReadyLimit && len(r.Upgrades) == r.PlannedUpgrades && r.Tally.Total().OK > 0
 }
 
 // Run runs the trial. If an upgrade fails, the result has what was observed until then.
-func (u UpgradeTrial) Run(ctx context.Context, w io.Writer) (r UpgradeTrialResult, err error) {
+func (u UpgradeTrial) Run(ctx context.Context, w io.Writer) (result UpgradeTrialResult, err error) {
 	if !slices.Contains(Faults, u.Fault) {
-		return r, errUnknownFault
+		return result, errUnknownFault
 	}
-	d, err := Deploy(ctx, u.Program, DefaultWorld())
+	d, err := Deploy(ctx, u.Program, DefaultTopology())
 	if err != nil {
-		return r, err
+		return result, err
 	}
 	defer d.Close()
-	r.StartedAt, r.Planned, r.Tally = time.Now(), u.Upgrades, newTally()
+	result.StartedAt, result.PlannedUpgrades, result.Tally = time.Now(), u.Upgrades, newTally()
 	u.Load.Seed = u.Seed
 	load := StartLoad(d.Addr(), d.Fleet.Topology, u.Load)
-	err = u.runUpgrades(ctx, w, d, load, &r)
-	r.Tally, r.DuplicateRuns = load.Stop(), d.Fleet.Twice()
-	r.report(w)
+	err = u.runUpgrades(ctx, w, d, load, &result)
+	result.Tally, result.DuplicateJobs = load.Stop(), d.Fleet.DuplicateJobs()
+	result.printFailures(w)
 	if err != nil {
-		return r, err
+		return result, err
 	}
-	return r, d.Terminate(ctx)
+	return result, d.Terminate(ctx)
 }
 
 // runUpgrades does all upgrades of the trial, each with its fault.
 func (u UpgradeTrial) runUpgrades(
 	ctx context.Context, w io.Writer, d *Deployment, load *Load, r *UpgradeTrialResult,
 ) error {
-	rng := rand.New(rand.NewPCG(u.Seed, faultStream))
+	rng := rand.New(rand.NewPCG(u.Seed, faultRNGStream))
 	for number := range u.Upgrades {
-		if err := load.await(ctx, jobsBetween); err != nil {
+		if err := load.awaitJobs(ctx, jobsBetweenUpgrades); err != nil {
 			return err
 		}
 		report, err := u.upgradeOnce(ctx, d, r, rng)
@@ -150,8 +150,8 @@
 	case KillSuccessor, SuspendSuccessor:
 		return u.upgradeAfterFailedSuccessor(ctx, d, r, rng)
 	case KillPredecessor:
-		step := Step(len(r.Upgrades) % int(steps))
-		report, outage, err := d.UpgradeKillingPredecessor(ctx, step, randomDuration(rng, latestKill))
+		step := Step(len(r.Upgrades) % int(stepCount))
+		report, outage, err := d.UpgradeKillingPredecessor(ctx, step, randomDuration(rng, maxKillDelay))
 		r.Outages = append(r.Outages, outage)
 		r.FaultsInjected++
 		return report, err
@@ -166,13 +166,13 @@
 	ctx context.Context, d *Deployment, r *UpgradeTrialResult, rng *rand.Rand,
 ) (report UpgradeReport, err error) {
 	report.StartedAt, report.Predecessor = time.Now(), d.Current
-	each := max(d.FirstReady, r.Slowest()) / time.Duration(u.Upgrades)
+	each := max(d.FirstReadyAfter, r.SlowestStart()) / time.Duration(u.Upgrades)
 	afterStart := time.Duration(len(r.Upgrades))*each + randomDuration(rng, each)
 	stopped := time.Duration(0)
 	if u.Fault == SuspendSuccessor {
-		stopped = randomDuration(rng, maxStop)
+		stopped = randomDuration(rng, maxSuspension)
 	}
-	next, err := d.DisturbSuccessor(ctx, afterStart, stopped)
+	next, err := d.FailSuccessor(ctx, afterStart, stopped)
 	if err != nil {
 		return report, err
 	}
@@ -194,24 +194,24 @@
 }
 
 // report prints what went wrong, job by job, and a summary.
-func (r UpgradeTrialResult) report(w io.Writer) {
+func (r UpgradeTrialResult) printFailures(w io.Writer) {
 	for _, record := range r.Lost() {
-		fmt.Fprintln(w, "lost:", record.Text(r.StartedAt))
+		fmt.Fprintln(w, "lost:", record.Describe(r.StartedAt))
 		if number := r.upgradeNumber(record); number > 0 {
 			report := r.Upgrades[number-1]
 			fmt.Fprintf(w, "  in upgrade %d, whose old process was %s; its log ends with\n    %s\n",
 				number, report.Predecessor.Name, strings.Join(report.Predecessor.Log(), "\n    "))
 		}
 	}
-	for _, record := range r.Tally.Wrong {
-		fmt.Fprintln(w, "wrong result:", record.Text(r.StartedAt))
+	for _, record := range r.Tally.WrongResults {
+		fmt.Fprintln(w, "wrong result:", record.Describe(r.StartedAt))
 	}
-	for _, record := range r.Tally.Returned {
-		if !r.excused(record.Sends[0]) {
-			fmt.Fprintln(w, "turned back:", record.Text(r.StartedAt))
+	for _, record := range r.Tally.Unread {
+		if !r.failedInOutage(record.Sends[0]) {
+			fmt.Fprintln(w, "turned back:", record.Describe(r.StartedAt))
 		}
 	}
-	for _, id := range r.DuplicateRuns {
+	for _, id := range r.DuplicateJobs {
 		fmt.Fprintln(w, "ran twice:", id)
 	}
 	excused := len(r.Tally.Lost) - len(r.Lost())
--- a/internal/lab/service/upgrade.go
+++ b/internal/lab/service/upgrade.go
@@ -32,7 +32,7 @@
 func (d *Deployment) Promote(next *fleet.Process) (*Termination, error) {
 	old := d.Current
 	d.Current = next
-	termination := &Termination{Process: old, limit: d.KillAfter(), startedAt: time.Now()}
+	termination := &Termination{Process: old, limit: d.TerminationGrace(), startedAt: time.Now()}
 	return termination, old.Signal(syscall.SIGTERM)
 }
 
@@ -55,9 +55,9 @@
 
 // Terminate ends the current process, as the last one of its deployment.
 func (d *Deployment) Terminate(ctx context.Context) error {
-	termination := &Termination{Process: d.Current, limit: d.KillAfter(), startedAt: time.Now()}
+	termination := &Termination{Process: d.Current, limit: d.TerminationGrace(), startedAt: time.Now()}
 	if err := d.Current.Signal(syscall.SIGTERM); err != nil {
-		return &EndedError{d.Current.Name, d.Current.Log()}
+		return &UnexpectedExitError{d.Current.Name, d.Current.Log()}
 	}
 	return termination.Await(ctx)
 }
--- a/internal/lab/service/upgrade_test.go
+++ b/internal/lab/service/upgrade_test.go
@@ -25,7 +25,7 @@
 // Under load, one upgrade after another costs no job.
 func TestUpgradesInARow(t *testing.T) {
 	u := DefaultUpgradeTrial
-	u.Upgrades = size(3, 20)
+	u.Upgrades = iterations(3, 20)
 	runTrial(t, u)
 }
 
@@ -35,7 +35,7 @@
 	for _, fault := range []Fault{KillSuccessor, SuspendSuccessor} {
 		t.Run(string(fault), func(t *testing.T) {
 			u := DefaultUpgradeTrial
-			u.Upgrades, u.Fault = size(3, 6), fault
+			u.Upgrades, u.Fault = iterations(3, 6), fault
 			if r := runTrial(t, u); r.FaultsInjected == 0 {
 				t.Error("each new process listened before it could be stopped")
 			}
@@ -47,13 +47,13 @@
 // answered, and none that must not runs twice.
 func TestPredecessorKilledDuringUpgrade(t *testing.T) {
 	u := DefaultUpgradeTrial
-	u.Upgrades, u.Fault = int(steps)*size(1, 2), KillPredecessor
+	u.Upgrades, u.Fault = int(stepCount)*iterations(1, 2), KillPredecessor
 	runTrial(t, u)
 }
 
 // Both processes are told to read their files again, before the old one is told to end and after.
 func TestReloadDuringUpgrade(t *testing.T) {
-	s := underLoad(t)
+	s := startUnderLoad(t)
 	old := s.Current
 	next, err := s.StartNext()
 	must(t, err)
@@ -69,13 +69,13 @@
 	}
 	must(t, termination.Await(t.Context()))
 	s.awaitProgress(t)
-	s.terminates(t, 1)
+	s.stopAndCheck(t, 1)
 }
 
 // The old process is drained while the new one starts.
 func TestQuiesceDuringUpgrade(t *testing.T) {
-	s := underLoad(t)
-	old := Operators{s.Current.Admin}
+	s := startUnderLoad(t)
+	old := AdminClient{s.Current.AdminAddr}
 	next, err := s.StartNext()
 	must(t, err)
 	must(t, old.Quiesce(t.Context()))
@@ -85,13 +85,13 @@
 	must(t, err)
 	must(t, termination.Await(t.Context()))
 	s.awaitProgress(t)
-	s.terminates(t, 1)
+	s.stopAndCheck(t, 1)
 }
 
 // The second upgrade begins when the first one's successor is ready: three processes are there at a
 // time.
 func TestTwoUpgradesInARow(t *testing.T) {
-	s := underLoad(t)
+	s := startUnderLoad(t)
 	var terminations [2]*Termination
 	for i := range terminations {
 		next, err := s.StartNext()
@@ -105,5 +105,5 @@
 		must(t, termination.Await(t.Context()))
 	}
 	s.awaitProgress(t)
-	s.terminates(t, len(terminations))
+	s.stopAndCheck(t, len(terminations))
 }
--- a/internal/lab/soak/mutant.go
+++ b/internal/lab/soak/mutant.go
@@ -15,7 +15,7 @@
 // A Mutant is a deliberate fault of the scheduler, and the count that has to show it.
 type Mutant struct {
 	lab.Mutant
-	Shows func(Violations) int
+	ViolationCount func(Violations) int
 }
 
 func drain(v Violations) int         { return v.Drain }
@@ -26,15 +26,15 @@
 func startOverload(v Violations) int { return v.StartOverload }
 
 const (
-	maxSeeds      = 10 // that the soak has to see a mutant
-	mutantsAtOnce = 3  // that are played side by side
+	maxSeedsPerMutant    = 10 // that the soak has to see a mutant
+	maxConcurrentMutants = 3  // that are played side by side
 )
 
 // CheckMutants plays each mutant for at most so many seeds, until its rule is seen broken.
 func CheckMutants(ctx context.Context, w io.Writer, o Options) (caught int, err error) {
 	var mu sync.Mutex
 	var group errgroup.Group
-	group.SetLimit(mutantsAtOnce)
+	group.SetLimit(maxConcurrentMutants)
 	for i := range Mutants {
 		m := &Mutants[i]
 		group.Go(func() error {
@@ -44,8 +44,8 @@
 			switch {
 			case err != nil:
 				return fmt.Errorf("%s: %w", m.Name, err)
-			case seeds > maxSeeds:
-				fmt.Fprintf(w, "NOT SEEN in %d seeds  %s\n", maxSeeds, m.Name)
+			case seeds > maxSeedsPerMutant:
+				fmt.Fprintf(w, "NOT SEEN in %d seeds  %s\n", maxSeedsPerMutant, m.Name)
 			default:
 				caught++
 				fmt.Fprintf(w, "caught by seed %2d     %s\n", seeds, m.Name)
@@ -67,13 +67,13 @@
 	if o.Program, err = m.BuildProgram(ctx, dir); err != nil {
 		return 0, err
 	}
-	for seeds = 1; seeds <= maxSeeds; seeds++ {
+	for seeds = 1; seeds <= maxSeedsPerMutant; seeds++ {
 		o.Seed = uint64(seeds)
 		r, err := o.Run(io.Discard)
 		if err != nil {
 			return 0, err
 		}
-		if m.Shows(r.Violations) > 0 {
+		if m.ViolationCount(r.Violations) > 0 {
 			break
 		}
 	}
--- a/internal/lab/soak/mutants.go
+++ b/internal/lab/soak/mutants.go
@@ -5,7 +5,7 @@
 // Mutants are the faults by which the soak is proved, two for each rule.
 var Mutants = []Mutant{
 	{
-		Shows: drain,
+		ViolationCount: drain,
 		Mutant: lab.Mutant{
 			Name: "a saved list is trusted at once",
 			File: "internal/decision/membership/lease.go",
@@ -14,7 +14,7 @@
 		},
 	},
 	{
-		Shows: drain,
+		ViolationCount: drain,
 		Mutant: lab.Mutant{
 			Name: "drains are not heard",
 			File: "internal/platform/endpoint_table.go",
@@ -26,7 +26,7 @@
 		},
 	},
 	{
-		Shows: drain,
+		ViolationCount: drain,
 		Mutant: lab.Mutant{
 			Name: "unanswered attempts go on at nodes that are gone",
 			File: "internal/platform/in_flight.go",
@@ -35,7 +35,7 @@
 		},
 	},
 	{
-		Shows: lost,
+		ViolationCount: lost,
 		Mutant: lab.Mutant{
 			Name: "some answers are never written",
 			File: "internal/platform/client_reply.go",
@@ -44,7 +44,7 @@
 		},
 	},
 	{
-		Shows: lost,
+		ViolationCount: lost,
 		Mutant: lab.Mutant{
 			Name: "the end waits for no job",
 			File: "internal/platform/shutdown.go",
@@ -55,7 +55,7 @@
 		},
 	},
 	{
-		Shows: duplicate,
+		ViolationCount: duplicate,
 		Mutant: lab.Mutant{
 			Name: "a reset counts as never run",
 			File: "api.go",
@@ -64,7 +64,7 @@
 		},
 	},
 	{
-		Shows: duplicate,
+		ViolationCount: duplicate,
 		Mutant: lab.Mutant{
 			Name: "a timed-out claim counts as never run",
 			File: "api.go",
@@ -73,7 +73,7 @@
 		},
 	},
 	{
-		Shows: disconnected,
+		ViolationCount: disconnected,
 		Mutant: lab.Mutant{
 			Name: "a submitter that leaves is not noticed",
 			File: "internal/platform/client_conn.go",
@@ -82,7 +82,7 @@
 		},
 	},
 	{
-		Shows: disconnected,
+		ViolationCount: disconnected,
 		Mutant: lab.Mutant{
 			Name: "a submitter's leaving is noticed late",
 			File: "internal/platform/client_conn.go",
@@ -93,7 +93,7 @@
 		},
 	},
 	{
-		Shows: deadline,
+		ViolationCount: deadline,
 		Mutant: lab.Mutant{
 			Name: "nodes are told of a second more",
 			File: "internal/platform/attempt.go",
@@ -102,7 +102,7 @@
 		},
 	},
 	{
-		Shows: deadline,
+		ViolationCount: deadline,
 		Mutant: lab.Mutant{
 			Name: "the time in the queue is not taken off",
 			File: "internal/core/send.go",
@@ -111,7 +111,7 @@
 		},
 	},
 	{
-		Shows: startOverload,
+		ViolationCount: startOverload,
 		Mutant: lab.Mutant{
 			Name: "cold nodes count as warm",
 			File: "internal/decision/health/slow_start.go",
@@ -120,7 +120,7 @@
 		},
 	},
 	{
-		Shows: startOverload,
+		ViolationCount: startOverload,
 		Mutant: lab.Mutant{
 			Name: "starts are not heard",
 			File: "endpoints.go",
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -20,16 +20,16 @@
 
 // Options say what one run is made of.
 type Options struct {
-	Program    string // the scheduler's binary
-	Schedulers int
-	Workers    int
-	Seed       uint64
-	For        time.Duration // how long faults begin
-	Load       float64       // jobs a second at each scheduler
+	Program       string // the scheduler's binary
+	Schedulers    int
+	Workers       int
+	Seed          uint64
+	Duration      time.Duration // how long faults begin
+	JobsPerSecond float64       // jobs a second at each scheduler
 }
 
 // Default is the run that the operators' page speaks of.
-var Default = Options{Program: "bin/foxlift", Schedulers: 10, Workers: 10, For: 30 * time.Second, Load: 12}
+var DefaultOptions = Options{Program: "bin/foxlift", Schedulers: 10, Workers: 10, Duration: 30 * time.Second, JobsPerSecond: 12}
 
 // Violations counts broken rules, by the names of package guard, and exit codes that are not 0.
 type Violations struct {
@@ -79,13 +79,13 @@
 }
 
 const (
-	readyLimit  = 30 * time.Second
-	settleTime  = 500 * time.Millisecond // of load before the first fault
-	answerGrace = 500 * time.Millisecond // past a job's time: its answer earns nothing, but is one
+	readyTimeout = 30 * time.Second
+	warmupTime   = 500 * time.Millisecond // of load before the first fault
+	answerGrace  = 500 * time.Millisecond // past a job's time: its answer earns nothing, but is one
 )
 
 // world is the deployment: two zones, two kinds of worker, a class that may be repeated and one that may not.
-func (o Options) world() lab.Topology {
+func (o Options) topology() lab.Topology {
 	return lab.Topology{
 		Schedulers: o.Schedulers,
 		Sockets:    512,
@@ -119,42 +119,42 @@
 // A run is the run of one seed.
 type run struct {
 	Options
-	f             *fleet.Fleet
+	fleet         *fleet.Fleet
 	rng           *rand.Rand
 	startedAt     time.Time
-	record        *record
-	disconnecting disconnecting
+	faultRecord   *faultRecord
+	disconnecting disconnectingClients
 
 	logMu sync.Mutex // faults log from goroutines of their own
 	log   io.Writer
 
-	mu   sync.Mutex
-	busy map[string]bool // workers and processes under a fault that excludes others
-	wait sync.WaitGroup
+	mu       sync.Mutex
+	reserved map[string]bool // workers and processes under a fault that excludes others
+	wait     sync.WaitGroup
 }
 
 // rngStream is the stream of a seed's random numbers that draws the faults.
-const rngStream = 17
+const faultRNGStream = 17
 
 // newRun makes the run of the options' seed on a fleet.
 func (o Options) newRun(f *fleet.Fleet, log io.Writer) *run {
 	return &run{
-		Options: o,
-		f:       f,
-		rng:     rand.New(rand.NewPCG(o.Seed, rngStream)),
-		log:     log,
-		record:  newRecord(),
-		busy:    map[string]bool{},
+		Options:     o,
+		fleet:       f,
+		rng:         rand.New(rand.NewPCG(o.Seed, faultRNGStream)),
+		log:         log,
+		faultRecord: newFaultRecord(),
+		reserved:    map[string]bool{},
 	}
 }
 
 // Run plays one seed. What it sees broken is written to log, a line each.
 func (o Options) Run(log io.Writer) (r Result, err error) {
 	f, err := fleet.New(fleet.Options{
-		Topology:    o.world(),
+		Topology:    o.topology(),
 		Program:     o.Program,
 		WorkerLinks: true,
-		Price: standin.CallCost{
+		CallCost: standin.CallCost{
 			PerCall: time.Millisecond,
 			PerHost: 50 * time.Microsecond,
 			MaxWait: 2 * time.Second,
@@ -171,15 +171,15 @@
 	}
 	defer f.Close()
 	p := o.newRun(f, log)
-	if err := f.StartAll(readyLimit); err != nil {
+	if err := f.StartAll(readyTimeout); err != nil {
 		return r, err
 	}
-	allow := fleet.Leniency{Grace: answerGrace, Excuse: p.excuse}
-	load := f.StartLoadWith("soak", o.Load*float64(o.Schedulers), o.Seed, allow)
-	<-time.After(settleTime)
+	allow := fleet.Tolerance{Grace: answerGrace, WasInterrupted: p.wasInterrupted}
+	load := f.StartLoadWith("soak", o.JobsPerSecond*float64(o.Schedulers), o.Seed, allow)
+	<-time.After(warmupTime)
 	p.startedAt = time.Now()
 	faults := p.drawFaults()
-	p.playFaults(faults)
+	p.injectFaults(faults)
 	r.Tally = load.Stop()
 	p.disconnecting.wait.Wait()
 	p.terminateAll(&r.Violations)
@@ -187,18 +187,18 @@
 	r.Processes = o.Schedulers
 	r.Faults = len(faults)
 	r.Overlapping = overlapping(faults)
-	p.judge(load, &r)
+	p.countViolations(load, &r)
 	return r, nil
 }
 
 // excuse says whether a job at a process is owed no answer, since the process was killed after it was sent.
-func (p *run) excuse(i int) func(time.Time) bool {
-	return func(sent time.Time) bool { return p.record.killedSince(i, sent) }
+func (p *run) wasInterrupted(i int) func(time.Time) bool {
+	return func(sent time.Time) bool { return p.faultRecord.killedSince(i, sent) }
 }
 
 // terminateAll ends all processes with SIGTERM; each has to end with exit code 0.
 func (p *run) terminateAll(v *Violations) {
-	if err := p.f.TerminateAll(); err != nil {
+	if err := p.fleet.TerminateAll(); err != nil {
 		v.Exit += strings.Count(err.Error(), "exit status") + strings.Count(err.Error(), "signal:")
 		p.logf("exit: %v", err)
 	}
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -21,8 +21,8 @@
 
 // A short run breaks no rule, and there was something to see.
 func TestShortSoak(t *testing.T) {
-	o := Default
-	o.Program, o.Seed, o.For = program, 1, 6*time.Second
+	o := DefaultOptions
+	o.Program, o.Seed, o.Duration = program, 1, 6*time.Second
 	var log strings.Builder
 	r, err := o.Run(&log)
 	if err != nil {
@@ -36,7 +36,7 @@
 // A seed draws the same faults again, another one others.
 func TestSeedDrawsTheSameFaults(t *testing.T) {
 	draw := func(seed uint64) []fault {
-		o := Default
+		o := DefaultOptions
 		o.Seed = seed
 		return o.newRun(nil, nil).drawFaults()
 	}
@@ -52,9 +52,9 @@
 func TestReachableFrom(t *testing.T) {
 	base := time.Now()
 	at := func(seconds float64) time.Time { return base.Add(time.Duration(seconds * float64(time.Second))) }
-	p := Default.newRun(nil, nil)
-	p.record.unreachable(0, at(10), at(14))
-	p.record.unreachable(0, at(15), at(16))
+	p := DefaultOptions.newRun(nil, nil)
+	p.faultRecord.recordPartition(0, at(10), at(14))
+	p.faultRecord.recordPartition(0, at(15), at(16))
 	for from, want := range map[float64]float64{1: 1, 3.9: 3.9, 4.1: 16, 12: 16, 14.5: 16, 17: 17} {
 		if got := p.reachableFrom(0, at(from)); !got.Equal(at(want)) {
 			t.Errorf("from %v: %v, want %v", from, got.Sub(base), want)
