--- a/cmd/foxlift/cells.go
+++ b/cmd/foxlift/cells.go
@@ -12,15 +12,17 @@
 	"github.com/vatu-meals/foxlift/internal/control/controlpb"
 )
 
-// newCellsCommand returns the command whose subcommands show and change a scheduler's cells.
+// newCellsCommand returns the cells command. Its subcommands show the cells of a scheduler and move tenants between
+// them.
 func newCellsCommand() *cobra.Command {
 	caller := &controlCaller{}
 	cmd := &cobra.Command{
 		Use:   "cells",
-		Short: "Look at the cells of a running scheduler, and move tenants between them",
-		Long: `The cells of one running scheduler. A change holds at that scheduler until it ends,
-is restored, or reads a changed operator's file; make it at each of them, and in the
-file if it is to last.`,
+		Short: "Show the cells of a running scheduler, and move tenants between them",
+		Long: `Show the cells of one running scheduler, and move tenants between them. A change applies
+to that scheduler only, until the scheduler exits, the change is undone by restore, or a
+changed operator's file is loaded. Make a change at each scheduler, and also in the
+operator's file if it is to be permanent.`,
 		Args: cobra.NoArgs,
 	}
 	caller.addFlags(cmd)
@@ -33,11 +35,12 @@
 	return cmd
 }
 
+// newCellsShowCommand returns the command that prints the state of the cells.
 func newCellsShowCommand(caller *controlCaller) *cobra.Command {
 	asJSON := false
 	cmd := &cobra.Command{
 		Use:     "show",
-		Short:   "Print nodes, tenants and jobs of each cell",
+		Short:   "Print the workers, tenants and jobs of each cell",
 		Args:    cobra.NoArgs,
 		Example: `  foxlift cells show --socket /run/foxlift/control.sock --json`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -53,14 +56,15 @@
 			})
 		},
 	}
-	cmd.Flags().BoolVar(&asJSON, "json", false, "print JSON")
+	cmd.Flags().BoolVar(&asJSON, "json", false, "print JSON instead of tables")
 	return cmd
 }
 
+// newCellsMigrateCommand returns the command that moves a tenant to a cell.
 func newCellsMigrateCommand(caller *controlCaller) *cobra.Command {
 	return &cobra.Command{
 		Use:     "move TENANT CELL",
-		Short:   "Move a tenant: new and held jobs go over, claims finish where they are",
+		Short:   "Move a tenant with its new and queued jobs; attempts in flight finish in the old cell",
 		Args:    cobra.ExactArgs(2),
 		Example: `  foxlift cells move tenant-a east`,
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -71,10 +75,11 @@
 	}
 }
 
+// newCellsEvacuateCommand returns the command that moves all tenants out of a cell.
 func newCellsEvacuateCommand(caller *controlCaller) *cobra.Command {
 	return &cobra.Command{
 		Use:   "evacuate CELL",
-		Short: "Move every tenant out of a cell, for a release on its nodes",
+		Short: "Move all tenants out of a cell, for example before a release on its workers",
 		Args:  cobra.ExactArgs(1),
 		Example: `  foxlift cells evacuate isles
   foxlift cells show            # until "out" is 0
@@ -87,27 +92,28 @@
 	}
 }
 
+// newCellsRestoreCommand returns the command that undoes moves and evacuations.
 func newCellsRestoreCommand(caller *controlCaller) *cobra.Command {
 	var tenant, cell string
 	cmd := &cobra.Command{
 		Use:   "restore",
-		Short: "Put tenants back to where the file has them",
+		Short: "Move tenants back to their cells in the operator's file",
 		Args:  cobra.NoArgs,
 		Example: `  foxlift cells restore --tenant tenant-a
-  foxlift cells restore             # all of them`,
+  foxlift cells restore             # all tenants`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return caller.migrate(cmd, func(ctx context.Context, client controlpb.ControlClient) (*controlpb.Moved, error) {
 				return client.Restore(ctx, &controlpb.RestoreRequest{Tenant: tenant, Cell: cell})
 			})
 		},
 	}
-	cmd.Flags().StringVar(&tenant, "tenant", "", "this tenant alone")
-	cmd.Flags().StringVar(&cell, "cell", "", "the tenants of this cell alone")
+	cmd.Flags().StringVar(&tenant, "tenant", "", "restore only this tenant")
+	cmd.Flags().StringVar(&cell, "cell", "", "restore only the tenants of this cell")
 	cmd.MarkFlagsMutuallyExclusive("tenant", "cell")
 	return cmd
 }
 
-// migrate has the scheduler migrate tenants, and prints how many tenants and jobs that concerned.
+// migrate calls the scheduler to migrate tenants, and prints how many tenants and jobs the migration affects.
 func (c *controlCaller) migrate(
 	cmd *cobra.Command, do func(context.Context, controlpb.ControlClient) (*controlpb.Moved, error),
 ) error {
@@ -116,13 +122,13 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(cmd.OutOrStdout(), "tenants %d, held jobs gone over %d, jobs that finish where they are %d\n",
+		fmt.Fprintf(cmd.OutOrStdout(), "tenants %d, queued jobs moved %d, in-flight jobs that finish in the old cell %d\n",
 			migration.Tenants, migration.Held, migration.Out)
 		return nil
 	})
 }
 
-// printCells prints a table of cells, one of tenants and one of workers.
+// printCells prints three tables: cells, tenants and workers.
 func printCells(to io.Writer, reply *controlpb.CellsReply) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	printCellTable(w, reply)
@@ -131,6 +137,7 @@
 	return w.Flush()
 }
 
+// printCellTable prints one line for each cell.
 func printCellTable(w io.Writer, reply *controlpb.CellsReply) {
 	fmt.Fprintln(w, "CELL\tSTATE\tSHARE\tNODES\tOPEN\tBOUND\tOUT\tHELD\tSPILLED\tSERVED\tREFUSED\tFAILED\tSHUT")
 	for _, cell := range reply.Cells {
@@ -147,6 +154,7 @@
 	}
 }
 
+// printTenantTable prints one line for each tenant, and whether it is in the cell that the file assigns to it.
 func printTenantTable(w io.Writer, reply *controlpb.CellsReply) {
 	fmt.Fprintln(w, "\nTENANT\tCELL\tQUOTA\tPLACE")
 	for _, cell := range reply.Cells {
@@ -160,6 +168,7 @@
 	}
 }
 
+// printWorkerTable prints one line for each worker.
 func printWorkerTable(w io.Writer, reply *controlpb.CellsReply) {
 	fmt.Fprintln(w, "\nNODE\tCELL\tKIND\tZONE\tSTATE\tOUT\tOF OTHERS")
 	for _, cell := range reply.Cells {
--- a/cmd/foxlift/control.go
+++ b/cmd/foxlift/control.go
@@ -20,22 +20,24 @@
 	"github.com/vatu-meals/foxlift/internal/control/controlpb"
 )
 
-const callTimeout = 5 * time.Second // for the scheduler to answer
+const callTimeout = 5 * time.Second // limits how long a call to the scheduler may take
 
-// A controlCaller calls a running scheduler over its control socket, which flags name.
+// A controlCaller calls a running scheduler over its control socket. Flags set the path of the socket.
 type controlCaller struct {
 	socket   string // path of the control socket
-	operator string // path of the operator's file that names it
+	operator string // path of the operator's file, which has the path of the socket
 }
 
+// addFlags adds the flags that set the path of the control socket.
 func (c *controlCaller) addFlags(cmd *cobra.Command) {
 	flags := cmd.PersistentFlags()
 	flags.StringVar(&c.socket, "socket", os.Getenv("FOXLIFT_CONTROL"),
-		"the scheduler's control socket (FOXLIFT_CONTROL)")
-	flags.StringVar(&c.operator, "operator", "", "the operator's file that names the socket")
+		"path of the scheduler's control socket (FOXLIFT_CONTROL)")
+	flags.StringVar(&c.operator, "operator", "", "path of the operator's file, which names the control socket")
 }
 
-// call connects to the scheduler for one call.
+// call connects to the scheduler, runs do with the client, and closes the connection. Its errors have the message
+// of the scheduler without the gRPC code.
 func (c *controlCaller) call(ctx context.Context, do func(context.Context, controlpb.ControlClient) error) error {
 	socket, err := c.socketPath()
 	if err != nil {
@@ -45,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = closeClient() }() // the call has its answer
+	defer func() { _ = closeClient() }() // the call has already returned its result
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if err := do(ctx, client); err != nil {
@@ -54,7 +56,8 @@
 	return nil
 }
 
-// socketPath returns the path that a flag gives or, without one, that the operator's file has.
+// socketPath returns the path of the control socket: from the flag or, if that is not set, from the operator's file.
+// It is an error if neither has a path.
 func (c *controlCaller) socketPath() (string, error) {
 	if c.socket == "" && c.operator != "" {
 		path, err := config.ReadControlSocket(c.operator)
@@ -64,19 +67,19 @@
 		c.socket = path
 	}
 	if c.socket == "" {
-		return "", errors.New("--socket: not given; it is control.socket of the operator's file")
+		return "", errors.New("--socket: not set; use the path of control.socket in the operator's file")
 	}
 	return c.socket, nil
 }
 
-// printJSON prints a message as JSON.
+// printJSON prints a message as indented JSON.
 func printJSON(w io.Writer, message proto.Message) error {
 	text, err := protojson.MarshalOptions{EmitUnpopulated: true, UseProtoNames: true}.Marshal(message)
 	if err != nil {
 		return err
 	}
 	var indented bytes.Buffer
-	// protojson's own spacing differs from build to build.
+	// The text is indented again because the spacing of protojson differs between builds.
 	if err := json.Indent(&indented, text, "", "  "); err != nil {
 		return err
 	}
@@ -84,11 +87,12 @@
 	return err
 }
 
+// newStatusCommand returns the command that prints the status of a scheduler.
 func newStatusCommand() *cobra.Command {
 	caller := &controlCaller{}
 	cmd := &cobra.Command{
 		Use:     "status",
-		Short:   "Print what a running scheduler is and its counters, as JSON",
+		Short:   "Print the name, version, state and counters of a running scheduler as JSON",
 		Args:    cobra.NoArgs,
 		Example: `  foxlift status --socket /run/foxlift/control.sock`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
--- a/cmd/foxlift/control_test.go
+++ b/cmd/foxlift/control_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// command runs a command of foxlift's until it exits, and returns its output and exit code.
+// runCommand runs foxlift with arguments until it exits, and returns its output and exit code.
 func runCommand(t *testing.T, env []string, args ...string) (string, int) {
 	t.Helper()
 	cmd := newCommand(t, env...)
@@ -25,15 +25,16 @@
 	return string(out), cmd.ProcessState.ExitCode()
 }
 
-// check prints a line for each fault and exits with 1, or says that the configuration is sound.
+// The check command prints a line for each error and exits with code 1, or reports that the configuration is valid.
+// Other commands with invalid arguments exit with code 1 and print an error.
 func TestCheck(t *testing.T) {
 	env := []string{"LB_CONFIG=../../examples/config.json"}
 	out, code := runCommand(t, env, "check", "--operator", "../../deploy/operator.example.sexp")
-	if code != 0 || !strings.Contains(out, "sound: 2 cells") {
-		t.Errorf("%d: %s", code, out)
+	if code != 0 || !strings.Contains(out, "is valid: 2 cells") {
+		t.Errorf("check exits with %d: %s; want code 0 and 2 cells", code, out)
 	}
 	if out, code := runCommand(t, []string{"LB_CONFIG=../../examples/keyed.json"}, "check"); code != 0 {
-		t.Errorf("%d: %s", code, out)
+		t.Errorf("check without an operator's file exits with %d: %s; want code 0", code, out)
 	}
 	invalid := filepath.Join(t.TempDir(), "invalid.sexp")
 	text := "(foxlift (control (socket 7))\n (cells (cell a (share 9)) (cell a)))"
@@ -43,7 +44,7 @@
 	out, code = runCommand(t, env, "check", "--operator", invalid)
 	if code != 1 || strings.Count(out, invalid+":") != 3 ||
 		!strings.Contains(out, invalid+":2:24: cells.cell a.share: ") {
-		t.Errorf("%d: %s", code, out)
+		t.Errorf("check of an invalid file exits with %d: %s; want code 1 and 3 errors with positions", code, out)
 	}
 	for _, args := range [][]string{
 		{"serve", "--operator", invalid},
@@ -53,15 +54,15 @@
 		{"serve", "--log-format", "xml"},
 	} {
 		if out, code := runCommand(t, env, args...); code != 1 || out == "" {
-			t.Errorf("%v: %d: %s", args, code, out)
+			t.Errorf("%v exits with %d: %s; want code 1 and an error", args, code, out)
 		}
 	}
 	if out, code := runCommand(t, nil, "version"); code != 0 || !strings.HasPrefix(out, "foxlift ") {
-		t.Errorf("%d: %s", code, out)
+		t.Errorf("version exits with %d: %s; want code 0 and the version", code, out)
 	}
 }
 
-// The cells commands against a running scheduler.
+// The cells and status commands work against a running scheduler, and the control socket is removed at its exit.
 func TestCellsCommands(t *testing.T) {
 	dir := t.TempDir()
 	operator, socket := filepath.Join(dir, "o.sexp"), filepath.Join(dir, "c.sock")
@@ -79,37 +80,37 @@
 	p.Args = append(p.Args, "serve", "--operator", operator, "--log-format", "json")
 	p.start(t)
 	if !p.lines.Scan() || !json.Valid(p.lines.Bytes()) || !strings.Contains(p.lines.Text(), "listening for clients") {
-		t.Fatalf("first line %q", p.lines.Text())
+		t.Fatalf("first log line %q, want \"listening for clients\" as JSON", p.lines.Text())
 	}
-	do := func(want string, code int, args ...string) string {
+	expect := func(want string, code int, args ...string) string {
 		t.Helper()
 		out, got := runCommand(t, nil, append(append([]string{}, args...), "--socket", socket)...)
 		if got != code || !strings.Contains(out, want) {
-			t.Errorf("%v: %d, %s", args, got, out)
+			t.Errorf("%v exits with %d: %s; want code %d and %q", args, got, out, code, want)
 		}
 		return out
 	}
-	do("isles", 0, "cells", "show")
+	expect("isles", 0, "cells", "show")
 	var shown struct {
 		Cells []any `json:"cells"`
 	}
-	err := json.Unmarshal([]byte(do("", 0, "cells", "show", "--json")), &shown)
+	err := json.Unmarshal([]byte(expect("", 0, "cells", "show", "--json")), &shown)
 	if err != nil || len(shown.Cells) != 2 {
-		t.Errorf("%v: %v", shown, err)
+		t.Errorf("cells show --json = %v, error %v; want 2 cells", shown, err)
 	}
-	do("tenants 1, held jobs gone over 0", 0, "cells", "move", "islands", "north")
-	do("the tenant is in that cell already", 1, "cells", "move", "islands", "north")
-	do("there is no such cell", 1, "cells", "move", "islands", "east")
-	do("tenants 2", 0, "cells", "evacuate", "north")
-	do("evacuated", 0, "cells", "show")
-	do("tenants 1", 0, "cells", "restore") // the other one was migrated to its own cell
-	do(`"cells": true`, 0, "status")
+	expect("tenants 1, queued jobs moved 0", 0, "cells", "move", "islands", "north")
+	expect("the tenant is in that cell already", 1, "cells", "move", "islands", "north")
+	expect("there is no such cell", 1, "cells", "move", "islands", "east")
+	expect("tenants 2", 0, "cells", "evacuate", "north")
+	expect("evacuated", 0, "cells", "show")
+	expect("tenants 1", 0, "cells", "restore") // the other tenant was moved back to its own cell
+	expect(`"cells": true`, 0, "status")
 	if out, code := runCommand(t, nil, "cells", "show", "--operator", operator); code != 0 {
-		t.Errorf("by the operator's file: %d, %s", code, out)
+		t.Errorf("cells show --operator exits with %d: %s; want code 0", code, out)
 	}
 	p.signal(t, syscall.SIGTERM)
 	p.awaitExit(t)
 	if _, err := os.Lstat(socket); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("the socket exists after the exit: %v", err)
+		t.Errorf("Lstat of the control socket after the exit: error %v, want %v", err, os.ErrNotExist)
 	}
 }
--- a/cmd/foxlift/help_test.go
+++ b/cmd/foxlift/help_test.go
@@ -6,8 +6,9 @@
 	"github.com/vatu-meals/foxlift/internal/golden"
 )
 
-// TestHelp pins what each command says of itself: operators' scripts use its names and flags.
+// TestHelp compares the help text of each command with a golden file, since operators' scripts use the names of the
+// commands and flags.
 func TestHelp(t *testing.T) {
-	t.Setenv("FOXLIFT_CONTROL", "") // a flag's default
+	t.Setenv("FOXLIFT_CONTROL", "") // the default of a flag
 	golden.Check(t, "help.txt", golden.Help(t, newRootCommand))
 }
--- a/cmd/foxlift/main.go
+++ b/cmd/foxlift/main.go
@@ -1,8 +1,8 @@
-// Command foxlift is a job scheduler on the platform's protocol. See the README for its configuration.
+// Command foxlift is a job scheduler for the platform's protocol. See the README for its configuration.
 //
-// SIGUSR1 prints its counters, SIGHUP reloads its files, and SIGTERM and SIGINT shut it down once all
-// accepted jobs are answered. Its other commands check a configuration, and show and change a running
-// scheduler over its control socket.
+// The serve command, which is the default, runs a scheduler. SIGUSR1 prints the counters, SIGHUP reloads the
+// configuration files, and SIGTERM and SIGINT shut the scheduler down once all accepted jobs are answered. The other
+// commands check a configuration, and show and change a running scheduler over its control socket.
 package main
 
 import (
@@ -20,16 +20,16 @@
 	}
 }
 
-// newRootCommand returns the command line.
+// newRootCommand returns the root command with all subcommands. Without a subcommand it serves.
 func newRootCommand() *cobra.Command {
 	var options serveOptions
 	cmd := &cobra.Command{
 		Use:   "foxlift",
 		Short: "A job scheduler around a decision module",
-		Long: `foxlift takes jobs from submitters, decides for each whether to hold it, to send it
-to an execute node or to refuse it, and answers the submitter once.
+		Long: `foxlift accepts jobs from clients, decides whether to queue each job, to send it to a
+worker or to refuse it, and answers the client once.
 
-Without a command it serves with no operator's file, as "foxlift serve" does. The
+Without a command it serves like "foxlift serve" without an operator's file. The
 platform's configuration is in the file that LB_CONFIG names.`,
 		Example: `  LB_CONFIG=examples/config.json foxlift
   LB_CONFIG=examples/config.json foxlift serve --operator deploy/operator.example.sexp
@@ -43,13 +43,13 @@
 	options.addFlags(cmd)
 	serve := &cobra.Command{
 		Use:     "serve",
-		Short:   "Serve until SIGTERM",
+		Short:   "Serve clients until SIGTERM or SIGINT",
 		Example: `  LB_CONFIG=config.json foxlift serve --operator operator.sexp --log-format json`,
 		Args:    cobra.NoArgs,
 		RunE:    cmd.RunE,
 	}
 	options.addFlags(serve)
-	serve.Flags().StringVar(&options.operator, "operator", "", "the operator's file")
+	serve.Flags().StringVar(&options.operator, "operator", "", "path of the operator's file")
 	cmd.AddCommand(serve, newCheckCommand(), newCellsCommand(), newStatusCommand(), newVersionCommand())
 	return cmd
 }
--- a/cmd/foxlift/main_test.go
+++ b/cmd/foxlift/main_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// An invalid configuration is one line that names the key, and exit code 1.
+// With an invalid configuration the program prints one line that names the key, and exits with code 1.
 func TestInvalidConfiguration(t *testing.T) {
 	for key, c := range map[string][2]string{
 		"settings.grades[0].deadline": {`"deadline": 5000000000`, `"deadline": 0`},
@@ -25,18 +25,18 @@
 			t.Errorf("%s: %v, want exit code 1", key, err)
 		}
 		if !bytes.HasPrefix(out, []byte("foxlift: "+key+": ")) || bytes.Count(out, []byte("\n")) != 1 {
-			t.Errorf("%s: %q", key, out)
+			t.Errorf("output %q, want one line that begins with \"foxlift: %s: \"", out, key)
 		}
 	}
 }
 
-// The program starts with the example's configuration, serves its health, prints its counters on request
-// and at the shutdown, and exits with code 0.
+// The program starts with the example configuration, becomes healthy, prints its counters at SIGUSR1 and at the
+// shutdown, and exits with code 0.
 func TestStartAndShutdown(t *testing.T) {
 	p := newProcessWithEndpoints(t, endpoint("h", "127.0.0.1:1"))
 	c := dial(t, p.startServing(t))
-	// It is healthy once it has found that nobody listens at discovery's address: until then the cached
-	// list may be old.
+	// The program becomes healthy once a connection to discovery's address has been refused: until then the
+	// cached endpoint list may be out of date.
 	status := 0
 	for deadline := time.Now().Add(10 * time.Second); status != http.StatusOK && time.Now().Before(deadline); {
 		c.mustSend(t, healthRequest)
@@ -47,18 +47,18 @@
 		status = r.status
 	}
 	if status != http.StatusOK {
-		t.Errorf("health %d", status)
+		t.Errorf("health = %d, want %d", status, http.StatusOK)
 	}
 	p.expectReloads(t)
 	for _, s := range []os.Signal{syscall.SIGUSR1, syscall.SIGTERM} {
 		p.signal(t, s)
 		p.awaitLine(t, "accept.connections 1")
-		p.signal(t, syscall.SIGHUP) // a reload never ends it, not even during the shutdown
+		p.signal(t, syscall.SIGHUP) // a reload does not end the program, not even during the shutdown
 	}
 	p.awaitExit(t)
 }
 
-// expectReloads reloads a valid and an invalid configuration. Each writes one line.
+// expectReloads reloads a valid and an invalid configuration, and waits for the log line of each.
 func (p *process) expectReloads(t *testing.T) {
 	t.Helper()
 	text, err := os.ReadFile(p.config)
--- a/cmd/foxlift/process_test.go
+++ b/cmd/foxlift/process_test.go
@@ -16,10 +16,10 @@
 	"time"
 )
 
-// Variables for the test binary.
+// Environment variables for the test binary.
 const (
-	runAsFoxlift       = "FOXLIFT_TEST_MAIN"      // it runs as foxlift itself
-	lowDescriptorLimit = "FOXLIFT_TEST_FEW_FILES" // it may hold 256 descriptors
+	runAsFoxlift       = "FOXLIFT_TEST_MAIN"      // if set, the test binary runs as foxlift
+	lowDescriptorLimit = "FOXLIFT_TEST_FEW_FILES" // if set, it may open 256 file descriptors
 )
 
 const (
@@ -27,6 +27,7 @@
 	healthRequest = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"
 )
 
+// TestMain runs the tests, or foxlift itself if runAsFoxlift is set.
 func TestMain(m *testing.M) {
 	if os.Getenv(runAsFoxlift) == "" {
 		os.Exit(m.Run())
@@ -39,15 +40,15 @@
 	main()
 }
 
-// A process is a run of the program.
+// A process is a foxlift process that a test starts.
 type process struct {
 	*exec.Cmd
-	config string // path of the configuration
-	lines  *bufio.Scanner
+	config string         // path of the configuration file
+	lines  *bufio.Scanner // lines of its standard error
 }
 
-// newProcess returns the program, not yet started, with the example's configuration in which one text is
-// replaced by another.
+// newProcess returns a process that is not yet started. Its configuration is the example with one text replaced by
+// another.
 func newProcess(t *testing.T, old, replacement string) *process {
 	t.Helper()
 	text, err := os.ReadFile("../../examples/config.json")
@@ -67,7 +68,7 @@
 	}
 }
 
-// newCommand returns the program, not yet started, without arguments. It is killed at the test's end.
+// newCommand returns a command that runs foxlift without arguments. It is killed at the end of the test.
 func newCommand(t *testing.T, env ...string) *exec.Cmd {
 	t.Helper()
 	cmd := exec.CommandContext(t.Context(), os.Args[0])
@@ -76,18 +77,18 @@
 	return cmd
 }
 
-// newProcessWithEndpoints returns the program, not yet started, with entries in the cached endpoint list.
+// newProcessWithEndpoints returns a process that is not yet started, with entries in the cached endpoint list.
 func newProcessWithEndpoints(t *testing.T, entries ...string) *process {
 	t.Helper()
 	return newProcess(t, `"known": null`, `"known": {"seq":1,"hosts":[`+strings.Join(entries, ",")+`]}`)
 }
 
-// endpoint returns the entry of an active worker.
+// endpoint returns the entry of an active worker in an endpoint list.
 func endpoint(name, address string) string {
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"health":"active"}`, name, address)
 }
 
-// start starts the program.
+// start starts the process and begins to read its standard error.
 func (p *process) start(t *testing.T) {
 	t.Helper()
 	stderr, err := p.StderrPipe()
@@ -97,11 +98,11 @@
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = p.Wait() }) // fails where the test has waited
+	t.Cleanup(func() { _ = p.Wait() }) // returns an error if the test has already waited
 	p.lines = bufio.NewScanner(stderr)
 }
 
-// startServing starts the program and returns the address on which it serves clients.
+// startServing starts the process and returns the address on which it serves clients.
 func (p *process) startServing(t *testing.T) (address string) {
 	t.Helper()
 	p.start(t)
@@ -110,7 +111,7 @@
 	return address
 }
 
-// awaitLine reads what the program writes up to a line with a text, and returns that line.
+// awaitLine reads the output of the process up to a line that contains text, and returns that line.
 func (p *process) awaitLine(t *testing.T, text string) string {
 	t.Helper()
 	for p.lines.Scan() {
@@ -118,10 +119,11 @@
 			return p.lines.Text()
 		}
 	}
-	t.Fatalf("it never writes %q", text)
+	t.Fatalf("the output ended without a line that contains %q", text)
 	return ""
 }
 
+// signal sends a signal to the process, unless it has exited.
 func (p *process) signal(t *testing.T, signal os.Signal) {
 	t.Helper()
 	if err := p.Process.Signal(signal); err != nil && !errors.Is(err, os.ErrProcessDone) {
@@ -129,17 +131,17 @@
 	}
 }
 
-// awaitExit waits until the program exits, which it must with code 0.
+// awaitExit waits until the process exits, and checks that its exit code is 0.
 func (p *process) awaitExit(t *testing.T) {
 	t.Helper()
 	for p.lines.Scan() {
 	}
 	if err := p.Wait(); err != nil {
-		t.Errorf("it exits with %v", err)
+		t.Errorf("the process exited with %v, want code 0", err)
 	}
 }
 
-// listen listens on a free address until the test's end.
+// listen listens on a free address until the end of the test.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	var config net.ListenConfig
@@ -151,13 +153,13 @@
 	return l
 }
 
-// A connection is a client's connection to the program.
+// A connection is a client's connection to the process.
 type connection struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-// dial opens a connection, which is closed at the test's end and may be used for some time.
+// dial opens a connection with a deadline of testTimeout. It is closed at the end of the test.
 func dial(t *testing.T, address string) *connection {
 	t.Helper()
 	var dialer net.Dialer
@@ -170,12 +172,13 @@
 	return &connection{c, bufio.NewReader(c)}
 }
 
-// send sends a text.
+// send writes a text to the connection.
 func (c *connection) send(text string) error {
 	_, err := io.WriteString(c, text)
 	return err
 }
 
+// mustSend is send; an error fails the test.
 func (c *connection) mustSend(t *testing.T, text string) {
 	t.Helper()
 	if err := c.send(text); err != nil {
@@ -183,14 +186,14 @@
 	}
 }
 
-// A response is what the program has answered.
+// A response is an HTTP response of the process.
 type response struct {
 	status  int
-	closes  bool  // it closes the connection
-	bodyErr error // the body was not complete
+	closes  bool  // the response closes the connection
+	bodyErr error // error of reading the body; nil if the body is complete
 }
 
-// receive reads the next response. The error says that there is none.
+// receive reads the next response. It returns an error if there is none.
 func (c *connection) receive() (response, error) {
 	r, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
--- a/cmd/foxlift/serve.go
+++ b/cmd/foxlift/serve.go
@@ -15,21 +15,22 @@
 	"github.com/vatu-meals/foxlift/internal/logging"
 )
 
-// serveOptions are what the flags of serve say.
+// serveOptions holds the values of the flags of serve.
 type serveOptions struct {
 	operator  string // path of the operator's file; "" if there is none
 	logFormat string
 	logLevel  string
 }
 
+// addFlags adds the flags for logging.
 func (o *serveOptions) addFlags(cmd *cobra.Command) {
-	cmd.Flags().StringVar(&o.logFormat, "log-format", "console", "how log lines are written: console or json")
-	cmd.Flags().StringVar(&o.logLevel, "log-level", "info", "which are written: debug, info, warn or error")
+	cmd.Flags().StringVar(&o.logFormat, "log-format", "console", "format of the log: console or json")
+	cmd.Flags().StringVar(&o.logLevel, "log-level", "info", "minimum level of the log: debug, info, warn or error")
 	completeFlag(cmd, "log-format", logging.Formats)
 	completeFlag(cmd, "log-level", logging.Levels)
 }
 
-// completeFlag lets the shell complete the values of a flag.
+// completeFlag registers the values of a flag for shell completion.
 func completeFlag(cmd *cobra.Command, flag string, values []string) {
 	complete := cobra.FixedCompletions(values, cobra.ShellCompDirectiveNoFileComp)
 	if err := cmd.RegisterFlagCompletionFunc(flag, complete); err != nil {
@@ -37,12 +38,13 @@
 	}
 }
 
-// signals each have a channel of their own, so that none is lost while another one is handled.
+// signals has one channel for each kind of signal, so that no signal is lost while another one is handled.
 type signals struct {
 	shutdown, reload, print chan os.Signal
 }
 
-// notifySignals begins to receive signals. A reload that is requested before the start is done after it.
+// receiveSignals starts to receive signals. It is called before the start of the scheduler, so that a reload that is
+// requested during the start runs after it.
 func receiveSignals() signals {
 	s := signals{
 		shutdown: make(chan os.Signal, 1),
@@ -55,8 +57,8 @@
 	return s
 }
 
-// limitMemory limits the Go heap to half of what the process may use. The rest is for stacks, the
-// kernel's part and what the runtime does not count.
+// limitMemory sets the memory limit of the Go runtime to half of the bytes that the process may use. The rest is for
+// stacks, kernel memory and memory that the runtime does not count.
 func limitMemory(bytes int64) { debug.SetMemoryLimit(bytes / 2) }
 
 // serve runs a scheduler until a signal shuts it down.
@@ -66,7 +68,7 @@
 	if err != nil {
 		return err
 	}
-	runtime.GOMAXPROCS(1) // a scheduler has one core
+	runtime.GOMAXPROCS(1) // a scheduler runs on one core
 	d, err := daemon.Start(ctx, daemon.Options{
 		Getenv:       os.Getenv,
 		OperatorPath: o.operator,
@@ -88,8 +90,8 @@
 	return nil
 }
 
-// handleSignals returns when a signal requests the shutdown, or with the error for which the scheduler
-// cannot serve.
+// handleSignals handles signals until one requests the shutdown. It returns an error if the scheduler can no longer
+// serve.
 func handleSignals(ctx context.Context, d *daemon.Daemon, received signals, log *zap.Logger) error {
 	for {
 		select {
@@ -105,6 +107,7 @@
 	}
 }
 
+// reload reloads the configuration, and counts and logs the result.
 func reload(ctx context.Context, d *daemon.Daemon, log *zap.Logger) {
 	if err := d.Reload(ctx); err != nil {
 		d.Counters.Add("reloads.faulty")
--- a/cmd/foxlift/shutdown_test.go
+++ b/cmd/foxlift/shutdown_test.go
@@ -14,8 +14,8 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// serveEndpoints answers each poll at a listener with a list of one worker, once up is closed; until then
-// it closes each connection.
+// serveEndpoints is a discovery service on a listener. Until up is closed it closes each connection; then it answers
+// each poll with a list of one worker.
 func serveEndpoints(l net.Listener, worker string, up <-chan struct{}) {
 	for {
 		c, err := l.Accept()
@@ -31,6 +31,7 @@
 	}
 }
 
+// answerPolls answers each poll on a connection with a list of one worker.
 func answerPolls(c net.Conn, worker string) {
 	defer c.Close()
 	body := `{"seq":2,"whole":true,"hosts":[` + endpoint("h", worker) + `]}`
@@ -42,8 +43,8 @@
 	}
 }
 
-// Idle clients hold every descriptor that clients may have while discovery is down: when it is back it is
-// polled all the same, and the worker that it names gets its job.
+// While discovery is down, idle clients use all descriptors that clients may use. When discovery is back, the
+// scheduler still has descriptors to poll it and to connect to the worker in its list.
 func TestIdleClientsExhaustDescriptors(t *testing.T) {
 	worker := standin.Serve(listen(t), func(c net.Conn, _ *http.Request, id string) bool {
 		return standin.WriteStates(c, id, true, `"started"`, `"done","result":"served"`)
@@ -54,7 +55,7 @@
 	p.Env = append(p.Env, lowDescriptorLimit+"=1", "LB_DISCOVERY="+discovery.Addr().String())
 	address := p.startServing(t)
 	go p.discardLines()
-	for range 400 { // more than it may hold
+	for range 400 { // more connections than descriptors
 		dial(t, address)
 	}
 	close(up)
@@ -72,26 +73,26 @@
 	}
 	for deadline := time.Now().Add(testTimeout); request(healthRequest) != http.StatusOK; {
 		if time.Now().After(deadline) {
-			t.Fatal("not ready after discovery is back")
+			t.Fatalf("health is not %d within %v after discovery is back", http.StatusOK, testTimeout)
 		}
 	}
 	if status := request(jobText("reading", "j", "9000m")); status != http.StatusOK {
-		t.Errorf("a job gets %d", status)
+		t.Errorf("status of a job = %d, want %d", status, http.StatusOK)
 	}
 }
 
-// discardLines reads what the program writes, so that it is not held up by a full pipe.
+// discardLines reads the output of the process, so that a full pipe does not block it.
 func (p *process) discardLines() {
 	for p.lines.Scan() {
 	}
 }
 
-// Signals during a shutdown: SIGHUP and more SIGTERMs, with a job at a worker that hangs, half a head, and
-// a client that sends on its connection as long as that stays open. Each complete request has a complete
-// answer or was never accepted, and the program exits with code 0.
+// Signals during a shutdown do not disturb it. The process receives SIGHUP, SIGUSR1 and further SIGTERMs while a job
+// is at a worker that hangs, a client has sent half a request header, and another client keeps sending requests.
+// Each complete request has a complete response or was never accepted, and the process exits with code 0.
 func TestSignalsDuringShutdown(t *testing.T) {
 	worker := standin.Serve(listen(t), func(c net.Conn, _ *http.Request, _ string) bool {
-		_, _ = io.Copy(io.Discard, c) // it hangs until the scheduler closes the connection
+		_, _ = io.Copy(io.Discard, c) // the worker hangs until the scheduler closes the connection
 		return false
 	})
 	p := newProcessWithEndpoints(t, endpoint("h", worker.Addr().String()))
@@ -108,11 +109,11 @@
 		p.signal(t, s)
 	}
 	if answered := busy.requestUntilClosed(t); answered == 0 {
-		t.Error("no request is answered during the shutdown")
+		t.Error("requestUntilClosed() = 0 during the shutdown, want at least 1 answered request")
 	}
 	r, err := hanging.receive()
 	if err != nil || r.status != http.StatusBadGateway {
-		t.Errorf("the job at the hanging worker: %v, %v", r, err)
+		t.Errorf("response to the job at the hanging worker: %v, %v, want status %d", r, err, http.StatusBadGateway)
 	}
 	p.awaitExit(t)
 }
@@ -130,7 +131,7 @@
 			return answered
 		}
 		if r.bodyErr != nil {
-			t.Errorf("half an answer: %v", r.bodyErr)
+			t.Errorf("incomplete body of a health response: %v", r.bodyErr)
 		}
 		answered++
 		if r.closes {
--- a/cmd/foxlift/version.go
+++ b/cmd/foxlift/version.go
@@ -7,7 +7,7 @@
 	"github.com/spf13/cobra"
 )
 
-// versionText returns the version of the module, of the source and of Go.
+// versionText returns the versions of the module, of the source revision, if known, and of Go.
 func versionText() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -22,6 +22,7 @@
 	return text + " " + info.GoVersion
 }
 
+// newVersionCommand returns the command that prints the version.
 func newVersionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
