--- a/cmd/foxlift-sim/main.go
+++ b/cmd/foxlift-sim/main.go
@@ -91,7 +91,7 @@
 	return r.longLine, err
 }
 
-// begin starts the reply to a batch.
+// beginReply starts the reply to a batch.
 func (h *host) beginReply(batch wire.Batch) {
 	h.now = batch.Now
 	h.reply = append(h.reply[:0], `{"batch":`...)
@@ -100,7 +100,7 @@
 	h.prefixLength = len(h.reply)
 }
 
-// separate appends a comma before all actions but the first.
+// appendSeparator appends a comma before all actions but the first.
 func (h *host) appendSeparator() {
 	if len(h.reply) > h.prefixLength {
 		h.reply = append(h.reply, ',')
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,6 @@
 // Package admin serves the operators' address: readiness, metrics, and requests to take the scheduler out of service
-// and back. It speaks HTTP/1.1 with one request per connection. A 2xx response means ready or done, a 4xx or 5xx one the
-// opposite. A Server owns its listener and the goroutine that serves it.
+// and back. It speaks HTTP/1.1 with one request per connection. A 2xx response means ready or done, a 4xx or 5xx one
+// the opposite. A Server owns its listener and the goroutine that serves it.
 package admin
 
 import (
@@ -97,7 +97,7 @@
 	<-s.served
 }
 
-// An endpoint is the only method of a path, with its handler.
+// A route is the only method of a path, with its handler.
 type route struct {
 	method string
 	handle http.HandlerFunc
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -17,7 +17,7 @@
 
 const connTimeout = 20 * time.Second
 
-// state is a scheduler that only notes what it is told.
+// fakeScheduler is a scheduler that only notes what it is told.
 type fakeScheduler struct {
 	ready    atomic.Bool
 	quiesces atomic.Int32
@@ -57,7 +57,7 @@
 	return conn
 }
 
-// call writes a text on a connection of its own and returns the answer's status; 0 if there is none.
+// sendRequest writes a text on a connection of its own and returns the answer's status; 0 if there is none.
 func sendRequest(t *testing.T, address, text string) (status int, closed bool) {
 	t.Helper()
 	conn := dial(t, address, text)
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -117,7 +117,7 @@
 	return c.Conn.Close()
 }
 
-// unlistLocked removes the connection from those that may be closed to make room for another.
+// removePendingLocked removes the connection from those that may be closed to make room for another.
 func (c *boundedConn) removePendingLocked() {
 	if c.element != nil {
 		c.listener.pending.Remove(c.element)
--- a/internal/platform/client_capacity.go
+++ b/internal/platform/client_capacity.go
@@ -42,7 +42,7 @@
 	return stopping
 }
 
-// freeOne frees capacity for at least one connection.
+// freeOneConn frees capacity for at least one connection.
 func (s *clientServer) freeOneConn() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/platform/client_conn.go
+++ b/internal/platform/client_conn.go
@@ -171,7 +171,7 @@
 	return c.writeReply(c.formatAnswer(answer), req.Close || mustClose || overCellLimit)
 }
 
-// run passes a job to the core and waits for its answer. mustClose reports that the connection must be closed after
+// runJob passes a job to the core and waits for its answer. mustClose reports that the connection must be closed after
 // the answer: the client has disconnected, or has sent too much data meanwhile.
 func (c *clientConn) runJob(job *core.Job) (answer core.Answer, mustClose bool) {
 	disconnected, flooded := false, false
--- a/internal/platform/fuzz_requests_test.go
+++ b/internal/platform/fuzz_requests_test.go
@@ -22,7 +22,7 @@
 // bytes, played by a native target (go test -fuzz) and, from fixed seeds, by every
 // plain go test.
 
-// cut splits data at the given offsets, in order.
+// splitAt splits data at the given offsets, in order.
 func splitAt(data []byte, at ...int) (parts [][]byte) {
 	last := 0
 	for _, i := range at {
@@ -49,7 +49,7 @@
 	return &clientConn{server: server, conn: conn, buf: readBuffer{conn: conn}, openedAt: time.Now()}, conn
 }
 
-// readAll reads requests as a connection's goroutine does, without serving them.
+// readRequests reads requests as a connection's goroutine does, without serving them.
 func readRequests(parts [][]byte) (r parsedRequests) {
 	client, conn := newMemClient(parts)
 	for {
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -18,7 +18,7 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// varying are the parts of a text that differ from run to run.
+// variableParts are the parts of a text that differ from run to run.
 var variableParts = []struct {
 	pattern *regexp.Regexp
 	text    string
@@ -75,7 +75,7 @@
 	return n, err
 }
 
-// drain returns what was read since the last call.
+// takeRead returns what was read since the last call.
 func (l *recordedListener) takeRead() []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -117,7 +117,7 @@
 	return startWithSockets(t, 256, discovery, workers...)
 }
 
-// startWith runs a scheduler whose list names these workers. Without a discovery of the test's, calls to it are
+// startWithSockets runs a scheduler whose list names these workers. Without a discovery of the test's, calls to it are
 // refused.
 func startWithSockets(t *testing.T, sockets int, discovery string, workers ...*testWorker) (*Platform, *counters.Set) {
 	return startWithSettings(t, testSettings, sockets, discovery, workers...)
--- a/internal/platform/job_request.go
+++ b/internal/platform/job_request.go
@@ -64,7 +64,7 @@
 	}, nil
 }
 
-// isToken reports whether s is not empty and holds only visible ASCII characters, as the headers sent to workers
+// isVisibleASCII reports whether s is not empty and holds only visible ASCII characters, as the headers sent to workers
 // require.
 func isVisibleASCII(s string) bool {
 	return s != "" && !strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r > '~' })
--- a/internal/platform/rfc9112_test.go
+++ b/internal/platform/rfc9112_test.go
@@ -37,7 +37,7 @@
 	return true
 }
 
-// line takes a line off data at offset at; a lone LF ends one too (RFC 9112, 2.2 lets
+// readLine takes a line off data at offset at; a lone LF ends one too (RFC 9112, 2.2 lets
 // a recipient recognise it).
 func readLine(data []byte, at int) (text string, next int, ok bool) {
 	i := bytes.IndexByte(data[at:], '\n')
--- a/internal/wire/decode_endpoints.go
+++ b/internal/wire/decode_endpoints.go
@@ -22,7 +22,7 @@
 	"live": foxlift.Live, "quiescing": foxlift.Draining, "dead": foxlift.Removed,
 }
 
-// endpoints decodes ["registry", schedulerId, scope, version, items].
+// decodeEndpoints decodes ["registry", schedulerId, scope, version, items].
 func (d *Decoder) decodeEndpoints(names *NameTables, fields []*fastjson.Value) error {
 	scope, err := readString(fields[2], "scope")
 	if err != nil {
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// endpoint decodes [worker, zone, kind, block, stageState, _, cameUp].
+// decodeEndpoint decodes [worker, zone, kind, block, stageState, _, cameUp].
 func (n *NameTables) decodeEndpoint(v *fastjson.Value) (worker foxlift.Worker, err error) {
 	fields, err := readArray(v, "entry")
 	if err != nil {
@@ -106,7 +106,7 @@
 	return interned
 }
 
-// workerID decodes a worker ID.
+// decodeWorkerID decodes a worker ID.
 func (n *NameTables) decodeWorkerID(v *fastjson.Value) (string, error) {
 	id, err := readString(v, "worker")
 	if err != nil {
--- a/internal/wire/decode_events.go
+++ b/internal/wire/decode_events.go
@@ -26,7 +26,7 @@
 // progressKindStarted is the kind of an "interim" message that reports the start of a job.
 const progressKindStarted = 1
 
-// request decodes ["accept", schedulerId, xid, deadline, cls, item, hint, slots, stateBits, tenant, mem].
+// decodeRequest decodes ["accept", schedulerId, xid, deadline, cls, item, hint, slots, stateBits, tenant, mem].
 func (d *Decoder) decodeRequest(names *NameTables, fields []*fastjson.Value) (err error) {
 	event := &d.event
 	event.Kind = foxlift.EventRequest
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// affinityKey decodes the affinity key of a request; 0 if it has none.
+// decodeAffinityKey decodes the affinity key of a request; 0 if it has none.
 func decodeAffinityKey(v *fastjson.Value) (uint64, error) {
 	if isAbsent(v) {
 		return 0, nil
@@ -85,7 +85,7 @@
 	return config.ParseAffinityKey(key), err
 }
 
-// attemptOf decodes the request ID, worker and number of the attempt that an event refers to.
+// decodeAttempt decodes the request ID, worker and number of the attempt that an event refers to.
 func (d *Decoder) decodeAttempt(names *NameTables, xid, worker, attempt *fastjson.Value) (err error) {
 	if d.event.ID, err = readUint(xid, "xid"); err != nil {
 		return err
@@ -98,7 +98,7 @@
 	return err
 }
 
-// progress decodes ["interim", schedulerId, xid, share, kind, worker, go].
+// decodeProgress decodes ["interim", schedulerId, xid, share, kind, worker, go].
 func (d *Decoder) decodeProgress(names *NameTables, fields []*fastjson.Value) error {
 	kind, err := readInt(fields[4], "kind")
 	if err != nil {
@@ -111,7 +111,7 @@
 	return d.decodeAttempt(names, fields[2], fields[5], fields[6])
 }
 
-// outcome decodes ["completed", schedulerId, xid, worker, took, noMore, go, rc, _, feedback].
+// decodeOutcome decodes ["completed", schedulerId, xid, worker, took, noMore, go, rc, _, feedback].
 func (d *Decoder) decodeOutcome(names *NameTables, fields []*fastjson.Value) (err error) {
 	event := &d.event
 	event.Kind = foxlift.EventOutcome
@@ -130,7 +130,7 @@
 	return d.decodeLoadReport(fields[9])
 }
 
-// healthChecked decodes ["probeDone", schedulerId, worker, rc, took, feedback].
+// decodeHealthCheck decodes ["probeDone", schedulerId, worker, rc, took, feedback].
 func (d *Decoder) decodeHealthCheck(names *NameTables, fields []*fastjson.Value) (err error) {
 	event := &d.event
 	event.Kind = foxlift.EventHealthChecked
@@ -146,7 +146,7 @@
 	return d.decodeLoadReport(fields[5])
 }
 
-// peerMessage decodes ["neighbourSays", schedulerId, src, content].
+// decodePeerMessage decodes ["neighbourSays", schedulerId, src, content].
 func (d *Decoder) decodePeerMessage(fields []*fastjson.Value) error {
 	from, err := readInt(fields[2], "src")
 	if err != nil {
@@ -164,7 +164,7 @@
 	return nil
 }
 
-// loadReport decodes a worker's load report, if there is one. Values beyond foxlift.MaxGauges are ignored.
+// decodeLoadReport decodes a worker's load report, if there is one. Values beyond foxlift.MaxGauges are ignored.
 func (d *Decoder) decodeLoadReport(v *fastjson.Value) error {
 	if isAbsent(v) {
 		return nil
@@ -185,7 +185,7 @@
 	return nil
 }
 
-// outcomeCode decodes the code of an outcome or a health check.
+// decodeCode decodes the code of an outcome or a health check.
 func decodeCode(v *fastjson.Value) (foxlift.Code, error) {
 	code, err := readInt(v, "rc")
 	if err != nil {
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -7,7 +7,7 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// Append appends an action of an instance, encoded as a JSON message of the simulator.
+// AppendAction appends an action of an instance, encoded as a JSON message of the simulator.
 func AppendAction(b []byte, instance string, action *foxlift.Action) []byte {
 	begin := func(name string) {
 		b = append(b, `["`...)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -7,7 +7,7 @@
 	"github.com/vatu-meals/foxlift/internal/config"
 )
 
-// Settings parses the settings of an instance. It returns the configuration of its dispatcher and its name tables.
+// ParseSettings parses the settings of an instance. It returns the configuration of its dispatcher and its name tables.
 func ParseSettings(instance string, v *fastjson.Value) (*foxlift.Config, *NameTables, error) {
 	settings, err := config.ParseSettings(v.MarshalTo(nil))
 	if err != nil {
--- a/internal/wire/values.go
+++ b/internal/wire/values.go
@@ -6,7 +6,7 @@
 	"github.com/valyala/fastjson"
 )
 
-// absent reports whether a value is missing or null.
+// isAbsent reports whether a value is missing or null.
 func isAbsent(v *fastjson.Value) bool { return v == nil || v.Type() == fastjson.TypeNull }
 
 // The read functions below return one value of a message. Their errors contain the name of the value.
@@ -43,7 +43,7 @@
 	return 0, fmt.Errorf("%s is not a whole number", name)
 }
 
-// optionalNumber returns a number; 0 if it is absent.
+// readOptionalNumber returns a number, or 0 if it is absent.
 func readOptionalNumber(v *fastjson.Value, name string) (float64, error) {
 	if isAbsent(v) {
 		return 0, nil
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -23,7 +23,7 @@
 	Event(n *NameTables, ev *foxlift.Event) error
 }
 
-// Names hold the tables that map the names in the messages of one instance to indexes and interned strings.
+// NameTables holds the tables that map the names in the messages of one instance to indexes and interned strings.
 type NameTables struct {
 	Instance string
 	Owner    any // for the handler's own use
@@ -75,7 +75,7 @@
 	return b, nil
 }
 
-// message decodes one message, an array of its name, the instance and further values, and passes it to h.
+// decodeMessage decodes one message, an array of its name, the instance and further values, and passes it to h.
 func (d *Decoder) decodeMessage(value *fastjson.Value, h Handler) error {
 	fields, err := readArray(value, "message")
 	if err != nil {
