--- a/internal/platform/client_conn_test.go
+++ b/internal/platform/client_conn_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// A job reaches the worker unchanged, is answered with the worker's result, and both connections serve the next.
+// A job must reach the worker unchanged and be answered with the worker's result. Both connections must serve a second
+// job.
 func TestJobServed(t *testing.T) {
 	var seen [2]string
 	worker := newTestWorker(t, func(c net.Conn, r *http.Request, id string) bool {
@@ -30,21 +31,22 @@
 		client.send(t, text)
 		if i == 1 {
 			if r, _, err := readAnswer(client.br); err != nil || r.StatusCode != http.StatusContinue {
-				t.Fatal("no word to go on")
+				t.Fatalf("answer to Expect: 100-continue: %+v, error %v; want status 100", r, err)
 			}
 		}
 		r, body := client.answer(t)
 		check(t, "status", r.StatusCode, http.StatusOK)
 		check(t, "result", body, fmt.Sprintf("for j%d", i))
 	}
-	check(t, "first", seen[0], "POST /reading?user=7f3a9c21e0b4d655 j0 ab reading true")
-	check(t, "second", seen[1], "POST /reading?user=7f3a9c21e0b4d655 j1 abc reading true")
+	check(t, "first request at the worker", seen[0], "POST /reading?user=7f3a9c21e0b4d655 j0 ab reading true")
+	check(t, "second request at the worker", seen[1], "POST /reading?user=7f3a9c21e0b4d655 j1 abc reading true")
 	check(t, "connections to the worker", worker.ConnCount.Load(), int64(1))
 	check(t, "jobs taken", set.Get("jobs.taken"), int64(2))
 	check(t, "jobs served", set.Get("jobs.served"), int64(2))
 }
 
-// Invalid input gets a plain 4xx, never a 503, is counted, and reaches no worker.
+// Invalid input must be answered with a 4xx status, never a 503, must be counted, and must not reach a worker. The
+// connection stays open only if the end of the request is known.
 func TestInvalidInput(t *testing.T) {
 	worker := newTestWorker(t, serveJob)
 	p, set := start(t, "", worker)
@@ -93,36 +95,37 @@
 		s, before := connect(t, p), set.Get(c.counter)
 		resp, _ := s.request(t, c.text)
 		check(t, name+": status", resp.StatusCode, c.status)
-		check(t, name+": ends", resp.Close, !c.keepsOpen)
+		check(t, name+": closes the connection", resp.Close, !c.keepsOpen)
 		if c.counter != "" {
-			check(t, name+": counted", set.Get(c.counter), before+1)
+			check(t, name+": counter "+c.counter, set.Get(c.counter), before+1)
 		}
 		if c.keepsOpen {
 			resp, _ = s.request(t, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
-			check(t, name+": next", resp.StatusCode, 200)
+			check(t, name+": status of the next request", resp.StatusCode, 200)
 		}
 	}
 	check(t, "requests at the worker", worker.RequestCount.Load(), int64(0))
 }
 
-// An id that is in use is invalid input; the job that has it goes on.
+// A job with the ID of a job in flight must be rejected as invalid input, and the job in flight must be served.
 func TestRepeatedID(t *testing.T) {
 	release := make(chan bool)
 	worker := newTestWorker(t, func(c net.Conn, r *http.Request, id string) bool { <-release; return serveJob(c, r, id) })
 	p, _ := start(t, "", worker)
 	first, second := connect(t, p), connect(t, p)
 	first.send(t, jobText("ratify", "j", "9000m", ""))
-	await(t, "at the worker", func() bool { return worker.RequestCount.Load() == 1 })
+	await(t, "job at the worker", func() bool { return worker.RequestCount.Load() == 1 })
 	r, _ := second.request(t, jobText("ratify", "j", "9000m", ""))
-	check(t, "repeat", r.StatusCode, 400)
+	check(t, "status of the repeated ID", r.StatusCode, 400)
 	second.Close()
 	close(release)
 	r, _ = first.answer(t)
-	check(t, "first", r.StatusCode, 200)
+	check(t, "status of the first job", r.StatusCode, 200)
 	check(t, "requests at the worker", worker.RequestCount.Load(), int64(1))
 }
 
-// When a client disconnects, its job is withdrawn: the connection to the worker is closed.
+// When a client disconnects, its job must be cancelled by closing the connection to the worker. Otherwise the worker
+// goes on with a job that nobody waits for.
 func TestClientDisconnects(t *testing.T) {
 	closed := make(chan bool, 1)
 	worker := newTestWorker(t, func(c net.Conn, _ *http.Request, _ string) bool {
@@ -138,34 +141,37 @@
 	select {
 	case <-closed:
 	case <-time.After(waitTimeout):
-		t.Fatal("the claim goes on")
+		t.Fatalf("connection to the worker is still open %v after the client disconnected", waitTimeout)
 	}
-	await(t, "counted", func() bool { return set.Get("jobs.left") == 1 && set.Get("claims.cancelled") == 1 })
+	await(t, "counters jobs.left and claims.cancelled are 1", func() bool {
+		return set.Get("jobs.left") == 1 && set.Get("claims.cancelled") == 1
+	})
 }
 
-// Retry-After is in seconds, as a decimal.
+// Retry-After must be formatted as decimal seconds.
 func TestRetryAfterFormat(t *testing.T) {
 	for d, want := range map[time.Duration]string{1500 * time.Millisecond: "1.500", 50 * time.Millisecond: "0.050"} {
 		check(t, "Retry-After", formatRetryAfter(d), want)
 	}
 }
 
-// A client that sends half a request gets an answer before long, and one that sends nothing is cut off.
+// A client that sends half a request must be answered with 408 after requestTimeout, and the connection of a client
+// that sends nothing must be closed. Otherwise such clients occupy descriptors.
 func TestIncompleteRequests(t *testing.T) {
 	p, set := start(t, "", newTestWorker(t, serveJob))
 	silent, incomplete := connect(t, p), connect(t, p)
 	incomplete.send(t, jobText("reading", "j0", "9000m", "abc")[:60])
 	r, _ := incomplete.answer(t)
-	check(t, "half a request", r.StatusCode, http.StatusRequestTimeout)
+	check(t, "status of half a request", r.StatusCode, http.StatusRequestTimeout)
 	if _, err := silent.br.ReadByte(); err != io.EOF {
-		t.Errorf("the silent connection: %v", err)
+		t.Errorf("read on the silent connection returned error %v, want %v", err, io.EOF)
 	}
-	check(t, "silent", set.Get("bad.silent"), int64(1))
-	check(t, "taken", set.Get("jobs.taken"), int64(0))
+	check(t, "counter bad.silent", set.Get("bad.silent"), int64(1))
+	check(t, "counter jobs.taken", set.Get("jobs.taken"), int64(0))
 }
 
-// A body that is too long is rejected before it has come, and the answer arrives though the other side has sent
-// some of it.
+// A request with a too long body must be rejected before the body has arrived. The answer must reach the client
+// although part of the body is unread, which would reset the connection if it were closed at once.
 func TestLongBodyRejectedUnread(t *testing.T) {
 	p, _ := start(t, "", newTestWorker(t, serveJob))
 	s := connect(t, p)
@@ -174,28 +180,35 @@
 	check(t, "status", r.StatusCode, 413)
 }
 
-// A request that crosses the close of an idle connection is read and answered.
+// A request that the client sends while the scheduler closes the idle connection must be read and answered.
 func TestRequestCrossesIdleClose(t *testing.T) {
 	p, _ := start(t, "", newTestWorker(t, serveJob))
 	p.clients.lateRequestGrace = waitTimeout
 	s := connect(t, p)
 	s.request(t, jobText("reading", "j0", "9000m", ""))
-	await(t, "idle", func() bool { p.clients.mu.Lock(); defer p.clients.mu.Unlock(); return p.clients.idle.Len() == 1 })
+	await(t, "one idle connection", func() bool {
+		p.clients.mu.Lock()
+		defer p.clients.mu.Unlock()
+		return p.clients.idle.Len() == 1
+	})
 	p.clients.freeOneConn()
 	r, _ := s.request(t, jobText("reading", "j1", "9000m", ""))
 	check(t, "status", r.StatusCode, 200)
-	check(t, "ends its connection", r.Close, true)
+	check(t, "closes the connection", r.Close, true)
 }
 
-// The disconnect of a client that sends a flood is noticed though none of the flood is accepted.
+// The disconnect of a client must be detected even if the client has sent a flood of requests before it. The flood must
+// not be accepted.
 func TestFloodThenDisconnect(t *testing.T) {
 	worker := newTestWorker(t, neverAnswers)
 	p, set := start(t, "", worker)
 	s := connect(t, p)
 	s.send(t, jobText("ratify", "j", "19000m", ""))
 	await(t, "at the worker", func() bool { return worker.RequestCount.Load() == 1 })
-	s.send(t, strings.Repeat(jobText("ratify", "more", "19000m", ""), 3000)) // past every buffer on the way
+	s.send(t, strings.Repeat(jobText("ratify", "more", "19000m", ""), 3000)) // more than all buffers between them hold
 	s.Close()
-	await(t, "noticed", func() bool { return set.Get("jobs.left") == 1 && set.Get("claims.cancelled") == 1 })
-	check(t, "taken", set.Get("jobs.taken"), int64(1))
+	await(t, "counters jobs.left and claims.cancelled are 1", func() bool {
+		return set.Get("jobs.left") == 1 && set.Get("claims.cancelled") == 1
+	})
+	check(t, "counter jobs.taken", set.Get("jobs.taken"), int64(1))
 }
--- a/internal/platform/client_server_test.go
+++ b/internal/platform/client_server_test.go
@@ -15,7 +15,7 @@
 	"github.com/vatu-meals/foxlift/internal/counters"
 )
 
-// A failingListener fails as one does that is out of descriptors.
+// A failingListener's first calls of Accept fail as if the process were out of descriptors.
 type failingListener struct {
 	*net.TCPListener
 	failures int
@@ -28,7 +28,7 @@
 	return f.TCPListener.Accept()
 }
 
-// Running out of descriptors does not end accepting.
+// accept must go on after Accept has failed because the process was out of descriptors.
 func TestAcceptSurvivesErrors(t *testing.T) {
 	p, _ := start(t, "", newTestWorker(t, serveJob))
 	set := &counters.Set{}
@@ -40,7 +40,7 @@
 	check(t, "failed accepts", set.Get("accept.failed"), int64(3))
 }
 
-// Past the budget the longest idle connection is closed, a busy one is not.
+// When the budget is used up, the longest idle connection must be closed for a new one, and not a busy one.
 func TestClientConnBudget(t *testing.T) {
 	p, _ := start(t, "", newTestWorker(t, serveJob))
 	server := newClientServer(p.core, core.NewClock(), &counters.Set{}, zap.NewNop(), listen(t).(*net.TCPListener), 2)
@@ -51,16 +51,17 @@
 	idle := connect(t, platform)
 	idle.request(t, jobText("reading", "j1", "9000m", ""))
 	r, _ := connect(t, platform).request(t, jobText("reading", "j2", "9000m", ""))
-	check(t, "third", r.StatusCode, 200)
+	check(t, "status on the third connection", r.StatusCode, 200)
 	if _, err := idle.br.ReadByte(); err != io.EOF {
-		t.Errorf("the idle connection: %v", err)
+		t.Errorf("read on the idle connection returned error %v, want %v", err, io.EOF)
 	}
 	busy.send(t, jobText("reading", "j0", "9000m", "abc")[60:])
 	r, _ = busy.answer(t)
 	check(t, "busy", r.StatusCode, 200)
 }
 
-// A flood of connections that bring no job does not cost other clients theirs.
+// A flood of connections with no job, half a request or one job must not close the connections of other clients, nor
+// keep new clients out.
 func TestFloodOfConnections(t *testing.T) {
 	p, _ := start(t, "", newTestWorker(t, serveJob))
 	server := newClientServer(p.core, core.NewClock(), &counters.Set{}, zap.NewNop(), listen(t).(*net.TCPListener), 20)
@@ -75,28 +76,28 @@
 		switch i % 3 {
 		case 0:
 			s.send(t, "POST /reading HTTP/1.1\r\n")
-		case 1: // asks once and stays
+		case 1: // sends one job and keeps the connection open
 			s.send(t, jobText("reading", fmt.Sprint("f", i), "9000m", ""))
 		}
 		flood = append(flood, s)
 	}
 	r, _ := connect(t, platform).request(t, jobText("reading", "j1", "9000m", ""))
-	check(t, "a new connection", r.StatusCode, 200)
+	check(t, "status on a new connection", r.StatusCode, 200)
 	r, _ = regular.request(t, jobText("reading", "j2", "9000m", ""))
-	check(t, "the kept connection", r.StatusCode, 200)
-	check(t, "goes on", r.Close, false)
+	check(t, "status on the regular connection", r.StatusCode, 200)
+	check(t, "regular connection closes", r.Close, false)
 	for _, s := range flood {
 		s.Close()
 	}
 }
 
-// A flood of connections that brought one job each and stay is closed all at once: a client behind it must not
-// wait for one batch of closes after the other.
+// All idle connections of a flood that have sent one job each must be closed at once. Closed in batches, they would
+// make a client behind the flood wait for one batch after another.
 func TestFloodFreesCapacityAtOnce(t *testing.T) {
 	const budget = 20
 	p, _ := start(t, "", newTestWorker(t, serveJob))
 	server := newClientServer(p.core, core.NewClock(), &counters.Set{}, zap.NewNop(), listen(t).(*net.TCPListener), budget)
-	server.lateRequestGrace = waitTimeout // none of them is gone before the count
+	server.lateRequestGrace = waitTimeout // no connection is closed before the count
 	go server.accept()
 	platform := &Platform{clients: server}
 	regular := connect(t, platform)
@@ -119,14 +120,19 @@
 		}
 		return oneJob, moreJobs
 	}
-	await(t, "all idle", func() bool { server.mu.Lock(); defer server.mu.Unlock(); return server.idle.Len() == flood+1 })
+	await(t, "all connections idle", func() bool {
+		server.mu.Lock()
+		defer server.mu.Unlock()
+		return server.idle.Len() == flood+1
+	})
 	server.freeOneConn()
 	oneJob, moreJobs := retired()
-	check(t, "connections of one job that make way", oneJob, flood)
-	check(t, "connections of more jobs that make way", moreJobs, 0)
+	check(t, "retired connections with one job", oneJob, flood)
+	check(t, "retired connections with more jobs", moreJobs, 0)
 }
 
-// The backlog at the shutdown is served: the kernel has accepted it.
+// Connections in the backlog at the shutdown must be served: the kernel has accepted them, so their requests would be
+// lost.
 func TestBacklogIsServed(t *testing.T) {
 	p, _ := start(t, "", newTestWorker(t, serveJob))
 	server := newClientServer(p.core, core.NewClock(), &counters.Set{}, zap.NewNop(), listen(t).(*net.TCPListener), 1)
@@ -134,7 +140,7 @@
 	busy := connect(t, platform)
 	busy.send(t, jobText("reading", "j0", "9000m", "abc")[:60])
 	go server.accept()
-	await(t, "accepted", func() bool {
+	await(t, "one accepted connection", func() bool {
 		server.mu.Lock()
 		defer server.mu.Unlock()
 		return len(server.conns) == 1 && server.idle.Len() == 0
@@ -153,15 +159,15 @@
 	}
 	busy.send(t, jobText("reading", "j0", "9000m", "abc")[60:])
 	r, _ := busy.answer(t)
-	check(t, "busy", r.StatusCode, 200)
+	check(t, "status on the busy connection", r.StatusCode, 200)
 	<-ended
 }
 
-// More clients than there are descriptors for: what cannot be queued is shed at once, and no request stays
-// unread until its client gives up.
+// With more clients than descriptors, jobs that cannot be queued must be shed at once. No request may stay unread until
+// its client times out.
 func TestMoreJobsThanDescriptors(t *testing.T) {
 	release := make(chan bool)
-	var atWorkers sync.Map // ids; other tests' schedulers may still call at a port that was theirs
+	var atWorkers sync.Map // job IDs; schedulers of earlier tests may still send to a reused port
 	handle := func(c net.Conn, r *http.Request, id string) bool {
 		writeStates(c, id, false, `"started"`)
 		atWorkers.Store(id, true)
@@ -169,7 +175,7 @@
 		return false
 	}
 	var workers []*testWorker
-	for range 12 { // enough for none to be held
+	for range 12 { // enough workers that no job is queued
 		workers = append(workers, newTestWorker(t, handle))
 	}
 	p, set := startWithSockets(t, 80, "", workers...)
@@ -182,15 +188,15 @@
 			return ok
 		}
 		s.send(t, jobText("ratify", id, "19000m", ""))
-		// At a worker a job that must not run twice stays open. One that is still queued, where
-		// starts are reported late, may be shed: it never ran.
-		await(t, "at a worker or shed", func() bool { return atWorker() || set.Get("jobs.refused") > shed })
+		// An at-most-once job at a worker stays open. A job that is still queued, because starts are reported late,
+		// may be shed, since it has not run.
+		await(t, "job at a worker or shed", func() bool { return atWorker() || set.Get("jobs.refused") > shed })
 		if atWorker() {
 			held = append(held, s)
 			continue
 		}
 		r, _ := s.answer(t)
-		check(t, "held, then refused", r.StatusCode, 503)
+		check(t, "status of a queued and shed job", r.StatusCode, 503)
 	}
 	refused, refusedBefore := 0, set.Get("jobs.refused")
 	for i := range p.clients.budget + 20 - len(held) {
@@ -201,8 +207,8 @@
 		check(t, "Retry-After", r.Header.Get("Retry-After"), "1.000")
 		refused++
 	}
-	check(t, "refused", set.Get("jobs.too_many"), int64(refused))
-	check(t, "all of them", set.Get("jobs.refused")-refusedBefore, int64(refused))
+	check(t, "counter jobs.too_many", set.Get("jobs.too_many"), int64(refused))
+	check(t, "increase of counter jobs.refused", set.Get("jobs.refused")-refusedBefore, int64(refused))
 	close(release)
 	for _, s := range held {
 		s.answer(t)
--- a/internal/platform/drain_test.go
+++ b/internal/platform/drain_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// A drain turns the health at once, ends idle connections and those whose job is answered, loses no job, and
-// leaves the listener open; resume undoes it.
+// A drain must fail health checks at once, close idle connections and those whose job has been answered, lose no job
+// and keep the listener open. Resume must undo it.
 func TestDrain(t *testing.T) {
 	release := make(chan struct{})
 	serve := func(c net.Conn, r *http.Request, id string) bool {
@@ -23,27 +23,27 @@
 	idle.send(t, jobText("reading", "before", "5000m", ""))
 	idle.answer(t)
 	busy.send(t, jobText("ratify", "slow", "20000m", ""))
-	await(t, "a claim", func() bool { return set.Get("claims.written") == 2 })
+	await(t, "second job sent to a worker", func() bool { return set.Get("claims.written") == 2 })
 
 	p.Quiesce()
 	p.Quiesce()
 	check(t, "ready", p.Ready(), false)
-	check(t, "health", healthStatus(t, p), http.StatusServiceUnavailable)
+	check(t, "status of a health check", healthStatus(t, p), http.StatusServiceUnavailable)
 	idle.SetReadDeadline(time.Now().Add(waitTimeout))
 	if _, err := idle.br.ReadByte(); err != io.EOF {
-		t.Errorf("the resting connection: %v, want its end", err)
+		t.Errorf("read on the idle connection returned error %v, want %v", err, io.EOF)
 	}
 	late := connect(t, p)
 	late.send(t, jobText("reading", "late", "5000m", ""))
 	r, _ := late.answer(t)
-	check(t, "status of a job in the drain", r.StatusCode, http.StatusOK)
-	check(t, "its connection ends", r.Close, true)
+	check(t, "status of a job sent during the drain", r.StatusCode, http.StatusOK)
+	check(t, "its connection closes", r.Close, true)
 	close(release)
 	r, body := busy.answer(t)
-	check(t, "status of the job at work", r.StatusCode, http.StatusOK)
+	check(t, "status of the job in flight", r.StatusCode, http.StatusOK)
 	check(t, "its result", body, "for slow")
-	check(t, "its connection ends", r.Close, true)
-	await(t, "no connection", func() bool {
+	check(t, "its connection closes", r.Close, true)
+	await(t, "all connections closed", func() bool {
 		p.clients.mu.Lock()
 		defer p.clients.mu.Unlock()
 		return len(p.clients.conns) == 0
@@ -51,17 +51,17 @@
 
 	p.Resume()
 	p.Resume()
-	check(t, "ready again", p.Ready(), true)
-	check(t, "health again", healthStatus(t, p), http.StatusOK)
+	check(t, "ready after resume", p.Ready(), true)
+	check(t, "status of a health check after resume", healthStatus(t, p), http.StatusOK)
 	again := connect(t, p)
 	again.send(t, jobText("reading", "again", "5000m", ""))
 	r, _ = again.answer(t)
-	check(t, "the connection goes on", r.Close, false)
-	check(t, "drains begun", set.Get("drains.begun"), int64(1))
-	check(t, "drains ended", set.Get("drains.ended"), int64(1))
+	check(t, "connection closes after resume", r.Close, false)
+	check(t, "counter drains.begun", set.Get("drains.begun"), int64(1))
+	check(t, "counter drains.ended", set.Get("drains.ended"), int64(1))
 }
 
-// Resume right after quiesce keeps the connections that have not been closed yet.
+// Resume right after quiesce must keep open the connections that have not been closed yet.
 func TestResumeRightAfterQuiesce(t *testing.T) {
 	p, _ := start(t, "", newTestWorker(t, serveJob))
 	s := connect(t, p)
@@ -72,10 +72,10 @@
 	s.send(t, jobText("reading", "b", "5000m", ""))
 	r, _ := s.answer(t)
 	check(t, "status", r.StatusCode, http.StatusOK)
-	check(t, "the connection goes on", r.Close, false)
+	check(t, "connection closes", r.Close, false)
 }
 
-// A resume does not undo a shutdown.
+// Resume during a shutdown must not make the scheduler ready again.
 func TestResumeDuringShutdown(t *testing.T) {
 	p, _ := start(t, "", newTestWorker(t, serveJob))
 	p.Quiesce()
@@ -84,19 +84,20 @@
 		p.ShutDown()
 		close(done)
 	}()
-	await(t, "ending", p.clients.unready.Load)
+	await(t, "shutdown begun", p.clients.unready.Load)
 	p.Resume()
 	check(t, "ready", p.Ready(), false)
 	<-done
 }
 
-// A request that stops half way in a drain is rejected: it was never accepted.
+// A request that is incomplete when the drain's read timeout expires must be rejected with 503: it was not accepted, so
+// the client can safely retry it.
 func TestHalfRequestInDrain(t *testing.T) {
 	p, _ := start(t, "", newTestWorker(t, serveJob))
 	s := connect(t, p)
 	text := jobText("reading", "half", "5000m", "body")
 	s.send(t, text[:len(text)-1])
-	await(t, "the request has begun", func() bool {
+	await(t, "first bytes of the request read", func() bool {
 		p.clients.mu.Lock()
 		defer p.clients.mu.Unlock()
 		for c := range p.clients.conns {
@@ -107,9 +108,10 @@
 	p.Quiesce()
 	r, _ := s.answer(t)
 	check(t, "status", r.StatusCode, http.StatusServiceUnavailable)
-	check(t, "its connection ends", r.Close, true)
+	check(t, "its connection closes", r.Close, true)
 }
 
+// healthStatus returns the status of a health check on a new connection.
 func healthStatus(t *testing.T, p *Platform) int {
 	t.Helper()
 	r, _ := connect(t, p).request(t, "GET "+pathHealth+" HTTP/1.1\r\nHost: app.svc\r\nConnection: close\r\n\r\n")
--- a/internal/platform/fuzz_memconn_test.go
+++ b/internal/platform/fuzz_memconn_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// A memConn is a connection whose other side has written these parts, and ended.
+// A memConn is an in-memory connection. Each Read returns bytes of one part, and io.EOF follows the last part.
 type memConn struct {
-	net.Conn // nil: nothing else is called
+	net.Conn // nil; methods that are not defined below are not called
 	parts    [][]byte
 	read     int
 	written  bytes.Buffer
--- a/internal/platform/fuzz_requests_test.go
+++ b/internal/platform/fuzz_requests_test.go
@@ -18,11 +18,10 @@
 	"github.com/vatu-meals/foxlift/internal/fuzz"
 )
 
-// Every parser of the platform's side is fuzzed here. Each property is a function of
-// bytes, played by a native target (go test -fuzz) and, from fixed seeds, by every
-// plain go test.
+// The fuzz tests of this package check one property of a parser each, as a function of the input bytes. A native fuzz
+// target runs it with go test -fuzz; a plain go test runs it with inputs from fixed seeds.
 
-// splitAt splits data at the given offsets, in order.
+// splitAt splits data at the given offsets, which must be in ascending order.
 func splitAt(data []byte, at ...int) (parts [][]byte) {
 	last := 0
 	for _, i := range at {
@@ -34,22 +33,23 @@
 	return append(parts, bytes.Clone(data[last:]))
 }
 
-// parsedRequests is what the client side makes of a connection's bytes.
+// parsedRequests holds the requests that the client side parsed from the bytes of a connection.
 type parsedRequests struct {
 	requests    []framedRequest
-	jobs        []string // of each request: the job, or what is wrong with it
+	jobs        []string // of each request: the fields of its job, or the status and counter of its error
 	headers     []string
-	end         string // how the connection's reading ended
-	maxBuffered int    // the largest that the buffer became
+	end         string // why the reading of the connection ended
+	maxBuffered int    // largest size of the buffer, in bytes
 }
 
+// newMemClient returns a client connection that reads the given parts.
 func newMemClient(parts [][]byte) (*clientConn, *memConn) {
 	conn := &memConn{parts: parts}
 	server := newClientServer(nil, core.NewClock(), &counters.Set{}, zap.NewNop(), nil, 8)
 	return &clientConn{server: server, conn: conn, buf: readBuffer{conn: conn}, openedAt: time.Now()}, conn
 }
 
-// readRequests reads requests as a connection's goroutine does, without serving them.
+// readRequests reads all requests from the parts as the goroutine of a connection does, without serving them.
 func readRequests(parts [][]byte) (r parsedRequests) {
 	client, conn := newMemClient(parts)
 	for {
@@ -69,7 +69,7 @@
 			return r
 		}
 		r.requests = append(r.requests, framedRequest{req.Method, req.RequestURI, body, conn.read - client.buf.buffered()})
-		r.headers = append(r.headers, fmt.Sprint(req.Header)) // in the order of names
+		r.headers = append(r.headers, fmt.Sprint(req.Header)) // fmt sorts the names
 		job, err := parseJob(req, body)
 		if errors.As(err, &input) {
 			r.jobs = append(r.jobs, fmt.Sprint(input.status, " ", input.counter))
@@ -93,8 +93,8 @@
 	return b.String() + r.end
 }
 
-// checkRequests compares the client side's reading with the rules of RFC 9112, with net/http's, and with its own
-// when the bytes come in other pieces.
+// checkRequests compares the requests that the client side parses with those by the rules of RFC 9112, with those of
+// net/http, and with its own when the bytes arrive in other pieces.
 func checkRequests(t testing.TB, data []byte) {
 	got := readRequests(splitAt(data))
 	offset := 0
@@ -102,12 +102,12 @@
 		want, complete, valid := frameRequest(data, offset)
 		if !complete || !valid || want.length != q.length || want.method != q.method || want.target != q.target ||
 			!bytes.Equal(want.body, q.body) {
-			t.Fatalf("request %d at %d of %q:\nthe client side reads %s\nthe rules %+v, whole %v, sound %v", i, offset, data,
+			t.Fatalf("request %d at %d of %q:\nthe client side reads %s\nthe rules %+v, complete %v, valid %v", i, offset, data,
 				got, want, complete, valid)
 		}
 		r, err := http.ReadRequest(newByteReader(data[offset:]))
 		if err != nil {
-			t.Fatalf("request %d at %d of %q: net/http says %v", i, offset, data, err)
+			t.Fatalf("request %d at %d of %q: http.ReadRequest() returned error %v, want none", i, offset, data, err)
 		}
 		if body, err := io.ReadAll(r.Body); err != nil || !bytes.Equal(body, q.body) || r.RequestURI != q.target {
 			t.Fatalf("request %d at %d of %q: net/http reads %q %q, %v", i, offset, data, r.RequestURI, body, err)
@@ -119,11 +119,12 @@
 	}
 	if got.end == "broken off" {
 		if want, complete, valid := frameRequest(data, offset); complete && valid && want.length-offset < maxHeadBytes {
-			t.Fatalf("%q: whole by the rules, %+v; the client side reads %s", data, want, got)
+			t.Fatalf("%q: complete by the rules, %+v; the client side reads %s", data, want, got)
 		}
 	}
 	if got.maxBuffered > 2*(maxHeadBytes+3*maxBodyBytes) {
-		t.Fatalf("%d bytes are held for %d", got.maxBuffered, len(data))
+		t.Fatalf("buffer has %d bytes for %d bytes of input, want at most %d", got.maxBuffered, len(data),
+			2*(maxHeadBytes+3*maxBodyBytes))
 	}
 	rng := rand.New(rand.NewPCG(uint64(len(data)), 5))
 	splitOffsets := [][]int{everyOffset(len(data))}
@@ -137,6 +138,7 @@
 	}
 }
 
+// everyOffset returns the offsets 0 to n-1.
 func everyOffset(n int) (at []int) {
 	for i := range n {
 		at = append(at, i)
@@ -144,7 +146,7 @@
 	return at
 }
 
-// requestSeeds are valid and invalid requests, those of past findings among them.
+// requestSeeds returns valid and invalid requests, including those of past findings.
 func requestSeeds() (seeds [][]byte) {
 	add := func(s ...string) {
 		for _, x := range s {
@@ -170,7 +172,7 @@
 		"GET / HTTP/1.1\nHost: x\n\n",
 		"POST /a/../b?user=%zz HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n",
 		"hello\r\n\r\n", "GET / HTTP/2.0\r\n\r\n", "GET / HTTP/1.1 \r\n\r\n")
-	// More than a buffer begins with.
+	// More bytes than the initial size of a buffer.
 	add(strings.Replace(chunked, "1.1", "1.0", 1)+"3\r\nabc\r\n0\r\n\r\n", strings.Repeat(jobText(r, "j", m, "body"), 14))
 	for _, length := range []string{
 		"+5", "-1", "0x5", "5, 5", "5 5", "", "1e1", "99999999999999999999",
@@ -196,8 +198,8 @@
 
 func TestFuzzRequests(t *testing.T) { fuzz.Run(t, 1, 4000, requestSeeds(), checkRequests) }
 
-// Every message of both sides, cut at every byte boundary, and the short ones at every
-// pair of boundaries: the outcome is that of the whole.
+// The outcome of parsing a request or a worker's answer must not depend on how its bytes are split into reads. Every
+// message is split at every byte boundary, and a short one also at every pair of boundaries.
 func TestEverySplit(t *testing.T) {
 	const short = 150
 	for _, data := range requestSeeds() {
@@ -221,7 +223,7 @@
 			return fmt.Sprint(r.Code, string(r.Result))
 		}
 		want := outcome(splitAt(data))
-		for i := 0; i < len(data); i += 1 + len(data)/2000 { // the longest ones at 2,000 places
+		for i := 0; i < len(data); i += 1 + len(data)/2000 { // long messages at about 2,000 offsets
 			if got := outcome(splitAt(data, i)); got != want {
 				t.Fatalf("%.300q cut at %d: %s, whole %s", data, i, got, want)
 			}
--- a/internal/platform/fuzz_values_test.go
+++ b/internal/platform/fuzz_values_test.go
@@ -9,27 +9,28 @@
 	"github.com/vatu-meals/foxlift/internal/fuzz"
 )
 
-// checkValues holds the small parsers of header values to their ranges.
+// checkValues checks that the parsers of header values return values in their ranges only, and that no input makes them
+// panic.
 func checkValues(t testing.TB, data []byte) {
 	s := string(data)
 	if d, err := parseRemaining(s); err == nil {
 		if d < 0 {
-			t.Fatalf("%q is %v", s, d)
+			t.Fatalf("parseRemaining(%q) = %v, want 0 or more", s, d)
 		}
 		again, err := parseRemaining(formatRemaining(d))
 		if err != nil || again != d.Truncate(time.Microsecond) && d < time.Hour {
-			t.Fatalf("%q is %v, printed and read %v, %v", s, d, again, err)
+			t.Fatalf("parseRemaining(%q) = %v; formatted and parsed again it is %v, error %v", s, d, again, err)
 		}
 	}
 	if slots, memory, err := parseLabels(s); err == nil {
 		for _, x := range []float64{slots, memory} {
 			if !(x >= 0) || x > 1e308 {
-				t.Fatalf("%q: %v and %v", s, slots, memory)
+				t.Fatalf("parseLabels(%q) = %v, %v, want values from 0 to 1e308", s, slots, memory)
 			}
 		}
 	}
 	if isVisibleASCII(s) && strings.ContainsAny(s, " \r\n\x00\x7f") {
-		t.Fatalf("%q is a token", s)
+		t.Fatalf("isVisibleASCII(%q) = true, want false", s)
 	}
 	for _, parse := range []func(string, []string) (loadGauges, error){
 		parseLoad, func(s string, names []string) (loadGauges, error) { return parseLoadObject([]byte(s), names) },
@@ -37,7 +38,7 @@
 		if l, err := parse(s, []string{"a", "b"}); err == nil {
 			for _, x := range l {
 				if !(x >= 0 && x <= maxGaugeValue) {
-					t.Fatalf("%q: %v", s, l)
+					t.Fatalf("load report %q parsed as %v, want values from 0 to %v", s, l, maxGaugeValue)
 				}
 			}
 		}
@@ -47,6 +48,7 @@
 	config.ParseAffinityKey(data)
 }
 
+// valueSeeds returns valid and invalid header values.
 func valueSeeds() (seeds [][]byte) {
 	for _, s := range []string{
 		"480m", "480000u", "1e400m", "0x10m", "-1m", ".m", "1.5m", "99999999999999999999m", "NaNm", "m", "",
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -28,10 +28,10 @@
 	{regexp.MustCompile(`wait=\d{4}`), "wait=<four digits>"},
 }
 
-// A transcript is what has been said on connections, one after another, in a form that can be read.
+// A transcript records the bytes sent on connections, in a readable form.
 type transcript struct{ text strings.Builder }
 
-// add writes down some bytes; the ends of lines and what is not printable are shown.
+// add appends data under a title. Line ends and unprintable bytes are written as escapes.
 func (tr *transcript) add(title string, data []byte) {
 	text := string(data)
 	for _, v := range variableParts {
@@ -45,7 +45,7 @@
 	}
 }
 
-// A recordedListener keeps what its connections read.
+// A recordedListener records the bytes that its connections read.
 type recordedListener struct {
 	net.Listener
 	mu   sync.Mutex
@@ -75,7 +75,7 @@
 	return n, err
 }
 
-// takeRead returns what was read since the last call.
+// takeRead returns the bytes read since the last call.
 func (l *recordedListener) takeRead() []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,7 +84,7 @@
 	return read
 }
 
-// TestBytesToWorkers pins the requests that execute nodes get: jobs and probes.
+// TestBytesToWorkers checks the bytes of the requests to workers, jobs and health checks, against a golden file.
 func TestBytesToWorkers(t *testing.T) {
 	t.Parallel()
 	var recorded transcript
@@ -115,7 +115,7 @@
 	golden.Check(t, "to-nodes.txt", []byte(recorded.text.String()))
 }
 
-// TestBytesToDiscovery pins the calls that discovery gets.
+// TestBytesToDiscovery checks the bytes of the requests to discovery against a golden file.
 func TestBytesToDiscovery(t *testing.T) {
 	t.Parallel()
 	var recorded transcript
@@ -141,10 +141,10 @@
 	golden.Check(t, "to-discovery.txt", []byte(recorded.text.String()))
 }
 
-// An exchange is what a client sends on a connection of its own.
+// An exchange is a request that a client sends on its own connection, and its title in the transcript.
 type exchange struct{ title, request string }
 
-// answered returns the answer to a request, byte for byte.
+// answered sends a request on a new connection and returns the bytes of the answer.
 func answered(t *testing.T, p *Platform, request string) []byte {
 	t.Helper()
 	s := connect(t, p)
@@ -167,7 +167,7 @@
 	}
 }
 
-// TestBytesToClients pins the answers that submitters get.
+// TestBytesToClients checks the bytes of the answers to clients against a golden file.
 func TestBytesToClients(t *testing.T) {
 	t.Parallel()
 	var recorded transcript
@@ -233,7 +233,7 @@
 	}
 }
 
-// TestDatagramBytes pins the datagram around a message to another scheduler.
+// TestDatagramBytes checks the bytes of the datagram that carries a message to a peer.
 func TestDatagramBytes(t *testing.T) {
 	const (
 		sent = 1_700_000_000_123_456 // microseconds
@@ -242,11 +242,11 @@
 	datagram := encodeDatagram(sent, []byte("foxlift"))
 	check(t, "datagram", fmt.Sprintf("%x", datagram), want)
 	data, err := (&peerReceiver{}).decode(sent, datagram)
-	check(t, "read", string(data), "foxlift")
-	check(t, "error", err, error(nil))
+	check(t, "decoded message", string(data), "foxlift")
+	check(t, "decode() error", err, error(nil))
 }
 
-// TestEndpointSnapshotBytes pins the form in which a list is kept.
+// TestEndpointSnapshotBytes checks the bytes of an endpoint list in a snapshot.
 func TestEndpointSnapshotBytes(t *testing.T) {
 	const saved = `{"seq":8,"whole":true,"hosts":[` +
 		`{"host":"n1","dial":"10.0.0.1:3000","site":"a","class":"k","block":1,"health":"active","born_ms":5},` +
@@ -257,8 +257,8 @@
 	}
 	watch.answered = true
 	snapshot, known := watch.snapshot()
-	check(t, "told", known, true)
-	check(t, "list", string(snapshot.Endpoints), saved)
+	check(t, "snapshot() found an endpoint list", known, true)
+	check(t, "endpoint list", string(snapshot.Endpoints), saved)
 	check(t, "version", snapshot.Version, int64(8))
 	check(t, "discovery", snapshot.Discovery, "10.0.0.9:8500")
 }
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -19,6 +19,7 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
+// check reports an error if got differs from want.
 func check(t *testing.T, what string, got, want any) {
 	t.Helper()
 	if got != want {
@@ -47,8 +48,9 @@
 	return c.(*net.TCPConn), o.(*net.TCPConn)
 }
 
-const waitTimeout = 20 * time.Second // for what must happen, on any machine
+const waitTimeout = 20 * time.Second // for conditions that must come true on any machine, also a slow one
 
+// testSettings is a deployment with an idempotent and an at-most-once class.
 const testSettings = `{"balancers":1,"discovery":"subscribe","dcs":["a"],"zone":"a","flavors":["k"],
  "grades":[{"name":"reading","aim":500000000,"deadline":20000000000,"effect":"idempotent","gain":1},
   {"name":"ratify","aim":2000000000,"deadline":20000000000,"effect":"at_most_once","gain":5}],
@@ -57,15 +59,16 @@
   "connIdle":30000000000,"connectTimeout":5000000000,"maxOpen":1000},
  "familyInfo":{"tellsStart":true},"obligations":{"graceToAnswer":8000000,"mustAskIn":400000000}}`
 
-// A testWorker is a worker whose answers a test writes.
+// A testWorker is a worker whose answers are written by a test.
 type testWorker = standin.Server
 
-// newTestWorker serves each request, read in full, with handle, which returns whether the connection goes on.
+// newTestWorker starts a worker that calls handle for each request, after reading it completely. handle returns whether
+// the connection stays open.
 func newTestWorker(t *testing.T, handle standin.Handler) *testWorker {
 	return standin.Serve(listen(t), handle)
 }
 
-// dial opens a connection, which ends with the test.
+// dial opens a connection that is closed at the end of the test.
 func dial(t *testing.T, addr net.Addr) net.Conn {
 	t.Helper()
 	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", addr.String())
@@ -76,6 +79,7 @@
 	return c
 }
 
+// listen opens a listener on a free port that is closed at the end of the test.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -88,18 +92,21 @@
 
 var writeStates = standin.WriteStates
 
+// serveJob answers a job with the states started, running and done.
 func serveJob(c net.Conn, _ *http.Request, id string) bool {
 	return writeStates(c, id, true, `"started"`, `"running","share":0.5`, `"done","result":"for `+id+`"`)
 }
 
+// closeWithoutAnswer is a handler that closes the connection.
 func closeWithoutAnswer(net.Conn, *http.Request, string) bool { return false }
 
+// neverAnswers is a handler that waits until the other side closes the connection.
 func neverAnswers(c net.Conn, _ *http.Request, _ string) bool {
-	_, _ = io.Copy(io.Discard, c) // until the other side closes
+	_, _ = io.Copy(io.Discard, c)
 	return false
 }
 
-// endpointsJSON writes an endpoint list of these workers, all live.
+// endpointsJSON returns an endpoint list of the workers, all active.
 func endpointsJSON(seq int, whole bool, workers ...*testWorker) string {
 	var hosts []string
 	for i, worker := range workers {
@@ -108,17 +115,19 @@
 	return fmt.Sprintf(`{"seq":%d,"whole":%t,"hosts":[%s]}`, seq, whole, strings.Join(hosts, ","))
 }
 
+// endpointJSON returns the endpoint list entry of a worker with the host name n<i>.
 func endpointJSON(i int, worker *testWorker, health string) string {
 	return fmt.Sprintf(`{"host":"n%d","dial":%q,"site":"a","class":"k","block":0,"health":%q,"born_ms":0}`,
 		i, worker.Addr(), health)
 }
 
+// start runs a scheduler with testSettings and 256 descriptors.
 func start(t *testing.T, discovery string, workers ...*testWorker) (*Platform, *counters.Set) {
 	return startWithSockets(t, 256, discovery, workers...)
 }
 
-// startWithSockets runs a scheduler whose list names these workers. Without a discovery of the test's, calls to it are
-// refused.
+// startWithSockets runs a scheduler whose cached endpoint list holds the workers. If discovery is empty, connections to
+// discovery are refused.
 func startWithSockets(t *testing.T, sockets int, discovery string, workers ...*testWorker) (*Platform, *counters.Set) {
 	return startWithSettings(t, testSettings, sockets, discovery, workers...)
 }
@@ -129,8 +138,8 @@
 	return startWithCachedList(t, settings, sockets, discovery, endpointsJSON(1, true, workers...))
 }
 
-// refusingAddress returns an address that refuses connections and that nobody else gets meanwhile: the port
-// of a listener that was closed can be another test's next one.
+// refusingAddress returns an address that refuses connections until the end of the test. Its port stays bound: the port
+// of a closed listener could be given to another test.
 func refusingAddress(t *testing.T) string {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -175,12 +184,12 @@
 	return p, set
 }
 
-// await waits until a condition holds.
+// await waits until a condition is true, at most waitTimeout.
 func await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); !condition(); {
 		if time.Now().After(end) {
-			t.Fatalf("still not: %s", what)
+			t.Fatalf("condition still false after %v: %s", waitTimeout, what)
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -192,6 +201,7 @@
 	br *bufio.Reader
 }
 
+// connect opens a client's connection to a scheduler.
 func connect(t *testing.T, p *Platform) *testClient {
 	t.Helper()
 	c := dial(t, p.Addr())
@@ -199,8 +209,8 @@
 	return &testClient{c, bufio.NewReader(c)}
 }
 
-// jobText is a job's request; more holds further header lines or, as "-Name",
-// names one to leave out.
+// jobText returns the request of a job. more holds further header lines; if its first element is "-Name", the header
+// with that name is left out.
 func jobText(class, id, remaining, body string, more ...string) string {
 	text := fmt.Sprintf("POST /%s?user=7f3a9c21e0b4d655 HTTP/1.1\r\n", class)
 	for _, h := range []string{
@@ -221,6 +231,7 @@
 	return text + "\r\n" + body
 }
 
+// send writes text to the connection.
 func (s *testClient) send(t *testing.T, text string) {
 	t.Helper()
 	if _, err := io.WriteString(s, text); err != nil {
@@ -228,14 +239,14 @@
 	}
 }
 
-// A testAnswer is the head of an answer that has been read in full.
+// A testAnswer is the head of an answer that has been read completely.
 type testAnswer struct {
 	StatusCode int
 	Header     http.Header
 	Close      bool
 }
 
-// readAnswer reads an answer in full.
+// readAnswer reads an answer completely and returns its head and body.
 func readAnswer(br *bufio.Reader) (*testAnswer, string, error) {
 	r, err := http.ReadResponse(br, nil)
 	if err != nil {
@@ -249,7 +260,7 @@
 	return &testAnswer{r.StatusCode, r.Header, r.Close}, string(body), nil
 }
 
-// answer reads one answer in full.
+// answer reads one answer completely.
 func (s *testClient) answer(t *testing.T) (*testAnswer, string) {
 	t.Helper()
 	r, body, err := readAnswer(s.br)
@@ -266,12 +277,13 @@
 	return s.answer(t)
 }
 
-// keyedSettings is the test deployment with a deduplicated class, load reports and gossip.
+// keyedSettings is testSettings with a deduplicated class, load reports in answers and health checks.
 var keyedSettings = strings.NewReplacer(
 	`"effect":"at_most_once"`, `"effect":"deduplicated","dedupScope":"cell","keyTtl":5000000000`,
 	`"bounds":{`, `"report":{"how":"answers","names":["backlog","x0"]},"bounds":{"probes":true,`,
 ).Replace(testSettings)
 
+// startKeyed runs a scheduler with keyedSettings.
 func startKeyed(t *testing.T, workers ...*testWorker) (*Platform, *counters.Set) {
 	return startWithSettings(t, keyedSettings, 256, "", workers...)
 }
--- a/internal/platform/job_request_test.go
+++ b/internal/platform/job_request_test.go
@@ -16,12 +16,12 @@
 		"99999999999999999999m": math.MaxInt64 / 2, "1" + strings.Repeat("0", 400) + "u": math.MaxInt64 / 2,
 	} {
 		if got, err := parseRemaining(text); err != nil || got != want {
-			t.Errorf("%q: %v, %v; want %v", text, got, err, want)
+			t.Errorf("parseRemaining(%q) = %v, %v; want %v", text, got, err, want)
 		}
 	}
 	for _, text := range []string{"", "m", "480", "480s", "-1m", "NaNm", "1e3m", "1.2.3m", " 5m", ".m"} {
 		if got, err := parseRemaining(text); err == nil {
-			t.Errorf("%q: %v; want an error", text, got)
+			t.Errorf("parseRemaining(%q) = %v, want an error", text, got)
 		}
 	}
 }
@@ -33,12 +33,12 @@
 	}{{"", 0, 0}, {"slots=2,memory=0.5", 2, 0.5}, {" memory=1 , novel=x", 0, 1}} {
 		slots, memory, err := parseLabels(c.text)
 		if err != nil || slots != c.slots || memory != c.memory {
-			t.Errorf("%q: %v, %v, %v; want %v, %v", c.text, slots, memory, err, c.slots, c.memory)
+			t.Errorf("parseLabels(%q) = %v, %v, %v; want %v, %v", c.text, slots, memory, err, c.slots, c.memory)
 		}
 	}
 	for _, text := range []string{"slots", "slots=-1", "memory=NaN", "slots=Inf"} {
 		if slots, memory, err := parseLabels(text); err == nil {
-			t.Errorf("%q: %v, %v; want an error", text, slots, memory)
+			t.Errorf("parseLabels(%q) = %v, %v, want an error", text, slots, memory)
 		}
 	}
 }
@@ -56,7 +56,7 @@
 	j, err := parseJob(valid(), []byte("b"))
 	if err != nil || j.ID != "j1" || j.Key != 255 || j.Slots != 2 || j.Memory != 3 || !j.ClientRetry ||
 		j.Remaining != 480*time.Millisecond || j.Tenant != "islands" {
-		t.Errorf("%+v, %v", j, err)
+		t.Errorf("parseJob() = %+v, %v; want the job of the headers", j, err)
 	}
 	for name, c := range map[string]struct {
 		corrupt func(h http.Header)
@@ -80,7 +80,8 @@
 		_, err := parseJob(r, nil)
 		var input *inputError
 		if !errors.As(err, &input) || input.counter != c.counter || input.status != http.StatusBadRequest {
-			t.Errorf("%s: %+v", name, err)
+			t.Errorf("%s: parseJob() returned error %+v, want status %d and counter %s", name, err,
+				http.StatusBadRequest, c.counter)
 		}
 	}
 }
--- a/internal/platform/process_start_test.go
+++ b/internal/platform/process_start_test.go
@@ -10,9 +10,9 @@
 	"github.com/vatu-meals/foxlift/internal/core"
 )
 
-// The wall clock is stepped before a worker starts, between its start and the list that announces it, or after
-// that: its age in the module's terms is real time, and connections from before its start are told from those
-// after it.
+// Steps of the wall clock must not change the age of a worker. The clock is stepped before the worker starts, or
+// between two lists that announce it. The start time on the scheduler's clock must follow real time and stay the same
+// in the second list, and connections from before and after the start must be distinguished.
 func TestProcessStartAcrossClockSteps(t *testing.T) {
 	const age, tolerance = 2 * time.Second, 200 * time.Millisecond
 	for _, step := range []time.Duration{0, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
@@ -39,18 +39,19 @@
 				}
 				first := announce(1)
 				if got := time.Duration(clock.Now() - first.StartedAt); got < age-tolerance || got > age+tolerance {
-					t.Errorf("its age is %v, want %v", got, age)
+					t.Errorf("worker age is %v, want %v", got, age)
 				}
 				offset = step
 				if again := announce(2); again.StartedAt != first.StartedAt {
-					t.Errorf("told again, its start moves by %v", time.Duration(again.StartedAt-first.StartedAt))
+					t.Errorf("start time moves by %v in the second list, want no change",
+						time.Duration(again.StartedAt-first.StartedAt))
 				}
 				endpoint, _ := watch.findLive("n")
 				if before := time.Now().Add(-age - time.Second); !before.Before(endpoint.startedAt) {
-					t.Error("a connection from before its start counts as newer")
+					t.Error("connection from before the worker's start counts as newer than the start")
 				}
 				if now := time.Now(); now.Before(endpoint.startedAt) {
-					t.Error("a connection from now counts as older than its start")
+					t.Error("connection from now counts as older than the worker's start")
 				}
 			})
 		}
--- a/internal/platform/rfc9112_test.go
+++ b/internal/platform/rfc9112_test.go
@@ -7,27 +7,28 @@
 	"strings"
 )
 
-// A second reading of requests by the rules of RFC 9112, written as tables and with
-// none of net/http. It says where each request ends; where the client side thinks otherwise
-// a second request could hide in a body (request smuggling, RFC 9112, 11.2).
+// This file holds a second request parser, written by the rules of RFC 9112 and without net/http. It determines where
+// each request ends. If the client side finds another end, a second request could be smuggled in a body (RFC 9112,
+// 11.2).
 
-// A framedRequest is one request as the rules read it.
+// A framedRequest is one request as parsed by the rules of RFC 9112.
 type framedRequest struct {
 	method, target string
 	body           []byte
-	length         int // offset behind its last byte
+	length         int // offset after its last byte
 }
 
-// Characters by the grammar: tchar (RFC 9110, 5.6.2), and what a field value may
-// hold: visible characters, space, tab and obs-text (5.5).
+// Character sets of the grammar. tchar is defined in RFC 9110, 5.6.2.
 const (
 	tchar = "!#$%&'*+-.^_`|~0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz"
 	digit = "0123456789"
 	hex   = digit + "ABCDEFabcdef"
 )
 
+// consistsOf reports whether s is not empty and holds only characters in of.
 func consistsOf(s, of string) bool { return s != "" && strings.Trim(s, of) == "" }
 
+// isFieldValue reports whether s holds only visible characters, spaces, tabs and obs-text (RFC 9110, 5.5).
 func isFieldValue(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; c < ' ' && c != '\t' || c == 0x7f {
@@ -37,8 +38,8 @@
 	return true
 }
 
-// readLine takes a line off data at offset at; a lone LF ends one too (RFC 9112, 2.2 lets
-// a recipient recognise it).
+// readLine returns the line of data that starts at offset at, without its end, and the offset after it. A line may end
+// with a single LF, which RFC 9112, 2.2 allows a recipient to accept. ok is false if the line has no end.
 func readLine(data []byte, at int) (text string, next int, ok bool) {
 	i := bytes.IndexByte(data[at:], '\n')
 	if i < 0 {
@@ -47,8 +48,8 @@
 	return strings.TrimSuffix(string(data[at:at+i]), "\r"), at + i + 1, true
 }
 
-// frameRequest reads the request at offset at. whole is false where data ends before it does; sound is false
-// where the rules call it invalid.
+// frameRequest parses the request at offset at. complete is false if data ends before the request does. valid is false
+// if the request violates the rules.
 func frameRequest(data []byte, at int) (req framedRequest, complete, valid bool) {
 	start, at, ok := readLine(data, at)
 	if !ok {
@@ -101,10 +102,10 @@
 // requestFields are the field lines of a request that frame its body.
 type requestFields struct {
 	lengths, codings []string
-	next             int // offset behind the empty line
+	next             int // offset after the empty line
 }
 
-// framingFields reads the field lines from offset at to the empty line behind them. whole and sound are as for
+// framingFields parses the field lines from offset at to the empty line after them. complete and valid are as for
 // frameRequest.
 func framingFields(data []byte, at int) (fields requestFields, complete, valid bool) {
 	fields.next = at
@@ -119,7 +120,7 @@
 		}
 		name, value, colon := strings.Cut(text, ":")
 		if !colon || !consistsOf(name, tchar) || !isFieldValue(value) {
-			return fields, true, false // obs-fold and white space before the colon too (RFC 9112, 5.1, 5.2)
+			return fields, true, false // includes obs-fold and white space before the colon (RFC 9112, 5.1, 5.2)
 		}
 		value = strings.Trim(value, " \t")
 		switch strings.ToLower(name) {
@@ -131,7 +132,8 @@
 	}
 }
 
-// frameChunks reads a chunked body (RFC 9112, 7.1).
+// frameChunks parses the chunked body at offset at (RFC 9112, 7.1) and completes req. Its other results are as for
+// frameRequest.
 func frameChunks(req framedRequest, data []byte, at int) (framedRequest, bool, bool) {
 	req.body = []byte{}
 	for {
@@ -141,7 +143,7 @@
 		}
 		at = next
 		size, _, _ := strings.Cut(head, ";")
-		size = strings.TrimRight(size, " \t") // BWS before an extension
+		size = strings.TrimRight(size, " \t") // BWS (optional white space) before an extension
 		if !consistsOf(size, hex) || len(strings.TrimLeft(size, "0")) > 7 {
 			return req, true, false
 		}
@@ -184,4 +186,5 @@
 	}
 }
 
+// newByteReader returns a buffered reader of data.
 func newByteReader(data []byte) *bufio.Reader { return bufio.NewReader(bytes.NewReader(data)) }
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -18,8 +18,8 @@
 	"github.com/vatu-meals/foxlift/internal/counters"
 )
 
-// During the shutdown the health is 503, what comes in is still served, answers end their connections, and what
-// runs is finished, the backlog too.
+// During a shutdown health checks must return 503, new jobs, including those in the backlog, must still be served, idle
+// connections must be closed, and ShutDown must return only when the jobs in flight are answered.
 func TestShutDown(t *testing.T) {
 	release := make(chan bool)
 	handle := func(c net.Conn, r *http.Request, id string) bool {
@@ -35,46 +35,48 @@
 	slow.send(t, jobText("ratify", "slow", "19000m", ""))
 	for _, s := range []*testClient{kept, idle} {
 		r, _ := s.request(t, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
-		check(t, "health before", r.StatusCode, 200)
+		check(t, "status of a health check before the shutdown", r.StatusCode, 200)
 	}
-	await(t, "at a worker", func() bool { return worker.RequestCount.Load()+other.RequestCount.Load() == 1 })
+	await(t, "job at a worker", func() bool { return worker.RequestCount.Load()+other.RequestCount.Load() == 1 })
 	ended := make(chan bool)
 	go func() { p.ShutDown(); close(ended) }()
-	await(t, "ending", p.clients.unready.Load)
+	await(t, "shutdown begun", p.clients.unready.Load)
 	r, _ := connect(t, p).request(t, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
-	check(t, "health", r.StatusCode, 503)
+	check(t, "status of a health check during the shutdown", r.StatusCode, 503)
 	for i, s := range []*testClient{kept, connect(t, p)} {
 		r, _ := s.request(t, jobText("reading", fmt.Sprint("j", i), "9000m", ""))
-		check(t, "status while ending", r.StatusCode, 200)
-		check(t, "stays open", r.Close, false)
+		check(t, "status of a job during the shutdown", r.StatusCode, 200)
+		check(t, "its connection closes", r.Close, false)
 	}
 	half.send(t, jobText("reading", "half", "9000m", "abc")[60:])
 	r, _ = half.answer(t)
-	check(t, "read in two parts", r.StatusCode, 200)
+	check(t, "status of the request sent in two parts", r.StatusCode, 200)
 	if _, err := idle.br.ReadByte(); err != io.EOF {
-		t.Errorf("the idle connection: %v", err)
+		t.Errorf("read on the idle connection returned error %v, want %v", err, io.EOF)
 	}
 	select {
 	case <-ended:
-		t.Error("ended before what runs was answered")
+		t.Error("ShutDown() returned before the job in flight was answered")
 	default:
 	}
 	close(release)
 	r, _ = slow.answer(t)
-	check(t, "slow", r.StatusCode, 200)
+	check(t, "status of the slow job", r.StatusCode, 200)
 	select {
 	case <-ended:
 	case <-time.After(waitTimeout):
-		t.Error("does not end")
+		t.Errorf("ShutDown() has not returned after %v", waitTimeout)
 	}
 }
 
-// A lateRequestConn calls a test's hook as a client's connection begins to end.
+// A lateRequestConn is the scheduler's side of a client connection. It calls onClose when the scheduler starts to close
+// it.
 type lateRequestConn struct {
 	*net.TCPConn
-	onClose func() // once, as the connection begins to end
+	onClose func() // called once, before the first CloseWrite or Close
 }
 
+// hook calls onClose the first time.
 func (c *lateRequestConn) hook() {
 	if onClose := c.onClose; onClose != nil {
 		c.onClose = nil
@@ -86,8 +88,8 @@
 
 func (c *lateRequestConn) Close() error { c.hook(); return c.TCPConn.Close() }
 
-// A request that comes at the moment at which a connection ends is not accepted; nor is the answer before it
-// lost, which is still on its way.
+// A request that arrives while the scheduler closes a connection must not be accepted, and must not destroy the answer
+// before it. Closing a socket with unread data resets the connection, and the client would lose the unread answer.
 func TestRequestDuringShutdown(t *testing.T) {
 	big := strings.Repeat("x", 60<<10)
 	worker := newTestWorker(t, func(c net.Conn, _ *http.Request, id string) bool {
@@ -96,7 +98,7 @@
 	for _, ending := range []string{"a last answer", "an idle one", "bad input"} {
 		p, set := start(t, "", worker)
 		near, far := pipe(t)
-		if err := far.SetReadBuffer(4 << 10); err != nil { // most of the answer is still with the scheduler as it ends
+		if err := far.SetReadBuffer(4 << 10); err != nil { // most of the answer is still unsent at the close
 			t.Fatal(err)
 		}
 		if err := far.SetDeadline(time.Now().Add(waitTimeout)); err != nil {
@@ -105,7 +107,7 @@
 		hookDone := make(chan bool)
 		p.clients.serveConn(&lateRequestConn{near, func() {
 			writeText(t, far, jobText("reading", "late", "9000m", "")+strings.Repeat("y", 2<<10))
-			await(t, "arrived", func() bool { return hasInput(near) })
+			await(t, "late request arrived", func() bool { return hasInput(near) })
 			close(hookDone)
 		}})
 		requestsBefore, status := worker.RequestCount.Load(), 200
@@ -118,8 +120,12 @@
 			requestsBefore--
 		default:
 			writeText(t, far, jobText("reading", "j", "9000m", ""))
-			await(t, "served", func() bool { return set.Get("jobs.served") == 1 })
-			await(t, "idle", func() bool { p.clients.mu.Lock(); defer p.clients.mu.Unlock(); return p.clients.idle.Len() == 1 })
+			await(t, "job served", func() bool { return set.Get("jobs.served") == 1 })
+			await(t, "one idle connection", func() bool {
+				p.clients.mu.Lock()
+				defer p.clients.mu.Unlock()
+				return p.clients.idle.Len() == 1
+			})
 			p.clients.freeOneConn()
 		}
 		<-hookDone
@@ -129,17 +135,17 @@
 			t.Fatal(ending, ": ", err)
 		}
 		if status == 200 && len(body) != len(big) {
-			t.Errorf("%s: %d bytes of the answer", ending, len(body))
+			t.Errorf("%s: answer has %d bytes, want %d", ending, len(body), len(big))
 		}
 		check(t, ending+": status", r.StatusCode, status)
 		if _, err := br.ReadByte(); err != io.EOF {
-			t.Errorf("%s: %v behind the answer", ending, err)
+			t.Errorf("%s: read after the answer returned error %v, want %v", ending, err, io.EOF)
 		}
-		check(t, ending+": sent on", worker.RequestCount.Load(), requestsBefore+1)
+		check(t, ending+": requests at the worker", worker.RequestCount.Load(), requestsBefore+1)
 	}
 }
 
-// A stalledListener's deadlines have passed when they are set, some times: the process stood still.
+// A stalledListener simulates a stalled process: its first deadlines have passed when they are set.
 type stalledListener struct {
 	*net.TCPListener
 	stalls int
@@ -153,7 +159,7 @@
 	return l.TCPListener.SetDeadline(at)
 }
 
-// The backlog at the shutdown is served, though the process stands still past the time for that.
+// Connections in the backlog at the shutdown must be served even if the process stalls past the accept deadline.
 func TestBacklogAfterProcessStall(t *testing.T) {
 	p, _ := start(t, "", newTestWorker(t, serveJob))
 	server := newClientServer(p.core, core.NewClock(), &counters.Set{}, zap.NewNop(),
@@ -165,7 +171,7 @@
 		s.send(t, jobText("reading", fmt.Sprint("w", i), "9000m", ""))
 		waiting = append(waiting, s)
 	}
-	server.stopAccepting.Store(true) // before the first accept: all of them are backlog
+	server.stopAccepting.Store(true) // before the first accept: all connections are in the backlog
 	go server.accept()
 	server.shutDown(0, 0)
 	for _, s := range waiting {
@@ -174,8 +180,8 @@
 	}
 }
 
-// Whatever the deadlines of the classes, everything is answered, and the answers are read, before the process
-// may be killed; what comes in the first 0.7 s finds its connection open.
+// For any deadlines of the classes, all jobs must be answered, and the answers read, before the process may be killed,
+// and idle connections must stay open at least as long as new ones are accepted.
 func TestShutdownTimes(t *testing.T) {
 	for _, deadline := range []time.Duration{
 		300 * time.Millisecond, 800 * time.Millisecond, 2500 * time.Millisecond,
@@ -189,7 +195,7 @@
 		killedAt := min(3*time.Second, deadline) + 700*time.Millisecond
 		if answerBy+lingerTimeout+100*time.Millisecond > killedAt ||
 			closeIdleAfter < acceptAfterShutdown || closeIdleAfter >= answerBy {
-			t.Errorf("deadline %v: connections stay %v, answered by %v, killed at %v",
+			t.Errorf("deadline %v: idle connections close after %v, answered by %v, killed at %v",
 				deadline, closeIdleAfter, answerBy, killedAt)
 		}
 	}
--- a/internal/platform/state_lines_test.go
+++ b/internal/platform/state_lines_test.go
@@ -11,7 +11,7 @@
 	"github.com/vatu-meals/foxlift/internal/core"
 )
 
-// A line that repeats a name is garbled: no reading of it may be believed.
+// A state line that repeats a name must be rejected: encoding/json would take the last value and ignore the first.
 func TestRepeatedNamesInStateLine(t *testing.T) {
 	for text, valid := range map[string]bool{
 		`{"id":"j","state":"done","result":"r"}`:                           true,
@@ -26,13 +26,13 @@
 		`{"id":"j","state":"done"`:                                         false,
 	} {
 		if _, err := parseStateLine([]byte(text)); (err == nil) != valid {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("parseStateLine(%s) returned error %v, want valid: %v", text, err, valid)
 		}
 	}
 }
 
-// What a worker answers, and what that proves. A body that breaks off, or has a line of another job, serves
-// nothing.
+// Each answer of a worker must result in the right outcome. An answer with an incomplete body or a line of another job
+// must not count as served.
 func TestWorkerAnswers(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	line := func(s string) string { return httpChunk(`{"id":"j1","from":"n","state":` + s + "}\n") }
@@ -86,14 +86,15 @@
 		}
 		r, _ := a.receiveAnswer(&workerConn{buf: readBuffer{conn: scriptedConn{text: strings.NewReader(c.text)}}})
 		if r.Code != c.want || !r.Ended || c.want == foxlift.Served && string(r.Result) != "rA" {
-			t.Errorf("%s: code %d, result %.20q; want code %d", name, r.Code, r.Result, c.want)
+			t.Errorf("%s: receiveAnswer() returned code %d, result %.20q; want code %d", name, r.Code, r.Result, c.want)
 		}
 	}
 }
 
+// httpChunk returns text as one HTTP chunk.
 func httpChunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// scripted is a connection whose other side sends text and accepts everything.
+// A scriptedConn is a connection whose other side sends text and accepts all writes.
 type scriptedConn struct {
 	net.Conn
 	text io.Reader
