--- a/internal/lab/service/deployment.go
+++ b/internal/lab/service/deployment.go
@@ -1,10 +1,10 @@
-// Package service tests the operation of one scheduler: upgrades under load, quiescing, and the
-// figures on its operators' address. It runs the built program among stand-ins on loopback, takes
-// the part of the platform and of the clients, and judges from the outside: by what the clients
-// received and what the workers ran.
+// Package service tests the operation of one scheduler process: upgrades under load, quiescing, and
+// the metrics on its admin address. It runs the built program with stand-in workers and discovery on
+// loopback, acts as the platform and as the clients, and checks only what is visible from outside:
+// the responses that clients received and the jobs that workers ran.
 //
-// A Deployment owns the scheduler's processes and the stand-ins, a Load owns the clients'
-// connections and the Tally of their jobs, and UpgradeTrial is the trial that brings both together.
+// A Deployment owns the scheduler's processes and the stand-ins. A Load owns the clients'
+// connections and the Tally of their jobs. An UpgradeTrial runs upgrades of a Deployment under a Load.
 package service
 
 import (
@@ -19,16 +19,16 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// The platform's rules for an upgrade.
+// The platform's time limits for an upgrade.
 const (
-	ReadyLimit         = 6 * time.Second        // for a new process, from its start until it is ready
-	maxCountedDeadline = 3 * time.Second        // longer deadlines count as this
-	killMargin         = 700 * time.Millisecond // beyond the longest deadline, between SIGTERM and SIGKILL
-	pollInterval       = 5 * time.Millisecond   // between two calls to the operators' address
+	ReadyLimit         = 6 * time.Second        // from the start of a new process until it is ready
+	maxCountedDeadline = 3 * time.Second        // a longer deadline does not extend the time between SIGTERM and SIGKILL
+	killMargin         = 700 * time.Millisecond // added to the longest deadline, between SIGTERM and SIGKILL
+	pollInterval       = 5 * time.Millisecond   // between two checks while waiting for a condition
 )
 
-// DefaultWorld is one scheduler with eight workers, short idempotent jobs and longer at-most-once
-// jobs.
+// DefaultTopology returns one scheduler with eight workers, a class of short idempotent jobs and a
+// class of longer at-most-once jobs.
 func DefaultTopology() lab.Topology {
 	return lab.Topology{
 		Schedulers: 1, Sockets: 512, Zones: []string{"east"},
@@ -51,7 +51,7 @@
 	}
 }
 
-// A Deployment is a scheduler in service: its current process, and the fleet of stand-ins that the
+// Deployment is one scheduler in service: its current process and the fleet of stand-ins that the
 // process works with.
 type Deployment struct {
 	Fleet           *fleet.Fleet
@@ -59,7 +59,7 @@
 	FirstReadyAfter time.Duration // from the first process's start until it was ready
 }
 
-// Deploy starts a world's scheduler and waits until it is ready. Close ends it.
+// Deploy starts the scheduler of a topology and waits until it is ready. Close ends it.
 func Deploy(ctx context.Context, program string, world lab.Topology) (d *Deployment, err error) {
 	f, err := fleet.New(fleet.Options{
 		Topology: world,
@@ -83,13 +83,14 @@
 	return d, err
 }
 
-// Close ends every process and stand-in.
+// Close ends all processes and stand-ins.
 func (d *Deployment) Close() { d.Fleet.Close() }
 
-// Addr is where clients reach the scheduler.
+// Addr returns the address on which the scheduler accepts clients.
 func (d *Deployment) Addr() string { return d.Fleet.Processes[0].Addr }
 
-// KillAfter is how long a process has between SIGTERM and SIGKILL.
+// TerminationGrace returns how long a process has between SIGTERM and SIGKILL: the longest deadline of
+// a class, at most maxCountedDeadline, plus killMargin.
 func (d *Deployment) TerminationGrace() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range d.Fleet.Classes {
@@ -98,22 +99,22 @@
 	return min(longest, maxCountedDeadline) + killMargin
 }
 
-// An EndedError reports that a process ended that should have gone on.
+// UnexpectedExitError reports that a process exited although nothing had told it to.
 type UnexpectedExitError struct {
 	Process string
 	Log     []string
 }
 
-// Error tells which process ended, with the last lines of its log.
+// Error returns the name of the process and the last lines of its log.
 func (e *UnexpectedExitError) Error() string {
-	return fmt.Sprintf("%s ended by itself; its log:\n%s", e.Process, strings.Join(e.Log, "\n"))
+	return fmt.Sprintf("%s exited unexpectedly; end of its log:\n%s", e.Process, strings.Join(e.Log, "\n"))
 }
 
-// ErrNotReady reports that a process did not say in time that it is ready.
-var ErrNotReady = errors.New("no yes in time")
+// ErrNotReady reports that a process was not ready within ReadyLimit.
+var ErrNotReady = errors.New("health check did not succeed in time")
 
-// AwaitReady waits until a process that was just started says that it is ready, and returns how
-// long that took.
+// AwaitReady waits until the health check of a process that was just started succeeds, and returns how
+// long that took. It fails with ErrNotReady after ReadyLimit.
 func AwaitReady(ctx context.Context, process *fleet.Process) (time.Duration, error) {
 	began := time.Now()
 	limited, cancel := context.WithTimeout(ctx, ReadyLimit)
@@ -132,7 +133,7 @@
 				return 0, ctx.Err()
 			}
 			log := strings.Join(process.Log(), "\n")
-			return 0, fmt.Errorf("%s: %w: %w; its log:\n%s", process.Name, ErrNotReady, last, log)
+			return 0, fmt.Errorf("%s: %w: %w; end of its log:\n%s", process.Name, ErrNotReady, last, log)
 		case <-time.After(pollInterval):
 		}
 	}
--- a/internal/lab/service/fault.go
+++ b/internal/lab/service/fault.go
@@ -12,37 +12,38 @@
 	"github.com/vatu-meals/foxlift/internal/lab/fleet"
 )
 
-// A Fault is what goes wrong in each upgrade of a trial.
+// Fault is the failure that a trial injects into each upgrade.
 type Fault string
 
-// The faults, by the names that the lab's flag gives them.
+// The faults. Their values are the names that the lab's command-line flag accepts.
 const (
-	// NoFault leaves each upgrade alone.
+	// NoFault injects nothing.
 	NoFault Fault = "none"
-	// KillSuccessor kills a new process before it is ready, and another one is started.
+	// KillSuccessor kills a new process before it is ready; another one is started after it.
 	KillSuccessor Fault = "kill-new"
-	// SuspendSuccessor stops a new process before it is ready, kills it later, and another one is started.
+	// SuspendSuccessor stops a new process with SIGSTOP before it is ready and kills it later; another
+	// one is started after it.
 	SuspendSuccessor Fault = "stop-new"
-	// KillPredecessor kills the old process at any moment of the upgrade.
+	// KillPredecessor kills the old process at a random moment of the upgrade.
 	KillPredecessor Fault = "kill-old"
 )
 
-// Faults are all faults that a trial can inject.
+// Faults lists all faults that a trial can inject.
 var Faults = []Fault{NoFault, KillSuccessor, SuspendSuccessor, KillPredecessor}
 
-// The upper limits of the random times of faults.
+// Upper limits of the random times of faults.
 const (
 	maxSuspension = 400 * time.Millisecond // for which a new process is stopped before it is killed
-	maxKillDelay  = 300 * time.Millisecond // of an old process, after a step of the upgrade
+	maxKillDelay  = 300 * time.Millisecond // from a step of the upgrade until the old process is killed
 )
 
-// An Outage is a time in which a process was killed and jobs may be lost with it.
+// Outage is an interval in which the serving process was killed; jobs of that process may be lost.
 type Outage struct{ From, To time.Time }
 
-// covers reports whether a send was under way in the outage.
+// covers reports whether a send was in progress during the outage.
 func (o Outage) covers(s Send) bool { return !s.StartedAt.After(o.To) && !s.EndedAt.Before(o.From) }
 
-// waitOrDone waits for a time, and returns the context's error if that is done first.
+// sleepContext waits for a delay. It returns the context's error if the context is done first.
 func sleepContext(ctx context.Context, delay time.Duration) error {
 	select {
 	case <-time.After(delay):
@@ -52,9 +53,9 @@
 	}
 }
 
-// DisturbSuccessor starts a successor, stops it some time after its start, and kills it once it has
-// been stopped for another time. A successor that listens when it is stopped was too fast: it goes
-// on, and is returned.
+// FailSuccessor starts a successor, stops it with SIGSTOP afterStart after its start, and kills it
+// once it has been stopped for the time stopped. A successor that already listens when it is stopped
+// continues and is returned as tooFast.
 func (d *Deployment) FailSuccessor(
 	ctx context.Context, afterStart, stopped time.Duration,
 ) (tooFast *fleet.Process, err error) {
@@ -82,8 +83,8 @@
 	return nil, nil
 }
 
-// suspend stops a process with SIGSTOP, and waits until it has stopped: the signal may arrive after
-// the call that sends it has returned.
+// suspend stops a process with SIGSTOP and waits until it has stopped, because the signal may take
+// effect after the call that sends it returns.
 func suspend(process *fleet.Process) error {
 	id := process.ID()
 	if err := process.Signal(syscall.SIGSTOP); err != nil {
@@ -98,27 +99,28 @@
 	}
 }
 
-// A Step is a step of an upgrade, after which the old process is killed.
+// Step is a step of an upgrade after which the old process can be killed.
 type Step int
 
-// The steps of an upgrade, in their order.
+// The steps of an upgrade, in order.
 const (
 	// SuccessorStarted is the start of the new process.
 	SuccessorStarted Step = iota
-	// SuccessorReady is the new process's first answer that it is ready.
+	// SuccessorReady is the new process's first successful health check.
 	SuccessorReady
 	// PredecessorTerminated is SIGTERM to the old process.
 	PredecessorTerminated
 	stepCount
 )
 
-// String names the step in reports.
+// String returns the step's description for reports.
 func (s Step) String() string {
-	return [...]string{"the new process's start", "the new process's yes", "SIGTERM to the old process"}[s]
+	return [...]string{"start of the new process", "new process ready", "SIGTERM to the old process"}[s]
 }
 
-// UpgradeKillingPredecessor upgrades while the old process is killed at a given time after a
-// step.
+// UpgradeKillingPredecessor upgrades the deployment and kills the old process at a given time after a
+// step. The outage lasts from the kill until the old process has exited, or until the successor is
+// ready if the old one was killed before that.
 func (d *Deployment) UpgradeKillingPredecessor(
 	ctx context.Context, step Step, after time.Duration,
 ) (report UpgradeReport, outage Outage, err error) {
@@ -146,18 +148,18 @@
 	report.ReadyAfter = time.Since(report.StartedAt)
 	d.Current = next
 	switch step {
-	case SuccessorStarted: // nobody served until now
+	case SuccessorStarted: // no process served between the kill and this moment
 		outage.To = time.Now()
 		return report, outage, nil
 	case PredecessorTerminated:
 		report.TerminatedAt = time.Now()
 		if err := old.Signal(syscall.SIGTERM); err != nil {
-			return report, outage, fmt.Errorf("%s was gone before its SIGTERM: %w", old.Name, err)
+			return report, outage, fmt.Errorf("%s exited before SIGTERM: %w", old.Name, err)
 		}
 	}
 	err = kill()
 	return report, outage, err
 }
 
-// errUnknownFault reports a fault that is not among Faults.
-var errUnknownFault = errors.New("the fault is none of none, kill-new, stop-new and kill-old")
+// errUnknownFault reports a fault that is not in Faults.
+var errUnknownFault = errors.New("unknown fault: must be none, kill-new, stop-new or kill-old")
--- a/internal/lab/service/figures.go
+++ b/internal/lab/service/figures.go
@@ -10,7 +10,7 @@
 	"github.com/prometheus/common/model"
 )
 
-// The names of the figures in the scheduler's answer.
+// The names of the metrics in the scheduler's response.
 const (
 	responsesName = "scheduler_responses_total"
 	attemptsName  = "scheduler_tries_total"
@@ -19,18 +19,18 @@
 	ejectedName   = "scheduler_pool_ejected"
 )
 
-// How far figures may be off: by a fraction of the true number, or by slack where that is more.
+// The tolerances of the metrics, as fractions of the true value.
 const (
 	JobsTolerance     = 0.01
 	AttemptsTolerance = 0.02
 	ActiveTolerance   = 0.10
-	absoluteTolerance = 3
+	absoluteTolerance = 3 // used where it is more than the fraction
 )
 
-// Responses are the jobs of a class by their answer.
+// Responses counts the jobs of a class by the kind of their response.
 type Responses struct{ OK, Shed, Errors float64 }
 
-// Figures are the metrics that a scheduler reports on its operators' address.
+// Metrics are the values that a scheduler reports on its admin address.
 type Metrics struct {
 	Responses map[string]Responses // by class
 	Attempts  float64
@@ -39,8 +39,8 @@
 	Ejected   float64
 }
 
-// ParseFigures reads the Prometheus text format. Each figure has to be there, but responses
-// may be left out where there were none.
+// ParseMetrics parses the Prometheus text format. It fails if a metric is missing, except that the
+// responses of a class may be missing if there were none.
 func ParseMetrics(text string) (f Metrics, err error) {
 	parser := expfmt.NewTextParser(model.LegacyValidation)
 	families, err := parser.TextToMetricFamilies(strings.NewReader(text))
@@ -56,7 +56,7 @@
 	for name, to := range single {
 		metrics := families[name].GetMetric()
 		if len(metrics) != 1 {
-			return f, fmt.Errorf("the figures hold %s %d times", name, len(metrics))
+			return f, fmt.Errorf("metrics contain %s %d times, want once", name, len(metrics))
 		}
 		*to = metricValue(metrics[0])
 	}
@@ -69,7 +69,7 @@
 	return f, nil
 }
 
-// addResponses takes in the responses of one class and result.
+// addResponses stores the number of responses of one class and result.
 func (f *Metrics) addResponses(metric *dto.Metric) error {
 	labels := map[string]string{}
 	for _, label := range metric.GetLabel() {
@@ -84,30 +84,30 @@
 	case "errors":
 		responses.Errors = metricValue(metric)
 	default:
-		return fmt.Errorf("%s has the unknown labels %v", responsesName, labels)
+		return fmt.Errorf("metric %s has unknown labels %v", responsesName, labels)
 	}
 	f.Responses[labels["kind"]] = responses
 	return nil
 }
 
-// value is a metric's number, whichever type the text says that it has.
+// metricValue returns a metric's value, whether it is a counter, a gauge or untyped.
 func metricValue(metric *dto.Metric) float64 {
 	return metric.GetCounter().GetValue() + metric.GetGauge().GetValue() + metric.GetUntyped().GetValue()
 }
 
-// Within reports whether a figure is as close to the true number as the tolerance, a fraction of the
-// true number, demands.
+// WithinTolerance reports whether a metric differs from the true value by at most the tolerance, a
+// fraction of the true value, or by absoluteTolerance if that is more.
 func WithinTolerance(figure, truth, tolerance float64) bool {
 	return math.Abs(figure-truth) <= max(tolerance*truth, absoluteTolerance)
 }
 
-// Disagreement describes how the responses differ from the clients' own tally; it is empty where they
-// agree.
+// Mismatches describes how the responses differ from the clients' own tally; it is empty if they agree
+// within JobsTolerance.
 func (f Metrics) Mismatches(answers map[string]Responses) string {
 	var faults []string
 	check := func(class, result string, figure, truth float64) {
 		if !WithinTolerance(figure, truth, JobsTolerance) {
-			faults = append(faults, fmt.Sprintf("%s %s: the figures say %.0f, clients received %.0f",
+			faults = append(faults, fmt.Sprintf("%s %s: metrics report %.0f, clients received %.0f",
 				class, result, figure, truth))
 		}
 	}
--- a/internal/lab/service/listening.go
+++ b/internal/lab/service/listening.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// The columns of the kernel's table of TCP sockets, and its state of a listening one.
+// The kernel's table of TCP sockets: its path, its columns, and the state of a listening socket.
 const (
 	tcpTable       = "/proc/net/tcp"
 	localColumn    = 1
@@ -20,7 +20,7 @@
 	listeningState = "0A"
 )
 
-// Listens reports whether a process listens on an IPv4 address.
+// Listens reports whether a process listens on an IPv4 address with a port.
 func Listens(process int, address string) (bool, error) {
 	inodes, err := listeners(address)
 	if err != nil {
@@ -31,7 +31,7 @@
 		return false, err
 	}
 	for _, link := range links {
-		// One that was closed in the meantime has no target.
+		// Readlink fails for a descriptor that was closed after Glob.
 		if target, err := os.Readlink(link); err == nil && inodes[target] {
 			return true, nil
 		}
@@ -39,7 +39,8 @@
 	return false, nil
 }
 
-// listeners returns the listening sockets on an address, each as the target of a descriptor.
+// listeners returns the sockets that listen on an address, each named like the link target of its
+// descriptor in /proc.
 func listeners(address string) (map[string]bool, error) {
 	local, err := tableAddress(address)
 	if err != nil {
@@ -63,7 +64,7 @@
 }
 
 // tableAddress formats an address as the kernel's table does: the IP address as a hexadecimal number
-// in the machine's own byte order.
+// in the machine's byte order.
 func tableAddress(address string) (string, error) {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
@@ -72,7 +73,7 @@
 	ip := net.ParseIP(host).To4()
 	number, err := strconv.Atoi(port)
 	if err != nil || ip == nil {
-		return "", fmt.Errorf("no IPv4 address with a port: %q", address)
+		return "", fmt.Errorf("not an IPv4 address with a port: %q", address)
 	}
 	return fmt.Sprintf("%02X%02X%02X%02X:%04X", ip[3], ip[2], ip[1], ip[0], number), nil
 }
--- a/internal/lab/service/load.go
+++ b/internal/lab/service/load.go
@@ -10,29 +10,33 @@
 	"github.com/vatu-meals/foxlift/internal/lab"
 )
 
-// maxSends is how often a job is sent at most: a second time only if the first was Unread.
+// maxSends limits how often a job is sent. It is sent a second time only if the first outcome was
+// Unread.
 const maxSends = 2
 
-// grace is how long clients wait beyond a job's deadline.
+// answerGrace is how long clients wait for a response after a job's deadline.
 const answerGrace = 500 * time.Millisecond
 
-// arrivalStream is the random generator's stream of the arrivals.
+// arrivalRNGStream selects the random generator's stream for the arrivals.
 const arrivalRNGStream = 17
 
-// A LoadOptions is a steady, bounded load.
+// LoadOptions describe a steady load with a bounded number of open jobs.
 type LoadOptions struct {
-	Name                  string  // begins the jobs' ids
-	Rate                  float64 // jobs a second, Poisson
+	Name                  string  // prefix of the job IDs
+	Rate                  float64 // jobs per second, as a Poisson process
 	Seed                  uint64
-	NewConnectionFraction float64 // fraction of the jobs that come on a connection of their own
-	MaxIdleConnections    int     // idle connections that are kept at most; used in turn
-	MaxOpenJobs           int     // jobs open at a time; arrivals beyond are left out
+	NewConnectionFraction float64 // fraction of the jobs that use a new connection each
+	MaxIdleConnections    int     // idle connections kept for reuse, least recently used first
+	MaxOpenJobs           int     // jobs open at a time; arrivals beyond the limit are skipped
 }
 
-// DefaultLoad is a quarter of what DefaultWorld can do.
-var DefaultLoad = LoadOptions{Name: "load", Rate: 140, Seed: 1, NewConnectionFraction: 0.4, MaxIdleConnections: 24, MaxOpenJobs: 128}
+// DefaultLoad is about a quarter of the capacity of DefaultTopology.
+var DefaultLoad = LoadOptions{
+	Name: "load", Rate: 140, Seed: 1, NewConnectionFraction: 0.4, MaxIdleConnections: 24, MaxOpenJobs: 128,
+}
 
-// A Load is the clients of one address, on kept and on fresh connections. Stop ends its goroutines.
+// Load simulates the clients of one address, on reused and on new connections. Stop ends its
+// goroutines.
 type Load struct {
 	LoadOptions
 	addr    string
@@ -42,12 +46,12 @@
 	wait    sync.WaitGroup
 
 	mu       sync.Mutex
-	idle     []*connection // the one used last comes last
-	openJobs int           // jobs
+	idle     []*connection // least recently used first
+	openJobs int
 	tally    Tally
 }
 
-// StartLoad begins jobs of a world's classes and tenants.
+// StartLoad starts sending jobs of a topology's classes and tenants to an address.
 func StartLoad(addr string, topology lab.Topology, o LoadOptions) *Load {
 	l := &Load{
 		LoadOptions: o,
@@ -61,7 +65,7 @@
 	return l
 }
 
-// Stop ends the load, waits for all answers and returns what became of the jobs.
+// Stop ends the load, waits for all responses and returns the tally of the jobs.
 func (l *Load) Stop() Tally {
 	close(l.stop)
 	l.wait.Wait()
@@ -74,21 +78,21 @@
 	return l.tally
 }
 
-// Answered returns how many jobs have ended, and how many of them had an Unread send.
+// EndedJobs returns how many jobs have ended, and how many of them had an Unread send.
 func (l *Load) EndedJobs() (ended, unread int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.tally.Sent, len(l.tally.Unread)
 }
 
-// Total returns the answers so far, of all classes.
+// Total returns the responses so far, summed over all classes.
 func (l *Load) Total() Responses {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.tally.Total()
 }
 
-// await waits until so many more jobs have ended.
+// awaitJobs waits until the given number of further jobs has ended.
 func (l *Load) awaitJobs(ctx context.Context, more int) error {
 	before, _ := l.EndedJobs()
 	for {
@@ -101,13 +105,14 @@
 	}
 }
 
-// run draws the arrivals until Stop.
+// run draws job arrivals and starts the jobs until Stop.
 func (l *Load) run() {
 	rng := rand.New(rand.NewPCG(l.Seed, arrivalRNGStream))
 	next := time.Now()
 	for number := 1; ; number++ {
 		next = next.Add(time.Duration(rng.ExpFloat64() / l.Rate * float64(time.Second)))
-		class, tenant, fresh := l.drawClass(rng.Float64()), l.drawTenant(rng.Float64()), rng.Float64() < l.NewConnectionFraction
+		class, tenant := l.drawClass(rng.Float64()), l.drawTenant(rng.Float64())
+		fresh := rng.Float64() < l.NewConnectionFraction
 		select {
 		case <-time.After(time.Until(next)):
 		case <-l.stop:
@@ -121,7 +126,7 @@
 	}
 }
 
-// class picks a class by the classes' fractions of the jobs, with a random number from 0 to 1.
+// drawClass returns the class for a random number from 0 to 1, weighted by the classes' job fractions.
 func (l *Load) drawClass(drawn float64) lab.Class {
 	for _, c := range l.classes {
 		if drawn -= c.JobFraction; drawn < 0 {
@@ -131,7 +136,8 @@
 	return l.classes[0]
 }
 
-// tenant picks a tenant by the tenants' quotas, with a random number from 0 to 1.
+// drawTenant returns the tenant for a random number from 0 to 1, weighted by the tenants' quota
+// fractions.
 func (l *Load) drawTenant(drawn float64) lab.Tenant {
 	for _, t := range l.tenants {
 		if drawn -= t.QuotaFraction; drawn < 0 {
@@ -141,7 +147,7 @@
 	return l.tenants[0]
 }
 
-// admit counts a job as open, and reports false if too many are.
+// admit counts a new open job; it returns false if MaxOpenJobs are open.
 func (l *Load) admit() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -152,7 +158,7 @@
 	return true
 }
 
-// submit sends one job until it has an answer or may not be sent again.
+// submit sends one job until its outcome is not Unread or it was sent maxSends times, and tallies it.
 func (l *Load) submit(id string, class lab.Class, tenant string, fresh bool) {
 	text := requestText(id, class, tenant)
 	record := JobRecord{ID: id, Class: class.Name}
@@ -173,7 +179,7 @@
 	l.tally.add(record, got.Body)
 }
 
-// requestText is a job's request as it is sent.
+// requestText returns a job's HTTP request.
 func requestText(id string, class lab.Class, tenant string) string {
 	const body = "body"
 	const head = "POST /%s HTTP/1.1\r\nHost: app.svc\r\nX-Txn: %s\r\nX-Lane: %s\r\nX-Org: %s\r\n" +
@@ -182,7 +188,7 @@
 		class.Name, id, class.Name, tenant, class.Deadline.Milliseconds(), len(body), body)
 }
 
-// send sends a request once, on a kept connection or on a new one.
+// send sends a request once, on an idle connection or on a new one.
 func (l *Load) send(text string, fresh bool, until time.Time) (got answer, s Send) {
 	s.StartedAt = time.Now()
 	var c *connection
@@ -206,8 +212,8 @@
 	return got, s
 }
 
-// connection returns the connection that has been idle for longest and is still open, or nil if
-// there is none.
+// idleConnection returns the least recently used idle connection that is still open; nil if there is
+// none.
 func (l *Load) idleConnection() *connection {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -222,7 +228,8 @@
 	return nil
 }
 
-// release keeps a connection for a later job, or closes it if enough are idle.
+// release keeps a connection for a later job. It closes the connection if MaxIdleConnections are idle
+// or the scheduler closes it.
 func (l *Load) release(c *connection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/service/operators.go
+++ b/internal/lab/service/operators.go
@@ -8,29 +8,29 @@
 	"time"
 )
 
-// AnswerLimit is the time limit of each call to the operators' address.
+// CallTimeout is the time limit of each call to the admin address.
 const CallTimeout = time.Second
 
-// Operators calls a scheduler's operators' address as the platform does: one call on each
-// connection.
+// AdminClient calls a scheduler's admin address as the platform does, with a new connection for each
+// call.
 type AdminClient struct{ Addr string }
 
-// A StatusError is an answer whose status is not 2xx.
+// StatusError reports a response with a status other than 2xx.
 type StatusError struct {
 	Call   string
 	Status int
 }
 
-// Error names the call and its answer.
-func (e *StatusError) Error() string { return fmt.Sprintf("%s was answered %d", e.Call, e.Status) }
+// Error returns the call and the status of its response.
+func (e *StatusError) Error() string { return fmt.Sprintf("%s returned status %d", e.Call, e.Status) }
 
-// Health returns nil if the process is ready to serve.
+// Health returns nil if the process is ready to serve, and an error otherwise.
 func (o AdminClient) Health(ctx context.Context) error {
 	_, err := o.call(ctx, http.MethodGet, "/admin/health")
 	return err
 }
 
-// Stats fetches the figures.
+// Stats fetches the metrics.
 func (o AdminClient) Stats(ctx context.Context) (Metrics, error) {
 	text, err := o.call(ctx, http.MethodGet, "/admin/stats")
 	if err != nil {
@@ -39,25 +39,25 @@
 	return ParseMetrics(text)
 }
 
-// Quiesce takes the scheduler out of service: it disconnects its clients.
+// Quiesce takes the scheduler out of service: it stops being healthy and disconnects its clients.
 func (o AdminClient) Quiesce(ctx context.Context) error {
 	_, err := o.call(ctx, http.MethodPut, "/admin/quiesce")
 	return err
 }
 
-// Resume takes the scheduler back into service.
+// Resume puts the scheduler back into service.
 func (o AdminClient) Resume(ctx context.Context) error {
 	_, err := o.call(ctx, http.MethodPut, "/admin/resume")
 	return err
 }
 
-// call makes one call and returns its body.
+// call makes one call to the admin address and returns the response's body.
 func (o AdminClient) call(ctx context.Context, method, path string) (string, error) {
 	return Fetch(ctx, method, "http://"+o.Addr+path)
 }
 
-// Fetch makes one call on a connection of its own, within AnswerLimit, and returns the body
-// of a 2xx.
+// Fetch makes one HTTP call on a new connection, within CallTimeout, and returns the body of a 2xx
+// response. Another status is a StatusError.
 func Fetch(ctx context.Context, method, url string) (string, error) {
 	limited, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
--- a/internal/lab/service/tally.go
+++ b/internal/lab/service/tally.go
@@ -9,33 +9,33 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// A Send is one transmission of a job to the scheduler.
+// Send is one transmission of a job to the scheduler.
 type Send struct {
 	StartedAt, EndedAt time.Time
-	Port               string // the client's; empty if no connection was made
-	NewConnection      bool   // the connection had carried nothing before
+	Port               string // the client's local port; empty if no connection was made
+	NewConnection      bool   // the connection had carried no earlier request
 	Outcome            Outcome
-	Err                error // what happened, if there was no answer
+	Err                error // the reason if Outcome is not Answered
 }
 
-// A Record is one job with all its sends.
+// JobRecord is one job with all its sends.
 type JobRecord struct {
 	ID, Class string
 	Sends     []Send
-	Status    int // of its answer; 0 if there was none
+	Status    int // of the response; 0 if there was none
 }
 
-// last is the send that decided the job's outcome.
+// lastSend returns the send that decided the job's outcome.
 func (r JobRecord) lastSend() Send { return r.Sends[len(r.Sends)-1] }
 
-// Lost reports whether the job has no whole answer.
+// Lost reports whether the job got no complete response.
 func (r JobRecord) Lost() bool { return r.lastSend().Outcome != Answered }
 
-// Text tells the job's sends, with times since a moment.
+// Describe lists the job's sends for reports, with times relative to since.
 func (r JobRecord) Describe(since time.Time) string {
 	var sends []string
 	for _, s := range r.Sends {
-		text := fmt.Sprintf("sent at %.3f s from port %q (fresh: %v), %s at %.3f s",
+		text := fmt.Sprintf("sent at %.3f s from port %q (new connection: %v), %s at %.3f s",
 			s.StartedAt.Sub(since).Seconds(), s.Port, s.NewConnection, s.Outcome, s.EndedAt.Sub(since).Seconds())
 		if s.Err != nil {
 			text += " (" + s.Err.Error() + ")"
@@ -45,19 +45,19 @@
 	return fmt.Sprintf("job %s: %s", r.ID, strings.Join(sends, ", then "))
 }
 
-// Latencies are recorded in microseconds, up to a minute.
+// The unit, the upper limit and the significant decimal digits of recorded latencies.
 const (
 	latencyUnit   = time.Microsecond
 	maxLatency    = time.Minute
 	latencyDigits = 3
 )
 
-// A Tally counts jobs by what became of them.
+// Tally counts jobs by their result.
 type Tally struct {
 	Sent         int
 	Answers      map[string]Responses // by class
-	Rejected     int                  // 4xx but 429: the scheduler did not take the job
-	WrongResults []JobRecord          // answered 200, with another job's result or none
+	Rejected     int                  // 4xx other than 429: the scheduler did not accept the job
+	WrongResults []JobRecord          // answered 200 without a result, or with the result of another job
 	Lost         []JobRecord
 	Unread       []JobRecord // Unread at least once
 	Latency      *hdrhistogram.Histogram
@@ -70,7 +70,7 @@
 	}
 }
 
-// add counts a job that has ended, with the answer's body.
+// add counts a job that has ended, given its response's body.
 func (t *Tally) add(r JobRecord, body string) {
 	t.Sent++
 	for _, s := range r.Sends {
@@ -84,7 +84,7 @@
 		return
 	}
 	latency := r.lastSend().EndedAt.Sub(r.Sends[0].StartedAt)
-	_ = t.Latency.RecordValue(int64(latency / latencyUnit)) // fails beyond maxLatency: such jobs are left out
+	_ = t.Latency.RecordValue(int64(latency / latencyUnit)) // fails above maxLatency: the histogram omits such jobs
 	responses := t.Answers[r.Class]
 	switch {
 	case r.Status == http.StatusOK:
@@ -102,10 +102,10 @@
 	t.Answers[r.Class] = responses
 }
 
-// resultOf is the beginning of a job's result, as a stand-in worker words it.
+// resultOf returns the beginning of a job's result as a stand-in worker writes it.
 func resultOf(r JobRecord) string { return fmt.Sprintf("%s of %s by ", r.ID, r.Class) }
 
-// Total is the sum of the answers over all classes.
+// Total returns the responses summed over all classes.
 func (t Tally) Total() (sum Responses) {
 	for _, r := range t.Answers {
 		sum.OK += r.OK
@@ -115,7 +115,7 @@
 	return sum
 }
 
-// Line is the tally in one line.
+// Line returns the tally as one line.
 func (t Tally) Line() string {
 	sum := t.Total()
 	at := func(percent float64) float64 {
@@ -123,9 +123,9 @@
 	}
 	answers := fmt.Sprintf("jobs %d: ok %.0f, shed %.0f, errors %.0f, rejected %d",
 		t.Sent, sum.OK, sum.Shed, sum.Errors, t.Rejected)
-	failures := fmt.Sprintf("lost %d, wrong %d, turned back unheard %d",
+	failures := fmt.Sprintf("lost %d, wrong results %d, not read %d",
 		len(t.Lost), len(t.WrongResults), len(t.Unread))
-	latencies := fmt.Sprintf("answered after %.3f s at the median, %.3f s at 99 %%, %.3f s at most",
+	latencies := fmt.Sprintf("latency %.3f s at the median, %.3f s at the 99th percentile, %.3f s at most",
 		at(50), at(99), at(100))
 	return answers + ", " + failures + "; " + latencies
 }
--- a/internal/lab/service/trial.go
+++ b/internal/lab/service/trial.go
@@ -11,40 +11,40 @@
 )
 
 const (
-	maxUnreadPerUpgrade = 2  // Unread jobs in one upgrade
-	jobsBetweenUpgrades = 10 // jobs that end before each upgrade
-	faultRNGStream      = 23 // the generator's stream of the faults' times
+	maxUnreadPerUpgrade = 2  // limit of Unread jobs during one upgrade
+	jobsBetweenUpgrades = 10 // jobs that must end before the next upgrade starts
+	faultRNGStream      = 23 // the random generator's stream for the times of faults
 )
 
-// UpgradeTrial is a trial: one upgrade after another under load, each done as the platform does it.
+// UpgradeTrial is a trial of consecutive upgrades under load, each done as the platform does it.
 type UpgradeTrial struct {
 	Program  string
 	Upgrades int
-	Seed     uint64 // of the load and the faults
-	Fault    Fault  // in each upgrade
+	Seed     uint64 // of the load and of the faults
+	Fault    Fault  // injected into each upgrade
 	Load     LoadOptions
 }
 
-// DefaultUpgradeTrial is the trial that the operators' page speaks of.
+// DefaultUpgradeTrial is the trial that the operator documentation describes.
 var DefaultUpgradeTrial = UpgradeTrial{Program: "bin/foxlift", Upgrades: 20, Seed: 1, Fault: NoFault, Load: DefaultLoad}
 
-// An UpgradeTrialResult is what a trial observed.
+// UpgradeTrialResult holds the observations of a trial.
 type UpgradeTrialResult struct {
 	StartedAt       time.Time
 	Upgrades        []UpgradeReport
-	PlannedUpgrades int      // upgrades
-	FaultsInjected  int      // faults
-	Outages         []Outage // by kills of a process that served
+	PlannedUpgrades int
+	FaultsInjected  int
+	Outages         []Outage // caused by kills of a serving process
 	Tally           Tally
-	DuplicateJobs   []string // identifiers of at-most-once jobs that ran more than once
+	DuplicateJobs   []string // IDs of at-most-once jobs that ran more than once
 }
 
-// excused reports whether a send may have failed because its process was killed.
+// failedInOutage reports whether a send may have failed because its process was killed.
 func (r UpgradeTrialResult) failedInOutage(s Send) bool {
 	return slices.ContainsFunc(r.Outages, func(outage Outage) bool { return outage.covers(s) })
 }
 
-// Lost are the jobs without an answer, but for those that died with a killed process.
+// Lost returns the jobs without a complete response, except those lost with a killed process.
 func (r UpgradeTrialResult) Lost() (lost []JobRecord) {
 	for _, record := range r.Tally.Lost {
 		if !r.failedInOutage(record.lastSend()) {
@@ -54,8 +54,9 @@
 	return lost
 }
 
-// Returned counts the Unread jobs, and the most in one upgrade: each belongs to the upgrade that
-// began last before it was sent. Those of a killed process do not count.
+// UnreadJobs returns the number of Unread jobs and the highest number in one upgrade. A job counts for
+// the upgrade that started last before the job's first send ended. Sends to a killed process do not
+// count.
 func (r UpgradeTrialResult) UnreadJobs() (all, most int) {
 	counts := make([]int, len(r.Upgrades)+1)
 	for _, record := range r.Tally.Unread {
@@ -67,8 +68,8 @@
 	return all, slices.Max(counts)
 }
 
-// upgradeNumber is the number of the upgrade that began last before a job's first send ended, or 0 if
-// there was none yet.
+// upgradeNumber returns the number of the upgrade that started last before a job's first send ended; 0
+// if there was none.
 func (r UpgradeTrialResult) upgradeNumber(record JobRecord) int {
 	ended := record.Sends[0].EndedAt
 	later := slices.IndexFunc(r.Upgrades, func(report UpgradeReport) bool { return report.StartedAt.After(ended) })
@@ -78,7 +79,7 @@
 	return len(r.Upgrades)
 }
 
-// Slowest is the longest time that a new process took until it was ready.
+// SlowestStart returns the longest time that a new process took until it was ready.
 func (r UpgradeTrialResult) SlowestStart() (slowest time.Duration) {
 	for _, report := range r.Upgrades {
 		slowest = max(slowest, report.ReadyAfter)
@@ -86,22 +87,23 @@
 	return slowest
 }
 
-// Line is the result in one line.
+// Line returns the result as one line.
 func (r UpgradeTrialResult) Line() string {
 	all, most := r.UnreadJobs()
-	return fmt.Sprintf("upgrades %d, jobs %d, lost %d, ran twice %d, "+
-		"turned back unheard %d (most in one upgrade %d), slowest yes %.2f s",
+	return fmt.Sprintf("upgrades %d, jobs %d, lost %d, ran more than once %d, "+
+		"not read %d (most in one upgrade %d), slowest ready after %.2f s",
 		len(r.Upgrades), r.Tally.Sent, len(r.Lost()), len(r.DuplicateJobs), all, most, r.SlowestStart().Seconds())
 }
 
-// OK reports whether the trial passed: no rule was broken, each upgrade was done, and jobs were served.
+// OK reports whether the trial passed: no limit was exceeded, all planned upgrades were done, and jobs
+// were served.
 func (r UpgradeTrialResult) OK() bool {
 	_, most := r.UnreadJobs()
-	return len(r.Lost()) == 0 && len(r.DuplicateJobs) == 0 && len(r.Tally.WrongResults) == 0 && most <= maxUnreadPerUpgrade &&
-		r.SlowestStart() <= ReadyLimit && len(r.Upgrades) == r.PlannedUpgrades && r.Tally.Total().OK > 0
+	return len(r.Lost()) == 0 && len(r.DuplicateJobs) == 0 && len(r.Tally.WrongResults) == 0 &&
+		most <= maxUnreadPerUpgrade && r.SlowestStart() <= ReadyLimit && len(r.Upgrades) == r.PlannedUpgrades && r.Tally.Total().OK > 0
 }
 
-// Run runs the trial. If an upgrade fails, the result has what was observed until then.
+// Run runs the trial. If an upgrade fails, the result holds the observations until then.
 func (u UpgradeTrial) Run(ctx context.Context, w io.Writer) (result UpgradeTrialResult, err error) {
 	if !slices.Contains(Faults, u.Fault) {
 		return result, errUnknownFault
@@ -160,8 +162,8 @@
 }
 
 // upgradeAfterFailedSuccessor does one upgrade after a successor that fails before it is ready. The
-// faults' times after the start are spread over the upgrades, up to the longest time until ready
-// observed so far.
+// delays from the successor's start to the fault are spread over the upgrades, up to the longest time
+// until ready observed so far.
 func (u UpgradeTrial) upgradeAfterFailedSuccessor(
 	ctx context.Context, d *Deployment, r *UpgradeTrialResult, rng *rand.Rand,
 ) (report UpgradeReport, err error) {
@@ -188,18 +190,18 @@
 	return report, err
 }
 
-// randomDuration draws a time up to a limit.
+// randomDuration returns a random duration below a limit.
 func randomDuration(rng *rand.Rand, limit time.Duration) time.Duration {
 	return time.Duration(rng.Float64() * float64(limit))
 }
 
-// report prints what went wrong, job by job, and a summary.
+// printFailures writes each failed job and a summary.
 func (r UpgradeTrialResult) printFailures(w io.Writer) {
 	for _, record := range r.Lost() {
 		fmt.Fprintln(w, "lost:", record.Describe(r.StartedAt))
 		if number := r.upgradeNumber(record); number > 0 {
 			report := r.Upgrades[number-1]
-			fmt.Fprintf(w, "  in upgrade %d, whose old process was %s; its log ends with\n    %s\n",
+			fmt.Fprintf(w, "  during upgrade %d with old process %s; end of its log:\n    %s\n",
 				number, report.Predecessor.Name, strings.Join(report.Predecessor.Log(), "\n    "))
 		}
 	}
@@ -208,13 +210,13 @@
 	}
 	for _, record := range r.Tally.Unread {
 		if !r.failedInOutage(record.Sends[0]) {
-			fmt.Fprintln(w, "turned back:", record.Describe(r.StartedAt))
+			fmt.Fprintln(w, "not read:", record.Describe(r.StartedAt))
 		}
 	}
 	for _, id := range r.DuplicateJobs {
-		fmt.Fprintln(w, "ran twice:", id)
+		fmt.Fprintln(w, "ran more than once:", id)
 	}
 	excused := len(r.Tally.Lost) - len(r.Lost())
-	fmt.Fprintf(w, "%s; faults placed %d; %d of the lost died with a killed process, which is no fault of the upgrade\n",
+	fmt.Fprintf(w, "%s; faults injected %d; %d of the lost jobs died with a killed process, not by the upgrade\n",
 		r.Tally.Line(), r.FaultsInjected, excused)
 }
--- a/internal/lab/service/upgrade.go
+++ b/internal/lab/service/upgrade.go
@@ -9,16 +9,16 @@
 	"github.com/vatu-meals/foxlift/internal/lab/fleet"
 )
 
-// A Termination is a process that has had SIGTERM.
+// Termination is the shutdown of a process after SIGTERM.
 type Termination struct {
 	Process   *fleet.Process
-	limit     time.Duration
+	limit     time.Duration // from SIGTERM to SIGKILL
 	startedAt time.Time
-	Took      time.Duration // from SIGTERM to its end
-	Forced    bool          // it was still there at the limit
+	Took      time.Duration // from SIGTERM to the process's exit
+	Forced    bool          // the process was killed because it still ran at the limit
 }
 
-// StartNext starts the process that is to be the next one. It may not be ready when StartNext
+// StartNext starts a successor of the current process. The successor may not be ready when StartNext
 // returns.
 func (d *Deployment) StartNext() (*fleet.Process, error) {
 	next, err := d.Fleet.Successor(0)
@@ -28,7 +28,7 @@
 	return next, next.Start()
 }
 
-// Promote makes a process that is ready the current one, and sends SIGTERM to the old one.
+// Promote makes a process that is ready the current one and sends SIGTERM to the old one.
 func (d *Deployment) Promote(next *fleet.Process) (*Termination, error) {
 	old := d.Current
 	d.Current = next
@@ -36,7 +36,8 @@
 	return termination, old.Signal(syscall.SIGTERM)
 }
 
-// Await waits for the end of the process, and kills it at the limit.
+// Await waits until the process exits and kills it at the limit. It fails if the process exits with an
+// error.
 func (t *Termination) Await(ctx context.Context) error {
 	select {
 	case <-t.Process.Done():
@@ -48,12 +49,12 @@
 	}
 	t.Took = time.Since(t.startedAt)
 	if err := t.Process.Wait(); err != nil {
-		return fmt.Errorf("%s ended with %w after SIGTERM", t.Process.Name, err)
+		return fmt.Errorf("%s exited with %w after SIGTERM", t.Process.Name, err)
 	}
 	return nil
 }
 
-// Terminate ends the current process, as the last one of its deployment.
+// Terminate ends the current process with SIGTERM when nothing replaces it.
 func (d *Deployment) Terminate(ctx context.Context) error {
 	termination := &Termination{Process: d.Current, limit: d.TerminationGrace(), startedAt: time.Now()}
 	if err := d.Current.Signal(syscall.SIGTERM); err != nil {
@@ -62,24 +63,24 @@
 	return termination.Await(ctx)
 }
 
-// An UpgradeReport is what one upgrade took.
+// UpgradeReport holds the times and the outcome of one upgrade.
 type UpgradeReport struct {
 	StartedAt    time.Time
 	ReadyAfter   time.Duration // from the new process's start until it was ready
-	TerminatedAt time.Time     // when the old one had SIGTERM; zero if it was killed
-	Took         time.Duration // from SIGTERM to the old one's end
-	Forced       bool          // it was killed at the limit
+	TerminatedAt time.Time     // when the old process received SIGTERM; zero if it was killed
+	Took         time.Duration // from SIGTERM to the old process's exit
+	Forced       bool          // the old process was killed at the limit
 	Predecessor  *fleet.Process
 }
 
-// Line tells the upgrade's steps, with times since a moment.
+// Line returns the upgrade's steps as one line, with times relative to since.
 func (r UpgradeReport) Line(since time.Time) string {
-	text := fmt.Sprintf("new process started at %.3f s, yes after %.3f s",
+	text := fmt.Sprintf("new process started at %.3f s, ready after %.3f s",
 		r.StartedAt.Sub(since).Seconds(), r.ReadyAfter.Seconds())
 	if r.TerminatedAt.IsZero() {
-		return text + ", old one killed"
+		return text + ", old process killed"
 	}
-	text += fmt.Sprintf(", old one told at %.3f s, ended after %.3f s",
+	text += fmt.Sprintf(", old process sent SIGTERM at %.3f s, exited after %.3f s",
 		r.TerminatedAt.Sub(since).Seconds(), r.Took.Seconds())
 	if r.Forced {
 		text += " by SIGKILL at the limit"
@@ -87,7 +88,8 @@
 	return text
 }
 
-// Upgrade replaces the current process as the platform does, and waits for the old one's end.
+// Upgrade replaces the current process as the platform does: it starts a successor, waits until the
+// successor is ready, and terminates the old process.
 func (d *Deployment) Upgrade(ctx context.Context) (report UpgradeReport, err error) {
 	report.StartedAt, report.Predecessor = time.Now(), d.Current
 	next, err := d.StartNext()
@@ -101,12 +103,12 @@
 	return report, err
 }
 
-// completeUpgrade does the rest of an upgrade once the new process is ready.
+// completeUpgrade promotes the new process, which is ready, and waits until the old one exits.
 func (d *Deployment) completeUpgrade(ctx context.Context, report *UpgradeReport, next *fleet.Process) error {
 	report.TerminatedAt = time.Now()
 	termination, err := d.Promote(next)
 	if err != nil {
-		return fmt.Errorf("%s was gone before its SIGTERM: %w", termination.Process.Name, err)
+		return fmt.Errorf("%s exited before SIGTERM: %w", termination.Process.Name, err)
 	}
 	err = termination.Await(ctx)
 	report.Took, report.Forced = termination.Took, termination.Forced
