--- a/cmd/foxlift-sim/golden_test.go
+++ b/cmd/foxlift-sim/golden_test.go
@@ -7,7 +7,7 @@
 	"github.com/vatu-meals/foxlift/internal/golden"
 )
 
-// sessionSettings are those of two schedulers that may do everything.
+// sessionSettings are the settings of one of two schedulers that may use all kinds of actions.
 const sessionSettings = `{"balancers":2,"slotNo":0,"dcs":["a","b"],"zone":"a","flavors":["big","small"],` +
 	`"discovery":"subscribe",` +
 	`"grades":[{"name":"read","aim":75000000,"deadline":5000000000,"effect":"idempotent","gain":1.0},` +
@@ -20,7 +20,7 @@
 	`"obligations":{"warmAfter":20000000000,"startCapacity":0.2,"fall":2000000000,"mustAskIn":4000000000},` +
 	`"projects":[{"name":"t1","quotaRps":10}],"report":{"names":["backlog","x0"]}}`
 
-// session is batches with each kind of message that the simulator sends.
+// session holds batches with each kind of message that the simulator sends.
 var session = []string{
 	`{"simTime":9000000000,"batch":1,"news":[["attach","s_0",7,` + sessionSettings + `],` +
 		`["attach","s_1",8,` + strings.Replace(sessionSettings, `"slotNo":0`, `"slotNo":1`, 1) + `],` +
@@ -47,7 +47,7 @@
 	`{"simTime":10400000000,"batch":10,"news":[["deadlineHit","s_0",1],["down","s_1"]]}`,
 }
 
-// TestSession pins the replies to a session, byte for byte.
+// TestSession checks the bytes of the replies to a session against a golden file.
 func TestSession(t *testing.T) {
 	golden.Check(t, "session.txt", []byte(runBatches(t, strings.Join(session, "\n")+"\n")))
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -15,9 +15,10 @@
 	"go.uber.org/zap"
 )
 
+// connTimeout is the deadline of a test's connection, also on a slow machine.
 const connTimeout = 20 * time.Second
 
-// fakeScheduler is a scheduler that only notes what it is told.
+// fakeScheduler is a Scheduler that counts the calls of Quiesce and Resume.
 type fakeScheduler struct {
 	ready    atomic.Bool
 	quiesces atomic.Int32
@@ -28,6 +29,7 @@
 func (s *fakeScheduler) Quiesce()    { s.quiesces.Add(1) }
 func (s *fakeScheduler) Resume()     { s.resumes.Add(1) }
 
+// start runs a server with at most the given number of connections, and returns its scheduler and address.
 func start(t *testing.T, connections int) (*fakeScheduler, string) {
 	t.Helper()
 	s := &fakeScheduler{}
@@ -42,7 +44,7 @@
 	return s, server.Addr().String()
 }
 
-// dial opens a connection that stays until the test's end and writes a text on it.
+// dial opens a connection that is closed at the end of the test, and writes text to it.
 func dial(t *testing.T, address, text string) net.Conn {
 	t.Helper()
 	var dialer net.Dialer
@@ -52,12 +54,13 @@
 	}
 	t.Cleanup(func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(connTimeout))
-	// The server may answer and close before all is written.
+	// The server may answer and close before the whole text is written.
 	fmt.Fprint(conn, text)
 	return conn
 }
 
-// sendRequest writes a text on a connection of its own and returns the answer's status; 0 if there is none.
+// sendRequest writes text to a new connection. It returns the status of the response, 0 if there is none, and whether
+// the server closed the connection after it.
 func sendRequest(t *testing.T, address, text string) (status int, closed bool) {
 	t.Helper()
 	conn := dial(t, address, text)
@@ -69,16 +72,18 @@
 	}
 	defer response.Body.Close()
 	if _, err := io.Copy(io.Discard, response.Body); err != nil {
-		t.Logf("%.40q: the answer's body: %v", text, err)
+		t.Logf("%.40q: reading the response body: %v", text, err)
 	}
 	_, err = reader.ReadByte()
 	return response.StatusCode, errors.Is(err, io.EOF)
 }
 
+// requestText returns a request without a body.
 func requestText(method, path string) string {
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: scheduler\r\n\r\n", method, path)
 }
 
+// Each request must get the right status and the end of its connection. Invalid requests must not reach the scheduler.
 func TestResponseStatuses(t *testing.T) {
 	s, address := start(t, 8)
 	for _, c := range []struct {
@@ -115,7 +120,8 @@
 	}
 }
 
-// Connections with half a request are closed for complete ones, the oldest first.
+// A connection with half a request must be closed, the oldest first, when another connection needs its place. Otherwise
+// incomplete requests would lock the operators out.
 func TestOldestIncompleteRequestIsClosed(t *testing.T) {
 	const connections = 4
 	_, address := start(t, connections)
@@ -123,18 +129,19 @@
 	for range 5 * connections {
 		incomplete = append(incomplete, dial(t, address, "GET /admin/st"))
 		if status, _ := sendRequest(t, address, requestText("GET", PathStats)); status != 200 {
-			t.Fatalf("status %d beside %d half requests", status, len(incomplete))
+			t.Fatalf("status is %d with %d incomplete requests open, want 200", status, len(incomplete))
 		}
 	}
 	if _, err := incomplete[0].Read(make([]byte, 1)); err == nil {
-		t.Error("the oldest half request was answered")
+		t.Error("read on the connection of the oldest incomplete request succeeded, want an error")
 	}
 }
 
+// The error for an address in use must name the configuration key, so that an operator knows what to change.
 func TestAddressInUse(t *testing.T) {
 	_, address := start(t, 8)
 	_, err := Listen(t.Context(), address, 8, &fakeScheduler{}, http.NotFoundHandler(), zap.NewNop())
 	if err == nil || !strings.Contains(err.Error(), "LB_ADMIN") {
-		t.Errorf("error %v, want one that names the key", err)
+		t.Errorf("Listen() returned error %v, want one that names LB_ADMIN", err)
 	}
 }
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -10,7 +10,7 @@
 	"github.com/vatu-meals/foxlift/internal/golden"
 )
 
-// TestResponseBytes pins the answers to operators' calls.
+// TestResponseBytes checks the bytes of the responses to operators against a golden file.
 func TestResponseBytes(t *testing.T) {
 	date := regexp.MustCompile(`Date: [^\r]*`)
 	s, address := start(t, 8)
--- a/internal/wire/fuzz_test.go
+++ b/internal/wire/fuzz_test.go
@@ -10,7 +10,7 @@
 	"github.com/vatu-meals/foxlift/internal/fuzz"
 )
 
-// A collector accepts whatever a batch holds, as the adapter does.
+// A collector handles messages as foxlift-sim does and counts the events.
 type collector struct {
 	names  map[string]*NameTables
 	events int
@@ -20,7 +20,7 @@
 	cfg, names, err := ParseSettings(instance, settings)
 	if err != nil {
 		h.names[instance] = &NameTables{Instance: instance}
-		return nil //nolint:nilerr // as the adapter: settings that cannot run are kept without tables
+		return nil //nolint:nilerr // as in foxlift-sim, an instance with invalid settings is kept without tables
 	}
 	if _, err := foxlift.New(*cfg, seed); err != nil {
 		names = &NameTables{Instance: instance}
@@ -32,8 +32,8 @@
 func (h *collector) Names(instance []byte) *NameTables       { return h.names[string(instance)] }
 func (h *collector) Event(*NameTables, *foxlift.Event) error { h.events++; return nil }
 
-// checkBatch: a line of the simulator's messages is accepted or rejected with an error, and read the same
-// way twice.
+// checkBatch checks that decoding a line does not panic, and gives the same result when it is repeated with the buffers
+// of the same Decoder.
 func checkBatch(t testing.TB, data []byte) {
 	var dec Decoder
 	decode := func() (Batch, int, string) {
@@ -47,10 +47,11 @@
 	b1, n1, e1 := decode()
 	b2, n2, e2 := decode()
 	if b1 != b2 || n1 != n2 || e1 != e2 {
-		t.Fatalf("%q: %v %d %q, then %v %d %q", data, b1, n1, e1, b2, n2, e2)
+		t.Fatalf("Decode(%q): batch %v, %d events, error %q; the second time %v, %d, %q", data, b1, n1, e1, b2, n2, e2)
 	}
 }
 
+// batchSeeds returns valid batches with every kind of message, and invalid ones.
 func batchSeeds() (seeds [][]byte) {
 	const attach = `["attach","scheduler_3",7,{"grades":[{"name":"r","aim":1,"deadline":2,"effect":"idempotent"}],` +
 		`"dcs":["a"],"flavors":["k"],"projects":[{"name":"t","quotaRps":1}]}]`
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -8,7 +8,7 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// A recorder keeps the events decoded.
+// A recorder is a Handler of one instance that records the decoded events.
 type recorder struct {
 	names  *NameTables
 	events []foxlift.Event
@@ -25,6 +25,7 @@
 	return nil
 }
 
+// decode decodes a batch for an instance that was attached before, and returns its events.
 func decode(t *testing.T, line string) []foxlift.Event {
 	t.Helper()
 	var d Decoder
@@ -40,6 +41,7 @@
 	return r.events
 }
 
+// The documented example messages must be decoded to the right events.
 func TestDecodeDocumentedExamples(t *testing.T) {
 	ev := decode(t, `{"simTime":8412250000,"batch":12,"news":[`+
 		`["accept","scheduler_3",1564119492,8652250000,"menu-read","91f03b7c55d20a64",12000000,2,1,"walu-bay-works",1.5],`+
@@ -51,29 +53,30 @@
 	r := ev[0].Request
 	if r.ID != 1564119492 || r.Deadline != 8652250000 || r.Class != 0 || r.Key != 0x91f03b7c55d20a64 ||
 		r.Size != 12000000 || r.Slots != 2 || r.Tenant != 0 || r.Memory != 1.5 || r.ClientRetry {
-		t.Errorf("request %+v", r)
+		t.Errorf("decoded request is %+v, want the values of the accept message", r)
 	}
 	if ev[1].Token != 77 || ev[2].ID != 242166553 || ev[2].Kind != foxlift.EventClientDisconnected {
-		t.Errorf("timer %+v, client %+v", ev[1], ev[2])
+		t.Errorf("decoded events are %+v and %+v, want timer 77 and the disconnect of client 242166553", ev[1], ev[2])
 	}
 	if o := ev[3]; o.Code != foxlift.Served || !o.Ended || o.Took != 18500000 || o.Load[3] != 1.25 || !o.HasLoad {
-		t.Errorf("outcome %+v", o)
+		t.Errorf("decoded outcome is %+v, want the values of the completed message", o)
 	}
 	w := ev[4].Workers[0]
 	if w.Zone != 1 || w.Kind != 0 || w.Cell != 3 || w.State != foxlift.Draining || w.StartedAt != 6100000000 {
-		t.Errorf("worker %+v", w)
+		t.Errorf("decoded worker is %+v, want the values of the registry message", w)
 	}
 	if p := ev[5]; p.Code != foxlift.Unreachable || p.HasLoad || p.Kind != foxlift.EventHealthChecked {
-		t.Errorf("probe %+v", p)
+		t.Errorf("decoded health check is %+v, want an unreachable worker without a load report", p)
 	}
 	if m := ev[6]; m.From != 2 || string(m.Data) != "hi 7" {
-		t.Errorf("message %+v", m)
+		t.Errorf("decoded peer message is %+v, want \"hi 7\" from peer 2", m)
 	}
 	if n := ev[7]; n.Kind != foxlift.EventStarted || n.Attempt != 1 || n.ID != 9 {
-		t.Errorf("note %+v", n)
+		t.Errorf("decoded event is %+v, want the start of attempt 1 of request 9", n)
 	}
 }
 
+// Each rc value must be decoded to its outcome.
 func TestDecodeOutcomeCodes(t *testing.T) {
 	want := map[string]foxlift.Code{
 		"100": foxlift.Served, "301": foxlift.WorkerError, "302": foxlift.Saturated, "303": foxlift.DeadlineExceeded,
@@ -82,11 +85,12 @@
 	for s, c := range want {
 		ev := decode(t, `{"simTime":2,"batch":2,"news":[["completed","scheduler_3",1,"w:1",1,false,0,`+s+`,null,null]]}`)
 		if ev[0].Code != c {
-			t.Errorf("%s read as %d", s, ev[0].Code)
+			t.Errorf("rc %s decoded as %d, want %d", s, ev[0].Code, c)
 		}
 	}
 }
 
+// Each kind of action must be encoded as its message.
 func TestAppendAction(t *testing.T) {
 	for want, a := range map[string]foxlift.Action{
 		`["try","scheduler_3",5,"10.18.74.7:8083",80000000]`: {
@@ -103,11 +107,12 @@
 		`["subscribe","scheduler_3",true]`:     {Kind: foxlift.ActionWatchEndpoints},
 	} {
 		if got := string(AppendAction(nil, "scheduler_3", &a)); got != want {
-			t.Errorf("%s, want %s", got, want)
+			t.Errorf("AppendAction() = %s, want %s", got, want)
 		}
 	}
 }
 
+// Settings of the simulator must result in the right dispatcher configuration.
 func TestParseSettings(t *testing.T) {
 	v := fastjson.MustParse(`{"balancers":3,"slotNo":2,"discovery":"subscribe","zone":"nadi","dcs":["suva","nadi"],` +
 		`"grades":[{"name":"x","aim":5,"deadline":9,"effect":"at_most_once"}],` +
@@ -118,7 +123,7 @@
 		t.Fatal(err)
 	}
 	if c.Dispatchers != 3 || c.Index != 2 || !c.PollEndpoints || c.Zone != 1 || c.MaxPollInterval != 10 {
-		t.Errorf("config %+v", c)
+		t.Errorf("ParseSettings() = %+v, want 3 dispatchers, index 2, polling at most every 10 ns and zone 1", c)
 	}
 	want := foxlift.Class{
 		Name: "x", LatencyObjective: 5, ObjectiveStretch: 1.75, Deadline: 9, Effect: foxlift.AtMostOnce,
