--- a/cmd/foxlift-lab/fuzz.go
+++ b/cmd/foxlift-lab/fuzz.go
@@ -13,20 +13,21 @@
 )
 
 var (
-	errFinding        = errors.New("a rule is broken")    // the fuzz runner has a finding
-	errMutantSurvived = errors.New("a fault is not seen") // by the tests that should catch it
+	errFinding        = errors.New("fuzz: a fuzz target failed")
+	errMutantSurvived = errors.New("mutants: no test failed for at least one mutant")
 )
 
-// fuzzCommand runs all fuzz targets in turn.
+// fuzzCommand returns the command that runs all fuzz targets in turn.
 func fuzzCommand() *cobra.Command {
 	var options lab.FuzzOptions
 	cmd := &cobra.Command{
 		Use:   "fuzz",
-		Short: "Go through all fuzz targets by turns, and store what they find",
+		Short: "Run all fuzz targets in turn, and store their findings",
 		Args:  cobra.NoArgs,
-		Long: `fuzz runs in the module's folder and needs the go command. It gives more time to targets
-that still find new coverage. Findings and summary.json go to --dir. SIGINT ends it with
-what it has. It exits with code 1 if there is a finding.`,
+		Long: `fuzz runs the fuzz targets of the module in the current folder in rounds and gives more time to targets
+that still find new coverage. It needs the go command. It writes failing inputs and summary.json to
+--dir. After SIGINT it stops early and still writes the results so far. It exits with code 1 if a target
+failed, if no target matches, or if a target cannot be built.`,
 		Example: "  go run ./cmd/foxlift-lab fuzz --for 1h --workers 4 --keep",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt)
@@ -42,22 +43,26 @@
 			return nil
 		},
 	}
-	cmd.Flags().DurationVar(&options.Duration, "for", time.Minute, "how long")
-	cmd.Flags().IntVar(&options.Workers, "workers", 4, "processes that fuzz at a time")
-	cmd.Flags().StringVar(&options.Dir, "dir", "found", "where findings and the summary go")
-	cmd.Flags().BoolVar(&options.Persist, "keep", false, "take new inputs into the repository's corpus (2 MB at most)")
-	cmd.Flags().StringVar(&options.Match, "match", "", "regular expression for the targets' names")
+	cmd.Flags().DurationVar(&options.Duration, "for", time.Minute, "duration of the whole run")
+	cmd.Flags().IntVar(&options.Workers, "workers", 4, "processes that fuzz concurrently")
+	cmd.Flags().StringVar(&options.Dir, "dir", "found", "folder for the findings and the summary")
+	cmd.Flags().BoolVar(&options.Persist, "keep", false,
+		"add new inputs to the corpus in the repository (2 MB at most)")
+	cmd.Flags().StringVar(&options.Match, "match", "", "regular expression that the names of the targets match")
 	return cmd
 }
 
-// mutantsCommand checks that the fuzz tests catch deliberate faults.
+// mutantsCommand returns the command that checks that the fuzz tests catch deliberate faults.
 func mutantsCommand() *cobra.Command {
 	var match string
 	var workers int
 	cmd := &cobra.Command{
 		Use:   "mutants",
-		Short: "Prove that the fuzzers see: put faults into a copy of the source, one by one",
+		Short: "Check that the fuzz tests catch deliberate faults in copies of the source",
 		Args:  cobra.NoArgs,
+		Long: `mutants applies each of a list of deliberate faults to its own copy of the module in the current folder
+and runs the fuzz tests that should fail because of it, for at most 60 s. It needs the go command. It
+exits with code 1 if no test fails for a fault, or if a fault cannot be applied or built.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			caught, all, err := lab.CheckMutants(cmd.Context(), cmd.OutOrStdout(), match, workers)
 			if err != nil {
@@ -70,7 +75,7 @@
 			return nil
 		},
 	}
-	cmd.Flags().StringVar(&match, "match", "", "part of the names of those to try")
-	cmd.Flags().IntVar(&workers, "workers", 0, "how many at a time; 0: one a core")
+	cmd.Flags().StringVar(&match, "match", "", "apply only faults whose names contain this text")
+	cmd.Flags().IntVar(&workers, "workers", 0, "faults that are checked concurrently; 0: one for each CPU core")
 	return cmd
 }
--- a/cmd/foxlift-lab/main.go
+++ b/cmd/foxlift-lab/main.go
@@ -1,5 +1,5 @@
-// Command foxlift-lab demonstrates and measures foxlift on loopback, among stand-ins for
-// discovery, the workers and the clients. The scheduler never links it.
+// Command foxlift-lab demonstrates, measures and tests foxlift on loopback, with stand-ins for discovery, the workers
+// and the clients. It is not part of the scheduler's binary.
 package main
 
 import (
@@ -16,11 +16,11 @@
 	}
 }
 
-// rootCommand is foxlift-lab with all its commands.
+// rootCommand returns a new root command with all subcommands.
 func rootCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:           "foxlift-lab",
-		Short:         "Demonstrations and measurements of foxlift on loopback",
+		Short:         "Demonstrate, measure and test foxlift on loopback",
 		SilenceErrors: true,
 		SilenceUsage:  true,
 	}
--- a/cmd/foxlift-lab/soak.go
+++ b/cmd/foxlift-lab/soak.go
@@ -11,21 +11,27 @@
 	"github.com/vatu-meals/foxlift/internal/lab/soak"
 )
 
-// errBroken is what a soak that saw a broken rule ends with.
-var errViolation = errors.New("a rule was broken")
+// errViolation is the error of a soak that found a violation.
+var errViolation = errors.New("soak: a guarantee was violated")
 
-// shortSoak is the length of one run with --short.
+// shortSoak is the time for which faults are injected with --short.
 const shortSoak = 10 * time.Second
 
-// soakCommand plays random faults that overlap in time, and judges by what others recorded.
+// soakCommand returns the command that injects random overlapping faults and checks the records of the stand-ins.
 func soakCommand() *cobra.Command {
 	options := soak.DefaultOptions
 	var seeds int
 	var short, build, mutants bool
 	cmd := &cobra.Command{
 		Use:   "soak",
-		Short: "Play random faults that overlap in time against many processes, and judge by what others recorded",
+		Short: "Inject random overlapping faults into many scheduler processes, and check for violations",
 		Args:  cobra.NoArgs,
+		Long: `soak starts many scheduler processes with stand-ins for workers, discovery and clients, injects random
+faults that overlap in time, and checks the scheduler's guarantees against what the stand-ins recorded.
+It exits with code 1 if it finds a violation or if a run fails.
+
+--mutants builds schedulers with one deliberate fault each and prints how many of them the soak catches.
+It exits with code 1 only if a build or a run fails, not if a fault is not caught.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if short {
 				options.Duration, seeds = shortSoak, 1
@@ -46,19 +52,21 @@
 			return runSoak(cmd, options, seeds)
 		},
 	}
-	cmd.Flags().Uint64Var(&options.Seed, "seed", 1, "the first seed")
-	cmd.Flags().IntVar(&seeds, "seeds", 1, "how many seeds, one after another")
-	cmd.Flags().DurationVar(&options.Duration, "for", options.Duration, "how long faults begin, for each seed")
-	cmd.Flags().IntVar(&options.Schedulers, "schedulers", options.Schedulers, "processes, 10 to 40")
-	cmd.Flags().StringVar(&options.Program, "build", options.Program, "the scheduler's binary")
-	cmd.Flags().BoolVar(&build, "fresh", false, "build the binary aside, in place of --build")
+	cmd.Flags().Uint64Var(&options.Seed, "seed", 1, "seed of the first run")
+	cmd.Flags().IntVar(&seeds, "seeds", 1, "number of runs, one after another, with consecutive seeds")
+	cmd.Flags().DurationVar(&options.Duration, "for", options.Duration,
+		"time in which faults are started, for each seed")
+	cmd.Flags().IntVar(&options.Schedulers, "schedulers", options.Schedulers, "scheduler processes, 10 to 40")
+	cmd.Flags().StringVar(&options.Program, "build", options.Program, "path of the scheduler's binary")
+	cmd.Flags().BoolVar(&build, "fresh", false, "build the scheduler in a temporary folder in place of --build")
 	cmd.Flags().BoolVar(&mutants, "mutants", false,
-		"play builds with one fault put in each, from the source in this folder")
-	cmd.Flags().BoolVar(&short, "short", false, "one short seed")
+		"run builds with one deliberate fault each, from the source in the current folder")
+	cmd.Flags().BoolVar(&short, "short", false, "run one seed with 10 s of faults")
 	return cmd
 }
 
-// runSoak runs so many seeds one after another and prints their sum.
+// runSoak runs a number of seeds one after another and prints the sum of their results. It returns errViolation if
+// there was a violation.
 func runSoak(cmd *cobra.Command, options soak.Options, seeds int) error {
 	var sum soak.Result
 	for range seeds {
--- a/cmd/foxlift-lab/standin.go
+++ b/cmd/foxlift-lab/standin.go
@@ -9,15 +9,16 @@
 	"github.com/vatu-meals/foxlift/internal/lab"
 )
 
-// standInCommand runs discovery and workers for examples/config.json.
+// standInCommand returns the command that runs stand-ins for the systems that examples/config.json refers to.
 func standInCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "standin",
-		Short: "Stand in for a deployment that fits examples/config.json, until SIGINT",
+		Short: "Run the discovery and the workers that examples/config.json refers to, until SIGINT",
 		Args:  cobra.NoArgs,
-		Long: `standin runs discovery on 127.0.0.1:8500 and two execute nodes on 127.0.0.1:3101 and
-3102, of two slots each. A reading takes 0.3 s, a ratify 1.5 s. SIGUSR1 makes the second
-node drain, and SIGUSR1 again brings it back.`,
+		Long: `standin runs stand-ins for discovery, on 127.0.0.1:8500, and for two workers, on 127.0.0.1:3101 and
+127.0.0.1:3102, with two slots each. A job of the class reading takes 0.3 s, one of the class ratify
+1.5 s. SIGUSR1 switches the second worker between active and draining in the endpoint list. SIGINT or
+SIGTERM ends it with code 0. It exits with code 1 if it cannot listen on an address.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			signals := make(chan os.Signal, 1)
 			signal.Notify(signals, lab.StandInSignals...)
--- a/cmd/foxlift-lab/trials.go
+++ b/cmd/foxlift-lab/trials.go
@@ -9,16 +9,17 @@
 	"github.com/vatu-meals/foxlift/internal/lab/fleet"
 )
 
-// errTrialFailed is what a trial that saw something forbidden ends with.
-var errTrialFailed = errors.New("something happened that must not")
+// errTrialFailed is the error of a trial whose result is not OK.
+var errTrialFailed = errors.New("the trial failed: its result, printed above, violates a condition")
 
-// A trialResult is what a trial comes to.
+// A trialResult is the result of a trial: a summary line, and whether the trial passed.
 type trialResult interface {
 	Line() string
 	OK() bool
 }
 
-// printResult prints a trial's last line, and fails where the trial did.
+// printResult prints the summary line of a trial and returns errTrialFailed if the trial did not pass. It returns err,
+// and prints nothing, if err is not nil.
 func printResult(cmd *cobra.Command, r trialResult, err error) error {
 	if err != nil {
 		return err
@@ -30,59 +31,69 @@
 	return nil
 }
 
-// keyedCommand runs the trial of deduplicated jobs under connection faults.
+// keyedCommand returns the command that tests deduplicated jobs under connection faults.
 func keyedCommand() *cobra.Command {
 	options := fleet.DefaultKeyedTrial
 	cmd := &cobra.Command{
 		Use:   "keyed",
-		Short: "Reset and silence connections amid keyed jobs, and see that none runs twice",
+		Short: "Reset and silence connections under load, and check that no deduplicated job runs twice",
 		Args:  cobra.NoArgs,
-		Long: `keyed starts two scheduler processes among nodes in two pods that drop repeats of a keyed
-job for a time, and resets or silences one connection after another; messages between the
-schedulers are lost, doubled, garbled and late. It exits with code 1 if a keyed job ran twice, a
-job is lost, none was sent again, or a scheduler does not end well. --short-window and --no-pods
-make the deployment break its own promise: then it must exit with 1.`,
+		Long: `keyed tests jobs with an idempotency key. It starts two scheduler processes with workers in two
+deduplication groups (pods). A group drops repeats of a key for a limited time. keyed resets or silences
+one connection after another, and drops, duplicates, corrupts and delays messages between the schedulers.
+
+It exits with code 1 if a job with a key ran twice, a job was lost, no job was sent again, no message
+between the schedulers arrived, or a scheduler did not exit with code 0 after SIGTERM. --short-window and
+--no-pods make the workers break the guarantee on which the scheduler relies; keyed must then exit with
+code 1, which shows that it detects duplicate runs.`,
 		Example: "  go run ./cmd/foxlift-lab keyed --build bin/foxlift",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			r, err := options.Run(cmd.OutOrStdout())
 			return printResult(cmd, r, err)
 		},
 	}
-	cmd.Flags().StringVar(&options.Program, "build", options.Program, "the scheduler's binary")
-	cmd.Flags().IntVar(&options.Faults, "faults", options.Faults, "resets and silences, about as many of each")
-	cmd.Flags().Uint64Var(&options.Seed, "seed", options.Seed, "of the arrivals and the faults")
-	cmd.Flags().DurationVar(&options.FaultInterval, "every", options.FaultInterval, "between two faults")
-	cmd.Flags().BoolVar(&options.ShortWindow, "short-window", false, "pods drop repeats for less than the settings say")
-	cmd.Flags().BoolVar(&options.NoGroups, "no-pods", false, "each node drops its own repeats only")
+	cmd.Flags().StringVar(&options.Program, "build", options.Program, "path of the scheduler's binary")
+	cmd.Flags().IntVar(&options.Faults, "faults", options.Faults,
+		"number of resets and silences, about half of each")
+	cmd.Flags().Uint64Var(&options.Seed, "seed", options.Seed, "seed of the arrivals and the faults")
+	cmd.Flags().DurationVar(&options.FaultInterval, "every", options.FaultInterval, "time between two faults")
+	cmd.Flags().BoolVar(&options.ShortWindow, "short-window", false,
+		"groups drop repeats for a shorter time than the settings state")
+	cmd.Flags().BoolVar(&options.NoGroups, "no-pods", false,
+		"each worker drops only the repeats that reach itself")
 	return cmd
 }
 
-// simultaneousStartCommand runs the trial of many schedulers that start at once among workers in slow start.
+// simultaneousStartCommand returns the command that tests many schedulers that start at once with workers in slow
+// start.
 func simultaneousStartCommand() *cobra.Command {
 	options := fleet.DefaultSlowStartTrial
 	cmd := &cobra.Command{
 		Use:   "coldstart",
-		Short: "Start many scheduler processes at once on an old list, and watch lists, nodes and service",
+		Short: "Start many scheduler processes at once with an outdated endpoint list, and check jobs and workers",
 		Args:  cobra.NoArgs,
-		Long: `coldstart starts real scheduler processes, all at once, with the machine list from before
-a release, under load, against a discovery that serves one call after another and nodes that
-start cold. It exits with code 1 if a node is pushed over, a job is lost, one that must not run
-twice does, or a scheduler does not end well.`,
+		Long: `coldstart simulates a release. It starts many scheduler processes at once, under load, with the endpoint
+list from before the release, a discovery that serves one call at a time, and workers in slow start. It
+prints how fast the schedulers get the current list and how many jobs are served in time. It exits with
+code 1 if a worker in slow start is overloaded, a job is lost, an at-most-once job runs twice, a scheduler
+does not exit with code 0 after SIGTERM, or no job was sent.`,
 		Example: "  go run ./cmd/foxlift-lab coldstart --schedulers 30 --nodes 20 --build bin/foxlift",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			r, err := options.Run(cmd.OutOrStdout())
 			return printResult(cmd, r, err)
 		},
 	}
-	cmd.Flags().StringVar(&options.Program, "build", options.Program, "the scheduler's binary")
-	cmd.Flags().IntVar(&options.Schedulers, "schedulers", options.Schedulers, "processes")
-	cmd.Flags().IntVar(&options.Workers, "nodes", options.Workers, "execute nodes")
-	cmd.Flags().Uint64Var(&options.Seed, "seed", options.Seed, "of the arrivals, and of which nodes are replaced")
-	cmd.Flags().DurationVar(&options.Duration, "for", options.Duration, "how long it is watched")
-	cmd.Flags().Float64Var(&options.LoadFraction, "load", options.LoadFraction, "jobs, against what the warm fleet can do")
+	cmd.Flags().StringVar(&options.Program, "build", options.Program, "path of the scheduler's binary")
+	cmd.Flags().IntVar(&options.Schedulers, "schedulers", options.Schedulers, "scheduler processes")
+	cmd.Flags().IntVar(&options.Workers, "nodes", options.Workers, "workers")
+	cmd.Flags().Uint64Var(&options.Seed, "seed", options.Seed,
+		"seed of the arrivals and of the choice of replaced workers")
+	cmd.Flags().DurationVar(&options.Duration, "for", options.Duration, "duration of the observation")
+	cmd.Flags().Float64Var(&options.LoadFraction, "load", options.LoadFraction,
+		"load, as a fraction of the capacity of the fleet after slow start")
 	cmd.Flags().Float64Var(&options.ReplacedFraction, "replaced", options.ReplacedFraction,
-		"part of the nodes that the known list does not have")
+		"fraction of the workers that are not in the outdated list")
 	cmd.Flags().Float64Var(&options.RestartedFraction, "restarted", options.RestartedFraction,
-		"part that started again, cold, and that the known list takes for warm")
+		"fraction of the workers that have restarted and are in slow start, unlike in the outdated list")
 	return cmd
 }
--- a/cmd/foxlift-lab/upgrade.go
+++ b/cmd/foxlift-lab/upgrade.go
@@ -9,22 +9,23 @@
 	"github.com/vatu-meals/foxlift/internal/lab/service"
 )
 
-// upgradeCommand upgrades a scheduler under load, many times in a row.
+// upgradeCommand returns the command that tests upgrades of a scheduler under load.
 func upgradeCommand() *cobra.Command {
 	trial := service.DefaultUpgradeTrial
 	fault := string(trial.Fault)
 	cmd := &cobra.Command{
 		Use:   "upgrade",
-		Short: "Replace a scheduler process under load, many times in a row, and watch its jobs",
+		Short: "Replace a scheduler process under load, many times in a row, and check its jobs",
 		Args:  cobra.NoArgs,
-		Long: `upgrade starts a scheduler among stand-ins and replaces it as the platform does: a second
-process starts beside it, and once it says yes on its operators' address the old one has SIGTERM,
-and SIGKILL at the limit. It exits with code 1 if a job is lost, an at-most-once job ran twice,
-more than two jobs were turned back unheard in one upgrade, or a yes took over 6 s.
+		Long: `upgrade starts a scheduler with stand-ins and replaces it as the platform does: it starts a second
+process, sends SIGTERM to the old one when the new one reports on its operators' address that it is ready,
+and SIGKILL when the time limit for its end is over. It exits with code 1 if a job was lost, a job got a
+wrong result, an at-most-once job ran twice, more than two jobs were returned unread in one upgrade, a new
+process needed more than 6 s to become ready, not all upgrades were made, or no job was served.
 
---fault has something go wrong in each upgrade: none, kill-new (a new process is killed before its
-yes), stop-new (it stands still before its yes and is killed then), kill-old (the old process is
-killed amid the upgrade; what dies with it does not count as lost).`,
+--fault injects a fault into each upgrade: none; kill-new (a new process is killed before it is ready);
+stop-new (a new process is suspended before it is ready, and killed later); kill-old (the old process is
+killed during the upgrade; jobs that fail because of that do not count as lost).`,
 		Example: "  go run ./cmd/foxlift-lab upgrade --upgrades 20 --build bin/foxlift",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGINT, syscall.SIGTERM)
@@ -34,10 +35,10 @@
 			return printResult(cmd, r, err)
 		},
 	}
-	cmd.Flags().StringVar(&trial.Program, "build", trial.Program, "the scheduler's binary")
-	cmd.Flags().IntVar(&trial.Upgrades, "upgrades", trial.Upgrades, "how many, one after another")
-	cmd.Flags().Uint64Var(&trial.Seed, "seed", trial.Seed, "of the arrivals and the faults")
-	cmd.Flags().StringVar(&fault, "fault", fault, "what goes wrong in each upgrade")
-	cmd.Flags().Float64Var(&trial.Load.Rate, "rate", trial.Load.Rate, "jobs a second")
+	cmd.Flags().StringVar(&trial.Program, "build", trial.Program, "path of the scheduler's binary")
+	cmd.Flags().IntVar(&trial.Upgrades, "upgrades", trial.Upgrades, "number of upgrades, one after another")
+	cmd.Flags().Uint64Var(&trial.Seed, "seed", trial.Seed, "seed of the arrivals and the faults")
+	cmd.Flags().StringVar(&fault, "fault", fault, "fault in each upgrade: none, kill-new, stop-new or kill-old")
+	cmd.Flags().Float64Var(&trial.Load.Rate, "rate", trial.Load.Rate, "jobs a second that the clients send")
 	return cmd
 }
--- a/internal/lab/cells.go
+++ b/internal/lab/cells.go
@@ -151,8 +151,9 @@
 	return report, nil
 }
 
-// measureFlood lets one tenant exceed its quota and returns the loss of timely service of the most affected other
-// tenant, in percentage points. With an operator's file, which has cells, it then migrates tenants under load.
+// measureFlood lets one tenant send floodFactor times its share of the capacity. It returns how many percentage points
+// of jobs served in time the most affected other tenant loses. With an operator's file, which has cells, it then
+// migrates tenants under load.
 func (r *CellsReport) measureFlood(
 	ctx context.Context, w io.Writer, options CellsOptions, operatorText string,
 ) (float64, error) {
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -58,8 +58,8 @@
 	fmt.Fprintf(w, "%d schedulers, %d workers, %d tenants in 4 cells; ",
 		len(r.Schedulers), len(r.Workers), len(r.Tenants))
 	fmt.Fprintf(w, "the workers can run %.0f jobs a second.\n", r.Capacity())
-	fmt.Fprintf(w, "Every tenant sends %.0f %% of its quota. ", 100*normalLoad)
-	fmt.Fprintf(w, "After %d s %s sends %d times its quota, for %d s;\nthen it migrates to another cell under load.\n\n",
+	fmt.Fprintf(w, "Every tenant sends %.0f %% of its share of that. ", 100*normalLoad)
+	fmt.Fprintf(w, "After %d s %s sends %d times its share, for %d s;\nthen it migrates to another cell under load.\n\n",
 		demoFloodAt, floodingTenant, floodFactor, demoFloodStopsAt-demoFloodAt)
 	fmt.Fprint(w, "  time")
 	for _, tenant := range r.Tenants {
