--- a/internal/lab/capacity/assessment.go
+++ b/internal/lab/capacity/assessment.go
@@ -1,13 +1,13 @@
 package capacity
 
-// An assessment is what measurements come to at the size designed for.
+// An assessment is the extrapolation of measurements to the target size: figures, scaling limits and requirements.
 type assessment struct {
 	*figures
 	limits       []scalingLimit
 	requirements []requirement
 }
 
-// newAssessment carries measurements to the target; it fails where a series is missing.
+// newAssessment extrapolates m to the target size. It fails if m lacks a series that a figure needs.
 func newAssessment(m *Measured) (*assessment, error) {
 	figures, err := newFigures(m)
 	if err != nil {
--- a/internal/lab/capacity/configuration.go
+++ b/internal/lab/capacity/configuration.go
@@ -6,7 +6,8 @@
 	"github.com/vatu-meals/foxlift/internal/config"
 )
 
-// measureConfiguration measures the document that a reload reads whole, whatever has changed in it.
+// measureConfiguration measures the size and the parsing time of the settings document by the number of teams. A
+// reload parses the whole document, whatever has changed in it.
 func measureConfiguration(ctx context.Context, p plan) ([]Series, error) {
 	document := func(teams int) ([]byte, error) {
 		return deployment{schedulers: measuredSchedulers, teams: teams}.settingsDocument()
@@ -24,7 +25,7 @@
 			if _, err := config.ParseSettings(text); err != nil {
 				return nil, err
 			}
-			return timePerCall(p.runs, func() { _, _ = config.ParseSettings(text) }), nil // as above: it is valid
+			return timePerCall(p.runs, func() { _, _ = config.ParseSettings(text) }), nil // valid: parsed above
 		}},
 	)
 }
--- a/internal/lab/capacity/control.go
+++ b/internal/lab/capacity/control.go
@@ -13,35 +13,37 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// controlRates are changes of the endpoint list in a second: those of an ordinary day and of a bad hour.
+// controlRates are rates of changes of the endpoint list per second: on an ordinary day and in a bad hour.
 var controlRates = []float64{0.2, 5}
 
 const (
-	longControlDuration     = 30 * time.Second // for which a process is watched at each rate
-	shortControlDuration    = 3 * time.Second
-	controlLatencyObjective = 100 * time.Millisecond // the module ticks eight times in that
+	longControlDuration     = 30 * time.Second       // time for which a process is measured at each rate
+	shortControlDuration    = 3 * time.Second        // the same in a short run
+	controlLatencyObjective = 100 * time.Millisecond // the module ticks eight times in this time
 )
 
-// A controlCost is what one process cost.
+// A controlCost is the measured cost of one scheduler process without jobs.
 type controlCost struct {
-	startCPU float64   // seconds of processor time until the endpoint list was in force
-	memory   float64   // bytes resident at the end, the larger of both rates
-	cpu      []float64 // percent of a core, by rate
-	traffic  []float64 // bytes a second from and to discovery, by rate
+	startCPU float64   // seconds of processor time from the start until the endpoint list was in force
+	memory   float64   // resident bytes at the end of the measurement at a rate; the largest of all rates
+	cpu      []float64 // percent of a core, by index in controlRates
+	traffic  []float64 // bytes per second from and to discovery, by index in controlRates
 }
 
-// checkpointOperator is an operator's file by which the endpoint list is checkpointed.
+// checkpointOperator is an operator's configuration file that enables the checkpoint of the endpoint list; %s stands
+// for the path of the checkpoint.
 const checkpointOperator = `(foxlift (list (checkpoint "%s")))`
 
-// A variant is a way to run the process, with the names of its series.
+// A controlVariant is a configuration of the scheduler process: the prefix of its series' names and the text of the
+// operator's configuration file, empty for none.
 type controlVariant struct {
 	prefix, operator string
 }
 
-// variants are without and with a checkpoint of the endpoint list.
+// controlVariants are the configurations without and with a checkpoint of the endpoint list.
 var controlVariants = []controlVariant{{"control", ""}, {"keeping", checkpointOperator}}
 
-// series returns the empty series of a variant.
+// series returns the series of a variant, without points.
 func (v controlVariant) series() []Series {
 	all := []Series{{Name: v.prefix + ".start", Unit: "s"}, {Name: v.prefix + ".memory", Unit: "bytes"}}
 	for _, rate := range controlRates {
@@ -54,21 +56,21 @@
 	return all
 }
 
-// controlProcesses is how many processes measureControl runs at a time.
+// controlProcesses returns the number of processes that measureControl runs at a time.
 func controlProcesses(p plan) int { return len(controlVariants) * len(p.sizes(controlSizes...)) }
 
-// controlSizes are the workers of the lists that processes follow.
+// controlSizes are the numbers of workers in the endpoint lists that the processes watch.
 var controlSizes = []int{190, 600, 1900, 6000, TargetWorkers}
 
-// measureControl measures what control alone costs: a real scheduler process without a job that
-// follows an endpoint list, at each number of workers, with and without a checkpoint.
+// measureControl measures the cost of control alone: the cost of a real scheduler process without jobs that watches an
+// endpoint list, at each number of workers, without and with a checkpoint.
 func measureControl(ctx context.Context, p plan) (all []Series, err error) {
 	sizes := p.sizes(controlSizes...)
 	results := make([][][]controlCost, len(controlVariants)) // by variant, size and run
 	for i := range results {
 		results[i] = make([][]controlCost, len(sizes))
 	}
-	for range p.controlRunsPerSize() { // all at once: each takes a few hundredths of a core
+	for range p.controlRunsPerSize() { // all processes run at once: each uses a few hundredths of a core
 		group, ctx := errgroup.WithContext(ctx)
 		for i, v := range controlVariants {
 			for k, workers := range sizes {
@@ -92,7 +94,7 @@
 	return all, nil
 }
 
-// fitSeries returns the series of a variant from its costs, by size and run.
+// fitSeries returns the series of a variant with their fitted lines. costs is indexed by size and run.
 func (v controlVariant) fitSeries(sizes []int, costs [][]controlCost) []Series {
 	series := v.series()
 	for n := range series {
@@ -108,7 +110,7 @@
 	return series
 }
 
-// values returns what was measured in the order of the series.
+// values returns the measured values in the order of controlVariant.series.
 func (c controlCost) values() []float64 {
 	values := []float64{c.startCPU, c.memory}
 	for i := range controlRates {
@@ -117,7 +119,8 @@
 	return values
 }
 
-// controlRuns is how often each size is run: a run of a process takes most of the tool's time.
+// controlRunsPerSize returns the number of runs at each size. It is smaller than runsPerSize because the runs of
+// processes take most of the tool's time.
 func (p plan) controlRunsPerSize() int {
 	if p.short {
 		return 1
@@ -125,7 +128,7 @@
 	return 2
 }
 
-// controlDuration is for how long a process is watched at each rate.
+// controlDuration returns the time for which a process is measured at each rate.
 func (p plan) controlDuration() time.Duration {
 	if p.short {
 		return shortControlDuration
@@ -133,7 +136,8 @@
 	return longControlDuration
 }
 
-// runControl runs one process with so many hollow workers.
+// runControl runs a scheduler process with a number of hollow workers and returns its cost. operator is the text of
+// the operator's configuration file, empty for none.
 func runControl(ctx context.Context, p plan, operator string, workers int) (cost controlCost, err error) {
 	testFleet, err := fleet.New(fleet.Options{
 		Topology:     controlTopology(),
@@ -175,14 +179,14 @@
 			return cost, err
 		}
 		cost.add(before, after)
-		if err := awaitWorkerCount(ctx, process, workers); err != nil { // every change is in force
+		if err := awaitWorkerCount(ctx, process, workers); err != nil { // wait until every change is in force
 			return cost, err
 		}
 	}
 	return cost, nil
 }
 
-// add takes in what was sampled before and after a time at one rate.
+// add adds the cost at one rate, from the samples before and after the measurement.
 func (c *controlCost) add(before, after processSample) {
 	elapsedSeconds := after.at.Sub(before.at).Seconds()
 	c.cpu = append(c.cpu, percent*(after.cpu-before.cpu)/elapsedSeconds)
@@ -190,7 +194,7 @@
 	c.memory = max(c.memory, after.memory)
 }
 
-// controlTopology is one scheduler with the target's teams and zones, and no worker of its own.
+// controlTopology returns a topology of one scheduler with the target's teams and zones, and without workers.
 func controlTopology() lab.Topology {
 	topology := lab.Topology{Schedulers: 1, Sockets: processSockets}
 	for i := range TargetTeams {
@@ -213,8 +217,8 @@
 	return topology
 }
 
-// addWorkersAtRate adds workers to the endpoint list, so many a second, and returns how many
-// there are in the end.
+// addWorkersAtRate adds workers to the endpoint list at a rate per second, and returns the number of workers at the
+// end. workers is the number before.
 func addWorkersAtRate(
 	ctx context.Context, discovery *standin.Discovery, workers int, rate float64, duration time.Duration,
 ) (int, error) {
--- a/internal/lab/capacity/deployment.go
+++ b/internal/lab/capacity/deployment.go
@@ -10,18 +10,18 @@
 	"github.com/vatu-meals/foxlift/internal/lab"
 )
 
-// A deployment is the size of what a hollow scheduler is told.
+// A deployment is the size of the fleet that a hollow scheduler is configured for.
 type deployment struct {
 	workers, schedulers, teams int
 }
 
-// classes of the hollow deployment: most jobs are light and may be repeated, some are heavy and may not.
+// classes are the classes of the hollow deployment: light jobs, which may be repeated, and heavy jobs, which may not.
 var classes = []map[string]any{
 	{"name": "light", "aim": 500 * time.Millisecond, "deadline": 5 * time.Second, "effect": "idempotent", "gain": 1},
 	{"name": "heavy", "aim": 2 * time.Second, "deadline": 25 * time.Second, "effect": "at_most_once", "gain": 5},
 }
 
-// settingsDocument returns the settings of scheduler number 0, as they stand in its configuration.
+// settingsDocument returns the settings of scheduler 0 as the JSON text of its configuration.
 func (d deployment) settingsDocument() ([]byte, error) {
 	var teams []map[string]any
 	for i := range d.teams {
@@ -49,7 +49,7 @@
 	})
 }
 
-// settings returns the settings of scheduler number 0.
+// settings returns the parsed settings of scheduler 0.
 func (d deployment) settings() (*config.Settings, error) {
 	text, err := d.settingsDocument()
 	if err != nil {
@@ -67,10 +67,10 @@
 	return workers
 }
 
-// groupWorkers is how many hollow workers make a group.
+// groupWorkers is the number of hollow workers in a cell.
 const groupWorkers = 8
 
-// hollowWorker returns a hollow worker by its number.
+// hollowWorker returns the hollow worker with a number, as an entry of the endpoint list.
 func hollowWorker(i int) foxlift.Worker {
 	return foxlift.Worker{ID: workerName(i), Zone: i % TargetZones, Kind: i % assumedKinds, Cell: i / groupWorkers}
 }
--- a/internal/lab/capacity/dimension.go
+++ b/internal/lab/capacity/dimension.go
@@ -8,15 +8,15 @@
 	"strings"
 )
 
-// A plan says at which sizes a run measures.
+// A plan contains the parameters of a run.
 type plan struct {
-	short   bool
-	runs    int // at each size
+	short   bool // measure few and small sizes
+	runs    int  // runs at each size
 	seed    uint64
-	program string // the scheduler's binary
+	program string // path of the scheduler's binary
 }
 
-// sizes returns the sizes of a dimension: all, or the first few of a short run.
+// sizes returns the sizes of a dimension to measure: all of them, or the first three in a short run.
 func (p plan) sizes(all ...int) []int {
 	if p.short {
 		return all[:min(len(all), 3)]
@@ -24,14 +24,14 @@
 	return all
 }
 
-// A dimension measures some costs by one size.
+// A dimension is a size of the deployment by which costs are measured.
 type dimension struct {
 	name      string
 	measure   func(context.Context, plan) ([]Series, error)
-	processes func(plan) int // that run at a time; nil: none
+	processes func(plan) int // number of processes that run at a time; nil: none
 }
 
-// dimensions are all that can be measured, in the order of a whole run.
+// dimensions are all dimensions, in the order in which a complete run measures them.
 var dimensions = []dimension{
 	{name: "workers", measure: measureWorkers},
 	{name: "schedulers", measure: measureSchedulers},
@@ -43,10 +43,10 @@
 	{name: "control", measure: measureControl, processes: controlProcesses},
 }
 
-// errUnknownDimension says that there is no such dimension.
+// errUnknownDimension reports the name of a dimension that does not exist.
 var errUnknownDimension = errors.New("unknown dimension")
 
-// chooseDimensions returns the dimensions that are asked for by name, all if none is.
+// chooseDimensions returns the dimensions with the requested names, or all dimensions if requested is empty.
 func chooseDimensions(requested []string) (chosen []dimension, err error) {
 	if len(requested) == 0 {
 		return dimensions, nil
@@ -54,14 +54,14 @@
 	for _, name := range requested {
 		i := slices.IndexFunc(dimensions, func(d dimension) bool { return d.name == name })
 		if i < 0 {
-			return nil, fmt.Errorf("%w %q; there are %s", errUnknownDimension, name, dimensionNames())
+			return nil, fmt.Errorf("%w %q; known dimensions: %s", errUnknownDimension, name, dimensionNames())
 		}
 		chosen = append(chosen, dimensions[i])
 	}
 	return chosen, nil
 }
 
-// dimensionNames returns the names of all dimensions.
+// dimensionNames returns the names of all dimensions, separated by commas.
 func dimensionNames() string {
 	var names []string
 	for _, d := range dimensions {
@@ -70,13 +70,15 @@
 	return strings.Join(names, ", ")
 }
 
-// A costGauge measures one cost at one size.
+// A costMeasurement measures one cost. Its name and unit become those of the series; measure returns the cost in each
+// run at a size.
 type costMeasurement struct {
 	name, unit string
 	measure    func(size int) ([]float64, error)
 }
 
-// measureBySize measures each measurement at each size.
+// measureBySize runs each measurement at each size and returns one fitted series per measurement. sizeUnit says what
+// the sizes count.
 func measureBySize(
 	ctx context.Context, sizeUnit string, sizes []int, measurements ...costMeasurement,
 ) ([]Series, error) {
--- a/internal/lab/capacity/faults.go
+++ b/internal/lab/capacity/faults.go
@@ -16,60 +16,61 @@
 	"github.com/vatu-meals/foxlift/internal/platform"
 )
 
-// FaultsOptions say what a trial of starts is made of: a real process is ended or killed and started
-// again and again, while the endpoint list goes on changing and something happens to the file of its
-// checkpoint. What a start costs is counted on the link to discovery, and each start has to come to
-// the endpoint list as it is.
+// FaultsOptions are the options of a trial of starts: a real scheduler process is repeatedly terminated or killed and
+// started again, while the endpoint list changes and faults are injected into the file of its checkpoint. The cost of a
+// start is counted in bytes on the link to discovery, and each start has to reach the current endpoint list.
 type FaultsOptions struct {
-	Program           string
-	Seed              uint64
-	Workers           int
-	Starts            int
-	WithoutCheckpoint bool // the process writes no checkpoint
+	Program           string // path of the scheduler's binary
+	Seed              uint64 // of the random choices of faults, changes and stops
+	Workers           int    // workers in the endpoint list at the first start
+	Starts            int    // starts of the process
+	WithoutCheckpoint bool   // the process writes no checkpoint
 }
 
-// DefaultFaults is the trial at the size designed for.
+// DefaultFaults are the options of a trial at the target size.
 var DefaultFaults = FaultsOptions{Seed: 1, Workers: TargetWorkers, Starts: 20}
 
-// callOverheadBytes is what a start may take besides entries: heads of calls and answers, and empty watches.
+// callOverheadBytes bounds the bytes that a start may transfer besides entries: headers of calls and responses, and
+// watches without changes.
 const callOverheadBytes = 8 << 10
 
-// A faultsTrial is a running trial.
+// A faultsTrial is the state of a running trial.
 type faultsTrial struct {
 	FaultsOptions
 	*fleet.Fleet
 	process            *fleet.Process
 	rng                *rand.Rand
-	workers            []int // numbers of those in the endpoint list
-	nextWorker         int   // number of the next one
-	changes            []endpointChange
-	checkpointUsable   bool  // the process has left a checkpoint that can be used,
-	checkpointVersion  int64 // of this version
-	oldestDeltaVersion int64 // version since which discovery has the changes
+	workers            []int            // numbers of the workers in the endpoint list
+	nextWorker         int              // number of the next worker to be added
+	changes            []endpointChange // since the start of the trial or the last version regression
+	checkpointUsable   bool             // the process has left a checkpoint that the next start can use
+	checkpointVersion  int64            // version of the endpoint list in the last checkpoint that was read
+	oldestDeltaVersion int64            // oldest version for which discovery can send the changes since
 	result             *FaultsResult
 }
 
-// The sizes that a trial may have.
+// Bounds on the options of a trial.
 const (
-	minTrialWorkers, maxTrialWorkers = 200, 2 * TargetWorkers // fewer would all have left after some starts
+	minTrialWorkers, maxTrialWorkers = 200, 2 * TargetWorkers // fewer workers would all have left after some starts
 	minTrialStarts, maxTrialStarts   = 2, 1000
 )
 
-// errInvalidSize says that a trial has a size that it cannot have.
-var errInvalidSize = errors.New("a size is out of bounds")
+// errInvalidSize reports a size of a trial that is out of bounds.
+var errInvalidSize = errors.New("size out of bounds")
 
-// validate names a size that is out of bounds.
+// validate returns an error that names the first option that is out of bounds.
 func (o FaultsOptions) validate() error {
 	switch {
 	case o.Workers < minTrialWorkers || o.Workers > maxTrialWorkers:
-		return fmt.Errorf("%w: workers is %d, from %d to %d", errInvalidSize, o.Workers, minTrialWorkers, maxTrialWorkers)
+		return fmt.Errorf("%w: %d workers, want %d to %d", errInvalidSize, o.Workers, minTrialWorkers, maxTrialWorkers)
 	case o.Starts < minTrialStarts || o.Starts > maxTrialStarts:
-		return fmt.Errorf("%w: starts is %d, from %d to %d", errInvalidSize, o.Starts, minTrialStarts, maxTrialStarts)
+		return fmt.Errorf("%w: %d starts, want %d to %d", errInvalidSize, o.Starts, minTrialStarts, maxTrialStarts)
 	}
 	return nil
 }
 
-// Run runs the trial.
+// Run runs the trial and prints each start to out. It returns an error if a start does not reach the current endpoint
+// list in time; FaultsResult.OK reports other violations.
 func (o FaultsOptions) Run(ctx context.Context, out io.Writer) (*FaultsResult, error) {
 	if err := o.validate(); err != nil {
 		return nil, err
@@ -91,7 +92,7 @@
 		result:        &FaultsResult{withoutCheckpoint: o.WithoutCheckpoint},
 	}
 	trial.addWorkers(o.Workers)
-	if err := trial.runOnce(ctx, out, noFault); err != nil { // the first: there is no checkpoint yet
+	if err := trial.runOnce(ctx, out, noFault); err != nil { // the first start: there is no checkpoint yet
 		return nil, err
 	}
 	for range o.Starts - 1 {
@@ -107,13 +108,14 @@
 	return trial.result, nil
 }
 
-// runOnce is one run of the process: a fault, a start, changes, and its end.
+// runOnce runs the process once: it injects a fault, starts the process, changes the endpoint list amid an event and
+// stops the process.
 func (t *faultsTrial) runOnce(ctx context.Context, out io.Writer, fault startFault) error {
 	if err := t.injectFault(fault); err != nil {
 		return err
 	}
 	t.churnWorkers()
-	if fault == compacted { // also the changes just made, so that no checkpoint is new enough
+	if fault == compacted { // includes the changes just made, so that no checkpoint is recent enough
 		t.Discovery.Compact()
 		t.oldestDeltaVersion = int64(t.Discovery.Version())
 	}
@@ -123,29 +125,29 @@
 		return err
 	}
 	if err := awaitWorkerCount(ctx, t.process, len(t.workers)); err != nil {
-		return fmt.Errorf("after %s: %w", startFaultNames[fault], err)
+		return fmt.Errorf("start after the fault %q: %w", startFaultNames[fault], err)
 	}
 	receivedBytes, seconds := link.ForwardedBytes(fleet.FromTarget)-bytesBefore, time.Since(startedAt).Seconds()
 	t.recordStart(fault, receivedBytes, seconds)
-	fmt.Fprintf(out, "start %2d after %-20s %8.1f KB from discovery, in force after %.2f s, %d entries changed\n",
+	fmt.Fprintf(out, "start %2d, fault %-20s %8.1f KB from discovery, list in force after %.2f s, %d entries changed\n",
 		t.result.Starts, startFaultNames[fault]+":", float64(receivedBytes)/kilobyte, seconds,
 		t.entriesChangedSinceCheckpoint())
 	event := runEvent(t.rng.IntN(int(runEventCount)))
-	fmt.Fprintf(out, "   meets %s at version %d\n", runEventNames[event], t.Discovery.Version())
+	fmt.Fprintf(out, "   event: %s at version %d\n", runEventNames[event], t.Discovery.Version())
 	if err := t.injectEvent(event); err != nil {
 		return err
 	}
 	if err := awaitWorkerCount(ctx, t.process, len(t.workers)); err != nil {
-		return fmt.Errorf("after %s: %w", runEventNames[event], err)
+		return fmt.Errorf("after the event %q: %w", runEventNames[event], err)
 	}
 	return t.stopProcess()
 }
 
-// checkpointWriteTime is about how long the last write of a checkpoint takes after SIGTERM.
+// checkpointWriteTime is roughly the time from SIGTERM until the last checkpoint is written.
 const checkpointWriteTime = 60 * time.Millisecond
 
-// stopProcess ends the process in order, or kills it before its end or amid the last write of its
-// checkpoint.
+// stopProcess terminates the process gracefully, kills it, or kills it up to checkpointWriteTime after SIGTERM, while
+// it may be writing its last checkpoint.
 func (t *faultsTrial) stopProcess() error {
 	switch t.rng.IntN(4) {
 	case 0:
@@ -161,12 +163,12 @@
 			t.result.uncleanExit = true
 		}
 	}
-	t.Links[0].Reset() // no late answer to this run counts against the next
+	t.Links[0].Reset() // so that a late response to this run is not counted in the next one
 	return t.inspectCheckpoint()
 }
 
-// inspectCheckpoint finds out which checkpoint a process has left: an earlier one or its last one, and
-// never a part.
+// inspectCheckpoint reads the checkpoint that the process has left. It returns an error if the process has replaced a
+// usable checkpoint with a file that cannot be read, such as a partial one.
 func (t *faultsTrial) inspectCheckpoint() error {
 	wasUsable := t.checkpointUsable
 	t.checkpointUsable = false
@@ -180,17 +182,17 @@
 		_, err := checkpoint.New(t.process.CheckpointPath, &counters.Set{}).Load(t.Links[0].Addr().String(), time.Now())
 		t.checkpointUsable, t.checkpointVersion = err == nil && saved.Version >= t.oldestDeltaVersion, saved.Version
 	case wasUsable && !errors.Is(err, os.ErrNotExist):
-		return fmt.Errorf("a whole list was kept, and its replacement leaves: %w", err)
+		return fmt.Errorf("usable checkpoint replaced by one that cannot be read: %w", err)
 	}
 	return nil
 }
 
-// judgeStart judges a start by the bytes that it took from discovery and the seconds until its list
-// was in force.
+// recordStart adds a start to the result, with the bytes that it received from discovery and the seconds until its
+// endpoint list was in force, and records violations of the bounds on them.
 func (t *faultsTrial) recordStart(fault startFault, receivedBytes int64, seconds float64) {
 	result := t.result
 	result.Starts++
-	entryBytes := float64(len(t.Discovery.ListJSON())) / float64(len(t.workers)) // bytes
+	entryBytes := float64(len(t.Discovery.ListJSON())) / float64(len(t.workers))
 	bound := t.maxStartBytes(entryBytes)
 	if t.checkpointUsable {
 		result.WithCheckpoint++
@@ -207,17 +209,18 @@
 	halfListBytes := int64(entryBytes * float64(len(t.workers)) / 2)
 	receivedComplete := receivedBytes > halfListBytes
 	switch {
-	case t.checkpointUsable && receivedComplete && bound < halfListBytes: // a list that misses a release takes as much
+	case t.checkpointUsable && receivedComplete && bound < halfListBytes: // after a release the delta is as large
 		result.CheckpointsIgnored++
 	case !t.checkpointUsable && !receivedComplete:
 		result.CheckpointsMisused++
 	}
 }
 
-// entrySlack is what an entry may take over the mean.
+// entrySizeTolerance bounds the size of an entry as a multiple of the mean size.
 const entrySizeTolerance = 1.02
 
-// startBound is how many bytes a start may take, where an entry has so many.
+// maxStartBytes returns the most bytes that a start may receive from discovery, if an entry has a mean size of
+// entryBytes.
 func (t *faultsTrial) maxStartBytes(entryBytes float64) int64 {
 	completeBytes := int64(entrySizeTolerance*entryBytes*float64(len(t.workers))) + callOverheadBytes
 	if !t.checkpointUsable {
@@ -225,7 +228,7 @@
 	}
 	changed := t.entriesChangedSinceCheckpoint()
 	deltaBytes := int64(entrySizeTolerance*entryBytes*float64(changed)) + callOverheadBytes
-	if changed > len(t.workers) { // more than a list may have is given up for the complete one
+	if changed > len(t.workers) { // a delta with more entries than the list is abandoned for the complete list
 		return deltaBytes + completeBytes
 	}
 	return deltaBytes
--- a/internal/lab/capacity/faultschurn.go
+++ b/internal/lab/capacity/faultschurn.go
@@ -2,24 +2,24 @@
 
 import "github.com/vatu-meals/foxlift/internal/standin"
 
-// Most workers that join and that leave in one change.
+// Bounds on the workers that join and leave in one call of churnWorkers.
 const (
 	maxJoining = 40
 	maxLeaving = 20
 )
 
-// An endpointChange is how many entries have changed with a version of the endpoint list.
+// An endpointChange is the number of entries that a version of the endpoint list has changed.
 type endpointChange struct {
 	version int64
 	entries int
 }
 
-// recordChange records that the last version has changed so many entries.
+// recordChange records the number of entries that the current version has changed.
 func (t *faultsTrial) recordChange(entries int) {
 	t.changes = append(t.changes, endpointChange{int64(t.Discovery.Version()), entries})
 }
 
-// changedSince returns how many entries have changed since the checkpoint.
+// entriesChangedSinceCheckpoint returns the number of entries that have changed since the version of the checkpoint.
 func (t *faultsTrial) entriesChangedSinceCheckpoint() (entries int) {
 	for _, c := range t.changes {
 		if c.version > t.checkpointVersion {
@@ -29,7 +29,7 @@
 	return entries
 }
 
-// addWorkers adds workers to the endpoint list.
+// addWorkers adds count new workers to the endpoint list.
 func (t *faultsTrial) addWorkers(count int) {
 	announceHollowWorkers(t.Discovery, t.nextWorker, count)
 	for range count {
@@ -39,7 +39,7 @@
 	t.recordChange(count)
 }
 
-// removeWorkers takes workers out of the endpoint list.
+// removeWorkers removes count random workers from the endpoint list.
 func (t *faultsTrial) removeWorkers(count int) {
 	entries := make([]standin.Entry, count)
 	for i := range entries {
@@ -52,7 +52,7 @@
 	t.recordChange(count)
 }
 
-// churnWorkers lets some workers join and some leave.
+// churnWorkers adds some workers to the endpoint list and removes some, at random.
 func (t *faultsTrial) churnWorkers() {
 	t.addWorkers(1 + t.rng.IntN(maxJoining))
 	t.removeWorkers(1 + t.rng.IntN(maxLeaving))
--- a/internal/lab/capacity/figures.go
+++ b/internal/lab/capacity/figures.go
@@ -9,20 +9,20 @@
 	"github.com/vatu-meals/foxlift/internal/pollpacing"
 )
 
-// A figure is a value at the target, with where it comes from.
+// A figure is a value at the target size, with its source.
 type figure struct {
 	name    string
 	value   float64
 	unit    string
-	formula string // by the names of series, of other figures and of what is assumed
-	group   string // the table of the page that it stands in
+	formula string // source of the value, in terms of series, other figures and assumptions
+	group   string // name of the table of the page that contains the figure
 }
 
-// figures are what a page may tell, by name and in order.
+// figures are the figures that a page can show.
 type figures struct {
 	byName   map[string]figure
-	order    []string
-	err      error // the first series that is missing
+	order    []string // names, in the order in which the figures were added
+	err      error    // reports the first missing series
 	measured *Measured
 }
 
@@ -33,7 +33,7 @@
 	return value
 }
 
-// series returns a series; an empty one, and a note, where it is missing.
+// series returns the named series. If it is missing, series records an error and returns a series whose cost is NaN.
 func (fs *figures) series(name string) *Series {
 	s, err := fs.measured.series(name)
 	if err != nil {
@@ -45,7 +45,8 @@
 	return s
 }
 
-// addFromSeries adds the cost of a series at a size, in a unit that is so many times as large.
+// addFromSeries adds the cost of a series at a size as a figure and returns its value. divisor converts the unit of the
+// series to unit.
 func (fs *figures) addFromSeries(group, name, series string, size, divisor float64, unit string) float64 {
 	s := fs.series(series)
 	return fs.add(group, name, s.costAt(size)/divisor, unit, fmt.Sprintf("`%s` at %g %s", series, size, s.Of))
@@ -57,7 +58,7 @@
 	percent       = 100
 )
 
-// newFigures computes all figures from what was measured.
+// newFigures computes all figures from m. It returns an error that names the first missing series.
 func newFigures(m *Measured) (*figures, error) {
 	fs := &figures{byName: map[string]figure{}, measured: m}
 	fs.addSchedulers()
@@ -71,7 +72,7 @@
 	return fs, fs.err
 }
 
-// addSchedulers derives how many schedulers there have to be.
+// addSchedulers adds the number of schedulers that the target size requires.
 func (fs *figures) addSchedulers() {
 	const group = "schedulers"
 	usableDescriptors := fs.add(group, "sockets", processSockets*(1-1.0/spareSocketDivisor), "descriptors",
@@ -94,7 +95,7 @@
 // value returns the value of a figure that has been added before.
 func (fs *figures) value(name string) float64 { return fs.byName[name].value }
 
-// addControl carries what a process without a job costs to the target.
+// addControl adds the cost of a scheduler process without jobs at the target size.
 func (fs *figures) addControl() {
 	const group = "control"
 	fs.addFromSeries(group, "control_cpu", "control.cpu_at_0.2", TargetWorkers, 1, "% of a core")
@@ -107,7 +108,7 @@
 	fs.addFromSeries(group, "keeping_memory", "keeping.memory", TargetWorkers, megabyte, "MB")
 }
 
-// addDecisions carries the module's steps to the target.
+// addDecisions adds the cost of steps of the decision module at the target size.
 func (fs *figures) addDecisions() {
 	const group = "decisions"
 	idleTickMicros := fs.addFromSeries(group, "idle_tick", "module.idle_tick", TargetWorkers, nanosPerMicro, "us")
@@ -125,8 +126,8 @@
 	fs.addFromSeries(group, "list_memory", "core.memory", TargetWorkers, megabyte, "MB")
 }
 
-// addEndpointUpdates tells what updates of the endpoint list cost, and how long they take within
-// the traffic that control may have.
+// addEndpointUpdates adds the size of updates of the endpoint list and the time that they take to transfer at
+// TargetControlTraffic.
 func (fs *figures) addEndpointUpdates() {
 	const group = "news"
 	listKilobytes := fs.addFromSeries(group, "list_size", "list.bytes", TargetWorkers, kilobyte, "KB")
@@ -158,7 +159,7 @@
 		"(clock − answer) / (kept_time − answer)")
 }
 
-// addConfiguration tells what changes of the configuration cost as a document that is read whole.
+// addConfiguration adds the cost of configuration changes if each transfers the whole document.
 func (fs *figures) addConfiguration() {
 	const group = "configuration"
 	documentKilobytes := fs.addFromSeries(group, "document", "configuration.bytes", TargetTeams, kilobyte, "KB")
@@ -174,7 +175,7 @@
 		"configuration_peak × document")
 }
 
-// addDiscovery tells what all schedulers together ask of discovery.
+// addDiscovery adds the load that all schedulers together put on discovery.
 func (fs *figures) addDiscovery() {
 	const group = "discovery"
 	schedulers := fs.value("schedulers_chosen")
@@ -195,7 +196,7 @@
 		"schedulers_chosen × a zone of 558 × entry_size: in the second in which a zone goes")
 }
 
-// addPlacement tells of urgent tasks and gangs.
+// addPlacement adds the waiting time of urgent tasks and the fraction of time in which a gang fits.
 func (fs *figures) addPlacement() {
 	const group = "placement"
 	fs.add(group, "task_length", meanTaskSeconds, "s", "220,000 tasks / 8,100 starts a second")
@@ -220,7 +221,7 @@
 		"256 × task_length / pool: until slots that are held as they come free make the largest gang")
 }
 
-// addFailures tells what failures take.
+// addFailures adds the tasks and the fractions of the fleet that are lost to failures.
 func (fs *figures) addFailures() {
 	const group = "failures"
 	tasksPerWorker := fs.add(group, "tasks_of_worker", TargetTasks/float64(TargetWorkers), "tasks",
--- a/internal/lab/capacity/gangs.go
+++ b/internal/lab/capacity/gangs.go
@@ -8,14 +8,14 @@
 	"math/rand/v2"
 )
 
-// poolSlots are the slots of one kind in one zone.
+// poolSlots is the number of slots of one kind of worker in one zone.
 const poolSlots = TargetTasks / TargetZones / assumedKinds
 
-// gangUtilizations are the fractions of the slots in use, in percent.
+// gangUtilizations are the percentages of the slots in use for which gangs are measured.
 var gangUtilizations = []int{70, 90, 98}
 
-// measureGangs measures how often so many slots of one kind and zone are free at once, in a hollow pool
-// in which tasks start as they come and are shed where none is free.
+// measureGangs measures the fraction of time in which a gang's slots of one kind and zone are free at once. It
+// simulates a pool in which each task starts on arrival, or is shed if no slot is free.
 func measureGangs(ctx context.Context, p plan) ([]Series, error) {
 	rng := rand.New(rand.NewPCG(p.seed, 3))
 	var all []Series
@@ -36,14 +36,14 @@
 		if err != nil {
 			return nil, err
 		}
-		series[0].Slope, series[0].Offset, series[0].Residual = 0, 0, 0 // a fraction of time follows no power law
+		series[0].Slope, series[0].Offset, series[0].Residual = 0, 0, 0 // fractions of time follow no power law
 		all = append(all, series...)
 	}
 	return all, nil
 }
 
-// offeredLoad returns the load that keeps a fraction of a pool's slots in use: more than that
-// fraction, since tasks that find no slot are shed.
+// offeredLoad returns the load, in erlangs, that keeps a fraction of a pool's slots in use. It exceeds the number of
+// slots in use, since tasks that find no free slot are shed.
 func offeredLoad(utilization float64) float64 {
 	const bisections = 60
 	low, high := 0.0, 4.0*poolSlots
@@ -58,7 +58,8 @@
 	return low
 }
 
-// erlangB is Erlang's loss formula: the fraction shed at an offered load by so many slots.
+// erlangLossFraction is Erlang's loss formula (Erlang B): the fraction of tasks that are shed at an offered load, in
+// erlangs, by a pool with a number of slots.
 func erlangLossFraction(load float64, slots int) float64 {
 	blocked := 1.0
 	for n := 1; n <= slots; n++ {
@@ -67,10 +68,11 @@
 	return blocked
 }
 
-// gangFitFraction is the closed form: the fraction of time in which so many slots are free.
+// gangFitFraction returns the fraction of time in which at least gang slots are free, by the closed form of Erlang's
+// loss system.
 func gangFitFraction(utilization float64, gang int) float64 {
 	load := offeredLoad(utilization)
-	logWeights := make([]float64, poolSlots+1) // of load^n / n!, for n slots in use
+	logWeights := make([]float64, poolSlots+1) // logarithms of load^n / n!, by the number n of slots in use
 	largest := 0.0
 	for n := 1; n <= poolSlots; n++ {
 		logWeights[n] = logWeights[n-1] + math.Log(load/float64(n))
@@ -88,20 +90,20 @@
 }
 
 const (
-	warmupArrivals   = 10 * poolSlots // tasks that fill a simulated pool
-	measuredArrivals = 40 * poolSlots // tasks that come to it after these
+	warmupArrivals   = 10 * poolSlots // arrivals that fill a simulated pool before the measurement
+	measuredArrivals = 40 * poolSlots // arrivals during the measurement
 )
 
-// A simulatedPool is a pool of slots in which tasks run, in mean lengths of a task.
+// A simulatedPool simulates a pool of slots that run tasks. Its unit of time is the mean length of a task.
 type simulatedPool struct {
-	now             float64
+	now             float64 // virtual time
 	running         finishTimes
-	warmedUp        bool      // it has been filled
-	timeByFreeSlots []float64 // in which each number of slots was free
-	totalTime       float64   // of time
+	warmedUp        bool      // the pool has been filled: time is counted
+	timeByFreeSlots []float64 // time in which a number of slots was free, by that number
+	totalTime       float64   // sum of timeByFreeSlots
 }
 
-// advance moves the clock and counts the time.
+// advance moves the clock to a time, and counts the time until then if the pool is warmed up.
 func (s *simulatedPool) advance(to float64) {
 	if s.warmedUp {
 		s.timeByFreeSlots[poolSlots-len(s.running)] += to - s.now
@@ -110,7 +112,8 @@
 	s.now = to
 }
 
-// simulateFreeSlots returns the fraction of time in which each number of slots was free.
+// simulateFreeSlots simulates a pool at an offered load in erlangs. It returns the fraction of time in which a number
+// of slots was free, by that number.
 func simulateFreeSlots(load float64, rng *rand.Rand) []float64 {
 	s := &simulatedPool{timeByFreeSlots: make([]float64, poolSlots+1)}
 	for i := range warmupArrivals + measuredArrivals {
@@ -132,7 +135,8 @@
 	return s.timeByFreeSlots
 }
 
-// fractionWithFree returns the fraction of time in which a gang's slots were free.
+// fractionWithFree returns the fraction of time in which at least gang slots were free. fractions is a result of
+// simulateFreeSlots.
 func fractionWithFree(fractions []float64, gang int) (sum float64) {
 	for free := gang; free < len(fractions); free++ {
 		sum += fractions[free]
@@ -140,8 +144,8 @@
 	return sum
 }
 
-// finishTimes holds the times at which running tasks finish. It implements heap.Interface, the
-// next one first.
+// finishTimes holds the times at which running tasks finish. It implements heap.Interface, with the earliest time
+// first.
 type finishTimes []float64
 
 // Len implements sort.Interface.
--- a/internal/lab/capacity/heap.go
+++ b/internal/lab/capacity/heap.go
@@ -2,10 +2,10 @@
 
 import "runtime"
 
-// heapInUse returns the bytes of the heap that are in use, after a collection.
+// heapInUse runs the garbage collector and returns the bytes of live objects on the heap.
 func heapInUse() float64 {
 	runtime.GC()
-	runtime.GC() // the second frees what had a finalizer
+	runtime.GC() // the second collection frees objects that had a finalizer
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc)
--- a/internal/lab/capacity/hollowcore.go
+++ b/internal/lab/capacity/hollowcore.go
@@ -6,14 +6,14 @@
 	"github.com/vatu-meals/foxlift/internal/counters"
 )
 
-// A hollowCore is a core without sockets: jobs that it sends stay in flight until they are ended.
+// A hollowCore is a core without sockets: the attempts that it sends stay in flight until their end is reported.
 type hollowCore struct {
 	*core.Core
-	barrier chan struct{}
-	reports []func(core.Report) // of the attempts that were sent
+	barrier chan struct{}       // receives a value per answered job of awaitStep
+	reports []func(core.Report) // report functions of the attempts that were sent
 }
 
-// core returns a started core that knows the complete endpoint list.
+// core returns a started core that has the complete endpoint list.
 func (d deployment) core() (*hollowCore, error) {
 	s, err := d.settings()
 	if err != nil {
@@ -31,8 +31,8 @@
 	return h, nil
 }
 
-// awaitStep returns when the core has done all that was asked of it before. The first answer comes
-// while the events of a step are taken in, the second in the next step.
+// awaitStep returns when the core has processed all earlier calls. It submits two jobs in turn that are rejected: the
+// first is answered while the core is reading the events of a step, the second in the next step.
 func (h *hollowCore) awaitStep() {
 	for range 2 {
 		h.Accept(&core.Job{ID: "barrier", Class: "unknown", Client: barrierClient(h.barrier)})
@@ -40,7 +40,7 @@
 	}
 }
 
-// A barrierClient is the client of a job that is rejected at once.
+// A barrierClient is the client of a job that is rejected at once. It signals the answer on its channel.
 type barrierClient chan struct{}
 
 // Answer implements core.Client.
@@ -49,7 +49,7 @@
 // Disconnected implements core.Client.
 func (b barrierClient) Disconnected() bool { return false }
 
-// updateWorker brings a change of the endpoint list and waits until it is in force.
+// updateWorker changes the state of worker i in the endpoint list and waits until the change is in force.
 func (h *hollowCore) updateWorker(i int, state foxlift.WorkerState) {
 	w := hollowWorker(i)
 	w.State = state
@@ -57,7 +57,7 @@
 	h.awaitStep()
 }
 
-// Send implements core.Workers: the job starts and goes on running.
+// Send implements core.Workers. It records report and calls nothing: the attempt stays in flight.
 func (h *hollowCore) Send(_ string, _ *core.Job, _ core.AttemptLimits, report func(core.Report)) func() {
 	h.reports = append(h.reports, report)
 	return func() {}
--- a/internal/lab/capacity/hollowdiscovery.go
+++ b/internal/lab/capacity/hollowdiscovery.go
@@ -6,10 +6,10 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// unusedAddr is the address of all hollow workers: nothing is ever sent there.
+// unusedAddr is the address of all hollow workers: nothing is ever sent to it.
 const unusedAddr = "127.0.0.1:9"
 
-// hollowDiscovery starts a stand-in for discovery that lists so many hollow workers.
+// hollowDiscovery starts a stand-in for discovery whose endpoint list has a number of hollow workers.
 func hollowDiscovery(workers int) (*standin.Discovery, error) {
 	d, err := standin.StartDiscovery()
 	if err != nil {
@@ -19,7 +19,7 @@
 	return d, nil
 }
 
-// announceHollowWorkers adds hollow workers to the endpoint list, from one number on.
+// announceHollowWorkers adds count hollow workers to the endpoint list, numbered from first.
 func announceHollowWorkers(discovery *standin.Discovery, first, count int) {
 	entries := make([]standin.Entry, count)
 	for i := range entries {
@@ -32,10 +32,11 @@
 	discovery.Announce(entries...)
 }
 
-// hollowStartedAt is when the hollow workers started: long ago, and as long in digits as any other time.
+// hollowStartedAt is the start time of all hollow workers. It is long ago and has as many digits as any other time, so
+// that entries have a realistic size.
 var hollowStartedAt = time.UnixMilli(1_790_000_000_000)
 
-// endpointsBytes returns the length of the complete endpoint list in bytes.
+// endpointsBytes returns the length in bytes of the complete endpoint list with a number of workers.
 func endpointsBytes(workers int) (int, error) {
 	d, err := hollowDiscovery(workers)
 	if err != nil {
--- a/internal/lab/capacity/hollowmodule.go
+++ b/internal/lab/capacity/hollowmodule.go
@@ -6,22 +6,22 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// idleTickInterval is longer than the module's own, so that each step with nothing to do is a tick.
+// idleTickInterval is longer than the module's own tick interval, so that each step without events is a tick.
 const idleTickInterval = 100 * time.Millisecond
 
 const (
-	lightClass = 0 // in classes
-	heavyClass = 1
+	lightClass = 0 // index in classes
+	heavyClass = 1 // index in classes
 )
 
 // A hollowModule is a decision module on a virtual clock.
 type hollowModule struct {
 	*foxlift.Dispatcher
-	now  int64
-	jobs uint64 // so far; the last one's id
+	now  int64  // virtual time in nanoseconds
+	jobs uint64 // number of jobs so far, and the ID of the last one
 }
 
-// module returns a module that knows the complete endpoint list.
+// module returns a decision module that has the complete endpoint list.
 func (d deployment) module() (*hollowModule, error) {
 	settings, err := d.settings()
 	if err != nil {
@@ -40,19 +40,19 @@
 	return h, nil
 }
 
-// step is a step of the module a millisecond later.
+// step advances the clock by a millisecond and runs a step of the module.
 func (h *hollowModule) step(events ...foxlift.Event) []foxlift.Action {
 	h.now += int64(time.Millisecond)
 	return h.Step(h.now, events)
 }
 
-// idleTick is a tick with nothing to do.
+// idleTick advances the clock by idleTickInterval and runs a step without events.
 func (h *hollowModule) idleTick() {
 	h.now += int64(idleTickInterval)
 	h.Step(h.now, nil)
 }
 
-// request brings a job and reports its first attempt, if it is sent at once.
+// submitJob submits a job with a timeout and returns its first attempt. sent is false if the job was not sent at once.
 func (h *hollowModule) submitJob(
 	class, team int, key uint64, timeout time.Duration,
 ) (attempt foxlift.Action, sent bool) {
@@ -75,7 +75,7 @@
 	return foxlift.Action{}, false
 }
 
-// runJob is a light job's whole life: it comes, is sent, starts and is served.
+// runJob runs a light job from its arrival until it is served; a job that is not sent at once is left queued.
 func (h *hollowModule) runJob(team int, key uint64) {
 	attempt, sent := h.submitJob(lightClass, team, key, 5*time.Second)
 	if !sent {
@@ -89,7 +89,7 @@
 	h.step(attemptStarted(attempt), served)
 }
 
-// startTask brings a heavy task that starts and runs on. It reports whether it was sent.
+// startTask submits a heavy task that starts and stays running. It reports whether the task was sent.
 func (h *hollowModule) startTask(team int) bool {
 	attempt, sent := h.submitJob(heavyClass, team, 0, time.Hour)
 	if sent {
@@ -98,7 +98,7 @@
 	return sent
 }
 
-// startedEvent tells that an attempt has started.
+// attemptStarted returns the event that reports the start of an attempt.
 func attemptStarted(attempt foxlift.Action) foxlift.Event {
 	return foxlift.Event{
 		Kind:    foxlift.EventStarted,
@@ -108,7 +108,7 @@
 	}
 }
 
-// updateWorker lets a worker drain, or come back.
+// updateWorker changes the state of worker i in the endpoint list.
 func (h *hollowModule) updateWorker(i int, state foxlift.WorkerState) {
 	w := hollowWorker(i)
 	w.State = state
--- a/internal/lab/capacity/limits.go
+++ b/internal/lab/capacity/limits.go
@@ -5,29 +5,29 @@
 	"slices"
 )
 
-// A scalingLimit is the fraction of the target at which a cost crosses its budget.
+// A scalingLimit is the fraction of the target size at which a cost exceeds its budget.
 type scalingLimit struct {
-	Name     string
-	Fraction float64
-	formula  string
+	Name     string  // of the budget
+	Fraction float64 // of the target size; +Inf: never
+	formula  string  // source of the fraction, for the page
 }
 
-// The limits that requirements refer to.
+// Names of the limits that requirements refer to, as shown on the page.
 const (
 	ordinaryCPULimit     = "control's processor time at 0.2 changes/s"
 	memoryLimit          = "control's memory"
 	ordinaryTrafficLimit = "control's traffic at 0.2 changes/s"
 	descriptorLimit      = "descriptors of the most schedulers"
 
-	// What a start takes from discovery, by whether it has a checkpoint of the endpoint list.
+	// Limits on the transfer from discovery at a start, without and with a checkpoint of the endpoint list.
 	completeSnapshotLimit = "the whole list within the list's clock, at a start that has none kept"
 	checkpointLimit       = "the changes since within the list's clock, at a start with a list that was kept"
 )
 
-// startCPUBudget is the processor time that a start may take, in seconds.
+// startCPUBudget is the processor time, in seconds, that a start of a scheduler process may take.
 const startCPUBudget = 0.4
 
-// findLimits finds where the slope of each cost crosses its budget.
+// findLimits determines the fraction of the target size at which each cost exceeds its budget.
 func (a *assessment) findLimits() {
 	a.addBudget(ordinaryCPULimit, "control.cpu_at_0.2", TargetControlCPU, "1.6 % of a core")
 	a.addBudget("control's processor time at 5 changes/s", "control.cpu_at_5", TargetControlCPU, "1.6 % of a core")
@@ -37,7 +37,7 @@
 	a.addBudget("the start's processor time", "control.start", startCPUBudget, "0.4 s")
 	a.addBudget(completeSnapshotLimit, "list.bytes", TargetControlTraffic*kilobyte*a.value("clock"), "24 KB/s for clock")
 	a.addLimit(checkpointLimit, a.value("kept_room"), "kept_room")
-	peakChangesPerSecond := a.value("configuration_peak") // changes a second; the teams take most of the document
+	peakChangesPerSecond := a.value("configuration_peak") // the teams take up most of the document
 	document := a.series("configuration.bytes")
 	a.addLimit("the configuration as one document, in the peak minute",
 		document.sizeAt(TargetControlTraffic*kilobyte/peakChangesPerSecond)/TargetTeams,
@@ -46,26 +46,26 @@
 		"tasks_of_one × schedulers_most / 220,000")
 }
 
-// addLimit adds a limit.
+// addLimit adds the limit of a budget.
 func (a *assessment) addLimit(name string, fraction float64, formula string) {
 	a.limits = append(a.limits, scalingLimit{name, fraction, formula})
 }
 
-// addBudget adds the number of workers at which a series reaches its budget.
+// addBudget adds the limit at the number of workers at which a series reaches its budget.
 func (a *assessment) addBudget(name, series string, budget float64, formula string) {
 	workers := a.series(series).sizeAt(budget)
 	a.addLimit(name, workers/TargetWorkers, formula+", `"+series+"`")
 }
 
-// lowestLimit returns the limit that is reached first.
+// lowestLimit returns the limit with the lowest fraction.
 func (a *assessment) lowestLimit() scalingLimit { return a.limits[a.lowestIndexExcept(-1)] }
 
-// secondLimit returns the limit that is reached after the first.
+// secondLimit returns the limit with the second lowest fraction.
 func (a *assessment) secondLimit() scalingLimit {
 	return a.limits[a.lowestIndexExcept(a.lowestIndexExcept(-1))]
 }
 
-// lowestIndexExcept returns the index of the lowest limit, leaving one out.
+// lowestIndexExcept returns the index of the lowest limit, ignoring the index except.
 func (a *assessment) lowestIndexExcept(except int) int {
 	lowest := -1
 	for i, limit := range a.limits {
@@ -76,7 +76,7 @@
 	return lowest
 }
 
-// lowestFraction returns the lowest fraction of some limits.
+// lowestFraction returns the lowest fraction of the named limits, +Inf if there are none.
 func (a *assessment) lowestFraction(names ...string) float64 {
 	lowest := math.Inf(1)
 	for _, limit := range a.limits {
--- a/internal/lab/capacity/page.go
+++ b/internal/lab/capacity/page.go
@@ -12,27 +12,27 @@
 	"text/template"
 )
 
-// The page is written from a template that holds no figure of its own: each is looked up by its name.
+// The page is rendered from a template that contains no figure itself: each figure is looked up by its name.
 
 //go:embed page.md.tmpl
 var pageTemplate string
 
 // Errors of a page.
 var (
-	errFigureWithoutSource = errors.New("a figure has no source")
-	errPageDiffers         = errors.New("the page is not what the measurements give")
+	errFigureWithoutSource = errors.New("the page template contains a figure without a source")
+	errPageDiffers         = errors.New("the page differs from the page rendered from the measurements")
 )
 
-// An unknownFigureError names a figure that no formula gives.
+// An unknownFigureError reports the name of a figure, or of a group of figures, that does not exist.
 type unknownFigureError string
 
 // Error implements error.
 func (e unknownFigureError) Error() string { return fmt.Sprintf("unknown figure %q", string(e)) }
 
-// Page writes the page from measurements.
+// Page renders the page from measurements.
 func Page(m *Measured) (string, error) { return renderPage(pageTemplate, m) }
 
-// renderPage writes a page from a template and measurements.
+// renderPage renders a page from the text of a template and measurements.
 func renderPage(text string, m *Measured) (string, error) {
 	if err := checkSources(text); err != nil {
 		return "", err
@@ -52,7 +52,7 @@
 	return b.String(), nil
 }
 
-// templateFunctions are what the page's template can look up, by the page's names for it.
+// templateFunctions returns the functions that the page's template can call.
 func (a *assessment) templateFunctions() template.FuncMap {
 	return template.FuncMap{
 		"figure":    a.formatFigure,
@@ -78,7 +78,7 @@
 	}
 }
 
-// Check compares a page with what the measurements give.
+// Check returns an error that names the first different line if page is not the page that is rendered from m.
 func Check(page string, m *Measured) error {
 	want, err := Page(m)
 	if err != nil {
@@ -93,10 +93,10 @@
 			return fmt.Errorf("%w: line %d: %q", errPageDiffers, i+1, line)
 		}
 	}
-	return fmt.Errorf("%w: it ends after line %d", errPageDiffers, len(lines))
+	return fmt.Errorf("%w: the page ends after line %d", errPageDiffers, len(lines))
 }
 
-// CheckFiles compares a page's file with that of the measurements.
+// CheckFiles is Check for the file of a page and the file of its measurements.
 func CheckFiles(pagePath, measuredPath string) error {
 	m, err := Load(measuredPath)
 	if err != nil {
@@ -117,7 +117,7 @@
 	digit          = regexp.MustCompile(`[0-9]`)
 )
 
-// checkSources makes sure that a template has no figure but those that are looked up.
+// checkSources returns an error if the text of a template contains digits outside of template actions.
 func checkSources(text string) error {
 	for i, line := range strings.Split(text, "\n") {
 		if digit.MatchString(templateAction.ReplaceAllString(line, "")) {
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// formatNumber writes a value with three digits that count.
+// formatNumber formats a value with three significant digits, or with an exponent and two digits below 1e-6.
 func formatNumber(x float64) string {
 	switch {
 	case math.IsNaN(x):
@@ -144,10 +144,11 @@
 	return fmt.Sprintf("%.*f", digits, x)
 }
 
-// maxShownMultiple is a multiple of the target past which a slope says only that there is no limit near.
+// maxShownMultiple is the largest multiple of the target that is shown as a number. An extrapolation beyond it shows
+// only that no limit is near.
 const maxShownMultiple = 1000
 
-// formatMultiple writes a multiple of the target.
+// formatMultiple formats a multiple of the target.
 func formatMultiple(x float64) string {
 	if x > maxShownMultiple {
 		return fmt.Sprintf("over %d", maxShownMultiple)
@@ -155,7 +156,7 @@
 	return formatNumber(x)
 }
 
-// showFigure returns a figure with its unit.
+// formatFigure returns the value of the named figure with its unit.
 func (a *assessment) formatFigure(name string) (string, error) {
 	f, ok := a.byName[name]
 	if !ok {
@@ -164,7 +165,7 @@
 	return formatNumber(f.value) + " " + f.unit, nil
 }
 
-// figureTable returns a group of figures with their sources.
+// figureTable returns a Markdown table of a group of figures with their sources.
 func (a *assessment) figureTable(group string) (string, error) {
 	var rows [][]string
 	for _, name := range a.order {
@@ -178,7 +179,7 @@
 	return markdownTable([]string{"figure", "value", "from"}, rows), nil
 }
 
-// limitTable returns all limits.
+// limitTable returns a Markdown table of all limits.
 func (a *assessment) limitTable() string {
 	var rows [][]string
 	for _, limit := range a.limits {
@@ -187,7 +188,7 @@
 	return markdownTable([]string{"budget", "crossed at, of the target", "from"}, rows)
 }
 
-// requirementTable returns all requirements.
+// requirementTable returns a Markdown table of all requirements.
 func (a *assessment) requirementTable() string {
 	var rows [][]string
 	for _, r := range a.requirements {
@@ -197,8 +198,7 @@
 		[]string{"line of the target", "mechanism", "state", "breaks at, of the target", "what breaks"}, rows)
 }
 
-// seriesTable returns all that was measured: sizes, medians, the widest relative range, slope
-// and residual.
+// seriesTable returns a Markdown table of all series: sizes, medians, the widest relative range, slope and residual.
 func (a *assessment) seriesTable() string {
 	var rows [][]string
 	for i := range a.measured.Series {
@@ -225,7 +225,7 @@
 		[]string{"series", "by", "sizes", "medians", "unit", "worst spread", "slope", "residual"}, rows)
 }
 
-// markdownTable writes a table.
+// markdownTable formats a table as Markdown.
 func markdownTable(header []string, rows [][]string) string {
 	lines := []string{tableRow(header), "|" + strings.Repeat(" --- |", len(header))}
 	for _, row := range rows {
@@ -234,5 +234,5 @@
 	return strings.Join(lines, "\n")
 }
 
-// tableRow writes a row of a table.
+// tableRow formats a row of a Markdown table.
 func tableRow(cells []string) string { return "| " + strings.Join(cells, " | ") + " |" }
--- a/internal/lab/capacity/process.go
+++ b/internal/lab/capacity/process.go
@@ -13,15 +13,15 @@
 	"github.com/vatu-meals/foxlift/internal/lab/service"
 )
 
-// A processSample is what a process has cost by a moment.
+// A processSample is the resource usage of a process from its start until a time.
 type processSample struct {
-	at     time.Time
-	cpu    float64 // seconds
-	memory float64 // bytes
-	bytes  int64   // on the link to discovery, both ways
+	at     time.Time // time of the sample
+	cpu    float64   // processor time in seconds
+	memory float64   // resident bytes
+	bytes  int64     // bytes carried by the link to discovery, in both directions
 }
 
-// sampleProcess takes a sample now.
+// sampleProcess samples a process and its link to discovery.
 func sampleProcess(proc procfs.Proc, link *fleet.Link) (processSample, error) {
 	stat, err := proc.Stat()
 	if err != nil {
@@ -36,14 +36,15 @@
 }
 
 const (
-	propagationTimeout      = 30 * time.Second // for the endpoint list, or its last change, to be in force
+	propagationTimeout      = 30 * time.Second // for the endpoint list or its last change to be in force
 	propagationPollInterval = 50 * time.Millisecond
 )
 
-// errNotPropagated says that a process did not take in the endpoint list in time.
-var errNotPropagated = errors.New("the list is not in force in time")
+// errNotPropagated reports that a process did not apply the endpoint list within propagationTimeout.
+var errNotPropagated = errors.New("endpoint list not in force in time")
 
-// awaitWorkerCount waits until a process knows so many workers.
+// awaitWorkerCount waits until the endpoint list of a process has a number of workers. It fails with errNotPropagated
+// after propagationTimeout, or if the process ends.
 func awaitWorkerCount(ctx context.Context, p *fleet.Process, workers int) error {
 	var figures service.Metrics
 	var err error
@@ -54,7 +55,7 @@
 		}
 		select {
 		case <-p.Done():
-			return fmt.Errorf("the scheduler ended: %s", strings.Join(p.Log(), "\n"))
+			return fmt.Errorf("scheduler process exited: %s", strings.Join(p.Log(), "\n"))
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(propagationPollInterval):
--- a/internal/lab/capacity/requirements.go
+++ b/internal/lab/capacity/requirements.go
@@ -2,26 +2,25 @@
 
 import "math"
 
-// A requirementState says whether a requirement of the target is met.
+// A requirementState is whether a requirement of the target is met, in the words of the page.
 type requirementState string
 
 const (
 	met            requirementState = "carried today"
 	metWhenEnabled requirementState = "carried where it is switched on"
 	unmet          requirementState = "missing"
-	unverified     requirementState = "not reached" // not measured far enough to say
+	unverified     requirementState = "not reached" // not measured far enough to decide
 )
 
-// A requirement is a line of the target, with the mechanism that carries it.
+// A requirement is a requirement of the target, with the mechanism that meets it.
 type requirement struct {
 	name, mechanism string
 	state           requirementState
-	multiple        float64 // of the target, at which it breaks; NaN: not known
-	breaks          string  // what breaks there
+	multiple        float64 // multiple of the target at which the requirement is no longer met; NaN: not known
+	breaks          string  // what fails at that multiple
 }
 
-// judgeRequirements says of each line of the target what carries it. The lines of the target
-// are in the page's order.
+// assessRequirements adds the requirements of the target with their states, in the page's order.
 func (a *assessment) assessRequirements() {
 	a.assessFleet()
 	a.assessPlacement()
@@ -29,7 +28,7 @@
 	a.assessFailures()
 }
 
-// judgeFleet judges the size of the fleet and its load.
+// assessFleet adds the requirements on the size of the fleet and its load.
 func (a *assessment) assessFleet() {
 	a.addRequirement(requirement{
 		name: "19,000 workers",
@@ -61,7 +60,7 @@
 	})
 }
 
-// judgePlacement judges gangs, quotas, urgent work and the levels of the fleet.
+// assessPlacement adds the requirements on gangs, quotas, urgent work, regions and zones.
 func (a *assessment) assessPlacement() {
 	a.addRequirement(requirement{
 		name:      "gangs of up to 256",
@@ -94,7 +93,7 @@
 	})
 }
 
-// judgeControl judges changes of the configuration, and what control may cost.
+// assessControl adds the requirements on configuration changes and on the cost of control.
 func (a *assessment) assessControl() {
 	a.addRequirement(requirement{
 		name:      "13,000 changes of configuration a day, in force within 14 s",
@@ -123,7 +122,7 @@
 	})
 }
 
-// judgeFailures judges failures of workers, racks, zones and regions.
+// assessFailures adds the requirements on failures of workers, racks, zones and regions.
 func (a *assessment) assessFailures() {
 	a.addMeasured(requirement{
 		name:      "210 failures, 4,900 restarts a day",
@@ -152,10 +151,10 @@
 	})
 }
 
-// addRequirement adds a requirement whose state is known.
+// addRequirement adds a requirement whose state is set.
 func (a *assessment) addRequirement(r requirement) { a.requirements = append(a.requirements, r) }
 
-// addMeasured adds a requirement that is met where it breaks only beyond the target.
+// addMeasured adds a requirement and sets its state: unmet if its multiple is less than 1, else met.
 func (a *assessment) addMeasured(r requirement) {
 	r.state = met
 	if r.multiple < 1 {
@@ -164,7 +163,7 @@
 	a.addRequirement(r)
 }
 
-// metCount returns how many requirements are met.
+// metCount returns the number of requirements that are met, including those that are met when enabled.
 func (a *assessment) metCount() (n int) {
 	for _, r := range a.requirements {
 		if r.state == met || r.state == metWhenEnabled {
--- a/internal/lab/capacity/run.go
+++ b/internal/lab/capacity/run.go
@@ -13,31 +13,31 @@
 	"github.com/prometheus/procfs"
 )
 
-// Options say what a run measures.
+// Options are the options of a run.
 type Options struct {
-	Dimensions []string // none: all
-	Short      bool     // few and small sizes
-	Program    string   // the scheduler's binary, for the dimension control
-	Seed       uint64
+	Dimensions []string // names of the dimensions to measure; empty: all
+	Short      bool     // measure few and small sizes
+	Program    string   // path of the scheduler's binary, for the dimension control
+	Seed       uint64   // of the random numbers of simulations
 }
 
-// A Result is what a run has measured, and what it took.
+// A Result contains the measurements of a run and the resources that the run used.
 type Result struct {
 	Measured
-	Dimensions    int
-	PeakMemory    float64 // bytes that the tool had at most
-	MachineMemory float64 // bytes of the machine's memory
-	Processes     int     // that ran at a time
+	Dimensions    int     // number of dimensions that were measured
+	PeakMemory    float64 // most bytes that the tool obtained from the system
+	MachineMemory float64 // the machine's memory in bytes
+	Processes     int     // most scheduler processes that ran at a time
 }
 
-// memoryDivisor is by how much the machine's memory is divided into what the tool may take.
+// maxMemoryDivisor bounds the memory of the tool: the machine's memory divided by it.
 const maxMemoryDivisor = 2
 
-// errTooMuchMemory says that the tool would take too much of the machine's memory.
-var errTooMuchMemory = errors.New("the machine's memory would not do: over half of it would be taken")
+// errTooMuchMemory reports that the tool uses too much of the machine's memory.
+var errTooMuchMemory = errors.New("the measurements use more than half of the machine's memory")
 
-// Run measures the chosen dimensions and prints each series. It ends what it has started, also when
-// ctx ends.
+// Run measures the requested dimensions and prints each series to out. It stops the processes that it has started, also
+// when ctx is cancelled.
 func Run(ctx context.Context, out io.Writer, o Options) (*Result, error) {
 	chosen, err := chooseDimensions(o.Dimensions)
 	if err != nil {
@@ -69,7 +69,7 @@
 	return result, nil
 }
 
-// summary is the series in one line.
+// summary returns the series as one line of text.
 func (s *Series) summary() string {
 	var points []string
 	for _, p := range s.Points {
@@ -79,7 +79,7 @@
 		s.Name, strings.Join(points, ", "), s.Slope, s.Residual, s.Unit, s.Of)
 }
 
-// recordMemory records what the tool has taken, and fails where that is too much.
+// recordMemory updates PeakMemory. It fails if PeakMemory exceeds the machine's memory divided by maxMemoryDivisor.
 func (r *Result) recordMemory() error {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -90,7 +90,8 @@
 	return nil
 }
 
-// Line is the run's last line.
+// Line returns the last line that a run prints. Requirements and the lowest limit are in it only if all series that the
+// page needs were measured.
 func (r *Result) Line() string {
 	worst, slopes := 0.0, 0
 	for i := range r.Series {
@@ -99,19 +100,19 @@
 			worst = max(worst, r.Series[i].Residual)
 		}
 	}
-	metCount, requirements, limit := "-", "-", "not known, since not all was measured"
+	metCount, requirements, limit := "-", "-", "not known (not all dimensions measured)"
 	if a, err := newAssessment(&r.Measured); err == nil {
 		lowest := a.lowestLimit()
 		metCount, requirements = fmt.Sprint(a.metCount()), fmt.Sprint(len(a.requirements))
 		limit = fmt.Sprintf("%s at %.3g of the target", lowest.Name, lowest.Fraction)
 	}
-	return fmt.Sprintf("capacity: dimensions %d, slopes %d (worst residual %.1f %%), lines carried %s of %s, "+
-		"first wall %s, memory %.1f GB of %.1f, processes %d",
+	return fmt.Sprintf("capacity: dimensions %d, slopes %d (worst residual %.1f %%), requirements met %s of %s, "+
+		"lowest limit %s, memory %.1f GB of %.1f, processes %d",
 		r.Dimensions, slopes, worst, metCount, requirements, limit,
 		gigabytes(r.PeakMemory), gigabytes(r.MachineMemory), r.Processes)
 }
 
-// gigabytes converts bytes; a GB is binary.
+// gigabytes converts bytes to binary gigabytes.
 func gigabytes(bytes float64) float64 { return bytes / (kilobyte * megabyte) }
 
 // machineMemory returns the machine's memory in bytes.
@@ -125,12 +126,12 @@
 		return 0, err
 	}
 	if info.MemTotalBytes == nil {
-		return 0, errors.New("the machine does not tell its memory")
+		return 0, errors.New("/proc/meminfo does not contain MemTotal")
 	}
 	return float64(*info.MemTotalBytes), nil
 }
 
-// currentCommit names the tree that is measured; "unknown" outside of a checkout.
+// currentCommit returns the short hash of the commit that is measured, or "unknown" outside of a checkout.
 func currentCommit(ctx context.Context) string {
 	out, err := exec.CommandContext(ctx, "git", "rev-parse", "--short", "HEAD").Output()
 	if err != nil {
--- a/internal/lab/capacity/runevents.go
+++ b/internal/lab/capacity/runevents.go
@@ -7,39 +7,39 @@
 	"github.com/vatu-meals/foxlift/internal/lab/fleet"
 )
 
-// A runEvent is what a process meets while the endpoint list changes.
+// A runEvent is an event during a run of the process, amid which the endpoint list changes.
 type runEvent int
 
 const (
-	ordinaryChanges    runEvent = iota
-	processStopped              // the process stands still meanwhile
-	connectionCut               // its connection to discovery is reset, and new ones are refused
-	connectionSilenced          // its connection to discovery hears nothing more
-	configReloaded              // SIGHUP amid it
-	zoneRemoved                 // all workers of a zone leave at once
-	versionRegressed            // discovery has lost its last versions
-	fleetReplaced               // so many changes that they are longer than any complete list so far
+	ordinaryChanges    runEvent = iota // no event
+	processStopped                     // the process is stopped by SIGSTOP during the changes
+	connectionCut                      // its connection to discovery is reset, and new ones are refused
+	connectionSilenced                 // its connection to discovery stays open, but carries no data
+	configReloaded                     // the process receives SIGHUP between two changes
+	zoneRemoved                        // all workers of a zone leave at once
+	versionRegressed                   // discovery loses its last versions
+	fleetReplaced                      // half of the workers are replaced: more changes than in any complete list so far
 	runEventCount
 )
 
-// runEventNames are the names that a trial prints.
+// runEventNames are the names of events in the output of a trial.
 var runEventNames = [runEventCount]string{
 	ordinaryChanges:    "ordinary changes",
-	processStopped:     "a stop",
-	connectionCut:      "a cut",
-	connectionSilenced: "a silence",
-	configReloaded:     "a reload",
-	zoneRemoved:        "a zone gone",
-	versionRegressed:   "a version that goes back",
-	fleetReplaced:      "a release",
+	processStopped:     "process stopped",
+	connectionCut:      "connection cut",
+	connectionSilenced: "connection silenced",
+	configReloaded:     "configuration reload",
+	zoneRemoved:        "zone removed",
+	versionRegressed:   "version regression",
+	fleetReplaced:      "release",
 }
 
 const (
-	interruptionDuration = 2 * time.Second // that a process is stopped or cut off
-	regressedVersions    = 3               // that discovery loses
+	interruptionDuration = 2 * time.Second // time for which a process is stopped or cut off
+	regressedVersions    = 3               // versions that discovery loses
 )
 
-// injectEvent lets the endpoint list change amid an event, and ends the event.
+// injectEvent changes the endpoint list amid an event, and ends the event.
 func (t *faultsTrial) injectEvent(event runEvent) error {
 	link := t.Links[0]
 	switch event {
@@ -69,7 +69,8 @@
 	case zoneRemoved:
 		t.removeWorkers(min(TargetWorkers/TargetZones, len(t.workers)/2))
 	case versionRegressed:
-		// By more versions than the next changes make: versions that have been overtaken cannot be told apart.
+		// Discovery loses more versions than the next changes add. If the versions after the regression reached a lost
+		// number again, the process could not distinguish them.
 		if t.Discovery.Version() <= regressedVersions {
 			t.churnWorkers()
 			return nil
@@ -77,7 +78,7 @@
 		t.Discovery.RevertVersion(t.Discovery.Version() - regressedVersions)
 		t.changes = nil // a checkpoint of the lost versions must not be used
 		t.churnWorkers()
-		<-time.After(interruptionDuration) // in which the process sees it
+		<-time.After(interruptionDuration) // the process observes the regression in this time
 	case fleetReplaced:
 		half := len(t.workers) / 2
 		t.removeWorkers(half)
--- a/internal/lab/capacity/schedulers.go
+++ b/internal/lab/capacity/schedulers.go
@@ -9,14 +9,14 @@
 	"github.com/vatu-meals/foxlift/internal/pollpacing"
 )
 
-// Discovery's calls are counted on a virtual clock, with the scheduler's own pauses and waits. A call
-// is answered at once: what discovery can bear is not ours to know.
+// Calls to discovery are counted on a virtual clock, with the delays and watch times of the scheduler's own pacing.
+// Each call is answered at once, since the capacity of discovery is unknown.
 const (
-	watchDuration = 2 * time.Minute
-	startsPerRun  = 10 // a start is counted in seconds; this many are drawn for each run
+	watchDuration = 2 * time.Minute // virtual time for which watches are counted
+	startsPerRun  = 10              // starts of all schedulers that are simulated in each run
 )
 
-// measureSchedulers measures the calls that all schedulers together make to discovery.
+// measureSchedulers measures the rate of calls that all schedulers together make to discovery.
 func measureSchedulers(ctx context.Context, p plan) ([]Series, error) {
 	rng := rand.New(rand.NewPCG(p.seed, 1))
 	repeatRuns := func(count func(schedulers int, rng *rand.Rand) float64) func(int) ([]float64, error) {
@@ -33,7 +33,7 @@
 	)
 }
 
-// watchCalls returns the calls a second of schedulers that watch a list that does not change.
+// watchCalls returns the calls per second of schedulers that watch an endpoint list without changes.
 func watchCalls(schedulers int, rng *rand.Rand) float64 {
 	calls := 0
 	for range schedulers {
@@ -45,7 +45,7 @@
 	return float64(calls) / watchDuration.Seconds()
 }
 
-// startPeak returns the calls in the worst second after all schedulers have started at once.
+// startPeak returns the most calls in one second after all schedulers have started at once, in startsPerRun starts.
 func startPeak(schedulers int, rng *rand.Rand) float64 {
 	maxPeak := 0.0
 	for range startsPerRun {
--- a/internal/lab/capacity/series.go
+++ b/internal/lab/capacity/series.go
@@ -11,33 +11,33 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// A Point is what was measured at one size.
+// A Point contains the measurements at one size.
 type Point struct {
 	Size          int       `json:"size"`
-	Runs          []float64 `json:"runs"`
+	Runs          []float64 `json:"runs"` // cost in each run
 	Median        float64   `json:"median"`
 	RelativeRange float64   `json:"spread"` // (largest - smallest) / median
 }
 
-// A Series is one cost by one size, the other sizes held.
+// A Series is one cost as a function of one size, with the other sizes constant.
 type Series struct {
 	Name     string  `json:"name"`
-	Of       string  `json:"of"`   // what the size counts
-	Unit     string  `json:"unit"` // of the runs
+	Of       string  `json:"of"`   // what the sizes count
+	Unit     string  `json:"unit"` // unit of the cost
 	Points   []Point `json:"points"`
-	Slope    float64 `json:"slope"`    // of the logarithms, by least squares
+	Slope    float64 `json:"slope"`    // exponent of the size: slope of the least-squares line through the logarithms
 	Offset   float64 `json:"offset"`   // natural logarithm of the cost at size 1
-	Residual float64 `json:"residual"` // root mean square of what is left, in percent
+	Residual float64 `json:"residual"` // root mean square deviation of the medians from the line, in percent
 }
 
-// Measured is all that one run of the tool has measured.
+// Measured contains all measurements of one run of the tool.
 type Measured struct {
-	Commit string   `json:"commit"` // of the tree
-	Short  bool     `json:"short"`  // few and small sizes, to see that the tool works
+	Commit string   `json:"commit"` // commit that was measured
+	Short  bool     `json:"short"`  // few and small sizes, to test the tool
 	Series []Series `json:"series"`
 }
 
-// addPoint adds the runs at one size.
+// addPoint adds the costs of the runs at one size. runs must not be empty.
 func (s *Series) addPoint(size int, runs []float64) {
 	sorted := slices.Sorted(slices.Values(runs))
 	point := Point{Size: size, Runs: runs, Median: median(sorted)}
@@ -47,14 +47,14 @@
 	s.Points = append(s.Points, point)
 }
 
-// median returns the value in the middle of sorted ones, or the mean of the two there.
+// median returns the median of sorted values; for an even number of values, the mean of the two in the middle.
 func median(sorted []float64) float64 {
 	const half, above = 0.5, 0.5 + 1e-9
 	return (stat.Quantile(half, stat.Empirical, sorted, nil) + stat.Quantile(above, stat.Empirical, sorted, nil)) / 2
 }
 
-// fit draws the line through the logarithms of sizes and medians. A median of 0 is under what the clock
-// can tell, and has no logarithm: it is left out.
+// fit sets the least-squares line through the logarithms of sizes and medians. A median of 0 is below the resolution of
+// the clock and has no logarithm: it is omitted. fit does nothing if fewer than two points remain.
 func (s *Series) fit() {
 	xs, ys := s.logarithms()
 	if len(xs) < 2 {
@@ -69,7 +69,7 @@
 	s.Residual = percent * math.Expm1(math.Sqrt(meanSquare))
 }
 
-// logarithms returns those of the sizes and their medians.
+// logarithms returns the logarithms of the sizes and medians, without the points whose median is 0.
 func (s *Series) logarithms() (xs, ys []float64) {
 	for _, p := range s.Points {
 		if p.Median > 0 {
@@ -80,11 +80,12 @@
 	return xs, ys
 }
 
-// extrapolationSizes is how many of the largest sizes tell how a cost goes on beyond them: a part that
-// does not grow hides the slope at the smallest.
+// extrapolationSizes is the number of the largest sizes from which a cost is extrapolated. A constant part of the cost
+// hides the slope at the smallest sizes.
 const extrapolationSizes = 3
 
-// extrapolation returns the line through the largest sizes.
+// extrapolation returns the line through the logarithms of the largest sizes and their medians. The offset is NaN if
+// fewer than two medians are positive.
 func (s *Series) extrapolation() (offset, slope float64) {
 	xs, ys := s.logarithms()
 	if len(xs) < 2 {
@@ -94,8 +95,8 @@
 	return stat.LinearRegression(xs[from:], ys[from:], nil, false)
 }
 
-// costAt returns the cost at a size: as measured, by the line between the two sizes around it, or by the
-// line through the largest sizes beyond them.
+// costAt returns the cost at a size: the measured median, the logarithmic interpolation between the two nearest sizes,
+// or the extrapolation from the largest sizes.
 func (s *Series) costAt(size float64) float64 {
 	for i, p := range s.Points {
 		if float64(p.Size) == size {
@@ -111,8 +112,8 @@
 	return math.Exp(offset + slope*math.Log(size))
 }
 
-// sizeAt returns the size at which the cost reaches a bound: between two measured sizes, or beyond
-// them; +Inf if it never does.
+// sizeAt returns the size at which the cost reaches a bound, by interpolation or extrapolation. It is +Inf if the cost
+// never reaches the bound, and the smallest measured size if the cost reaches the bound there.
 func (s *Series) sizeAt(bound float64) float64 {
 	for i, p := range s.Points {
 		if p.Median < bound {
@@ -132,13 +133,15 @@
 	return math.Exp((math.Log(bound) - offset) / slope)
 }
 
-// A missingSeriesError names a series that a page needs and a file lacks.
+// A missingSeriesError is the name of a series that the page needs but the measurements do not contain.
 type missingSeriesError string
 
 // Error implements error.
-func (e missingSeriesError) Error() string { return fmt.Sprintf("there is no series %q", string(e)) }
+func (e missingSeriesError) Error() string {
+	return fmt.Sprintf("series %q not found in the measurements", string(e))
+}
 
-// series returns a series by its name.
+// series returns the series with a name.
 func (m *Measured) series(name string) (*Series, error) {
 	for i := range m.Series {
 		if m.Series[i].Name == name && len(m.Series[i].Points) > 0 {
@@ -148,10 +151,10 @@
 	return nil, missingSeriesError(name)
 }
 
-// errNotMeasurements says that a file is not one of this tool's.
-var errNotMeasurements = errors.New("not a file of measurements")
+// errNotMeasurements reports a file that this tool has not written.
+var errNotMeasurements = errors.New("not a file of capacity measurements")
 
-// Load reads what an earlier run has measured.
+// Load reads the measurements that an earlier run has saved.
 func Load(path string) (*Measured, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -167,7 +170,8 @@
 	return &m, nil
 }
 
-// Save writes the measurements: aside first, so that a run that is broken off leaves the old ones.
+// Save writes the measurements to a temporary file and renames it, so that an interrupted run leaves the old
+// measurements intact.
 func (m *Measured) Save(path string) error {
 	text, err := json.MarshalIndent(m, "", " ")
 	if err != nil {
--- a/internal/lab/capacity/startfaults.go
+++ b/internal/lab/capacity/startfaults.go
@@ -9,36 +9,37 @@
 	"github.com/vatu-meals/foxlift/internal/platform"
 )
 
-// A startFault is what happens between the end of one run of the process and the next.
+// A startFault is a fault that is injected between two runs of the process.
 type startFault int
 
 const (
 	noFault         startFault = iota
-	truncated                  // the checkpoint file, at any place
-	bitFlip                    // in the checkpoint file
-	emptied                    // the checkpoint file
-	deleted                    // the checkpoint file
-	otherDiscovery             // the checkpoint is of another discovery,
-	expired                    // too old,
-	futureTimestamp            // or from the future
-	compacted                  // discovery no longer has the changes since
+	truncated                  // the checkpoint file is truncated at a random offset
+	bitFlip                    // a random bit of the checkpoint file is inverted
+	emptied                    // the checkpoint file is empty
+	deleted                    // the checkpoint file is removed
+	otherDiscovery             // the checkpoint was taken from another discovery service
+	expired                    // the checkpoint is older than checkpoint.MaxAge
+	futureTimestamp            // the checkpoint has a time in the future
+	compacted                  // discovery no longer has the changes since the checkpoint
 	startFaultCount
 )
 
-// startFaultNames are the names that a trial prints.
+// startFaultNames are the names of faults in the output of a trial.
 var startFaultNames = [startFaultCount]string{
 	noFault:         "none",
 	truncated:       "torn",
 	bitFlip:         "bit flip",
 	emptied:         "emptied",
 	deleted:         "removed",
-	otherDiscovery:  "of another discovery",
-	expired:         "from long ago",
-	futureTimestamp: "from the future",
+	otherDiscovery:  "other discovery",
+	expired:         "expired",
+	futureTimestamp: "future time",
 	compacted:       "compacted",
 }
 
-// injectFault does a fault to the checkpoint. Compaction is discovery's own, and comes later.
+// injectFault applies a fault to the checkpoint file and updates checkpointUsable. It does nothing for compacted, which
+// runOnce applies to discovery.
 func (t *faultsTrial) injectFault(fault startFault) error {
 	path := t.process.CheckpointPath
 	t.checkpointUsable = t.checkpointUsable && fault == noFault
@@ -79,12 +80,13 @@
 	return os.WriteFile(path, data, 0o600)
 }
 
-// rewriteCheckpoint changes a checkpoint in its own format, where there is one that can be read.
+// rewriteCheckpoint reads the checkpoint, changes it and writes it again. It does nothing if there is no readable
+// checkpoint.
 func (t *faultsTrial) rewriteCheckpoint(change func(*platform.EndpointSnapshot)) error {
 	file := checkpoint.File(t.process.CheckpointPath)
 	var saved platform.EndpointSnapshot
 	if err := file.Read(&saved); err != nil {
-		return nil //nolint:nilerr // there is none, or it was damaged before: the start is without one either way
+		return nil //nolint:nilerr // no readable checkpoint: the start is without one in any case
 	}
 	change(&saved)
 	return file.Write(saved)
--- a/internal/lab/capacity/tasks.go
+++ b/internal/lab/capacity/tasks.go
@@ -9,11 +9,11 @@
 	"github.com/vatu-meals/foxlift/internal/core"
 )
 
-// errTasksNotSent says that a hollow fleet had no capacity for what it was to run.
+// errTasksNotSent reports that a hollow fleet had too little capacity for the tasks of a measurement.
 var errTasksNotSent = errors.New("not all tasks were sent")
 
-// measureTasks measures what running tasks cost a scheduler that waits for them to finish: memory in the
-// core and the module, and the time of an idle tick.
+// measureTasks measures the cost of running tasks to the scheduler that waits for their end: memory in the core and the
+// module, and the time of an idle tick.
 func measureTasks(ctx context.Context, p plan) ([]Series, error) {
 	return measureBySize(ctx, "tasks", p.sizes(100, 300, 1000, 3000, 10_000),
 		costMeasurement{"tasks.memory", "bytes", func(tasks int) (runs []float64, err error) {
@@ -22,7 +22,7 @@
 				if err != nil {
 					return nil, err
 				}
-				defer h.Stop() // after the last run, as in memoryOfWorkers
+				defer h.Stop() // deferred until after the last run, as in memoryOfWorkers
 				runs = append(runs, bytes)
 			}
 			return runs, nil
@@ -33,12 +33,13 @@
 	)
 }
 
-// deploymentForTasks is a fleet that has room for so many tasks.
+// deploymentForTasks returns a deployment with enough workers for a number of running tasks.
 func deploymentForTasks(tasks int) deployment {
 	return deployment{workers: 2 * tasks, schedulers: 1, teams: TargetTeams}
 }
 
-// memoryOfTasks returns a core with so many running tasks, and the bytes that they take there.
+// memoryOfTasks returns a core with a number of running tasks, and the bytes of memory that the tasks use in it. The
+// caller must stop the core.
 func memoryOfTasks(tasks int) (*hollowCore, float64, error) {
 	h, err := deploymentForTasks(tasks).core()
 	if err != nil {
@@ -61,13 +62,13 @@
 		return nil, 0, fmt.Errorf("%w: %d of %d", errTasksNotSent, len(h.reports), tasks)
 	}
 	for _, report := range h.reports {
-		report(core.Report{}) // it has started
+		report(core.Report{}) // the task has started
 	}
 	h.awaitStep()
 	return h, heapInUse() - before, nil
 }
 
-// A discardingClient waits for an answer and does not look at it.
+// A discardingClient is a client that discards the answer.
 type discardingClient struct{}
 
 // Answer implements core.Client.
@@ -76,7 +77,7 @@
 // Disconnected implements core.Client.
 func (discardingClient) Disconnected() bool { return false }
 
-// tickWithTasks times an idle tick of a module that has so many tasks in flight.
+// tickWithTasks returns the nanoseconds per idle tick of a module with a number of tasks in flight, in each run.
 func tickWithTasks(tasks, runs int) ([]float64, error) {
 	h, err := deploymentForTasks(tasks).module()
 	if err != nil {
--- a/internal/lab/capacity/teams.go
+++ b/internal/lab/capacity/teams.go
@@ -2,7 +2,7 @@
 
 import "context"
 
-// measureTeams measures a job's decision by the number of teams with quotas.
+// measureTeams measures the time in the decision module for a job, by the number of teams with quotas.
 func measureTeams(ctx context.Context, p plan) ([]Series, error) {
 	return measureBySize(ctx, "teams", p.sizes(8, 16, 32, 64, TargetTeams),
 		costMeasurement{"teams.job", "ns", func(teams int) ([]float64, error) {
--- a/internal/lab/capacity/timing.go
+++ b/internal/lab/capacity/timing.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// runsPerSize is how many times each size is measured.
+// runsPerSize is the number of runs at each size.
 const runsPerSize = 5
 
-// minTimedDuration is how long a repeated step is timed at least.
+// minTimedDuration is the minimum time for which a step is repeated in a run.
 const minTimedDuration = 4 * time.Millisecond
 
-// timeEach returns the nanoseconds that one call of a step takes, in several runs.
+// timePerCall returns the mean nanoseconds per call of step, in each run.
 func timePerCall(runs int, step func()) (took []float64) {
-	step() // what is made once, at the first call, is no part of it
+	step() // untimed: excludes one-time initialization in the first call
 	for range runs {
 		calls, startedAt := 0, time.Now()
 		for time.Since(startedAt) < minTimedDuration {
--- a/internal/lab/capacity/urgent.go
+++ b/internal/lab/capacity/urgent.go
@@ -10,20 +10,20 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// taskSeconds is the mean length of a task at the peak: those that run over those that start a second.
+// meanTaskSeconds is the mean length of a task at the peak: running tasks divided by task starts per second.
 const meanTaskSeconds = float64(TargetTasks) / TargetStartsPerSecond
 
-// taskLengthSigma is the standard deviation of the logarithm of a task's length in the hollow fleet: most
-// are short, a few take many times the mean.
+// taskLengthSigma is the standard deviation of the logarithm of a task's length in simulated pools: most tasks are
+// short, a few take many times the mean.
 const taskLengthSigma = 1.0
 
 const (
-	urgentSamples  = 2000
-	urgentQuantile = 0.99 // of urgent tasks that start within the bound
+	urgentSamples  = 2000 // simulated urgent tasks in each run
+	urgentQuantile = 0.99 // fraction of urgent tasks that must start within TargetUrgentStart
 )
 
-// measureUrgent measures how long an urgent task waits for the first slot that comes free where every
-// slot of a pool is taken, in a hollow pool of slots with tasks one after another.
+// measureUrgent measures how long an urgent task waits for the first free slot if all slots of a pool are taken. It
+// simulates a pool whose slots run one task after another.
 func measureUrgent(ctx context.Context, p plan) ([]Series, error) {
 	rng := rand.New(rand.NewPCG(p.seed, 2))
 	return measureBySize(ctx, "slots of a pool", p.sizes(10, 30, 100, 300, 1000),
@@ -36,10 +36,12 @@
 	)
 }
 
-// slotWait returns the wait that urgentQuantile of urgent tasks stays under. Each slot is met at a
-// random moment of a task: a long task is met the more likely, so its length is drawn by length.
+// simulateUrgentWait returns the urgentQuantile of the simulated waits of urgent tasks, in seconds. An urgent task
+// arrives at a random time of the task in each slot. It is more likely to find a long task, so that the length of the
+// found task is drawn with a probability proportional to the length.
 func simulateUrgentWait(slots int, rng *rand.Rand) float64 {
-	// By length, a lognormal length is lognormal again, with its mean moved by the variance.
+	// The length-biased distribution of a lognormal length is lognormal too, with the variance of the logarithm added
+	// to the mean of the logarithm.
 	occupyingLength := distuv.LogNormal{
 		Mu:    math.Log(meanTaskSeconds) + taskLengthSigma*taskLengthSigma/2,
 		Sigma: taskLengthSigma,
@@ -56,10 +58,12 @@
 	return stat.Quantile(urgentQuantile, stat.Empirical, waits, nil)
 }
 
-// urgentWait is the closed form: the ends of tasks on many slots are nearly a Poisson process.
+// urgentWaitEstimate returns the wait of measureUrgent in closed form, in seconds. It takes the ends of tasks as a
+// Poisson process, which is nearly true for many slots.
 func urgentWaitEstimate(slots float64) float64 {
 	return -math.Log(1-urgentQuantile) * meanTaskSeconds / slots
 }
 
-// urgentSlots is the smallest pool in which urgentQuantile of urgent tasks start within the bound.
+// minUrgentPoolSlots returns the slots of the smallest pool in which the fraction urgentQuantile of urgent tasks starts
+// within TargetUrgentStart.
 func minUrgentPoolSlots() float64 { return urgentWaitEstimate(1) / TargetUrgentStart.Seconds() }
--- a/internal/lab/capacity/workers.go
+++ b/internal/lab/capacity/workers.go
@@ -9,13 +9,13 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// workerSizes are the workers of a fleet, from the smallest that is played to the one designed for.
+// workerSizes are the numbers of workers that are measured, up to the target size.
 var workerSizes = []int{60, 200, 600, 2000, 6000, TargetWorkers}
 
-// measuredSchedulers share the fleet of the module's measurements.
+// measuredSchedulers is the number of schedulers that share the fleet in measurements of the module and the core.
 const measuredSchedulers = 300
 
-// measureWorkers measures what the module, the core and the endpoint list cost by the number of workers.
+// measureWorkers measures the cost of the module, the core and the endpoint list by the number of workers.
 func measureWorkers(ctx context.Context, p plan) ([]Series, error) {
 	var cycle drainCycle
 	return measureBySize(ctx, "workers", p.sizes(workerSizes...),
@@ -54,12 +54,12 @@
 	)
 }
 
-// fleetOf is the deployment of the module's measurements at a number of workers.
+// deploymentForWorkers returns the deployment for measurements of the module and the core at a number of workers.
 func deploymentForWorkers(workers int) deployment {
 	return deployment{workers: workers, schedulers: measuredSchedulers, teams: TargetTeams}
 }
 
-// moduleGauge times a step of a module that knows so many workers.
+// moduleStepTime returns a measurement of the time of a step of a module with a number of workers.
 func (p plan) moduleStepTime(name string, step func(h *hollowModule, workers int)) costMeasurement {
 	return costMeasurement{name, "ns", func(workers int) ([]float64, error) {
 		h, err := deploymentForWorkers(workers).module()
@@ -70,10 +70,10 @@
 	}}
 }
 
-// drainCycle lets one worker after another drain and come back.
+// drainCycle generates state changes: one worker after another becomes draining and live again.
 type drainCycle int
 
-// next returns the next worker that changes, by its number, and its new state.
+// next returns the number of the next worker that changes, and its new state.
 func (c *drainCycle) next() (worker int, state foxlift.WorkerState) {
 	*c++
 	if *c%2 == 0 {
@@ -82,7 +82,8 @@
 	return int(*c) / 2, foxlift.Live
 }
 
-// timeCompleteSnapshot times the first complete endpoint list of a module.
+// timeCompleteSnapshot returns the nanoseconds that a new module takes for its first complete endpoint list, in each
+// run.
 func timeCompleteSnapshot(d deployment, runs int) (took []float64, err error) {
 	workers := d.endpoints()
 	settings, err := d.settings()
@@ -94,23 +95,23 @@
 		if err != nil {
 			return nil, err
 		}
-		runtime.GC() // none falls into what is timed
+		runtime.GC() // so that no collection occurs in the timed section
 		startedAt := time.Now()
 		dispatcher.Step(int64(time.Second), []foxlift.Event{{
 			Kind:           foxlift.EventEndpoints,
 			EndpointUpdate: foxlift.EndpointsComplete,
 			Workers:        workers,
 		}})
-		if i > 0 { // the first one warms the caches
+		if i > 0 { // the first run only warms the caches
 			took = append(took, float64(time.Since(startedAt).Nanoseconds()))
 		}
 	}
 	return took, nil
 }
 
-// memoryOfWorkers returns the memory that core and module take for an endpoint list.
+// memoryOfWorkers returns the bytes of memory that a core and its module use for an endpoint list, in each run.
 func memoryOfWorkers(d deployment, runs int) (bytes []float64, err error) {
-	for range runs { // all stay until the last run: what is freed late would count against the next one
+	for range runs { // all cores stay until the last run: memory freed late would distort the next run
 		before := heapInUse()
 		h, err := d.core()
 		if err != nil {
