--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -209,7 +209,7 @@
 		}
 	case "spill":
 		if len(f.args) != 3 {
-			r.addError(f.at, f.key, "spill needs a cell and the fraction of that cell's job bound that spilled jobs may use")
+			r.addError(f.at, f.key, "spill needs a cell and a fraction of that cell's job bound")
 			return
 		}
 		r.subjects["spill "+c.Name] = form{f.args[1], f.key, nil}
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -103,14 +103,10 @@
 		"no name":    {`(foxlift (cells (cell)))`, `f:1:18: cells.cell: the name is missing`},
 		"spill alone": {
 			`(foxlift (cells (cell a (when-unable spill b))))`,
-			"f:1:26: cells.cell a.when-unable: " +
-				"spill needs a cell and the fraction of that cell's job bound that spilled jobs may use",
+			`f:1:26: cells.cell a.when-unable: spill needs a cell and a fraction of that cell's job bound`,
 		},
 		"too deep": {strings.Repeat("(", 10000), `f: lists are nested more than 32 deep`},
-		"too long": {
-			strings.Repeat(";", maxOperatorFileBytes+1),
-			`f: the file has 1048577 bytes, at most 1048576 are allowed`,
-		},
+		"too long": {strings.Repeat(";", maxOperatorFileBytes+1), `f: 1048577 bytes, at most 1048576 are allowed`},
 	} {
 		_, err := ParseOperator("f", []byte(c.text), exampleSettings(t))
 		if operatorErrors := OperatorErrors(nil); !errors.As(err, &operatorErrors) || err.Error() != c.want {
--- a/internal/config/sexp.go
+++ b/internal/config/sexp.go
@@ -52,7 +52,7 @@
 // records an error and returns nil.
 func (r *reader) parse(text []byte) []*sexp {
 	if len(text) > maxOperatorFileBytes {
-		r.addError(nil, "", "the file has %d bytes, at most %d are allowed", len(text), maxOperatorFileBytes)
+		r.addError(nil, "", "%d bytes, at most %d are allowed", len(text), maxOperatorFileBytes)
 		return nil
 	}
 	if exceedsMaxDepth(text) {
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -10,11 +10,11 @@
 	"github.com/vatu-meals/foxlift/internal/control/controlpb"
 )
 
-// Dial returns a client of the scheduler whose control socket is at path, and the function that closes
-// it. It connects at the first call.
+// Dial returns a client of the scheduler whose control socket is at path, and a function that closes the client. The
+// client connects at its first call.
 func Dial(path string) (controlpb.ControlClient, func() error, error) {
 	conn, err := grpc.NewClient("passthrough:///foxlift",
-		grpc.WithTransportCredentials(insecure.NewCredentials()), // the socket's mode guards it
+		grpc.WithTransportCredentials(insecure.NewCredentials()), // access control is the mode of the socket
 		grpc.WithContextDialer(func(ctx context.Context, _ string) (net.Conn, error) {
 			var d net.Dialer
 			return d.DialContext(ctx, "unix", path)
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -20,9 +20,10 @@
 	"github.com/vatu-meals/foxlift/internal/counters"
 )
 
+// testTimeout bounds the calls of a test.
 const testTimeout = 20 * time.Second
 
-// nothing is an environment in which no worker answers.
+// unresponsiveWorkers is an environment for the core in which no worker answers and no endpoint list arrives.
 type unresponsiveWorkers struct{}
 
 func (unresponsiveWorkers) Send(string, *core.Job, core.AttemptLimits, func(core.Report)) func() {
@@ -32,7 +33,7 @@
 func (unresponsiveWorkers) HealthCheck(string, func(core.Report)) {}
 func (unresponsiveWorkers) Watch()                                {}
 
-// newServer returns a server, which does not listen yet, of a core with two cells and
+// newServer returns a server that does not listen yet. Its core has the cells a and b, with the tenants t and u, and
 // eight workers.
 func newServer(t testing.TB) *Server {
 	s, err := config.ParseSettings([]byte(`{"dcs":["a"],"flavors":["k"],
@@ -66,7 +67,7 @@
 	return &Server{Core: c, Settings: s, Counters: set, Name: "x", Version: "v"}
 }
 
-// start runs one behind a control socket.
+// startServer starts a server on a control socket. It returns the server, the path of the socket and a client.
 func startServer(t *testing.T) (*Server, string, controlpb.ControlClient) {
 	t.Helper()
 	srv := newServer(t)
@@ -88,28 +89,28 @@
 	return srv, path, client
 }
 
-// The whole API over a real socket, which others may not open.
+// All calls of the API work over a real socket, whose mode denies access to other users.
 func TestAPI(t *testing.T) {
 	_, path, client := startServer(t)
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	info, err := os.Stat(path)
 	if err != nil || info.Mode().Perm() != 0o600 {
-		t.Errorf("mode %v, %v", info.Mode(), err)
+		t.Errorf("Stat(socket): mode %v, error %v; want mode 0600", info.Mode(), err)
 	}
 	st, err := client.Status(ctx, &controlpb.StatusRequest{})
 	if err != nil || !st.Ready || !st.Cells || st.Version != "v" {
-		t.Errorf("status %v, %v", st, err)
+		t.Errorf("Status() = %v, %v, want ready, with cells and version v", st, err)
 	}
 	r, err := client.Cells(ctx, &controlpb.CellsRequest{})
 	if err != nil || len(r.Cells) != 2 {
-		t.Fatalf("cells %v, %v", r, err)
+		t.Fatalf("Cells() = %v, %v, want 2 cells", r, err)
 	}
 	if len(r.Cells[0].Nodes)+len(r.Cells[1].Nodes) != 8 || r.Cells[0].Tenants[0].Name != "t" {
-		t.Fatalf("cells %v", r)
+		t.Fatalf("Cells() = %v, want 8 workers and the tenant t in the first cell", r)
 	}
 	if m, err := client.Move(ctx, &controlpb.MoveRequest{Tenant: "t", Cell: "b"}); err != nil || m.Tenants != 1 {
-		t.Errorf("move %v, %v", m, err)
+		t.Errorf("Move(t, b) = %v, %v, want 1 tenant", m, err)
 	}
 	migrate := func(tenant, cell string) error {
 		return errorOf(client.Move(ctx, &controlpb.MoveRequest{Tenant: tenant, Cell: cell}))
@@ -124,20 +125,21 @@
 		"no such cell":   {errorOf(client.Evacuate(ctx, &controlpb.EvacuateRequest{Cell: "z"})), codes.NotFound},
 	} {
 		if status.Code(c.err) != c.want {
-			t.Errorf("%s: %v", what, c.err)
+			t.Errorf("%s: error %v, want code %v", what, c.err, c.want)
 		}
 	}
 	if m, err := client.Evacuate(ctx, &controlpb.EvacuateRequest{Cell: "b"}); err != nil || m.Tenants != 2 {
-		t.Errorf("evacuate %v, %v", m, err)
+		t.Errorf("Evacuate(b) = %v, %v, want 2 tenants", m, err)
 	}
 	if m, err := client.Restore(ctx, &controlpb.RestoreRequest{}); err != nil || m.Tenants != 1 {
-		t.Errorf("restore %v, %v", m, err)
+		t.Errorf("Restore() = %v, %v, want 1 tenant", m, err)
 	}
 }
 
+// errorOf returns the error of a call and drops its result.
 func errorOf[T any](_ T, err error) error { return err }
 
-// dial opens a connection that stays until the test's end.
+// dial opens a connection that is closed at the end of the test.
 func dial(t *testing.T, path string) net.Conn {
 	t.Helper()
 	var dialer net.Dialer
@@ -149,8 +151,8 @@
 	return conn
 }
 
-// A client that stands still, sends garbage or floods holds up neither the core nor,
-// beyond the bound on connections, the others.
+// Clients that send nothing or garbage delay neither the core nor, as long as they leave one of maxConnections free,
+// other clients.
 func TestMisbehavingClients(t *testing.T) {
 	srv, path, client := startServer(t)
 	for range maxConnections - 2 {
@@ -162,33 +164,33 @@
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	if _, err := client.Cells(ctx, &controlpb.CellsRequest{}); err != nil {
-		t.Errorf("beside clients that stand still: %v", err)
+		t.Errorf("Cells() beside clients that send nothing: error %v, want nil", err)
 	}
 	if _, err := srv.Core.Cells(ctx); err != nil {
-		t.Errorf("the core: %v", err)
+		t.Errorf("Core.Cells(): error %v, want nil", err)
 	}
 	canceled, cancelCall := context.WithCancel(ctx)
 	cancelCall()
 	if _, err := client.Cells(canceled, &controlpb.CellsRequest{}); status.Code(err) != codes.Canceled {
-		t.Errorf("a caller that has disconnected: %v", err)
+		t.Errorf("Cells() with a canceled context: error %v, want code %v", err, codes.Canceled)
 	}
 }
 
-// A socket that a dead process left is taken over; a live one, and another file, are
-// not. The end removes its own socket and no other's.
+// Start replaces a socket that no process serves, but neither a socket that is served nor another file. Stop removes
+// the server's own socket, but not a file that has replaced it.
 func TestSocketFile(t *testing.T) {
 	srv, path, _ := startServer(t)
-	again := &Server{Core: srv.Core, Settings: srv.Settings, Counters: srv.Counters}
-	if err := again.Start(t.Context(), path); err == nil {
-		t.Error("a socket in use is taken over")
+	second := &Server{Core: srv.Core, Settings: srv.Settings, Counters: srv.Counters}
+	if err := second.Start(t.Context(), path); err == nil {
+		t.Error("Start() on a socket that is served: no error, want one")
 	}
 	file := filepath.Join(t.TempDir(), "file")
 	writeFile(t, file, "x")
-	if err := again.Start(t.Context(), file); err == nil {
-		t.Error("a file is taken for a socket")
+	if err := second.Start(t.Context(), file); err == nil {
+		t.Error("Start() on a regular file: no error, want one")
 	}
-	left := filepath.Join(t.TempDir(), "left.sock")
-	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: left})
+	stale := filepath.Join(t.TempDir(), "left.sock")
+	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: stale})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -196,18 +198,18 @@
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if err := again.Start(t.Context(), left); err != nil {
-		t.Errorf("a socket that was left: %v", err)
+	if err := second.Start(t.Context(), stale); err != nil {
+		t.Errorf("Start() on a stale socket: error %v, want nil", err)
 	}
-	again.Stop()
-	if _, err := os.Lstat(left); !os.IsNotExist(err) {
-		t.Errorf("its socket stays: %v", err)
+	second.Stop()
+	if _, err := os.Lstat(stale); !os.IsNotExist(err) {
+		t.Errorf("Lstat of the socket after Stop(): error %v, want %v", err, os.ErrNotExist)
 	}
 	os.Remove(path)
-	writeFile(t, path, "another's")
+	writeFile(t, path, "another process's file")
 	srv.Stop()
 	if _, err := os.Lstat(path); err != nil {
-		t.Errorf("another's file is removed: %v", err)
+		t.Errorf("Lstat of the file that replaced the socket, after Stop(): error %v, want nil", err)
 	}
 }
 
--- a/internal/control/controlpb/doc.go
+++ b/internal/control/controlpb/doc.go
@@ -1,3 +1,3 @@
-// Package controlpb is the control API: the messages and the gRPC service of the control socket, as
-// protoc makes them from control.proto.
+// Package controlpb contains the control API: the messages and the gRPC service of the control socket, which protoc
+// generates from control.proto.
 package controlpb
--- a/internal/control/controlpb/golden_test.go
+++ b/internal/control/controlpb/golden_test.go
@@ -10,7 +10,8 @@
 	"github.com/vatu-meals/foxlift/internal/golden"
 )
 
-// TestDescriptors pins the control API: what clients of other versions call and read.
+// TestDescriptors compares the services, enums and messages of the control API with a golden file, since clients of
+// other versions use them.
 func TestDescriptors(t *testing.T) {
 	var b strings.Builder
 	file := File_control_proto
@@ -32,6 +33,7 @@
 	golden.Check(t, "descriptors.txt", []byte(b.String()))
 }
 
+// writeEnum writes the numbers and names of the values of an enum.
 func writeEnum(b *strings.Builder, e protoreflect.EnumDescriptor) {
 	fmt.Fprintf(b, "enum %s\n", e.FullName())
 	for i := range e.Values().Len() {
@@ -40,6 +42,7 @@
 	}
 }
 
+// writeMessage writes the number, names, cardinality and type of each field of a message.
 func writeMessage(b *strings.Builder, m protoreflect.MessageDescriptor) {
 	fmt.Fprintf(b, "message %s\n", m.FullName())
 	for i := range m.Fields().Len() {
--- a/internal/control/fuzz_test.go
+++ b/internal/control/fuzz_test.go
@@ -18,14 +18,14 @@
 	fuzzServer *Server
 )
 
-// fuzzed is one server for all inputs: what one leaves behind the next meets.
+// sharedFuzzServer returns one server for all inputs, so that each call runs on the state that earlier calls left.
 func sharedFuzzServer(t testing.TB) *Server {
 	fuzzOnce.Do(func() { fuzzServer = newServer(t) })
 	return fuzzServer
 }
 
-// checkCall: whatever bytes a caller sends as a message, the answer is a change that
-// adds up or an error in gRPC's terms that is expected, and no tenant or worker is lost.
+// checkCall checks that any bytes that decode as a request yield either a change or an error with an expected gRPC
+// code, and that no tenant or worker is lost.
 func checkCall(t testing.TB, data []byte) {
 	s, ctx := sharedFuzzServer(t), context.Background()
 	var errs []error
@@ -44,12 +44,12 @@
 		switch status.Code(toStatusError(err)) {
 		case codes.OK, codes.NotFound, codes.FailedPrecondition:
 		default:
-			t.Fatalf("%q: %v", data, err)
+			t.Fatalf("call with %q: error %v, want code OK, NotFound or FailedPrecondition", data, err)
 		}
 	}
 	r, err := s.Cells(ctx, &controlpb.CellsRequest{})
 	if err != nil {
-		t.Fatalf("%q: %v", data, err)
+		t.Fatalf("Cells() after a call with %q: error %v, want nil", data, err)
 	}
 	tenants, workers := 0, 0
 	for _, c := range r.Cells {
@@ -57,10 +57,11 @@
 		workers += len(c.Nodes)
 	}
 	if tenants != 2 || workers != 8 {
-		t.Fatalf("%q: %d tenants and %d workers are left of 2 and 8", data, tenants, workers)
+		t.Fatalf("Cells() after a call with %q: %d tenants and %d workers, want 2 and 8", data, tenants, workers)
 	}
 }
 
+// callSeeds returns encoded requests, and bytes that are not valid requests.
 func callSeeds() (seeds [][]byte) {
 	for _, m := range []proto.Message{
 		&controlpb.MoveRequest{Tenant: "t", Cell: "b"},
@@ -79,6 +80,7 @@
 	return append(seeds, []byte("\xff\xff\xff\xff\xff"), []byte("\x0a\x01t\x12\x01b\x1a\x00"))
 }
 
+// FuzzCall runs checkCall on fuzzed bytes.
 func FuzzCall(f *testing.F) {
 	for _, s := range callSeeds() {
 		f.Add(s)
@@ -86,4 +88,5 @@
 	f.Fuzz(func(t *testing.T, data []byte) { checkCall(t, data) })
 }
 
+// TestFuzzCall runs checkCall on mutations of the seeds from a fixed seed.
 func TestFuzzCall(t *testing.T) { fuzz.Run(t, 31, 3000, callSeeds(), checkCall) }
--- a/internal/control/generate.sh
+++ b/internal/control/generate.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Makes controlpb's Go files of control.proto, with the generators that go.mod names.
+# Generates the Go files of controlpb from control.proto, with the generators of the versions in go.mod.
 set -eu
 cd "$(dirname "$0")/controlpb"
 protoc \
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -1,7 +1,7 @@
-// Package control serves operators' calls to a running scheduler: gRPC on a Unix socket. The socket's
-// mode, 0600, is its access control: whoever runs the scheduler may operate it. A Server owns the socket
-// and its file. It asks the core by events, with a bound on how long it waits and on how many calls it
-// has at once, so that no client of it, slow, dead or many, delays a job.
+// Package control implements the control API of a running scheduler: gRPC on a Unix socket, for operators. Access
+// control is the mode of the socket, 0600: the user that runs the scheduler may operate it. A Server owns the socket
+// and its file. It sends its requests to the core's event loop. Its waiting time and the number of its concurrent
+// calls are bounded, so that slow, dead or many clients of the API do not delay jobs.
 package control
 
 import (
@@ -28,24 +28,25 @@
 )
 
 const (
-	maxConnections          = 4 // at once: each is a file descriptor
-	maxStreamsPerConnection = 8 // of one connection
-	maxMessageBytes         = 64 << 10
-	bufferBytes             = 4 << 10 // of a connection, to read and to write
+	maxConnections          = 4        // open at once; each uses a file descriptor
+	maxStreamsPerConnection = 8        // concurrent calls on one connection
+	maxMessageBytes         = 64 << 10 // size of a request
+	bufferBytes             = 4 << 10  // size of the read buffer and of the write buffer of a connection
 
-	dialTimeout = time.Second     // for another process that may serve the socket
-	callTimeout = 2 * time.Second // for the core to answer
+	dialTimeout = time.Second     // limits the check whether another process serves the socket
+	callTimeout = 2 * time.Second // limits a call, including the wait for the core
 
-	socketUmask = 0o177 // the socket must not be open to others even for a moment
+	socketUmask = 0o177 // creates the socket with mode 0600, so that it is never accessible to other users
 )
 
+// keepaliveParameters close connections that are idle or whose client no longer responds.
 var keepaliveParameters = keepalive.ServerParameters{
 	MaxConnectionIdle: time.Minute,
 	Time:              20 * time.Second,
 	Timeout:           5 * time.Second,
 }
 
-// A Server serves the control API of one scheduler.
+// A Server serves the control API of one scheduler. Set the exported fields before Start.
 type Server struct {
 	controlpb.UnimplementedControlServer
 	Core     *core.Core
@@ -55,13 +56,14 @@
 	Version  string
 
 	grpc    *grpc.Server
-	path    string
-	socket  fs.FileInfo
+	path    string        // of the socket
+	socket  fs.FileInfo   // identifies the socket file that this server created
 	stopped chan struct{} // closed when the socket is no longer served
 }
 
-// Start listens on a path; ctx bounds the start alone. A socket that is left there from a process that
-// has ended is replaced; one that is served, or a file of another kind, is an error.
+// Start listens on a path and serves in the background. ctx applies to the start only. A socket that a process
+// has left there at its exit is replaced. A socket that another process serves, or a file of another type, is an
+// error.
 func (s *Server) Start(ctx context.Context, path string) error {
 	listener, err := listen(ctx, path)
 	if err != nil {
@@ -82,13 +84,13 @@
 	s.stopped = make(chan struct{})
 	go func() {
 		defer close(s.stopped)
-		// Its error says that the listener has failed: operators see that their calls do.
+		// An error means that the listener has failed. It is ignored: operators notice because their calls fail.
 		_ = s.grpc.Serve(netutil.LimitListener(listener, maxConnections))
 	}()
 	return nil
 }
 
-// listen makes the socket, in the place of one that nobody serves.
+// listen creates the socket, and replaces a stale one.
 func listen(ctx context.Context, path string) (net.Listener, error) {
 	if err := removeStaleSocket(ctx, path); err != nil {
 		return nil, err
@@ -100,29 +102,30 @@
 	if err != nil {
 		return nil, err
 	}
-	// By the time of its close the file may be another process's.
+	// When the listener is closed, the file may belong to another process.
 	listener.(*net.UnixListener).SetUnlinkOnClose(false)
 	return listener, nil
 }
 
-// removeStale removes a socket that nobody serves.
+// removeStaleSocket removes a socket that no process serves. It is an error if the path is not a socket or if another
+// process serves it.
 func removeStaleSocket(ctx context.Context, path string) error {
 	info, err := os.Lstat(path)
 	if err != nil {
-		return nil //nolint:nilerr // there is nothing to remove; listening tells of what else is wrong
+		return nil //nolint:nilerr // there is no file to remove, or listening fails with the same cause
 	}
 	if info.Mode().Type() != fs.ModeSocket {
-		return fmt.Errorf("%s is there and is no socket", path)
+		return fmt.Errorf("%s exists and is not a socket", path)
 	}
 	dialer := net.Dialer{Timeout: dialTimeout}
 	if conn, err := dialer.DialContext(ctx, "unix", path); err == nil {
 		conn.Close()
-		return fmt.Errorf("another process serves %s", path)
+		return fmt.Errorf("another process serves the socket %s", path)
 	}
 	return os.Remove(path)
 }
 
-// boundedCall bounds a call in time and puts its error into gRPC's terms.
+// limitCallDuration is an interceptor that limits a call to callTimeout and converts its error to a gRPC status.
 func limitCallDuration(
 	ctx context.Context, request any, _ *grpc.UnaryServerInfo, handler grpc.UnaryHandler,
 ) (any, error) {
@@ -132,7 +135,8 @@
 	return reply, toStatusError(err)
 }
 
-// Stop ends the server at once, and removes the socket if it is still its own.
+// Stop stops the server at once and aborts its calls. It removes the socket file, unless another process has replaced
+// it. On a server that has not been started it does nothing.
 func (s *Server) Stop() {
 	if s.grpc == nil {
 		return
@@ -144,7 +148,8 @@
 	}
 }
 
-// toStatus puts an error into gRPC's terms.
+// toStatusError converts an error to one with a gRPC status: NotFound for an unknown tenant or cell, the status of
+// the context for a timeout or a cancellation, and FailedPrecondition otherwise. nil stays nil.
 func toStatusError(err error) error {
 	switch {
 	case err == nil:
@@ -157,7 +162,8 @@
 	return status.Error(codes.FailedPrecondition, err.Error())
 }
 
-// Status implements the API.
+// Status implements controlpb.ControlServer. It returns the scheduler's name, version, readiness and counters, and
+// whether it has cells.
 func (s *Server) Status(context.Context, *controlpb.StatusRequest) (*controlpb.StatusReply, error) {
 	name, _ := s.Core.Cell("", 0)
 	return &controlpb.StatusReply{
@@ -165,20 +171,20 @@
 	}, nil
 }
 
-// Cells implements the API.
+// Cells implements controlpb.ControlServer. It returns the state of all cells at one point in time.
 func (s *Server) Cells(ctx context.Context, _ *controlpb.CellsRequest) (*controlpb.CellsReply, error) {
 	states, err := s.Core.Cells(ctx)
 	if err != nil {
 		return nil, err
 	}
-	r := &controlpb.CellsReply{}
+	reply := &controlpb.CellsReply{}
 	for i := range states {
-		r.Cells = append(r.Cells, s.cell(&states[i]))
+		reply.Cells = append(reply.Cells, s.cell(&states[i]))
 	}
-	return r, nil
+	return reply, nil
 }
 
-// cell returns the API's form of a cell's state.
+// cell converts the state of a cell to its message.
 func (s *Server) cell(state *core.CellState) *controlpb.Cell {
 	cell := &controlpb.Cell{
 		Name:      state.Name,
@@ -196,24 +202,24 @@
 		Failed:    state.Failed,
 		Shut:      state.ShedOnArrival,
 	}
-	for _, w := range state.Workers {
+	for _, worker := range state.Workers {
 		cell.Nodes = append(cell.Nodes, &controlpb.Node{
-			Id:     w.ID,
-			Kind:   config.NameOf(s.Settings.Kinds, w.Kind),
-			Zone:   config.NameOf(s.Settings.Zones, w.Zone),
-			State:  controlpb.NodeState(w.State),
-			Cold:   w.InSlowStart,
-			Out:    w.InFlight,
-			Others: w.ExternalSlots,
+			Id:     worker.ID,
+			Kind:   config.NameOf(s.Settings.Kinds, worker.Kind),
+			Zone:   config.NameOf(s.Settings.Zones, worker.Zone),
+			State:  controlpb.NodeState(worker.State),
+			Cold:   worker.InSlowStart,
+			Out:    worker.InFlight,
+			Others: worker.ExternalSlots,
 		})
 	}
-	for _, t := range state.Tenants {
-		cell.Tenants = append(cell.Tenants, &controlpb.Tenant{Name: t.Name, Moved: t.Migrated, Quota: t.Quota})
+	for _, tenant := range state.Tenants {
+		cell.Tenants = append(cell.Tenants, &controlpb.Tenant{Name: tenant.Name, Moved: tenant.Migrated, Quota: tenant.Quota})
 	}
 	return cell
 }
 
-// migrationReply returns the API's form of a migration.
+// migrationReply converts a migration to its message. An error is returned as it is.
 func migrationReply(m core.Migration, err error) (*controlpb.Moved, error) {
 	if err != nil {
 		return nil, err
@@ -221,17 +227,18 @@
 	return &controlpb.Moved{Tenants: int64(m.Tenants), Held: int64(m.Queued), Out: int64(m.InFlight)}, nil
 }
 
-// Move implements the API: it migrates a tenant to a cell.
+// Move implements controlpb.ControlServer. It migrates a tenant to a cell.
 func (s *Server) Move(ctx context.Context, r *controlpb.MoveRequest) (*controlpb.Moved, error) {
 	return migrationReply(s.Core.MigrateTenant(ctx, r.Tenant, r.Cell))
 }
 
-// Evacuate implements the API.
+// Evacuate implements controlpb.ControlServer. It migrates all tenants out of a cell.
 func (s *Server) Evacuate(ctx context.Context, r *controlpb.EvacuateRequest) (*controlpb.Moved, error) {
 	return migrationReply(s.Core.Evacuate(ctx, r.Cell))
 }
 
-// Restore implements the API.
+// Restore implements controlpb.ControlServer. It undoes moves and evacuations of a tenant, of a cell's tenants or, if
+// both are empty, of all tenants.
 func (s *Server) Restore(ctx context.Context, r *controlpb.RestoreRequest) (*controlpb.Moved, error) {
 	return migrationReply(s.Core.RestorePlacement(ctx, r.Tenant, r.Cell))
 }
