--- a/internal/lab/cells.go
+++ b/internal/lab/cells.go
@@ -79,7 +79,7 @@
 	floodFactor           = 10  // the same of the flooding tenant during its flood
 	lendingQuota          = 2   // jobs a second
 	lendingRate           = 60  // jobs a second, 30 times lendingQuota
-	maxServiceLoss        = 5   // most percentage points of timely service that a flood may cost another tenant
+	maxServiceLoss        = 5   // percentage points of jobs served in time, at most, that a flood may cost another tenant
 	minServedUnderLending = 95  // least percentage of the lone tenant's jobs that must be served in time
 )
 
@@ -132,9 +132,9 @@
 	r.RanTwice += result.RanTwice
 }
 
-// MeasureCells measures how much timely service a flood of one tenant costs the other tenants, without and with cells,
-// how many jobs above its quota a lone tenant gets served from idle capacity, and whether migrations under load lose or
-// repeat jobs. It prints tables to w.
+// MeasureCells measures how many jobs of the other tenants are no longer served in time during a flood of one tenant,
+// without and with cells; what percentage of its jobs a lone tenant gets served in time at a rate above its quota, from
+// idle capacity that is lent to it; and whether migrations under load lose or repeat jobs. It prints tables to w.
 func MeasureCells(ctx context.Context, w io.Writer, options CellsOptions) (report CellsReport, err error) {
 	if report.WorstLossWithoutCells, err = report.measureFlood(ctx, w, options, ""); err != nil {
 		return report, err
@@ -167,7 +167,7 @@
 	}
 	defer deployment.Close()
 	load := deployment.StartLoad(normalLoad, options.Seed)
-	<-time.After(options.Normal / 2) // let the dispatchers estimate service times and capacities
+	<-time.After(options.Normal / 2) // warm-up, in which the dispatchers collect their estimates
 	load.TakeTallies()
 	<-time.After(options.Normal)
 	normal := load.TakeTallies()
@@ -175,7 +175,7 @@
 	<-time.After(options.Flood)
 	flood := load.TakeTallies()
 	load.SetRate(floodingTenant, normalLoad*floodingTenantQuota*deployment.Capacity())
-	worst, err := printFlood(w, title, deployment.Tenants, normal, flood)
+	worst, err := printFloodTable(w, title, deployment.Tenants, normal, flood)
 	if err != nil {
 		return 0, err
 	}
@@ -206,9 +206,9 @@
 	return nil
 }
 
-// printFlood prints the timely service of each tenant before and during the flood, and returns the loss of the most
-// affected tenant other than the flooding one, in percentage points.
-func printFlood(
+// printFloodTable prints the percentage of each tenant's jobs served in time before and during the flood. It returns
+// how many percentage points the most affected tenant other than the flooding one loses.
+func printFloodTable(
 	out io.Writer, title string, tenants []Tenant, normal, flood map[string]standin.Tally,
 ) (worst float64, err error) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -231,7 +231,7 @@
 // migrateTenants migrates each tenant in turn to its next cell, at every scheduler, through the control sockets. It
 // returns the number of migrations made. At the end it restores the configured cells.
 func (r *Deployment) migrateTenants(ctx context.Context, options CellsOptions) (migrated int, err error) {
-	cellOf, err := r.cellsOfTenants(ctx)
+	cellOf, err := r.tenantCells(ctx)
 	if err != nil {
 		return 0, err
 	}
@@ -255,8 +255,8 @@
 	return migrated, nil
 }
 
-// cellsOfTenants returns the cell of each tenant at the first scheduler, as an index of cellNames.
-func (r *Deployment) cellsOfTenants(ctx context.Context) (map[string]int, error) {
+// tenantCells returns the cell of each tenant at the first scheduler, as an index of cellNames.
+func (r *Deployment) tenantCells(ctx context.Context) (map[string]int, error) {
 	reply, err := r.Clients[0].Cells(ctx, &controlpb.CellsRequest{})
 	if err != nil {
 		return nil, err
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -44,7 +44,7 @@
 			load.SetRate(floodingTenant, normalLoad*floodingTenantQuota*deployment.Capacity())
 			fmt.Fprint(w, "   the flood ends")
 		case demoMigrateAt:
-			if err := deployment.migrateFlooder(ctx, w); err != nil {
+			if err := deployment.migrateFloodingTenant(ctx, w); err != nil {
 				return err
 			}
 		}
@@ -68,8 +68,8 @@
 	fmt.Fprintln(w, "   served in time, %")
 }
 
-// migrateFlooder migrates the flooding tenant to another cell at every scheduler.
-func (r *Deployment) migrateFlooder(ctx context.Context, w io.Writer) error {
+// migrateFloodingTenant migrates the flooding tenant to another cell at every scheduler.
+func (r *Deployment) migrateFloodingTenant(ctx context.Context, w io.Writer) error {
 	for _, client := range r.Clients {
 		reply, err := client.Move(ctx, &controlpb.MoveRequest{Tenant: floodingTenant, Cell: "west"})
 		if err != nil {
--- a/internal/lab/fleet/cut_test.go
+++ b/internal/lab/fleet/cut_test.go
@@ -46,7 +46,7 @@
 	}
 	stopAndCheck(t, f, l, standin.Tally{})
 	for _, worker := range cut {
-		if late := worker.LastBegun().Sub(notifiedAt); late > 0 {
+		if late := worker.LastRequestTime().Sub(notifiedAt); late > 0 {
 			t.Errorf("a request reaches %s %v after all schedulers were told that it has left", worker.Name, late)
 		}
 	}
@@ -119,7 +119,7 @@
 		t.Errorf("of the jobs that came before the answer: %+v", tally)
 	}
 	for _, worker := range left {
-		if late := worker.LastBegun().Sub(restarted); late > 0 {
+		if late := worker.LastRequestTime().Sub(restarted); late > 0 {
 			t.Errorf("a request reaches %s, which left before, %v after the restart", worker.Name, late)
 		}
 	}
--- a/internal/lab/mutant.go
+++ b/internal/lab/mutant.go
@@ -27,9 +27,9 @@
 
 // A mutantResult is the result of the tests on a mutant.
 type mutantResult struct {
-	caught  bool
-	took    time.Duration
-	failure string // name of the failed test, or the panic
+	caught   bool
+	duration time.Duration
+	failure  string // name of the failed test, or the panic
 }
 
 // CheckMutants applies each mutant whose name contains match to a copy of the module in the current folder and runs its
@@ -62,7 +62,7 @@
 			case result.caught:
 				caught++
 				fmt.Fprintf(w, "caught in %4.1f s  %s\n                  by %s\n",
-					result.took.Seconds(), m.Name, result.failure)
+					result.duration.Seconds(), m.Name, result.failure)
 			default:
 				fmt.Fprintf(w, "NOT CAUGHT       %s (%s)\n", m.Name, m.File)
 			}
@@ -97,7 +97,7 @@
 	test.Dir = filepath.Join(dir, m.Package)
 	began := time.Now()
 	out, err := test.CombinedOutput()
-	result := mutantResult{took: time.Since(began)}
+	result := mutantResult{duration: time.Since(began)}
 	if ctx.Err() != nil {
 		return result, nil // the time is over and no test has failed
 	}
--- a/internal/lab/speed.go
+++ b/internal/lab/speed.go
@@ -129,11 +129,13 @@
 type closedLoopResult struct {
 	latencies *hdrhistogram.Histogram // of jobs answered with 200, in nanoseconds
 	notServed int                     // jobs
-	took      time.Duration
+	duration  time.Duration
 }
 
 // rate returns the number of jobs answered with 200 in a second.
-func (r closedLoopResult) rate() float64 { return float64(r.latencies.TotalCount()) / r.took.Seconds() }
+func (r closedLoopResult) rate() float64 {
+	return float64(r.latencies.TotalCount()) / r.duration.Seconds()
+}
 
 // quantile returns a quantile of the latencies in milliseconds; q is in percent.
 func (r closedLoopResult) quantile(q float64) float64 {
@@ -172,6 +174,6 @@
 		})
 	}
 	running.Wait()
-	result.took = time.Since(began)
+	result.duration = time.Since(began)
 	return result
 }
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -117,6 +117,7 @@
 	c.closeIdle()
 }
 
+// closeIdle closes all idle connections.
 func (c *Client) closeIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -126,6 +127,7 @@
 	c.idle = nil
 }
 
+// recordSend logs the time at which a job was sent.
 func (c *Client) recordSend(id string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -215,6 +217,7 @@
 	return conn
 }
 
+// release returns a connection that can serve another request to the idle ones.
 func (c *Client) release(conn *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/corruption.go
+++ b/internal/standin/corruption.go
@@ -57,6 +57,7 @@
 // CorruptResponses corrupts all further responses in this way; NoCorruption restores normal responses.
 func (d *Discovery) CorruptResponses(kind Corruption) { d.corrupter.kind.Store(int32(kind)) }
 
+// current returns the corruption that applies to responses now.
 func (c *corrupter) current() Corruption { return Corruption(c.kind.Load()) }
 
 // corrupt writes a corrupted form of a response, unless the current corruption is NoCorruption. corrupted reports
--- a/internal/standin/dedup_group.go
+++ b/internal/standin/dedup_group.go
@@ -14,6 +14,7 @@
 	seen map[string]seenKey
 }
 
+// A seenKey records the first arrival of an idempotency key.
 type seenKey struct {
 	arrivedAt time.Time
 	done      chan struct{} // closed when the job's run has ended
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -60,7 +60,7 @@
 	lastChange       map[string]int // version in which each host last changed, including removed hosts
 	changed          chan struct{}  // closed and replaced at each change of the list
 	calls            Calls
-	seconds          map[int64]int        // calls received in each second of Unix time
+	callsPerSecond   map[int64]int        // calls received in each second of Unix time
 	firstResponses   map[string]time.Time // first complete response to each view
 	sentVersions     map[string]int       // version in the last complete response to each view
 	writes           map[string][]Write
@@ -84,7 +84,7 @@
 		callSlot:       make(chan struct{}, 1),
 		lastChange:     map[string]int{},
 		positions:      map[string]int{},
-		seconds:        map[int64]int{},
+		callsPerSecond: map[int64]int{},
 		firstResponses: map[string]time.Time{},
 		sentVersions:   map[string]int{},
 		writes:         map[string][]Write{},
@@ -102,7 +102,7 @@
 	return Serve(l, func(c net.Conn, r *http.Request, _ string) bool { return d.handle(c, r, name, dial) })
 }
 
-// Put adds a worker to the list or updates it, with this health: Active or Leaving. Left removes the worker.
+// Put adds a worker to the list or updates it, with this health: Active or Leaving. Left removes a listed worker.
 func (d *Discovery) Put(w *Worker, health string) {
 	h := host{Host: w.Name, Dial: w.Addr(), Zone: w.Zone, Kind: w.Kind, Health: health, Weight: 1}
 	if w.Group != nil {
@@ -231,8 +231,8 @@
 	defer d.mu.Unlock()
 	second := now.Unix()
 	d.calls.Received++
-	d.seconds[second]++
-	d.calls.MaxPerSecond = max(d.calls.MaxPerSecond, d.seconds[second])
+	d.callsPerSecond[second]++
+	d.calls.MaxPerSecond = max(d.calls.MaxPerSecond, d.callsPerSecond[second])
 	return d.changed, d.version
 }
 
--- a/internal/standin/proxy.go
+++ b/internal/standin/proxy.go
@@ -50,6 +50,7 @@
 	faults []Fault
 }
 
+// next removes the next fault from the script and returns it, or Pass after the end of the script.
 func (s *script) next() Fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,6 +79,7 @@
 	return p, nil
 }
 
+// accept forwards each accepted connection to the target, until the listener is closed.
 func (p *Proxy) accept() {
 	for {
 		client, err := p.Accept()
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -52,6 +52,7 @@
 	return s
 }
 
+// accept serves each accepted connection in a goroutine of its own, until the listener is closed.
 func (s *Server) accept(handle Handler) {
 	for {
 		c, err := s.Accept()
@@ -66,6 +67,7 @@
 	}
 }
 
+// serve answers the requests of a connection until handle, a read or a parse ends it, and closes it.
 func (s *Server) serve(c net.Conn, handle Handler) {
 	defer func() {
 		c.Close()
@@ -126,6 +128,7 @@
 // lastChunk ends a chunked body.
 const lastChunk = "0\r\n\r\n"
 
+// chunk returns a chunk of a chunked body with one state of a job as a line of JSON.
 func chunk(id, state string) string {
 	line := fmt.Sprintf(`{"id":%q,"from":"n","state":%s}`+"\n", id, state)
 	return fmt.Sprintf("%x\r\n%s\r\n", len(line), line)
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -92,7 +92,7 @@
 func (w *Worker) Requests() int64 { return w.requests.Load() }
 
 // LastRequestTime returns when the first byte of the last request arrived, even if the request was incomplete.
-func (w *Worker) LastBegun() time.Time { return w.server.LastRequestTime() }
+func (w *Worker) LastRequestTime() time.Time { return w.server.LastRequestTime() }
 
 // Runs returns how many times the worker has started each job, by job id.
 func (w *Worker) Runs() map[string]int {
@@ -108,6 +108,8 @@
 	return maps.Clone(w.tenants)
 }
 
+// handle answers a job request or a health check; it implements Handler. A health check, which has no job id, is
+// handled like a job but not logged.
 func (w *Worker) handle(c net.Conn, r *http.Request, id string) bool {
 	behaviour := *w.behaviour.Load()
 	if id != "" {
@@ -155,7 +157,8 @@
 }
 
 // run simulates a job that has a slot: it waits for the service time and writes the states. It reports whether the
-// connection can serve another request.
+// connection can serve another request. If the client has disconnected before the first state is written, only a worker
+// in a DedupGroup runs the job to its end.
 func (w *Worker) run(c net.Conn, id, class string, serviceTime time.Duration, behaviour Behaviour) bool {
 	if !WriteStates(c, id, false, `"started"`) && w.Group == nil {
 		return false
@@ -179,6 +182,7 @@
 	return w.requests.Add(1)
 }
 
+// recordRun logs the start of a job.
 func (w *Worker) recordRun(id, tenant string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
