--- a/cmd/foxlift-sim/main_test.go
+++ b/cmd/foxlift-sim/main_test.go
@@ -20,8 +20,8 @@
 	`["10.0.0.2:1","b","small",1,"live",1,null]]]`
 
 // batch returns the line of a batch with the messages in news.
-func batch(n string, news string) string {
-	return `{"simTime":9000000000,"batch":` + n + `,"news":[` + news + "]}\n"
+func batch(n string, messages string) string {
+	return `{"simTime":9000000000,"batch":` + n + `,"news":[` + messages + "]}\n"
 }
 
 // runBatches returns the output for the given input lines.
@@ -75,8 +75,8 @@
 
 // Invalid settings must be reported in the reply and must not end the process.
 func TestInvalidSettingsAreReported(t *testing.T) {
-	bad := strings.Replace(attach, `"effect":"idempotent"`, `"effect":"sometimes"`, 1)
-	got := runBatches(t, batch("1", bad)+batch("2", ""))
+	invalid := strings.Replace(attach, `"effect":"idempotent"`, `"effect":"sometimes"`, 1)
+	got := runBatches(t, batch("1", invalid)+batch("2", ""))
 	if !strings.Contains(got, `["internalError","scheduler_0","grades[0]: unknown effect`) {
 		t.Errorf("reply is %q, want an internalError that names grades[0]", got)
 	}
--- a/internal/platform/client_conn.go
+++ b/internal/platform/client_conn.go
@@ -144,11 +144,11 @@
 // exchange reads one request and answers it. It returns whether the connection stays open.
 func (c *clientConn) exchange() bool {
 	req, body, err := c.readRequest()
-	var input *inputError
+	var inputErr *inputError
 	switch {
-	case errors.As(err, &input):
+	case errors.As(err, &inputErr):
 		// The end of an invalid request is unknown, so the connection cannot be used for another one.
-		return c.writeReply(c.rejectInput(input), true)
+		return c.writeReply(c.rejectInput(inputErr), true)
 	case err != nil:
 		return false // the connection ended within a request, which was not accepted
 	}
@@ -157,12 +157,12 @@
 		c.server.recordRequest(c)
 		return c.writeReply(c.healthReply(req.Method), req.Close)
 	case req.Method != http.MethodPost:
-		input = newInputError(http.StatusMethodNotAllowed, "method", "jobs come by POST")
-		return c.writeReply(c.rejectInput(input), req.Close)
+		inputErr = newInputError(http.StatusMethodNotAllowed, "method", "jobs come by POST")
+		return c.writeReply(c.rejectInput(inputErr), req.Close)
 	}
 	job, err := parseJob(req, body)
-	if errors.As(err, &input) {
-		return c.writeReply(c.rejectInput(input), req.Close)
+	if errors.As(err, &inputErr) {
+		return c.writeReply(c.rejectInput(inputErr), req.Close)
 	}
 	c.server.recordRequest(c)
 	overCellLimit := !c.server.assignCell(c, job)
--- a/internal/platform/client_conn_test.go
+++ b/internal/platform/client_conn_test.go
@@ -30,7 +30,7 @@
 	} {
 		client.send(t, text)
 		if i == 1 {
-			if r, _, err := readAnswer(client.br); err != nil || r.StatusCode != http.StatusContinue {
+			if r, _, err := readAnswer(client.reader); err != nil || r.StatusCode != http.StatusContinue {
 				t.Fatalf("answer to Expect: 100-continue: %+v, error %v; want status 100", r, err)
 			}
 		}
@@ -163,7 +163,7 @@
 	incomplete.send(t, jobText("reading", "j0", "9000m", "abc")[:60])
 	r, _ := incomplete.answer(t)
 	check(t, "status of half a request", r.StatusCode, http.StatusRequestTimeout)
-	if _, err := silent.br.ReadByte(); err != io.EOF {
+	if _, err := silent.reader.ReadByte(); err != io.EOF {
 		t.Errorf("read on the silent connection returned error %v, want %v", err, io.EOF)
 	}
 	check(t, "counter bad.silent", set.Get("bad.silent"), int64(1))
--- a/internal/platform/client_reply.go
+++ b/internal/platform/client_reply.go
@@ -24,11 +24,11 @@
 }
 
 // rejectInput counts and logs invalid input, and returns its reply.
-func (c *clientConn) rejectInput(input *inputError) reply {
-	c.server.counters.Add(input.counter)
-	c.server.log.Info("client connection: rejected invalid input", zap.String("counter", input.counter),
-		zap.String("what", input.text), zap.Stringer("from", c.conn.RemoteAddr()))
-	return plainReply(input.status, input.text)
+func (c *clientConn) rejectInput(inputErr *inputError) reply {
+	c.server.counters.Add(inputErr.counter)
+	c.server.log.Info("client connection: rejected invalid input", zap.String("counter", inputErr.counter),
+		zap.String("what", inputErr.text), zap.Stringer("from", c.conn.RemoteAddr()))
+	return plainReply(inputErr.status, inputErr.text)
 }
 
 // healthReply returns the reply to a health check of the scheduler.
@@ -44,18 +44,18 @@
 
 // formatAnswer returns the reply to a job. Status 503 tells the client that a retry is safe, so only a shed job may
 // get it.
-func (c *clientConn) formatAnswer(a core.Answer) reply {
-	switch a.Verdict {
+func (c *clientConn) formatAnswer(answer core.Answer) reply {
+	switch answer.Verdict {
 	case core.Served:
-		return reply{status: http.StatusOK, body: a.Result}
+		return reply{status: http.StatusOK, body: answer.Result}
 	case core.Shed:
-		r := plainReply(http.StatusServiceUnavailable, "refused")
-		r.retryAfter = a.RetryAfter
-		return r
+		shed := plainReply(http.StatusServiceUnavailable, "refused")
+		shed.retryAfter = answer.RetryAfter
+		return shed
 	case core.Rejected:
-		return c.rejectInput(newInputError(http.StatusBadRequest, "job", "%s", a.Reason))
+		return c.rejectInput(newInputError(http.StatusBadRequest, "job", "%s", answer.Reason))
 	}
-	return plainReply(http.StatusBadGateway, string(a.Reason))
+	return plainReply(http.StatusBadGateway, string(answer.Reason))
 }
 
 // writeReply writes a reply and returns whether the connection stays open.
--- a/internal/platform/client_server_test.go
+++ b/internal/platform/client_server_test.go
@@ -52,7 +52,7 @@
 	idle.request(t, jobText("reading", "j1", "9000m", ""))
 	r, _ := connect(t, platform).request(t, jobText("reading", "j2", "9000m", ""))
 	check(t, "status on the third connection", r.StatusCode, 200)
-	if _, err := idle.br.ReadByte(); err != io.EOF {
+	if _, err := idle.reader.ReadByte(); err != io.EOF {
 		t.Errorf("read on the idle connection returned error %v, want %v", err, io.EOF)
 	}
 	busy.send(t, jobText("reading", "j0", "9000m", "abc")[60:])
--- a/internal/platform/drain_test.go
+++ b/internal/platform/drain_test.go
@@ -30,7 +30,7 @@
 	check(t, "ready", p.Ready(), false)
 	check(t, "status of a health check", healthStatus(t, p), http.StatusServiceUnavailable)
 	idle.SetReadDeadline(time.Now().Add(waitTimeout))
-	if _, err := idle.br.ReadByte(); err != io.EOF {
+	if _, err := idle.reader.ReadByte(); err != io.EOF {
 		t.Errorf("read on the idle connection returned error %v, want %v", err, io.EOF)
 	}
 	late := connect(t, p)
--- a/internal/platform/framing.go
+++ b/internal/platform/framing.go
@@ -10,12 +10,12 @@
 // error is an *inputError.
 func checkFraming(head []byte, req *http.Request) error {
 	lengths, codings := 0, 0
-	for i, rest := 0, bytes.TrimRight(head, "\r\n"); len(rest) > 0; i++ {
+	for i, remaining := 0, bytes.TrimRight(head, "\r\n"); len(remaining) > 0; i++ {
 		var line []byte
-		line, rest, _ = bytes.Cut(rest, []byte("\n"))
+		line, remaining, _ = bytes.Cut(remaining, []byte("\n"))
 		line = bytes.TrimSuffix(line, []byte("\r"))
-		for _, c := range line {
-			if c < ' ' && c != '\t' || c == 0x7f { // RFC 9110, 5.5
+		for _, char := range line {
+			if char < ' ' && char != '\t' || char == 0x7f { // RFC 9110, 5.5
 				return newInputError(http.StatusBadRequest, "head", "a control character in the head")
 			}
 		}
--- a/internal/platform/fuzz_requests_test.go
+++ b/internal/platform/fuzz_requests_test.go
@@ -88,7 +88,7 @@
 func (r parsedRequests) String() string {
 	var b strings.Builder
 	for i, q := range r.requests {
-		fmt.Fprintf(&b, "[%s %q body %q end %d: %s] ", q.method, q.target, q.body, q.length, r.jobs[i])
+		fmt.Fprintf(&b, "[%s %q body %q end %d: %s] ", q.method, q.target, q.body, q.end, r.jobs[i])
 	}
 	return b.String() + r.end
 }
@@ -100,7 +100,7 @@
 	offset := 0
 	for i, q := range got.requests {
 		want, complete, valid := frameRequest(data, offset)
-		if !complete || !valid || want.length != q.length || want.method != q.method || want.target != q.target ||
+		if !complete || !valid || want.end != q.end || want.method != q.method || want.target != q.target ||
 			!bytes.Equal(want.body, q.body) {
 			t.Fatalf("request %d at %d of %q:\nthe client side reads %s\nthe rules %+v, complete %v, valid %v", i, offset, data,
 				got, want, complete, valid)
@@ -115,10 +115,10 @@
 		if h := fmt.Sprint(r.Header); h != got.headers[i] {
 			t.Fatalf("request %d at %d of %q: the client side reads %s, net/http %s", i, offset, data, got.headers[i], h)
 		}
-		offset = q.length
+		offset = q.end
 	}
 	if got.end == "broken off" {
-		if want, complete, valid := frameRequest(data, offset); complete && valid && want.length-offset < maxHeadBytes {
+		if want, complete, valid := frameRequest(data, offset); complete && valid && want.end-offset < maxHeadBytes {
 			t.Fatalf("%q: complete by the rules, %+v; the client side reads %s", data, want, got)
 		}
 	}
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -144,8 +144,8 @@
 // An exchange is a request that a client sends on its own connection, and its title in the transcript.
 type exchange struct{ title, request string }
 
-// answered sends a request on a new connection and returns the bytes of the answer.
-func answered(t *testing.T, p *Platform, request string) []byte {
+// rawAnswer sends a request on a new connection and returns the bytes of the answer.
+func rawAnswer(t *testing.T, p *Platform, request string) []byte {
 	t.Helper()
 	s := connect(t, p)
 	s.send(t, request)
@@ -179,10 +179,10 @@
 	}
 	p, _ := startWithSettings(t, keyedSettings, 256, "", newTestWorker(t, handle))
 	for _, e := range append(validRequests(), rejectedRequests()...) {
-		recorded.add(e.title, answered(t, p, e.request))
+		recorded.add(e.title, rawAnswer(t, p, e.request))
 	}
 	p.Quiesce()
-	recorded.add("health while it is quiesced", answered(t, p, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))
+	recorded.add("health while it is quiesced", rawAnswer(t, p, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))
 	golden.Check(t, "to-submitters.txt", []byte(recorded.text.String()))
 }
 
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -198,7 +198,7 @@
 // A testClient is a client's connection.
 type testClient struct {
 	net.Conn
-	br *bufio.Reader
+	reader *bufio.Reader
 }
 
 // connect opens a client's connection to a scheduler.
@@ -263,7 +263,7 @@
 // answer reads one answer completely.
 func (s *testClient) answer(t *testing.T) (*testAnswer, string) {
 	t.Helper()
-	r, body, err := readAnswer(s.br)
+	r, body, err := readAnswer(s.reader)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/job_request.go
+++ b/internal/platform/job_request.go
@@ -74,17 +74,17 @@
 
 // parseRemaining parses a number with the unit m (milliseconds) or u (microseconds). A value that would overflow
 // becomes half the largest duration.
-func parseRemaining(s string) (time.Duration, error) {
+func parseRemaining(text string) (time.Duration, error) {
 	unit := time.Millisecond
 	switch {
-	case strings.HasSuffix(s, "m"):
-	case strings.HasSuffix(s, "u"):
+	case strings.HasSuffix(text, "m"):
+	case strings.HasSuffix(text, "u"):
 		unit = time.Microsecond
 	default:
 		return 0, errInvalidRemaining
 	}
 	// Only digits and points are allowed: ParseFloat also accepts "NaN", "0x1p4" and "-1".
-	digits := s[:len(s)-1]
+	digits := text[:len(text)-1]
 	if digits == "" || strings.Trim(digits, "0123456789.") != "" {
 		return 0, errInvalidRemaining
 	}
@@ -100,14 +100,14 @@
 
 // parseLabels parses "name=value,name=value" and returns the values of the slots and memory labels, 0 if absent. It
 // ignores other labels.
-func parseLabels(s string) (slots, memory float64, err error) {
-	if s == "" {
+func parseLabels(labels string) (slots, memory float64, err error) {
+	if labels == "" {
 		return 0, 0, nil
 	}
-	for part := range strings.SplitSeq(s, ",") {
-		name, text, ok := strings.Cut(strings.TrimSpace(part), "=")
+	for label := range strings.SplitSeq(labels, ",") {
+		name, text, ok := strings.Cut(strings.TrimSpace(label), "=")
 		if !ok {
-			return 0, 0, fmt.Errorf("%q is not name=value", part)
+			return 0, 0, fmt.Errorf("%q is not name=value", label)
 		}
 		var target *float64
 		switch name {
--- a/internal/platform/rfc9112_test.go
+++ b/internal/platform/rfc9112_test.go
@@ -15,7 +15,7 @@
 type framedRequest struct {
 	method, target string
 	body           []byte
-	length         int // offset after its last byte
+	end            int // offset after its last byte
 }
 
 // Character sets of the grammar. tchar is defined in RFC 9110, 5.6.2.
@@ -95,7 +95,7 @@
 		req.body = data[at : at+n]
 		at += n
 	}
-	req.length = at
+	req.end = at
 	return req, true, true
 }
 
@@ -176,7 +176,7 @@
 		}
 		at = next
 		if text == "" {
-			req.length = at
+			req.end = at
 			return req, true, true
 		}
 		name, value, colon := strings.Cut(text, ":")
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -51,7 +51,7 @@
 	half.send(t, jobText("reading", "half", "9000m", "abc")[60:])
 	r, _ = half.answer(t)
 	check(t, "status of the request sent in two parts", r.StatusCode, 200)
-	if _, err := idle.br.ReadByte(); err != io.EOF {
+	if _, err := idle.reader.ReadByte(); err != io.EOF {
 		t.Errorf("read on the idle connection returned error %v, want %v", err, io.EOF)
 	}
 	select {
--- a/internal/wire/decode_events.go
+++ b/internal/wire/decode_events.go
@@ -49,7 +49,7 @@
 	if request.Key, err = decodeAffinityKey(fields[5]); err != nil {
 		return err
 	}
-	bits, err := readOptionalNumber(fields[8], "stateBits")
+	stateBits, err := readOptionalNumber(fields[8], "stateBits")
 	if err != nil {
 		return err
 	}
@@ -57,10 +57,10 @@
 	if err != nil {
 		return err
 	}
-	if int64(bits)&stateBitSize != 0 {
+	if int64(stateBits)&stateBitSize != 0 {
 		request.Size = int64(hint)
 	}
-	request.ClientRetry = int64(bits)&stateBitRetry != 0
+	request.ClientRetry = int64(stateBits)&stateBitRetry != 0
 	if request.Slots, err = readOptionalNumber(fields[7], "slots"); err != nil {
 		return err
 	}
@@ -165,19 +165,19 @@
 }
 
 // decodeLoadReport decodes a worker's load report, if there is one. Values beyond foxlift.MaxGauges are ignored.
-func (d *Decoder) decodeLoadReport(v *fastjson.Value) error {
-	if isAbsent(v) {
+func (d *Decoder) decodeLoadReport(report *fastjson.Value) error {
+	if isAbsent(report) {
 		return nil
 	}
-	values, err := readArray(v, "feedback")
+	values, err := readArray(report, "feedback")
 	if err != nil {
 		return err
 	}
-	for i, x := range values {
+	for i, value := range values {
 		if i == foxlift.MaxGauges {
 			break
 		}
-		if d.event.Load[i], err = readOptionalNumber(x, "feedback"); err != nil {
+		if d.event.Load[i], err = readOptionalNumber(value, "feedback"); err != nil {
 			return err
 		}
 	}
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -8,20 +8,20 @@
 )
 
 // AppendAction appends an action of an instance, encoded as a JSON message of the simulator.
-func AppendAction(b []byte, instance string, action *foxlift.Action) []byte {
+func AppendAction(buf []byte, instance string, action *foxlift.Action) []byte {
 	begin := func(name string) {
-		b = append(b, `["`...)
-		b = append(b, name...)
-		b = append(b, `","`...)
-		b = append(b, instance...)
-		b = append(b, '"')
+		buf = append(buf, `["`...)
+		buf = append(buf, name...)
+		buf = append(buf, `","`...)
+		buf = append(buf, instance...)
+		buf = append(buf, '"')
 	}
-	appendInt := func(x int64) { b = strconv.AppendInt(append(b, ','), x, 10) }
-	appendUint := func(x uint64) { b = strconv.AppendUint(append(b, ','), x, 10) }
+	appendInt := func(x int64) { buf = strconv.AppendInt(append(buf, ','), x, 10) }
+	appendUint := func(x uint64) { buf = strconv.AppendUint(append(buf, ','), x, 10) }
 	appendString := func(s string) {
-		b = append(b, `,"`...)
-		b = append(b, s...)
-		b = append(b, '"')
+		buf = append(buf, `,"`...)
+		buf = append(buf, s...)
+		buf = append(buf, '"')
 	}
 	switch action.Kind {
 	case foxlift.ActionSend:
@@ -56,16 +56,16 @@
 		appendString(base64.StdEncoding.EncodeToString(action.Data))
 	case foxlift.ActionWatchEndpoints:
 		begin("subscribe")
-		b = append(b, ",true"...)
+		buf = append(buf, ",true"...)
 	}
-	return append(b, ']')
+	return append(buf, ']')
 }
 
 // AppendError appends the message that reports invalid settings of an instance.
-func AppendError(b []byte, instance, message string) []byte {
-	b = append(b, `["internalError",`...)
-	b = strconv.AppendQuote(b, instance)
-	b = append(b, ',')
-	b = strconv.AppendQuote(b, message)
-	return append(b, ']')
+func AppendError(buf []byte, instance, message string) []byte {
+	buf = append(buf, `["internalError",`...)
+	buf = strconv.AppendQuote(buf, instance)
+	buf = append(buf, ',')
+	buf = strconv.AppendQuote(buf, message)
+	return append(buf, ']')
 }
--- a/internal/wire/fuzz_test.go
+++ b/internal/wire/fuzz_test.go
@@ -28,6 +28,7 @@
 	h.names[instance] = names
 	return nil
 }
+
 func (h *collector) Down(instance string) error              { delete(h.names, instance); return nil }
 func (h *collector) Names(instance []byte) *NameTables       { return h.names[string(instance)] }
 func (h *collector) Event(*NameTables, *foxlift.Event) error { h.events++; return nil }
