--- a/internal/lab/fleet/address.go
+++ b/internal/lab/fleet/address.go
@@ -8,14 +8,14 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// addresses counts the addresses that were given out.
+// addressCount counts the addresses that freeAddr has returned.
 var addressCount atomic.Int64
 
-// addressesInSubnet is how many addresses of one subnet are given out.
+// addressesPerSubnet is how many addresses of one /24 subnet freeAddr uses.
 const addressesPerSubnet = 250
 
-// freeAddr finds an address on loopback that nothing uses: each call has an IP address of its own, so
-// that no outgoing connection and no other fleet takes its port while nobody listens there.
+// freeAddr returns a free address on loopback. Each call uses a different IP address, so that no
+// outgoing connection and no other fleet takes the port while nothing listens there.
 func freeAddr() (string, error) {
 	n := addressCount.Add(1)
 	subnet, host := n/addressesPerSubnet%addressesPerSubnet, n%addressesPerSubnet+1
--- a/internal/lab/fleet/build.go
+++ b/internal/lab/fleet/build.go
@@ -8,8 +8,9 @@
 	"github.com/vatu-meals/foxlift/internal/lab"
 )
 
-// RunWithProgram builds the scheduler aside, runs tests with the path of the binary, removes it and
-// returns the tests' exit code; 1 if there is no binary. It is for TestMain, which has no context.
+// RunWithProgram builds the scheduler in a temporary directory, calls run with the path of the binary,
+// removes the directory and returns run's exit code; 1 if the build fails. It is meant for TestMain,
+// which has no context.
 func RunWithProgram(run func(program string) int) int {
 	program, remove, err := BuildInTempDir(context.Background())
 	if err != nil {
@@ -20,8 +21,8 @@
 	return run(program)
 }
 
-// BuildAside builds the scheduler in a folder of its own and returns the binary's path, and what
-// removes the folder.
+// BuildInTempDir builds the scheduler in a new temporary directory. It returns the path of the binary
+// and a function that removes the directory.
 func BuildInTempDir(ctx context.Context) (program string, remove func(), err error) {
 	dir, err := os.MkdirTemp("", "foxlift-build-")
 	if err != nil {
@@ -31,7 +32,7 @@
 	program, err = lab.BuildScheduler(ctx, "", dir)
 	if err != nil {
 		remove()
-		return "", nil, fmt.Errorf("go build: %w", err)
+		return "", nil, fmt.Errorf("build scheduler: %w", err)
 	}
 	return program, remove, nil
 }
--- a/internal/lab/fleet/configuration.go
+++ b/internal/lab/fleet/configuration.go
@@ -46,7 +46,7 @@
 	return f.Configure(i, f.Discovery.ViewListJSON(f.workerAddrs(i)))
 }
 
-// linkToDiscovery starts a link to a view of discovery that is of process i alone.
+// linkToDiscovery creates a discovery server for process i alone, and returns a link to it.
 func (f *Fleet) linkToDiscovery(i int, view string) (*Link, error) {
 	l, err := standin.Listen()
 	if err != nil {
@@ -60,12 +60,13 @@
 	return newLink(l.Addr().String())
 }
 
-// path is a file of a process in the fleet's folder.
+// processFile returns the path of a process's file in the fleet's directory.
 func (f *Fleet) processFile(process, extension string) string {
 	return filepath.Join(f.dir, process+extension)
 }
 
-// Configure writes the configuration of process i with this list as the cached one.
+// Configure writes the configuration file of process i with cachedEndpoints, JSON, as its cached
+// endpoint list.
 func (f *Fleet) Configure(i int, cachedEndpoints []byte) error {
 	p := f.Processes[i]
 	config := map[string]any{
@@ -91,8 +92,9 @@
 	return os.WriteFile(f.processFile(p.Name, ".json"), text, 0o600)
 }
 
-// ChangeDiscovery names another address of discovery in the configuration of process i, which
-// learns of it with SIGHUP. The link there replaces that in Links; the old one remains as it is.
+// ChangeDiscovery writes a new address of discovery into the configuration file of process i, which
+// reads it on SIGHUP. Links[i] becomes the link at the new address; the old link remains as it is
+// until Close.
 func (f *Fleet) ChangeDiscovery(i int) error {
 	link, err := newLink(f.Links[i].target)
 	if err != nil {
@@ -103,12 +105,14 @@
 	return f.Configure(i, f.Discovery.ViewListJSON(f.workerAddrs(i)))
 }
 
-// dial returns how process i reaches each worker, by its name and its own address.
+// workerAddrs returns the function that maps a worker's name and own address to the address at which
+// process i reaches it.
 func (f *Fleet) workerAddrs(i int) func(host, addr string) string {
 	return func(host, addr string) string { return f.workerAddr(i, host, addr) }
 }
 
-// via returns the address by which process i reaches a worker.
+// workerAddr returns the address at which process i reaches a worker: that of a link with
+// Options.WorkerLinks, and addr otherwise.
 func (f *Fleet) workerAddr(i int, host, addr string) string {
 	if !f.WorkerLinks {
 		return addr
@@ -126,7 +130,7 @@
 	return links[host].Addr().String()
 }
 
-// WorkerLink returns the link of process i to a worker; nil if there is none.
+// WorkerLink returns the link from process i to a worker; nil if there is none.
 func (f *Fleet) WorkerLink(i int, worker *standin.Worker) *Link {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,9 +1,9 @@
-// Package fleet runs many scheduler processes on one machine, among stand-ins for workers, discovery and clients,
-// with a link between each process and what it meets, so that parts of the network can be made to fail.
+// Package fleet runs many scheduler processes on one machine with stand-ins for workers, discovery and clients.
+// Links, which forward the connections between a process and its stand-ins, can simulate network failures.
 //
-// A Fleet owns its processes, links, stand-ins and a folder for their files. Everything is on loopback, and
-// everything ends with Close. The trials SlowStartTrial and Keyed play a deployment's hard moments on a fleet and
-// judge by what the stand-ins recorded.
+// A Fleet owns its processes, links, stand-ins and a directory for their files. Everything runs on loopback, and
+// Close ends all of it. The trials SlowStartTrial and KeyedTrial run failure scenarios of a deployment on a fleet
+// and check the records of the stand-ins.
 package fleet
 
 import (
@@ -17,39 +17,39 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// Options say what a fleet is made of.
+// Options describe a fleet.
 type Options struct {
 	lab.Topology
-	Program      string             // the scheduler's binary
+	Program      string             // path of the scheduler's binary
 	CallCost     standin.CallCost   // of calls to discovery
-	SlowStart    *standin.SlowStart // of workers that start; nil: they are warm at once
-	GroupWindow  time.Duration      // in which groups really drop repeats; 0: as the settings say
-	WorkerLinks  bool               // a link between each scheduler and each worker: only for small fleets
-	Admin        bool               // each process has a second address, for its operators
-	OperatorFile string             // text of each process's operator's file, with %s for a path of its own; "": none
+	SlowStart    *standin.SlowStart // of workers that start; nil: they have full capacity at once
+	GroupWindow  time.Duration      // for which dedup groups drop repeats; 0: the DedupWindow of the topology
+	WorkerLinks  bool               // create a link between each scheduler and each worker; only for small fleets
+	Admin        bool               // give each process an admin address
+	OperatorFile string             // content of each operator file, with %s for the checkpoint's path; "": no such file
 }
 
-// A Fleet is scheduler processes and what they meet.
+// Fleet is a set of scheduler processes with their links and stand-ins.
 type Fleet struct {
 	Options
 	Processes []*Process
 	Discovery *standin.Discovery
-	Links     []*Link    // of each process to discovery
-	Messaging *Messaging // between the processes; nil: they send each other none
+	Links     []*Link    // from each process to discovery
+	Messaging *Messaging // between the processes; nil if they exchange no messages
 
 	dir      string
 	cleanups []func()
 	groups   []*standin.DedupGroup
 
 	mu           sync.Mutex
-	workers      []*standin.Worker // all that ever were
-	running      map[string]*standin.Worker
-	workerLinks  []map[string]*Link // of each process, by the worker's name
+	workers      []*standin.Worker          // all workers ever started
+	running      map[string]*standin.Worker // by name
+	workerLinks  []map[string]*Link         // for each process, by the worker's name
 	workersAdded int
 	successors   []*Process
 }
 
-// New makes a fleet. Its stand-ins run; its processes have not been started yet: StartAll does.
+// New creates a fleet. Its stand-ins run; its processes start with StartAll.
 func New(o Options) (f *Fleet, err error) {
 	f = &Fleet{Options: o, running: map[string]*standin.Worker{}}
 	defer func() {
@@ -88,7 +88,7 @@
 	return f, nil
 }
 
-// StartAll starts the processes at once and waits until each is ready.
+// StartAll starts all processes concurrently and waits until each is ready.
 func (f *Fleet) StartAll(limit time.Duration) error {
 	return f.forEachProcess(func(p *Process) error {
 		if err := p.Start(); err != nil {
@@ -98,20 +98,20 @@
 	})
 }
 
-// KillAll kills the processes at once.
+// KillAll kills all processes concurrently and waits until they have exited.
 func (f *Fleet) KillAll() {
-	_ = f.forEachProcess(func(p *Process) error { // which never fails
+	_ = f.forEachProcess(func(p *Process) error { // Kill cannot fail
 		p.Kill()
 		return nil
 	})
 }
 
-// TerminateAll ends the processes with SIGTERM and returns the errors that they ended with.
+// TerminateAll ends all processes with SIGTERM and returns the errors with which they exited.
 func (f *Fleet) TerminateAll() error {
 	return f.forEachProcess((*Process).Terminate)
 }
 
-// each does something with all processes at once, and waits for it.
+// forEachProcess calls do for all processes concurrently, waits for the calls and joins their errors.
 func (f *Fleet) forEachProcess(do func(p *Process) error) error {
 	errs := make([]error, len(f.Processes))
 	var wait sync.WaitGroup
--- a/internal/lab/fleet/keyed.go
+++ b/internal/lab/fleet/keyed.go
@@ -10,63 +10,66 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// A Keyed is a trial: few schedulers, workers in groups that drop repeats of a job with an idempotency key for a
-// time, and connections that are reset or fall silent amid the jobs, one after another.
+// KeyedTrial is a trial of jobs with idempotency keys: few schedulers, and workers in groups that drop
+// repeats of such a job within a time window. Connections are reset or blocked during the jobs, one
+// after another.
 type KeyedTrial struct {
 	Program       string
 	Faults        int
 	Seed          uint64
 	FaultInterval time.Duration // between two faults
 
-	// Faults of the deployment itself, for which the judge must fail.
-	ShortWindow bool // groups drop repeats for less than the settings say
-	NoGroups    bool // each worker is a group of its own, and discovery says that all are one
+	// Faults of the deployment itself, with which the trial must fail.
+	ShortWindow bool // groups drop repeats for a shorter time than the settings say
+	NoGroups    bool // each worker is its own group, while discovery reports one group for all
 }
 
-// DefaultKeyed is the trial that the operators' page speaks of.
+// DefaultKeyedTrial is the trial that the operator documentation describes.
 var DefaultKeyedTrial = KeyedTrial{Program: "bin/foxlift", Faults: 1000, Seed: 1, FaultInterval: 15 * time.Millisecond}
 
-// A KeyedResult is what a trial saw.
+// KeyedResult holds the observations of a trial.
 type KeyedResult struct {
 	Resets, Blocks                    int
 	Tally                             standin.Tally
-	Attempts                          int64 // attempts
-	WithheldAttempts                  int64 // repeats that no rule allowed
-	DuplicateJobs                     int   // deduplicated jobs that ran twice, on any workers
+	Attempts                          int64
+	WithheldAttempts                  int64 // repeats that the scheduler did not send because no rule allowed them
+	DuplicateJobs                     int   // deduplicated jobs that ran more than once, on any workers
 	MessagesReceived, MessagesDropped int64 // messages between schedulers
-	CleanExit                         bool  // all schedulers ended well after SIGTERM
+	CleanExit                         bool  // all schedulers exited with code 0 after SIGTERM
 }
 
-// Line is the result in one line.
+// Line returns the result as one line.
 func (r KeyedResult) Line() string {
 	served := 100 * float64(r.Tally.Served+r.Tally.Late) / float64(max(1, r.Tally.Sent))
-	return fmt.Sprintf("keyed: resets %d, silences %d, jobs %d, claims %d, withheld %d, served %.1f %%, "+
-		"messages heard %d, dropped %d, jobs lost %d, ran twice %d",
+	return fmt.Sprintf("keyed: resets %d, blocked links %d, jobs %d, attempts %d, withheld %d, served %.1f %%, "+
+		"messages received %d, dropped %d, jobs lost %d, ran more than once %d",
 		r.Resets, r.Blocks, r.Tally.Sent, r.Attempts, r.WithheldAttempts, served,
 		r.MessagesReceived, r.MessagesDropped, r.Tally.Lost, r.DuplicateJobs)
 }
 
-// OK reports whether what must never happen did not, and there was something to see: jobs
-// that were sent again.
+// OK reports whether the trial passed: no job was lost or ran twice, all schedulers exited cleanly,
+// and the faults had an effect: some jobs were sent again and messages were received.
 func (r KeyedResult) OK() bool {
-	return r.DuplicateJobs == 0 && r.Tally.Lost == 0 && r.CleanExit && r.Attempts > int64(r.Tally.Sent) && r.MessagesReceived > 0
+	return r.DuplicateJobs == 0 && r.Tally.Lost == 0 && r.CleanExit &&
+		r.Attempts > int64(r.Tally.Sent) && r.MessagesReceived > 0
 }
 
-// The trial's faults of connections and of messages.
+// The faults that the trial injects into connections and messages.
 const (
 	minBlockTime        = 50 * time.Millisecond
-	blockTimeRange      = 300 // milliseconds
+	blockTimeRange      = 300 // in milliseconds, added to minBlockTime
 	lostPercent         = 5
 	duplicatedPercent   = 5
 	corruptedPercent    = 2
 	maxMessageDelay     = 20 * time.Millisecond
 	keyedStartTimeout   = 20 * time.Second
 	keyedLoadFraction   = 0.4 // of the fleet's capacity
-	keyedFaultRNGStream = 3   // stream of the seed's random numbers
+	keyedFaultRNGStream = 3   // of the seed's random numbers
 	tooShortWindow      = time.Millisecond
 )
 
-// keyedWorld is a small deployment: one data centre, two kinds of worker, load reports, messages.
+// keyedTopology returns a small deployment: one data centre, two kinds of worker, load reports, and
+// messages between the schedulers.
 func keyedTopology() lab.Topology {
 	return lab.Topology{
 		Schedulers:  2,
@@ -105,7 +108,7 @@
 	}
 }
 
-// Run plays the trial.
+// Run runs the trial and writes errors of exiting schedulers to w.
 func (o KeyedTrial) Run(w io.Writer) (r KeyedResult, err error) {
 	f, err := o.fleet()
 	if err != nil {
@@ -131,7 +134,7 @@
 	return r, nil
 }
 
-// fleet makes the trial's fleet, with the faults of its deployment.
+// fleet creates the trial's fleet, including the faults of its deployment.
 func (o KeyedTrial) fleet() (*Fleet, error) {
 	options := Options{
 		Topology:    keyedTopology(),
@@ -157,7 +160,8 @@
 	return f, nil
 }
 
-// announceOneGroup has discovery, and each process's cached list, say that all workers are of one group.
+// announceOneGroup makes discovery and the cached list of each process report all workers as members
+// of one group.
 func (f *Fleet) announceOneGroup() error {
 	for _, group := range f.groups {
 		group.Number = 0
@@ -173,7 +177,7 @@
 	return nil
 }
 
-// disturb resets connections and silences links, one fault after another, and counts them.
+// injectFaults resets or blocks random links, one after another, and counts the faults.
 func (o KeyedTrial) injectFaults(f *Fleet, r *KeyedResult) {
 	rng, workers := rand.New(rand.NewPCG(o.Seed, keyedFaultRNGStream)), f.Workers()
 	for range o.Faults {
--- a/internal/lab/fleet/link.go
+++ b/internal/lab/fleet/link.go
@@ -12,17 +12,17 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// A Direction is a direction of a link.
+// Direction is a direction of the data on a link.
 type Direction int
 
 // The directions of a link.
 const (
 	ToTarget   Direction = iota // from the scheduler
-	FromTarget                  // to it
+	FromTarget                  // to the scheduler
 )
 
-// A Link passes connections on from one scheduler to one party that it meets. It knows
-// nothing of what is said on it.
+// Link forwards TCP connections from one scheduler to one target and can simulate network failures. It
+// does not interpret the data.
 type Link struct {
 	net.Listener
 	target string
@@ -30,17 +30,17 @@
 	forwarding sync.WaitGroup
 
 	mu        sync.Mutex
-	refuses   bool
+	refuses   bool // new connections are reset
 	blocked   [2]bool
 	delay     [2]time.Duration
-	rate      int               // bytes a second of each direction; 0: no bound
-	changed   chan struct{}     // closed and replaced at each change
-	open      map[net.Conn]bool // true: the scheduler's side of a connection
+	rate      int               // bytes per second in each direction; 0: unlimited
+	changed   chan struct{}     // closed and replaced whenever a setting changes
+	open      map[net.Conn]bool // value: whether it is the scheduler's side of a connection
 	closed    bool
-	forwarded [2]int64 // bytes that each direction has passed on
+	forwarded [2]int64 // bytes in each direction
 }
 
-// copyBuffer is how many bytes are read at once.
+// copyBufferSize is the number of bytes read at once.
 const copyBufferSize = 16 << 10
 
 // newLink starts a link to an address.
@@ -59,14 +59,14 @@
 	return link, nil
 }
 
-// Cut ends what is open with a reset and refuses what is new, as a process that died.
+// Disconnect resets the open connections and refuses new ones, like a process that died.
 func (l *Link) Disconnect() {
 	l.update(func() { l.refuses = true })
 	l.Reset()
 }
 
-// Silence holds back what goes in these directions, as a network that loses it: connections stay open,
-// new ones come up and hear nothing. What was held back is passed on after Heal.
+// Block holds back the data in these directions, like a network that drops it: connections stay open,
+// and new ones are accepted but carry no data. The data that was held back is forwarded after Heal.
 func (l *Link) Block(directions ...Direction) {
 	l.update(func() {
 		for _, d := range directions {
@@ -75,8 +75,8 @@
 	})
 }
 
-// Throttle passes each piece on this much later, and at most so many bytes a second; 0: as
-// they come.
+// Throttle delays each piece of data and limits the rate of each direction, in bytes per second. Zero
+// means no delay and no limit.
 func (l *Link) Throttle(delay time.Duration, bytesEachSecond int) {
 	l.update(func() {
 		l.delay = [2]time.Duration{delay, delay}
@@ -84,7 +84,7 @@
 	})
 }
 
-// Heal passes everything on again.
+// Heal removes all failures of the link; data is forwarded without delay again.
 func (l *Link) Heal() {
 	l.update(func() {
 		l.refuses = false
@@ -94,14 +94,15 @@
 	})
 }
 
-// Carried returns how many bytes a direction has passed on.
+// ForwardedBytes returns how many bytes the link has forwarded in a direction.
 func (l *Link) ForwardedBytes(d Direction) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.forwarded[d]
 }
 
-// Waiting returns how many bytes from the scheduler wait to be passed on.
+// PendingBytes returns how many bytes received from the scheduler have not been read for forwarding
+// yet.
 func (l *Link) PendingBytes() (sum int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -113,7 +114,8 @@
 	return sum
 }
 
-// unread returns how many bytes the kernel holds that came on a connection; 0 where it has ended.
+// unreadBytes returns how many received bytes of a connection are in the kernel's buffer; 0 if the
+// connection has ended.
 func unreadBytes(c net.Conn) (bytes int) {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -131,7 +133,7 @@
 	l.forwarded[d] += int64(bytes)
 }
 
-// Reset ends the open connections with a reset; new ones are taken.
+// Reset resets the open connections. New connections are still accepted.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -140,7 +142,7 @@
 	}
 }
 
-// close ends the link and waits for all that it started.
+// close ends the link and waits for its goroutines.
 func (l *Link) close() {
 	l.update(func() { l.closed = true })
 	l.Close()
@@ -148,7 +150,7 @@
 	l.forwarding.Wait()
 }
 
-// change makes a change that what is held back notices.
+// update applies a change of the settings and wakes the goroutines that hold data back.
 func (l *Link) update(apply func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -157,7 +159,8 @@
 	l.changed = make(chan struct{})
 }
 
-// register keeps an open connection, unless the link refuses connections: then it resets it.
+// register records an open connection and returns true. If the link refuses connections or is closed,
+// it resets the connection and returns false.
 func (l *Link) register(c net.Conn, fromScheduler bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -188,12 +191,12 @@
 	}
 }
 
-// forwardBoth passes on what one connection carries until both directions have ended.
+// forwardBoth forwards one connection until both directions have ended.
 func (l *Link) forwardBoth(scheduler net.Conn) {
 	defer l.unregister(scheduler)
 	target, err := standin.Dial(l.target, 0)
 	if err != nil {
-		standin.ResetOnClose(scheduler) // as it would have been refused
+		standin.ResetOnClose(scheduler) // because the target would have refused the connection
 		return
 	}
 	if !l.register(target, false) {
@@ -206,7 +209,7 @@
 	both.Wait()
 }
 
-// forward passes one direction of a connection on until it ends.
+// forward forwards one direction of a connection until it ends.
 func (l *Link) forward(from, to net.Conn, d Direction) {
 	defer standin.CloseWrite(to)
 	buf := make([]byte, copyBufferSize)
@@ -225,7 +228,7 @@
 				return
 			}
 		}
-		if waited && wasReset(from) { // what a silent direction holds back can still be withdrawn with a reset
+		if waited && wasReset(from) { // a reset discards data that a blocked direction holds back
 			standin.ResetConn(to)
 			return
 		}
@@ -238,7 +241,7 @@
 		if errors.Is(err, io.EOF) {
 			return
 		}
-		if err != nil { // a reset is passed on as one, if anything is
+		if err != nil { // forward a reset as a reset, once data may pass
 			l.waitToForward(d, 0)
 			standin.ResetConn(to)
 			return
@@ -246,14 +249,15 @@
 	}
 }
 
-// isSilent reports whether a direction is silent.
+// isBlocked reports whether a direction is blocked.
 func (l *Link) isBlocked(d Direction) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.blocked[d]
 }
 
-// wasReset reports whether the other side has reset a connection. The kernel still hands out what came before.
+// wasReset reports whether the other side has reset a connection. The kernel still returns the data
+// that it received before the reset.
 func wasReset(c net.Conn) (reset bool) {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -267,7 +271,8 @@
 	return reset || err != nil
 }
 
-// mayPass waits until so many bytes may go in a direction; false once the link is closed.
+// waitToForward waits until the given number of bytes may be forwarded in a direction, and returns
+// true. It returns false if the link is closed.
 func (l *Link) waitToForward(d Direction, bytes int) bool {
 	var due time.Time
 	for {
--- a/internal/lab/fleet/load.go
+++ b/internal/lab/fleet/load.go
@@ -10,26 +10,26 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// A Load is clients at every process.
+// Load simulates clients at every process.
 type Load struct {
 	clients []*standin.Client
 	stop    chan struct{}
 	wait    sync.WaitGroup
 }
 
-// StartLoad begins jobs at a rate a second over the whole fleet, spread evenly, at each
-// process once it takes connections. Its ids begin with name.
+// StartLoad starts sending jobs at a rate per second for the whole fleet, spread evenly over the
+// processes. Each process receives jobs once it is ready. The job IDs start with name.
 func (f *Fleet) StartLoad(name string, rate float64, seed uint64) *Load {
 	return f.StartLoadWith(name, rate, seed, Tolerance{})
 }
 
-// A Leniency is what clients allow for.
+// Tolerance describes which unanswered or late jobs clients do not count as lost.
 type Tolerance struct {
-	Grace          time.Duration                               // how late an answer may come
-	WasInterrupted func(process int) func(sent time.Time) bool // see standin.Client; nil: nothing is excused
+	Grace          time.Duration                               // how long after the deadline an answer is still accepted
+	WasInterrupted func(process int) func(sent time.Time) bool // see standin.Client, for each process; nil: never
 }
 
-// StartLoadWith does so with clients that allow for some things.
+// StartLoadWith is like StartLoad, with clients that have the given tolerance.
 func (f *Fleet) StartLoadWith(name string, rate float64, seed uint64, allow Tolerance) *Load {
 	excuse := allow.WasInterrupted
 	if excuse == nil {
@@ -65,12 +65,12 @@
 }
 
 const (
-	startTimeout    = 30 * time.Second // for a process to take connections
-	seedsPerProcess = 1000             // of its clients
+	startTimeout    = 30 * time.Second // until a process must be ready
+	seedsPerProcess = 1000             // for the clients of a process
 )
 
-// newClient makes a client of a class and a tenant. Workers may be slower than a slot of speed 1, so two service
-// times beyond the class's latency objective still count as within it.
+// newClient returns a client of a class and a tenant. Workers may be slower than a slot of speed 1, so
+// two service times beyond the class's latency objective still count as within it.
 func newClient(addr string, class lab.Class, tenant lab.Tenant) *standin.Client {
 	return &standin.Client{
 		Addr:              addr,
@@ -82,7 +82,7 @@
 	}
 }
 
-// SentAt returns when each job was sent.
+// SentAt returns when each job was sent, by job ID.
 func (l *Load) SentAt() map[string]time.Time {
 	all := map[string]time.Time{}
 	for _, client := range l.clients {
@@ -91,14 +91,15 @@
 	return all
 }
 
-// Stop ends the load, waits for every answer and returns what became of the jobs.
+// Stop ends the load, waits for all answers and returns the tally of the jobs since the last
+// ResetTally.
 func (l *Load) Stop() standin.Tally {
 	close(l.stop)
 	l.wait.Wait()
 	return l.ResetTally()
 }
 
-// ResetTally returns what became of the jobs that were answered since the last call.
+// ResetTally returns the tally of the jobs that were answered since the last call.
 func (l *Load) ResetTally() standin.Tally {
 	var all []standin.Tally
 	for _, client := range l.clients {
--- a/internal/lab/fleet/messaging.go
+++ b/internal/lab/fleet/messaging.go
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// Messaging passes the datagrams between the processes on, and can lose, duplicate, delay and corrupt
-// them. To each process every other has an address of its own.
+// Messaging forwards datagrams between the processes, and can lose, duplicate, delay and corrupt them.
+// Each process has a separate address for each peer.
 type Messaging struct {
-	listen    []string   // where each process receives
-	addresses [][]string // by process, then by the other one; its own is nobody's
+	listen    []string   // the address on which each process receives
+	addresses [][]string // by process, then by peer; the entry for itself is unused
 
-	lost, duplicated, corrupted atomic.Int64 // of each 100 datagrams
-	delay                       atomic.Int64 // most, in nanoseconds
+	lost, duplicated, corrupted atomic.Int64 // percent of the datagrams
+	delay                       atomic.Int64 // maximum, in nanoseconds
 
 	sockets    []*net.UDPConn
 	forwarding sync.WaitGroup
-	delayed    sync.WaitGroup // datagrams
+	delayed    sync.WaitGroup // waits for delayed datagrams
 }
 
 const (
 	maxDatagramSize = 2048
-	delayMultiplier = 7919 // a prime: neighbours among 100 datagrams have delays far apart
+	delayMultiplier = 7919 // a prime, so that successive datagrams have very different delays
 )
 
-// Corrupt sets how many of each 100 datagrams are lost, duplicated and garbled, and how late they
-// come at most: each by another time, so that they overtake one another.
+// SetFaults sets which percentages of the datagrams are lost, duplicated and corrupted, and the
+// maximum delay. Delays differ between datagrams, so that they are reordered.
 func (m *Messaging) SetFaults(lost, duplicated, corrupted int, delay time.Duration) {
 	m.lost.Store(int64(lost))
 	m.duplicated.Store(int64(duplicated))
@@ -37,7 +37,7 @@
 	m.delay.Store(int64(delay))
 }
 
-// newMessaging connects so many processes.
+// newMessaging connects the given number of processes.
 func newMessaging(processes int) (*Messaging, error) {
 	m := &Messaging{}
 	if err := m.connect(processes); err != nil {
@@ -47,9 +47,9 @@
 	return m, nil
 }
 
-// connect opens the sockets and begins to forward.
+// connect opens the sockets and starts forwarding.
 func (m *Messaging) connect(processes int) error {
-	sockets := make([][]*net.UDPConn, processes) // sockets[i][j] is what process i takes for j
+	sockets := make([][]*net.UDPConn, processes) // sockets[i][j] has the address that process i uses for process j
 	for i := range sockets {
 		if err := m.choosePort(); err != nil {
 			return err
@@ -74,14 +74,14 @@
 			if err != nil {
 				return err
 			}
-			// What i sends to its address of j comes to j from j's address of i.
+			// A datagram that i sends to its address for j arrives at j from j's address for i.
 			m.forwarding.Go(func() { m.forward(sockets[i][j], sockets[j][i], receiver) })
 		}
 	}
 	return nil
 }
 
-// openSocket opens a socket that close will close.
+// openSocket opens a UDP socket on loopback, which close closes.
 func (m *Messaging) openSocket() (*net.UDPConn, error) {
 	socket, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -91,7 +91,7 @@
 	return socket, nil
 }
 
-// choosePort finds a port on which the next process will listen.
+// choosePort reserves the address of the next process by opening and closing a socket.
 func (m *Messaging) choosePort() error {
 	socket, err := m.openSocket()
 	if err != nil {
@@ -101,7 +101,7 @@
 	return socket.Close()
 }
 
-// forward passes on what comes to a socket, by another one, until the socket is closed.
+// forward forwards the datagrams of one socket through another until the socket is closed.
 func (m *Messaging) forward(from, sender *net.UDPConn, receiver *net.UDPAddr) {
 	buf := make([]byte, maxDatagramSize)
 	for number := int64(1); ; number++ {
@@ -130,7 +130,7 @@
 	}
 }
 
-// send sends a datagram after a delay. An error loses it, as the network may.
+// send sends a datagram after a delay. A datagram whose sending fails is lost, as in a network.
 func (m *Messaging) send(sender *net.UDPConn, receiver *net.UDPAddr, data []byte, delay time.Duration) {
 	if delay <= 0 {
 		_, _ = sender.WriteToUDP(data, receiver)
@@ -143,10 +143,10 @@
 	})
 }
 
-// close ends the forwarding and waits for it, and for the datagrams that are delayed.
+// close ends the forwarding, and waits for it and for the delayed datagrams.
 func (m *Messaging) close() {
 	for _, socket := range m.sockets {
-		_ = socket.Close() // those of the chosen ports are closed already
+		_ = socket.Close() // fails for the sockets that choosePort closed
 	}
 	m.forwarding.Wait()
 	m.delayed.Wait()
--- a/internal/lab/fleet/observe.go
+++ b/internal/lab/fleet/observe.go
@@ -4,7 +4,7 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// Counter sums a counter over all processes, of all that they have printed.
+// Counter returns a counter summed over all processes, as they have printed it so far.
 func (f *Fleet) Counter(name string) (sum int64) {
 	for _, p := range f.Processes {
 		sum += p.Counter(name)
@@ -12,7 +12,7 @@
 	return sum
 }
 
-// Fallen returns how many workers were overloaded in slow start.
+// OverloadedWorkers returns how many workers were overloaded during slow start.
 func (f *Fleet) OverloadedWorkers() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -24,7 +24,7 @@
 	return n
 }
 
-// Twice returns the at-most-once jobs that were begun more than once, on any workers.
+// DuplicateJobs returns the IDs of at-most-once jobs that were started more than once, on any workers.
 func (f *Fleet) DuplicateJobs() (ids []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -42,7 +42,7 @@
 	return ids
 }
 
-// Requests returns how many whole requests with a job the workers have read.
+// RequestsRead returns how many complete job requests the workers have read.
 func (f *Fleet) RequestsRead() (sum int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -52,7 +52,7 @@
 	return sum
 }
 
-// Arrivals returns the requests with a job that have reached any worker.
+// Arrivals returns the job requests that have reached any worker.
 func (f *Fleet) Arrivals() (all []standin.Arrival) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -17,37 +17,37 @@
 	"time"
 )
 
-// A Process is one scheduler: the built program, with its configuration. It can be
-// started again after it has ended.
+// Process runs one scheduler: the built program with its configuration. It can be started again after
+// it has ended.
 type Process struct {
 	Name           string
-	Addr           string // where clients reach it
-	AdminAddr      string // where its operators reach it; "": nowhere
-	CheckpointPath string // path of its own that its operator's file has; "": there is no such file
+	Addr           string // for clients
+	AdminAddr      string // admin address; "" if there is none
+	CheckpointPath string // the path that the operator file names; "" if there is no such file
 
 	program string
 	args    []string
 	env     []string
 
-	running sync.WaitGroup // what reads the process's log and waits for its end
+	running sync.WaitGroup // waits for the goroutine that reads the log and waits for the exit
 
 	mu              sync.Mutex
-	cmd             *exec.Cmd     // nil: it does not run
-	done            chan struct{} // closed when the process has ended; nil: it was never started
+	cmd             *exec.Cmd     // nil while the process does not run
+	done            chan struct{} // closed when the process has exited; nil before its first start
 	exit            error
-	killed          bool             // with Kill, not by itself
-	pastCounters    map[string]int64 // of its ended incarnations, as printed at SIGUSR1 and at the end
-	currentCounters map[string]int64 // counters of this incarnation, as last printed
-	logLines        []string         // the last lines
+	killed          bool             // ended by SIGKILL through Signal
+	pastCounters    map[string]int64 // summed over earlier runs of the process, as printed on SIGUSR1 and at exit
+	currentCounters map[string]int64 // of the current run, as last printed
+	logLines        []string         // the last maxLogLines lines
 }
 
 const (
-	maxLogLines    = 200                  // of a process's log that are kept
-	healthInterval = 5 * time.Millisecond // between two health checks of a process that starts
+	maxLogLines    = 200                  // kept of a process's log
+	healthInterval = 5 * time.Millisecond // between two health checks of a starting process
 	healthTimeout  = time.Second
 )
 
-// Start starts the process; it may not be ready when Start returns.
+// Start starts the process. It may not be ready when Start returns.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -56,7 +56,7 @@
 	}
 	cmd := exec.CommandContext(context.Background(), p.program, p.args...) // Terminate and Kill end it
 	cmd.Env = append(os.Environ(), p.env...)
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no process outlives the lab, also if it is killed
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // ends the process even if the lab is killed
 	log, err := cmd.StderrPipe()
 	if err != nil {
 		return err
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// recordExit takes in what the process ended with.
+// recordExit records the end of a run: its error and its counters.
 func (p *Process) recordExit(err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -88,7 +88,7 @@
 	close(p.done)
 }
 
-// read takes in the log: the last lines, and counters ("name value").
+// readLog records the lines of the log until it ends.
 func (p *Process) readLog(r io.Reader) {
 	lines := bufio.NewScanner(r)
 	for lines.Scan() {
@@ -96,6 +96,8 @@
 	}
 }
 
+// recordLine records a log line; a line "name value" whose name contains a dot sets a
+// counter.
 func (p *Process) recordLine(line string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -112,7 +114,7 @@
 	}
 }
 
-// Signal sends a signal to the process, if it runs.
+// Signal sends a signal to the process; it returns os.ErrProcessDone if the process does not run.
 func (p *Process) Signal(s syscall.Signal) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -125,15 +127,15 @@
 	return p.cmd.Process.Signal(s)
 }
 
-// Kill ends the process at once and waits for its end.
+// Kill ends the process with SIGKILL and waits until it has exited.
 func (p *Process) Kill() {
 	if p.Signal(syscall.SIGKILL) == nil {
 		_ = p.Wait() // nil for a process that was killed
 	}
 }
 
-// Wait waits for the end of the process and returns what it ended with; nil for one that
-// Kill ended.
+// Wait waits until the process has exited and returns its exit error; nil if it was killed with Kill
+// or was never started.
 func (p *Process) Wait() error {
 	p.mu.Lock()
 	done := p.done
@@ -150,14 +152,14 @@
 	return p.exit
 }
 
-// Done is closed when the process has ended; nil before its first start.
+// Done returns a channel that is closed when the process has exited; nil before its first start.
 func (p *Process) Done() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.done
 }
 
-// ID returns the process's id; 0 where it does not run.
+// ID returns the process ID; 0 if the process does not run.
 func (p *Process) ID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -167,7 +169,8 @@
 	return p.cmd.Process.Pid
 }
 
-// Terminate ends the process with SIGTERM and waits for its end; nil for one that does not run.
+// Terminate ends the process with SIGTERM, waits until it has exited and returns its exit error; nil
+// if it does not run.
 func (p *Process) Terminate() error {
 	if p.Signal(syscall.SIGTERM) == nil {
 		return p.Wait()
@@ -175,10 +178,11 @@
 	return nil
 }
 
-// errNotReady is what AwaitReady returns when its time is up.
-var errNotReady = errors.New("the scheduler is not ready in time")
+// errNotReady reports that a process was not ready within the limit of AwaitReady.
+var errNotReady = errors.New("scheduler is not ready in time")
 
-// AwaitReady waits until the process's health is 200.
+// AwaitReady waits until the health check of the process returns 200. It fails if the process exits,
+// or with errNotReady after the limit.
 func (p *Process) AwaitReady(limit time.Duration) error {
 	client := &http.Client{Timeout: healthTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for end := time.Now().Add(limit); time.Now().Before(end); {
@@ -187,14 +191,14 @@
 		}
 		if p.ended() {
 			exit, log := p.Wait(), strings.Join(p.Log(), "\n")
-			return fmt.Errorf("%s ended: %v\n%s", p.Name, exit, log) //nolint:errorlint // exit is nil after exit code 0
+			return fmt.Errorf("%s exited early: %v\n%s", p.Name, exit, log) //nolint:errorlint // exit is nil after exit code 0
 		}
 		<-time.After(healthInterval)
 	}
 	return fmt.Errorf("%s: %w", p.Name, errNotReady)
 }
 
-// healthy reports whether the process says that it is ready.
+// healthy reports whether the health check of the process returns 200.
 func (p *Process) healthy(client *http.Client) bool {
 	url := "http://" + p.Addr + "/_health"
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, url, nil)
@@ -209,21 +213,21 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// ended reports whether the process was started and does not run.
+// ended reports whether the process was started and does not run any more.
 func (p *Process) ended() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd == nil && p.done != nil
 }
 
-// Log returns the last lines of the process's log.
+// Log returns the last maxLogLines lines of the process's log.
 func (p *Process) Log() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.logLines)
 }
 
-// Counter returns a counter's value over all incarnations that have printed it.
+// Counter returns a counter's value summed over all runs of the process that have printed it.
 func (p *Process) Counter(name string) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/fleet/slowstart_trial.go
+++ b/internal/lab/fleet/slowstart_trial.go
@@ -11,58 +11,60 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// A SlowStartTrial is a trial: all schedulers of a fleet start at once with a list from before a
-// release that replaced a part of the workers, under load, while discovery serves one call
-// after another.
+// SlowStartTrial is a trial in which all schedulers of a fleet start at once, under load, with an
+// endpoint list from before a release that replaced a part of the workers. Discovery serves one call
+// at a time.
 type SlowStartTrial struct {
 	Program           string
 	Schedulers        int
 	Workers           int
 	Seed              uint64
-	Duration          time.Duration // how long it is watched
-	LoadFraction      float64       // jobs asked for, against what the fleet can do past slow start
-	ReplacedFraction  float64       // part of the workers that the cached list does not have: they started at the trial's start
-	RestartedFraction float64       // part that restarted at the trial's start, which the cached list does not say
+	Duration          time.Duration // of the load
+	LoadFraction      float64       // of the capacity that the fleet has after slow start
+	ReplacedFraction  float64       // of the workers; they start with the trial and are not in the cached list
+	RestartedFraction float64       // of the workers; they restart with the trial, which the cached list does not show
 }
 
-// DefaultSlowStartTrial is the trial that the operators' page speaks of.
+// DefaultSlowStartTrial is the trial that the operator documentation describes.
 var DefaultSlowStartTrial = SlowStartTrial{
-	Program: "bin/foxlift", Schedulers: 300, Workers: 200, Seed: 1, Duration: 30 * time.Second, LoadFraction: 0.4, ReplacedFraction: 0.5,
+	Program: "bin/foxlift", Schedulers: 300, Workers: 200, Seed: 1, Duration: 30 * time.Second,
+	LoadFraction: 0.4, ReplacedFraction: 0.5,
 }
 
-// A SlowStartResult is what a trial saw.
+// SlowStartResult holds the observations of a trial.
 type SlowStartResult struct {
 	Schedulers                          int
 	HalfInformedAfter, AllInformedAfter time.Duration // until half, and all, of the schedulers had the list; 0: never
-	Informed                            int           // schedulers that had it in the end
-	MaxCallsPerSecond                   int           // calls to discovery in one second
-	DiscoveryCapacity                   float64       // complete lists that it can give in one
-	RejectedCallsPercent                float64       // percent of its calls
-	OverloadedWorkers                   int           // workers overloaded in slow start
-	SendsToRemovedPercent               float64       // percent of the sends that went to removed workers
+	Informed                            int           // schedulers that had the list at the end
+	MaxCallsPerSecond                   int           // to discovery
+	DiscoveryCapacity                   float64       // complete lists per second
+	RejectedCallsPercent                float64       // of the calls to discovery
+	OverloadedWorkers                   int           // during slow start
+	SendsToRemovedPercent               float64       // of the sends
 	Tally                               standin.Tally
-	DuplicateJobs                       int     // at-most-once jobs that ran twice
-	CleanExit                           bool    // all schedulers ended well after SIGTERM
-	DiscoveryIdle                       bool    // no call waited for discovery in the end
-	FinalServedPercent                  float64 // percent served in the last third
+	DuplicateJobs                       int     // at-most-once jobs that ran more than once
+	CleanExit                           bool    // all schedulers exited with code 0 after SIGTERM
+	DiscoveryIdle                       bool    // no call waited for discovery at the end
+	FinalServedPercent                  float64 // in the last third of the trial
 }
 
-// Line is the result in one line.
+// Line returns the result as one line.
 func (r SlowStartResult) Line() string {
 	return fmt.Sprintf("coldstart: schedulers %d, lists at half in %.2f s, at all in %.2f s (%d), "+
-		"calls a second at most %d of capacity %.0f, refused %.1f %%, nodes pushed over %d, "+
-		"sends to gone nodes %.1f %%, jobs lost %d, twice %d, service %.1f %% (last third %.1f %%)",
+		"calls per second at most %d of capacity %.0f, rejected %.1f %%, workers overloaded %d, "+
+		"sends to removed workers %.1f %%, jobs lost %d, ran more than once %d, served %.1f %% (last third %.1f %%)",
 		r.Schedulers, r.HalfInformedAfter.Seconds(), r.AllInformedAfter.Seconds(), r.Informed,
 		r.MaxCallsPerSecond, r.DiscoveryCapacity, r.RejectedCallsPercent, r.OverloadedWorkers,
 		r.SendsToRemovedPercent, r.Tally.Lost, r.DuplicateJobs, r.Tally.ServedPercent(), r.FinalServedPercent)
 }
 
-// OK reports whether what must never happen did not.
+// OK reports whether the trial passed: no worker was overloaded, no job was lost, none ran twice, all
+// schedulers exited cleanly, and jobs were sent.
 func (r SlowStartResult) OK() bool {
 	return r.OverloadedWorkers == 0 && r.Tally.Lost == 0 && r.DuplicateJobs == 0 && r.CleanExit && r.Tally.Sent > 0
 }
 
-// Of the workers, by kind; the others are old.
+// The percentages of the workers by kind; the remaining workers are of the kind "old".
 const (
 	largePercent  = 28
 	mediumPercent = 36
@@ -70,19 +72,19 @@
 
 const (
 	trialStartTimeout = 30 * time.Second
-	shuffleRNGStream  = 11 // stream of the seed's random numbers
-	trialReportCount  = 3  // while the load lasts
+	shuffleRNGStream  = 11 // of the seed's random numbers
+	trialReportCount  = 3  // progress reports during the load
 )
 
-// trialPrice is what the trial's discovery takes for its calls.
+// trialCallCost is the cost of calls to the trial's discovery.
 var trialCallCost = standin.CallCost{
 	PerCall: 2 * time.Millisecond,
 	PerHost: 100 * time.Microsecond,
 	MaxWait: 2 * time.Second,
 }
 
-// world is the trial's deployment: three kinds of worker, two classes, in the proportions of
-// the platform's own.
+// topology returns the trial's deployment: three kinds of worker and two classes, in the proportions
+// of the platform's own deployment.
 func (o SlowStartTrial) topology() lab.Topology {
 	large := max(1, o.Workers*largePercent/100)
 	medium := max(1, o.Workers*mediumPercent/100)
@@ -120,7 +122,7 @@
 	}
 }
 
-// Run plays the trial.
+// Run runs the trial and writes its progress to w.
 func (o SlowStartTrial) Run(w io.Writer) (r SlowStartResult, err error) {
 	f, err := New(Options{
 		Topology: o.topology(),
@@ -148,7 +150,7 @@
 		close(load.stop)
 		return r, err
 	}
-	fmt.Fprintf(w, "%d schedulers are ready after %.1f s\n", o.Schedulers, time.Since(began).Seconds())
+	fmt.Fprintf(w, "%d schedulers ready after %.1f s\n", o.Schedulers, time.Since(began).Seconds())
 	o.reportProgress(w, f, load, began, &r)
 	r.Tally = standin.Total(r.Tally, load.Stop())
 	r.recordDiscovery(f, began)
@@ -161,7 +163,7 @@
 	return r, nil
 }
 
-// release replaces a part of the workers and restarts another one.
+// replaceWorkers replaces a random part of the workers and restarts another part.
 func (o SlowStartTrial) replaceWorkers(f *Fleet) (err error) {
 	rng := rand.New(rand.NewPCG(o.Seed, shuffleRNGStream))
 	workers := f.Workers()
@@ -181,7 +183,7 @@
 	return nil
 }
 
-// watch reports on the load for as long as the trial lasts.
+// reportProgress writes progress reports until the trial's duration has passed, and adds up the tally.
 func (o SlowStartTrial) reportProgress(w io.Writer, f *Fleet, load *Load, began time.Time, r *SlowStartResult) {
 	for i := range trialReportCount {
 		<-time.After(time.Until(began.Add(o.Duration * time.Duration(i+1) / trialReportCount)))
@@ -189,14 +191,14 @@
 		r.Tally = standin.Total(r.Tally, tally)
 		r.FinalServedPercent = tally.ServedPercent()
 		calls := f.Discovery.Calls()
-		fmt.Fprintf(w, "%5.1f s: %d jobs, service %.1f %%, refused %d, late %d, failed %d; "+
-			"discovery: %d calls, %d refused, %d waiting\n",
+		fmt.Fprintf(w, "%5.1f s: %d jobs, served %.1f %%, shed %d, late %d, failed %d; "+
+			"discovery: %d calls, %d rejected, %d waiting\n",
 			time.Since(began).Seconds(), tally.Sent, tally.ServedPercent(), tally.Shed, tally.Late, tally.Failed,
 			calls.Received, calls.Rejected, calls.Waiting)
 	}
 }
 
-// recordDiscovery takes in when the schedulers had the list, and what that asked of discovery.
+// recordDiscovery records when the schedulers had the list, and the load that this put on discovery.
 func (r *SlowStartResult) recordDiscovery(f *Fleet, began time.Time) {
 	var first []time.Duration
 	for _, p := range f.Processes {
@@ -218,7 +220,7 @@
 	r.DiscoveryIdle = calls.Waiting == 0
 }
 
-// percent is a share in percent; of nothing it is 0.
+// percent returns part as a percentage of whole; 0 if whole is 0.
 func percent(part, whole int64) float64 {
 	return 100 * float64(part) / float64(max(1, whole))
 }
--- a/internal/lab/fleet/successor.go
+++ b/internal/lab/fleet/successor.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// adminVariable begins the setting of the operators' address in a process's environment.
+// adminVariable is the start of the environment entry that sets a process's admin address.
 const adminVariable = "LB_ADMIN="
 
-// Successor prepares another process in the place of process i, as the platform does for an
-// upgrade: the configuration, the environment and the folder for temporary files are the same,
-// and only the operators' address is another one. It needs Options.Admin.
+// Successor prepares another process in the place of process i, as the platform does for an upgrade:
+// it has the same configuration, environment and directory for temporary files, and a different admin
+// address. It requires Options.Admin.
 func (f *Fleet) Successor(i int) (*Process, error) {
 	admin, err := freeAddr()
 	if err != nil {
@@ -23,7 +23,7 @@
 		Name: fmt.Sprintf("%s, successor %d", base.Name, len(f.successors)+1), Addr: base.Addr, AdminAddr: admin,
 		program: f.Program, pastCounters: map[string]int64{},
 	}
-	// Of a variable that is there twice, the last one holds.
+	// If a variable occurs twice, the last one is used.
 	next.env = append(slices.Clone(base.env), adminVariable+admin)
 	f.successors = append(f.successors, next)
 	return next, nil
--- a/internal/lab/fleet/workers.go
+++ b/internal/lab/fleet/workers.go
@@ -10,7 +10,8 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// groupWindow is how long groups drop repeats: as long as the settings say, if nothing else is asked for.
+// groupWindow returns how long dedup groups drop repeats: GroupWindow if it is set, and the topology's
+// DedupWindow otherwise.
 func (f *Fleet) groupWindow() time.Duration {
 	if f.GroupWindow != 0 {
 		return f.GroupWindow
@@ -18,7 +19,8 @@
 	return f.DedupWindow
 }
 
-// AddWorker starts a worker and has discovery announce it; started is its start, zero: long ago.
+// AddWorker starts a worker and adds it to discovery as active. The worker reports started as its
+// start time; zero means long ago.
 func (f *Fleet) AddWorker(kind lab.WorkerKind, started time.Time) (*standin.Worker, error) {
 	l, err := standin.Listen()
 	if err != nil {
@@ -61,8 +63,8 @@
 	return worker
 }
 
-// Restart kills a worker's process and starts it again, in slow start: its address is the same, and so
-// is its name, unless another is given: then another worker has its address.
+// Restart kills a worker's process and starts it again at the same address, in slow start. If a name
+// is given, the new process is a different worker with that name, and the old worker leaves discovery.
 func (f *Fleet) Restart(worker *standin.Worker, name string) (*standin.Worker, error) {
 	kind, addr := f.kindOf(worker), worker.Addr()
 	f.crashWorker(worker)
@@ -85,20 +87,21 @@
 	delete(f.running, worker.Name)
 }
 
-// kind returns the kind of a worker.
+// kindOf returns the kind of a worker.
 func (f *Fleet) kindOf(worker *standin.Worker) lab.WorkerKind {
 	isOf := func(kind lab.WorkerKind) bool { return kind.Name == worker.Kind }
 	return f.Kinds[slices.IndexFunc(f.Kinds, isOf)]
 }
 
-// Replace takes a worker away without a drain and starts another, in slow start, in its place.
+// Replace removes a worker without a drain and starts another one of its kind, in slow start and at
+// another address.
 func (f *Fleet) Replace(worker *standin.Worker) (*standin.Worker, error) {
 	f.crashWorker(worker)
 	f.Discovery.Put(worker, standin.Left)
 	return f.AddWorker(f.kindOf(worker), time.Now())
 }
 
-// Workers returns the workers that are up, in the order of their starts.
+// Workers returns the running workers in the order of their starts.
 func (f *Fleet) Workers() []*standin.Worker {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/lab/service/connection_test.go
+++ b/internal/lab/service/connection_test.go
@@ -16,7 +16,8 @@
 
 const completeAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// serveOnce accepts one connection, treats it, and closes treated. The test ends only after that.
+// serveOnce accepts one connection, calls handle with it, and then closes handled. The test's cleanup
+// waits for that.
 func serveOnce(t *testing.T, handle func(net.Conn)) (addr string, handled chan struct{}) {
 	t.Helper()
 	l, err := standin.Listen()
@@ -35,25 +36,26 @@
 	return l.Addr().String(), handled
 }
 
-// readRequest reads one whole request.
+// readRequest reads one complete request.
 func readRequest(c net.Conn) {
 	if r, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
-		_, _ = io.Copy(io.Discard, r.Body) // the client may go away
+		_, _ = io.Copy(io.Discard, r.Body) // the client may disconnect
 	}
 }
 
-// readBytes reads so many bytes of the request, or less where the client goes away.
+// readBytes reads count bytes of the request, or fewer if the client disconnects.
 func readBytes(c net.Conn, count int) {
 	_, _ = io.ReadFull(c, make([]byte, count))
 }
 
-// answerWith reads the request and writes an answer, of which the client may read less.
+// answerWith reads the request and writes an answer. The client may disconnect before it has read all
+// of it.
 func answerWith(c net.Conn, answer string) {
 	readRequest(c)
 	_, _ = io.WriteString(c, answer)
 }
 
-// How a server may treat a connection.
+// The ways in which a server may handle a connection.
 
 func answerCompletely(c net.Conn) {
 	answerWith(c, completeAnswer)
@@ -98,49 +100,50 @@
 	readRequest(c)
 }
 
-// The lab tells a job that was read from one that cannot have been.
+// A load must tell a request that the scheduler may have read from one that it cannot have read. If it
+// confused them, a job could be sent twice, or an upgrade could lose a job unnoticed.
 func TestExchangeOutcome(t *testing.T) {
 	request := requestText("a/north/reading/1", DefaultTopology().Classes[0], "north")
 	for name, c := range map[string]struct {
-		first   bool // the server is done with the connection before the request is sent
-		treat   func(net.Conn)
+		first   bool // the server finishes with the connection before the request is sent
+		handle  func(net.Conn)
 		outcome Outcome
 	}{
-		"a whole answer":               {treat: answerCompletely, outcome: Answered},
-		"read and closed":              {treat: closeAfterRequest, outcome: Interrupted},
-		"half an answer":               {treat: answerPartOfHead, outcome: Interrupted},
-		"an answer without all of it":  {treat: answerPartOfBody, outcome: Interrupted},
-		"half of it read and closed":   {treat: closeHalfRead, outcome: Unread},
-		"closed before it came":        {first: true, treat: closeAtOnce, outcome: Unread},
-		"reset before it came":         {first: true, treat: resetAtOnce, outcome: Unread},
-		"half-closed and read, unsaid": {treat: halfCloseAndRead, outcome: Interrupted},
-		"nothing":                      {treat: readRequest, outcome: DeadlineExceeded},
+		"complete answer":                  {handle: answerCompletely, outcome: Answered},
+		"closed after the request":         {handle: closeAfterRequest, outcome: Interrupted},
+		"part of the head":                 {handle: answerPartOfHead, outcome: Interrupted},
+		"part of the body":                 {handle: answerPartOfBody, outcome: Interrupted},
+		"closed after part of the request": {handle: closeHalfRead, outcome: Unread},
+		"closed before the request":        {first: true, handle: closeAtOnce, outcome: Unread},
+		"reset before the request":         {first: true, handle: resetAtOnce, outcome: Unread},
+		"half-closed, then request read":   {handle: halfCloseAndRead, outcome: Interrupted},
+		"no answer":                        {handle: readRequest, outcome: DeadlineExceeded},
 	} {
 		t.Run(name, func(t *testing.T) {
 			connected := make(chan struct{})
-			addr, treated := serveOnce(t, func(conn net.Conn) {
+			addr, handled := serveOnce(t, func(conn net.Conn) {
 				<-connected
-				c.treat(conn)
+				c.handle(conn)
 			})
 			client, err := dial(addr, time.Now().Add(testTimeout))
 			must(t, err)
 			defer client.conn.Close()
 			close(connected)
 			if c.first {
-				<-treated
+				<-handled
 			}
 			limit := testTimeout
 			if c.outcome == DeadlineExceeded {
 				limit = 100 * time.Millisecond
 			}
 			if _, outcome, err := client.exchange(request, time.Now().Add(limit)); outcome != c.outcome {
-				t.Errorf("%v (%v), should be %v", outcome, err, c.outcome)
+				t.Errorf("exchange() outcome = %v (error %v), want %v", outcome, err, c.outcome)
 			}
 		})
 	}
 }
 
-// A kept connection that the server has closed is not used again.
+// A client must not reuse an idle connection that the server has closed: its request would fail.
 func TestClosedConnectionIsNotUsable(t *testing.T) {
 	end := make(chan struct{})
 	addr, _ := serveOnce(t, func(c net.Conn) {
@@ -151,22 +154,22 @@
 	must(t, err)
 	defer client.conn.Close()
 	if !client.usable() {
-		t.Error("an open connection is not usable")
+		t.Error("usable() = false for an open connection, want true")
 	}
 	close(end)
-	await(t, "the end is seen", testTimeout, func() bool { return !client.usable() })
+	await(t, "the client detects the close", testTimeout, func() bool { return !client.usable() })
 }
 
-// A job that was not read is sent once more; where that fails too, it is lost. One
-// that was read is not sent again.
+// A job that the scheduler did not read is sent a second time, and is lost if that fails too. A job
+// that was read must not be sent again, because it may have run.
 func TestUnreadJobIsSentOnceMore(t *testing.T) {
 	for name, c := range map[string]struct {
-		treat            []func(net.Conn) // the connections in turn
-		lost, turnedBack int
+		handlers     []func(net.Conn) // handlers of the successive connections
+		lost, unread int
 	}{
-		"answered then": {[]func(net.Conn){closeUnread, answerCompletely}, 0, 1},
-		"and again":     {[]func(net.Conn){closeUnread, closeUnread}, 1, 1},
-		"read":          {[]func(net.Conn){closeAfterRequest}, 1, 0},
+		"answered the second time": {[]func(net.Conn){closeUnread, answerCompletely}, 0, 1},
+		"unread twice":             {[]func(net.Conn){closeUnread, closeUnread}, 1, 1},
+		"read":                     {[]func(net.Conn){closeAfterRequest}, 1, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, err := standin.Listen()
@@ -178,25 +181,26 @@
 			})
 			server.Go(func() {
 				defer l.Close()
-				for _, treat := range c.treat {
+				for _, handle := range c.handlers {
 					if conn, err := l.Accept(); err == nil {
-						treat(conn)
+						handle(conn)
 					}
 				}
 			})
 			load := &Load{LoadOptions: DefaultLoad, addr: l.Addr().String(), tally: newTally()}
 			load.submit("a/north/reading/1", DefaultTopology().Classes[0], "north", true)
 			if n := len(load.tally.Lost); n != c.lost {
-				t.Errorf("lost %d, should be %d", n, c.lost)
+				t.Errorf("submit() recorded %d lost jobs, want %d", n, c.lost)
 			}
-			if n := len(load.tally.Unread); n != c.turnedBack {
-				t.Errorf("turned back %d, should be %d", n, c.turnedBack)
+			if n := len(load.tally.Unread); n != c.unread {
+				t.Errorf("submit() recorded %d unread jobs, want %d", n, c.unread)
 			}
 		})
 	}
 }
 
-// The kernel's table tells who listens where.
+// Listens reports an address only while the process listens on it, and rejects an address without a
+// port.
 func TestListensReadsKernelTable(t *testing.T) {
 	l, err := standin.Listen()
 	must(t, err)
@@ -207,10 +211,10 @@
 		}
 		got, err := Listens(syscall.Getpid(), addr)
 		if err != nil || got != open {
-			t.Errorf("listens: %v (%v), should be %v", got, err, open)
+			t.Errorf("Listens(%q) = %v (error %v), want %v", addr, got, err, open)
 		}
 	}
 	if _, err := Listens(syscall.Getpid(), "nowhere"); err == nil || errors.Is(err, syscall.ENOENT) {
-		t.Errorf("an address without a port: %v", err)
+		t.Errorf("Listens of an address without a port: error %v, want one about the address", err)
 	}
 }
--- a/internal/lab/service/descriptors_test.go
+++ b/internal/lab/service/descriptors_test.go
@@ -9,14 +9,14 @@
 	"testing"
 )
 
-// The kernel's table of Unix sockets has a socket's inode in this column.
+// The path of the kernel's table of Unix sockets and its column of the socket's inode.
 const (
 	unixTable       = "/proc/net/unix"
 	unixInodeColumn = 6
 )
 
-// kernelPaths are where no files on disk are. The language's runtime keeps some there open, such as
-// the limits of its control group.
+// kernelPaths are the prefixes of paths that are not files on disk. The Go runtime keeps some of them
+// open, such as the limits of its control group.
 var kernelPaths = []string{"/dev/", "/proc/", "/sys/"}
 
 // descriptors returns what a process has open: its sockets, and the paths of its files on disk.
@@ -27,7 +27,7 @@
 	for _, link := range links {
 		target, err := os.Readlink(link)
 		switch {
-		case err != nil: // closed in the meantime
+		case err != nil: // the descriptor was closed after Glob
 		case strings.HasPrefix(target, "socket:"):
 			sockets = append(sockets, target)
 		case strings.HasPrefix(target, "/") && !isKernelPath(target):
@@ -37,12 +37,13 @@
 	return sockets, files
 }
 
-// ofKernel reports whether a path is of the kernel, not of a disk.
+// isKernelPath reports whether a path belongs to the kernel and not to a disk.
 func isKernelPath(path string) bool {
 	return slices.ContainsFunc(kernelPaths, func(prefix string) bool { return strings.HasPrefix(path, prefix) })
 }
 
-// inodes returns the sockets of one of the kernel's tables whose line is wanted.
+// inodes returns the sockets in one of the kernel's tables, by their inode column, for the lines that
+// wanted selects.
 func inodes(t *testing.T, table string, column int, wanted func(columns []string) bool) map[string]bool {
 	t.Helper()
 	text, err := os.ReadFile(table)
@@ -56,8 +57,9 @@
 	return found
 }
 
-// A process that serves beside another has two listeners, the clients' and the operators', no Unix
-// socket, and one file on disk, by which both find each other.
+// Checks that a process leaks no descriptors when it serves beside another one during an upgrade. It
+// has two listeners (for clients and for its admin address), no Unix socket, and one file on disk: the
+// lock file through which the two processes find each other.
 func TestOpenDescriptors(t *testing.T) {
 	s := startUnderLoad(t)
 	_, err := s.Upgrade(t.Context())
@@ -73,14 +75,14 @@
 			listeners++
 		}
 		if local[socket] {
-			t.Errorf("a Unix socket is open: %s", socket)
+			t.Errorf("Unix socket %s is open, want none", socket)
 		}
 	}
 	if listeners != 2 {
-		t.Errorf("%d listeners, want the clients' and the operators'", listeners)
+		t.Errorf("process has %d listeners, want 2: for clients and for the admin address", listeners)
 	}
 	if len(files) != 1 || !strings.HasSuffix(files[0], ".lock") {
-		t.Errorf("files %q, want one lock", files)
+		t.Errorf("process has open files %q, want only the lock file", files)
 	}
 	s.stopAndCheck(t, 1)
 }
--- a/internal/lab/service/duress_test.go
+++ b/internal/lab/service/duress_test.go
@@ -11,14 +11,16 @@
 	"time"
 )
 
-// callers is how many hold a call on the operators' address that they do not finish.
+// stalledCallers is the number of clients that start a call to the admin address and never finish it.
 const stalledCallers = 200
 
-// retryAfterReplace is after what time a caller comes again whose connection was closed.
+// reconnectDelay is how long a stalled caller waits before it reconnects after its connection was
+// closed.
 const reconnectDelay = 50 * time.Millisecond
 
-// holdCalls has them hold one until the test's end. One that is closed comes again, or stays away.
-func holdCalls(t *testing.T, addr string, again bool) {
+// holdCalls starts stalledCallers unfinished calls that last until the end of the test. If reconnect
+// is set, a caller whose connection is closed reconnects.
+func holdCalls(t *testing.T, addr string, reconnect bool) {
 	t.Helper()
 	stop := make(chan struct{})
 	var held, wait sync.WaitGroup
@@ -29,7 +31,7 @@
 			defer first()
 			for {
 				holdCall(t.Context(), addr, first, stop)
-				if !again {
+				if !reconnect {
 					return
 				}
 				select {
@@ -47,19 +49,20 @@
 	held.Wait()
 }
 
-// holdCall begins one call, reports that it is held, and returns once the other side or stop ends it.
+// holdCall starts one unfinished call, calls held, and returns when the other side closes the
+// connection or stop is closed.
 func holdCall(ctx context.Context, addr string, held func(), stop <-chan struct{}) {
 	dialer := net.Dialer{Timeout: testTimeout}
 	c, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return
 	}
-	_, _ = io.WriteString(c, "GET /admin/hea") // a connection that is closed already ends below
+	_, _ = io.WriteString(c, "GET /admin/hea") // if the connection is closed already, the read below ends
 	held()
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		_, _ = io.Copy(io.Discard, c) // until the connection's end, whatever that is
+		_, _ = io.Copy(io.Discard, c) // until the connection ends, cleanly or with an error
 	}()
 	select {
 	case <-ended:
@@ -69,24 +72,25 @@
 	<-ended
 }
 
-// Beside callers that do not finish their calls, and under load, each call has its answer in
-// time: also where they come again whenever their connection is closed.
+// Clients that never finish their calls must not delay others on the admin address: under load, each
+// call is answered within CallTimeout, even if the stalled clients reconnect whenever their connection
+// is closed.
 func TestAdminCallsAnsweredBesideStalledCalls(t *testing.T) {
-	for name, again := range map[string]bool{"once": false, "again and again": true} {
-		t.Run(name, func(t *testing.T) { testAnsweredBesideStalledCalls(t, again) })
+	for name, reconnect := range map[string]bool{"without reconnect": false, "with reconnect": true} {
+		t.Run(name, func(t *testing.T) { testAnsweredBesideStalledCalls(t, reconnect) })
 	}
 }
 
-// testAnsweredBesideStalledCalls checks the time of each kind of call beside the stalled ones.
-func testAnsweredBesideStalledCalls(t *testing.T, again bool) {
+// testAnsweredBesideStalledCalls checks the time of each kind of call while stalled calls are open.
+func testAnsweredBesideStalledCalls(t *testing.T, reconnect bool) {
 	s := startUnderLoad(t)
-	holdCalls(t, s.Current.AdminAddr, again)
+	holdCalls(t, s.Current.AdminAddr, reconnect)
 	operators := AdminClient{s.Current.AdminAddr}
 	slowest := time.Duration(0)
 	timed := func(what string, err error, began time.Time) {
 		took := time.Since(began)
 		if slowest = max(slowest, took); err != nil || took > CallTimeout {
-			t.Errorf("%s: %v after %v", what, err, took)
+			t.Errorf("%s call ended with error %v after %v, want none within %v", what, err, took, CallTimeout)
 		}
 	}
 	for range iterations(20, 100) {
@@ -101,18 +105,18 @@
 	timed("quiesce", operators.Quiesce(t.Context()), began)
 	began = time.Now()
 	timed("resume", operators.Resume(t.Context()), began)
-	t.Logf("the slowest answer came after %v", slowest)
-	await(t, "yes", 2*time.Second, func() bool { return clientHealth(t, s.Deployment) == nil })
+	t.Logf("slowest call took %v", slowest)
+	await(t, "healthy after resume", 2*time.Second, func() bool { return clientHealth(t, s.Deployment) == nil })
 	s.stopAndCheck(t, 1)
 }
 
-// frontHealth returns nil if the scheduler is healthy on the clients' address.
+// clientHealth returns nil if the scheduler reports itself healthy on the clients' address.
 func clientHealth(t *testing.T, d *Deployment) error {
 	_, err := Fetch(t.Context(), http.MethodGet, "http://"+d.Addr()+"/_health")
 	return err
 }
 
-// What is no call is answered 4xx, and changes nothing.
+// A call with a wrong method or path is answered with 4xx and has no effect.
 func TestInvalidAdminCallsAreRejected(t *testing.T) {
 	d := deploy(t, DefaultTopology())
 	for _, call := range []struct{ method, path string }{
@@ -126,7 +130,7 @@
 		_, err := Fetch(t.Context(), call.method, "http://"+d.Current.AdminAddr+call.path)
 		var status *StatusError
 		if !errors.As(err, &status) || status.Status/100 != 4 {
-			t.Errorf("%s %s: %v", call.method, call.path, err)
+			t.Errorf("%s %s: error %v, want a status 4xx", call.method, call.path, err)
 		}
 	}
 	must(t, clientHealth(t, d))
--- a/internal/lab/service/judge_test.go
+++ b/internal/lab/service/judge_test.go
@@ -17,12 +17,13 @@
 scheduler_pool_ejected 1
 `
 
-// Figures are read with and without types, and compared with the tally.
+// ParseMetrics must read metrics with and without a declared type and reject incomplete ones.
+// Mismatches must accept small differences from the clients' tally and report larger ones.
 func TestParseMetrics(t *testing.T) {
 	f, err := ParseMetrics(figuresText)
 	must(t, err)
 	if f.Attempts != 900 || f.Active != 14 || f.PoolSize != 8 || f.Ejected != 1 {
-		t.Errorf("read: %+v", f)
+		t.Errorf("ParseMetrics() = %+v, want 900 attempts, 14 active, pool size 8, 1 ejected", f)
 	}
 	truth := map[string]Responses{"reading": {OK: 815, Shed: 43}, "ratify": {Errors: 4}}
 	if text := f.Mismatches(truth); text != "" {
@@ -30,22 +31,22 @@
 	}
 	truth["reading"] = Responses{OK: 830, Shed: 40}
 	if f.Mismatches(truth) == "" {
-		t.Error("812 agree with 830")
+		t.Error("Mismatches() is empty for 812 reported and 830 received, want a mismatch")
 	}
 	for name, text := range map[string]string{
-		"nothing": "", "no pool": "scheduler_tries_total 1\nscheduler_active 1\nscheduler_pool_ejected 0\n",
+		"no metrics": "", "no pool size": "scheduler_tries_total 1\nscheduler_active 1\nscheduler_pool_ejected 0\n",
 		"an unknown result": figuresText + `scheduler_responses_total{kind="reading",result="maybe"} 1` + "\n",
 	} {
 		if _, err := ParseMetrics(text); err == nil {
-			t.Errorf("%s is taken for figures", name)
+			t.Errorf("ParseMetrics accepted the text with %s, want an error", name)
 		}
 	}
 }
 
-// at is a moment of a trial.
+// at returns a point in time of a simulated trial.
 func at(milliseconds int64) time.Time { return time.UnixMilli(milliseconds) }
 
-// passingResult is a result of two upgrades that passes.
+// newPassingResult returns the result of a trial of two upgrades that passes.
 func newPassingResult() UpgradeTrialResult {
 	r := UpgradeTrialResult{
 		PlannedUpgrades: 2,
@@ -59,13 +60,14 @@
 	return r
 }
 
-// The judge sees each fault, and excuses only what died with a killed process.
+// UpgradeTrialResult.OK must fail for each kind of violation, and must excuse only jobs that were lost
+// with a killed process.
 func TestUpgradeTrialResultOK(t *testing.T) {
 	failed := func(outcome Outcome, began, ended int64) JobRecord {
 		send := Send{StartedAt: at(began), EndedAt: at(ended), Outcome: outcome}
 		return JobRecord{ID: "a/ratify/1", Class: "ratify", Sends: []Send{send}}
 	}
-	turned := func(moments ...int64) func(*UpgradeTrialResult) {
+	unread := func(moments ...int64) func(*UpgradeTrialResult) {
 		return func(r *UpgradeTrialResult) {
 			for _, m := range moments {
 				r.Tally.Unread = append(r.Tally.Unread, failed(Unread, m, m+1))
@@ -85,40 +87,40 @@
 			r.Tally.Lost[0] = failed(Interrupted, began, ended)
 		}
 	}
-	turnedByKill := func(r *UpgradeTrialResult) {
+	unreadByKill := func(r *UpgradeTrialResult) {
 		killed(r)
-		turned(150, 160, 310)(r)
+		unread(150, 160, 310)(r)
 	}
 	for name, c := range map[string]struct {
 		ok     bool
 		change func(*UpgradeTrialResult)
 	}{
-		"nothing":                          {true, func(*UpgradeTrialResult) {}},
-		"lost":                             {false, lost},
-		"wrong":                            {false, wrong},
-		"twice":                            {false, func(r *UpgradeTrialResult) { r.DuplicateJobs = []string{"a"} }},
-		"a late yes":                       {false, late},
-		"an upgrade missing":               {false, func(r *UpgradeTrialResult) { r.PlannedUpgrades = 3 }},
-		"no job served":                    {false, func(r *UpgradeTrialResult) { clear(r.Tally.Answers) }},
-		"two turned back in each":          {true, turned(150, 160, 950, 960)},
-		"three turned back in one":         {false, turned(150, 160, 170)},
-		"died with a killed process":       {true, killed},
-		"lost before the kill":             {false, lostAt(250, 299)},
-		"lost after the kill":              {false, lostAt(351, 360)},
-		"three turned back, one by a kill": {true, turnedByKill},
+		"no violation":                {true, func(*UpgradeTrialResult) {}},
+		"lost job":                    {false, lost},
+		"wrong result":                {false, wrong},
+		"duplicate job":               {false, func(r *UpgradeTrialResult) { r.DuplicateJobs = []string{"a"} }},
+		"ready too late":              {false, late},
+		"missing upgrade":             {false, func(r *UpgradeTrialResult) { r.PlannedUpgrades = 3 }},
+		"no job served":               {false, func(r *UpgradeTrialResult) { clear(r.Tally.Answers) }},
+		"two unread in each upgrade":  {true, unread(150, 160, 950, 960)},
+		"three unread in one upgrade": {false, unread(150, 160, 170)},
+		"lost with a killed process":  {true, killed},
+		"lost before the kill":        {false, lostAt(250, 299)},
+		"lost after the kill":         {false, lostAt(351, 360)},
+		"three unread, one by a kill": {true, unreadByKill},
 	} {
 		r := newPassingResult()
 		if c.change(&r); r.OK() != c.ok {
-			t.Errorf("%s: passes: %v; %s", name, r.OK(), r.Line())
+			t.Errorf("%s: OK() = %v, want %v; %s", name, r.OK(), c.ok, r.Line())
 		}
 	}
 }
 
-// A fault that no trial knows is an error.
+// A trial with an unknown fault fails with errUnknownFault.
 func TestUnknownFault(t *testing.T) {
 	u := DefaultUpgradeTrial
 	u.Fault = "kill-all"
 	if _, err := u.Run(t.Context(), t.Output()); !errors.Is(err, errUnknownFault) {
-		t.Error(err)
+		t.Errorf("Run() with an unknown fault: error %v, want %v", err, errUnknownFault)
 	}
 }
--- a/internal/lab/service/load.go
+++ b/internal/lab/service/load.go
@@ -111,8 +111,8 @@
 	next := time.Now()
 	for number := 1; ; number++ {
 		next = next.Add(time.Duration(rng.ExpFloat64() / l.Rate * float64(time.Second)))
-		class, tenant := l.drawClass(rng.Float64()), l.drawTenant(rng.Float64())
-		fresh := rng.Float64() < l.NewConnectionFraction
+		class, tenant, fresh := l.drawClass(rng.Float64()), l.drawTenant(rng.Float64()),
+			rng.Float64() < l.NewConnectionFraction
 		select {
 		case <-time.After(time.Until(next)):
 		case <-l.stop:
--- a/internal/lab/service/main_test.go
+++ b/internal/lab/service/main_test.go
@@ -18,7 +18,8 @@
 	}))
 }
 
-// patience is for what comes at its own pace: far beyond any rule.
+// testTimeout bounds waits for events that no rule limits. It is far above every time limit of the
+// rules.
 const testTimeout = 30 * time.Second
 
 func must(t *testing.T, err error) {
@@ -28,17 +29,17 @@
 	}
 }
 
-// await waits until a condition holds, and fails after a limit.
+// await waits until a condition holds, and fails the test after a limit.
 func await(t *testing.T, what string, limit time.Duration, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(limit); !holds(); <-time.After(pollInterval) {
 		if time.Now().After(end) {
-			t.Fatalf("not within %v: %s", limit, what)
+			t.Fatalf("condition not met within %v: %s", limit, what)
 		}
 	}
 }
 
-// deploy starts a world's scheduler and ends it with the test.
+// deploy starts the scheduler of a topology and ends it with the test.
 func deploy(t *testing.T, world lab.Topology) *Deployment {
 	t.Helper()
 	d, err := Deploy(t.Context(), program, world)
@@ -47,7 +48,7 @@
 	return d
 }
 
-// size is small in short runs of the tests.
+// iterations returns the first number with -short and the second one otherwise.
 func iterations(short, whole int) int {
 	if testing.Short() {
 		return short
@@ -55,14 +56,14 @@
 	return whole
 }
 
-// A testbed is a deployment under load.
+// testbed is a deployment under load.
 type testbed struct {
 	*Deployment
 	load      *Load
 	startedAt time.Time
 }
 
-// underLoad starts a deployment and a load, and returns once jobs are being answered.
+// startUnderLoad starts a deployment and a load, and returns once jobs are being answered.
 func startUnderLoad(t *testing.T) *testbed {
 	t.Helper()
 	d := deploy(t, DefaultTopology())
@@ -71,7 +72,7 @@
 	return s
 }
 
-// awaitProgress waits until some more jobs have ended.
+// awaitProgress waits until 20 more jobs have ended.
 func (s *testbed) awaitProgress(t *testing.T) {
 	t.Helper()
 	before, _ := s.load.EndedJobs()
@@ -81,8 +82,8 @@
 	})
 }
 
-// terminates ends the load and the scheduler, and judges: no job is lost, no at-most-once job ran
-// twice, and in each upgrade two at most were Unread.
+// stopAndCheck ends the load and the scheduler, and checks that no job was lost, that no at-most-once
+// job ran twice, and that at most maxUnreadPerUpgrade jobs per upgrade were Unread.
 func (s *testbed) stopAndCheck(t *testing.T, upgrades int) {
 	t.Helper()
 	tally := s.load.Stop()
@@ -95,14 +96,14 @@
 	}
 	if len(tally.Unread) > maxUnreadPerUpgrade*upgrades {
 		for _, record := range tally.Unread {
-			t.Error("turned back:", record.Describe(s.startedAt))
+			t.Error("not read:", record.Describe(s.startedAt))
 		}
 	}
 	if ids := s.Fleet.DuplicateJobs(); len(ids) > 0 {
-		t.Errorf("ran twice: %v", ids)
+		t.Errorf("at-most-once jobs %v ran more than once, want none", ids)
 	}
 	if sum := tally.Total(); sum.OK == 0 {
-		t.Error("no job was served")
+		t.Error("no job was served, want some")
 	}
 	must(t, s.Terminate(t.Context()))
 }
--- a/internal/lab/service/quiesce_test.go
+++ b/internal/lab/service/quiesce_test.go
@@ -10,19 +10,20 @@
 	"time"
 )
 
-// The rules of a drain.
+// The time limits of a drain.
 const (
-	maxDrainTime  = 4 * time.Second // from the drain's start until no client's connection is idle
-	maxResumeTime = 2 * time.Second // from the drain's end until yes is due
+	maxDrainTime  = 4 * time.Second // from the start of the drain until all idle client connections are closed
+	maxResumeTime = 2 * time.Second // from the end of the drain until the scheduler is healthy
 )
 
-// A persistentConnection is one that a client keeps for as long as the scheduler does.
+// persistentConnection is a connection that the client keeps open until the scheduler closes it.
 type persistentConnection struct {
 	*connection
-	closed chan struct{} // when the scheduler has ended it
+	closed chan struct{} // closed when the scheduler has ended the connection
 }
 
-// openPersistent connects; awaitClose watches for the end once jobs have run on the connection.
+// openPersistent connects to the scheduler. awaitClose detects the end of the connection once its jobs
+// are done.
 func openPersistent(t *testing.T, d *Deployment) *persistentConnection {
 	t.Helper()
 	c, err := dial(d.Addr(), time.Now().Add(testTimeout))
@@ -31,60 +32,60 @@
 	return &persistentConnection{c, make(chan struct{})}
 }
 
-// awaitClose reads until the connection's end.
+// awaitClose reads until the connection ends.
 func (c *persistentConnection) awaitClose() {
 	defer close(c.closed)
 	c.conn.SetDeadline(time.Now().Add(testTimeout))
-	_, _ = c.reader.ReadByte() // the end, whatever it is
+	_, _ = c.reader.ReadByte() // any error ends the connection
 }
 
-// checkServed runs a job on a connection, and checks that it is served.
+// checkServed sends a job on a connection and checks that it is answered with 200.
 func checkServed(t *testing.T, client *connection, text, what string) {
 	t.Helper()
 	got, outcome, err := client.exchange(text, time.Now().Add(testTimeout))
 	if outcome != Answered || got.Status != http.StatusOK {
-		t.Errorf("%s is %v, status %d (%v)", what, outcome, got.Status, err)
+		t.Errorf("%s: outcome %v, status %d (error %v), want answered with 200", what, outcome, got.Status, err)
 	}
 }
 
-// mustQuiesce drains a scheduler, and checks that its next health is a no.
+// mustQuiesce starts a drain and checks that the next health check on the clients' address fails.
 func mustQuiesce(t *testing.T, d *Deployment) (began time.Time) {
 	t.Helper()
 	began = time.Now()
 	must(t, AdminClient{d.Current.AdminAddr}.Quiesce(t.Context()))
 	var status *StatusError
 	if err := clientHealth(t, d); !errors.As(err, &status) {
-		t.Errorf("after the drain's start health says %v", err)
+		t.Errorf("health check after the start of the drain: error %v, want a status other than 2xx", err)
 	}
 	return began
 }
 
-// mustResume ends a drain, and checks that health is a yes in time and that a job is served then.
+// mustResume ends a drain and checks that the scheduler is healthy in time and then serves a job.
 func mustResume(t *testing.T, d *Deployment) {
 	t.Helper()
 	must(t, AdminClient{d.Current.AdminAddr}.Resume(t.Context()))
-	await(t, "yes after the drain's end", maxResumeTime, func() bool { return clientHealth(t, d) == nil })
+	await(t, "the scheduler is healthy after the drain", maxResumeTime, func() bool { return clientHealth(t, d) == nil })
 	client := openPersistent(t, d)
 	text := requestText("resumed/north/reading/"+client.localPort(), d.Fleet.Classes[0], "north")
-	checkServed(t, client.connection, text, "after the drain a job")
+	checkServed(t, client.connection, text, "job after the drain")
 }
 
-// At a drain idle connections are closed, whether they have carried a job or nothing yet, jobs in
-// work are answered, and the process goes on.
+// A drain must close idle connections, whether they have carried a job or none yet, must answer the
+// jobs in progress, and must not end the process.
 func TestQuiesceClosesIdleConnections(t *testing.T) {
-	const kept, silent, working = 10, 5, 8
+	const reused, unused, working = 10, 5, 8
 	world := DefaultTopology()
 	long := &world.Classes[1]
 	long.ServiceTime, long.LatencyObjective, long.Deadline = 1500*time.Millisecond, 4*time.Second, 6*time.Second
 	d := deploy(t, world)
 	var idle []*persistentConnection
-	for i := range kept {
+	for i := range reused {
 		client := openPersistent(t, d)
 		text := requestText(fmt.Sprintf("kept/north/reading/%d", i), world.Classes[0], "north")
-		checkServed(t, client.connection, text, "before the drain a job")
+		checkServed(t, client.connection, text, "job before the drain")
 		idle = append(idle, client)
 	}
-	for range silent {
+	for range unused {
 		idle = append(idle, openPersistent(t, d))
 	}
 	var work sync.WaitGroup
@@ -92,13 +93,13 @@
 		client := openPersistent(t, d)
 		text := requestText(fmt.Sprintf("working/north/ratify/%d", i), *long, "north")
 		work.Go(func() {
-			checkServed(t, client.connection, text, "a job in work at the drain")
+			checkServed(t, client.connection, text, "job in progress at the drain")
 			client.awaitClose()
 		})
 		idle = append(idle, client)
 	}
-	await(t, "the jobs run", testTimeout, func() bool { return startedJobs(d) >= kept+working })
-	for _, client := range idle[:kept+silent] {
+	await(t, "the jobs run", testTimeout, func() bool { return startedJobs(d) >= reused+working })
+	for _, client := range idle[:reused+unused] {
 		work.Go(client.awaitClose)
 	}
 	began := mustQuiesce(t, d)
@@ -106,8 +107,8 @@
 		select {
 		case <-client.closed:
 		case <-time.After(time.Until(began.Add(maxDrainTime))):
-			t.Errorf("connection %d of %d kept, %d silent and %d working ones is open after %v",
-				i, kept, silent, working, maxDrainTime)
+			t.Errorf("connection %d (%d reused, %d unused, %d with a job) is still open after %v",
+				i, reused, unused, working, maxDrainTime)
 		}
 	}
 	work.Wait()
@@ -116,14 +117,14 @@
 	must(t, d.Terminate(t.Context()))
 }
 
-// checkAlive returns nil if the process still answers its operators.
+// checkAlive returns nil if the process still answers on its admin address.
 func (o AdminClient) checkAlive(ctx context.Context) error {
 	_, err := o.Stats(ctx)
 	return err
 }
 
-// Clients that go on with jobs on their open connections are sent away too: each connection ends
-// in time, and each job that was read has its answer.
+// Clients that keep sending jobs must not prolong a drain: each connection is closed within
+// maxDrainTime, and each job that was read is answered.
 func TestQuiesceDisconnectsBusyClients(t *testing.T) {
 	const clients = 12
 	d := deploy(t, DefaultTopology())
@@ -144,14 +145,15 @@
 					break
 				}
 				if last = time.Now(); outcome != Answered {
-					t.Errorf("client %d, job %d: %v (%v)", i, number, outcome, err)
+					t.Errorf("client %d, job %d: outcome %v (error %v), want answered", i, number, outcome, err)
 					break
 				} else if a.Status != http.StatusOK && a.Status != http.StatusServiceUnavailable {
-					t.Errorf("client %d, job %d: status %d", i, number, a.Status)
+					t.Errorf("client %d, job %d: status %d, want 200 or 503", i, number, a.Status)
 				}
 			}
 			if began := <-quiesce; last.Sub(began) > maxDrainTime {
-				t.Errorf("client %d was served for %v after the drain's start", i, last.Sub(began))
+				t.Errorf("client %d was served until %v after the start of the drain, want %v at most",
+					i, last.Sub(began), maxDrainTime)
 			}
 		})
 	}
@@ -165,7 +167,7 @@
 	must(t, d.Terminate(t.Context()))
 }
 
-// A drain that is asked for twice is one, and so is its end.
+// Starting a drain twice has the effect of one start, and ending it twice the effect of one end.
 func TestQuiesceAndResumeTwice(t *testing.T) {
 	d := deploy(t, DefaultTopology())
 	mustQuiesce(t, d)
--- a/internal/lab/service/stats_test.go
+++ b/internal/lab/service/stats_test.go
@@ -8,16 +8,16 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// lateness is by how much figures may be late.
+// metricsDelay is how old the reported metrics may be.
 const metricsDelay = 500 * time.Millisecond
 
-// awaitFigures fetches the figures until they hold, which they do in time.
+// awaitMetrics fetches the metrics until a condition holds, and fails the test after a limit.
 func awaitMetrics(t *testing.T, d *Deployment, what string, limit time.Duration, holds func(Metrics) bool) {
 	t.Helper()
 	var last Metrics
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Logf("the last figures: %+v", last)
+			t.Logf("last metrics: %+v", last)
 		}
 	})
 	await(t, what, limit, func() bool {
@@ -28,7 +28,8 @@
 	})
 }
 
-// After too much load, with workers that fail, the figures agree with the clients' own.
+// Under overload and with failing workers, the metrics must count the same served, shed and failed
+// jobs as the clients do, and the same attempts as the workers do.
 func TestMetricsAgreeWithClients(t *testing.T) {
 	world := DefaultTopology()
 	world.Kinds[0].Count, world.Kinds[0].Slots = 4, 2
@@ -47,27 +48,27 @@
 	tally := load.Stop()
 	t.Log(tally.Line())
 	if len(tally.Lost) > 0 {
-		t.Errorf("lost: %v", tally.Lost)
+		t.Errorf("lost jobs %v, want none", tally.Lost)
 	}
-	var told Metrics
+	var reported Metrics
 	defer func() {
-		t.Log(told.Mismatches(tally.Answers))
-		t.Logf("tries %.0f, the workers have read %d", told.Attempts, d.Fleet.RequestsRead())
+		t.Log(reported.Mismatches(tally.Answers))
+		t.Logf("scheduler reports %.0f attempts, workers have read %d requests", reported.Attempts, d.Fleet.RequestsRead())
 	}()
-	awaitMetrics(t, d, "the responses are the clients'", metricsDelay, func(f Metrics) bool {
-		told = f
+	awaitMetrics(t, d, "the metrics count the clients' responses", metricsDelay, func(f Metrics) bool {
+		reported = f
 		return f.Mismatches(tally.Answers) == ""
 	})
-	awaitMetrics(t, d, "the tries are the workers'", metricsDelay, func(f Metrics) bool {
-		told = f
+	awaitMetrics(t, d, "the metrics count the attempts that the workers read", metricsDelay, func(f Metrics) bool {
+		reported = f
 		return WithinTolerance(f.Attempts, float64(d.Fleet.RequestsRead()), AttemptsTolerance)
 	})
-	if told.Active > absoluteTolerance {
-		t.Errorf("%.0f jobs are active, and all have ended", told.Active)
+	if reported.Active > absoluteTolerance {
+		t.Errorf("metrics report %.0f active jobs, want at most %d: all jobs have ended", reported.Active, absoluteTolerance)
 	}
 }
 
-// served is how many jobs the figures say were served.
+// servedJobs returns how many jobs were served according to the metrics.
 func (f Metrics) servedJobs() (sum float64) {
 	for _, r := range f.Responses {
 		sum += r.OK
@@ -75,7 +76,7 @@
 	return sum
 }
 
-// A process counts its own jobs only: after an upgrade it begins at 0.
+// A process must count only its own jobs: after an upgrade the metrics start at 0 again.
 func TestMetricsStartAtZeroAfterUpgrade(t *testing.T) {
 	s := startUnderLoad(t)
 	before, _ := s.load.EndedJobs()
@@ -84,13 +85,14 @@
 	s.awaitProgress(t)
 	tally := s.load.Stop()
 	most := float64(tally.Sent-before) + absoluteTolerance
-	awaitMetrics(t, s.Deployment, "it counts some, and none from before the upgrade", metricsDelay, func(f Metrics) bool {
+	awaitMetrics(t, s.Deployment, "only jobs after the upgrade are counted", metricsDelay, func(f Metrics) bool {
 		return f.servedJobs() > 0 && f.servedJobs() <= most
 	})
 	must(t, s.Terminate(t.Context()))
 }
 
-// While jobs run, and wait for a worker, as many are active; once they are answered, none is.
+// The number of active jobs must include running jobs and jobs that wait for a worker, and be 0 once
+// all jobs are answered.
 func TestActiveJobsAreCounted(t *testing.T) {
 	const jobs = 24
 	world := DefaultTopology()
@@ -104,19 +106,19 @@
 		t.Cleanup(func() { c.conn.Close() })
 		text := requestText("active/north/ratify/"+c.localPort(), *class, "north")
 		wait.Go(func() {
-			checkServed(t, c, text, "an active job")
+			checkServed(t, c, text, "active job")
 		})
 	}
 	await(t, "the jobs run", testTimeout, func() bool { return startedJobs(d) >= jobs })
 	active := func(truth float64) func(Metrics) bool {
 		return func(f Metrics) bool { return WithinTolerance(f.Active, truth, ActiveTolerance) }
 	}
-	awaitMetrics(t, d, "they are active", metricsDelay, active(jobs))
+	awaitMetrics(t, d, "all jobs are active", metricsDelay, active(jobs))
 	wait.Wait()
-	awaitMetrics(t, d, "none is active", metricsDelay, active(0))
+	awaitMetrics(t, d, "no job is active", metricsDelay, active(0))
 }
 
-// runs is how many different jobs the workers have begun.
+// startedJobs returns how many different jobs the workers have started.
 func startedJobs(d *Deployment) int {
 	ids := map[string]bool{}
 	for _, n := range d.Fleet.Workers() {
@@ -127,7 +129,7 @@
 	return len(ids)
 }
 
-// The pool is as large as the endpoint list, also as that changes, and workers that crashed are
+// The reported pool size must follow changes of the endpoint list, and workers that crashed must be
 // reported as ejected.
 func TestPoolIsReported(t *testing.T) {
 	d := deploy(t, DefaultTopology())
@@ -137,18 +139,18 @@
 	awaitMetrics(t, d, "all workers are in the pool", 2*time.Second, size(8))
 	added, err := d.Fleet.AddWorker(d.Fleet.Kinds[0], time.Time{})
 	must(t, err)
-	awaitMetrics(t, d, "another one is", 2*time.Second, size(9))
+	awaitMetrics(t, d, "the added worker is in the pool", 2*time.Second, size(9))
 	d.Fleet.Discovery.Put(added, "left")
-	awaitMetrics(t, d, "it has left", 2*time.Second, size(8))
+	awaitMetrics(t, d, "the removed worker is not in the pool", 2*time.Second, size(8))
 	load := StartLoad(d.Addr(), d.Fleet.Topology, DefaultLoad)
 	for _, n := range d.Fleet.Workers()[:2] {
 		n.Crash()
 	}
-	awaitMetrics(t, d, "two are avoided", 10*time.Second, func(f Metrics) bool {
+	awaitMetrics(t, d, "the two crashed workers are ejected", 10*time.Second, func(f Metrics) bool {
 		return f.PoolSize == 8 && f.Ejected == 2
 	})
 	if tally := load.Stop(); tally.Total().OK == 0 {
-		t.Error(tally.Line())
+		t.Errorf("no job was served, want some: %s", tally.Line())
 	}
 	must(t, d.Terminate(t.Context()))
 }
--- a/internal/lab/service/trial.go
+++ b/internal/lab/service/trial.go
@@ -100,7 +100,8 @@
 func (r UpgradeTrialResult) OK() bool {
 	_, most := r.UnreadJobs()
 	return len(r.Lost()) == 0 && len(r.DuplicateJobs) == 0 && len(r.Tally.WrongResults) == 0 &&
-		most <= maxUnreadPerUpgrade && r.SlowestStart() <= ReadyLimit && len(r.Upgrades) == r.PlannedUpgrades && r.Tally.Total().OK > 0
+		most <= maxUnreadPerUpgrade && r.SlowestStart() <= ReadyLimit &&
+		len(r.Upgrades) == r.PlannedUpgrades && r.Tally.Total().OK > 0
 }
 
 // Run runs the trial. If an upgrade fails, the result holds the observations until then.
--- a/internal/lab/service/upgrade_test.go
+++ b/internal/lab/service/upgrade_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// runTrial runs a trial and judges it.
+// runTrial runs a trial and checks that it passes.
 func runTrial(t *testing.T, u UpgradeTrial) UpgradeTrialResult {
 	t.Helper()
 	u.Program = program
@@ -17,41 +17,42 @@
 	t.Log(report.String())
 	must(t, err)
 	if !r.OK() {
-		t.Error(r.Line())
+		t.Errorf("trial failed: %s", r.Line())
 	}
 	return r
 }
 
-// Under load, one upgrade after another costs no job.
+// Consecutive upgrades under load must not lose a job.
 func TestUpgradesInARow(t *testing.T) {
 	u := DefaultUpgradeTrial
 	u.Upgrades = iterations(3, 20)
 	runTrial(t, u)
 }
 
-// A new process that is killed before it is ready, or stopped first, costs no job: the old one goes
-// on, and the next one takes over.
+// A new process that is killed or stopped before it is ready must not cost a job: the old process
+// continues to serve, and the next new process replaces it.
 func TestSuccessorFailsBeforeReady(t *testing.T) {
 	for _, fault := range []Fault{KillSuccessor, SuspendSuccessor} {
 		t.Run(string(fault), func(t *testing.T) {
 			u := DefaultUpgradeTrial
 			u.Upgrades, u.Fault = iterations(3, 6), fault
 			if r := runTrial(t, u); r.FaultsInjected == 0 {
-				t.Error("each new process listened before it could be stopped")
+				t.Error("trial injected no fault: each new process listened before it could be stopped")
 			}
 		})
 	}
 }
 
-// The old process is killed after each step of an upgrade: what it had is gone, all else is
-// answered, and none that must not runs twice.
+// The old process is killed after each step of an upgrade. Only its own jobs may be lost; all others
+// are answered, and no at-most-once job runs twice.
 func TestPredecessorKilledDuringUpgrade(t *testing.T) {
 	u := DefaultUpgradeTrial
 	u.Upgrades, u.Fault = int(stepCount)*iterations(1, 2), KillPredecessor
 	runTrial(t, u)
 }
 
-// Both processes are told to read their files again, before the old one is told to end and after.
+// Both processes receive SIGHUP, which reloads their files, before and after the old process receives
+// SIGTERM. Neither may lose a job.
 func TestReloadDuringUpgrade(t *testing.T) {
 	s := startUnderLoad(t)
 	old := s.Current
@@ -72,7 +73,7 @@
 	s.stopAndCheck(t, 1)
 }
 
-// The old process is drained while the new one starts.
+// The old process is drained while the new one starts. No job may be lost.
 func TestQuiesceDuringUpgrade(t *testing.T) {
 	s := startUnderLoad(t)
 	old := AdminClient{s.Current.AdminAddr}
@@ -88,8 +89,8 @@
 	s.stopAndCheck(t, 1)
 }
 
-// The second upgrade begins when the first one's successor is ready: three processes are there at a
-// time.
+// The second upgrade starts when the successor of the first one is ready, so three processes run at
+// the same time. No job may be lost.
 func TestTwoUpgradesInARow(t *testing.T) {
 	s := startUnderLoad(t)
 	var terminations [2]*Termination
