--- a/internal/lab/fleet/cut_test.go
+++ b/internal/lab/fleet/cut_test.go
@@ -8,18 +8,18 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// drainGrace is how long after a change of the list sends may still begin: as lab.World tells it in its
-// settings, and the slack of the rules on sockets.
+// drainGrace is how long after a change of the endpoint list sends may still begin: the drain grace in
+// the settings that lab.Topology generates, plus the slack of the rules on sockets.
 const drainGrace = 750*time.Millisecond + 50*time.Millisecond
 
-// Workers are cut off from the schedulers under load, and the list says that they have left. When they can
-// be reached again, no request that was written before reaches them: it would be a send to a removed worker,
-// as late as the cut was long.
+// Workers are unreachable for the schedulers under load while the endpoint list says that they have
+// left. When they can be reached again, they must receive no request that was written before: that
+// would be a send to a removed worker, delayed by the whole partition.
 func TestPartitionedWorkersGetNoLateRequests(t *testing.T) {
 	f := newSmallFleet(t, 2, func(o *Options) {
 		o.WorkerLinks = true
 		for i := range o.Classes {
-			o.Classes[i].Deadline = 20 * time.Second // requests outlive the cut
+			o.Classes[i].Deadline = 20 * time.Second // requests outlive the partition
 		}
 	})
 	must(t, f.StartAll(20*time.Second))
@@ -30,7 +30,7 @@
 	}
 	l := f.StartLoad("cut", 200, 5)
 	for _, worker := range cut {
-		await(t, worker.Name+" has requests in the cut", func() bool { return pendingBytes(f, worker) > 0 })
+		await(t, worker.Name+" has pending requests during the partition", func() bool { return pendingBytes(f, worker) > 0 })
 	}
 	for _, worker := range cut {
 		f.Discovery.Put(worker, standin.Left)
@@ -42,31 +42,31 @@
 		healLinks(f, worker)
 	}
 	for _, worker := range cut {
-		await(t, worker.Name+" gets what was held back", func() bool { return pendingBytes(f, worker) == 0 })
+		await(t, worker.Name+" receives the data that was held back", func() bool { return pendingBytes(f, worker) == 0 })
 	}
 	stopAndCheck(t, f, l, standin.Tally{})
 	for _, worker := range cut {
 		if late := worker.LastRequestTime().Sub(notifiedAt); late > 0 {
-			t.Errorf("a request reaches %s %v after all schedulers were told that it has left", worker.Name, late)
+			t.Errorf("request reached %s %v after all schedulers were notified that it left, want none", worker.Name, late)
 		}
 	}
 }
 
-// silence holds back all that goes between the schedulers and a worker.
+// blockLinks holds back all data between the schedulers and a worker.
 func blockLinks(f *Fleet, worker *standin.Worker) {
 	for i := range f.Processes {
 		f.WorkerLink(i, worker).Block(ToTarget, FromTarget)
 	}
 }
 
-// heal passes it on again.
+// healLinks forwards the data again.
 func healLinks(f *Fleet, worker *standin.Worker) {
 	for i := range f.Processes {
 		f.WorkerLink(i, worker).Heal()
 	}
 }
 
-// waitingFor returns how many bytes for a worker are held back.
+// pendingBytes returns how many bytes for a worker are held back.
 func pendingBytes(f *Fleet, worker *standin.Worker) (sum int) {
 	for i := range f.Processes {
 		sum += f.WorkerLink(i, worker).PendingBytes()
@@ -74,7 +74,8 @@
 	return sum
 }
 
-// awaitVersion waits until each of these processes has had the newest version of the list.
+// awaitVersion waits until discovery has sent its current version of the endpoint list to each of the
+// processes.
 func awaitVersion(t *testing.T, f *Fleet, which ...*Process) {
 	t.Helper()
 	version := f.Discovery.Version()
@@ -83,8 +84,9 @@
 	}
 }
 
-// A scheduler is killed, workers go off the list while it is down, and it starts again with the list as it was
-// before: it sends nothing there while discovery, which can be reached, is late with its answer.
+// A scheduler is killed, workers leave the endpoint list while it is down, and it starts again with
+// its old cached list. While discovery is reachable but answers late, the scheduler must send nothing
+// to these workers.
 func TestExpiredEndpointsSendNothingToRemovedWorkers(t *testing.T) {
 	f := newSmallFleet(t, 2, nil)
 	must(t, f.StartAll(20*time.Second))
@@ -97,11 +99,11 @@
 	}
 	awaitVersion(t, f, f.Processes[1])
 	for _, l := range f.Links {
-		l.Throttle(500*time.Millisecond, 0) // there and back: the answer is a second late
+		l.Throttle(500*time.Millisecond, 0) // in each direction, so the answer takes a second longer
 	}
 	restarted := time.Now()
 	must(t, p.Start())
-	await(t, "it listens", func() bool { return reachable(p.Addr) })
+	await(t, p.Name+" listens", func() bool { return reachable(p.Addr) })
 	early := &standin.Client{
 		Addr:      p.Addr,
 		Tenant:    "all",
@@ -116,16 +118,16 @@
 	checkServes(t, f, "restarted")
 	jobs.Wait()
 	if tally := early.TakeTally(); tally.Lost+tally.Failed > 0 {
-		t.Errorf("of the jobs that came before the answer: %+v", tally)
+		t.Errorf("jobs sent before discovery's answer: tally %+v, want none lost or failed", tally)
 	}
 	for _, worker := range left {
 		if late := worker.LastRequestTime().Sub(restarted); late > 0 {
-			t.Errorf("a request reaches %s, which left before, %v after the restart", worker.Name, late)
+			t.Errorf("request reached removed worker %s %v after the restart, want none", worker.Name, late)
 		}
 	}
 }
 
-// reachable reports whether somebody listens at an address.
+// reachable reports whether a process listens at an address.
 func reachable(addr string) bool {
 	c, err := standin.Dial(addr, 0)
 	if err != nil {
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -11,9 +11,9 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// Connections are reset or silenced amid deduplicated jobs, and messages between the schedulers are
-// corrupted: none runs twice. Where the groups forget sooner than the settings say, or know nothing of
-// each other, the same judge says so.
+// Connections are reset or blocked during deduplicated jobs, and messages between the schedulers are
+// corrupted: no job may run twice. The check itself is tested with two faulty deployments, in which
+// groups drop repeats for too short a time or share no state; there it must find duplicates.
 func TestDeduplicatedJobsRunOnce(t *testing.T) {
 	for name, weaken := range map[string]func(*KeyedTrial){
 		"":             nil,
@@ -30,13 +30,14 @@
 			r, err := o.Run(io.Discard)
 			must(t, err)
 			if weaken == nil && !r.OK() || weaken != nil && r.DuplicateJobs == 0 {
-				t.Error(r.Line())
+				t.Errorf("trial %q: %s", name, r.Line())
 			}
 		})
 	}
 }
 
-// All are killed at once, come back, and are killed again while they poll.
+// All schedulers are killed at once, start again, and are killed again while they poll discovery.
+// After the third start they must serve and get the endpoint list.
 func TestAllKilledTwiceWhilePolling(t *testing.T) {
 	f := newSmallFleet(t, 12, nil)
 	must(t, f.StartAll(20*time.Second))
@@ -46,7 +47,7 @@
 		must(t, p.Start())
 	}
 	polled := f.Discovery.Calls().Received
-	await(t, "some poll", func() bool { return f.Discovery.Calls().Received > polled })
+	await(t, "a scheduler polls discovery", func() bool { return f.Discovery.Calls().Received > polled })
 	f.KillAll()
 	must(t, f.StartAll(20*time.Second))
 	checkServes(t, f, "after")
@@ -54,12 +55,13 @@
 	must(t, f.TerminateAll())
 }
 
-// Discovery is down while they start: they serve from what they know; when it is back all
-// of them have the list, and with it a worker that they did not know.
+// Discovery is down while the schedulers start: they must serve from their cached endpoint list. When
+// discovery is back, all of them must get the current list, with a worker that the cached list did not
+// have.
 func TestDiscoveryDownDuringStart(t *testing.T) {
 	for name, down := range map[string]func(*Link){
-		"refusing": (*Link).Disconnect,
-		"silent":   func(l *Link) { l.Block(ToTarget, FromTarget) },
+		"disconnected": (*Link).Disconnect,
+		"blocked":      func(l *Link) { l.Block(ToTarget, FromTarget) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newSmallFleet(t, 6, nil)
@@ -69,7 +71,7 @@
 			must(t, f.StartAll(20*time.Second))
 			checkServes(t, f, "down")
 			if n := f.Discovery.Calls().Answered; n > 0 {
-				t.Errorf("%d calls were answered by a discovery that is down", n)
+				t.Errorf("discovery answered %d calls while it was down, want 0", n)
 			}
 			fresh, err := f.AddWorker(f.Kinds[0], time.Time{})
 			must(t, err)
@@ -83,7 +85,8 @@
 	}
 }
 
-// Half of them reach discovery; the others go on with what they know.
+// Discovery is reachable from half of the schedulers. The other half must continue to serve with the
+// cached endpoint list.
 func TestDiscoveryReachableFromHalf(t *testing.T) {
 	f := newSmallFleet(t, 8, nil)
 	for _, l := range f.Links[4:] {
@@ -92,15 +95,16 @@
 	must(t, f.StartAll(20*time.Second))
 	awaitEndpoints(t, f, f.Processes[:4]...)
 	checkServes(t, f, "half")
-	must(t, f.TerminateAll()) // which prints the counters
+	must(t, f.TerminateAll()) // schedulers print their counters at exit
 	for i, p := range f.Processes {
-		if told := p.Counter("machines.told") > 1; told != (i < 4) { // the first is the cached list
-			t.Errorf("%s was told of changes: %v", p.Name, told)
+		if notified := p.Counter("machines.notified") > 1; notified != (i < 4) { // 1 counts the cached list
+			t.Errorf("%s was notified of changes: %v, want %v", p.Name, notified, i < 4)
 		}
 	}
 }
 
-// All workers that they know are removed: jobs are answered at once, and served once the list is there.
+// No worker of the cached endpoint list exists any more: jobs must be answered at once, and served
+// once the schedulers have the current list.
 func TestCachedEndpointsWithEveryWorkerRemoved(t *testing.T) {
 	f := newSmallFleet(t, 6, nil)
 	for _, worker := range f.Workers() {
@@ -112,8 +116,8 @@
 	awaitEndpoints(t, f, f.Processes...)
 }
 
-// Nothing is known: they say that they are not ready, a front that sends jobs all the same
-// has an answer for each, and they serve once they have the list.
+// Schedulers start without a cached endpoint list and cannot reach discovery. They must report that
+// they are not ready, answer jobs that a client sends anyway, and serve once they have the list.
 func TestStartWithoutCachedEndpoints(t *testing.T) {
 	f := newSmallFleet(t, 6, nil)
 	for i, p := range f.Processes {
@@ -129,7 +133,7 @@
 		}
 		await(t, p.Name+" answers", func() bool { return early.Send() == http.StatusServiceUnavailable })
 		if err := p.AwaitReady(0); err == nil {
-			t.Errorf("%s is ready and knows no worker", p.Name)
+			t.Errorf("%s is ready without any endpoint, want not ready", p.Name)
 		}
 	}
 	for _, l := range f.Links {
@@ -138,7 +142,8 @@
 	checkServes(t, f, "listed")
 }
 
-// A process stands still between its call and the answer: it goes on with what came.
+// A scheduler is suspended between its call to discovery and the answer. After it resumes, it must use
+// the answer.
 func TestSuspendedBetweenPollAndAnswer(t *testing.T) {
 	f := newSmallFleet(t, 5, nil)
 	for _, l := range f.Links {
@@ -156,13 +161,14 @@
 	checkServes(t, f, "stopped")
 }
 
-// A watch's answer is cut in the middle, for all at once: they poll again.
+// The answer to a watch is interrupted in the middle for all schedulers at once: each must poll
+// discovery again.
 func TestWatchAnswerInterrupted(t *testing.T) {
 	f := newSmallFleet(t, 8, nil)
 	must(t, f.StartAll(20*time.Second))
 	awaitEndpoints(t, f, f.Processes...)
 	for _, l := range f.Links {
-		l.Throttle(0, 200) // an answer takes some seconds
+		l.Throttle(0, 200) // at 200 bytes per second an answer takes some seconds
 	}
 	polled := f.Discovery.Calls().Received
 	fresh, err := f.AddWorker(f.Kinds[0], time.Time{})
@@ -171,12 +177,12 @@
 		l.Reset()
 		l.Heal()
 	}
-	await(t, "all poll again", func() bool { return f.Discovery.Calls().Received >= polled+len(f.Processes) })
+	await(t, "all schedulers poll again", func() bool { return f.Discovery.Calls().Received >= polled+len(f.Processes) })
 	checkNewWorkerServes(t, f, "cut", fresh)
 }
 
-// SIGTERM while they start and hear nothing of discovery: each ends well, and every job
-// taken until then has its answer.
+// Schedulers receive SIGTERM while they start and get no answer from discovery. Each must exit
+// cleanly, and each job accepted until then must be answered.
 func TestTerminatedDuringStart(t *testing.T) {
 	f := newSmallFleet(t, 5, nil)
 	for _, l := range f.Links {
@@ -193,16 +199,16 @@
 	must(t, f.TerminateAll())
 	l.wait.Wait()
 	if sum = standin.Total(sum, l.ResetTally()); sum.Lost > 0 {
-		t.Errorf("%d of %d jobs lost", sum.Lost, sum.Sent)
+		t.Errorf("%d of %d jobs were lost, want 0", sum.Lost, sum.Sent)
 	}
 	if f.Counter("jobs.taken") == 0 {
-		t.Error("no counters are printed at the end")
+		t.Error("counter jobs.taken is 0: the schedulers printed no counters at exit")
 	}
 	checkInvariants(t, f)
 }
 
-// A worker that is cut off from one process in silence, both ways, costs it no job that may
-// run elsewhere, and the others nothing.
+// One scheduler cannot reach a worker: data is blocked in both directions. No job that may run on
+// another worker may be lost, and the other schedulers must not be affected.
 func TestWorkerUnreachableFromOneScheduler(t *testing.T) {
 	f := newSmallFleet(t, 4, func(o *Options) { o.WorkerLinks = true })
 	must(t, f.StartAll(20*time.Second))
@@ -217,7 +223,8 @@
 	stopAndCheck(t, f, l, sum)
 }
 
-// The oracle sees: a worker in slow start that is sent too much falls, one that is not does not.
+// Tests the stand-in that the other tests rely on: a worker in slow start that gets too many jobs must
+// count as overloaded, and one that gets few must not.
 func TestWorkerOverloadsInSlowStart(t *testing.T) {
 	for jobs, falls := range map[int]bool{3: false, 60: true} {
 		f := newSmallFleet(t, 1, func(o *Options) {
@@ -230,7 +237,7 @@
 		})
 		worker, err := f.AddWorker(f.Kinds[0], time.Now())
 		must(t, err)
-		for i := range jobs { // 0.06 s of work each: 2.4 s in a second are too much
+		for i := range jobs { // 0.06 s of work each; 2.4 s of work within a second overload the worker
 			c, err := standin.Dial(worker.Addr(), 0)
 			must(t, err)
 			t.Cleanup(func() { c.Close() })
@@ -242,7 +249,8 @@
 	}
 }
 
-// The trial itself, small: it passes, and its result fails where a worker was overloaded.
+// A small trial must pass, and OK must fail for a result with an overloaded worker, a lost job, a
+// duplicate job or a failed exit.
 func TestSlowStartTrial(t *testing.T) {
 	trial := SlowStartTrial{
 		Program:          program,
@@ -255,9 +263,9 @@
 	}
 	r, err := trial.Run(io.Discard)
 	must(t, err)
-	// 10 workers do 42 of these jobs a second; asked for are a fifth, and all must count.
+	// 10 workers can do 42 of these jobs per second. The load is a fifth of that, and all jobs must be tallied.
 	if !r.OK() || r.Informed != 5 || !r.DiscoveryIdle || r.Tally.Sent < 15 {
-		t.Errorf("%s (drained %v)", r.Line(), r.DiscoveryIdle)
+		t.Errorf("trial failed: %s (discovery idle %v)", r.Line(), r.DiscoveryIdle)
 	}
 	for _, bad := range []func(*SlowStartResult){
 		func(r *SlowStartResult) { r.OverloadedWorkers = 1 },
@@ -267,7 +275,7 @@
 	} {
 		b := r
 		if bad(&b); b.OK() {
-			t.Errorf("passes: %s", b.Line())
+			t.Errorf("OK() = true, want false: %s", b.Line())
 		}
 	}
 }
--- a/internal/lab/fleet/helpers_test.go
+++ b/internal/lab/fleet/helpers_test.go
@@ -18,7 +18,8 @@
 	}))
 }
 
-// small is a fleet of so many processes with eight workers, and short jobs.
+// newSmallFleet returns a fleet with the given number of schedulers, eight workers and short jobs.
+// change, if not nil, modifies the options.
 func newSmallFleet(t *testing.T, schedulers int, change func(*Options)) *Fleet {
 	t.Helper()
 	o := Options{
@@ -63,12 +64,12 @@
 	return f
 }
 
-// await waits until a condition holds.
+// await waits until a condition holds, and fails the test after 30 s.
 func await(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !holds(); <-time.After(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("condition not met in time: %s", what)
 		}
 	}
 }
@@ -80,23 +81,24 @@
 	}
 }
 
-// awaitEndpoints waits until each process has had an answer from discovery since the last call.
-// It makes a change for them: a watch without one is answered late.
+// awaitEndpoints waits until discovery has answered each process since the last call. It changes the
+// endpoint list first, because a watch without a change is answered late.
 func awaitEndpoints(t *testing.T, f *Fleet, which ...*Process) {
 	t.Helper()
 	f.Discovery.Put(f.Workers()[0], standin.Active)
 	awaitAnswers(t, f, which...)
 }
 
-// awaitAnswers does so where discovery has something to answer anyway.
+// awaitAnswers is like awaitEndpoints, but changes nothing: discovery must have something to answer.
 func awaitAnswers(t *testing.T, f *Fleet, which ...*Process) {
 	t.Helper()
 	for _, p := range which {
-		await(t, p.Name+" has the list", func() bool { return !f.Discovery.TakeFirstResponse(p.Name).IsZero() })
+		await(t, p.Name+" has the endpoint list", func() bool { return !f.Discovery.TakeFirstResponse(p.Name).IsZero() })
 	}
 }
 
-// learnsOf submits jobs until a worker that they did not know runs some, and judges.
+// checkNewWorkerServes sends jobs until a worker that was not in the cached endpoint list runs some,
+// and checks the invariants.
 func checkNewWorkerServes(t *testing.T, f *Fleet, name string, fresh *standin.Worker) {
 	t.Helper()
 	l := f.StartLoad(name, 400, 2)
@@ -104,9 +106,9 @@
 	stopAndCheck(t, f, l, standin.Tally{})
 }
 
-// serves submits jobs at every process until each has served some, and judges: each job
-// has one whole answer, none that must not run twice did, no worker was overloaded, discovery's queue
-// is empty in the end.
+// checkServes sends jobs to all processes until enough were served for five at each, and checks that
+// each job has one complete answer, no at-most-once job ran twice, no worker was overloaded, and
+// discovery's queue is empty at the end.
 func checkServes(t *testing.T, f *Fleet, name string) {
 	t.Helper()
 	l := f.StartLoad(name, 20*float64(len(f.Processes)), 1)
@@ -118,22 +120,25 @@
 	stopAndCheck(t, f, l, sum)
 }
 
-// terminates ends a load, some of whose jobs have been counted, and judges.
+// stopAndCheck ends a load and checks that no job was lost, also not among the jobs already counted in
+// sum; then it checks the invariants.
 func stopAndCheck(t *testing.T, f *Fleet, l *Load, sum standin.Tally) {
 	t.Helper()
 	if sum = standin.Total(sum, l.Stop()); sum.Lost > 0 {
-		t.Errorf("%d of %d jobs without a whole answer", sum.Lost, sum.Sent)
+		t.Errorf("%d of %d jobs got no complete answer, want 0", sum.Lost, sum.Sent)
 	}
 	checkInvariants(t, f)
 }
 
+// checkInvariants checks that no at-most-once job ran twice, that no worker was overloaded, and that
+// discovery's queue becomes empty.
 func checkInvariants(t *testing.T, f *Fleet) {
 	t.Helper()
 	if ids := f.DuplicateJobs(); len(ids) > 0 {
-		t.Errorf("ran twice: %v", ids)
+		t.Errorf("at-most-once jobs %v ran more than once, want none", ids)
 	}
 	if n := f.OverloadedWorkers(); n > 0 {
-		t.Errorf("%d workers were overloaded", n)
+		t.Errorf("%d workers were overloaded, want 0", n)
 	}
-	await(t, "discovery's queue drains", func() bool { return f.Discovery.Calls().Waiting == 0 })
+	await(t, "discovery's queue is empty", func() bool { return f.Discovery.Calls().Waiting == 0 })
 }
--- a/internal/lab/fleet/start_test.go
+++ b/internal/lab/fleet/start_test.go
@@ -8,9 +8,10 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// Every worker has restarted under its name, or another one has its address: all are in slow start. Once all
-// schedulers have the list, and know no rate, no worker falls under a load that is far over what they
-// can do: jobs are served, and the rest is answered.
+// All workers have restarted under their old names, or different workers have their addresses, so all
+// are in slow start. Once the schedulers have the endpoint list, and no observed rate of any worker
+// yet, a load far above the workers' capacity must overload none of them: some jobs are served, and
+// the others are answered.
 func TestAllWorkersInSlowStart(t *testing.T) {
 	for name, other := range map[string]string{"the same names": "", "other names": "other-"} {
 		t.Run(name, func(t *testing.T) {
@@ -36,7 +37,7 @@
 			awaitEndpoints(t, f, f.Processes...)
 			l := f.StartLoad("cold", 300, 1)
 			sum := standin.Tally{}
-			await(t, "some are served", func() bool {
+			await(t, "60 jobs are served and 600 sent", func() bool {
 				sum = standin.Total(sum, l.ResetTally())
 				return sum.Served+sum.Late >= 60 && sum.Sent >= 600
 			})
@@ -45,8 +46,8 @@
 	}
 }
 
-// Discovery is down, and has lost its last changes when it is back: its list is believed, also
-// under a lower version, and so is what changes from there.
+// Discovery is down and has lost its last changes when it is back. The schedulers must accept its list
+// although the version is lower, and the changes after it.
 func TestEndpointsVersionDecreases(t *testing.T) {
 	f := newSmallFleet(t, 6, nil)
 	must(t, f.StartAll(20*time.Second))
@@ -64,7 +65,8 @@
 	checkNewWorkerServes(t, f, "back", fresh)
 }
 
-// Discovery moves while they start and the old one is silent: SIGHUP takes them to the new one.
+// Discovery moves to another address while the schedulers start and the old address does not answer.
+// After SIGHUP they must use the new address.
 func TestDiscoveryChangesDuringStart(t *testing.T) {
 	f := newSmallFleet(t, 6, nil)
 	for _, l := range f.Links {
