--- a/internal/lab/soak/clients.go
+++ b/internal/lab/soak/clients.go
@@ -10,7 +10,7 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// disconnecting numbers the clients that disconnect before their answer, and waits for them.
+// disconnectingClients numbers the clients that disconnect before their answer, and waits for them.
 type disconnectingClients struct {
 	wait sync.WaitGroup
 
@@ -18,6 +18,7 @@
 	last int
 }
 
+// next returns the next client's number, starting with 1.
 func (d *disconnectingClients) next() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -26,21 +27,21 @@
 }
 
 const (
-	disconnectsPerFault     = 12                     // clients
-	maxDisconnectDelay      = 400 * time.Millisecond // of their jobs
+	disconnectsPerFault     = 12
+	maxDisconnectDelay      = 400 * time.Millisecond // from sending the job until the client disconnects
 	partialRequestsPerFault = 8
-	disconnectingDeadline   = 3 * time.Second
+	disconnectingDeadline   = 3 * time.Second // of the jobs of these clients
 	connectTimeout          = time.Second
 )
 
-// jobText is a whole job.
+// requestText returns a job's complete HTTP request.
 func requestText(id, class string, remaining time.Duration) string {
 	return fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: app.svc\r\nX-Txn: %s\r\nX-Lane: %s\r\nX-Org: all\r\n"+
 		"X-Remaining: %dm\r\nContent-Length: 4\r\n\r\nbody",
 		class, id, class, remaining.Milliseconds())
 }
 
-// disconnectClients lets some clients send jobs and disconnect before they are answered.
+// disconnectClients starts clients that send a job and disconnect before it is answered.
 func (p *run) disconnectClients(rng *rand.Rand) func() {
 	for range disconnectsPerFault {
 		i, class := rng.IntN(p.Schedulers), []string{"reading", "ratify"}[rng.IntN(2)]
@@ -60,7 +61,8 @@
 	return func() {}
 }
 
-// halfRequests opens connections that bring half a job and stay.
+// sendPartialRequests opens connections that send a part of a request and stay open until the fault
+// ends.
 func sendPartialRequests(p *run, rng *rand.Rand) func() {
 	var open []net.Conn
 	for range partialRequestsPerFault {
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -11,49 +11,50 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// A fault is one thing that goes wrong: from a time on, for a while.
+// fault is one scheduled fault.
 type fault struct {
-	kind   int
-	start  time.Duration
+	kind   int           // index in faultKinds
+	start  time.Duration // since the start of the run
 	length time.Duration
-	seed   uint64 // draws its target and the like
+	seed   uint64 // draws its target and other parameters
 }
 
-// A kind is a kind of fault. begin injects it and returns what ends it; nil if the target is under another fault.
+// faultKind describes a kind of fault. begin injects it and returns the function that ends it; nil if
+// the target is reserved by another fault.
 type faultKind struct {
 	name      string
-	weight    int
-	maxLength time.Duration // that it lasts
+	weight    int           // relative frequency
+	maxLength time.Duration // limit of its duration
 	begin     func(p *run, rng *rand.Rand) (end func())
 }
 
 const (
 	minFaultLength    = 200 * time.Millisecond
-	meanFaultInterval = 700 * time.Millisecond // on average one fault begins in this time
-	discoveryTarget   = "discovery"            // as a target
+	meanFaultInterval = 700 * time.Millisecond // average time between the starts of two faults
+	discoveryTarget   = "discovery"            // the name under which discovery is reserved
 )
 
 var faultKinds = []faultKind{
-	{"discovery's answers are spoilt", 4, 9 * time.Second, corruptDiscovery},
+	{"discovery's answers are corrupted", 4, 9 * time.Second, corruptDiscovery},
 	{"discovery is slow", 3, 9 * time.Second, throttleDiscovery},
 	{"discovery is down", 2, 6 * time.Second, disconnectDiscovery},
-	{"a scheduler hears nothing of discovery", 2, 6 * time.Second, blockDiscovery},
+	{"discovery is unreachable for one scheduler", 2, 6 * time.Second, blockDiscovery},
 	{"a worker drains and leaves", 6, 14 * time.Second, drainWorker},
-	{"a worker is killed and comes back cold", 3, 4 * time.Second, killWorker},
+	{"a worker is killed and restarts in slow start", 3, 4 * time.Second, killWorker},
 	{"a worker hangs", 2, 3 * time.Second, hangWorker},
-	{"a worker is cut off and taken off the list", 4, 9 * time.Second, isolateWorker},
-	{"a link is silent", 3, 4 * time.Second, blockLink},
+	{"a worker is unreachable and removed from the endpoint list", 4, 9 * time.Second, isolateWorker},
+	{"a link is blocked", 3, 4 * time.Second, blockLink},
 	{"a link is reset", 3, minFaultLength, resetLink},
 	{"a link is slow", 2, 3 * time.Second, throttleLink},
-	{"clients leave", 3, time.Second, (*run).disconnectClients},
-	{"clients stop half way", 1, 4 * time.Second, sendPartialRequests},
-	{"a scheduler is killed and starts with its old list", 6, 9 * time.Second, killScheduler},
-	{"a scheduler is ended and starts again", 3, 2 * time.Second, terminateScheduler},
-	{"a scheduler stands still", 3, maxPause, stopScheduler},
-	{"a scheduler reads its configuration again", 2, minFaultLength, reloadScheduler},
+	{"clients disconnect", 3, time.Second, (*run).disconnectClients},
+	{"clients send partial requests", 1, 4 * time.Second, sendPartialRequests},
+	{"a scheduler is killed and starts with its old cached list", 6, 9 * time.Second, killScheduler},
+	{"a scheduler is terminated and starts again", 3, 2 * time.Second, terminateScheduler},
+	{"a scheduler is suspended", 3, maxPause, stopScheduler},
+	{"a scheduler reloads its configuration", 2, minFaultLength, reloadScheduler},
 }
 
-// drawFaults draws the faults of a run from its seed, in the order in which they begin.
+// drawFaults draws the faults of a run from its seed and returns them ordered by start.
 func (p *run) drawFaults() (faults []fault) {
 	var by []int
 	for i, k := range faultKinds {
@@ -72,7 +73,7 @@
 	}
 }
 
-// overlapping counts the faults during which another one lasts.
+// overlapping returns how many faults overlap in time with another one.
 func overlapping(faults []fault) (n int) {
 	for i, a := range faults {
 		if slices.ContainsFunc(faults, func(b fault) bool {
@@ -84,7 +85,7 @@
 	return n
 }
 
-// playFaults makes the faults happen, each at its time, and returns when all have ended.
+// injectFaults injects each fault at its start, and returns when all have ended.
 func (p *run) injectFaults(faults []fault) {
 	for _, f := range faults {
 		p.wait.Go(func() {
@@ -101,7 +102,8 @@
 	p.wait.Wait()
 }
 
-// claim reserves a target for a fault that excludes others there.
+// reserve reserves a target for a fault that excludes others there. It returns false if the target is
+// reserved already.
 func (p *run) reserve(target string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -118,7 +120,7 @@
 	delete(p.reserved, target)
 }
 
-// claimWorker draws a worker that is up; nil if it is under another fault.
+// reserveWorker draws a running worker and reserves it; nil if another fault has reserved it.
 func (p *run) reserveWorker(rng *rand.Rand) *standin.Worker {
 	workers := p.fleet.Workers()
 	worker := workers[rng.IntN(len(workers))]
@@ -128,7 +130,8 @@
 	return worker
 }
 
-// onProcess injects a fault into a scheduler's process that is drawn. Its end has to release the target.
+// injectIntoProcess draws a scheduler process, reserves it as target and injects a fault into it. The
+// end of the fault must release the target. It returns nil if another fault has reserved the process.
 func (p *run) injectIntoProcess(
 	rng *rand.Rand, begin func(i int, process *fleet.Process, target string) (end func()),
 ) func() {
@@ -151,7 +154,7 @@
 	}
 }
 
-// partition makes discovery unreachable for some schedulers.
+// partition makes discovery unreachable for some schedulers by applying begin to their links.
 func (p *run) partition(schedulers []int, begin func(*fleet.Link)) func() {
 	if !p.reserve(discoveryTarget) {
 		return nil
@@ -169,13 +172,13 @@
 	}
 }
 
-// How late answers of a slow discovery come.
+// The range of the delay of answers from a slow discovery.
 const (
 	minAnswerDelay   = 200 * time.Millisecond
 	answerDelayRange = 500 * time.Millisecond
 )
 
-// throttleDiscovery lets each answer arrive late, at all schedulers.
+// throttleDiscovery delays the answers of discovery to all schedulers.
 func throttleDiscovery(p *run, rng *rand.Rand) func() {
 	if !p.reserve(discoveryTarget) {
 		return nil
@@ -206,7 +209,8 @@
 	})
 }
 
-// onWorker injects a fault into a worker that is drawn; end releases it.
+// injectIntoWorker draws a worker, reserves it and injects a fault into it. The end of the fault
+// releases it. It returns nil if another fault has reserved the worker.
 func (p *run) injectIntoWorker(rng *rand.Rand, begin func(worker *standin.Worker) (end func())) func() {
 	worker := p.reserveWorker(rng)
 	if worker == nil {
@@ -223,7 +227,7 @@
 	return p.injectIntoWorker(rng, func(worker *standin.Worker) func() {
 		worker.SetBehaviour(standin.Behaviour{Draining: true})
 		p.fleet.Discovery.Put(worker, standin.Leaving)
-		return func() { // its log is kept: it goes on listening
+		return func() { // the worker is not restarted: it keeps listening and keeps its log
 			p.fleet.Discovery.Put(worker, standin.Left)
 			worker.SetBehaviour(standin.Behaviour{})
 			p.fleet.Discovery.Put(worker, standin.Active)
@@ -239,7 +243,7 @@
 		}
 		return func() {
 			if _, err := p.fleet.Restart(worker, ""); err != nil {
-				p.logf("restart of %s: %v", worker.Name, err)
+				p.logf("restart worker %s: %v", worker.Name, err)
 			}
 		}
 	})
@@ -253,11 +257,12 @@
 }
 
 const (
-	maxNoticeDelay = 2 * time.Second // until discovery notices that a worker is cut off
-	rejoinDelay    = time.Second     // until it notices that the worker is back
+	maxNoticeDelay = 2 * time.Second // until discovery detects that a worker is unreachable
+	rejoinDelay    = time.Second     // until discovery detects that the worker is reachable again
 )
 
-// partitionWorker cuts a worker off from all schedulers, has discovery notice it after a while, and joins it again.
+// isolateWorker makes a worker unreachable for all schedulers, lets discovery remove it after a delay,
+// and lets discovery add it again once the fault has ended.
 func isolateWorker(p *run, rng *rand.Rand) func() {
 	worker := p.reserveWorker(rng)
 	if worker == nil {
@@ -283,7 +288,7 @@
 	}
 }
 
-// onLink injects a fault into the link of one scheduler to one worker.
+// injectIntoLink injects a fault into the link from one scheduler to one worker.
 func (p *run) injectIntoLink(rng *rand.Rand, begin func(*fleet.Link)) func() {
 	return p.injectIntoWorker(rng, func(worker *standin.Worker) func() {
 		i, from := rng.IntN(p.Schedulers), time.Now()
@@ -296,7 +301,7 @@
 	})
 }
 
-// silences are the directions in which a link can be silent.
+// blockedDirections are the directions in which a link can be blocked.
 var blockedDirections = [][]fleet.Direction{
 	{fleet.ToTarget},
 	{fleet.FromTarget},
@@ -310,7 +315,7 @@
 
 func resetLink(p *run, rng *rand.Rand) func() { return p.injectIntoLink(rng, (*fleet.Link).Reset) }
 
-// The delay and the rate of a throttled link.
+// The upper limit of the delay, and the rate, of a throttled link.
 const (
 	maxLinkDelay      = 50 * time.Millisecond
 	throttledLinkRate = 20_000 // bytes a second
@@ -321,7 +326,8 @@
 	return p.injectIntoLink(rng, func(link *fleet.Link) { link.Throttle(delay, throttledLinkRate) })
 }
 
-// killScheduler kills a process. It starts again with the cached list as it was at the run's start.
+// killScheduler kills a process. The process starts again with the cached list from the start of the
+// run.
 func killScheduler(p *run, rng *rand.Rand) func() {
 	return p.injectIntoProcess(rng, func(i int, process *fleet.Process, target string) func() {
 		p.faultRecord.recordKill(i, time.Now())
@@ -330,14 +336,14 @@
 	})
 }
 
-// restart starts a process again, and releases it once it is ready.
+// restart starts a process again, and releases its target once it is ready.
 func (p *run) restart(process *fleet.Process, target string) {
 	if err := process.Start(); err != nil {
-		p.logf("start of %s: %v", process.Name, err)
+		p.logf("start scheduler %s: %v", process.Name, err)
 	}
 	p.wait.Go(func() {
 		if err := process.AwaitReady(readyTimeout); err != nil {
-			p.logf("%v", err)
+			p.logf("await scheduler: %v", err)
 		}
 		p.release(target)
 	})
@@ -349,7 +355,7 @@
 		p.wait.Go(func() {
 			if err := process.Terminate(); err != nil {
 				p.faultRecord.recordFailedExit()
-				p.logf("%s ended: %v", process.Name, err)
+				p.logf("scheduler %s exited after SIGTERM: %v", process.Name, err)
 			}
 			p.restart(process, target)
 		})
@@ -359,7 +365,7 @@
 
 func stopScheduler(p *run, rng *rand.Rand) func() {
 	return p.injectIntoProcess(rng, func(_ int, process *fleet.Process, target string) func() {
-		_ = process.Signal(syscall.SIGSTOP) // fails on one that has ended, which its exit code tells
+		_ = process.Signal(syscall.SIGSTOP) // fails if the process has exited, which its exit code shows
 		return func() {
 			_ = process.Signal(syscall.SIGCONT)
 			p.release(target)
--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -10,20 +10,20 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// The rules' figures, as the lab's topology has them in its settings, with the slack of 50 ms on sockets. A process
-// that stands still is late by up to standstill, but for the grace of drains, which covers it.
+// The limits of the rules, as in the settings of the lab's topology, with a slack of 50 ms on sockets. A suspended
+// process is late by up to maxPause, except with drains, whose grace covers it.
 const (
-	notificationLimit = 6 * time.Second // a change counts as known so long after discovery had it and could be reached
-	drainGrace        = 750 * time.Millisecond
-	slack             = 50 * time.Millisecond
-	maxPause          = 150 * time.Millisecond
-	disconnectSlack   = 100 * time.Millisecond
-	deadlineSlack     = 150 * time.Millisecond
-	maxLinkLatency    = 100 * time.Millisecond // that a slow link may take, with the machine's own delays
-	faultFreeMargin   = time.Second            // an answer counts as heard when written if its link was well so long after
+	notificationLimit = 6 * time.Second        // from when discovery has a change and is reachable; then it counts as known
+	drainGrace        = 750 * time.Millisecond // from the notification of a drain or removal until sends must have stopped
+	slack             = 50 * time.Millisecond  // on sockets
+	maxPause          = 150 * time.Millisecond // how long a scheduler is suspended
+	disconnectSlack   = 100 * time.Millisecond // from a client's disconnect until sends of its job must have stopped
+	deadlineSlack     = 150 * time.Millisecond // by which the remaining time sent to a worker may be too long
+	maxLinkLatency    = 100 * time.Millisecond // of a slow link, including the machine's own delays
+	faultFreeMargin   = time.Second            // a written answer counts as received if its link is fault-free this long around it
 )
 
-// judge counts the broken rules.
+// countViolations counts the broken rules and logs most of them.
 func (p *run) countViolations(load *fleet.Load, r *Result) {
 	p.faultRecord.mu.Lock()
 	defer p.faultRecord.mu.Unlock()
@@ -31,11 +31,11 @@
 	v.Exit += p.faultRecord.failedExits
 	v.Lost += r.Tally.Lost + r.Tally.Rejected
 	if r.Tally.Lost+r.Tally.Rejected > 0 {
-		p.logf("lost: %d jobs without an answer in time, %d good ones answered with 4xx", r.Tally.Lost, r.Tally.Rejected)
+		p.logf("lost: %d jobs without an answer in time, %d valid jobs answered with 4xx", r.Tally.Lost, r.Tally.Rejected)
 	}
 	for _, id := range p.fleet.DuplicateJobs() {
 		v.Duplicate++
-		p.logf("duplicate: %s", id)
+		p.logf("duplicate: job %s ran more than once", id)
 	}
 	v.StartOverload += p.fleet.OverloadedWorkers()
 	sent := load.SentAt()
@@ -63,27 +63,30 @@
 	}
 }
 
-// violatesDisconnect reports whether an arrival came too long after its client disconnected.
+// violatesDisconnect reports whether a request arrived at a worker too long after its client
+// disconnected.
 func (p *run) violatesDisconnect(a standin.Arrival, i int, disconnectedAt time.Time) bool {
 	late := a.FirstByte.Sub(disconnectedAt)
 	if late <= disconnectSlack+slack+maxLinkLatency || p.faultRecord.linkFaulty(i, a.Worker, disconnectedAt, a.FirstByte) {
 		return false
 	}
-	p.logf("gone: %s reaches %s %v after its submitter left", a.ID, a.Worker, late)
+	p.logf("gone: job %s reached worker %s %v after its client disconnected", a.ID, a.Worker, late)
 	return true
 }
 
-// violatesDeadline reports whether a worker was told of more time than its job had left.
+// violatesDeadline reports whether a worker was sent a longer remaining time than its job had left.
 func (p *run) violatesDeadline(a standin.Arrival, i int, sentAt time.Time, deadline time.Duration) bool {
 	left := sentAt.Add(deadline).Sub(a.FirstByte)
-	if a.Remaining <= left+deadlineSlack+slack+maxLinkLatency || p.faultRecord.linkFaulty(i, a.Worker, sentAt, a.FirstByte) {
+	if a.Remaining <= left+deadlineSlack+slack+maxLinkLatency ||
+		p.faultRecord.linkFaulty(i, a.Worker, sentAt, a.FirstByte) {
 		return false
 	}
-	p.logf("deadline: %s is told %v, and has %v", a.ID, a.Remaining, left)
+	p.logf("deadline: job %s was sent with %v remaining, but had %v left", a.ID, a.Remaining, left)
 	return true
 }
 
-// origin returns a job's class and the number of its scheduler, as its id tells: name/tenant/class/i-n.
+// parseJobID returns a job's class and the number of its scheduler from its ID, which has the form
+// name/tenant/class/scheduler-number. The number is -1 if the ID has another form.
 func parseJobID(id string) (class string, i int) {
 	parts := strings.Split(id, "/")
 	if len(parts) < 4 {
@@ -97,13 +100,13 @@
 	return parts[2], i
 }
 
-// An unavailability is a time in which a worker was not live in the list.
+// unavailableInterval is an interval in which a worker was not active in the endpoint list.
 type unavailableInterval struct {
-	change standin.Change
-	until  time.Time // zero: to the end
+	change standin.Change // the change that began it
+	until  time.Time      // zero: until the end of the run
 }
 
-// unavailabilities returns them by worker.
+// unavailableIntervals returns the intervals of each worker, by its name.
 func (p *run) unavailableIntervals() map[string][]unavailableInterval {
 	unavailable := map[string][]unavailableInterval{}
 	open := map[string]bool{}
@@ -121,7 +124,8 @@
 	return unavailable
 }
 
-// violatesDrain reports whether an arrival came past the grace at a worker that drains or is removed.
+// violatesDrain reports whether a request arrived, after the grace, at a worker that is draining or
+// removed.
 func (p *run) violatesDrain(a standin.Arrival, i int, unavailable []unavailableInterval) bool {
 	for _, u := range unavailable {
 		if a.FirstByte.Before(u.change.At) || !u.until.IsZero() && a.FirstByte.After(u.until) {
@@ -129,7 +133,7 @@
 		}
 		known := p.notifiedAt(i, u.change, a.FirstByte)
 		if late := a.FirstByte.Sub(known) - drainGrace - slack; late > 0 {
-			p.logf("drain: %s reaches %s %.2f s after the list said %q (version %d), %.2f s after it counted as known",
+			p.logf("drain: job %s reached worker %s %.2f s after it became %q (version %d), %.2f s after its notification",
 				a.ID, a.Worker, a.FirstByte.Sub(u.change.At).Seconds(),
 				u.change.Health, u.change.Version, a.FirstByte.Sub(known).Seconds())
 			return true
@@ -138,9 +142,9 @@
 	return false
 }
 
-// notifiedAt returns when a change counts as known to a scheduler, for something that it did at a time: when
-// discovery had written it to the process that runs then, and at the latest some seconds after discovery had
-// it and could be reached.
+// notifiedAt returns when scheduler i counts as notified of a change, for an action at the time at.
+// That is when discovery had written the change to the process that ran then. It is at the latest
+// notificationLimit after discovery had the change and was reachable.
 func (p *run) notifiedAt(i int, c standin.Change, at time.Time) time.Time {
 	latest := p.reachableFrom(i, c.At).Add(notificationLimit)
 	for _, w := range p.fleet.Discovery.Writes(p.fleet.Processes[i].Name) {
@@ -159,7 +163,8 @@
 	return latest
 }
 
-// reachableFrom returns from when on a scheduler could reach discovery for as long as it may take to be told.
+// reachableFrom returns the first time not before from at which scheduler i could reach discovery
+// without interruption for notificationLimit.
 func (p *run) reachableFrom(i int, from time.Time) time.Time {
 	spans := slices.Clone(p.faultRecord.partitions[i])
 	slices.SortFunc(spans, func(a, b interval) int { return a.from.Compare(b.from) })
@@ -171,7 +176,8 @@
 	return from
 }
 
-// partitionedFromDiscovery reports whether a scheduler could not reach discovery at some moment between two times.
+// partitionedFromDiscovery reports whether scheduler i could not reach discovery at some moment
+// between two times.
 func (p *run) partitionedFromDiscovery(i int, from, to time.Time) bool {
 	return anyOverlaps(p.faultRecord.partitions[i], from, to)
 }
--- a/internal/lab/soak/mutant.go
+++ b/internal/lab/soak/mutant.go
@@ -12,10 +12,10 @@
 	"github.com/vatu-meals/foxlift/internal/lab"
 )
 
-// A Mutant is a deliberate fault of the scheduler, and the count that has to show it.
+// Mutant is a deliberate fault of the scheduler with the kind of violation that must reveal it.
 type Mutant struct {
 	lab.Mutant
-	ViolationCount func(Violations) int
+	ViolationCount func(Violations) int // returns the number of violations of that kind
 }
 
 func drain(v Violations) int         { return v.Drain }
@@ -26,11 +26,12 @@
 func startOverload(v Violations) int { return v.StartOverload }
 
 const (
-	maxSeedsPerMutant    = 10 // that the soak has to see a mutant
-	maxConcurrentMutants = 3  // that are played side by side
+	maxSeedsPerMutant    = 10 // a mutant that no run with these seeds reveals is not detected
+	maxConcurrentMutants = 3  // checked at the same time
 )
 
-// CheckMutants plays each mutant for at most so many seeds, until its rule is seen broken.
+// CheckMutants runs each mutant with up to maxSeedsPerMutant seeds until the soak detects it. It
+// writes a line for each mutant and returns how many were detected.
 func CheckMutants(ctx context.Context, w io.Writer, o Options) (caught int, err error) {
 	var mu sync.Mutex
 	var group errgroup.Group
@@ -45,10 +46,10 @@
 			case err != nil:
 				return fmt.Errorf("%s: %w", m.Name, err)
 			case seeds > maxSeedsPerMutant:
-				fmt.Fprintf(w, "NOT SEEN in %d seeds  %s\n", maxSeedsPerMutant, m.Name)
+				fmt.Fprintf(w, "NOT DETECTED in %d seeds  %s\n", maxSeedsPerMutant, m.Name)
 			default:
 				caught++
-				fmt.Fprintf(w, "caught by seed %2d     %s\n", seeds, m.Name)
+				fmt.Fprintf(w, "detected by seed %2d       %s\n", seeds, m.Name)
 			}
 			return nil
 		})
@@ -57,7 +58,8 @@
 	return caught, err
 }
 
-// check returns by which seed, counted from 1, a mutant was seen.
+// check returns the seed, counted from 1, with which the soak detected the mutant; maxSeedsPerMutant+1
+// if none did.
 func (m *Mutant) check(ctx context.Context, o Options) (seeds int, err error) {
 	dir, err := os.MkdirTemp("", "foxlift-soak-mutant-")
 	if err != nil {
--- a/internal/lab/soak/mutants.go
+++ b/internal/lab/soak/mutants.go
@@ -2,12 +2,12 @@
 
 import "github.com/vatu-meals/foxlift/internal/lab"
 
-// Mutants are the faults by which the soak is proved, two for each rule.
+// Mutants are the faults that prove that the soak detects violations, two for each rule.
 var Mutants = []Mutant{
 	{
 		ViolationCount: drain,
 		Mutant: lab.Mutant{
-			Name: "a saved list is trusted at once",
+			Name: "a cached endpoint list is trusted at once",
 			File: "internal/decision/membership/lease.go",
 			Old:  "now-l.confirmedAt >= CachedEndpointsGrace",
 			New:  "now >= l.confirmedAt",
@@ -16,7 +16,7 @@
 	{
 		ViolationCount: drain,
 		Mutant: lab.Mutant{
-			Name: "drains are not heard",
+			Name: "drains are ignored",
 			File: "internal/platform/endpoint_table.go",
 			Old:  "state := workerStates[entry.Health]",
 			New: "state := workerStates[entry.Health]\n" +
@@ -28,7 +28,7 @@
 	{
 		ViolationCount: drain,
 		Mutant: lab.Mutant{
-			Name: "unanswered attempts go on at nodes that are gone",
+			Name: "unanswered attempts continue at removed workers",
 			File: "internal/platform/in_flight.go",
 			Old:  "if state == foxlift.Live {",
 			New:  "if true {",
@@ -46,7 +46,7 @@
 	{
 		ViolationCount: lost,
 		Mutant: lab.Mutant{
-			Name: "the end waits for no job",
+			Name: "shutdown waits for no job",
 			File: "internal/platform/shutdown.go",
 			Old:  "\tp.clients.shutDown(acceptAfterShutdown, closeIdleAfter)\n\tp.core.Stop()",
 			New: "\tgo p.clients.shutDown(acceptAfterShutdown, closeIdleAfter)\n" +
@@ -57,7 +57,7 @@
 	{
 		ViolationCount: duplicate,
 		Mutant: lab.Mutant{
-			Name: "a reset counts as never run",
+			Name: "a reset attempt counts as never run",
 			File: "api.go",
 			Old:  "c == Unreachable || c == NotSent }",
 			New:  "c == Unreachable || c == NotSent || c == Reset }",
@@ -66,7 +66,7 @@
 	{
 		ViolationCount: duplicate,
 		Mutant: lab.Mutant{
-			Name: "a timed-out claim counts as never run",
+			Name: "a timed-out attempt counts as never run",
 			File: "api.go",
 			Old:  "c == Unreachable || c == NotSent }",
 			New:  "c == Unreachable || c == NotSent || c == DeadlineExceeded || c == Cancelled || c == Reset }",
@@ -75,7 +75,7 @@
 	{
 		ViolationCount: disconnected,
 		Mutant: lab.Mutant{
-			Name: "a submitter that leaves is not noticed",
+			Name: "a client's disconnect is not detected",
 			File: "internal/platform/client_conn.go",
 			Old:  "\t\t\tc.server.core.ClientDisconnected(job)\n",
 			New:  "\t\t\tjob.Client = nil\n",
@@ -84,7 +84,7 @@
 	{
 		ViolationCount: disconnected,
 		Mutant: lab.Mutant{
-			Name: "a submitter's leaving is noticed late",
+			Name: "a client's disconnect is detected late",
 			File: "internal/platform/client_conn.go",
 			Old:  "\t\t\tjob.MarkDisconnected()\n\t\t\tc.server.core.ClientDisconnected(job)\n",
 			New: "\t\t\tjob.Client = nil\n" +
@@ -95,7 +95,7 @@
 	{
 		ViolationCount: deadline,
 		Mutant: lab.Mutant{
-			Name: "nodes are told of a second more",
+			Name: "workers are sent a second too much remaining time",
 			File: "internal/platform/attempt.go",
 			Old:  "formatRemaining(remaining)",
 			New:  "formatRemaining(remaining+time.Second)",
@@ -104,7 +104,7 @@
 	{
 		ViolationCount: deadline,
 		Mutant: lab.Mutant{
-			Name: "the time in the queue is not taken off",
+			Name: "queueing time is not subtracted from the remaining time",
 			File: "internal/core/send.go",
 			Old:  "Remaining: remaining,",
 			New:  "Remaining: j.Remaining,",
@@ -113,7 +113,7 @@
 	{
 		ViolationCount: startOverload,
 		Mutant: lab.Mutant{
-			Name: "cold nodes count as warm",
+			Name: "workers in slow start count as warm",
 			File: "internal/decision/health/slow_start.go",
 			Old:  "return w.startedAt != 0 && now-w.startedAt < s.config.Duration",
 			New:  "return false",
@@ -122,7 +122,7 @@
 	{
 		ViolationCount: startOverload,
 		Mutant: lab.Mutant{
-			Name: "starts are not heard",
+			Name: "worker starts are ignored",
 			File: "endpoints.go",
 			Old:  "if w.warmup.StartedAt() != e.StartedAt {",
 			New:  "if false {",
--- a/internal/lab/soak/record.go
+++ b/internal/lab/soak/record.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// A span is a time in which something was so.
+// interval is the time from one moment to another.
 type interval struct{ from, to time.Time }
 
 func (s interval) overlaps(from, to time.Time) bool { return s.from.Before(to) && from.Before(s.to) }
 
-// A record is what was done to the run, for the judge: what it does to a scheduler's links and process
-// changes what can be asked of it.
+// faultRecord records the injected faults. A fault of a scheduler's links or process changes what the
+// rules require of that scheduler.
 type faultRecord struct {
 	mu           sync.Mutex
-	partitions   map[int][]interval            // when a scheduler could not reach discovery
-	links        map[int]map[string][]interval // when its link to a worker was faulty
+	partitions   map[int][]interval            // when each scheduler could not reach discovery
+	links        map[int]map[string][]interval // when each scheduler's link to a worker was faulty, by worker
 	kills        map[int][]time.Time
 	terminations map[int][]time.Time
 	failedExits  int
 	disconnects  []disconnect
 }
 
-// A disconnect is a client that disconnected before its answer.
+// disconnect is a client's disconnect before its job was answered.
 type disconnect struct {
 	id string
 	at time.Time
 }
 
-// newRecord makes an empty record.
+// newFaultRecord returns an empty record.
 func newFaultRecord() *faultRecord {
 	return &faultRecord{
 		partitions:   map[int][]interval{},
@@ -39,14 +39,14 @@
 	}
 }
 
-// unreachable records that a scheduler could not reach discovery.
+// recordPartition records that a scheduler could not reach discovery.
 func (r *faultRecord) recordPartition(i int, from, to time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.partitions[i] = append(r.partitions[i], interval{from, to})
 }
 
-// link records that a scheduler's link to a worker was faulty.
+// recordLinkFault records that a scheduler's link to a worker was faulty.
 func (r *faultRecord) recordLinkFault(i int, worker string, from, to time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -60,7 +60,7 @@
 
 func (r *faultRecord) recordTermination(i int, at time.Time) { r.add(r.terminations, i, at) }
 
-// add adds a time of a scheduler to one of the record's tables.
+// add appends a time to a scheduler's entry in one of the record's tables.
 func (r *faultRecord) add(table map[int][]time.Time, i int, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -79,29 +79,30 @@
 	r.disconnects = append(r.disconnects, disconnect{id, at})
 }
 
-// killedSince reports whether a scheduler was killed after a time.
+// killedSince reports whether a scheduler was killed after the time sent.
 func (r *faultRecord) killedSince(i int, sent time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return anyIn(r.kills[i], sent, time.Now())
 }
 
-// restarted reports whether a scheduler's process was killed or ended between two times.
+// restarted reports whether a scheduler's process was killed or terminated between two times.
 func (r *faultRecord) restarted(i int, from, to time.Time) bool {
 	return anyIn(r.kills[i], from, to) || anyIn(r.terminations[i], from, to)
 }
 
-// anyIn reports whether one of the times lies between two others.
+// anyIn reports whether one of the times is between from and to.
 func anyIn(times []time.Time, from, to time.Time) bool {
 	return slices.ContainsFunc(times, func(at time.Time) bool { return at.After(from) && at.Before(to) })
 }
 
-// anyOverlaps reports whether one of the spans has a moment between two times.
+// anyOverlaps reports whether one of the intervals overlaps the time between from and to.
 func anyOverlaps(spans []interval, from, to time.Time) bool {
 	return slices.ContainsFunc(spans, func(s interval) bool { return s.overlaps(from, to) })
 }
 
-// linkFaulty reports whether a scheduler's link to a worker was faulty at some moment between two times.
+// linkFaulty reports whether a scheduler's link to a worker was faulty at some moment between two
+// times.
 func (r *faultRecord) linkFaulty(i int, worker string, from, to time.Time) bool {
 	return anyOverlaps(r.links[i][worker], from, to)
 }
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -1,8 +1,8 @@
-// Package soak plays faults that overlap in time against many real processes of the scheduler, drawn from a
-// seed, and judges by what the stand-ins for workers, discovery and clients recorded (docs/operate/soak.md).
+// Package soak injects overlapping faults, drawn from a seed, into a fleet of many real scheduler processes, and
+// checks the records of the stand-ins for workers, discovery and clients for violations (docs/operate/soak.md).
 //
-// A run owns its fleet, the schedule of faults and a record of what they did. The package's own mutants, deliberate
-// faults of the scheduler, prove that the judge sees each kind of violation.
+// A run owns its fleet, the schedule of faults and a record of their effects. The package's mutants, deliberate
+// faults of the scheduler, prove that a soak detects each kind of violation.
 package soak
 
 import (
@@ -18,30 +18,33 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// Options say what one run is made of.
+// Options describe one run.
 type Options struct {
-	Program       string // the scheduler's binary
+	Program       string // path of the scheduler's binary
 	Schedulers    int
 	Workers       int
 	Seed          uint64
-	Duration      time.Duration // how long faults begin
-	JobsPerSecond float64       // jobs a second at each scheduler
+	Duration      time.Duration // period in which faults begin
+	JobsPerSecond float64       // for each scheduler
 }
 
-// Default is the run that the operators' page speaks of.
-var DefaultOptions = Options{Program: "bin/foxlift", Schedulers: 10, Workers: 10, Duration: 30 * time.Second, JobsPerSecond: 12}
+// DefaultOptions are those of the run that the operator documentation describes.
+var DefaultOptions = Options{
+	Program: "bin/foxlift", Schedulers: 10, Workers: 10, Duration: 30 * time.Second, JobsPerSecond: 12,
+}
 
-// Violations counts broken rules, by the names of package guard, and exit codes that are not 0.
+// Violations counts the violations of each rule, and the processes that exited with an error. Reports
+// use the rule names of package guard.
 type Violations struct {
 	Drain, Lost, Duplicate, Disconnected, Deadline, StartOverload, Exit int
 }
 
-// Sum returns all violations.
+// Sum returns the total number of violations.
 func (v Violations) Sum() int {
 	return v.Drain + v.Lost + v.Duplicate + v.Disconnected + v.Deadline + v.StartOverload + v.Exit
 }
 
-// A Result is what a run, or several, saw.
+// Result holds the observations of one run or several.
 type Result struct {
 	Seeds, Processes    int
 	Faults, Overlapping int
@@ -50,7 +53,7 @@
 	Violations          Violations
 }
 
-// Add adds another run's result.
+// Add adds the result of another run. Processes becomes the larger of the two numbers.
 func (r *Result) Add(o Result) {
 	r.Seeds += o.Seeds
 	r.Processes = max(r.Processes, o.Processes)
@@ -68,7 +71,7 @@
 	v.Exit += w.Exit
 }
 
-// Line is the result in one line.
+// Line returns the result as one line.
 func (r *Result) Line() string {
 	v, t := r.Violations, r.Tally
 	served := 100 * float64(t.Served+t.Late) / float64(max(1, t.Sent))
@@ -79,12 +82,13 @@
 }
 
 const (
-	readyTimeout = 30 * time.Second
-	warmupTime   = 500 * time.Millisecond // of load before the first fault
-	answerGrace  = 500 * time.Millisecond // past a job's time: its answer earns nothing, but is one
+	readyTimeout = 30 * time.Second       // until a started process must be ready
+	warmupTime   = 500 * time.Millisecond // under load before the first fault
+	answerGrace  = 500 * time.Millisecond // after the deadline; an answer then counts as received but not as served
 )
 
-// world is the deployment: two zones, two kinds of worker, a class that may be repeated and one that may not.
+// topology returns the deployment: two zones, two kinds of worker, an idempotent class and an
+// at-most-once class.
 func (o Options) topology() lab.Topology {
 	return lab.Topology{
 		Schedulers: o.Schedulers,
@@ -116,7 +120,7 @@
 	}
 }
 
-// A run is the run of one seed.
+// run is the state of one run with one seed.
 type run struct {
 	Options
 	fleet         *fleet.Fleet
@@ -125,18 +129,18 @@
 	faultRecord   *faultRecord
 	disconnecting disconnectingClients
 
-	logMu sync.Mutex // faults log from goroutines of their own
+	logMu sync.Mutex // faults log from their own goroutines
 	log   io.Writer
 
 	mu       sync.Mutex
-	reserved map[string]bool // workers and processes under a fault that excludes others
+	reserved map[string]bool // workers, processes and discovery, by the fault that excludes others there
 	wait     sync.WaitGroup
 }
 
-// rngStream is the stream of a seed's random numbers that draws the faults.
+// faultRNGStream selects the stream of the seed's random numbers that draws the faults.
 const faultRNGStream = 17
 
-// newRun makes the run of the options' seed on a fleet.
+// newRun creates a run with the options' seed on a fleet.
 func (o Options) newRun(f *fleet.Fleet, log io.Writer) *run {
 	return &run{
 		Options:     o,
@@ -148,7 +152,7 @@
 	}
 }
 
-// Run plays one seed. What it sees broken is written to log, a line each.
+// Run runs one seed. It writes each violation to log as one line.
 func (o Options) Run(log io.Writer) (r Result, err error) {
 	f, err := fleet.New(fleet.Options{
 		Topology:    o.topology(),
@@ -191,12 +195,14 @@
 	return r, nil
 }
 
-// excuse says whether a job at a process is owed no answer, since the process was killed after it was sent.
+// wasInterrupted returns a function that reports whether process i was killed after a job was sent;
+// such a job need not be answered.
 func (p *run) wasInterrupted(i int) func(time.Time) bool {
 	return func(sent time.Time) bool { return p.faultRecord.killedSince(i, sent) }
 }
 
-// terminateAll ends all processes with SIGTERM; each has to end with exit code 0.
+// terminateAll ends all processes with SIGTERM and counts those that exit with a code other than 0 or
+// by a signal.
 func (p *run) terminateAll(v *Violations) {
 	if err := p.fleet.TerminateAll(); err != nil {
 		v.Exit += strings.Count(err.Error(), "exit status") + strings.Count(err.Error(), "signal:")
@@ -204,7 +210,7 @@
 	}
 }
 
-// logf writes one line to the run's log.
+// logf writes one line with the seed and the time since the start of the run to the run's log.
 func (p *run) logf(format string, args ...any) {
 	at := time.Since(p.startedAt).Seconds()
 	p.logMu.Lock()
