--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -31,17 +31,17 @@
 // ParseOperator parses the text of an operator's file and checks it against the platform's settings. name is the
 // file name for error messages. The error is of type OperatorErrors and lists everything that is wrong, not only
 // the first error.
-func ParseOperator(name string, text []byte, s *Settings) (*OperatorConfig, error) {
+func ParseOperator(name string, text []byte, settings *Settings) (*OperatorConfig, error) {
 	r := &reader{file: name}
 	op := &OperatorConfig{}
-	r.readTopLevel(text, op, func(f form) { op.Cells = r.cells(f, s) })
+	r.readTopLevel(text, op, func(f form) { op.Cells = r.readCells(f, settings) })
 	if len(r.errors) > 0 {
 		return nil, r.sorted()
 	}
 	return op, nil
 }
 
-// readTopLevel reads the top-level forms of the file. It calls cells for the cells form.
+// readTopLevel reads the top-level forms of the file. It calls readCells for the cells form.
 func (r *reader) readTopLevel(text []byte, op *OperatorConfig, readCells func(form)) {
 	r.readForms("", r.parse(text), map[string]rule{"foxlift": {read: func(f form) {
 		r.readForms("", f.args, map[string]rule{
@@ -71,7 +71,7 @@
 // returns an empty path.
 func (r *reader) readAbsolutePath(f form) (v *sexp, path string) {
 	v = r.singleValue(f)
-	path = r.text(f, v)
+	path = r.readText(f, v)
 	if path != "" && !filepath.IsAbs(path) {
 		r.addError(v, f.key, "%q is not an absolute path", path)
 		return v, ""
@@ -106,14 +106,14 @@
 
 // readCells reads the cells form and checks it against the platform's settings. The result is nil if there is an
 // error that rules out a plan.
-func (r *reader) cells(f form, s *Settings) *cells.Plan {
+func (r *reader) readCells(f form, settings *Settings) *cells.Plan {
 	before := len(r.errors)
 	spec := &cells.Spec{Weights: map[string]float64{}}
 	r.subjects = map[string]form{"cells": f}
 	r.readForms(f.key, f.args, map[string]rule{
 		"default": {read: func(f form) {
 			r.subjects["default"] = f
-			spec.Default = r.text(f, r.singleValue(f))
+			spec.Default = r.readText(f, r.singleValue(f))
 		}},
 		"key":   {read: func(f form) { r.readKeyLimits(f, spec) }},
 		"kind":  {repeatable: true, read: func(f form) { r.readKind(f, spec) }},
@@ -133,7 +133,7 @@
 	if len(spec.Cells) == 0 && len(r.errors) > before {
 		return nil // the missing cells may be a consequence of the recorded errors
 	}
-	plan, specErrors := s.PlanCells(spec)
+	plan, specErrors := settings.PlanCells(spec)
 	for _, e := range specErrors {
 		subject, ok := r.subjects[e.Subject]
 		if !ok {
@@ -147,8 +147,8 @@
 // readKeyLimits reads the key form: the limits of the jobs with one affinity key.
 func (r *reader) readKeyLimits(f form, spec *cells.Spec) {
 	r.readForms(f.key, f.args, map[string]rule{
-		"nodes": {read: func(f form) { spec.WorkersPerKey = r.positiveInteger(f, r.singleValue(f), maxKeyWorkers) }},
-		"jobs":  {read: func(f form) { spec.MaxJobsPerKey = r.positiveInteger(f, r.singleValue(f), maxCount) }},
+		"nodes": {read: func(f form) { spec.WorkersPerKey = r.readPositiveInteger(f, r.singleValue(f), maxKeyWorkers) }},
+		"jobs":  {read: func(f form) { spec.MaxJobsPerKey = r.readPositiveInteger(f, r.singleValue(f), maxCount) }},
 	})
 }
 
@@ -158,7 +158,7 @@
 	r.subjects["kind "+name] = f.withName(name)
 	r.readForms(f.key+" "+name, rest, map[string]rule{
 		"weight": {read: func(f form) {
-			spec.Weights[name] = r.number(f, r.singleValue(f), minWeight, maxWeight)
+			spec.Weights[name] = r.readNumber(f, r.singleValue(f), minWeight, maxWeight)
 		}},
 	})
 }
@@ -171,7 +171,7 @@
 	r.readForms(f.key+" "+name, rest, map[string]rule{
 		"cells": {read: func(f form) { split.Cells = r.readNames(f, "") }},
 		"by": {read: func(f form) {
-			r.keyword(f, r.singleValue(f), "key")
+			r.readKeyword(f, r.singleValue(f), "key")
 			byKey = true
 		}},
 	})
@@ -187,10 +187,10 @@
 	c := cells.Cell{Name: name}
 	r.subjects["cell "+name] = f.withName(name)
 	r.readForms(f.key+" "+name, rest, map[string]rule{
-		"share":       {read: func(f form) { c.CapacityFraction = r.number(f, r.singleValue(f), minFraction, 1) }},
+		"share":       {read: func(f form) { c.CapacityFraction = r.readNumber(f, r.singleValue(f), minFraction, 1) }},
 		"tenants":     {read: func(f form) { c.Tenants = r.readNames(f, "tenant ") }},
-		"jobs":        {read: func(f form) { c.MaxJobs = r.positiveInteger(f, r.singleValue(f), maxCount) }},
-		"connections": {read: func(f form) { c.MaxConnections = r.positiveInteger(f, r.singleValue(f), maxCount) }},
+		"jobs":        {read: func(f form) { c.MaxJobs = r.readPositiveInteger(f, r.singleValue(f), maxCount) }},
+		"connections": {read: func(f form) { c.MaxConnections = r.readPositiveInteger(f, r.singleValue(f), maxCount) }},
 		"when-unable": {read: func(f form) { r.readWhenUnable(f, &c) }},
 	})
 	return c
@@ -202,7 +202,7 @@
 		r.addError(f.at, f.key, "want refuse, or spill with a cell and a fraction")
 		return
 	}
-	switch r.keyword(f, f.args[0], "refuse", "spill") {
+	switch r.readKeyword(f, f.args[0], "refuse", "spill") {
 	case "refuse":
 		if len(f.args) > 1 {
 			r.addError(f.args[1], f.key, "unexpected value after refuse")
@@ -213,7 +213,7 @@
 			return
 		}
 		r.subjects["spill "+c.Name] = form{f.args[1], f.key, nil}
-		c.SpillCell, c.SpillFraction = r.text(f, f.args[1]), r.number(f, f.args[2], minFraction, 1)
+		c.SpillCell, c.SpillFraction = r.readText(f, f.args[1]), r.readNumber(f, f.args[2], minFraction, 1)
 	}
 }
 
@@ -230,7 +230,7 @@
 		r.addError(f.at, f.key, "the name is missing")
 		return "", f.args
 	}
-	return r.text(f, f.args[0]), f.args[1:]
+	return r.readText(f, f.args[0]), f.args[1:]
 }
 
 // readNames reads all values of a form as names. If subject is not empty, it is the prefix under which each name
@@ -240,7 +240,7 @@
 		r.addError(f.at, f.key, "at least one name is required")
 	}
 	for _, v := range f.args {
-		name := r.text(f, v)
+		name := r.readText(f, v)
 		names = append(names, name)
 		if subject != "" {
 			r.subjects[subject+name] = form{v, f.key, nil}.withName(name)
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -122,9 +122,9 @@
 	return f.args[0]
 }
 
-// text reads a value as an atom or a non-empty string. For another value it records an error and returns "". A nil
+// readText reads a value as an atom or a non-empty string. For another value it records an error and returns "". A nil
 // value, whose error is already recorded, yields "" as well.
-func (r *reader) text(f form, v *sexp) string {
+func (r *reader) readText(f form, v *sexp) string {
 	switch {
 	case v == nil:
 	case v.Atom != nil:
@@ -137,8 +137,8 @@
 	return ""
 }
 
-// keyword reads a value as one of the known words. For another value it records an error and returns "".
-func (r *reader) keyword(f form, v *sexp, known ...string) string {
+// readKeyword reads a value as one of the known words. For another value it records an error and returns "".
+func (r *reader) readKeyword(f form, v *sexp, known ...string) string {
 	if v == nil {
 		return ""
 	}
@@ -149,8 +149,8 @@
 	return ""
 }
 
-// number reads a value as a number from minimum to maximum. For another value it records an error and returns 0.
-func (r *reader) number(f form, v *sexp, minimum, maximum float64) float64 {
+// readNumber reads a value as a number from minimum to maximum. For another value it records an error and returns 0.
+func (r *reader) readNumber(f form, v *sexp, minimum, maximum float64) float64 {
 	if v == nil {
 		return 0
 	}
@@ -164,9 +164,9 @@
 	return 0
 }
 
-// positiveInteger reads a value as an integer from 1 to maximum. For another value it records an error and returns
+// readPositiveInteger reads a value as an integer from 1 to maximum. For another value it records an error and returns
 // 0.
-func (r *reader) positiveInteger(f form, v *sexp, maximum int) int {
+func (r *reader) readPositiveInteger(f form, v *sexp, maximum int) int {
 	if v == nil {
 		return 0
 	}
