--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -152,7 +152,7 @@
 	})
 }
 
-// readKind reads a kind form: the relative capacity of a kind of workers.
+// readKind reads a kind form: the weight of a kind of workers, which is its capacity relative to other kinds.
 func (r *reader) readKind(f form, spec *cells.Spec) {
 	name, rest := r.readName(f)
 	r.subjects["kind "+name] = f.withName(name)
@@ -196,7 +196,8 @@
 	return c
 }
 
-// readWhenUnable reads (when-unable refuse) or (when-unable spill CELL FRACTION).
+// readWhenUnable reads (when-unable refuse) or (when-unable spill CELL FRACTION). While the cell has no warm worker,
+// its jobs are refused or may use the fraction of the other cell's job bound.
 func (r *reader) readWhenUnable(f form, c *cells.Cell) {
 	if len(f.args) == 0 {
 		r.addError(f.at, f.key, "want refuse, or spill with a cell and a fraction")
@@ -217,7 +218,7 @@
 	}
 }
 
-// withName returns the form with a name appended to its key, for error messages.
+// withName returns a copy of the form with a name appended to its key, for error messages.
 func (f form) withName(name string) form {
 	f.key += " " + name
 	return f
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -22,7 +22,7 @@
 	Kinds            map[string]int
 	GaugeNames       []string      // names of the values in a load report, in order
 	ConnectTimeout   time.Duration // 0 means not configured
-	DrainGrace       time.Duration // time limit for sends to a worker that drains to stop
+	DrainGrace       time.Duration // time from the start of draining within which sends to the worker must stop
 	MaxOpen          int           // maximum number of open jobs; 0 means no limit
 	ProgressInterval time.Duration // interval between progress notes; 0 means none
 	Discovery        string        // one of discoveryModes, or ""
@@ -107,8 +107,8 @@
 	"cell": foxlift.ScopeCell,
 }
 
-// Values of discovery: in the simulator the endpoint list is pushed to the scheduler or the scheduler subscribes
-// to it. The real scheduler ignores the value and always polls.
+// Values of discovery: in the simulator the endpoint list is pushed (automatic) or the scheduler watches it
+// (subscribe). On sockets it is always polled.
 const (
 	discoveryAutomatic = "automatic"
 	discoverySubscribe = "subscribe"
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -22,7 +22,7 @@
 
 // Options are the parameters of a start that are not in the configuration files.
 type Options struct {
-	Getenv       func(string) string // returns an environment variable; "" if it is not set
+	Getenv       func(string) string // returns an environment variable such as LB_CONFIG; "" if it is not set
 	OperatorPath string              // path of the operator's file; "" for none
 	Log          *zap.Logger
 	Version      string
