--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -13,14 +13,14 @@
 // The limits of the rules, as in the settings of the lab's topology, with a slack of 50 ms on sockets. A suspended
 // process is late by up to maxPause, except with drains, whose grace covers it.
 const (
-	notificationLimit = 6 * time.Second        // from when discovery has a change and is reachable; then it counts as known
+	notificationLimit = 6 * time.Second        // after discovery has a change and is reachable; then it counts as known
 	drainGrace        = 750 * time.Millisecond // from the notification of a drain or removal until sends must have stopped
 	slack             = 50 * time.Millisecond  // on sockets
 	maxPause          = 150 * time.Millisecond // how long a scheduler is suspended
 	disconnectSlack   = 100 * time.Millisecond // from a client's disconnect until sends of its job must have stopped
 	deadlineSlack     = 150 * time.Millisecond // by which the remaining time sent to a worker may be too long
 	maxLinkLatency    = 100 * time.Millisecond // of a slow link, including the machine's own delays
-	faultFreeMargin   = time.Second            // a written answer counts as received if its link is fault-free this long around it
+	faultFreeMargin   = time.Second            // a written answer counts as received if its link is fault-free around it
 )
 
 // countViolations counts the broken rules and logs most of them.
