--- a/internal/lab/fleet/configuration.go
+++ b/internal/lab/fleet/configuration.go
@@ -113,21 +113,21 @@
 
 // workerAddr returns the address at which process i reaches a worker: that of a link with
 // Options.WorkerLinks, and addr otherwise.
-func (f *Fleet) workerAddr(i int, host, addr string) string {
+func (f *Fleet) workerAddr(i int, name, addr string) string {
 	if !f.WorkerLinks {
 		return addr
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	links := f.workerLinks[i]
-	if links[host] == nil {
+	if links[name] == nil {
 		link, err := newLink(addr)
 		if err != nil {
 			return addr
 		}
-		links[host] = link
+		links[name] = link
 	}
-	return links[host].Addr().String()
+	return links[name].Addr().String()
 }
 
 // WorkerLink returns the link from process i to a worker; nil if there is none.
--- a/internal/lab/fleet/cut_test.go
+++ b/internal/lab/fleet/cut_test.go
@@ -76,10 +76,10 @@
 
 // awaitVersion waits until discovery has sent its current version of the endpoint list to each of the
 // processes.
-func awaitVersion(t *testing.T, f *Fleet, which ...*Process) {
+func awaitVersion(t *testing.T, f *Fleet, processes ...*Process) {
 	t.Helper()
 	version := f.Discovery.Version()
-	for _, p := range which {
+	for _, p := range processes {
 		await(t, p.Name+" has the newest list", func() bool { return f.Discovery.SentVersion(p.Name) >= version })
 	}
 }
--- a/internal/lab/fleet/helpers_test.go
+++ b/internal/lab/fleet/helpers_test.go
@@ -65,11 +65,11 @@
 }
 
 // await waits until a condition holds, and fails the test after 30 s.
-func await(t *testing.T, what string, holds func() bool) {
+func await(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(30 * time.Second); !holds(); <-time.After(5 * time.Millisecond) {
+	for end := time.Now().Add(30 * time.Second); !condition(); <-time.After(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("condition not met in time: %s", what)
+			t.Fatalf("condition not met in time: %s", description)
 		}
 	}
 }
@@ -83,26 +83,26 @@
 
 // awaitEndpoints waits until discovery has answered each process since the last call. It changes the
 // endpoint list first, because a watch without a change is answered late.
-func awaitEndpoints(t *testing.T, f *Fleet, which ...*Process) {
+func awaitEndpoints(t *testing.T, f *Fleet, processes ...*Process) {
 	t.Helper()
 	f.Discovery.Put(f.Workers()[0], standin.Active)
-	awaitAnswers(t, f, which...)
+	awaitAnswers(t, f, processes...)
 }
 
 // awaitAnswers is like awaitEndpoints, but changes nothing: discovery must have something to answer.
-func awaitAnswers(t *testing.T, f *Fleet, which ...*Process) {
+func awaitAnswers(t *testing.T, f *Fleet, processes ...*Process) {
 	t.Helper()
-	for _, p := range which {
+	for _, p := range processes {
 		await(t, p.Name+" has the endpoint list", func() bool { return !f.Discovery.TakeFirstResponse(p.Name).IsZero() })
 	}
 }
 
 // checkNewWorkerServes sends jobs until a worker that was not in the cached endpoint list runs some,
 // and checks the invariants.
-func checkNewWorkerServes(t *testing.T, f *Fleet, name string, fresh *standin.Worker) {
+func checkNewWorkerServes(t *testing.T, f *Fleet, name string, newWorker *standin.Worker) {
 	t.Helper()
 	l := f.StartLoad(name, 400, 2)
-	await(t, "the new worker runs jobs", func() bool { return len(fresh.Runs()) > 0 })
+	await(t, "the new worker runs jobs", func() bool { return len(newWorker.Runs()) > 0 })
 	stopAndCheck(t, f, l, standin.Tally{})
 }
 
--- a/internal/lab/fleet/link.go
+++ b/internal/lab/fleet/link.go
@@ -210,12 +210,12 @@
 }
 
 // forward forwards one direction of a connection until it ends.
-func (l *Link) forward(from, to net.Conn, d Direction) {
+func (l *Link) forward(from, to net.Conn, direction Direction) {
 	defer standin.CloseWrite(to)
 	buf := make([]byte, copyBufferSize)
 	for {
-		waited := l.isBlocked(d)
-		if !l.waitToForward(d, 0) {
+		waited := l.isBlocked(direction)
+		if !l.waitToForward(direction, 0) {
 			return
 		}
 		n, err := 0, error(nil)
@@ -223,8 +223,8 @@
 			n, err = from.Read(buf)
 		}
 		if n > 0 {
-			waited = waited || l.isBlocked(d)
-			if !l.waitToForward(d, n) {
+			waited = waited || l.isBlocked(direction)
+			if !l.waitToForward(direction, n) {
 				return
 			}
 		}
@@ -236,13 +236,13 @@
 			if _, err := to.Write(buf[:n]); err != nil {
 				return
 			}
-			l.recordForwarded(d, n)
+			l.recordForwarded(direction, n)
 		}
 		if errors.Is(err, io.EOF) {
 			return
 		}
 		if err != nil { // forward a reset as a reset, once data may pass
-			l.waitToForward(d, 0)
+			l.waitToForward(direction, 0)
 			standin.ResetConn(to)
 			return
 		}
@@ -273,11 +273,11 @@
 
 // waitToForward waits until the given number of bytes may be forwarded in a direction, and returns
 // true. It returns false if the link is closed.
-func (l *Link) waitToForward(d Direction, bytes int) bool {
+func (l *Link) waitToForward(direction Direction, bytes int) bool {
 	var due time.Time
 	for {
 		l.mu.Lock()
-		silent, delay, rate := l.blocked[d], l.delay[d], l.rate
+		blocked, delay, rate := l.blocked[direction], l.delay[direction], l.rate
 		changed, closed := l.changed, l.closed
 		l.mu.Unlock()
 		if closed {
@@ -289,13 +289,13 @@
 			}
 			due = time.Now().Add(delay)
 		}
-		left := time.Until(due)
-		if !silent && left <= 0 {
+		remaining := time.Until(due)
+		if !blocked && remaining <= 0 {
 			return true
 		}
 		var timer <-chan time.Time
-		if !silent {
-			timer = time.After(left)
+		if !blocked {
+			timer = time.After(remaining)
 		}
 		select {
 		case <-timer:
--- a/internal/lab/fleet/load.go
+++ b/internal/lab/fleet/load.go
@@ -30,10 +30,10 @@
 }
 
 // StartLoadWith is like StartLoad, with clients that have the given tolerance.
-func (f *Fleet) StartLoadWith(name string, rate float64, seed uint64, allow Tolerance) *Load {
-	excuse := allow.WasInterrupted
-	if excuse == nil {
-		excuse = func(int) func(time.Time) bool { return nil }
+func (f *Fleet) StartLoadWith(name string, rate float64, seed uint64, tolerance Tolerance) *Load {
+	wasInterrupted := tolerance.WasInterrupted
+	if wasInterrupted == nil {
+		wasInterrupted = func(int) func(time.Time) bool { return nil }
 	}
 	l := &Load{stop: make(chan struct{})}
 	for i, p := range f.Processes {
@@ -43,8 +43,8 @@
 			for _, tenant := range f.Tenants {
 				client := newClient(p.Addr, class, tenant)
 				client.Name = fmt.Sprintf("%s/%s/%s/%d", name, tenant.Name, class.Name, i)
-				client.Grace = allow.Grace
-				client.WasInterrupted = excuse(i)
+				client.Grace = tolerance.Grace
+				client.WasInterrupted = wasInterrupted(i)
 				clients = append(clients, client)
 				rates = append(rates, rate*class.JobFraction*tenant.QuotaFraction/float64(len(f.Processes)))
 			}
--- a/internal/lab/fleet/messaging.go
+++ b/internal/lab/fleet/messaging.go
@@ -111,20 +111,20 @@
 		} else if err != nil {
 			continue
 		}
-		isOneOf := func(each100 int64) bool { return number*each100/100 != (number-1)*each100/100 }
-		if isOneOf(m.lost.Load()) {
+		isSelected := func(each100 int64) bool { return number*each100/100 != (number-1)*each100/100 }
+		if isSelected(m.lost.Load()) {
 			continue
 		}
 		data := slices.Clone(buf[:n])
-		if isOneOf(m.corrupted.Load()) && n > 0 {
+		if isSelected(m.corrupted.Load()) && n > 0 {
 			data[number%int64(n)] ^= byte(number) | 1
 		}
-		times := 1
-		if isOneOf(m.duplicated.Load()) {
-			times = 2
+		copies := 1
+		if isSelected(m.duplicated.Load()) {
+			copies = 2
 		}
 		delay := time.Duration(number*delayMultiplier%100) * time.Duration(m.delay.Load()) / 100
-		for range times {
+		for range copies {
 			m.send(sender, receiver, data, delay)
 		}
 	}
--- a/internal/lab/fleet/observe.go
+++ b/internal/lab/fleet/observe.go
@@ -13,15 +13,15 @@
 }
 
 // OverloadedWorkers returns how many workers were overloaded during slow start.
-func (f *Fleet) OverloadedWorkers() (n int) {
+func (f *Fleet) OverloadedWorkers() (count int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, worker := range f.workers {
 		if worker.Overloaded() {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // DuplicateJobs returns the IDs of at-most-once jobs that were started more than once, on any workers.
--- a/internal/lab/fleet/slowstart_trial.go
+++ b/internal/lab/fleet/slowstart_trial.go
@@ -144,16 +144,16 @@
 	}
 	r.Schedulers, r.CleanExit = o.Schedulers, true
 	r.DiscoveryCapacity = 1 / (trialCallCost.PerCall + time.Duration(o.Workers)*trialCallCost.PerHost).Seconds()
-	began := time.Now()
+	startedAt := time.Now()
 	load := f.StartLoad("cold", o.LoadFraction*f.Capacity(), o.Seed)
 	if err := f.StartAll(trialStartTimeout); err != nil {
 		close(load.stop)
 		return r, err
 	}
-	fmt.Fprintf(w, "%d schedulers ready after %.1f s\n", o.Schedulers, time.Since(began).Seconds())
-	o.reportProgress(w, f, load, began, &r)
+	fmt.Fprintf(w, "%d schedulers ready after %.1f s\n", o.Schedulers, time.Since(startedAt).Seconds())
+	o.reportProgress(w, f, load, startedAt, &r)
 	r.Tally = standin.Total(r.Tally, load.Stop())
-	r.recordDiscovery(f, began)
+	r.recordDiscovery(f, startedAt)
 	if err := f.TerminateAll(); err != nil {
 		r.CleanExit = false
 		fmt.Fprintln(w, err)
@@ -184,35 +184,35 @@
 }
 
 // reportProgress writes progress reports until the trial's duration has passed, and adds up the tally.
-func (o SlowStartTrial) reportProgress(w io.Writer, f *Fleet, load *Load, began time.Time, r *SlowStartResult) {
+func (o SlowStartTrial) reportProgress(w io.Writer, f *Fleet, load *Load, startedAt time.Time, r *SlowStartResult) {
 	for i := range trialReportCount {
-		<-time.After(time.Until(began.Add(o.Duration * time.Duration(i+1) / trialReportCount)))
+		<-time.After(time.Until(startedAt.Add(o.Duration * time.Duration(i+1) / trialReportCount)))
 		tally := load.ResetTally()
 		r.Tally = standin.Total(r.Tally, tally)
 		r.FinalServedPercent = tally.ServedPercent()
 		calls := f.Discovery.Calls()
 		fmt.Fprintf(w, "%5.1f s: %d jobs, served %.1f %%, shed %d, late %d, failed %d; "+
 			"discovery: %d calls, %d rejected, %d waiting\n",
-			time.Since(began).Seconds(), tally.Sent, tally.ServedPercent(), tally.Shed, tally.Late, tally.Failed,
+			time.Since(startedAt).Seconds(), tally.Sent, tally.ServedPercent(), tally.Shed, tally.Late, tally.Failed,
 			calls.Received, calls.Rejected, calls.Waiting)
 	}
 }
 
 // recordDiscovery records when the schedulers had the list, and the load that this put on discovery.
-func (r *SlowStartResult) recordDiscovery(f *Fleet, began time.Time) {
-	var first []time.Duration
+func (r *SlowStartResult) recordDiscovery(f *Fleet, startedAt time.Time) {
+	var informedAfter []time.Duration
 	for _, p := range f.Processes {
-		if at := f.Discovery.TakeFirstResponse(p.Name); !at.IsZero() {
-			first = append(first, at.Sub(began))
+		if respondedAt := f.Discovery.TakeFirstResponse(p.Name); !respondedAt.IsZero() {
+			informedAfter = append(informedAfter, respondedAt.Sub(startedAt))
 		}
 	}
-	slices.Sort(first)
-	r.Informed = len(first)
-	if half := (r.Schedulers+1)/2 - 1; half < len(first) {
-		r.HalfInformedAfter = first[half]
+	slices.Sort(informedAfter)
+	r.Informed = len(informedAfter)
+	if half := (r.Schedulers+1)/2 - 1; half < len(informedAfter) {
+		r.HalfInformedAfter = informedAfter[half]
 	}
-	if len(first) == r.Schedulers {
-		r.AllInformedAfter = first[len(first)-1]
+	if len(informedAfter) == r.Schedulers {
+		r.AllInformedAfter = informedAfter[len(informedAfter)-1]
 	}
 	calls := f.Discovery.Calls()
 	r.MaxCallsPerSecond = calls.MaxPerSecond
--- a/internal/lab/fleet/start_test.go
+++ b/internal/lab/fleet/start_test.go
@@ -13,7 +13,7 @@
 // yet, a load far above the workers' capacity must overload none of them: some jobs are served, and
 // the others are answered.
 func TestAllWorkersInSlowStart(t *testing.T) {
-	for name, other := range map[string]string{"the same names": "", "other names": "other-"} {
+	for name, prefix := range map[string]string{"the same names": "", "other names": "other-"} {
 		t.Run(name, func(t *testing.T) {
 			f := newSmallFleet(t, 12, func(o *Options) {
 				o.SlowStart = &standin.SlowStart{
@@ -27,8 +27,8 @@
 			})
 			for _, worker := range f.Workers() {
 				to := ""
-				if other != "" {
-					to = other + worker.Name
+				if prefix != "" {
+					to = prefix + worker.Name
 				}
 				_, err := f.Restart(worker, to)
 				must(t, err)
--- a/internal/lab/fleet/workers.go
+++ b/internal/lab/fleet/workers.go
@@ -89,8 +89,8 @@
 
 // kindOf returns the kind of a worker.
 func (f *Fleet) kindOf(worker *standin.Worker) lab.WorkerKind {
-	isOf := func(kind lab.WorkerKind) bool { return kind.Name == worker.Kind }
-	return f.Kinds[slices.IndexFunc(f.Kinds, isOf)]
+	isKindOfWorker := func(kind lab.WorkerKind) bool { return kind.Name == worker.Kind }
+	return f.Kinds[slices.IndexFunc(f.Kinds, isKindOfWorker)]
 }
 
 // Replace removes a worker without a drain and starts another one of its kind, in slow start and at
@@ -105,11 +105,11 @@
 func (f *Fleet) Workers() []*standin.Worker {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var up []*standin.Worker
+	var running []*standin.Worker
 	for _, worker := range f.workers {
 		if f.running[worker.Name] == worker {
-			up = append(up, worker)
+			running = append(running, worker)
 		}
 	}
-	return up
+	return running
 }
--- a/internal/lab/service/deployment.go
+++ b/internal/lab/service/deployment.go
@@ -117,23 +117,23 @@
 // long that took. It fails with ErrNotReady after ReadyLimit.
 func AwaitReady(ctx context.Context, process *fleet.Process) (time.Duration, error) {
 	began := time.Now()
-	limited, cancel := context.WithTimeout(ctx, ReadyLimit)
+	limitedCtx, cancel := context.WithTimeout(ctx, ReadyLimit)
 	defer cancel()
-	operators := AdminClient{Addr: process.AdminAddr}
-	var last error
+	admin := AdminClient{Addr: process.AdminAddr}
+	var lastErr error
 	for {
-		if last = operators.Health(limited); last == nil {
+		if lastErr = admin.Health(limitedCtx); lastErr == nil {
 			return time.Since(began), nil
 		}
 		select {
 		case <-process.Done():
 			return 0, &UnexpectedExitError{process.Name, process.Log()}
-		case <-limited.Done():
+		case <-limitedCtx.Done():
 			if ctx.Err() != nil {
 				return 0, ctx.Err()
 			}
 			log := strings.Join(process.Log(), "\n")
-			return 0, fmt.Errorf("%s: %w: %w; end of its log:\n%s", process.Name, ErrNotReady, last, log)
+			return 0, fmt.Errorf("%s: %w: %w; end of its log:\n%s", process.Name, ErrNotReady, lastErr, log)
 		case <-time.After(pollInterval):
 		}
 	}
--- a/internal/lab/service/descriptors_test.go
+++ b/internal/lab/service/descriptors_test.go
@@ -20,9 +20,9 @@
 var kernelPaths = []string{"/dev/", "/proc/", "/sys/"}
 
 // descriptors returns what a process has open: its sockets, and the paths of its files on disk.
-func descriptors(t *testing.T, process int) (sockets, files []string) {
+func descriptors(t *testing.T, pid int) (sockets, files []string) {
 	t.Helper()
-	links, err := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", process))
+	links, err := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", pid))
 	must(t, err)
 	for _, link := range links {
 		target, err := os.Readlink(link)
--- a/internal/lab/service/fault.go
+++ b/internal/lab/service/fault.go
@@ -122,18 +122,18 @@
 // step. The outage lasts from the kill until the old process has exited, or until the successor is
 // ready if the old one was killed before that.
 func (d *Deployment) UpgradeKillingPredecessor(
-	ctx context.Context, step Step, after time.Duration,
+	ctx context.Context, step Step, delay time.Duration,
 ) (report UpgradeReport, outage Outage, err error) {
-	old := d.Current
-	report.StartedAt, report.Predecessor = time.Now(), old
+	predecessor := d.Current
+	report.StartedAt, report.Predecessor = time.Now(), predecessor
 	next, err := d.StartNext()
 	if err != nil {
 		return report, outage, err
 	}
 	kill := func() error {
-		err := sleepContext(ctx, after)
+		err := sleepContext(ctx, delay)
 		outage.From = time.Now()
-		old.Kill()
+		predecessor.Kill()
 		outage.To = time.Now()
 		return err
 	}
@@ -153,8 +153,8 @@
 		return report, outage, nil
 	case PredecessorTerminated:
 		report.TerminatedAt = time.Now()
-		if err := old.Signal(syscall.SIGTERM); err != nil {
-			return report, outage, fmt.Errorf("%s exited before SIGTERM: %w", old.Name, err)
+		if err := predecessor.Signal(syscall.SIGTERM); err != nil {
+			return report, outage, fmt.Errorf("%s exited before SIGTERM: %w", predecessor.Name, err)
 		}
 	}
 	err = kill()
--- a/internal/lab/service/figures.go
+++ b/internal/lab/service/figures.go
@@ -97,25 +97,25 @@
 
 // WithinTolerance reports whether a metric differs from the true value by at most the tolerance, a
 // fraction of the true value, or by absoluteTolerance if that is more.
-func WithinTolerance(figure, truth, tolerance float64) bool {
-	return math.Abs(figure-truth) <= max(tolerance*truth, absoluteTolerance)
+func WithinTolerance(reported, actual, tolerance float64) bool {
+	return math.Abs(reported-actual) <= max(tolerance*actual, absoluteTolerance)
 }
 
 // Mismatches describes how the responses differ from the clients' own tally; it is empty if they agree
 // within JobsTolerance.
 func (f Metrics) Mismatches(answers map[string]Responses) string {
-	var faults []string
-	check := func(class, result string, figure, truth float64) {
-		if !WithinTolerance(figure, truth, JobsTolerance) {
-			faults = append(faults, fmt.Sprintf("%s %s: metrics report %.0f, clients received %.0f",
-				class, result, figure, truth))
+	var mismatches []string
+	check := func(class, result string, reported, actual float64) {
+		if !WithinTolerance(reported, actual, JobsTolerance) {
+			mismatches = append(mismatches, fmt.Sprintf("%s %s: metrics report %.0f, clients received %.0f",
+				class, result, reported, actual))
 		}
 	}
-	for class, truth := range answers {
-		told := f.Responses[class]
-		check(class, "ok", told.OK, truth.OK)
-		check(class, "shed", told.Shed, truth.Shed)
-		check(class, "errors", told.Errors, truth.Errors)
+	for class, received := range answers {
+		reported := f.Responses[class]
+		check(class, "ok", reported.OK, received.OK)
+		check(class, "shed", reported.Shed, received.Shed)
+		check(class, "errors", reported.Errors, received.Errors)
 	}
-	return strings.Join(faults, "; ")
+	return strings.Join(mismatches, "; ")
 }
--- a/internal/lab/service/listening.go
+++ b/internal/lab/service/listening.go
@@ -21,12 +21,12 @@
 )
 
 // Listens reports whether a process listens on an IPv4 address with a port.
-func Listens(process int, address string) (bool, error) {
+func Listens(pid int, address string) (bool, error) {
 	inodes, err := listeners(address)
 	if err != nil {
 		return false, err
 	}
-	links, err := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", process))
+	links, err := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", pid))
 	if err != nil {
 		return false, err
 	}
--- a/internal/lab/service/load.go
+++ b/internal/lab/service/load.go
@@ -93,10 +93,10 @@
 }
 
 // awaitJobs waits until the given number of further jobs has ended.
-func (l *Load) awaitJobs(ctx context.Context, more int) error {
+func (l *Load) awaitJobs(ctx context.Context, count int) error {
 	before, _ := l.EndedJobs()
 	for {
-		if now, _ := l.EndedJobs(); now >= before+more {
+		if now, _ := l.EndedJobs(); now >= before+count {
 			return nil
 		}
 		if err := sleepContext(ctx, pollInterval); err != nil {
@@ -111,7 +111,7 @@
 	next := time.Now()
 	for number := 1; ; number++ {
 		next = next.Add(time.Duration(rng.ExpFloat64() / l.Rate * float64(time.Second)))
-		class, tenant, fresh := l.drawClass(rng.Float64()), l.drawTenant(rng.Float64()),
+		class, tenant, newConnection := l.drawClass(rng.Float64()), l.drawTenant(rng.Float64()),
 			rng.Float64() < l.NewConnectionFraction
 		select {
 		case <-time.After(time.Until(next)):
@@ -122,14 +122,14 @@
 			continue
 		}
 		id := fmt.Sprintf("%s/%s/%s/%d", l.Name, tenant.Name, class.Name, number)
-		l.wait.Go(func() { l.submit(id, class, tenant.Name, fresh) })
+		l.wait.Go(func() { l.submit(id, class, tenant.Name, newConnection) })
 	}
 }
 
 // drawClass returns the class for a random number from 0 to 1, weighted by the classes' job fractions.
-func (l *Load) drawClass(drawn float64) lab.Class {
+func (l *Load) drawClass(random float64) lab.Class {
 	for _, c := range l.classes {
-		if drawn -= c.JobFraction; drawn < 0 {
+		if random -= c.JobFraction; random < 0 {
 			return c
 		}
 	}
@@ -138,9 +138,9 @@
 
 // drawTenant returns the tenant for a random number from 0 to 1, weighted by the tenants' quota
 // fractions.
-func (l *Load) drawTenant(drawn float64) lab.Tenant {
+func (l *Load) drawTenant(random float64) lab.Tenant {
 	for _, t := range l.tenants {
-		if drawn -= t.QuotaFraction; drawn < 0 {
+		if random -= t.QuotaFraction; random < 0 {
 			return t
 		}
 	}
@@ -159,24 +159,24 @@
 }
 
 // submit sends one job until its outcome is not Unread or it was sent maxSends times, and tallies it.
-func (l *Load) submit(id string, class lab.Class, tenant string, fresh bool) {
-	text := requestText(id, class, tenant)
+func (l *Load) submit(id string, class lab.Class, tenant string, newConnection bool) {
+	request := requestText(id, class, tenant)
 	record := JobRecord{ID: id, Class: class.Name}
 	until := time.Now().Add(class.Deadline + answerGrace)
-	var got answer
+	var response answer
 	for len(record.Sends) < maxSends {
 		var send Send
-		got, send = l.send(text, fresh || len(record.Sends) > 0, until)
+		response, send = l.send(request, newConnection || len(record.Sends) > 0, until)
 		record.Sends = append(record.Sends, send)
 		if send.Outcome != Unread {
 			break
 		}
 	}
-	record.Status = got.Status
+	record.Status = response.Status
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.openJobs--
-	l.tally.add(record, got.Body)
+	l.tally.add(record, response.Body)
 }
 
 // requestText returns a job's HTTP request.
@@ -189,27 +189,27 @@
 }
 
 // send sends a request once, on an idle connection or on a new one.
-func (l *Load) send(text string, fresh bool, until time.Time) (got answer, s Send) {
-	s.StartedAt = time.Now()
+func (l *Load) send(request string, newConnection bool, until time.Time) (response answer, send Send) {
+	send.StartedAt = time.Now()
 	var c *connection
-	if !fresh {
+	if !newConnection {
 		c = l.idleConnection()
 	}
-	if s.NewConnection = c == nil; s.NewConnection {
-		if c, s.Err = dial(l.addr, until); s.Err != nil {
-			s.Outcome, s.EndedAt = Unread, time.Now()
-			return got, s
+	if send.NewConnection = c == nil; send.NewConnection {
+		if c, send.Err = dial(l.addr, until); send.Err != nil {
+			send.Outcome, send.EndedAt = Unread, time.Now()
+			return response, send
 		}
 	}
-	s.Port = c.localPort()
-	got, s.Outcome, s.Err = c.exchange(text, until)
-	s.EndedAt = time.Now()
-	if s.Outcome == Answered && !fresh {
+	send.Port = c.localPort()
+	response, send.Outcome, send.Err = c.exchange(request, until)
+	send.EndedAt = time.Now()
+	if send.Outcome == Answered && !newConnection {
 		l.release(c)
 	} else {
 		c.conn.Close()
 	}
-	return got, s
+	return response, send
 }
 
 // idleConnection returns the least recently used idle connection that is still open; nil if there is
--- a/internal/lab/service/main_test.go
+++ b/internal/lab/service/main_test.go
@@ -30,19 +30,19 @@
 }
 
 // await waits until a condition holds, and fails the test after a limit.
-func await(t *testing.T, what string, limit time.Duration, holds func() bool) {
+func await(t *testing.T, description string, limit time.Duration, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(limit); !holds(); <-time.After(pollInterval) {
+	for end := time.Now().Add(limit); !condition(); <-time.After(pollInterval) {
 		if time.Now().After(end) {
-			t.Fatalf("condition not met within %v: %s", limit, what)
+			t.Fatalf("condition not met within %v: %s", limit, description)
 		}
 	}
 }
 
 // deploy starts the scheduler of a topology and ends it with the test.
-func deploy(t *testing.T, world lab.Topology) *Deployment {
+func deploy(t *testing.T, topology lab.Topology) *Deployment {
 	t.Helper()
-	d, err := Deploy(t.Context(), program, world)
+	d, err := Deploy(t.Context(), program, topology)
 	must(t, err)
 	t.Cleanup(d.Close)
 	return d
--- a/internal/lab/service/operators.go
+++ b/internal/lab/service/operators.go
@@ -59,9 +59,9 @@
 // Fetch makes one HTTP call on a new connection, within CallTimeout, and returns the body of a 2xx
 // response. Another status is a StatusError.
 func Fetch(ctx context.Context, method, url string) (string, error) {
-	limited, cancel := context.WithTimeout(ctx, CallTimeout)
+	limitedCtx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(limited, method, url, nil)
+	request, err := http.NewRequestWithContext(limitedCtx, method, url, nil)
 	if err != nil {
 		return "", err
 	}
--- a/internal/lab/service/stats_test.go
+++ b/internal/lab/service/stats_test.go
@@ -12,7 +12,7 @@
 const metricsDelay = 500 * time.Millisecond
 
 // awaitMetrics fetches the metrics until a condition holds, and fails the test after a limit.
-func awaitMetrics(t *testing.T, d *Deployment, what string, limit time.Duration, holds func(Metrics) bool) {
+func awaitMetrics(t *testing.T, d *Deployment, description string, limit time.Duration, condition func(Metrics) bool) {
 	t.Helper()
 	var last Metrics
 	t.Cleanup(func() {
@@ -20,11 +20,11 @@
 			t.Logf("last metrics: %+v", last)
 		}
 	})
-	await(t, what, limit, func() bool {
+	await(t, description, limit, func() bool {
 		f, err := AdminClient{d.Current.AdminAddr}.Stats(t.Context())
 		must(t, err)
 		last = f
-		return holds(f)
+		return condition(f)
 	})
 }
 
--- a/internal/lab/service/tally.go
+++ b/internal/lab/service/tally.go
@@ -118,7 +118,7 @@
 // Line returns the tally as one line.
 func (t Tally) Line() string {
 	sum := t.Total()
-	at := func(percent float64) float64 {
+	latencyAt := func(percent float64) float64 {
 		return (time.Duration(t.Latency.ValueAtQuantile(percent)) * latencyUnit).Seconds()
 	}
 	answers := fmt.Sprintf("jobs %d: ok %.0f, shed %.0f, errors %.0f, rejected %d",
@@ -126,6 +126,6 @@
 	failures := fmt.Sprintf("lost %d, wrong results %d, not read %d",
 		len(t.Lost), len(t.WrongResults), len(t.Unread))
 	latencies := fmt.Sprintf("latency %.3f s at the median, %.3f s at the 99th percentile, %.3f s at most",
-		at(50), at(99), at(100))
+		latencyAt(50), latencyAt(99), latencyAt(100))
 	return answers + ", " + failures + "; " + latencies
 }
--- a/internal/lab/service/trial.go
+++ b/internal/lab/service/trial.go
@@ -57,15 +57,15 @@
 // UnreadJobs returns the number of Unread jobs and the highest number in one upgrade. A job counts for
 // the upgrade that started last before the job's first send ended. Sends to a killed process do not
 // count.
-func (r UpgradeTrialResult) UnreadJobs() (all, most int) {
+func (r UpgradeTrialResult) UnreadJobs() (total, maxPerUpgrade int) {
 	counts := make([]int, len(r.Upgrades)+1)
 	for _, record := range r.Tally.Unread {
 		if !r.failedInOutage(record.Sends[0]) {
-			all++
+			total++
 			counts[r.upgradeNumber(record)]++
 		}
 	}
-	return all, slices.Max(counts)
+	return total, slices.Max(counts)
 }
 
 // upgradeNumber returns the number of the upgrade that started last before a job's first send ended; 0
@@ -89,18 +89,18 @@
 
 // Line returns the result as one line.
 func (r UpgradeTrialResult) Line() string {
-	all, most := r.UnreadJobs()
+	total, maxPerUpgrade := r.UnreadJobs()
 	return fmt.Sprintf("upgrades %d, jobs %d, lost %d, ran more than once %d, "+
 		"not read %d (most in one upgrade %d), slowest ready after %.2f s",
-		len(r.Upgrades), r.Tally.Sent, len(r.Lost()), len(r.DuplicateJobs), all, most, r.SlowestStart().Seconds())
+		len(r.Upgrades), r.Tally.Sent, len(r.Lost()), len(r.DuplicateJobs), total, maxPerUpgrade, r.SlowestStart().Seconds())
 }
 
 // OK reports whether the trial passed: no limit was exceeded, all planned upgrades were done, and jobs
 // were served.
 func (r UpgradeTrialResult) OK() bool {
-	_, most := r.UnreadJobs()
+	_, maxPerUpgrade := r.UnreadJobs()
 	return len(r.Lost()) == 0 && len(r.DuplicateJobs) == 0 && len(r.Tally.WrongResults) == 0 &&
-		most <= maxUnreadPerUpgrade && r.SlowestStart() <= ReadyLimit &&
+		maxPerUpgrade <= maxUnreadPerUpgrade && r.SlowestStart() <= ReadyLimit &&
 		len(r.Upgrades) == r.PlannedUpgrades && r.Tally.Total().OK > 0
 }
 
@@ -169,8 +169,8 @@
 	ctx context.Context, d *Deployment, r *UpgradeTrialResult, rng *rand.Rand,
 ) (report UpgradeReport, err error) {
 	report.StartedAt, report.Predecessor = time.Now(), d.Current
-	each := max(d.FirstReadyAfter, r.SlowestStart()) / time.Duration(u.Upgrades)
-	afterStart := time.Duration(len(r.Upgrades))*each + randomDuration(rng, each)
+	interval := max(d.FirstReadyAfter, r.SlowestStart()) / time.Duration(u.Upgrades)
+	afterStart := time.Duration(len(r.Upgrades))*interval + randomDuration(rng, interval)
 	stopped := time.Duration(0)
 	if u.Fault == SuspendSuccessor {
 		stopped = randomDuration(rng, maxSuspension)
@@ -217,7 +217,7 @@
 	for _, id := range r.DuplicateJobs {
 		fmt.Fprintln(w, "ran more than once:", id)
 	}
-	excused := len(r.Tally.Lost) - len(r.Lost())
+	lostInOutage := len(r.Tally.Lost) - len(r.Lost())
 	fmt.Fprintf(w, "%s; faults injected %d; %d of the lost jobs died with a killed process, not by the upgrade\n",
-		r.Tally.Line(), r.FaultsInjected, excused)
+		r.Tally.Line(), r.FaultsInjected, lostInOutage)
 }
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -56,10 +56,10 @@
 
 // drawFaults draws the faults of a run from its seed and returns them ordered by start.
 func (p *run) drawFaults() (faults []fault) {
-	var by []int
+	var weightedKinds []int
 	for i, k := range faultKinds {
 		for range k.weight {
-			by = append(by, i)
+			weightedKinds = append(weightedKinds, i)
 		}
 	}
 	for at := time.Duration(0); ; {
@@ -67,7 +67,7 @@
 		if at >= p.Duration {
 			return faults
 		}
-		k := by[p.rng.IntN(len(by))]
+		k := weightedKinds[p.rng.IntN(len(weightedKinds))]
 		length := minFaultLength + time.Duration(p.rng.Int64N(int64(max(1, faultKinds[k].maxLength-minFaultLength))))
 		faults = append(faults, fault{k, at, min(length, faultKinds[k].maxLength), p.rng.Uint64()})
 	}
--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -48,16 +48,16 @@
 		disconnects[d.id] = d.at
 	}
 	unavailable := p.unavailableIntervals()
-	for _, a := range p.fleet.Arrivals() {
+	for _, arrival := range p.fleet.Arrivals() {
 		r.Sends++
-		class, i := parseJobID(a.ID)
-		if p.violatesDrain(a, i, unavailable[a.Worker]) {
+		class, scheduler := parseJobID(arrival.ID)
+		if p.violatesDrain(arrival, scheduler, unavailable[arrival.Worker]) {
 			v.Drain++
 		}
-		if at, ok := disconnects[a.ID]; ok && p.violatesDisconnect(a, i, at) {
+		if at, ok := disconnects[arrival.ID]; ok && p.violatesDisconnect(arrival, scheduler, at) {
 			v.Disconnected++
 		}
-		if at, ok := sent[a.ID]; ok && p.violatesDeadline(a, i, at, deadlines[class]) {
+		if at, ok := sent[arrival.ID]; ok && p.violatesDeadline(arrival, scheduler, at, deadlines[class]) {
 			v.Deadline++
 		}
 	}
@@ -65,23 +65,24 @@
 
 // violatesDisconnect reports whether a request arrived at a worker too long after its client
 // disconnected.
-func (p *run) violatesDisconnect(a standin.Arrival, i int, disconnectedAt time.Time) bool {
-	late := a.FirstByte.Sub(disconnectedAt)
-	if late <= disconnectSlack+slack+maxLinkLatency || p.faultRecord.linkFaulty(i, a.Worker, disconnectedAt, a.FirstByte) {
+func (p *run) violatesDisconnect(arrival standin.Arrival, scheduler int, disconnectedAt time.Time) bool {
+	late := arrival.FirstByte.Sub(disconnectedAt)
+	if late <= disconnectSlack+slack+maxLinkLatency ||
+		p.faultRecord.linkFaulty(scheduler, arrival.Worker, disconnectedAt, arrival.FirstByte) {
 		return false
 	}
-	p.logf("gone: job %s reached worker %s %v after its client disconnected", a.ID, a.Worker, late)
+	p.logf("gone: job %s reached worker %s %v after its client disconnected", arrival.ID, arrival.Worker, late)
 	return true
 }
 
 // violatesDeadline reports whether a worker was sent a longer remaining time than its job had left.
-func (p *run) violatesDeadline(a standin.Arrival, i int, sentAt time.Time, deadline time.Duration) bool {
-	left := sentAt.Add(deadline).Sub(a.FirstByte)
-	if a.Remaining <= left+deadlineSlack+slack+maxLinkLatency ||
-		p.faultRecord.linkFaulty(i, a.Worker, sentAt, a.FirstByte) {
+func (p *run) violatesDeadline(arrival standin.Arrival, scheduler int, sentAt time.Time, deadline time.Duration) bool {
+	left := sentAt.Add(deadline).Sub(arrival.FirstByte)
+	if arrival.Remaining <= left+deadlineSlack+slack+maxLinkLatency ||
+		p.faultRecord.linkFaulty(scheduler, arrival.Worker, sentAt, arrival.FirstByte) {
 		return false
 	}
-	p.logf("deadline: job %s was sent with %v remaining, but had %v left", a.ID, a.Remaining, left)
+	p.logf("deadline: job %s was sent with %v remaining, but had %v left", arrival.ID, arrival.Remaining, left)
 	return true
 }
 
@@ -126,47 +127,47 @@
 
 // violatesDrain reports whether a request arrived, after the grace, at a worker that is draining or
 // removed.
-func (p *run) violatesDrain(a standin.Arrival, i int, unavailable []unavailableInterval) bool {
+func (p *run) violatesDrain(arrival standin.Arrival, scheduler int, unavailable []unavailableInterval) bool {
 	for _, u := range unavailable {
-		if a.FirstByte.Before(u.change.At) || !u.until.IsZero() && a.FirstByte.After(u.until) {
+		if arrival.FirstByte.Before(u.change.At) || !u.until.IsZero() && arrival.FirstByte.After(u.until) {
 			continue
 		}
-		known := p.notifiedAt(i, u.change, a.FirstByte)
-		if late := a.FirstByte.Sub(known) - drainGrace - slack; late > 0 {
+		notified := p.notifiedAt(scheduler, u.change, arrival.FirstByte)
+		if late := arrival.FirstByte.Sub(notified) - drainGrace - slack; late > 0 {
 			p.logf("drain: job %s reached worker %s %.2f s after it became %q (version %d), %.2f s after its notification",
-				a.ID, a.Worker, a.FirstByte.Sub(u.change.At).Seconds(),
-				u.change.Health, u.change.Version, a.FirstByte.Sub(known).Seconds())
+				arrival.ID, arrival.Worker, arrival.FirstByte.Sub(u.change.At).Seconds(),
+				u.change.Health, u.change.Version, arrival.FirstByte.Sub(notified).Seconds())
 			return true
 		}
 	}
 	return false
 }
 
-// notifiedAt returns when scheduler i counts as notified of a change, for an action at the time at.
+// notifiedAt returns when a scheduler counts as notified of a change, for an action at the time at.
 // That is when discovery had written the change to the process that ran then. It is at the latest
 // notificationLimit after discovery had the change and was reachable.
-func (p *run) notifiedAt(i int, c standin.Change, at time.Time) time.Time {
-	latest := p.reachableFrom(i, c.At).Add(notificationLimit)
-	for _, w := range p.fleet.Discovery.Writes(p.fleet.Processes[i].Name) {
-		if w.Version < c.Version || w.At.Before(c.At) {
+func (p *run) notifiedAt(scheduler int, change standin.Change, at time.Time) time.Time {
+	latest := p.reachableFrom(scheduler, change.At).Add(notificationLimit)
+	for _, w := range p.fleet.Discovery.Writes(p.fleet.Processes[scheduler].Name) {
+		if w.Version < change.Version || w.At.Before(change.At) {
 			continue
 		}
 		if w.At.After(latest) {
 			break
 		}
 		quietFrom := w.At.Add(-faultFreeMargin)
-		partitioned := p.partitionedFromDiscovery(i, quietFrom, w.At.Add(faultFreeMargin))
-		if !partitioned && !p.faultRecord.restarted(i, quietFrom, at) {
+		partitioned := p.partitionedFromDiscovery(scheduler, quietFrom, w.At.Add(faultFreeMargin))
+		if !partitioned && !p.faultRecord.restarted(scheduler, quietFrom, at) {
 			return w.At
 		}
 	}
 	return latest
 }
 
-// reachableFrom returns the first time not before from at which scheduler i could reach discovery
+// reachableFrom returns the first time not before from at which a scheduler could reach discovery
 // without interruption for notificationLimit.
-func (p *run) reachableFrom(i int, from time.Time) time.Time {
-	spans := slices.Clone(p.faultRecord.partitions[i])
+func (p *run) reachableFrom(scheduler int, from time.Time) time.Time {
+	spans := slices.Clone(p.faultRecord.partitions[scheduler])
 	slices.SortFunc(spans, func(a, b interval) int { return a.from.Compare(b.from) })
 	for _, s := range spans {
 		if s.overlaps(from, from.Add(notificationLimit)) {
@@ -176,8 +177,8 @@
 	return from
 }
 
-// partitionedFromDiscovery reports whether scheduler i could not reach discovery at some moment
+// partitionedFromDiscovery reports whether a scheduler could not reach discovery at some moment
 // between two times.
-func (p *run) partitionedFromDiscovery(i int, from, to time.Time) bool {
-	return anyOverlaps(p.faultRecord.partitions[i], from, to)
+func (p *run) partitionedFromDiscovery(scheduler int, from, to time.Time) bool {
+	return anyOverlaps(p.faultRecord.partitions[scheduler], from, to)
 }
--- a/internal/lab/soak/record.go
+++ b/internal/lab/soak/record.go
@@ -40,31 +40,33 @@
 }
 
 // recordPartition records that a scheduler could not reach discovery.
-func (r *faultRecord) recordPartition(i int, from, to time.Time) {
+func (r *faultRecord) recordPartition(scheduler int, from, to time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.partitions[i] = append(r.partitions[i], interval{from, to})
+	r.partitions[scheduler] = append(r.partitions[scheduler], interval{from, to})
 }
 
 // recordLinkFault records that a scheduler's link to a worker was faulty.
-func (r *faultRecord) recordLinkFault(i int, worker string, from, to time.Time) {
+func (r *faultRecord) recordLinkFault(scheduler int, worker string, from, to time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.links[i] == nil {
-		r.links[i] = map[string][]interval{}
+	if r.links[scheduler] == nil {
+		r.links[scheduler] = map[string][]interval{}
 	}
-	r.links[i][worker] = append(r.links[i][worker], interval{from, to})
+	r.links[scheduler][worker] = append(r.links[scheduler][worker], interval{from, to})
 }
 
-func (r *faultRecord) recordKill(i int, at time.Time) { r.add(r.kills, i, at) }
+func (r *faultRecord) recordKill(scheduler int, at time.Time) { r.add(r.kills, scheduler, at) }
 
-func (r *faultRecord) recordTermination(i int, at time.Time) { r.add(r.terminations, i, at) }
+func (r *faultRecord) recordTermination(scheduler int, at time.Time) {
+	r.add(r.terminations, scheduler, at)
+}
 
 // add appends a time to a scheduler's entry in one of the record's tables.
-func (r *faultRecord) add(table map[int][]time.Time, i int, at time.Time) {
+func (r *faultRecord) add(table map[int][]time.Time, scheduler int, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	table[i] = append(table[i], at)
+	table[scheduler] = append(table[scheduler], at)
 }
 
 func (r *faultRecord) recordFailedExit() {
@@ -80,15 +82,15 @@
 }
 
 // killedSince reports whether a scheduler was killed after the time sent.
-func (r *faultRecord) killedSince(i int, sent time.Time) bool {
+func (r *faultRecord) killedSince(scheduler int, sent time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return anyIn(r.kills[i], sent, time.Now())
+	return anyIn(r.kills[scheduler], sent, time.Now())
 }
 
 // restarted reports whether a scheduler's process was killed or terminated between two times.
-func (r *faultRecord) restarted(i int, from, to time.Time) bool {
-	return anyIn(r.kills[i], from, to) || anyIn(r.terminations[i], from, to)
+func (r *faultRecord) restarted(scheduler int, from, to time.Time) bool {
+	return anyIn(r.kills[scheduler], from, to) || anyIn(r.terminations[scheduler], from, to)
 }
 
 // anyIn reports whether one of the times is between from and to.
@@ -103,6 +105,6 @@
 
 // linkFaulty reports whether a scheduler's link to a worker was faulty at some moment between two
 // times.
-func (r *faultRecord) linkFaulty(i int, worker string, from, to time.Time) bool {
-	return anyOverlaps(r.links[i][worker], from, to)
+func (r *faultRecord) linkFaulty(scheduler int, worker string, from, to time.Time) bool {
+	return anyOverlaps(r.links[scheduler][worker], from, to)
 }
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -178,8 +178,8 @@
 	if err := f.StartAll(readyTimeout); err != nil {
 		return r, err
 	}
-	allow := fleet.Tolerance{Grace: answerGrace, WasInterrupted: p.wasInterrupted}
-	load := f.StartLoadWith("soak", o.JobsPerSecond*float64(o.Schedulers), o.Seed, allow)
+	tolerance := fleet.Tolerance{Grace: answerGrace, WasInterrupted: p.wasInterrupted}
+	load := f.StartLoadWith("soak", o.JobsPerSecond*float64(o.Schedulers), o.Seed, tolerance)
 	<-time.After(warmupTime)
 	p.startedAt = time.Now()
 	faults := p.drawFaults()
@@ -195,10 +195,10 @@
 	return r, nil
 }
 
-// wasInterrupted returns a function that reports whether process i was killed after a job was sent;
+// wasInterrupted returns a function that reports whether the scheduler was killed after a job was sent;
 // such a job need not be answered.
-func (p *run) wasInterrupted(i int) func(time.Time) bool {
-	return func(sent time.Time) bool { return p.faultRecord.killedSince(i, sent) }
+func (p *run) wasInterrupted(scheduler int) func(time.Time) bool {
+	return func(sent time.Time) bool { return p.faultRecord.killedSince(scheduler, sent) }
 }
 
 // terminateAll ends all processes with SIGTERM and counts those that exit with a code other than 0 or
