--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -97,7 +97,7 @@
 	checkServes(t, f, "half")
 	must(t, f.TerminateAll()) // schedulers print their counters at exit
 	for i, p := range f.Processes {
-		if notified := p.Counter("machines.notified") > 1; notified != (i < 4) { // 1 counts the cached list
+		if notified := p.Counter("machines.told") > 1; notified != (i < 4) { // 1 counts the cached list
 			t.Errorf("%s was notified of changes: %v, want %v", p.Name, notified, i < 4)
 		}
 	}
