--- a/cmd/foxlift-sim/main.go
+++ b/cmd/foxlift-sim/main.go
@@ -33,8 +33,8 @@
 	events     []foxlift.Event     // of the current batch
 }
 
-// A host runs the instances and builds the reply to each batch. It implements wire.Handler.
-type host struct {
+// A batchHandler runs the instances and builds the reply to each batch. It implements wire.Handler.
+type batchHandler struct {
 	instances    map[string]*instance
 	pending      []*instance // instances with events in this batch, in order of arrival
 	now          int64
@@ -47,7 +47,7 @@
 func serve(in io.Reader, out io.Writer) error {
 	lines := lineReader{reader: bufio.NewReaderSize(in, bufferSize)}
 	w := bufio.NewWriterSize(out, bufferSize)
-	h := &host{instances: map[string]*instance{}}
+	h := &batchHandler{instances: map[string]*instance{}}
 	var decoder wire.Decoder
 	for number := 1; ; number++ {
 		line, err := lines.next()
@@ -92,7 +92,7 @@
 }
 
 // beginReply starts the reply to a batch.
-func (h *host) beginReply(batch wire.Batch) {
+func (h *batchHandler) beginReply(batch wire.Batch) {
 	h.now = batch.Now
 	h.reply = append(h.reply[:0], `{"batch":`...)
 	h.reply = strconv.AppendInt(h.reply, batch.Number, 10)
@@ -101,14 +101,14 @@
 }
 
 // appendSeparator appends a comma before all actions but the first.
-func (h *host) appendSeparator() {
+func (h *batchHandler) appendSeparator() {
 	if len(h.reply) > h.prefixLength {
 		h.reply = append(h.reply, ',')
 	}
 }
 
 // Attach starts an instance. It reports invalid settings in the reply.
-func (h *host) Attach(name string, seed uint64, settings *fastjson.Value) error {
+func (h *batchHandler) Attach(name string, seed uint64, settings *fastjson.Value) error {
 	cfg, names, err := wire.ParseSettings(name, settings)
 	var dispatcher *foxlift.Dispatcher
 	if err == nil {
@@ -128,7 +128,7 @@
 }
 
 // Down stops an instance. Its unanswered requests are lost.
-func (h *host) Down(name string) error {
+func (h *batchHandler) Down(name string) error {
 	if h.instances[name] == nil {
 		return fmt.Errorf("instance %q does not run", name)
 	}
@@ -137,7 +137,7 @@
 }
 
 // remove deletes an instance and drops its events of this batch.
-func (h *host) remove(name string) {
+func (h *batchHandler) remove(name string) {
 	removed := h.instances[name]
 	delete(h.instances, name)
 	for i, candidate := range h.pending {
@@ -149,7 +149,7 @@
 }
 
 // Names returns the name tables of a running instance, or nil if it is not running.
-func (h *host) Names(name []byte) *wire.NameTables {
+func (h *batchHandler) Names(name []byte) *wire.NameTables {
 	if inst := h.instances[string(name)]; inst != nil {
 		return inst.names
 	}
@@ -157,7 +157,7 @@
 }
 
 // Event stores an event for its instance until the whole batch has been read.
-func (h *host) Event(n *wire.NameTables, ev *foxlift.Event) error {
+func (h *batchHandler) Event(n *wire.NameTables, ev *foxlift.Event) error {
 	inst := n.Owner.(*instance)
 	if inst.dispatcher == nil {
 		return nil
@@ -173,7 +173,7 @@
 }
 
 // step passes the events of the batch to each instance and appends the resulting actions to the reply.
-func (h *host) step() {
+func (h *batchHandler) step() {
 	for _, inst := range h.pending {
 		actions := inst.dispatcher.Step(h.now, inst.events)
 		for i := range actions {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -137,7 +137,7 @@
 	}
 }
 
-// The error for an address in use must name the configuration key, so that an operator knows what to change.
+// The error for an address in use must name the configuration key, so that an operator can find the setting.
 func TestAddressInUse(t *testing.T) {
 	_, address := start(t, 8)
 	_, err := Listen(t.Context(), address, 8, &fakeScheduler{}, http.NotFoundHandler(), zap.NewNop())
--- a/internal/platform/client_capacity.go
+++ b/internal/platform/client_capacity.go
@@ -65,23 +65,23 @@
 		return
 	}
 	target += s.budget
-	retire := func(c *clientConn, eligible bool) {
+	closeIf := func(c *clientConn, eligible bool) {
 		if eligible && target > 0 {
 			target--
 			s.retireLocked(c)
 		}
 	}
 	for c := range s.idleConns() {
-		retire(c, c.requests == 0 && time.Since(c.openedAt) > firstByteGrace)
+		closeIf(c, c.requests == 0 && time.Since(c.openedAt) > firstByteGrace)
 	}
 	for c := range s.conns {
 		if c.requests == 0 && !c.idle && time.Since(c.openedAt) > firstRequestGrace {
-			retire(c, true)
+			closeIf(c, true)
 			c.conn.SetReadDeadline(pastDeadline)
 		}
 	}
 	for c := range s.idleConns() {
-		retire(c, c.requests == 1)
+		closeIf(c, c.requests == 1)
 	}
 	for c := range s.conns {
 		if c.requests == 0 && !c.retired.Load() {
@@ -90,7 +90,7 @@
 	}
 	target -= s.budget - s.budget/closeBatchDivisor
 	for c := range s.idleConns() {
-		retire(c, c.requests > 1)
+		closeIf(c, c.requests > 1)
 	}
 }
 
--- a/internal/platform/client_conn_test.go
+++ b/internal/platform/client_conn_test.go
@@ -13,11 +13,11 @@
 // A job must reach the worker unchanged and be answered with the worker's result. Both connections must serve a second
 // job.
 func TestJobServed(t *testing.T) {
-	var seen [2]string
+	var requests [2]string
 	worker := newTestWorker(t, func(c net.Conn, r *http.Request, id string) bool {
 		body, _ := io.ReadAll(r.Body)
 		remaining, err := parseRemaining(r.Header.Get(headerRemaining))
-		seen[r.ContentLength%2] = fmt.Sprintf("%s %s %s %s %s %v", r.Method, r.RequestURI, id, body,
+		requests[r.ContentLength%2] = fmt.Sprintf("%s %s %s %s %s %v", r.Method, r.RequestURI, id, body,
 			r.Header.Get(headerClass), err == nil && remaining > 0 && remaining <= 5*time.Second)
 		return serveJob(c, r, id)
 	})
@@ -38,11 +38,11 @@
 		check(t, "status", r.StatusCode, http.StatusOK)
 		check(t, "result", body, fmt.Sprintf("for j%d", i))
 	}
-	check(t, "first request at the worker", seen[0], "POST /reading?user=7f3a9c21e0b4d655 j0 ab reading true")
-	check(t, "second request at the worker", seen[1], "POST /reading?user=7f3a9c21e0b4d655 j1 abc reading true")
+	check(t, "first request at the worker", requests[0], "POST /reading?user=7f3a9c21e0b4d655 j0 ab reading true")
+	check(t, "second request at the worker", requests[1], "POST /reading?user=7f3a9c21e0b4d655 j1 abc reading true")
 	check(t, "connections to the worker", worker.ConnCount.Load(), int64(1))
-	check(t, "jobs taken", set.Get("jobs.taken"), int64(2))
-	check(t, "jobs served", set.Get("jobs.served"), int64(2))
+	check(t, "counter jobs.taken", set.Get("jobs.taken"), int64(2))
+	check(t, "counter jobs.served", set.Get("jobs.served"), int64(2))
 }
 
 // Invalid input must be answered with a 4xx status, never a 503, must be counted, and must not reach a worker. The
--- a/internal/platform/client_reply.go
+++ b/internal/platform/client_reply.go
@@ -42,8 +42,8 @@
 	return plainReply(http.StatusOK, "ready")
 }
 
-// formatAnswer returns the reply to a job. Status 503 tells the client that a retry is safe, so only a shed job may
-// get it.
+// formatAnswer returns the reply to a job. Status 503 guarantees the client that a retry is safe, so only a shed job
+// may get it.
 func (c *clientConn) formatAnswer(answer core.Answer) reply {
 	switch answer.Verdict {
 	case core.Served:
--- a/internal/platform/client_server_test.go
+++ b/internal/platform/client_server_test.go
@@ -179,8 +179,8 @@
 		workers = append(workers, newTestWorker(t, handle))
 	}
 	p, set := startWithSockets(t, 80, "", workers...)
-	var held []*testClient
-	for i := 0; len(held) < maxOpenJobs(p.clients.budget); i++ {
+	var openClients []*testClient
+	for i := 0; len(openClients) < maxOpenJobs(p.clients.budget); i++ {
 		s := connect(t, p)
 		id, shed := fmt.Sprint("descriptors-", i), set.Get("jobs.refused")
 		atWorker := func() bool {
@@ -192,14 +192,14 @@
 		// may be shed, since it has not run.
 		await(t, "job at a worker or shed", func() bool { return atWorker() || set.Get("jobs.refused") > shed })
 		if atWorker() {
-			held = append(held, s)
+			openClients = append(openClients, s)
 			continue
 		}
 		r, _ := s.answer(t)
 		check(t, "status of a queued and shed job", r.StatusCode, 503)
 	}
 	refused, refusedBefore := 0, set.Get("jobs.refused")
-	for i := range p.clients.budget + 20 - len(held) {
+	for i := range p.clients.budget + 20 - len(openClients) {
 		s := connect(t, p)
 		s.send(t, jobText("ratify", fmt.Sprint("j", i), "19000m", ""))
 		r, _ := s.answer(t)
@@ -210,7 +210,7 @@
 	check(t, "counter jobs.too_many", set.Get("jobs.too_many"), int64(refused))
 	check(t, "increase of counter jobs.refused", set.Get("jobs.refused")-refusedBefore, int64(refused))
 	close(release)
-	for _, s := range held {
+	for _, s := range openClients {
 		s.answer(t)
 	}
 }
--- a/internal/platform/framing.go
+++ b/internal/platform/framing.go
@@ -58,7 +58,7 @@
 	return len(s) > 0
 }
 
-// headerNameByte tells for each byte whether it may occur in a header name.
+// headerNameByte is true for each byte that may occur in a header name.
 var headerNameByte = func() (allowed [256]bool) {
 	for _, c := range []byte("!#$%&'*+-.^_`|~0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz") {
 		allowed[c] = true
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -103,15 +103,15 @@
 		check(t, c.title, r.StatusCode, http.StatusOK)
 		recorded.add(c.title, listener.takeRead())
 	}
-	probe := func(title string, p *Platform) {
+	recordHealthCheck := func(title string, p *Platform) {
 		reports := make(chan core.Report, 1)
 		p.pool.HealthCheck("n0", func(r core.Report) { reports <- r })
 		<-reports
 		recorded.add(title, listener.takeRead())
 	}
-	probe("a probe", p)
+	recordHealthCheck("a probe", p)
 	keyed, _ := startKeyed(t, worker)
-	probe("a probe that asks for the load", keyed)
+	recordHealthCheck("a probe that asks for the load", keyed)
 	golden.Check(t, "to-nodes.txt", []byte(recorded.text.String()))
 }
 
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -30,10 +30,10 @@
 	}
 	worker, other := newTestWorker(t, handle), newTestWorker(t, handle)
 	p, _ := start(t, "", worker, other)
-	slow, kept, idle, half := connect(t, p), connect(t, p), connect(t, p), connect(t, p)
-	half.send(t, jobText("reading", "half", "9000m", "abc")[:60])
+	slow, keptOpen, idle, incomplete := connect(t, p), connect(t, p), connect(t, p), connect(t, p)
+	incomplete.send(t, jobText("reading", "half", "9000m", "abc")[:60])
 	slow.send(t, jobText("ratify", "slow", "19000m", ""))
-	for _, s := range []*testClient{kept, idle} {
+	for _, s := range []*testClient{keptOpen, idle} {
 		r, _ := s.request(t, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
 		check(t, "status of a health check before the shutdown", r.StatusCode, 200)
 	}
@@ -43,13 +43,13 @@
 	await(t, "shutdown begun", p.clients.unready.Load)
 	r, _ := connect(t, p).request(t, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
 	check(t, "status of a health check during the shutdown", r.StatusCode, 503)
-	for i, s := range []*testClient{kept, connect(t, p)} {
+	for i, s := range []*testClient{keptOpen, connect(t, p)} {
 		r, _ := s.request(t, jobText("reading", fmt.Sprint("j", i), "9000m", ""))
 		check(t, "status of a job during the shutdown", r.StatusCode, 200)
 		check(t, "its connection closes", r.Close, false)
 	}
-	half.send(t, jobText("reading", "half", "9000m", "abc")[60:])
-	r, _ = half.answer(t)
+	incomplete.send(t, jobText("reading", "half", "9000m", "abc")[60:])
+	r, _ = incomplete.answer(t)
 	check(t, "status of the request sent in two parts", r.StatusCode, 200)
 	if _, err := idle.reader.ReadByte(); err != io.EOF {
 		t.Errorf("read on the idle connection returned error %v, want %v", err, io.EOF)
