--- a/cmd/foxlift/control_test.go
+++ b/cmd/foxlift/control_test.go
@@ -76,11 +76,12 @@
 	for i := range 6 {
 		entries = append(entries, fmt.Sprintf(entry, i))
 	}
-	p := newProcessWithEndpoints(t, entries...)
-	p.Args = append(p.Args, "serve", "--operator", operator, "--log-format", "json")
-	p.start(t)
-	if !p.lines.Scan() || !json.Valid(p.lines.Bytes()) || !strings.Contains(p.lines.Text(), "listening for clients") {
-		t.Fatalf("first log line %q, want \"listening for clients\" as JSON", p.lines.Text())
+	program := newProcessWithEndpoints(t, entries...)
+	program.Args = append(program.Args, "serve", "--operator", operator, "--log-format", "json")
+	program.start(t)
+	if !program.lines.Scan() || !json.Valid(program.lines.Bytes()) ||
+		!strings.Contains(program.lines.Text(), "listening for clients") {
+		t.Fatalf("first log line %q, want \"listening for clients\" as JSON", program.lines.Text())
 	}
 	expect := func(want string, code int, args ...string) string {
 		t.Helper()
@@ -108,8 +109,8 @@
 	if out, code := runCommand(t, nil, "cells", "show", "--operator", operator); code != 0 {
 		t.Errorf("cells show --operator exits with %d: %s; want code 0", code, out)
 	}
-	p.signal(t, syscall.SIGTERM)
-	p.awaitExit(t)
+	program.signal(t, syscall.SIGTERM)
+	program.awaitExit(t)
 	if _, err := os.Lstat(socket); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("Lstat of the control socket after the exit: error %v, want %v", err, os.ErrNotExist)
 	}
--- a/cmd/foxlift/main_test.go
+++ b/cmd/foxlift/main_test.go
@@ -33,8 +33,8 @@
 // The program starts with the example configuration, becomes healthy, prints its counters at SIGUSR1 and at the
 // shutdown, and exits with code 0.
 func TestStartAndShutdown(t *testing.T) {
-	p := newProcessWithEndpoints(t, endpoint("h", "127.0.0.1:1"))
-	c := dial(t, p.startServing(t))
+	program := newProcessWithEndpoints(t, endpoint("h", "127.0.0.1:1"))
+	c := dial(t, program.startServing(t))
 	// The program becomes healthy once a connection to discovery's address has been refused: until then the
 	// cached endpoint list may be out of date.
 	status := 0
@@ -49,13 +49,13 @@
 	if status != http.StatusOK {
 		t.Errorf("health = %d, want %d", status, http.StatusOK)
 	}
-	p.expectReloads(t)
+	program.expectReloads(t)
 	for _, s := range []os.Signal{syscall.SIGUSR1, syscall.SIGTERM} {
-		p.signal(t, s)
-		p.awaitLine(t, "accept.connections 1")
-		p.signal(t, syscall.SIGHUP) // a reload does not end the program, not even during the shutdown
+		program.signal(t, s)
+		program.awaitLine(t, "accept.connections 1")
+		program.signal(t, syscall.SIGHUP) // a reload does not end the program, not even during the shutdown
 	}
-	p.awaitExit(t)
+	program.awaitExit(t)
 }
 
 // expectReloads reloads a valid and an invalid configuration, and waits for the log line of each.
--- a/cmd/foxlift/shutdown_test.go
+++ b/cmd/foxlift/shutdown_test.go
@@ -51,10 +51,10 @@
 	})
 	discovery, up := listen(t), make(chan struct{})
 	go serveEndpoints(discovery, worker.Addr().String(), up)
-	p := newProcess(t, `"sockets": 1024`, `"sockets": 256`)
-	p.Env = append(p.Env, lowDescriptorLimit+"=1", "LB_DISCOVERY="+discovery.Addr().String())
-	address := p.startServing(t)
-	go p.discardLines()
+	program := newProcess(t, `"sockets": 1024`, `"sockets": 256`)
+	program.Env = append(program.Env, lowDescriptorLimit+"=1", "LB_DISCOVERY="+discovery.Addr().String())
+	address := program.startServing(t)
+	go program.discardLines()
 	for range 400 { // more connections than descriptors
 		dial(t, address)
 	}
@@ -95,18 +95,18 @@
 		_, _ = io.Copy(io.Discard, c) // the worker hangs until the scheduler closes the connection
 		return false
 	})
-	p := newProcessWithEndpoints(t, endpoint("h", worker.Addr().String()))
-	address := p.startServing(t)
+	program := newProcessWithEndpoints(t, endpoint("h", worker.Addr().String()))
+	address := program.startServing(t)
 	hanging, half, busy := dial(t, address), dial(t, address), dial(t, address)
 	hanging.mustSend(t, jobText("ratify", "hangs", "1500m"))
 	for worker.RequestCount.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	half.mustSend(t, jobText("reading", "half", "9000m")[:30])
-	p.signal(t, syscall.SIGTERM)
-	p.awaitLine(t, "shutting down")
+	program.signal(t, syscall.SIGTERM)
+	program.awaitLine(t, "shutting down")
 	for _, s := range []os.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGTERM, syscall.SIGUSR1} {
-		p.signal(t, s)
+		program.signal(t, s)
 	}
 	if answered := busy.requestUntilClosed(t); answered == 0 {
 		t.Error("requestUntilClosed() = 0 during the shutdown, want at least 1 answered request")
@@ -115,7 +115,7 @@
 	if err != nil || r.status != http.StatusBadGateway {
 		t.Errorf("response to the job at the hanging worker: %v, %v, want status %d", r, err, http.StatusBadGateway)
 	}
-	p.awaitExit(t)
+	program.awaitExit(t)
 }
 
 // requestUntilClosed sends health requests until the connection closes, and returns how many were
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -98,16 +98,16 @@
 	if err != nil || info.Mode().Perm() != 0o600 {
 		t.Errorf("Stat(socket): mode %v, error %v; want mode 0600", info.Mode(), err)
 	}
-	st, err := client.Status(ctx, &controlpb.StatusRequest{})
-	if err != nil || !st.Ready || !st.Cells || st.Version != "v" {
-		t.Errorf("Status() = %v, %v, want ready, with cells and version v", st, err)
+	statusReply, err := client.Status(ctx, &controlpb.StatusRequest{})
+	if err != nil || !statusReply.Ready || !statusReply.Cells || statusReply.Version != "v" {
+		t.Errorf("Status() = %v, %v, want ready, with cells and version v", statusReply, err)
 	}
-	r, err := client.Cells(ctx, &controlpb.CellsRequest{})
-	if err != nil || len(r.Cells) != 2 {
-		t.Fatalf("Cells() = %v, %v, want 2 cells", r, err)
+	cellsReply, err := client.Cells(ctx, &controlpb.CellsRequest{})
+	if err != nil || len(cellsReply.Cells) != 2 {
+		t.Fatalf("Cells() = %v, %v, want 2 cells", cellsReply, err)
 	}
-	if len(r.Cells[0].Nodes)+len(r.Cells[1].Nodes) != 8 || r.Cells[0].Tenants[0].Name != "t" {
-		t.Fatalf("Cells() = %v, want 8 workers and the tenant t in the first cell", r)
+	if len(cellsReply.Cells[0].Nodes)+len(cellsReply.Cells[1].Nodes) != 8 || cellsReply.Cells[0].Tenants[0].Name != "t" {
+		t.Fatalf("Cells() = %v, want 8 workers and the tenant t in the first cell", cellsReply)
 	}
 	if m, err := client.Move(ctx, &controlpb.MoveRequest{Tenant: "t", Cell: "b"}); err != nil || m.Tenants != 1 {
 		t.Errorf("Move(t, b) = %v, %v, want 1 tenant", m, err)
