--- a/internal/lab/fleet/cut_test.go
+++ b/internal/lab/fleet/cut_test.go
@@ -28,7 +28,7 @@
 	for _, worker := range cut {
 		blockLinks(f, worker)
 	}
-	l := f.StartLoad("cut", 200, 5)
+	load := f.StartLoad("cut", 200, 5)
 	for _, worker := range cut {
 		await(t, worker.Name+" has pending requests during the partition", func() bool { return pendingBytes(f, worker) > 0 })
 	}
@@ -44,7 +44,7 @@
 	for _, worker := range cut {
 		await(t, worker.Name+" receives the data that was held back", func() bool { return pendingBytes(f, worker) == 0 })
 	}
-	stopAndCheck(t, f, l, standin.Tally{})
+	stopAndCheck(t, f, load, standin.Tally{})
 	for _, worker := range cut {
 		if late := worker.LastRequestTime().Sub(notifiedAt); late > 0 {
 			t.Errorf("request reached %s %v after all schedulers were notified that it left, want none", worker.Name, late)
@@ -98,8 +98,8 @@
 		f.Discovery.Put(worker, []string{standin.Left, standin.Leaving}[i%2])
 	}
 	awaitVersion(t, f, f.Processes[1])
-	for _, l := range f.Links {
-		l.Throttle(500*time.Millisecond, 0) // in each direction, so the answer takes a second longer
+	for _, link := range f.Links {
+		link.Throttle(500*time.Millisecond, 0) // in each direction, so the answer takes a second longer
 	}
 	restarted := time.Now()
 	must(t, p.Start())
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -65,22 +65,22 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newSmallFleet(t, 6, nil)
-			for _, l := range f.Links {
-				down(l)
+			for _, link := range f.Links {
+				down(link)
 			}
 			must(t, f.StartAll(20*time.Second))
 			checkServes(t, f, "down")
 			if n := f.Discovery.Calls().Answered; n > 0 {
 				t.Errorf("discovery answered %d calls while it was down, want 0", n)
 			}
-			fresh, err := f.AddWorker(f.Kinds[0], time.Time{})
+			newWorker, err := f.AddWorker(f.Kinds[0], time.Time{})
 			must(t, err)
-			for _, l := range f.Links {
-				l.Heal()
-				l.Reset()
+			for _, link := range f.Links {
+				link.Heal()
+				link.Reset()
 			}
 			awaitEndpoints(t, f, f.Processes...)
-			checkNewWorkerServes(t, f, "back", fresh)
+			checkNewWorkerServes(t, f, "back", newWorker)
 		})
 	}
 }
@@ -89,8 +89,8 @@
 // cached endpoint list.
 func TestDiscoveryReachableFromHalf(t *testing.T) {
 	f := newSmallFleet(t, 8, nil)
-	for _, l := range f.Links[4:] {
-		l.Block(FromTarget)
+	for _, link := range f.Links[4:] {
+		link.Block(FromTarget)
 	}
 	must(t, f.StartAll(20*time.Second))
 	awaitEndpoints(t, f, f.Processes[:4]...)
@@ -136,8 +136,8 @@
 			t.Errorf("%s is ready without any endpoint, want not ready", p.Name)
 		}
 	}
-	for _, l := range f.Links {
-		l.Heal()
+	for _, link := range f.Links {
+		link.Heal()
 	}
 	checkServes(t, f, "listed")
 }
@@ -146,14 +146,14 @@
 // the answer.
 func TestSuspendedBetweenPollAndAnswer(t *testing.T) {
 	f := newSmallFleet(t, 5, nil)
-	for _, l := range f.Links {
-		l.Block(ToTarget)
+	for _, link := range f.Links {
+		link.Block(ToTarget)
 	}
 	must(t, f.StartAll(20*time.Second))
 	p := f.Processes[0]
 	must(t, p.Signal(syscall.SIGSTOP))
-	for _, l := range f.Links {
-		l.Heal()
+	for _, link := range f.Links {
+		link.Heal()
 	}
 	awaitEndpoints(t, f, f.Processes[1:]...)
 	must(t, p.Signal(syscall.SIGCONT))
@@ -167,38 +167,38 @@
 	f := newSmallFleet(t, 8, nil)
 	must(t, f.StartAll(20*time.Second))
 	awaitEndpoints(t, f, f.Processes...)
-	for _, l := range f.Links {
-		l.Throttle(0, 200) // at 200 bytes per second an answer takes some seconds
+	for _, link := range f.Links {
+		link.Throttle(0, 200) // at 200 bytes per second an answer takes some seconds
 	}
 	polled := f.Discovery.Calls().Received
-	fresh, err := f.AddWorker(f.Kinds[0], time.Time{})
+	newWorker, err := f.AddWorker(f.Kinds[0], time.Time{})
 	must(t, err)
-	for _, l := range f.Links {
-		l.Reset()
-		l.Heal()
+	for _, link := range f.Links {
+		link.Reset()
+		link.Heal()
 	}
 	await(t, "all schedulers poll again", func() bool { return f.Discovery.Calls().Received >= polled+len(f.Processes) })
-	checkNewWorkerServes(t, f, "cut", fresh)
+	checkNewWorkerServes(t, f, "cut", newWorker)
 }
 
 // Schedulers receive SIGTERM while they start and get no answer from discovery. Each must exit
 // cleanly, and each job accepted until then must be answered.
 func TestTerminatedDuringStart(t *testing.T) {
 	f := newSmallFleet(t, 5, nil)
-	for _, l := range f.Links {
-		l.Block(ToTarget, FromTarget)
+	for _, link := range f.Links {
+		link.Block(ToTarget, FromTarget)
 	}
-	l := f.StartLoad("end", 100, 1)
+	load := f.StartLoad("end", 100, 1)
 	must(t, f.StartAll(20*time.Second))
 	sum := standin.Tally{}
 	await(t, "jobs are served", func() bool {
-		sum = standin.Total(sum, l.ResetTally())
+		sum = standin.Total(sum, load.ResetTally())
 		return sum.Served > 0
 	})
-	close(l.stop)
+	close(load.stop)
 	must(t, f.TerminateAll())
-	l.wait.Wait()
-	if sum = standin.Total(sum, l.ResetTally()); sum.Lost > 0 {
+	load.wait.Wait()
+	if sum = standin.Total(sum, load.ResetTally()); sum.Lost > 0 {
 		t.Errorf("%d of %d jobs were lost, want 0", sum.Lost, sum.Sent)
 	}
 	if f.Counter("jobs.taken") == 0 {
@@ -214,13 +214,13 @@
 	must(t, f.StartAll(20*time.Second))
 	awaitEndpoints(t, f, f.Processes...)
 	f.WorkerLink(0, f.Workers()[0]).Block(ToTarget, FromTarget)
-	l := f.StartLoad("silent", 120, 3)
+	load := f.StartLoad("silent", 120, 3)
 	sum := standin.Tally{}
 	await(t, "jobs are served", func() bool {
-		sum = standin.Total(sum, l.ResetTally())
+		sum = standin.Total(sum, load.ResetTally())
 		return sum.Served >= 100
 	})
-	stopAndCheck(t, f, l, sum)
+	stopAndCheck(t, f, load, sum)
 }
 
 // Tests the stand-in that the other tests rely on: a worker in slow start that gets too many jobs must
--- a/internal/lab/fleet/helpers_test.go
+++ b/internal/lab/fleet/helpers_test.go
@@ -101,9 +101,9 @@
 // and checks the invariants.
 func checkNewWorkerServes(t *testing.T, f *Fleet, name string, newWorker *standin.Worker) {
 	t.Helper()
-	l := f.StartLoad(name, 400, 2)
+	load := f.StartLoad(name, 400, 2)
 	await(t, "the new worker runs jobs", func() bool { return len(newWorker.Runs()) > 0 })
-	stopAndCheck(t, f, l, standin.Tally{})
+	stopAndCheck(t, f, load, standin.Tally{})
 }
 
 // checkServes sends jobs to all processes until enough were served for five at each, and checks that
@@ -111,20 +111,20 @@
 // discovery's queue is empty at the end.
 func checkServes(t *testing.T, f *Fleet, name string) {
 	t.Helper()
-	l := f.StartLoad(name, 20*float64(len(f.Processes)), 1)
+	load := f.StartLoad(name, 20*float64(len(f.Processes)), 1)
 	sum := standin.Tally{}
 	await(t, "jobs are served", func() bool {
-		sum = standin.Total(sum, l.ResetTally())
+		sum = standin.Total(sum, load.ResetTally())
 		return sum.Served+sum.Late >= 5*len(f.Processes)
 	})
-	stopAndCheck(t, f, l, sum)
+	stopAndCheck(t, f, load, sum)
 }
 
 // stopAndCheck ends a load and checks that no job was lost, also not among the jobs already counted in
 // sum; then it checks the invariants.
-func stopAndCheck(t *testing.T, f *Fleet, l *Load, sum standin.Tally) {
+func stopAndCheck(t *testing.T, f *Fleet, load *Load, sum standin.Tally) {
 	t.Helper()
-	if sum = standin.Total(sum, l.Stop()); sum.Lost > 0 {
+	if sum = standin.Total(sum, load.Stop()); sum.Lost > 0 {
 		t.Errorf("%d of %d jobs got no complete answer, want 0", sum.Lost, sum.Sent)
 	}
 	checkInvariants(t, f)
--- a/internal/lab/fleet/start_test.go
+++ b/internal/lab/fleet/start_test.go
@@ -35,13 +35,13 @@
 			}
 			must(t, f.StartAll(20*time.Second))
 			awaitEndpoints(t, f, f.Processes...)
-			l := f.StartLoad("cold", 300, 1)
+			load := f.StartLoad("cold", 300, 1)
 			sum := standin.Tally{}
 			await(t, "60 jobs are served and 600 sent", func() bool {
-				sum = standin.Total(sum, l.ResetTally())
+				sum = standin.Total(sum, load.ResetTally())
 				return sum.Served+sum.Late >= 60 && sum.Sent >= 600
 			})
-			stopAndCheck(t, f, l, sum)
+			stopAndCheck(t, f, load, sum)
 		})
 	}
 }
@@ -52,25 +52,25 @@
 	f := newSmallFleet(t, 6, nil)
 	must(t, f.StartAll(20*time.Second))
 	awaitEndpoints(t, f, f.Processes...)
-	for _, l := range f.Links {
-		l.Disconnect()
+	for _, link := range f.Links {
+		link.Disconnect()
 	}
 	f.Discovery.RevertVersion(1)
-	for _, l := range f.Links {
-		l.Heal()
+	for _, link := range f.Links {
+		link.Heal()
 	}
 	awaitAnswers(t, f, f.Processes...)
-	fresh, err := f.AddWorker(f.Kinds[0], time.Time{})
+	newWorker, err := f.AddWorker(f.Kinds[0], time.Time{})
 	must(t, err)
-	checkNewWorkerServes(t, f, "back", fresh)
+	checkNewWorkerServes(t, f, "back", newWorker)
 }
 
 // Discovery moves to another address while the schedulers start and the old address does not answer.
 // After SIGHUP they must use the new address.
 func TestDiscoveryChangesDuringStart(t *testing.T) {
 	f := newSmallFleet(t, 6, nil)
-	for _, l := range f.Links {
-		l.Block(ToTarget, FromTarget)
+	for _, link := range f.Links {
+		link.Block(ToTarget, FromTarget)
 	}
 	must(t, f.StartAll(20*time.Second))
 	for i, p := range f.Processes {
--- a/internal/lab/service/duress_test.go
+++ b/internal/lab/service/duress_test.go
@@ -85,26 +85,26 @@
 func testAnsweredBesideStalledCalls(t *testing.T, reconnect bool) {
 	s := startUnderLoad(t)
 	holdCalls(t, s.Current.AdminAddr, reconnect)
-	operators := AdminClient{s.Current.AdminAddr}
+	admin := AdminClient{s.Current.AdminAddr}
 	slowest := time.Duration(0)
-	timed := func(what string, err error, began time.Time) {
-		took := time.Since(began)
+	checkTime := func(call string, err error, startedAt time.Time) {
+		took := time.Since(startedAt)
 		if slowest = max(slowest, took); err != nil || took > CallTimeout {
-			t.Errorf("%s call ended with error %v after %v, want none within %v", what, err, took, CallTimeout)
+			t.Errorf("%s call ended with error %v after %v, want none within %v", call, err, took, CallTimeout)
 		}
 	}
 	for range iterations(20, 100) {
-		began := time.Now()
-		err := operators.Health(t.Context())
-		timed("health", err, began)
-		began = time.Now()
-		_, err = operators.Stats(t.Context())
-		timed("stats", err, began)
+		startedAt := time.Now()
+		err := admin.Health(t.Context())
+		checkTime("health", err, startedAt)
+		startedAt = time.Now()
+		_, err = admin.Stats(t.Context())
+		checkTime("stats", err, startedAt)
 	}
-	began := time.Now()
-	timed("quiesce", operators.Quiesce(t.Context()), began)
-	began = time.Now()
-	timed("resume", operators.Resume(t.Context()), began)
+	startedAt := time.Now()
+	checkTime("quiesce", admin.Quiesce(t.Context()), startedAt)
+	startedAt = time.Now()
+	checkTime("resume", admin.Resume(t.Context()), startedAt)
 	t.Logf("slowest call took %v", slowest)
 	await(t, "healthy after resume", 2*time.Second, func() bool { return clientHealth(t, s.Deployment) == nil })
 	s.stopAndCheck(t, 1)
--- a/internal/lab/service/judge_test.go
+++ b/internal/lab/service/judge_test.go
@@ -63,28 +63,28 @@
 // UpgradeTrialResult.OK must fail for each kind of violation, and must excuse only jobs that were lost
 // with a killed process.
 func TestUpgradeTrialResultOK(t *testing.T) {
-	failed := func(outcome Outcome, began, ended int64) JobRecord {
-		send := Send{StartedAt: at(began), EndedAt: at(ended), Outcome: outcome}
+	newFailedJob := func(outcome Outcome, startedAt, endedAt int64) JobRecord {
+		send := Send{StartedAt: at(startedAt), EndedAt: at(endedAt), Outcome: outcome}
 		return JobRecord{ID: "a/ratify/1", Class: "ratify", Sends: []Send{send}}
 	}
 	unread := func(moments ...int64) func(*UpgradeTrialResult) {
 		return func(r *UpgradeTrialResult) {
 			for _, m := range moments {
-				r.Tally.Unread = append(r.Tally.Unread, failed(Unread, m, m+1))
+				r.Tally.Unread = append(r.Tally.Unread, newFailedJob(Unread, m, m+1))
 			}
 		}
 	}
 	killed := func(r *UpgradeTrialResult) {
 		r.Outages = []Outage{{at(300), at(350)}}
-		r.Tally.Lost = append(r.Tally.Lost, failed(Interrupted, 250, 302))
+		r.Tally.Lost = append(r.Tally.Lost, newFailedJob(Interrupted, 250, 302))
 	}
-	lost := func(r *UpgradeTrialResult) { r.Tally.Lost = []JobRecord{failed(Interrupted, 1, 2)} }
-	wrong := func(r *UpgradeTrialResult) { r.Tally.WrongResults = []JobRecord{failed(Answered, 1, 2)} }
+	lost := func(r *UpgradeTrialResult) { r.Tally.Lost = []JobRecord{newFailedJob(Interrupted, 1, 2)} }
+	wrong := func(r *UpgradeTrialResult) { r.Tally.WrongResults = []JobRecord{newFailedJob(Answered, 1, 2)} }
 	late := func(r *UpgradeTrialResult) { r.Upgrades[1].ReadyAfter = ReadyLimit + 1 }
-	lostAt := func(began, ended int64) func(*UpgradeTrialResult) {
+	lostAt := func(startedAt, endedAt int64) func(*UpgradeTrialResult) {
 		return func(r *UpgradeTrialResult) {
 			killed(r)
-			r.Tally.Lost[0] = failed(Interrupted, began, ended)
+			r.Tally.Lost[0] = newFailedJob(Interrupted, startedAt, endedAt)
 		}
 	}
 	unreadByKill := func(r *UpgradeTrialResult) {
--- a/internal/lab/service/quiesce_test.go
+++ b/internal/lab/service/quiesce_test.go
@@ -40,24 +40,24 @@
 }
 
 // checkServed sends a job on a connection and checks that it is answered with 200.
-func checkServed(t *testing.T, client *connection, text, what string) {
+func checkServed(t *testing.T, client *connection, request, description string) {
 	t.Helper()
-	got, outcome, err := client.exchange(text, time.Now().Add(testTimeout))
+	got, outcome, err := client.exchange(request, time.Now().Add(testTimeout))
 	if outcome != Answered || got.Status != http.StatusOK {
-		t.Errorf("%s: outcome %v, status %d (error %v), want answered with 200", what, outcome, got.Status, err)
+		t.Errorf("%s: outcome %v, status %d (error %v), want answered with 200", description, outcome, got.Status, err)
 	}
 }
 
 // mustQuiesce starts a drain and checks that the next health check on the clients' address fails.
-func mustQuiesce(t *testing.T, d *Deployment) (began time.Time) {
+func mustQuiesce(t *testing.T, d *Deployment) (startedAt time.Time) {
 	t.Helper()
-	began = time.Now()
+	startedAt = time.Now()
 	must(t, AdminClient{d.Current.AdminAddr}.Quiesce(t.Context()))
 	var status *StatusError
 	if err := clientHealth(t, d); !errors.As(err, &status) {
 		t.Errorf("health check after the start of the drain: error %v, want a status other than 2xx", err)
 	}
-	return began
+	return startedAt
 }
 
 // mustResume ends a drain and checks that the scheduler is healthy in time and then serves a job.
@@ -102,11 +102,11 @@
 	for _, client := range idle[:reused+unused] {
 		work.Go(client.awaitClose)
 	}
-	began := mustQuiesce(t, d)
+	startedAt := mustQuiesce(t, d)
 	for i, client := range idle {
 		select {
 		case <-client.closed:
-		case <-time.After(time.Until(began.Add(maxDrainTime))):
+		case <-time.After(time.Until(startedAt.Add(maxDrainTime))):
 			t.Errorf("connection %d (%d reused, %d unused, %d with a job) is still open after %v",
 				i, reused, unused, working, maxDrainTime)
 		}
@@ -151,16 +151,16 @@
 					t.Errorf("client %d, job %d: status %d, want 200 or 503", i, number, a.Status)
 				}
 			}
-			if began := <-quiesce; last.Sub(began) > maxDrainTime {
+			if startedAt := <-quiesce; last.Sub(startedAt) > maxDrainTime {
 				t.Errorf("client %d was served until %v after the start of the drain, want %v at most",
-					i, last.Sub(began), maxDrainTime)
+					i, last.Sub(startedAt), maxDrainTime)
 			}
 		})
 	}
 	busy.Wait()
-	began := mustQuiesce(t, d)
+	startedAt := mustQuiesce(t, d)
 	for range clients {
-		quiesce <- began
+		quiesce <- startedAt
 	}
 	wait.Wait()
 	mustResume(t, d)
--- a/internal/lab/service/stats_test.go
+++ b/internal/lab/service/stats_test.go
@@ -84,9 +84,9 @@
 	must(t, err)
 	s.awaitProgress(t)
 	tally := s.load.Stop()
-	most := float64(tally.Sent-before) + absoluteTolerance
+	maxServed := float64(tally.Sent-before) + absoluteTolerance
 	awaitMetrics(t, s.Deployment, "only jobs after the upgrade are counted", metricsDelay, func(f Metrics) bool {
-		return f.servedJobs() > 0 && f.servedJobs() <= most
+		return f.servedJobs() > 0 && f.servedJobs() <= maxServed
 	})
 	must(t, s.Terminate(t.Context()))
 }
@@ -110,8 +110,8 @@
 		})
 	}
 	await(t, "the jobs run", testTimeout, func() bool { return startedJobs(d) >= jobs })
-	active := func(truth float64) func(Metrics) bool {
-		return func(f Metrics) bool { return WithinTolerance(f.Active, truth, ActiveTolerance) }
+	active := func(actual float64) func(Metrics) bool {
+		return func(f Metrics) bool { return WithinTolerance(f.Active, actual, ActiveTolerance) }
 	}
 	awaitMetrics(t, d, "all jobs are active", metricsDelay, active(jobs))
 	wait.Wait()
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -184,12 +184,12 @@
 		return nil
 	}
 	delay := minAnswerDelay + time.Duration(rng.Int64N(int64(answerDelayRange)))
-	for _, l := range p.fleet.Links {
-		l.Throttle(delay, 0)
+	for _, link := range p.fleet.Links {
+		link.Throttle(delay, 0)
 	}
 	return func() {
-		for _, l := range p.fleet.Links {
-			l.Heal()
+		for _, link := range p.fleet.Links {
+			link.Heal()
 		}
 		p.release(discoveryTarget)
 	}
