--- a/internal/lab/capacity/control.go
+++ b/internal/lab/capacity/control.go
@@ -32,7 +32,7 @@
 
 // checkpointOperator is an operator's configuration file that enables the checkpoint of the endpoint list; %s stands
 // for the path of the checkpoint.
-const checkpointOperator = `(foxlift (list (checkpoint "%s")))`
+const checkpointOperatorConfig = `(foxlift (list (checkpoint "%s")))`
 
 // A controlVariant is a configuration of the scheduler process: the prefix of its series' names and the text of the
 // operator's configuration file, empty for none.
@@ -41,7 +41,7 @@
 }
 
 // controlVariants are the configurations without and with a checkpoint of the endpoint list.
-var controlVariants = []controlVariant{{"control", ""}, {"keeping", checkpointOperator}}
+var controlVariants = []controlVariant{{"control", ""}, {"keeping", checkpointOperatorConfig}}
 
 // series returns the series of a variant, without points.
 func (v controlVariant) series() []Series {
--- a/internal/lab/capacity/deployment.go
+++ b/internal/lab/capacity/deployment.go
@@ -68,11 +68,11 @@
 }
 
 // groupWorkers is the number of hollow workers in a cell.
-const groupWorkers = 8
+const workersPerCell = 8
 
 // hollowWorker returns the hollow worker with a number, as an entry of the endpoint list.
 func hollowWorker(i int) foxlift.Worker {
-	return foxlift.Worker{ID: workerName(i), Zone: i % TargetZones, Kind: i % assumedKinds, Cell: i / groupWorkers}
+	return foxlift.Worker{ID: workerName(i), Zone: i % TargetZones, Kind: i % assumedKinds, Cell: i / workersPerCell}
 }
 
 // Names of hollow workers, zones, kinds and teams, by their numbers.
--- a/internal/lab/capacity/faults.go
+++ b/internal/lab/capacity/faults.go
@@ -77,7 +77,7 @@
 	}
 	options := fleet.Options{Topology: controlTopology(), Program: o.Program, Admin: true}
 	if !o.WithoutCheckpoint {
-		options.OperatorFile = checkpointOperator
+		options.OperatorFile = checkpointOperatorConfig
 	}
 	testFleet, err := fleet.New(options)
 	if err != nil {
--- a/internal/lab/capacity/run.go
+++ b/internal/lab/capacity/run.go
@@ -31,7 +31,7 @@
 }
 
 // maxMemoryDivisor bounds the memory of the tool: the machine's memory divided by it.
-const maxMemoryDivisor = 2
+const memoryLimitDivisor = 2
 
 // errTooMuchMemory reports that the tool uses too much of the machine's memory.
 var errTooMuchMemory = errors.New("the measurements use more than half of the machine's memory")
@@ -84,7 +84,7 @@
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	r.PeakMemory = max(r.PeakMemory, float64(m.Sys))
-	if r.PeakMemory > r.MachineMemory/maxMemoryDivisor {
+	if r.PeakMemory > r.MachineMemory/memoryLimitDivisor {
 		return fmt.Errorf("%w: %.1f of %.1f GB", errTooMuchMemory, gigabytes(r.PeakMemory), gigabytes(r.MachineMemory))
 	}
 	return nil
@@ -93,11 +93,11 @@
 // Line returns the last line that a run prints. Requirements and the lowest limit are in it only if all series that the
 // page needs were measured.
 func (r *Result) Line() string {
-	worst, slopes := 0.0, 0
+	maxResidual, slopes := 0.0, 0
 	for i := range r.Series {
 		if r.Series[i].Slope != 0 {
 			slopes++
-			worst = max(worst, r.Series[i].Residual)
+			maxResidual = max(maxResidual, r.Series[i].Residual)
 		}
 	}
 	metCount, requirements, limit := "-", "-", "not known (not all dimensions measured)"
@@ -108,7 +108,7 @@
 	}
 	return fmt.Sprintf("capacity: dimensions %d, slopes %d (worst residual %.1f %%), requirements met %s of %s, "+
 		"lowest limit %s, memory %.1f GB of %.1f, processes %d",
-		r.Dimensions, slopes, worst, metCount, requirements, limit,
+		r.Dimensions, slopes, maxResidual, metCount, requirements, limit,
 		gigabytes(r.PeakMemory), gigabytes(r.MachineMemory), r.Processes)
 }
 
--- a/internal/lab/capacity/series.go
+++ b/internal/lab/capacity/series.go
@@ -103,9 +103,9 @@
 			return p.Median
 		}
 		if i > 0 && float64(p.Size) > size && float64(s.Points[i-1].Size) < size {
-			before := s.Points[i-1]
-			position := math.Log(size/float64(before.Size)) / math.Log(float64(p.Size)/float64(before.Size))
-			return before.Median * math.Pow(p.Median/before.Median, position)
+			previous := s.Points[i-1]
+			position := math.Log(size/float64(previous.Size)) / math.Log(float64(p.Size)/float64(previous.Size))
+			return previous.Median * math.Pow(p.Median/previous.Median, position)
 		}
 	}
 	offset, slope := s.extrapolation()
@@ -122,9 +122,9 @@
 		if i == 0 || s.Points[i-1].Median <= 0 {
 			return float64(p.Size)
 		}
-		before := s.Points[i-1]
-		position := math.Log(bound/before.Median) / math.Log(p.Median/before.Median)
-		return float64(before.Size) * math.Pow(float64(p.Size)/float64(before.Size), position)
+		previous := s.Points[i-1]
+		position := math.Log(bound/previous.Median) / math.Log(p.Median/previous.Median)
+		return float64(previous.Size) * math.Pow(float64(p.Size)/float64(previous.Size), position)
 	}
 	offset, slope := s.extrapolation()
 	if slope <= 0 {
--- a/internal/lab/capacity/timing.go
+++ b/internal/lab/capacity/timing.go
@@ -9,7 +9,7 @@
 const minTimedDuration = 4 * time.Millisecond
 
 // timePerCall returns the mean nanoseconds per call of step, in each run.
-func timePerCall(runs int, step func()) (took []float64) {
+func timePerCall(runs int, step func()) (nanoseconds []float64) {
 	step() // untimed: excludes one-time initialization in the first call
 	for range runs {
 		calls, startedAt := 0, time.Now()
@@ -17,7 +17,7 @@
 			step()
 			calls++
 		}
-		took = append(took, float64(time.Since(startedAt).Nanoseconds())/float64(calls))
+		nanoseconds = append(nanoseconds, float64(time.Since(startedAt).Nanoseconds())/float64(calls))
 	}
-	return took
+	return nanoseconds
 }
--- a/internal/lab/capacity/workers.go
+++ b/internal/lab/capacity/workers.go
@@ -84,7 +84,7 @@
 
 // timeCompleteSnapshot returns the nanoseconds that a new module takes for its first complete endpoint list, in each
 // run.
-func timeCompleteSnapshot(d deployment, runs int) (took []float64, err error) {
+func timeCompleteSnapshot(d deployment, runs int) (nanoseconds []float64, err error) {
 	workers := d.endpoints()
 	settings, err := d.settings()
 	if err != nil {
@@ -103,10 +103,10 @@
 			Workers:        workers,
 		}})
 		if i > 0 { // the first run only warms the caches
-			took = append(took, float64(time.Since(startedAt).Nanoseconds()))
+			nanoseconds = append(nanoseconds, float64(time.Since(startedAt).Nanoseconds()))
 		}
 	}
-	return took, nil
+	return nanoseconds, nil
 }
 
 // memoryOfWorkers returns the bytes of memory that a core and its module use for an endpoint list, in each run.
