--- a/internal/lab/capacity/control.go
+++ b/internal/lab/capacity/control.go
@@ -30,8 +30,8 @@
 	traffic  []float64 // bytes per second from and to discovery, by index in controlRates
 }
 
-// checkpointOperator is an operator's configuration file that enables the checkpoint of the endpoint list; %s stands
-// for the path of the checkpoint.
+// checkpointOperatorConfig is an operator's configuration file that enables the checkpoint of the endpoint list; %s
+// stands for the path of the checkpoint.
 const checkpointOperatorConfig = `(foxlift (list (checkpoint "%s")))`
 
 // A controlVariant is a configuration of the scheduler process: the prefix of its series' names and the text of the
--- a/internal/lab/capacity/deployment.go
+++ b/internal/lab/capacity/deployment.go
@@ -15,7 +15,8 @@
 	workers, schedulers, teams int
 }
 
-// classes are the classes of the hollow deployment: light jobs, which may be repeated, and heavy jobs, which may not.
+// classes are the classes of the hollow deployment: most jobs are light and may be repeated, some are heavy and may
+// not.
 var classes = []map[string]any{
 	{"name": "light", "aim": 500 * time.Millisecond, "deadline": 5 * time.Second, "effect": "idempotent", "gain": 1},
 	{"name": "heavy", "aim": 2 * time.Second, "deadline": 25 * time.Second, "effect": "at_most_once", "gain": 5},
@@ -67,7 +68,7 @@
 	return workers
 }
 
-// groupWorkers is the number of hollow workers in a cell.
+// workersPerCell is the number of hollow workers in a cell.
 const workersPerCell = 8
 
 // hollowWorker returns the hollow worker with a number, as an entry of the endpoint list.
--- a/internal/lab/capacity/dimension.go
+++ b/internal/lab/capacity/dimension.go
@@ -10,9 +10,9 @@
 
 // A plan contains the parameters of a run.
 type plan struct {
-	short   bool // measure few and small sizes
-	runs    int  // runs at each size
-	seed    uint64
+	short   bool   // measure few and small sizes
+	runs    int    // runs at each size
+	seed    uint64 // of the random numbers of simulations
 	program string // path of the scheduler's binary
 }
 
--- a/internal/lab/capacity/faults.go
+++ b/internal/lab/capacity/faults.go
@@ -115,7 +115,7 @@
 		return err
 	}
 	t.churnWorkers()
-	if fault == compacted { // includes the changes just made, so that no checkpoint is recent enough
+	if fault == compacted { // discards the changes just made too: no checkpoint is recent enough
 		t.Discovery.Compact()
 		t.oldestDeltaVersion = int64(t.Discovery.Version())
 	}
--- a/internal/lab/capacity/hollowmodule.go
+++ b/internal/lab/capacity/hollowmodule.go
@@ -75,7 +75,8 @@
 	return foxlift.Action{}, false
 }
 
-// runJob runs a light job from its arrival until it is served; a job that is not sent at once is left queued.
+// runJob runs a light job from its arrival until it is served. It does nothing more with a job that is not sent at
+// once.
 func (h *hollowModule) runJob(team int, key uint64) {
 	attempt, sent := h.submitJob(lightClass, team, key, 5*time.Second)
 	if !sent {
--- a/internal/lab/capacity/process.go
+++ b/internal/lab/capacity/process.go
@@ -36,15 +36,15 @@
 }
 
 const (
-	propagationTimeout      = 30 * time.Second // for the endpoint list or its last change to be in force
-	propagationPollInterval = 50 * time.Millisecond
+	propagationTimeout      = 30 * time.Second      // for the endpoint list or its last change to be in force
+	propagationPollInterval = 50 * time.Millisecond // between two checks of the number of workers
 )
 
 // errNotPropagated reports that a process did not apply the endpoint list within propagationTimeout.
 var errNotPropagated = errors.New("endpoint list not in force in time")
 
 // awaitWorkerCount waits until the endpoint list of a process has a number of workers. It fails with errNotPropagated
-// after propagationTimeout, or if the process ends.
+// after propagationTimeout, and with another error if the process or ctx ends before.
 func awaitWorkerCount(ctx context.Context, p *fleet.Process, workers int) error {
 	var figures service.Metrics
 	var err error
--- a/internal/lab/capacity/run.go
+++ b/internal/lab/capacity/run.go
@@ -30,7 +30,7 @@
 	Processes     int     // most scheduler processes that ran at a time
 }
 
-// maxMemoryDivisor bounds the memory of the tool: the machine's memory divided by it.
+// memoryLimitDivisor bounds the memory of the tool: the machine's memory divided by memoryLimitDivisor.
 const memoryLimitDivisor = 2
 
 // errTooMuchMemory reports that the tool uses too much of the machine's memory.
@@ -79,7 +79,7 @@
 		s.Name, strings.Join(points, ", "), s.Slope, s.Residual, s.Unit, s.Of)
 }
 
-// recordMemory updates PeakMemory. It fails if PeakMemory exceeds the machine's memory divided by maxMemoryDivisor.
+// recordMemory updates PeakMemory. It fails if PeakMemory exceeds the machine's memory divided by memoryLimitDivisor.
 func (r *Result) recordMemory() error {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/lab/capacity/runevents.go
+++ b/internal/lab/capacity/runevents.go
@@ -16,9 +16,9 @@
 	connectionCut                      // its connection to discovery is reset, and new ones are refused
 	connectionSilenced                 // its connection to discovery stays open, but carries no data
 	configReloaded                     // the process receives SIGHUP between two changes
-	zoneRemoved                        // all workers of a zone leave at once
+	zoneRemoved                        // as many workers as a zone has leave at once
 	versionRegressed                   // discovery loses its last versions
-	fleetReplaced                      // half of the workers are replaced: more changes than in any complete list so far
+	fleetReplaced                      // half of the workers are replaced: the changes are longer than any list so far
 	runEventCount
 )
 
