--- a/api.go
+++ b/api.go
@@ -185,7 +185,8 @@
 	}
 	for i, b := range c.Bands {
 		if len(b.Ratio) != len(c.Tenants) || b.Width < 0 {
-			return fmt.Errorf("foxlift: Bands[%d] has %d ratios and width %v, want %d ratios and a width of at least 0",
+			return fmt.Errorf("foxlift: Bands[%d] has %d ratios and width %v, "+
+				"want %d ratios (one per tenant) and a width of at least 0",
 				i, len(b.Ratio), b.Width, len(c.Tenants))
 		}
 	}
--- a/dispatch_order.go
+++ b/dispatch_order.go
@@ -31,7 +31,9 @@
 // which keeps the queues at the workers short.
 func (d *Dispatcher) maxUnstarted() int { return max(2, len(d.liveWorkers)/d.cfg.Dispatchers) }
 
-// sendRetries sends the jobs of the retry queue for which a worker is found.
+// sendRetries sends the jobs of the retry queue for which a worker is found, and cancels their
+// attempts in flight. A job without a worker stays in the queue, but is abandoned if it has no attempt in
+// flight and its deadline is at most two ticks away. Jobs that have ended are dropped.
 func (d *Dispatcher) sendRetries() {
 	kept := d.jobs.retryQueue[:0]
 	for _, j := range d.jobs.retryQueue {
--- a/health_checks.go
+++ b/health_checks.go
@@ -6,13 +6,13 @@
 
 const (
 	saturatedPressure = 0.8 // fleet pressure above which checks find no free slot and only add load
-	workersPerCheck   = 2   // workers that are checked for one job
+	workersPerCheck   = 2   // most workers that are checked for one job
 )
 
-// requestHealthChecks asks up to two random workers, of those without a job of this dispatcher, for their
-// load while a job waits. It asks none if two workers with a free slot have reported lately. A dispatcher
-// with little traffic has only outdated load reports. The answers put the workers into recentReports, which
-// placement considers. It reports whether the job waits.
+// requestHealthChecks asks up to workersPerCheck random workers, which may get a job and have less than one
+// slot in use, for their load while a job waits. It asks none if that number of workers with a free slot
+// reported recently. A dispatcher with little traffic has only outdated load reports. The answers put the
+// workers into recentReports, which placement considers. It reports whether the job waits.
 func (d *Dispatcher) requestHealthChecks(j *job) bool {
 	if d.hasCompleteUsage() || !d.cfg.MayHealthCheck || len(d.cfg.Gauges) == 0 ||
 		len(d.liveWorkers) <= len(d.capacity.recentReports.workers) ||
@@ -33,7 +33,7 @@
 }
 
 // recentlyFreeWorkers returns how many workers of recentReports have a fresh report that shows a free slot,
-// and run no job of this dispatcher.
+// may get a job, and have less than one slot in use (level 0).
 func (d *Dispatcher) recentlyFreeWorkers() (n int) {
 	reports := &d.capacity.reports
 	for _, w := range d.capacity.recentReports.workers {
--- a/internal/cells/assigner.go
+++ b/internal/cells/assigner.go
@@ -46,9 +46,9 @@
 }
 
 const (
-	slotFraction            = 0.3 // slots of a kind, as a fraction of its workers
-	smallFleetSlotFraction  = 0.6 // the same in a small fleet, which hashing alone leaves unbalanced,
-	smallFleetSlots         = 24  // up to this number of slots
+	slotFraction            = 0.3 // least number of slots of a kind, as a fraction of its workers
+	smallFleetSlotFraction  = 0.6 // the same up to smallFleetSlots: hashing alone leaves a small fleet unbalanced
+	smallFleetSlots         = 24  // slots of a kind up to which smallFleetSlotFraction applies
 	weightQuantizationSteps = 8   // cellWeights are rounded to this part of a cell's fraction
 
 	// maxIncrementalChanges is the largest number of changed workers that are applied one by one. Beyond it
--- a/internal/cells/plan_build.go
+++ b/internal/cells/plan_build.go
@@ -55,7 +55,8 @@
 	b.errors = append(b.errors, SpecError{subject, fmt.Sprintf(format, args...)})
 }
 
-// findCell returns the index of the cell with a name, and records an error of the subject if there is none.
+// findCell returns the index of the cell with a name. If there is none it records an error of the subject and
+// returns 0; NewPlan then returns no plan.
 func (b *planBuilder) findCell(subject, name string) int {
 	i, ok := b.plan.cellIndex[name]
 	if !ok {
@@ -64,7 +65,8 @@
 	return i
 }
 
-// addCells indexes the cells of the Spec by name.
+// addCells indexes the cells of the Spec by name and computes their hashes. It records an error if there is no
+// cell or if a name occurs more than once.
 func (b *planBuilder) addCells() {
 	p := b.plan
 	if len(p.cells) == 0 {
--- a/internal/cells/route.go
+++ b/internal/cells/route.go
@@ -7,9 +7,9 @@
 	ErrUnknownTenant = errors.New("there is no such tenant")
 	ErrUnknownCell   = errors.New("there is no such cell")
 	ErrSameCell      = errors.New("the tenant is in that cell already")
-	ErrNoWorkers     = errors.New("that cell has no live node")
+	ErrNoWorkers     = errors.New("that cell has no live worker")
 	ErrEvacuated     = errors.New("that cell is evacuated: restore it first")
-	ErrNoTargetCell  = errors.New("no other cell has a live node")
+	ErrNoTargetCell  = errors.New("every other cell is evacuated or has no live worker")
 )
 
 // A Condition describes whether a cell can run jobs now.
@@ -19,7 +19,7 @@
 const (
 	Healthy     Condition = iota // it has a warm worker, which is not in slow start
 	SlowStart                    // all its workers are in slow start
-	Unavailable                  // it has no worker
+	Unavailable                  // it has no live worker, or is evacuated
 )
 
 // A Route is the decision which cell receives a job.
--- a/internal/decision/health/outlier.go
+++ b/internal/decision/health/outlier.go
@@ -31,8 +31,8 @@
 	Backoff               int64   // length of the last ejection; 0: none since it was healthy
 	Trial                 bool    // it gets one job at a time
 	ConsecutiveRejections int     // at most maxCountedRejections
-	PromptStartAt         int64   // when it last started a job of this dispatcher at once
-	LastFaultAt           int64   // when it last rejected one, made one wait, or was ejected
+	PromptStartAt         int64   // when a job of this dispatcher last started there at once
+	LastFaultAt           int64   // when it last rejected a job, made a job wait, or was ejected
 	FailureRate           float64 // moving fraction of failed attempts, 0 to 1
 }
 
@@ -65,8 +65,9 @@
 	}
 }
 
-// RecordTimelyStart records that a job did not start late. It ends a trial and resets the backoff only if the
-// failure rate is low: a worker that fails the jobs that it starts shows its health only at their end.
+// RecordTimelyStart records that a job did not start late, which resets the count of consecutive rejections.
+// It ends a trial and resets the backoff only if the failure rate is at most maxFailureRate: whether a worker
+// fails the jobs that it starts is known only at their end.
 func (o *Outlier) RecordTimelyStart() {
 	o.state.ConsecutiveRejections = 0
 	if o.state.FailureRate <= maxFailureRate {
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,8 +1,9 @@
 // Package guard checks the platform's rules as invariants of single actions. The input of a check is what is
 // known just before the scheduler sends bytes, repeats a job or closes a connection; the result is the
-// invariant that the action would violate. The checks are pure functions without state. The caller cancels
-// the action and counts the violation. The rest of the scheduler is written so that no invariant is ever
-// violated: a count above zero is a defect there (docs/operate/service.md).
+// invariant that the action would violate. The checks are pure functions without state. The caller counts the
+// violation and cancels the action, but a connection is closed all the same. The rest of the scheduler is
+// written so that no invariant is ever violated: a count above zero is a defect there
+// (docs/operate/service.md).
 package guard
 
 import (
@@ -94,7 +95,8 @@
 	return DuplicateRun
 }
 
-// A Close describes a client's connection that the scheduler is about to close.
+// A Close describes the client of a connection that the scheduler is about to close: whether it still waits
+// for an answer.
 type Close struct {
 	AnswerPending bool // an accepted job of the client is not answered
 	Disconnected  bool // the client has closed the connection
--- a/internal/slowstart/slots.go
+++ b/internal/slowstart/slots.go
@@ -6,7 +6,7 @@
 import "math/bits"
 
 const (
-	maxSlotsPerWindow = 8  // number of time slots in a window
+	maxSlotsPerWindow = 8  // most time slots in a window
 	maxHeavyExponent  = 16 // jobs of any weight may use at least one slot in 2^16
 )
 
@@ -20,8 +20,8 @@
 
 // NewSlots returns the slots of the scheduler with the given index, counted from 0, in a fleet. A worker in
 // slow start is overloaded by more than jobs light jobs, minus the heaviest job, within a window (in
-// nanoseconds). A slot allows one light job, so that a window has that number of slots, from 1 to
-// maxSlotsPerWindow.
+// nanoseconds). A slot allows one light job, so a window has as many slots as jobs, rounded down, but at
+// least 1 and at most maxSlotsPerWindow.
 func NewSlots(window int64, schedulers, index int, jobs float64) Slots {
 	perWindow := int64(min(maxSlotsPerWindow, max(1, jobs)))
 	return Slots{
--- a/workers.go
+++ b/workers.go
@@ -151,7 +151,8 @@
 	return w.inFlightJobs >= w.connections.open || d.cfg.ConnIdle > 0 && d.now-w.connections.lastUsedAt > d.cfg.ConnIdle
 }
 
-// setState records the state that the endpoint list gives a worker.
+// setState sets the state of a worker as in the endpoint list at now. The worker becomes lost if it was live
+// and is removed. removedAt becomes now, unless the worker was already removed.
 func (w *worker) setState(s WorkerState, now int64) {
 	w.lost = w.lost || w.state == Live && s == Removed
 	if w.state != Removed {
