--- a/cmd/foxlift/cells.go
+++ b/cmd/foxlift/cells.go
@@ -137,7 +137,7 @@
 	return w.Flush()
 }
 
-// printCellTable prints one line for each cell.
+// printCellTable prints a heading and one line for each cell, with tabs between the columns.
 func printCellTable(w io.Writer, reply *controlpb.CellsReply) {
 	fmt.Fprintln(w, "CELL\tSTATE\tSHARE\tNODES\tOPEN\tBOUND\tOUT\tHELD\tSPILLED\tSERVED\tREFUSED\tFAILED\tSHUT")
 	for _, cell := range reply.Cells {
@@ -154,7 +154,8 @@
 	}
 }
 
-// printTenantTable prints one line for each tenant, and whether it is in the cell that the file assigns to it.
+// printTenantTable prints a heading and one line for each tenant, with whether the tenant is in the cell that the
+// operator's file assigns to it.
 func printTenantTable(w io.Writer, reply *controlpb.CellsReply) {
 	fmt.Fprintln(w, "\nTENANT\tCELL\tQUOTA\tPLACE")
 	for _, cell := range reply.Cells {
@@ -168,7 +169,7 @@
 	}
 }
 
-// printWorkerTable prints one line for each worker.
+// printWorkerTable prints a heading and one line for each worker.
 func printWorkerTable(w io.Writer, reply *controlpb.CellsReply) {
 	fmt.Fprintln(w, "\nNODE\tCELL\tKIND\tZONE\tSTATE\tOUT\tOF OTHERS")
 	for _, cell := range reply.Cells {
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -237,8 +237,9 @@
 	return migrationReply(s.Core.Evacuate(ctx, r.Cell))
 }
 
-// Restore implements controlpb.ControlServer. It undoes moves and evacuations of a tenant, of a cell's tenants or, if
-// both are empty, of all tenants.
+// Restore implements controlpb.ControlServer. It returns tenants to their configured cells: one tenant, the tenants
+// configured in a cell or, if both are empty, all tenants. If no tenant is given, it also ends the evacuation of that
+// cell or of all cells. If both are given, only the tenant is returned.
 func (s *Server) Restore(ctx context.Context, r *controlpb.RestoreRequest) (*controlpb.Moved, error) {
 	return migrationReply(s.Core.RestorePlacement(ctx, r.Tenant, r.Cell))
 }
--- a/internal/core/migration.go
+++ b/internal/core/migration.go
@@ -53,7 +53,8 @@
 }
 
 // RestorePlacement undoes MigrateTenant and Evacuate, and returns tenants to their configured cells: one tenant,
-// the tenants configured in the cell named name, or all tenants if both arguments are empty.
+// the tenants configured in the cell named name, or all tenants if both arguments are empty. Only without a tenant
+// does it also end the evacuation of the named cell or of all cells. If both are given, only the tenant is returned.
 func (c *Core) RestorePlacement(ctx context.Context, tenant, name string) (Migration, error) {
 	return c.changeLayout(ctx, func(layout *cells.Layout) (*cells.Layout, error) {
 		plan := layout.Plan()
--- a/internal/daemon/checkpoint.go
+++ b/internal/daemon/checkpoint.go
@@ -17,8 +17,9 @@
 	log    *zap.Logger
 }
 
-// loadCheckpoint replaces the configuration's cached endpoint list by the list in the checkpoint, if the
-// operator's file names a checkpoint. Without a usable checkpoint the configured list stays.
+// loadCheckpoint does nothing unless the operator's file names a checkpoint. Then it creates the checkpointer and
+// replaces the configuration's cached endpoint list by the list in the checkpoint. Without a usable checkpoint the
+// configured list stays.
 func (d *Daemon) loadCheckpoint() {
 	path := d.operator.settings.EndpointCheckpoint
 	if path == "" {
--- a/internal/daemon/takeover.go
+++ b/internal/daemon/takeover.go
@@ -134,8 +134,10 @@
 	}
 }
 
-// checkOtherProcess reports whether another process of this scheduler exists. If the predecessor has exited,
-// this process takes the role of the serving process.
+// checkOtherProcess reports whether another process of this scheduler exists: for the serving process a
+// successor, for a successor its predecessor. If the predecessor has exited, this process becomes the serving
+// process and completes the takeover. If an error keeps it from getting that role, the predecessor counts as
+// existing.
 func (d *Daemon) checkOtherProcess() bool {
 	if !d.takeover.isSuccessor() {
 		return d.takeover.lock.HasSuccessor()
--- a/internal/lab/capacity/limits.go
+++ b/internal/lab/capacity/limits.go
@@ -37,8 +37,8 @@
 	a.addBudget("the start's processor time", "control.start", startCPUBudget, "0.4 s")
 	a.addBudget(completeSnapshotLimit, "list.bytes", TargetControlTraffic*kilobyte*a.value("clock"), "24 KB/s for clock")
 	a.addLimit(checkpointLimit, a.value("kept_room"), "kept_room")
-	peakChangesPerSecond := a.value("configuration_peak") // the teams take up most of the document
-	document := a.series("configuration.bytes")
+	peakChangesPerSecond := a.value("configuration_peak")
+	document := a.series("configuration.bytes") // measured over numbers of teams, which make up most of the document
 	a.addLimit("the configuration as one document, in the peak minute",
 		document.sizeAt(TargetControlTraffic*kilobyte/peakChangesPerSecond)/TargetTeams,
 		"24 KB/s / configuration_peak, `configuration.bytes`")
@@ -51,7 +51,8 @@
 	a.limits = append(a.limits, scalingLimit{name, fraction, formula})
 }
 
-// addBudget adds the limit at the number of workers at which a series reaches its budget.
+// addBudget adds the limit of a cost that was measured over numbers of workers: the number of workers at which the
+// series reaches budget, as a fraction of TargetWorkers. The limit's formula is the given one and the series' name.
 func (a *assessment) addBudget(name, series string, budget float64, formula string) {
 	workers := a.series(series).sizeAt(budget)
 	a.addLimit(name, workers/TargetWorkers, formula+", `"+series+"`")
--- a/internal/lab/cellsimulation.go
+++ b/internal/lab/cellsimulation.go
@@ -24,7 +24,11 @@
 const (
 	simulatedWorkerSlots = 2
 	simulatedWorkerQueue = 4 // most jobs that wait at a worker; it rejects further ones
-	minJobsForUpdate     = 6 // finished jobs of a class in a second from which its latency loop can run in that second
+
+	// minJobsForUpdate is the number of finished jobs of a class in a second that is enough for its latency loop to
+	// run. It equals minSamples of package admission. After fewer jobs the loop keeps the samples and runs in a later
+	// second; the simulation counts only seconds that have enough jobs of their own.
+	minJobsForUpdate = 6
 )
 
 // A cellResult is the result of one simulated cell.
@@ -79,7 +83,8 @@
 	return s, nil
 }
 
-// simulatedConfig returns the configuration of a dispatcher with one tenant, whose quota is the whole rate.
+// simulatedConfig returns the configuration of the first of two dispatchers, of which only this one is simulated. Its
+// one tenant has a quota of rate jobs a second over both dispatchers.
 func simulatedConfig(rate float64) foxlift.Config {
 	return foxlift.Config{
 		Classes: []foxlift.Class{
--- a/internal/lab/mutant.go
+++ b/internal/lab/mutant.go
@@ -129,7 +129,8 @@
 	return nil
 }
 
-// apply copies the module to a folder and applies the mutant there.
+// apply copies the module in the current folder to dir and applies the mutant there. It returns an error if the text to
+// replace does not occur exactly once in the mutant's file.
 func (m *Mutant) apply(dir string) error {
 	if err := copySource(dir); err != nil {
 		return err
--- a/internal/lab/speed.go
+++ b/internal/lab/speed.go
@@ -95,7 +95,8 @@
 	return listener.Addr().String(), nil
 }
 
-// startProcess starts a scheduler process that listens on an address. stop kills the process and waits for its end.
+// startProcess starts a scheduler process that is to listen on addr. It does not wait until the process listens;
+// waitForListener does. stop kills the process and waits for its end.
 func startProcess(ctx context.Context, program, config, addr string) (stop func(), err error) {
 	cmd := exec.CommandContext(ctx, program)
 	cmd.Env = append(os.Environ(), "LB_CONFIG="+config, "LB_LISTEN="+addr)
@@ -142,8 +143,8 @@
 	return float64(r.latencies.ValueAtQuantile(q)) / float64(time.Millisecond)
 }
 
-// closedLoop runs a number of clients for a time. Each client sends its next job when it has the response to the last
-// one.
+// closedLoop runs one client for each of a number of connections to the scheduler at addr, for the duration each. A
+// client sends its next job when it has the response to the last one.
 func closedLoop(addr string, connections int, each time.Duration) closedLoopResult {
 	result := closedLoopResult{
 		latencies: hdrhistogram.New(int64(minLatency), int64(maxLatency), latencyDigits),
--- a/internal/platform/client_conn.go
+++ b/internal/platform/client_conn.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// idleDeadline returns the time at which the connection is closed if no request has begun; zero means never. A
-// connection that has sent a request before is closed only by a drain.
+// idleDeadline returns the time at which the connection is closed if no request has begun by then; zero means never. A
+// connection that has sent a request before has a deadline only during a drain. activeDrain is nil if there is none.
 func (c *clientConn) idleDeadline(activeDrain *drain, hadRequest bool) time.Time {
 	switch {
 	case activeDrain != nil:
--- a/internal/platform/load_report.go
+++ b/internal/platform/load_report.go
@@ -98,7 +98,7 @@
 	return r.values, nil
 }
 
-// parseLoad parses a report of the form name=value,name=value.
+// parseLoad parses a report of the form name=value,name=value, with the same results and errors as parseLoadObject.
 func parseLoad(text string, names []string) (loadGauges, error) {
 	report := loadReport{names: names}
 	for part := range strings.SplitSeq(strings.TrimSpace(text), ",") {
@@ -110,7 +110,9 @@
 	return report.complete()
 }
 
-// parseLoadObject parses a report of the form {"name":value,...}.
+// parseLoadObject parses a report of the form {"name":value,...}. It returns the values of the gauges in names, in that
+// order, or an error if one of them is missing, appears twice or is not a number from 0 to maxGaugeValue. Other gauges
+// are ignored.
 func parseLoadObject(text []byte, names []string) (loadGauges, error) {
 	dec := json.NewDecoder(bytes.NewReader(text))
 	if t, err := dec.Token(); err != nil || t != json.Delim('{') {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -174,8 +174,8 @@
 	}
 	for _, socket := range sockets {
 		if err := upgrade.SteerToNewest(socket); err != nil {
-			// The kernel gives some connections to the predecessor until that closes its listener.
-			p.log.Warn("takeover: predecessor still gets new connections", zap.Error(err))
+			// The kernel still gives some of them to the predecessor, until the predecessor closes its sockets.
+			p.log.Warn("takeover: cannot direct all new connections and datagrams to this process", zap.Error(err))
 		}
 	}
 }
--- a/internal/statefile/statefile.go
+++ b/internal/statefile/statefile.go
@@ -102,7 +102,7 @@
 func (f File) decode(data []byte) ([]byte, error) {
 	headerSize := len(f.Magic) + lengthSize
 	if len(data) < headerSize+checksumSize || string(data[:len(f.Magic)]) != f.Magic {
-		return nil, fmt.Errorf("%w: it does not have the expected format", ErrUnreadable)
+		return nil, fmt.Errorf("%w: it is too short or does not begin with %q", ErrUnreadable, f.Magic)
 	}
 	length := int(binary.BigEndian.Uint32(data[len(f.Magic):]))
 	if len(data) != headerSize+length+checksumSize {
