--- a/internal/core/accept.go
+++ b/internal/core/accept.go
@@ -10,13 +10,14 @@
 // added to the job table. An invalid job is answered as Rejected and reaches neither a dispatcher nor a
 // worker.
 
-// overdueGrace is the time after a job's deadline at which the core answers it if no dispatcher has. It is
-// below the delay of over 50 ms that the platform's socket rules allow.
+// overdueGrace is the time after a job's deadline at which the core answers it if its dispatcher has not. It is
+// below the delay that the platform's socket rules allow, which is over 50 ms.
 const overdueGrace = 30 * time.Millisecond
 
-// Accept submits a job, which is answered exactly once, through its Client. If the admission bound of its
-// cell is reached, the job is shed before Accept returns, on the caller's goroutine, so that a flood in one
-// cell does not delay the events of other cells.
+// Accept submits a job, which is answered exactly once, through its Client; after Stop it may not be answered.
+// With cells, a job whose id is in use is rejected and a job beyond the admission bound of its cell is shed
+// before Accept returns, on the caller's goroutine, so that a flood in one cell does not delay the events of
+// other cells. Before Start these bounds are 0.
 func (c *Core) Accept(j *Job) {
 	if p := c.placement.Load(); p != nil && !c.reserveOrAnswer(p, j) {
 		return
@@ -24,8 +25,8 @@
 	c.loop.post(jobSubmitted{j})
 }
 
-// reserveOrAnswer reserves capacity for the job in the admission bound of its cell. If the id is in use or
-// the bound is reached, it answers the job and returns false.
+// reserveOrAnswer records the job's id as in use and reserves capacity for the job in the admission bound of
+// its cell. If the id is in use already or the bound is reached, it answers the job and returns false.
 func (c *Core) reserveOrAnswer(p *placement, j *Job) bool {
 	// The id is checked before the bound: shedding a job whose id is in use would tell the client that a
 	// retry is safe, although the job with this id may be running.
@@ -77,8 +78,8 @@
 	c.admit(j)
 }
 
-// validate returns the indexes of the job's class and tenant, and the reason for rejecting the job; "" if
-// it is valid.
+// validate returns the indexes of the job's class and tenant (noTenant if the settings have no tenants), and
+// the reason for rejecting the job. The reason is "" if the job is valid; otherwise the indexes are 0.
 func (c *Core) validate(j *Job) (class, tenant int, reason Reason) {
 	class, ok := c.settings.Classes[j.Class]
 	if !ok {
@@ -99,10 +100,10 @@
 	return class, tenant, ""
 }
 
-// reject answers an invalid job as Rejected and releases its reservation.
+// reject answers an invalid job as Rejected and releases its reservation and its id.
 func (c *Core) reject(j *Job, reason Reason) {
 	j.reservation.release()
-	if reason != ReasonRepeatedID { // otherwise another job is using the id
+	if reason != ReasonRepeatedID { // otherwise the id belongs to another job, open or recently answered
 		c.idsInUse.Delete(j.ID)
 	}
 	c.counters.Add("jobs.rejected")
@@ -111,7 +112,8 @@
 
 // startOverdueTimer starts the timer that answers the job if its dispatcher fails to, which would be a
 // defect. The timer fires overdueGrace after the deadline, so that the dispatcher first receives the outcome
-// of the last attempt. During a shutdown it fires by the shutdown deadline, before the process may be killed.
+// of the last attempt. For a job accepted during a shutdown it fires at the shutdown deadline at the latest,
+// before the process may be killed.
 func (c *Core) startOverdueTimer(j *job) {
 	at := c.shutdown.capAtDeadline(j.deadline + int64(overdueGrace))
 	j.overdueTimer = c.loop.postAfter(time.Duration(at-c.clock.Now()), jobOverdue{j})
@@ -127,7 +129,8 @@
 	}
 }
 
-// ClientDisconnected reports that the client of a job has disconnected. Client.Answer is still called.
+// ClientDisconnected reports that the client of a job has disconnected. If the job is open it is answered as
+// Failed with ReasonClientDisconnected: Client.Answer is called even then.
 func (c *Core) ClientDisconnected(j *Job) { c.loop.post(clientDisconnected{j}) }
 
 // A clientDisconnected event means that the client of a job has disconnected.
--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -17,7 +17,8 @@
 	return min(defaultRetryAfter, time.Duration(c.settings.Module.MaxRetryAfter))
 }
 
-// admit sheds the job or assigns it to a cell.
+// admit sheds the job or assigns it to a cell. If it sheds the job because of a shutdown, the retry-after time
+// is the longest that the settings allow.
 func (c *Core) admit(j *job) {
 	// Beyond maxOpen no file descriptor may be left for the job's connection to a worker, and the job would
 	// wait unread. It is shed before the dispatcher receives it.
@@ -27,7 +28,8 @@
 		return
 	}
 	class := &c.settings.Module.Classes[j.class]
-	// If the job would not be done before the shutdown, another scheduler has more time for it.
+	// A job that takes as long as the latency objective of its class would not be done before the shutdown
+	// deadline. Another scheduler has more time for it.
 	if c.shutdown.endsBefore(c.clock.Now() + class.LatencyObjective) {
 		c.counters.Add("jobs.at_end")
 		c.answer(j, Answer{Verdict: Shed, RetryAfter: time.Duration(c.settings.Module.MaxRetryAfter)})
@@ -36,8 +38,8 @@
 	c.assign(j)
 }
 
-// requestDispatch adds the request for a job to the events of its cell's dispatcher, with the time that the
-// job has waited and the number of attempts by other dispatchers.
+// requestDispatch adds the request for a job to the events of its cell's dispatcher, with the time since the
+// job's arrival and the number of its earlier attempts, which it also records in job.priorAttempts.
 func (c *Core) requestDispatch(j *job) {
 	j.priorAttempts = len(j.attempts)
 	j.cell.notify(foxlift.Event{Kind: foxlift.EventRequest, Request: foxlift.Request{
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -10,7 +10,7 @@
 type attempt struct {
 	job        *job
 	cell       *cell  // the cell whose dispatcher requested the attempt
-	number     int    // number of the attempt at that dispatcher, from 0
+	number     int    // number of the attempt since the job's last request to that dispatcher, from 0
 	worker     string // worker id
 	zone       int    // zone of the worker, or unknownGroup
 	workerCell int    // foxlift.Worker.Cell of the worker, or unknownGroup
@@ -28,7 +28,7 @@
 
 // inDedupGroupOf reports whether the attempt's worker is in the group that drops repeats of jobs that the
 // worker of the first attempt may have run. It returns false if the zone or cell that defines the group is
-// unknown.
+// unknown, and always true if the group is all workers.
 func (a *attempt) inDedupGroupOf(first *attempt, scope foxlift.Scope) bool {
 	switch scope {
 	case foxlift.ScopeZone:
--- a/internal/core/cell.go
+++ b/internal/core/cell.go
@@ -6,18 +6,18 @@
 )
 
 // A cell is a part of the fleet with its own dispatcher, so that a flood in one cell does not affect the
-// regulator, queues or counts of another cell. Each worker belongs to one cell, so that only one dispatcher of
+// admission rate, queues or counts of another cell. Each worker belongs to one cell, so that only one dispatcher of
 // each scheduler sends to it, and the limit for a worker in slow start holds as it does without cells. Without
 // a plan there is one cell with all tenants and workers.
 type cell struct {
 	name       string
-	index      int // index in the plan, or retiredIndex
+	index      int // index in the plan, or retiredIndex; 0 without a plan
 	dispatcher *foxlift.Dispatcher
 	events     []foxlift.Event // events for the dispatcher's next step
 	leaving    []*job          // jobs that leave the cell in the dispatcher's next step
-	quotas     []float64       // quota of each tenant, as last sent to the dispatcher
+	quotas     []float64       // requests per second of each tenant, as last sent to the dispatcher; nil without a plan
 	retired    bool            // the plan no longer has the cell; its attempts in flight still finish
-	evacuated  bool            // evacuated by the operator; no jobs are assigned to it
+	evacuated  bool            // evacuated by the operator; its condition is Unavailable, so that it receives no jobs
 
 	spilled      int      // number of its open jobs that are in the cell that it spills into
 	answerCounts [3]int64 // number of answers by verdict, without Rejected
@@ -40,7 +40,8 @@
 	}
 }
 
-// newCell returns a cell whose dispatcher has the given tenants and quotas. The name is "" without a plan.
+// newCell returns a cell whose dispatcher has the given tenants and quotas. The name is "" without a plan. The
+// error is that of foxlift.New.
 func (c *Core) newCell(name string, tenants []foxlift.Tenant) (*cell, error) {
 	cfg := c.settings.Module
 	cfg.Tenants = tenants
@@ -84,8 +85,8 @@
 	return condition
 }
 
-// inSlowStart reports whether a worker started less than the slow start duration ago. A worker without a start
-// time is not in slow start.
+// inSlowStart reports whether a worker started less than the slow start duration before now, in Unix
+// nanoseconds. A worker without a start time is not in slow start.
 func (c *Core) inSlowStart(w *workerEntry, now int64) bool {
 	return w.StartedAt != 0 && now-w.StartedAt < c.settings.Module.SlowStartDuration
 }
--- a/internal/core/cell_assign.go
+++ b/internal/core/cell_assign.go
@@ -7,7 +7,8 @@
 	"github.com/vatu-meals/foxlift/internal/cells"
 )
 
-// ownerCell returns the cell that serves a tenant's jobs with an affinity key, regardless of spilling.
+// ownerCell returns the cell that serves a tenant's jobs with an affinity key, regardless of spilling; without
+// a plan, the only cell.
 func (c *Core) ownerCell(tenant int, key uint64) *cell {
 	p := c.placement.Load()
 	if p == nil {
@@ -16,7 +17,8 @@
 	return c.cells.all[p.layout.Cell(tenant, key)]
 }
 
-// routeOf returns the current route of a job: its owner cell, the cell that the owner spills into, or shed.
+// routeOf returns the current route of a job: its owner cell, the cell that the owner spills into, or shed. It
+// must not be called without a plan.
 func (c *Core) routeOf(j *job) cells.Route {
 	p := c.placement.Load()
 	owner := c.ownerCell(j.tenant, j.Key)
@@ -28,8 +30,9 @@
 	})
 }
 
-// assign routes a job to a cell and requests its dispatch there. The job is shed or failed if no cell can
-// take it, or if the cell has the maximum number of open jobs with its affinity key.
+// assign routes a job to a cell and requests its dispatch there; without a plan, in the only cell. The job is
+// shed or failed if no cell can take it, or if the cell has the maximum number of open jobs with its affinity
+// key.
 func (c *Core) assign(j *job) {
 	p := c.placement.Load()
 	if p == nil {
@@ -74,10 +77,11 @@
 	return j.firstPossibleRun() != nil && c.settings.Module.Classes[j.class].Effect != foxlift.Idempotent
 }
 
-// reassign withdraws a job from its cell's dispatcher if its route or its allowed workers have changed, and
-// reports whether it did; stepCell then assigns the job again. A job with an attempt in flight stays in its
+// reassign withdraws an open job from its cell's dispatcher if its route or its allowed workers have changed,
+// and reports whether it did; stepCell then assigns the job again. A job with an attempt in flight stays in its
 // cell. So does a job that may have run, unless its class is idempotent, because only the dispatcher that
-// sent it has the attempts that decide whether the class allows a repeat.
+// sent it has the attempts that decide whether the class allows a repeat. Without a plan, and for a job that
+// is leaving its cell already, it returns false.
 func (c *Core) reassign(j *job) (isLeaving bool) {
 	p := c.placement.Load()
 	if p == nil || j.answered.Load() || j.inFlight > 0 || j.leaving || c.unsafeToRetry(j) {
@@ -94,7 +98,8 @@
 	return true
 }
 
-// reassignAll calls reassign for every open job, in order of acceptance, and returns how many leave their cell.
+// reassignAll calls reassign for every open job, in order of acceptance, and returns for how many it returned
+// true.
 func (c *Core) reassignAll() (leavingCount int) {
 	for _, j := range c.jobs.openInOrder() {
 		if c.reassign(j) {
--- a/internal/core/cell_placement.go
+++ b/internal/core/cell_placement.go
@@ -8,8 +8,8 @@
 type placement struct {
 	layout           *cells.Layout
 	admission        *cells.Admission
-	jobBounds        []int // maximum open jobs, by cell
-	connectionBounds []int // maximum client connections, by cell
+	jobBounds        []int // maximum number of open jobs, by cell
+	connectionBounds []int // maximum number of client connections, by cell
 }
 
 // newPlacement returns a placement without reservations. maxOpen is the scheduler's maximum number of open
@@ -33,8 +33,9 @@
 	return &changed
 }
 
-// reserve reserves capacity for the job in the admission bound of its cell. It returns false if the bound of
-// the cell or the tenant is reached. tenant is an index, or noTenant.
+// reserve reserves capacity for the job in the admission bound of its cell, and records it in j.reservation. If
+// the bound of the cell or the tenant is reached, it counts the job as shed on arrival and returns false. tenant
+// is an index, or noTenant.
 func (p *placement) reserve(j *Job, tenant int) bool {
 	cell := p.layout.Cell(tenant, j.Key)
 	if !p.admission.Admit(cell, tenant) {
@@ -51,7 +52,8 @@
 	cell, tenant int
 }
 
-// transfer moves the reservation to another cell.
+// transfer moves the reservation to another cell, even if the bound of that cell is reached. It does nothing if
+// no capacity is held.
 func (r *reservation) transfer(cell int) {
 	if r.admission != nil && r.cell != cell {
 		r.admission.Transfer(r.cell, cell, r.tenant)
@@ -76,7 +78,8 @@
 }
 
 // Cell returns the name of the cell that serves a tenant's jobs with an affinity key, and the maximum number
-// of client connections of that cell; "" and 0 without cells. Any goroutine may call it.
+// of client connections of that cell, which is 0 before Start; "" and 0 without cells. A tenant that the
+// settings do not have counts as no tenant. Any goroutine may call it.
 func (c *Core) Cell(tenant string, key uint64) (name string, maxConnections int) {
 	p := c.placement.Load()
 	if p == nil {
--- a/internal/core/cell_set.go
+++ b/internal/core/cell_set.go
@@ -36,8 +36,8 @@
 	s.all = slices.DeleteFunc(s.all, func(cl *cell) bool { return cl == removed })
 }
 
-// acquireKey counts a job under its cell and affinity key. It returns false, and does not count the job, if
-// maxJobs jobs are counted already.
+// acquireKey counts a job under its cell and affinity key, and no longer under a previous cell. It returns
+// false, and does not count the job, if maxJobs other jobs are counted there already.
 func (s *cellSet) acquireKey(j *job, maxJobs int) bool {
 	s.releaseKey(j)
 	k := cellKey{j.cell, j.Key}
@@ -61,7 +61,8 @@
 	j.countedKey = cellKey{}
 }
 
-// initCells creates the cells of a plan, without workers.
+// initCells creates the cells of a plan, without workers and with admission bounds of 0. The error is that of
+// foxlift.New.
 func (c *Core) initCells(plan *cells.Plan) error {
 	layout := cells.NewLayout(plan)
 	c.cells.assigner = cells.NewAssigner(plan)
@@ -76,7 +77,8 @@
 	return nil
 }
 
-// newPlannedCell returns a cell for one index of a layout's plan, with the tenants' quotas in that cell.
+// newPlannedCell returns a cell for one index of a layout's plan, with the tenants' quotas in that cell. The
+// error is that of foxlift.New.
 func (c *Core) newPlannedCell(layout *cells.Layout, index int) (*cell, error) {
 	quotas := layout.Quotas(index)
 	tenants := slices.Clone(c.settings.Module.Tenants)
--- a/internal/core/cell_state.go
+++ b/internal/core/cell_state.go
@@ -7,13 +7,14 @@
 	"github.com/vatu-meals/foxlift/internal/cells"
 )
 
-// A CellState describes a cell at one moment. The counts of jobs and attempts include those of jobs that
-// spilled into the cell.
+// A CellState describes a cell at one moment. The counts of jobs and attempts, except Spilled and
+// ShedOnArrival, include those of jobs that spilled into the cell. Served, Shed and Failed count since the cell
+// was created. For a retired cell, CapacityFraction, Condition, Tenants, Bound and ShedOnArrival are not set.
 type CellState struct {
 	Name             string
-	CapacityFraction float64
-	Retired          bool
-	Evacuated        bool
+	CapacityFraction float64 // of the fleet's capacity, from 0 to 1
+	Retired          bool    // the plan no longer has the cell
+	Evacuated        bool    // evacuated by the operator
 	Condition        cells.Condition
 	Workers          []WorkerState
 	Tenants          []TenantState
@@ -23,16 +24,16 @@
 	Queued           int // open jobs without an attempt in flight
 	Spilled          int // open jobs of the cell that are in the cell that it spills into
 	Served           int64
-	Shed             int64 // jobs shed after admission, by the dispatcher or for lack of an available cell
+	Shed             int64 // jobs shed after they passed the admission bound, by the dispatcher or by the core
 	Failed           int64
-	ShedOnArrival    int64 // jobs shed by Accept because the admission bound was reached
+	ShedOnArrival    int64 // jobs shed by Accept, since Start or the last Replan, because the bound was reached
 }
 
 // A WorkerState describes a worker of a cell.
 type WorkerState struct {
 	ID            string
-	Kind          int
-	Zone          int
+	Kind          int // index of its machine kind; -1 if unknown
+	Zone          int // index of its zone; -1 if unknown
 	State         foxlift.WorkerState
 	InSlowStart   bool
 	InFlight      float64 // slots in flight at the worker from this cell
@@ -47,7 +48,7 @@
 }
 
 // Cells returns the states of the cells of the plan by index, then those of retired cells. It returns
-// ErrNoCells without cells.
+// ErrNoCells without cells, ErrShuttingDown if the core stops first, and the error of ctx if ctx ends first.
 func (c *Core) Cells(ctx context.Context) ([]CellState, error) {
 	return callOnEventLoop(ctx, c, func(c *Core) ([]CellState, error) {
 		if c.placement.Load() == nil {
--- a/internal/core/cell_workers.go
+++ b/internal/core/cell_workers.go
@@ -5,13 +5,14 @@
 	"github.com/vatu-meals/foxlift/internal/cells"
 )
 
-// slotTolerance is the sum of slots up to which the sum counts as zero. Slots are fractions, so that the sums
-// have rounding errors.
+// slotTolerance is the largest sum of slots that counts as zero. Slots are fractions, so that the sums have
+// rounding errors.
 const slotTolerance = 1e-9
 
 // distributeWorkers assigns the workers to cells and sends each cell's dispatcher the update for its workers.
 // A worker that moves to another cell is sent to its previous dispatcher as draining, and to its new one with
-// the slots that other cells still have in flight there. changed holds the workers of the update.
+// the slots that other cells still have in flight there. changed holds the workers of the update; with
+// EndpointsDelta only they and the workers that move are sent.
 func (c *Core) distributeWorkers(kind foxlift.EndpointUpdate, changed []foxlift.Worker) {
 	layout := c.updateLayout()
 	inUpdate := map[string]bool{}
@@ -59,7 +60,8 @@
 }
 
 // countSlots adds (sign 1) or subtracts (sign -1) the slots of an attempt at its worker. If the worker now
-// belongs to another cell than the attempt, that cell's dispatcher is sent the changed external slots.
+// belongs to another cell than the attempt, that cell's dispatcher is sent the changed external slots. It does
+// nothing without a plan, or if the worker is no longer in the table.
 func (c *Core) countSlots(a *attempt, sign float64) {
 	w := c.workers.byID[a.worker]
 	if w == nil || c.placement.Load() == nil {
@@ -74,7 +76,8 @@
 	}
 }
 
-// cellOf returns the cell of a worker; nil if the worker has not been assigned to one.
+// cellOf returns the cell of a worker: without a plan the only cell, with one nil if the worker has not been
+// assigned to a cell.
 func (c *Core) cellOf(w *workerEntry) *cell {
 	if c.placement.Load() == nil {
 		return c.cells.all[0]
