--- a/internal/lab/service/judge_test.go
+++ b/internal/lab/service/judge_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-const figuresText = `# TYPE scheduler_responses_total counter
+const metricsText = `# TYPE scheduler_responses_total counter
 scheduler_responses_total{kind="reading",result="ok"} 812
 scheduler_responses_total{kind="reading",result="shed"} 40
 scheduler_responses_total{kind="ratify",result="errors"} 7
@@ -20,14 +20,14 @@
 // ParseMetrics must read metrics with and without a declared type and reject incomplete ones.
 // Mismatches must accept small differences from the clients' tally and report larger ones.
 func TestParseMetrics(t *testing.T) {
-	f, err := ParseMetrics(figuresText)
+	f, err := ParseMetrics(metricsText)
 	must(t, err)
 	if f.Attempts != 900 || f.Active != 14 || f.PoolSize != 8 || f.Ejected != 1 {
 		t.Errorf("ParseMetrics() = %+v, want 900 attempts, 14 active, pool size 8, 1 ejected", f)
 	}
 	truth := map[string]Responses{"reading": {OK: 815, Shed: 43}, "ratify": {Errors: 4}}
 	if text := f.Mismatches(truth); text != "" {
-		t.Error(text)
+		t.Errorf("Mismatches() = %q, want none", text)
 	}
 	truth["reading"] = Responses{OK: 830, Shed: 40}
 	if f.Mismatches(truth) == "" {
@@ -35,7 +35,7 @@
 	}
 	for name, text := range map[string]string{
 		"no metrics": "", "no pool size": "scheduler_tries_total 1\nscheduler_active 1\nscheduler_pool_ejected 0\n",
-		"an unknown result": figuresText + `scheduler_responses_total{kind="reading",result="maybe"} 1` + "\n",
+		"an unknown result": metricsText + `scheduler_responses_total{kind="reading",result="maybe"} 1` + "\n",
 	} {
 		if _, err := ParseMetrics(text); err == nil {
 			t.Errorf("ParseMetrics accepted the text with %s, want an error", name)
--- a/internal/lab/soak/clients.go
+++ b/internal/lab/soak/clients.go
@@ -45,7 +45,7 @@
 func (p *run) disconnectClients(rng *rand.Rand) func() {
 	for range disconnectsPerFault {
 		i, class := rng.IntN(p.Schedulers), []string{"reading", "ratify"}[rng.IntN(2)]
-		stays := time.Duration(rng.Int64N(int64(maxDisconnectDelay)))
+		delay := time.Duration(rng.Int64N(int64(maxDisconnectDelay)))
 		id := fmt.Sprintf("leave/all/%s/%d-%d", class, i, p.disconnecting.next())
 		p.disconnecting.wait.Go(func() {
 			c, err := standin.Dial(p.fleet.Processes[i].Addr, connectTimeout)
@@ -53,7 +53,7 @@
 				return
 			}
 			fmt.Fprint(c, requestText(id, class, disconnectingDeadline))
-			<-time.After(stays)
+			<-time.After(delay)
 			c.Close()
 			p.faultRecord.recordDisconnect(id, time.Now())
 		})
