--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -2,8 +2,10 @@
 //
 // One goroutine, the event loop started by Core.Start, owns all mutable state: the dispatchers (one, or one for
 // each cell), the job table with the attempts, the worker table, the cells and the shutdown deadline. Other
-// goroutines post events to it. They share only the status (atomic values), the placement (immutable, replaced
-// as a whole) and the ids in use (a concurrent map).
+// goroutines post events to it; a call that posts an event blocks while the event queue is full and has no
+// effect after Stop. Goroutines share only the status (atomic values), the placement (immutable but for its
+// admission, which a mutex guards, and replaced as a whole), the ids in use (a concurrent map), the counters and
+// the atomic fields of jobs.
 //
 // A job passes through six stages, each in its own file:
 //
@@ -33,7 +35,7 @@
 // A Config configures a Core.
 type Config struct {
 	Settings *config.Settings
-	Plan     *cells.Plan // nil: no cells, one dispatcher for the whole fleet
+	Plan     *cells.Plan // nil: without cells, one dispatcher for the whole fleet
 	Seed     uint64      // seed of the dispatchers' random choices
 	Clock    Clock
 	Counters *counters.Set
@@ -61,7 +63,8 @@
 	confirmed bool // discovery has answered since the start of the process
 }
 
-// New returns a Core that is not started. Events that are posted before Start are handled after it.
+// New returns a Core that is not started. Events that are posted before Start are handled after it. The error is
+// that of foxlift.New for the settings.
 func New(cfg Config) (*Core, error) {
 	c := &Core{
 		settings: cfg.Settings, clock: cfg.Clock, counters: cfg.Counters,
@@ -85,7 +88,8 @@
 	return c, nil
 }
 
-// Start applies the cached endpoint list of the environment and starts the event loop, which runs until Stop.
+// Start applies the cached endpoint list of the environment and starts the event loop, which runs until Stop. It
+// must be called once. After Stop it does not start the loop.
 func (c *Core) Start(env Environment) {
 	c.setEnvironment(env)
 	endpointsUpdated{kind: foxlift.EndpointsCached, workers: env.CachedEndpoints}.apply(c)
@@ -121,12 +125,12 @@
 	}
 }
 
-// Stop ends the event loop and waits for its goroutine. It must not be called on that goroutine. Further calls
-// do nothing.
+// Stop ends the event loop and waits for its goroutine. Events that are waiting are dropped, and open jobs are
+// not answered. It must not be called on that goroutine. Further calls do nothing.
 func (c *Core) Stop() { c.loop.stop() }
 
-// SetMaxOpen changes the number of jobs that the platform can hold open. The bounds of the cells stay as they
-// are.
+// SetMaxOpen changes the number of jobs that the platform can hold open. The maximum of the settings still
+// applies, open jobs beyond the new number stay open, and the bounds of the cells stay as they are until Replan.
 func (c *Core) SetMaxOpen(maxOpen int) { c.loop.post(maxOpenChanged{maxOpen}) }
 
 type maxOpenChanged struct{ maxOpen int }
@@ -135,8 +139,8 @@
 	c.maxOpen = c.effectiveMaxOpen(e.maxOpen) // the cells' bounds stay parts of the maximum at Start or Replan
 }
 
-// effectiveMaxOpen returns the maximum number of open jobs: maxOpen, which the platform can hold, bounded by
-// the settings.
+// effectiveMaxOpen returns the maximum number of open jobs: maxOpen, which the platform can hold, or the maximum
+// of the settings if that is set and smaller.
 func (c *Core) effectiveMaxOpen(maxOpen int) int {
 	if configured := c.settings.MaxOpen; configured > 0 {
 		return min(maxOpen, configured)
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -67,7 +67,8 @@
 	}
 }
 
-// executeJobAction executes an action on a job.
+// executeJobAction executes an action on a job. It ignores the cancellation of an unknown or ended attempt, and
+// an answer to a job that is answered already.
 func (c *Core) executeJobAction(j *job, action *foxlift.Action) {
 	switch action.Kind {
 	case foxlift.ActionSend:
@@ -83,7 +84,7 @@
 	}
 }
 
-// checkHealth starts a health check of a worker. Its result is posted to the cell's dispatcher.
+// checkHealth starts a health check of a worker. Its result becomes an event of the cell's dispatcher.
 func (c *Core) checkHealth(cl *cell, worker string) {
 	c.counters.Add("probes.sent")
 	sentAt := c.clock.Now()
@@ -96,7 +97,7 @@
 type healthChecked struct {
 	cell   *cell
 	worker string
-	sentAt int64
+	sentAt int64 // in Unix nanoseconds
 	report Report
 }
 
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -2,7 +2,8 @@
 
 import "github.com/vatu-meals/foxlift"
 
-// UpdateEndpoints reports an update of the endpoint list from discovery.
+// UpdateEndpoints reports an update of the endpoint list from discovery. With the kind EndpointsDelta workers
+// holds only the changed workers, otherwise the complete list.
 func (c *Core) UpdateEndpoints(kind foxlift.EndpointUpdate, workers []foxlift.Worker) {
 	c.loop.post(endpointsUpdated{kind: kind, workers: workers})
 }
@@ -25,8 +26,8 @@
 // An endpointsUpdated event is an update of the endpoint list or the result of a poll for it.
 type endpointsUpdated struct {
 	kind    foxlift.EndpointUpdate
-	failure foxlift.PollFailure
-	workers []foxlift.Worker
+	failure foxlift.PollFailure // if kind is EndpointsPollFailed
+	workers []foxlift.Worker    // the list or its changes; nil for kinds without workers
 }
 
 func (e endpointsUpdated) apply(c *Core) {
--- a/internal/core/environment.go
+++ b/internal/core/environment.go
@@ -11,7 +11,7 @@
 	Workers         Workers
 	EndpointWatch   EndpointWatch
 	Peers           Peers            // nil if schedulers exchange no messages
-	MaxOpen         int              // number of jobs that the platform can hold open; jobs beyond it are shed
+	MaxOpen         int              // maximum number of open jobs that the platform can hold; others are shed
 	CachedEndpoints []foxlift.Worker // endpoint list as recorded before the start
 }
 
@@ -25,7 +25,8 @@
 // goroutine and must not block.
 type Workers interface {
 	// Send starts an attempt. It calls report for each change of the attempt's state, from any goroutine; the
-	// last report has Ended set. cancel ends the attempt early by closing its connection.
+	// last report has Ended set. cancel ends the attempt early by closing its connection, and has no effect if
+	// the attempt has ended; it is called in either case, and reports after it are ignored.
 	Send(worker string, job *Job, limits AttemptLimits, report func(Report)) (cancel func())
 	// CloseIdle closes the idle connections to a worker.
 	CloseIdle(worker string)
@@ -51,10 +52,10 @@
 // A Report describes a change of an attempt, or the result of a health check. A report of an attempt with
 // neither Progress nor Ended means that the attempt has started.
 type Report struct {
-	Progress bool
-	Ended    bool
-	Code     foxlift.Code // outcome, if Ended
-	Result   []byte       // result of a served job
+	Progress bool         // the worker reports progress of the job
+	Ended    bool         // the attempt has ended
+	Code     foxlift.Code // outcome, if Ended or of a health check
+	Result   []byte       // result of the job, if Code is Served
 	HasLoad  bool         // Load is set
 	Load     [foxlift.MaxGauges]float64
 }
--- a/internal/core/event_loop.go
+++ b/internal/core/event_loop.go
@@ -65,7 +65,8 @@
 	}
 }
 
-// postAfter posts an event after a delay, unless the returned timer is stopped before.
+// postAfter posts an event after a delay, unless the returned timer is stopped before. A delay of 0 or less
+// posts it at once, on another goroutine.
 func (l *eventLoop) postAfter(delay time.Duration, e event) *time.Timer {
 	return time.AfterFunc(delay, func() { l.post(e) })
 }
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -7,17 +7,17 @@
 
 // A Job is a client's request for one job, which the platform has read completely.
 type Job struct {
-	ID                string // chosen by the client; unique among open jobs
+	ID                string // chosen by the client; unique among open and recently answered jobs
 	Class             string
 	Tenant            string
-	ArrivedAt         int64         // time of arrival on the core's clock
-	Remaining         time.Duration // how long the client waits from ArrivedAt on
+	ArrivedAt         int64         // time of arrival in Unix nanoseconds, on the core's clock
+	Remaining         time.Duration // how long the client waits from ArrivedAt on; bounded by the class's deadline
 	Key               uint64        // affinity key; 0 if the job has none
-	Slots             float64       // slots that the job occupies; 0 counts as 1
-	Memory            float64
-	ClientRetry       bool // the client reports an earlier try
-	HasIdempotencyKey bool // the job carries the key by which workers detect repeats
-	Payload           any  // data for Workers, not used by the core
+	Slots             float64       // slots that the job occupies; 0 or less counts as 1
+	Memory            float64       // units of memory that the job needs
+	ClientRetry       bool          // the client reports an earlier try
+	HasIdempotencyKey bool          // the job carries the key by which workers detect repeats
+	Payload           any           // data for Workers, not used by the core
 	Client            Client
 
 	answered       atomic.Bool
@@ -49,8 +49,8 @@
 
 // A Client receives the answer of a job.
 type Client interface {
-	// Answer is called exactly once, with the final answer of the job. It is called on the event loop's
-	// goroutine or on that of the caller of Accept, and must not block.
+	// Answer is called exactly once, with the final answer of the job; not at all if the core stops before. It
+	// is called on the event loop's goroutine or on that of the caller of Accept, and must not block.
 	Answer(Answer)
 	// Disconnected reports whether the client is known to have disconnected. It must not block.
 	Disconnected() bool
@@ -101,13 +101,13 @@
 	number       uint64     // ID of the job at the dispatchers
 	class        int        // index into the settings' classes
 	tenant       int        // index into the settings' tenants, or noTenant
-	deadline     int64      // when the client stops waiting, on the core's clock
+	deadline     int64      // when the client stops waiting, in Unix nanoseconds on the core's clock
 	attempts     []*attempt // in the order in which they were created
 	inFlight     int        // number of attempts that have not ended
 	overdueTimer *time.Timer
 
 	cell           *cell    // cell that the job is assigned to
-	priorAttempts  int      // number of attempts created before the job was assigned to that cell
+	priorAttempts  int      // number of attempts created before the job was last assigned to a cell
 	leaving        bool     // the job leaves the cell in the next step of the cell's dispatcher
 	spilledFrom    *cell    // owner cell, if the job has spilled into another cell; else nil
 	allowedWorkers []string // IDs of the only workers for its affinity key, if the plan limits them; nil: any
@@ -117,7 +117,7 @@
 // remaining returns how long the job's client still waits; it is negative after the deadline.
 func (j *job) remaining(now int64) time.Duration { return time.Duration(j.deadline - now) }
 
-// slots returns the number of slots that the job occupies; 1 if the job does not specify it.
+// slots returns the number of slots that the job occupies; 1 if Slots is 0 or less.
 func (j *job) slots() float64 {
 	if j.Slots <= 0 {
 		return 1
@@ -135,7 +135,8 @@
 	return nil
 }
 
-// clearSpill removes the job from the count of jobs that have spilled from its owner cell.
+// clearSpill removes the job from the count of jobs that have spilled from its owner cell. It does nothing if
+// the job has not spilled.
 func (j *job) clearSpill() {
 	if j.spilledFrom != nil {
 		j.spilledFrom.spilled--
--- a/internal/core/job_table.go
+++ b/internal/core/job_table.go
@@ -14,7 +14,7 @@
 	byNumber    map[uint64]*job // all jobs of the table
 	open        map[string]*job // jobs accepted and not yet answered, by the client's id
 	lastNumber  uint64          // number of the job added last
-	recentIDs   map[string]bool // ids answered within idRetention; true if the job must not run twice
+	recentIDs   map[string]bool // ids answered or restored within idRetention; true: the job must not run twice
 	idRetention time.Duration   // longest deadline of any class
 }
 
@@ -34,7 +34,7 @@
 	t.open[j.ID] = j
 }
 
-// isKnown reports whether a job's id is in use or was answered within idRetention.
+// isKnown reports whether a job's id belongs to an open job, or was answered or restored within idRetention.
 func (t *jobTable) isKnown(id string) bool {
 	_, answered := t.recentIDs[id]
 	return answered || t.open[id] != nil
--- a/internal/core/migration.go
+++ b/internal/core/migration.go
@@ -11,12 +11,14 @@
 // A Migration describes the effect of a change of the placement.
 type Migration struct {
 	Tenants  int // tenants whose cells change
-	Queued   int // queued jobs that move to another cell; the time that they have waited counts there
-	InFlight int // jobs with attempts in flight, which finish outside their new cell
+	Queued   int // queued jobs that are assigned again, mostly to another cell, where their waiting time counts
+	InFlight int // open jobs with attempts in flight outside the cell that now serves them, which finish there
 }
 
 // MigrateTenant assigns a tenant to the cell named to. The tenant's new jobs and queued jobs go to that cell;
-// attempts in flight finish where they are.
+// attempts in flight finish where they are, and jobs that may have run stay unless their class is idempotent.
+// It returns the error of cells.Layout.CheckMigration, cells.ErrEvacuated, ErrNoCells, ErrShuttingDown or the
+// error of ctx.
 func (c *Core) MigrateTenant(ctx context.Context, tenant, to string) (Migration, error) {
 	return c.changeLayout(ctx, func(layout *cells.Layout) (*cells.Layout, error) {
 		t, i := layout.Plan().TenantIndex(tenant), layout.Plan().CellIndex(to)
@@ -31,7 +33,8 @@
 }
 
 // Evacuate migrates all tenants of a cell to other cells, and stops jobs from spilling into it, until
-// RestorePlacement.
+// RestorePlacement of this cell or of all tenants, or Replan. It returns cells.ErrUnknownCell,
+// cells.ErrNoTargetCell, ErrNoCells, ErrShuttingDown or the error of ctx.
 func (c *Core) Evacuate(ctx context.Context, name string) (Migration, error) {
 	return c.changeLayout(ctx, func(layout *cells.Layout) (*cells.Layout, error) {
 		i := layout.Plan().CellIndex(name)
@@ -53,7 +56,9 @@
 }
 
 // RestorePlacement undoes MigrateTenant and Evacuate, and returns tenants to their configured cells: one tenant,
-// the tenants configured in the cell named name, or all tenants if both arguments are empty. Only without a tenant
+// the tenants configured in the cell named name, or all tenants if both arguments are empty. With a tenant, no
+// evacuation ends and name is only checked. It returns cells.ErrUnknownTenant, cells.ErrUnknownCell, ErrNoCells,
+// ErrShuttingDown or the error of ctx. Only without a tenant
 // does it also end the evacuation of the named cell or of all cells. If both are given, only the tenant is returned.
 func (c *Core) RestorePlacement(ctx context.Context, tenant, name string) (Migration, error) {
 	return c.changeLayout(ctx, func(layout *cells.Layout) (*cells.Layout, error) {
@@ -74,7 +79,8 @@
 	})
 }
 
-// restoreTenants returns the layout with the selected migrated tenants in their configured cells.
+// restoreTenants returns the layout with the selected migrated tenants in their configured cells. selected is
+// also called with the index of the entry for jobs without a tenant.
 func restoreTenants(layout *cells.Layout, selected func(tenant int) bool) *cells.Layout {
 	for t := range layout.Plan().TenantTableSize() {
 		if selected(t) && layout.Migrated(t) {
@@ -123,8 +129,8 @@
 	return p, nil
 }
 
-// adoptPlacement publishes a placement, sends the changed quotas to the dispatchers and reassigns queued jobs.
-// previous is the layout before the change.
+// adoptPlacement publishes a placement, sends the changed quotas to the dispatchers, reassigns queued jobs and
+// returns the effect. previous is the layout before the change.
 func (c *Core) adoptPlacement(previous *cells.Layout, p *placement) Migration {
 	var m Migration
 	for t := range previous.Plan().TenantNames() {
--- a/internal/core/operator.go
+++ b/internal/core/operator.go
@@ -16,8 +16,9 @@
 // shutdown.
 var ErrShuttingDown = errors.New("the scheduler is shutting down")
 
-// callOnEventLoop runs fn on the event loop's goroutine and returns its result. If ctx ends or the core stops
-// first, it returns an error; fn may still run then, and its result is dropped.
+// callOnEventLoop runs fn on the event loop's goroutine and returns its result. It returns the error of ctx if
+// ctx ends first, and ErrShuttingDown if the core stops first; fn may still run then, and its result is dropped.
+// Before Start it waits.
 func callOnEventLoop[T any](ctx context.Context, c *Core, fn func(*Core) (T, error)) (T, error) {
 	type result struct {
 		value T
--- a/internal/core/record.go
+++ b/internal/core/record.go
@@ -24,8 +24,8 @@
 	foxlift.NotSent:          "claims.not_sent",
 }
 
-// answer sends the job's answer to its client and releases what the job occupies, except for its attempts in
-// flight. It does nothing if the job is answered already.
+// answer sends the job's answer to its client, releases what the job occupies, except for its attempts in
+// flight, and keeps its id from being used again for a time. It does nothing if the job is answered already.
 func (c *Core) answer(j *job, a Answer) {
 	if j.answered.Load() {
 		return
@@ -52,7 +52,8 @@
 }
 
 // recordOutcome counts the outcome of an attempt and passes it to the dispatcher that requested the attempt. It
-// then reassigns the job, if the job was only kept in its cell by the attempt.
+// then removes the job from the table if the job is done, or reassigns it if only the attempt kept it in its
+// cell.
 func (c *Core) recordOutcome(a *attempt, r Report) {
 	c.counters.Add(outcomeCounters[r.Code])
 	e := a.event(foxlift.EventOutcome)
--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// finishAttempt ends an attempt and passes its outcome to the dispatcher. It does nothing if the attempt has
-// ended already.
+// finishAttempt ends an attempt, closes its connection if that is still in use, answers the job if the outcome is
+// Served, and passes the outcome to the dispatcher. It does nothing if the attempt has ended already.
 func (c *Core) finishAttempt(a *attempt, r Report) {
 	if a.done {
 		return
--- a/internal/core/replan.go
+++ b/internal/core/replan.go
@@ -11,7 +11,7 @@
 // Replan changes the plan of the cells without a restart. Cells whose name is in both plans keep their
 // dispatchers, cells that are new are created, and cells that the new plan does not have finish their attempts
 // in flight. Earlier changes by MigrateTenant and Evacuate are discarded: tenants go to the cells of the new
-// plan.
+// plan. It returns ErrNoCells, ErrShuttingDown, the error of ctx, or that of foxlift.New for a new cell.
 func (c *Core) Replan(ctx context.Context, plan *cells.Plan) (Migration, error) {
 	return callOnEventLoop(ctx, c, func(c *Core) (Migration, error) {
 		if _, err := c.changeablePlacement(); err != nil {
@@ -52,8 +52,8 @@
 	return c.adoptPlacement(previous, c.placement.Load()), nil
 }
 
-// cellsForPlan returns the cells of a layout's plan by index: existing cells with the plan's names, and new ones
-// for the other names.
+// cellsForPlan returns the cells of a layout's plan by index: existing cells with the plan's names, including
+// retired ones, and new ones for the other names. The error is that of foxlift.New.
 func (c *Core) cellsForPlan(layout *cells.Layout) ([]*cell, error) {
 	byName := map[string]*cell{}
 	for _, cl := range c.cells.all {
--- a/internal/core/send.go
+++ b/internal/core/send.go
@@ -10,8 +10,9 @@
 // Stage 4, send: an attempt is created and passed to Workers. It ends at its timeout at the latest, which is
 // never after the job's deadline.
 
-// send starts an attempt of a job on a worker. A timeout of 0 means until the job's deadline. An attempt that
-// would violate an invariant, or whose job is answered or out of time, ends at once as NotSent.
+// send starts an attempt of a job on a worker. A timeout of 0 or less, or beyond the job's deadline, means until
+// the deadline. An attempt that would violate an invariant, or whose job is answered or out of time, ends at
+// once as NotSent.
 func (c *Core) send(j *job, worker string, timeout time.Duration) {
 	now := c.clock.Now()
 	a := c.newAttempt(j, worker, now)
@@ -43,7 +44,7 @@
 	})
 }
 
-// newAttempt returns the next attempt of a job, which is not yet in the job's list.
+// newAttempt returns the next attempt of a job, which it does not add to the job's list.
 func (c *Core) newAttempt(j *job, worker string, now int64) *attempt {
 	a := &attempt{
 		job: j, cell: j.cell, number: len(j.attempts) - j.priorAttempts,
@@ -55,9 +56,10 @@
 	return a
 }
 
-// checkRepeat returns the invariant that an attempt would violate, such as that of a job that may have run, and
-// the time within which the attempt's last byte must be written (0: no limit). The workers of a group drop
-// repeats of an idempotency key during a window that begins with the first attempt that may have run.
+// checkRepeat returns the invariant that an attempt would violate, guard.None if none, and the time within which
+// the attempt's last byte must be written (0: no limit). Only a repeat of a job of a Deduplicated class has such
+// a limit: the workers of a group drop repeats of an idempotency key during a window that begins with the first
+// attempt that may have run.
 func (c *Core) checkRepeat(a *attempt) (writeWithin time.Duration, rule guard.Invariant) {
 	class := &c.settings.Module.Classes[a.job.class]
 	repeat := guard.Repeat{EndpointsTrusted: a.cell.dispatcher.EndpointsUsable(), Effect: class.Effect}
--- a/internal/core/shutdown.go
+++ b/internal/core/shutdown.go
@@ -23,7 +23,8 @@
 }
 
 // BeginShutdown reports that the scheduler shuts down, and the remaining time in which the jobs that it still
-// accepts must be answered.
+// accepts must be answered. From then on, jobs that would end later by the latency objective of their class are
+// shed, and the placement cannot be changed.
 func (c *Core) BeginShutdown(remaining time.Duration) {
 	c.loop.post(shutdownBegun{c.clock.Now() + int64(remaining)})
 }
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -21,7 +21,7 @@
 // Active returns the number of jobs accepted and not yet answered. Any goroutine may call it.
 func (c *Core) Active() int { return int(c.status.openJobs.Load()) }
 
-// updateReady updates the values that Ready and HasWorkers return.
+// updateReady updates the values that Ready and HasWorkers return. It is called after each step of the event loop.
 func (c *Core) updateReady() {
 	hasWorkers := c.workers.liveCount > 0
 	c.status.hasWorkers.Store(hasWorkers)
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -21,7 +21,8 @@
 	InFlight map[string]float64 `json:"Out"`  // slots in flight, by worker
 }
 
-// State returns the state that a successor needs in order to take over.
+// State returns the state that a successor needs in order to take over. It returns the error of ctx if ctx ends
+// first, and ErrShuttingDown if the core stops first.
 func (c *Core) State(ctx context.Context) (*State, error) {
 	return callOnEventLoop(ctx, c, func(c *Core) (*State, error) { return c.state(), nil })
 }
@@ -57,7 +58,9 @@
 	return s
 }
 
-// RestoreState applies the state that a predecessor handed over. It must be called before the first job.
+// RestoreState applies the state that a predecessor handed over; a cell that the state does not name keeps its
+// own. It must be called before the first job. It returns the error of ctx if ctx ends first, and ErrShuttingDown
+// if the core stops first.
 func (c *Core) RestoreState(ctx context.Context, s *State) error {
 	_, err := callOnEventLoop(ctx, c, func(c *Core) (struct{}, error) {
 		c.restore(s)
--- a/internal/core/worker_table.go
+++ b/internal/core/worker_table.go
@@ -94,7 +94,8 @@
 // over all entries is cheaper.
 const maxSingleRemovals = 64
 
-// prune deletes the entries of removed workers that have nothing in flight.
+// prune deletes the entries of removed workers that have nothing in flight; without cells, of all removed
+// workers.
 func (t *workerTable) prune() {
 	var pruned []*workerEntry
 	t.removed = slices.DeleteFunc(t.removed, func(w *workerEntry) bool {
