--- a/internal/cells/admission.go
+++ b/internal/cells/admission.go
@@ -5,18 +5,19 @@
 // An Admission limits the number of open jobs of each cell before a job is queued, so that a flood from the
 // tenants of one cell uses no memory or dispatch capacity of the other cells. Within a cell the first half
 // of the bound is available to any tenant. Beyond it, each tenant with open jobs is limited to an equal
-// share of the bound, so that one tenant cannot exclude the others. It is safe for concurrent use.
+// share of the bound, at most half of it and at least one job, so that one tenant cannot exclude the others.
+// It is safe for concurrent use.
 type Admission struct {
 	mu            sync.Mutex
 	bounds        []int   // maximum open jobs, by cell
 	openByCell    []int   // open jobs, by cell
 	openByTenant  [][]int // open jobs, by cell and tenant
 	activeTenants []int   // number of tenants with open jobs, by cell
-	shed          []int64 // number of rejected jobs, by cell
+	shed          []int64 // number of jobs that Admit has refused, by cell
 }
 
-// NewAdmission returns an Admission with the given bound for each cell, for n tenants and one extra entry
-// for jobs without a tenant.
+// NewAdmission returns an Admission with the given bound for each cell (0 admits no job), for n tenants and
+// one extra entry for jobs without a tenant. There must be at least one cell.
 func NewAdmission(bounds []int, n int) *Admission {
 	a := &Admission{
 		bounds:        bounds,
@@ -30,7 +31,7 @@
 	return a
 }
 
-// tenantIndex returns a tenant's index in the tables. Unknown tenants share the last index.
+// tenantIndex returns a tenant's index in the tables. Unknown tenants, and -1 for none, share the last index.
 func (a *Admission) tenantIndex(tenant int) int {
 	if n := len(a.openByTenant[0]) - 1; tenant < 0 || tenant > n {
 		return n
@@ -75,7 +76,7 @@
 }
 
 // Transfer moves a reservation from one cell to another, even if the other cell then exceeds its bound: a
-// job that was admitted is not rejected later.
+// job that was admitted is not refused later.
 func (a *Admission) Transfer(from, to, tenant int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -96,7 +97,7 @@
 	}
 }
 
-// Usage returns the number of open jobs of a cell, its bound, and the number of jobs that it has shed.
+// Usage returns the number of open jobs of a cell, its bound, and the number of jobs that Admit has refused.
 func (a *Admission) Usage(cell int) (open, bound int, shed int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/cells/assigner.go
+++ b/internal/cells/assigner.go
@@ -49,24 +49,24 @@
 	slotFraction            = 0.3 // least number of slots of a kind, as a fraction of its workers
 	smallFleetSlotFraction  = 0.6 // the same up to smallFleetSlots: hashing alone leaves a small fleet unbalanced
 	smallFleetSlots         = 24  // slots of a kind up to which smallFleetSlotFraction applies
-	weightQuantizationSteps = 8   // cellWeights are rounded to this part of a cell's fraction
+	weightQuantizationSteps = 8   // cellWeights are rounded to multiples of 1/8 of a cell's fraction
 
 	// maxIncrementalChanges is the largest number of changed workers that are applied one by one. Beyond it
 	// a complete rebuild costs no more.
 	maxIncrementalChanges = 8
 
-	noSlot = -1
+	noSlot = -1 // ringWorker.slot of a worker without a slot
 )
 
 // A ringWorker is a Worker with its position on the ring and its assignment.
 type ringWorker struct {
 	Worker
-	position       uint64
-	hash           uint64
-	slot           int // index of its slot in the kindPool of its kind, or noSlot
-	preferredCell  int // by rendezvous hashing
-	weightsVersion int // version of cellWeights that preferredCell was computed with
-	cell           int // noCell until it is assigned
+	position       uint64 // on the hash ring
+	hash           uint64 // of its id
+	slot           int    // index of its slot in the kindPool of its kind, or noSlot
+	preferredCell  int    // by rendezvous hashing
+	weightsVersion int    // version of cellWeights that preferredCell was computed with
+	cell           int    // noCell until it is assigned
 }
 
 // NewAssigner returns an Assigner without workers.
@@ -79,8 +79,9 @@
 	}
 }
 
-// Update replaces the complete list of live workers and returns the workers whose cell changes. The
-// assignment depends only on the list, not on earlier calls.
+// Update replaces the complete list of live workers and returns the workers whose cell changes, including
+// those that are no longer listed; nil if the list is unchanged. The assignment depends only on the list, not on
+// earlier calls.
 func (a *Assigner) Update(list []Worker) []Change {
 	departed, arrived := a.diff(list)
 	if len(departed)+len(arrived) == 0 {
@@ -131,8 +132,8 @@
 	return departed, arrived
 }
 
-// Add adds one worker and returns the workers whose cell changes; nil if the worker is already registered.
-// It costs far less than Update.
+// Add adds one worker and returns the workers whose cell changes, including the new one; nil, without any
+// effect, if a worker with its id is registered. It costs far less than Update.
 func (a *Assigner) Add(w Worker) []Change {
 	if a.workers[w.ID] != nil {
 		return nil
@@ -141,7 +142,8 @@
 	return a.assignCells(nil)
 }
 
-// Remove removes one worker and returns the workers whose cell changes; nil if the worker is unknown.
+// Remove removes one worker and returns the workers whose cell changes, including the removed one; nil if the
+// worker is unknown.
 func (a *Assigner) Remove(id string) []Change {
 	w := a.workers[id]
 	if w == nil {
@@ -151,7 +153,7 @@
 	return append(a.assignCells(nil), Change{id, w.cell, noCell})
 }
 
-// register adds a worker without a slot or a cell to the table of workers.
+// register adds a worker without a slot or a cell to the table of workers, but not to the ring.
 func (a *Assigner) register(w Worker) *ringWorker {
 	hash := xxhash.Sum64String(w.ID)
 	added := &ringWorker{Worker: w, position: mix(hash), hash: hash, slot: noSlot, cell: noCell}
--- a/internal/cells/layout.go
+++ b/internal/cells/layout.go
@@ -37,7 +37,7 @@
 // Plan returns the plan of the layout.
 func (l *Layout) Plan() *Plan { return l.plan }
 
-// tenantIndex returns a tenant's index in the tables. Unknown tenants share the last index.
+// tenantIndex returns a tenant's index in the tables. Unknown tenants, and -1 for none, share the last index.
 func (l *Layout) tenantIndex(tenant int) int {
 	if tenant < 0 || tenant >= len(l.tenants) {
 		return len(l.tenants) - 1
@@ -45,7 +45,8 @@
 	return tenant
 }
 
-// Cell returns the cell that serves a tenant's jobs with an affinity key. It does not allocate.
+// Cell returns the index of the cell that serves a tenant's jobs with an affinity key. An unknown tenant
+// counts as none. It does not allocate.
 func (l *Layout) Cell(tenant int, key uint64) int {
 	set := l.tenants[l.tenantIndex(tenant)]
 	if len(set) == 1 {
@@ -75,8 +76,9 @@
 	})
 }
 
-// Quotas returns each tenant's quota within a cell: the whole quota if only this cell serves the tenant, a
-// part in proportion to the cells' fractions if several do, and 0 if the cell does not serve the tenant.
+// Quotas returns each tenant's quota within a cell, in requests per second by tenant: the whole quota if only
+// this cell serves the tenant, a part in proportion to the cells' fractions if several do, and 0 if the cell
+// does not serve the tenant.
 func (l *Layout) Quotas(cell int) []float64 {
 	quotas := make([]float64, len(l.plan.quotas))
 	for tenant, quota := range l.plan.quotas {
@@ -92,7 +94,7 @@
 	return quotas
 }
 
-// WorkerCell returns the cell of a worker; ok is false if the worker is in no cell.
+// WorkerCell returns the index of the cell of a worker; ok is false if the worker is in no cell.
 func (l *Layout) WorkerCell(id string) (cell int, ok bool) { return l.workers.Get(id) }
 
 // WorkerCount returns the number of workers of a cell.
@@ -116,9 +118,10 @@
 	return ids
 }
 
-// KeyWorkers returns the workers of a cell that may receive the jobs with an affinity key; nil means all
-// workers. They are the workers that rendezvous hashing ranks first, so that adding or removing one worker
-// of the cell changes at most one of them.
+// KeyWorkers returns the ids of the workers of a cell that may receive the jobs with an affinity key. It
+// returns nil, which means all workers, if the key is 0, the plan sets no limit, or the cell has no more
+// workers than the limit. They are the workers that rendezvous hashing ranks first, so that adding or removing
+// one worker of the cell changes at most one of them.
 func (l *Layout) KeyWorkers(cell int, key uint64) []string {
 	limit := l.plan.workersPerKey
 	if key == 0 || limit <= 0 || len(l.members[cell]) <= limit {
--- a/internal/cells/layout_changes.go
+++ b/internal/cells/layout_changes.go
@@ -9,10 +9,10 @@
 )
 
 // maxIncrementalLayoutChanges is the largest number of changes that are applied to a table one by one. With
-// more changes the table is built or sorted once.
+// more changes the table of workers is rebuilt, and the changed lists of members are sorted, once.
 const maxIncrementalLayoutChanges = 64
 
-// WithChanges returns the layout after the given changes of workers' cells.
+// WithChanges returns the layout after the given changes of workers' cells; l itself if there are none.
 func (l *Layout) WithChanges(changes []Change) *Layout {
 	if len(changes) == 0 {
 		return l
@@ -106,7 +106,8 @@
 // byID orders the workers of a cell.
 func byID(a, b member) int { return cmp.Compare(a.id, b.id) }
 
-// WithMigration returns the layout after a tenant has migrated to a cell.
+// WithMigration returns the layout after a tenant has migrated to a cell. It does not check the migration: see
+// CheckMigration.
 func (l *Layout) WithMigration(tenant, cell int) *Layout {
 	return l.withTenantCells(tenant, cellSet{int32(cell)}, true)
 }
@@ -126,13 +127,14 @@
 	return &next
 }
 
-// An Evacuee is a tenant of an evacuated cell and the cell that it migrates to.
+// An Evacuee is a tenant of an evacuated cell and the cell that it migrates to. The last index of the table of
+// tenants stands for the jobs without a tenant.
 type Evacuee struct{ Tenant, To int }
 
 // PlanEvacuation returns the target cell of each tenant of a cell that is evacuated. A tenant that other
-// accepting cells serve too stays in these. Any other tenant goes to the cell that the evacuated cell spills
-// into if that accepts tenants, otherwise to one of the accepting cells by hash. If no other cell accepts
-// tenants the error is ErrNoTargetCell.
+// accepting cells serve too goes to one of these by hash, and is then no longer split. Any other tenant goes to
+// the cell that the evacuated cell spills into if that accepts tenants, otherwise to one of the accepting cells
+// by hash. If no other cell accepts tenants the error is ErrNoTargetCell.
 func (l *Layout) PlanEvacuation(cell int, accepts func(cell int) bool) ([]Evacuee, error) {
 	var targets cellSet
 	for c := range l.members {
--- a/internal/cells/plan.go
+++ b/internal/cells/plan.go
@@ -29,10 +29,10 @@
 	Name             string
 	CapacityFraction float64 // of the fleet's capacity; 0: in proportion to its tenants' quotas
 	Tenants          []string
-	MaxJobs          int     // maximum open jobs; 0: its fraction of the scheduler's limit
-	MaxConnections   int     // maximum connections of its tenants' clients; 0: its fraction of the limit
+	MaxJobs          int     // maximum open jobs; 0: its fraction of the scheduler's limit, see CellBound
+	MaxConnections   int     // maximum connections of its tenants' clients; 0: as for MaxJobs
 	SpillCell        string  // the cell that receives its jobs while it has no warm worker; "": none
-	SpillFraction    float64 // maximum part of that cell's job bound that spilled jobs may use
+	SpillFraction    float64 // maximum part of that cell's job bound that spilled jobs may use, but at least 1 job
 }
 
 // A Split distributes a tenant's jobs over several cells by affinity key.
@@ -44,7 +44,7 @@
 // A Tenant is one of the platform's tenants. Its index is its position in the platform's list.
 type Tenant struct {
 	Name  string
-	Quota float64
+	Quota float64 // requests per second, over all schedulers
 }
 
 // A Plan is a Spec that was validated against the platform's tenants, zones and worker kinds. It is
@@ -57,13 +57,13 @@
 	spillCells    []int     // the cell that each cell spills into; -1: none
 	tenants       []cellSet // by tenant; the last entry is for jobs without a tenant
 	tenantNames   []string
-	quotas        []float64
+	quotas        []float64 // requests per second, by tenant
 	tenantIndex   map[string]int
-	zones         int
+	zones         int       // number of zones
 	kindWeights   []float64 // relative capacity of a worker, by kind + 1; kind -1 is unknown
 	requiredKinds []int
-	workersPerKey int
-	maxJobsPerKey int
+	workersPerKey int // 0: no limit
+	maxJobsPerKey int // 0: no limit
 }
 
 // A cellSet lists the cells that serve a tenant: one cell, or several if the tenant is split by key.
@@ -76,7 +76,7 @@
 // Error implements error.
 func (e SpecError) Error() string { return e.Subject + ": " + e.Text }
 
-// minCellBound is the smallest bound that a cell gets from its fraction of capacity.
+// minCellBound is the smallest bound that a cell gets from its fraction of capacity, if the total is not less.
 const minCellBound = 4
 
 // requiresKind reports whether every cell should have a worker of a kind, as far as there are enough.
@@ -93,7 +93,7 @@
 // CellCount returns the number of cells.
 func (p *Plan) CellCount() int { return len(p.cells) }
 
-// CellName returns a cell's name.
+// CellName returns the name of the cell with an index, which must be valid.
 func (p *Plan) CellName(cell int) string { return p.cells[cell].Name }
 
 // CellIndex returns the index of a cell, or -1 if there is no cell of that name.
@@ -142,7 +142,7 @@
 // without a tenant.
 func (p *Plan) TenantTableSize() int { return len(p.tenants) }
 
-// TenantNames returns the tenants' names in their order.
+// TenantNames returns the tenants' names by index. The caller must not change them.
 func (p *Plan) TenantNames() []string { return p.tenantNames }
 
 // tenantName returns a tenant's name, or "" for jobs without a tenant.
--- a/internal/cells/plan_build.go
+++ b/internal/cells/plan_build.go
@@ -21,8 +21,9 @@
 	errors []SpecError
 }
 
-// NewPlan validates a spec against the platform's tenants, its number of zones and the names of its worker
-// kinds, in order of their indexes. If the spec has errors it returns a nil plan and all errors.
+// NewPlan validates a spec against the platform's tenants and the names of its worker kinds, both in order of
+// their indexes, and returns the plan for a number of zones. If the spec has errors it returns a nil plan and
+// all errors. It does not check the ranges of numbers.
 func NewPlan(spec *Spec, tenants []Tenant, zones int, kinds []string) (*Plan, []SpecError) {
 	b := &planBuilder{plan: &Plan{
 		cells:         spec.Cells,
@@ -93,7 +94,7 @@
 }
 
 // assignNamedTenants assigns the tenants that a cell names to this cell, and sets the cell that each cell
-// spills into.
+// spills into. It records an error if that cell is unknown or the cell itself.
 func (b *planBuilder) assignNamedTenants() {
 	p := b.plan
 	for i, cell := range p.cells {
@@ -111,7 +112,7 @@
 	}
 }
 
-// assignSplits assigns the split tenants to their sets of cells.
+// assignSplits assigns the split tenants to their sets of cells. It records an error for each unknown cell.
 func (b *planBuilder) assignSplits(splits []Split) {
 	for _, split := range splits {
 		var set cellSet
@@ -135,7 +136,8 @@
 	}
 }
 
-// setWeights sets the relative capacity of the workers of each kind, 1 for kinds without a weight.
+// setWeights sets the relative capacity of the workers of each kind, 1 for kinds without a weight. It records an
+// error for each unknown kind.
 func (b *planBuilder) setWeights(weights map[string]float64, kinds []string) {
 	p := b.plan
 	p.kindWeights = make([]float64, len(kinds)+1)
@@ -187,7 +189,8 @@
 }
 
 // unconfiguredQuotas returns, for each cell without a configured fraction, the sum of its tenants' quotas,
-// and the total over these cells.
+// and the total over these cells. The quota of a split tenant counts in equal parts in its cells, that of a
+// tenant that no cell or split names in the default cell; without a default cell (-1) it does not count.
 func (p *Plan) unconfiguredQuotas(defaultCell int) (byCell []float64, sum float64) {
 	byCell = make([]float64, len(p.cells))
 	for tenant, quota := range p.quotas {
--- a/internal/cells/rendezvous.go
+++ b/internal/cells/rendezvous.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// rendezvous selects one of a set of cells (nil: of all cells) by weighted rendezvous hashing: the
+// rendezvous returns one of a set of cells (nil: of all cells) by weighted rendezvous hashing: the
 // probability of each cell is proportional to its fraction of capacity, and adding or removing a cell moves
 // only the hashes that the cell gains or loses. The score of a cell is -w / ln(u), with its weight w and u
 // uniform in (0, 1) (Schindelhauer and Schomaker, 2005).
--- a/internal/cells/ring.go
+++ b/internal/cells/ring.go
@@ -29,8 +29,8 @@
 	return i
 }
 
-// nearestFree returns the first free worker clockwise of a position, or nil if there is none. A nil ring has
-// no workers.
+// nearestFree returns the first free worker at or clockwise of a position, or nil if there is none. A nil ring
+// has no workers.
 func (r *ring) nearestFree(position uint64) *ringWorker {
 	if r == nil {
 		return nil
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// markTaken excludes a worker that a slot has taken from later searches.
+// markTaken excludes a worker of the ring, which a slot has taken, from later searches.
 func (r *ring) markTaken(w *ringWorker) {
 	i, _ := slices.BinarySearchFunc(r.workers, w, byPosition)
 	r.nextUntaken[i] = i + 1
--- a/internal/cells/route.go
+++ b/internal/cells/route.go
@@ -26,7 +26,7 @@
 type Route struct {
 	Cell    int
 	Spilled bool // Cell is not the job's own cell, which is not healthy
-	Shed    bool // the job is rejected
+	Shed    bool // no cell can run the job; Cell is the job's own cell
 }
 
 // Route returns the cell that receives a job: its own cell, or, while that is not healthy, the cell that it
@@ -49,12 +49,13 @@
 }
 
 // SpillBound returns the maximum number of open jobs that a cell may have spilled into its target cell, given
-// the target's bound on open jobs. It is at least 1.
+// the target's bound on open jobs: SpillFraction of the bound, rounded down, but at least 1.
 func (l *Layout) SpillBound(from, bound int) int {
 	return max(1, int(l.plan.cells[from].SpillFraction*float64(bound)))
 }
 
-// CheckMigration returns an error if a tenant cannot migrate to a cell. It changes nothing.
+// CheckMigration returns nil if a tenant can migrate to a cell, and otherwise ErrUnknownTenant, ErrUnknownCell,
+// ErrSameCell or ErrNoWorkers. It changes nothing, and does not check whether the cell is evacuated.
 func (l *Layout) CheckMigration(tenant, to int) error {
 	switch {
 	case tenant < 0 || tenant >= len(l.plan.tenantNames):
--- a/internal/cells/slots.go
+++ b/internal/cells/slots.go
@@ -37,8 +37,9 @@
 	return pool
 }
 
-// slotCount returns the number of slots for a number of workers of one kind. There are at least as many
-// slots as cells before any worker is left to hashing.
+// slotCount returns the number of slots for a number of workers of one kind: at least slotFraction of the
+// workers, and smallFleetSlotFraction of them up to smallFleetSlots, both rounded down. There are at least as
+// many slots as cells before any worker is left to hashing.
 func (a *Assigner) slotCount(workers int) int {
 	n := float64(workers)
 	return max(
@@ -48,9 +49,10 @@
 	)
 }
 
-// addSlot adds the next slot, for the cell that is furthest below its fraction of the slots by Webster's
-// method. The order of slots depends only on the cells' fractions and the required kinds, so that one more
-// worker adds at most one slot and changes no earlier one.
+// addSlot adds and returns the next slot, without a worker, for the cell that is furthest below its fraction of
+// the slots by Webster's method. The order of slots depends only on the cells' fractions and the required kinds,
+// so that one more worker adds at most one slot and changes no earlier one. The result is valid until the next
+// call.
 func (pool *kindPool) addSlot(p *Plan) *slot {
 	cell := pool.nextSlotCell(p)
 	ordinal := pool.slotsByCell[cell]
@@ -107,7 +109,8 @@
 }
 
 // insert adds one worker. The worker is offered to the slots in order; a slot that prefers it to its own
-// worker takes it, and the displaced worker is offered to the slots after it.
+// worker takes it, and the displaced worker is offered to the slots after it. If the number of workers allows
+// another slot, that slot then chooses among the workers without one.
 func (a *Assigner) insert(w Worker) {
 	added := a.register(w)
 	at, _ := slices.BinarySearchFunc(a.ordered, added, byPosition)
@@ -128,8 +131,9 @@
 	}
 }
 
-// remove removes one worker. Its slot chooses again among the workers without a slot or with a later slot,
-// and a later slot that loses its worker chooses again in the same way.
+// remove removes one worker, and the last slot if the remaining workers allow fewer. The worker's slot chooses
+// again among the workers without a slot or with a later slot, and a later slot that loses its worker chooses
+// again in the same way.
 func (a *Assigner) remove(w *ringWorker) {
 	delete(a.workers, w.ID)
 	at, _ := slices.BinarySearchFunc(a.ordered, w, byPosition)
@@ -209,8 +213,8 @@
 	return rings
 }
 
-// preferredFree returns the free worker that a slot prefers, given the rings of its kind by zone; nil if no
-// worker is free.
+// preferredFree returns the free worker that a slot prefers, given the rings of its kind by zone: the nearest in
+// its preferred zone, otherwise the nearest in any zone; nil if no worker is free.
 func (s *slot) preferredFree(zones map[int]*ring) *ringWorker {
 	if w := zones[s.zone].nearestFree(s.position); w != nil {
 		return w
