--- a/internal/checkpoint/checkpoint.go
+++ b/internal/checkpoint/checkpoint.go
@@ -45,6 +45,7 @@
 
 // Errors of a checkpoint that exists but cannot be used.
 var (
+	// ErrStale also means that the time of the checkpoint is more than MaxClockSkew in the future.
 	ErrStale          = errors.New("the checkpoint is too old")
 	ErrOtherDiscovery = errors.New("the checkpoint belongs to another discovery service")
 )
@@ -58,7 +59,7 @@
 	SnapshotEndpoints() (*platform.EndpointSnapshot, bool)
 }
 
-// A Counter counts successful and failed writes of checkpoints.
+// A Counter counts successful and failed writes of checkpoints. Add increments the counter with a name.
 type Counter interface{ Add(name string) }
 
 // A Writer loads and writes the checkpoint of one scheduler. It is not safe for concurrent use.
@@ -81,7 +82,8 @@
 func New(path string, counter Counter) *Writer { return &Writer{file: File(path), counter: counter} }
 
 // Load returns the list of the checkpoint, encoded as discovery sends it, if it can be used now with the
-// discovery service at the given address. The error is os.ErrNotExist if there is no checkpoint.
+// discovery service at the given address, and records its version as written. The error is os.ErrNotExist if
+// there is no checkpoint, and ErrOtherDiscovery, ErrStale or statefile.ErrUnreadable if it cannot be used.
 func (w *Writer) Load(discovery string, now time.Time) ([]byte, error) {
 	var saved platform.EndpointSnapshot
 	if err := w.file.Read(&saved); err != nil {
@@ -101,8 +103,9 @@
 	return saved.Endpoints, nil
 }
 
-// WriteIfDue checks the version of the source's list, and writes the list if a write is due. After a failed
-// write the next call retries it.
+// WriteIfDue checks the version of the source's list, and writes the list if a write is due. If the version is
+// lower than at the last check, it first removes the checkpoint. After a failed write it returns the error, and
+// the next call retries the write. It does nothing while the source has no confirmed list.
 func (w *Writer) WriteIfDue(source Source, now time.Time) error {
 	version, notified := source.EndpointsVersion()
 	if !notified {
@@ -134,7 +137,8 @@
 	}
 }
 
-// Flush writes the list at the scheduler's shutdown, if its version has changed since the last write.
+// Flush writes the list at the scheduler's shutdown, if its version differs from that in the file or there is no
+// usable file. It does nothing if the source has no confirmed list.
 func (w *Writer) Flush(source Source, now time.Time) error {
 	version, notified := source.EndpointsVersion()
 	if !notified {
@@ -146,7 +150,8 @@
 	return w.write(source, now)
 }
 
-// write writes the source's list to the file and counts the result.
+// write writes the source's list to the file and counts the result. It does nothing if the source has no
+// confirmed list.
 func (w *Writer) write(source Source, now time.Time) error {
 	snapshot, notified := source.SnapshotEndpoints()
 	if !notified {
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -2,7 +2,7 @@
 // known just before the scheduler sends bytes, repeats a job or closes a connection; the result is the
 // invariant that the action would violate. The checks are pure functions without state. The caller counts the
 // violation and cancels the action, but a connection is closed all the same. The rest of the scheduler is
-// written so that no invariant is ever violated: a count above zero is a defect there
+// written so that no invariant is ever violated: a count above zero shows a defect in it
 // (docs/operate/service.md).
 package guard
 
@@ -20,13 +20,14 @@
 	None Invariant = "" // no invariant is violated
 
 	// WorkerDrained: no attempt is sent to a worker later than the grace period after it began draining or
-	// was removed.
+	// was removed, except the last byte of an attempt whose other bytes were written in time.
 	WorkerDrained Invariant = "drain"
 	// LeaseExpired: no attempt is sent on the basis of an endpoint list that may no longer be used.
 	LeaseExpired Invariant = "lease"
-	// ClientDisconnected: no attempt is started for a client that has disconnected.
+	// ClientDisconnected: no attempt is started for a client that disconnected more than DisconnectTolerance ago.
 	ClientDisconnected Invariant = "gone"
-	// DeadlineExceeded: the time announced to a worker does not exceed the time until the client's deadline.
+	// DeadlineExceeded: the time announced to a worker does not exceed the time until the client's deadline by
+	// more than DeadlineTolerance.
 	DeadlineExceeded Invariant = "deadline"
 	// DuplicateRun: a job that may already have run is repeated only if its class allows that.
 	DuplicateRun Invariant = "duplicate"
@@ -34,7 +35,7 @@
 	Unanswered Invariant = "lost"
 )
 
-// Counter returns the name of the counter of the invariant's violations.
+// Counter returns the name of the counter of the invariant's violations. It must not be called on None.
 func (i Invariant) Counter() string { return "invariant." + string(i) }
 
 // Invariants lists all invariants, in the order in which they are checked.
@@ -56,11 +57,12 @@
 	Grace           time.Duration       // how long attempts may be sent in such a state
 	DisconnectedFor time.Duration       // time since the client disconnected; 0: it is connected
 	AnnouncedTime   time.Duration       // time until the deadline as announced to the worker
-	RemainingTime   time.Duration       // actual time until the deadline
+	RemainingTime   time.Duration       // actual time until the deadline; less than 0 counts as 0
 	LastByte        bool                // all bytes but the last were written within the grace period
 }
 
-// Check returns the first invariant that the write would violate, or None.
+// Check returns the first of WorkerDrained, ClientDisconnected and DeadlineExceeded that the write would violate,
+// or None.
 func (s Send) Check() Invariant {
 	switch {
 	case s.State != foxlift.Live && s.UnavailableFor > s.Grace && !s.LastByte:
@@ -82,7 +84,7 @@
 	WindowRemaining  time.Duration  // remaining time during which it does so
 }
 
-// Check returns the first invariant that the attempt would violate, or None.
+// Check returns LeaseExpired or DuplicateRun if the attempt would violate it, in this order, or None.
 func (r Repeat) Check() Invariant {
 	switch {
 	case !r.EndpointsTrusted:
@@ -102,7 +104,7 @@
 	Disconnected  bool // the client has closed the connection
 }
 
-// Check returns the invariant that closing the connection would violate, or None.
+// Check returns Unanswered if closing the connection would violate it, or None.
 func (c Close) Check() Invariant {
 	if c.AnswerPending && !c.Disconnected {
 		return Unanswered
--- a/internal/pollpacing/pacer.go
+++ b/internal/pollpacing/pacer.go
@@ -80,21 +80,21 @@
 //   - First calls arrive at a rate of at most maxFirstCallRate per second.
 //   - Calls that timed out are repeated within maxTimeoutBackoff: they ended after holds that the schedulers
 //     draw at random, and a discovery service that does not answer has no queue.
-//   - Calls with an oversized answer are repeated after a backoff that doubles up to maxOversizedBackoff:
-//     each makes discovery send the complete list without any use. The first two repetitions keep
-//     MaxPropagationDelay, in case a length was corrupted in transit.
+//   - Calls with an oversized answer are repeated after a backoff that doubles up to maxOversizedBackoff, or
+//     within n/maxFailedCallRate if that is longer: each makes discovery send the complete list without any
+//     use. The first two repetitions keep MaxPropagationDelay, in case a length was corrupted in transit.
 const (
 	maxFailedCallRate        = 100.0                  // calls per second, see above
 	maxFirstCallRate         = 300.0                  // calls per second
-	firstCallJitter          = time.Second            // window of the first calls of a small fleet
+	firstCallJitter          = time.Second            // upper bound of the first of the two parts of InitialDelay
 	maxTimeoutBackoff        = 250 * time.Millisecond // after a call that timed out
 	minBackoff               = 50 * time.Millisecond  // between two calls of one scheduler, after a failure
 	maxSmallFleetBackoff     = time.Second            // limit of the growing backoff of a small fleet
-	maxNewEndpointBackoff    = 500 * time.Millisecond // after the address of discovery has changed,
-	newEndpointAttempts      = 16                     // for this number of failed calls
+	maxNewEndpointBackoff    = 500 * time.Millisecond // upper bound after the address of discovery has changed
+	newEndpointAttempts      = 16                     // number of failed calls for which that bound applies
 	maxSchedulers            = 1_000_000              // a larger fleet is paced like one of this size
-	firstOversizedBackoff    = time.Second            // upper bound after the first oversized answer
-	maxOversizedBackoff      = 64 * time.Second       // upper bound after any oversized answer
+	firstOversizedBackoff    = time.Second            // upper bound of a small fleet after the first oversized answer
+	maxOversizedBackoff      = 64 * time.Second       // upper bound of a small fleet after any oversized answer
 	oversizedRetriesInBudget = 2                      // oversized answers whose backoff keeps MaxPropagationDelay
 
 	maxDoublings = 16 // limit of the exponent of a backoff: more would overflow, and have no effect
@@ -108,16 +108,16 @@
 	rng        *rand.Rand
 	agent      bool // whether an agent is called
 
-	queuedRejections    int // consecutive calls that were refused after a wait in the queue
-	failures            int // consecutive calls that failed at once
-	immediateRejections int // calls that were refused at once since the last answer
+	queuedRejections    int // calls refused after a wait in the queue since the last answer or timeout
+	failures            int // calls that failed at once since the last answer, timeout or wait in the queue
+	immediateRejections int // calls refused at once since the last answer; at most maxDoublings
 	oversizedAnswers    int // oversized answers since the last usable one
 	newEndpointCalls    int // remaining failed calls for which the address of discovery counts as new
 }
 
-// NewPacer returns the pacer of one of a number of schedulers that share a discovery service. maxBackoff is
-// the time that may pass without a call while the endpoint list counts as known. It limits every delay but
-// those after oversized answers; 0 means no limit.
+// NewPacer returns the pacer of one of a number of schedulers that share a discovery service; fewer than 1 count
+// as 1, more than maxSchedulers as maxSchedulers. maxBackoff is the time that may pass without a call while the
+// endpoint list counts as known. It limits every delay but those after oversized answers; 0 means no limit.
 func NewPacer(schedulers int, maxBackoff time.Duration, rng *rand.Rand) *Pacer {
 	return &Pacer{schedulers: min(max(1, schedulers), maxSchedulers), maxBackoff: maxBackoff, rng: rng}
 }
@@ -128,7 +128,8 @@
 	return &Pacer{schedulers: 1, rng: rng, agent: true}
 }
 
-// WatchHold returns how long discovery may hold the next watch, drawn at random.
+// WatchHold returns how long discovery may hold the next watch, drawn at random from 3/4 of maxWatchHold, or of
+// agentWatchHold for an agent, up to the whole.
 func (p *Pacer) WatchHold() time.Duration {
 	hold := maxWatchHold
 	if p.agent {
@@ -149,7 +150,7 @@
 	return hold + watchAnswerGrace
 }
 
-// DialTimeout returns the timeout of connecting to discovery.
+// DialTimeout returns the timeout of connecting to discovery or to the agent.
 func (p *Pacer) DialTimeout() time.Duration {
 	if p.agent {
 		return agentTimeout
@@ -157,8 +158,9 @@
 	return DialTimeout
 }
 
-// InitialDelay returns the delay before the first call after a start. As no call has failed yet, it is at
-// most an eighth of maxBackoff.
+// InitialDelay returns the random delay before the first call after a start, 0 for an agent. Its upper bound
+// grows with the number of schedulers, to keep maxFirstCallRate. As no call has failed yet, it is at most an
+// eighth of maxBackoff, if there is such a limit.
 func (p *Pacer) InitialDelay() time.Duration {
 	if p.agent {
 		return 0
@@ -171,15 +173,16 @@
 	return delay
 }
 
-// EndpointChanged records that the address of discovery has changed and is called without delay. The failures
-// of the previous address are discarded.
+// EndpointChanged records that the address of discovery has changed; the caller calls the new address without
+// delay. The failures of the previous address are discarded. Until a call is answered, the delay after each of
+// the next newEndpointAttempts failed calls is at most maxNewEndpointBackoff, except after oversized answers.
 func (p *Pacer) EndpointChanged() {
 	p.resetFailures()
 	p.newEndpointCalls = newEndpointAttempts
 }
 
 // NextDelay records the outcome of a call that took the elapsed time, and returns the delay before the next
-// call; 0 after an answer.
+// call: 0 after an answer, otherwise a random one as described at the constants above.
 func (p *Pacer) NextDelay(outcome Outcome, elapsed time.Duration) time.Duration {
 	fleetWindow := seconds(float64(p.schedulers) / maxFailedCallRate)
 	low, high := minBackoff, time.Duration(0)
@@ -227,8 +230,8 @@
 	p.queuedRejections, p.failures, p.immediateRejections, p.oversizedAnswers = 0, 0, 0, 0
 }
 
-// oversizedDelay returns the delay after an oversized answer: at random from half of the backoff window up to
-// the whole window.
+// oversizedDelay counts an oversized answer and returns the delay after it: at random from half of the backoff
+// window up to the whole window. maxBackoff does not limit it.
 func (p *Pacer) oversizedDelay(fleetWindow, elapsed time.Duration) time.Duration {
 	backoff := min(maxOversizedBackoff, firstOversizedBackoff<<p.oversizedAnswers)
 	window := max(fleetWindow, backoff)
@@ -239,9 +242,9 @@
 	return window/2 + time.Duration(p.rng.Int64N(int64(window/2)))
 }
 
-// failureBounds returns the bounds of the delay after a call that failed at once. A call to a discovery
-// service that is down costs it nothing and gives no information on its queue. Without a backoff a small
-// fleet would call continuously, and a large fleet all at the same time.
+// failureBounds counts a call that failed at once and returns the bounds of the delay after it. A call to a
+// discovery service that is down costs it nothing and gives no information on its queue. Without a backoff a
+// small fleet would call continuously, and a large fleet all at the same time.
 func (p *Pacer) failureBounds(fleetWindow time.Duration) (low, high time.Duration) {
 	p.failures = min(p.failures+1, maxDoublings)
 	window := max(fleetWindow, min(maxSmallFleetBackoff, minBackoff<<p.failures))
@@ -250,8 +253,8 @@
 	return low, min(window, budget)
 }
 
-// jitter returns a random delay from low up to high, limited by maxBackoff. The whole range is random (full
-// jitter), since the calls of all schedulers fail together.
+// jitter returns a random delay from low up to high, or low if high is not greater, limited by maxBackoff. The
+// whole range is random (full jitter), since the calls of all schedulers fail together.
 func (p *Pacer) jitter(low, high time.Duration) time.Duration {
 	delay := low
 	if high > low {
--- a/internal/slowstart/slots.go
+++ b/internal/slowstart/slots.go
@@ -6,7 +6,7 @@
 import "math/bits"
 
 const (
-	maxSlotsPerWindow = 8  // most time slots in a window
+	maxSlotsPerWindow = 8  // maximum number of time slots in a window
 	maxHeavyExponent  = 16 // jobs of any weight may use at least one slot in 2^16
 )
 
@@ -18,10 +18,11 @@
 	schedulers, index uint64 // number of schedulers, and index of this one
 }
 
-// NewSlots returns the slots of the scheduler with the given index, counted from 0, in a fleet. A worker in
-// slow start is overloaded by more than jobs light jobs, minus the heaviest job, within a window (in
-// nanoseconds). A slot allows one light job, so a window has as many slots as jobs, rounded down, but at
-// least 1 and at most maxSlotsPerWindow.
+// NewSlots returns the slots of the scheduler with the given index, counted from 0, in a fleet; fewer than 1
+// schedulers count as 1. A worker in slow start is overloaded if the work that it receives within a window (in
+// nanoseconds), not counting the heaviest job, exceeds the work of the given number of light jobs. A slot allows
+// one light job, so a window has as many slots as jobs, rounded down, but at least 1 and at most
+// maxSlotsPerWindow.
 func NewSlots(window int64, schedulers, index int, jobs float64) Slots {
 	perWindow := int64(min(maxSlotsPerWindow, max(1, jobs)))
 	return Slots{
@@ -41,8 +42,9 @@
 }
 
 // AllowsHeavy reports whether a worker may receive, in a slot, a single job with weight times the work of a
-// light one. At most one slot in weight allows this, with the distance rounded to a power of two: no two
-// such slots are adjacent, even if schedulers estimate different weights for a job.
+// light one. Every n-th slot allows this, where n is the smallest power of two above the integer part of weight,
+// but from 2 to 2^maxHeavyExponent. As all n are powers of two from 2 on, no two such slots of a worker are
+// adjacent, even if schedulers estimate different weights for a job.
 func (s Slots) AllowsHeavy(slot int64, worker uint64, weight float64) bool {
 	period := uint64(1) << min(maxHeavyExponent, max(1, bits.Len64(uint64(max(0, weight)))))
 	return (uint64(slot)+worker>>33)%period == 0
--- a/internal/statefile/statefile.go
+++ b/internal/statefile/statefile.go
@@ -21,21 +21,22 @@
 	ownerOnly = 0o600 // permissions of a new file
 )
 
-// ErrUnreadable means that a file is truncated or corrupt, or has another format or format version.
+// ErrUnreadable means that a file is truncated, corrupt or too large, or has another format or format version.
 var ErrUnreadable = errors.New("the file cannot be read")
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// A File describes where and how a value is stored. Several processes may call its methods concurrently.
+// A File describes where and how a value is stored. Several processes may call its methods concurrently, but
+// within a process only one goroutine at a time may call Write.
 type File struct {
 	Path    string
 	Magic   string // identifies the format and its version; a file without this prefix is unreadable
 	MaxSize int    // maximum size of the complete file, in bytes
-	Sync    bool   // whether a written value must survive a crash of the machine
+	Sync    bool   // Write flushes a value to the disk before it replaces the old one, in case the machine crashes
 }
 
-// Write replaces the stored value by another one, encoded as JSON. If it returns an error the stored value is
-// unchanged.
+// Write replaces the stored value by another one, encoded as JSON. If the file would exceed MaxSize or cannot be
+// written, it returns an error and the stored value is unchanged.
 func (f File) Write(value any) error {
 	payload, err := json.Marshal(value)
 	if err != nil {
@@ -71,7 +72,8 @@
 }
 
 // Read decodes the stored value into value, a pointer. The error is os.ErrNotExist if there is no file, and
-// ErrUnreadable if the file cannot be used.
+// ErrUnreadable if its content cannot be used; value may then be partly set. Other errors of the file system are
+// returned as they are.
 func (f File) Read(value any) error {
 	if info, err := os.Stat(f.Path); err == nil && info.Size() > int64(f.MaxSize) {
 		return fmt.Errorf("%w: it has %d bytes, the limit is %d", ErrUnreadable, info.Size(), f.MaxSize)
@@ -116,5 +118,5 @@
 	return payload, nil
 }
 
-// Remove removes the stored value, if there is one.
+// Remove removes the stored value, if there is one. Errors are ignored.
 func (f File) Remove() { os.Remove(f.Path) }
--- a/internal/upgrade/socket.go
+++ b/internal/upgrade/socket.go
@@ -26,7 +26,8 @@
 	return config
 }
 
-// Listen returns a TCP listener on an address that another process may listen on at the same time.
+// Listen returns a TCP listener on an address that another process of the same user may listen on at the same
+// time, if it also uses Listen.
 func Listen(address string) (*net.TCPListener, error) {
 	config := reusePortConfig()
 	// The context only limits name resolution.
@@ -37,7 +38,8 @@
 	return listener.(*net.TCPListener), nil
 }
 
-// ListenPacket returns a UDP socket on an address that another process may use at the same time.
+// ListenPacket returns a UDP socket on an address that another process of the same user may use at the same
+// time, if it also uses ListenPacket.
 func ListenPacket(address string) (*net.UDPConn, error) {
 	config := reusePortConfig()
 	// The context only limits name resolution.
@@ -49,7 +51,7 @@
 }
 
 // SteerToNewest makes the kernel send new connections and datagrams to the newer of two sockets that share an
-// address. The argument may be either of them.
+// address. The argument may be either of them, and must come from Listen or ListenPacket.
 func SteerToNewest(socket syscall.Conn) error {
 	raw, err := socket.SyscallConn()
 	if err != nil {
@@ -66,7 +68,8 @@
 	})
 }
 
-// withDescriptor calls f with the file descriptor of a socket and returns the error of f.
+// withDescriptor calls f with the file descriptor of a socket and returns the error of f. If the socket is
+// closed it returns an error without calling f.
 func withDescriptor(raw syscall.RawConn, f func(fd int) error) error {
 	var result error
 	if err := raw.Control(func(fd uintptr) { result = f(int(fd)) }); err != nil {
--- a/internal/upgrade/takeover_lock.go
+++ b/internal/upgrade/takeover_lock.go
@@ -45,7 +45,8 @@
 
 // AcquireTakeover acquires the takeover lock of an address in a directory: the role of the serving process if
 // that is free, otherwise the role of its successor. While other processes hold both roles it retries at the
-// given interval, and returns ErrTakeoverInProgress after the timeout.
+// given interval, and returns ErrTakeoverInProgress after the timeout; it tries at least once. It creates the
+// lock file if there is none, but not the directory.
 func AcquireTakeover(directory, address string, timeout, interval time.Duration) (*TakeoverLock, error) {
 	path := filepath.Join(directory, fileName(address))
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, ownerOnly)
@@ -89,8 +90,9 @@
 // IsSuccessor reports whether this process is a successor that has not been promoted.
 func (l *TakeoverLock) IsSuccessor() bool { return l.isSuccessor.Load() }
 
-// Promote makes a successor the serving process if its predecessor has exited. It returns whether this process
-// is the serving process now. Only one goroutine may call it at a time.
+// Promote makes a successor the serving process if its predecessor has exited or released its lock. It returns
+// whether this process is the serving process now; with true, an error means that the successor's locks could
+// not be released. Only one goroutine may call it at a time.
 func (l *TakeoverLock) Promote() (bool, error) {
 	if !l.isSuccessor.Load() {
 		return true, nil
@@ -113,17 +115,20 @@
 	return err
 }
 
-// HasSuccessor reports whether this process is the serving process and a successor exists.
+// HasSuccessor reports whether this process is the serving process and a successor exists; false after Release
+// or if the lock cannot be queried.
 func (l *TakeoverLock) HasSuccessor() bool {
 	return !l.isSuccessor.Load() && l.lockedByOther(successorByte)
 }
 
-// SuccessorListening reports whether this process is the serving process and a successor exists and listens.
+// SuccessorListening reports whether this process is the serving process and a successor exists and listens;
+// false after Release or if the lock cannot be queried.
 func (l *TakeoverLock) SuccessorListening() bool {
 	return !l.isSuccessor.Load() && l.lockedByOther(listeningByte)
 }
 
-// Release releases the lock. Further calls have no effect.
+// Release releases the lock and closes its file, which stays on the disk. Further calls have no effect, and the
+// other methods that use the file then fail with os.ErrClosed or return false.
 func (l *TakeoverLock) Release() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -147,7 +152,7 @@
 	return l.fcntl(unix.F_OFD_SETLK, byteRange(unix.F_UNLCK, offset))
 }
 
-// lockedByOther reports whether another process has locked the byte at an offset.
+// lockedByOther reports whether another process has locked the byte at an offset; false if the query fails.
 func (l *TakeoverLock) lockedByOther(offset int64) bool {
 	query := byteRange(unix.F_WRLCK, offset)
 	return l.fcntl(unix.F_OFD_GETLK, query) == nil && query.Type != unix.F_UNLCK
