--- a/admission.go
+++ b/admission.go
@@ -2,8 +2,10 @@
 
 // Admission control: which jobs are queued, for how long, and which are shed.
 
-// onRequest adds a new job. The job is queued or waits for health checks. If it is late, or has no time to
-// wait for the next tick, it is added to the urgent jobs, which shedUrgent answers at the end of the step.
+// onRequest adds a new job. The job is queued, or waits for health checks before that. A job whose deadline
+// is at most two ticks away is queued and also urgent: shedUrgent answers it at the end of the step unless it
+// was sent. A late job is only urgent, so it is always shed: it is past its maximum queue time, and at least
+// two ticks old, and half of the start window is in use.
 func (d *Dispatcher) onRequest(req *Request) {
 	if req.Class < 0 || req.Class >= len(d.classes) || d.jobs.byID[req.ID] != nil {
 		return // the host violates its contract: see the package comment
@@ -40,9 +42,10 @@
 	}
 }
 
-// shedUrgent sheds the urgent jobs that were not sent in this step: those that arrived too late to meet their
-// objective, and those whose deadline is too close to wait for the next tick. Without it a client's last
-// retry, which may arrive just before its deadline, would get no answer at all.
+// shedUrgent sheds the urgent jobs that were not sent in this step, with MaxRetryAfter as their retry time:
+// those that arrived too late to meet their objective, and those whose deadline is too close to wait for the
+// next tick. Without it a client's last retry, which may arrive just before its deadline, would get no answer
+// at all.
 func (d *Dispatcher) shedUrgent() {
 	for _, j := range d.jobs.urgent {
 		if len(j.attempts) == 0 {
@@ -65,9 +68,10 @@
 // lacksPeerUsage reports whether this is one of a few dispatchers that do not exchange their usage.
 func (d *Dispatcher) lacksPeerUsage() bool { return !d.manyDispatchers() && !d.hasCompleteUsage() }
 
-// maxQueueTime returns the age at which a queued job is shed, at least 1 ns. The age counts from the client's
-// first attempt. Jobs of a tenant that exceeds its quota are shed early: jobs over the quota are worth almost
-// nothing, and a long queue of them would delay the tenant's other jobs.
+// maxQueueTime returns the age in nanoseconds at which a queued job is shed, at least 1. The age counts from
+// the client's first attempt, and leaves time for a median run and the start delay before timelyLimit. Jobs
+// of a tenant that exceeds its quota are shed earlier, at a fraction of their class's objective: jobs over
+// the quota are worth almost nothing, and a long queue of them would delay the tenant's other jobs.
 func (d *Dispatcher) maxQueueTime(j *job) int64 {
 	divisor, runs := int64(2), int64(1)
 	if d.lacksPeerUsage() {
@@ -86,10 +90,10 @@
 	return t.quota.ExceedsQuota() || d.lacksPeerUsage() && len(q) >= newestFirstLength
 }
 
-// timelyLimit returns the age up to which a job counts as able to meet its objective. With many dispatchers
-// the limit of a job without a size estimate is based on the lower quartile of the running times: the median
-// includes fetches and slow workers, so a light job has a shorter objective, and many dispatchers cannot
-// afford to queue jobs that miss it.
+// timelyLimit returns the age in nanoseconds up to which a job counts as able to meet its objective: the
+// objective itself, except for a job without a size estimate at one of many dispatchers. Its limit is based
+// on the lower quartile of the running times: the median includes fetches and slow workers, so a light job
+// has a shorter objective, and many dispatchers cannot afford to queue jobs that miss it.
 func (d *Dispatcher) timelyLimit(j *job) int64 {
 	if !d.manyDispatchers() || j.req.Size > 0 {
 		return j.objective
@@ -98,12 +102,14 @@
 }
 
 // retryAfter returns the time after which a client should retry a job that was shed because capacity is
-// short: a random time from half of MaxRetryAfter to the whole, so that clients do not all retry at once.
+// short: a random time from half of MaxRetryAfter to the whole, so that clients do not all retry at once. It
+// is 0, which means no advice, if MaxRetryAfter is 0.
 func (d *Dispatcher) retryAfter() int64 {
 	return d.cfg.MaxRetryAfter/2 + d.rng.Int64N(d.cfg.MaxRetryAfter/2+1)
 }
 
-// expireQueued sheds the queued jobs that have reached their maximum queue time or are near their deadline.
+// expireQueued sheds the queued jobs that have reached their maximum queue time or are at most two ticks from
+// their deadline.
 func (d *Dispatcher) expireQueued() {
 	for i := range d.tenants {
 		t := &d.tenants[i]
--- a/api.go
+++ b/api.go
@@ -3,7 +3,8 @@
 //
 // A Dispatcher is a deterministic state machine. It reads no clock, starts no goroutine and does no input or
 // output: the host passes the current time and the events to Step and executes the actions that Step returns.
-// All times and durations are in nanoseconds. The clock may start at any value but must not go back.
+// All times and durations are in nanoseconds. The clock may start at any value that is not negative, and must
+// not go back.
 //
 // This file and snapshot.go declare the public interface. The files listed under policy in
 // deploy/balancer.toml contain all decisions, and dispatcher.go contains Step, which calls them. Decisions and
@@ -13,8 +14,8 @@
 // with the token of each timer when the timer is due. Violations of this contract do not cause a panic: New
 // rejects an invalid Config with an error that names the field or its key in the settings; a time before the
 // last one counts as the last one; and the Dispatcher ignores events about an unknown request, attempt or
-// worker, a second outcome of an attempt, a request with an unknown class or an ID in use, and a message from
-// an unknown peer.
+// worker, a second outcome of an attempt, a request with an unknown class or an ID in use, a message that is
+// invalid or from an unknown peer, and quotas that are not one for each tenant.
 package foxlift
 
 import (
@@ -32,7 +33,7 @@
 // The effects of a class.
 const (
 	Idempotent   Effect = iota // may run any number of times
-	Deduplicated               // a group of workers (Class.Scope) drops repeats for a time (Class.KeyTTL)
+	Deduplicated               // the workers of Class.Scope drop repeats for Class.KeyTTL
 	AtMostOnce                 // must never run twice
 )
 
@@ -53,12 +54,12 @@
 	ObjectiveStretch float64 // the objective also includes this multiple of the running time expected of the job
 	Deadline         int64   // how long a client waits in total
 	Effect           Effect
-	Scope            Scope // for Deduplicated: the group of workers that drops repeats
-	KeyTTL           int64 // for Deduplicated: how long repeats are dropped
-	Kind             int   // required machine kind, or -1 for any
-	Priority         int
-	PriorityWeight   float64
-	Stream           bool
+	Scope            Scope   // for Deduplicated: the group of workers that drops repeats
+	KeyTTL           int64   // for Deduplicated: how long repeats are dropped; 0: a job that may have run is not resent
+	Kind             int     // required machine kind, or -1 for any
+	Priority         int     // not used by the Dispatcher
+	PriorityWeight   float64 // not used by the Dispatcher
+	Stream           bool    // not used by the Dispatcher: EventStarted tells that an answer streams
 }
 
 // A Tenant is one of the parties that share the fleet.
@@ -112,23 +113,23 @@
 	Index       int      // index of this dispatcher among them, from 0
 
 	PollEndpoints   bool  // the endpoint list must be polled; it is not pushed
-	MaxPollInterval int64 // longest time between polls
+	MaxPollInterval int64 // longest time between polls; bounds the backoff after failures
 	EndpointLease   int64 // maximum age of the endpoint list while discovery answers other clients; 0: no maximum
 
-	MayCancel      bool
-	MayHealthCheck bool
+	MayCancel      bool  // the host can cancel attempts
+	MayHealthCheck bool  // the host can ask a worker for its load
 	MayHedge       bool  // two attempts of a request may be in flight at once
 	MayGossip      bool  // messages can be sent to peers
 	MayRetryAfter  bool  // a shed request may carry the time after which the client should retry
 	MaxRetryAfter  int64 // longest such time
-	MaxAttempts    int   // maximum number of attempts of a request; 0 means no limit
+	MaxAttempts    int   // maximum number of attempts of a request, with Request.PriorAttempts; 0 or less: no limit
 	ConnIdle       int64 // idle time after which a connection counts as closed; 0: never
-	JobsPerConn    int   // attempts that one connection carries at once
+	JobsPerConn    int   // attempts that one connection carries at once; not used by the Dispatcher
 
 	Gauges     []Gauge // values of a load report, in order; at most MaxGauges
 	StartNotes bool    // workers report when a job starts
 
-	AnswerGrace       int64
+	AnswerGrace       int64   // not used by the Dispatcher; must not be negative
 	SlowStartCapacity float64 // fraction of its capacity that a worker has when it starts
 	SlotMemory        float64 // units of memory per slot of a worker; 0: unknown
 	SlowStartDuration int64   // time from the start of a worker until it has its whole capacity
@@ -146,7 +147,8 @@
 	return q
 }
 
-// validate returns an error that names the first invalid field of c, or nil if c is valid.
+// validate returns an error that names the first invalid field of c, or nil if it finds none. Fields such as
+// Prices and SlowStartCapacity are not checked.
 func (c *Config) validate() error {
 	if len(c.Classes) == 0 {
 		return errors.New("foxlift: Classes is empty")
@@ -224,8 +226,8 @@
 type Worker struct {
 	ID            string
 	Zone          int // -1 if unknown
-	Kind          int // -1 if unknown
-	Cell          int
+	Kind          int // -1 if unknown; a kind above those that the classes require counts as unknown
+	Cell          int // for ScopeCell
 	State         WorkerState
 	StartedAt     int64   // time of its last start; 0 means long ago
 	ExternalSlots float64 // slots of the jobs in flight there that the host sent without this dispatcher
@@ -247,17 +249,17 @@
 // A Request is a client's request for one job.
 type Request struct {
 	ID             uint64
-	Class          int     // index into Config.Classes
-	Tenant         int     // index into Config.Tenants, or -1
-	Deadline       int64   // time at which the client stops waiting
-	Key            uint64  // affinity key of the data that the job needs; 0 if none
-	Size           int64   // estimated running time; 0 if there is no estimate
-	Slots          float64 // slots that the job occupies; 0 counts as 1
-	Memory         float64
-	ClientRetry    bool     // the client reports an earlier try
+	Class          int      // index into Config.Classes
+	Tenant         int      // index into Config.Tenants, or -1
+	Deadline       int64    // time at which the client stops waiting
+	Key            uint64   // affinity key of the data that the job needs; 0 if none
+	Size           int64    // estimated running time; 0 if there is no estimate
+	Slots          float64  // slots that the job occupies; 0 or less counts as 1
+	Memory         float64  // units of memory that the job needs; 0: not limited by memory
+	ClientRetry    bool     // the client reports an earlier try; not used by the Dispatcher
 	Waited         int64    // time that the request has already waited at another dispatcher of the host
 	PriorAttempts  int      // attempts by another dispatcher: none may have run unless the class is Idempotent
-	AllowedWorkers []string // IDs of the only workers that may run the job; nil: any
+	AllowedWorkers []string // IDs of the only workers that may run the job; nil: any; empty: none
 }
 
 // A Code is the outcome of an attempt or of a health check.
@@ -323,13 +325,13 @@
 
 // The kinds of actions, with the fields that are set.
 const (
-	ActionSend           ActionKind = iota // ID, Worker, Timeout; the attempts of a request are numbered from 0
+	ActionSend           ActionKind = iota // ID, Worker, Timeout; the host numbers a request's attempts from 0
 	ActionShed                             // ID, RetryAfter: a final answer; the client may safely retry
 	ActionFail                             // ID: a final answer; the job may have run, so a retry may not be safe
 	ActionCancel                           // ID, Attempt
 	ActionTimer                            // At, Token
 	ActionHealthCheck                      // Worker
-	ActionClose                            // Worker: close the idle connections to it
+	ActionClose                            // Worker: close the idle connections to it; not returned at present
 	ActionMessage                          // To (-1 for all peers), Data
 	ActionWatchEndpoints                   // poll for changes of the endpoint list from now on
 )
--- a/api_names.go
+++ b/api_names.go
@@ -9,12 +9,12 @@
 	Unreachable: "unreachable", Reset: "reset", Cancelled: "cancelled", NotSent: "not sent", InvalidRequest: "blamed",
 }
 
-// String implements fmt.Stringer.
+// String returns the name of the code in logs, or its number if the code is unknown.
 func (c Code) String() string { return nameOf(codeNames[:], int(c)) }
 
 var workerStateNames = [...]string{Live: "live", Draining: "draining", Removed: "gone"}
 
-// String implements fmt.Stringer.
+// String returns the name of the state in logs, or its number if the state is unknown.
 func (s WorkerState) String() string { return nameOf(workerStateNames[:], int(s)) }
 
 // nameOf returns names[i], or i in decimal if there is no such name.
--- a/attempts.go
+++ b/attempts.go
@@ -40,7 +40,7 @@
 }
 
 // abandon ends a job that will not be served. It sheds the job with the given retry time, at most
-// MaxRetryAfter, or fails it if a retry by the client may not be safe.
+// MaxRetryAfter, or fails it if a retry by the client may not be safe. A job that has ended is left alone.
 func (d *Dispatcher) abandon(j *job, retryAfter int64) {
 	if j.ended {
 		return
@@ -54,8 +54,8 @@
 	d.finish(j)
 }
 
-// finish marks a job as ended and cancels its attempts in flight. The job is kept until they have their
-// outcomes.
+// finish marks a job as ended, removes it from its queue and cancels its attempts in flight. The job is kept
+// until they have their outcomes.
 func (d *Dispatcher) finish(j *job) {
 	j.ended = true
 	if j.queued {
@@ -78,7 +78,8 @@
 	}
 }
 
-// send starts an attempt of a job at a worker.
+// send starts an attempt of a job at a worker and adds to the hedge budget. With many dispatchers and start
+// notes the next tick is brought forward to the time at which the attempt becomes overdue.
 func (d *Dispatcher) send(j *job, w *worker) {
 	a := &attempt{
 		job: j, worker: w, number: len(j.attempts),
@@ -105,7 +106,8 @@
 	d.recordSend(w, a)
 }
 
-// onStarted records that the worker has started an attempt.
+// onStarted records that the worker has started an attempt. It ignores attempts that are unknown, have ended
+// or were reported as started before.
 func (d *Dispatcher) onStarted(e *Event) {
 	a := d.attemptOf(e)
 	if a == nil || a.done || a.startedAt != 0 {
@@ -118,7 +120,8 @@
 	d.recordStart(a)
 }
 
-// onOutcome ends an attempt, and ends or retries its job.
+// onOutcome ends an attempt. The job ends if the event says so; otherwise it is retried, unless the attempt
+// was served. An unknown attempt or one that has ended is ignored.
 func (d *Dispatcher) onOutcome(e *Event) {
 	a := d.attemptOf(e)
 	if a == nil || a.done {
@@ -150,7 +153,8 @@
 }
 
 // retry queues a job for a retry after an attempt of it failed, or abandons the job if it may not be sent
-// again or has no time left.
+// again, the worker called it invalid or its deadline is at most a tick away. While another attempt is in
+// flight it does nothing.
 func (d *Dispatcher) retry(j *job, c Code) {
 	if j.inFlight > 0 {
 		return // another attempt may still serve it
@@ -166,9 +170,10 @@
 	}
 }
 
-// checkOverdue finds attempts that should have started or ended by now. A worker with an overdue attempt gets
-// no new jobs until it reports a start or an outcome, because a hung worker answers nothing and would look
-// free. The job of an overdue attempt is hedged at another worker if its class allows that.
+// checkOverdue finds the attempts in flight that should have started or ended by now. An attempt that is not
+// reported as started within startLimit is overdue. Its worker gets no new jobs until the attempt starts or
+// ends, because a hung worker answers nothing and would look free; its job is hedged at another worker if the
+// class and the hedge budget allow that. After twice its job's objective an attempt counts as late.
 func (d *Dispatcher) checkOverdue() {
 	for i := len(d.jobs.inFlight) - 1; i >= 0; i-- {
 		a := d.jobs.inFlight[i]
@@ -207,7 +212,9 @@
 	maxHedgeBudget = 5.0  // maximum budget, in hedges, for the moment when workers hang
 )
 
-// startLimit returns the time after its send at which an attempt that is not reported as started is overdue.
+// startLimit returns the time in nanoseconds after its send at which an attempt that is not reported as
+// started is overdue: a quarter of the job's objective, or twice the objective if workers do not report
+// starts, but at least the average start delay plus four mean deviations.
 func (d *Dispatcher) startLimit(a *attempt) int64 {
 	limit := a.job.objective / 4
 	if !d.cfg.StartNotes {
--- a/dispatch_order.go
+++ b/dispatch_order.go
@@ -4,8 +4,9 @@
 
 import "math"
 
-// dispatch sends queued jobs while there is capacity: first the retries, then the jobs of tenants within
-// their bands, then the remaining jobs, evenly among the tenants.
+// dispatch refills the token buckets and sends queued jobs for which a worker is found: first the retries,
+// then the jobs of tenants within their bands, then the remaining jobs, evenly among the tenants, while
+// mayBurst allows. Burst tokens are at most a quarter of a second's arrivals, but at least 1.
 func (d *Dispatcher) dispatch() {
 	d.dispatchRound++
 	d.quotas.Refill(d.now, max(1, d.rate.OfferedRate()/4))
@@ -20,15 +21,16 @@
 	}
 }
 
-// mayBurst reports whether a job may be sent beyond its tenant's bands.
+// mayBurst reports whether a job may be sent beyond its tenant's bands: there is a burst token or no
+// throttling, and the slots in flight are below the start window.
 func (d *Dispatcher) mayBurst() bool {
 	return (d.rate.Unthrottled() || d.quotas.HasBurstToken()) &&
 		d.occupiedSlots() < d.capacity.startWindow.Slots()
 }
 
 // maxUnstarted returns the maximum number of this dispatcher's attempts of AtMostOnce jobs, which cannot be
-// moved, that may wait for their start. It gives all dispatchers together about one such attempt per worker,
-// which keeps the queues at the workers short.
+// moved, that may wait for their start; at least 2. It gives all dispatchers together about one such attempt
+// per worker, which keeps the queues at the workers short.
 func (d *Dispatcher) maxUnstarted() int { return max(2, len(d.liveWorkers)/d.cfg.Dispatchers) }
 
 // sendRetries sends the jobs of the retry queue for which a worker is found, and cancels their
@@ -58,7 +60,8 @@
 }
 
 // sendNext sends one job and reports whether it did. Within the bands the job is of the tenant with the
-// fullest token bucket; beyond them it is of the tenant with the fewest recent sends beyond its bands.
+// fullest token bucket, which loses a token; beyond them it is of the tenant with the fewest recent sends
+// beyond its bands. Tenants without a worker for any of their jobs are passed over.
 func (d *Dispatcher) sendNext(withinBands bool) bool {
 	for {
 		var best *tenant
--- a/endpoint_lease.go
+++ b/endpoint_lease.go
@@ -78,8 +78,8 @@
 	return best
 }
 
-// explore returns a random eligible worker that need not have accepted a job, or nil if the lease's explore
-// interval has not passed or no sampled worker is eligible.
+// explore returns a random eligible worker that need not have accepted a job, and records the time of this.
+// It returns nil if the lease's explore interval has not passed or no sampled worker is eligible.
 func (d *Dispatcher) explore(j *job) *worker {
 	if len(d.liveWorkers) == 0 || !d.endpoints.lease.MayExplore(d.now) {
 		return nil
--- a/endpoints.go
+++ b/endpoints.go
@@ -11,7 +11,8 @@
 	}
 }
 
-// onEndpoints handles the result of a poll or a change of discovery.
+// onEndpoints handles the result of a poll or a change of discovery. A list or its changes end the poll's
+// backoff, but only EndpointsConfirmed renews the lease.
 func (d *Dispatcher) onEndpoints(e *Event) {
 	switch e.EndpointUpdate {
 	case EndpointsConfirmed:
@@ -44,7 +45,7 @@
 	d.updatePending()
 }
 
-// applyEndpoint applies one entry of the list.
+// applyEndpoint applies one entry of the list, and adds the worker if it is new.
 func (d *Dispatcher) applyEndpoint(e *Worker) {
 	w := d.workers[e.ID]
 	if w == nil {
@@ -66,7 +67,9 @@
 	d.indexWorker(w)
 }
 
-// resetWorker discards the state learned from a worker's former process; the new one started at startedAt.
+// resetWorker discards the state learned from a worker's former process, except its total slots, its count of
+// rejections and acceptedAt. The new process started at startedAt; the first send to it is delayed if it is
+// in slow start.
 func (d *Dispatcher) resetWorker(w *worker, startedAt int64) {
 	w.outlier.Reset()
 	w.warmup.Restart(startedAt)
@@ -77,5 +80,6 @@
 	d.capacity.slowStart.DelayFirstSend(&w.warmup, d.now, d.minMedianRuntime(), d.rng)
 }
 
-// removedRetention is how long a removed worker counts as lost and keeps its state in case it comes back.
+// removedRetention is the minimum time for which a removed worker keeps its state in case it comes back, and
+// counts as lost if it did not drain.
 const removedRetention = 60 * second
--- a/fleet_index.go
+++ b/fleet_index.go
@@ -148,7 +148,8 @@
 	d.livenessChanges = d.livenessChanges[:0]
 }
 
-// slowStartTotals returns how many live workers are in slow start, and the sum of their weights.
+// slowStartTotals returns how many live workers are in slow start, and the sum of their weights, in warm
+// workers.
 func (d *Dispatcher) slowStartTotals() (workers int, weight float64) {
 	d.sortPending()
 	for _, w := range d.pendingWorkers { // every live worker in slow start is pending
@@ -174,7 +175,8 @@
 }
 
 // deleteRemoved deletes the workers that were removed before a time and have neither attempts in flight nor
-// external slots. Otherwise a fleet that replaces its workers for months would cost more every day.
+// external slots, and drops from removedWorkers those that are back. Otherwise a fleet that replaces its
+// workers for months would cost more every day.
 func (d *Dispatcher) deleteRemoved(before int64) {
 	d.workersExamined += len(d.removedWorkers)
 	var expired []*worker
@@ -202,7 +204,8 @@
 	}
 }
 
-// deleteWorker deletes a worker from the index, except from workerOrder and removedWorkers.
+// deleteWorker deletes a worker from the map of workers and from recentReports. The caller removes it from
+// workerOrder and removedWorkers; the next countLost drops it from lostWorkers.
 func (d *Dispatcher) deleteWorker(w *worker) {
 	w.deleted, w.lost = true, false
 	delete(d.workers, w.id)
--- a/gossip.go
+++ b/gossip.go
@@ -13,7 +13,7 @@
 	sender   gossip.Sender
 	outgoing gossip.Message // the last message sent, reused as a buffer
 	incoming gossip.Message // the last message received, reused as a buffer
-	changed  []*worker      // workers whose usage changed since the last message to the peers
+	changed  []*worker      // workers whose usage changed in the current step
 }
 
 // newPeerExchange returns the exchange of a newly started process. The incarnation number comes from seed.
@@ -47,8 +47,9 @@
 	}
 }
 
-// sendGossip sends the peers a message with this dispatcher's usage at some workers. A complete message leaves
-// out workers without jobs of this dispatcher.
+// sendGossip sends the peers a message with this dispatcher's usage at some workers. A complete message
+// leaves out workers without jobs of this dispatcher. Workers that do not fit are dropped (Message.AddUsage):
+// to the peers their usage is zero after a complete message, and unchanged after another one.
 func (d *Dispatcher) sendGossip(complete bool, workers []*worker) {
 	m := &d.exchange.outgoing
 	d.exchange.sender.Begin(m, complete, d.rate.AdmissionRate())
@@ -73,7 +74,7 @@
 	d.sendGossip(true, workers)
 }
 
-// gossipChanges sends the peers the usage that changed since the last message.
+// gossipChanges sends the peers the usage that changed in this step, or nothing if none did.
 func (d *Dispatcher) gossipChanges() {
 	exchange := &d.exchange
 	if len(exchange.changed) == 0 {
@@ -119,7 +120,7 @@
 	d.updateLevel(w)
 }
 
-// clearPeerUsage removes all usage of a peer.
+// clearPeerUsage removes all usage of a peer from the table and from the workers' totals.
 func (d *Dispatcher) clearPeerUsage(from int) {
 	peers := &d.exchange.peers
 	for _, w := range d.workerOrder {
--- a/health.go
+++ b/health.go
@@ -18,8 +18,9 @@
 	d.updateLevel(w)
 }
 
-// recordStart updates a worker's capacity and health from the delay between sending an attempt and its
-// start. A late start counts like a rejection: the worker had no free slot for the job.
+// recordStart updates a worker's capacity and health from the delay between sending an attempt and its start.
+// A start after more than two ticks lowers the capacity like a rejection: the worker had no free slot for the
+// job. A start within one tick counts as prompt.
 func (d *Dispatcher) recordStart(a *attempt) {
 	w, delay := a.worker, d.now-a.sentAt
 	d.capacity.startDelays.Record(delay)
@@ -37,7 +38,8 @@
 }
 
 // adjustCapacity lowers the worker's concurrency limit and the fleet's start window if a job was late or
-// rejected, and raises them if it was not and they were nearly used up.
+// rejected. Otherwise it raises the limit if at most one slot of it was free, and the window if at least half
+// of it was in use.
 func (d *Dispatcher) adjustCapacity(w *worker, late bool) {
 	if late {
 		w.limit.Decrease(w.usedSlots)
@@ -49,7 +51,8 @@
 	d.updateLimitSum(w)
 }
 
-// recordOutcome updates the usage, capacity and health of an attempt's worker when the attempt ends.
+// recordOutcome updates the usage, capacity and health of an attempt's worker when the attempt ends. NotSent
+// and InvalidRequest do not count for or against the worker's health.
 func (d *Dispatcher) recordOutcome(a *attempt, e *Event) {
 	w, j := a.worker, a.job
 	a.mayHaveRun = !e.Code.NeverRan()
@@ -91,8 +94,9 @@
 	d.updateLevel(w)
 }
 
-// recordServed updates the class's running times and latency loop, and the worker's health and capacity,
-// from an attempt that was served. took is the running time in nanoseconds, used if no start was reported.
+// recordServed updates the class's running times and latency loop, and the worker's health and capacity, from
+// an attempt that was served. took is the time from send to outcome in nanoseconds, which counts as the
+// running time if no start was reported.
 func (d *Dispatcher) recordServed(a *attempt, took int64) {
 	w, j := a.worker, a.job
 	d.recordAccepted(a)
@@ -123,13 +127,15 @@
 	latencyRatioWeight = 16 // a job moves the ratio by 1/16 of its difference from it
 )
 
-// backoffWorker pauses a worker that has no free slot now, for a time based on the class's running time.
+// backoffWorker pauses a worker that has no free slot now, for at most the median running time of the job's
+// class.
 func (d *Dispatcher) backoffWorker(w *worker, j *job) {
 	w.outlier.Backoff(d.now, j.class.runtimes.Median(), d.rng)
 }
 
-// eject pauses a worker that has failed, then allows it one trial job. The backoff is at least the usual
-// start delay, and a second for many dispatchers.
+// eject pauses a worker that has failed, then allows it one trial job at a time. The backoff starts at a tick
+// or the average start delay plus four mean deviations if that is longer, with many dispatchers at a second
+// or more. It doubles up to 4 s, with many dispatchers up to 16 s.
 func (d *Dispatcher) eject(w *worker) {
 	minBackoff := d.capacity.startDelays.Bound(4)
 	if d.manyDispatchers() {
@@ -145,7 +151,8 @@
 	return d.capacity.slowStart.Active(&w.warmup, d.now)
 }
 
-// slowStartWeight returns the fraction of its capacity that a worker is sure to have: 1 after slow start.
+// slowStartWeight returns the fraction (0 to 1) of its capacity that a worker is sure to have: 1 after slow
+// start.
 func (d *Dispatcher) slowStartWeight(w *worker) float64 {
 	return d.capacity.slowStart.Weight(&w.warmup, d.now)
 }
--- a/health_checks.go
+++ b/health_checks.go
@@ -10,9 +10,10 @@
 )
 
 // requestHealthChecks asks up to workersPerCheck random workers, which may get a job and have less than one
-// slot in use, for their load while a job waits. It asks none if that number of workers with a free slot
-// reported recently. A dispatcher with little traffic has only outdated load reports. The answers put the
-// workers into recentReports, which placement considers. It reports whether the job waits.
+// slot in use, for their load while a job waits. It reports whether it asked any, so that the job waits. The
+// answers put the workers into recentReports, which placement considers: a dispatcher with little traffic has
+// only outdated load reports. It asks none if the fleet is loaded, if workersPerCheck workers with a free
+// slot reported recently, or if checks are not possible or show nothing new.
 func (d *Dispatcher) requestHealthChecks(j *job) bool {
 	if d.hasCompleteUsage() || !d.cfg.MayHealthCheck || len(d.cfg.Gauges) == 0 ||
 		len(d.liveWorkers) <= len(d.capacity.recentReports.workers) ||
@@ -44,8 +45,8 @@
 	return n
 }
 
-// onHealthChecked records the load that a checked worker reports, and ends the wait of all jobs that wait
-// for a check.
+// onHealthChecked records the load that a checked worker reports, and ends the wait of all jobs that wait for
+// a check. An unknown worker is ignored; onTick ends the wait after a tick at the latest.
 func (d *Dispatcher) onHealthChecked(e *Event) {
 	w := d.workers[e.Worker]
 	if w == nil {
--- a/internal/decision/admission/allocator.go
+++ b/internal/decision/admission/allocator.go
@@ -19,7 +19,7 @@
 	Ratio []float64 // one for each tenant; the sum need not be 1
 }
 
-// QuotaBand returns one band as wide as the sum of the quotas, shared in their ratio.
+// QuotaBand returns one band as wide as the sum of the quotas, shared in their ratio. It keeps the slice.
 func QuotaBand(quotas []float64) []Band {
 	b := Band{Ratio: quotas}
 	for _, q := range quotas {
@@ -29,7 +29,8 @@
 }
 
 // splitRate divides a total rate among tenants by filling the bands in order and dividing what goes into each
-// by its ratios. It returns the rates of the tenants and the excess over all bands.
+// by its ratios. It returns the rates of the tenants and the excess over all bands. A band whose ratios sum
+// to 0 takes nothing.
 func splitRate(total float64, bands []Band, tenants int) (rates []float64, excess float64) {
 	rates = make([]float64, tenants)
 	for _, b := range bands {
@@ -106,7 +107,8 @@
 
 // Update ends a period of one second and sets the tenants' rates for the next from the admission rate of the
 // fleet, this dispatcher's fraction of the traffic, and the fraction of the fleet's capacity that remains
-// after workers were lost. If unthrottled is set, all bands are full. Periods is the number of earlier calls.
+// after workers were lost. If unthrottled is set, all bands are full. periods is the number of earlier calls.
+// The burst rate is not reduced by the capacity that was lost.
 func (a *Allocator) Update(admissionRate float64, unthrottled bool, periods int64, remaining float64) {
 	if unthrottled {
 		admissionRate = math.MaxFloat64
@@ -155,8 +157,8 @@
 	return even
 }
 
-// Refill adds the tokens for the time since the last call. Tokens that a full bucket cannot take become burst
-// tokens, of which there are at most maxBurst.
+// Refill adds the tokens for the time since the last call, and the burst tokens of the rate beyond the bands.
+// Tokens that a full bucket cannot take become burst tokens, of which there are at most maxBurst.
 func (a *Allocator) Refill(now int64, maxBurst float64) {
 	seconds := float64(now-a.refilledAt) / float64(second)
 	a.refilledAt = now
@@ -167,8 +169,9 @@
 	a.burstTokens = min(a.burstTokens, maxBurst)
 }
 
-// SetQuotas replaces the bands by one made of new quotas, one for each tenant, and sets the tenants' rates.
-// The tokens stay as they are, so that no tenant gains tokens by a change.
+// SetQuotas replaces the bands by one made of new quotas, one for each tenant, and keeps the slice. Until the
+// next Update the tenants' rates are the full quotas times this dispatcher's fraction. The tokens stay as
+// they are, so that no tenant gains tokens by a change.
 func (a *Allocator) SetQuotas(quotas []float64) {
 	a.bands = QuotaBand(quotas)
 	full, _ := splitRate(math.MaxFloat64, a.bands, len(a.tenants))
--- a/internal/decision/admission/loop.go
+++ b/internal/decision/admission/loop.go
@@ -39,7 +39,8 @@
 // Input returns the admission rate that the loop has computed, as a fraction of the highest rate.
 func (l *LatencyLoop) Input() float64 { return l.input }
 
-// Sample records the ratio of a finished job's latency to its objective.
+// Sample records the ratio of a finished job's latency to its objective, reduced to lateRatio if it is
+// larger.
 func (l *LatencyLoop) Sample(ratio float64) { l.ratios = append(l.ratios, min(ratio, lateRatio)) }
 
 // SampleLate records a job that failed or is late.
@@ -63,9 +64,9 @@
 	return sum / max(1, float64(len(l.ratios)))
 }
 
-// step updates the model with the measured output w and returns the new input, which the model expects to
-// bring the output to 1. It resets the model if a parameter jumps, and keeps the old one if the new one has
-// r1 <= 0.
+// step updates the model with the measured output w, and sets and returns the new input, from 0 to 1, which
+// the model expects to bring the output to 1. If a parameter jumps it resets the model, and the input is 1.
+// It keeps the old model if the new one has r1 <= 0.
 func (l *LatencyLoop) step(w float64) float64 {
 	next := l.fit.update([3]float64{l.previousOutput, l.input, l.previousInput}, w)
 	input := 1.0
@@ -94,7 +95,7 @@
 // another method.
 func (l *LatencyLoop) Ratios() []float64 { return l.ratios }
 
-// Restore sets the state and the sampled ratios of another loop.
+// Restore sets the state and the sampled ratios of another loop. It keeps the slice.
 func (l *LatencyLoop) Restore(s LoopState, ratios []float64) {
 	l.fit = model{parameters: s.Parameters, covariance: s.Covariance}
 	l.input, l.previousInput, l.previousOutput = s.Input, s.PreviousInput, s.Output
--- a/internal/decision/admission/rate.go
+++ b/internal/decision/admission/rate.go
@@ -20,7 +20,7 @@
 type RateState struct {
 	Periods       int64   // number of the last period; the first is 1
 	AdmissionRate float64 // of the whole fleet, jobs per second
-	Unthrottled   bool    // the loops do not throttle: the rate is at its highest
+	Unthrottled   bool    // the loops do not throttle, and the peers' mean is near the rate or higher
 	OfferedRate   float64 // smoothed arrivals at this dispatcher, jobs per second
 }
 
@@ -38,7 +38,8 @@
 // AdmissionRate returns the admission rate of the whole fleet, in jobs per second.
 func (c *RateController) AdmissionRate() float64 { return c.state.AdmissionRate }
 
-// Unthrottled reports whether the rate is at its highest, which means that the loops do not throttle.
+// Unthrottled reports whether the rate is not throttled: the loops leave it at its highest, and the peers'
+// mean is at least unthrottledFraction of that.
 func (c *RateController) Unthrottled() bool { return c.state.Unthrottled }
 
 // OfferedRate returns the smoothed rate of arrivals at this dispatcher, in jobs per second.
@@ -50,9 +51,9 @@
 // RecordArrival counts a job that has arrived.
 func (c *RateController) RecordArrival() { c.arrivals++ }
 
-// BeginPeriod begins a period and updates the offered rate with the arrivals of the last second. It reports
-// whether it is this dispatcher's turn to run its loops even if they have few samples. The dispatchers take
-// turns, one in each period.
+// BeginPeriod begins a period and updates the offered rate with the arrivals of the last second, to at least
+// half of them. It reports whether it is this dispatcher's turn to run its loops even if they have few
+// samples. The dispatchers take turns, one in each period.
 func (c *RateController) BeginPeriod() (turn bool) {
 	c.state.OfferedRate += (float64(c.arrivals) - c.state.OfferedRate) * RateGain
 	c.state.OfferedRate = max(c.state.OfferedRate, float64(c.arrivals)/headroom)
@@ -61,8 +62,9 @@
 	return int(c.state.Periods%int64(c.dispatchers)) == c.index
 }
 
-// SetInput sets the admission rate to the fraction v of the highest rate. The caller passes the lowest input
-// of the classes' loops.
+// SetInput sets the admission rate to the fraction v of the highest rate, which is headroom times the offered
+// rate times the number of dispatchers. With v of at least 1 the rate is unthrottled. The caller passes the
+// lowest input of the classes' loops.
 func (c *RateController) SetInput(v float64) {
 	c.state.Unthrottled = v >= 1
 	c.state.AdmissionRate = v * (headroom * c.state.OfferedRate * float64(c.dispatchers))
--- a/internal/decision/admission/runtimes.go
+++ b/internal/decision/admission/runtimes.go
@@ -4,7 +4,8 @@
 
 const maxRuntimes = 64 // recent running times of which the quantiles are computed
 
-// Runtimes are the recent running times of a class's jobs, with their quantiles as of the last Update.
+// Runtimes are the recent running times of a class's jobs, in nanoseconds, with their quantiles as of the
+// last Update.
 type Runtimes struct {
 	recent                []int64 // oldest first
 	median, lowerQuartile int64
@@ -44,7 +45,8 @@
 	r.lowerQuartile = sorted[int(0.25*float64(len(sorted)))]
 }
 
-// Restore sets the quantiles, each to at least 1 ns, and the recent running times.
+// Restore sets the quantiles, each to at least 1 ns, and the recent running times, of which it keeps the
+// slice.
 func (r *Runtimes) Restore(median, lowerQuartile int64, recent []int64) {
 	r.median, r.lowerQuartile, r.recent = max(median, 1), max(lowerQuartile, 1), recent
 }
--- a/internal/decision/admission/tenant.go
+++ b/internal/decision/admission/tenant.go
@@ -34,12 +34,14 @@
 // RecordSend counts a job that is sent for the first time.
 func (t *Tenant) RecordSend(class int) { t.classSent[class]++ }
 
-// SentFraction returns the fraction of a class's recent jobs that was sent; 1 for a class without jobs.
+// SentFraction returns the fraction of a class's recent jobs that was sent, with 1 added to both counts: it
+// is never 0, and 1 for a class without jobs.
 func (t *Tenant) SentFraction(class int) float64 {
 	return (t.classSent[class] + 1) / (t.classArrived[class] + 1)
 }
 
-// ExceedsQuota reports whether more of the tenant's jobs arrive here than its bands allow.
+// ExceedsQuota reports whether more of the tenant's jobs arrive here than its bands allow, by more than the
+// margin for chance.
 func (t *Tenant) ExceedsQuota() bool { return t.offeredRate > t.rate+t.margin }
 
 // HasToken reports whether there is a token for a job within the bands.
@@ -48,7 +50,8 @@
 // ConsumeToken removes the token of a job that is sent within the bands.
 func (t *Tenant) ConsumeToken() { t.tokens-- }
 
-// FillLevel returns the fraction of the bucket that is full.
+// FillLevel returns the fraction of the bucket that is full, more than 1 if the bucket has shrunk since
+// Refill.
 func (t *Tenant) FillLevel() float64 { return t.tokens / t.maxTokens() }
 
 // ExcessSends returns the decaying count of the jobs that were sent beyond the bands.
--- a/internal/decision/affinity/index.go
+++ b/internal/decision/affinity/index.go
@@ -45,9 +45,9 @@
 	return &Indexes[W]{byKind: make([]index[W], kinds)}
 }
 
-// Update adds a worker to the indexes, moves it there or, if indexed is false, removes it. hash is the hash of
-// its ID, kind is -1 for a worker of no kind, and the worker is ranked from readyAt on. r is the worker's
-// registration, which only Update changes.
+// Update adds a worker to the indexes, moves it there or, if indexed is false, removes it. hash is the hash
+// of its ID, kind is -1 for a worker of no kind, and the worker is ranked from readyAt on. r is the worker's
+// registration, which only Update changes. A kind that NewIndexes did not provide for causes a panic.
 func (x *Indexes[W]) Update(w W, hash uint64, r *Registration, indexed bool, kind int, readyAt int64) {
 	if indexed == r.indexed && (!indexed || readyAt == r.readyAt && kind == r.kind) {
 		return
--- a/internal/decision/affinity/keys.go
+++ b/internal/decision/affinity/keys.go
@@ -13,7 +13,7 @@
 	keys []uint64 // most recently used first
 }
 
-// Contains reports whether the worker is likely to have cached the data of a key's jobs.
+// Contains reports whether the worker is likely to have cached the data of a key's jobs; false for key 0.
 func (c *CachedKeys) Contains(key uint64) bool { return slices.Contains(c.keys, key) }
 
 // Record records that a job with a key is sent to the worker. Key 0 means no key and is ignored.
@@ -50,8 +50,9 @@
 	l.added++
 }
 
-// Fraction returns the fraction of the logged jobs that have a key. 16 jobs with other keys are added to the
-// count, so that a key of the very first jobs does not get a large fraction.
+// Fraction returns the fraction of the logged jobs that have a key, which must not be 0, as unused entries
+// are. 16 jobs with other keys are added to the count, so that a key of the very first jobs does not get a
+// large fraction.
 func (l *KeyLog) Fraction(key uint64) float64 {
 	count := 0
 	for _, k := range l.keys {
@@ -71,7 +72,7 @@
 	return keys
 }
 
-// Restore replaces the log by keys, oldest first.
+// Restore replaces the log by the last 256 of keys, which are oldest first.
 func (l *KeyLog) Restore(keys []uint64) {
 	*l = KeyLog{}
 	for _, key := range keys {
--- a/internal/decision/capacity/limit.go
+++ b/internal/decision/capacity/limit.go
@@ -31,12 +31,15 @@
 // Restore sets the limit and whether it was learned.
 func (l *Limit) Restore(slots float64, learned bool) { l.slots, l.learned = slots, learned }
 
-// Decrease lowers the limit after a job had to wait or was rejected while used slots were in use.
+// Decrease lowers the limit after a job had to wait or was rejected while used slots were in use: to
+// limitDecrease below used or below the old limit if that is less, but at least to 1. The limit then counts
+// as learned.
 func (l *Limit) Decrease(used float64) {
 	l.slots, l.learned = max(1, min(l.slots, used)-limitDecrease), true
 }
 
-// Increase raises the limit if a job did not wait while used slots, within one of the limit, were in use.
+// Increase raises the limit by limitIncrease after a job did not wait while used slots were in use, if at
+// most one slot of the limit was free. A limit that is raised counts as learned.
 func (l *Limit) Increase(used float64) {
 	if used >= l.slots-1 {
 		l.slots, l.learned = l.slots+limitIncrease, true
@@ -73,8 +76,8 @@
 	s.count += sign
 }
 
-// Mean returns the mean of the summed limits in slots, which is assumed for a worker until it responds, or a
-// default if there are none.
+// Mean returns the mean of the summed limits in slots, which is assumed for a worker until it responds, or
+// defaultLimit if there are none.
 func (s *LimitSum) Mean() float64 {
 	if s.count == 0 {
 		return defaultLimit
--- a/internal/decision/capacity/mean.go
+++ b/internal/decision/capacity/mean.go
@@ -9,7 +9,7 @@
 // A MovingMean is an exponentially weighted average and mean absolute deviation. The zero value is empty.
 type MovingMean struct{ Average, Deviation float64 }
 
-// Add adds a value. The first one sets the average, and the deviation to half of it.
+// Add adds a value. While the average is 0, the value sets the average, and the deviation to half of it.
 func (m *MovingMean) Add(value float64) {
 	if m.Average == 0 {
 		m.Average, m.Deviation = value, value/2
@@ -19,7 +19,7 @@
 	m.Average += (value - m.Average) / meanWeight
 }
 
-// Bound returns the average plus a number of mean deviations, truncated.
+// Bound returns the average plus a number of mean deviations, truncated to an integer.
 func (m *MovingMean) Bound(deviations float64) int64 {
 	return int64(m.Average + deviations*m.Deviation)
 }
--- a/internal/decision/capacity/report.go
+++ b/internal/decision/capacity/report.go
@@ -83,7 +83,8 @@
 }
 
 // Record stores a worker's report in r and updates the fleet's average pressure. If the report holds the
-// requests in flight, queued requests and free slots, it raises the worker's total slots to what they give.
+// requests in flight, queued requests and free slots, the worker's total slots become in flight - queued +
+// free if that is more; they never fall.
 func (p *Reports) Record(r *LoadReport, gauges [MaxGauges]float64, now int64) {
 	r.gauges, r.valid, r.sentSlots, r.receivedAt = gauges, true, 0, now
 	var values [GaugeFreeMemory + 1]float64
@@ -103,7 +104,7 @@
 
 // Pressure estimates how likely a job of so many slots has to wait at a worker, 0 to 1, from the worker's
 // report. With the report's age the estimate decays to the fleet's average, since the jobs that the report
-// counted have ended.
+// counted have ended. Without a valid report it is the fleet's average.
 func (p *Reports) Pressure(r *LoadReport, slots float64, now int64) float64 {
 	if !r.valid {
 		return p.fleetPressure.Average
@@ -112,7 +113,9 @@
 	return p.fleetPressure.Average + (p.ReportPressure(r, slots)-p.fleetPressure.Average)*math.Exp(-age)
 }
 
-// ReportPressure returns the pressure that a report shows for a job of so many slots, 0 to 1, at any age.
+// ReportPressure returns the pressure that a report shows for a job of so many slots, 0 to 1, at any age: 1
+// if the free slots are short by one or more, and 0 if it holds no gauge of free slots, queue or busy cores.
+// Busy cores count only if neither of the other two comes before them in the report.
 func (p *Reports) ReportPressure(r *LoadReport, slots float64) float64 {
 	pressure, queueKnown := 0.0, false
 	for i, g := range p.gauges {
@@ -132,5 +135,6 @@
 	return min(pressure, 1)
 }
 
-// Fresh reports whether a report is younger than an eighth of the decay time: it has lost little weight.
+// Fresh reports whether a report, valid or not, is younger than an eighth of the decay time: it has lost
+// little weight.
 func (p *Reports) Fresh(r *LoadReport, now int64) bool { return now-r.receivedAt < p.decayTime/8 }
--- a/internal/decision/capacity/window.go
+++ b/internal/decision/capacity/window.go
@@ -26,7 +26,8 @@
 // Set sets the window in slots.
 func (w *StartWindow) Set(slots float64) { w.slots = slots }
 
-// RecordLate shrinks the window after a job had to wait while occupied slots were in flight.
+// RecordLate shrinks the window after a job had to wait while occupied slots were in flight. The gain is
+// taken off the window or twice occupied, whichever is less; the result is at least 1 slot.
 func (w *StartWindow) RecordLate(occupied float64) {
 	w.slots = max(1, min(w.slots, 2*occupied)*(1-w.gain))
 }
@@ -64,8 +65,9 @@
 // Record adds an attempt's delay to the mean.
 func (s *StartDelays) Record(delay int64) { s.mean.Add(float64(delay)) }
 
-// Excess returns a delay less the shortest one of the same path, which it updates. Without this a handshake
-// with another zone, which may take longer than a job waits for a slot, would count as waiting.
+// Excess returns a delay in nanoseconds less the shortest one of the same path (0 to NumPaths-1), which it
+// updates first. Without this a handshake with another zone, which may take longer than a job waits for a
+// slot, would count as waiting.
 func (s *StartDelays) Excess(path int, delay int64) int64 {
 	if minimum := &s.min[path]; *minimum == 0 || delay < *minimum {
 		*minimum = max(1, delay)
--- a/internal/decision/gossip/message.go
+++ b/internal/decision/gossip/message.go
@@ -1,9 +1,12 @@
 // Package gossip implements the state exchange between the dispatchers of one fleet: the message format
 // (Message), sequence numbers (Sender), and the last state received from every peer (Table).
 //
-// Once a second a dispatcher sends a complete message: its admission rate and the usage of its jobs at each
-// worker. At the end of each step it sends the usage of the workers where it changed. All values are absolute,
-// so the next message corrects lost, late, duplicated or reordered ones. Nothing is decided here.
+// Once a second a dispatcher sends a complete message: its admission rate and, with few dispatchers, the
+// usage of its jobs at as many workers as fit. At the end of each step it sends the usage of the workers
+// where it changed. All values are absolute, so the next message corrects lost, late, duplicated or reordered
+// ones.
+//
+// Nothing is decided here.
 package gossip
 
 import (
@@ -41,7 +44,7 @@
 
 // A Message carries one dispatcher's usage at workers and, if complete, its admission rate.
 type Message struct {
-	Complete      bool    // has the admission rate and the usage at all workers, not only changes
+	Complete      bool    // has the admission rate, and the usage at workers not listed is zero
 	Incarnation   byte    // of the sending process, new with each start
 	Sequence      uint16  // number of the message; wraps around
 	AdmissionRate float64 // of a complete message, else not encoded
@@ -57,14 +60,15 @@
 	return n
 }
 
-// AddUsage adds a worker's usage, or drops it if the message is longer than sizeLimit.
+// AddUsage adds a worker's usage, or drops it if the message is already longer than sizeLimit.
 func (m *Message) AddUsage(tag uint32, u Usage) {
 	if m.size() <= sizeLimit {
 		m.Usages = append(m.Usages, WorkerUsage{Tag: tag, Usage: u})
 	}
 }
 
-// Encode returns the encoded message. Slots and memory are rounded and limited to what one byte can hold.
+// Encode returns the encoded message. Slots are rounded to whole ones from 0 to 255, and memory to multiples
+// of 1/memoryScale from 0 to 255/memoryScale.
 func (m *Message) Encode() []byte {
 	kind := byte(kindDelta)
 	if m.Complete {
@@ -86,8 +90,9 @@
 // roundToByte rounds x to the nearest integer from 0 to 255.
 func roundToByte(x float64) uint32 { return uint32(min(max(math.Round(x), 0), 255)) }
 
-// Decode decodes data into m, reusing the space of m.Usages. It reports whether the message is valid; if not,
-// the contents of m are undefined.
+// Decode decodes data into m, reusing the space of m.Usages. It reports whether the message is valid: of a
+// known kind, with a whole number of usages and no negative or NaN rate. If not, the contents of m are
+// undefined.
 func (m *Message) Decode(data []byte) bool {
 	if len(data) < headerSize {
 		return false
--- a/internal/decision/gossip/table.go
+++ b/internal/decision/gossip/table.go
@@ -9,12 +9,14 @@
 	PeerTimeout = 3 * second
 )
 
-// A Table holds the last state received from the other dispatchers of a fleet. W identifies a worker.
+// A Table holds the last state received from the other dispatchers of a fleet. W identifies a worker. Methods
+// with a parameter from, except IsPeer, panic if it is not the index of a dispatcher.
 type Table[W comparable] struct {
 	self  int
 	peers []peer[W]
 }
 
+// A peer is the state received from one dispatcher.
 type peer[W comparable] struct {
 	admissionRate float64
 	updatedAt     int64 // time of its last complete message; 0: none
@@ -22,6 +24,7 @@
 	usage         map[W]sequencedUsage
 }
 
+// A sequencedUsage is a usage at a worker with the number of its message.
 type sequencedUsage struct {
 	Usage
 	sequence uint16 // of the message that it came with
@@ -38,7 +41,8 @@
 // IsPeer reports whether from is the index of another dispatcher.
 func (t *Table[W]) IsPeer(from int) bool { return from >= 0 && from < len(t.peers) && from != t.self }
 
-// Restarted reports whether a message has another incarnation than the last one of its sender.
+// Restarted reports whether a message has another incarnation than the last one of its sender, or than 0 if
+// it is the sender's first.
 func (t *Table[W]) Restarted(from int, m *Message) bool {
 	return t.peers[from].incarnation != m.Incarnation
 }
@@ -52,8 +56,9 @@
 	}
 }
 
-// RecordUsage stores a peer's usage at a worker and returns the change from the stored one. It returns false,
-// and stores nothing, if the stored usage has a newer sequence number; equal numbers are stored.
+// RecordUsage stores a peer's usage at a worker and returns the change from the stored one, which may be
+// zero, and true. It returns false, and stores nothing, if the stored usage has a newer sequence number;
+// equal numbers are stored. Sequence numbers wrap around.
 func (t *Table[W]) RecordUsage(from int, w W, u Usage, sequence uint16) (change Usage, changed bool) {
 	p := &t.peers[from]
 	old, exists := p.usage[w]
@@ -89,8 +94,8 @@
 // alive reports whether the peer sent a complete message within PeerTimeout.
 func (p *peer[W]) alive(now int64) bool { return p.updatedAt != 0 && now-p.updatedAt < PeerTimeout }
 
-// MeanAdmissionRate returns the mean of own, this dispatcher's admission rate, and the rates of the peers that
-// sent a complete message within PeerTimeout.
+// MeanAdmissionRate returns the mean of own, this dispatcher's admission rate, and the rates of the peers
+// that sent a complete message within PeerTimeout; own if there are none.
 func (t *Table[W]) MeanAdmissionRate(own float64, now int64) float64 {
 	sum, n := own, 1.0
 	for i := range t.peers {
--- a/internal/decision/health/outlier.go
+++ b/internal/decision/health/outlier.go
@@ -31,8 +31,8 @@
 	Backoff               int64   // length of the last ejection; 0: none since it was healthy
 	Trial                 bool    // it gets one job at a time
 	ConsecutiveRejections int     // at most maxCountedRejections
-	PromptStartAt         int64   // when a job of this dispatcher last started there at once
-	LastFaultAt           int64   // when it last rejected a job, made a job wait, or was ejected
+	PromptStartAt         int64   // when a job of this dispatcher last started there at once; 0: never
+	LastFaultAt           int64   // when it last rejected a job, made a job wait, or was ejected; 0: never
 	FailureRate           float64 // moving fraction of failed attempts, 0 to 1
 }
 
@@ -56,7 +56,8 @@
 // Rejections returns the number of consecutive rejections, at most maxCountedRejections.
 func (o *Outlier) Rejections() int { return o.state.ConsecutiveRejections }
 
-// RecordStart records that a job has started, either at once (prompt) or after it waited at the worker.
+// RecordStart records that a job has started, either at once (prompt) or after it waited at the worker. Only
+// Cost depends on it.
 func (o *Outlier) RecordStart(now int64, prompt bool) {
 	if prompt {
 		o.state.PromptStartAt = now
@@ -75,7 +76,8 @@
 	}
 }
 
-// RecordSuccess records that a job was served, which ends a trial and resets the backoff.
+// RecordSuccess records that a job was served, which ends a trial, resets the backoff and lowers the failure
+// rate by a fifth. A pause goes on.
 func (o *Outlier) RecordSuccess() {
 	o.state.FailureRate *= 0.8
 	o.state.Trial, o.state.Backoff = false, 0
@@ -89,12 +91,13 @@
 	return o.state.FailureRate > maxFailureRate || o.state.Trial
 }
 
-// Failing reports whether the failure rate is too high to be chance.
+// Failing reports whether the failure rate is too high to be chance: at least maxFailureRate.
 func (o *Outlier) Failing() bool { return o.state.FailureRate >= maxFailureRate }
 
 // Backoff pauses a worker that has no free slot now: by this dispatcher's own count it looks free and would
-// attract the next job. The pause is proportional to a job's running time, has a random part, and doubles
-// with each consecutive rejection up to a bound.
+// attract the next job. The pause doubles with each consecutive rejection: at most a quarter of runtime, a
+// half, and from the third on the whole. It is drawn at random from the upper half of that, and replaces any
+// other pause, even a longer one.
 func (o *Outlier) Backoff(now, runtime int64, rng *rand.Rand) {
 	o.state.ConsecutiveRejections = min(o.state.ConsecutiveRejections+1, maxCountedRejections)
 	pause := runtime / 8 << o.state.ConsecutiveRejections
@@ -102,8 +105,9 @@
 	o.state.PausedUntil = now + pause/2 + rng.Int64N(pause/2+1)
 }
 
-// Eject pauses a worker for a backoff that doubles each time, between bounds, plus a random part of up to
-// half of it. Then the worker is on trial.
+// Eject pauses a worker for a backoff that doubles each time, from minBackoff to maxBackoff, plus a random
+// part of up to half of it. Then the worker is on trial. If minBackoff is more than maxBackoff, maxBackoff
+// applies.
 func (o *Outlier) Eject(now, minBackoff, maxBackoff int64, rng *rand.Rand) {
 	o.state.Backoff = min(max(2*o.state.Backoff, minBackoff), maxBackoff)
 	o.state.PausedUntil = now + o.state.Backoff + rng.Int64N(o.state.Backoff/2+1)
@@ -111,9 +115,9 @@
 }
 
 // Cost estimates how likely a job finds no free slot at the worker, as an equivalent number of jobs in flight
-// there. It is based on this dispatcher's last job at the worker, which predicts for long. If that job had
-// started at once, 65 in 100 jobs did so in the next second and 45 in 100 later on. Where no job had been
-// sent, 24 in 100 did, and where the last job had not started at once, 12 in 100.
+// there, 0 to NoFreeSlotCost. It is based on this dispatcher's last job at the worker, which predicts for
+// long. If that job had started at once, 65 in 100 jobs did so in the next second and 45 in 100 later on.
+// Where no job had been sent, 24 in 100 did, and where the last job had not started at once, 12 in 100.
 func (o *Outlier) Cost(now int64) float64 {
 	switch {
 	case o.state.LastFaultAt > o.state.PromptStartAt:
--- a/internal/decision/health/rate.go
+++ b/internal/decision/health/rate.go
@@ -36,7 +36,8 @@
 }
 
 // Update adds the jobs of the last second to the rate, as served by so many warm workers. Without a warm
-// worker they are discarded. periods is the number of calls so far, from 1: the first calls weigh more.
+// worker they are discarded and the rate stays as it is. periods is the number of calls so far, from 1: the
+// first calls weigh more.
 func (r *WorkerRate) Update(warmWorkers int, periods int64) {
 	if warmWorkers > 0 {
 		gain := max(r.gain, 1/float64(periods))
--- a/internal/decision/health/slow_start.go
+++ b/internal/decision/health/slow_start.go
@@ -87,10 +87,10 @@
 	return s.config.Capacity + (1-s.config.Capacity)*min(max(age, 0), 1)
 }
 
-// Ready reports whether a worker in slow start may get this dispatcher's next job. If a rate is known, the
-// worker must have had time since the last send for the work sent. It is taken to do this dispatcher's part
-// of its current capacity, times half of OverloadMultiple if that is more than 1: so all dispatchers together
-// send about what it tolerates.
+// Ready reports whether a worker in slow start may get this dispatcher's next job. While no rate is known,
+// that is whether Admits allows a light job. If a rate is known, the worker must have had time since the last
+// send for the work sent. It is taken to do this dispatcher's part of its current capacity, times half of
+// OverloadMultiple if that is more than 1: so all dispatchers together send about what it tolerates.
 func (s *SlowStart) Ready(w *Warmup, now int64) bool {
 	if s.NeedsSlot(w, now) {
 		return s.Admits(w, now, s.config.MinObjective)
@@ -108,8 +108,9 @@
 // scheduler may send to the worker only in its own time slots.
 func (s *SlowStart) NeedsSlot(w *Warmup, now int64) bool { return s.rate.peak <= 0 && s.Active(w, now) }
 
-// Admits reports whether a worker that needs a time slot may get a job of so much work now. A slot of this
-// scheduler admits one light job, more work as the worker warms up, and in some slots a single heavier job.
+// Admits reports whether a worker that needs a time slot (see NeedsSlot) may get a job of so much work, in
+// slot-nanoseconds, now. A slot of this scheduler admits one light job, more work as the worker warms up, and
+// in some slots a single heavier job.
 func (s *SlowStart) Admits(w *Warmup, now int64, work float64) bool {
 	sent, slot := s.sentInSlot(w, now), s.config.Slots.At(now)
 	maxWork := s.config.MinObjective * s.Weight(w, now) / s.config.Capacity // per slot
@@ -149,8 +150,9 @@
 	w.lastSentAt, w.lastWork = now, work
 }
 
-// DelayFirstSend delays the first send to a worker that has just started by a random part of a light job's
-// running time. Otherwise all dispatchers would send at once.
+// DelayFirstSend delays the first send to a worker that has just started by the time in which it can do a
+// random part of a light job, of which runtime is the running time. Otherwise all dispatchers would send at
+// once. It has no effect after slow start, or if a job was sent to the worker in the current time slot.
 func (s *SlowStart) DelayFirstSend(w *Warmup, now, runtime int64, rng *rand.Rand) {
 	if s.Active(w, now) && s.sentInSlot(w, now) == 0 {
 		w.lastSentAt, w.lastWork = w.startedAt, float64(runtime)*rng.Float64()
--- a/internal/decision/membership/lease.go
+++ b/internal/decision/membership/lease.go
@@ -36,7 +36,7 @@
 type Lease struct {
 	duration    int64       // age at which the list becomes stale; 0: never
 	confirmed   bool        // a poll was answered since the start
-	confirmedAt int64       // time of the last answer; before the first one, of the start
+	confirmedAt int64       // time of the last answer; before the first one, of the start; see ChangeDiscovery
 	failure     PollFailure // of the polls since then; FailureBusy before any, which leaves the list usable
 	exploredAt  int64       // last send to an unproven worker while the list was stale; 0: never
 }
@@ -54,25 +54,30 @@
 }
 
 // RecordFailure records a failed poll. FailureInvalid, which shows that discovery can be reached, stays
-// recorded until discovery answers, unless nothing listens there any more (FailureDown).
+// recorded until discovery answers or is changed, unless nothing listens there any more (FailureDown).
 func (l *Lease) RecordFailure(f PollFailure) {
 	if l.failure != FailureInvalid || f == FailureDown {
 		l.failure = f
 	}
 }
 
-// ChangeDiscovery records that another discovery was configured, which has not answered yet.
+// ChangeDiscovery records that another discovery was configured, which has not answered yet. Unless the lease
+// never ends, the list stays fresh for at most DiscoveryChangeLease from now on. Earlier failures are
+// cleared.
 func (l *Lease) ChangeDiscovery(now int64) {
 	l.failure = FailureBusy
 	l.confirmedAt = min(l.confirmedAt, now-l.duration+DiscoveryChangeLease)
 }
 
-// Fresh reports whether the list has every change that counts as notified, so that it can be relied on.
+// Fresh reports whether the list has every change that counts as notified, so that it can be relied on: the
+// lease never ends, discovery is down, or it answered less than the lease's duration ago.
 func (l *Lease) Fresh(now int64) bool {
 	return l.duration == 0 || l.failure == FailureDown || l.confirmed && now-l.confirmedAt < l.duration
 }
 
-// Usable reports whether jobs may be sent with the current list, if only to some workers.
+// Usable reports whether jobs may be sent with the current list, if only to some workers. A list that is not
+// fresh is usable while the last failure is FailureBusy or none; before the first answer it is usable after
+// CachedEndpointsGrace, unless a poll failed with FailureInvalid.
 func (l *Lease) Usable(now int64) bool {
 	switch {
 	case l.Fresh(now):
@@ -83,10 +88,12 @@
 	return l.failure != FailureInvalid && now-l.confirmedAt >= CachedEndpointsGrace
 }
 
-// Covers reports whether an observation made at a time is recent enough to rely on: younger than the lease.
+// Covers reports whether an observation made at a time is recent enough to rely on: younger than the duration
+// of the lease, which nothing is if the duration is 0.
 func (l *Lease) Covers(at, now int64) bool { return now-at < l.duration }
 
-// MayExplore reports whether an unproven worker may be tried now while the list is stale.
+// MayExplore reports whether an unproven worker may be tried now while the list is stale: at most one a
+// second.
 func (l *Lease) MayExplore(now int64) bool {
 	return l.exploredAt == 0 || now-l.exploredAt >= exploreInterval
 }
--- a/internal/decision/membership/schedule.go
+++ b/internal/decision/membership/schedule.go
@@ -5,24 +5,24 @@
 // A PollSchedule decides when to poll discovery for the endpoint list, and backs off while polls fail. It is
 // used where discovery does not send the list unasked.
 type PollSchedule struct {
-	maxInterval int64
+	maxInterval int64 // longest time between polls, nanoseconds
 	nextAt      int64 // time of the next poll; only while not subscribed
 	inProgress  bool  // a poll is awaiting its answer
 	subscribed  bool  // discovery sends changes unasked
-	backoff     int64
+	backoff     int64 // after the last failure, nanoseconds; 0: no failure since the last list
 }
 
 const (
-	minBackoff  = second / 2
-	startJitter = second // longest delay of the first poll, which spreads schedulers that start together
+	minBackoff  = second / 2 // after the first failure
+	startJitter = second     // longest delay of the first poll, which spreads schedulers that start together
 )
 
 // NewPollSchedule returns the schedule of a scheduler that must poll at least every maxInterval nanoseconds
 // while it is not subscribed.
 func NewPollSchedule(maxInterval int64) PollSchedule { return PollSchedule{maxInterval: maxInterval} }
 
-// Start draws the time of the first poll at random, so that dispatchers that start together do not poll
-// together.
+// Start draws the time of the first poll at random, within a quarter of maxInterval but at most startJitter,
+// so that dispatchers that start together do not poll together.
 func (s *PollSchedule) Start(now int64, rng *rand.Rand) {
 	s.nextAt = now + rng.Int64N(max(1, min(s.maxInterval/4, startJitter)))
 }
@@ -36,8 +36,8 @@
 	return true
 }
 
-// Succeed records that a list or its changes arrived. If a poll was in progress, this begins the
-// subscription.
+// Succeed records that a list or its changes arrived, and resets the backoff. If a poll was in progress, this
+// begins the subscription.
 func (s *PollSchedule) Succeed() {
 	s.subscribed = s.subscribed || s.inProgress
 	s.inProgress = false
@@ -45,7 +45,8 @@
 }
 
 // Fail records that a poll failed or the subscription broke, and draws the time of the next poll at random,
-// since all dispatchers fail together. The backoff stays within maxInterval.
+// since all dispatchers fail together: after half of the backoff to the whole. The backoff doubles with each
+// failure from minBackoff to half of maxInterval; it is minBackoff if that is longer.
 func (s *PollSchedule) Fail(now int64, rng *rand.Rand) {
 	s.subscribed, s.inProgress = false, false
 	s.backoff = min(max(2*s.backoff, minBackoff), max(s.maxInterval/2, minBackoff))
--- a/jobs.go
+++ b/jobs.go
@@ -35,7 +35,7 @@
 	index             int // position in jobTable.inFlight
 	path              int // bit 0: it needed a new connection; bit 1: its worker is in another zone
 	slots             float64
-	done              bool
+	done              bool // its outcome was reported
 	mayHaveRun        bool // it has ended, and the job may have run
 	overdue           bool // it has not started in time, and counts in worker.overdue
 	unstarted         bool // it counts in jobTable.unstarted
@@ -62,7 +62,8 @@
 	}
 }
 
-// remainingAttempts returns how many more attempts a job may have; math.MaxInt if there is no limit.
+// remainingAttempts returns how many more attempts a job may have: none if it is 0 or negative, and
+// math.MaxInt if there is no limit.
 func (d *Dispatcher) remainingAttempts(j *job) int {
 	if d.cfg.MaxAttempts <= 0 {
 		return math.MaxInt
@@ -70,7 +71,7 @@
 	return d.cfg.MaxAttempts - j.req.PriorAttempts - len(j.attempts)
 }
 
-// clearUnstarted removes an attempt from the count of those that wait for their start.
+// clearUnstarted removes an attempt from the count of those that wait for their start, if it is in it.
 func (d *Dispatcher) clearUnstarted(a *attempt) {
 	if a.unstarted {
 		a.unstarted = false
@@ -78,7 +79,7 @@
 	}
 }
 
-// clearOverdue removes an attempt from its worker's count of overdue ones.
+// clearOverdue removes an attempt from its worker's count of overdue ones, if it is in it.
 func (a *attempt) clearOverdue() {
 	if a.overdue {
 		a.overdue = false
@@ -86,7 +87,7 @@
 	}
 }
 
-// removeFinished deletes a job that has ended and has no attempt in flight.
+// removeFinished deletes a job if it has ended and has no attempt in flight.
 func (d *Dispatcher) removeFinished(j *job) {
 	if j.ended && j.inFlight == 0 {
 		delete(d.jobs.byID, j.id)
--- a/latency_loop.go
+++ b/latency_loop.go
@@ -21,7 +21,8 @@
 }
 
 // runControlLoops runs one control period: it runs the latency loops of all classes, sets the admission rate
-// to the lowest that a loop computes, and updates everything that depends on it.
+// to the lowest that a loop computes, and updates everything that depends on it. It also deletes the workers
+// that were removed more than removedRetention ago.
 func (d *Dispatcher) runControlLoops() {
 	turn := d.rate.BeginPeriod()
 	input := 1.0
--- a/placement.go
+++ b/placement.go
@@ -26,9 +26,10 @@
 
 const affinityHeadroom = 1.5 // size of an affinity set over the workers that its fraction of the jobs fills
 
-// affinityWorkers returns the affinity set of a job's key: the workers that are likely to have cached the
-// data of the key's jobs. All dispatchers compute the same order without communicating. With many dispatchers
-// the set grows with the key's fraction of the jobs seen here, and by one worker after each attempt.
+// affinityWorkers returns the affinity set of a job's key, at most affinity.MaxWorkers: the workers that are
+// likely to have cached the data of the key's jobs. All dispatchers compute the same order without
+// communicating. With many dispatchers the set grows with the key's fraction of the jobs seen here, and by
+// one worker after each attempt.
 func (d *Dispatcher) affinityWorkers(j *job) []*worker {
 	if j.affinityEventNumber != d.endpoints.events {
 		j.affinity, j.affinityPool = d.rankAffinity(j)
@@ -86,6 +87,7 @@
 
 // placementCost returns the cost of a worker relative to others of its level, in jobs in flight there. It
 // adds up the worker's pressure, its zone, a new connection, its latency and the risk that no slot is free.
+// It can be as low as -1/3, at a worker that runs jobs faster than the median or has served none yet.
 func (d *Dispatcher) placementCost(j *job, w *worker) float64 {
 	cost := d.capacity.reports.Pressure(&w.report, j.req.Slots, d.now) / 2
 	if cost >= 0.45 {
--- a/quotas.go
+++ b/quotas.go
@@ -42,17 +42,17 @@
 	d.quotas.Update(d.rate.AdmissionRate(), d.rate.Unthrottled(), d.rate.Periods(), d.remainingCapacity())
 }
 
-// onQuotas replaces the quotas. A list of the wrong length is ignored.
+// onQuotas replaces the quotas and the configured bands. A list of the wrong length is ignored.
 func (d *Dispatcher) onQuotas(quotas []float64) {
 	if len(quotas) == len(d.cfg.Tenants) {
 		d.quotas.SetQuotas(quotas)
 	}
 }
 
-// remainingCapacity returns the fraction of the fleet's capacity that is left after workers were lost; 1 if
-// none was. A worker is lost if it was removed without draining, until it is back and its slow start is over.
-// The tenants' rates are fractions of what the whole fleet can serve, and would overload the remaining
-// workers. Draining workers do not count as lost: they are removed on purpose, as traffic falls.
+// remainingCapacity returns the fraction (0 to 1) of the fleet's capacity that is left after workers were
+// lost; 1 if none was. A worker is lost if it was removed without draining, until it is back and its slow
+// start is over. The tenants' rates are fractions of what the whole fleet can serve, and would overload the
+// remaining workers. Draining workers do not count as lost: they are removed on purpose, as traffic falls.
 func (d *Dispatcher) remainingCapacity() float64 {
 	inSlowStart, weight := d.slowStartTotals()
 	warm := len(d.liveWorkers) - inSlowStart
--- a/snapshot.go
+++ b/snapshot.go
@@ -21,12 +21,12 @@
 	OfferedRate      float64          `json:"Offered"` // jobs a second
 	TrafficFraction  float64          `json:"Share"`
 	BurstTokens      float64          `json:"Spare"`
-	StartWindow      float64          `json:"Window"`
-	HedgeBudget      float64          `json:"Copies"`
+	StartWindow      float64          `json:"Window"` // slots
+	HedgeBudget      float64          `json:"Copies"` // hedges that may be sent
 	FleetPressure    MeanSnapshot     `json:"Usual"`
 	StartDelay       MeanSnapshot     `json:"Starts"`
-	MinDelay         [4]int64         `json:"Least"`
-	PressureDecay    int64            `json:"Fade"`
+	MinDelay         [4]int64         `json:"Least"`   // shortest start delay by path; 0: none yet
+	PressureDecay    int64            `json:"Fade"`    // time in which a load report's weight falls to 1/e
 	PeakWorkerRate   float64          `json:"Rate"`    // slots in use at each warm worker, held peak
 	RecentWorkerRate float64          `json:"RateNow"` // recent average of the same
 	Keys             []uint64         `json:"Keys"`
@@ -44,7 +44,7 @@
 // A ClassSnapshot holds the state of a class's latency control loop and its recent run times.
 type ClassSnapshot struct {
 	Name          string        `json:"Name"`
-	Patience      int64         `json:"Patience"`
+	Patience      int64         `json:"Patience"` // longest time from a request's arrival to its deadline
 	Median        int64         `json:"Median"`
 	LowerQuartile int64         `json:"Quick"`
 	Runs          []int64       `json:"Runs"`
@@ -116,7 +116,9 @@
 }
 
 // Restore replaces the learned state by that of another dispatcher with the same settings. Entries for
-// classes, tenants or workers that this dispatcher does not have, or for another process of a worker, are skipped.
+// classes, tenants or workers that this dispatcher does not have, or for another process of a worker, are
+// skipped: the endpoint list must have been applied before. Times are used as they are, and s.Now is not
+// used.
 func (d *Dispatcher) Restore(s *Snapshot) {
 	d.rate.Restore(admission.RateState{
 		Periods: s.ControlPeriods, AdmissionRate: s.AdmissionRate, Unthrottled: s.Unthrottled, OfferedRate: s.OfferedRate,
--- a/worker_search.go
+++ b/worker_search.go
@@ -10,7 +10,7 @@
 
 const (
 	sampleSize  = 24   // workers sampled for one job at each level of Dispatcher.free
-	maxFullScan = 1024 // level size up to which a retry that may go anywhere but where it failed examines all
+	maxFullScan = 1024 // level size up to which a retry of an Idempotent job that was sent before examines all
 )
 
 // A workerSearch finds the worker with the least cost for a job.
@@ -22,8 +22,8 @@
 }
 
 // pickWorker returns the worker for a job, or nil if no worker is eligible. It chooses the least cost: the
-// worker's level, which is the slots in use there, plus placementCost and the cost of a fetch. While the
-// endpoint list is stale it chooses among workers that accepted a job lately (pickAccepting).
+// worker's level, which is the slots in use there, rounded down, plus placementCost and the cost of a fetch.
+// While the endpoint list is stale it chooses among workers that accepted a job lately (pickAccepting).
 func (d *Dispatcher) pickWorker(j *job) *worker {
 	if !d.endpoints.lease.Fresh(d.now) {
 		return d.pickAccepting(j)
@@ -42,7 +42,8 @@
 }
 
 // consider examines a worker and keeps it if it is the cheapest so far. extraCost is added to its
-// placementCost; unless cached is true, so is the cost of a fetch where the worker lacks the job's key.
+// placementCost; unless cached is true, so is the cost of a fetch where the worker lacks the job's key. A
+// random amount of up to 0.001 breaks ties.
 func (s *workerSearch) consider(w *worker, extraCost float64, cached bool) {
 	d, j := s.d, s.j
 	d.workersExamined++
@@ -70,8 +71,9 @@
 	}
 }
 
-// searchLevel examines the workers of one level: all of them if they are few or if the job may have run
-// already, else a random sample and the workers that reported last.
+// searchLevel examines the workers of one level: all of them if they are at most sampleSize, or if the job
+// may have run already (for an Idempotent job only up to maxFullScan workers). Otherwise it examines a random
+// sample and the workers that reported last.
 func (s *workerSearch) searchLevel(level int) {
 	d, j := s.d, s.j
 	workers := d.free.view(j.class.Kind, level)
--- a/workers.go
+++ b/workers.go
@@ -52,7 +52,7 @@
 	usedSlots     float64      // slots of this dispatcher's jobs, plus externalSlots and peerUsage
 	externalSlots float64      // slots of jobs that the host sent past this dispatcher
 	peerUsage     gossip.Usage // what peers report that their jobs use
-	usedMemory    float64      // memory that all these jobs need
+	usedMemory    float64      // memory that the jobs of this dispatcher and its peers need
 	inFlightJobs  int          // attempts of this dispatcher in flight
 	dirty         bool         // changed since the last message to the peers
 }
@@ -76,7 +76,8 @@
 	viewBuffer [][]*worker   // backs the parts of the last view
 }
 
-// setLevel moves a worker to the list of a level of its kind, or out of the lists if level is negative.
+// setLevel moves a worker to the list of a level of its kind, or out of the lists if level is negative. Its
+// kind must not change while it is in a list.
 func (f *freeLists) setLevel(w *worker, level int) {
 	kindIndex := w.kind + 1
 	if kindIndex >= len(f.byKind) {
@@ -146,7 +147,8 @@
 	return path
 }
 
-// needsConnection reports whether the next job to a worker needs a new connection.
+// needsConnection reports whether the next job to a worker needs a new connection: all open ones are in use,
+// or none was used for more than ConnIdle.
 func (d *Dispatcher) needsConnection(w *worker) bool {
 	return w.inFlightJobs >= w.connections.open || d.cfg.ConnIdle > 0 && d.now-w.connections.lastUsedAt > d.cfg.ConnIdle
 }
@@ -174,13 +176,13 @@
 	next    int // index that the next worker overwrites
 }
 
-// add adds a worker in place of the oldest.
+// add adds a worker in place of the oldest. A worker may be held more than once.
 func (r *recentReports) add(w *worker) {
 	r.workers[r.next] = w
 	r.next = (r.next + 1) % len(r.workers)
 }
 
-// remove removes a worker.
+// remove sets each entry of a worker to nil.
 func (r *recentReports) remove(w *worker) {
 	for i := range r.workers {
 		if r.workers[i] == w {
