--- a/cmd/foxlift/control.go
+++ b/cmd/foxlift/control.go
@@ -57,7 +57,7 @@
 }
 
 // socketPath returns the path of the control socket: from the flag or, if that is not set, from the operator's file.
-// It is an error if neither has a path.
+// It is an error if neither has a path. The flag's default is the environment variable FOXLIFT_CONTROL.
 func (c *controlCaller) socketPath() (string, error) {
 	if c.socket == "" && c.operator != "" {
 		path, err := config.ReadControlSocket(c.operator)
--- a/cmd/foxlift/serve.go
+++ b/cmd/foxlift/serve.go
@@ -18,8 +18,8 @@
 // serveOptions holds the values of the flags of serve.
 type serveOptions struct {
 	operator  string // path of the operator's file; "" if there is none
-	logFormat string
-	logLevel  string
+	logFormat string // one of logging.Formats
+	logLevel  string // one of logging.Levels
 }
 
 // addFlags adds the flags for logging.
@@ -61,7 +61,8 @@
 // stacks, kernel memory and memory that the runtime does not count.
 func limitMemory(bytes int64) { debug.SetMemoryLimit(bytes / 2) }
 
-// serve runs a scheduler until a signal shuts it down.
+// serve runs a scheduler until a signal shuts it down, and then prints the counters. If the scheduler can no longer
+// serve, it is stopped at once and the error is returned.
 func (o *serveOptions) serve(ctx context.Context) error {
 	received := receiveSignals()
 	log, err := logging.New(os.Stderr, o.logFormat, o.logLevel)
--- a/cmd/foxlift/version.go
+++ b/cmd/foxlift/version.go
@@ -7,7 +7,8 @@
 	"github.com/spf13/cobra"
 )
 
-// versionText returns the versions of the module, of the source revision, if known, and of Go.
+// versionText returns the versions of the module, of the source revision, if known, and of Go; "unknown" if the program
+// has no build information.
 func versionText() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// checkDurationsAndCounts checks that each duration and count is between 0 and maxSettingValue.
+// checkDurationsAndCounts checks that each duration and count in its list is from 0 to maxSettingValue.
 func (s *Settings) checkDurationsAndCounts() error {
 	module := &s.Module
 	for _, setting := range []struct {
@@ -155,7 +155,8 @@
 	return nil
 }
 
-// checkReports checks the names and the number of the values in a load report.
+// checkReports checks that the names of the values in a load report are unique and not empty, and that there are
+// at most foxlift.MaxGauges.
 func (s *Settings) checkReports() error {
 	module := &s.Module
 	for i, name := range s.GaugeNames {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -13,8 +13,8 @@
 	"strconv"
 )
 
-// Bounds of the memory and the file descriptors of a scheduler. A larger limit in the file is reduced to the
-// maximum; a smaller one than the minimum is an error.
+// Bounds of the memory, in MiB, and the file descriptors of a scheduler. A larger limit in the file is reduced to
+// the maximum, which also applies if the limit is 0 or missing; a smaller one than the minimum is an error.
 const (
 	maxMemoryMB    = 192
 	maxDescriptors = 1024
@@ -28,11 +28,11 @@
 // A Scheduler is the configuration of one scheduler, without the operator's file.
 type Scheduler struct {
 	Name            string
-	Listen          string // address:port for clients
-	Admin           string // address:port for operators' requests; "": none
-	Discovery       string // address:port of the discovery service
-	Seed            uint64
-	MemoryMB        int
+	Listen          string          // address:port for clients
+	Admin           string          // address:port for operators' requests; "": none
+	Discovery       string          // address:port of the discovery service
+	Seed            uint64          // 0 if not configured
+	MemoryMB        int             // limit on the memory in MiB
 	MaxDescriptors  int             // limit on open file descriptors
 	CachedEndpoints json.RawMessage // the cached endpoint list, encoded as discovery sends it; may be empty
 	Settings        *Settings
@@ -66,7 +66,7 @@
 }
 
 // Load reads the configuration at the start of a scheduler. getenv returns the value of an environment variable.
-// A variable takes precedence over the value in the file.
+// A variable that is not empty takes precedence over the value in the file. Errors name the invalid key.
 func Load(getenv func(string) string) (*Scheduler, error) { return read(getenv, false) }
 
 // Reload reads the configuration again in a running scheduler. Unlike Load it prefers the file's discovery address
@@ -144,7 +144,7 @@
 	return checkAdmin(s.Admin, s.Listen)
 }
 
-// setLimits sets the seed, the memory limit and the descriptor limit.
+// setLimits sets the seed, the memory limit and the descriptor limit. A missing seed stays 0.
 func (s *Scheduler) setLimits(file *configFile) (err error) {
 	if file.Seed != "" {
 		if s.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
@@ -229,7 +229,8 @@
 	return nil
 }
 
-// checkAddress checks that an address has the form address:port with a port from minPort to 65535.
+// checkAddress checks that an address has the form address:port with a non-empty address and a port from minPort to
+// 65535.
 func checkAddress(key, address string, minPort int) error {
 	if address == "" {
 		return fmt.Errorf("%s: not set", key)
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -53,7 +53,8 @@
 }
 
 // ReadControlSocket reads only the path of the control socket from an operator's file, for callers that do not
-// have the platform's settings. The path is empty if the file configures no control socket.
+// have the platform's settings. The path is empty if the file configures no control socket. The error is of type
+// OperatorErrors; the content of the cells form is not checked.
 func ReadControlSocket(path string) (string, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -68,7 +69,7 @@
 }
 
 // readAbsolutePath reads the only value of a form as an absolute path. If it is not one, it records an error and
-// returns an empty path.
+// returns an empty path. v is the value, as the position of further errors; nil if there is not exactly one.
 func (r *reader) readAbsolutePath(f form) (v *sexp, path string) {
 	v = r.singleValue(f)
 	path = r.readText(f, v)
@@ -163,7 +164,7 @@
 	})
 }
 
-// readSplit reads a split form: a tenant that several cells serve.
+// readSplit reads a split form: a tenant that two or more cells serve, divided by affinity key.
 func (r *reader) readSplit(f form) cells.Split {
 	name, rest := r.readName(f)
 	r.subjects["split "+name], r.subjects["tenant "+name] = f.withName(name), f.withName(name)
@@ -234,8 +235,8 @@
 	return r.readText(f, f.args[0]), f.args[1:]
 }
 
-// readNames reads all values of a form as names. If subject is not empty, it is the prefix under which each name
-// is registered as the subject of errors of the cell plan.
+// readNames reads all values of a form as names; without any it records an error. If subject is not empty, it is the
+// prefix under which each name is registered as the subject of errors of the cell plan.
 func (r *reader) readNames(f form, subject string) (names []string) {
 	if len(f.args) == 0 {
 		r.addError(f.at, f.key, "at least one name is required")
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -21,7 +21,7 @@
 	Zones            map[string]int
 	Kinds            map[string]int
 	GaugeNames       []string      // names of the values in a load report, in order
-	ConnectTimeout   time.Duration // 0 means not configured
+	ConnectTimeout   time.Duration // limit on connecting to a worker; 0 means not configured
 	DrainGrace       time.Duration // time from the start of draining within which sends to the worker must stop
 	MaxOpen          int           // maximum number of open jobs; 0 means no limit
 	ProgressInterval time.Duration // interval between progress notes; 0 means none
@@ -133,7 +133,7 @@
 }
 
 // ParseSettings parses the JSON of the settings, for the real scheduler and for the simulator's adapter. It checks
-// only what the conversion needs. Its errors name the invalid key.
+// only what the conversion needs. The default of balancers is 1. Its errors name the invalid key.
 func ParseSettings(raw []byte) (*Settings, error) {
 	file := settingsFile{Dispatchers: 1}
 	if err := json.Unmarshal(raw, &file); err != nil {
@@ -193,7 +193,8 @@
 	return nil
 }
 
-// module returns the decision module's configuration without the classes, tenants, gauges and zone.
+// module returns the decision module's configuration without the classes, tenants, gauges and slot memory. Its zone is
+// -1, which means unknown.
 func (f *settingsFile) module() foxlift.Config {
 	bounds, obligations := &f.Bounds, &f.Obligations
 	return foxlift.Config{
@@ -282,7 +283,7 @@
 	return defaultValue
 }
 
-// indexNames returns a table from each name to its index in names.
+// indexNames returns a table from each name to its index in names; of a duplicate name, to the last index.
 func indexNames(names []string) map[string]int {
 	table := map[string]int{}
 	for i, name := range names {
@@ -327,7 +328,7 @@
 }
 
 // ParseAffinityKey parses the affinity key of a job. 16 hex digits are the key itself; any other non-empty text is
-// hashed. Empty text yields 0, which means no key.
+// hashed. Empty text and 16 zeros yield 0, which means no key.
 func ParseAffinityKey(s []byte) uint64 {
 	var raw [8]byte
 	if len(s) == 16 {
@@ -348,6 +349,7 @@
 }
 
 // keyError converts an error of encoding/json into one that names the key, if the value of a key has the wrong type.
+// It wraps any other error as invalid JSON.
 func keyError(err error) error {
 	var typeError *json.UnmarshalTypeError
 	if errors.As(err, &typeError) && typeError.Field != "" {
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// listen creates the socket, and replaces a stale one.
+// listen creates the socket, and replaces a stale one. While it does, the umask of the whole process is socketUmask.
 func listen(ctx context.Context, path string) (net.Listener, error) {
 	if err := removeStaleSocket(ctx, path); err != nil {
 		return nil, err
@@ -107,8 +107,8 @@
 	return listener, nil
 }
 
-// removeStaleSocket removes a socket that no process serves. It is an error if the path is not a socket or if another
-// process serves it.
+// removeStaleSocket removes a socket that no process serves. It does nothing if there is no file. It is an error if the
+// file is not a socket or if another process serves it.
 func removeStaleSocket(ctx context.Context, path string) error {
 	info, err := os.Lstat(path)
 	if err != nil {
@@ -162,8 +162,8 @@
 	return status.Error(codes.FailedPrecondition, err.Error())
 }
 
-// Status implements controlpb.ControlServer. It returns the scheduler's name, version, readiness and counters, and
-// whether it has cells.
+// Status implements controlpb.ControlServer. It returns the scheduler's name, version and counters, whether its core
+// is ready, and whether it has cells.
 func (s *Server) Status(context.Context, *controlpb.StatusRequest) (*controlpb.StatusReply, error) {
 	name, _ := s.Core.Cell("", 0)
 	return &controlpb.StatusReply{
@@ -232,7 +232,7 @@
 	return migrationReply(s.Core.MigrateTenant(ctx, r.Tenant, r.Cell))
 }
 
-// Evacuate implements controlpb.ControlServer. It migrates all tenants out of a cell.
+// Evacuate implements controlpb.ControlServer. It migrates all tenants out of a cell; Restore undoes that.
 func (s *Server) Evacuate(ctx context.Context, r *controlpb.EvacuateRequest) (*controlpb.Moved, error) {
 	return migrationReply(s.Core.Evacuate(ctx, r.Cell))
 }
--- a/internal/daemon/checkpoint.go
+++ b/internal/daemon/checkpoint.go
@@ -19,7 +19,7 @@
 
 // loadCheckpoint does nothing unless the operator's file names a checkpoint. Then it creates the checkpointer and
 // replaces the configuration's cached endpoint list by the list in the checkpoint. Without a usable checkpoint the
-// configured list stays.
+// configured list stays; unless the file does not exist, that is counted and logged.
 func (d *Daemon) loadCheckpoint() {
 	path := d.operator.settings.EndpointCheckpoint
 	if path == "" {
--- a/internal/daemon/configuration.go
+++ b/internal/daemon/configuration.go
@@ -24,7 +24,8 @@
 	text     []byte
 }
 
-// ReadConfiguration reads and checks the configuration file and the operator's file. It starts nothing.
+// ReadConfiguration reads and checks the configuration file and the operator's file. It starts nothing. Errors in
+// the operator's file are config.OperatorErrors.
 func ReadConfiguration(options Options) (*Configuration, error) {
 	cfg, err := config.Load(options.Getenv)
 	if err != nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -146,11 +146,13 @@
 // failed after Start returned. It delivers at most one error and is never closed.
 func (d *Daemon) Failed() <-chan error { return d.lifecycle.failures }
 
-// Addr returns the address on which clients are served. It is valid once the scheduler listens.
+// Addr returns the address on which clients are served. It panics before the scheduler listens, which in a
+// successor may be after Start has returned.
 func (d *Daemon) Addr() net.Addr { return d.platform.Addr() }
 
-// ShutDown stops the scheduler after all accepted jobs have been answered. If a successor listens, new
-// connections already go to the successor, so the health check keeps reporting that clients are served.
+// ShutDown stops the scheduler after all accepted jobs have been answered, or at once if it does not serve yet.
+// If a successor listens, new connections already go to the successor, so the health check keeps reporting that
+// clients are served.
 func (d *Daemon) ShutDown() {
 	d.finish(func() {
 		switch {
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -16,7 +16,9 @@
 const replanTimeout = 5 * time.Second // limits how long the core may take to apply a new cell plan
 
 // Reload reads the configuration file and the operator's file again, and applies the new discovery address
-// and cell plan. If it returns an error, nothing has changed.
+// and cell plan. It rejects the changes that checkReloadable lists, and ignores other changed settings until a
+// restart. If it returns an error, nothing has changed, except that the core may still apply the cell plan after
+// ctx or replanTimeout has ended the wait for it.
 func (d *Daemon) Reload(ctx context.Context) error {
 	cfg, err := config.Reload(d.options.Getenv)
 	if err != nil {
@@ -43,7 +45,7 @@
 	return nil
 }
 
-// checkReloadable returns an error if a setting has changed that only a restart can apply.
+// checkReloadable returns an error if a setting of the operator's file has changed that only a restart can apply.
 func (d *Daemon) checkReloadable(settings *config.OperatorConfig) error {
 	current := d.operator.settings
 	switch {
@@ -60,7 +62,8 @@
 }
 
 // replan applies the cell plan of the operator's file if the text of the file has changed. If it has not,
-// tenants stay in the cells to which operators have migrated them.
+// tenants stay in the cells to which operators have migrated them. After an error because of ctx or
+// replanTimeout the core may still apply the plan.
 func (d *Daemon) replan(ctx context.Context, file operatorFile) error {
 	if file.settings.Cells == nil || bytes.Equal(file.text, d.operator.text) {
 		return nil
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -31,7 +31,8 @@
 var errStaleState = errors.New("the predecessor's saved state is stale")
 
 // runSuccessor takes over from the predecessor. It waits for the endpoint list and for the predecessor's
-// state, and then serves clients beside the predecessor. It is a background task; a shutdown ends it.
+// state, and then serves clients beside the predecessor. If it cannot listen, Failed delivers the error. It is a
+// background task; a shutdown ends it.
 func (d *Daemon) runSuccessor() {
 	d.divideLimits(twoProcesses)
 	d.platform.StartWatch()
@@ -134,8 +135,9 @@
 }
 
 // pollPredecessor updates the slots that the predecessor's jobs still use at the workers. It marks the
-// predecessor as no longer needed once it has no open jobs, since the platform can then stop it without
-// failing a job, and in any case after readyTimeout.
+// predecessor as no longer needed once a state that was saved more than minOverlap after this process began to
+// listen has no open jobs, since the platform can then stop the predecessor without failing a job, and in any
+// case after readyTimeout.
 func (d *Daemon) pollPredecessor() {
 	if time.Since(d.lifecycle.startedAt) >= readyTimeout {
 		d.takeover.predecessorMayExit.Store(true)
--- a/internal/daemon/takeover.go
+++ b/internal/daemon/takeover.go
@@ -56,8 +56,8 @@
 
 // acquireTakeoverLock acquires the takeover lock of the clients' address, which shows whether a predecessor
 // serves it. It returns an error if two other processes hold the lock. If the lock cannot be used for another
-// reason, such as its directory, the process runs without predecessor and successor. The same holds without
-// an operators' address.
+// reason, such as its directory, it logs that and the process runs without predecessor and successor. The same
+// holds, without a log entry, if there is no operators' address.
 func (d *Daemon) acquireTakeoverLock() error {
 	if d.Config.Admin == "" {
 		return nil
@@ -105,8 +105,9 @@
 
 // watchOtherProcess checks regularly for another process of this scheduler, and divides the limits between
 // the two while it exists. The other process is either the predecessor, whose role in the lock this process
-// acquires once it has exited, or a successor, for which this process saves its state. It is a background
-// task that runs until the scheduler is drained.
+// acquires once it has exited, or a successor, for which this process saves its state. While a successor
+// listens, this process closes client connections, so that their clients connect to the successor. It is a
+// background task that runs until the scheduler is drained.
 func (d *Daemon) watchOtherProcess() {
 	ticker := time.NewTicker(takeoverPollInterval)
 	defer ticker.Stop()
@@ -155,7 +156,8 @@
 	return !promoted
 }
 
-// completeTakeover removes the predecessor's state after its exit, and opens the control socket.
+// completeTakeover removes the predecessor's slots and saved state after its exit, marks it as no longer needed,
+// and opens the control socket. If the socket cannot be opened, it only logs the error.
 func (d *Daemon) completeTakeover() {
 	d.log.Info("takeover: predecessor has exited")
 	d.Core.SetExternalSlots(nil)
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -40,7 +40,8 @@
 	a.report(report)
 }
 
-// execute gets a connection, exchanges the request and the answer on it, and returns the final report.
+// execute gets a connection, exchanges the request and the answer on it, and returns the final report. Nothing is sent,
+// and the code is NotSent, if the worker is not live or the attempt is no longer valid once there is a connection.
 func (a *attempt) execute() core.Report {
 	a.trace.startedAt = time.Now()
 	a.pool.inFlight.add(a)
@@ -99,9 +100,10 @@
 	return true
 }
 
-// abortUnavailable ends the attempt unless its answer has begun. state is the worker's state, which is not live.
-// An attempt at a draining worker goes on if all of its request was acknowledged and workers answer only when
-// the job starts.
+// abortUnavailable resets the connection of an attempt whose answer has not begun, which ends the attempt, and counts
+// that. state is the worker's state, which is not live. An attempt at a draining worker goes on if all of its request
+// was acknowledged and no worker has answered before it started the job. An attempt without a connection needs no
+// abort, because stillValid stops it before it writes.
 func (a *attempt) abortUnavailable(state foxlift.WorkerState) {
 	if state == foxlift.Draining && !a.pool.answersBeforeStart.Load() && !a.hasUnsentRequest() {
 		return // the job may be in the worker's queue, without an answer until it starts
@@ -120,15 +122,15 @@
 }
 
 // stillValid reports whether the attempt may still be sent: the worker's entry in the endpoint table is unchanged
-// and live, the core has not withdrawn the attempt and its client has not disconnected. The settings may forbid
-// cancelling attempts, but only those whose request was sent.
+// and live, the core has not withdrawn the attempt, and the job is neither answered nor its client disconnected. The
+// job is checked even if the settings forbid cancelling attempts: that applies only to attempts whose request was sent.
 func (a *attempt) stillValid(target endpoint) bool {
 	now, ok := a.pool.findLive(a.worker)
 	return ok && now == target && a.ctx.Err() == nil && !a.job.Finished()
 }
 
-// exchange writes the request and reads the worker's answer. reusable reports whether the connection can be used
-// for another request.
+// exchange writes the request and reads the worker's answer. If an invariant forbids the first byte, it writes nothing
+// and returns NotSent. reusable reports whether the connection can be used for another request.
 func (a *attempt) exchange(conn *workerConn, target endpoint) (report core.Report, reusable bool) {
 	request, remaining := a.formatRequest()
 	if !a.checkInvariants(remaining, false) {
@@ -146,7 +148,7 @@
 
 // checkInvariants reports whether bytes of the request may be written now without violating an invariant of package
 // guard; it counts a violation. remaining is the time to the deadline that the request announces to the worker.
-// lastByte is set for the check before the last byte.
+// lastByte is set for the check before the last byte. Without stateOf, as in some tests, it returns true.
 func (a *attempt) checkInvariants(remaining time.Duration, lastByte bool) bool {
 	if a.pool.stateOf == nil {
 		return true
@@ -170,7 +172,7 @@
 }
 
 // receiveAnswer reads the worker's answer. It returns the final report of the attempt, and whether the connection
-// can be used for another request.
+// can be used for another request. The code is Reset if the answer ends early or cannot be parsed.
 func (a *attempt) receiveAnswer(conn *workerConn) (report core.Report, reusable bool) {
 	msg := conn.buf.newMessage(maxResponseBytes)
 	defer msg.close()
@@ -195,7 +197,7 @@
 }
 
 // formatRequest returns the HTTP request for the worker, and the remaining time until the client's deadline that
-// the request announces.
+// the request announces. The time is negative after the deadline; the request then announces 0.
 func (a *attempt) formatRequest() (text []byte, remaining time.Duration) {
 	jobPayload := a.job.Payload.(*payload)
 	request := fmt.Appendf(nil, "%s %s HTTP/1.1\r\nHost: %s\r\n", jobPayload.method, jobPayload.target, a.worker)
@@ -210,8 +212,9 @@
 	return append(request, jobPayload.body...), remaining
 }
 
-// codeForStatus returns the code for an answer whose status is not 200. Only a 503 or 504 with the protocol's
-// rejection header proves that the job never ran: without the header, any component may have sent it.
+// codeForStatus returns the code for an answer whose status is not 200: Saturated for a 503 or 504 with the protocol's
+// rejection header, InvalidRequest for a 4xx, and WorkerError for any other. Only the rejection header proves that the
+// job never ran: without it, any component may have sent the 503 or 504.
 func codeForStatus(resp *response) foxlift.Code {
 	unavailable := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout
 	switch {
@@ -223,5 +226,5 @@
 	return foxlift.WorkerError
 }
 
-// finalReport returns the report of an attempt that has ended without a result.
+// finalReport returns the report, without a result, of an attempt or a health check that has ended with code.
 func finalReport(code foxlift.Code) core.Report { return core.Report{Ended: true, Code: code} }
--- a/internal/platform/attempt_trace.go
+++ b/internal/platform/attempt_trace.go
@@ -14,11 +14,11 @@
 // attempt spent its time. A zero time means that the step was not completed.
 type attemptTrace struct {
 	startedAt      time.Time
-	connectedAt    time.Time // a connection was available
-	writtenAt      time.Time // the last byte of the request was written
-	answeredAt     time.Time // the head of the answer was read
-	reused         bool      // the connection had served an earlier request
-	withdrawn      atomic.Bool
+	connectedAt    time.Time   // a connection was available
+	writtenAt      time.Time   // the last byte of the request was written
+	answeredAt     time.Time   // the head of the answer was read
+	reused         bool        // the connection had served an earlier request
+	withdrawn      atomic.Bool // the core withdrew the attempt while it had a connection
 	unacknowledged atomic.Bool // the worker's machine had not acknowledged all of the request at the withdrawal
 }
 
@@ -31,9 +31,9 @@
 	answerWarning = 3 * time.Second
 )
 
-// log logs an attempt whose worker was draining or removed before the answer began, whose request was written later
-// than writeWarning, or whose answer began later than answerWarning. All of these should be rare. state is the
-// worker's state now.
+// log logs an attempt that has ended if one of three rare conditions is true: no answer began on its connection and
+// the worker is draining or removed now; the request was not written within writeWarning of the connection; or the
+// answer did not begin within answerWarning of the last byte. state is the worker's state now.
 func (t *attemptTrace) log(log *zap.Logger, a *attempt, state foxlift.WorkerState, report core.Report) {
 	end := time.Now()
 	answeredLate := !t.writtenAt.IsZero() && t.timeOrEnd(t.answeredAt, end).Sub(t.writtenAt) > answerWarning
--- a/internal/platform/call_deadline.go
+++ b/internal/platform/call_deadline.go
@@ -7,7 +7,7 @@
 // to decode; cancelling it while it arrives would only start the same transfer again.
 const (
 	bytesWithinTimeout = 128 << 10              // bytes of a list that extend the deadline by nothing
-	minBytesPerSecond  = 24 << 10               // transfer rate that the extension allows for the bytes beyond them
+	minBytesPerSecond  = 24 << 10               // received bytes beyond them that extend it by 1 s
 	maxStall           = 700 * time.Millisecond // longest wait for the next part of a list past its call's timeout
 )
 
@@ -20,8 +20,8 @@
 // addReceived records that bytes more bytes of the list were read.
 func (d *callDeadline) addReceived(bytes int) { d.received += int64(bytes) }
 
-// next returns the deadline for the next part of the list, after a part that was read at now. It is never before the
-// call's timeout.
+// next returns the deadline for the next part of the list, after a part that was read at now. It is at most maxStall
+// after now, but never before the call's timeout.
 func (d *callDeadline) next(now time.Time) time.Time {
 	extension := time.Duration(max(0, d.received-bytesWithinTimeout)) * time.Second / minBytesPerSecond
 	deadline := d.timeout.Add(extension)
--- a/internal/platform/discovery_client.go
+++ b/internal/platform/discovery_client.go
@@ -23,7 +23,8 @@
 // Error implements error.
 func (e statusError) Error() string { return fmt.Sprintf("discovery returned status %d", int(e)) }
 
-// callOutcome returns the outcome of a failed call to discovery for the pacer.
+// callOutcome returns the outcome of a failed call to discovery for the pacer. An error of an unknown kind is
+// Unreachable.
 func callOutcome(err error) pollpacing.Outcome {
 	var status statusError
 	var netErr net.Error
@@ -40,15 +41,17 @@
 	return pollpacing.Unreachable
 }
 
-// responseError is a failure after discovery had begun to answer with status 200, so discovery is reachable.
+// responseError is a failure to read, decode or use the body of a response with status 200, so discovery is reachable.
+// A list that is rejected only for its Content-Length is not a responseError.
 type responseError struct{ error }
 
 // Unwrap returns the cause.
 func (e responseError) Unwrap() error { return e.error }
 
-// pollFailure returns the kind of failure that the module is told of a failed call, from its error and its duration.
-// The module uses it to judge the age of the endpoint list. A 503 after a wait of at least pollpacing.MinQueueWait may
-// mean that discovery is down or that it has too many callers.
+// pollFailure returns the kind of failure that is reported to the module for a failed call, from its error and its
+// duration. The module uses it to judge the age of the endpoint list. A responseError is FailureInvalid, a refused
+// connection is FailureDown, and a 503 after a wait of at least pollpacing.MinQueueWait is FailureBusy: discovery may
+// be down or have too many callers. Any other error, such as a timeout or an earlier 503, is FailureUnanswered.
 func pollFailure(err error, took time.Duration) foxlift.PollFailure {
 	switch {
 	case errors.As(err, new(responseError)):
@@ -64,7 +67,7 @@
 // discoveryClient makes calls to discovery, one at a time. It keeps one connection across calls.
 type discoveryClient struct {
 	addr   string
-	conn   net.Conn
+	conn   net.Conn // nil before connect and after close
 	buf    readBuffer
 	detach func() bool // stops the closing of conn when the context of connect is done
 
@@ -73,6 +76,7 @@
 	onReading   func(bool)   // called before each read: true if input has arrived, false if the read has to wait for it
 }
 
+// close closes the connection. Without one it does nothing.
 func (c *discoveryClient) close() {
 	if c.conn != nil {
 		c.detach()
@@ -97,7 +101,8 @@
 	return nil
 }
 
-// send writes a call for target, whose response has to begin within timeout. connect must have succeeded before.
+// send writes a call for target, a path with a query. The response has to arrive within timeout; extendDeadline extends
+// that for a long list. connect must have succeeded before.
 func (c *discoveryClient) send(target string, timeout time.Duration) error {
 	c.deadline = callDeadline{timeout: time.Now().Add(timeout)}
 	c.conn.SetDeadline(c.deadline.timeout)
@@ -105,8 +110,9 @@
 	return err
 }
 
-// receive reads the response to a call and decodes the endpoint list as it arrives. A list over bound is rejected with
-// an oversizedError.
+// receive reads the response to a call and decodes the endpoint list as it arrives. The error is a statusError if the
+// status is not 200, wraps an oversizedError for a list over bound, and otherwise is a responseError if the body cannot
+// be read or decoded. After an error the connection cannot be used for another call.
 func (c *discoveryClient) receive(bound responseBound) (*endpointsResponse, error) {
 	msg := c.buf.newMessage(maxHeadBytes)
 	msg.releaseEarly = true // decoded bytes are not needed any more
@@ -149,7 +155,7 @@
 // the reading before the end of the body, because a decoder may report that error as malformed input.
 type boundedBody struct {
 	body      io.Reader
-	maxBytes  int64 // a longer body is rejected
+	maxBytes  int64 // a longer body is rejected with an oversizedError
 	onRead    func(bytes int)
 	bytesRead int64
 	err       error
--- a/internal/platform/endpoint.go
+++ b/internal/platform/endpoint.go
@@ -9,7 +9,7 @@
 
 // endpoint is a worker's entry in the endpoint table.
 type endpoint struct {
-	address          string
+	address          string // host:port; may be anything for a removed worker
 	state            foxlift.WorkerState
 	unavailableSince time.Time // when the list first reported it as not live; zero means that it is live
 	processStart
--- a/internal/platform/endpoint_snapshot.go
+++ b/internal/platform/endpoint_snapshot.go
@@ -29,10 +29,11 @@
 	return p.endpoints.confirmedVersion()
 }
 
-// SnapshotEndpoints returns the current endpoint list; false if the discovery that is polled now has not confirmed a
-// list since the start of this process.
+// SnapshotEndpoints returns the current endpoint list without removed workers; false if the discovery that is polled
+// now has not confirmed a list since the start of this process.
 func (p *Platform) SnapshotEndpoints() (*EndpointSnapshot, bool) { return p.endpoints.snapshot() }
 
+// confirmedVersion implements Platform.EndpointsVersion.
 func (w *endpointWatch) confirmedVersion() (version int64, confirmed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -43,6 +44,7 @@
 // this process.
 func (w *endpointWatch) confirmedLocked() bool { return w.answered && !w.switched && !w.needComplete }
 
+// snapshot implements Platform.SnapshotEndpoints. The entries are sorted by worker ID.
 func (w *endpointWatch) snapshot() (*EndpointSnapshot, bool) {
 	w.mu.Lock()
 	if !w.confirmedLocked() {
--- a/internal/platform/endpoint_table.go
+++ b/internal/platform/endpoint_table.go
@@ -17,9 +17,10 @@
 	onWorkerState func(worker string, state foxlift.WorkerState) // for each worker that a response names or drops
 
 	entries map[string]endpoint
-	version int64 // version of the last applied response
+	version int64 // version of the last applied response; 0 before the first
 }
 
+// newEndpointTable returns an empty table on the clocks of this process, whose onWorkerState does nothing.
 func newEndpointTable(s *config.Settings) endpointTable {
 	return endpointTable{
 		settings:      s,
@@ -33,8 +34,9 @@
 // wallClock returns the wall-clock time without a monotonic reading.
 func wallClock() time.Time { return time.Now().Round(0) }
 
-// apply updates the table from a response of discovery and returns the workers of the response as the decision module
-// represents them.
+// apply updates the table from a valid response of discovery and returns the workers of the response as the decision
+// module represents them, with -1 for an unknown zone or kind. A complete response replaces all entries. apply calls
+// onWorkerState for each worker of the response, and for each worker that a complete response no longer has.
 func (t *endpointTable) apply(response *endpointsResponse) []foxlift.Worker {
 	previous := t.entries
 	if response.Complete {
--- a/internal/platform/endpoint_watch.go
+++ b/internal/platform/endpoint_watch.go
@@ -29,6 +29,7 @@
 
 // endpointObserver receives the results of the calls to discovery. *core.Core implements it.
 type endpointObserver interface {
+	// UpdateEndpoints reports a complete list, or the entries of a list that have changed.
 	UpdateEndpoints(kind foxlift.EndpointUpdate, workers []foxlift.Worker)
 	ConfirmEndpoints()                             // discovery has answered that nothing has changed
 	ChangeDiscovery()                              // another discovery is polled from now on
@@ -53,7 +54,7 @@
 	cancelCalls      context.CancelFunc // cancels the current session's calls and delays; nil if there is no session
 	switchRetryUntil time.Time          // end of switchRetryPeriod; zero: no switch, or it is completed
 	switched         bool               // discovery has changed since the last session was opened
-	answered         bool               // a call has been answered since the start of this process
+	answered         bool               // a response was applied since the start of this process; see hasSynced
 	needComplete     bool               // the next session requests the complete list, not the changes since a version
 	watching         bool               // the goroutine of run has been started
 }
@@ -63,7 +64,8 @@
 func newEndpointWatch(
 	ctx context.Context, discovery string, s *config.Settings, observer endpointObserver, log *zap.Logger,
 ) *endpointWatch {
-	// After a failed call the time between calls may be four times MaxPollInterval. Half of that is used.
+	// After a failed call the time between calls may be four times MaxPollInterval. Half of that is used; 0 means no
+	// limit.
 	maxDelay := 2 * time.Duration(s.Module.MaxPollInterval)
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	pacer := pollpacing.NewPacer(s.Module.Dispatchers, maxDelay, rng)
@@ -85,7 +87,7 @@
 }
 
 // loadCached applies the cached list, which was saved before the start of this process, and returns its workers; nil
-// if there is no cached list.
+// if there is no cached list. An invalid list is an error.
 func (w *endpointWatch) loadCached(cached []byte) ([]foxlift.Worker, error) {
 	response, err := parseCached(cached)
 	if response == nil {
@@ -96,8 +98,8 @@
 	return w.applyLocked(response), nil
 }
 
-// applyLocked applies a response to the table and clears the record of an unread response. It returns the response's
-// workers.
+// applyLocked applies a response to the table, and clears needComplete and the record of an unread response. It returns
+// the response's workers.
 func (w *endpointWatch) applyLocked(response *endpointsResponse) []foxlift.Worker {
 	w.needComplete = false
 	w.unread.clear()
@@ -107,7 +109,9 @@
 // findLive returns a worker's entry, and whether new work may be sent to the worker now. A change is in force as soon
 // as discovery has written it. If a response has arrived that is not in the table yet (the process was suspended, the
 // core was busy, or the list is long), findLive waits until the response is applied. It returns false if that takes
-// longer than unreadResponse.deadline allows. Because it may block, it must not be called on the core's goroutine.
+// longer than unreadResponse.deadline allows. A worker that is not live has its entry returned with false; the entry is
+// zero if the wait failed or the worker is unknown. Because findLive may block, it must not be called on the core's
+// goroutine.
 func (w *endpointWatch) findLive(worker string) (endpoint, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -130,7 +134,8 @@
 	return w.table.state(worker)
 }
 
-// hasSynced reports whether discovery has answered a call since the start of this process.
+// hasSynced reports whether a response of discovery has been applied since the start of this process. The last response
+// of an old discovery, read during a switch, does not count.
 func (w *endpointWatch) hasSynced() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -153,9 +158,10 @@
 	w.loop.Go(w.run)
 }
 
-// switchTo makes the watch poll another discovery. It cancels the call to the old discovery, and the next calls request
-// the new discovery's complete list until it has arrived; the current list stays in force until then. A response that
-// the old discovery has already written is in force too, so it is read before its call is cancelled.
+// switchTo makes the watch poll another discovery, and starts the watch if necessary. It cancels the call to the old
+// discovery, and the next calls request the new discovery's complete list until it has arrived; the current list stays
+// in force until then. A response that the old discovery has already written is in force too, so it is read before its
+// call is cancelled, for up to finalReadTimeout.
 func (w *endpointWatch) switchTo(discovery string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -180,8 +186,9 @@
 	w.loop.Wait()
 }
 
-// run makes calls until the watch is stopped. After a failure it waits for the delay of the pacer. That delay accounts
-// for the calls of all schedulers together, because a failure of discovery ends the watches of all of them at once.
+// run makes calls until the watch is stopped. After a failure it waits for the delay of the pacer; after a switch to
+// another discovery it does not wait. The pacer's delay accounts for the calls of all schedulers together, because a
+// failure of discovery ends the watches of all of them at once.
 func (w *endpointWatch) run() {
 	delay := w.pacer.InitialDelay()
 	for {
@@ -229,7 +236,8 @@
 	return ctx, session
 }
 
-// closeSession cancels the calls of the session. It reports whether the watch is in the retry period after a switch.
+// closeSession cancels the calls of the session and clears the record of an unread response. It reports whether the
+// watch is in the retry period after a switch.
 // In that period failures are not logged or reported, because the new discovery may not be running yet.
 func (w *endpointWatch) closeSession() (retryingSwitch bool) {
 	w.mu.Lock()
@@ -260,14 +268,15 @@
 	return w.applyLocked(response), nil
 }
 
-// progress returns the list's version, and whether a call has been answered since the start of this process.
+// progress returns the list's version, and whether a response has been applied since the start of this process.
 func (w *endpointWatch) progress() (version int64, answered bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.table.version, w.answered
 }
 
-// completeTimeout returns the timeout of a call for the complete list.
+// completeTimeout returns the timeout of a call for the complete list. In the retry period after a switch it is at most
+// switchCallTimeout.
 func (w *endpointWatch) completeTimeout() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -278,7 +287,8 @@
 }
 
 // setReading records whether input of a response is being read. true means that input has arrived and is about to be
-// read; false means that all input so far was read and is only a part of the response, and more is awaited.
+// read; false means that all input so far was read and more of the response is awaited. After a switch, false also
+// cancels the calls to the old discovery, because it has written no complete response.
 func (w *endpointWatch) setReading(reading bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/platform/endpoints_response.go
+++ b/internal/platform/endpoints_response.go
@@ -17,7 +17,7 @@
 // never in memory as a whole. A list over it is rejected, because it could make the process run out of memory.
 const (
 	designEndpoints      = 19_000 // workers of the fleet that one scheduler is designed for (docs/capacity)
-	bytesPerEntry        = 512    // bound per entry; a compact entry has about 126 bytes, an indented one about 220
+	bytesPerEntry        = 512    // allowed on average; a compact entry has about 126 bytes, an indented one about 220
 	memoryPerEntry       = 2048   // bytes that an entry takes in the table, the core and the module together
 	textMemoryDivisor    = 8      // the text of a list may have at most 1/8 as many bytes as the memory limit
 	entriesMemoryDivisor = 2      // the entries of a list may take at most 1/2 of the memory limit
@@ -25,7 +25,7 @@
 
 // responseBound holds the maximum size of an endpoint list.
 type responseBound struct {
-	bytes, entries int64
+	bytes, entries int64 // size of the text, and number of entries
 }
 
 // newResponseBound returns the bound for a process whose memory limit is memory bytes.
@@ -50,14 +50,16 @@
 	return fmt.Sprintf("endpoint list exceeds the limit of %d %s", e.limit, e.unit)
 }
 
-// endpointsResponse is discovery's response: a complete endpoint list, or the entries changed since a version.
+// endpointsResponse is discovery's response: a complete endpoint list, or the entries changed since a version. Version
+// is the version of the list with the response applied; decodeResponse never leaves it nil.
 type endpointsResponse struct {
 	Version   *int64          `json:"seq"`
 	Complete  bool            `json:"whole"`
 	Endpoints []endpointEntry `json:"hosts"`
 }
 
-// endpointEntry is a worker's entry in discovery's response.
+// endpointEntry is a worker's entry in discovery's response. StartedMilli is the start of the worker's process in Unix
+// milliseconds; a value that is not positive means long ago.
 type endpointEntry struct {
 	ID           string `json:"host"`
 	Address      string `json:"dial"`
@@ -94,8 +96,8 @@
 }
 
 // decodeResponse decodes a response of at most maxEntries entries from r up to the end of r, entry by entry. It
-// returns an error if any part of the response is invalid. It accepts the same JSON as json.Unmarshal, except that
-// "hosts" may appear only once.
+// returns an oversizedError for more entries, and an error if any part of the response is invalid or "seq" is missing.
+// It accepts the same JSON objects as json.Unmarshal, except that "hosts" may appear only once.
 func decodeResponse(r io.Reader, maxEntries int64) (*endpointsResponse, error) {
 	dec := json.NewDecoder(r)
 	if err := expectDelim(dec, '{'); err != nil {
@@ -139,7 +141,8 @@
 	return &response, nil
 }
 
-// decodeEndpoints decodes the array of entries, of which there may be at most maxEntries; null counts as no entries.
+// decodeEndpoints decodes the array of entries; null counts as no entries. It stops with an oversizedError after
+// maxEntries entries, and with an error that names the index at an invalid entry.
 func (r *endpointsResponse) decodeEndpoints(dec *json.Decoder, maxEntries int64) error {
 	if token, err := dec.Token(); err != nil || token == nil {
 		return err
@@ -172,8 +175,8 @@
 	return err
 }
 
-// parseCached decodes the cached list, which was saved before the start of this process; nil if there is none. The
-// result counts as a complete list.
+// parseCached decodes the cached list, which was saved before the start of this process; nil if it is empty or null.
+// The result counts as a complete list. The error for an invalid list names its configuration key.
 func parseCached(cached []byte) (*endpointsResponse, error) {
 	if len(cached) == 0 || string(cached) == "null" {
 		return nil, nil
--- a/internal/platform/health_check.go
+++ b/internal/platform/health_check.go
@@ -18,7 +18,8 @@
 	go func() { report(p.healthCheck(worker)) }()
 }
 
-// healthCheck runs one health check of a worker and returns its report.
+// healthCheck runs one health check of a worker and returns its report. The code is NotSent if the worker is not live,
+// and that of the error of acquire if there is no connection.
 func (p *workerPool) healthCheck(worker string) core.Report {
 	target, ok := p.findLive(worker)
 	if !ok {
@@ -40,7 +41,9 @@
 }
 
 // exchangeHealthCheck sends a health check request and reads the answer. If the settings name gauges, it requests the
-// worker's load report instead of a ping. reusable reports whether the connection can be used for another request.
+// worker's load report instead of a ping. The code is Served for status 200, WorkerError for another status,
+// Unreachable if the request cannot be written, DeadlineExceeded if no valid head of an answer arrives, and Reset if
+// the body is incomplete. reusable reports whether the connection can be used for another request.
 func (p *workerPool) exchangeHealthCheck(conn *workerConn, worker string) (report core.Report, reusable bool) {
 	path := pathPing
 	if len(p.loadParser.names) > 0 {
--- a/internal/platform/load_report.go
+++ b/internal/platform/load_report.go
@@ -24,10 +24,11 @@
 // maxGaugeValue is the maximum valid value of a gauge. No real gauge reaches it.
 const maxGaugeValue = 1e9
 
-// loadGauges holds the gauge values of a load report, in the order of the settings.
+// loadGauges holds the gauge values of a load report, in the order of the settings; unused ones at the end are 0.
 type loadGauges = [foxlift.MaxGauges]float64
 
-// parseHeader parses a report in the headers of an answer; false if there is no valid report.
+// parseHeader parses a report in the headers of an answer; false if there is no valid report. values are the values of
+// the report's header; more than one is invalid.
 func (p loadParser) parseHeader(values []string) (loadGauges, bool) {
 	switch {
 	case len(p.names) == 0 || len(values) == 0:
@@ -47,7 +48,7 @@
 }
 
 // parseBody parses the body of an answer to a health check, which is a JSON object or has the form of the header;
-// false if it is not a valid report.
+// false if it is not a valid report. The settings must name at least one gauge.
 func (p loadParser) parseBody(text []byte) (loadGauges, bool) {
 	if text = bytes.TrimSpace(text); bytes.HasPrefix(text, []byte("{")) {
 		return p.parseObject(text)
@@ -71,7 +72,8 @@
 	present [foxlift.MaxGauges]bool
 }
 
-// set records the value of a gauge, or ignores it if the settings do not name the gauge.
+// set records the value of a gauge. It ignores a gauge that the settings do not name, and returns an error for a
+// duplicate or an invalid value.
 func (r *loadReport) set(name, value string) error {
 	i := slices.Index(r.names, name)
 	if i < 0 || i >= len(r.values) {
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -63,14 +63,15 @@
 
 // peerReceiver checks the datagrams received from one peer: it limits their rate and rejects duplicates.
 type peerReceiver struct {
-	tokens          float64 // messages that the peer may send now without exceeding its rate
-	updatedAt       int64   // time of the last datagram, in Unix microseconds
-	recentSendTimes [peerHistoryLength]int64
-	nextSlot        int
+	tokens          float64                  // messages that the peer may send now without exceeding its rate
+	updatedAt       int64                    // time of the last datagram, in Unix microseconds
+	recentSendTimes [peerHistoryLength]int64 // of the last accepted datagrams, in Unix microseconds; 0: unused
+	nextSlot        int                      // index in recentSendTimes of the next send time
 }
 
-// decode checks a datagram received at now, in Unix microseconds, and returns its message. Datagrams may arrive in
-// another order than they were sent. The error is a *datagramError.
+// decode checks a datagram received at now, in Unix microseconds, and returns a copy of its message. Datagrams may
+// arrive in another order than they were sent. An invalid datagram counts against the rate too. The error is a
+// *datagramError.
 func (p *peerReceiver) decode(now int64, raw []byte) ([]byte, error) {
 	p.tokens = min(maxPeerBurst, p.tokens+float64(now-p.updatedAt)*maxPeerRate/1e6)
 	p.updatedAt = now
@@ -103,13 +104,13 @@
 // writes, so that neither blocks the core.
 type peers struct {
 	listen    string
-	conn      *net.UDPConn
+	conn      *net.UDPConn // nil before open
 	peerAddrs []netip.AddrPort
 	broadcast netip.AddrPort // address that reaches all peers; not valid if there is none
 	ownIndex  int
 	clock     core.Clock
 	counters  *counters.Set
-	receive   func(from int, data []byte)
+	receive   func(from int, data []byte) // called by the goroutine of read with the peer's index
 	outgoing  chan datagram
 	lastSent  int64 // send time of the last message in Unix microseconds; used only by the core's goroutine
 	stopped   chan struct{}
@@ -117,12 +118,14 @@
 	loops     sync.WaitGroup // waits for the goroutines of read and write
 }
 
+// datagram is an encoded datagram that waits to be sent.
 type datagram struct {
 	to   netip.AddrPort
 	data []byte
 }
 
-// newPeers parses the addresses of the schedulers, among which ownIndex is this one's index. It opens no socket.
+// newPeers parses the addresses of the schedulers, among which ownIndex is this one's index. An address that is not of
+// the form IP:port is an error. newPeers opens no socket.
 func newPeers(
 	c config.Peers, ownIndex int, clock core.Clock, set *counters.Set, receive func(from int, data []byte),
 ) (*peers, error) {
@@ -146,7 +149,8 @@
 }
 
 // open opens the socket and starts reading and writing. If shared is set, another process may have the same address
-// open. Until open is called, outgoing messages are queued, and dropped once the queue is full.
+// open. Until open is called, outgoing messages are queued, and dropped once the queue is full. The error names the
+// configuration key.
 func (p *peers) open(shared bool) (err error) {
 	if shared {
 		p.conn, err = upgrade.ListenPacket(p.listen)
@@ -164,7 +168,8 @@
 	return nil
 }
 
-// Send implements core.Peers.
+// Send implements core.Peers. It counts and drops a message that is too long or does not fit into the queue. It ignores
+// an index that no peer has.
 func (p *peers) Send(to int, data []byte) {
 	p.lastSent = max(p.lastSent+1, p.clock.Now()/1000)
 	b := encodeDatagram(p.lastSent, data)
@@ -193,7 +198,7 @@
 	}
 }
 
-// write sends queued datagrams until stop is called.
+// write sends queued datagrams until stop is called. It counts each as sent or, after an error, as not sent.
 func (p *peers) write() {
 	for {
 		select {
--- a/internal/platform/unread_response.go
+++ b/internal/platform/unread_response.go
@@ -8,7 +8,7 @@
 // Limits of how long an attempt waits until a response that has arrived is in the endpoint table. The attempt is not
 // sent if the wait ends before that.
 const (
-	unreadWait    = time.Second     // since the last read of a part of the response
+	unreadWait    = time.Second     // since the wait began or, if later, since the last read of a part of the response
 	maxUnreadWait = 4 * time.Second // in total; longer than the timeout of a call for the complete list
 )
 
@@ -20,7 +20,8 @@
 	lastReadAt time.Time // when a part of a response was last about to be read
 }
 
-// exists reports whether bytes of a response have arrived that are not in the table.
+// exists reports whether bytes of a response have arrived that are not in the table. It also returns true if the
+// connection has ended and the watch has not closed it yet.
 func (u *unreadResponse) exists() bool { return u.reading || u.conn != nil && hasInput(u.conn) }
 
 // clear records that no response is awaited, because the last one is in the table or its connection was closed.
--- a/internal/platform/watch_session.go
+++ b/internal/platform/watch_session.go
@@ -48,7 +48,8 @@
 	}
 }
 
-// poll makes one call and applies its response.
+// poll makes one call and applies its response. A response with changes and a lower version than the table's is not
+// applied; the next call then requests the complete list. poll also reports the previous call's response to the core.
 func (s *watchSession) poll(ctx context.Context, calledAt time.Time) error {
 	err := s.call(ctx)
 	// The last response is reported to the core after the next call was sent, because the core may be busy and
@@ -87,7 +88,8 @@
 }
 
 // call sends the next call to discovery. It records the connection before that, because the response may arrive as
-// soon as the call is sent. From then on the response is in force for attempts, however long the core is busy.
+// soon as the call is sent. From its arrival until it is in the table attempts wait for it (findLive), so that it is in
+// force for them even while the core is busy.
 func (s *watchSession) call(ctx context.Context) error {
 	target, timeout := s.nextCall()
 	if err := s.client.connect(ctx); err != nil {
@@ -99,7 +101,7 @@
 	return s.client.send(target, timeout)
 }
 
-// nextCall returns the request target of the next call, and its timeout.
+// nextCall returns the request target of the next call, and its timeout, which includes the hold of a watch.
 func (s *watchSession) nextCall() (target string, timeout time.Duration) {
 	if s.complete {
 		return pathMembers, s.watch.completeTimeout()
--- a/internal/platform/worker_conn.go
+++ b/internal/platform/worker_conn.go
@@ -66,7 +66,9 @@
 // that byte back for hold and checks that the worker has not closed the connection. A connection that the worker has
 // closed, or closes now, answers the first bytes with a reset, and a job whose last byte was not written never ran.
 // The endpoint list may change or the client disconnect during the hold, so proceed is called after it; if it returns
-// false, or deadline (unless zero) has passed, the last byte is not written. The error is a *sendError.
+// false, or deadline (unless zero) has passed, the last byte is not written. The error is a *sendError: its code is
+// NotSent or Unreachable if the last byte was not written, and Reset if it may have been. After an error the connection
+// cannot be used for another request.
 func (c *workerConn) deliver(request []byte, hold time.Duration, deadline time.Time, proceed func() bool) error {
 	last := len(request) - 1
 	if _, err := c.Write(request[:last]); err != nil {
--- a/internal/platform/worker_pool.go
+++ b/internal/platform/worker_pool.go
@@ -30,7 +30,8 @@
 type workerPool struct {
 	// findLive returns a worker's entry, and whether new work may be sent to the worker now.
 	findLive func(worker string) (endpoint, bool)
-	// stateOf returns a worker's state in the endpoint list, and the time since which it has not been live.
+	// stateOf returns a worker's state in the endpoint list, and the time since which it has not been live. In tests
+	// it may be nil, which disables the checks of package guard.
 	stateOf     func(worker string) (foxlift.WorkerState, time.Time)
 	drainGrace  time.Duration // after which nothing may be sent to a worker that is no longer live
 	log         *zap.Logger
@@ -50,6 +51,8 @@
 	idle   map[string][]*workerConn // by address, the most recently used last
 }
 
+// newWorkerPool returns a pool that has at most budget connections open. A timeout that is 0 in the settings has its
+// default.
 func newWorkerPool(
 	endpoints *endpointWatch, s *config.Settings, set *counters.Set, log *zap.Logger, budget int,
 ) *workerPool {
@@ -138,7 +141,7 @@
 	}
 }
 
-// discard closes a connection that is not idle.
+// discard closes a connection that is not idle, and frees its place in the budget.
 func (p *workerPool) discard(c *workerConn) {
 	c.Close()
 	p.mu.Lock()
@@ -177,7 +180,8 @@
 	return true
 }
 
-// setBudget changes the maximum number of open connections and closes idle connections over it.
+// setBudget changes the maximum number of open connections and closes idle connections over it. Connections in use stay
+// open, so there may be more than budget until they are closed.
 func (p *workerPool) setBudget(budget int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -186,7 +190,8 @@
 }
 
 // acquire returns an idle connection to a worker, or dials one. The error is a *sendError. A lack of file descriptors
-// is reported as NotSent, since it is not a fault of the worker.
+// is reported as NotSent, since it is not a fault of the worker; any other failure, also the end of ctx, is reported as
+// Unreachable. Both are counted.
 func (p *workerPool) acquire(ctx context.Context, target endpoint) (*workerConn, error) {
 	if c := p.reuse(target); c != nil {
 		return c, nil
@@ -203,7 +208,7 @@
 	return nil, &sendError{foxlift.Unreachable, err}
 }
 
-// dial opens a connection within dialTimeout.
+// dial opens a connection within dialTimeout. It returns errNoDescriptor if the budget is in use.
 func (p *workerPool) dial(ctx context.Context, addr string) (*workerConn, error) {
 	if err := p.reserve(); err != nil {
 		return nil, err
@@ -220,7 +225,8 @@
 	return &workerConn{Conn: conn, addr: addr, buf: readBuffer{conn: conn}, openedAt: time.Now()}, nil
 }
 
-// CloseIdle implements core.Workers.
+// CloseIdle implements core.Workers. It returns at once. Connections to a worker that is not in the endpoint table stay
+// open until their idle timeout.
 func (p *workerPool) CloseIdle(worker string) {
 	go func() {
 		target, _ := p.findLive(worker)
@@ -246,8 +252,9 @@
 	}
 }
 
-// Send implements core.Workers. Only the core ends the attempt early, by calling withdraw: the attempt does not depend
-// on a context of the platform, so it continues while the platform shuts down.
+// Send implements core.Workers. It returns at once. Only withdraw, which the core calls, and abortUnavailable end the
+// attempt early. The attempt does not depend on a context of the platform, so it continues while the platform shuts
+// down.
 func (p *workerPool) Send(
 	worker string, job *core.Job, limits core.AttemptLimits, report func(core.Report),
 ) (withdraw func()) {
