--- a/admission.go
+++ b/admission.go
@@ -56,12 +56,13 @@
 	d.jobs.urgent = d.jobs.urgent[:0]
 }
 
-// Bounds on queuing for a few dispatchers that do not exchange their usage. Each queues a large part of the
-// fleet's work, and a job that is sent with just enough time for a median run is late at every worker that
-// also has jobs of other dispatchers.
+// Bounds on queuing for a few dispatchers that do not exchange their usage (lacksPeerUsage). Each queues a
+// large part of the fleet's work, and a job that is sent with just enough time for a median run is late at
+// every worker that also has jobs of other dispatchers. In other fleets maxQueueTime has 1 for remainingRuns
+// and 2 for excessQueueDivisor.
 const (
-	remainingRuns      = 2 // median runs that must fit between the longest queue time and the objective; else 1
-	excessQueueDivisor = 8 // a job over its tenant's quota is queued for its class's objective over this; else 2
+	remainingRuns      = 2 // median runs that must fit between the longest queue time and the objective
+	excessQueueDivisor = 8 // a job over its tenant's quota is queued for its class's objective over this
 	newestFirstLength  = 3 // queue length of a class of a tenant from which the newest job is sent first
 )
 
--- a/api.go
+++ b/api.go
@@ -290,10 +290,10 @@
 	EventEndpoints                           // EndpointUpdate, PollFailure, Workers
 	EventStarted                             // ID, Attempt, Stream: the job runs, or with Stream its stream flows
 	EventProgress                            // ID, Attempt: the job makes progress
-	EventOutcome                             // ID, Attempt, Worker, Code, Took, Ended, Load
+	EventOutcome                             // ID, Attempt, Worker, Code, Took, Ended, HasLoad, Load
 	EventClientDisconnected                  // ID
 	EventTimer                               // Token
-	EventHealthChecked                       // Worker, Code, Took, Load
+	EventHealthChecked                       // Worker, Code, Took, HasLoad, Load
 	EventMessage                             // From, Data
 	EventQuotas                              // Quotas: the quotas of the tenants have changed
 )
@@ -303,10 +303,10 @@
 	Kind           EventKind
 	Request        Request
 	ID             uint64
-	Attempt        int
+	Attempt        int // index of the attempt among those of this dispatcher, from 0
 	Worker         string
 	Code           Code
-	Took           int64              // time from send to outcome
+	Took           int64              // time from send to outcome or to the answer of a health check
 	Ended          bool               // the request has its final answer
 	Stream         bool               // the job streams its answer
 	HasLoad        bool               // Load is set
--- a/attempts.go
+++ b/attempts.go
@@ -209,7 +209,7 @@
 
 const (
 	hedgesPerSend  = 0.05 // hedges of overdue attempts that each send adds to the budget
-	maxHedgeBudget = 5.0  // maximum budget, in hedges, for the moment when workers hang
+	maxHedgeBudget = 5.0  // maximum and initial budget, in hedges, for the case that workers hang
 )
 
 // startLimit returns the time in nanoseconds after its send at which an attempt that is not reported as
--- a/internal/decision/capacity/limit.go
+++ b/internal/decision/capacity/limit.go
@@ -28,7 +28,8 @@
 // other workers' limits or a default.
 func (l *Limit) Learned() bool { return l.learned }
 
-// Restore sets the limit and whether it was learned.
+// Restore sets the limit and whether it was learned. Like the next two methods it leaves the LimitSum to its
+// Update.
 func (l *Limit) Restore(slots float64, learned bool) { l.slots, l.learned = slots, learned }
 
 // Decrease lowers the limit after a job had to wait or was rejected while used slots were in use: to
--- a/internal/decision/capacity/window.go
+++ b/internal/decision/capacity/window.go
@@ -39,7 +39,8 @@
 	}
 }
 
-// NumPaths is the number of paths of an attempt: over a new connection or not, to another zone or not.
+// NumPaths is the number of paths of an attempt: over a new connection or not, to another zone or not. Paths
+// are numbered from 0.
 const NumPaths = 4
 
 // StartDelays keeps statistics of the delay from sending an attempt to its start, in nanoseconds.
--- a/internal/decision/gossip/table.go
+++ b/internal/decision/gossip/table.go
@@ -38,7 +38,7 @@
 // Len returns the number of dispatchers, including this one.
 func (t *Table[W]) Len() int { return len(t.peers) }
 
-// IsPeer reports whether from is the index of another dispatcher.
+// IsPeer reports whether from is the index of another dispatcher of the fleet.
 func (t *Table[W]) IsPeer(from int) bool { return from >= 0 && from < len(t.peers) && from != t.self }
 
 // Restarted reports whether a message has another incarnation than the last one of its sender, or than 0 if
--- a/internal/decision/health/rate.go
+++ b/internal/decision/health/rate.go
@@ -15,8 +15,8 @@
 	servedSlots     float64 // slot-seconds of the jobs served in the current second
 }
 
-// NewWorkerRate returns an unknown rate. fleetScale is how many times more dispatchers the fleet has than can
-// each learn enough from their own jobs.
+// NewWorkerRate returns an unknown rate, which is 0. fleetScale is how many times more dispatchers the fleet
+// has than can each learn enough from their own jobs.
 func NewWorkerRate(fleetScale float64) WorkerRate {
 	return WorkerRate{gain: rateGain / min(fleetScale, 2), peakDecay: (1 - peakRetention) * min(fleetScale, 5)}
 }
--- a/internal/decision/health/slow_start.go
+++ b/internal/decision/health/slow_start.go
@@ -61,7 +61,8 @@
 // Rate returns the rate of warm workers, those past slow start.
 func (s *SlowStart) Rate() *WorkerRate { return &s.rate }
 
-// Active reports whether a worker is in slow start.
+// Active reports whether a worker is in slow start: its process started less than Duration ago. It is false
+// if the start was long ago (0).
 func (s *SlowStart) Active(w *Warmup, now int64) bool {
 	return w.startedAt != 0 && now-w.startedAt < s.config.Duration
 }
--- a/jobs.go
+++ b/jobs.go
@@ -30,10 +30,10 @@
 type attempt struct {
 	job               *job
 	worker            *worker
-	number            int
-	sentAt, startedAt int64
-	index             int // position in jobTable.inFlight
-	path              int // bit 0: it needed a new connection; bit 1: its worker is in another zone
+	number            int   // index in job.attempts
+	sentAt, startedAt int64 // startedAt is 0 until the start is reported
+	index             int   // position in jobTable.inFlight
+	path              int   // bit 0: it needed a new connection; bit 1: its worker is in another zone
 	slots             float64
 	done              bool // its outcome was reported
 	mayHaveRun        bool // it has ended, and the job may have run
@@ -51,7 +51,8 @@
 	return j.attempts[e.Attempt]
 }
 
-// updateMayHaveRun finds the first attempt of a job that may have run, after another was proved not to have.
+// updateMayHaveRun finds the first attempt of a job that may have run, after another was proved not to have;
+// nil if there is none. An attempt in flight counts.
 func (d *Dispatcher) updateMayHaveRun(j *job) {
 	j.mayHaveRun = nil
 	for _, a := range j.attempts {
--- a/placement.go
+++ b/placement.go
@@ -90,7 +90,7 @@
 // It can be as low as -1/3, at a worker that runs jobs faster than the median or has served none yet.
 func (d *Dispatcher) placementCost(j *job, w *worker) float64 {
 	cost := d.capacity.reports.Pressure(&w.report, j.req.Slots, d.now) / 2
-	if cost >= 0.45 {
+	if cost >= 0.45 { // a pressure of 0.9 or more costs as much as a job in flight
 		cost = 1
 	}
 	if w.zone != d.cfg.Zone {
--- a/snapshot.go
+++ b/snapshot.go
@@ -16,7 +16,7 @@
 type Snapshot struct {
 	Now              int64            `json:"Now"`    // time of the snapshot
 	ControlPeriods   int64            `json:"Period"` // control periods of the rate controller
-	AdmissionRate    float64          `json:"U"`
+	AdmissionRate    float64          `json:"U"`      // of the whole fleet, jobs a second
 	Unthrottled      bool             `json:"Open"`
 	OfferedRate      float64          `json:"Offered"` // jobs a second
 	TrafficFraction  float64          `json:"Share"`
@@ -56,7 +56,8 @@
 	Output        float64       `json:"Output"`    // w(k-1)
 }
 
-// A TenantSnapshot holds the admission state of a tenant.
+// A TenantSnapshot holds the admission state of a tenant: see admission.TenantState. Name is "" for requests
+// without a known tenant.
 type TenantSnapshot struct {
 	Name        string    `json:"Name"`
 	Rate        float64   `json:"Rate"`
@@ -68,13 +69,14 @@
 	Sends       []float64 `json:"Sent"` // by class
 }
 
-// A WorkerSnapshot holds the state learned of one process of a worker.
+// A WorkerSnapshot holds the state learned of one process of a worker. The fields from PausedUntil to
+// FailureRate are those of health.OutlierState.
 type WorkerSnapshot struct {
 	ID                    string   `json:"ID"`
 	StartedAt             int64    `json:"Started"` // start of the process, to which alone the state applies
-	ConcurrencyLimit      float64  `json:"Cap"`
+	ConcurrencyLimit      float64  `json:"Cap"`     // slots
 	LimitLearned          bool     `json:"Capped"`
-	ReportedSlots         float64  `json:"Most"`
+	ReportedSlots         float64  `json:"Most"` // total slots from its load reports; 0: unknown
 	PausedUntil           int64    `json:"Shut"`
 	Backoff               int64    `json:"Backoff"`
 	Trial                 bool     `json:"Trial"`
@@ -82,7 +84,7 @@
 	PromptStartAt         int64    `json:"Good"`
 	LastFaultAt           int64    `json:"Bad"`
 	FailureRate           float64  `json:"Failing"`
-	LatencyRatio          float64  `json:"Slow"`
+	LatencyRatio          float64  `json:"Slow"` // running times over class medians, moving mean; 0: none yet
 	SlowStartSentAt       int64    `json:"ColdFrom"`
 	SlowStartWork         float64  `json:"ColdWork"`
 	Keys                  []uint64 `json:"Keys"`
@@ -161,6 +163,7 @@
 	return ""
 }
 
+// snapshot returns the state of the class, in copies of its slices.
 func (c *class) snapshot() ClassSnapshot {
 	s := c.loop.State()
 	return ClassSnapshot{
@@ -171,6 +174,7 @@
 	}
 }
 
+// restore sets the state of the class from copies of the slices of s.
 func (c *class) restore(s *ClassSnapshot) {
 	c.maxClientWait = s.Patience
 	c.runtimes.Restore(s.Median, s.LowerQuartile, slices.Clone(s.Runs))
@@ -180,6 +184,7 @@
 	}, slices.Clone(s.Ratios))
 }
 
+// snapshot returns the state of the tenant under a name, in copies of its slices.
 func (t *tenant) snapshot(name string) TenantSnapshot {
 	s := t.quota.State()
 	return TenantSnapshot{
@@ -188,6 +193,7 @@
 	}
 }
 
+// restore sets the state of the tenant from s, of which it copies the counts.
 func (t *tenant) restore(s *TenantSnapshot) {
 	t.quota.Restore(admission.TenantState{
 		Rate: s.Rate, Tokens: s.Tokens, OfferedRate: s.OfferedRate, Margin: s.Margin,
@@ -195,6 +201,7 @@
 	})
 }
 
+// snapshot returns the state of the worker, without its last load report and its usage.
 func (w *worker) snapshot() WorkerSnapshot {
 	outlier := w.outlier.State()
 	sentAt, work := w.warmup.LastSend()
@@ -208,6 +215,7 @@
 	}
 }
 
+// restore sets the state of the worker. The caller updates the sum of limits and the worker's level.
 func (w *worker) restore(s *WorkerSnapshot) {
 	w.limit.Restore(s.ConcurrencyLimit, s.LimitLearned)
 	w.report.RestoreTotalSlots(s.ReportedSlots)
--- a/workers.go
+++ b/workers.go
@@ -29,7 +29,7 @@
 	report       capacity.LoadReport
 	outlier      health.Outlier
 	warmup       health.Warmup
-	latencyRatio float64 // moving mean of its running times over the class medians
+	latencyRatio float64 // moving mean of its running times over the class medians; 0: none yet
 	acceptedAt   int64   // send time of the last attempt that it accepted; 0: none
 	accepting    bool    // in endpointState.accepting
 
