--- a/cmd/foxlift/cells.go
+++ b/cmd/foxlift/cells.go
@@ -137,7 +137,8 @@
 	return w.Flush()
 }
 
-// printCellTable prints a heading and one line for each cell, with tabs between the columns.
+// printCellTable prints a heading and one line for each cell, with tabs between the columns. The state of a retired or
+// evacuated cell is that word instead of its condition.
 func printCellTable(w io.Writer, reply *controlpb.CellsReply) {
 	fmt.Fprintln(w, "CELL\tSTATE\tSHARE\tNODES\tOPEN\tBOUND\tOUT\tHELD\tSPILLED\tSERVED\tREFUSED\tFAILED\tSHUT")
 	for _, cell := range reply.Cells {
@@ -154,8 +155,8 @@
 	}
 }
 
-// printTenantTable prints a heading and one line for each tenant, with whether the tenant is in the cell that the
-// operator's file assigns to it.
+// printTenantTable prints a heading and one line for each tenant of each cell, with whether the tenant is in the cell
+// that the operator's file assigns to it.
 func printTenantTable(w io.Writer, reply *controlpb.CellsReply) {
 	fmt.Fprintln(w, "\nTENANT\tCELL\tQUOTA\tPLACE")
 	for _, cell := range reply.Cells {
@@ -169,7 +170,8 @@
 	}
 }
 
-// printWorkerTable prints a heading and one line for each worker.
+// printWorkerTable prints a heading and one line for each worker. The last two columns are the slots in flight from the
+// worker's cell, and from other cells and another process.
 func printWorkerTable(w io.Writer, reply *controlpb.CellsReply) {
 	fmt.Fprintln(w, "\nNODE\tCELL\tKIND\tZONE\tSTATE\tOUT\tOF OTHERS")
 	for _, cell := range reply.Cells {
--- a/cmd/foxlift/serve.go
+++ b/cmd/foxlift/serve.go
@@ -39,6 +39,7 @@
 }
 
 // signals has one channel for each kind of signal, so that no signal is lost while another one is handled.
+// Signals of one kind that arrive meanwhile count as one.
 type signals struct {
 	shutdown, reload, print chan os.Signal
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -21,7 +21,8 @@
 const keyTTLMargin = int64(100 * time.Millisecond)
 
 // checkScheduler checks the settings of the real scheduler and sets the values that follow from running on
-// sockets. The simulator's adapter does not call it: there the decision module checks its own configuration.
+// sockets: PollEndpoints, EndpointLease and, reduced by keyTTLMargin, the KeyTTL of deduplicated classes. The
+// simulator's adapter does not call it: there the decision module checks its own configuration.
 func (s *Settings) checkScheduler() error {
 	for _, check := range []func() error{
 		s.checkFleet, s.checkClasses, s.checkTenants, s.checkDurationsAndCounts, s.checkFractionsAndPrices, s.checkReports,
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -11,7 +11,7 @@
 )
 
 // Dial returns a client of the scheduler whose control socket is at path, and a function that closes the client. The
-// client connects at its first call.
+// client connects at its first call, which fails if no scheduler serves the socket.
 func Dial(path string) (controlpb.ControlClient, func() error, error) {
 	conn, err := grpc.NewClient("passthrough:///foxlift",
 		grpc.WithTransportCredentials(insecure.NewCredentials()), // access control is the mode of the socket
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -28,7 +28,7 @@
 )
 
 const (
-	maxConnections          = 4        // open at once; each uses a file descriptor
+	maxConnections          = 4        // open at once, further ones wait; each uses a file descriptor
 	maxStreamsPerConnection = 8        // concurrent calls on one connection
 	maxMessageBytes         = 64 << 10 // size of a request
 	bufferBytes             = 4 << 10  // size of the read buffer and of the write buffer of a connection
@@ -171,7 +171,8 @@
 	}, nil
 }
 
-// Cells implements controlpb.ControlServer. It returns the state of all cells at one point in time.
+// Cells implements controlpb.ControlServer. It returns the state of all cells at one point in time. On
+// a scheduler without cells it fails.
 func (s *Server) Cells(ctx context.Context, _ *controlpb.CellsRequest) (*controlpb.CellsReply, error) {
 	states, err := s.Core.Cells(ctx)
 	if err != nil {
@@ -184,7 +185,7 @@
 	return reply, nil
 }
 
-// cell converts the state of a cell to its message.
+// cell converts the state of a cell to its message. An unknown kind or zone of a worker becomes "".
 func (s *Server) cell(state *core.CellState) *controlpb.Cell {
 	cell := &controlpb.Cell{
 		Name:      state.Name,
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -24,8 +24,8 @@
 type Options struct {
 	Getenv       func(string) string // returns an environment variable such as LB_CONFIG; "" if it is not set
 	OperatorPath string              // path of the operator's file; "" for none
-	Log          *zap.Logger
-	Version      string
+	Log          *zap.Logger         // must not be nil
+	Version      string              // of the program, as the control API reports it
 
 	// LimitMemory is called with the number of bytes that the process may use: at the start, and whenever
 	// the limit changes because another process of the scheduler starts or exits. It may be nil.
@@ -34,7 +34,7 @@
 
 // A Daemon is a running scheduler.
 type Daemon struct {
-	Config   *config.Scheduler
+	Config   *config.Scheduler // Reload changes only its Discovery
 	Core     *core.Core
 	Counters *counters.Set
 
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -50,8 +50,9 @@
 	})
 }
 
-// awaitEndpoints waits until discovery has sent the endpoint list or, after endpointsTimeout, until a list
-// with a live worker is available, which may be the cached one. It returns an error only if ctx is done.
+// awaitEndpoints waits until discovery has sent the endpoint list and the core accepts jobs or, after
+// endpointsTimeout, until a list with a live worker is available, which may be the cached one. The second
+// wait has no limit. It returns an error only if ctx is done.
 func (d *Daemon) awaitEndpoints(ctx context.Context) error {
 	ticker := time.NewTicker(startPollInterval)
 	defer ticker.Stop()
@@ -113,7 +114,8 @@
 	return d.Core.RestoreState(ctx, state)
 }
 
-// loadPredecessorProgress loads the part of the predecessor's state that a successor polls.
+// loadPredecessorProgress loads the part of the predecessor's state that a successor polls. It returns an error if
+// there is no state, or if the state is unreadable or stale.
 func (d *Daemon) loadPredecessorProgress() (*core.DrainProgress, error) {
 	progress := &core.DrainProgress{}
 	if err := d.takeover.lock.LoadState(progress); err != nil {
--- a/internal/daemon/takeover.go
+++ b/internal/daemon/takeover.go
@@ -79,7 +79,7 @@
 }
 
 // serve listens for clients and accepts their connections. If a predecessor listens too, new connections are
-// directed to this process.
+// directed to this process; otherwise serve also starts the endpoint watch, which a successor has started before.
 func (d *Daemon) serve() error {
 	if err := d.platform.Listen(); err != nil {
 		return err
