--- a/cmd/foxlift-lab/fuzz.go
+++ b/cmd/foxlift-lab/fuzz.go
@@ -14,7 +14,7 @@
 
 var (
 	errFinding        = errors.New("fuzz: a fuzz target failed")
-	errMutantSurvived = errors.New("mutants: no test failed for at least one mutant")
+	errMutantSurvived = errors.New("mutants: at least one mutant was not caught")
 )
 
 // fuzzCommand returns the command that runs all fuzz targets in turn.
@@ -60,9 +60,10 @@
 		Use:   "mutants",
 		Short: "Check that the fuzz tests catch deliberate faults in copies of the source",
 		Args:  cobra.NoArgs,
-		Long: `mutants applies each of a list of deliberate faults to its own copy of the module in the current folder
-and runs the fuzz tests that should fail because of it, for at most 60 s. It needs the go command. It
-exits with code 1 if no test fails for a fault, or if a fault cannot be applied or built.`,
+		Long: `mutants applies each of a list of deliberate faults (mutants) to its own copy of the module in the current
+folder and runs the fuzz tests that should fail because of it, for at most 60 s. A mutant is caught if one
+of these tests fails. mutants needs the go command. It exits with code 1 if a mutant is not caught, or
+cannot be applied or built.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			caught, all, err := lab.CheckMutants(cmd.Context(), cmd.OutOrStdout(), match, workers)
 			if err != nil {
@@ -75,7 +76,7 @@
 			return nil
 		},
 	}
-	cmd.Flags().StringVar(&match, "match", "", "apply only faults whose names contain this text")
-	cmd.Flags().IntVar(&workers, "workers", 0, "faults that are checked concurrently; 0: one for each CPU core")
+	cmd.Flags().StringVar(&match, "match", "", "check only mutants whose names contain this text")
+	cmd.Flags().IntVar(&workers, "workers", 0, "mutants that are checked concurrently; 0: one for each CPU core")
 	return cmd
 }
--- a/cmd/foxlift-lab/soak.go
+++ b/cmd/foxlift-lab/soak.go
@@ -30,8 +30,8 @@
 faults that overlap in time, and checks the scheduler's guarantees against what the stand-ins recorded.
 It exits with code 1 if it finds a violation or if a run fails.
 
---mutants builds schedulers with one deliberate fault each and prints how many of them the soak catches.
-It exits with code 1 only if a build or a run fails, not if a fault is not caught.`,
+--mutants builds schedulers with one deliberate fault each (mutants) and prints how many mutants were
+caught. It exits with code 1 only if a build or a run fails, not if a mutant is not caught.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if short {
 				options.Duration, seeds = shortSoak, 1
@@ -60,7 +60,7 @@
 	cmd.Flags().StringVar(&options.Program, "build", options.Program, "path of the scheduler's binary")
 	cmd.Flags().BoolVar(&build, "fresh", false, "build the scheduler in a temporary folder in place of --build")
 	cmd.Flags().BoolVar(&mutants, "mutants", false,
-		"run builds with one deliberate fault each, from the source in the current folder")
+		"run mutants, built with one deliberate fault each from the source in the current folder")
 	cmd.Flags().BoolVar(&short, "short", false, "run one seed with 10 s of faults")
 	return cmd
 }
--- a/cmd/foxlift-lab/standin.go
+++ b/cmd/foxlift-lab/standin.go
@@ -17,8 +17,8 @@
 		Args:  cobra.NoArgs,
 		Long: `standin runs stand-ins for discovery, on 127.0.0.1:8500, and for two workers, on 127.0.0.1:3101 and
 127.0.0.1:3102, with two slots each. A job of the class reading takes 0.3 s, one of the class ratify
-1.5 s. SIGUSR1 switches the second worker between active and draining in the endpoint list. SIGINT or
-SIGTERM ends it with code 0. It exits with code 1 if it cannot listen on an address.`,
+1.5 s. SIGUSR1 switches the second worker between active and leaving (draining) in the endpoint list.
+SIGINT or SIGTERM ends it with code 0. It exits with code 1 if it cannot listen on an address.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			signals := make(chan os.Signal, 1)
 			signal.Notify(signals, lab.StandInSignals...)
--- a/cmd/foxlift-lab/trials.go
+++ b/cmd/foxlift-lab/trials.go
@@ -36,16 +36,17 @@
 	options := fleet.DefaultKeyedTrial
 	cmd := &cobra.Command{
 		Use:   "keyed",
-		Short: "Reset and silence connections under load, and check that no deduplicated job runs twice",
+		Short: "Reset and block links under load, and check that no deduplicated job runs more than once",
 		Args:  cobra.NoArgs,
 		Long: `keyed tests jobs with an idempotency key. It starts two scheduler processes with workers in two
-deduplication groups (pods). A group drops repeats of a key for a limited time. keyed resets or silences
-one connection after another, and drops, duplicates, corrupts and delays messages between the schedulers.
+deduplication groups (pods). A group drops repeats of a key for a limited time. keyed resets or blocks one
+link between a scheduler and a worker after another, and loses, duplicates, corrupts and delays messages
+between the schedulers.
 
-It exits with code 1 if a job with a key ran twice, a job was lost, no job was sent again, no message
-between the schedulers arrived, or a scheduler did not exit with code 0 after SIGTERM. --short-window and
---no-pods make the workers break the guarantee on which the scheduler relies; keyed must then exit with
-code 1, which shows that it detects duplicate runs.`,
+It exits with code 1 if a job with a key ran more than once, a job was lost, there were not more attempts
+than jobs, no message between the schedulers was received, or a scheduler did not exit with code 0 after
+SIGTERM. --short-window and --no-pods make the workers break the guarantee on which the scheduler relies;
+keyed must then exit with code 1, which shows that it detects jobs that ran more than once.`,
 		Example: "  go run ./cmd/foxlift-lab keyed --build bin/foxlift",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			r, err := options.Run(cmd.OutOrStdout())
@@ -54,7 +55,7 @@
 	}
 	cmd.Flags().StringVar(&options.Program, "build", options.Program, "path of the scheduler's binary")
 	cmd.Flags().IntVar(&options.Faults, "faults", options.Faults,
-		"number of resets and silences, about half of each")
+		"number of faults, about half of them resets and half blocked links")
 	cmd.Flags().Uint64Var(&options.Seed, "seed", options.Seed, "seed of the arrivals and the faults")
 	cmd.Flags().DurationVar(&options.FaultInterval, "every", options.FaultInterval, "time between two faults")
 	cmd.Flags().BoolVar(&options.ShortWindow, "short-window", false,
@@ -75,8 +76,8 @@
 		Long: `coldstart simulates a release. It starts many scheduler processes at once, under load, with the endpoint
 list from before the release, a discovery that serves one call at a time, and workers in slow start. It
 prints how fast the schedulers get the current list and how many jobs are served in time. It exits with
-code 1 if a worker in slow start is overloaded, a job is lost, an at-most-once job runs twice, a scheduler
-does not exit with code 0 after SIGTERM, or no job was sent.`,
+code 1 if a worker in slow start is overloaded, a job is lost, an at-most-once job runs more than once, a
+scheduler does not exit with code 0 after SIGTERM, or no job was sent.`,
 		Example: "  go run ./cmd/foxlift-lab coldstart --schedulers 30 --nodes 20 --build bin/foxlift",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			r, err := options.Run(cmd.OutOrStdout())
@@ -88,7 +89,7 @@
 	cmd.Flags().IntVar(&options.Workers, "nodes", options.Workers, "workers")
 	cmd.Flags().Uint64Var(&options.Seed, "seed", options.Seed,
 		"seed of the arrivals and of the choice of replaced workers")
-	cmd.Flags().DurationVar(&options.Duration, "for", options.Duration, "duration of the observation")
+	cmd.Flags().DurationVar(&options.Duration, "for", options.Duration, "duration of the load")
 	cmd.Flags().Float64Var(&options.LoadFraction, "load", options.LoadFraction,
 		"load, as a fraction of the capacity of the fleet after slow start")
 	cmd.Flags().Float64Var(&options.ReplacedFraction, "replaced", options.ReplacedFraction,
--- a/cmd/foxlift-lab/upgrade.go
+++ b/cmd/foxlift-lab/upgrade.go
@@ -18,14 +18,16 @@
 		Short: "Replace a scheduler process under load, many times in a row, and check its jobs",
 		Args:  cobra.NoArgs,
 		Long: `upgrade starts a scheduler with stand-ins and replaces it as the platform does: it starts a second
-process, sends SIGTERM to the old one when the new one reports on its operators' address that it is ready,
-and SIGKILL when the time limit for its end is over. It exits with code 1 if a job was lost, a job got a
-wrong result, an at-most-once job ran twice, more than two jobs were returned unread in one upgrade, a new
-process needed more than 6 s to become ready, not all upgrades were made, or no job was served.
+process, sends SIGTERM to the old one when the new one reports on its admin address that it is ready, and
+SIGKILL when the time limit for its end is over. It exits with code 1 if a job was lost, a job got a wrong
+result, an at-most-once job ran more than once, more than two jobs were not read in one upgrade, a new
+process was not ready after 6 s, a process exited with an error, not all upgrades were made, or no job was
+answered with status 200 (ok). A job is not read if the scheduler cannot have read its complete request;
+the client then sends it once more.
 
 --fault injects a fault into each upgrade: none; kill-new (a new process is killed before it is ready);
 stop-new (a new process is suspended before it is ready, and killed later); kill-old (the old process is
-killed during the upgrade; jobs that fail because of that do not count as lost).`,
+killed during the upgrade; the result does not count jobs that are lost because of that).`,
 		Example: "  go run ./cmd/foxlift-lab upgrade --upgrades 20 --build bin/foxlift",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGINT, syscall.SIGTERM)
--- a/internal/lab/soak/mutant.go
+++ b/internal/lab/soak/mutant.go
@@ -26,12 +26,15 @@
 func startOverload(v Violations) int { return v.StartOverload }
 
 const (
-	maxSeedsPerMutant    = 10 // a mutant that no run with these seeds reveals is not detected
+	maxSeedsPerMutant    = 10 // a mutant that no run with these seeds reveals is not caught
 	maxConcurrentMutants = 3  // checked at the same time
 )
 
-// CheckMutants runs each mutant with up to maxSeedsPerMutant seeds until the soak detects it. It
-// writes a line for each mutant and returns how many were detected.
+// CheckMutants builds each mutant from the module in the current folder and runs it with the seeds from
+// 1 to maxSeedsPerMutant until the soak catches it; it ignores o.Program and o.Seed. It writes a line for
+// each mutant and returns how many were caught. A mutant that is not caught is no error. If a build or a
+// run fails, CheckMutants still checks the remaining mutants and returns the first error. ctx ends only
+// the builds, not the runs.
 func CheckMutants(ctx context.Context, w io.Writer, o Options) (caught int, err error) {
 	var mu sync.Mutex
 	var group errgroup.Group
@@ -46,10 +49,10 @@
 			case err != nil:
 				return fmt.Errorf("%s: %w", m.Name, err)
 			case seeds > maxSeedsPerMutant:
-				fmt.Fprintf(w, "NOT DETECTED in %d seeds  %s\n", maxSeedsPerMutant, m.Name)
+				fmt.Fprintf(w, "NOT CAUGHT in %d seeds  %s\n", maxSeedsPerMutant, m.Name)
 			default:
 				caught++
-				fmt.Fprintf(w, "detected by seed %2d       %s\n", seeds, m.Name)
+				fmt.Fprintf(w, "caught by seed %2d       %s\n", seeds, m.Name)
 			}
 			return nil
 		})
@@ -58,8 +61,8 @@
 	return caught, err
 }
 
-// check returns the seed, counted from 1, with which the soak detected the mutant; maxSeedsPerMutant+1
-// if none did.
+// check returns the seed, counted from 1, with which the soak caught the mutant; maxSeedsPerMutant+1 if
+// none did.
 func (m *Mutant) check(ctx context.Context, o Options) (seeds int, err error) {
 	dir, err := os.MkdirTemp("", "foxlift-soak-mutant-")
 	if err != nil {
