--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -22,7 +22,7 @@
 	Shed        int // answered with 429 or 503
 	Failed      int // answered with any other status
 	Rejected    int // failed jobs whose status was 4xx, a client error
-	Lost        int // no connection, or no complete response before the client's timeout
+	Lost        int // no connection or no complete response, for instance before the client's timeout
 	Interrupted int // no complete response or no connection, excused by Client.WasInterrupted
 }
 
@@ -56,8 +56,8 @@
 	Grace             time.Duration // added to Remaining to get the client's timeout; at least minGrace
 
 	// WasInterrupted reports whether the client cannot expect a response to a job that it sent at a time, because the
-	// scheduler was killed after that. nil excuses no job. If it is set, a job whose scheduler refuses the connection
-	// counts as Interrupted as well.
+	// scheduler was killed after that. nil excuses no job. If it is set, a job for which the client cannot connect to
+	// the scheduler counts as Interrupted as well. Send calls it concurrently.
 	WasInterrupted func(sent time.Time) bool
 
 	sent    atomic.Int64
@@ -85,8 +85,9 @@
 	notConnected   = -1                    // status that Send returns if it cannot connect to the scheduler
 )
 
-// Run sends jobs until stop is closed, then waits for their responses. The arrivals are a Poisson process of the rate
-// that rate returns, in jobs a second; seed determines its random numbers.
+// Run sends jobs until stop is closed, then waits for their responses and closes the idle connections. The arrivals are
+// a Poisson process of the rate that rate returns, in jobs a second, with 0 for none; seed determines its random
+// numbers.
 func (c *Client) Run(rate func() float64, seed uint64, stop <-chan struct{}) {
 	defer c.finish()
 	rng := rand.New(rand.NewPCG(seed, rngStream))
@@ -137,15 +138,18 @@
 	c.sentAt[id] = at
 }
 
-// SentAt returns the time at which each job was sent, by job id.
+// SentAt returns the time at which each job was sent so far, by job id; nil if there was none. A job counts as sent
+// even if the client could not connect.
 func (c *Client) SentAt() map[string]time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.sentAt)
 }
 
-// Send sends one job and returns the HTTP status of its response: 0 if none came in time, notConnected if the client
-// could not connect to the scheduler.
+// Send sends one job, waits until it has ended and returns the HTTP status of its response: 0 if the connection ended
+// or the client's timeout passed before a complete response, -1 (notConnected) if the client could not connect to the
+// scheduler. If a reused connection fails, Send sends the job again on another one. It keeps the connection for later
+// jobs; only Run closes idle connections. Send is safe for concurrent use.
 func (c *Client) Send() int {
 	id := fmt.Sprintf("%s-%d", c.Name, c.sent.Add(1))
 	began := time.Now()
@@ -239,8 +243,8 @@
 		target, id, c.Class, c.Tenant, c.Remaining.Milliseconds(), idempotencyKey)
 }
 
-// exchange sends a job and returns the status of its response: 0 if no complete response came by the deadline,
-// notConnected if the client could not connect.
+// exchange sends a job and returns the status of its response: 0 if the connection ended or the deadline passed before
+// a complete response, notConnected if the client could not connect.
 func (c *Client) exchange(id string, deadline time.Time) int {
 	request := c.request(id)
 	for {
@@ -290,7 +294,7 @@
 	return t
 }
 
-// Served returns the ids of the jobs that were answered with 200.
+// Served returns the ids of all jobs that were answered with 200 so far, within the latency objective or later.
 func (c *Client) Served() map[string]bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -299,7 +303,8 @@
 	return served
 }
 
-// TakeLatencies returns the latencies of the jobs that were answered with 200 since the last call.
+// TakeLatencies returns the latencies of the jobs that were answered with 200 since the last call, from the call of
+// Send, before a connection is made, to the end of the response; nil if there was none.
 func (c *Client) TakeLatencies() []time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/corruption.go
+++ b/internal/standin/corruption.go
@@ -16,10 +16,10 @@
 	TruncateAndKeepOpen            // omit the last bytes and keep the connection open
 	Unavailable                    // status 503 at once
 	UnavailableLate                // status 503 after unavailableDelay
-	NoResponse                     // write nothing
+	NoResponse                     // write nothing until the peer closes the connection
 	ResetConnection                // reset the connection in place of a response
 	InvalidJSON                    // status 200 with a body that is not JSON
-	SlowBytes                      // write one byte in each slowByteInterval
+	SlowBytes                      // write one byte in each slowByteInterval, then close the connection
 	corruptionCount
 )
 
@@ -41,7 +41,7 @@
 	"slow bytes",
 }
 
-// String implements fmt.Stringer.
+// String implements fmt.Stringer. It panics for a value that is not one of the constants.
 func (c Corruption) String() string { return corruptionNames[c] }
 
 const (
@@ -54,7 +54,8 @@
 // A corrupter writes corrupted responses. The zero value corrupts none.
 type corrupter struct{ kind atomic.Int32 }
 
-// CorruptResponses corrupts all further responses in this way; NoCorruption restores normal responses.
+// CorruptResponses corrupts all further responses in this way, to all views; NoCorruption restores normal responses.
+// Calls counts a call with a corrupted response as answered; Writes, SentVersion and TakeFirstResponse ignore it.
 func (d *Discovery) CorruptResponses(kind Corruption) { d.corrupter.kind.Store(int32(kind)) }
 
 // current returns the corruption that applies to responses now.
--- a/internal/standin/dedup_group.go
+++ b/internal/standin/dedup_group.go
@@ -8,7 +8,7 @@
 // A DedupGroup is a group of workers that together deduplicate jobs by idempotency key for a limited time.
 type DedupGroup struct {
 	Number int           // in the endpoint list
-	Window time.Duration // for which a key is kept, from its first arrival at any worker of the group
+	Window time.Duration // for which a key is kept, from its first arrival at any worker of the group; 0: not at all
 
 	mu   sync.Mutex
 	seen map[string]seenKey
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -37,15 +37,16 @@
 	MaxWait          time.Duration // a call that waits longer than this for earlier calls is answered with 503
 }
 
-// Calls counts the calls to discovery.
+// Calls counts the calls to discovery. A call counts as answered when discovery has done the work for it, even if its
+// response is then corrupted or cannot be written. A rejected call was answered with 503 after CallCost.MaxWait.
 type Calls struct {
 	Received, Answered, Rejected int
 	MaxPerSecond                 int // most calls received in one second of Unix time
-	Waiting                      int // calls that wait for earlier calls, or are being served, now
+	Waiting                      int // calls that wait for earlier calls, or are being served, now; 0 without a CallCost
 }
 
 // Discovery serves the endpoint list and watches on it. A view is a listener with a name through which one scheduler
-// reads the list; Discovery's own Server is the view "".
+// reads the list; Discovery's own Server is the view "". Close and Reset end only that Server.
 type Discovery struct {
 	*Server
 	CallCost CallCost // set before the first call
@@ -97,12 +98,15 @@
 }
 
 // View serves the same list on another listener under a name. dial maps a host and its address to the address that
-// this view announces; nil keeps the addresses.
+// this view announces; nil keeps the addresses. dial must not call methods of d, which is locked meanwhile. The caller
+// closes the Server.
 func (d *Discovery) View(l net.Listener, name string, dial func(host, addr string) string) *Server {
 	return Serve(l, func(c net.Conn, r *http.Request, _ string) bool { return d.handle(c, r, name, dial) })
 }
 
-// Put adds a worker to the list or updates it, with this health: Active or Leaving. Left removes a listed worker.
+// Put adds a worker to the list or updates it, with this health: Active or Leaving. Left removes a listed worker, but
+// adds one that is not listed, with the health Left. Put reads the worker's exported fields, and each call makes a new
+// version of the list.
 func (d *Discovery) Put(w *Worker, health string) {
 	h := host{Host: w.Name, Dial: w.Addr(), Zone: w.Zone, Kind: w.Kind, Health: health, Weight: 1}
 	if w.Group != nil {
@@ -124,7 +128,8 @@
 	StartedAt              time.Time // zero: not announced
 }
 
-// Announce adds, updates or removes hosts without a stand-in worker, all in one change of the list.
+// Announce adds, updates or removes hosts without a stand-in worker, all in one new version of the list. As with Put,
+// Left adds a host that is not listed.
 func (d *Discovery) Announce(entries ...Entry) {
 	hosts := make([]host, len(entries))
 	for i, e := range entries {
@@ -136,7 +141,8 @@
 	d.update(hosts...)
 }
 
-// update adds, updates or removes hosts in one new version of the list and wakes the watches.
+// update adds, updates or removes hosts in one new version of the list and wakes the watches. It adds a host with the
+// health Left if the host is not listed.
 func (d *Discovery) update(hosts ...host) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -168,21 +174,23 @@
 	}
 }
 
-// Version returns the current version of the list.
+// Version returns the current version of the list: 0 before the first change.
 func (d *Discovery) Version() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.version
 }
 
-// Compact discards the changes up to the current version: a call with an older version gets the complete list.
+// Compact discards the changes up to the current version: a call with an older version gets the complete list. The log
+// that Changes returns stays.
 func (d *Discovery) Compact() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.compactedVersion = d.version
 }
 
-// RevertVersion sets the list to a lower version, like a discovery that has lost its last writes.
+// RevertVersion sets the list to a lower version, like a discovery that has lost its last writes. The hosts stay as
+// they are, and waiting watches are not woken.
 func (d *Discovery) RevertVersion(version int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -334,7 +342,7 @@
 // ListJSON returns the complete list in the JSON format that the configuration of a scheduler uses.
 func (d *Discovery) ListJSON() []byte { return d.ViewListJSON(nil) }
 
-// ViewListJSON returns the same with the addresses mapped by dial, as in View.
+// ViewListJSON returns the list of ListJSON with the addresses mapped by dial, as in View.
 func (d *Discovery) ViewListJSON(dial func(host, addr string) string) []byte {
 	list, _ := json.Marshal(d.changesSince(0, dial)) // marshalling this type cannot fail
 	return list
--- a/internal/standin/history.go
+++ b/internal/standin/history.go
@@ -13,7 +13,7 @@
 	ID        string        // of the job
 	Worker    string        // name of the worker
 	FirstByte time.Time     // when the first byte of the request arrived
-	Remaining time.Duration // until the job's deadline, as stated by the scheduler
+	Remaining time.Duration // until the job's deadline, as stated by the scheduler; 0 if missing or invalid
 }
 
 // headerFirstByte is a header that Server adds to a request for its handler: the time of the request's first byte, in
@@ -50,7 +50,8 @@
 	return time.Duration(value * float64(unit))
 }
 
-// Arrivals returns the job requests that the worker has read, in the order in which it read them.
+// Arrivals returns the job requests that the worker has read, including rejected ones, in the order in which it read
+// them.
 func (w *Worker) Arrivals() []Arrival {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/standin/proxy.go
+++ b/internal/standin/proxy.go
@@ -32,7 +32,8 @@
 )
 
 // A Proxy forwards connections to a target. It applies the next fault of its direction's script to each chunk that it
-// reads; after the end of the script it forwards every chunk unchanged.
+// reads; after the end of the script it forwards every chunk unchanged. If it cannot connect to the target, it closes
+// the client's connection.
 type Proxy struct {
 	net.Listener
 	target     string
@@ -62,8 +63,8 @@
 	return f
 }
 
-// StartProxy starts a proxy to an address, with the faults for the bytes sent to the target and for those received
-// from it.
+// StartProxy starts a proxy on a free loopback port to an address, with the faults for the bytes sent to the target and
+// for those received from it. Stop ends the proxy.
 func StartProxy(target string, toTarget, fromTarget []Fault) (*Proxy, error) {
 	l, err := Listen()
 	if err != nil {
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -99,7 +99,8 @@
 	}
 }
 
-// LastRequestTime returns when the first byte of the last request arrived, even if the request was incomplete.
+// LastRequestTime returns when the first byte of the last request arrived, even if the request was incomplete; the Unix
+// epoch, not the zero time, if there was none.
 func (s *Server) LastRequestTime() time.Time { return time.Unix(0, s.lastRequestTime.Load()) }
 
 // Reset resets all open connections, as the kernel does when a process dies.
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -16,9 +16,9 @@
 	SlowdownFactor  float64 // factor of the service time; 0 means 1
 	Draining        bool    // finish admitted jobs, reject new ones
 	Hang            bool    // read requests without a response
-	Fail            bool    // answer jobs with "failed" at once
+	Fail            bool    // answer jobs with "failed" once they have a slot; Runs counts them
 	FailEvery       int64   // Fail for every n-th job; 0: for none
-	ResetAfterBytes int     // reset the connection after this many bytes of a response; 0: never
+	ResetAfterBytes int     // reset the connection after this many bytes of the response to a job that runs; 0: never
 }
 
 // A WorkerSpec describes a worker.
@@ -26,10 +26,11 @@
 	Name, Zone, Kind string
 	Slots            int                              // most jobs that run concurrently
 	Queue            int                              // most jobs that wait for a slot
-	ServiceTime      func(class string) time.Duration // of a job, at full capacity
+	ServiceTime      func(class string) time.Duration // of a job, at full capacity; called concurrently, never nil
 }
 
-// A Worker runs jobs in slots, queues a bounded number of jobs, and logs the jobs that it received and ran.
+// A Worker runs jobs in slots, queues a bounded number of jobs, and logs the jobs that it received and ran. Its
+// exported fields must be set before the first request arrives. Discovery.Put announces some of them.
 type Worker struct {
 	WorkerSpec
 	Started         time.Time   // start time in the endpoint list; zero: none, and no slow start
@@ -52,7 +53,7 @@
 	overloaded bool
 }
 
-// StartWorker starts a worker on a free loopback port.
+// StartWorker starts a worker on a free loopback port. Crash ends it.
 func StartWorker(spec WorkerSpec) (*Worker, error) {
 	l, err := Listen()
 	if err != nil {
@@ -61,7 +62,7 @@
 	return WorkerOn(l, spec), nil
 }
 
-// WorkerOn starts a worker on a listener and takes ownership of the listener.
+// WorkerOn starts a worker on a listener and takes ownership of the listener. Crash ends the worker.
 func WorkerOn(l net.Listener, spec WorkerSpec) *Worker {
 	w := &Worker{
 		WorkerSpec: spec,
@@ -81,7 +82,8 @@
 // Addr returns the address on which the worker listens.
 func (w *Worker) Addr() string { return w.server.Addr().String() }
 
-// Crash closes the listener and resets all connections, as when the worker's process is killed.
+// Crash closes the listener and resets all connections, as when the worker's process is killed. The goroutines of
+// admitted jobs still end by themselves: Runs may count a queued job that starts after Crash.
 func (w *Worker) Crash() {
 	w.server.Close()
 	w.server.Reset()
@@ -91,7 +93,8 @@
 // health checks.
 func (w *Worker) Requests() int64 { return w.requests.Load() }
 
-// LastRequestTime returns when the first byte of the last request arrived, even if the request was incomplete.
+// LastRequestTime returns when the first byte of the last request arrived, even if the request was incomplete; the Unix
+// epoch, not the zero time, if there was none.
 func (w *Worker) LastRequestTime() time.Time { return w.server.LastRequestTime() }
 
 // Runs returns how many times the worker has started each job, by job id.
