--- a/internal/lab/cells.go
+++ b/internal/lab/cells.go
@@ -105,8 +105,8 @@
 
 // A CellsReport is the result of MeasureCells.
 type CellsReport struct {
-	WorstLoss             float64 // percentage points of jobs in time that the most affected other tenant loses
-	WorstLossWithoutCells float64
+	WorstLoss             float64 // percentage points of jobs in time that the most affected other tenant loses; 0: none
+	WorstLossWithoutCells float64 // the same, without cells
 	ServedUnderLending    float64 // percent of the jobs served in time of a lone tenant at 30 times its quota
 	Migrations            int
 	Lost                  int // jobs without a response, or answered with 200 though no worker ran them
@@ -134,7 +134,9 @@
 
 // MeasureCells measures how many jobs of the other tenants are no longer served in time during a flood of one tenant,
 // without and with cells; what percentage of its jobs a lone tenant gets served in time at a rate above its quota, from
-// idle capacity that is lent to it; and whether migrations under load lose or repeat jobs. It prints tables to w.
+// idle capacity that is lent to it; and whether migrations under load lose or repeat jobs. It prints tables to w. A
+// missed objective is no error: CellsReport.OK reports it. MeasureCells returns an error if a deployment cannot be
+// started or a migration fails.
 func MeasureCells(ctx context.Context, w io.Writer, options CellsOptions) (report CellsReport, err error) {
 	if report.WorstLossWithoutCells, err = report.measureFlood(ctx, w, options, ""); err != nil {
 		return report, err
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -19,8 +19,9 @@
 )
 
 // RunDemo runs a deployment with cells under load, lets one tenant exceed its quota for a while and then migrates it.
-// It prints the share of each tenant's jobs served in time every demoPrintEvery seconds. It returns an error under the
-// conditions of printDemoResult.
+// It prints the share of each tenant's jobs served in time every demoPrintEvery seconds. It returns an error
+// if a job was lost, an at-most-once job ran more than once or a job was answered with 200 though no worker ran it, and
+// if the deployment cannot be started or the migration fails.
 func RunDemo(ctx context.Context, w io.Writer, seed uint64) error {
 	deployment, err := StartDeployment(twelveWorkerTopology(fourCellsOperator))
 	if err != nil {
--- a/internal/lab/fleet/build.go
+++ b/internal/lab/fleet/build.go
@@ -22,7 +22,7 @@
 }
 
 // BuildInTempDir builds the scheduler in a new temporary directory. It returns the path of the binary
-// and a function that removes the directory.
+// and a function that removes the directory; the function is nil if the build fails.
 func BuildInTempDir(ctx context.Context) (program string, remove func(), err error) {
 	dir, err := os.MkdirTemp("", "foxlift-build-")
 	if err != nil {
--- a/internal/lab/fleet/configuration.go
+++ b/internal/lab/fleet/configuration.go
@@ -66,7 +66,8 @@
 }
 
 // Configure writes the configuration file of process i with cachedEndpoints, JSON, as its cached
-// endpoint list.
+// endpoint list. It fails if cachedEndpoints is not valid JSON. A process reads the file when it starts
+// and on SIGHUP.
 func (f *Fleet) Configure(i int, cachedEndpoints []byte) error {
 	p := f.Processes[i]
 	config := map[string]any{
@@ -130,7 +131,8 @@
 	return links[name].Addr().String()
 }
 
-// WorkerLink returns the link from process i to a worker; nil if there is none.
+// WorkerLink returns the link from process i to a worker; nil if there is none. A link is created when the
+// process's endpoint list first contains the worker.
 func (f *Fleet) WorkerLink(i int, worker *standin.Worker) *Link {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -49,7 +49,8 @@
 	successors   []*Process
 }
 
-// New creates a fleet. Its stand-ins run; its processes start with StartAll.
+// New creates a fleet. Its stand-ins run; its processes start with StartAll. Close ends it. If New fails,
+// it ends what it has started.
 func New(o Options) (f *Fleet, err error) {
 	f = &Fleet{Options: o, running: map[string]*standin.Worker{}}
 	defer func() {
@@ -88,7 +89,8 @@
 	return f, nil
 }
 
-// StartAll starts all processes concurrently and waits until each is ready.
+// StartAll starts all processes concurrently and waits until each is ready, at most for limit each. It
+// joins the errors of the processes that fail and leaves the remaining ones running.
 func (f *Fleet) StartAll(limit time.Duration) error {
 	return f.forEachProcess(func(p *Process) error {
 		if err := p.Start(); err != nil {
@@ -98,7 +100,7 @@
 	})
 }
 
-// KillAll kills all processes concurrently and waits until they have exited.
+// KillAll kills all Processes, without successors, concurrently and waits until they have exited.
 func (f *Fleet) KillAll() {
 	_ = f.forEachProcess(func(p *Process) error { // Kill cannot fail
 		p.Kill()
@@ -106,7 +108,8 @@
 	})
 }
 
-// TerminateAll ends all processes with SIGTERM and returns the errors with which they exited.
+// TerminateAll ends all Processes, without successors, with SIGTERM, waits without a time limit until they
+// have exited and joins their exit errors. A process that does not run counts as no error.
 func (f *Fleet) TerminateAll() error {
 	return f.forEachProcess((*Process).Terminate)
 }
@@ -122,7 +125,7 @@
 	return errors.Join(errs...)
 }
 
-// Close ends everything, and waits for the processes and the links.
+// Close ends everything, waits for the processes and the links, and removes the directory of the files.
 func (f *Fleet) Close() {
 	f.KillAll()
 	for _, p := range f.successors {
--- a/internal/lab/fleet/keyed.go
+++ b/internal/lab/fleet/keyed.go
@@ -15,7 +15,7 @@
 // after another.
 type KeyedTrial struct {
 	Program       string
-	Faults        int
+	Faults        int // one for which the process has no link to the worker yet is skipped
 	Seed          uint64
 	FaultInterval time.Duration // between two faults
 
@@ -47,8 +47,9 @@
 		r.MessagesReceived, r.MessagesDropped, r.Tally.Lost, r.DuplicateJobs)
 }
 
-// OK reports whether the trial passed: no job was lost or ran twice, all schedulers exited cleanly,
-// and the faults had an effect: some jobs were sent again and messages were received.
+// OK reports whether the trial passed: no job was lost, no deduplicated job ran more than once, all
+// schedulers exited with code 0, there were more attempts than jobs, because the faults caused further
+// attempts, and messages were received.
 func (r KeyedResult) OK() bool {
 	return r.DuplicateJobs == 0 && r.Tally.Lost == 0 && r.CleanExit &&
 		r.Attempts > int64(r.Tally.Sent) && r.MessagesReceived > 0
@@ -108,7 +109,8 @@
 	}
 }
 
-// Run runs the trial and writes errors of exiting schedulers to w.
+// Run runs the trial and writes errors of exiting schedulers to w. A trial that does not pass is no error:
+// Run fails only if the fleet cannot be created or started.
 func (o KeyedTrial) Run(w io.Writer) (r KeyedResult, err error) {
 	f, err := o.fleet()
 	if err != nil {
--- a/internal/lab/fleet/link.go
+++ b/internal/lab/fleet/link.go
@@ -22,7 +22,8 @@
 )
 
 // Link forwards TCP connections from one scheduler to one target and can simulate network failures. It
-// does not interpret the data.
+// does not interpret the data. If the target refuses a connection, the link resets the scheduler's one.
+// Close ends only the acceptance of new connections.
 type Link struct {
 	net.Listener
 	target string
@@ -66,7 +67,8 @@
 }
 
 // Block holds back the data in these directions, like a network that drops it: connections stay open,
-// and new ones are accepted but carry no data. The data that was held back is forwarded after Heal.
+// and new ones are accepted but carry no data. The data that was held back is forwarded after Heal, unless
+// its connection was reset meanwhile.
 func (l *Link) Block(directions ...Direction) {
 	l.update(func() {
 		for _, d := range directions {
@@ -84,7 +86,8 @@
 	})
 }
 
-// Heal removes all failures of the link; data is forwarded without delay again.
+// Heal removes all failures of the link; data that is read from then on is forwarded without delay. A piece
+// of data that waits already keeps its delay. Connections that were reset stay closed.
 func (l *Link) Heal() {
 	l.update(func() {
 		l.refuses = false
--- a/internal/lab/fleet/load.go
+++ b/internal/lab/fleet/load.go
@@ -18,7 +18,8 @@
 }
 
 // StartLoad starts sending jobs at a rate per second for the whole fleet, spread evenly over the
-// processes. Each process receives jobs once it is ready. The job IDs start with name.
+// processes. Each process receives jobs once it is ready, and none if it is not ready within startTimeout. The job IDs
+// start with name.
 func (f *Fleet) StartLoad(name string, rate float64, seed uint64) *Load {
 	return f.StartLoadWith(name, rate, seed, Tolerance{})
 }
@@ -82,7 +83,7 @@
 	}
 }
 
-// SentAt returns when each job was sent, by job ID.
+// SentAt returns when each job was sent so far, by job ID.
 func (l *Load) SentAt() map[string]time.Time {
 	all := map[string]time.Time{}
 	for _, client := range l.clients {
@@ -91,15 +92,15 @@
 	return all
 }
 
-// Stop ends the load, waits for all answers and returns the tally of the jobs since the last
-// ResetTally.
+// Stop ends the load, waits until all jobs have ended and returns the tally of the jobs since the last
+// ResetTally. It may be called only once.
 func (l *Load) Stop() standin.Tally {
 	close(l.stop)
 	l.wait.Wait()
 	return l.ResetTally()
 }
 
-// ResetTally returns the tally of the jobs that were answered since the last call.
+// ResetTally returns the tally of the jobs that ended since the last call, with or without an answer.
 func (l *Load) ResetTally() standin.Tally {
 	var all []standin.Tally
 	for _, client := range l.clients {
--- a/internal/lab/fleet/messaging.go
+++ b/internal/lab/fleet/messaging.go
@@ -29,7 +29,9 @@
 )
 
 // SetFaults sets which percentages of the datagrams are lost, duplicated and corrupted, and the
-// maximum delay. Delays differ between datagrams, so that they are reordered.
+// maximum delay, for the datagrams that are forwarded from then on. The datagrams of each process to each
+// peer are numbered, and with these settings their numbers determine the faults and the delays. Delays
+// differ between datagrams, so that they are reordered.
 func (m *Messaging) SetFaults(lost, duplicated, corrupted int, delay time.Duration) {
 	m.lost.Store(int64(lost))
 	m.duplicated.Store(int64(duplicated))
--- a/internal/lab/fleet/observe.go
+++ b/internal/lab/fleet/observe.go
@@ -4,7 +4,8 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// Counter returns a counter summed over all processes, as they have printed it so far.
+// Counter returns a counter summed over all Processes, without successors, as they have printed it so far;
+// 0 if none has printed it. See Process.Counter.
 func (f *Fleet) Counter(name string) (sum int64) {
 	for _, p := range f.Processes {
 		sum += p.Counter(name)
@@ -12,7 +13,7 @@
 	return sum
 }
 
-// OverloadedWorkers returns how many workers were overloaded during slow start.
+// OverloadedWorkers returns how many of all workers ever started were overloaded during slow start.
 func (f *Fleet) OverloadedWorkers() (count int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -24,7 +25,8 @@
 	return count
 }
 
-// DuplicateJobs returns the IDs of at-most-once jobs that were started more than once, on any workers.
+// DuplicateJobs returns the IDs of at-most-once and deduplicated jobs that were started more than once, on
+// any workers, in no particular order.
 func (f *Fleet) DuplicateJobs() (ids []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -52,7 +54,7 @@
 	return sum
 }
 
-// Arrivals returns the job requests that have reached any worker.
+// Arrivals returns the job requests that any worker has read, including rejected ones, worker by worker.
 func (f *Fleet) Arrivals() (all []standin.Arrival) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -47,7 +47,7 @@
 	healthTimeout  = time.Second
 )
 
-// Start starts the process. It may not be ready when Start returns.
+// Start starts the process. It may not be ready when Start returns. Start fails if the process runs already.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,8 +134,8 @@
 	}
 }
 
-// Wait waits until the process has exited and returns its exit error; nil if it was killed with Kill
-// or was never started.
+// Wait waits until the process has exited and returns its exit error; nil if it exited with code 0, was
+// killed with Kill or Signal, or was never started.
 func (p *Process) Wait() error {
 	p.mu.Lock()
 	done := p.done
@@ -152,7 +152,8 @@
 	return p.exit
 }
 
-// Done returns a channel that is closed when the process has exited; nil before its first start.
+// Done returns a channel that is closed when the current run of the process, or else its last one, has
+// exited; nil before its first start.
 func (p *Process) Done() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -169,8 +170,8 @@
 	return p.cmd.Process.Pid
 }
 
-// Terminate ends the process with SIGTERM, waits until it has exited and returns its exit error; nil
-// if it does not run.
+// Terminate ends the process with SIGTERM, waits without a time limit until it has exited and returns its
+// exit error; nil if it does not run.
 func (p *Process) Terminate() error {
 	if p.Signal(syscall.SIGTERM) == nil {
 		return p.Wait()
@@ -220,14 +221,15 @@
 	return p.cmd == nil && p.done != nil
 }
 
-// Log returns the last maxLogLines lines of the process's log.
+// Log returns the last maxLogLines lines that the process has written to its standard error, over all runs.
 func (p *Process) Log() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.logLines)
 }
 
-// Counter returns a counter's value summed over all runs of the process that have printed it.
+// Counter returns a counter's value summed over all runs of the process, as each run printed it last (on
+// SIGUSR1 and at exit); 0 if no run has printed it.
 func (p *Process) Counter(name string) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/fleet/slowstart_trial.go
+++ b/internal/lab/fleet/slowstart_trial.go
@@ -58,8 +58,8 @@
 		r.SendsToRemovedPercent, r.Tally.Lost, r.DuplicateJobs, r.Tally.ServedPercent(), r.FinalServedPercent)
 }
 
-// OK reports whether the trial passed: no worker was overloaded, no job was lost, none ran twice, all
-// schedulers exited cleanly, and jobs were sent.
+// OK reports whether the trial passed: no worker was overloaded, no job was lost, no at-most-once job ran
+// more than once, all schedulers exited with code 0, and jobs were sent.
 func (r SlowStartResult) OK() bool {
 	return r.OverloadedWorkers == 0 && r.Tally.Lost == 0 && r.DuplicateJobs == 0 && r.CleanExit && r.Tally.Sent > 0
 }
@@ -122,7 +122,8 @@
 	}
 }
 
-// Run runs the trial and writes its progress to w.
+// Run runs the trial and writes its progress, and the errors of exiting schedulers, to w. A trial that does
+// not pass is no error: Run fails only if the fleet cannot be created or started or a worker not replaced.
 func (o SlowStartTrial) Run(w io.Writer) (r SlowStartResult, err error) {
 	f, err := New(Options{
 		Topology: o.topology(),
--- a/internal/lab/fleet/successor.go
+++ b/internal/lab/fleet/successor.go
@@ -10,7 +10,8 @@
 
 // Successor prepares another process in the place of process i, as the platform does for an upgrade:
 // it has the same configuration, environment and directory for temporary files, and a different admin
-// address. It requires Options.Admin.
+// address. It does not start the process. It requires Options.Admin. KillAll and TerminateAll leave successors
+// running; Close kills them.
 func (f *Fleet) Successor(i int) (*Process, error) {
 	admin, err := freeAddr()
 	if err != nil {
--- a/internal/lab/fleet/workers.go
+++ b/internal/lab/fleet/workers.go
@@ -19,8 +19,9 @@
 	return f.DedupWindow
 }
 
-// AddWorker starts a worker and adds it to discovery as active. The worker reports started as its
-// start time; zero means long ago.
+// AddWorker starts a worker and adds it to discovery as active. The worker reports started as its start
+// time, from which its slow start counts; zero means long ago, without slow start. kind should be one of
+// the topology's Kinds: Restart and Replace panic for a worker of another kind.
 func (f *Fleet) AddWorker(kind lab.WorkerKind, started time.Time) (*standin.Worker, error) {
 	l, err := standin.Listen()
 	if err != nil {
@@ -64,7 +65,8 @@
 }
 
 // Restart kills a worker's process and starts it again at the same address, in slow start. If a name
-// is given, the new process is a different worker with that name, and the old worker leaves discovery.
+// is given, the new process is a different worker with that name, and the old worker leaves discovery. If
+// Restart fails, the worker stays down and discovery still lists it.
 func (f *Fleet) Restart(worker *standin.Worker, name string) (*standin.Worker, error) {
 	kind, addr := f.kindOf(worker), worker.Addr()
 	f.crashWorker(worker)
@@ -94,7 +96,7 @@
 }
 
 // Replace removes a worker without a drain and starts another one of its kind, in slow start and at
-// another address.
+// another address. If Replace fails, the worker is removed all the same.
 func (f *Fleet) Replace(worker *standin.Worker) (*standin.Worker, error) {
 	f.crashWorker(worker)
 	f.Discovery.Put(worker, standin.Left)
--- a/internal/lab/fuzz.go
+++ b/internal/lab/fuzz.go
@@ -66,7 +66,9 @@
 var errNoFuzzTarget = errors.New("no fuzz target of the module matches")
 
 // RunFuzzTargets runs the matching fuzz targets of the module in the current folder in turn, until the time is over or
-// ctx ends, and writes the summary. It needs the go command.
+// ctx ends, and writes the summary. It needs the go command. Measuring the coverage afterwards takes additional time.
+// A finding is no error: it is in the summary, and its target is not run again. RunFuzzTargets returns an error if no
+// target matches, or if a target cannot be built or a file cannot be written; it then writes no summary.
 func RunFuzzTargets(ctx context.Context, w io.Writer, options FuzzOptions) (*FuzzSummary, error) {
 	targets, err := findFuzzTargets(ctx, options.Match)
 	if err != nil {
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -20,7 +20,7 @@
 }
 
 // StartLoad starts a load in which each tenant sends fraction times its QuotaFraction of the fleet's capacity, spread
-// evenly over the schedulers. Stop ends it.
+// evenly over the schedulers. SetRate changes the rate of a tenant later. Stop ends the load.
 func (r *Deployment) StartLoad(fraction float64, seed uint64) *Load {
 	l := &Load{
 		deployment: r,
@@ -58,10 +58,12 @@
 	})
 }
 
-// SetRate changes the rate of a tenant, in jobs a second.
+// SetRate changes the rate of a tenant, in jobs a second over all schedulers. It panics if the topology has no such
+// tenant.
 func (l *Load) SetRate(tenant string, rate float64) { l.rates[tenant].Store(math.Float64bits(rate)) }
 
-// TakeTallies returns the tally of each tenant since the last call.
+// TakeTallies returns the tally of each tenant, by its name, of the jobs that ended since the last call. It must not be
+// called concurrently with itself or Stop.
 func (l *Load) TakeTallies() map[string]standin.Tally {
 	tallies := map[string]standin.Tally{}
 	for tenant, clients := range l.clients {
@@ -75,14 +77,14 @@
 	return tallies
 }
 
-// A LoadResult is the result of a load, computed from the clients' tallies and the workers' logs.
+// A LoadResult is the result of a whole load, computed from the clients' tallies and the workers' logs.
 type LoadResult struct {
 	Total            standin.Tally
 	RanTwice         int // at-most-once jobs that ran more than once
 	ServedWithoutRun int // jobs answered with 200 that no worker ran
 }
 
-// Stop ends the load, waits for all responses and returns the result.
+// Stop ends the load, waits until all jobs have ended and returns the result. It may be called only once.
 func (l *Load) Stop() LoadResult {
 	close(l.stop)
 	l.running.Wait()
--- a/internal/lab/loops.go
+++ b/internal/lab/loops.go
@@ -8,7 +8,8 @@
 // MeasureLoops measures how splitting a fleet into more cells affects the latency loops, which need a minimum number of
 // finished jobs. It simulates the same traffic and workers in virtual time, split evenly over 1, 2, 4, 8 and 16
 // dispatchers. It prints the percentage of class-seconds with at least minJobsForUpdate finished jobs, and the
-// percentage of the jobs, all within their tenant's quota, that were served in time.
+// percentage of the jobs, all within their tenant's quota, that were served in time. seconds is the virtual duration of
+// each simulation. It returns an error only if a simulation cannot be started.
 func MeasureLoops(w io.Writer, seed uint64, seconds int) error {
 	fmt.Fprintln(w, "jobs/s  load  cells  jobs/s a cell  class-seconds with 6 jobs  served in time")
 	for _, rate := range []float64{30, 60, 240} {
--- a/internal/lab/mutant.go
+++ b/internal/lab/mutant.go
@@ -33,8 +33,10 @@
 }
 
 // CheckMutants applies each mutant whose name contains match to a copy of the module in the current folder and runs its
-// tests there. It checks concurrency mutants at a time; 0 means one for each CPU core. It returns how many mutants made
-// a test fail, and how many it checked.
+// tests there. It checks concurrency mutants at a time; 0 or less means one for each CPU core. It writes the outcome of
+// each mutant to w and returns how many were caught, because a test failed within mutantTimeout, and how many it
+// checked. The error joins those of all mutants that could not be applied or built; these count as checked, but not as
+// caught.
 func CheckMutants(
 	ctx context.Context, w io.Writer, match string, concurrency int,
 ) (caught, checked int, err error) {
@@ -147,7 +149,7 @@
 }
 
 // BuildProgram copies the module in the current folder to dir, applies the mutant there, builds the scheduler and
-// returns the path of the binary.
+// returns the path of the binary. It fails if the text to replace does not occur exactly once in the mutant's file.
 func (m *Mutant) BuildProgram(ctx context.Context, dir string) (program string, err error) {
 	if err := m.apply(dir); err != nil {
 		return "", err
--- a/internal/lab/rig.go
+++ b/internal/lab/rig.go
@@ -35,7 +35,8 @@
 	clientClosers []func() error
 }
 
-// StartDeployment starts a deployment and waits until its schedulers are ready. Close ends it.
+// StartDeployment starts a deployment and waits, without a time limit, until its schedulers are ready. Close ends it.
+// If StartDeployment fails, it ends what it has started.
 func StartDeployment(topology Topology) (r *Deployment, err error) {
 	r = &Deployment{Topology: topology}
 	defer func() {
@@ -85,7 +86,8 @@
 	return nil
 }
 
-// Config writes the configuration file of the scheduler with an index and returns its path.
+// Config writes the configuration file of the scheduler with an index and returns the file's path. The cached
+// endpoint list in it is the current one.
 func (r *Deployment) Config(scheduler int) (string, error) {
 	text, err := json.MarshalIndent(map[string]any{
 		"name":      fmt.Sprint("n", scheduler),
--- a/internal/lab/service/deployment.go
+++ b/internal/lab/service/deployment.go
@@ -59,7 +59,8 @@
 	FirstReadyAfter time.Duration // from the first process's start until it was ready
 }
 
-// Deploy starts the scheduler of a topology and waits until it is ready. Close ends it.
+// Deploy starts the scheduler of a topology and waits until it is ready. Close ends it. If Deploy fails, it
+// ends what it has started.
 func Deploy(ctx context.Context, program string, world lab.Topology) (d *Deployment, err error) {
 	f, err := fleet.New(fleet.Options{
 		Topology: world,
@@ -114,7 +115,8 @@
 var ErrNotReady = errors.New("health check did not succeed in time")
 
 // AwaitReady waits until the health check of a process that was just started succeeds, and returns how
-// long that took. It fails with ErrNotReady after ReadyLimit.
+// long that took. It fails with ErrNotReady after ReadyLimit, with an UnexpectedExitError if the process
+// exits, and with the context's error if ctx is done first. The process needs an admin address.
 func AwaitReady(ctx context.Context, process *fleet.Process) (time.Duration, error) {
 	began := time.Now()
 	limitedCtx, cancel := context.WithTimeout(ctx, ReadyLimit)
--- a/internal/lab/service/fault.go
+++ b/internal/lab/service/fault.go
@@ -55,7 +55,8 @@
 
 // FailSuccessor starts a successor, stops it with SIGSTOP afterStart after its start, and kills it
 // once it has been stopped for the time stopped. A successor that already listens when it is stopped
-// continues and is returned as tooFast.
+// continues and is returned as tooFast; tooFast is nil if the successor was killed. If FailSuccessor fails,
+// the successor may still run, and be stopped, until the deployment is closed.
 func (d *Deployment) FailSuccessor(
 	ctx context.Context, afterStart, stopped time.Duration,
 ) (tooFast *fleet.Process, err error) {
@@ -120,7 +121,8 @@
 
 // UpgradeKillingPredecessor upgrades the deployment and kills the old process at a given time after a
 // step. The outage lasts from the kill until the old process has exited, or until the successor is
-// ready if the old one was killed before that.
+// ready if the old one was killed before that. The report's Took stays 0, and its TerminatedAt is set only
+// if the kill comes after PredecessorTerminated.
 func (d *Deployment) UpgradeKillingPredecessor(
 	ctx context.Context, step Step, delay time.Duration,
 ) (report UpgradeReport, outage Outage, err error) {
--- a/internal/lab/service/figures.go
+++ b/internal/lab/service/figures.go
@@ -40,7 +40,7 @@
 }
 
 // ParseMetrics parses the Prometheus text format. It fails if a metric is missing, except that the
-// responses of a class may be missing if there were none.
+// responses of a class may be missing if there were none, and if the responses have an unknown result.
 func ParseMetrics(text string) (f Metrics, err error) {
 	parser := expfmt.NewTextParser(model.LegacyValidation)
 	families, err := parser.TextToMetricFamilies(strings.NewReader(text))
@@ -102,7 +102,7 @@
 }
 
 // Mismatches describes how the responses differ from the clients' own tally; it is empty if they agree
-// within JobsTolerance.
+// within JobsTolerance or absoluteTolerance. It does not compare classes that answers lacks.
 func (f Metrics) Mismatches(answers map[string]Responses) string {
 	var mismatches []string
 	check := func(class, result string, reported, actual float64) {
--- a/internal/lab/service/listening.go
+++ b/internal/lab/service/listening.go
@@ -20,7 +20,8 @@
 	listeningState = "0A"
 )
 
-// Listens reports whether a process listens on an IPv4 address with a port.
+// Listens reports whether a process listens on an IPv4 address with a port. It reads /proc, so it works on
+// Linux only, and returns false if the process does not exist or its descriptors cannot be read.
 func Listens(pid int, address string) (bool, error) {
 	inodes, err := listeners(address)
 	if err != nil {
--- a/internal/lab/service/load.go
+++ b/internal/lab/service/load.go
@@ -65,7 +65,8 @@
 	return l
 }
 
-// Stop ends the load, waits for all responses and returns the tally of the jobs.
+// Stop ends the load, waits until all jobs have ended and returns the tally of all jobs. It may be called
+// only once.
 func (l *Load) Stop() Tally {
 	close(l.stop)
 	l.wait.Wait()
--- a/internal/lab/service/tally.go
+++ b/internal/lab/service/tally.go
@@ -59,8 +59,8 @@
 	Rejected     int                  // 4xx other than 429: the scheduler did not accept the job
 	WrongResults []JobRecord          // answered 200 without a result, or with the result of another job
 	Lost         []JobRecord
-	Unread       []JobRecord // Unread at least once
-	Latency      *hdrhistogram.Histogram
+	Unread       []JobRecord             // Unread at least once
+	Latency      *hdrhistogram.Histogram // of jobs that are not lost, from their first send, in units of latencyUnit
 }
 
 func newTally() Tally {
@@ -105,7 +105,7 @@
 // resultOf returns the beginning of a job's result as a stand-in worker writes it.
 func resultOf(r JobRecord) string { return fmt.Sprintf("%s of %s by ", r.ID, r.Class) }
 
-// Total returns the responses summed over all classes.
+// Total returns the responses summed over all classes. It omits rejected and lost jobs.
 func (t Tally) Total() (sum Responses) {
 	for _, r := range t.Answers {
 		sum.OK += r.OK
--- a/internal/lab/service/trial.go
+++ b/internal/lab/service/trial.go
@@ -104,7 +104,9 @@
 		len(r.Upgrades) == r.PlannedUpgrades && r.Tally.Total().OK > 0
 }
 
-// Run runs the trial. If an upgrade fails, the result holds the observations until then.
+// Run runs the trial and writes each upgrade, each failed job and a summary to w. A result that is not OK is
+// no error. If an upgrade fails, Run returns its error, and the result holds the observations until then.
+// Run also fails if the fault is not in Faults or the last process exits with an error.
 func (u UpgradeTrial) Run(ctx context.Context, w io.Writer) (result UpgradeTrialResult, err error) {
 	if !slices.Contains(Faults, u.Fault) {
 		return result, errUnknownFault
--- a/internal/lab/service/upgrade.go
+++ b/internal/lab/service/upgrade.go
@@ -28,7 +28,8 @@
 	return next, next.Start()
 }
 
-// Promote makes a process that is ready the current one and sends SIGTERM to the old one.
+// Promote makes a process that is ready the current one and sends SIGTERM to the old one. It fails if the
+// old one has exited already; next is then the current one all the same.
 func (d *Deployment) Promote(next *fleet.Process) (*Termination, error) {
 	old := d.Current
 	d.Current = next
@@ -37,7 +38,8 @@
 }
 
 // Await waits until the process exits and kills it at the limit. It fails if the process exits with an
-// error.
+// error, but not if it was killed at the limit, which Forced reports. If ctx is done first, it returns the
+// context's error and leaves the process running.
 func (t *Termination) Await(ctx context.Context) error {
 	select {
 	case <-t.Process.Done():
@@ -54,7 +56,8 @@
 	return nil
 }
 
-// Terminate ends the current process with SIGTERM when nothing replaces it.
+// Terminate ends the current process with SIGTERM when nothing replaces it, waits until it has exited and
+// kills it at the limit, as Await does. It fails with an UnexpectedExitError if the process does not run.
 func (d *Deployment) Terminate(ctx context.Context) error {
 	termination := &Termination{Process: d.Current, limit: d.TerminationGrace(), startedAt: time.Now()}
 	if err := d.Current.Signal(syscall.SIGTERM); err != nil {
@@ -67,8 +70,8 @@
 type UpgradeReport struct {
 	StartedAt    time.Time
 	ReadyAfter   time.Duration // from the new process's start until it was ready
-	TerminatedAt time.Time     // when the old process received SIGTERM; zero if it was killed
-	Took         time.Duration // from SIGTERM to the old process's exit
+	TerminatedAt time.Time     // when the old process was sent SIGTERM; zero if it was killed without SIGTERM
+	Took         time.Duration // from SIGTERM to the old process's exit; 0 if a fault killed it
 	Forced       bool          // the old process was killed at the limit
 	Predecessor  *fleet.Process
 }
@@ -89,7 +92,8 @@
 }
 
 // Upgrade replaces the current process as the platform does: it starts a successor, waits until the
-// successor is ready, and terminates the old process.
+// successor is ready, and terminates the old process. If the successor is not ready in time, the old process
+// stays the current one, and the successor runs until the deployment is closed.
 func (d *Deployment) Upgrade(ctx context.Context) (report UpgradeReport, err error) {
 	report.StartedAt, report.Predecessor = time.Now(), d.Current
 	next, err := d.StartNext()
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -34,7 +34,8 @@
 }
 
 // Violations counts the violations of each rule, and the processes that exited with an error. Reports
-// use the rule names of package guard.
+// use the rule names of package guard: "gone" for Disconnected and "slowstart" for StartOverload. Lost also
+// counts valid jobs that were answered with 4xx.
 type Violations struct {
 	Drain, Lost, Duplicate, Disconnected, Deadline, StartOverload, Exit int
 }
@@ -44,7 +45,9 @@
 	return v.Drain + v.Lost + v.Duplicate + v.Disconnected + v.Deadline + v.StartOverload + v.Exit
 }
 
-// Result holds the observations of one run or several.
+// Result holds the observations of one run or several. Faults counts the faults that were drawn, and
+// Overlapping those of them that overlap in time with another one; a fault whose target is reserved by
+// another fault counts, but is not injected. Sends counts the job requests that workers have read.
 type Result struct {
 	Seeds, Processes    int
 	Faults, Overlapping int
@@ -152,7 +155,8 @@
 	}
 }
 
-// Run runs one seed. It writes each violation to log as one line.
+// Run runs one seed. It writes the violations to log, except overloads in slow start. A violation is no
+// error: Run fails only if the fleet cannot be created or started.
 func (o Options) Run(log io.Writer) (r Result, err error) {
 	f, err := fleet.New(fleet.Options{
 		Topology:    o.topology(),
--- a/internal/lab/speed.go
+++ b/internal/lab/speed.go
@@ -35,7 +35,8 @@
 // MeasureSpeed measures the throughput and latency of one scheduler process for each number of connections, with each
 // as the duration of one measurement. Every connection sends its next job when it has the response to the last one; the
 // workers answer at once. program is the path of the scheduler's binary, so that different builds can be compared.
-// MeasureSpeed prints a table to w.
+// MeasureSpeed prints a table to w. It returns an error if the process cannot be started or does not accept connections
+// within listenTimeout, and kills the process at the end.
 func MeasureSpeed(ctx context.Context, w io.Writer, program string, connections []int, each time.Duration) error {
 	topology := speedTopology()
 	topology.Schedulers = 0 // the measured scheduler is a separate process
--- a/internal/lab/standins.go
+++ b/internal/lab/standins.go
@@ -12,11 +12,12 @@
 	"github.com/vatu-meals/foxlift/internal/standin"
 )
 
-// StandInSignals are the signals that RunStandIns handles.
+// StandInSignals are the signals that RunStandIns handles. The caller must deliver them to its channel.
 var StandInSignals = []os.Signal{syscall.SIGUSR1, syscall.SIGINT, syscall.SIGTERM}
 
 // RunStandIns runs the discovery and the workers that examples/config.json refers to, until it receives a signal other
-// than SIGUSR1. SIGUSR1 switches the second worker between active and draining in the endpoint list.
+// than SIGUSR1 or signals is closed. SIGUSR1 switches the second worker between active and leaving (draining) in the
+// endpoint list. RunStandIns returns an error only if it cannot listen on an address. ctx does not end it.
 func RunStandIns(ctx context.Context, w io.Writer, signals <-chan os.Signal) error {
 	var listenConfig net.ListenConfig
 	var workers []*standin.Worker
--- a/internal/lab/topology.go
+++ b/internal/lab/topology.go
@@ -61,7 +61,7 @@
 	return sum
 }
 
-// Capacity returns the number of jobs a second that the fleet can run.
+// Capacity returns the number of jobs a second that the fleet can run, with all workers at full capacity.
 func (t *Topology) Capacity() float64 {
 	slots := 0.0
 	for _, kind := range t.Kinds {
@@ -71,7 +71,7 @@
 }
 
 // AtMostOnce reports whether a job must not run twice, by the class in its id. That includes deduplicated jobs: a
-// repeat that a worker drops is not a run.
+// repeat that a worker drops is not a run. It returns false for an id without the name of a class of the topology.
 func (t Topology) AtMostOnce(id string) bool {
 	for _, class := range t.Classes {
 		if class.Effect != effectIdempotent && strings.Contains(id, "/"+class.Name+"/") {
@@ -86,7 +86,8 @@
 	objectiveStretch         = 2    // multiple of the service time that is added to a class's latency objective
 )
 
-// Settings returns the settings of the scheduler with an index, in the format of its configuration file.
+// Settings returns the settings of the scheduler with an index, in the format of its configuration file. Durations are
+// encoded in nanoseconds. Zones must not be empty.
 func (t Topology) Settings(scheduler int) map[string]any {
 	var kinds []string
 	for _, kind := range t.Kinds {
