--- a/attempts.go
+++ b/attempts.go
@@ -39,8 +39,9 @@
 		j.class.Effect == Deduplicated && j.class.Scope == ScopeAll
 }
 
-// abandon ends a job that will not be served. It sheds the job with the given retry time, at most
-// MaxRetryAfter, or fails it if a retry by the client may not be safe. A job that has ended is left alone.
+// abandon ends a job that will not be served, and cancels its attempts if the host can. It sheds the job with
+// the given retry time in nanoseconds, at most MaxRetryAfter, or fails it if a retry by the client may not be
+// safe. A job that has ended is left alone.
 func (d *Dispatcher) abandon(j *job, retryAfter int64) {
 	if j.ended {
 		return
--- a/endpoint_lease.go
+++ b/endpoint_lease.go
@@ -56,7 +56,7 @@
 }
 
 // pickAccepting returns the worker for a job while the list is stale: the cheapest one that accepted a job
-// within the lease, or else one to explore. It returns nil if there is none.
+// within the lease, or else one to explore. It returns nil if there is none, or if the list is not usable.
 func (d *Dispatcher) pickAccepting(j *job) *worker {
 	if !d.EndpointsUsable() {
 		return nil
--- a/internal/cells/route.go
+++ b/internal/cells/route.go
@@ -7,7 +7,7 @@
 	ErrUnknownTenant = errors.New("there is no such tenant")
 	ErrUnknownCell   = errors.New("there is no such cell")
 	ErrSameCell      = errors.New("the tenant is in that cell already")
-	ErrNoWorkers     = errors.New("that cell has no live worker")
+	ErrNoWorkers     = errors.New("the target cell has no live worker")
 	ErrEvacuated     = errors.New("that cell is evacuated: restore it first")
 	ErrNoTargetCell  = errors.New("every other cell is evacuated or has no live worker")
 )
--- a/internal/cells/slots.go
+++ b/internal/cells/slots.go
@@ -102,7 +102,8 @@
 	return x.ID < y.ID
 }
 
-// assign assigns a worker to slot i.
+// assign assigns a worker to slot i and records the slot in the worker. It leaves the slot index of the previous
+// holder and the holder of the worker's previous slot as they are: the caller changes them.
 func (pool *kindPool) assign(i int, w *ringWorker) {
 	pool.slots[i].holder = w
 	w.slot = i
--- a/internal/core/cell_state.go
+++ b/internal/core/cell_state.go
@@ -40,7 +40,7 @@
 	ExternalSlots float64 // slots in flight at the worker from other cells and from another process
 }
 
-// A TenantState describes a tenant that a cell serves.
+// A TenantState describes a tenant that a cell serves: its quota there and whether it has migrated.
 type TenantState struct {
 	Name     string
 	Migrated bool    // its cells differ from the configured ones
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -3,7 +3,8 @@
 import "github.com/vatu-meals/foxlift"
 
 // UpdateEndpoints reports an update of the endpoint list from discovery. With the kind EndpointsDelta workers
-// holds only the changed workers, otherwise the complete list.
+// holds only the changed workers, otherwise the complete list. It returns before the update is applied: the
+// caller must not change workers afterwards.
 func (c *Core) UpdateEndpoints(kind foxlift.EndpointUpdate, workers []foxlift.Worker) {
 	c.loop.post(endpointsUpdated{kind: kind, workers: workers})
 }
--- a/internal/decision/admission/allocator.go
+++ b/internal/decision/admission/allocator.go
@@ -128,8 +128,9 @@
 	a.burstRate = excess * fraction
 }
 
-// ownFraction returns the fraction of every tenant's rate that this dispatcher may admit: its fraction of the
-// traffic, but at least an even share.
+// ownFraction returns the factor from the fleet's rates to those of this dispatcher: its estimated fraction
+// of the traffic, but at least an even share. It can exceed 1, if tenants with more than two thirds of the
+// total full rate each offer more than their full rate here.
 func (a *Allocator) ownFraction() float64 { return max(a.trafficFraction, 1/float64(a.dispatchers)) }
 
 // measuredFraction returns this dispatcher's fraction of the fleet's traffic as estimated from the current
--- a/internal/decision/capacity/window.go
+++ b/internal/decision/capacity/window.go
@@ -6,8 +6,8 @@
 	maxGainScale       = 8    // largest multiple of windowGain, for many dispatchers
 )
 
-// A StartWindow estimates how many slots the whole fleet can have in use without delaying starts. Each start
-// updates it.
+// A StartWindow estimates how many slots one dispatcher can have in flight, at all workers together, with at
+// most targetLateFraction of its jobs late or rejected. RecordLate and RecordPrompt adjust it.
 type StartWindow struct {
 	slots float64
 	gain  float64
--- a/internal/decision/health/slow_start.go
+++ b/internal/decision/health/slow_start.go
@@ -47,10 +47,11 @@
 	rate   WorkerRate
 }
 
-// A Job holds the properties of a job that determine its work at a worker in slow start.
+// A Job holds the slots of a job and the times of its class, from which RecordSend computes the job's work
+// at a worker in slow start.
 type Job struct {
 	Slots              float64
-	Runtime, Objective int64 // of its class: median running time and latency objective
+	Runtime, Objective int64 // of its class, nanoseconds: median running time and latency objective
 }
 
 // NewSlowStart returns a SlowStart. rate is the rate of warm workers; its peak is 0 while none is known.
