--- a/cmd/foxlift-sim/main.go
+++ b/cmd/foxlift-sim/main.go
@@ -130,7 +130,7 @@
 // Down stops an instance. Its unanswered requests are lost.
 func (h *batchHandler) Down(name string) error {
 	if h.instances[name] == nil {
-		return fmt.Errorf("instance %q does not run", name)
+		return fmt.Errorf(`instance %q is not running; an "attach" message starts it`, name)
 	}
 	h.remove(name)
 	return nil
--- a/cmd/foxlift-sim/main_test.go
+++ b/cmd/foxlift-sim/main_test.go
@@ -88,13 +88,13 @@
 		"{":                                  "not JSON",
 		"[]\n":                               "not an object",
 		batch("2", `["wave","scheduler_0"]`): "unknown message",
-		batch("2", `["deadlineHit","scheduler_9",1]`):                                                  "does not run",
+		batch("2", `["deadlineHit","scheduler_9",1]`):                                                  "is not running",
 		batch("2", `["deadlineHit","scheduler_0"]`):                                                    "values",
 		batch("2", `["deadlineHit","scheduler_0","x"]`):                                                "whole number",
 		batch("2", `["accept","scheduler_0",5,14000000000,"nap",null,null,1,0,"t1",0.5]`):              "unknown class",
 		batch("2", `["completed","scheduler_0",5,"10.0.0.2:1",1,false,0,299,null,null]`):               "unknown rc",
 		batch("2", `["registry","scheduler_0","incr",2,[["10.0.0.1:1","a","big",0,"asleep",1,null]]]`): "unknown state",
-		batch("2", `["down","scheduler_4"]`):                                                           "does not run",
+		batch("2", `["down","scheduler_4"]`):                                                           "is not running",
 	} {
 		err := serve(strings.NewReader(batch("1", attach)+bad), &bytes.Buffer{})
 		if err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "line 2") {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -226,7 +226,7 @@
 }
 
 // readName returns the first value of a form, which is its name, and the values after it. If there is no name, it
-// records an error.
+// records an error and returns an empty name and all values.
 func (r *reader) readName(f form) (name string, rest []*sexp) {
 	if len(f.args) == 0 || f.args[0].Form != nil {
 		r.addError(f.at, f.key, "the name is missing")
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -13,7 +13,7 @@
 	"github.com/vatu-meals/foxlift/internal/platform"
 )
 
-const replanTimeout = 5 * time.Second // limits how long the core may take to apply a new cell plan
+const replanTimeout = 5 * time.Second // limits how long a reload waits for the core to apply a new cell plan
 
 // Reload reads the configuration file and the operator's file again, and applies the new discovery address
 // and cell plan. It rejects the changes that checkReloadable lists, and ignores other changed settings until a
--- a/internal/platform/client_conn.go
+++ b/internal/platform/client_conn.go
@@ -129,8 +129,9 @@
 	}
 }
 
-// idleDeadline returns the time at which the connection is closed if no request has begun by then; zero means never. A
-// connection that has sent a request before has a deadline only during a drain. activeDrain is nil if there is none.
+// idleDeadline returns the time at which the connection is closed if no request has begun by then; zero means never.
+// During a drain it is the deadline of activeDrain, which may be later than the one before the drain. Without a drain
+// (nil) it is requestTimeout after the connection was opened, or zero if the connection has sent a request before.
 func (c *clientConn) idleDeadline(activeDrain *drain, hadRequest bool) time.Time {
 	switch {
 	case activeDrain != nil:
--- a/internal/platform/discovery_client.go
+++ b/internal/platform/discovery_client.go
@@ -14,8 +14,9 @@
 	"github.com/vatu-meals/foxlift/internal/pollpacing"
 )
 
-// errInvalidEndpoints is the error for a response that is not an endpoint list, or not the kind that was requested.
-var errInvalidEndpoints = errors.New("invalid endpoint list")
+// errInvalidEndpoints is the error for a response that is not an endpoint list, or not the kind that was requested. A
+// list over the limit of bytes is an oversizedError instead; one over the limit of entries is both.
+var errInvalidEndpoints = errors.New("response is not a valid endpoint list")
 
 // statusError is the HTTP status of a response that is not 200.
 type statusError int
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -124,8 +124,9 @@
 	data []byte
 }
 
-// newPeers parses the addresses of the schedulers, among which ownIndex is this one's index. An address that is not of
-// the form IP:port is an error. newPeers opens no socket.
+// newPeers returns the peers of the scheduler whose index in c.Addresses is ownIndex. It parses c.Addresses and, unless
+// it is empty, c.Broadcast; an address that is not of the form IP:port is an error. c.Listen is parsed only by open,
+// which opens the socket.
 func newPeers(
 	c config.Peers, ownIndex int, clock core.Clock, set *counters.Set, receive func(from int, data []byte),
 ) (*peers, error) {
--- a/internal/platform/worker_conn.go
+++ b/internal/platform/worker_conn.go
@@ -59,7 +59,7 @@
 var (
 	errConnBroken          = errors.New("connection was closed or received unexpected bytes before the last byte")
 	errNotPermitted        = errors.New("attempt is no longer permitted")
-	errWriteDeadlinePassed = errors.New("write deadline has passed")
+	errWriteDeadlinePassed = errors.New("attempt's write deadline passed before the last byte of the request was written")
 )
 
 // deliver writes a request. A worker starts the job when it receives the last byte of the request, so deliver holds
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -128,7 +128,7 @@
 	}
 	names := h.Names(instance)
 	if names == nil {
-		return fmt.Errorf("instance %q does not run", instance)
+		return fmt.Errorf(`instance %q is not running; an "attach" message starts it`, instance)
 	}
 	if names.workers == nil {
 		return nil // the settings of the instance were invalid, which has been reported
