--- a/attempts.go
+++ b/attempts.go
@@ -200,7 +200,7 @@
 		d.updateLevel(a.worker)
 		if !j.ended && j.class.Effect != AtMostOnce && d.cfg.MayHedge && d.jobs.hedgeBudget >= 1 && !j.retryQueued {
 			// The budget keeps hedges a small fraction of all sends: where workers do not stop cancelled jobs,
-			// hedges lengthen the very queues that made the starts late.
+			// which no setting shows, hedges lengthen the very queues that made the starts late.
 			d.jobs.hedgeBudget = max(0, d.jobs.hedgeBudget-1)
 			j.retryQueued = true
 			d.jobs.retryQueue = append(d.jobs.retryQueue, j)
--- a/internal/core/migration.go
+++ b/internal/core/migration.go
@@ -56,10 +56,10 @@
 }
 
 // RestorePlacement undoes MigrateTenant and Evacuate, and returns tenants to their configured cells: one tenant,
-// the tenants configured in the cell named name, or all tenants if both arguments are empty. With a tenant, no
-// evacuation ends and name is only checked. It returns cells.ErrUnknownTenant, cells.ErrUnknownCell, ErrNoCells,
-// ErrShuttingDown or the error of ctx. Only without a tenant
-// does it also end the evacuation of the named cell or of all cells. If both are given, only the tenant is returned.
+// the tenants configured in the cell named name, or all tenants if both arguments are empty. If both are given, it
+// returns only the tenant, and checks that the cell exists. Only without a tenant does it also end the evacuation of
+// the named cell or of all cells. It returns cells.ErrUnknownTenant, cells.ErrUnknownCell, ErrNoCells,
+// ErrShuttingDown or the error of ctx.
 func (c *Core) RestorePlacement(ctx context.Context, tenant, name string) (Migration, error) {
 	return c.changeLayout(ctx, func(layout *cells.Layout) (*cells.Layout, error) {
 		plan := layout.Plan()
--- a/internal/decision/membership/schedule.go
+++ b/internal/decision/membership/schedule.go
@@ -46,7 +46,8 @@
 
 // Fail records that a poll failed or the subscription broke, and draws the time of the next poll at random,
 // since all dispatchers fail together: after half of the backoff to the whole. The backoff doubles with each
-// failure from minBackoff to half of maxInterval; it is minBackoff if that is longer.
+// failure from minBackoff to half of maxInterval, so that the scheduler does not count as not polling; it is
+// minBackoff if that is longer.
 func (s *PollSchedule) Fail(now int64, rng *rand.Rand) {
 	s.subscribed, s.inProgress = false, false
 	s.backoff = min(max(2*s.backoff, minBackoff), max(s.maxInterval/2, minBackoff))
--- a/internal/lab/capacity/schedulers.go
+++ b/internal/lab/capacity/schedulers.go
@@ -13,7 +13,7 @@
 // Each call is answered at once, since the capacity of discovery is unknown.
 const (
 	watchDuration = 2 * time.Minute // virtual time for which watches are counted
-	startsPerRun  = 10              // starts of all schedulers that are simulated in each run
+	startsPerRun  = 10              // starts of all schedulers in each run: one start lasts only seconds
 )
 
 // measureSchedulers measures the rate of calls that all schedulers together make to discovery.
--- a/internal/pollpacing/pacer.go
+++ b/internal/pollpacing/pacer.go
@@ -116,8 +116,9 @@
 }
 
 // NewPacer returns the pacer of one of a number of schedulers that share a discovery service; fewer than 1 count
-// as 1, more than maxSchedulers as maxSchedulers. maxBackoff is the time that may pass without a call while the
-// endpoint list counts as known. It limits every delay but those after oversized answers; 0 means no limit.
+// as 1, more than maxSchedulers as maxSchedulers. maxBackoff is the time that may pass without a call before the
+// scheduler counts as having the list of discovery, even if it has not arrived. It limits every delay but those
+// after oversized answers; 0 means no limit.
 func NewPacer(schedulers int, maxBackoff time.Duration, rng *rand.Rand) *Pacer {
 	return &Pacer{schedulers: min(max(1, schedulers), maxSchedulers), maxBackoff: maxBackoff, rng: rng}
 }
