--- a/cmd/foxlift-sim/main.go
+++ b/cmd/foxlift-sim/main.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// Attach starts an instance. It reports invalid settings in the reply.
+// Attach starts an instance, which replaces a running one of the same name. It reports invalid settings in the reply.
 func (h *batchHandler) Attach(name string, seed uint64, settings *fastjson.Value) error {
 	cfg, names, err := wire.ParseSettings(name, settings)
 	var dispatcher *foxlift.Dispatcher
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// Down stops an instance. Its unanswered requests are lost.
+// Down stops an instance. Its unanswered requests are lost. It returns an error if the instance is not running.
 func (h *batchHandler) Down(name string) error {
 	if h.instances[name] == nil {
 		return fmt.Errorf(`instance %q is not running; an "attach" message starts it`, name)
@@ -156,7 +156,8 @@
 	return nil
 }
 
-// Event stores an event for its instance until the whole batch has been read.
+// Event stores an event for its instance until the whole batch has been read. It ignores events for an instance with
+// invalid settings. It copies the workers, since the decoder reuses their memory.
 func (h *batchHandler) Event(n *wire.NameTables, ev *foxlift.Event) error {
 	inst := n.Owner.(*instance)
 	if inst.dispatcher == nil {
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -40,7 +40,7 @@
 	return b
 }
 
-// Accept implements net.Listener.
+// Accept implements net.Listener. It waits until fewer than maxOpen connections are open.
 func (l *boundedListener) Accept() (net.Conn, error) {
 	if !l.reserve() {
 		return nil, net.ErrClosed
--- a/internal/platform/buffer.go
+++ b/internal/platform/buffer.go
@@ -62,7 +62,8 @@
 }
 
 // fillAvailable reads bytes that have already arrived, without waiting. It returns false if the other side has
-// closed the connection or the read failed.
+// closed the connection or the read failed. It reads nothing and returns true if the connection has no descriptor, as
+// in some tests.
 func (b *readBuffer) fillAvailable() bool {
 	sc, ok := b.conn.(syscall.Conn)
 	if !ok {
--- a/internal/platform/client_capacity.go
+++ b/internal/platform/client_capacity.go
@@ -23,7 +23,7 @@
 
 // awaitCapacity waits until the budget allows another connection. It starts to close idle connections before the
 // budget is used up. During shutdown it does not wait and returns true: only the connections that the kernel has
-// already accepted remain to be accepted.
+// already accepted remain to be accepted. It then sets the accept deadline to backlogTimeout from now.
 func (s *clientServer) awaitCapacity() (stopping bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,15 +42,16 @@
 	return stopping
 }
 
-// freeOneConn frees capacity for at least one connection.
+// freeOneConn frees capacity for at least one connection, if there are connections that may be closed.
 func (s *clientServer) freeOneConn() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.freeCapacityLocked(1)
 }
 
-// freeCapacityLocked frees capacity for at least target connections; it does nothing if target is 0 or less.
-// Connections that are about to end already count. Connections are closed in this order:
+// freeCapacityLocked frees capacity for at least target connections, if enough may be closed. It does nothing if target
+// is 0 or less. It marks connections to be closed and does not wait. Connections that are about to end already count.
+// Connections are closed in this order:
 //
 //  1. idle connections without a request after firstByteGrace,
 //  2. connections whose first request is incomplete after firstRequestGrace,
@@ -106,7 +107,8 @@
 }
 
 // assignCell counts a connection towards the cell of its latest job. It returns false if the cell exceeds its share of
-// the connections and this one must be closed. The cell of a connection is unknown until its first job has been read.
+// the connections and this one must be closed after the job's answer. The cell of a connection is unknown until its
+// first job has been read.
 func (s *clientServer) assignCell(c *clientConn, job *core.Job) bool {
 	cell, maxConns := s.core.Cell(job.Tenant, job.Key)
 	if cell == "" {
--- a/internal/platform/client_conn.go
+++ b/internal/platform/client_conn.go
@@ -76,7 +76,9 @@
 // and the client may lose an answer that it has not read yet. Bytes can arrive until the client receives the end of the
 // connection. So close first closes the write side, and then reads and drops what still arrives, within a time and
 // byte limit since a client might never stop sending. It closes at once if the client's host has acknowledged the last
-// answer and lateRequestGrace has passed: then nothing can be lost, and other clients may need the descriptor.
+// answer and lateRequestGrace has passed since that was written, or there was none: then nothing can be lost, and other
+// clients may need the descriptor. It counts a violation of guard.Unanswered if an accepted job has no answer although
+// the client is still connected.
 func (c *clientConn) close() {
 	defer c.conn.Close()
 	if rule := (guard.Close{
@@ -110,7 +112,8 @@
 			return true
 		}
 		if c.retired.Load() && !hadRequest && !c.server.closeIdle.Load() {
-			return c.buf.fillAvailable() && c.buf.buffered() > 0 // no request of it has been accepted
+			// No request has been accepted on the connection: only one that has already arrived is served.
+			return c.buf.fillAvailable() && c.buf.buffered() > 0
 		}
 		if c.retired.Load() {
 			// A request that the client sent before it could detect the close may still arrive and must not be lost.
--- a/internal/platform/client_reply.go
+++ b/internal/platform/client_reply.go
@@ -31,7 +31,8 @@
 	return plainReply(inputErr.status, inputErr.text)
 }
 
-// healthReply returns the reply to a health check of the scheduler.
+// healthReply returns the reply to a health check of the scheduler: 200 if it is ready, 503 if not, and 405 for a
+// method other than GET.
 func (c *clientConn) healthReply(method string) reply {
 	switch {
 	case method != http.MethodGet:
@@ -58,7 +59,8 @@
 	return plainReply(http.StatusBadGateway, string(answer.Reason))
 }
 
-// writeReply writes a reply and returns whether the connection stays open.
+// writeReply writes a reply and returns whether the connection stays open. It is closed if the write fails, if
+// mustClose is set, if the connection is retired, and during a drain or the end of a shutdown.
 func (c *clientConn) writeReply(r reply, mustClose bool) bool {
 	mustClose = mustClose || c.retired.Load() || c.server.closesAfterAnswer()
 	response := fmt.Appendf(make([]byte, 0, 160+len(r.body)), "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n",
--- a/internal/platform/client_server.go
+++ b/internal/platform/client_server.go
@@ -21,7 +21,8 @@
 	SetDeadline(time.Time) error
 }
 
-// A clientServer accepts and serves client connections, at most budget at a time.
+// A clientServer accepts and serves client connections, at most budget at a time. During shutdown it accepts the whole
+// backlog, even beyond the budget.
 type clientServer struct {
 	core             *core.Core
 	clock            core.Clock
@@ -38,7 +39,7 @@
 	acceptDone       chan struct{}         // closed when accept has returned
 
 	mu              sync.Mutex
-	capacityChanged *sync.Cond // signalled when accept may be able to go on
+	capacityChanged *sync.Cond // signalled when accept or shutDown may be able to go on
 	conns           map[*clientConn]struct{}
 	idle            *list.List     // of *clientConn, longest idle first
 	connsByCell     map[string]int // number of connections by the cell of their last job
--- a/internal/platform/job_request.go
+++ b/internal/platform/job_request.go
@@ -98,8 +98,9 @@
 	return time.Duration(number * float64(unit)), nil
 }
 
-// parseLabels parses "name=value,name=value" and returns the values of the slots and memory labels, 0 if absent. It
-// ignores other labels.
+// parseLabels parses "name=value,name=value" and returns the values of the slots and memory labels, 0 if absent and the
+// last one if repeated. It ignores other labels. A label without "=" and a slots or memory value that is not a finite
+// number of 0 or more are errors.
 func parseLabels(labels string) (slots, memory float64, err error) {
 	if labels == "" {
 		return 0, 0, nil
--- a/internal/platform/message.go
+++ b/internal/platform/message.go
@@ -63,7 +63,8 @@
 	m.buf.r, m.read, m.limit = m.buf.r+n, m.read-n, m.limit-n
 }
 
-// close ends the reading and removes from the buffer the bytes that the parser has consumed.
+// close ends the reading and removes from the buffer the bytes that the parser has consumed. If the buffer is then
+// empty and larger than maxRetainedBufferSize, its memory is released.
 func (m *message) close() {
 	m.releaseConsumed()
 	if m.buf.buffered() == 0 && len(m.buf.data) > maxRetainedBufferSize {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -122,6 +122,7 @@
 	return nil
 }
 
+// openListener listens on the address for clients. If shareAddr is set, another process may listen on it too.
 func (p *Platform) openListener() (*net.TCPListener, error) {
 	if p.shareAddr {
 		return upgrade.Listen(p.listenAddr)
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -49,7 +49,8 @@
 )
 
 // shutdownTimes returns two times after the start of a shutdown: when idle client connections are closed, and by when
-// all jobs are answered. Jobs that are not finished by then are abandoned.
+// all jobs are answered. Jobs that are not finished by then are abandoned. The minimums are
+// acceptAfterShutdown + minIdleGrace and acceptAfterShutdown + 2*minIdleGrace.
 func shutdownTimes(s *config.Settings) (closeIdleAfter, answerBy time.Duration) {
 	longest := int64(0)
 	for _, class := range s.Module.Classes {
@@ -63,7 +64,8 @@
 // connections it still serves jobs that end soon. It returns when all accepted jobs are answered.
 func (p *Platform) ShutDown() {
 	closeIdleAfter, answerBy := shutdownTimes(p.settings)
-	// Jobs that arrive before acceptAfterShutdown are served as usual: the core begins its shutdown only then.
+	// Requests that arrive within acceptAfterShutdown are not yet counted against the scheduler's draining duty. They are
+	// still accepted as usual: the core begins its shutdown only after that time.
 	beginTimer := time.AfterFunc(acceptAfterShutdown, func() { p.core.BeginShutdown(answerBy - acceptAfterShutdown) })
 	defer beginTimer.Stop()
 	p.clients.unready.Store(true)
--- a/internal/platform/socket.go
+++ b/internal/platform/socket.go
@@ -9,7 +9,8 @@
 )
 
 // withDescriptor calls f with the file descriptor of a connection or a listener. It does not call f if the socket has
-// no descriptor, as in some tests, or is closed.
+// no descriptor, as in some tests, or is closed; hasInput, peerClosed, hasUnsentBytes and hasPendingConn
+// return false then.
 func withDescriptor(socket any, f func(fd int)) {
 	if syscallConn, ok := socket.(syscall.Conn); ok {
 		if raw, err := syscallConn.SyscallConn(); err == nil {
@@ -41,8 +42,8 @@
 	return found
 }
 
-// peerClosed reports whether the other side has closed a connection or its write side. It returns false while received
-// data is unread.
+// peerClosed reports whether the other side has closed a connection or its write side, or the connection has failed. It
+// returns false while received data is unread.
 func peerClosed(conn net.Conn) (closed bool) {
 	withDescriptor(conn, func(fd int) {
 		n, err := peek(fd)
--- a/internal/platform/state_lines.go
+++ b/internal/platform/state_lines.go
@@ -24,8 +24,9 @@
 	Load json.RawMessage `json:"load"`
 }
 
-// parseStateLine parses a line. It rejects a line that repeats a name, since encoding/json ignores case and takes the
-// last value: a "done" could hide a "failed".
+// parseStateLine parses a line. It rejects a line that repeats one of the stateLine names in any case, since
+// encoding/json ignores case and takes the last value: a "done" could hide a "failed". Names in nested values are
+// not compared, and a repeat of another name may pass.
 func parseStateLine(line []byte) (parsed stateLine, err error) {
 	if err := json.Unmarshal(line, &parsed); err != nil {
 		return parsed, err
@@ -93,8 +94,9 @@
 
 var errUnexpectedLine = errors.New("state line of another job or after the final state")
 
-// readStates reads the state lines of a worker's answer to the end of the body. If the body is incomplete, its lines do
-// not count and the outcome is foxlift.Reset. An error means that the connection cannot be reused.
+// readStates reads the state lines of a worker's answer to the end of the body, reports "started" and "running" at once
+// and returns the final report. If the body is incomplete or a line is invalid, the final state does not count and the
+// outcome is foxlift.Reset. An error means that the connection cannot be reused.
 func (a *attempt) readStates(body io.Reader) (core.Report, error) {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, maxResponseBytes)
--- a/internal/wire/decode_endpoints.go
+++ b/internal/wire/decode_endpoints.go
@@ -22,7 +22,8 @@
 	"live": foxlift.Live, "quiescing": foxlift.Draining, "dead": foxlift.Removed,
 }
 
-// decodeEndpoints decodes ["registry", schedulerId, scope, version, items].
+// decodeEndpoints decodes ["registry", schedulerId, scope, version, items]. It ignores the version; absent items are an
+// empty list. The event's workers are valid until the next message is decoded.
 func (d *Decoder) decodeEndpoints(names *NameTables, fields []*fastjson.Value) error {
 	scope, err := readString(fields[2], "scope")
 	if err != nil {
@@ -51,7 +52,8 @@
 	return nil
 }
 
-// decodeEndpoint decodes [worker, zone, kind, block, stageState, _, cameUp].
+// decodeEndpoint decodes [worker, zone, kind, block, stageState, _, cameUp]. An unknown zone or kind becomes -1, an
+// absent block 0 and an absent cameUp 0, which means long ago.
 func (n *NameTables) decodeEndpoint(v *fastjson.Value) (worker foxlift.Worker, err error) {
 	fields, err := readArray(v, "entry")
 	if err != nil {
--- a/internal/wire/decode_events.go
+++ b/internal/wire/decode_events.go
@@ -26,7 +26,8 @@
 // progressKindStarted is the kind of an "interim" message that reports the start of a job.
 const progressKindStarted = 1
 
-// decodeRequest decodes ["accept", schedulerId, xid, deadline, cls, item, hint, slots, stateBits, tenant, mem].
+// decodeRequest decodes ["accept", schedulerId, xid, deadline, cls, item, hint, slots, stateBits, tenant, mem]. An
+// unknown class is an error; an unknown or absent tenant becomes -1. hint is ignored unless stateBits has stateBitSize.
 func (d *Decoder) decodeRequest(names *NameTables, fields []*fastjson.Value) (err error) {
 	event := &d.event
 	event.Kind = foxlift.EventRequest
@@ -98,7 +99,8 @@
 	return err
 }
 
-// decodeProgress decodes ["interim", schedulerId, xid, share, kind, worker, go].
+// decodeProgress decodes ["interim", schedulerId, xid, share, kind, worker, go]. Any kind but progressKindStarted is a
+// progress report. It ignores the share.
 func (d *Decoder) decodeProgress(names *NameTables, fields []*fastjson.Value) error {
 	kind, err := readInt(fields[4], "kind")
 	if err != nil {
@@ -185,7 +187,7 @@
 	return nil
 }
 
-// decodeCode decodes the code of an outcome or a health check.
+// decodeCode decodes the code of an outcome or a health check; an unknown one is an error.
 func decodeCode(v *fastjson.Value) (foxlift.Code, error) {
 	code, err := readInt(v, "rc")
 	if err != nil {
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -7,7 +7,8 @@
 	"github.com/vatu-meals/foxlift"
 )
 
-// AppendAction appends an action of an instance, encoded as a JSON message of the simulator.
+// AppendAction appends an action of an instance, encoded as a JSON message of the simulator. It writes the instance and
+// worker IDs without escaping.
 func AppendAction(buf []byte, instance string, action *foxlift.Action) []byte {
 	begin := func(name string) {
 		buf = append(buf, `["`...)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -44,10 +44,12 @@
 // A Batch is the header of one line of input.
 type Batch struct {
 	Now    int64 // simulated time, in nanoseconds
-	Number int64
+	Number int64 // identifies the batch in the reply
 }
 
-// Decode decodes one line and passes its messages to h. It calls begin with the header before the first message.
+// Decode decodes one line and passes its messages to h. It calls begin with the header before the first message, and
+// returns the header. If an error occurs, messages before the faulty one have been passed to h; header values that were
+// not decoded are 0.
 func (d *Decoder) Decode(line []byte, begin func(Batch), h Handler) (b Batch, err error) {
 	batch, err := d.parser.ParseBytes(line)
 	if err != nil {
@@ -111,7 +113,8 @@
 	"completed": 10, "clientLeft": 3, "deadlineHit": 3, "probeDone": 6, "neighbourSays": 4,
 }
 
-// dispatch decodes the values of a message and passes it to the method of h for it.
+// dispatch decodes the values of a message and passes it to the method of h for it. An event for an instance that is
+// not running is an error; one for an instance with invalid settings is ignored.
 func (d *Decoder) dispatch(name string, instance []byte, fields []*fastjson.Value, h Handler) error {
 	switch name {
 	case "attach":
