--- a/internal/platform/endpoint_watch.go
+++ b/internal/platform/endpoint_watch.go
@@ -162,7 +162,8 @@
 // response, and calls the observer's ChangeDiscovery on another goroutine. The next calls request the new discovery's
 // complete list until it has arrived; the current list stays in force until then. The call to the old discovery is
 // cancelled at once, unless bytes of its response have arrived: what the old discovery has written is still in force,
-// so the call is then cancelled once that response is applied or proves incomplete, at the latest after finalReadTimeout.
+// so the call is then cancelled once that response is applied or proves incomplete, and at the latest after
+// finalReadTimeout.
 func (w *endpointWatch) switchTo(discovery string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
