--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -33,9 +33,10 @@
 	Program: "bin/foxlift", Schedulers: 10, Workers: 10, Duration: 30 * time.Second, JobsPerSecond: 12,
 }
 
-// Violations counts the violations of each rule, and the processes that exited with an error. Reports
-// use the rule names of package guard: "gone" for Disconnected and "slowstart" for StartOverload. Lost also
-// counts valid jobs that were answered with 4xx.
+// Violations counts the violations of each rule, and the processes that exited with an error (Exit).
+// Reports use the rule names of package guard, such as "gone" for Disconnected, and "slowstart" for
+// StartOverload and "exit" for Exit, which guard does not check. Lost also counts valid jobs that were
+// answered with 4xx.
 type Violations struct {
 	Drain, Lost, Duplicate, Disconnected, Deadline, StartOverload, Exit int
 }
